--- a/crates/balancer/benches/decision/main.rs
+++ b/crates/balancer/benches/decision/main.rs
@@ -8,7 +8,7 @@
 mod reports;
 
 use shaletide_balancer::{Action, Allowance, Arrival, AttemptEnd, Balancer, Config, Event};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::process::Command;
 
 const BOXES: [u32; 3] = [12, 200, 2_000];
--- a/crates/balancer/benches/decision/reports.rs
+++ b/crates/balancer/benches/decision/reports.rs
@@ -2,7 +2,7 @@
 //! with the rest as it is.
 
 use shaletide_balancer::{Config, Event};
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// This build hears of them.
 pub const THERE: bool = true;
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,6 +1,6 @@
 //! The whole interface of the decision module: configuration, events, actions. No decisions here.
 
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// Everything told at start-up.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -15,7 +15,7 @@
 pub use give_up::{GiveUpCounts, GiveUpReason};
 pub use interface::*;
 pub use rules::{halb_shares, Balancer};
-pub use shaletide_base::*;
+pub use shaletide_types::*;
 pub use state::Allowance;
 
 /// The README's example, kept true by the documentation tests.
--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/loads.rs
@@ -7,7 +7,7 @@
 //! one part in the fleet's mean, and is worth nothing when it is old.
 
 use crate::state::{Mean, Peer, Said};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 
 /// A longer latency is not believed, ms.
--- a/crates/balancer/src/reach.rs
+++ b/crates/balancer/src/reach.rs
@@ -2,7 +2,7 @@
 //! and each costs four attempts before it is ejected: here they are known by their zone. Nothing here draws a backend.
 
 use crate::state::Mean;
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 
 /// Outcomes in a zone's mean.
--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -20,7 +20,7 @@
 use crate::loads::Loads;
 use crate::reach::Reach;
 use crate::state::*;
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shares are solved this often, s: far faster than the rate's memory.
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -2,7 +2,7 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// Memory of what a backend says it holds, s: about as long as one that is too full takes to turn slow.
 const TOLD_MEMORY: f64 = 1.0;
--- a/crates/admission/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -4,7 +4,7 @@
 //! come whole: nobody holds a part and waits for the rest of the room. What does not fit is not read; it stands in line.
 
 use crate::pace::{Pace, Rate};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A body, by the order of coming.
--- a/crates/admission/src/pace.rs
+++ b/crates/body-limits/src/pace.rs
@@ -1,6 +1,6 @@
 //! Whether a peer moves as fast as it has to.
 
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 
 /// A least rate, and how far a peer may fall behind it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/admission/tests/bodies.rs
+++ b/crates/body-limits/tests/bodies.rs
@@ -1,8 +1,8 @@
 //! Peers that trickle, stall, stop and fill the house.
 
 use proptest::prelude::*;
-use shaletide_admission::{Bodies, BodyId, Entry, Measures, Pace, Rate};
-use shaletide_base::{Micros, Time};
+use shaletide_body_limits::{Bodies, BodyId, Entry, Measures, Pace, Rate};
+use shaletide_types::{Micros, Time};
 
 const MS: u64 = 1_000;
 const RATE: Rate = Rate { least: 1_000, grace: Micros(500 * MS) };
--- a/crates/emulate/src/account.rs
+++ b/crates/emulator/src/account.rs
@@ -1,7 +1,7 @@
 //! What clients got.
 
 use hdrhistogram::Histogram;
-use shaletide_base::Micros;
+use shaletide_types::Micros;
 
 /// How a request ended, and why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/emulate/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,8 +1,8 @@
 //! What a day is made of.
 
 use shaletide_balancer::{Class, Config, Discovery, Tenant};
-use shaletide_base::*;
 use shaletide_testkit::{Dice, Law, Power};
+use shaletide_types::*;
 
 /// A sort of request.
 #[derive(Clone, Debug)]
--- a/crates/emulate/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,9 +1,9 @@
-//! `shaletide-emulate`: a day played by several deciders, side by side.
+//! `shaletide-emulator`: a day played by several deciders, side by side.
 
 use clap::Parser;
-use shaletide_emulate::account::ENDS;
-use shaletide_emulate::day::Planned;
-use shaletide_emulate::{play, Day, Who};
+use shaletide_emulator::account::ENDS;
+use shaletide_emulator::day::Planned;
+use shaletide_emulator::{play, Day, Who};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 /// A fleet on a virtual clock: what clients get of random choice, of the program without and with reports, and of one
 /// module that sees all. Status 1 where a rule broke.
 #[derive(Debug, Parser)]
-#[command(name = "shaletide-emulate", version)]
+#[command(name = "shaletide-emulator", version)]
 struct Cli {
     /// The day: calm, herd, join, split, slow, silent, zone or none; or all.
     #[arg(long, default_value = "calm")]
@@ -74,13 +74,13 @@
     let mut sound = true;
     for name in names {
         let Some(mut day) = Day::named(name, cli.proxies, cli.boxes, cli.seed) else {
-            eprintln!("shaletide-emulate: no day {name:?}; there are {}", Day::NAMES.join(", "));
+            eprintln!("shaletide-emulator: no day {name:?}; there are {}", Day::NAMES.join(", "));
             return ExitCode::from(2);
         };
         day.zone_skew = cli.zone_skew.unwrap_or(day.zone_skew);
         day.load = cli.load.unwrap_or(day.load);
         day.troubles.extend(cli.trouble.iter().map(|t| (t.from, t.to, t.trouble.clone())));
-        day.length = shaletide_base::Micros(cli.seconds * 1_000_000);
+        day.length = shaletide_types::Micros(cli.seconds * 1_000_000);
         println!(
             "{name}: {} proxies, {} boxes, seed {}, {} s",
             cli.proxies, cli.boxes, cli.seed, cli.seconds
--- a/crates/emulate/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -10,10 +10,10 @@
 use crate::day::Day;
 use crate::rules::Watch;
 use crate::site::{Site, LOOK};
-use shaletide_base::*;
 use shaletide_routing::pools::{Action, Event};
 use shaletide_routing::Pools;
 use shaletide_testkit::Dice;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use world::*;
 
--- a/crates/emulate/src/play/attempts.rs
+++ b/crates/emulator/src/play/attempts.rs
@@ -5,9 +5,9 @@
 use crate::rules::Broken;
 use crate::site::LOOK;
 use shaletide_balancer::AttemptEnd;
-use shaletide_base::*;
 use shaletide_routing::pools::Event;
 use shaletide_testkit::{Admitted, Demand, Step};
+use shaletide_types::*;
 
 impl World<'_> {
     pub(super) fn dispatch(&mut self, proxy: usize, id: RequestId, no: AttemptNo, site: usize) {
--- a/crates/emulate/src/play/clients.rs
+++ b/crates/emulator/src/play/clients.rs
@@ -5,9 +5,9 @@
 use crate::account::End;
 use crate::rules::Broken;
 use shaletide_balancer::Arrival;
-use shaletide_base::*;
 use shaletide_routing::pools::Event;
 use shaletide_testkit::Dice;
+use shaletide_types::*;
 use std::rc::Rc;
 
 /// One of them, by their shares.
--- a/crates/emulate/src/play/lists.rs
+++ b/crates/emulator/src/play/lists.rs
@@ -2,8 +2,8 @@
 
 use super::world::*;
 use super::Who;
-use shaletide_base::*;
 use shaletide_routing::pools::Event;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 
 impl World<'_> {
--- a/crates/emulate/src/play/troubles.rs
+++ b/crates/emulator/src/play/troubles.rs
@@ -4,8 +4,8 @@
 use super::Who;
 use crate::account::End;
 use crate::day::Trouble;
-use shaletide_base::*;
 use shaletide_testkit::Dice;
+use shaletide_types::*;
 
 impl World<'_> {
     pub(super) fn begins(&mut self, trouble: usize) {
--- a/crates/emulate/src/play/world.rs
+++ b/crates/emulator/src/play/world.rs
@@ -5,10 +5,10 @@
 use crate::day::Day;
 use crate::rules::Watch;
 use crate::site::Site;
-use shaletide_base::*;
 use shaletide_routing::pools::Event;
 use shaletide_routing::Pools;
 use shaletide_testkit::Dice;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub(super) const POOL: PoolId = PoolId(0);
--- a/crates/emulate/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -1,6 +1,6 @@
 //! The four rules, watched from outside the modules: by what the emulated hosts sent and answered.
 
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A rule that broke.
--- a/crates/emulate/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -2,8 +2,8 @@
 //! it takes, and what it says of its load.
 
 use crate::day::{Boxes, Reports};
-use shaletide_base::*;
 use shaletide_testkit::{Admitted, Demand, Dice, Power, Station, Step};
+use shaletide_types::*;
 use std::collections::VecDeque;
 
 /// Memory of how many it holds, s.
--- a/crates/emulate/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The decisions at scale, on the emulated fleet: what reports of load bring, and that lies in them do bounded harm.
 
-use shaletide_base::Micros;
-use shaletide_emulate::account::End;
-use shaletide_emulate::day::{Reports, Trouble};
-use shaletide_emulate::play::Played;
-use shaletide_emulate::{play, Day, Who};
+use shaletide_emulator::account::End;
+use shaletide_emulator::day::{Reports, Trouble};
+use shaletide_emulator::play::Played;
+use shaletide_emulator::{play, Day, Who};
+use shaletide_types::Micros;
 
 /// A small fleet, for as long as it takes to see something.
 fn small(day: Day) -> Day {
--- a/crates/emulate/tests/hard.rs
+++ b/crates/emulator/tests/hard.rs
@@ -1,10 +1,10 @@
 //! Cases that are hard for a proxy among hundreds, at a scale that CI bears. What is asserted beside another decider or
 //! another day is a mean over three seeds.
 
-use shaletide_base::Micros;
-use shaletide_emulate::day::{Reports, Trouble};
-use shaletide_emulate::play::Played;
-use shaletide_emulate::{play, Account, Day, Who};
+use shaletide_emulator::day::{Reports, Trouble};
+use shaletide_emulator::play::Played;
+use shaletide_emulator::{play, Account, Day, Who};
+use shaletide_types::Micros;
 
 fn lasting(seconds: u64, day: Day) -> Day {
     Day { length: Micros(seconds * 1_000_000), ..day }
--- a/crates/emulate/tests/troubles.rs
+++ b/crates/emulator/tests/troubles.rs
@@ -1,10 +1,10 @@
 //! What the emulated troubles do, and that no rule breaks under them.
 
-use shaletide_base::Micros;
-use shaletide_emulate::account::End;
-use shaletide_emulate::day::Trouble;
-use shaletide_emulate::play::Played;
-use shaletide_emulate::{play, Day, Who};
+use shaletide_emulator::account::End;
+use shaletide_emulator::day::Trouble;
+use shaletide_emulator::play::Played;
+use shaletide_emulator::{play, Day, Who};
+use shaletide_types::Micros;
 
 fn lasting(seconds: u64, day: Day) -> Day {
     Day { length: Micros(seconds * 1_000_000), ..day }
--- a/crates/engine/src/conns.rs
+++ b/crates/engine/src/conns.rs
@@ -1,6 +1,6 @@
 //! The connections: which is idle, which may be used again, and how many there are.
 
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 
 /// How connections are kept.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,13 +5,13 @@
 use crate::conns::{ConnStep, Conns, Keeping};
 use crate::event::{Action, Event, Final, Order};
 use crate::guard::{may_begin, may_go, write_by};
-#[cfg(feature = "plants")]
+#[cfg(feature = "mutants")]
 use crate::plant::Plant;
 use crate::plant::{planted, Planted};
 use crate::request::{Group, Phase, Request, Step, Try};
 use shaletide_balancer::AttemptEnd;
-use shaletide_base::*;
 use shaletide_routing::{pools, Pools, Verdict};
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Attempts that any request may ever have, whatever the policy asks.
@@ -92,7 +92,7 @@
     }
 
     /// With a bug.
-    #[cfg(feature = "plants")]
+    #[cfg(feature = "mutants")]
     pub fn plant(&mut self, plant: Option<Plant>) {
         self.planted = Planted(plant);
     }
--- a/crates/engine/src/engine/look.rs
+++ b/crates/engine/src/engine/look.rs
@@ -2,7 +2,7 @@
 
 use super::{Engine, Policy};
 use crate::request::Group;
-use shaletide_base::*;
+use shaletide_types::*;
 
 impl<P: Policy> Engine<P> {
     /// What the lists say of a backend; none where no list has it.
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,8 +1,8 @@
 //! What the engine is told and what it asks for.
 
 use shaletide_balancer::Arrival;
-use shaletide_base::*;
 use shaletide_routing::Verdict;
+use shaletide_types::*;
 use std::rc::Rc;
 
 /// A request of any front.
--- a/crates/engine/src/guard.rs
+++ b/crates/engine/src/guard.rs
@@ -3,7 +3,7 @@
 use crate::plant::{planted, Planted};
 use crate::request::{Group, Phase, Request, Step, Try};
 use shaletide_balancer::{drops_repeats, repeat_end, repeat_until};
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// A window that is shorter than this bounds no write but that of a repeat: none may be whole in time.
 const SHORT: Micros = Micros(50_000);
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -3,7 +3,7 @@
 use super::record::{Record, Sent};
 use super::{broken, Rule, Rules, Verdict};
 use crate::event::Final;
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// In microseconds.
 const SECOND: u64 = 1_000_000;
--- a/crates/engine/src/monitor/cold.rs
+++ b/crates/engine/src/monitor/cold.rs
@@ -3,7 +3,7 @@
 
 use super::{broken, Rule, Verdict};
 use crate::event::{Action, Event};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How much a cold box takes.
--- a/crates/engine/src/monitor/drains.rs
+++ b/crates/engine/src/monitor/drains.rs
@@ -2,7 +2,7 @@
 
 use super::record::Record;
 use super::{broken, Rule, Rules, Verdict};
-use shaletide_base::*;
+use shaletide_types::*;
 
 pub(super) fn may_send(record: &Record, now: Time, to: BackendId, rules: &Rules) -> Verdict {
     match record.boxes.get(&to) {
--- a/crates/engine/src/monitor/kept.rs
+++ b/crates/engine/src/monitor/kept.rs
@@ -5,7 +5,7 @@
 use super::{broken, Monitor, Rule, Verdict};
 use crate::conns::ConnStep;
 use crate::engine::Engine;
-use shaletide_base::*;
+use shaletide_types::*;
 
 impl Monitor {
     /// Compares what the engine keeps with what there can be. Costs a step for all that the engine has.
--- a/crates/engine/src/monitor/lines.rs
+++ b/crates/engine/src/monitor/lines.rs
@@ -3,7 +3,7 @@
 
 use super::record::{Line, LineStep, Record};
 use super::{Rule, Rules, Violation};
-use shaletide_base::*;
+use shaletide_types::*;
 
 pub(super) fn may_use(record: &Record, now: Time, conn: ConnId, rules: &Rules) -> Result<Line, Violation> {
     let no = |how: &str| {
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -25,7 +25,7 @@
 pub use record::{Entry, Line, LineStep, Permit, Record, Sent, Watched, Where};
 
 use crate::event::{Action, Event};
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// What the rules measure by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/engine/src/monitor/permits.rs
+++ b/crates/engine/src/monitor/permits.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Permit, Record};
 use super::{broken, Rule, Verdict};
-use shaletide_base::*;
+use shaletide_types::*;
 
 pub(super) fn may_ask(record: &Record, now: Time, id: RequestId, attempt: AttemptNo) -> Verdict {
     let text = match record.requests.get(&id).filter(|r| r.open) {
--- a/crates/engine/src/monitor/record.rs
+++ b/crates/engine/src/monitor/record.rs
@@ -2,8 +2,8 @@
 
 use super::Rules;
 use crate::event::{Action, Event, Order};
-use shaletide_base::*;
 use shaletide_routing::Verdict;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Where a box stands among those that drop each other's repeats.
--- a/crates/engine/src/monitor/repeats.rs
+++ b/crates/engine/src/monitor/repeats.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Record, Where};
 use super::{broken, Rule, Verdict};
-use shaletide_base::*;
+use shaletide_types::*;
 
 pub(super) fn may_send(record: &Record, now: Time, id: RequestId, to: BackendId) -> Verdict {
     let Some(r) = record.requests.get(&id) else { return Ok(()) };
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,7 +1,7 @@
 //! What is kept of a request and of its attempts.
 
 use shaletide_balancer::repeat_end;
-use shaletide_base::*;
+use shaletide_types::*;
 
 /// How far an attempt has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/engine/tests/found.rs
+++ b/crates/engine/tests/found.rs
@@ -1,9 +1,9 @@
 //! What the explorer found in the engine: each counterexample as the script of its events.
 
 use shaletide_balancer::Arrival;
-use shaletide_base::*;
 use shaletide_engine::{Action, Engine, Event, Final, Keeping, Order, Policy};
 use shaletide_routing::{pools, Verdict};
+use shaletide_types::*;
 use std::rc::Rc;
 
 /// Asks for nothing by itself and keeps what it is told of attempts.
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{HeaderName, CONTENT_LENGTH, HOST};
 use hyper::Method;
-use shaletide_admission::{Measures, Rate};
 use shaletide_balancer::{ClassId, Effect, Micros, PoolId, TenantId};
+use shaletide_body_limits::{Measures, Rate};
 use shaletide_routing::{Answers, Form, Route, Source, Table};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
--- a/crates/lab/src/front/mod.rs
+++ b/crates/lab/src/front/mod.rs
@@ -1,8 +1,8 @@
 //! Who deals clients' connections to proxies: unevenly, by zone, with a view of who is up that lags behind. Pure: time
 //! is an argument.
 
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::{Dice, Law};
+use shaletide_types::{Micros, Time};
 
 /// A proxy as the front sees it.
 #[derive(Clone, Debug)]
--- a/crates/lab/src/judge/rules.rs
+++ b/crates/lab/src/judge/rules.rs
@@ -4,9 +4,9 @@
 use super::facts::{BoxRun, Facts, Try};
 use super::standing::Band;
 use crate::samples::{BoxEnd, Effect, PowerInfo, TryEnd, MAX_SAMPLES};
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::checks::{self, Push, Violation};
 use shaletide_testkit::{Boot, BoxInfo, Ended, Ledger, Power, Record, Repeat};
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/lab/src/links/core.rs
+++ b/crates/lab/src/links/core.rs
@@ -3,8 +3,8 @@
 use super::fault::{Cut, Direction, Fault, FaultError};
 use super::gate::Gate;
 use super::line::{Line, Tally};
-use shaletide_base::Time;
 use shaletide_testkit::{Clock, Dice};
+use shaletide_types::Time;
 use socket2::SockRef;
 use std::net::Shutdown;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
--- a/crates/lab/src/links/gate.rs
+++ b/crates/lab/src/links/gate.rs
@@ -3,8 +3,8 @@
 
 use super::line::Line;
 use super::replay::Replays;
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::Dice;
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The largest chunk of a stream that is taken at once, bytes.
--- a/crates/lab/src/links/line.rs
+++ b/crates/lab/src/links/line.rs
@@ -1,7 +1,7 @@
 //! One direction of a link as all its flows share it: the fault in force, the rate used up, and the tally.
 
 use super::fault::{Cut, Fault};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 
 /// What went through one direction since the link was made. A unit is a datagram, or a chunk of a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/lab/src/links/pump.rs
+++ b/crates/lab/src/links/pump.rs
@@ -2,7 +2,7 @@
 
 use super::core::{Core, Flow, Way};
 use super::gate::{End, Leaves, MAX_CHUNK};
-use shaletide_base::Time;
+use shaletide_types::Time;
 use socket2::SockRef;
 use std::io::{self, ErrorKind::WouldBlock};
 use std::net::Shutdown;
--- a/crates/lab/src/links/replay.rs
+++ b/crates/lab/src/links/replay.rs
@@ -1,7 +1,7 @@
 //! What passed of a flow of datagrams in the last minute: a sample of it, to be sent again.
 
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::Dice;
+use shaletide_types::{Micros, Time};
 use std::collections::VecDeque;
 
 /// How old a datagram is at most when it is sent again.
--- a/crates/lab/src/links/udp.rs
+++ b/crates/lab/src/links/udp.rs
@@ -5,7 +5,7 @@
 use super::line::Line;
 use super::link::{Opened, Shared};
 use super::pump::wake;
-use shaletide_base::Time;
+use shaletide_types::Time;
 use socket2::SockRef;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -3,8 +3,8 @@
 use crate::experiment::Experiment;
 use crate::samples::{BoxEnd, ClassInfo, PowerInfo, Sample};
 use crate::site::{bay_of, box_count, power, Site};
-use shaletide_base::Time;
 use shaletide_testkit::{Ended, Status};
+use shaletide_types::Time;
 
 /// The samples that say what was run.
 pub fn head(experiment: &Experiment, seed: u64, command: &str) -> Vec<Sample> {
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,11 +1,11 @@
 //! What the proxies lead to: boxes by testkit's model, and the list service, whose news the lab can hold back.
 
 use crate::experiment::{BoxFault, Experiment, ListState};
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::{
     BoxHandle, BoxSpec, Clock, Crowd, Entry, Fault, Fleet, FleetSpec, ListServer, ListService, Power,
     Service, View,
 };
+use shaletide_types::{Micros, Time};
 use std::collections::VecDeque;
 use std::io;
 
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -1,12 +1,12 @@
 //! The sans-IO part of the links, in made-up time.
 
 use proptest::prelude::*;
-use shaletide_base::{Micros, Time};
 use shaletide_lab::links::{
     Cut, End, Fault, Gate, Leaves, Line, MAX_CHUNK, MAX_HELD_DATAGRAMS, MAX_HELD_DATAGRAM_BYTES,
     MAX_HELD_STREAM_BYTES, STALL,
 };
 use shaletide_testkit::{Dice, Law};
+use shaletide_types::{Micros, Time};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/membership/benches/news.rs
+++ b/crates/membership/benches/news.rs
@@ -1,7 +1,7 @@
 //! What news of a list costs. `cargo bench -p shaletide-membership`.
 
-use shaletide_base::*;
 use shaletide_membership::*;
+use shaletide_types::*;
 use std::hint::black_box;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
--- a/crates/membership/src/claims.rs
+++ b/crates/membership/src/claims.rs
@@ -1,6 +1,6 @@
 //! Which pools' lists bring an address, and in which order: the first has it.
 
-use shaletide_base::PoolId;
+use shaletide_types::PoolId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -3,7 +3,7 @@
 use crate::claims::{Claims, Conflict, Key};
 use crate::list::Endpoint;
 use crate::pool::{Changes, Listed, Names, Pool, PoolSpec};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
-use shaletide_base::{BackendState, Time};
+use shaletide_types::{BackendState, Time};
 use std::net::SocketAddr;
 
 /// A pool's list may hold so many entries; more are skipped.
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -3,7 +3,7 @@
 use crate::claims::Key;
 use crate::list::{mark, Endpoint, MAX_ENTRIES};
 use crate::numbers::Numbers;
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::directory::{Directory, Told};
 use crate::list::Endpoint;
 use crate::pool::{Changes, Listed, Pool, PoolSpec, Source};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/membership/src/starts.rs
+++ b/crates/membership/src/starts.rs
@@ -17,7 +17,7 @@
 //! no plausible error of a clock makes them cold.
 
 use crate::list::Endpoint;
-use shaletide_base::{BackendState, ListUpdate, Micros, PoolId, Time, MAX_WALL_CLOCK_ERROR};
+use shaletide_types::{BackendState, ListUpdate, Micros, PoolId, Time, MAX_WALL_CLOCK_ERROR};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A backend in the list of a pool.
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Entries, pools, and a mirror of what the balancers know from what they were told.
 #![allow(dead_code)]
 
-use shaletide_base::*;
 use shaletide_membership::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/membership/tests/large_list.rs
+++ b/crates/membership/tests/large_list.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use serde_json::json;
-use shaletide_base::*;
 use shaletide_membership::*;
+use shaletide_types::*;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use shaletide_base::*;
 use shaletide_membership::*;
+use shaletide_types::*;
 
 const A: PoolId = PoolId(0);
 const B: PoolId = PoolId(1);
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -4,8 +4,8 @@
 use common::*;
 use proptest::collection::vec;
 use proptest::prelude::*;
-use shaletide_base::*;
 use shaletide_membership::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/membership/tests/starts.rs
+++ b/crates/membership/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Who is cold by a clock that is wrong, and by stamps that are.
 
-use shaletide_base::{BackendState, ListUpdate, Micros, PoolId, Time};
 use shaletide_membership::{Endpoint, StartTimes};
+use shaletide_types::{BackendState, ListUpdate, Micros, PoolId, Time};
 
 const POOL: PoolId = PoolId(0);
 const SECOND: u64 = 1_000_000;
--- a/crates/explore/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -7,9 +7,9 @@
 use crate::node::Node;
 use crate::shell::{Doing, Pending};
 use crate::world::{World, TICK};
-use shaletide_base::*;
 use shaletide_engine::monitor::{LineStep, Permit, Watched, Where};
 use shaletide_engine::{ConnStep, Phase, Policy, Request, Step};
+use shaletide_types::*;
 use std::hash::Hasher;
 
 /// Writes canonical forms; keeps its buffers.
--- a/crates/explore/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -2,8 +2,8 @@
 
 use crate::moves::Move;
 use crate::node::{Chooser, Node};
-use shaletide_base::*;
 use shaletide_engine::{ConnStep, Phase, Step};
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/explore/src/moves.rs
+++ b/crates/model-checker/src/moves.rs
@@ -3,8 +3,8 @@
 use crate::node::Node;
 use crate::shell::Doing;
 use crate::world::World;
-use shaletide_base::*;
 use shaletide_engine::{Phase, Policy, Step};
+use shaletide_types::*;
 
 /// How an answer leaves its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/explore/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -4,10 +4,10 @@
 use crate::shell::{Doing, Shell};
 use crate::world::{World, TICK};
 use shaletide_balancer::Arrival;
-use shaletide_base::*;
 use shaletide_engine::monitor::{Monitor, Rule, Verdict, Violation};
 use shaletide_engine::{Action, ConnStep, Engine, Event, Order, Policy};
 use shaletide_routing::{pools, Verdict as Meaning};
+use shaletide_types::*;
 use std::rc::Rc;
 
 /// In place of the decision module: it asks for nothing by itself. What it could ask for at any step are moves.
--- a/crates/explore/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -1,8 +1,8 @@
 //! The world outside the engine: what a shell, boxes, lists and the store have under way.
 
 use crate::world::World;
-use shaletide_base::*;
 use shaletide_engine::Action;
+use shaletide_types::*;
 
 /// What goes on on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/explore/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -4,9 +4,9 @@
 use crate::node::{Input, Node};
 use crate::search::{Counterexample, Start};
 use crate::world::{World, TICK};
-use shaletide_base::*;
 use shaletide_engine::{Action, Event, Final};
 use shaletide_routing::{pools, Verdict};
+use shaletide_types::*;
 use std::fmt::Write;
 
 /// The moves one by one, replayed, and the rule that is broken in the end.
--- a/crates/explore/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1,8 +1,8 @@
 //! What a small world consists of, and what may happen in it at most.
 
-use shaletide_base::*;
 use shaletide_engine::monitor::Rules;
 use shaletide_engine::Keeping;
+use shaletide_types::*;
 
 /// The unit of time of all worlds, 1 ms: the engine looks idle connections through no oftener.
 pub const TICK: Micros = Micros(1_000);
--- a/crates/explore/src/worlds.rs
+++ b/crates/model-checker/src/worlds.rs
@@ -1,8 +1,8 @@
 //! The worlds that are explored, by name.
 
 use crate::world::{ticks, BoxSpec, Kind, News, Traffic, World};
-use shaletide_base::*;
 use shaletide_engine::Keeping;
+use shaletide_types::*;
 
 /// A request that may run at will.
 pub const FREE: Kind = Kind { effect: Effect::Free, time_left: 2, permit: false, class: 0 };
--- a/crates/explore/tests/plants.rs
+++ b/crates/model-checker/tests/plants.rs
@@ -2,7 +2,7 @@
 
 use shaletide_engine::monitor::Rule;
 use shaletide_engine::Plant;
-use shaletide_explore::*;
+use shaletide_model_checker::*;
 
 fn planted(world: &World, plant: Plant) -> impl Fn() -> Node<Chooser> + Sync + '_ {
     move || {
--- a/crates/explore/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -2,11 +2,11 @@
 //! of the real one; and the engine under the real one keeps every rule there.
 
 use shaletide_balancer::{Class, Config, Tenant};
-use shaletide_base::*;
 use shaletide_engine::monitor::{Cold, ColdRules};
 use shaletide_engine::{Action, Engine, Event, Keeping, Order, Policy};
-use shaletide_explore::*;
+use shaletide_model_checker::*;
 use shaletide_routing::{pools, Pools, Verdict};
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
--- a/crates/explore/tests/restarts.rs
+++ b/crates/model-checker/tests/restarts.rs
@@ -1,8 +1,8 @@
 //! Kills at every state, permits that are late, refused or never come, a store that fails: no key runs twice.
 //!
-//! With two kills: `cargo test --locked --release -p shaletide-explore --test restarts -- --ignored --nocapture`.
+//! With two kills: `cargo test --locked --release -p shaletide-model-checker --test restarts -- --ignored --nocapture`.
 
-use shaletide_explore::{restarts, Careless, Happens, Restarts};
+use shaletide_model_checker::{restarts, Careless, Happens, Restarts};
 use std::time::Duration;
 
 const LONG: Duration = Duration::from_secs(1_200);
--- a/crates/explore/tests/worlds.rs
+++ b/crates/model-checker/tests/worlds.rs
@@ -1,7 +1,7 @@
 //! Every small world is exhausted, the sound engine breaks no rule in it, and it has as many states as it had: a
 //! branch that is lost, in the engine or here, is seen.
 
-use shaletide_explore::*;
+use shaletide_model_checker::*;
 use std::time::Duration;
 
 const LIMITS: Limits =
@@ -114,7 +114,7 @@
     assert_eq!(exhausted("three-out"), (41_170, 21));
 }
 
-/// Two boxes, three requests and a drain: `cargo test --release -p shaletide-explore --test worlds -- --ignored`.
+/// Two boxes, three requests and a drain: `cargo test --release -p shaletide-model-checker --test worlds -- --ignored`.
 #[test]
 #[ignore = "minutes"]
 fn two_boxes_three_requests_one_of_each_effect_and_one_drain() {
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -2,8 +2,8 @@
 
 use crate::stream::{PeerWatch, Stream};
 use crate::trace::RequestTrace;
-use shaletide_base::{AttemptNo, LoadReport};
 use shaletide_routing::Verdict;
+use shaletide_types::{AttemptNo, LoadReport};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/net/src/lines.rs
+++ b/crates/net/src/lines.rs
@@ -1,7 +1,7 @@
 //! The sockets behind the engine's connections.
 
 use crate::stream::Stream;
-use shaletide_base::{BackendId, ConnId};
+use shaletide_types::{BackendId, ConnId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::task::AbortHandle;
--- a/crates/net/src/recording.rs
+++ b/crates/net/src/recording.rs
@@ -1,7 +1,7 @@
 //! Where the host tells what it does of requests that are on record, and asks whether one may be sent.
 
-use shaletide_base::Time;
 use shaletide_record::{Asked, Event, Verdict};
+use shaletide_types::Time;
 
 /// Whoever keeps the record. Called after the engine's borrow has ended; may call the host back.
 pub trait Recording {
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -5,8 +5,8 @@
 
 use crate::exchange::ExchangeOutcome;
 use crate::Clock;
-use shaletide_base::{AttemptNo, BackendId, RequestId, Time};
 use shaletide_routing::Verdict;
+use shaletide_types::{AttemptNo, BackendId, RequestId, Time};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
--- a/crates/keeper/src/lib.rs
+++ b/crates/record-service/src/lib.rs
@@ -9,7 +9,6 @@
 use opening::StoreContents;
 pub use record::Record;
 
-use shaletide_base::{causes, Micros, Time};
 use shaletide_net::{Clock, Host, Recording};
 use shaletide_record::{chain, About, Action, Asked, Event, Fact, KeyId, RecordConfig, Recorder};
 use shaletide_record::{ReplyId, Resolved, Ticket, Verdict};
@@ -18,6 +17,7 @@
     Anchor, Event as Said, Fate, Head, NoteMaker, Opening, SendError, SqliteOptions, SqliteStore, Store,
     Writer, WriterConfig,
 };
+use shaletide_types::{causes, Micros, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::path::{Path, PathBuf};
--- a/crates/keeper/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -2,9 +2,9 @@
 
 use crate::opening::{may_open_later, OpeningAttempt};
 use crate::{Keeper, Run, StoreError, AGAIN};
-use shaletide_base::{causes, Time};
 use shaletide_net::{Host, Recording};
 use shaletide_record::{Asked, Event, RecordConfig, Verdict};
+use shaletide_types::{causes, Time};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -1,6 +1,6 @@
 //! What the operator chooses.
 
-use shaletide_base::Micros;
+use shaletide_types::Micros;
 use std::collections::BTreeMap;
 
 /// What is recorded, how long keys are kept, how long a permit may take, and the bounds.
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::fact::{Fact, Seen};
 use crate::row::{KeyId, KeyState, Refused, Write};
-use shaletide_base::{AttemptNo, Micros, Outcome, RequestId, Time};
+use shaletide_types::{AttemptNo, Micros, Outcome, RequestId, Time};
 
 /// Names a write to the one who asked for it; they count up, and each is used for one write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -5,7 +5,7 @@
 
 use crate::row::{KeyId, Row};
 use serde::{Deserialize, Serialize};
-use shaletide_base::Time;
+use shaletide_types::Time;
 
 /// What the proxy knew of a box when it chose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/record/src/journal.rs
+++ b/crates/record/src/journal.rs
@@ -3,7 +3,7 @@
 use crate::config::Bounds;
 use crate::event::{Action, ReplyId, Ticket};
 use crate::row::{KeyId, Write};
-use shaletide_base::{AttemptNo, Micros, RequestId, Time};
+use shaletide_types::{AttemptNo, Micros, RequestId, Time};
 use std::collections::BTreeMap;
 
 /// What a row takes besides its strings, roughly.
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -11,7 +11,7 @@
 use crate::request::{Followed, Held, Live};
 use crate::row::{Claim, KeyId, KeyState, Remembered, Write};
 use crate::served::Served;
-use shaletide_base::{AttemptNo, Micros, RequestId, Time, MAX_WALL_CLOCK_ERROR};
+use shaletide_types::{AttemptNo, Micros, RequestId, Time, MAX_WALL_CLOCK_ERROR};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Decides about keys, and says what is written.
--- a/crates/record/src/recorder/asks.rs
+++ b/crates/record/src/recorder/asks.rs
@@ -7,7 +7,7 @@
 use crate::journal::Then;
 use crate::request::{Followed, Held, Live, Standing};
 use crate::row::{Claim, KeyId, KeyState};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// The longest name of a tenant, in bytes: as long as operators' commands take.
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -6,7 +6,7 @@
 use crate::journal::Then;
 use crate::request::{Held, Live, Standing, Tried};
 use crate::row::{Claim, KeyState};
-use shaletide_base::{AttemptNo, Outcome, RequestId, Time};
+use shaletide_types::{AttemptNo, Outcome, RequestId, Time};
 
 impl Recorder {
     pub(super) fn permit_wanted(
--- a/crates/record/src/recorder/store.rs
+++ b/crates/record/src/recorder/store.rs
@@ -5,7 +5,7 @@
 use crate::journal::Then;
 use crate::request::{Live, Tried};
 use crate::row::{KeyId, KeyState, Refused};
-use shaletide_base::{AttemptNo, RequestId, Time};
+use shaletide_types::{AttemptNo, RequestId, Time};
 
 impl Recorder {
     pub(super) fn committed(&mut self, now: Time, ticket: Ticket, seq: u64, out: &mut Vec<Action>) {
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{Conflict, Verdict};
 use crate::row::{Claim, KeyId, KeyState};
-use shaletide_base::{AttemptNo, Outcome, Time};
+use shaletide_types::{AttemptNo, Outcome, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How far an attempt has got, for all that the recorder knows.
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Live {
     /// As its request does.
-    Held(shaletide_base::RequestId),
+    Held(shaletide_types::RequestId),
     /// It is free once that is durable; nothing of it ran.
     Freeing,
     /// An attempt may have run. `resolving`: an operator said whether, which is not durable yet.
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -1,6 +1,6 @@
 //! What goes to a store and comes back: plain rows, of which the store knows no more than it has to keep and find.
 
-use shaletide_base::Time;
+use shaletide_types::Time;
 
 /// What makes a settlement one: whoever asks for it again, by whatever front, means the same.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/record/src/served.rs
+++ b/crates/record/src/served.rs
@@ -8,7 +8,7 @@
 use crate::chain::put;
 use crate::row::KeyId;
 use sha2::{Digest, Sha256};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Stretches into which the time that keys are kept is cut: the store is told of the end of one, not of each key.
--- a/crates/record/tests/chain.rs
+++ b/crates/record/tests/chain.rs
@@ -1,9 +1,9 @@
 //! Facts to rows and back; the chain over them.
 
 use proptest::prelude::*;
-use shaletide_base::Time;
 use shaletide_record::chain::{canonical, hex, verify, Broken, Chain, Why};
 use shaletide_record::*;
+use shaletide_types::Time;
 
 fn rows(n: u64) -> (Vec<Row>, Chain) {
     let mut chain = Chain::default();
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 pub mod store;
 
-use shaletide_base::*;
 use shaletide_record::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use store::Store;
 
--- a/crates/record/tests/common/store.rs
+++ b/crates/record/tests/common/store.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug)]
 struct Kept {
     state: KeyState,
-    since: shaletide_base::Time,
+    since: shaletide_types::Time,
     seq: u64,
     run: u64,
     request: Option<u64>,
@@ -88,7 +88,7 @@
     }
 
     pub fn set(&mut self, key: KeyId, state: KeyState) {
-        let since = shaletide_base::Time(0);
+        let since = shaletide_types::Time(0);
         self.keys.insert(key, Kept { state, since, seq: 0, run: 0, request: None });
     }
 }
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -1,7 +1,7 @@
 //! A million served keys, remembered in a stated memory.
 
-use shaletide_base::{AttemptNo, Micros, RequestId, Time};
 use shaletide_record::*;
+use shaletide_types::{AttemptNo, Micros, RequestId, Time};
 
 const KEYS: u64 = 1_000_000;
 /// Bytes a key, at most.
--- a/crates/record/tests/unsure.rs
+++ b/crates/record/tests/unsure.rs
@@ -1,7 +1,7 @@
 //! What may not be concluded from a write of which nobody knows whether it is on record.
 
-use shaletide_base::*;
 use shaletide_record::*;
+use shaletide_types::*;
 
 fn at(ms: u64) -> Time {
     Time(1_000_000_000 + ms * 1_000)
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -1,7 +1,7 @@
 //! Served keys across a restart whose wall clock is wrong: a key is never free before its time.
 
-use shaletide_base::{Micros, RequestId, Time};
 use shaletide_record::*;
+use shaletide_types::{Micros, RequestId, Time};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3600 * SECOND;
--- a/crates/record/tests/windows.rs
+++ b/crates/record/tests/windows.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{key, Try, World, KEEP, WAIT};
-use shaletide_base::*;
 use shaletide_record::*;
+use shaletide_types::*;
 
 const GO: Verdict = Verdict::Go { permit: true };
 const SECOND: Verdict = Verdict::Refuse(Micros(1_000_000));
--- a/crates/record/tests/world.rs
+++ b/crates/record/tests/world.rs
@@ -5,9 +5,9 @@
 
 use common::{Try, World, WAIT};
 use proptest::prelude::*;
-use shaletide_base::*;
 use shaletide_record::chain::{verify, Chain};
 use shaletide_record::*;
+use shaletide_types::*;
 
 const KEYS: [&str; 4] = ["a", "b", "c", "d"];
 
--- a/crates/routing/benches/first.rs
+++ b/crates/routing/benches/first.rs
@@ -1,8 +1,8 @@
 //! What finding a request's route costs with 1 to 1,000 routes, and what looking for hidden ones does.
 //! `cargo bench -p shaletide-routing`.
 
-use shaletide_base::*;
 use shaletide_routing::*;
+use shaletide_types::*;
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
--- a/crates/routing/src/form.rs
+++ b/crates/routing/src/form.rs
@@ -1,6 +1,6 @@
 //! Where in a request its class, tenant, key and so on stand.
 
-use shaletide_base::ClassId;
+use shaletide_types::ClassId;
 
 /// A place in a request's head.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -7,7 +7,7 @@
 //! tenants hold some 1.3 MB of rows, however they combine them. A look-up allocates nothing.
 
 use crate::table::{Asked, Match};
-use shaletide_base::*;
+use shaletide_types::*;
 use std::borrow::Borrow;
 use std::collections::HashMap;
 use std::hash::Hash;
--- a/crates/routing/src/last.rs
+++ b/crates/routing/src/last.rs
@@ -1,7 +1,7 @@
 //! What the client gets at the end of a request: a backend's answer unchanged or the proxy's own words.
 
 use crate::Errors;
-use shaletide_base::Micros;
+use shaletide_types::Micros;
 
 /// The decision module's last word on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -8,7 +8,7 @@
 use shaletide_balancer::{
     Allowance, Arrival, AttemptEnd, Balancer, Config, ConfigError, GiveUpCounts, Handover, Standing,
 };
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::index::{bits, Index, SORTS};
 use crate::Answers;
-use shaletide_base::*;
+use shaletide_types::*;
 use std::collections::BTreeSet;
 
 /// Index of a route in its table.
--- a/crates/routing/tests/allocations.rs
+++ b/crates/routing/tests/allocations.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use shaletide_base::*;
 use shaletide_routing::*;
+use shaletide_types::*;
 
 #[test]
 fn finding_a_route_allocates_nothing() {
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Requests and routes for tests: owned values that are asked about.
 #![allow(dead_code)]
 
-use shaletide_base::*;
 use shaletide_routing::*;
+use shaletide_types::*;
 
 /// A request as a test holds it.
 #[derive(Clone, Debug, Default)]
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use shaletide_base::*;
 use shaletide_routing::*;
+use shaletide_types::*;
 
 fn get() -> Request {
     let headers = vec![("x-canary".to_string(), "blue".to_string())];
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use proptest::prelude::*;
-use shaletide_base::*;
+use shaletide_types::*;
 use world::*;
 
 const SECOND: u64 = 1_000_000;
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -5,8 +5,8 @@
 use proptest::collection::vec;
 use proptest::option;
 use proptest::prelude::*;
-use shaletide_base::*;
 use shaletide_routing::*;
+use shaletide_types::*;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const BAYS: [&str; 3] = ["", "b1", "b2"];
--- a/crates/routing/tests/world/mod.rs
+++ b/crates/routing/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! A made-up world around the machine of all pools: it carries out what is asked and checks every rule as it goes.
 
 use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, Standing};
-use shaletide_base::*;
 use shaletide_routing::pools::{Action, Event};
 use shaletide_routing::Pools;
+use shaletide_types::*;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
--- a/crates/shaletide/src/commands.rs
+++ b/crates/shaletide/src/commands.rs
@@ -1,11 +1,11 @@
 //! What operators' commands do to a proxy at work.
 
 use crate::record::words;
-use shaletide_base::Time;
 use shaletide_control::{Command, Reply};
-use shaletide_keeper::Record;
 use shaletide_record::{Fact, KeyId};
+use shaletide_record_service::Record;
 use shaletide_store::{Query, Reading, SqliteReader};
+use shaletide_types::Time;
 use std::rc::Rc;
 
 /// The store is down, or was not open yet.
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -6,12 +6,12 @@
 use crate::start::control_socket;
 use crate::start::listening::{ListenOutcomes, Listening};
 use shaletide_balancer::{ConfigError, ListUpdate, PoolId};
-use shaletide_base::causes;
 use shaletide_control::ControlError;
+use shaletide_discovery::{Place, Terms};
 use shaletide_http::{ListenError, Rules, Server};
-use shaletide_keeper::{Record, Run, StoreError};
 use shaletide_net::{span, Clock, Host};
-use shaletide_watch::{Place, Terms};
+use shaletide_record_service::{Record, Run, StoreError};
+use shaletide_types::causes;
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::future::Future;
@@ -132,7 +132,7 @@
             host.setup(first, &operator.proxy.zone, seed, network, pools).map_err(StartError::Config)?;
         // The list from before the restart is in place before anything is served.
         if let (Some(pool), false) = (ids.first(), setup.known.endpoints.is_empty()) {
-            shaletide_watch::tell(&host, *pool, ListUpdate::Cached, &setup.known);
+            shaletide_discovery::tell(&host, *pool, ListUpdate::Cached, &setup.known);
         }
         let listening = Listening::begin(&setup, &host)?;
         if let Some(socket) = &operator.control {
@@ -259,7 +259,7 @@
                     // An index means something only to the discovery that the list at the start came from.
                     let first = ids.first() == Some(&pool) && !self.setup.known.endpoints.is_empty();
                     let known = first.then_some(self.setup.known.index);
-                    let watch = shaletide_watch::watch(self.host.clone(), pool, moves, known, terms);
+                    let watch = shaletide_discovery::watch(self.host.clone(), pool, moves, known, terms);
                     let task = tokio::task::spawn_local(watch).abort_handle();
                     self.followers.insert(pool, Follower { moved, terms, task });
                 }
--- a/crates/shaletide/src/explore.rs
+++ b/crates/shaletide/src/explore.rs
@@ -1,7 +1,7 @@
 //! `shaletide explore`: the engine in small worlds, every order of events under any policy.
 
 use crate::cli::Explore;
-use shaletide_explore::*;
+use shaletide_model_checker::*;
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
             cover: asked.cover,
             ..Limits::default()
         };
-        let found = shaletide_explore::explore(world, limits);
+        let found = shaletide_model_checker::explore(world, limits);
         println!("{}", row(world, &found));
         cover.add(&found.cover);
         if let Some(broken) = &found.counterexample {
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -4,13 +4,13 @@
 use super::args::Which;
 use super::when::now;
 use super::{list, words, Failure, Places};
-use shaletide_base::{causes, Time};
 use shaletide_control::{ask, Command, ControlError, Key, Reply};
 use shaletide_record::{
     chain, About, Action, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, Refused, ReplyId, Resolved,
     Row,
 };
 use shaletide_store::{Anchor, Query, Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_types::{causes, Time};
 use std::collections::{BTreeSet, VecDeque};
 use std::io::Write;
 use std::path::Path;
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -9,10 +9,10 @@
 pub mod words;
 
 use args::{Command, Place, Which};
-use shaletide_base::causes;
 use shaletide_config::operator::Operator;
 use shaletide_record::{chain, Fact, Row};
 use shaletide_store::{verify, Broken, Head, Query, Reading, SqliteReader, StoreError};
+use shaletide_types::causes;
 use std::ffi::OsStr;
 use std::io::Write;
 use std::os::unix::ffi::OsStrExt;
--- a/crates/shaletide/src/record/show.rs
+++ b/crates/shaletide/src/record/show.rs
@@ -3,9 +3,9 @@
 use super::args::Which;
 use super::when::Zone;
 use super::{list, words, Failure, PAGE};
-use shaletide_base::Time;
 use shaletide_record::{Fact, KeyId, KeyState, Remembered, Row};
 use shaletide_store::{Query, Reading, StoreError};
+use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
--- a/crates/shaletide/src/record/when.rs
+++ b/crates/shaletide/src/record/when.rs
@@ -4,7 +4,7 @@
 use jiff::civil::DateTime;
 use jiff::tz::{Offset, TimeZone};
 use jiff::Timestamp;
-use shaletide_base::Time;
+use shaletide_types::Time;
 
 /// A time zone.
 pub struct Zone {
--- a/crates/shaletide/src/record/words.rs
+++ b/crates/shaletide/src/record/words.rs
@@ -1,9 +1,9 @@
 //! Facts, keys and troubles in plain words.
 
-use shaletide_base::{causes, Micros};
 use shaletide_control::Reply;
 use shaletide_record::{chain, Fact, KeyId, KeyState, Resolved, Row, Seen};
 use shaletide_store::StoreError;
+use shaletide_types::{causes, Micros};
 
 /// A longer key is cut where it is only shown.
 const SHOWN: usize = 64;
--- a/crates/shaletide/src/start/control_socket.rs
+++ b/crates/shaletide/src/start/control_socket.rs
@@ -4,7 +4,7 @@
 use crate::commands;
 use crate::daemon::StartError;
 use shaletide_control::{Control, ControlError};
-use shaletide_keeper::Record;
+use shaletide_record_service::Record;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/shaletide/tests/book/mod.rs
+++ b/crates/shaletide/tests/book/mod.rs
@@ -1,9 +1,9 @@
 //! A store of record as a proxy writes it: the recorder and SQLite, on a made-up clock, without a proxy.
 #![allow(dead_code)] // each test program uses a part of it
 
-use shaletide_base::{AttemptNo, Micros, Outcome, RequestId, Time};
 use shaletide_record::*;
 use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_types::{AttemptNo, Micros, Outcome, RequestId, Time};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
--- a/crates/shaletide/tests/load.rs
+++ b/crates/shaletide/tests/load.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use rig::*;
-use shaletide_base::{Effect, KeyScope, Micros};
+use shaletide_types::{Effect, KeyScope, Micros};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/shaletide/tests/record.rs
+++ b/crates/shaletide/tests/record.rs
@@ -3,10 +3,10 @@
 mod book;
 
 use book::*;
-use shaletide_base::{AttemptNo, Outcome};
 use shaletide_control::{Command, Control, Reply};
 use shaletide_record::{Ending, Event, Fact, Resolved};
 use shaletide_store::{SqliteOptions, SqliteStore};
+use shaletide_types::{AttemptNo, Outcome};
 use std::process::Command as Program;
 
 /// Each sort of story once.
--- a/crates/shaletide/tests/record_finance.rs
+++ b/crates/shaletide/tests/record_finance.rs
@@ -3,9 +3,9 @@
 mod book;
 
 use book::*;
-use shaletide_base::Time;
 use shaletide_control::{Command, Control, Reply};
 use shaletide_record::{Event, Fact, KeyId, Resolved};
+use shaletide_types::Time;
 use std::process::Command as Program;
 
 const FINANCE: &str = include_str!("../../../docs/record-finance.md");
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients beside the ordinary load: such that leave before their answer, and such that misbehave.
 
-use shaletide_base::Time;
 use shaletide_testkit::{Clock, Dice};
+use shaletide_types::Time;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -3,8 +3,8 @@
 use crate::clients::Departure;
 use crate::proxies::Life;
 use crate::settings::{RunSettings, FALL_WINDOW_US};
-use shaletide_base::{Micros, Time};
 use shaletide_testkit::{checks, End, Ledger, LoadResult, Record, Repeat};
+use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 use std::os::unix::process::ExitStatusExt;
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -11,9 +11,9 @@
 use crate::plan::{Ending, FaultKind, Illness, Plan, Scale, Step};
 use crate::proxies::{Life, ProxySlot, Setting};
 use crate::settings::RunSettings;
-use shaletide_base::{Effect, KeyScope, Micros, Time};
 use shaletide_lab::links::{Cut, Direction, Fault as LinkFault, Link, Links};
 use shaletide_testkit::*;
+use shaletide_types::{Effect, KeyScope, Micros, Time};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
--- a/crates/soak/tests/wall_clock.rs
+++ b/crates/soak/tests/wall_clock.rs
@@ -3,8 +3,8 @@
 mod rig;
 
 use rig::*;
-use shaletide_base::{Effect, Micros};
 use shaletide_testkit::Status;
+use shaletide_types::{Effect, Micros};
 use std::time::Duration;
 
 /// A backend is warm after this time.
--- a/crates/store/examples/child.rs
+++ b/crates/store/examples/child.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use rusqlite::Connection;
-use shaletide_base::Time;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, pruned, set, take};
 use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store, StoreError};
+use shaletide_types::Time;
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -2,8 +2,8 @@
 //!
 //! A store's crate calls [`run`] with a way to make an empty one; a failure is a panic that names what was asked.
 
-use shaletide_base::Time;
 use shaletide_record::{Claim, KeyId, KeyState, Refused, Remembered, Row, Write};
+use shaletide_types::Time;
 
 use crate::{holds, verify, Anchor, Broken, Fate, Head, Query, Store, StoreError, Sums};
 
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -5,8 +5,8 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use shaletide_base::Time;
 use shaletide_record::{KeyId, Refused, Remembered, Row, Write};
+use shaletide_types::Time;
 
 use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use shaletide_base::Time;
 use shaletide_record::{Claim, KeyId, KeyState, Refused, Remembered, Row, Write};
+use shaletide_types::Time;
 
 use crate::{
     storable, Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums,
--- a/crates/store/src/sqlite/mod.rs
+++ b/crates/store/src/sqlite/mod.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use rusqlite::Connection;
-use shaletide_base::Time;
 use shaletide_record::{KeyId, Refused, Remembered, Row, Write};
+use shaletide_types::Time;
 
 use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
 use files::{Owner, Watched};
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -7,8 +7,8 @@
 use rusqlite::types::Value;
 use rusqlite::{params_from_iter, Connection, OptionalExtension};
 use rustix::fs::{renameat_with, RenameFlags, CWD};
-use shaletide_base::Time;
 use shaletide_record::{KeyId, KeyState, Remembered, Row};
+use shaletide_types::Time;
 
 use super::files::{beside, sync_parent};
 use super::open::open_reading;
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -1,8 +1,8 @@
 //! Writing: the batch, the expiry of keys, pruning. Each in one transaction.
 
 use rusqlite::{params, Connection, OptionalExtension, Transaction, TransactionBehavior};
-use shaletide_base::Time;
 use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, Write};
+use shaletide_types::Time;
 
 use super::read::{anchor, head, state_number, state_of, to_sql};
 use super::trouble::classify;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -2,8 +2,8 @@
 
 use std::path::Path;
 
-use shaletide_base::Time;
 use shaletide_record::{chain, Claim, KeyId, Refused, Remembered, Row, Write};
+use shaletide_types::Time;
 
 use crate::{CommitError, StoreError};
 
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use shaletide_base::Time;
 use shaletide_record::{Claim, KeyId, Refused, Row, Write};
+use shaletide_types::Time;
 
 use crate::{storable, Anchor, Fate, Head, Pruned, Store, StoreError, Sums};
 use worker::Worker;
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use shaletide_base::Time;
 use shaletide_record::{Refused, Write};
+use shaletide_types::Time;
 
 use super::{Event, Job, NoteMaker, Opener, Shared, WriterConfig};
 use crate::{CommitError, Fate, Head, Store, StoreError, Sums};
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use common::Place;
-use shaletide_base::Time;
 use shaletide_record::chain::{self, hex, Chain};
 use shaletide_record::{About, Fact, KeyState};
 use shaletide_store::conformance::{all_rows, key, set};
 use shaletide_store::{verify, Event, Reading, SqliteStore, Store, Writer, WriterConfig};
+use shaletide_types::Time;
 
 #[test]
 fn pruned_through_the_writer_the_chain_verifies_by_records_own_rules() {
--- a/crates/store/tests/kills.rs
+++ b/crates/store/tests/kills.rs
@@ -169,7 +169,7 @@
         assert!(found.pruned == told || found.pruned == told + 50, "told {told}, pruned {}", found.pruned);
         assert_eq!(store.keys(None, usize::MAX).expect("keys").len(), 5_000);
         let rest =
-            store.prune(shaletide_base::Time(4500), usize::MAX, &pruned, &plain_sum).expect("prunes on");
+            store.prune(shaletide_types::Time(4500), usize::MAX, &pruned, &plain_sum).expect("prunes on");
         assert_eq!(rest.anchor.map(|anchor| anchor.rows), Some(9_000));
         verify(&store, &plain_sum, Some(noted)).expect("verifies");
     }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -6,7 +6,6 @@
 use std::time::{Duration, Instant};
 
 use common::host::{config, until_it_hangs, Host, LONG};
-use shaletide_base::Time;
 use shaletide_record::{Claim, KeyState, Refused};
 use shaletide_store::conformance::{all_rows, free, key, plain_sum, pruned, set, take, write};
 use shaletide_store::faults::{Fault, Faults, Step};
@@ -14,6 +13,7 @@
 use shaletide_store::{
     verify, Event, Fate, Opener, Opening, SendError, StillBusy, StoreError, Writer, WriterConfig,
 };
+use shaletide_types::Time;
 
 #[test]
 fn what_waits_goes_in_one_commit_in_its_order() {
--- a/crates/testkit/examples/fleet.rs
+++ b/crates/testkit/examples/fleet.rs
@@ -1,8 +1,8 @@
 //! Two kinds of boxes under an open load, without a proxy between: what they take, at which latency, and what it
 //! costs to stand in for them. Arguments: requests a second, seconds.
 
-use shaletide_base::Effect;
 use shaletide_testkit::*;
+use shaletide_types::Effect;
 use std::time::Duration;
 
 fn main() -> std::io::Result<()> {
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -1,7 +1,7 @@
 //! The rules over a run's ledger. Pure: each is a function from records to what breaks it.
 
 use crate::{End, Ended, Ledger, LoadResult, Record, Repeat};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A rule that was broken, with the records that show it.
--- a/crates/testkit/src/clock.rs
+++ b/crates/testkit/src/clock.rs
@@ -1,6 +1,6 @@
 //! One clock for all stand-ins of a run, so that their records can be held against each other.
 
-use shaletide_base::Time;
+use shaletide_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Time since the run began; copies agree.
--- a/crates/testkit/src/crowd.rs
+++ b/crates/testkit/src/crowd.rs
@@ -1,6 +1,6 @@
 //! What too many requests at a time do to a box: it is slower until it was mostly idle for some seconds. Pure.
 
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 
 /// Memory of how many it holds, s.
 const CROWD_S: f64 = 2.0;
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -9,7 +9,7 @@
 pub use spec::{BoxSpec, FleetSpec, Service};
 
 use crate::{BoxInfo, Clock, Entry, Fault, Ledger, PATIENCE};
-use shaletide_base::Time;
+use shaletide_types::Time;
 use shell::{Command, Order};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/testkit/src/fleet/shell.rs
+++ b/crates/testkit/src/fleet/shell.rs
@@ -6,7 +6,7 @@
 use super::{Door, Shared};
 use crate::pacer::Pacer;
 use crate::Fault;
-use shaletide_base::Time;
+use shaletide_types::Time;
 use std::rc::Rc;
 use std::sync::{mpsc, Arc};
 use std::time::Duration;
--- a/crates/testkit/src/fleet/spec.rs
+++ b/crates/testkit/src/fleet/spec.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of.
 
 use crate::{Clock, Crowd, Demand, Dice, Law, Power, MAX_RECORDS};
-use shaletide_base::Micros;
+use shaletide_types::Micros;
 use std::time::Duration;
 
 /// One box.
--- a/crates/testkit/src/fleet/stand.rs
+++ b/crates/testkit/src/fleet/stand.rs
@@ -5,7 +5,7 @@
 use crate::fault::{own_body, Behaviour};
 use crate::pacer::Pacer;
 use crate::{Admitted, Boot, Crowding, Demand, Dice, Ended, Fault, Message, Record, Repeat, Station, Step};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/ledger.rs
@@ -2,7 +2,7 @@
 //! rules over it are in [`crate::checks`].
 
 use crate::Power;
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::sync::Arc;
 
 /// Records that a ledger holds unless told otherwise. One takes about 200 bytes: 60 MB in all.
--- a/crates/testkit/src/listing/book.rs
+++ b/crates/testkit/src/listing/book.rs
@@ -3,7 +3,7 @@
 use super::View;
 use crate::checks::Drained;
 use serde_json::json;
-use shaletide_base::Time;
+use shaletide_types::Time;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -10,7 +10,7 @@
 pub use sequential::{sequential, Spread};
 
 use crate::{Clock, Law};
-use shaletide_base::{Effect, Micros};
+use shaletide_types::{Effect, Micros};
 use std::time::Duration;
 use tokio::sync::watch;
 
--- a/crates/testkit/src/load/result.rs
+++ b/crates/testkit/src/load/result.rs
@@ -1,6 +1,6 @@
 //! What came of a load.
 
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// How a request ended for its client.
--- a/crates/testkit/src/power.rs
+++ b/crates/testkit/src/power.rs
@@ -1,6 +1,6 @@
 //! What a box can do: its cores, their speed, and how it warms up after a start. Pure.
 
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 
 /// A box's machine. Its capacity is in standard cores: work done in a second, in seconds of a standard core.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -2,7 +2,7 @@
 //! argument and never goes back.
 
 use crate::Power;
-use shaletide_base::Time;
+use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that came to its end.
@@ -128,7 +128,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use shaletide_base::Micros;
+    use shaletide_types::Micros;
 
     fn ms(ms: u64) -> Time {
         Time(ms * 1_000)
--- a/crates/testkit/src/station.rs
+++ b/crates/testkit/src/station.rs
@@ -2,7 +2,7 @@
 //! Pure: time is an argument.
 
 use crate::{Finished, Power, Processor};
-use shaletide_base::{Micros, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a request needs.
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Boxes of a fleet, asked over sockets: what they serve, how they fail, what they write down.
 
-use shaletide_base::Micros;
 use shaletide_testkit::*;
+use shaletide_types::Micros;
 use std::io::Read;
 use std::time::{Duration, Instant};
 
--- a/crates/testkit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,7 +1,7 @@
 //! Load clients on boxes without a proxy between: rates, counts, latencies, what they make of bad answers.
 
-use shaletide_base::{Effect, KeyScope, Micros};
 use shaletide_testkit::*;
+use shaletide_types::{Effect, KeyScope, Micros};
 use std::time::{Duration, Instant};
 
 const DEADLINE: Duration = Duration::from_secs(2);
--- /dev/null
+++ b/crates/types/src/lib.rs
@@ -0,0 +1,18 @@
+//! The types that every part of shaletide shares: time, identifiers, entries of the backend list, outcomes of attempts.
+//! Plain values, no decisions.
+
+mod backend;
+mod error_chain;
+mod idempotency;
+mod ids;
+mod load_report;
+mod outcome;
+mod time;
+
+pub use backend::{Backend, BackendState, ListUpdate};
+pub use error_chain::causes;
+pub use idempotency::{Effect, KeyScope};
+pub use ids::*;
+pub use load_report::LoadReport;
+pub use outcome::Outcome;
+pub use time::{Micros, Time, MAX_WALL_CLOCK_ERROR};
--- /dev/null
+++ b/crates/types/src/outcome.rs
@@ -0,0 +1,29 @@
+//! How an attempt ended.
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Outcome {
+    /// Served.
+    Ok,
+    /// An error answer; it may have run.
+    Error,
+    /// Turned away unseen.
+    Full,
+    /// No answer in time; it may have run or still run.
+    TimedOut,
+    /// No connection was made.
+    ConnectFailed,
+    /// The connection broke; it may have run.
+    Reset,
+    /// Withdrawn; it may have run.
+    Cancelled,
+    /// Never sent.
+    NeverSent,
+}
+
+impl Outcome {
+    /// Whether this outcome proves that the attempt never ran.
+    pub fn never_ran(self) -> bool {
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
+    }
+}
