--- a/crates/balancer/benches/decision/main.rs
+++ b/crates/balancer/benches/decision/main.rs
@@ -7,7 +7,7 @@
 
 mod reports;
 
-use shaletide_balancer::{Action, Allowance, Arrival, AttemptEnd, Balancer, Config, Event};
+use shaletide_balancer::{Action, Arrival, AttemptEnd, Balancer, Config, Event, SharedLimits};
 use shaletide_types::*;
 use std::process::Command;
 
@@ -29,12 +29,12 @@
 /// A proxy among 300, its boxes and what it asked for last.
 struct Host {
     module: Balancer,
-    allowance: Allowance,
+    allowance: SharedLimits,
     actions: Vec<Action>,
     now: Time,
     timer: Option<(Time, TimerToken)>,
-    sent: Option<(AttemptNo, BackendId)>,
-    list: Vec<Backend>,
+    sent: Option<(AttemptNumber, BackendId)>,
+    list: Vec<BackendEntry>,
     told: Time,
     says: bool,
     last: u64,
@@ -45,18 +45,18 @@
     fn new(boxes: u32, says: bool) -> Host {
         let mut cfg = Config { proxies: 300, position: 7, zone: ZoneId(2), ..Config::example() };
         reports::configure(&mut cfg, says);
-        let list = |number: u32| Backend {
+        let list = |number: u32| BackendEntry {
             id: BackendId(number),
-            mark: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
+            stable_hash: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
             zone: ZoneId(number % 5),
-            cell: CellId(u64::from(number % 40)),
-            kind: KindId(number % 2),
+            deduplication_group: DeduplicationGroupId(u64::from(number % 40)),
+            server_type: ServerTypeId(number % 2),
             state: BackendState::Ready,
-            ..Backend::default()
+            ..BackendEntry::default()
         };
         let mut host = Host {
             module: Balancer::new(cfg, 5).expect("a sound configuration"),
-            allowance: Allowance::default(),
+            allowance: SharedLimits::default(),
             actions: Vec::new(),
             now: Time(1_000_000_000),
             timer: None,
@@ -67,7 +67,7 @@
             last: 0,
             served: 0,
         };
-        host.tell_list(ListUpdate::Full);
+        host.tell_list(EndpointUpdate::Snapshot);
         host
     }
 
@@ -82,14 +82,14 @@
         }
     }
 
-    fn tell_list(&mut self, update: ListUpdate) {
+    fn tell_list(&mut self, update: EndpointUpdate) {
         self.told = self.now;
         let mut backends = self.list.clone();
         if self.says {
             let turn = self.last;
             backends.iter_mut().for_each(|b| reports::weigh(b, turn));
         }
-        self.tell(Event::Members { update, backends });
+        self.tell(Event::EndpointsUpdated { update, backends });
     }
 
     /// One request, served.
@@ -102,8 +102,8 @@
             tenant: None,
             time_left: Micros(2_000_000),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
         self.tell(Event::Request(arrival));
         let Some((attempt, backend)) = self.sent.take() else { return };
@@ -113,7 +113,8 @@
                 self.tell(event);
             }
         }
-        let end = AttemptEnd { request, attempt, outcome: Outcome::Ok, latency: TOOK, settled: true };
+        let end =
+            AttemptEnd { request, attempt, outcome: Outcome::Ok, latency: TOOK, request_answered: true };
         self.tell(Event::AttemptEnded(end));
     }
 
@@ -127,7 +128,7 @@
         }
         self.now = then;
         if self.says && then - self.told >= Micros(1_000_000) {
-            self.tell_list(ListUpdate::Changes);
+            self.tell_list(EndpointUpdate::Delta);
         }
     }
 }
@@ -145,7 +146,7 @@
                 host.pass();
                 host.request();
             }
-            What::List => host.tell_list(ListUpdate::Changes),
+            What::List => host.tell_list(EndpointUpdate::Delta),
         }
     }
     assert!(host.served * 20 >= host.last * 19, "{} of {} sent", host.served, host.last);
--- a/crates/balancer/benches/decision/reports.rs
+++ b/crates/balancer/benches/decision/reports.rs
@@ -8,7 +8,7 @@
 pub const THERE: bool = true;
 
 pub fn configure(cfg: &mut Config, says: bool) {
-    cfg.live_weights = says;
+    cfg.weights_report_load = says;
 }
 
 /// What a box holds, a little else each time.
@@ -16,12 +16,15 @@
     1.0 + ((u64::from(backend.0) * 7 + turn) % 5) as f64 * 0.5
 }
 
-pub fn weigh(backend: &mut Backend, turn: u64) {
-    let size = if backend.kind == KindId(0) { 2_000.0 } else { 1_000.0 };
+pub fn weigh(backend: &mut BackendEntry, turn: u64) {
+    let size = if backend.server_type == ServerTypeId(0) { 2_000.0 } else { 1_000.0 };
     backend.weight = (size / (1.0 + held(backend.id, turn))) as u32;
 }
 
 pub fn report(backend: BackendId, turn: u64) -> Option<Event> {
     let in_flight = Some(held(backend, turn));
-    Some(Event::Reported(backend, LoadReport { in_flight, errors_per_s: Some(0.0), latency_ms: Some(60.0) }))
+    Some(Event::LoadReported(
+        backend,
+        LoadReport { in_flight, errors_per_s: Some(0.0), latency_ms: Some(60.0) },
+    ))
 }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -16,39 +16,39 @@
     /// The customers; may be empty.
     pub tenants: Vec<Tenant>,
     /// Worth of a request past its tenant's quota, as a part of its class's worth.
-    pub over_quota_worth: f64,
+    pub over_quota_weight_fraction: f64,
     /// What the operator's goal puts on the whole of the traffic.
-    pub goal_whole: f64,
+    pub total_objective_weight: f64,
     /// What the operator's goal puts on the worst-served class.
-    pub goal_worst_class: f64,
+    pub worst_class_objective_weight: f64,
     /// What it costs the goal when every request crosses zones once.
     pub cross_zone_cost: f64,
     /// Where the list of backends comes from.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// The list's weights are live: a backend's size over one and the requests that it holds a core.
-    pub live_weights: bool,
+    pub weights_report_load: bool,
     /// Weights, live or not, tell sizes in standard cores: how many it has times how fast one is.
-    pub sized: bool,
+    pub weights_report_cores: bool,
     /// Attempts allowed for a request.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub may_cancel_attempts: bool,
     /// Two attempts of one request may be out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// The least time between two rounds of events.
-    pub tick: Micros,
+    pub min_timer_interval: Micros,
     /// Part of its capacity that a backend has at least when it boots.
-    pub cold_from: f64,
+    pub initial_capacity_fraction: f64,
     /// A booted backend is warm after this time at most.
-    pub ramp: Micros,
+    pub slow_start_window: Micros,
     /// Another pool can take what this one cannot: where all of its backends fail alike, all are ejected.
-    pub spare: bool,
+    pub has_failover_pool: bool,
     /// The realm of all backends that a request may ever reach, if it is one: what one of them has done, each drops.
-    pub only_realm: Option<u32>,
+    pub only_deduplication_domain: Option<u32>,
     /// A cold backend sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this time falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 impl Config {
@@ -59,30 +59,30 @@
             position: 0,
             zone: ZoneId(0),
             classes: vec![Class {
-                aim: Micros(500_000),
-                aim_stretch: 0.0,
-                effect: Effect::Free,
-                worth: 1.0,
-                late_worth: 0.0,
+                latency_objective: Micros(500_000),
+                latency_objective_per_work_hint: 0.0,
+                idempotency: Idempotency::Safe,
+                priority_weight: 1.0,
+                late_weight_fraction: 0.0,
             }],
             tenants: Vec::new(),
-            over_quota_worth: 0.1,
-            goal_whole: 1.0,
-            goal_worst_class: 0.0,
+            over_quota_weight_fraction: 0.1,
+            total_objective_weight: 1.0,
+            worst_class_objective_weight: 0.0,
             cross_zone_cost: 0.0,
-            discovery: Discovery::Push,
-            live_weights: false,
-            sized: false,
+            discovery: DiscoveryMode::Push,
+            weights_report_load: false,
+            weights_report_cores: false,
             max_attempts: 3,
-            cancel: true,
-            second_copies: true,
-            tick: Micros(5_000),
-            cold_from: 0.3,
-            ramp: Micros(10_000_000),
-            spare: false,
-            only_realm: Some(0),
-            fall_multiple: 3.0,
-            fall_window: Micros(2_000_000),
+            may_cancel_attempts: true,
+            hedging: true,
+            min_timer_interval: Micros(5_000),
+            initial_capacity_fraction: 0.3,
+            slow_start_window: Micros(10_000_000),
+            has_failover_pool: false,
+            only_deduplication_domain: Some(0),
+            overload_multiple: 3.0,
+            overload_window: Micros(2_000_000),
         }
     }
 
@@ -96,23 +96,23 @@
             (self.proxies > 0, "proxies", "at least 1"),
             (self.position < self.proxies, "position", "less than proxies"),
             (!classes.is_empty(), "classes", "at least one class"),
-            (classes.iter().all(|c| c.aim.0 > 0), "aim", "a time above 0"),
-            (classes.iter().all(|c| c.aim_stretch >= 0.0), "aim_stretch", "at least 0"),
-            (classes.iter().all(|c| amount(c.worth)), "worth", "a finite number of at least 0"),
-            (classes.iter().all(|c| part(c.late_worth)), "late_worth", "a part from 0 to 1"),
+            (classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0"),
+            (classes.iter().all(|c| c.latency_objective_per_work_hint >= 0.0), "aim_stretch", "at least 0"),
+            (classes.iter().all(|c| amount(c.priority_weight)), "worth", "a finite number of at least 0"),
+            (classes.iter().all(|c| part(c.late_weight_fraction)), "late_worth", "a part from 0 to 1"),
             (
                 self.tenants.iter().all(|t| amount(t.quota_per_s)),
                 "quota_per_s",
                 "a finite rate of at least 0",
             ),
-            (part(self.over_quota_worth), "over_quota_worth", "a part from 0 to 1"),
-            (part(self.goal_whole), "goal_whole", "a part from 0 to 1"),
-            (part(self.goal_worst_class), "goal_worst_class", "a part from 0 to 1"),
+            (part(self.over_quota_weight_fraction), "over_quota_worth", "a part from 0 to 1"),
+            (part(self.total_objective_weight), "goal_whole", "a part from 0 to 1"),
+            (part(self.worst_class_objective_weight), "goal_worst_class", "a part from 0 to 1"),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
-            (self.tick.0 > 0, "tick", "a time above 0"),
-            (part(self.cold_from), "cold_from", "a part from 0 to 1"),
-            (above_zero(self.fall_multiple), "fall_multiple", "a finite number above 0"),
+            (self.min_timer_interval.0 > 0, "tick", "a time above 0"),
+            (part(self.initial_capacity_fraction), "cold_from", "a part from 0 to 1"),
+            (above_zero(self.overload_multiple), "fall_multiple", "a finite number above 0"),
         ];
         let failed = tests.into_iter().find(|t| !t.0);
         failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
@@ -123,15 +123,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's work hint.
-    pub aim_stretch: f64,
+    pub latency_objective_per_work_hint: f64,
     /// What a second run would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// What a request is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth left after the aim.
-    pub late_worth: f64,
+    pub late_weight_fraction: f64,
 }
 
 /// A customer.
@@ -143,7 +143,7 @@
 
 /// Where the list of backends comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unasked.
     Push,
     /// Changes arrive after [`Action::Follow`]; a proxy that does not ask counts as told after this time.
@@ -181,21 +181,21 @@
     /// The work expected, on a standard core.
     pub work_hint: Option<Micros>,
     /// The client says that it asked before.
-    pub repeat: bool,
-    /// Another pool can be asked where this one can take nothing: see [`Action::PassOn`].
-    pub elsewhere: bool,
+    pub is_client_retry: bool,
+    /// Another pool can be asked where this one can take nothing: see [`Action::FailOver`].
+    pub may_fail_over: bool,
 }
 
 /// A request that one pool gives up to the next, with all that was tried so far. It is owed its final answer
 /// by the module that takes it; attempts that are out go on and end as ever.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Handover {
+pub struct TransferredRequest {
     pub(crate) state: crate::state::Request,
 }
 
-impl Handover {
+impl TransferredRequest {
     /// Whether a further pool can be asked after the one that takes it.
-    pub fn elsewhere(mut self, more: bool) -> Handover {
+    pub fn with_failover(mut self, more: bool) -> TransferredRequest {
         self.state.elsewhere = more;
         self
     }
@@ -203,20 +203,20 @@
 
 /// What one module knows of a backend, on its way to another with the attempts that it holds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Moved {
+pub struct MigratedBackend {
     pub(crate) peer: crate::state::Peer,
-    pub(crate) attempts: Vec<((RequestId, AttemptNo), crate::state::Flight)>,
+    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::state::Flight)>,
 }
 
 /// Whether a pool can take a request at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum PoolHealth {
     /// Nothing may be sent to any of its backends: there is none, or all drain.
     Empty,
     /// All that may be sent requests are ejected, and none is due for a trial.
-    Ill,
+    AllEjected,
     /// Some backend is in use or due for a trial.
-    Able,
+    Available,
 }
 
 /// How an attempt ended.
@@ -225,47 +225,47 @@
     /// The request.
     pub request: RequestId,
     /// The attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// How.
     pub outcome: Outcome,
     /// Time since the dispatch.
     pub latency: Micros,
     /// The request has had its final answer; the module owes none.
-    pub settled: bool,
+    pub request_answered: bool,
 }
 
 /// What the host tells the module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the backend list.
-    Members {
+    EndpointsUpdated {
         /// What sort of news.
-        update: ListUpdate,
+        update: EndpointUpdate,
         /// The entries.
-        backends: Vec<Backend>,
+        backends: Vec<BackendEntry>,
     },
     /// A client's request: it is owed one final answer.
     Request(Arrival),
     /// A request that another pool's module passed on: it is owed its final answer here.
-    HandedOver(RequestId, Box<Handover>),
+    FailedOver(RequestId, Box<TransferredRequest>),
     /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// What a backend says of its own load.
-    Reported(BackendId, LoadReport),
+    LoadReported(BackendId, LoadReport),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client left; no answer is owed.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// The pool is no more: whatever is held is passed on or given up at once, and so is all that comes.
-    Closing,
+    Drain,
     /// A timer fell due.
     Timer {
         /// Which.
@@ -281,7 +281,7 @@
         /// The request.
         request: RequestId,
         /// Which of its attempts this is.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Where to.
         backend: BackendId,
         /// The last byte may go out only before then: a repeat would no longer be dropped.
@@ -289,14 +289,14 @@
     },
     /// No answer: this pool can take nothing, and the next is to be asked. The module forgets the request, but
     /// still wants to hear how its attempts end.
-    PassOn {
+    FailOver {
         /// The request.
         request: RequestId,
         /// What the next module has to know of it.
-        handover: Box<Handover>,
+        handover: Box<TransferredRequest>,
     },
     /// Final answer: refused, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When the client had better come again, from now.
@@ -314,7 +314,7 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Ask for an [`Event::Timer`].
     SetTimer {
@@ -324,7 +324,7 @@
         after: Micros,
     },
     /// Ask discovery for changes from now on.
-    Follow,
+    Subscribe,
     /// A line for the operators.
     Log(String),
 }
@@ -335,22 +335,25 @@
 const REPEAT_PART: u64 = 8;
 
 /// Until when the last byte of a repeat may go out after an attempt that was sent at the earliest then.
-pub fn repeat_end(window: Micros, sent: Time) -> Time {
+pub fn retry_deadline(window: Micros, sent: Time) -> Time {
     sent + Micros(window.0 - (window.0 / REPEAT_PART).min(REPEAT_MARGIN.0))
 }
 
 /// The same after the first of the attempts that may have run or may run yet, each with the time at which it was sent
 /// at the earliest. `None` where there is no such attempt.
-pub fn repeat_until(window: Micros, sent: impl Iterator<Item = Time>) -> Option<Time> {
-    sent.min().map(|first| repeat_end(window, first))
+pub fn first_retry_deadline(window: Micros, sent: impl Iterator<Item = Time>) -> Option<Time> {
+    sent.min().map(|first| retry_deadline(window, first))
 }
 
 /// Whether of two backends, each with its realm, zone and cell, one drops repeats of what the other has seen.
-pub fn drops_repeats(scope: KeyScope, seen: (u32, ZoneId, CellId), by: (u32, ZoneId, CellId)) -> bool {
+pub fn deduplicates_repeats(
+    scope: DeduplicationScope, seen: (u32, ZoneId, DeduplicationGroupId),
+    by: (u32, ZoneId, DeduplicationGroupId),
+) -> bool {
     seen.0 == by.0
         && match scope {
-            KeyScope::All => true,
-            KeyScope::Zone => seen.1 == by.1,
-            KeyScope::Cell => seen.2 == by.2,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => seen.1 == by.1,
+            DeduplicationScope::Group => seen.2 == by.2,
         }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -16,7 +16,7 @@
 pub use interface::*;
 pub use rules::{halb_shares, Balancer};
 pub use shaletide_types::*;
-pub use state::Allowance;
+pub use state::SharedLimits;
 
 /// The README's example, kept true by the documentation tests.
 #[cfg(doctest)]
--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/loads.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Loads {
     /// The largest weight of any backend of a kind, a core: that of one that holds nothing.
-    sizes: BTreeMap<KindId, f64>,
+    sizes: BTreeMap<ServerTypeId, f64>,
     /// Requests a core that a backend in use holds in the mean; none where too few said anything.
     pub mean: Option<f64>,
     /// The part of the requests that there is room for.
@@ -89,7 +89,7 @@
     pub fn weighed(&mut self, now: Time, p: &mut Peer) {
         let weight = f64::from(p.entry.weight) / f64::from(p.entry.cores.max(1));
         if weight > 0.0 {
-            let size = self.sizes.entry(p.entry.kind).or_default();
+            let size = self.sizes.entry(p.entry.server_type).or_default();
             *size = size.max(weight);
             p.told.list.hear(now, *size / weight - 1.0);
         }
@@ -175,7 +175,7 @@
     }
 
     /// What the list says of how fast a backend of that kind is beside one of another; 1 where it says nothing.
-    pub fn size(&self, kind: KindId) -> f64 {
+    pub fn size(&self, kind: ServerTypeId) -> f64 {
         self.sizes.get(&kind).copied().unwrap_or(1.0)
     }
 
--- a/crates/balancer/src/reach.rs
+++ b/crates/balancer/src/reach.rs
@@ -30,7 +30,7 @@
 
 impl Reach {
     /// An attempt ended, in silence or with any word. Whether the zone is cut off by that, or is no longer.
-    pub fn ended(&mut self, now: Time, own: ZoneId, to: &Backend, silent: bool) -> bool {
+    pub fn ended(&mut self, now: Time, own: ZoneId, to: &BackendEntry, silent: bool) -> bool {
         // One's own zone is near: it counts as one that answers until it was asked.
         let near = to.zone != own && self.0.get(&own).is_none_or(|way| way.silent.value < SILENT);
         let answers = |way: &Way| way.silent.count > 0.0 && way.silent.value < ANSWERS;
--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -50,7 +50,7 @@
 const HOLD_ALL: f64 = 2.2;
 /// Where they say that they hold little, the own view may be so many times over its limit.
 const SLACK: f64 = 4.0;
-/// Error share from which a backend is ejected: four errors close together reach it. Spoilt answers and
+/// Error share from which a backend is ejected: four errors close together reach it. InvalidResponse answers and
 /// broken connections come from all alike, a few in a hundred: two are chance.
 const ERROR_LIMIT: f64 = 0.3;
 /// Weight of the newest outcome in a backend's error share.
@@ -84,14 +84,14 @@
     peers: BTreeMap<BackendId, Peer>,
     /// The peers by mark, an order that all proxies share.
     order: Vec<BackendId>,
-    kinds: BTreeMap<KindId, Kind>,
+    kinds: BTreeMap<ServerTypeId, Kind>,
     classes: Vec<ClassState>,
     overall: Mean,
     requests: BTreeMap<RequestId, Request>,
     held: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
     blocked: f64,
-    attempts: BTreeMap<(RequestId, AttemptNo), Flight>,
+    attempts: BTreeMap<(RequestId, AttemptNumber), Flight>,
     rate: Rate,
     /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
     crowd: Rate,
@@ -151,7 +151,7 @@
             able: 0,
             trial_at: None,
             timer: (0, Time(u64::MAX)),
-            ask: ((cfg.discovery != Discovery::Push).then_some(Time(0)), 0.0),
+            ask: ((cfg.discovery != DiscoveryMode::Push).then_some(Time(0)), 0.0),
             closing: false,
             log_at: Time(0),
             given_up: GiveUpCounts::default(),
@@ -161,36 +161,36 @@
     }
 
     /// Requests given up since the last call, by reason.
-    pub fn take_given_up(&mut self) -> GiveUpCounts {
+    pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
         std::mem::take(&mut self.given_up)
     }
 
     /// Takes one event that happened at `now` and adds the actions it calls for. `shared` is one allowance
     /// of all pools.
-    pub fn handle(&mut self, now: Time, event: Event, shared: &mut Allowance, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Time, event: Event, shared: &mut SharedLimits, actions: &mut Vec<Action>) {
         if !matches!(
             event,
-            Event::Request(_) | Event::HandedOver(..) | Event::Timer { .. } | Event::Reported(..)
+            Event::Request(_) | Event::FailedOver(..) | Event::Timer { .. } | Event::LoadReported(..)
         ) {
             self.blocked = 0.0; // those make no room, and trying a long line in vain costs too much CPU
         }
         let out = self.attempts.len().saturating_sub(self.lost as usize) as f64;
         self.crowd.pass(now, out);
         if now >= self.solve_at
-            && (matches!(event, Event::Request(_) | Event::HandedOver(..)) || !self.held.is_empty())
+            && (matches!(event, Event::Request(_) | Event::FailedOver(..)) || !self.held.is_empty())
         {
             self.solve(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
         }
         match event {
-            Event::Members { update, backends } => self.members(now, update, backends),
+            Event::EndpointsUpdated { update, backends } => self.members(now, update, backends),
             Event::Request(arrival) => self.request(now, arrival, shared),
-            Event::HandedOver(id, handover) => self.take_over(now, id, *handover),
+            Event::FailedOver(id, handover) => self.take_over(now, id, *handover),
             Event::StreamStarted { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(&request) {
                     r.streaming |= r.sent.get(attempt.0 as usize).is_some_and(|s| s.out);
                 }
             }
-            Event::Reported(backend, report) => {
+            Event::LoadReported(backend, report) => {
                 let many = self.many();
                 if let Some(p) = self.peers.get_mut(&backend).filter(|_| many) {
                     self.loads.reported(now, p, &report);
@@ -198,9 +198,9 @@
                 return;
             }
             Event::AttemptEnded(end) => self.ended(now, end),
-            Event::ClientGone { request } => self.close(request),
+            Event::ClientDisconnected { request } => self.close(request),
             // Where its clients' next requests go is not known here.
-            Event::Closing => (self.closing, self.cfg.only_realm) = (true, None),
+            Event::Drain => (self.closing, self.cfg.only_deduplication_domain) = (true, None),
             Event::Timer { token } if token != TimerToken(self.timer.0) => return,
             Event::Timer { .. } => self.timer.1 = Time(u64::MAX),
         }
@@ -209,11 +209,11 @@
         }
         self.pump(now, shared);
         if !self.held.is_empty() {
-            self.look_at = self.look_at.min(now + self.cfg.tick);
+            self.look_at = self.look_at.min(now + self.cfg.min_timer_interval);
         }
         if self.look_at < self.timer.1 {
             self.timer = (self.timer.0 + 1, self.look_at);
-            let after = (self.look_at - now).max(self.cfg.tick);
+            let after = (self.look_at - now).max(self.cfg.min_timer_interval);
             self.actions.push(Action::SetTimer { token: TimerToken(self.timer.0), after });
         }
         actions.append(&mut self.actions);
@@ -224,26 +224,26 @@
         f64::from(self.cfg.proxies) > HOLD
     }
 
-    fn members(&mut self, now: Time, update: ListUpdate, list: Vec<Backend>) {
+    fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<BackendEntry>) {
         match (update, self.cfg.discovery) {
             // A lost subscription is asked for again, later each time and not in step with others.
-            (ListUpdate::Lost, Discovery::Subscribe(within)) => {
+            (EndpointUpdate::SubscriptionLost, DiscoveryMode::Subscribe(within)) => {
                 let wait = (self.ask.1 * 2.0).clamp(0.1, (within.secs() / 8.0).max(0.1));
                 self.ask = (Some(now + Micros::from_secs(wait * (0.5 + self.dice.unit()))), wait);
                 self.log(now, "discovery lost, asking again".into());
             }
-            (ListUpdate::Changes | ListUpdate::Full, _) => self.ask = (None, 0.0),
+            (EndpointUpdate::Delta | EndpointUpdate::Snapshot, _) => self.ask = (None, 0.0),
             _ => {}
         }
-        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             let listed: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
             let absent = |p: &&mut Peer| !listed.contains(&p.entry.id);
             self.peers.values_mut().filter(absent).for_each(|p| p.entry.state = BackendState::Gone);
         }
-        let weighs = self.cfg.live_weights && self.many();
+        let weighs = self.cfg.weights_report_load && self.many();
         for entry in list {
             let p = self.peers.entry(entry.id).or_default();
-            if p.entry.booted != entry.booted {
+            if p.entry.started_at != entry.started_at {
                 // A restarted process has nothing in common with the old one but its address.
                 *p = Peer { out: p.out, spent: std::mem::take(&mut p.spent), ..Peer::default() };
             }
@@ -251,19 +251,22 @@
             if weighs {
                 self.loads.weighed(now, p);
             }
-            let sized = self.cfg.sized.then(|| self.kinds.entry(p.entry.kind).or_default().sized(&p.entry));
+            let sized = self
+                .cfg
+                .weights_report_cores
+                .then(|| self.kinds.entry(p.entry.server_type).or_default().sized(&p.entry));
             p.entry.cores = p.entry.cores.max(sized.unwrap_or(1)); // which the list itself may not know
         }
         self.peers.retain(|_, p| p.entry.state != BackendState::Gone || p.out > 0);
         self.order = self.peers.keys().copied().collect();
-        self.order.sort_by_key(|id| self.peers[id].entry.mark);
+        self.order.sort_by_key(|id| self.peers[id].entry.stable_hash);
         self.recount();
         (self.solve_at, self.look_at) = (now, now);
     }
 
     /// Gives a backend away to the module of another pool, with the attempts that it holds. The news of the
     /// list has to follow, as with `put_in`: by that the order is made anew, once for all that move.
-    pub fn take_out(&mut self, id: BackendId) -> Option<Moved> {
+    pub fn migrate_out(&mut self, id: BackendId) -> Option<MigratedBackend> {
         let peer = self.peers.remove(&id)?;
         let mut attempts = Vec::new();
         if peer.out > 0 {
@@ -272,11 +275,11 @@
         }
         self.recount_moved(&peer, -1);
         self.solve_at = Time(0);
-        Some(Moved { peer, attempts })
+        Some(MigratedBackend { peer, attempts })
     }
 
     /// Takes in a backend that the module of another pool gave away.
-    pub fn put_in(&mut self, moved: Moved) {
+    pub fn migrate_in(&mut self, moved: MigratedBackend) {
         self.attempts.extend(moved.attempts);
         self.recount_moved(&moved.peer, 1);
         self.peers.insert(moved.peer.entry.id, moved.peer);
@@ -316,19 +319,19 @@
     }
 
     /// Whether anything can be sent anywhere here.
-    pub fn standing(&self, now: Time) -> Standing {
+    pub fn health(&self, now: Time) -> PoolHealth {
         match self.trial_at {
-            _ if self.able > 0 => Standing::Able,
-            Some(at) if now >= at => Standing::Able,
-            Some(_) => Standing::Ill,
-            None => Standing::Empty,
+            _ if self.able > 0 => PoolHealth::Available,
+            Some(at) if now >= at => PoolHealth::Available,
+            Some(_) => PoolHealth::AllEjected,
+            None => PoolHealth::Empty,
         }
     }
 
     /// Gives up all requests that are held to the modules of other pools, one of which can take them now.
-    pub fn release(&mut self) -> Vec<(RequestId, Handover)> {
+    pub fn release_queued(&mut self) -> Vec<(RequestId, TransferredRequest)> {
         let held = std::mem::take(&mut self.held).into_iter();
-        held.filter_map(|id| Some((id, Handover { state: self.requests.remove(&id)? }))).collect()
+        held.filter_map(|id| Some((id, TransferredRequest { state: self.requests.remove(&id)? }))).collect()
     }
 
     /// Counts anew what `standing` tells; called at each change to it.
@@ -348,7 +351,7 @@
     }
 
     /// A request that another module gave up, as it stands.
-    fn take_over(&mut self, now: Time, id: RequestId, handover: Handover) {
+    fn take_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
         if !self.requests.contains_key(&id) && handover.state.class < self.classes.len() {
             self.rate.add(now, 1.0);
             self.requests.insert(id, handover.state);
@@ -357,7 +360,7 @@
         }
     }
 
-    fn request(&mut self, now: Time, new: Arrival, shared: &mut Allowance) {
+    fn request(&mut self, now: Time, new: Arrival, shared: &mut SharedLimits) {
         let Some(c) = self.cfg.classes.get(new.class.0) else { return };
         if self.requests.contains_key(&new.request) {
             return;
@@ -369,16 +372,19 @@
         let tenant = new.tenant.and_then(|t| self.cfg.tenants.get(t.0).zip(shared.buckets.get_mut(t.0)));
         let part = |t: &Tenant| t.quota_per_s / self.loads.fleet();
         let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.take(now, part(t)));
-        let aim = c.aim.0.saturating_add(new.work_hint.unwrap_or_default().times(c.aim_stretch).0);
+        let aim = c
+            .latency_objective
+            .0
+            .saturating_add(new.work_hint.unwrap_or_default().times(c.latency_objective_per_work_hint).0);
         let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
         // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
         // and serving it before a new request would make both late, all through a storm of repeats.
-        let again = if new.repeat { c.late_worth } else { 1.0 };
-        let value = again * if over_quota { self.cfg.over_quota_worth } else { 1.0 };
+        let again = if new.is_client_retry { c.late_weight_fraction } else { 1.0 };
+        let value = again * if over_quota { self.cfg.over_quota_weight_fraction } else { 1.0 };
         let (class, came, streaming, sent) = (new.class.0, now, false, Vec::new());
-        let elsewhere = new.elsewhere;
+        let elsewhere = new.may_fail_over;
         // Drawn only where it may matter: without reports the dice fall as they always did.
-        let luck = if self.loads.mean.is_some() || self.many() && self.cfg.live_weights {
+        let luck = if self.loads.mean.is_some() || self.many() && self.cfg.weights_report_load {
             self.dice.unit()
         } else {
             0.0
@@ -397,10 +403,10 @@
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
         if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
-            (s.out, s.never_ran) = (false, end.outcome.never_ran());
-            s.unsent = end.outcome == Outcome::NeverSent;
+            (s.out, s.not_executed) = (false, end.outcome.not_executed());
+            s.unsent = end.outcome == Outcome::NotSent;
         }
-        if end.settled || end.outcome == Outcome::Ok {
+        if end.request_answered || end.outcome == Outcome::Ok {
             self.close(id);
         } else if !r.out() && !self.held.contains(&id) {
             self.held.push(id); // `pump` sends it again or gives it up
@@ -408,12 +414,12 @@
     }
 
     /// What time alone brings about, and when to look again.
-    fn look_after(&mut self, now: Time, shared: &Allowance) {
+    fn look_after(&mut self, now: Time, shared: &SharedLimits) {
         let mut next = now + Micros::from_secs(CROWD_MEMORY); // nothing else may be due
-        if let (Some(at), Discovery::Subscribe(within)) = (self.ask.0, self.cfg.discovery) {
+        if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.ask.0, self.cfg.discovery) {
             if now >= at {
                 self.ask.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
-                self.actions.push(Action::Follow);
+                self.actions.push(Action::Subscribe);
             }
         }
         next = self.ask.0.map_or(next, |at| next.min(at));
@@ -437,9 +443,9 @@
         for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
             let usual = self.usual(r.class);
             // A client whose request nobody has seen is told before half of its time is over.
-            let unseen = r.sent.iter().all(|s| s.never_ran);
-            let late_pays = self.cfg.classes[r.class].late_worth > 0.0 && !unseen;
-            let half = r.came + (r.deadline - r.came).times(0.5) + usual - self.cfg.tick;
+            let unseen = r.sent.iter().all(|s| s.not_executed);
+            let late_pays = self.cfg.classes[r.class].late_weight_fraction > 0.0 && !unseen;
+            let half = r.came + (r.deadline - r.came).times(0.5) + usual - self.cfg.min_timer_interval;
             let last_start = if late_pays { r.deadline } else { r.aim.min(half) };
             let old = |s: &Sent| losing && now >= s.at + self.quiet(r.class);
             let ill = |s: &Sent| self.peers.get(&s.to.id).is_none_or(|p| p.ejected.is_some());
@@ -448,7 +454,8 @@
             // The deadline's own tick would be too late to answer; a request that was held so long
             // that it cannot make it is refused while that is still harmless.
             let last_start = if r.out() { r.deadline } else { last_start.min(r.deadline) };
-            let margin = if r.out() { self.cfg.tick } else { usual.max(self.cfg.tick) };
+            let margin =
+                if r.out() { self.cfg.min_timer_interval } else { usual.max(self.cfg.min_timer_interval) };
             if now + margin >= last_start {
                 over.push(id);
             } else if lost
@@ -457,26 +464,30 @@
             {
                 // Age alone is a reason only where answers are lost: copies of merely heavy requests crowd
                 // every backend.
-                if self.cfg.second_copies {
+                if self.cfg.hedging {
                     if self.may_send(now, r) && !self.held.contains(&id) {
                         self.held.push(id);
                     }
-                } else if self.cfg.cancel && self.cfg.classes[r.class].effect != Effect::Unsafe {
+                } else if self.cfg.may_cancel_attempts
+                    && self.cfg.classes[r.class].idempotency != Idempotency::NonIdempotent
+                {
                     // Where no copy may run beside it, it is called back to make way for the next.
-                    self.actions
-                        .push(Action::Cancel { request: id, attempt: AttemptNo(r.sent.len() as u32 - 1) });
+                    self.actions.push(Action::Cancel {
+                        request: id,
+                        attempt: AttemptNumber(r.sent.len() as u32 - 1),
+                    });
                 }
             }
             next = next.min(last_start - margin);
         }
-        self.look_at = next.max(now + self.cfg.tick);
+        self.look_at = next.max(now + self.cfg.min_timer_interval);
         over.into_iter().for_each(|id| self.give_up(now, id, GiveUpReason::OutOfTime));
     }
 
     /// What a served request of the class usually takes; before any was served, a quarter of its aim.
     fn usual(&self, class: usize) -> Micros {
         let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].aim.times(0.25), Micros::from_secs)
+        known.map_or(self.cfg.classes[class].latency_objective.times(0.25), Micros::from_secs)
     }
 
     /// The age, in usual times, from which most attempts are never answered.
--- a/crates/balancer/src/rules/admission.rs
+++ b/crates/balancer/src/rules/admission.rs
@@ -15,15 +15,16 @@
         // What all say they hold goes before the guess that they are like this one. Where none does, answers
         // speak for low worth: with m held one takes 1 + m times its least, by `usual` a quarter of the aim.
         let each = self.cfg.classes.iter().zip(&self.classes);
-        let slow = each.filter_map(|(c, s)| Some(s.latency.get()? / (c.aim.secs() * 0.25) - 1.0));
-        let slow = slow.reduce(f64::max).filter(|_| value < LOW && !self.cfg.live_weights);
+        let slow =
+            each.filter_map(|(c, s)| Some(s.latency.get()? / (c.latency_objective.secs() * 0.25) - 1.0));
+        let slow = slow.reduce(f64::max).filter(|_| value < LOW && !self.cfg.weights_report_load);
         let slack = self.loads.mean.or(slow).map_or(1.0, |m| (HOLD_ALL / m.max(0.1)).clamp(1.0, SLACK));
         let held = self.crowd.per_s().unwrap_or(0.0) * self.loads.fleet() * self.reached;
         self.many() && held > limit * slack * self.kinds.values().map(|k| k.cores).sum::<f64>()
     }
 
     /// Sends what is held, the densest worth first and the newest first inside it.
-    pub(super) fn pump(&mut self, now: Time, shared: &mut Allowance) {
+    pub(super) fn pump(&mut self, now: Time, shared: &mut SharedLimits) {
         if self.held.is_empty() || self.blocked == f64::MAX && !self.closing {
             return;
         }
@@ -31,7 +32,7 @@
         for id in std::mem::take(&mut self.held) {
             if let Some(r) = self.requests.get(&id) {
                 let value = if r.sent.is_empty() { r.value } else { f64::MAX };
-                let density = self.cfg.classes[r.class].worth / self.work(r.class);
+                let density = self.cfg.classes[r.class].priority_weight / self.work(r.class);
                 line.push((density * r.value, r.came, id, value));
             }
         }
@@ -61,8 +62,8 @@
                     false
                 }
                 Some(Drawn::AllIll | Drawn::NoneLeft) if r.elsewhere => {
-                    let handover = Box::new(Handover { state: r });
-                    self.actions.push(Action::PassOn { request: id, handover });
+                    let handover = Box::new(TransferredRequest { state: r });
+                    self.actions.push(Action::FailOver { request: id, handover });
                     continue;
                 }
                 // Waiting brings nothing: whatever comes back, it was there already.
--- a/crates/balancer/src/rules/draw.rs
+++ b/crates/balancer/src/rules/draw.rs
@@ -16,22 +16,24 @@
 impl Balancer {
     /// A backend for the request: kind by share, backend inside it by readiness, both at random.
     pub(super) fn draw(&mut self, now: Time, r: &Request) -> Drawn {
-        let effect = self.cfg.classes[r.class].effect;
+        let effect = self.cfg.classes[r.class].idempotency;
         let work = self.work(r.class);
-        let any_free = self.cfg.classes.iter().any(|c| c.effect == Effect::Free);
-        let may_try = r.sent.is_empty() && (effect == Effect::Free || !any_free);
+        let any_free = self.cfg.classes.iter().any(|c| c.idempotency == Idempotency::Safe);
+        let may_try = r.sent.is_empty() && (effect == Idempotency::Safe || !any_free);
         let (mut all, mut shunned) = (0.0, 0.0);
         for p in self.peers.values().filter(|p| p.ready > 0.0) {
             (all, shunned) = (all + 1.0, shunned + f64::from(p.shuns(now, r.class)));
         }
         let heed = shunned <= all * PANIC;
-        let mut open: Vec<(BackendId, KindId, f64)> = Vec::new();
+        let mut open: Vec<(BackendId, ServerTypeId, f64)> = Vec::new();
         let (mut listed, mut able) = (false, false);
         for (&b, p) in &self.peers {
             // A repeat outside the scope that knows the key would run twice.
-            let place = |b: &Backend| (b.realm, b.zone, b.cell);
+            let place = |b: &BackendEntry| (b.deduplication_domain, b.zone, b.deduplication_group);
             let known = |s: &Sent| match effect {
-                Effect::Keyed(scope, _) => s.never_ran || drops_repeats(scope, place(&s.to), place(&p.entry)),
+                Idempotency::Keyed(scope, _) => {
+                    s.not_executed || deduplicates_repeats(scope, place(&s.to), place(&p.entry))
+                }
                 _ => true,
             };
             let fresh = p.entry.state == BackendState::Ready
@@ -52,11 +54,12 @@
                 // Never overfill: a crowded backend slows for long, so a full one is drawn again.
                 let room = if r.value < LOW { (p.room / 2.0).ceil() } else { p.room };
                 if f64::from(p.out.saturating_sub(p.lost)) < room {
-                    open.push((b, p.entry.kind, p.slice + p.pull * 1e-6)); // the rest: a last resort
+                    open.push((b, p.entry.server_type, p.slice + p.pull * 1e-6));
+                    // the rest: a last resort
                 }
             }
         }
-        let mut some: Vec<KindId> = open.iter().map(|o| o.1).collect();
+        let mut some: Vec<ServerTypeId> = open.iter().map(|o| o.1).collect();
         some.dedup();
         some.sort_unstable();
         some.dedup();
--- a/crates/balancer/src/rules/ejection.rs
+++ b/crates/balancer/src/rules/ejection.rs
@@ -24,7 +24,7 @@
         }
         let many = self.many();
         let Some(p) = self.peers.get_mut(&id) else { return };
-        let word = matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Full);
+        let word = matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
         let silence = match end.outcome {
             Outcome::ConnectFailed => true,
             Outcome::TimedOut | Outcome::Cancelled => now >= sent + silent && p.answered <= sent,
@@ -43,7 +43,7 @@
                 self.classes[class].latency.add(secs, KIND_SAMPLES);
                 self.overall.add(secs, KIND_SAMPLES);
                 let plain = secs * self.overall.value / self.classes[class].latency.value;
-                let kind = self.kinds.entry(p.entry.kind).or_default();
+                let kind = self.kinds.entry(p.entry.server_type).or_default();
                 // A backend's own mean is over many more than this proxy's.
                 let (secs, cap) =
                     p.told.latency(now).map_or((plain, KIND_SAMPLES), |own| (own, TOLD_SAMPLES));
@@ -66,18 +66,18 @@
             }
             // A full backend answers, and is left alone until it may have finished one, twice as long each
             // time that it is still full: busy is not ill. It may hold back one class only.
-            Outcome::Full => {
+            Outcome::Rejected => {
                 let part = p.part(class);
                 let wait = usual.times(f64::from(part.fulls.min(4)).exp2()).secs().min(EJECT_TERM / 2.0);
                 (part.full_until, part.fulls) = (now + Micros::from_secs(wait), part.fulls + 1);
             }
             // Given up after a long silence, and it is not the only one, or another pool can do without it.
             Outcome::Cancelled if now >= sent + silent && p.answered <= sent => {
-                if p.unheard > 1 || self.cfg.spare {
+                if p.unheard > 1 || self.cfg.has_failover_pool {
                     self.eject(now, id, end.outcome);
                 }
             }
-            Outcome::Cancelled | Outcome::NeverSent => {}
+            Outcome::Cancelled | Outcome::NotSent => {}
             // A heavy request alone is no illness: other answers came back meanwhile.
             Outcome::TimedOut if p.part(class).answered >= sent => {}
             Outcome::TimedOut if p.answered < sent => self.eject(now, id, end.outcome),
--- a/crates/balancer/src/rules/retry.rs
+++ b/crates/balancer/src/rules/retry.rs
@@ -4,27 +4,27 @@
 
 impl Balancer {
     pub(super) fn may_send(&self, now: Time, r: &Request) -> bool {
-        let safe = |s: &Sent| match self.cfg.classes[r.class].effect {
-            Effect::Free => true,
-            Effect::Keyed(_, window) => s.never_ran || now < repeat_end(window, s.at),
-            Effect::Unsafe => s.never_ran,
+        let safe = |s: &Sent| match self.cfg.classes[r.class].idempotency {
+            Idempotency::Safe => true,
+            Idempotency::Keyed(_, window) => s.not_executed || now < retry_deadline(window, s.at),
+            Idempotency::NonIdempotent => s.not_executed,
         };
-        let alone = self.cfg.second_copies || !r.out();
+        let alone = self.cfg.hedging || !r.out();
         alone && r.sent.len() < self.cfg.max_attempts as usize && r.sent.iter().all(safe)
     }
 
     pub(super) fn send(&mut self, now: Time, id: RequestId, r: &mut Request, to: BackendId, work: f64) {
         let Some(p) = self.peers.get_mut(&to) else { return };
-        let attempt = AttemptNo(r.sent.len() as u32);
-        let send_by = match self.cfg.classes[r.class].effect {
-            Effect::Keyed(_, window) => {
-                repeat_until(window, r.sent.iter().filter(|s| !s.never_ran).map(|s| s.at))
+        let attempt = AttemptNumber(r.sent.len() as u32);
+        let send_by = match self.cfg.classes[r.class].idempotency {
+            Idempotency::Keyed(_, window) => {
+                first_retry_deadline(window, r.sent.iter().filter(|s| !s.not_executed).map(|s| s.at))
             }
             _ => None,
         };
-        r.sent.push(Sent { to: p.entry.clone(), at: now, out: true, never_ran: false, unsent: false });
+        r.sent.push(Sent { to: p.entry.clone(), at: now, out: true, not_executed: false, unsent: false });
         p.out += 1;
-        p.spent.retain(|s| now - s.0 < self.cfg.fall_window);
+        p.spent.retain(|s| now - s.0 < self.cfg.overload_window);
         p.spent.push((now, work));
         let trial = p.ejected.is_some();
         self.attempts.insert((id, attempt), Flight { to, class: r.class, sent: now });
@@ -33,7 +33,7 @@
             self.recount();
         }
         let quiet = now + self.quiet(r.class);
-        self.look_at = self.look_at.min(quiet).min(r.deadline - self.cfg.tick);
+        self.look_at = self.look_at.min(quiet).min(r.deadline - self.cfg.min_timer_interval);
     }
 
     /// Final answer for a request that will not be served.
@@ -45,15 +45,16 @@
         let retry_after = if ready { self.usual(r.class).times(2.0) } else { Micros::from_secs(EJECT_TERM) };
         // A client that is told in whole seconds comes back that much later.
         let back = now + Micros::from_secs(retry_after.secs().ceil());
-        let dropped = |s: &Sent| match self.cfg.classes[r.class].effect {
-            Effect::Keyed(KeyScope::All, window) => {
-                self.cfg.only_realm == Some(s.to.realm) && back < repeat_end(window, s.at)
+        let dropped = |s: &Sent| match self.cfg.classes[r.class].idempotency {
+            Idempotency::Keyed(DeduplicationScope::All, window) => {
+                self.cfg.only_deduplication_domain == Some(s.to.deduplication_domain)
+                    && back < retry_deadline(window, s.at)
             }
-            effect => effect == Effect::Free,
+            effect => effect == Idempotency::Safe,
         };
-        let harmless = r.sent.iter().all(|s| s.never_ran || dropped(s));
+        let harmless = r.sent.iter().all(|s| s.not_executed || dropped(s));
         let (refused, failed) =
-            (Action::Refuse { request: id, retry_after }, Action::Fail { request: id, retry_after });
+            (Action::Reject { request: id, retry_after }, Action::Fail { request: id, retry_after });
         self.actions.push(if harmless { refused } else { failed });
         self.close(id);
     }
@@ -61,8 +62,8 @@
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(r) = self.requests.remove(&id) else { return };
         self.held.retain(|h| *h != id);
-        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.cancel) {
-            self.actions.push(Action::Cancel { request: id, attempt: AttemptNo(no as u32) });
+        for (no, _) in r.sent.iter().enumerate().filter(|(_, s)| s.out && self.cfg.may_cancel_attempts) {
+            self.actions.push(Action::Cancel { request: id, attempt: AttemptNumber(no as u32) });
         }
     }
 }
--- a/crates/balancer/src/rules/shares.rs
+++ b/crates/balancer/src/rules/shares.rs
@@ -44,7 +44,7 @@
         let mut errors: Vec<f64> = listed.map(|p| p.errors).collect();
         errors.sort_by(f64::total_cmp);
         // Where they fail for a reason of all, there is nobody better, unless another pool can be asked.
-        let middle = errors.get(errors.len().saturating_sub(1) / 2).filter(|_| !self.cfg.spare);
+        let middle = errors.get(errors.len().saturating_sub(1) / 2).filter(|_| !self.cfg.has_failover_pool);
         self.common = middle.copied().unwrap_or(0.0);
         if self.many() {
             self.served.add(now, 0.0);
@@ -53,7 +53,7 @@
         }
         self.kinds.values_mut().for_each(|k| (k.ready, k.cores) = (0.0, 0.0));
         for p in self.peers.values_mut() {
-            let k = self.kinds.entry(p.entry.kind).or_default();
+            let k = self.kinds.entry(p.entry.server_type).or_default();
             let health = match p.ejected {
                 _ if p.entry.state != BackendState::Ready || cut(p.entry.zone) => 0.0,
                 Some(_) => f64::from(out > all * PANIC),
@@ -97,8 +97,8 @@
     /// whose backends are due less than its proxies bring sends its surplus to the zones due more.
     pub(super) fn allot(&mut self, now: Time) {
         let fleet = self.loads.fleet();
-        let part = |kinds: &BTreeMap<KindId, Kind>, p: &Peer| {
-            kinds.get(&p.entry.kind).map_or(0.0, |k| k.share * p.ready / k.ready.max(1e-9))
+        let part = |kinds: &BTreeMap<ServerTypeId, Kind>, p: &Peer| {
+            kinds.get(&p.entry.server_type).map_or(0.0, |k| k.share * p.ready / k.ready.max(1e-9))
         };
         let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
         let ready = self.peers.values().filter(|p| p.ready > 0.0);
@@ -108,7 +108,7 @@
         let own = due.get(&self.cfg.zone).copied().unwrap_or(0.0);
         self.kinds.values_mut().for_each(|k| (k.pull, k.walked, k.count) = (0.0, 0.0, 0.0));
         // Where lists weigh, news is on its way from the start: a zone's clients alone would fill its boxes.
-        let told = self.loads.spoken(now) || self.many() && self.cfg.live_weights;
+        let told = self.loads.spoken(now) || self.many() && self.cfg.weights_report_load;
         let mut reached = 0.0;
         for p in self.peers.values_mut() {
             let here = due.get(&p.entry.zone).map_or(0.0, |d| d.max(1e-9));
@@ -117,7 +117,7 @@
             let bias = if !told && self.cfg.cross_zone_cost > 0.0 && here > 0.0 { near / here } else { 1.0 };
             // Half of the room for all goes by that part, half evenly; each has a room of one at least, as
             // more proxies than the hold would wait for turns. There `crowded` keeps the hold.
-            let turn = p.entry.mark.wrapping_add(u64::from(self.cfg.position));
+            let turn = p.entry.stable_hash.wrapping_add(u64::from(self.cfg.position));
             let coin = ((turn % u64::from(self.cfg.proxies)) as f64 + 0.5) / f64::from(self.cfg.proxies);
             let fair = HOLD / fleet * p.ready * f64::from(p.entry.cores);
             p.room = (fair * (0.5 + 0.5 * bias) + coin).floor().max(1.0);
@@ -125,7 +125,7 @@
             let drawn = part(&self.kinds, p) * bias;
             p.pull = drawn + p.ready * 1e-6;
             reached += f64::from(drawn > 0.0);
-            let k = self.kinds.entry(p.entry.kind).or_default();
+            let k = self.kinds.entry(p.entry.server_type).or_default();
             k.pull += p.pull;
             k.count += f64::from(p.ready > 0.0);
         }
@@ -136,7 +136,7 @@
         let start = (f64::from(self.cfg.position) * 0.618_033_988_749_895).fract();
         for id in &self.order {
             let Some(p) = self.peers.get_mut(id) else { continue };
-            let k = self.kinds.entry(p.entry.kind).or_default();
+            let k = self.kinds.entry(p.entry.server_type).or_default();
             // Where pulls follow what backends say they move all the time; by count a slice stays.
             let (pull, all) = if told { (f64::from(p.ready > 0.0), k.count) } else { (p.pull, k.pull) };
             let from = k.walked / all.max(1e-9);
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -96,7 +96,7 @@
 
 /// What the modules of all pools share: further attempts and tenants' quotas hold over them together.
 #[derive(Clone, Debug)]
-pub struct Allowance {
+pub struct SharedLimits {
     /// Further attempts saved up.
     pub(crate) extra: f64,
     /// When it was last seen to.
@@ -109,10 +109,10 @@
 /// one request comes in a second, a fifth of a further one for each leaves most that meet a dead box without.
 const EXTRA_LEAST: f64 = 2.0;
 
-impl Allowance {
+impl SharedLimits {
     /// Nothing saved up yet.
-    pub fn new() -> Allowance {
-        Allowance { extra: 0.0, at: None, buckets: Vec::new() }
+    pub fn new() -> SharedLimits {
+        SharedLimits { extra: 0.0, at: None, buckets: Vec::new() }
     }
 
     /// A request came to one of so many proxies: it brings so much of a further attempt, up to `most` saved up.
@@ -124,9 +124,9 @@
     }
 }
 
-impl Default for Allowance {
-    fn default() -> Allowance {
-        Allowance::new()
+impl Default for SharedLimits {
+    fn default() -> SharedLimits {
+        SharedLimits::new()
     }
 }
 
@@ -190,7 +190,7 @@
 impl Kind {
     /// The cores that such a backend has at the least, by the largest size that a list gave one: a core is taken for
     /// up to twice a standard one. Live weights are sizes of those that hold nothing, and smaller of others.
-    pub fn sized(&mut self, backend: &Backend) -> u32 {
+    pub fn sized(&mut self, backend: &BackendEntry) -> u32 {
         self.size = self.size.max(backend.weight);
         (self.size / CORE_MOST).max(1)
     }
@@ -254,7 +254,7 @@
 /// What is known of a backend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Peer {
-    pub entry: Backend,
+    pub entry: BackendEntry,
     /// From 0 (send nothing) to 1 (healthy and warm).
     pub ready: f64,
     /// Its part of this proxy's traffic.
@@ -346,12 +346,12 @@
 /// An attempt of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Sent {
-    pub to: Backend,
+    pub to: BackendEntry,
     pub at: Time,
     /// It has not ended yet.
     pub out: bool,
     /// Its outcome proves that it did not run.
-    pub never_ran: bool,
+    pub not_executed: bool,
     /// Nothing at all went out for it: it cost nobody anything.
     pub unsent: bool,
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub struct Try {
     pub backend: BackendId,
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub cell: DeduplicationGroupId,
     pub at: Time,
     pub outcome: Option<Outcome>,
 }
@@ -16,7 +16,7 @@
 impl Try {
     /// No outcome proves yet that it did not run.
     pub fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_ran())
+        self.outcome.is_none_or(|o| !o.not_executed())
     }
 }
 
@@ -31,9 +31,9 @@
 pub struct Host {
     pub cfg: Config,
     pub balancer: Balancer,
-    pub shared: Allowance,
+    pub shared: SharedLimits,
     pub now: Time,
-    pub list: BTreeMap<BackendId, Backend>,
+    pub list: BTreeMap<BackendId, BackendEntry>,
     pub requests: BTreeMap<RequestId, Open>,
     pub timers: Vec<(Time, TimerToken)>,
     pub follows: u32,
@@ -45,20 +45,26 @@
     next: u64,
 }
 
-pub fn backend(id: u32, zone: u32, kind: u32) -> Backend {
-    Backend {
+pub fn backend(id: u32, zone: u32, kind: u32) -> BackendEntry {
+    BackendEntry {
         id: BackendId(id),
-        mark: u64::from(id),
+        stable_hash: u64::from(id),
         zone: ZoneId(zone),
-        cell: CellId(u64::from(zone) * 2 + u64::from(id % 2)),
-        kind: KindId(kind),
+        deduplication_group: DeduplicationGroupId(u64::from(zone) * 2 + u64::from(id % 2)),
+        server_type: ServerTypeId(kind),
         state: BackendState::Ready,
-        ..Backend::default()
+        ..BackendEntry::default()
     }
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: Micros(400_000), aim_stretch: 0.0, effect, worth: 1.0, late_worth: 0.0 }
+pub fn class(effect: Idempotency) -> Class {
+    Class {
+        latency_objective: Micros(400_000),
+        latency_objective_per_work_hint: 0.0,
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.0,
+    }
 }
 
 impl Host {
@@ -67,7 +73,7 @@
         Host {
             cfg,
             balancer,
-            shared: Allowance::new(),
+            shared: SharedLimits::new(),
             now: Time(1_000_000_000),
             list: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -93,7 +99,7 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::PassOn { .. } => panic!("passed on where there is no other pool"),
+            Action::FailOver { .. } => panic!("passed on where there is no other pool"),
             Action::Dispatch { request, attempt, backend, .. } => {
                 let r = self.requests.get_mut(&request).expect("dispatch of a known request");
                 assert_eq!(attempt.0 as usize, r.tries.len(), "attempts are numbered in their order");
@@ -101,32 +107,32 @@
                 let b = self.list.get(&backend).expect("a listed backend");
                 assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
                 assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.second_copies || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
+                assert!(self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
-                    match self.cfg.classes[r.class].effect {
-                        Effect::Free => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent twice"),
-                        Effect::Keyed(scope, window) => {
+                    match self.cfg.classes[r.class].idempotency {
+                        Idempotency::Safe => {}
+                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::Keyed(scope, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             let same = match scope {
-                                KeyScope::All => true,
-                                KeyScope::Zone => t.zone == b.zone,
-                                KeyScope::Cell => t.cell == b.cell,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => t.zone == b.zone,
+                                DeduplicationScope::Group => t.cell == b.deduplication_group,
                             };
                             assert!(same, "a key was repeated outside its scope");
                         }
                     }
                 }
-                let (zone, cell, at) = (b.zone, b.cell, self.now);
+                let (zone, cell, at) = (b.zone, b.deduplication_group, self.now);
                 r.tries.push(Try { backend, zone, cell, at, outcome: None });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 assert!(retry_after > Micros(0), "refused without advice");
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let ran = r.tries.iter().any(Try::may_have_run);
                 let free = matches!(
-                    self.cfg.classes[r.class].effect,
-                    Effect::Free | Effect::Keyed(KeyScope::All, _)
+                    self.cfg.classes[r.class].idempotency,
+                    Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
                 );
                 assert!(free || !ran, "refused what may have run");
                 assert!(r.answer.replace("refused").is_none(), "answered twice");
@@ -136,7 +142,7 @@
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.cancel, "cancel is not allowed");
+                assert!(self.cfg.may_cancel_attempts, "cancel is not allowed");
                 let r = &self.requests[&request];
                 assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
@@ -145,22 +151,22 @@
                 self.timers_set += 1;
                 self.timers.push((self.now + after, token));
             }
-            Action::Follow => {
-                assert_ne!(self.cfg.discovery, Discovery::Push);
+            Action::Subscribe => {
+                assert_ne!(self.cfg.discovery, DiscoveryMode::Push);
                 self.follows += 1;
             }
             Action::Log(text) => self.logs.push(text),
         }
     }
 
-    pub fn members(&mut self, update: ListUpdate, backends: Vec<Backend>) {
-        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+    pub fn members(&mut self, update: EndpointUpdate, backends: Vec<BackendEntry>) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             self.list.values_mut().for_each(|b| b.state = BackendState::Gone);
         }
         for b in &backends {
             self.list.insert(b.id, b.clone());
         }
-        self.event(Event::Members { update, backends });
+        self.event(Event::EndpointsUpdated { update, backends });
     }
 
     pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
@@ -179,8 +185,8 @@
             tenant,
             time_left: Micros(left),
             work_hint: None,
-            repeat: self.repeat,
-            elsewhere: false,
+            is_client_retry: self.repeat,
+            may_fail_over: false,
         }));
         id
     }
@@ -191,12 +197,18 @@
     }
 
     /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNo, token: TimerToken) {
+    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
-        self.event(Event::ClientGone { request });
+        self.event(Event::ClientDisconnected { request });
         self.event(Event::StreamStarted { request, attempt });
-        self.event(Event::AttemptEnded(AttemptEnd { request, attempt, outcome, latency, settled: false }));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            outcome,
+            latency,
+            request_answered: false,
+        }));
     }
 
     /// Ends an attempt that is out.
@@ -210,8 +222,14 @@
             r.answer = Some("served");
         }
         let settled = r.answer.is_some();
-        let attempt = AttemptNo(no as u32);
-        self.event(Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, latency, settled }));
+        let attempt = AttemptNumber(no as u32);
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            request_answered: settled,
+        }));
     }
 
     pub fn start_stream(&mut self, id: RequestId, no: usize) {
@@ -220,7 +238,7 @@
         };
         if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
-            self.event(Event::StreamStarted { request: id, attempt: AttemptNo(no as u32) });
+            self.event(Event::StreamStarted { request: id, attempt: AttemptNumber(no as u32) });
         }
     }
 
@@ -228,7 +246,7 @@
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
-            self.now = (self.now + self.cfg.tick).min(until);
+            self.now = (self.now + self.cfg.min_timer_interval).min(until);
             let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -4,7 +4,7 @@
 use common::{backend, class, Host};
 use shaletide_balancer::*;
 
-fn fleet(count: u32) -> Vec<Backend> {
+fn fleet(count: u32) -> Vec<BackendEntry> {
     (0..count).map(|i| backend(i, 0, 0)).collect()
 }
 
@@ -12,9 +12,9 @@
     Config { classes, ..Config::example() }
 }
 
-fn host(cfg: Config, list: Vec<Backend>) -> Host {
+fn host(cfg: Config, list: Vec<BackendEntry>) -> Host {
     let mut host = Host::new(cfg, 11);
-    host.members(ListUpdate::Full, list);
+    host.members(EndpointUpdate::Snapshot, list);
     host
 }
 
@@ -39,20 +39,21 @@
     };
     assert_eq!(bad(|c| c.proxies = 0), Some("proxies"));
     assert_eq!(bad(|c| c.classes.clear()), Some("classes"));
-    assert_eq!(bad(|c| c.classes[0].aim = Micros(0)), Some("aim"));
-    assert_eq!(bad(|c| c.classes[0].worth = f64::NAN), Some("worth"));
-    assert_eq!(bad(|c| c.classes[0].late_worth = 1.5), Some("late_worth"));
+    assert_eq!(bad(|c| c.classes[0].latency_objective = Micros(0)), Some("aim"));
+    assert_eq!(bad(|c| c.classes[0].priority_weight = f64::NAN), Some("worth"));
+    assert_eq!(bad(|c| c.classes[0].late_weight_fraction = 1.5), Some("late_worth"));
     assert_eq!(bad(|c| c.tenants.push(Tenant { quota_per_s: -1.0 })), Some("quota_per_s"));
     assert_eq!(bad(|c| c.max_attempts = 0), Some("max_attempts"));
-    assert_eq!(bad(|c| c.tick = Micros(0)), Some("tick"));
-    assert_eq!(bad(|c| c.cold_from = -0.1), Some("cold_from"));
-    assert_eq!(bad(|c| c.fall_multiple = f64::INFINITY), Some("fall_multiple"));
+    assert_eq!(bad(|c| c.min_timer_interval = Micros(0)), Some("tick"));
+    assert_eq!(bad(|c| c.initial_capacity_fraction = -0.1), Some("cold_from"));
+    assert_eq!(bad(|c| c.overload_multiple = f64::INFINITY), Some("fall_multiple"));
     assert_eq!(bad(|_| ()), None);
 }
 
 #[test]
 fn an_empty_fleet_refuses_in_time() {
-    let mut host = host(config(vec![class(Effect::Free), class(Effect::Unsafe)]), Vec::new());
+    let mut host =
+        host(config(vec![class(Idempotency::Safe), class(Idempotency::NonIdempotent)]), Vec::new());
     let ids = [host.arrive(0, 700_000), host.arrive(1, 700_000)];
     // Later days: a refusal after half of the time, with nothing sent, costs as much as a third of a request.
     host.advance(345_000);
@@ -92,7 +93,7 @@
 
 #[test]
 fn a_silent_backend_gets_nothing_new() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
+    let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(6));
     serve(&mut host, 100, 0, |_| 10_000);
     let ids = host.burst(6, 0, 900_000);
     let hung = host.sent_to(ids[0])[0];
@@ -124,7 +125,7 @@
 /// Later days: a backend never answered one class and served the others; two in a row of each went there still.
 #[test]
 fn a_backend_silent_for_one_class_serves_the_others() {
-    let mut host = host(config(vec![class(Effect::Free), class(Effect::Free)]), fleet(4));
+    let mut host = host(config(vec![class(Idempotency::Safe), class(Idempotency::Safe)]), fleet(4));
     serve(&mut host, 100, 0, |_| 10_000);
     serve(&mut host, 100, 1, |_| 10_000);
     let (mut unanswered, mut served) = (0, 0);
@@ -148,7 +149,7 @@
 #[test]
 fn where_most_attempts_of_some_age_are_lost_they_get_a_copy() {
     for lost in [true, false] {
-        let mut host = host(config(vec![class(Effect::Free)]), fleet(6));
+        let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(6));
         serve(&mut host, 100, 0, |_| 10_000);
         let mut copied = Vec::new();
         for n in 0..150 {
@@ -172,12 +173,12 @@
 #[test]
 fn once_a_backend_is_ejected_its_other_requests_get_a_copy() {
     for copies in [true, false] {
-        let cfg = Config { second_copies: copies, proxies: 1, ..config(vec![class(Effect::Free)]) };
+        let cfg = Config { hedging: copies, proxies: 1, ..config(vec![class(Idempotency::Safe)]) };
         let mut host = host(cfg, fleet(1));
         serve(&mut host, 100, 0, |_| 10_000);
         host.advance(5_000);
         let two = [host.arrive(0, 900_000), host.arrive(0, 900_000)];
-        host.members(ListUpdate::Full, fleet(6));
+        host.members(EndpointUpdate::Snapshot, fleet(6));
         host.advance(20_000);
         host.end(two[0], 0, Outcome::TimedOut);
         host.advance(20_000);
@@ -203,10 +204,13 @@
 /// A list may tell a size and no cores: what a backend may hold goes by the size, by half of it as cores may be fast.
 #[test]
 fn what_a_backend_may_hold_goes_by_its_size_where_the_list_tells_no_cores() {
-    let held = |weights: [u32; 2], sized: bool, live_weights: bool| {
-        let list = weights.map(|weight| Backend { weight, ..backend(0, 0, 0) });
-        let mut host = Host::new(Config { proxies: 1, sized, live_weights, ..Config::example() }, 11);
-        list.into_iter().for_each(|b| host.members(ListUpdate::Full, vec![b]));
+    let held = |weights: [u32; 2], sized: bool, weights_report_load: bool| {
+        let list = weights.map(|weight| BackendEntry { weight, ..backend(0, 0, 0) });
+        let mut host = Host::new(
+            Config { proxies: 1, weights_report_cores: sized, weights_report_load, ..Config::example() },
+            11,
+        );
+        list.into_iter().for_each(|b| host.members(EndpointUpdate::Snapshot, vec![b]));
         let ids: Vec<RequestId> = (0..60).map(|_| host.arrive(0, 900_000)).collect();
         ids.into_iter().filter(|id| !host.sent_to(*id).is_empty()).count()
     };
@@ -236,7 +240,7 @@
 #[test]
 fn an_idle_proxy_sets_hardly_a_timer() {
     // Standing days, ibb5992, ifde279, i0dce2b: a timer every tick at each of a thousand proxies used up the CPU.
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(100));
+    let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(100));
     serve(&mut host, 20, 0, |_| 10_000);
     host.timers_set = 0;
     host.advance(10_000_000);
@@ -260,11 +264,11 @@
 #[test]
 fn a_full_backend_is_left_alone_for_a_moment_and_not_ejected() {
     // Full size: busy backends were ejected by the hundred, and the rest took their load and filled up too.
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(4));
+    let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(4));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     let full = host.sent_to(id)[0];
-    host.end(id, 0, Outcome::Full);
+    host.end(id, 0, Outcome::Rejected);
     let retried = host.sent_to(id).len();
     host.end(id, retried - 1, Outcome::Ok);
     assert!(!serve(&mut host, 2, 0, |_| 5_000).contains(&full), "used at once again");
@@ -279,7 +283,7 @@
             let last = *host.sent_to(id).last().unwrap();
             host.advance(10_000);
             waited += 10_000;
-            host.end(id, 0, if last == full { Outcome::Full } else { Outcome::Ok });
+            host.end(id, 0, if last == full { Outcome::Rejected } else { Outcome::Ok });
             if last == full {
                 let again = host.sent_to(id).len();
                 host.end(id, again - 1, Outcome::Ok);
@@ -320,10 +324,10 @@
 fn while_answers_are_quick_low_worth_finds_the_whole_room_of_fleets_that_say_nothing() {
     // Proxies with much traffic took all for like themselves, and refused a third while boxes were idle.
     let tenants = vec![Tenant { quota_per_s: 1e-3 }];
-    let cfg = Config { proxies: 100, tenants, classes: vec![class(Effect::Free)], ..Config::example() };
-    let refused = |live_weights: bool, aim: u64, took: u64| {
-        let mut cfg = Config { live_weights, ..cfg.clone() };
-        cfg.classes[0].aim = Micros(aim);
+    let cfg = Config { proxies: 100, tenants, classes: vec![class(Idempotency::Safe)], ..Config::example() };
+    let refused = |weights_report_load: bool, aim: u64, took: u64| {
+        let mut cfg = Config { weights_report_load, ..cfg.clone() };
+        cfg.classes[0].latency_objective = Micros(aim);
         let mut host = host(cfg, fleet(20));
         let mut refused = 0;
         for _ in 0..100 {
@@ -356,7 +360,7 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_and_one_that_never_ran_is_sent_again() {
-    let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(6));
+    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(6));
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
     host.end(id, 0, Outcome::Error);
@@ -368,7 +372,7 @@
 
 #[test]
 fn a_keyed_repeat_stays_in_its_zone_and_window() {
-    let keyed = class(Effect::Keyed(KeyScope::Zone, Micros(200_000)));
+    let keyed = class(Idempotency::Keyed(DeduplicationScope::Zone, Micros(200_000)));
     let mut host = host(config(vec![keyed]), (0..6).map(|i| backend(i, i % 2, 0)).collect());
     serve(&mut host, 60, 0, |_| 10_000);
     let id = host.arrive(0, 900_000);
@@ -407,7 +411,7 @@
 
 #[test]
 fn an_erring_backend_is_ejected_and_tried_by_free_requests_only() {
-    let mut host = host(config(vec![class(Effect::Free), class(Effect::Unsafe)]), fleet(6));
+    let mut host = host(config(vec![class(Idempotency::Safe), class(Idempotency::NonIdempotent)]), fleet(6));
     let bad = eject_one(&mut host);
     assert!(!serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "used during its term");
     host.advance(2_000_000);
@@ -418,7 +422,7 @@
 
 #[test]
 fn when_most_backends_err_they_are_used_after_all() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(4));
+    let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(4));
     serve(&mut host, 40, 0, |_| 10_000);
     for _ in 0..200 {
         let id = host.arrive(0, 900_000);
@@ -434,11 +438,12 @@
 
 #[test]
 fn a_cold_backend_gets_less_than_its_budget() {
-    let cfg = Config { proxies: 1, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg =
+        Config { proxies: 1, initial_capacity_fraction: 0.1, overload_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(3));
     serve(&mut host, 200, 0, |_| 20_000);
-    let cold = Backend { booted: Some(host.now), ..backend(9, 0, 0) };
-    host.members(ListUpdate::Changes, vec![cold]);
+    let cold = BackendEntry { started_at: Some(host.now), ..backend(9, 0, 0) };
+    host.members(EndpointUpdate::Delta, vec![cold]);
     let chosen = serve(&mut host, 100, 0, |_| 20_000); // two seconds, one fall window
     let sent = chosen.iter().filter(|b| **b == 9).count();
     // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
@@ -447,12 +452,13 @@
 
 #[test]
 fn a_burst_cannot_push_a_cold_backend_over() {
-    let cfg = Config { proxies: 3, cold_from: 0.1, fall_multiple: 2.0, ..Config::example() };
+    let cfg =
+        Config { proxies: 3, initial_capacity_fraction: 0.1, overload_multiple: 2.0, ..Config::example() };
     let mut host = host(cfg, fleet(12));
     serve(&mut host, 100, 0, |_| 20_000);
     let booted = Some(host.now);
-    let list = (0..12).map(|i| Backend { booted, ..backend(i, 0, 0) }).collect();
-    host.members(ListUpdate::Full, list);
+    let list = (0..12).map(|i| BackendEntry { started_at: booted, ..backend(i, 0, 0) }).collect();
+    host.members(EndpointUpdate::Snapshot, list);
     let mut sent = 0;
     for _ in 0..25 {
         host.burst(4, 0, 900_000);
@@ -471,9 +477,17 @@
 /// those of one core that is shared tell half of it.
 #[test]
 fn a_burst_cannot_push_a_cold_backend_of_many_cores_over() {
-    let cfg = Config { proxies: 1, cold_from: 0.1, fall_multiple: 2.0, sized: true, ..Config::example() };
+    let cfg = Config {
+        proxies: 1,
+        initial_capacity_fraction: 0.1,
+        overload_multiple: 2.0,
+        weights_report_cores: true,
+        ..Config::example()
+    };
     let list = |first, booted| {
-        (first..first + 2).map(|i| Backend { booted, weight: 16_000, ..backend(i, 0, 0) }).collect()
+        (first..first + 2)
+            .map(|i| BackendEntry { started_at: booted, weight: 16_000, ..backend(i, 0, 0) })
+            .collect()
     };
     let mut host = host(cfg, list(0, None));
     let rounds = |host: &mut Host, count: usize| {
@@ -485,7 +499,7 @@
     };
     rounds(&mut host, 100);
     let booted = Some(host.now);
-    host.members(ListUpdate::Full, list(2, booted));
+    host.members(EndpointUpdate::Snapshot, list(2, booted));
     rounds(&mut host, 50);
     let tries = || host.requests.values().flat_map(|r| &r.tries).filter(|t| Some(t.at) >= booted);
     let most = (2..4).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
@@ -522,8 +536,8 @@
 
 #[test]
 fn in_overload_the_densest_worth_is_served() {
-    let rich = Class { worth: 8.0, ..class(Effect::Free) };
-    let mut host = host(Config { proxies: 1, ..config(vec![class(Effect::Free), rich]) }, fleet(1));
+    let rich = Class { priority_weight: 8.0, ..class(Idempotency::Safe) };
+    let mut host = host(Config { proxies: 1, ..config(vec![class(Idempotency::Safe), rich]) }, fleet(1));
     let ids: Vec<RequestId> = (0..60).map(|n| host.arrive(n % 2, 900_000)).collect();
     for _ in 0..6 {
         host.serve_all(60_000);
@@ -559,14 +573,14 @@
 
 #[test]
 fn discovery_is_followed_at_once_and_again_after_a_loss() {
-    let cfg = Config { discovery: Discovery::Subscribe(Micros(10_000_000)), ..Config::example() };
+    let cfg = Config { discovery: DiscoveryMode::Subscribe(Micros(10_000_000)), ..Config::example() };
     let mut host = Host::new(cfg, 3);
-    host.members(ListUpdate::Cached, fleet(2));
+    host.members(EndpointUpdate::Cached, fleet(2));
     assert_eq!(host.follows, 1);
-    host.members(ListUpdate::Changes, fleet(3));
+    host.members(EndpointUpdate::Delta, fleet(3));
     host.advance(8_000_000);
     assert_eq!(host.follows, 1, "a living subscription is not asked for again");
-    host.event(Event::Members { update: ListUpdate::Lost, backends: Vec::new() });
+    host.event(Event::EndpointsUpdated { update: EndpointUpdate::SubscriptionLost, backends: Vec::new() });
     host.advance(400_000);
     assert_eq!(host.follows, 2);
     host.advance(6_000_000);
@@ -575,7 +589,7 @@
 
 #[test]
 fn a_stream_once_begun_is_left_alone() {
-    let mut host = host(config(vec![class(Effect::Free)]), fleet(2));
+    let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(2));
     let id = host.arrive(0, 300_000);
     host.start_stream(id, 0);
     host.advance(2_000_000);
@@ -586,9 +600,9 @@
 #[test]
 fn events_of_unknown_things_change_nothing() {
     let run = |noise: bool| {
-        let mut host = host(config(vec![class(Effect::Free)]), fleet(3));
+        let mut host = host(config(vec![class(Idempotency::Safe)]), fleet(3));
         if noise {
-            host.nonsense(RequestId(77), AttemptNo(3), TimerToken(u64::MAX));
+            host.nonsense(RequestId(77), AttemptNumber(3), TimerToken(u64::MAX));
         }
         serve(&mut host, 50, 0, |_| 10_000)
     };
@@ -613,12 +627,12 @@
 /// Its address changed while a connection to it came up, say: it is where it was, and may be the only one.
 #[test]
 fn what_was_never_sent_may_go_to_the_same_backend_and_no_more_often_than_allowed() {
-    let mut host = host(config(vec![class(Effect::Unsafe)]), fleet(1));
+    let mut host = host(config(vec![class(Idempotency::NonIdempotent)]), fleet(1));
     let id = host.arrive(0, 700_000);
     let most = Config::example().max_attempts;
     for attempt in 0..most {
         assert_eq!(host.sent_to(id).len() as u32, attempt + 1);
-        host.end(id, attempt as usize, Outcome::NeverSent);
+        host.end(id, attempt as usize, Outcome::NotSent);
     }
     assert_eq!(host.sent_to(id).len() as u32, most);
     assert_eq!(host.requests[&id].answer, Some("refused"));
--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -14,7 +14,7 @@
     Gone(usize),
     Pass(u64),
     Member(u32, BackendState, bool),
-    Relist(u32, ListUpdate),
+    Relist(u32, EndpointUpdate),
     Nonsense(u64, u32, u64),
 }
 
@@ -22,11 +22,11 @@
     prop_oneof![
         8 => Just(Outcome::Ok),
         1 => Just(Outcome::Error),
-        1 => Just(Outcome::Full),
+        1 => Just(Outcome::Rejected),
         1 => Just(Outcome::TimedOut),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::Reset),
-        1 => Just(Outcome::NeverSent),
+        1 => Just(Outcome::NotSent),
     ]
 }
 
@@ -36,7 +36,11 @@
         1 => Just(BackendState::Draining),
         1 => Just(BackendState::Gone)
     ];
-    let update = prop_oneof![Just(ListUpdate::Full), Just(ListUpdate::Cached), Just(ListUpdate::Lost)];
+    let update = prop_oneof![
+        Just(EndpointUpdate::Snapshot),
+        Just(EndpointUpdate::Cached),
+        Just(EndpointUpdate::SubscriptionLost)
+    ];
     prop_oneof![
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
         8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
@@ -53,21 +57,21 @@
     let window = Micros(300_000);
     let mut cfg = Config::example();
     cfg.classes = vec![
-        class(Effect::Free),
-        Class { late_worth: 0.3, worth: 5.0, ..class(Effect::Unsafe) },
-        class(Effect::Keyed(KeyScope::Zone, window)),
-        class(Effect::Keyed(KeyScope::Cell, window)),
-        class(Effect::Keyed(KeyScope::All, window)),
-        Class { aim: Micros(100_000), ..class(Effect::Free) },
+        class(Idempotency::Safe),
+        Class { late_weight_fraction: 0.3, priority_weight: 5.0, ..class(Idempotency::NonIdempotent) },
+        class(Idempotency::Keyed(DeduplicationScope::Zone, window)),
+        class(Idempotency::Keyed(DeduplicationScope::Group, window)),
+        class(Idempotency::Keyed(DeduplicationScope::All, window)),
+        Class { latency_objective: Micros(100_000), ..class(Idempotency::Safe) },
     ];
     cfg.tenants = vec![Tenant { quota_per_s: 20.0 }, Tenant { quota_per_s: 5.0 }];
-    cfg.goal_worst_class = 0.3;
-    cfg.second_copies = bits & 1 == 0;
+    cfg.worst_class_objective_weight = 0.3;
+    cfg.hedging = bits & 1 == 0;
     cfg.proxies = if bits & 2 == 0 { 3 } else { 40 };
-    cfg.cancel = bits & 4 == 0;
+    cfg.may_cancel_attempts = bits & 4 == 0;
     cfg.cross_zone_cost = if bits & 16 == 0 { 0.05 } else { 0.0 };
     if bits & 8 == 0 {
-        cfg.discovery = Discovery::Subscribe(Micros(2_000_000));
+        cfg.discovery = DiscoveryMode::Subscribe(Micros(2_000_000));
     }
     cfg
 }
@@ -77,7 +81,7 @@
     let mut host = Host::new(config(bits), seed);
     let mut trace = Vec::new();
     let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
-    host.members(ListUpdate::Cached, fleet(0b0111_1011));
+    host.members(EndpointUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
             Step::Arrive(c, left, t) => {
@@ -98,21 +102,23 @@
                     host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&open, n) {
                     host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientGone { request: id });
+                    host.event(Event::ClientDisconnected { request: id });
                 }
             }
             Step::Pass(span) => host.advance(span),
             Step::Member(b, state, restarted) => {
                 let booted = restarted.then_some(host.now);
                 host.members(
-                    ListUpdate::Changes,
-                    vec![Backend { state, booted, ..backend(b, b % 3, b % 2) }],
+                    EndpointUpdate::Delta,
+                    vec![BackendEntry { state, started_at: booted, ..backend(b, b % 3, b % 2) }],
                 );
             }
-            Step::Relist(_, ListUpdate::Lost) => host.members(ListUpdate::Lost, Vec::new()),
+            Step::Relist(_, EndpointUpdate::SubscriptionLost) => {
+                host.members(EndpointUpdate::SubscriptionLost, Vec::new())
+            }
             Step::Relist(mask, update) => host.members(update, fleet(mask)),
             Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNo(a), TimerToken(t));
+                host.nonsense(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
             }
         }
         trace.push(format!("{:?}", host.last));
--- a/crates/balancer/tests/large_fleet.rs
+++ b/crates/balancer/tests/large_fleet.rs
@@ -12,15 +12,15 @@
 /// Far more than a build without optimisation takes, and far less than a cost that grows with the square would.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-fn backends(numbers: std::ops::Range<u32>, state: BackendState) -> Vec<Backend> {
-    numbers.map(|id| Backend { state, ..backend(id, id % 4, id % 2) }).collect()
+fn backends(numbers: std::ops::Range<u32>, state: BackendState) -> Vec<BackendEntry> {
+    numbers.map(|id| BackendEntry { state, ..backend(id, id % 4, id % 2) }).collect()
 }
 
 /// One of the proxies, which has the whole list.
 fn proxy(position: u32) -> Host {
     let cfg = Config { proxies: PROXIES, position, cross_zone_cost: 0.0, ..Config::example() };
     let mut host = Host::new(cfg, u64::from(position));
-    host.members(ListUpdate::Full, backends(0..BACKENDS, BackendState::Ready));
+    host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
     host
 }
 
@@ -57,14 +57,14 @@
     for position in [0, 174, 349] {
         let mut host = proxy(position);
         used(&mut host, 20);
-        host.members(ListUpdate::Changes, backends(0..BACKENDS / 2, BackendState::Draining));
+        host.members(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Draining));
         assert!(used(&mut host, 40).iter().all(|id| *id >= BACKENDS / 2));
-        host.members(ListUpdate::Full, backends(0..BACKENDS / 2, BackendState::Ready));
+        host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS / 2, BackendState::Ready));
         assert!(used(&mut host, 40).iter().all(|id| *id < BACKENDS / 2));
-        host.members(ListUpdate::Changes, backends(0..BACKENDS / 2, BackendState::Gone));
+        host.members(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Gone));
         let id = host.arrive(0, 900_000);
         assert!(host.sent_to(id).is_empty(), "none is left");
-        host.members(ListUpdate::Full, backends(0..BACKENDS, BackendState::Ready));
+        host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
         assert!(!used(&mut host, 40).is_empty());
     }
 }
--- a/crates/balancer/tests/refusals.rs
+++ b/crates/balancer/tests/refusals.rs
@@ -12,16 +12,21 @@
 /// What a backend takes that answers.
 const ANSWER: u64 = 30_000;
 
-const EFFECTS: [Effect; 4] = [
-    Effect::Free,
-    Effect::Unsafe,
-    Effect::Keyed(KeyScope::Cell, Micros(1_000_000)),
-    Effect::Keyed(KeyScope::All, Micros(1_000_000)),
+const EFFECTS: [Idempotency; 4] = [
+    Idempotency::Safe,
+    Idempotency::NonIdempotent,
+    Idempotency::Keyed(DeduplicationScope::Group, Micros(1_000_000)),
+    Idempotency::Keyed(DeduplicationScope::All, Micros(1_000_000)),
 ];
 
 /// What a bad backend does with each attempt; with the last, nothing until the deadline.
-const BAD: [Option<Outcome>; 5] =
-    [Some(Outcome::ConnectFailed), Some(Outcome::Full), Some(Outcome::Error), Some(Outcome::NeverSent), None];
+const BAD: [Option<Outcome>; 5] = [
+    Some(Outcome::ConnectFailed),
+    Some(Outcome::Rejected),
+    Some(Outcome::Error),
+    Some(Outcome::NotSent),
+    None,
+];
 
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
@@ -33,12 +38,13 @@
     cold: u32,
 }
 
-fn host(fleet: Fleet, effect: Effect) -> Host {
+fn host(fleet: Fleet, effect: Idempotency) -> Host {
     let cfg = Config { proxies: fleet.proxies, classes: vec![class(effect)], ..Config::example() };
     let mut host = Host::new(cfg, 7);
     let started = |id| (id + fleet.cold >= fleet.backends).then_some(host.now);
-    let list = (0..fleet.backends).map(|id| Backend { booted: started(id), ..backend(id, 0, 0) }).collect();
-    host.members(ListUpdate::Full, list);
+    let list =
+        (0..fleet.backends).map(|id| BackendEntry { started_at: started(id), ..backend(id, 0, 0) }).collect();
+    host.members(EndpointUpdate::Snapshot, list);
     host
 }
 
@@ -59,7 +65,7 @@
 }
 
 /// The longest time without the start of an attempt.
-fn longest_gap(fleet: Fleet, effect: Effect, bad: Option<Outcome>) -> Micros {
+fn longest_gap(fleet: Fleet, effect: Idempotency, bad: Option<Outcome>) -> Micros {
     let mut host = host(fleet, effect);
     let (begun, mut last, mut longest) = (host.now, host.now, Micros(0));
     while host.now < begun + Micros(SPAN) {
--- a/crates/balancer/tests/zones.rs
+++ b/crates/balancer/tests/zones.rs
@@ -12,12 +12,12 @@
 fn one_of_a_hundred() -> Host {
     let cfg = Config { proxies: 100, zone: ZoneId(OWN), ..Config::example() };
     let mut host = Host::new(cfg, 7);
-    host.members(ListUpdate::Full, (0..40).map(|id| backend(id, id % 2, 0)).collect());
+    host.members(EndpointUpdate::Snapshot, (0..40).map(|id| backend(id, id % 2, 0)).collect());
     host
 }
 
 /// Requests, one each 20 ms, with the given end of an attempt at a box; how many attempts went to the far zone.
-fn ask(host: &mut Host, count: usize, end: impl Fn(&Backend) -> Outcome) -> usize {
+fn ask(host: &mut Host, count: usize, end: impl Fn(&BackendEntry) -> Outcome) -> usize {
     let mut far = 0;
     for _ in 0..count {
         let id = host.arrive(0, 900_000);
@@ -33,7 +33,7 @@
     far
 }
 
-fn cut(to: &Backend) -> Outcome {
+fn cut(to: &BackendEntry) -> Outcome {
     if to.zone == ZoneId(FAR) {
         Outcome::ConnectFailed
     } else {
@@ -80,16 +80,16 @@
     let (proxies, boxes) = (300, 60);
     let (mut users, mut pairs) = (vec![0; boxes as usize], 0);
     for position in 0..proxies {
-        let cfg = Config { proxies, position, live_weights: true, ..Config::example() };
+        let cfg = Config { proxies, position, weights_report_load: true, ..Config::example() };
         let mut host = Host::new(cfg, u64::from(position));
         let list = |weight| {
-            (0..boxes).map(move |id| Backend { weight, ..backend(id, id % 3, 0) }).collect::<Vec<_>>()
+            (0..boxes).map(move |id| BackendEntry { weight, ..backend(id, id % 3, 0) }).collect::<Vec<_>>()
         };
-        host.members(ListUpdate::Full, list(1_000));
+        host.members(EndpointUpdate::Snapshot, list(1_000));
         let mut used = std::collections::BTreeSet::new();
         for round in 0..24 {
             // One held, of a thousandth each: the list speaks.
-            host.members(ListUpdate::Changes, list(500 + round % 2));
+            host.members(EndpointUpdate::Delta, list(500 + round % 2));
             let id = host.arrive(0, 900_000);
             used.extend(host.sent_to(id));
             host.serve_all(10_000);
@@ -104,11 +104,11 @@
 /// Found by reading: what was let in by the last news was held on to for ever, and a box's small part with it.
 #[test]
 fn where_boxes_fall_silent_what_they_said_last_is_not_held_on_to() {
-    let cfg = Config { proxies: 100, live_weights: true, ..Config::example() };
+    let cfg = Config { proxies: 100, weights_report_load: true, ..Config::example() };
     let mut host = Host::new(cfg, 3);
     let list =
-        |weight| (0..40).map(move |id| Backend { weight, ..backend(id, id % 2, 0) }).collect::<Vec<_>>();
-    host.members(ListUpdate::Full, list(1_000));
+        |weight| (0..40).map(move |id| BackendEntry { weight, ..backend(id, id % 2, 0) }).collect::<Vec<_>>();
+    host.members(EndpointUpdate::Snapshot, list(1_000));
     let served = |host: &mut Host| {
         (0..50)
             .filter(|_| {
@@ -121,7 +121,7 @@
     // All hold nine, for five seconds: fewer are let in.
     let mut full = 50;
     for round in 0..5 {
-        host.members(ListUpdate::Changes, list(100 + round % 2));
+        host.members(EndpointUpdate::Delta, list(100 + round % 2));
         full = served(&mut host);
     }
     assert!(full < 40, "{full} of 50 let in where all are full");
--- a/crates/body-limits/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -13,7 +13,7 @@
 
 /// The measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Measures {
+pub struct BodyLimits {
     /// How fast a body has to come.
     pub rate: Rate,
     /// Bytes that all bodies may hold together. One that is longer than that is let in when it is alone.
@@ -46,7 +46,7 @@
 /// All of them. Bounds: a row for each body that its front reads or has in line.
 #[derive(Clone, Debug)]
 pub struct Bodies {
-    measures: Measures,
+    measures: BodyLimits,
     inside: BTreeMap<BodyId, Body>,
     line: VecDeque<(BodyId, usize)>,
     held: usize,
@@ -57,7 +57,7 @@
 
 impl Bodies {
     /// None yet.
-    pub fn new(measures: Measures) -> Bodies {
+    pub fn new(measures: BodyLimits) -> Bodies {
         Bodies {
             measures,
             inside: BTreeMap::new(),
@@ -69,7 +69,7 @@
     }
 
     /// Other measures from now on; what has begun goes on by its rate.
-    pub fn configure(&mut self, measures: Measures) {
+    pub fn configure(&mut self, measures: BodyLimits) {
         self.measures = measures;
     }
 
--- a/crates/body-limits/src/lib.rs
+++ b/crates/body-limits/src/lib.rs
@@ -6,5 +6,5 @@
 mod bodies;
 mod pace;
 
-pub use bodies::{Bodies, BodyId, Entry, Measures};
+pub use bodies::{Bodies, BodyId, BodyLimits, Entry};
 pub use pace::{Pace, Rate};
--- a/crates/body-limits/tests/bodies.rs
+++ b/crates/body-limits/tests/bodies.rs
@@ -1,12 +1,12 @@
 //! Peers that trickle, stall, stop and fill the house.
 
 use proptest::prelude::*;
-use shaletide_body_limits::{Bodies, BodyId, Entry, Measures, Pace, Rate};
+use shaletide_body_limits::{Bodies, BodyId, BodyLimits, Entry, Pace, Rate};
 use shaletide_types::{Micros, Time};
 
 const MS: u64 = 1_000;
 const RATE: Rate = Rate { least: 1_000, grace: Micros(500 * MS) };
-const MEASURES: Measures = Measures { rate: RATE, held: 10_000, patience: Micros(100 * MS) };
+const MEASURES: BodyLimits = BodyLimits { rate: RATE, held: 10_000, patience: Micros(100 * MS) };
 
 fn at(ms: u64) -> Time {
     Time(1_000_000 + ms * MS)
--- a/crates/config/src/operator/basics.rs
+++ b/crates/config/src/operator/basics.rs
@@ -5,7 +5,7 @@
 use crate::report::Finding;
 use crate::section::{File, Section};
 use crate::values;
-use shaletide_balancer::{Class, Config, Discovery, Micros, Tenant, ZoneId};
+use shaletide_balancer::{Class, Config, DiscoveryMode, Micros, Tenant, ZoneId};
 use std::net::SocketAddr;
 use std::ops::Range;
 
@@ -109,23 +109,23 @@
         zone: ZoneId(0),
         classes,
         tenants,
-        over_quota_worth: number(desk, &goal, "over_quota_worth"),
-        goal_whole: number(desk, &goal, "whole"),
-        goal_worst_class: number(desk, &goal, "worst_class"),
+        over_quota_weight_fraction: number(desk, &goal, "over_quota_worth"),
+        total_objective_weight: number(desk, &goal, "whole"),
+        worst_class_objective_weight: number(desk, &goal, "worst_class"),
         cross_zone_cost: number(desk, &goal, "cross_zone_cost"),
-        discovery: Discovery::Push,
+        discovery: DiscoveryMode::Push,
         max_attempts: limits.count(desk, "max_attempts").or(0),
-        cancel: limits.flag(desk, "cancel").or(false),
-        second_copies: limits.flag(desk, "second_copies").or(false),
-        tick: limits.span(desk, "tick").or(Micros(0)),
-        cold_from: number(desk, rules, "cold_from"),
-        ramp: rules.span(desk, "ramp").or(Micros(0)),
+        may_cancel_attempts: limits.flag(desk, "cancel").or(false),
+        hedging: limits.flag(desk, "second_copies").or(false),
+        min_timer_interval: limits.span(desk, "tick").or(Micros(0)),
+        initial_capacity_fraction: number(desk, rules, "cold_from"),
+        slow_start_window: rules.span(desk, "ramp").or(Micros(0)),
         // Both follow from the pools, which the daemon knows.
-        spare: false,
-        live_weights: false,
-        sized: false, // weights are no sizes here, and a file says cores itself
-        only_realm: Some(0),
-        fall_multiple: number(desk, rules, "fall_multiple"),
-        fall_window: rules.span(desk, "fall_window").or(Micros(0)),
+        has_failover_pool: false,
+        weights_report_load: false,
+        weights_report_cores: false, // weights are no sizes here, and a file says cores itself
+        only_deduplication_domain: Some(0),
+        overload_multiple: number(desk, rules, "fall_multiple"),
+        overload_window: rules.span(desk, "fall_window").or(Micros(0)),
     }
 }
--- a/crates/config/src/operator/classes.rs
+++ b/crates/config/src/operator/classes.rs
@@ -7,7 +7,7 @@
 use crate::report::Finding;
 use crate::section::{File, Section};
 use crate::values;
-use shaletide_balancer::{Class, Effect, KeyScope, Micros, Tenant};
+use shaletide_balancer::{Class, DeduplicationScope, Idempotency, Micros, Tenant};
 
 /// Classes that a file may name: each has state of its own at every backend.
 const MAX_CLASSES: usize = 64;
@@ -27,7 +27,7 @@
     let (mut defs, mut rules) = (Vec::new(), Vec::new());
     for (section, name) in sections.iter().zip(names.in_order()) {
         let (class, methods, deadline) = class(desk, section);
-        let recording = record::recording(desk, section, record, class.effect);
+        let recording = record::recording(desk, section, record, class.idempotency);
         let def = ClassDef { name: name.to_string(), methods, deadline, record: recording };
         record.waits_less(desk, section, &def);
         defs.push(def);
@@ -42,7 +42,7 @@
     let listed = section.listed(desk, "methods", values::method);
     let methods: Vec<String> = match (listed.at, effect) {
         (Some(_), _) => listed.items.into_iter().map(|(m, _)| m).collect(),
-        (None, Effect::Free) => ["GET", "HEAD"].map(String::from).into(),
+        (None, Idempotency::Safe) => ["GET", "HEAD"].map(String::from).into(),
         (None, _) => ["POST", "PUT", "PATCH", "DELETE"].map(String::from).into(),
     };
     let (aim, deadline) = (section.span(desk, "aim"), section.span(desk, "deadline"));
@@ -66,17 +66,17 @@
     }
     let number = |desk: &mut Desk<'_>, key| section.number(desk, key).or(0.0);
     let class = Class {
-        aim: aim.or(Micros(1)),
-        aim_stretch: number(desk, "aim_stretch"),
-        effect,
-        worth: number(desk, "worth"),
-        late_worth: number(desk, "late_worth"),
+        latency_objective: aim.or(Micros(1)),
+        latency_objective_per_work_hint: number(desk, "aim_stretch"),
+        idempotency: effect,
+        priority_weight: number(desk, "worth"),
+        late_weight_fraction: number(desk, "late_worth"),
     };
     (class, methods, deadline.or(Micros(1)))
 }
 
 /// What a second run does; `key_scope` and `key_window` stand where the class is keyed, and only there.
-fn effect(desk: &mut Desk<'_>, section: &Section<'_, '_>, word: Option<&str>) -> Effect {
+fn effect(desk: &mut Desk<'_>, section: &Section<'_, '_>, word: Option<&str>) -> Idempotency {
     let (scope, window) = (section.word(desk, "key_scope"), section.span(desk, "key_window"));
     let keys = [("key_scope", &scope.at), ("key_window", &window.at)];
     if word == Some("keyed") {
@@ -97,14 +97,14 @@
         }
     }
     let scope = match scope.value {
-        Some("zone") => KeyScope::Zone,
-        Some("bay") => KeyScope::Cell,
-        _ => KeyScope::All,
+        Some("zone") => DeduplicationScope::Zone,
+        Some("bay") => DeduplicationScope::Group,
+        _ => DeduplicationScope::All,
     };
     match word {
-        Some("keyed") => Effect::Keyed(scope, window.or(Micros(0))),
-        Some("unsafe") => Effect::Unsafe,
-        _ => Effect::Free,
+        Some("keyed") => Idempotency::Keyed(scope, window.or(Micros(0))),
+        Some("unsafe") => Idempotency::NonIdempotent,
+        _ => Idempotency::Safe,
     }
 }
 
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -1,13 +1,13 @@
 //! Pools and their boxes.
 
 use super::names::Index;
-use super::{BoxDef, PoolDef, Source};
+use super::{BackendDef, PoolDef, Source};
 use crate::desk::Desk;
 use crate::report::Finding;
 use crate::schema::BOX;
 use crate::section::{File, Section};
 use crate::values::{self, describe};
-use shaletide_balancer::{BackendState, Discovery, Micros};
+use shaletide_balancer::{BackendState, DiscoveryMode, Micros};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -111,7 +111,7 @@
     PoolDef { name: name.to_string(), repeat_group: group.unwrap_or_else(|| name.to_string()), source }
 }
 
-fn mode(desk: &mut Desk<'_>, section: &Section<'_, '_>, discovered: bool) -> Discovery {
+fn mode(desk: &mut Desk<'_>, section: &Section<'_, '_>, discovered: bool) -> DiscoveryMode {
     let (word, within) = (section.word(desk, "discovery_mode"), section.span(desk, "must_ask_within"));
     let push = word.value == Some("push");
     if !discovered {
@@ -129,15 +129,15 @@
         });
     }
     match push {
-        true => Discovery::Push,
-        false => Discovery::Subscribe(within.or(Micros(0))),
+        true => DiscoveryMode::Push,
+        false => DiscoveryMode::Subscribe(within.or(Micros(0))),
     }
 }
 
 fn boxes_of(
     desk: &mut Desk<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
     taken: &mut Addresses,
-) -> Vec<BoxDef> {
+) -> Vec<BackendDef> {
     let DeValue::Array(items) = value else {
         section.wrong(desk, "boxes", at, &format!("{} does not fit here", describe(value)));
         return Vec::new();
@@ -180,14 +180,14 @@
 
 fn short_box(
     desk: &mut Desk<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
-    plain: &Option<BoxDef>,
-) -> Option<BoxDef> {
+    plain: &Option<BackendDef>,
+) -> Option<BackendDef> {
     let address = values::address(&crate::schema::Kind::Address, value).and_then(reachable);
     let address = address.map_err(|found| section.wrong(desk, "boxes", at, &found)).ok()?;
-    plain.clone().map(|plain| BoxDef { address, bay: address.to_string(), ..plain })
+    plain.clone().map(|plain| BackendDef { address, bay: address.to_string(), ..plain })
 }
 
-fn long_box(desk: &mut Desk<'_>, table: &Section<'_, '_>) -> Option<BoxDef> {
+fn long_box(desk: &mut Desk<'_>, table: &Section<'_, '_>) -> Option<BackendDef> {
     let address = table.read(desk, "address", |kind, value| values::address(kind, value).and_then(reachable));
     let kind = table.name(desk, "kind");
     let zone = table.name(desk, "zone");
@@ -199,7 +199,7 @@
         Some(_) => address.value?,
         None => nowhere,
     };
-    Some(BoxDef {
+    Some(BackendDef {
         address,
         kind: kind.or(String::new()),
         zone: zone.or(String::new()),
--- a/crates/config/src/operator/record.rs
+++ b/crates/config/src/operator/record.rs
@@ -6,7 +6,7 @@
 use crate::schema::span;
 use crate::section::{File, Section};
 use crate::values;
-use shaletide_balancer::{Effect, Micros};
+use shaletide_balancer::{Idempotency, Micros};
 use std::ops::Range;
 use std::path::PathBuf;
 
@@ -43,7 +43,7 @@
 
 /// What goes on record of a class.
 pub(super) fn recording(
-    desk: &mut Desk<'_>, section: &Section<'_, '_>, record: &Record, effect: Effect,
+    desk: &mut Desk<'_>, section: &Section<'_, '_>, record: &Record, effect: Idempotency,
 ) -> Recording {
     let (word, key) = (section.word(desk, "record"), section.word(desk, "without_key"));
     let without_key = match key.value {
@@ -54,7 +54,9 @@
         Some("none") => Recording::None,
         Some("facts") => Recording::Facts,
         Some(_) => Recording::Permit { without_key },
-        None if effect == Effect::Unsafe && record.def.is_some() => Recording::Permit { without_key },
+        None if effect == Idempotency::NonIdempotent && record.def.is_some() => {
+            Recording::Permit { without_key }
+        }
         None => Recording::None,
     };
     if let (Some(at), Some(word)) = (word.at.clone(), word.value.filter(|_| recording != Recording::None)) {
@@ -62,7 +64,7 @@
             let what = format!("class.record: {} without a store to record in", quoted(word));
             desk.add(Finding::at(at.clone(), what, "expected [record] with a `path`, or \"none\" here"));
         }
-        if matches!(recording, Recording::Permit { .. }) && effect != Effect::Unsafe {
+        if matches!(recording, Recording::Permit { .. }) && effect != Idempotency::NonIdempotent {
             let finding =
                 Finding::at(at, "class.record: the class is not unsafe", "expected \"none\" or \"facts\"");
             let finding = match section.raw("effect") {
--- a/crates/config/src/operator/reload.rs
+++ b/crates/config/src/operator/reload.rs
@@ -1,7 +1,7 @@
 //! What of a changed file takes effect only at a restart.
 
 use super::Operator;
-use shaletide_balancer::Effect;
+use shaletide_balancer::Idempotency;
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
@@ -55,8 +55,8 @@
     }
 
     /// The effect of each class by its name.
-    fn effects(&self) -> HashMap<&str, Effect> {
+    fn effects(&self) -> HashMap<&str, Idempotency> {
         let names = self.classes.iter().map(|c| c.name.as_str());
-        names.zip(self.config.classes.iter().map(|c| c.effect)).collect()
+        names.zip(self.config.classes.iter().map(|c| c.idempotency)).collect()
     }
 }
--- a/crates/config/src/operator/request.rs
+++ b/crates/config/src/operator/request.rs
@@ -91,7 +91,7 @@
     }
     if section.raw("never_ran").is_some() {
         let (tables, _) = section.tables(desk, "never_ran", &PROOF);
-        answers.never_ran = tables.iter().filter_map(|table| proof(desk, table)).collect();
+        answers.not_executed = tables.iter().filter_map(|table| proof(desk, table)).collect();
     }
     if section.raw("errors").is_some() {
         answers.errors = match section.word(desk, "errors").value {
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -1,6 +1,6 @@
 //! What the operators' file says, as values that have been checked against each other.
 
-use shaletide_balancer::{BackendState, Config, Discovery, Micros};
+use shaletide_balancer::{BackendState, Config, DiscoveryMode, Micros};
 use shaletide_routing::{Form, Route};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -143,19 +143,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// They stand in the file; at least one. No address stands in two pools.
-    Static(Vec<BoxDef>),
+    Static(Vec<BackendDef>),
     /// A discovery service tells.
     Discovery {
         /// Where it listens.
         address: SocketAddr,
         /// How it tells.
-        mode: Discovery,
+        mode: DiscoveryMode,
     },
 }
 
 /// A box in a static list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BoxDef {
+pub struct BackendDef {
     /// Where it listens.
     pub address: SocketAddr,
     /// Boxes of one kind are taken as equally fast.
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -20,15 +20,15 @@
     pub address: String,
     zone: String,
     kind: String,
-    entry: Backend,
+    entry: BackendEntry,
 }
 
 impl Row {
     /// `same` is what every proxy calls the backend: the order that they share is drawn from it.
-    pub fn new(same: &str, address: &str, zone: &str, kind: &str, entry: Backend) -> Row {
+    pub fn new(same: &str, address: &str, zone: &str, kind: &str, entry: BackendEntry) -> Row {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         let mark = same.bytes().fold(0xcbf2_9ce4_8422_2325, fold) >> 20;
-        let entry = Backend { mark, ..entry };
+        let entry = BackendEntry { stable_hash: mark, ..entry };
         Row { address: address.into(), zone: zone.into(), kind: kind.into(), entry }
     }
 }
@@ -73,10 +73,10 @@
     }
 
     /// The row as this instance numbers it.
-    pub fn entry(&mut self, row: &Row, id: BackendId) -> Backend {
+    pub fn entry(&mut self, row: &Row, id: BackendId) -> BackendEntry {
         let zone = ZoneId(number(&mut self.zones, &row.zone));
-        let kind = KindId(number(&mut self.kinds, &row.kind));
-        Backend { id, zone, kind, ..row.entry.clone() }
+        let kind = ServerTypeId(number(&mut self.kinds, &row.kind));
+        BackendEntry { id, zone, server_type: kind, ..row.entry.clone() }
     }
 }
 
@@ -193,8 +193,8 @@
     }
     let (limits, rules, goal) = (root.get("limits"), root.get("rules"), root.get("blend"));
     let discovery = match root.get("discovery").text()? {
-        "automatic" => Discovery::Push,
-        "subscribe" => Discovery::Subscribe(rules.get("must_ask_in_us").micros()?),
+        "automatic" => DiscoveryMode::Push,
+        "subscribe" => DiscoveryMode::Subscribe(rules.get("must_ask_in_us").micros()?),
         _ => return root.get("discovery").want(None, "automatic or subscribe"),
     };
     let weights = root.get("weight_source").value.and_then(Value::as_str);
@@ -209,23 +209,23 @@
         zone,
         classes,
         tenants,
-        over_quota_worth: root.get("over_share_worth").part()?,
-        goal_whole: goal.get("whole").part()?,
-        goal_worst_class: goal.get("worst_class").part()?,
+        over_quota_weight_fraction: root.get("over_share_worth").part()?,
+        total_objective_weight: goal.get("whole").part()?,
+        worst_class_objective_weight: goal.get("worst_class").part()?,
         cross_zone_cost: root.get("costs").get("cross_zone").at_least_zero()?,
         discovery,
-        live_weights: weights == Some("live"),
-        sized: weights.is_some_and(|weights| ["nominal", "rough", "live"].contains(&weights)),
+        weights_report_load: weights == Some("live"),
+        weights_report_cores: weights.is_some_and(|weights| ["nominal", "rough", "live"].contains(&weights)),
         max_attempts: limits.get("max_attempts").some_count()?,
-        cancel: limits.get("cancel").flag()?,
-        second_copies: limits.get("parallel_tries").flag()?,
-        tick: root.get("granularity_us").some_micros()?,
-        cold_from: rules.get("cold_from").part()?,
-        ramp: rules.get("ramp_time_us").micros()?,
-        spare: false,
-        only_realm: Some(0),
-        fall_multiple: rules.get("fall_multiple").positive()?,
-        fall_window: rules.get("tip_after_us").micros()?,
+        may_cancel_attempts: limits.get("cancel").flag()?,
+        hedging: limits.get("parallel_tries").flag()?,
+        min_timer_interval: root.get("granularity_us").some_micros()?,
+        initial_capacity_fraction: rules.get("cold_from").part()?,
+        slow_start_window: rules.get("ramp_time_us").micros()?,
+        has_failover_pool: false,
+        only_deduplication_domain: Some(0),
+        overload_multiple: rules.get("fall_multiple").positive()?,
+        overload_window: rules.get("tip_after_us").micros()?,
     };
     Ok((config, names))
 }
@@ -244,28 +244,28 @@
         return Err(format!("{}: expected no more than deadline_us", aim.path));
     }
     Ok(Class {
-        aim: aim.some_micros()?,
-        aim_stretch: if stretch.value.is_some() { stretch.at_least_zero()? } else { 0.0 },
-        effect,
-        worth: profile.get("gain").amount()?,
-        late_worth: profile.get("late_worth").part()?,
+        latency_objective: aim.some_micros()?,
+        latency_objective_per_work_hint: if stretch.value.is_some() { stretch.at_least_zero()? } else { 0.0 },
+        idempotency: effect,
+        priority_weight: profile.get("gain").amount()?,
+        late_weight_fraction: profile.get("late_worth").part()?,
     })
 }
 
-fn effect(profile: &Key<'_>) -> Result<Effect, String> {
+fn effect(profile: &Key<'_>) -> Result<Idempotency, String> {
     match profile.get("effect").text()? {
-        "free" => Ok(Effect::Free),
+        "free" => Ok(Idempotency::Safe),
         "guarded" => {
             let scope = profile.get("key_scope");
             let scope = match scope.text()? {
-                "all" => KeyScope::All,
-                "zone" => KeyScope::Zone,
-                "cell" => KeyScope::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Group,
                 _ => return scope.want(None, "all, zone or cell"),
             };
-            Ok(Effect::Keyed(scope, profile.get("window_us").micros()?))
+            Ok(Idempotency::Keyed(scope, profile.get("window_us").micros()?))
         }
-        "single_shot" => Ok(Effect::Unsafe),
+        "single_shot" => Ok(Idempotency::NonIdempotent),
         _ => profile.get("effect").want(None, "free, guarded or single_shot"),
     }
 }
@@ -321,7 +321,7 @@
     let drain_grace = if grace.value.is_some() { grace.micros()? } else { DRAIN_GRACE };
     let (mut classes, profiles) = (Vec::new(), root.get("profiles").list()?);
     for ((profile, name), class) in profiles.iter().zip(&names.classes).zip(&config.classes) {
-        let method = if class.effect == Effect::Free { "GET" } else { "POST" };
+        let method = if class.idempotency == Idempotency::Safe { "GET" } else { "POST" };
         let deadline = profile.get("deadline_us").micros()?;
         classes.push(ClassDef {
             name: name.clone(),
@@ -412,7 +412,7 @@
         assert_eq!(config.validate(), Ok(()));
         assert_eq!(names.classes(), ["read", "pay"]);
         assert_eq!(names.tenants(), ["north"]);
-        assert_eq!(config.classes[1].effect, Effect::Keyed(KeyScope::Cell, Micros(5)));
+        assert_eq!(config.classes[1].idempotency, Idempotency::Keyed(DeduplicationScope::Group, Micros(5)));
         let classes = operator(node(), &settings()).unwrap().0.classes;
         assert_eq!(classes.iter().map(|c| c.deadline).collect::<Vec<_>>(), [Micros(2), Micros(2)]);
     }
@@ -520,7 +520,7 @@
             assert_eq!(read(&with(place, value)).map(|r| r.0), Ok(plain.clone()), "{place}");
         }
         let (config, _) = read(&with("/profiles/1/aim_stretch", json!(null))).unwrap();
-        assert_eq!(config.classes[1].aim_stretch, 0.0);
+        assert_eq!(config.classes[1].latency_objective_per_work_hint, 0.0);
         let (operator, _) = operator(node(), &with("/limits/conn_idle_us", json!(2000.0))).unwrap();
         assert_eq!(operator.limits.idle_timeout, Micros(2000));
     }
--- a/crates/config/tests/additions.rs
+++ b/crates/config/tests/additions.rs
@@ -42,7 +42,7 @@
     );
     // What the file does not say of answers is as on the platform.
     assert!(added.routes[1].answers.served.has(299));
-    assert_eq!(added.routes[1].answers.never_ran, Answers::platform().never_ran);
+    assert_eq!(added.routes[1].answers.not_executed, Answers::platform().not_executed);
 }
 
 #[test]
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -1,6 +1,8 @@
 //! What a right file says: the smallest, the sample, and each key that differs from its default.
 
-use shaletide_balancer::{BackendState, ClassId, Discovery, Effect, KeyScope, Micros, PoolId, TenantId};
+use shaletide_balancer::{
+    BackendState, ClassId, DeduplicationScope, DiscoveryMode, Idempotency, Micros, PoolId, TenantId,
+};
 use shaletide_config::operator::{read, read_bytes, Operator, RecordDef, Recording, Source, WithoutKey};
 use shaletide_routing::{Answers, Errors, Form, HeaderMatch, Match, Proof, Source as Place};
 
@@ -37,7 +39,7 @@
     assert_eq!(operator.form, Form { id_required: false, ..Form::platform() });
     assert_eq!(operator.classes[0].methods, ["GET", "HEAD"]);
     assert_eq!(operator.classes[0].deadline, Micros(2_000_000));
-    assert_eq!(operator.config.classes[0].effect, Effect::Free);
+    assert_eq!(operator.config.classes[0].idempotency, Idempotency::Safe);
     assert_eq!(operator.tenants, [""; 0]);
     assert_eq!(operator.routes.len(), 1);
     assert_eq!((operator.routes[0].name.as_str(), &operator.routes[0].when), ("default", &Match::default()));
@@ -67,9 +69,12 @@
     let operator = good(SAMPLE);
     assert_eq!(operator.config.validate(), Ok(()));
     assert_eq!(operator.proxy.seed, Some(0x8c1f_30d2_7a5b_e964));
-    assert_eq!(operator.config.classes[1].effect, Effect::Keyed(KeyScope::Cell, Micros(1_200_000)));
+    assert_eq!(
+        operator.config.classes[1].idempotency,
+        Idempotency::Keyed(DeduplicationScope::Group, Micros(1_200_000))
+    );
     assert_eq!(operator.classes[1].methods, ["POST", "PUT", "PATCH", "DELETE"]);
-    assert_eq!(operator.config.classes[2].effect, Effect::Unsafe);
+    assert_eq!(operator.config.classes[2].idempotency, Idempotency::NonIdempotent);
     assert_eq!(operator.form.otherwise, Some(ClassId(0)));
     assert_eq!(operator.form.bay, Some(Place::Path(3)));
     assert_eq!(operator.form.zone, Some(Place::Header("x-zone".into())));
@@ -83,11 +88,11 @@
     );
     assert_eq!(route.when.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
     assert_eq!(route.pools, [PoolId(0), PoolId(1)]);
-    // Its own `served` and `errors`, and `never_ran` of [answers].
+    // Its own `served` and `errors`, and `not_executed` of [answers].
     assert!(route.answers.served.has(299) && !route.answers.served.has(300));
     assert_eq!(route.answers.errors, Errors::OwnWords);
     let proof = Proof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
-    assert_eq!(route.answers.never_ran, [proof]);
+    assert_eq!(route.answers.not_executed, [proof]);
     assert_eq!(operator.routes[1].answers.errors, Errors::AsTheyAre);
 }
 
@@ -98,7 +103,7 @@
         SAMPLE.replace(boxes, "").replace("# discovery", "discovery").replace("# must_ask", "must_ask");
     assert_ne!(text, SAMPLE);
     let Source::Discovery { address, mode } = good(&text).pools[1].source else { panic!("a discovery") };
-    assert_eq!((address.port(), mode), (8500, Discovery::Subscribe(Micros(9_000_000))));
+    assert_eq!((address.port(), mode), (8500, DiscoveryMode::Subscribe(Micros(9_000_000))));
 }
 
 #[test]
@@ -113,7 +118,7 @@
         [limits]
         descriptors = 128
         max_attempts = 16
-        second_copies = false
+        hedging = false
         cancel = false
         connect_timeout = "1ms"
         idle_timeout = "1h"
@@ -127,32 +132,35 @@
         held_bodies = "1MiB"
         max_body = "1.5KiB"
         [rules]
-        cold_from = 1
+        initial_capacity_fraction = 1
         ramp = "3s"
-        fall_multiple = 2
-        fall_window = "4s"
+        overload_multiple = 2
+        overload_window = "4s"
         drain_grace = "0s"
         [goal]
         whole = 0.5
         worst_class = 0.25
         cross_zone_cost = 2
-        over_quota_worth = 0
+        over_quota_weight_fraction = 0
     "#;
     let Operator { proxy, limits, config, .. } = with(text);
     assert_eq!((proxy.name.as_str(), proxy.zone.as_str(), proxy.seed), ("q.1_a-B", "z", Some(255)));
     assert_eq!((config.proxies, config.position), (7, 6));
     assert_eq!((limits.descriptors, config.max_attempts), (128, 16));
-    assert!(!config.second_copies && !config.cancel);
+    assert!(!config.hedging && !config.may_cancel_attempts);
     assert_eq!((limits.connect_timeout, limits.idle_timeout), (Micros(1000), Micros(3_600_000_000)));
-    assert_eq!((limits.max_retry_after, config.tick), (Micros(90_000_000), Micros(100)));
+    assert_eq!((limits.max_retry_after, config.min_timer_interval), (Micros(90_000_000), Micros(100)));
     assert_eq!((limits.answer_stall, limits.head_timeout), (Some(Micros(40_500)), Micros(1_000_001)));
     assert_eq!((limits.body_timeout, limits.max_body), (Micros(60_000_000), 1536));
     assert_eq!((limits.body_rate, limits.body_grace), (2048, Micros(1_000_000)));
     assert_eq!(limits.held_bodies, 1 << 20);
-    assert_eq!((config.cold_from, config.ramp, config.fall_multiple), (1.0, Micros(3_000_000), 2.0));
-    assert_eq!((config.fall_window, limits.drain_grace), (Micros(4_000_000), Micros(0)));
-    assert_eq!((config.goal_whole, config.goal_worst_class), (0.5, 0.25));
-    assert_eq!((config.cross_zone_cost, config.over_quota_worth), (2.0, 0.0));
+    assert_eq!(
+        (config.initial_capacity_fraction, config.slow_start_window, config.overload_multiple),
+        (1.0, Micros(3_000_000), 2.0)
+    );
+    assert_eq!((config.overload_window, limits.drain_grace), (Micros(4_000_000), Micros(0)));
+    assert_eq!((config.total_objective_weight, config.worst_class_objective_weight), (0.5, 0.25));
+    assert_eq!((config.cross_zone_cost, config.over_quota_weight_fraction), (2.0, 0.0));
 }
 
 #[test]
@@ -213,7 +221,7 @@
     let pool = "[[pool]]\nname = \"d\"\ndiscovery = \"[::1]:8500\"\ndiscovery_mode = \"push\"";
     let operator = with(pool);
     let Source::Discovery { address, mode } = operator.pools[1].source else { panic!("a discovery") };
-    assert_eq!((address.to_string().as_str(), mode), ("[::1]:8500", Discovery::Push));
+    assert_eq!((address.to_string().as_str(), mode), ("[::1]:8500", DiscoveryMode::Push));
     assert_eq!(operator.routes[0].pools, [PoolId(0), PoolId(1)]);
 }
 
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -7,7 +7,7 @@
 
 use call::{fetch, fit, CallTimes, WatchError};
 use pace::Pace;
-use shaletide_balancer::{Discovery, ListUpdate, PoolId};
+use shaletide_balancer::{DiscoveryMode, EndpointUpdate, PoolId};
 use shaletide_membership::List;
 use shaletide_net::{timeout, Host};
 use std::cell::Cell;
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
     /// Whether it is to be asked.
-    pub mode: Discovery,
+    pub mode: DiscoveryMode,
     /// This proxy's number among all that watch it.
     pub position: u32,
     /// Nothing new may go to a box later than this after discovery has told that it drains or is gone.
@@ -55,7 +55,7 @@
     host: Rc<Host>, pool: PoolId, mut moved: Receiver<Place>, known: Option<u64>, terms: Terms,
 ) {
     // An agent's answers cost nothing: begin with the truth.
-    let mut index = known.filter(|_| terms.mode != Discovery::Push);
+    let mut index = known.filter(|_| terms.mode != DiscoveryMode::Push);
     let heard = Cell::new(false);
     // Some of the grace is left for what is on its way.
     let mut until = moved.borrow().since + terms.grace * 3 / 4;
@@ -75,7 +75,7 @@
 /// Takes all boxes out of use at that moment, unless discovery has been heard: it may have known for as long as the
 /// grace lasts that they drain. Its first list brings back those that serve.
 async fn expire(host: &Rc<Host>, pool: PoolId, until: Instant, terms: Terms, heard: &Cell<bool>) {
-    if !terms.strict || terms.mode != Discovery::Push {
+    if !terms.strict || terms.mode != DiscoveryMode::Push {
         return;
     }
     // Where the start itself took that long nothing may be served by that list, not even for a turn of the event loop.
@@ -84,7 +84,7 @@
     }
     if !heard.get() {
         warn!("discovery has not been heard: its list of before is too old to go by");
-        host.members(pool, ListUpdate::Full, Vec::new());
+        host.members(pool, EndpointUpdate::Snapshot, Vec::new());
     }
 }
 
@@ -93,7 +93,7 @@
     host: &Rc<Host>, pool: PoolId, at: SocketAddr, from: Option<u64>, terms: Terms, heard: &Cell<bool>,
 ) {
     let Terms { mode, position, grace, .. } = terms;
-    let asked = mode != Discovery::Push;
+    let asked = mode != DiscoveryMode::Push;
     let (mut whole, mut index) = (from.is_none(), from.unwrap_or(0));
     let (mut link, mut failures, mut waits, mut in_vain) = (None, 0u32, 0u32, false);
     let own = if asked { Pace::asked(grace) } else { Pace::pushed(grace) };
@@ -125,7 +125,7 @@
                 // Changes against a newer list than the answer's: discovery began anew, so take it whole.
                 let gap = !list.snapshot && list.index < index;
                 if !gap {
-                    let update = if list.snapshot { ListUpdate::Full } else { ListUpdate::Changes };
+                    let update = if list.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
                     tell(host, pool, update, &list);
                     heard.set(true);
                     index = list.index;
@@ -146,7 +146,7 @@
                 whole |= matches!(e, WatchError::Status(..500));
                 if asked {
                     forget(host.followed(pool)).await;
-                    host.members(pool, ListUpdate::Lost, Vec::new());
+                    host.members(pool, EndpointUpdate::SubscriptionLost, Vec::new());
                     // When to ask again is the module's to say, but not without bound.
                     let latest = own.latest_retry(asked_at, Instant::now(), position, failures);
                     let _ = tokio::time::timeout_at(latest.into(), host.followed(pool)).await;
@@ -168,7 +168,7 @@
 }
 
 /// Hands a list on. Of the entries that make no sense one is logged, with their number: a list may be long.
-pub fn tell(host: &Rc<Host>, pool: PoolId, update: ListUpdate, list: &List) {
+pub fn tell(host: &Rc<Host>, pool: PoolId, update: EndpointUpdate, list: &List) {
     let (entries, skipped) = list.entries();
     if let Some(skipped) = skipped {
         warn!("{} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -1,6 +1,6 @@
 //! What a day is made of.
 
-use shaletide_balancer::{Class, Config, Discovery, Tenant};
+use shaletide_balancer::{Class, Config, DiscoveryMode, Tenant};
 use shaletide_testkit::{Dice, Law, Power};
 use shaletide_types::*;
 
@@ -215,12 +215,18 @@
         let sort = |name, share, worth, aim: u64, deadline: u64, effect, work: f64| Sort {
             name,
             share,
-            class: Class { aim: ms(aim), aim_stretch: 0.0, effect, worth, late_worth: 0.25 },
+            class: Class {
+                latency_objective: ms(aim),
+                latency_objective_per_work_hint: 0.0,
+                idempotency: effect,
+                priority_weight: worth,
+                late_weight_fraction: 0.25,
+            },
             deadline: ms(deadline),
             work_ms: Law::LogNormal(work, 0.55),
             io_ms: Law::Even(20.0, 36.0),
         };
-        let keyed = Effect::Keyed(KeyScope::Cell, ms(1_800));
+        let keyed = Idempotency::Keyed(DeduplicationScope::Group, ms(1_800));
         Day {
             name: "calm",
             seed,
@@ -234,10 +240,10 @@
             zones: 5,
             load,
             sorts: vec![
-                sort("lot-view", 0.33, 3.0, 600, 1_200, Effect::Free, 45.0),
-                sort("clock-price", 0.30, 5.0, 300, 600, Effect::Free, 60.0),
+                sort("lot-view", 0.33, 3.0, 600, 1_200, Idempotency::Safe, 45.0),
+                sort("clock-price", 0.30, 5.0, 300, 600, Idempotency::Safe, 60.0),
                 sort("bid", 0.19, 5.0, 600, 3_000, keyed, 58.0),
-                sort("settle", 0.18, 8.0, 600, 1_500, Effect::Unsafe, 52.0),
+                sort("settle", 0.18, 8.0, 600, 1_500, Idempotency::NonIdempotent, 52.0),
             ],
             kinds: vec![
                 Kind { share: 0.6, speed: Law::LogNormal(1.8, 0.17), size: 2.0, cold: (0.25, ms(16_000)) },
@@ -311,18 +317,18 @@
             zone,
             classes: self.sorts.iter().map(|s| s.class.clone()).collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.0 * capacity }).collect(),
-            over_quota_worth: 0.1,
-            goal_whole: 0.45,
-            goal_worst_class: 0.3,
+            over_quota_weight_fraction: 0.1,
+            total_objective_weight: 0.45,
+            worst_class_objective_weight: 0.3,
             cross_zone_cost: 0.03,
-            discovery: Discovery::Push,
-            live_weights: live,
+            discovery: DiscoveryMode::Push,
+            weights_report_load: live,
             max_attempts: 5,
-            tick: Micros(1_000),
-            cold_from: 0.14,
-            ramp: ms(24_000),
-            fall_multiple: 3.0,
-            fall_window: ms(1_000),
+            min_timer_interval: Micros(1_000),
+            initial_capacity_fraction: 0.14,
+            slow_start_window: ms(24_000),
+            overload_multiple: 3.0,
+            overload_window: ms(1_000),
             ..Config::example()
         }
     }
@@ -368,8 +374,8 @@
         });
         let kind = kind.unwrap_or(last);
         let k = &self.kinds[kind];
-        let (cold_from, ramp) = k.cold;
-        (kind, Power { cores: 1, speed: k.speed.draw(&mut dice).max(0.1), cold_from, ramp })
+        let (initial_capacity_fraction, ramp) = k.cold;
+        (kind, Power { cores: 1, speed: k.speed.draw(&mut dice).max(0.1), initial_capacity_fraction, ramp })
     }
 }
 
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -153,15 +153,17 @@
         let zone = number % self.day.zones;
         self.sites.push(Site::new(number, self.day.seed, power, booted, &self.day.common, &self.day.reports));
         self.wakes.push(None);
-        self.rows.push(Backend {
+        self.rows.push(BackendEntry {
             id: BackendId(number),
-            mark: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
+            stable_hash: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
             zone: ZoneId(zone),
-            cell: CellId(u64::from(zone) * 8 + u64::from(number / self.day.zones % 8)),
-            kind: KindId(kind as u32),
+            deduplication_group: DeduplicationGroupId(
+                u64::from(zone) * 8 + u64::from(number / self.day.zones % 8),
+            ),
+            server_type: ServerTypeId(kind as u32),
             state: BackendState::Ready,
-            booted,
-            ..Backend::default()
+            started_at: booted,
+            ..BackendEntry::default()
         });
         self.sizes.push(self.day.kinds[kind].size);
         self.logs(number as usize, BackendState::Ready);
@@ -191,7 +193,7 @@
         p.ready.clear();
         // Where lists come late or not at all it starts with the last that came.
         let as_of = self.faults.stopped.unwrap_or(self.now);
-        self.tell_list(proxy, ListUpdate::Full, as_of);
+        self.tell_list(proxy, EndpointUpdate::Snapshot, as_of);
         let period = self.period();
         let first = Micros((self.dice.part() * period.0 as f64) as u64);
         self.at(self.now + first, Ev::List { proxy });
--- a/crates/emulator/src/play/attempts.rs
+++ b/crates/emulator/src/play/attempts.rs
@@ -10,12 +10,12 @@
 use shaletide_types::*;
 
 impl World<'_> {
-    pub(super) fn dispatch(&mut self, proxy: usize, id: RequestId, no: AttemptNo, site: usize) {
+    pub(super) fn dispatch(&mut self, proxy: usize, id: RequestId, no: AttemptNumber, site: usize) {
         let Some(open) = self.requests.get(&id) else { return self.watch.broke(Broken::Answer(id)) };
         let sort = &self.day.sorts[self.clients[open.client].sort];
         let ran = self.ran(open);
-        let cell = self.rows[site].cell;
-        self.watch.sent(self.now, id, sort.class.effect, &ran, cell);
+        let cell = self.rows[site].deduplication_group;
+        self.watch.sent(self.now, id, sort.class.idempotency, &ran, cell);
         if let Some(late) =
             self.proxies[proxy].drains.get(&site).map(|at| self.now - *at).filter(|l| *l > GRACE)
         {
@@ -31,8 +31,8 @@
         let (wait, fresh) = self.connects(proxy, site);
         let connected = fresh.is_some().then_some(self.sites[site].life);
         let work_ms = work_ms + fresh.unwrap_or(0.0);
-        let (at_box, over, never_ran) = (false, false, false);
-        let a = Attempt { id, no, proxy, life, site, connected, sent, at_box, over, never_ran, work_ms };
+        let (at_box, over, not_executed) = (false, false, false);
+        let a = Attempt { id, no, proxy, life, site, connected, sent, at_box, over, not_executed, work_ms };
         self.attempts.push(a);
         self.out.insert((id, no), attempt);
         if let Some(open) = self.requests.get_mut(&id) {
@@ -112,7 +112,7 @@
         match s.arrive(self.now, attempt as u64, Demand { work_ms, io }) {
             Admitted::Full => {
                 let way = self.way(attempt);
-                self.at(self.now + way, Ev::Back { attempt, outcome: Outcome::Full });
+                self.at(self.now + way, Ev::Back { attempt, outcome: Outcome::Rejected });
             }
             Admitted::Began | Admitted::Queued => self.set_wake(site),
         }
@@ -220,7 +220,7 @@
             return;
         }
         let a = &mut self.attempts[attempt];
-        a.never_ran = outcome.never_ran();
+        a.not_executed = outcome.not_executed();
         let (proxy, site, id, life) = (a.proxy, a.site, a.id, a.life);
         a.over = true;
         self.out.remove(&(id, a.no));
@@ -236,7 +236,7 @@
             return;
         }
         let report = if self.who == Who::Program { self.sites[site].report(self.now) } else { None };
-        if let Some(report) = report.filter(|_| matches!(outcome, Outcome::Ok | Outcome::Full)) {
+        if let Some(report) = report.filter(|_| matches!(outcome, Outcome::Ok | Outcome::Rejected)) {
             self.todo
                 .push_back((proxy, Event::Reported { pool: POOL, backend: BackendId(site as u32), report }));
         }
@@ -244,7 +244,7 @@
         self.ended(attempt, outcome, over);
         match (self.who, outcome) {
             (_, Outcome::Ok) => self.served(id),
-            (Who::Random, Outcome::Full | Outcome::ConnectFailed) => self.refused(id, Micros(0)),
+            (Who::Random, Outcome::Rejected | Outcome::ConnectFailed) => self.refused(id, Micros(0)),
             _ => {}
         }
     }
@@ -254,7 +254,13 @@
         if self.who == Who::Random {
             return;
         }
-        let end = AttemptEnd { request: a.id, attempt: a.no, outcome, latency: self.now - a.sent, settled };
+        let end = AttemptEnd {
+            request: a.id,
+            attempt: a.no,
+            outcome,
+            latency: self.now - a.sent,
+            request_answered: settled,
+        };
         self.todo.push_back((a.proxy, Event::AttemptEnded(end)));
     }
 }
--- a/crates/emulator/src/play/clients.rs
+++ b/crates/emulator/src/play/clients.rs
@@ -34,7 +34,7 @@
         let client = self.clients.len();
         self.clients.push(Client { came: self.now, sort, tenant, tries: 0, proxy, served: false });
         self.account.asked[sort] += 1;
-        self.account.worth.0 += self.day.sorts[sort].class.worth;
+        self.account.worth.0 += self.day.sorts[sort].class.priority_weight;
         let second = self.account.second(self.now - START);
         self.account.seconds[second].0 += 1;
         self.asks(client, false);
@@ -68,8 +68,8 @@
             tenant: Some(tenant),
             time_left: Micros(left),
             work_hint: None,
-            repeat,
-            elsewhere: false,
+            is_client_retry: repeat,
+            may_fail_over: false,
         };
         self.todo.push_back((proxy, Event::Request { arrival, pools: Rc::new([POOL]) }));
     }
@@ -95,7 +95,7 @@
         let ready = &self.proxies[proxy].ready;
         let at = (self.dice.part() * ready.len() as f64) as usize;
         match ready.keys().nth(at).copied() {
-            Some(site) => self.dispatch(proxy, id, AttemptNo(0), site),
+            Some(site) => self.dispatch(proxy, id, AttemptNumber(0), site),
             None => self.refused(id, Micros(0)),
         }
     }
@@ -125,8 +125,8 @@
         let c = &mut self.clients[open.client];
         let sort = &self.day.sorts[c.sort];
         let took = self.now - c.came;
-        let in_time = took <= sort.class.aim;
-        let worth = sort.class.worth * if in_time { 1.0 } else { sort.class.late_worth };
+        let in_time = took <= sort.class.latency_objective;
+        let worth = sort.class.priority_weight * if in_time { 1.0 } else { sort.class.late_weight_fraction };
         if !std::mem::replace(&mut c.served, true) {
             self.account.worth.1 += worth;
             if in_time {
@@ -147,13 +147,13 @@
     }
 
     /// The attempts of it that may have run or may run yet.
-    pub(super) fn ran(&self, open: &Open) -> Vec<(CellId, Time)> {
+    pub(super) fn ran(&self, open: &Open) -> Vec<(DeduplicationGroupId, Time)> {
         let all = open.tries.iter().map(|t| &self.attempts[*t]);
-        all.filter(|a| !a.never_ran).map(|a| (self.rows[a.site].cell, a.sent)).collect()
+        all.filter(|a| !a.not_executed).map(|a| (self.rows[a.site].deduplication_group, a.sent)).collect()
     }
 
-    pub(super) fn effect(&self, open: &Open) -> Effect {
-        self.day.sorts[self.clients[open.client].sort].class.effect
+    pub(super) fn effect(&self, open: &Open) -> Idempotency {
+        self.day.sorts[self.clients[open.client].sort].class.idempotency
     }
 
     pub(super) fn refused(&mut self, id: RequestId, advice: Micros) {
--- a/crates/emulator/src/play/lists.rs
+++ b/crates/emulator/src/play/lists.rs
@@ -23,7 +23,7 @@
         }
         match self.faults.late {
             Micros(0) if self.proxies[proxy].told_as_of < self.now => {
-                self.tell_list(proxy, ListUpdate::Changes, self.now)
+                self.tell_list(proxy, EndpointUpdate::Delta, self.now)
             }
             late => {
                 let (life, as_of) = (self.proxies[proxy].life, self.now);
@@ -36,12 +36,12 @@
     pub(super) fn hears(&mut self, proxy: usize, life: u32, as_of: Time) {
         let p = &self.proxies[proxy];
         if p.life == life && p.told_as_of < as_of && self.faults.stopped.is_none() {
-            self.tell_list(proxy, ListUpdate::Changes, as_of);
+            self.tell_list(proxy, EndpointUpdate::Delta, as_of);
         }
     }
 
     /// What was new in the list as one read it then, and all weights.
-    pub(super) fn tell_list(&mut self, proxy: usize, update: ListUpdate, as_of: Time) {
+    pub(super) fn tell_list(&mut self, proxy: usize, update: EndpointUpdate, as_of: Time) {
         let lag = if self.who == Who::One { Micros(0) } else { self.day.list_lag };
         let told = self.log.partition_point(|l| l.at + lag <= as_of || l.at <= START);
         let p = &mut self.proxies[proxy];
@@ -62,24 +62,24 @@
             }
         }
         let weighs = self.who == Who::Program && self.day.reports.is_some();
-        let mut rows: BTreeMap<usize, Backend> = BTreeMap::new();
+        let mut rows: BTreeMap<usize, BackendEntry> = BTreeMap::new();
         if weighs {
             let row = |(site, booted): (&usize, &Option<Time>)| {
                 let state = BackendState::Ready;
-                (*site, Backend { state, booted: *booted, ..self.rows[*site].clone() })
+                (*site, BackendEntry { state, started_at: *booted, ..self.rows[*site].clone() })
             };
             rows.extend(p.ready.iter().map(row));
         }
         // As it was when this became known: it may have gone on since.
         rows.extend(news.iter().map(|(site, line)| {
-            (*site, Backend { state: line.state, booted: line.booted, ..self.rows[*site].clone() })
+            (*site, BackendEntry { state: line.state, started_at: line.booted, ..self.rows[*site].clone() })
         }));
         if weighs {
             for (site, row) in &mut rows {
                 row.weight = self.sites[*site].weight(as_of, self.sizes[*site]);
             }
         }
-        let backends: Vec<Backend> = rows.into_values().collect();
+        let backends: Vec<BackendEntry> = rows.into_values().collect();
         if !backends.is_empty() {
             self.todo.push_back((proxy, Event::Members { pool: POOL, update, backends }));
         }
--- a/crates/emulator/src/play/troubles.rs
+++ b/crates/emulator/src/play/troubles.rs
@@ -110,7 +110,7 @@
 
     fn box_returns(&mut self, site: usize) {
         self.sites[site].returns(self.now);
-        (self.rows[site].state, self.rows[site].booted) = (BackendState::Ready, Some(self.now));
+        (self.rows[site].state, self.rows[site].started_at) = (BackendState::Ready, Some(self.now));
         self.logs(site, BackendState::Ready);
     }
 
--- a/crates/emulator/src/play/world.rs
+++ b/crates/emulator/src/play/world.rs
@@ -107,7 +107,7 @@
 
 pub(super) struct Attempt {
     pub(super) id: RequestId,
-    pub(super) no: AttemptNo,
+    pub(super) no: AttemptNumber,
     pub(super) proxy: usize,
     pub(super) life: u32,
     pub(super) site: usize,
@@ -117,7 +117,7 @@
     pub(super) at_box: bool,
     pub(super) over: bool,
     /// Its outcome proves that it did not run.
-    pub(super) never_ran: bool,
+    pub(super) not_executed: bool,
     pub(super) work_ms: f64,
 }
 
@@ -182,7 +182,7 @@
     pub(super) sites: Vec<Site>,
     /// When each is woken next.
     pub(super) wakes: Vec<Option<Time>>,
-    pub(super) rows: Vec<Backend>,
+    pub(super) rows: Vec<BackendEntry>,
     pub(super) sizes: Vec<f64>,
     pub(super) log: Vec<Line>,
     pub(super) proxies: Vec<Proxy>,
@@ -191,7 +191,7 @@
     pub(super) requests: BTreeMap<RequestId, Open>,
     pub(super) attempts: Vec<Attempt>,
     /// Those that are not over.
-    pub(super) out: BTreeMap<(RequestId, AttemptNo), usize>,
+    pub(super) out: BTreeMap<(RequestId, AttemptNumber), usize>,
     pub(super) todo: VecDeque<(usize, Event)>,
     pub(super) dice: Dice,
     pub(super) burst: f64,
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -50,11 +50,14 @@
     }
 
     /// A request that may run in any of these boxes already, each with its cell and when, is sent to another.
-    pub fn sent(&mut self, now: Time, id: RequestId, effect: Effect, ran: &[(CellId, Time)], to: CellId) {
+    pub fn sent(
+        &mut self, now: Time, id: RequestId, effect: Idempotency, ran: &[(DeduplicationGroupId, Time)],
+        to: DeduplicationGroupId,
+    ) {
         let fine = match effect {
-            Effect::Free => true,
-            Effect::Unsafe => ran.is_empty(),
-            Effect::Keyed(_, window) => ran.iter().all(|(cell, at)| *cell == to && now < *at + window),
+            Idempotency::Safe => true,
+            Idempotency::NonIdempotent => ran.is_empty(),
+            Idempotency::Keyed(_, window) => ran.iter().all(|(cell, at)| *cell == to && now < *at + window),
         };
         if !fine {
             self.broke(Broken::Twice(id));
@@ -62,8 +65,8 @@
     }
 
     /// It was refused while these may have run.
-    pub fn refused(&mut self, id: RequestId, effect: Effect, ran: &[(CellId, Time)]) {
-        if !ran.is_empty() && effect != Effect::Free {
+    pub fn refused(&mut self, id: RequestId, effect: Idempotency, ran: &[(DeduplicationGroupId, Time)]) {
+        if !ran.is_empty() && effect != Idempotency::Safe {
             self.broke(Broken::Refusal(id));
         }
     }
--- a/crates/emulator/tests/cold.rs
+++ b/crates/emulator/tests/cold.rs
@@ -9,9 +9,10 @@
 /// A box bears so many requests of mean work in the window as it starts, and is as cold as the settings say at least.
 fn small(boxes: u32, bears: f64, load: f64, seed: u64) -> Day {
     let mut day = Day::calm(300, boxes, load, seed);
-    let cold_from = 0.14;
-    let speed = Law::LogNormal(bears * day.work_ms() / 1e3 / 3.0 / cold_from, 0.15);
-    day.kinds = vec![Kind { share: 1.0, speed, size: 1.0, cold: (cold_from, Micros(24_000_000)) }];
+    let initial_capacity_fraction = 0.14;
+    let speed = Law::LogNormal(bears * day.work_ms() / 1e3 / 3.0 / initial_capacity_fraction, 0.15);
+    day.kinds =
+        vec![Kind { share: 1.0, speed, size: 1.0, cold: (initial_capacity_fraction, Micros(24_000_000)) }];
     day.length = Micros(10_000_000);
     day
 }
--- a/crates/engine/src/conns.rs
+++ b/crates/engine/src/conns.rs
@@ -5,7 +5,7 @@
 
 /// How connections are kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Keeping {
+pub struct ConnectionLimits {
     /// At most so many, all backends together.
     pub most: usize,
     /// One that was idle for so long is not used again.
@@ -17,52 +17,54 @@
 
 /// How far a connection has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ConnStep {
+pub enum ConnectionState {
     /// It comes up, for an attempt or for nobody any more.
-    Opening(Option<(RequestId, AttemptNo)>),
+    Opening(Option<(RequestId, AttemptNumber)>),
     /// Nothing is on it, since then; one that was never used is quiet at once.
     Idle(Time, bool),
     /// An attempt is on it.
-    Busy(RequestId, AttemptNo),
+    Busy(RequestId, AttemptNumber),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Conn {
     pub backend: BackendId,
-    pub step: ConnStep,
+    pub step: ConnectionState,
     /// It leads to where its backend listened before.
     pub old: bool,
 }
 
 /// All of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Conns {
-    pub all: BTreeMap<ConnId, Conn>,
+pub(crate) struct ConnectionPool {
+    pub all: BTreeMap<ConnectionId, Conn>,
     /// The idle ones of each backend, the most recently used last.
-    pub idle: BTreeMap<BackendId, Vec<ConnId>>,
+    pub idle: BTreeMap<BackendId, Vec<ConnectionId>>,
     /// When something was last heard of each backend that has or had one.
     pub heard: BTreeMap<BackendId, Time>,
     pub next: u64,
 }
 
-impl Conns {
+impl ConnectionPool {
     /// A new one, coming up for that attempt.
-    pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNo) -> ConnId {
-        let conn = ConnId(self.next);
+    pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNumber) -> ConnectionId {
+        let conn = ConnectionId(self.next);
         self.next += 1;
-        self.all
-            .insert(conn, Conn { backend, step: ConnStep::Opening(Some((request, attempt))), old: false });
+        self.all.insert(
+            conn,
+            Conn { backend, step: ConnectionState::Opening(Some((request, attempt))), old: false },
+        );
         conn
     }
 
     /// Takes one out of those that there are.
-    pub fn remove(&mut self, conn: ConnId) -> Option<Conn> {
+    pub fn remove(&mut self, conn: ConnectionId) -> Option<Conn> {
         let gone = self.all.remove(&conn)?;
         self.unlist(gone.backend, conn);
         Some(gone)
     }
 
-    fn unlist(&mut self, backend: BackendId, conn: ConnId) {
+    fn unlist(&mut self, backend: BackendId, conn: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&backend) {
             idle.retain(|c| *c != conn);
             if idle.is_empty() {
@@ -72,27 +74,27 @@
     }
 
     /// Nothing is on it from now on.
-    pub fn rest(&mut self, now: Time, conn: ConnId, used: bool) {
+    pub fn rest(&mut self, now: Time, conn: ConnectionId, used: bool) {
         if let Some(c) = self.all.get_mut(&conn) {
-            c.step = ConnStep::Idle(now, used);
+            c.step = ConnectionState::Idle(now, used);
             self.idle.entry(c.backend).or_default().push(conn);
         }
     }
 
     /// The attempt is on it from now on.
-    pub fn busy(&mut self, conn: ConnId, request: RequestId, attempt: AttemptNo) {
+    pub fn busy(&mut self, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         if let Some(c) = self.all.get_mut(&conn) {
-            c.step = ConnStep::Busy(request, attempt);
+            c.step = ConnectionState::Busy(request, attempt);
             let backend = c.backend;
             self.unlist(backend, conn);
         }
     }
 
     /// The most recently used idle one of a backend that is quiet and not too old.
-    pub fn fit(&self, now: Time, backend: BackendId, keeping: &Keeping) -> Option<ConnId> {
+    pub fn fit(&self, now: Time, backend: BackendId, keeping: &ConnectionLimits) -> Option<ConnectionId> {
         let idle = self.idle.get(&backend)?;
-        let fit = |conn: &&ConnId| match self.all.get(conn).map(|c| c.step) {
-            Some(ConnStep::Idle(since, used)) => {
+        let fit = |conn: &&ConnectionId| match self.all.get(conn).map(|c| c.step) {
+            Some(ConnectionState::Idle(since, used)) => {
                 now - since < keeping.idle && (!used || now - since >= keeping.quiet)
             }
             _ => false,
@@ -102,27 +104,28 @@
 
     /// The one that makes way where there is no room for another: that which was idle longest, of all backends, and
     /// where none is idle that which has been coming up longest for nobody any more.
-    pub fn spare(&self) -> Option<ConnId> {
+    pub fn spare(&self) -> Option<ConnectionId> {
         let first = self.idle.values().filter_map(|idle| idle.first());
         let idle = first.filter_map(|conn| Some((self.since(*conn)?, *conn))).min().map(|(_, conn)| conn);
-        let nobodys = |c: &&ConnId| self.all.get(c).is_some_and(|c| c.step == ConnStep::Opening(None));
+        let nobodys =
+            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.step == ConnectionState::Opening(None));
         idle.or_else(|| self.all.keys().find(nobodys).copied())
     }
 
     /// The idle ones of a backend.
-    pub fn idle_of(&self, backend: BackendId) -> Vec<ConnId> {
+    pub fn idle_of(&self, backend: BackendId) -> Vec<ConnectionId> {
         self.idle.get(&backend).cloned().unwrap_or_default()
     }
 
     /// Those idle for too long.
-    pub fn stale(&self, now: Time, keeping: &Keeping) -> Vec<ConnId> {
+    pub fn stale(&self, now: Time, keeping: &ConnectionLimits) -> Vec<ConnectionId> {
         let idle = self.idle.values().flatten().copied();
         idle.filter(|conn| self.since(*conn).is_some_and(|since| now - since >= keeping.idle)).collect()
     }
 
-    fn since(&self, conn: ConnId) -> Option<Time> {
+    fn since(&self, conn: ConnectionId) -> Option<Time> {
         match self.all.get(&conn)?.step {
-            ConnStep::Idle(since, _) => Some(since),
+            ConnectionState::Idle(since, _) => Some(since),
             _ => None,
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 mod look;
 
-use crate::conns::{ConnStep, Conns, Keeping};
+use crate::conns::{ConnectionLimits, ConnectionPool, ConnectionState};
 use crate::event::{Action, Event, Final, Order};
 use crate::guard::{may_begin, may_go, write_by};
 #[cfg(feature = "mutants")]
@@ -45,18 +45,18 @@
 /// Every request, attempt and connection.
 ///
 /// Bounds: a request for each that its front has taken and not ended, at most 64 attempts each, the
-/// connections of [`Keeping::most`], a place for each backend that any list has.
+/// connections of [`ConnectionLimits::most`], a place for each backend that any list has.
 #[derive(Clone, Debug)]
 pub struct Engine<P> {
     policy: P,
-    keeping: Keeping,
+    keeping: ConnectionLimits,
     /// Attempts that are not needed any more may be called back.
     cancel: bool,
     /// The realm of all backends, if they are of one.
-    only_realm: Option<u32>,
+    only_deduplication_domain: Option<u32>,
     backends: BTreeMap<BackendId, Place>,
     requests: BTreeMap<RequestId, Request>,
-    conns: Conns,
+    conns: ConnectionPool,
     deadlines: BTreeSet<(Time, RequestId)>,
     timers: BTreeSet<(Time, TimerToken)>,
     sweep_at: Option<Time>,
@@ -67,15 +67,15 @@
 
 impl<P: Policy> Engine<P> {
     /// An engine that knows no backend yet.
-    pub fn new(policy: P, keeping: Keeping) -> Engine<P> {
+    pub fn new(policy: P, keeping: ConnectionLimits) -> Engine<P> {
         Engine {
             policy,
             keeping,
             cancel: true,
-            only_realm: None,
+            only_deduplication_domain: None,
             backends: BTreeMap::new(),
             requests: BTreeMap::new(),
-            conns: Conns::default(),
+            conns: ConnectionPool::default(),
             deadlines: BTreeSet::new(),
             timers: BTreeSet::new(),
             sweep_at: None,
@@ -87,8 +87,11 @@
 
     /// How connections are kept, whether attempts may be called back, and the one realm to which all
     /// backends belong, from now on.
-    pub fn configure(&mut self, keeping: Keeping, cancel: bool, only_realm: Option<u32>) {
-        (self.keeping, self.cancel, self.only_realm) = (keeping, cancel, only_realm);
+    pub fn configure(
+        &mut self, keeping: ConnectionLimits, cancel: bool, only_deduplication_domain: Option<u32>,
+    ) {
+        (self.keeping, self.cancel, self.only_deduplication_domain) =
+            (keeping, cancel, only_deduplication_domain);
     }
 
     /// With a bug.
@@ -113,17 +116,17 @@
     }
 
     /// The connections that there are.
-    pub fn connections(&self) -> impl Iterator<Item = (ConnId, BackendId, ConnStep)> + '_ {
+    pub fn connections(&self) -> impl Iterator<Item = (ConnectionId, BackendId, ConnectionState)> + '_ {
         self.conns.all.iter().map(|(id, c)| (*id, c.backend, c.step))
     }
 
     /// How many there are.
-    pub fn open_connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.conns.all.len()
     }
 
     /// The connection that makes way for another.
-    pub fn spare_connection(&self) -> Option<ConnId> {
+    pub fn idle_connection(&self) -> Option<ConnectionId> {
         self.conns.spare()
     }
 
@@ -154,12 +157,12 @@
                 }
                 self.tell.push_back(pools::Event::Moved { backend, from, to });
             }
-            Event::Readdressed { backend } => {
+            Event::AddressChanged { backend } => {
                 self.conns.all.values_mut().filter(|c| c.backend == backend).for_each(|c| c.old = true);
                 self.let_go(now, backend, out);
             }
             Event::PoolClosed { pool } => {
-                self.members(now, pool, ListUpdate::Full, Vec::new(), out);
+                self.members(now, pool, EndpointUpdate::Snapshot, Vec::new(), out);
                 self.tell.push_back(pools::Event::Closed { pool });
             }
             Event::Request(order) => self.request(now, order),
@@ -173,8 +176,8 @@
             Event::Permit { request, attempt, given } => self.permit(now, request, attempt, given, out),
             Event::Up { conn } => self.up(now, conn, out),
             Event::ConnectFailed { conn, blame } => {
-                let outcome = if blame { Outcome::ConnectFailed } else { Outcome::NeverSent };
-                if let Some(ConnStep::Opening(Some((request, attempt)))) =
+                let outcome = if blame { Outcome::ConnectFailed } else { Outcome::NotSent };
+                if let Some(ConnectionState::Opening(Some((request, attempt)))) =
                     self.conns.remove(conn).map(|c| c.step)
                 {
                     self.end(now, request, attempt, outcome, false, out);
@@ -202,7 +205,7 @@
                     out,
                 );
             }
-            Event::Spoilt { conn } => self.broken(now, conn, Outcome::Error, out),
+            Event::InvalidResponse { conn } => self.broken(now, conn, Outcome::Error, out),
             Event::Ended { conn } => self.broken(now, conn, Outcome::Reset, out),
             Event::Unfit { conn } => self.unfit(now, conn, out),
             Event::Closed { conn, written } => self.closed(now, conn, written, out),
@@ -252,10 +255,11 @@
     // --- lists ---
 
     fn members(
-        &mut self, now: Time, pool: PoolId, update: ListUpdate, list: Vec<Backend>, out: &mut Vec<Action>,
+        &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: Vec<BackendEntry>,
+        out: &mut Vec<Action>,
     ) {
         let mut lost: BTreeSet<BackendId> = BTreeSet::new();
-        if matches!(update, ListUpdate::Full | ListUpdate::Cached)
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached)
             && !planted!(self.planted, DrainForgottenByWholeList)
         {
             let absent = self.backends.iter().filter(|(_, p)| p.pool == pool).map(|(id, _)| *id);
@@ -301,16 +305,16 @@
             self.close(conn, out);
         }
         let opening = self.conns.all.iter().filter(|(_, c)| c.backend == backend);
-        let opening: Vec<(ConnId, ConnStep)> = opening.map(|(id, c)| (*id, c.step)).collect();
+        let opening: Vec<(ConnectionId, ConnectionState)> = opening.map(|(id, c)| (*id, c.step)).collect();
         for (conn, step) in opening {
             match step {
-                ConnStep::Opening(Some((request, attempt)))
+                ConnectionState::Opening(Some((request, attempt)))
                     if !planted!(self.planted, DrainOfTheNewsBefore) =>
                 {
                     self.close(conn, out);
-                    self.end(now, request, attempt, Outcome::NeverSent, false, out);
+                    self.end(now, request, attempt, Outcome::NotSent, false, out);
                 }
-                ConnStep::Opening(None) => self.close(conn, out),
+                ConnectionState::Opening(None) => self.close(conn, out),
                 _ => {}
             }
         }
@@ -392,7 +396,9 @@
         }
         let answer = match r.phase {
             // A client that is told in whole seconds comes back that much later.
-            Phase::GivenUp(advice) if r.is_harmless(now + whole_seconds(advice), self.only_realm) => {
+            Phase::GivenUp(advice)
+                if r.is_harmless(now + whole_seconds(advice), self.only_deduplication_domain) =>
+            {
                 Final::Refused(advice)
             }
             Phase::GivenUp(_) => Final::Failed,
@@ -412,62 +418,65 @@
 
     // --- attempts ---
 
-    fn attempt(&mut self, request: RequestId, no: AttemptNo) -> Option<&mut Try> {
+    fn attempt(&mut self, request: RequestId, no: AttemptNumber) -> Option<&mut Try> {
         self.requests.get_mut(&request)?.tries.get_mut(no.0 as usize)
     }
 
     /// The attempt that is on a connection or waits for it.
-    fn on(&self, conn: ConnId) -> Option<(RequestId, AttemptNo)> {
+    fn on(&self, conn: ConnectionId) -> Option<(RequestId, AttemptNumber)> {
         match self.conns.all.get(&conn)?.step {
-            ConnStep::Busy(request, attempt) => Some((request, attempt)),
-            ConnStep::Opening(waiting) => waiting,
-            ConnStep::Idle(..) => None,
+            ConnectionState::Busy(request, attempt) => Some((request, attempt)),
+            ConnectionState::Opening(waiting) => waiting,
+            ConnectionState::Idle(..) => None,
         }
     }
 
     fn dispatch(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, backend: BackendId,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, backend: BackendId,
         send_by: Option<Time>, out: &mut Vec<Action>,
     ) {
         let place = self.backends.get(&backend);
         let ready = place.is_some_and(|p| p.state == BackendState::Ready);
-        let group = place.map_or(Group { realm: 0, zone: ZoneId(0), cell: CellId(0) }, |p| p.group);
+        let group =
+            place.map_or(Group { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) }, |p| p.group);
         let next = |r: &&mut Request| r.tries.len() < MOST_TRIES && r.tries.len() == attempt.0 as usize;
         let Some(r) = self.requests.get_mut(&request).filter(next) else {
             // Each attempt that is asked for has one end, whatever it was asked for.
             let settled = self.requests.get(&request).is_none_or(|r| r.phase != Phase::Open);
-            self.tell_end(request, attempt, Outcome::NeverSent, Micros(0), settled);
+            self.tell_end(request, attempt, Outcome::NotSent, Micros(0), settled);
             return;
         };
         let allowed = ready && may_go(now, r, group, None, self.planted).is_ok();
-        let step = if allowed { Step::Permit } else { Step::Ended(Outcome::NeverSent) };
+        let step = if allowed { Step::Permit } else { Step::Ended(Outcome::NotSent) };
         let permitted = r.permit && allowed;
         r.tries.push(Try { backend, group, asked: now, ended: now, send_by, permitted, step });
         let settled = r.phase != Phase::Open;
         if !allowed {
-            self.tell_end(request, attempt, Outcome::NeverSent, Micros(0), settled);
+            self.tell_end(request, attempt, Outcome::NotSent, Micros(0), settled);
         } else if permitted {
-            out.push(Action::AskPermit { request, attempt });
+            out.push(Action::PersistIntent { request, attempt });
         } else {
             self.begin(now, request, attempt, out);
         }
     }
 
-    fn permit(&mut self, now: Time, request: RequestId, no: AttemptNo, given: bool, out: &mut Vec<Action>) {
+    fn permit(
+        &mut self, now: Time, request: RequestId, no: AttemptNumber, given: bool, out: &mut Vec<Action>,
+    ) {
         match self.attempt(request, no) {
             Some(t) if t.step == Step::Permit && given => self.begin(now, request, no, out),
             Some(t) if t.step == Step::Permit => {
                 t.permitted = false; // there is nothing to withdraw
-                self.end(now, request, no, Outcome::NeverSent, false, out);
+                self.end(now, request, no, Outcome::NotSent, false, out);
             }
             _ => {} // it has been withdrawn
         }
     }
 
     /// Finds a connection for an attempt, and sends it if there is one.
-    fn begin(&mut self, now: Time, request: RequestId, no: AttemptNo, out: &mut Vec<Action>) {
+    fn begin(&mut self, now: Time, request: RequestId, no: AttemptNumber, out: &mut Vec<Action>) {
         if !self.may_begin(now, request, no) {
-            return self.end(now, request, no, Outcome::NeverSent, false, out);
+            return self.end(now, request, no, Outcome::NotSent, false, out);
         }
         let Some(backend) = self.attempt(request, no).map(|t| t.backend) else { return };
         if let Some(conn) = self.conns.fit(now, backend, &self.keeping) {
@@ -477,7 +486,7 @@
         if self.conns.all.len() >= self.keeping.most {
             match self.conns.spare() {
                 Some(conn) => self.close(conn, out),
-                None => return self.end(now, request, no, Outcome::NeverSent, false, out),
+                None => return self.end(now, request, no, Outcome::NotSent, false, out),
             }
         }
         let conn = self.conns.open(backend, request, no);
@@ -487,7 +496,7 @@
         out.push(Action::Open { conn, backend });
     }
 
-    fn may_begin(&self, now: Time, request: RequestId, no: AttemptNo) -> bool {
+    fn may_begin(&self, now: Time, request: RequestId, no: AttemptNumber) -> bool {
         let Some(r) = self.requests.get(&request) else { return false };
         let own = no.0 as usize;
         // One that was listed elsewhere since then drops other repeats than the one that was asked for.
@@ -498,7 +507,10 @@
     }
 
     /// Not a byte has gone out yet: from here on it may.
-    fn send(&mut self, now: Time, conn: ConnId, request: RequestId, no: AttemptNo, out: &mut Vec<Action>) {
+    fn send(
+        &mut self, now: Time, conn: ConnectionId, request: RequestId, no: AttemptNumber,
+        out: &mut Vec<Action>,
+    ) {
         let Some(r) = self.requests.get(&request) else { return };
         let (deadline, by) = (r.deadline, write_by(now, r, no.0 as usize, self.planted));
         if let Some(t) = self.attempt(request, no) {
@@ -508,9 +520,9 @@
         out.push(Action::Send { conn, request, attempt: no, deadline, by });
     }
 
-    fn up(&mut self, now: Time, conn: ConnId, out: &mut Vec<Action>) {
+    fn up(&mut self, now: Time, conn: ConnectionId, out: &mut Vec<Action>) {
         let Some(c) = self.conns.all.get(&conn) else { return };
-        let (ConnStep::Opening(waiting), backend) = (c.step, c.backend) else { return };
+        let (ConnectionState::Opening(waiting), backend) = (c.step, c.backend) else { return };
         let waiting = waiting.filter(|(request, no)| self.may_begin(now, *request, *no));
         if let Some((request, no)) = waiting {
             return self.send(now, conn, request, no, out);
@@ -518,12 +530,12 @@
         let turned_away = self.on(conn);
         self.rest(now, conn, backend, false, out); // an unused connection stays warm
         if let Some((request, no)) = turned_away {
-            self.end(now, request, no, Outcome::NeverSent, false, out);
+            self.end(now, request, no, Outcome::NotSent, false, out);
         }
     }
 
     /// A connection that may be used again, if its backend may be.
-    fn rest(&mut self, now: Time, conn: ConnId, backend: BackendId, used: bool, out: &mut Vec<Action>) {
+    fn rest(&mut self, now: Time, conn: ConnectionId, backend: BackendId, used: bool, out: &mut Vec<Action>) {
         let old = self.conns.all.get(&conn).is_some_and(|c| c.old);
         if old || self.state(backend) != BackendState::Ready {
             return self.close(conn, out);
@@ -532,13 +544,15 @@
         self.sweep_at.get_or_insert(now + self.keeping.idle);
     }
 
-    fn close(&mut self, conn: ConnId, out: &mut Vec<Action>) {
+    fn close(&mut self, conn: ConnectionId, out: &mut Vec<Action>) {
         if self.conns.remove(conn).is_some() {
             out.push(Action::Close { conn });
         }
     }
 
-    fn answered(&mut self, now: Time, conn: ConnId, verdict: Verdict, clean: bool, out: &mut Vec<Action>) {
+    fn answered(
+        &mut self, now: Time, conn: ConnectionId, verdict: Verdict, clean: bool, out: &mut Vec<Action>,
+    ) {
         let Some((request, no)) = self.on(conn) else { return };
         let Some(t) = self.attempt(request, no) else { return };
         let (step, backend) = (t.step, t.backend);
@@ -554,14 +568,14 @@
         }
         let outcome = match verdict {
             Verdict::Served => Outcome::Ok,
-            Verdict::NeverRan => Outcome::Full,
+            Verdict::NotExecuted => Outcome::Rejected,
             Verdict::Error => Outcome::Error,
         };
         self.end(now, request, no, outcome, true, out);
     }
 
     /// What came is no answer, or nothing comes any more.
-    fn broken(&mut self, now: Time, conn: ConnId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn broken(&mut self, now: Time, conn: ConnectionId, outcome: Outcome, out: &mut Vec<Action>) {
         let on = self.on(conn);
         self.close(conn, out);
         let Some((request, no)) = on else { return };
@@ -575,7 +589,7 @@
     }
 
     /// Not a byte went out on it: another is looked for.
-    fn unfit(&mut self, now: Time, conn: ConnId, out: &mut Vec<Action>) {
+    fn unfit(&mut self, now: Time, conn: ConnectionId, out: &mut Vec<Action>) {
         let on = self.on(conn);
         self.close(conn, out);
         let Some((request, no)) = on else { return };
@@ -587,16 +601,16 @@
         match step {
             Step::Writing(_) => self.begin(now, request, no, out),
             Step::Written(_) => self.end(now, request, no, Outcome::Reset, false, out),
-            _ => self.end(now, request, no, Outcome::NeverSent, false, out),
+            _ => self.end(now, request, no, Outcome::NotSent, false, out),
         }
     }
 
-    fn closed(&mut self, now: Time, conn: ConnId, written: bool, out: &mut Vec<Action>) {
+    fn closed(&mut self, now: Time, conn: ConnectionId, written: bool, out: &mut Vec<Action>) {
         let on = self.on(conn);
         self.conns.remove(conn);
         let Some((request, no)) = on else { return };
         if let Some(Step::Stopping(_, outcome)) = self.attempt(request, no).map(|t| t.step) {
-            let outcome = if written { outcome } else { Outcome::NeverSent };
+            let outcome = if written { outcome } else { Outcome::NotSent };
             self.end(now, request, no, outcome, false, out);
         }
     }
@@ -609,17 +623,17 @@
     /// Calls an attempt back, one that has begun only if it may be. One that has not ends here; the connection that
     /// it waits for comes up for others.
     fn stop(
-        &mut self, now: Time, id: RequestId, no: AttemptNo, outcome: Outcome, cancel: bool,
+        &mut self, now: Time, id: RequestId, no: AttemptNumber, outcome: Outcome, cancel: bool,
         out: &mut Vec<Action>,
     ) {
         let Some(t) = self.attempt(id, no) else { return };
         match t.step {
-            Step::Permit => self.end(now, id, no, Outcome::NeverSent, false, out),
+            Step::Permit => self.end(now, id, no, Outcome::NotSent, false, out),
             Step::Opening(conn) => {
                 if let Some(c) = self.conns.all.get_mut(&conn) {
-                    c.step = ConnStep::Opening(None);
+                    c.step = ConnectionState::Opening(None);
                 }
-                self.end(now, id, no, Outcome::NeverSent, false, out);
+                self.end(now, id, no, Outcome::NotSent, false, out);
             }
             Step::Writing(conn) | Step::Written(conn) if cancel => {
                 t.step = Step::Stopping(conn, outcome);
@@ -645,7 +659,7 @@
 
     /// An attempt is over. `answered`: by a whole answer.
     fn end(
-        &mut self, now: Time, id: RequestId, no: AttemptNo, outcome: Outcome, answered: bool,
+        &mut self, now: Time, id: RequestId, no: AttemptNumber, outcome: Outcome, answered: bool,
         out: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -659,7 +673,7 @@
             out.push(Action::Ended { request: id, attempt: no, outcome });
         }
         match outcome {
-            Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent => {} // says nothing of the one sent before
+            Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // says nothing of the one sent before
             _ => r.last = answered.then_some(no),
         }
         let phase = r.phase;
@@ -685,9 +699,10 @@
     }
 
     fn tell_end(
-        &mut self, request: RequestId, attempt: AttemptNo, outcome: Outcome, latency: Micros, settled: bool,
+        &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
+        settled: bool,
     ) {
-        let end = AttemptEnd { request, attempt, outcome, latency, settled };
+        let end = AttemptEnd { request, attempt, outcome, latency, request_answered: settled };
         self.tell.push_back(pools::Event::AttemptEnded(end));
     }
 
--- a/crates/engine/src/engine/look.rs
+++ b/crates/engine/src/engine/look.rs
@@ -16,12 +16,12 @@
     }
 
     /// The idle connections of a backend, the most recently used last.
-    pub fn idle_of(&self, backend: BackendId) -> Vec<ConnId> {
+    pub fn idle_of(&self, backend: BackendId) -> Vec<ConnectionId> {
         self.conns.idle_of(backend)
     }
 
     /// A connection leads to where its backend listened before.
-    pub fn leads_elsewhere(&self, conn: ConnId) -> bool {
+    pub fn leads_elsewhere(&self, conn: ConnectionId) -> bool {
         self.conns.all.get(&conn).is_some_and(|c| c.old)
     }
 
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -11,7 +11,7 @@
     /// What the decision module is told; its `request` is the payload's id at the front.
     pub arrival: Arrival,
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The pools of its route, the preferred first.
     pub pools: Rc<[PoolId]>,
     /// No byte of it may go out before [`Event::Permit`] says so.
@@ -28,9 +28,9 @@
         /// Whose.
         pool: PoolId,
         /// What sort of news.
-        update: ListUpdate,
+        update: EndpointUpdate,
         /// The entries.
-        backends: Vec<Backend>,
+        backends: Vec<BackendEntry>,
     },
     /// A backend belongs to another pool from now on.
     Moved {
@@ -42,7 +42,7 @@
         to: PoolId,
     },
     /// A backend listens elsewhere now: what is open leads to the old address.
-    Readdressed {
+    AddressChanged {
         /// Which.
         backend: BackendId,
     },
@@ -65,43 +65,43 @@
         /// When its client had better come again.
         advice: Micros,
     },
-    /// The store's word on an attempt for which [`Action::AskPermit`] asked.
+    /// The store's word on an attempt for which [`Action::PersistIntent`] asked.
     Permit {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// It may be sent.
         given: bool,
     },
     /// A connection is up.
     Up {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// A connection did not come up.
     ConnectFailed {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The backend is to blame, and not this machine.
         blame: bool,
     },
     /// The last byte of the request on it has gone to the kernel: from here on it may run.
     Written {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// What the backend at the other end of a connection says of its own load, in an answer that is about to be told.
     Reported {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// What it says.
         report: LoadReport,
     },
     /// A whole answer came.
     Answered {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// What it means by the request's route.
         verdict: Verdict,
         /// The answer lets the connection be used again.
@@ -110,25 +110,25 @@
         behind: bool,
     },
     /// What came can never become an answer.
-    Spoilt {
+    InvalidResponse {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// The connection ended.
     Ended {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// An idle connection turned out to be closed or to have something on it, at the latest when it was to be
     /// written to: not a byte of a request went out on it.
     Unfit {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// A connection with a request on it is closed, as asked.
     Closed {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The last byte of the request had gone to the kernel by then.
         written: bool,
     },
@@ -140,7 +140,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Final {
     /// By the answer to this attempt.
-    Served(AttemptNo),
+    Served(AttemptNumber),
     /// A retry is harmless; the client had better come again after this time.
     Refused(Micros),
     /// Nothing is promised.
@@ -155,18 +155,18 @@
     /// Open a connection.
     Open {
         /// Its name from now on.
-        conn: ConnId,
+        conn: ConnectionId,
         /// Where to.
         backend: BackendId,
     },
     /// Write a request on a connection that is up, if that is quiet at this moment; else [`Event::Unfit`].
     Send {
         /// The connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The request.
         request: RequestId,
         /// Which attempt this is.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// When the request's time is up.
         deadline: Time,
         /// Its last byte may go out only before then: no further byte is written from then on, and the connection is told
@@ -176,7 +176,7 @@
     /// Close a connection at once. Where a request is on it, [`Event::Closed`] says how far that had got.
     Close {
         /// Which.
-        conn: ConnId,
+        conn: ConnectionId,
     },
     /// The final answer.
     Answer {
@@ -185,28 +185,28 @@
         /// How it ends.
         answer: Final,
         /// The attempt whose answer, though not served, ended the request.
-        last: Option<AttemptNo>,
+        last: Option<AttemptNumber>,
     },
     /// Ask the store whether an attempt may be sent; [`Event::Permit`] tells.
-    AskPermit {
+    PersistIntent {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// An attempt for which a permit was asked was not sent and never will be.
     Withdraw {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// An attempt of a recorded request is over.
     Ended {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// How.
         outcome: Outcome,
     },
--- a/crates/engine/src/guard.rs
+++ b/crates/engine/src/guard.rs
@@ -2,7 +2,7 @@
 
 use crate::plant::{planted, Planted};
 use crate::request::{Group, Phase, Request, Step, Try};
-use shaletide_balancer::{drops_repeats, repeat_end, repeat_until};
+use shaletide_balancer::{deduplicates_repeats, first_retry_deadline, retry_deadline};
 use shaletide_types::*;
 
 /// A window that is shorter than this bounds no write but that of a repeat: none may be whole in time.
@@ -30,16 +30,16 @@
 /// When an attempt has to have gone out at the latest, as its key's repeats are dropped no longer; none where it is no
 /// repeat.
 fn go_by(request: &Request, own: Option<usize>, planted: Planted) -> Option<Time> {
-    let Effect::Keyed(_, window) = request.effect else { return None };
+    let Idempotency::Keyed(_, window) = request.effect else { return None };
     let start = |t: &Try| if planted!(planted, WindowFromEnd) { t.ended.max(t.asked) } else { t.asked };
-    repeat_until(window, may_run(request, own).map(start))
+    first_retry_deadline(window, may_run(request, own).map(start))
 }
 
 /// When the last byte of an attempt that begins now has to have gone out at the latest. One that is no repeat may yet have
 /// one, which is whole before it: then it is the one that comes later.
 pub(crate) fn write_by(now: Time, request: &Request, own: usize, planted: Planted) -> Option<Time> {
-    let Effect::Keyed(_, window) = request.effect else { return None };
-    go_by(request, Some(own), planted).or_else(|| (window >= SHORT).then(|| repeat_end(window, now)))
+    let Idempotency::Keyed(_, window) = request.effect else { return None };
+    go_by(request, Some(own), planted).or_else(|| (window >= SHORT).then(|| retry_deadline(window, now)))
 }
 
 /// The rules on one attempt of `request` to a backend of that group: `own` is its number where it is one of
@@ -51,12 +51,12 @@
         return Err(No::Over);
     }
     match request.effect {
-        Effect::Free => Ok(()),
-        Effect::Unsafe if may_run(request, own).next().is_some() => Err(No::Repeat),
-        Effect::Unsafe => Ok(()),
-        Effect::Keyed(scope, _) => {
+        Idempotency::Safe => Ok(()),
+        Idempotency::NonIdempotent if may_run(request, own).next().is_some() => Err(No::Repeat),
+        Idempotency::NonIdempotent => Ok(()),
+        Idempotency::Keyed(scope, _) => {
             let known = may_run(request, own).all(|t| {
-                drops_repeats(
+                deduplicates_repeats(
                     scope,
                     (t.group.realm, t.group.zone, t.group.cell),
                     (to.realm, to.zone, to.cell),
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! # What a shell owes
 //! - Every [`Action::Open`] ends in one [`Event::Up`] or [`Event::ConnectFailed`], unless it is closed before.
-//! - Every [`Action::Send`] ends in one of [`Event::Answered`], [`Event::Spoilt`], [`Event::Ended`],
+//! - Every [`Action::Send`] ends in one of [`Event::Answered`], [`Event::InvalidResponse`], [`Event::Ended`],
 //!   [`Event::Unfit`] or, where [`Action::Close`] came first, [`Event::Closed`].
 //! - [`Event::Written`] is told when the last byte of the request has gone to the kernel, before anything else
 //!   of that connection.
@@ -22,7 +22,7 @@
 mod plant;
 mod request;
 
-pub use conns::{ConnStep, Keeping};
+pub use conns::{ConnectionLimits, ConnectionState};
 pub use engine::{Engine, Policy};
 pub use event::{Action, Event, Final, Order};
 pub use plant::Plant;
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -46,9 +46,9 @@
     let Some(r) = record.requests.get(&id) else { return Ok(()) };
     let back = now + Micros(advice.0.div_ceil(SECOND) * SECOND);
     let dropped = |sent: &Sent| match r.effect {
-        Effect::Free => true,
-        Effect::Keyed(KeyScope::All, window) => rules.one_realm && back < sent.at + window,
-        Effect::Keyed(..) | Effect::Unsafe => false,
+        Idempotency::Safe => true,
+        Idempotency::Keyed(DeduplicationScope::All, window) => rules.one_realm && back < sent.at + window,
+        Idempotency::Keyed(..) | Idempotency::NonIdempotent => false,
     };
     match r.sent.iter().find(|(_, sent)| !dropped(sent)) {
         Some((attempt, _)) => {
--- a/crates/engine/src/monitor/cold.rs
+++ b/crates/engine/src/monitor/cold.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRules {
     /// The part of its capacity that a box has as it starts; it grows evenly to the whole ...
-    pub cold_from: f64,
+    pub initial_capacity_fraction: f64,
     /// ... over this time.
     pub ramp: Micros,
     /// Work beyond this multiple of what it can do ...
@@ -38,7 +38,7 @@
 pub struct Cold {
     rules: ColdRules,
     boxes: BTreeMap<BackendId, Warming>,
-    lines: BTreeMap<ConnId, BackendId>,
+    lines: BTreeMap<ConnectionId, BackendId>,
     work: BTreeMap<RequestId, Micros>,
 }
 
@@ -83,8 +83,8 @@
         Ok(())
     }
 
-    fn listed(&mut self, now: Time, b: &Backend) {
-        match b.booted {
+    fn listed(&mut self, now: Time, b: &BackendEntry) {
+        match b.started_at {
             Some(booted) if b.state != BackendState::Gone && now < booted + self.rules.ramp => {
                 let warming = self.boxes.entry(b.id).or_default();
                 (warming.booted, warming.cores) = (booted, b.cores);
@@ -107,7 +107,7 @@
             warming.sent.pop_front();
         }
         let age = (begin - warming.booted).secs() / rules.ramp.secs().max(1e-6);
-        let warmth = rules.cold_from + (1.0 - rules.cold_from) * age.min(1.0);
+        let warmth = rules.initial_capacity_fraction + (1.0 - rules.initial_capacity_fraction) * age.min(1.0);
         let can = warmth * f64::from(warming.cores) * rules.speed * rules.window.secs();
         let may = rules.multiple * can / f64::from(rules.proxies.max(1));
         let sum: f64 = warming.sent.iter().map(|s| s.1.secs()).sum();
--- a/crates/engine/src/monitor/kept.rs
+++ b/crates/engine/src/monitor/kept.rs
@@ -3,7 +3,7 @@
 
 use super::record::{Record, Watched};
 use super::{broken, Monitor, Rule, Verdict};
-use crate::conns::ConnStep;
+use crate::conns::ConnectionState;
 use crate::engine::Engine;
 use shaletide_types::*;
 
@@ -46,7 +46,7 @@
             if !self.record.lines.contains_key(&conn) {
                 return kept(format!("connection {} is over and kept", conn.0));
             }
-            if let ConnStep::Opening(Some((id, _))) = step {
+            if let ConnectionState::Opening(Some((id, _))) = step {
                 if !open(&id) {
                     return kept(format!(
                         "connection {} comes up for request {}, which is over",
--- a/crates/engine/src/monitor/lines.rs
+++ b/crates/engine/src/monitor/lines.rs
@@ -5,7 +5,9 @@
 use super::{Rule, Rules, Violation};
 use shaletide_types::*;
 
-pub(super) fn may_use(record: &Record, now: Time, conn: ConnId, rules: &Rules) -> Result<Line, Violation> {
+pub(super) fn may_use(
+    record: &Record, now: Time, conn: ConnectionId, rules: &Rules,
+) -> Result<Line, Violation> {
     let no = |how: &str| {
         let text = format!("connection {} is used and {how}", conn.0);
         Err(Violation { rule: Rule::CleanConnection, at: now, text })
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -177,7 +177,7 @@
             Action::Answer { request, answer, .. } => {
                 answers::may_answer(record, now, *request, *answer, rules)
             }
-            Action::AskPermit { request, attempt } => permits::may_ask(record, now, *request, *attempt),
+            Action::PersistIntent { request, attempt } => permits::may_ask(record, now, *request, *attempt),
             Action::Withdraw { request, attempt } => permits::may_withdraw(record, now, *request, *attempt),
             Action::Open { .. }
             | Action::Close { .. }
--- a/crates/engine/src/monitor/permits.rs
+++ b/crates/engine/src/monitor/permits.rs
@@ -4,7 +4,7 @@
 use super::{broken, Rule, Verdict};
 use shaletide_types::*;
 
-pub(super) fn may_ask(record: &Record, now: Time, id: RequestId, attempt: AttemptNo) -> Verdict {
+pub(super) fn may_ask(record: &Record, now: Time, id: RequestId, attempt: AttemptNumber) -> Verdict {
     let text = match record.requests.get(&id).filter(|r| r.open) {
         None => "and it is over",
         Some(r) if !r.permit => "and it wants none",
@@ -19,7 +19,7 @@
     )
 }
 
-pub(super) fn may_send(record: &Record, now: Time, id: RequestId, attempt: AttemptNo) -> Verdict {
+pub(super) fn may_send(record: &Record, now: Time, id: RequestId, attempt: AttemptNumber) -> Verdict {
     let Some(r) = record.requests.get(&id).filter(|r| r.permit) else { return Ok(()) };
     match r.permits.get(&attempt) {
         Some(Permit::Given) => Ok(()),
@@ -31,7 +31,7 @@
     }
 }
 
-pub(super) fn may_withdraw(record: &Record, now: Time, id: RequestId, attempt: AttemptNo) -> Verdict {
+pub(super) fn may_withdraw(record: &Record, now: Time, id: RequestId, attempt: AttemptNumber) -> Verdict {
     if record.requests.get(&id).is_some_and(|r| r.permits.contains_key(&attempt)) {
         return Ok(());
     }
