--- a/crates/engine/src/monitor/record.rs
+++ b/crates/engine/src/monitor/record.rs
@@ -14,7 +14,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
-    pub cell: CellId,
+    pub cell: DeduplicationGroupId,
 }
 
 /// The last word on a box.
@@ -38,7 +38,7 @@
     /// Where the box stood then.
     pub place: Where,
     /// The connection that it is on; none once it has ended.
-    pub on: Option<ConnId>,
+    pub on: Option<ConnectionId>,
 }
 
 /// How far the permit of an attempt has got; one that is used, refused or given back is not kept.
@@ -54,7 +54,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Watched {
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// When its time is up.
     pub deadline: Time,
     /// It wants permits.
@@ -62,9 +62,9 @@
     /// It is owed an answer.
     pub open: bool,
     /// Attempts that may have run; of a request that may run at will only those on a connection.
-    pub sent: BTreeMap<AttemptNo, Sent>,
+    pub sent: BTreeMap<AttemptNumber, Sent>,
     /// Permits that are neither used, refused nor given back.
-    pub permits: BTreeMap<AttemptNo, Permit>,
+    pub permits: BTreeMap<AttemptNumber, Permit>,
 }
 
 /// How far a connection has got.
@@ -81,7 +81,7 @@
         /// Whose.
         request: RequestId,
         /// Which attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Its last byte has gone.
         written: bool,
         /// It is to be closed.
@@ -106,13 +106,13 @@
     /// What is open or on its way.
     pub requests: BTreeMap<RequestId, Watched>,
     /// The connections that there are.
-    pub lines: BTreeMap<ConnId, Line>,
+    pub lines: BTreeMap<ConnectionId, Line>,
     /// What the lists say; a box that is gone is kept for the grace.
     pub boxes: BTreeMap<BackendId, Entry>,
     /// The deadlines of what is open.
     pub(super) deadlines: BTreeSet<(Time, RequestId)>,
     /// The attempt that the present event brought a served answer to.
-    pub(super) served: Option<(RequestId, AttemptNo)>,
+    pub(super) served: Option<(RequestId, AttemptNumber)>,
     /// The requests that ended in the present step.
     pub(super) ended: Vec<RequestId>,
 }
@@ -126,10 +126,10 @@
                     entry.pool = *to;
                 }
             }
-            Event::Readdressed { backend } => {
+            Event::AddressChanged { backend } => {
                 self.lines.values_mut().filter(|l| l.to == *backend).for_each(|l| l.old = true);
             }
-            Event::PoolClosed { pool } => self.members(now, *pool, ListUpdate::Full, &[], rules),
+            Event::PoolClosed { pool } => self.members(now, *pool, EndpointUpdate::Snapshot, &[], rules),
             Event::Request(order) => self.request(now, order),
             Event::Left { request } => self.end(*request),
             Event::Permit { request, attempt, given } => self.permit(*request, *attempt, *given),
@@ -147,7 +147,7 @@
             Event::Answered { conn, verdict, keep, behind } => {
                 self.answered(now, *conn, *verdict, *keep && !*behind)
             }
-            Event::Spoilt { conn } | Event::Ended { conn } => self.cut(*conn, false),
+            Event::InvalidResponse { conn } | Event::Ended { conn } => self.cut(*conn, false),
             Event::Unfit { conn } => self.unfit(*conn),
             Event::Closed { conn, written } => self.cut(*conn, *written),
             Event::GiveUp { .. } | Event::Reported { .. } | Event::Wake => {}
@@ -166,7 +166,7 @@
                 _ => drop(self.lines.remove(conn)),
             },
             Action::Answer { request, .. } => self.end(*request),
-            Action::AskPermit { request, attempt } => {
+            Action::PersistIntent { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(request) {
                     r.permits.insert(*attempt, Permit::Asked);
                 }
@@ -189,12 +189,12 @@
     }
 
     /// The attempts of a request that are on a connection.
-    pub(super) fn under_way(r: &Watched) -> impl Iterator<Item = ConnId> + '_ {
+    pub(super) fn under_way(r: &Watched) -> impl Iterator<Item = ConnectionId> + '_ {
         r.sent.values().filter_map(|s| s.on)
     }
 
     /// A request is on that connection, and it is not to be closed.
-    pub(super) fn runs_on(&self, conn: ConnId) -> bool {
+    pub(super) fn runs_on(&self, conn: ConnectionId) -> bool {
         let step = self.lines.get(&conn).map(|line| line.step);
         matches!(step, Some(LineStep::Busy { closing: false, .. }))
     }
@@ -202,14 +202,16 @@
     // --- lists ---
 
     /// The last word counts; a box that another pool has spoken for since cannot be given up by the first.
-    fn members(&mut self, now: Time, pool: PoolId, update: ListUpdate, list: &[Backend], rules: &Rules) {
+    fn members(
+        &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: &[BackendEntry], rules: &Rules,
+    ) {
         let gone = |entry: &mut Entry| {
             if entry.state == BackendState::Ready {
                 entry.since = now;
             }
             entry.state = BackendState::Gone;
         };
-        if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             let named = |id: &BackendId| list.iter().any(|b| b.id == *id);
             let absent = self.boxes.iter_mut().filter(|(id, e)| e.pool == pool && !named(id));
             absent.for_each(|(_, entry)| gone(entry));
@@ -221,7 +223,7 @@
                 continue;
             }
             let since = known.filter(|e| e.state != BackendState::Ready).map_or(now, |e| e.since);
-            let place = Where { realm: b.realm, zone: b.zone, cell: b.cell };
+            let place = Where { realm: b.deduplication_domain, zone: b.zone, cell: b.deduplication_group };
             self.boxes.insert(b.id, Entry { pool, place, state: b.state, since });
         }
         self.boxes.retain(|_, e| e.state != BackendState::Gone || now < e.since + rules.drain_grace);
@@ -254,7 +256,7 @@
         }
     }
 
-    fn permit(&mut self, id: RequestId, attempt: AttemptNo, given: bool) {
+    fn permit(&mut self, id: RequestId, attempt: AttemptNumber, given: bool) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         match r.permits.get_mut(&attempt) {
             Some(permit) if given => *permit = Permit::Given,
@@ -265,29 +267,29 @@
 
     // --- connections ---
 
-    fn send(&mut self, now: Time, conn: ConnId, request: RequestId, attempt: AttemptNo) {
+    fn send(&mut self, now: Time, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         line.step = LineStep::Busy { request, attempt, written: false, closing: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
         r.permits.remove(&attempt);
-        let nowhere = Where { realm: 0, zone: ZoneId(0), cell: CellId(0) };
+        let nowhere = Where { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) };
         let place = self.boxes.get(&line.to).map_or(nowhere, |e| e.place);
         r.sent.insert(attempt, Sent { at: now, place, on: Some(conn) });
     }
 
     /// The attempt on it has ended; of one that did not run, and of one that may run at will, nothing is kept.
-    fn ended(&mut self, request: RequestId, attempt: AttemptNo, ran: bool) {
+    fn ended(&mut self, request: RequestId, attempt: AttemptNumber, ran: bool) {
         let Some(r) = self.requests.get_mut(&request) else { return };
         if let Some(sent) = r.sent.get_mut(&attempt) {
             sent.on = None;
         }
-        if !ran || r.effect == Effect::Free {
+        if !ran || r.effect == Idempotency::Safe {
             r.sent.remove(&attempt);
         }
         self.ended.push(request);
     }
 
-    fn answered(&mut self, now: Time, conn: ConnId, verdict: Verdict, clean: bool) {
+    fn answered(&mut self, now: Time, conn: ConnectionId, verdict: Verdict, clean: bool) {
         let Some(line) = self.lines.get_mut(&conn) else { return };
         let LineStep::Busy { request, attempt, written, closing } = line.step else { return };
         // An answer to half of a request leaves the other half to go out before the next one.
@@ -298,11 +300,11 @@
         if verdict == Verdict::Served {
             self.served = Some((request, attempt));
         }
-        self.ended(request, attempt, verdict != Verdict::NeverRan);
+        self.ended(request, attempt, verdict != Verdict::NotExecuted);
     }
 
     /// It ended, or is closed as asked. What had not gone out whole by then cannot have run.
-    fn cut(&mut self, conn: ConnId, whole: bool) {
+    fn cut(&mut self, conn: ConnectionId, whole: bool) {
         let Some(line) = self.lines.remove(&conn) else { return };
         if let LineStep::Busy { request, attempt, written, .. } = line.step {
             self.ended(request, attempt, written || whole);
@@ -310,7 +312,7 @@
     }
 
     /// Not a byte of a request went out on it: the permit is as good as before.
-    fn unfit(&mut self, conn: ConnId) {
+    fn unfit(&mut self, conn: ConnectionId) {
         let Some(line) = self.lines.remove(&conn) else { return };
         let LineStep::Busy { request, attempt, .. } = line.step else { return };
         self.ended(request, attempt, false);
--- a/crates/engine/src/monitor/repeats.rs
+++ b/crates/engine/src/monitor/repeats.rs
@@ -7,8 +7,8 @@
 pub(super) fn may_send(record: &Record, now: Time, id: RequestId, to: BackendId) -> Verdict {
     let Some(r) = record.requests.get(&id) else { return Ok(()) };
     match r.effect {
-        Effect::Free => Ok(()),
-        Effect::Unsafe => match r.sent.keys().next() {
+        Idempotency::Safe => Ok(()),
+        Idempotency::NonIdempotent => match r.sent.keys().next() {
             None => Ok(()),
             Some(before) => {
                 let text =
@@ -16,7 +16,7 @@
                 broken(Rule::UnsafeOnce, now, text)
             }
         },
-        Effect::Keyed(scope, window) => {
+        Idempotency::Keyed(scope, window) => {
             let Some(place) = record.boxes.get(&to).map(|e| e.place) else { return Ok(()) };
             for (before, sent) in &r.sent {
                 if !same_group(scope, sent.place, place) {
@@ -40,11 +40,11 @@
 }
 
 /// Keys mean nothing from one realm to another, whatever they are called.
-fn same_group(scope: KeyScope, one: Where, other: Where) -> bool {
+fn same_group(scope: DeduplicationScope, one: Where, other: Where) -> bool {
     let inside = match scope {
-        KeyScope::All => true,
-        KeyScope::Zone => one.zone == other.zone,
-        KeyScope::Cell => one.cell == other.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => one.zone == other.zone,
+        DeduplicationScope::Group => one.cell == other.cell,
     };
     inside && one.realm == other.realm
 }
--- a/crates/engine/src/monitor/tests.rs
+++ b/crates/engine/src/monitor/tests.rs
@@ -6,7 +6,7 @@
 use shaletide_routing::Verdict as Meaning;
 use std::rc::Rc;
 
-const KEYED: Effect = Effect::Keyed(KeyScope::Cell, Micros(2_000));
+const KEYED: Idempotency = Idempotency::Keyed(DeduplicationScope::Group, Micros(2_000));
 const RULES: Rules = Rules {
     drain_grace: Micros(0),
     answer_slack: Micros(0),
@@ -46,19 +46,24 @@
     }
 
     fn list(&mut self, id: u32, cell: u64, state: BackendState) {
-        let backends = vec![Backend { id: BackendId(id), cell: CellId(cell), state, ..Backend::default() }];
-        self.step(Event::Members { pool: PoolId(0), update: ListUpdate::Changes, backends }, &[]);
+        let backends = vec![BackendEntry {
+            id: BackendId(id),
+            deduplication_group: DeduplicationGroupId(cell),
+            state,
+            ..BackendEntry::default()
+        }];
+        self.step(Event::Members { pool: PoolId(0), update: EndpointUpdate::Delta, backends }, &[]);
     }
 
-    fn request(&mut self, effect: Effect, permit: bool) {
+    fn request(&mut self, effect: Idempotency, permit: bool) {
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(0),
             tenant: None,
             time_left: Micros(5_000),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
         self.step(Event::Request(Order { arrival, effect, pools, permit, recorded: permit }), &[]);
@@ -76,8 +81,8 @@
     }
 }
 
-fn conn(no: u32) -> ConnId {
-    ConnId(u64::from(no))
+fn conn(no: u32) -> ConnectionId {
+    ConnectionId(u64::from(no))
 }
 
 fn open(no: u32, to: u32) -> Action {
@@ -88,7 +93,7 @@
     Action::Send {
         conn: conn(on),
         request: RequestId(0),
-        attempt: AttemptNo(no),
+        attempt: AttemptNumber(no),
         deadline: Time(0),
         by: None,
     }
@@ -102,11 +107,11 @@
     Action::Answer { request: RequestId(0), answer, last: None }
 }
 
-const SERVED: Final = Final::Served(AttemptNo(0));
+const SERVED: Final = Final::Served(AttemptNumber(0));
 const REFUSED: Final = Final::Refused(Micros(1));
 
 /// What is said of a stream that begins with a request of that effect.
-fn said(effect: Effect, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
+fn said(effect: Idempotency, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
     let mut s = Stream::new(rules);
     s.request(effect, false);
     stream(&mut s);
@@ -117,15 +122,15 @@
 fn a_good_life_breaks_nothing_and_leaves_nothing() {
     let mut s = Stream::new(RULES);
     s.request(KEYED, true);
-    let (request, attempt) = (RequestId(0), AttemptNo(0));
-    s.asked(&[Action::AskPermit { request, attempt }]);
+    let (request, attempt) = (RequestId(0), AttemptNumber(0));
+    s.asked(&[Action::PersistIntent { request, attempt }]);
     s.step(Event::Permit { request, attempt, given: true }, &[open(0, 0)]);
     s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
     s.step(Event::Ended { conn: conn(0) }, &[close(0)]); // before its last byte
-    s.asked(&[Action::AskPermit { request, attempt: AttemptNo(1) }]);
-    s.step(Event::Permit { request, attempt: AttemptNo(1), given: true }, &[open(1, 1)]);
+    s.asked(&[Action::PersistIntent { request, attempt: AttemptNumber(1) }]);
+    s.step(Event::Permit { request, attempt: AttemptNumber(1), given: true }, &[open(1, 1)]);
     s.step(Event::Up { conn: conn(1) }, &[send(1, 1)]);
-    s.answered(1, Meaning::Served, true, false, &[answer(Final::Served(AttemptNo(1)))]);
+    s.answered(1, Meaning::Served, true, false, &[answer(Final::Served(AttemptNumber(1)))]);
     s.step(Event::Unfit { conn: conn(1) }, &[close(1)]);
     assert_eq!(s.said, []);
     assert_eq!(s.monitor.quiet(s.now), Ok(()));
@@ -183,14 +188,14 @@
         s.sent(0, 0);
         s.step(Event::Left { request: RequestId(0) }, &[]);
     };
-    assert_eq!(said(Effect::Free, RULES, running), [Rule::NothingAfter]);
-    assert_eq!(said(Effect::Free, Rules { cancel: false, ..RULES }, running), []);
+    assert_eq!(said(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
+    assert_eq!(said(Idempotency::Safe, Rules { cancel: false, ..RULES }, running), []);
     let sent = |s: &mut Stream| {
         s.asked(&[open(0, 0)]);
         s.step(Event::Left { request: RequestId(0) }, &[]);
         s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
     };
-    assert_eq!(said(Effect::Free, RULES, sent), [Rule::NothingAfter]);
+    assert_eq!(said(Idempotency::Safe, RULES, sent), [Rule::NothingAfter]);
 }
 
 #[test]
@@ -198,8 +203,8 @@
     for (end, ran) in [
         (Event::Unfit { conn: conn(0) }, false),
         (Event::Ended { conn: conn(0) }, false),
-        (Event::Spoilt { conn: conn(0) }, false),
-        (Event::Answered { conn: conn(0), verdict: Meaning::NeverRan, keep: false, behind: false }, false),
+        (Event::InvalidResponse { conn: conn(0) }, false),
+        (Event::Answered { conn: conn(0), verdict: Meaning::NotExecuted, keep: false, behind: false }, false),
         (Event::Answered { conn: conn(0), verdict: Meaning::Error, keep: false, behind: false }, true),
         (Event::Closed { conn: conn(0), written: false }, false),
         (Event::Closed { conn: conn(0), written: true }, true),
@@ -210,7 +215,7 @@
             s.sent(1, 1);
         };
         let expected = if ran { vec![Rule::UnsafeOnce] } else { vec![] };
-        assert_eq!(said(Effect::Unsafe, RULES, again), expected, "{end:?}");
+        assert_eq!(said(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
     }
     let after_its_last_byte = |s: &mut Stream| {
         s.sent(0, 0);
@@ -218,13 +223,13 @@
         s.step(Event::Ended { conn: conn(0) }, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(said(Effect::Unsafe, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
+    assert_eq!(said(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
     let beside = |s: &mut Stream| {
         s.sent(0, 0);
         s.sent(1, 1);
     };
-    assert_eq!(said(Effect::Unsafe, RULES, beside), [Rule::UnsafeOnce]);
-    assert_eq!(said(Effect::Free, RULES, beside), []);
+    assert_eq!(said(Idempotency::NonIdempotent, RULES, beside), [Rule::UnsafeOnce]);
+    assert_eq!(said(Idempotency::Safe, RULES, beside), []);
 }
 
 #[test]
@@ -246,12 +251,12 @@
         s.sent(1, 0);
     };
     assert_eq!(said(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
-    let never_ran = |s: &mut Stream| {
+    let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::NeverRan, false, false, &[close(0)]);
+        s.answered(0, Meaning::NotExecuted, false, false, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(said(KEYED, RULES, never_ran), []);
+    assert_eq!(said(KEYED, RULES, not_executed), []);
 }
 
 #[test]
@@ -261,10 +266,10 @@
         s.answered(0, Meaning::Error, false, false, &[close(0)]);
         s.asked(&[answer(REFUSED)]);
     };
-    assert_eq!(said(Effect::Unsafe, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(said(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRefusal]);
     assert_eq!(said(KEYED, RULES, ran), [Rule::HarmlessRefusal]);
-    assert_eq!(said(Effect::Free, RULES, ran), []);
-    let all = Effect::Keyed(KeyScope::All, Micros(2_000));
+    assert_eq!(said(Idempotency::Safe, RULES, ran), []);
+    let all = Idempotency::Keyed(DeduplicationScope::All, Micros(2_000));
     assert_eq!(said(all, RULES, ran), [Rule::HarmlessRefusal]);
     let told_to_be_back = |s: &mut Stream| {
         s.sent(0, 0);
@@ -277,16 +282,19 @@
     assert_eq!(said(all, one_realm, ran), [Rule::HarmlessRefusal], "back in a second, after the window");
     let did_not = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::NeverRan, false, false, &[close(0)]);
+        s.answered(0, Meaning::NotExecuted, false, false, &[close(0)]);
         s.asked(&[answer(REFUSED)]);
     };
-    assert_eq!(said(Effect::Unsafe, RULES, did_not), []);
+    assert_eq!(said(Idempotency::NonIdempotent, RULES, did_not), []);
 }
 
 #[test]
 fn nothing_new_goes_to_a_box_after_its_drain_but_for_the_grace() {
-    let whole =
-        |backends: Vec<Backend>| Event::Members { pool: PoolId(0), update: ListUpdate::Full, backends };
+    let whole = |backends: Vec<BackendEntry>| Event::Members {
+        pool: PoolId(0),
+        update: EndpointUpdate::Snapshot,
+        backends,
+    };
     let drains: [&dyn Fn(&mut Stream); 4] = [
         &|s| s.list(0, 0, BackendState::Draining),
         &|s| s.list(0, 0, BackendState::Gone),
@@ -302,28 +310,28 @@
             }
         };
         let grace = Rules { drain_grace: Micros(250), ..RULES };
-        assert_eq!(said(Effect::Free, RULES, after(0)), [Rule::Drain]);
-        assert_eq!(said(Effect::Free, grace, after(249)), []);
-        assert_eq!(said(Effect::Free, grace, after(250)), [Rule::Drain]);
+        assert_eq!(said(Idempotency::Safe, RULES, after(0)), [Rule::Drain]);
+        assert_eq!(said(Idempotency::Safe, grace, after(249)), []);
+        assert_eq!(said(Idempotency::Safe, grace, after(250)), [Rule::Drain]);
     }
     let back = |s: &mut Stream| {
         s.list(0, 0, BackendState::Draining);
         s.list(0, 0, BackendState::Ready);
         s.sent(0, 0);
     };
-    assert_eq!(said(Effect::Free, RULES, back), []);
+    assert_eq!(said(Idempotency::Safe, RULES, back), []);
     let of_another = |s: &mut Stream| {
         s.step(Event::Moved { backend: BackendId(0), from: PoolId(0), to: PoolId(1) }, &[]);
         s.step(whole(vec![]), &[]);
         s.sent(0, 0);
     };
-    assert_eq!(said(Effect::Free, RULES, of_another), [], "its old pool cannot give it up");
+    assert_eq!(said(Idempotency::Safe, RULES, of_another), [], "its old pool cannot give it up");
 }
 
 #[test]
 fn no_unclean_connection_is_used_again() {
     let after = |keep: bool, behind: bool, written: bool, wait: u64| {
-        said(Effect::Free, RULES, |s| {
+        said(Idempotency::Safe, RULES, |s| {
             s.sent(0, 0);
             if written {
                 s.step(Event::Written { conn: conn(0) }, &[]);
@@ -340,28 +348,28 @@
     assert_eq!(after(false, false, true, 500), [Rule::CleanConnection]);
     assert_eq!(after(true, false, false, 500), [Rule::CleanConnection], "half a request is still on it");
     let never_up = |s: &mut Stream| s.asked(&[open(0, 0), send(0, 0)]);
-    assert_eq!(said(Effect::Free, RULES, never_up), [Rule::CleanConnection]);
+    assert_eq!(said(Idempotency::Safe, RULES, never_up), [Rule::CleanConnection]);
     let busy = |s: &mut Stream| {
         s.sent(0, 0);
         s.asked(&[send(0, 1)]);
     };
-    assert_eq!(said(Effect::Free, RULES, busy), [Rule::CleanConnection]);
+    assert_eq!(said(Idempotency::Safe, RULES, busy), [Rule::CleanConnection]);
     let old = |s: &mut Stream| {
         s.asked(&[open(0, 0)]);
-        s.step(Event::Readdressed { backend: BackendId(0) }, &[]);
+        s.step(Event::AddressChanged { backend: BackendId(0) }, &[]);
         s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
     };
-    assert_eq!(said(Effect::Free, RULES, old), [Rule::CleanConnection]);
+    assert_eq!(said(Idempotency::Safe, RULES, old), [Rule::CleanConnection]);
 }
 
 #[test]
 fn no_byte_goes_before_its_permit_and_no_permit_is_left_open() {
-    let (request, attempt) = (RequestId(0), AttemptNo(0));
-    let ask = Action::AskPermit { request, attempt };
+    let (request, attempt) = (RequestId(0), AttemptNumber(0));
+    let ask = Action::PersistIntent { request, attempt };
     let back = Action::Withdraw { request, attempt };
     let said = |stream: &dyn Fn(&mut Stream)| {
         let mut s = Stream::new(RULES);
-        s.request(Effect::Free, true);
+        s.request(Idempotency::Safe, true);
         stream(&mut s);
         s.said
     };
@@ -401,7 +409,7 @@
 #[test]
 fn when_all_is_quiet_all_is_answered() {
     let mut s = Stream::new(RULES);
-    s.request(Effect::Free, false);
+    s.request(Idempotency::Safe, false);
     assert_eq!(s.monitor.quiet(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
     s.asked(&[answer(REFUSED)]);
     assert_eq!(s.monitor.quiet(s.now), Ok(()));
@@ -410,7 +418,7 @@
 #[test]
 fn a_cold_box_is_sent_no_more_than_its_budget() {
     let rules = ColdRules {
-        cold_from: 0.2,
+        initial_capacity_fraction: 0.2,
         ramp: Micros(10_000_000),
         multiple: 3.0,
         window: Micros(1_000_000),
@@ -423,8 +431,8 @@
         let now = Time(100_000_000);
         let booted = Some(now - Micros(age));
         let (id, state) = (BackendId(0), BackendState::Ready);
-        let row = Backend { id, booted, cores: 1, state, ..Backend::default() };
-        let (pool, update) = (PoolId(0), ListUpdate::Full);
+        let row = BackendEntry { id, started_at: booted, cores: 1, state, ..BackendEntry::default() };
+        let (pool, update) = (PoolId(0), EndpointUpdate::Snapshot);
         cold.see(now, &Event::Members { pool, update, backends: vec![row] });
         let all = (0..count).map(|no| {
             cold.act(now, &open(no, 0)).and_then(|()| cold.act(now, &send(no, no))).map_err(|v| v.rule)
@@ -435,8 +443,12 @@
     assert_eq!((sent(0, 6), sent(0, 7)), (0, 1));
     assert_eq!(sent(20_000_000, 50), 0, "warm ones take what they can");
     let mut small = Cold::new(ColdRules { multiple: 0.1, ..rules });
-    let row = Backend { booted: Some(Time(0)), state: BackendState::Ready, ..Backend::default() };
-    small.see(Time(0), &Event::Members { pool: PoolId(0), update: ListUpdate::Full, backends: vec![row] });
+    let row =
+        BackendEntry { started_at: Some(Time(0)), state: BackendState::Ready, ..BackendEntry::default() };
+    small.see(
+        Time(0),
+        &Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends: vec![row] },
+    );
     assert!(small.act(Time(0), &open(0, 0)).is_ok());
     assert!(small.act(Time(0), &send(0, 0)).is_ok(), "one always may go");
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,6 +1,6 @@
 //! What is kept of a request and of its attempts.
 
-use shaletide_balancer::repeat_end;
+use shaletide_balancer::retry_deadline;
 use shaletide_types::*;
 
 /// How far an attempt has got.
@@ -9,13 +9,13 @@
     /// It waits for its permit.
     Permit,
     /// It waits for its connection.
-    Opening(ConnId),
+    Opening(ConnectionId),
     /// Its bytes go out.
-    Writing(ConnId),
+    Writing(ConnectionId),
     /// Its last byte has gone: it may run.
-    Written(ConnId),
+    Written(ConnectionId),
     /// Its connection is to be closed; how far it had got is not known yet.
-    Stopping(ConnId, Outcome),
+    Stopping(ConnectionId, Outcome),
     /// It is over.
     Ended(Outcome),
 }
@@ -48,14 +48,14 @@
     /// It is not known that it has not run.
     pub fn may_have_run(&self) -> bool {
         match self.step {
-            Step::Ended(outcome) => !outcome.never_ran(),
+            Step::Ended(outcome) => !outcome.not_executed(),
             Step::Permit | Step::Opening(_) => false,
             Step::Writing(_) | Step::Written(_) | Step::Stopping(..) => true,
         }
     }
 
     /// The connection that it is on or waits for.
-    pub fn conn(&self) -> Option<ConnId> {
+    pub fn conn(&self) -> Option<ConnectionId> {
         match self.step {
             Step::Opening(conn) | Step::Writing(conn) | Step::Written(conn) | Step::Stopping(conn, _) => {
                 Some(conn)
@@ -73,13 +73,13 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
-    pub cell: CellId,
+    pub cell: DeduplicationGroupId,
 }
 
 impl Group {
     /// That of a backend.
-    pub fn of(backend: &Backend) -> Group {
-        Group { realm: backend.realm, zone: backend.zone, cell: backend.cell }
+    pub fn of(backend: &BackendEntry) -> Group {
+        Group { realm: backend.deduplication_domain, zone: backend.zone, cell: backend.deduplication_group }
     }
 }
 
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// When its time is up.
     pub deadline: Time,
     /// Its attempts want a permit.
@@ -110,7 +110,7 @@
     /// How far it has got.
     pub phase: Phase,
     /// The attempt whose answer was the last to come, if nothing ended without one since.
-    pub last: Option<AttemptNo>,
+    pub last: Option<AttemptNumber>,
     /// Its attempts by number.
     pub tries: Vec<Try>,
 }
@@ -122,19 +122,19 @@
     }
 
     /// Numbers of the attempts that have not ended.
-    pub fn still_out(&self) -> Vec<AttemptNo> {
+    pub fn still_out(&self) -> Vec<AttemptNumber> {
         let each = self.tries.iter().enumerate();
-        each.filter(|(_, t)| t.out()).map(|(no, _)| AttemptNo(no as u32)).collect()
+        each.filter(|(_, t)| t.out()).map(|(no, _)| AttemptNumber(no as u32)).collect()
     }
 
-    /// Whether a retry at `back` is harmless: nothing may have run, or running again does nothing. `only_realm`: the one
+    /// Whether a retry at `back` is harmless: nothing may have run, or running again does nothing. `only_deduplication_domain`: the one
     /// to which all boxes belong that a retry may reach.
-    pub fn is_harmless(&self, back: Time, only_realm: Option<u32>) -> bool {
+    pub fn is_harmless(&self, back: Time, only_deduplication_domain: Option<u32>) -> bool {
         let drops = |t: &Try| match self.effect {
-            Effect::Keyed(KeyScope::All, window) => {
-                only_realm == Some(t.group.realm) && back < repeat_end(window, t.asked)
+            Idempotency::Keyed(DeduplicationScope::All, window) => {
+                only_deduplication_domain == Some(t.group.realm) && back < retry_deadline(window, t.asked)
             }
-            effect => effect == Effect::Free,
+            effect => effect == Idempotency::Safe,
         };
         self.tries.iter().all(|t| !t.may_have_run() || drops(t))
     }
--- a/crates/engine/tests/found.rs
+++ b/crates/engine/tests/found.rs
@@ -1,7 +1,7 @@
 //! What the explorer found in the engine: each counterexample as the script of its events.
 
 use shaletide_balancer::Arrival;
-use shaletide_engine::{Action, Engine, Event, Final, Keeping, Order, Policy};
+use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Final, Order, Policy};
 use shaletide_routing::{pools, Verdict};
 use shaletide_types::*;
 use std::rc::Rc;
@@ -25,11 +25,11 @@
     now: Time,
 }
 
-const KEYED: Effect = Effect::Keyed(KeyScope::Cell, Micros(2_000));
+const KEYED: Idempotency = Idempotency::Keyed(DeduplicationScope::Group, Micros(2_000));
 
 impl Script {
     fn new(cancel: bool) -> Script {
-        let keeping = Keeping { most: 8, idle: Micros(100_000), quiet: Micros(1_000) };
+        let keeping = ConnectionLimits { most: 8, idle: Micros(100_000), quiet: Micros(1_000) };
         let mut engine = Engine::new(Quiet::default(), keeping);
         engine.configure(keeping, cancel, None);
         let mut script = Script { engine, now: Time(1_000_000) };
@@ -50,35 +50,40 @@
     }
 
     fn list(&mut self, id: u32, cell: u64, state: BackendState) -> Vec<Action> {
-        let backends = vec![Backend { id: BackendId(id), cell: CellId(cell), state, ..Backend::default() }];
-        self.told(Event::Members { pool: PoolId(0), update: ListUpdate::Changes, backends })
+        let backends = vec![BackendEntry {
+            id: BackendId(id),
+            deduplication_group: DeduplicationGroupId(cell),
+            state,
+            ..BackendEntry::default()
+        }];
+        self.told(Event::Members { pool: PoolId(0), update: EndpointUpdate::Delta, backends })
     }
 
-    fn request(&mut self, effect: Effect, permit: bool) {
+    fn request(&mut self, effect: Idempotency, permit: bool) {
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(0),
             tenant: None,
             time_left: Micros(3_000),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
         self.told(Event::Request(Order { arrival, effect, pools, permit, recorded: false }));
     }
 
     fn dispatch(&mut self, attempt: u32) -> Vec<Action> {
-        let (request, attempt, backend) = (RequestId(0), AttemptNo(attempt), BackendId(0));
+        let (request, attempt, backend) = (RequestId(0), AttemptNumber(attempt), BackendId(0));
         self.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None })
     }
 
     fn up(&mut self, conn: u64) -> Vec<Action> {
-        self.told(Event::Up { conn: ConnId(conn) })
+        self.told(Event::Up { conn: ConnectionId(conn) })
     }
 
     fn answered(&mut self, conn: u64, verdict: Verdict, keep: bool) -> Vec<Action> {
-        self.told(Event::Answered { conn: ConnId(conn), verdict, keep, behind: false })
+        self.told(Event::Answered { conn: ConnectionId(conn), verdict, keep, behind: false })
     }
 }
 
@@ -91,7 +96,7 @@
 }
 
 fn withdrawn(attempt: u32) -> Action {
-    Action::Withdraw { request: RequestId(0), attempt: AttemptNo(attempt) }
+    Action::Withdraw { request: RequestId(0), attempt: AttemptNumber(attempt) }
 }
 
 /// It was begun under a number that no attempt has: the one that was made for it hung in the air until the
@@ -103,8 +108,8 @@
     assert_eq!(s.dispatch(1), []);
     assert_eq!(s.engine.requests()[&RequestId(0)].tries, []);
     let ends = &s.engine.see_policy().ends;
-    assert_eq!((ends.len(), ends[0].outcome, ends[0].settled), (1, Outcome::NeverSent, false));
-    assert!(matches!(s.dispatch(0)[..], [Action::AskPermit { attempt: AttemptNo(0), .. }]));
+    assert_eq!((ends.len(), ends[0].outcome, ends[0].request_answered), (1, Outcome::NotSent, false));
+    assert!(matches!(s.dispatch(0)[..], [Action::PersistIntent { attempt: AttemptNumber(0), .. }]));
     assert_eq!(s.told(Event::Left { request: RequestId(0) }), [withdrawn(0)]);
     assert!(s.engine.requests().is_empty());
 }
@@ -116,9 +121,9 @@
         let mut s = Script::new(true);
         s.request(KEYED, true);
         s.dispatch(0);
-        s.told(Event::Permit { request: RequestId(0), attempt: AttemptNo(0), given: true });
+        s.told(Event::Permit { request: RequestId(0), attempt: AttemptNumber(0), given: true });
         s.up(0);
-        let unfit = Event::Unfit { conn: ConnId(0) };
+        let unfit = Event::Unfit { conn: ConnectionId(0) };
         if drained {
             s.list(0, 0, BackendState::Draining);
             assert!(s.told(unfit).contains(&withdrawn(0)), "it cannot begin again");
@@ -140,7 +145,7 @@
     assert_eq!(sends(&s.up(0)), 1);
     s.list(0, 100, BackendState::Ready);
     assert_eq!(sends(&s.up(1)), 0);
-    assert_eq!(s.engine.see_policy().ends.last().map(|e| e.outcome), Some(Outcome::NeverSent));
+    assert_eq!(s.engine.see_policy().ends.last().map(|e| e.outcome), Some(Outcome::NotSent));
 }
 
 /// What was idle was closed, and what was busy came to rest later and was used again.
@@ -150,11 +155,11 @@
     s.request(KEYED, false);
     s.dispatch(0);
     s.up(0);
-    s.told(Event::Written { conn: ConnId(0) });
-    s.told(Event::Readdressed { backend: BackendId(0) });
-    let closed = Action::Close { conn: ConnId(0) };
-    assert_eq!(s.answered(0, Verdict::NeverRan, true), [closed]);
-    assert_eq!(s.engine.open_connections(), 0);
+    s.told(Event::Written { conn: ConnectionId(0) });
+    s.told(Event::AddressChanged { backend: BackendId(0) });
+    let closed = Action::Close { conn: ConnectionId(0) };
+    assert_eq!(s.answered(0, Verdict::NotExecuted, true), [closed]);
+    assert_eq!(s.engine.connection_count(), 0);
 }
 
 /// A repeat counts when its last byte has come: one that begins as the window ends comes too late. Here the window is
@@ -170,8 +175,8 @@
         s.dispatch(0);
         let first = s.up(0);
         assert!(matches!(first[..], [Action::Send { by: None, .. }]), "it is no repeat: {first:?}");
-        s.told(Event::Written { conn: ConnId(0) });
-        s.told(Event::Ended { conn: ConnId(0) });
+        s.told(Event::Written { conn: ConnectionId(0) });
+        s.told(Event::Ended { conn: ConnectionId(0) });
         s.now = begun + Micros(asked);
         s.dispatch(1);
         s.now = begun + Micros(up);
@@ -187,7 +192,7 @@
 fn what_is_not_whole_when_a_window_that_begins_with_it_ends_never_is() {
     let mut s = Script::new(true);
     let window = Micros(400_000);
-    s.request(Effect::Keyed(KeyScope::Cell, window), false);
+    s.request(Idempotency::Keyed(DeduplicationScope::Group, window), false);
     s.dispatch(0);
     s.now = s.now + Micros(2_000); // the connection took so long
     let end = s.now + Micros(380_000);
@@ -202,7 +207,7 @@
     s.dispatch(0);
     s.dispatch(1);
     s.up(0);
-    assert!(s.answered(0, Verdict::Served, false).contains(&answer(Final::Served(AttemptNo(0)))));
+    assert!(s.answered(0, Verdict::Served, false).contains(&answer(Final::Served(AttemptNumber(0)))));
     assert!(s.engine.requests().is_empty());
 }
 
@@ -226,7 +231,7 @@
     s.request(KEYED, false);
     s.dispatch(0);
     s.up(0);
-    s.told(Event::Written { conn: ConnId(0) });
+    s.told(Event::Written { conn: ConnectionId(0) });
     s.list(0, 0, BackendState::Gone);
     s.answered(0, Verdict::Served, true);
     assert_eq!((s.engine.heard().count(), s.engine.count_listed()), (0, 0));
@@ -240,7 +245,7 @@
     s.dispatch(0);
     assert_eq!(s.told(Event::Left { request: RequestId(0) }), [withdrawn(0)]);
     for given in [true, false] {
-        assert_eq!(s.told(Event::Permit { request: RequestId(0), attempt: AttemptNo(0), given }), []);
+        assert_eq!(s.told(Event::Permit { request: RequestId(0), attempt: AttemptNumber(0), given }), []);
         assert!(s.engine.requests().is_empty() && s.engine.deadlines().is_empty());
     }
 }
@@ -252,14 +257,14 @@
     let mut s = Script::new(true);
     for conn in 0..8 {
         s.request(KEYED, false);
-        assert_eq!(s.dispatch(0), [Action::Open { conn: ConnId(conn), backend: BackendId(0) }]);
+        assert_eq!(s.dispatch(0), [Action::Open { conn: ConnectionId(conn), backend: BackendId(0) }]);
         s.told(Event::Left { request: RequestId(0) });
     }
     s.request(KEYED, false);
-    let (closed, opened) = (Action::Close { conn: ConnId(0) }, ConnId(8));
+    let (closed, opened) = (Action::Close { conn: ConnectionId(0) }, ConnectionId(8));
     assert_eq!(s.dispatch(0), [closed, Action::Open { conn: opened, backend: BackendId(0) }]);
-    assert_eq!(s.engine.open_connections(), 8);
-    assert_eq!(s.told(Event::ConnectFailed { conn: ConnId(0), blame: true }), [], "it is gone");
+    assert_eq!(s.engine.connection_count(), 8);
+    assert_eq!(s.told(Event::ConnectFailed { conn: ConnectionId(0), blame: true }), [], "it is gone");
     s.up(1);
     s.told(Event::Left { request: RequestId(0) });
     s.request(KEYED, false);
@@ -278,7 +283,10 @@
     }
     s.up(5);
     s.request(KEYED, false);
-    let (request, attempt, backend) = (RequestId(0), AttemptNo(0), BackendId(1));
+    let (request, attempt, backend) = (RequestId(0), AttemptNumber(0), BackendId(1));
     let out = s.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None });
-    assert_eq!(out, [Action::Close { conn: ConnId(5) }, Action::Open { conn: ConnId(8), backend }]);
+    assert_eq!(
+        out,
+        [Action::Close { conn: ConnectionId(5) }, Action::Open { conn: ConnectionId(8), backend }]
+    );
 }
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -128,8 +128,8 @@
             tenant: parsed.tenant,
             time_left: deadline - self.host.clock.now(),
             work_hint: headers.get("x-weight-hint").and_then(number).map(|us| Micros(us as u64)),
-            repeat: headers.get("x-repeat").is_some_and(|v| v == "1"),
-            elsewhere: false,
+            is_client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
+            may_fail_over: false,
         };
         strip_hop_by_hop(&mut headers);
         let id = match parsed.id {
@@ -169,7 +169,7 @@
         let _id_guard = IdGuard::new(&self.open_ids, id).ok_or(Fault::IdInUse)?;
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
-        let is_safe = order.effect == Effect::Free;
+        let is_safe = order.effect == Idempotency::Safe;
         let named = Named {
             tenant: tenant.as_deref().unwrap_or_default(),
             class: &rules.classes[order.arrival.class.0].name,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -5,7 +5,7 @@
 use hyper::header::{HeaderName, HeaderValue, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode, Version};
-use shaletide_balancer::{ClassId, Effect, Micros, TenantId};
+use shaletide_balancer::{ClassId, Idempotency, Micros, TenantId};
 use shaletide_net::connection_names;
 use shaletide_routing::{Asked, RouteId};
 use std::borrow::Cow;
@@ -173,9 +173,9 @@
     }
     let given = text(&rules.key, head).map(|key| key.filter(|key| !key.trim().is_empty()));
     let key = match rule.effect {
-        Effect::Free => None,
-        Effect::Keyed(..) => Some(given.ok().flatten().ok_or(Fault::Key)?),
-        Effect::Unsafe => given.map_err(|_| Fault::Key)?,
+        Idempotency::Safe => None,
+        Idempotency::Keyed(..) => Some(given.ok().flatten().ok_or(Fault::Key)?),
+        Idempotency::NonIdempotent => given.map_err(|_| Fault::Key)?,
     };
     check_length(rules, head, body)?;
     let left = match single(headers, &rules.time_left).map_err(|_| Fault::TimeLeft)? {
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::rules::{ClassRule, RulesDef};
-use shaletide_balancer::KeyScope;
+use shaletide_balancer::DeduplicationScope;
 use shaletide_routing::{Form, Source};
 
 fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
@@ -27,9 +27,9 @@
     RulesDef {
         form: Form { bay: Some(Source::Path(2)), ..Form::platform() },
         classes: vec![
-            class("read", Effect::Free, &[Method::GET, Method::HEAD]),
-            class("vote", Effect::Keyed(KeyScope::All, Micros(1)), &[Method::POST]),
-            class("pay", Effect::Unsafe, &[Method::POST]),
+            class("read", Idempotency::Safe, &[Method::GET, Method::HEAD]),
+            class("vote", Idempotency::Keyed(DeduplicationScope::All, Micros(1)), &[Method::POST]),
+            class("pay", Idempotency::NonIdempotent, &[Method::POST]),
         ],
         tenants: vec!["north".into()],
         routes: Vec::new(),
@@ -104,9 +104,11 @@
 #[test]
 fn class_name_may_span_several_path_segments() {
     let mut def = def();
-    for (name, effect) in
-        [("read/all", Effect::Free), ("read/all/pay", Effect::Unsafe), ("a//b", Effect::Free)]
-    {
+    for (name, effect) in [
+        ("read/all", Idempotency::Safe),
+        ("read/all/pay", Idempotency::NonIdempotent),
+        ("a//b", Idempotency::Safe),
+    ] {
         def.classes.push(ClassRule { name: name.into(), effect, ..def.classes[0].clone() });
     }
     let rules = Rules::new(def);
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -17,7 +17,7 @@
     match verdict {
         Verdict::Refuse(after) => Ok(refused(rules, after)),
         Verdict::Conflict(conflict) => Ok(conflicting(conflict)),
-        Verdict::KeyWanted | Verdict::Go { .. } => Err(Fault::Key),
+        Verdict::KeyRequired | Verdict::Go { .. } => Err(Fault::Key),
         Verdict::KeyTooLong => Err(Fault::KeyTooLong),
     }
 }
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -2,8 +2,8 @@
 
 use hyper::header::{HeaderName, CONTENT_LENGTH, HOST};
 use hyper::Method;
-use shaletide_balancer::{ClassId, Effect, Micros, PoolId, TenantId};
-use shaletide_body_limits::{Measures, Rate};
+use shaletide_balancer::{ClassId, Idempotency, Micros, PoolId, TenantId};
+use shaletide_body_limits::{BodyLimits, Rate};
 use shaletide_routing::{Answers, Form, Route, Source, Table};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     /// Its name.
     pub name: String,
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The methods that its requests may have.
     pub methods: Vec<Method>,
     /// How long a client waits at most.
@@ -101,7 +101,7 @@
     pub(crate) whole_seconds: bool,
     pub(crate) head_timeout: Micros,
     pub(crate) body_timeout: Micros,
-    pub(crate) bodies: Measures,
+    pub(crate) bodies: BodyLimits,
     pub(crate) record: bool,
     pub(crate) max_body: usize,
     pub(crate) longest_stop: Option<Micros>,
@@ -169,7 +169,7 @@
             whole_seconds: def.whole_seconds,
             head_timeout: def.head_timeout,
             body_timeout: def.body_timeout,
-            bodies: Measures {
+            bodies: BodyLimits {
                 rate: Rate { least: def.body_rate, grace: def.body_grace },
                 held: def.held_bodies,
                 patience: FIRST_REQUEST_PATIENCE,
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -2,7 +2,7 @@
 
 use crate::{listen, ClassRule, Rules, RulesDef, Server};
 use hyper::Method;
-use shaletide_balancer::{Config, Effect, Micros};
+use shaletide_balancer::{Config, Idempotency, Micros};
 use shaletide_membership::{PoolSpec, Source};
 use shaletide_net::{Clock, Host, Network, PoolSetup};
 use shaletide_routing::{Answers, Form, Match, Route};
@@ -24,14 +24,14 @@
     let host = Host::new(Clock::new(), network);
     let spec = PoolSpec { name: "p".into(), repeats: None, source: Source::Listed };
     let mut config = Config::example();
-    config.classes[0].aim = Micros(2_000_000); // whoever finds no backend is refused well before that, and after 1 s
+    config.classes[0].latency_objective = Micros(2_000_000); // whoever finds no backend is refused well before that, and after 1 s
     let setup = PoolSetup { spec, config };
     let pools = host.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
     tokio::task::spawn_local(host.clone().timers());
     let (form, answers) = (Form::platform(), Answers::platform());
     let class = ClassRule {
         name: "pay".into(),
-        effect: Effect::Unsafe,
+        effect: Idempotency::NonIdempotent,
         methods: vec![Method::POST],
         deadline: DEADLINE,
     };
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -6,13 +6,13 @@
 use hyper::client::conn::http1;
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, Version};
-use shaletide_balancer::{AttemptNo, LoadReport};
+use shaletide_balancer::{AttemptNumber, LoadReport};
 use shaletide_net::timeout::timeout;
 use shaletide_net::{
     driven, strip_hop_by_hop, ExchangeFuture, ExchangeOutcome, ExchangeSpec, PeerWatch, RequestTrace, Stream,
     UpstreamRequest,
 };
-use shaletide_routing::{Answers, Errors, LastAnswer, Verdict};
+use shaletide_routing::{Answers, Errors, LastResponse, Verdict};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
     /// How the request's route judges responses.
     pub answers: Rc<Answers>,
     /// The responses that may be passed on, by attempt.
-    pub got: RefCell<Vec<(AttemptNo, Verdict, BackendResponse)>>,
+    pub got: RefCell<Vec<(AttemptNumber, Verdict, BackendResponse)>>,
 }
 
 /// A backend's complete response.
@@ -56,11 +56,14 @@
 
 impl ForwardedRequest {
     /// Takes the response to an attempt, and what it is as the last one.
-    pub fn take(&self, attempt: AttemptNo) -> Option<(LastAnswer, BackendResponse)> {
+    pub fn take(&self, attempt: AttemptNumber) -> Option<(LastResponse, BackendResponse)> {
         let mut all = self.got.borrow_mut();
         let at = all.iter().position(|(no, ..)| *no == attempt)?;
         let (_, verdict, got) = all.swap_remove(at);
-        Some((LastAnswer { status: got.status.as_u16(), never_ran: verdict == Verdict::NeverRan }, got))
+        Some((
+            LastResponse { status: got.status.as_u16(), not_executed: verdict == Verdict::NotExecuted },
+            got,
+        ))
     }
 }
 
@@ -82,13 +85,13 @@
                 Ok(Answered { got, keep, excess }) => {
                     let header = |name: &str| said_once(&got.headers, name);
                     let verdict = self.answers.judge(got.status.as_u16(), header);
-                    let report = self.answers.report.as_deref().and_then(header).map(LoadReport::read);
+                    let report = self.answers.report.as_deref().and_then(header).map(LoadReport::parse);
                     if verdict == Verdict::Served || self.answers.errors == Errors::AsTheyAre {
                         self.got.borrow_mut().push((spec.attempt, verdict, got));
                     }
                     ExchangeOutcome::Answered { verdict, keep, excess, report }
                 }
-                Err(ExchangeError::Spoilt) => ExchangeOutcome::Spoilt,
+                Err(ExchangeError::InvalidResponse) => ExchangeOutcome::InvalidResponse,
                 Err(ExchangeError::Ended) => ExchangeOutcome::Ended,
             }
         })
@@ -130,7 +133,7 @@
 /// Why there is no complete response: the request may have run all the same.
 enum ExchangeError {
     /// What was received is no valid response.
-    Spoilt,
+    InvalidResponse,
     /// The connection was closed.
     Ended,
 }
@@ -144,33 +147,41 @@
     let shaken = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream.clone()).await;
     let (mut sender, mut conn) = shaken.map_err(|_| ExchangeError::Ended)?;
     let work = async {
-        let broken =
-            |e: hyper::Error| if e.is_parse() { ExchangeError::Spoilt } else { ExchangeError::Ended };
+        let broken = |e: hyper::Error| {
+            if e.is_parse() {
+                ExchangeError::InvalidResponse
+            } else {
+                ExchangeError::Ended
+            }
+        };
         let (head, body) = sender.send_request(request).await.map_err(broken)?.into_parts();
         // An unrequested upgrade, and the end of HTTP on this connection: no response to the request.
         if head.status.is_informational() {
-            return Err(ExchangeError::Spoilt);
+            return Err(ExchangeError::InvalidResponse);
         }
         let bodiless = head_only || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
         let given = [CONTENT_LENGTH, TRANSFER_ENCODING].map(|name| head.headers.contains_key(name));
         // Only a length tells a complete body from a truncated one, and two indications may differ.
         if !bodiless && (given[0] == given[1] || body.size_hint().lower() > max_body as u64) {
-            return Err(ExchangeError::Spoilt);
+            return Err(ExchangeError::InvalidResponse);
         }
         let body = Limited::new(body, max_body).collect().await;
-        let body =
-            body.map_err(
-                |e| if e.is::<hyper::Error>() { ExchangeError::Ended } else { ExchangeError::Spoilt },
-            )?;
+        let body = body.map_err(|e| {
+            if e.is::<hyper::Error>() {
+                ExchangeError::Ended
+            } else {
+                ExchangeError::InvalidResponse
+            }
+        })?;
         Ok((head, body.to_bytes(), bodiless))
     };
     let (head, body, bodiless) = tokio::select! {
         biased;
         done = driven(&mut conn, work) => done.unwrap_or(Err(ExchangeError::Ended))?,
-        _ = watch_response(stream, stall) => return Err(ExchangeError::Spoilt),
+        _ = watch_response(stream, stall) => return Err(ExchangeError::InvalidResponse),
     };
     if stream.may_answer_previous_request() {
-        return Err(ExchangeError::Spoilt);
+        return Err(ExchangeError::InvalidResponse);
     }
     let close =
         head.headers.get_all(CONNECTION).iter().any(|v| !v.as_bytes().eq_ignore_ascii_case(b"keep-alive"));
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -29,7 +29,7 @@
             got: RefCell::default(),
         });
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
-        let (attempt, deadline, max_body) = (AttemptNo(0), Instant::now() + Duration::from_secs(20), 64);
+        let (attempt, deadline, max_body) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20), 64);
         let spec = ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall, max_body };
         let outcome = call.clone().run(spec).await;
         assert!(stream.request_written());
@@ -39,7 +39,7 @@
                 assert_eq!(&call.take(attempt).unwrap().1.body[..], b"cash");
                 assert!(call.take(attempt).is_none());
             }
-            Some(_) => assert!(matches!(outcome, ExchangeOutcome::Spoilt)),
+            Some(_) => assert!(matches!(outcome, ExchangeOutcome::InvalidResponse)),
         }
         peer.join().unwrap();
     }
@@ -71,7 +71,7 @@
 }
 
 fn spec(stream: &Stream, to: SocketAddr, stall: Option<Duration>) -> ExchangeSpec {
-    let (attempt, deadline) = (AttemptNo(0), Instant::now() + Duration::from_secs(20));
+    let (attempt, deadline) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20));
     ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall, max_body: 64 }
 }
 
@@ -87,7 +87,7 @@
             true => peer.shutdown(std::net::Shutdown::Write).unwrap(),
         }
         let outcome = call("cash").run(spec(&stream, to, None)).await;
-        assert!(matches!(outcome, ExchangeOutcome::Ended | ExchangeOutcome::Spoilt), "{outcome:?}");
+        assert!(matches!(outcome, ExchangeOutcome::Ended | ExchangeOutcome::InvalidResponse), "{outcome:?}");
         assert!(stream.is_unwritten());
         drop(stream);
         peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -114,7 +114,7 @@
         }
         let outcome = call(vec![0; 64 << 20]).run(spec(&stream, to, None)).await;
         assert!(!stream.request_written());
-        assert_eq!(matches!(outcome, ExchangeOutcome::Spoilt), used, "{outcome:?}");
+        assert_eq!(matches!(outcome, ExchangeOutcome::InvalidResponse), used, "{outcome:?}");
         drop(backend.join().unwrap());
     }
 }
@@ -152,7 +152,7 @@
         }
     });
     outcome = call("cash").run(spec(&stream, to, stall)).await;
-    assert!(matches!(outcome, ExchangeOutcome::Spoilt), "{outcome:?}");
+    assert!(matches!(outcome, ExchangeOutcome::InvalidResponse), "{outcome:?}");
 }
 
 /// However they come: of what is only announced the time is the backend's own, and what has begun gets no more than its
@@ -176,7 +176,7 @@
         });
         let mut outcome = call("cash").run(spec(&stream, to, stall));
         let found = tokio::time::timeout(Duration::from_secs(20), &mut outcome).await;
-        assert!(matches!(found, Ok(ExchangeOutcome::Spoilt)), "{found:?}");
+        assert!(matches!(found, Ok(ExchangeOutcome::InvalidResponse)), "{found:?}");
         drop((outcome, stream));
         backend.join().unwrap();
     }
@@ -198,8 +198,8 @@
 #[tokio::test]
 async fn contradicting_unprocessed_headers_are_ignored() {
     for (said, verdict) in [
-        ("X-Unprocessed: 1\r\n", Verdict::NeverRan),
-        ("X-Unprocessed: 1\r\nX-Unprocessed: 1\r\n", Verdict::NeverRan),
+        ("X-Unprocessed: 1\r\n", Verdict::NotExecuted),
+        ("X-Unprocessed: 1\r\nX-Unprocessed: 1\r\n", Verdict::NotExecuted),
         ("X-Unprocessed: 1\r\nx-unprocessed: 0\r\n", Verdict::Error),
         ("X-Unprocessed: 0\r\nX-Unprocessed: 1\r\n", Verdict::Error),
         ("X-Unprocessed: 0\r\n", Verdict::Error),
--- a/crates/lab/src/judge/rules.rs
+++ b/crates/lab/src/judge/rules.rs
@@ -265,7 +265,12 @@
 }
 
 fn power(info: PowerInfo) -> Power {
-    Power { cores: info.cores, speed: info.speed, cold_from: info.cold_from, ramp: Micros(info.ramp_us) }
+    Power {
+        cores: info.cores,
+        speed: info.speed,
+        initial_capacity_fraction: info.cold_from,
+        ramp: Micros(info.ramp_us),
+    }
 }
 
 fn ended(end: BoxEnd) -> Option<Ended> {
@@ -276,7 +281,7 @@
         BoxEnd::Cancelled => Ended::Cancelled,
         BoxEnd::Hung => Ended::Hung,
         BoxEnd::Reset => Ended::Reset,
-        BoxEnd::Spoilt => Ended::Spoilt,
+        BoxEnd::Spoilt => Ended::InvalidResponse,
         BoxEnd::BoxDied => Ended::BoxDied,
         BoxEnd::Open => return None,
     })
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -34,7 +34,7 @@
     let power = PowerInfo {
         cores: power.cores,
         speed: power.speed,
-        cold_from: power.cold_from,
+        cold_from: power.initial_capacity_fraction,
         ramp_us: power.ramp.0,
     };
     samples.extend((0..box_count(experiment)).map(|n| Sample::Box {
@@ -57,7 +57,7 @@
         Some(Ended::Cancelled) => BoxEnd::Cancelled,
         Some(Ended::Hung) => BoxEnd::Hung,
         Some(Ended::Reset) => BoxEnd::Reset,
-        Some(Ended::Spoilt) => BoxEnd::Spoilt,
+        Some(Ended::InvalidResponse) => BoxEnd::Spoilt,
         Some(Ended::BoxDied) => BoxEnd::BoxDied,
     }
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -27,7 +27,7 @@
 pub fn power(experiment: &Experiment) -> Power {
     let boxes = &experiment.boxes;
     let ramp = Micros(boxes.ramp.as_micros() as u64);
-    Power { cores: boxes.cores, speed: boxes.speed, cold_from: boxes.cold_from, ramp }
+    Power { cores: boxes.cores, speed: boxes.speed, initial_capacity_fraction: boxes.cold_from, ramp }
 }
 
 fn spec(experiment: &Experiment, number: usize) -> BoxSpec {
--- a/crates/membership/benches/news.rs
+++ b/crates/membership/benches/news.rs
@@ -27,14 +27,15 @@
         let list = |generation| (0..boxes).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
         let (first, second, one) = (list(0), list(1), vec![endpoint(boxes / 2, 1)]);
         let began = Instant::now();
-        let held = allocation_counter::measure(|| drop(directory.news(PoolId(0), ListUpdate::Full, first)));
+        let held =
+            allocation_counter::measure(|| drop(directory.news(PoolId(0), EndpointUpdate::Snapshot, first)));
         let whole = began.elapsed();
         let began = Instant::now();
-        drop(black_box(directory.news(PoolId(0), ListUpdate::Changes, one)));
+        drop(black_box(directory.news(PoolId(0), EndpointUpdate::Delta, one)));
         let single = began.elapsed();
         let began = Instant::now();
-        drop(black_box(directory.news(PoolId(0), ListUpdate::Full, second)));
-        directory.forget_all_but(|_| false);
+        drop(black_box(directory.news(PoolId(0), EndpointUpdate::Snapshot, second)));
+        directory.retain(|_| false);
         let renewed = began.elapsed();
         let each = held.bytes_current / boxes as i64;
         println!("{boxes:6} boxes: whole {whole:?}, one {single:?}, all renewed {renewed:?}, ~{each} B each");
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -25,7 +25,7 @@
     pub moved: Vec<Moved>,
     /// What each pool's balancer is to be told, in this order: the pool that lost a box hears of it before
     /// the one that got it.
-    pub rows: Vec<(PoolId, ListUpdate, Vec<Backend>)>,
+    pub rows: Vec<(PoolId, EndpointUpdate, Vec<BackendEntry>)>,
     /// Conflicts that were not there before.
     pub conflicts: Vec<Conflict>,
     /// Entries beyond [`crate::MAX_ENTRIES`], which were left out.
@@ -39,7 +39,7 @@
     name: Key,
     address: SocketAddr,
     /// The row that the pool's balancer was last told.
-    told: Backend,
+    told: BackendEntry,
 }
 
 /// What the lists of all pools say, and which pool each address belongs to.
@@ -93,10 +93,10 @@
 
     /// News of a listed pool's list; of other pools it is ignored. Other pools than that one are told
     /// changes, by which no subscription of theirs is answered.
-    pub fn news(&mut self, pool: PoolId, update: ListUpdate, entries: Vec<Endpoint>) -> Told {
+    pub fn news(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) -> Told {
         let mut told = Told::default();
         let Some(to) = self.pools.get(&pool).filter(|to| !to.fixed) else { return told };
-        if update == ListUpdate::Lost {
+        if update == EndpointUpdate::SubscriptionLost {
             told.rows.push((pool, update, Vec::new()));
             return told;
         }
@@ -105,23 +105,23 @@
             let key = Key::from(e.name.as_str());
             (key, (e.state != BackendState::Gone).then(|| Listed::new(e, names)))
         });
-        let whole = matches!(update, ListUpdate::Full | ListUpdate::Cached);
+        let whole = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let (changes, skipped) = to.changes(whole, entries);
         told.skipped = skipped;
         let before = self.claims.conflicts();
         let keys: Vec<Key> = changes.keys().cloned().collect();
         let passed_on = self.apply(vec![(pool, changes)], |_| false);
-        let mut rows: Vec<Backend> = keys.iter().filter_map(|key| self.tell(pool, key)).collect();
+        let mut rows: Vec<BackendEntry> = keys.iter().filter_map(|key| self.tell(pool, key)).collect();
         if whole {
             rows.retain(|row| row.state != BackendState::Gone); // they are by being absent
         }
         told.rows.push((pool, update, rows));
-        let mut gains: BTreeMap<PoolId, Vec<Backend>> = BTreeMap::new();
+        let mut gains: BTreeMap<PoolId, Vec<BackendEntry>> = BTreeMap::new();
         for (address, owner) in passed_on {
             let keys: Vec<Key> = self.claims.entries(address, owner).cloned().collect();
             gains.entry(owner).or_default().extend(keys.iter().filter_map(|key| self.tell(owner, key)));
         }
-        told.rows.extend(gains.into_iter().map(|(owner, rows)| (owner, ListUpdate::Changes, rows)));
+        told.rows.extend(gains.into_iter().map(|(owner, rows)| (owner, EndpointUpdate::Delta, rows)));
         told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
         told
     }
@@ -158,7 +158,7 @@
 
     /// The row of an entry that its pool is to be told now: as its list has it where the address is the
     /// pool's, else gone if it was not told so before.
-    pub(crate) fn tell(&mut self, pool: PoolId, key: &Key) -> Option<Backend> {
+    pub(crate) fn tell(&mut self, pool: PoolId, key: &Key) -> Option<BackendEntry> {
         let to = self.pools.get_mut(&pool)?;
         let listed = to.listed.get(key).filter(|listed| self.claims.owner(listed.address) == Some(pool));
         let Some(listed) = listed else {
@@ -177,7 +177,7 @@
     }
 
     /// The box is gone: the row that says so, where it was not said before.
-    fn bury(&mut self, id: BackendId) -> Option<Backend> {
+    fn bury(&mut self, id: BackendId) -> Option<BackendEntry> {
         let known = self.boxes.get_mut(&id).filter(|known| known.told.state != BackendState::Gone)?;
         known.told.state = BackendState::Gone;
         self.gone.insert(id);
@@ -185,7 +185,7 @@
     }
 
     /// Takes the box of that entry over into another pool. Returns it with the row for the pool that it left.
-    pub(crate) fn shift(&mut self, key: &Key, from: PoolId, to: PoolId) -> Option<(Moved, Backend)> {
+    pub(crate) fn shift(&mut self, key: &Key, from: PoolId, to: PoolId) -> Option<(Moved, BackendEntry)> {
         let id = self.pools.get_mut(&from)?.numbers.remove(key)?;
         let row = self.bury(id)?;
         self.boxes.get_mut(&id)?.pool = to;
@@ -194,7 +194,7 @@
     }
 
     /// What a box's balancer was last told of it.
-    pub(crate) fn last_told(&self, pool: PoolId, key: &Key) -> Option<&Backend> {
+    pub(crate) fn last_told(&self, pool: PoolId, key: &Key) -> Option<&BackendEntry> {
         let id = self.pools.get(&pool)?.numbers.get(key)?;
         self.boxes.get(id).map(|known| &known.told)
     }
@@ -221,7 +221,7 @@
 
     /// Forgets all boxes gone that the host does not hold. To be called after all news; costs a step for each
     /// box gone.
-    pub fn forget_all_but(&mut self, holds: impl Fn(BackendId) -> bool) {
+    pub fn retain(&mut self, holds: impl Fn(BackendId) -> bool) {
         let free: Vec<BackendId> = self.gone.iter().copied().filter(|id| !holds(*id)).collect();
         free.into_iter().for_each(|id| {
             self.forget(id);
@@ -249,7 +249,7 @@
     }
 
     /// The pool's boxes as its balancer was last told, but for those gone.
-    pub fn boxes(&self, pool: PoolId) -> impl Iterator<Item = &Backend> {
+    pub fn boxes(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
         let numbers = self.pools.get(&pool).into_iter().flat_map(|p| p.numbers.values());
         let rows = numbers.filter_map(|id| self.boxes.get(id)).map(|known| &known.told);
         rows.filter(|row| row.state != BackendState::Gone)
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -35,7 +35,7 @@
     pub address: SocketAddr,
     pub booted: Option<Time>,
     zone: ZoneId,
-    kind: KindId,
+    kind: ServerTypeId,
     bay: u64,
     cores: u32,
     weight: u32,
@@ -51,7 +51,7 @@
 
 impl Listed {
     pub fn new(e: Endpoint, names: &mut Names) -> Listed {
-        let kind = KindId(names.kinds.of(&speed_kind(&e)));
+        let kind = ServerTypeId(names.kinds.of(&speed_kind(&e)));
         Listed {
             name: e.name.into(),
             address: e.address,
@@ -66,18 +66,18 @@
     }
 
     /// The row that a balancer is told.
-    pub fn row(&self, id: BackendId, realm: u32) -> Backend {
-        Backend {
+    pub fn row(&self, id: BackendId, realm: u32) -> BackendEntry {
+        BackendEntry {
             id,
-            mark: mark(&self.name),
+            stable_hash: mark(&self.name),
             zone: self.zone,
-            cell: cell(self.bay, realm),
-            realm,
-            kind: self.kind,
+            deduplication_group: cell(self.bay, realm),
+            deduplication_domain: realm,
+            server_type: self.kind,
             cores: self.cores,
             weight: self.weight,
             state: self.state,
-            booted: self.booted,
+            started_at: self.booted,
         }
     }
 }
@@ -92,15 +92,15 @@
 
 /// The bay's number among those of all realms: two bays of one realm never share one, and those of two realms
 /// hardly ever. The first realm's bays keep their own numbers.
-fn cell(bay: u64, realm: u32) -> CellId {
+fn cell(bay: u64, realm: u32) -> DeduplicationGroupId {
     if realm == 0 {
-        return CellId(bay);
+        return DeduplicationGroupId(bay);
     }
     // One to one for a given realm: each step can be undone.
     let spread = bay ^ u64::from(realm).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (spread ^ (spread >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    CellId(mixed ^ (mixed >> 31))
+    DeduplicationGroupId(mixed ^ (mixed >> 31))
 }
 
 /// What becomes of the entries named; `None`: gone.
@@ -154,9 +154,9 @@
 
     #[test]
     fn bays_of_one_realm_stay_apart_and_so_do_realms() {
-        let cells: BTreeSet<CellId> =
+        let cells: BTreeSet<DeduplicationGroupId> =
             (0..50).flat_map(|realm| (0..200).map(move |bay| cell(bay, realm))).collect();
         assert_eq!(cells.len(), 50 * 200);
-        assert_eq!(cell(7, 0), CellId(7));
+        assert_eq!(cell(7, 0), DeduplicationGroupId(7));
     }
 }
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 
 /// The rows that go to each pool.
-type Rows = BTreeMap<PoolId, Vec<Backend>>;
+type Rows = BTreeMap<PoolId, Vec<BackendEntry>>;
 
 impl Directory {
     /// `now` is none at the start of the program.
@@ -42,13 +42,17 @@
         self.pools.retain(|id, _| kept.contains(id));
         let realms: BTreeSet<u32> = self.pools.values().map(|pool| pool.realm).collect();
         self.realms.retain(|_, realm| realms.contains(realm));
-        told.rows.extend(gone.into_iter().map(|(id, rows)| (id, ListUpdate::Changes, rows)));
+        told.rows.extend(gone.into_iter().map(|(id, rows)| (id, EndpointUpdate::Delta, rows)));
         // A new static pool has its whole list; of a new listed one nothing is known yet.
         kept.iter().filter(|id| fixed.contains(id) && !earlier.contains_key(id)).for_each(|id| {
             rest.entry(*id).or_default();
         });
         told.rows.extend(rest.into_iter().map(|(id, rows)| {
-            (id, if earlier.contains_key(&id) { ListUpdate::Changes } else { ListUpdate::Full }, rows)
+            (
+                id,
+                if earlier.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
+                rows,
+            )
         }));
         told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
         told
--- a/crates/membership/src/starts.rs
+++ b/crates/membership/src/starts.rs
@@ -17,7 +17,7 @@
 //! no plausible error of a clock makes them cold.
 
 use crate::list::Endpoint;
-use shaletide_types::{BackendState, ListUpdate, Micros, PoolId, Time, MAX_WALL_CLOCK_ERROR};
+use shaletide_types::{BackendState, EndpointUpdate, Micros, PoolId, Time, MAX_WALL_CLOCK_ERROR};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A backend in the list of a pool.
@@ -67,7 +67,7 @@
     }
 
     /// Puts the local clock's times in the place of the listed ones. Cost: a look-up for each entry.
-    pub fn localize(&mut self, now: Time, pool: PoolId, update: ListUpdate, entries: &mut [Endpoint]) {
+    pub fn localize(&mut self, now: Time, pool: PoolId, update: EndpointUpdate, entries: &mut [Endpoint]) {
         for entry in entries.iter() {
             if let (Some(listed), true) = (entry.booted, entry.state != BackendState::Gone) {
                 self.lead.observe(&(pool, entry.name.clone()), lead(now, listed));
@@ -94,18 +94,18 @@
     }
 
     /// Keeps what is listed only.
-    fn forget(&mut self, pool: PoolId, update: ListUpdate, entries: &[Endpoint]) {
+    fn forget(&mut self, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
         let is_gone = |entry: &&Endpoint| entry.state == BackendState::Gone;
         match update {
-            ListUpdate::Full | ListUpdate::Cached => {
+            EndpointUpdate::Snapshot | EndpointUpdate::Cached => {
                 let names: BTreeSet<&str> =
                     entries.iter().filter(|entry| !is_gone(entry)).map(|entry| &*entry.name).collect();
                 self.starts.retain(|(of, name), _| *of != pool || names.contains(name.as_str()));
             }
-            ListUpdate::Changes => entries.iter().filter(is_gone).for_each(|entry| {
+            EndpointUpdate::Delta => entries.iter().filter(is_gone).for_each(|entry| {
                 self.starts.remove(&(pool, entry.name.clone()));
             }),
-            ListUpdate::Lost => {}
+            EndpointUpdate::SubscriptionLost => {}
         }
     }
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -41,7 +41,7 @@
 /// What each pool's balancer makes of what it was told.
 pub struct Mirror {
     pub directory: Directory,
-    pub pools: BTreeMap<PoolId, BTreeMap<BackendId, (Backend, SocketAddr)>>,
+    pub pools: BTreeMap<PoolId, BTreeMap<BackendId, (BackendEntry, SocketAddr)>>,
     pub last: Told,
 }
 
@@ -53,13 +53,13 @@
         mirror
     }
 
-    pub fn news(&mut self, pool: PoolId, update: ListUpdate, entries: Vec<Endpoint>) {
+    pub fn news(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) {
         let told = self.directory.news(pool, update, entries);
         self.hear(told);
     }
 
     pub fn changes(&mut self, pool: PoolId, entries: Vec<Endpoint>) {
-        self.news(pool, ListUpdate::Changes, entries);
+        self.news(pool, EndpointUpdate::Delta, entries);
     }
 
     pub fn reload(&mut self, now: u64, pools: Vec<PoolSpec>) {
@@ -70,7 +70,7 @@
     fn hear(&mut self, told: Told) {
         for (pool, update, rows) in &told.rows {
             let known = self.pools.entry(*pool).or_default();
-            if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
+            if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                 known.clear();
             }
             for row in rows {
@@ -105,7 +105,7 @@
     fn look_ups_say_what_was_told(&self) {
         let mut ids = BTreeSet::new();
         for (pool, boxes) in &self.pools {
-            let mut rows: Vec<Backend> = self.directory.boxes(*pool).cloned().collect();
+            let mut rows: Vec<BackendEntry> = self.directory.boxes(*pool).cloned().collect();
             rows.sort_by_key(|row| row.id);
             assert_eq!(rows, boxes.values().map(|(row, _)| row.clone()).collect::<Vec<_>>());
             for (id, (row, address)) in boxes {
@@ -114,7 +114,7 @@
                 assert_eq!(self.directory.address(*id), Some(*address));
                 assert_eq!(self.directory.state(*id), row.state);
                 assert_eq!(self.directory.pool(*id), Some(*pool));
-                assert_eq!(self.directory.realm(*pool), Some(row.realm));
+                assert_eq!(self.directory.realm(*pool), Some(row.deduplication_domain));
             }
         }
     }
@@ -129,7 +129,7 @@
         known.map(|(id, (row, address))| (id.0, last(address), row.state)).collect()
     }
 
-    pub fn row(&self, pool: PoolId, id: u32) -> &Backend {
+    pub fn row(&self, pool: PoolId, id: u32) -> &BackendEntry {
         &self.pools[&pool][&BackendId(id)].0
     }
 }
--- a/crates/membership/tests/large_list.rs
+++ b/crates/membership/tests/large_list.rs
@@ -43,23 +43,23 @@
 fn a_list_of_1024_backends_is_taken_whole_changed_and_replaced() {
     let started = Instant::now();
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
-    for update in [ListUpdate::Cached, ListUpdate::Full] {
+    for update in [EndpointUpdate::Cached, EndpointUpdate::Snapshot] {
         let told = directory.news(POOL, update, listed_entries(0..BACKENDS, "SERVING"));
         assert_eq!((told.skipped, told.conflicts.len(), told.rows.len()), (0, 0, 1));
         assert_eq!((told.rows[0].2.len(), in_state(&directory, READY)), (BACKENDS, BACKENDS));
     }
     let before = numbers(&directory);
 
-    let told = directory.news(POOL, ListUpdate::Changes, listed_entries(0..HALF, "DRAINING"));
+    let told = directory.news(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DRAINING"));
     assert_eq!((told.skipped, told.rows[0].2.len()), (0, HALF));
     assert_eq!((in_state(&directory, DRAINING), in_state(&directory, READY)), (HALF, HALF));
     assert_eq!(numbers(&directory), before, "each keeps its number");
 
-    directory.news(POOL, ListUpdate::Changes, listed_entries(0..HALF, "DELETED"));
+    directory.news(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DELETED"));
     assert_eq!((in_state(&directory, READY), directory.gone().count()), (HALF, HALF));
-    directory.forget_all_but(|_| false);
+    directory.retain(|_| false);
 
-    let told = directory.news(POOL, ListUpdate::Full, listed_entries(0..BACKENDS, "SERVING"));
+    let told = directory.news(POOL, EndpointUpdate::Snapshot, listed_entries(0..BACKENDS, "SERVING"));
     assert_eq!((told.skipped, told.rows[0].2.len(), in_state(&directory, READY)), (0, BACKENDS, BACKENDS));
     println!("five lists in {:?}", started.elapsed());
     assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
@@ -70,7 +70,7 @@
 fn a_directory_of_1024_backends_holds_less_than_2_mib() {
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
     let entries = listed_entries(0..BACKENDS, "SERVING");
-    let held = allocation_counter::measure(|| drop(directory.news(POOL, ListUpdate::Full, entries)));
+    let held = allocation_counter::measure(|| drop(directory.news(POOL, EndpointUpdate::Snapshot, entries)));
     println!("{} B, at the most {} B", held.bytes_current, held.bytes_max);
     assert!(held.bytes_current < 2 << 20, "{} B", held.bytes_current);
     assert!(held.bytes_max < 4 << 20, "{} B", held.bytes_max);
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -18,9 +18,9 @@
     m.changes(A, vec![entry("x", 1, READY), entry("y", 2, READY)]);
     assert_eq!(m.boxes(A), [(0, 1, READY), (1, 2, READY)]);
     m.changes(A, vec![entry("x", 1, DRAINING)]);
-    m.news(A, ListUpdate::Full, vec![entry("y", 3, READY), entry("x", 1, READY)]);
+    m.news(A, EndpointUpdate::Snapshot, vec![entry("y", 3, READY), entry("x", 1, READY)]);
     assert_eq!(m.boxes(A), [(0, 1, READY), (1, 3, READY)]);
-    m.news(A, ListUpdate::Cached, vec![entry("x", 1, READY)]);
+    m.news(A, EndpointUpdate::Cached, vec![entry("x", 1, READY)]);
     assert_eq!(m.boxes(A), [(0, 1, READY)]);
     assert_eq!((m.directory.state(BackendId(1)), m.directory.name(BackendId(1))), (GONE, Some("y")));
 }
@@ -32,7 +32,7 @@
         m.changes(A, vec![entry("x", 1, READY)]);
         m.changes(A, vec![entry("x", 1, GONE)]);
         assert_eq!(m.boxes(A), []);
-        m.directory.forget_all_but(|_| held);
+        m.directory.retain(|_| held);
         m.changes(A, vec![entry("x", 1, READY)]);
         assert_eq!(m.boxes(A), [(number, 1, READY)]);
     }
@@ -47,7 +47,7 @@
     m.changes(A, vec![entry("x", 1, READY)]);
     m.changes(A, vec![entry("x", 1, GONE), reborn]);
     assert_eq!(m.boxes(A), [(0, 1, READY)]);
-    assert_eq!(m.row(A, 0).booted, Some(Time(9)));
+    assert_eq!(m.row(A, 0).started_at, Some(Time(9)));
     m.changes(A, vec![entry("x", 2, READY), entry("x", 1, GONE)]);
     assert_eq!(m.boxes(A), []);
 }
@@ -121,7 +121,7 @@
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY), entry("y", 2, READY)]);
     m.changes(B, vec![entry("p", 1, READY), entry("q", 2, DRAINING)]);
-    m.news(A, ListUpdate::Full, vec![entry("x", 1, READY)]);
+    m.news(A, EndpointUpdate::Snapshot, vec![entry("x", 1, READY)]);
     assert_eq!((m.boxes(A), m.boxes(B)), (vec![(0, 1, READY)], vec![(2, 2, DRAINING)]));
     m.changes(A, vec![entry("x", 3, READY)]);
     assert_eq!((m.boxes(A), m.boxes(B)), (vec![(0, 3, READY)], vec![(2, 2, DRAINING), (3, 1, READY)]));
@@ -133,8 +133,8 @@
 fn a_lost_list_changes_nothing_and_is_told_on() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY)]);
-    m.news(A, ListUpdate::Lost, vec![entry("y", 2, READY)]);
-    assert_eq!(m.last.rows, [(A, ListUpdate::Lost, vec![])]);
+    m.news(A, EndpointUpdate::SubscriptionLost, vec![entry("y", 2, READY)]);
+    assert_eq!(m.last.rows, [(A, EndpointUpdate::SubscriptionLost, vec![])]);
     assert_eq!(m.boxes(A), [(0, 1, READY)]);
     m.changes(PoolId(9), vec![entry("y", 2, READY)]);
     assert_eq!(m.last, Told::default(), "news for no pool is no news");
@@ -144,7 +144,7 @@
 fn an_entry_that_was_never_known_does_not_go() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, GONE)]);
-    assert_eq!(m.last.rows, [(A, ListUpdate::Changes, vec![])]);
+    assert_eq!(m.last.rows, [(A, EndpointUpdate::Delta, vec![])]);
 }
 
 #[test]
@@ -152,19 +152,31 @@
     let shared = |name: &str| PoolSpec { repeats: Some("g".into()), ..listed(name) };
     let pools = vec![listed("a"), listed("b"), shared("c"), shared("d")];
     let (mut directory, _) = Directory::new(&["z0".into(), "z".into()], &["k".into()], pools);
-    let rows: Vec<Backend> = (0..4u8)
+    let rows: Vec<BackendEntry> = (0..4u8)
         .map(|n| {
             let e = Endpoint { cores: 0, ..entry("x", n, READY) };
-            directory.news(PoolId(n.into()), ListUpdate::Changes, vec![e]).rows[0].2[0].clone()
+            directory.news(PoolId(n.into()), EndpointUpdate::Delta, vec![e]).rows[0].2[0].clone()
         })
         .collect();
-    assert!(rows.iter().all(|row| (row.zone, row.kind, row.cores) == (ZoneId(1), KindId(0), 1)));
-    assert!(rows.iter().all(|row| row.mark == mark("x")));
-    assert_eq!(rows[0].cell, CellId(7), "the first realm's cells are as the list has them");
-    assert_eq!((rows[2].cell, rows[2].realm), (rows[3].cell, rows[3].realm), "one group");
-    let realms = [rows[0].realm, rows[1].realm, rows[2].realm];
+    assert!(rows.iter().all(|row| (row.zone, row.server_type, row.cores) == (ZoneId(1), ServerTypeId(0), 1)));
+    assert!(rows.iter().all(|row| row.stable_hash == mark("x")));
+    assert_eq!(
+        rows[0].deduplication_group,
+        DeduplicationGroupId(7),
+        "the first realm's cells are as the list has them"
+    );
+    assert_eq!(
+        (rows[2].deduplication_group, rows[2].deduplication_domain),
+        (rows[3].deduplication_group, rows[3].deduplication_domain),
+        "one group"
+    );
+    let realms = [rows[0].deduplication_domain, rows[1].deduplication_domain, rows[2].deduplication_domain];
     assert_eq!(realms, [0, 1, 2]);
-    assert!(rows[0].cell != rows[1].cell && rows[1].cell != rows[2].cell && rows[0].cell != rows[2].cell);
+    assert!(
+        rows[0].deduplication_group != rows[1].deduplication_group
+            && rows[1].deduplication_group != rows[2].deduplication_group
+            && rows[0].deduplication_group != rows[2].deduplication_group
+    );
     assert_eq!(directory.zone("z0"), ZoneId(0));
 }
 
@@ -173,9 +185,9 @@
     let mut m = two();
     let many =
         |from: usize, to: usize| (from..to).map(|n| entry(&n.to_string(), 1, READY)).collect::<Vec<_>>();
-    let told = m.directory.news(A, ListUpdate::Full, many(0, MAX_ENTRIES + 5));
+    let told = m.directory.news(A, EndpointUpdate::Snapshot, many(0, MAX_ENTRIES + 5));
     assert_eq!((told.skipped, told.rows[0].2.len()), (5, MAX_ENTRIES));
     let news = vec![entry("0", 1, GONE), entry("new", 1, READY), entry("one too many", 1, READY)];
-    let told = m.directory.news(A, ListUpdate::Changes, news);
+    let told = m.directory.news(A, EndpointUpdate::Delta, news);
     assert_eq!((told.skipped, told.rows[0].2.len()), (1, 2));
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    News(u32, ListUpdate, Vec<Endpoint>),
+    News(u32, EndpointUpdate, Vec<Endpoint>),
     Reload(Vec<u8>, Vec<u8>),
     Forget(u32),
 }
@@ -30,8 +30,8 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let update = prop_oneof![
-        6 => Just(ListUpdate::Changes), 2 => Just(ListUpdate::Full),
-        1 => Just(ListUpdate::Cached), 1 => Just(ListUpdate::Lost),
+        6 => Just(EndpointUpdate::Delta), 2 => Just(EndpointUpdate::Snapshot),
+        1 => Just(EndpointUpdate::Cached), 1 => Just(EndpointUpdate::SubscriptionLost),
     ];
     let addresses = || proptest::collection::btree_set(1..5u8, 0..4).prop_map(|s| s.into_iter().collect());
     prop_oneof![
@@ -44,12 +44,12 @@
 /// What the lists say, kept in the plainest way: by pool, then by name or static address.
 type Lists = BTreeMap<PoolId, BTreeMap<String, Endpoint>>;
 
-fn take(lists: &mut Lists, pool: PoolId, update: ListUpdate, entries: &[Endpoint]) {
+fn take(lists: &mut Lists, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
     let list = lists.entry(pool).or_default();
     match update {
-        ListUpdate::Lost => return,
-        ListUpdate::Full | ListUpdate::Cached => list.clear(),
-        ListUpdate::Changes => {}
+        EndpointUpdate::SubscriptionLost => return,
+        EndpointUpdate::Snapshot | EndpointUpdate::Cached => list.clear(),
+        EndpointUpdate::Delta => {}
     }
     for e in entries {
         list.remove(&e.name);
@@ -77,7 +77,7 @@
         for (pool, boxes) in &m.pools {
             for (row, _) in boxes.values().filter(|(_, at)| *at == address) {
                 let name = m.directory.name(row.id).expect("known").to_string();
-                got.entry(*pool).or_default().push((name, row.state, row.booted));
+                got.entry(*pool).or_default().push((name, row.state, row.started_at));
             }
         }
         assert_eq!(got.len(), usize::from(!wanted.is_empty()), "{address}: {wanted:?} {got:?}");
@@ -125,7 +125,7 @@
                     for (pool, addresses) in [(2, &p), (3, &q)] {
                         let boxes: Vec<Endpoint> =
                             addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-                        take(&mut lists, PoolId(pool), ListUpdate::Full, &boxes);
+                        take(&mut lists, PoolId(pool), EndpointUpdate::Snapshot, &boxes);
                     }
                     m.reload(100 + clock as u64, pools(&p, &q));
                 }
@@ -135,7 +135,7 @@
                         met.iter().copied().filter(|id| m.directory.address(*id).is_some()).collect()
                     };
                     let all = known(&m);
-                    m.directory.forget_all_but(|id| mask >> (id.0 % 32) & 1 == 1);
+                    m.directory.retain(|id| mask >> (id.0 % 32) & 1 == 1);
                     forgotten.extend(all.difference(&known(&m)));
                 }
             }
--- a/crates/membership/tests/reloads.rs
+++ b/crates/membership/tests/reloads.rs
@@ -11,10 +11,10 @@
 #[test]
 fn at_the_start_static_boxes_are_old_and_later_ones_are_new() {
     let mut m = Mirror::new(vec![fixed("p", &[1, 2])]);
-    assert_eq!(m.last.rows[0].1, ListUpdate::Full);
+    assert_eq!(m.last.rows[0].1, EndpointUpdate::Snapshot);
     m.reload(50, vec![fixed("p", &[2, 3])]);
     assert_eq!(m.boxes(P), [(1, 2, READY), (2, 3, READY)]);
-    assert_eq!((m.row(P, 1).booted, m.row(P, 2).booted), (None, Some(Time(50))));
+    assert_eq!((m.row(P, 1).started_at, m.row(P, 2).started_at), (None, Some(Time(50))));
     assert_eq!(
         m.last.rows.iter().map(|(_, _, rows)| rows.len()).collect::<Vec<_>>(),
         [1, 1],
@@ -23,7 +23,7 @@
     m.reload(60, vec![fixed("p", &[3, 2])]);
     assert_eq!(m.last, Told::default(), "the same boxes are no news");
     m.reload(70, vec![fixed("p", &[1, 2, 3])]);
-    assert_eq!(m.row(P, 0).booted, Some(Time(70)), "back in, under its number that is held, and new");
+    assert_eq!(m.row(P, 0).started_at, Some(Time(70)), "back in, under its number that is held, and new");
 }
 
 #[test]
@@ -34,7 +34,7 @@
     let moved = |id| Moved { id: BackendId(id), from: P, to: Q };
     assert_eq!(m.last.moved, [moved(1), moved(3)]);
     assert_eq!(m.boxes(Q), [(1, 2, READY), (2, 3, READY), (3, 4, READY)]);
-    assert_eq!((m.row(Q, 1).booted, m.row(Q, 3).booted), (None, Some(Time(10))));
+    assert_eq!((m.row(Q, 1).started_at, m.row(Q, 3).started_at), (None, Some(Time(10))));
     assert_eq!(m.last.conflicts, []);
     m.reload(60, vec![fixed("p", &[1, 2, 3, 4]), fixed("q", &[])]);
     assert_eq!((m.last.moved.len(), m.boxes(P).len(), m.boxes(Q).len()), (3, 4, 0));
@@ -59,7 +59,7 @@
     assert_eq!(m.directory.state(BackendId(0)), GONE);
     m.changes(Q, vec![entry("x", 2, READY)]);
     assert_eq!(m.last, Told::default(), "news for a pool that is no more");
-    m.directory.forget_all_but(|_| false);
+    m.directory.retain(|_| false);
     assert_eq!(m.directory.address(BackendId(0)), None);
     m.reload(60, vec![listed("q")]);
     assert_eq!((m.directory.pool_named("q"), m.directory.pool_named("p")), (Some(PoolId(2)), None));
@@ -103,11 +103,11 @@
     m.reload(50, vec![listed("p")]);
     assert_eq!(m.boxes(P), [(0, 1, READY)], "until its list comes");
     let old = Endpoint { booted: Some(Time(5)), ..entry("x", 1, READY) };
-    m.news(P, ListUpdate::Full, vec![old]);
+    m.news(P, EndpointUpdate::Snapshot, vec![old]);
     assert_eq!(m.boxes(P), [(1, 1, READY)]);
     m.reload(60, vec![fixed("p", &[1])]);
     assert_eq!(m.boxes(P), [(0, 1, READY)], "by its address again, and that number is held");
-    assert_eq!(m.row(P, 0).booted, Some(Time(5)), "it was there before the reload");
+    assert_eq!(m.row(P, 0).started_at, Some(Time(5)), "it was there before the reload");
 }
 
 #[test]
@@ -116,8 +116,8 @@
     let shared = |spec: PoolSpec| PoolSpec { repeats: Some("g".into()), ..spec };
     m.reload(50, vec![shared(fixed("p", &[1])), shared(fixed("q", &[2]))]);
     assert_eq!(m.directory.realm(P), m.directory.realm(Q));
-    assert_eq!(m.row(P, 0).cell, m.row(Q, 1).cell);
-    assert_eq!(m.row(P, 0).booted, None);
+    assert_eq!(m.row(P, 0).deduplication_group, m.row(Q, 1).deduplication_group);
+    assert_eq!(m.row(P, 0).started_at, None);
 }
 
 #[test]
@@ -126,5 +126,5 @@
     let bigger = Endpoint { cores: 8, zone: "far".into(), ..entry("s1", 1, READY) };
     m.reload(50, vec![PoolSpec { source: Source::Static(vec![bigger]), ..fixed("p", &[]) }]);
     assert_eq!(m.boxes(P), [(0, 1, READY)]);
-    assert_eq!((m.row(P, 0).cores, m.row(P, 0).booted), (8, None));
+    assert_eq!((m.row(P, 0).cores, m.row(P, 0).started_at), (8, None));
 }
--- a/crates/membership/tests/starts.rs
+++ b/crates/membership/tests/starts.rs
@@ -1,7 +1,7 @@
 //! Who is cold by a clock that is wrong, and by stamps that are.
 
 use shaletide_membership::{Endpoint, StartTimes};
-use shaletide_types::{BackendState, ListUpdate, Micros, PoolId, Time};
+use shaletide_types::{BackendState, EndpointUpdate, Micros, PoolId, Time};
 
 const POOL: PoolId = PoolId(0);
 const SECOND: u64 = 1_000_000;
@@ -25,7 +25,7 @@
 
 /// How old each is taken for, in seconds, at a true time, by a clock that is so many µs ahead; `None` for long ago.
 fn ages(
-    starts: &mut StartTimes, now: u64, ahead: i64, update: ListUpdate, listed: &[(&str, u64)],
+    starts: &mut StartTimes, now: u64, ahead: i64, update: EndpointUpdate, listed: &[(&str, u64)],
 ) -> Vec<Option<f64>> {
     let now = Time((now as i64 + ahead) as u64);
     let mut entries: Vec<Endpoint> = listed.iter().map(|(name, booted)| entry(name, *booted)).collect();
@@ -46,13 +46,18 @@
     for ahead in CLOCKS {
         let mut starts = starts();
         let known = [("a", 0), ("b", 0)];
-        assert_eq!(ages(&mut starts, BEGUN, ahead, ListUpdate::Full, &known), [None, None]);
+        assert_eq!(ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &known), [None, None]);
         let at = BEGUN + 60 * SECOND;
-        let heard = ages(&mut starts, at, ahead, ListUpdate::Changes, &[("a", at - SECOND)]);
+        let heard = ages(&mut starts, at, ahead, EndpointUpdate::Delta, &[("a", at - SECOND)]);
         assert_eq!(heard, [Some(0.0)], "{ahead}");
         // The same start, listed again: its age is that of the monotonic clock, wherever the wall clock is.
-        let again =
-            ages(&mut starts, at + 9 * SECOND, ahead, ListUpdate::Full, &[("a", at - SECOND), ("b", 0)]);
+        let again = ages(
+            &mut starts,
+            at + 9 * SECOND,
+            ahead,
+            EndpointUpdate::Snapshot,
+            &[("a", at - SECOND), ("b", 0)],
+        );
         assert_eq!(again, [Some(9.0), None], "{ahead}");
     }
 }
@@ -63,7 +68,7 @@
         let mut starts = starts();
         let listed =
             [("a", BEGUN - 2 * SECOND), ("b", BEGUN - 3 * SECOND), ("c", BEGUN - 60 * SECOND), ("d", 0)];
-        let ages = ages(&mut starts, BEGUN, ahead, ListUpdate::Full, &listed);
+        let ages = ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &listed);
         // By the second of the last starts, as one stamp alone is not trusted.
         assert_eq!(ages, [Some(0.0), Some(0.0), Some(57.0), None], "{ahead}");
     }
@@ -73,11 +78,11 @@
 fn one_stamp_in_the_future_makes_no_other_backend_look_warm() {
     let mut starts = starts();
     let listed = [("wrong", BEGUN + HOUR), ("a", BEGUN - 30 * SECOND)];
-    assert_eq!(ages(&mut starts, BEGUN, 0, ListUpdate::Full, &listed), [Some(0.0), Some(0.0)]);
+    assert_eq!(ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed), [Some(0.0), Some(0.0)]);
     let at = BEGUN + 20 * SECOND;
-    assert_eq!(ages(&mut starts, at, 0, ListUpdate::Changes, &[("b", at - SECOND)]), [Some(0.0)]);
+    assert_eq!(ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("b", at - SECOND)]), [Some(0.0)]);
     // And it is itself warm after its ramp.
-    let later = ages(&mut starts, at, 0, ListUpdate::Changes, &[("wrong", BEGUN + HOUR)]);
+    let later = ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("wrong", BEGUN + HOUR)]);
     assert_eq!(later, [Some(20.0)]);
 }
 
@@ -85,10 +90,10 @@
 fn backend_heard_of_late_is_as_old_as_those_heard_of_in_time_show() {
     let mut starts = starts();
     let first = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
-    ages(&mut starts, BEGUN, 0, ListUpdate::Full, &first);
+    ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &first);
     // After an outage of discovery: it started 8 s ago, and others' lists came 1 s late.
     let at = BEGUN + 100 * SECOND;
-    assert_eq!(ages(&mut starts, at, 0, ListUpdate::Changes, &[("c", at - 8 * SECOND)]), [Some(7.0)]);
+    assert_eq!(ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("c", at - 8 * SECOND)]), [Some(7.0)]);
 }
 
 #[test]
@@ -96,7 +101,11 @@
     for ahead in CLOCKS {
         let mut starts = starts();
         let listed = [("a", BEGUN - 4 * HOUR), ("b", BEGUN - 5 * HOUR)];
-        assert_eq!(ages(&mut starts, BEGUN, ahead, ListUpdate::Full, &listed), [None, None], "{ahead}");
+        assert_eq!(
+            ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &listed),
+            [None, None],
+            "{ahead}"
+        );
     }
 }
 
@@ -104,8 +113,8 @@
 fn backend_that_went_and_came_back_is_not_taken_for_older_than_it_is() {
     let mut starts = starts();
     let listed = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
-    ages(&mut starts, BEGUN, 0, ListUpdate::Full, &listed);
-    ages(&mut starts, BEGUN + SECOND, 0, ListUpdate::Full, &[("b", BEGUN - SECOND)]);
-    let back = ages(&mut starts, BEGUN + 5 * SECOND, 0, ListUpdate::Changes, &[("a", BEGUN - SECOND)]);
+    ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed);
+    ages(&mut starts, BEGUN + SECOND, 0, EndpointUpdate::Snapshot, &[("b", BEGUN - SECOND)]);
+    let back = ages(&mut starts, BEGUN + 5 * SECOND, 0, EndpointUpdate::Delta, &[("a", BEGUN - SECOND)]);
     assert_eq!(back, [Some(5.0)]);
 }
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -8,7 +8,7 @@
 use crate::shell::{Doing, Pending};
 use crate::world::{World, TICK};
 use shaletide_engine::monitor::{LineStep, Permit, Watched, Where};
-use shaletide_engine::{ConnStep, Phase, Policy, Request, Step};
+use shaletide_engine::{ConnectionState, Phase, Policy, Request, Step};
 use shaletide_types::*;
 use std::hash::Hasher;
 
@@ -21,7 +21,7 @@
     now: Vec<u8>,
     parts: Vec<Vec<u8>>,
     cells: Vec<(u32, u64)>,
-    seen: Vec<ConnId>,
+    seen: Vec<ConnectionId>,
     end_counts: bool,
 }
 
@@ -76,7 +76,7 @@
     }
 
     /// The number of a cell: in the order in which they are met.
-    fn cell(&mut self, realm: u32, cell: CellId) -> u8 {
+    fn cell(&mut self, realm: u32, cell: DeduplicationGroupId) -> u8 {
         let key = (realm, cell.0);
         let at = self.cells.iter().position(|c| *c == key).unwrap_or_else(|| {
             self.cells.push(key);
@@ -112,16 +112,16 @@
 
     /// What is known of a connection on all three sides.
     fn line<P: Policy>(
-        &mut self, world: &World, node: &Node<P>, conn: ConnId, boxes: &[u8], out: &mut Vec<u8>,
+        &mut self, world: &World, node: &Node<P>, conn: ConnectionId, boxes: &[u8], out: &mut Vec<u8>,
     ) {
         self.seen.push(conn);
         let known = node.engine.connections().find(|c| c.0 == conn);
         let engine = match known.map(|c| c.2) {
             None => 0,
-            Some(ConnStep::Opening(None)) => 1,
-            Some(ConnStep::Opening(Some(_))) => 2,
-            Some(ConnStep::Busy(..)) => 3,
-            Some(ConnStep::Idle(since, used)) => {
+            Some(ConnectionState::Opening(None)) => 1,
+            Some(ConnectionState::Opening(Some(_))) => 2,
+            Some(ConnectionState::Busy(..)) => 3,
+            Some(ConnectionState::Idle(since, used)) => {
                 // Too old to be used, or quiet: what is older is no different.
                 let age = age(since, node.now, world.keeping.idle);
                 4 + u8::from(used) + 2 * age
@@ -146,7 +146,7 @@
         let old = u8::from(line.is_some_and(|l| l.old)) | u8::from(node.engine.leads_elsewhere(conn)) << 1;
         let to = match known {
             None => 15,
-            Some((_, _, ConnStep::Busy(..))) if !world.reuses() => 14,
+            Some((_, _, ConnectionState::Busy(..))) if !world.reuses() => 14,
             Some((_, backend, _)) => place_of(boxes, backend),
         };
         out.extend([engine, shell, monitor, old << 4 | to]);
@@ -197,7 +197,7 @@
         let ran = r.into_iter().flat_map(|r| &r.tries).filter(|t| !t.out() && t.may_have_run());
         let mut cells = 0u64;
         match effect {
-            Some(Effect::Keyed(_, window)) if sends => {
+            Some(Idempotency::Keyed(_, window)) if sends => {
                 let mut oldest = None;
                 for t in ran {
                     let from = if self.end_counts { t.ended.max(t.asked) } else { t.asked };
@@ -215,11 +215,11 @@
                 out.extend(cells.to_le_bytes().iter().take(4));
             }
             // Of one that is given up only matters whether anything may have run.
-            Some(Effect::Unsafe | Effect::Keyed(..)) => {
+            Some(Idempotency::NonIdempotent | Idempotency::Keyed(..)) => {
                 let over = w.into_iter().flat_map(|w| w.sent.values()).any(|s| s.on.is_none());
                 out.push(u8::from(ran.count() > 0) | u8::from(over) << 1);
             }
-            Some(Effect::Free) | None => {}
+            Some(Idempotency::Safe) | None => {}
         }
     }
 
@@ -264,7 +264,7 @@
     fn attempt<P: Policy>(
         &mut self, world: &World, node: &Node<P>, id: RequestId, no: usize, boxes: &[u8], out: &mut Vec<u8>,
     ) -> bool {
-        let attempt = AttemptNo(no as u32);
+        let attempt = AttemptNumber(no as u32);
         let t = node.engine.requests().get(&id).and_then(|r| r.tries.get(no)).filter(|t| t.out());
         let w = node.monitor.record().requests.get(&id);
         let sent = w.and_then(|w| w.sent.get(&attempt)).filter(|s| s.on.is_some());
@@ -278,8 +278,8 @@
         let known = node.engine.requests().get(&id);
         let sends = known.is_some_and(|r| r.phase == Phase::Open) || world.one_realm && !is_over(known, w);
         let window = w.filter(|_| sends).and_then(|w| match w.effect {
-            Effect::Keyed(_, window) => Some(window),
-            Effect::Free | Effect::Unsafe => None,
+            Idempotency::Keyed(_, window) => Some(window),
+            Idempotency::Safe | Idempotency::NonIdempotent => None,
         });
         let since = |at: Time| window.map_or(0, |window| age(at, node.now, window));
         match t {
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -2,7 +2,7 @@
 
 use crate::moves::Move;
 use crate::node::{Chooser, Node};
-use shaletide_engine::{ConnStep, Phase, Step};
+use shaletide_engine::{ConnectionState, Phase, Step};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -76,11 +76,11 @@
     /// A served answer.
     Served,
     /// An answer that it never ran.
-    NeverRan,
+    NotExecuted,
     /// An error answer.
     Error,
     /// No answer could come any more.
-    Spoilt,
+    InvalidResponse,
     /// The connection ended.
     Ended,
     /// It could not be written to.
@@ -110,9 +110,9 @@
     What::ConnectFailed,
     What::Written,
     What::Served,
-    What::NeverRan,
+    What::NotExecuted,
     What::Error,
-    What::Spoilt,
+    What::InvalidResponse,
     What::Ended,
     What::Unfit,
     What::ClosedAfter,
@@ -152,7 +152,7 @@
     }
 
     pub(crate) fn note(&mut self, before: &Node<Chooser>, step: Move, after: &Node<Chooser>) {
-        let mut add = |what, request: Option<RequestId>, attempt: Option<AttemptNo>, at: Option<At>| {
+        let mut add = |what, request: Option<RequestId>, attempt: Option<AttemptNumber>, at: Option<At>| {
             let was = situation(before, request, attempt, at);
             let is = situation(after, request, attempt, None);
             self.met.entry((what, was)).or_default().insert(is);
@@ -164,7 +164,7 @@
             Move::Dispatch(r, _) | Move::DispatchNow(r, _) => add(What::Dispatch, id(r), None, None),
             Move::Refuse(r) => add(What::Refuse, id(r), None, None),
             Move::Fail(r) => add(What::Fail, id(r), None, None),
-            Move::Cancel(r, no) => add(What::Cancel, id(r), Some(AttemptNo(u32::from(no))), None),
+            Move::Cancel(r, no) => add(What::Cancel, id(r), Some(AttemptNumber(u32::from(no))), None),
             Move::Permit(place, given) => {
                 let p = before.shell.permits[usize::from(place)];
                 let what = if given { What::Given } else { What::NotGiven };
@@ -197,9 +197,9 @@
         Move::ConnectFailed(at, _) => (What::ConnectFailed, at),
         Move::Written(at) => (What::Written, at),
         Move::Answered(at, 0, _) => (What::Served, at),
-        Move::Answered(at, 1, _) => (What::NeverRan, at),
+        Move::Answered(at, 1, _) => (What::NotExecuted, at),
         Move::Answered(at, _, _) => (What::Error, at),
-        Move::Spoilt(at) => (What::Spoilt, at),
+        Move::InvalidResponse(at) => (What::InvalidResponse, at),
         Move::Ended(at) => (What::Ended, at),
         Move::Unfit(at) => (What::Unfit, at),
         Move::Closed(at, true) => (What::ClosedAfter, at),
@@ -208,25 +208,29 @@
     })
 }
 
-fn holder(node: &Node<Chooser>, conn: ConnId) -> (Option<RequestId>, Option<AttemptNo>, Option<At>) {
+fn holder(
+    node: &Node<Chooser>, conn: ConnectionId,
+) -> (Option<RequestId>, Option<AttemptNumber>, Option<At>) {
     match node.engine.connections().find(|c| c.0 == conn).map(|c| c.2) {
-        Some(ConnStep::Opening(Some((r, no))) | ConnStep::Busy(r, no)) => (Some(r), Some(no), None),
-        Some(ConnStep::Opening(None)) => (None, None, Some(At::Nobody)),
-        Some(ConnStep::Idle(..)) => (None, None, Some(At::Idle)),
+        Some(ConnectionState::Opening(Some((r, no))) | ConnectionState::Busy(r, no)) => {
+            (Some(r), Some(no), None)
+        }
+        Some(ConnectionState::Opening(None)) => (None, None, Some(At::Nobody)),
+        Some(ConnectionState::Idle(..)) => (None, None, Some(At::Idle)),
         None => (None, None, None),
     }
 }
 
-fn at_box(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNo)> + '_ {
+fn at_box(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNumber)> + '_ {
     let backend = BackendId(u32::from(at));
     node.engine.requests().iter().flat_map(move |(id, r)| {
         let here = r.tries.iter().enumerate().filter(move |(_, t)| t.backend == backend && t.out());
-        here.map(|(no, _)| (*id, AttemptNo(no as u32)))
+        here.map(|(no, _)| (*id, AttemptNumber(no as u32)))
     })
 }
 
 fn situation(
-    node: &Node<Chooser>, request: Option<RequestId>, attempt: Option<AttemptNo>, at: Option<At>,
+    node: &Node<Chooser>, request: Option<RequestId>, attempt: Option<AttemptNumber>, at: Option<At>,
 ) -> Situation {
     let known = request.and_then(|id| node.engine.requests().get(&id));
     let owed = match known.map(|r| r.phase) {
--- a/crates/model-checker/src/moves.rs
+++ b/crates/model-checker/src/moves.rs
@@ -48,7 +48,7 @@
     /// An answer: 0 served, 1 never ran, 2 error.
     Answered(u8, u8, After),
     /// What came is no answer.
-    Spoilt(u8),
+    InvalidResponse(u8),
     /// The connection ended.
     Ended(u8),
     /// It cannot be written to.
@@ -182,7 +182,7 @@
                 }
                 out.push(Move::Ended(place));
                 if traffic.alike {
-                    out.push(Move::Spoilt(place));
+                    out.push(Move::InvalidResponse(place));
                 }
                 if *closing {
                     out.push(Move::Closed(place, true));
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -5,7 +5,7 @@
 use crate::world::{World, TICK};
 use shaletide_balancer::Arrival;
 use shaletide_engine::monitor::{Monitor, Rule, Verdict, Violation};
-use shaletide_engine::{Action, ConnStep, Engine, Event, Order, Policy};
+use shaletide_engine::{Action, ConnectionState, Engine, Event, Order, Policy};
 use shaletide_routing::{pools, Verdict as Meaning};
 use shaletide_types::*;
 use std::rc::Rc;
@@ -129,8 +129,9 @@
     /// does so at once: no order of that against anything else differs in what can be seen. Deadlines that are due
     /// are not touched.
     fn sweep(&mut self) -> Verdict {
-        let unwanted = self.engine.connections().filter(|c| c.2 == ConnStep::Opening(None)).map(|c| c.0);
-        let unwanted: Vec<ConnId> = unwanted.collect();
+        let unwanted =
+            self.engine.connections().filter(|c| c.2 == ConnectionState::Opening(None)).map(|c| c.0);
+        let unwanted: Vec<ConnectionId> = unwanted.collect();
         for conn in unwanted {
             self.put(Input::Event(Event::ConnectFailed { conn, blame: false }), &mut |_, _| {})?;
         }
@@ -162,7 +163,7 @@
                 _ => self.shell.set(*conn, Doing::Idle),
             },
             Event::ConnectFailed { conn, .. }
-            | Event::Spoilt { conn }
+            | Event::InvalidResponse { conn }
             | Event::Ended { conn }
             | Event::Unfit { conn }
             | Event::Closed { conn, .. } => self.shell.drop_line(*conn),
@@ -170,18 +171,18 @@
         }
     }
 
-    fn doing(&self, conn: ConnId) -> Option<Doing> {
+    fn doing(&self, conn: ConnectionId) -> Option<Doing> {
         self.shell.lines.iter().find(|l| l.0 == conn).map(|l| l.1)
     }
 
     fn whole(&self, pool: PoolId) -> Input {
         let backends = self.shell.rows(pool, None);
-        Input::Event(Event::Members { pool, update: ListUpdate::Full, backends })
+        Input::Event(Event::Members { pool, update: EndpointUpdate::Snapshot, backends })
     }
 
     fn row(&self, id: u8) -> Input {
         let (pool, row) = (self.shell.boxes[usize::from(id)].pool, self.shell.row(usize::from(id)));
-        Input::Event(Event::Members { pool, update: ListUpdate::Changes, backends: vec![row] })
+        Input::Event(Event::Members { pool, update: EndpointUpdate::Delta, backends: vec![row] })
     }
 
     fn order(&self, world: &World, id: RequestId) -> Input {
@@ -192,8 +193,8 @@
             tenant: None,
             time_left: crate::world::ticks(kind.time_left),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
         let route: Rc<[PoolId]> = (0..u32::from(world.pools())).map(PoolId).collect();
         let order =
@@ -238,7 +239,7 @@
             | Move::ConnectFailed(..)
             | Move::Written(_)
             | Move::Answered(..)
-            | Move::Spoilt(_)
+            | Move::InvalidResponse(_)
             | Move::Ended(_)
             | Move::Unfit(_)
             | Move::Closed(..) => vec![Input::Event(self.on_line(step))],
@@ -251,7 +252,12 @@
         let next = |id: u8| self.engine.requests().get(&request(id)).map_or(0, |r| r.tries.len() as u32);
         let dispatch = |id: u8, to: u8, attempt: u32, send_by: Option<Time>| {
             let backend = BackendId(u32::from(to));
-            pools::Action::Dispatch { request: request(id), attempt: AttemptNo(attempt), backend, send_by }
+            pools::Action::Dispatch {
+                request: request(id),
+                attempt: AttemptNumber(attempt),
+                backend,
+                send_by,
+            }
         };
         // Advice is rounded up to whole seconds, beyond any window here.
         let retry_after = Micros(0);
@@ -262,7 +268,7 @@
             Move::Refuse(id) => pools::Action::Refuse { request: request(id), retry_after },
             Move::Fail(id) => pools::Action::Fail { request: request(id), retry_after },
             Move::Cancel(id, no) => {
-                pools::Action::Cancel { request: request(id), attempt: AttemptNo(u32::from(no)) }
+                pools::Action::Cancel { request: request(id), attempt: AttemptNumber(u32::from(no)) }
             }
             other => unreachable!("{other:?} is none of the chooser's"),
         }
@@ -275,11 +281,11 @@
             Move::ConnectFailed(place, blame) => Event::ConnectFailed { conn: conn(place), blame },
             Move::Written(place) => Event::Written { conn: conn(place) },
             Move::Answered(place, verdict, after) => {
-                let verdict = [Meaning::Served, Meaning::NeverRan, Meaning::Error][usize::from(verdict)];
+                let verdict = [Meaning::Served, Meaning::NotExecuted, Meaning::Error][usize::from(verdict)];
                 let (keep, behind) = (after != After::Close, after == After::Behind);
                 Event::Answered { conn: conn(place), verdict, keep, behind }
             }
-            Move::Spoilt(place) => Event::Spoilt { conn: conn(place) },
+            Move::InvalidResponse(place) => Event::InvalidResponse { conn: conn(place) },
             Move::Ended(place) => Event::Ended { conn: conn(place) },
             Move::Unfit(place) => Event::Unfit { conn: conn(place) },
             Move::Closed(place, written) => {
@@ -328,13 +334,13 @@
             Move::Lose(of) => {
                 left.losses -= 1;
                 self.shell.lost = true;
-                let (pool, update) = (pool(of), ListUpdate::Lost);
+                let (pool, update) = (pool(of), EndpointUpdate::SubscriptionLost);
                 vec![Input::Event(Event::Members { pool, update, backends: Vec::new() })]
             }
             Move::Readdress(id) => {
                 left.readdressed -= 1;
                 let backend = BackendId(u32::from(id));
-                vec![self.row(id), Input::Event(Event::Readdressed { backend })]
+                vec![self.row(id), Input::Event(Event::AddressChanged { backend })]
             }
             Move::Regroup(id) => {
                 left.regrouped -= 1;
@@ -345,9 +351,9 @@
                 left.moves -= 1;
                 let from = boxes[usize::from(id)].pool;
                 let (backend, to) = (BackendId(u32::from(id)), pool(to));
-                let row = Backend { state: BackendState::Gone, ..self.shell.row(usize::from(id)) };
+                let row = BackendEntry { state: BackendState::Gone, ..self.shell.row(usize::from(id)) };
                 self.shell.boxes[usize::from(id)].pool = to;
-                let (update, backends) = (ListUpdate::Changes, vec![row]);
+                let (update, backends) = (EndpointUpdate::Delta, vec![row]);
                 let gone = Event::Members { pool: from, update, backends };
                 let moved = Event::Moved { backend, from, to };
                 vec![Input::Event(moved), Input::Event(gone), self.row(id)]
--- a/crates/model-checker/src/restarts.rs
+++ b/crates/model-checker/src/restarts.rs
@@ -82,7 +82,7 @@
     /// The chooser gives up.
     Fail(RequestId),
     /// The chooser calls an attempt back.
-    Cancel(RequestId, AttemptNo),
+    Cancel(RequestId, AttemptNumber),
     /// What waits for the disk becomes durable, up to the next row that says something of the key.
     Commit,
     /// The recorder hears of the oldest commits that it has not heard of.
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug)]
 struct Sent {
     run: u64,
-    conn: ConnId,
+    conn: ConnectionId,
     fate: Fate,
 }
 
@@ -203,7 +203,7 @@
     let rule = record::ClassRule { permit: true, without_key: record::WithoutKey::Refuse };
     let classes = BTreeMap::from([("settle".to_string(), rule)]);
     let config = record::RecordConfig {
-        permit_wait: TICK,
+        intent_timeout: TICK,
         retry_after: TICK,
         classes,
         ..record::RecordConfig::default()
@@ -236,7 +236,7 @@
 
     fn listed(&mut self, bounds: &Restarts) {
         let backends = self.shell.rows(PoolId(0), None);
-        self.events.push_back(Event::Members { pool: PoolId(0), update: ListUpdate::Full, backends });
+        self.events.push_back(Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends });
         self.drain(bounds);
     }
 
@@ -254,7 +254,7 @@
         if bounds.plant == Some(Careless::FreesInFlight) {
             self.book.key = self.book.key.filter(|(state, ..)| *state != KeyState::InFlight);
         }
-        let held = self.book.key.map(|(state, _, _, seq)| record::Remembered {
+        let held = self.book.key.map(|(state, _, _, seq)| record::StoredKey {
             key: key(),
             state,
             since: self.now,
@@ -279,7 +279,7 @@
         for action in actions {
             match action {
                 record::Action::Write { ticket, write: _ } if self.down => {
-                    let why = record::StoreTrouble::Failed;
+                    let why = record::StoreFailure::Failed;
                     self.told.push_back(vec![record::Event::WriteFailed { ticket, why }]);
                 }
                 record::Action::Write { ticket, write } => {
@@ -318,12 +318,12 @@
         for action in actions {
             match &action {
                 Action::Send { conn, .. } => self.send(*conn),
-                Action::AskPermit { request, attempt } => {
+                Action::PersistIntent { request, attempt } => {
                     let (request, attempt, seen) = (*request, *attempt, record::Seen::default());
                     if bounds.plant == Some(Careless::IntentAfterSend) {
                         self.events.push_back(Event::Permit { request, attempt, given: true });
                     }
-                    self.record(bounds, record::Event::PermitWanted { request, attempt, seen });
+                    self.record(bounds, record::Event::IntentRequested { request, attempt, seen });
                 }
                 Action::Withdraw { request, attempt } => {
                     let (request, attempt) = (*request, *attempt);
@@ -344,21 +344,21 @@
                 }
                 _ => {}
             }
-            if !matches!(action, Action::AskPermit { .. } | Action::Withdraw { .. }) {
+            if !matches!(action, Action::PersistIntent { .. } | Action::Withdraw { .. }) {
                 self.shell.carry_out(&action);
             }
         }
     }
 
     /// The rule: nothing is sent while something else of the key may have run.
-    fn send(&mut self, conn: ConnId) {
+    fn send(&mut self, conn: ConnectionId) {
         if self.sent.iter().any(|s| s.fate != Fate::Never) {
             self.broken = Some("a key that may have run is sent again");
         }
         self.sent.push(Sent { run: self.run, conn, fate: Fate::Maybe });
     }
 
-    fn fate(&mut self, conn: ConnId, fate: Fate) {
+    fn fate(&mut self, conn: ConnectionId, fate: Fate) {
         let run = self.run;
         if let Some(sent) = self.sent.iter_mut().find(|s| (s.run, s.conn) == (run, conn)) {
             sent.fate = fate;
@@ -383,10 +383,10 @@
             tenant: None,
             time_left: ticks(2),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
-        let (pools, effect) = ([PoolId(0)].into(), Effect::Unsafe);
+        let (pools, effect) = ([PoolId(0)].into(), Idempotency::NonIdempotent);
         self.events.push_back(Event::Request(Order { arrival, effect, pools, permit: true, recorded: true }));
     }
 
@@ -414,9 +414,9 @@
             if at < usize::from(on_record) {
                 let _ = self.book.commit(self.run, &write); // refused or not: nobody is told
             }
-            heard.push(record::Event::WriteFailed { ticket, why: record::StoreTrouble::Failed });
+            heard.push(record::Event::WriteFailed { ticket, why: record::StoreFailure::Failed });
         }
-        let (why, again) = (record::StoreTrouble::Failed, TICK);
+        let (why, again) = (record::StoreFailure::Failed, TICK);
         heard.push(record::Event::StoreDown { why, again });
         self.told.push_back(heard);
     }
@@ -434,7 +434,7 @@
             }
             Happens::Dispatch(request, to) => {
                 let next = self.engine.requests().get(&request).map_or(0, |r| r.tries.len() as u32);
-                let (attempt, backend) = (AttemptNo(next), BackendId(u32::from(to)));
+                let (attempt, backend) = (AttemptNumber(next), BackendId(u32::from(to)));
                 ask = Some(pools::Action::Dispatch { request, attempt, backend, send_by: None });
             }
             Happens::Fail(request) => {
@@ -476,7 +476,7 @@
                 let conn = conn(self, place);
                 self.fate(conn, [Fate::Ran, Fate::Never, Fate::Maybe][usize::from(verdict)]);
                 self.shell.drop_line(conn);
-                let verdict = [Meaning::Served, Meaning::NeverRan, Meaning::Error][usize::from(verdict)];
+                let verdict = [Meaning::Served, Meaning::NotExecuted, Meaning::Error][usize::from(verdict)];
                 self.events.push_back(Event::Answered { conn, verdict, keep: false, behind: false });
             }
             Happens::Ended(place) => {
@@ -548,7 +548,7 @@
             }
             let out_still = r.tries.iter().enumerate();
             let out_still = out_still.filter(|(_, t)| t.out() && !matches!(t.step, Step::Stopping(..)));
-            out.extend(out_still.map(|(no, _)| Happens::Cancel(*id, AttemptNo(no as u32))));
+            out.extend(out_still.map(|(no, _)| Happens::Cancel(*id, AttemptNumber(no as u32))));
         }
         if !self.queue.is_empty() && !self.down {
             out.push(Happens::Commit);
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -16,7 +16,7 @@
         /// Whose.
         request: RequestId,
         /// Which attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// The last byte has gone.
         written: bool,
         /// The engine has asked to close it.
@@ -30,7 +30,7 @@
     /// Whose.
     pub request: RequestId,
     /// Which attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// It was given back, so that the store's word comes too late.
     pub withdrawn: bool,
 }
@@ -41,7 +41,7 @@
     /// Its pool.
     pub pool: PoolId,
     /// Its cell.
-    pub cell: CellId,
+    pub cell: DeduplicationGroupId,
     /// What it may be sent.
     pub state: BackendState,
     /// When it returned; the engine does not read it, a policy may.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shell {
     /// The connections, the oldest first.
-    pub lines: Vec<(ConnId, Doing)>,
+    pub lines: Vec<(ConnectionId, Doing)>,
     /// The permits that are asked for.
     pub permits: Vec<Pending>,
     /// The boxes by number.
@@ -70,7 +70,7 @@
     pub fn new(world: &World) -> Shell {
         let listed = |b: &crate::world::BoxSpec| Listed {
             pool: PoolId(b.pool),
-            cell: CellId(b.cell),
+            cell: DeduplicationGroupId(b.cell),
             state: if b.listed { BackendState::Ready } else { BackendState::Gone },
             booted: None,
         };
@@ -85,20 +85,20 @@
     }
 
     /// The row of a box, as its list has it.
-    pub fn row(&self, id: usize) -> Backend {
+    pub fn row(&self, id: usize) -> BackendEntry {
         let b = self.boxes[id];
         // Pools are realms of their own, as they are for the daemon unless it is told otherwise.
-        Backend {
+        BackendEntry {
             id: BackendId(id as u32),
-            cell: b.cell,
-            realm: b.pool.0,
+            deduplication_group: b.cell,
+            deduplication_domain: b.pool.0,
             state: b.state,
-            ..Backend::default()
+            ..BackendEntry::default()
         }
     }
 
     /// The rows of a pool, but for those gone and that one.
-    pub fn rows(&self, pool: PoolId, but: Option<usize>) -> Vec<Backend> {
+    pub fn rows(&self, pool: PoolId, but: Option<usize>) -> Vec<BackendEntry> {
         let ids = (0..self.boxes.len()).filter(|id| Some(*id) != but);
         let here =
             ids.filter(|id| self.boxes[*id].pool == pool && self.boxes[*id].state != BackendState::Gone);
@@ -115,13 +115,13 @@
         self.lines.iter().any(|(_, d)| matches!(d, Doing::Busy { closing: true, .. }))
     }
 
-    pub(crate) fn set(&mut self, conn: ConnId, doing: Doing) {
+    pub(crate) fn set(&mut self, conn: ConnectionId, doing: Doing) {
         if let Some(line) = self.lines.iter_mut().find(|l| l.0 == conn) {
             line.1 = doing;
         }
     }
 
-    pub(crate) fn drop_line(&mut self, conn: ConnId) {
+    pub(crate) fn drop_line(&mut self, conn: ConnectionId) {
         self.lines.retain(|l| l.0 != conn);
     }
 
@@ -137,7 +137,7 @@
                 Some((_, Doing::Busy { closing, .. })) => *closing = true,
                 _ => self.drop_line(*conn),
             },
-            Action::AskPermit { request, attempt } => {
+            Action::PersistIntent { request, attempt } => {
                 self.permits.push(Pending { request: *request, attempt: *attempt, withdrawn: false });
             }
             Action::Withdraw { request, attempt } => {
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -60,7 +60,7 @@
 }
 
 fn told<P: shaletide_engine::Policy>(event: &Event, node: &Node<P>) -> String {
-    let to = |conn: &ConnId| {
+    let to = |conn: &ConnectionId| {
         let line = node.engine.connections().find(|c| c.0 == *conn);
         line.map_or("a box".to_string(), |c| format!("box {}", c.1 .0))
     };
@@ -68,14 +68,14 @@
         Event::Members { pool, update, backends } => {
             let rows: Vec<String> = backends
                 .iter()
-                .map(|b| format!("box {} {:?} in cell {}", b.id.0, b.state, b.cell.0))
+                .map(|b| format!("box {} {:?} in cell {}", b.id.0, b.state, b.deduplication_group.0))
                 .collect();
             format!("list of pool {}: {update:?} [{}]", pool.0, rows.join(", "))
         }
         Event::Moved { backend, from, to } => {
             format!("list: box {} goes from pool {} to pool {}", backend.0, from.0, to.0)
         }
-        Event::Readdressed { backend } => format!("list: box {} listens at another address", backend.0),
+        Event::AddressChanged { backend } => format!("list: box {} listens at another address", backend.0),
         Event::PoolClosed { pool } => format!("operator: pool {} is closed", pool.0),
         Event::Request(order) => format!(
             "client: request {} comes, {:?}, with {} ms left",
@@ -99,7 +99,7 @@
         Event::Answered { conn, verdict, keep, behind } => {
             let what = match verdict {
                 Verdict::Served => "the answer",
-                Verdict::NeverRan => "an answer that it never ran",
+                Verdict::NotExecuted => "an answer that it never ran",
                 Verdict::Error => "an error",
             };
             let after = match (keep, behind) {
@@ -109,7 +109,9 @@
             };
             format!("{}: {what} on connection {}{after}", to(conn), conn.0)
         }
-        Event::Spoilt { conn } => format!("{}: no answer can come of connection {}", to(conn), conn.0),
+        Event::InvalidResponse { conn } => {
+            format!("{}: no answer can come of connection {}", to(conn), conn.0)
+        }
         Event::Ended { conn } => format!("{}: ends connection {}", to(conn), conn.0),
         Event::Unfit { conn } => format!("shell: connection {} cannot be written to", conn.0),
         Event::Closed { conn, written } => {
@@ -139,7 +141,7 @@
         Action::Ended { request, attempt, outcome } => {
             format!("attempt {} of request {} is over: {outcome:?}", attempt.0, request.0)
         }
-        Action::AskPermit { request, attempt } => {
+        Action::PersistIntent { request, attempt } => {
             format!("ask the permit for attempt {} of request {}", attempt.0, request.0)
         }
         Action::Withdraw { request, attempt } => {
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1,7 +1,7 @@
 //! What a small world consists of, and what may happen in it at most.
 
 use shaletide_engine::monitor::Rules;
-use shaletide_engine::Keeping;
+use shaletide_engine::ConnectionLimits;
 use shaletide_types::*;
 
 /// The unit of time of all worlds, 1 ms: the engine looks idle connections through no oftener.
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Kind {
     /// What a second run would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The time that its client gives it, in ticks.
     pub time_left: u64,
     /// It wants permits.
@@ -91,7 +91,7 @@
     /// All requests are there from the beginning.
     pub at_once: bool,
     /// How connections are kept.
-    pub keeping: Keeping,
+    pub keeping: ConnectionLimits,
     /// Attempts may be called back.
     pub cancel: bool,
     /// All boxes are of one realm: a keyed request of scope `all` may be refused though it ran.
@@ -174,9 +174,9 @@
 
     fn effects(&self) -> String {
         let name = |k: &Kind| match k.effect {
-            Effect::Free => "free",
-            Effect::Keyed(..) => "keyed",
-            Effect::Unsafe => "unsafe",
+            Idempotency::Safe => "free",
+            Idempotency::Keyed(..) => "keyed",
+            Idempotency::NonIdempotent => "unsafe",
         };
         let permit = |k: &Kind| if k.permit { "+permit" } else { "" };
         let each: Vec<String> =
--- a/crates/model-checker/src/worlds.rs
+++ b/crates/model-checker/src/worlds.rs
@@ -1,16 +1,20 @@
 //! The worlds that are explored, by name.
 
 use crate::world::{ticks, BoxSpec, Kind, News, Traffic, World};
-use shaletide_engine::Keeping;
+use shaletide_engine::ConnectionLimits;
 use shaletide_types::*;
 
 /// A request that may run at will.
-pub const FREE: Kind = Kind { effect: Effect::Free, time_left: 2, permit: false, class: 0 };
+pub const FREE: Kind = Kind { effect: Idempotency::Safe, time_left: 2, permit: false, class: 0 };
 /// A keyed one: the edge of its window may lie before its deadline, with it and after it.
-pub const KEYED: Kind =
-    Kind { effect: Effect::Keyed(KeyScope::Cell, ticks(1)), time_left: 2, permit: false, class: 1 };
+pub const KEYED: Kind = Kind {
+    effect: Idempotency::Keyed(DeduplicationScope::Group, ticks(1)),
+    time_left: 2,
+    permit: false,
+    class: 1,
+};
 /// An unsafe one.
-pub const UNSAFE: Kind = Kind { effect: Effect::Unsafe, time_left: 2, permit: false, class: 2 };
+pub const UNSAFE: Kind = Kind { effect: Idempotency::NonIdempotent, time_left: 2, permit: false, class: 2 };
 
 /// What can come on connections that are used once.
 const ONCE: Traffic = Traffic { keeps: false, behind: false, unfit: false, early: true, alike: false };
@@ -19,7 +23,7 @@
 /// What can come on connections that are used again.
 const AGAIN: Traffic = Traffic { keeps: true, behind: true, unfit: true, early: true, alike: false };
 /// Few connections, idle and quiet for a time.
-const KEEPING: Keeping = Keeping { most: 2, idle: ticks(3), quiet: ticks(1) };
+const KEEPING: ConnectionLimits = ConnectionLimits { most: 2, idle: ticks(3), quiet: ticks(1) };
 
 /// So many boxes, each in a cell of its own, in so many pools, and requests of one effect after the other.
 /// Connections are used once.
@@ -30,7 +34,7 @@
         boxes: (0..boxes).map(spec).collect(),
         requests: [FREE, KEYED, UNSAFE].into_iter().cycle().take(requests).collect(),
         at_once: false,
-        keeping: Keeping { most: 64, idle: Micros(0), quiet: Micros(0) },
+        keeping: ConnectionLimits { most: 64, idle: Micros(0), quiet: Micros(0) },
         cancel: true,
         one_realm: false,
         out_each: 2,
@@ -71,7 +75,8 @@
 /// The world of that name.
 pub fn named(name: &str) -> Option<World> {
     let slow = |kind: Kind| Kind { time_left: 3, ..kind };
-    let edged = Kind { effect: Effect::Keyed(KeyScope::Cell, ticks(2)), time_left: 3, ..KEYED };
+    let edged =
+        Kind { effect: Idempotency::Keyed(DeduplicationScope::Group, ticks(2)), time_left: 3, ..KEYED };
     let of = |requests: &[Kind], world: World| World { requests: requests.to_vec(), ..world };
     let one = |kind: Kind| of(&[kind], World { traffic: ALL_ONCE, ..base(2, 1, 1, 1) });
     let two = |a: Kind, b: Kind| of(&[a, b], base(2, 2, 1, 1));
@@ -95,7 +100,9 @@
             ..one(edged)
         },
         "leaving" => World { news: News { leaves: 2, ..none }, ..two(FREE, KEYED) },
-        "late-connect" => World { keeping: Keeping { most: 2, ..KEEPING }, ..again(FREE, UNSAFE, ONCE) },
+        "late-connect" => {
+            World { keeping: ConnectionLimits { most: 2, ..KEEPING }, ..again(FREE, UNSAFE, ONCE) }
+        }
         "settle" => of(
             &[UNSAFE, KEYED],
             World { at_once: true, news: News { drains: 1, gone: 1, leaves: 1, ..none }, ..base(2, 2, 1, 2) },
@@ -133,7 +140,7 @@
             ..two(KEYED, UNSAFE)
         },
         "one-realm" => {
-            let effect = Effect::Keyed(KeyScope::All, ticks(2));
+            let effect = Idempotency::Keyed(DeduplicationScope::All, ticks(2));
             World { one_realm: true, ..one(Kind { effect, ..edged }) }
         }
         "three-out" => World { out_each: 3, out_all: 3, ..one(edged) },
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -3,7 +3,7 @@
 
 use shaletide_balancer::{Class, Config, Tenant};
 use shaletide_engine::monitor::{Cold, ColdRules};
-use shaletide_engine::{Action, Engine, Event, Keeping, Order, Policy};
+use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Order, Policy};
 use shaletide_model_checker::*;
 use shaletide_routing::{pools, Pools, Verdict};
 use shaletide_types::*;
@@ -15,19 +15,25 @@
 const MOST_ASKS: usize = 400;
 
 fn config() -> Config {
-    let class = |effect| Class { aim: Micros(40_000), aim_stretch: 0.0, effect, worth: 1.0, late_worth: 0.2 };
+    let class = |effect| Class {
+        latency_objective: Micros(40_000),
+        latency_objective_per_work_hint: 0.0,
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.2,
+    };
     Config {
         proxies: 1,
         classes: vec![
-            class(Effect::Free),
-            class(Effect::Keyed(KeyScope::Cell, ticks(60))),
-            class(Effect::Unsafe),
+            class(Idempotency::Safe),
+            class(Idempotency::Keyed(DeduplicationScope::Group, ticks(60))),
+            class(Idempotency::NonIdempotent),
         ],
         tenants: vec![Tenant { quota_per_s: 20.0 }],
-        only_realm: None,
-        spare: true,
+        only_deduplication_domain: None,
+        has_failover_pool: true,
         max_attempts: MOST_ATTEMPTS,
-        tick: ticks(5),
+        min_timer_interval: ticks(5),
         ..Config::example()
     }
 }
@@ -49,7 +55,7 @@
 impl Policy for Recorded {
     fn handle(&mut self, now: Time, event: pools::Event, asks: &mut Vec<pools::Action>) {
         match &event {
-            pools::Event::AttemptEnded(end) if end.settled => drop(self.settled.insert(end.request)),
+            pools::Event::AttemptEnded(end) if end.request_answered => drop(self.settled.insert(end.request)),
             pools::Event::ClientGone { request } => drop(self.settled.insert(*request)),
             _ => {}
         }
@@ -88,7 +94,7 @@
 
 fn world() -> World {
     let kinds = [FREE, KEYED, UNSAFE].map(|kind| Kind { time_left: 150, ..kind });
-    let keyed = Kind { effect: Effect::Keyed(KeyScope::Cell, ticks(60)), ..kinds[1] };
+    let keyed = Kind { effect: Idempotency::Keyed(DeduplicationScope::Group, ticks(60)), ..kinds[1] };
     let requests = [kinds[0], keyed, kinds[2]].into_iter().cycle().take(240).collect();
     let news = News {
         drains: 12,
@@ -104,7 +110,7 @@
     };
     let boxes = (0..6).map(|b| BoxSpec { pool: b % 2, cell: u64::from(b / 2), listed: true }).collect();
     let traffic = Traffic { keeps: true, behind: true, unfit: true, early: true, alike: true };
-    let keeping = Keeping { most: 16, idle: ticks(100), quiet: ticks(1) };
+    let keeping = ConnectionLimits { most: 16, idle: ticks(100), quiet: ticks(1) };
     World { boxes, requests, news, traffic, keeping, asks: false, ..base(6, 1, 0, 2) }
 }
 
@@ -171,23 +177,23 @@
 /// A box that starts while there is load, each request half of what it can do in a moment: it is not pushed over.
 #[test]
 fn the_real_module_keeps_the_budget_of_a_cold_box() {
-    let cfg = Config { ramp: Micros(4_000_000), fall_window: Micros(500_000), ..config() };
+    let cfg = Config { slow_start_window: Micros(4_000_000), overload_window: Micros(500_000), ..config() };
     let rules = ColdRules {
-        cold_from: cfg.cold_from,
-        ramp: cfg.ramp,
-        multiple: cfg.fall_multiple,
-        window: cfg.fall_window,
+        initial_capacity_fraction: cfg.initial_capacity_fraction,
+        ramp: cfg.slow_start_window,
+        multiple: cfg.overload_multiple,
+        window: cfg.overload_window,
         proxies: cfg.proxies,
         speed: 1.0,
         work: ticks(20),
     };
     let mut policy = Pools::new();
     policy.configure(PoolId(0), cfg, 3).expect("sound");
-    let keeping = Keeping { most: 256, idle: Micros(1_000_000), quiet: Micros(0) };
+    let keeping = ConnectionLimits { most: 256, idle: Micros(1_000_000), quiet: Micros(0) };
     let mut engine = Engine::new(policy, keeping);
     let (mut cold, mut strict) = (Cold::new(rules), Cold::new(ColdRules { multiple: 0.2, ..rules }));
     let mut now = Time(1_000_000_000);
-    let mut due: VecDeque<(Time, ConnId)> = VecDeque::new();
+    let mut due: VecDeque<(Time, ConnectionId)> = VecDeque::new();
     let (mut to_cold, mut too_much, mut lines) = (0, 0, BTreeMap::new());
     let mut events = VecDeque::from([list(3, None)]);
     for tick in 0..6_000u64 {
@@ -233,15 +239,15 @@
 }
 
 fn list(count: u32, booted: Option<Time>) -> Event {
-    let row = |id: u32| Backend {
+    let row = |id: u32| BackendEntry {
         id: BackendId(id),
-        mark: u64::from(id),
+        stable_hash: u64::from(id),
         state: BackendState::Ready,
-        booted: booted.filter(|_| id == 3),
-        ..Backend::default()
+        started_at: booted.filter(|_| id == 3),
+        ..BackendEntry::default()
     };
     let backends = (0..count).map(row).collect();
-    Event::Members { pool: PoolId(0), update: ListUpdate::Full, backends }
+    Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends }
 }
 
 fn arrival(number: u64) -> Event {
@@ -251,9 +257,9 @@
         tenant: None,
         time_left: Micros(400_000),
         work_hint: None,
-        repeat: false,
-        elsewhere: false,
+        is_client_retry: false,
+        may_fail_over: false,
     };
     let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
-    Event::Request(Order { arrival, effect: Effect::Free, pools, permit: false, recorded: false })
+    Event::Request(Order { arrival, effect: Idempotency::Safe, pools, permit: false, recorded: false })
 }
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::stream::{PeerWatch, Stream};
 use crate::trace::RequestTrace;
 use shaletide_routing::Verdict;
-use shaletide_types::{AttemptNo, LoadReport};
+use shaletide_types::{AttemptNumber, LoadReport};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -13,7 +13,7 @@
 /// One attempt to be carried out.
 pub struct ExchangeSpec {
     /// Its number, under which the protocol keeps the response.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// The connection, established and idle.
     pub stream: Stream,
     /// The backend's address.
@@ -41,7 +41,7 @@
         report: Option<LoadReport>,
     },
     /// What was received is no valid response, or took too long.
-    Spoilt,
+    InvalidResponse,
     /// The connection was closed.
     Ended,
 }
--- a/crates/net/src/host.rs
+++ b/crates/net/src/host.rs
@@ -11,7 +11,7 @@
 use crate::{span, Clock};
 use shaletide_balancer::*;
 use shaletide_engine::monitor::{Monitor, Rules};
-use shaletide_engine::{Action, ConnStep, Engine, Event, Final, Keeping, Order};
+use shaletide_engine::{Action, ConnectionLimits, ConnectionState, Engine, Event, Final, Order};
 use shaletide_membership::{Directory, Endpoint, PoolSpec, StartTimes};
 use shaletide_record::{Asked, Conflict as KeyConflict, Ending, Seen, Verdict};
 use shaletide_routing::{Decision, Pools};
@@ -70,7 +70,7 @@
     /// The last word on it.
     pub decision: Decision,
     /// The attempt whose answer is passed on, or was the last to come.
-    pub attempt: Option<AttemptNo>,
+    pub attempt: Option<AttemptNumber>,
     /// Why its key is not sent, where that is so.
     pub conflict: Option<KeyConflict>,
 }
@@ -105,7 +105,7 @@
 
 impl Open {
     /// The trace of an attempt, where requests are traced.
-    fn trace(&self, attempt: AttemptNo, backend: BackendId) -> Option<AttemptTrace> {
+    fn trace(&self, attempt: AttemptNumber, backend: BackendId) -> Option<AttemptTrace> {
         let request = self.upstream_request.trace()?.clone();
         Some(AttemptTrace { request, attempt, backend })
     }
@@ -184,7 +184,7 @@
 
 /// Not a byte of a request has gone out on it. Another is looked for, but not where it has only just come up: a backend
 /// that ends each new connection, or is the first to speak, would be connected to for as long as the request has time.
-fn unusable(conn: ConnId, fresh: bool) -> Event {
+fn unusable(conn: ConnectionId, fresh: bool) -> Event {
     if fresh {
         Event::Ended { conn }
     } else {
@@ -192,8 +192,8 @@
     }
 }
 
-fn keeping(network: &Network) -> Keeping {
-    Keeping { most: network.most, idle: network.idle_timeout.times(IDLE_PART), quiet: QUIET }
+fn keeping(network: &Network) -> ConnectionLimits {
+    ConnectionLimits { most: network.most, idle: network.idle_timeout.times(IDLE_PART), quiet: QUIET }
 }
 
 impl Host {
@@ -255,15 +255,24 @@
             let named = |setup: &PoolSetup| s.directory.pool_named(&setup.spec.name).unwrap_or_default();
             let ids: Vec<PoolId> = setups.iter().map(named).collect();
             let realms: HashSet<Option<u32>> = ids.iter().map(|id| s.directory.realm(*id)).collect();
-            let only_realm = realms.iter().next().copied().flatten().filter(|_| realms.len() == 1);
-            let cancel = setups.iter().all(|s| s.config.cancel);
-            s.starts.set_ramp(setups.iter().map(|s| s.config.ramp).max().unwrap_or_default());
+            let only_deduplication_domain =
+                realms.iter().next().copied().flatten().filter(|_| realms.len() == 1);
+            let cancel = setups.iter().all(|s| s.config.may_cancel_attempts);
+            s.starts.set_ramp(setups.iter().map(|s| s.config.slow_start_window).max().unwrap_or_default());
             for (id, setup) in ids.iter().zip(setups) {
-                s.engine.policy().configure(*id, Config { zone, only_realm, ..setup.config }, seed)?;
+                s.engine.policy().configure(
+                    *id,
+                    Config { zone, only_deduplication_domain, ..setup.config },
+                    seed,
+                )?;
             }
-            s.engine.configure(keeping(&network), cancel, only_realm);
+            s.engine.configure(keeping(&network), cancel, only_deduplication_domain);
             if let Some(check) = &mut s.check {
-                let rules = Rules { cancel, one_realm: only_realm.is_some(), ..*check.monitor.rules() };
+                let rules = Rules {
+                    cancel,
+                    one_realm: only_deduplication_domain.is_some(),
+                    ..*check.monitor.rules()
+                };
                 check.monitor.configure(rules);
             }
             let closed: Vec<PoolId> = s.engine.see_policy().open().filter(|id| !ids.contains(id)).collect();
@@ -351,7 +360,7 @@
     }
 
     /// The record's word on an attempt.
-    pub fn permit(self: &Rc<Self>, request: RequestId, attempt: AttemptNo, given: bool) {
+    pub fn permit(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, given: bool) {
         self.tell(Event::Permit { request, attempt, given });
     }
 
@@ -395,7 +404,7 @@
     }
 
     /// What is known of a box at this moment.
-    fn seen(&self, request: RequestId, attempt: AttemptNo) -> Seen {
+    fn seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
         let s = self.state.borrow();
         let tries = s.engine.requests().get(&request).map(|r| &r.tries);
         let Some(backend) = tries.and_then(|t| t.get(attempt.0 as usize)).map(|t| t.backend) else {
@@ -403,7 +412,7 @@
         };
         let pool = s.directory.pool(backend);
         let state = s.engine.state(backend);
-        let busy = |step: &ConnStep| matches!(step, ConnStep::Busy(..));
+        let busy = |step: &ConnectionState| matches!(step, ConnectionState::Busy(..));
         let out = s.engine.connections().filter(|(_, to, step)| *to == backend && busy(step)).count();
         Seen {
             backend: s.directory.name(backend).unwrap_or_default().into(),
@@ -436,7 +445,7 @@
     }
 
     /// News of a pool's list.
-    pub fn members(self: &Rc<Self>, pool: PoolId, update: ListUpdate, mut entries: Vec<Endpoint>) {
+    pub fn members(self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>) {
         let told = {
             let mut s = self.state.borrow_mut();
             s.starts.localize(self.clock.now(), pool, update, &mut entries);
@@ -515,9 +524,9 @@
                 }
             }
             Action::Answer { request, answer, last } => self.answer(request, answer, last),
-            Action::AskPermit { request, attempt } => {
+            Action::PersistIntent { request, attempt } => {
                 let seen = self.seen(request, attempt);
-                self.note(shaletide_record::Event::PermitWanted { request, attempt, seen });
+                self.note(shaletide_record::Event::IntentRequested { request, attempt, seen });
             }
             Action::Withdraw { request, attempt } => {
                 self.note(shaletide_record::Event::Withdrawn { request, attempt });
@@ -532,7 +541,7 @@
         }
     }
 
-    fn open(self: &Rc<Self>, conn: ConnId, backend: BackendId) {
+    fn open(self: &Rc<Self>, conn: ConnectionId, backend: BackendId) {
         let mut s = self.state.borrow_mut();
         let Some(to) = s.directory.address(backend) else {
             s.events.push_back(Event::ConnectFailed { conn, blame: false });
@@ -591,7 +600,7 @@
     }
 
     fn send(
-        self: &Rc<Self>, conn: ConnId, request: RequestId, attempt: AttemptNo, deadline: Time,
+        self: &Rc<Self>, conn: ConnectionId, request: RequestId, attempt: AttemptNumber, deadline: Time,
         by: Option<Time>,
     ) {
         let mut s = self.state.borrow_mut();
@@ -632,11 +641,11 @@
     }
 
     fn exchange_ended(
-        self: &Rc<Self>, conn: ConnId, request: RequestId, outcome: ExchangeOutcome, stream: &Stream,
+        self: &Rc<Self>, conn: ConnectionId, request: RequestId, outcome: ExchangeOutcome, stream: &Stream,
         fresh: bool,
     ) {
         stream.end_trace(|| AttemptOutcome::of(&outcome, !stream.is_unwritten()));
-        let ended = matches!(outcome, ExchangeOutcome::Spoilt | ExchangeOutcome::Ended);
+        let ended = matches!(outcome, ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended);
         if ended && stream.is_unwritten() && stream.client_closed() && self.is_open(request) {
             return self.client_gone(request); // the connection is closed with it, and its backend not blamed
         }
@@ -651,13 +660,13 @@
                     Event::Answered { conn, verdict, keep, behind: excess }
                 }
                 // What ended or came before the first byte went out is about an earlier request, if any.
-                ExchangeOutcome::Spoilt | ExchangeOutcome::Ended if stream.is_unwritten() => {
+                ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended if stream.is_unwritten() => {
                     s.counts.unfit += 1;
                     unusable(conn, fresh && !stream.write_deadline_passed())
                 }
-                ExchangeOutcome::Spoilt => {
+                ExchangeOutcome::InvalidResponse => {
                     s.counts.spoilt += 1;
-                    Event::Spoilt { conn }
+                    Event::InvalidResponse { conn }
                 }
                 ExchangeOutcome::Ended => {
                     s.counts.ended += 1;
@@ -671,7 +680,7 @@
         self.tell(event);
     }
 
-    fn answer(&self, request: RequestId, answer: Final, last: Option<AttemptNo>) {
+    fn answer(&self, request: RequestId, answer: Final, last: Option<AttemptNumber>) {
         let mut s = self.state.borrow_mut();
         let Some(open) = s.open.remove(&request) else { return };
         let ending = match answer {
@@ -754,12 +763,12 @@
 
     /// How many connections there are to backends.
     pub fn upstreams(&self) -> usize {
-        self.state.borrow().engine.open_connections()
+        self.state.borrow().engine.connection_count()
     }
 
     /// Closes a connection that nobody uses to make room for a client; false where there is none.
     pub fn make_room(self: &Rc<Self>) -> bool {
-        let spare = self.state.borrow().engine.spare_connection();
+        let spare = self.state.borrow().engine.idle_connection();
         spare.into_iter().for_each(|conn| self.tell(Event::Unfit { conn }));
         spare.is_some()
     }
@@ -769,7 +778,7 @@
         let mut s = self.state.borrow_mut();
         let c = std::mem::take(&mut s.counts);
         let opened = std::mem::take(&mut s.lines.opened);
-        let given_up = s.engine.policy().take_given_up();
+        let given_up = s.engine.policy().take_give_up_counts();
         info!(
             "requests {} served {} refused {} failed {} overdue {} gone {}; sent {} spoilt {} ended {} unfit {} \
              unconnected {}; given up: {}; open requests {} {} upstreams {} connects {} lag {} us; failed system calls: {}",
@@ -787,7 +796,7 @@
             given_up,
             s.open.len(),
             clients,
-            s.engine.open_connections(),
+            s.engine.connection_count(),
             opened,
             self.lag.get(),
             self.system_errors,
@@ -803,26 +812,26 @@
 
 impl State {
     /// An event of the attempt for which a connection is being established.
-    fn trace_opening(&self, conn: ConnId, event: AttemptEvent) {
+    fn trace_opening(&self, conn: ConnectionId, event: AttemptEvent) {
         if !request_trace_enabled() {
             return;
         }
         let opening = self.engine.connections().find(|(id, ..)| *id == conn);
-        if let Some((_, backend, ConnStep::Opening(Some((request, attempt))))) = opening {
+        if let Some((_, backend, ConnectionState::Opening(Some((request, attempt))))) = opening {
             let open = self.open.get(&request);
             open.and_then(|open| open.trace(attempt, backend)).inspect(|trace| trace.event(event));
         }
     }
 
     /// An attempt was given a connection that cannot be used.
-    fn trace_unusable(&self, conn: ConnId, request: RequestId, attempt: AttemptNo) {
+    fn trace_unusable(&self, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         let backend = self.lines.all.get(&conn).map(|line| line.backend);
         let trace =
             self.open.get(&request).zip(backend).and_then(|(open, backend)| open.trace(attempt, backend));
         trace.inspect(|trace| trace.event(AttemptEvent::ConnectionUnusable));
     }
 
-    fn came_up(&mut self, conn: ConnId, stream: Stream) {
+    fn came_up(&mut self, conn: ConnectionId, stream: Stream) {
         if let Some(line) = self.lines.all.get_mut(&conn) {
             (line.stream, line.task, line.fresh) = (Some(stream), None, true);
         }
--- a/crates/net/src/host/lists.rs
+++ b/crates/net/src/host/lists.rs
@@ -58,17 +58,17 @@
         for (pool, update, backends) in told.rows {
             self.note_list(pool, update, &backends);
             let readdressed = self.log_list(pool, update, &backends);
-            readdressed.into_iter().for_each(|backend| self.tell(Event::Readdressed { backend }));
+            readdressed.into_iter().for_each(|backend| self.tell(Event::AddressChanged { backend }));
             self.tell(Event::Members { pool, update, backends });
         }
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
         let holds: HashSet<BackendId> = s.engine.connections().map(|(_, backend, _)| backend).collect();
-        s.directory.forget_all_but(|id| holds.contains(&id));
+        s.directory.retain(|id| holds.contains(&id));
     }
 
     /// A pool's news on record, so that what was known of a box can be read in its setting.
-    fn note_list(&self, pool: PoolId, update: ListUpdate, backends: &[Backend]) {
+    fn note_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
         let fact = {
             let s = self.state.borrow();
             if s.record.is_none() {
@@ -100,7 +100,9 @@
 
     /// Logs what a list brings; returns the backends that are at another address than their connections lead to, each
     /// once: what is opened to the new address as the first update is heard would be closed by a second.
-    fn log_list(&self, pool: PoolId, update: ListUpdate, backends: &[Backend]) -> HashSet<BackendId> {
+    fn log_list(
+        &self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry],
+    ) -> HashSet<BackendId> {
         if backends.is_empty() {
             return HashSet::new();
         }
@@ -119,7 +121,7 @@
         if counts.has_changes() {
             let pool_name = s.directory.pool_name(pool).unwrap_or_default();
             let version = s.versions.get(&pool).copied().unwrap_or_default();
-            let others = if update == ListUpdate::Full { ", all others gone" } else { "" };
+            let others = if update == EndpointUpdate::Snapshot { ", all others gone" } else { "" };
             info!("pool {pool_name}: list {version} ({update:?}): {counts}{others}");
         }
         let ids: HashSet<BackendId> = backends.iter().map(|b| b.id).collect();
--- a/crates/net/src/host/tests.rs
+++ b/crates/net/src/host/tests.rs
@@ -74,10 +74,10 @@
         tenant: None,
         time_left: Micros(60_000_000),
         work_hint: None,
-        repeat: false,
-        elsewhere: false,
+        is_client_retry: false,
+        may_fail_over: false,
     };
-    Order { arrival, effect: Effect::Unsafe, pools: pools.into(), permit: false, recorded: false }
+    Order { arrival, effect: Idempotency::NonIdempotent, pools: pools.into(), permit: false, recorded: false }
 }
 
 /// A backend that drains while its connection comes up is sent nothing, and one that is gone is forgotten.
@@ -89,16 +89,16 @@
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let at = listener.local_addr().unwrap().to_string();
             let (host, pools) = host(&["p"]);
-            host.members(pools[0], ListUpdate::Changes, entries("SERVING", &at));
+            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
             let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
             assert_eq!(host.upstreams(), 1, "it comes up");
-            host.members(pools[0], ListUpdate::Changes, entries("DRAINING", &at));
+            host.members(pools[0], EndpointUpdate::Delta, entries("DRAINING", &at));
             assert_eq!(host.upstreams(), 0);
-            host.members(pools[0], ListUpdate::Changes, entries("SERVING", &at));
+            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
             let (left, _) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
             host.client_gone(left);
             assert_eq!(host.state.borrow().counts.sent, 0);
-            host.members(pools[0], ListUpdate::Changes, entries("DELETED", &at));
+            host.members(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
             assert_eq!(host.state.borrow().directory.address(BackendId(0)), None, "forgotten");
             drop(answer);
         })
@@ -113,14 +113,14 @@
     scope
         .run_until(async {
             let (host, pools) = host(&["p"]);
-            host.members(pools[0], ListUpdate::Changes, entries("SERVING", "127.0.0.1:9"));
+            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.1:9"));
             for _ in 0..3 {
                 let (left, _) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
                 host.client_gone(left); // its connection comes up for others
             }
             let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
             assert_eq!((host.upstreams(), host.state.borrow().lines.opened), (4, 4));
-            host.members(pools[0], ListUpdate::Changes, entries("SERVING", "127.0.0.2:9"));
+            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.2:9"));
             assert_eq!((host.upstreams(), host.state.borrow().lines.opened), (1, 5));
             assert!(answer.is_empty(), "it is on its way to the new address");
         })
@@ -137,7 +137,7 @@
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let at = listener.local_addr().unwrap().to_string();
             let (host, pools) = host(&["p"]);
-            host.members(pools[0], ListUpdate::Changes, entries("SERVING", &at));
+            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
             let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Says)).unwrap();
             tokio::task::yield_now().await; // the kernel is asked to connect
             drop(listener.accept().unwrap());
@@ -160,7 +160,7 @@
     scope
         .run_until(async {
             let (host, pools) = host(&["p"]);
-            let hasty = pool("p", Config { tick: Micros(1), ..Config::example() });
+            let hasty = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
             host.setup(None, "", 1, NETWORK, vec![hasty]).unwrap();
             let (id, held) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
             let timers = tokio::task::spawn_local(host.clone().timers());
@@ -185,17 +185,17 @@
         let entry = |n: u32| serde_json::json!({"name": format!("{n:05}"), "address": "127.0.0.1:9", "status": "SERVING"});
         List { index: 1, snapshot: true, endpoints: (from..to).map(entry).collect() }.entries().0
     };
-    host.members(pools[0], ListUpdate::Full, many(0, 30_000));
+    host.members(pools[0], EndpointUpdate::Snapshot, many(0, 30_000));
     let start = std::time::Instant::now();
-    (0..300).for_each(|_| host.members(pools[1], ListUpdate::Changes, Vec::new()));
+    (0..300).for_each(|_| host.members(pools[1], EndpointUpdate::Delta, Vec::new()));
     assert!(start.elapsed().as_millis() < 800, "{:?}", start.elapsed());
     let served =
         |ids: [u32; 3]| ids.map(|id| host.state.borrow().engine.state(BackendId(id)) == BackendState::Ready);
     assert_eq!(served([0, 29_999, 30_000]), [true, true, false]);
-    host.members(pools[0], ListUpdate::Full, many(1, 3));
+    host.members(pools[0], EndpointUpdate::Snapshot, many(1, 3));
     assert_eq!(served([0, 1, 29_999]), [false, true, false], "what is absent is gone");
     let drains = Endpoint { state: BackendState::Draining, ..many(1, 2).remove(0) };
-    host.members(pools[0], ListUpdate::Changes, vec![drains]);
+    host.members(pools[0], EndpointUpdate::Delta, vec![drains]);
     assert_eq!(served([0, 1, 2]), [false, false, true]);
 }
 
@@ -211,7 +211,7 @@
             let q = pool("q", Config::example());
             assert_eq!(host.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
             assert!(matches!(held.await.unwrap().decision, Decision::Refused(_)));
-            host.members(pools[1], ListUpdate::Full, entries("SERVING", "127.0.0.1:9"));
+            host.members(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(host.clone().timers());
             while host.state.borrow().lines.opened == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/net/src/host/tests/client_gone.rs
+++ b/crates/net/src/host/tests/client_gone.rs
@@ -119,7 +119,7 @@
         let at = self.backend.local_addr().unwrap().to_string();
         let entry = |name: &&str| serde_json::json!({"name": name, "address": at, "status": "SERVING"});
         let list = List { index: 1, snapshot: false, endpoints: names.iter().map(entry).collect() };
-        self.host.members(self.pools[0], ListUpdate::Changes, list.entries().0);
+        self.host.members(self.pools[0], EndpointUpdate::Delta, list.entries().0);
     }
 
     /// Requests that are served pay for retries.
@@ -132,7 +132,7 @@
     }
 
     fn request(&self) -> Result<(RequestId, oneshot::Receiver<Answer>), NotTaken> {
-        let request = Request::new(&self.client, Verdict::NeverRan);
+        let request = Request::new(&self.client, Verdict::NotExecuted);
         self.host.request(order(&self.pools), Named::default(), Rc::new(request))
     }
 }
@@ -182,7 +182,7 @@
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
-        let request = Request::new(&setup.client, Verdict::NeverRan);
+        let request = Request::new(&setup.client, Verdict::NotExecuted);
         let _open = setup.client.end(end);
         let taken = setup.host.request(order(&setup.pools), Named::default(), Rc::new(request));
         assert_eq!(taken.map(|_| ()), Err(NotTaken::ClientClosed), "{end:?}");
@@ -240,7 +240,7 @@
         let timers = tokio::task::spawn_local(setup.host.clone().timers());
         let (accepted, backend) = (setup.client.accepted.clone(), setup.backend.local_addr().unwrap());
         let _open = setup.client.end(end);
-        setup.host.members(setup.pools[0], ListUpdate::Changes, entries("SERVING", &backend.to_string()));
+        setup.host.members(setup.pools[0], EndpointUpdate::Delta, entries("SERVING", &backend.to_string()));
         settle().await;
         assert_forgotten(&setup.host, &setup.backend, &format!("{end:?}"));
         timers.abort();
@@ -258,7 +258,7 @@
             setup.list_backends(&["b", "c"]); // a further attempt goes to another one
             let timers = tokio::task::spawn_local(setup.host.clone().timers());
             setup.earn_retries().await;
-            let request = Rc::new(Request::new(&setup.client, Verdict::NeverRan));
+            let request = Rc::new(Request::new(&setup.client, Verdict::NotExecuted));
             let accepted = setup.client.accepted.clone();
             let stays = match closes {
                 true => {
--- a/crates/net/src/lines.rs
+++ b/crates/net/src/lines.rs
@@ -1,7 +1,7 @@
 //! The sockets behind the engine's connections.
 
 use crate::stream::Stream;
-use shaletide_types::{BackendId, ConnId};
+use shaletide_types::{BackendId, ConnectionId};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use tokio::task::AbortHandle;
@@ -31,14 +31,14 @@
 /// All of them, by the engine's names.
 #[derive(Default)]
 pub(crate) struct Lines {
-    pub all: HashMap<ConnId, Line>,
+    pub all: HashMap<ConnectionId, Line>,
     /// Opened since the last report.
     pub opened: u64,
 }
 
 impl Lines {
     /// Idle ones on which something has come, or that the other side has closed.
-    pub fn with_pending_input(&self) -> Vec<ConnId> {
+    pub fn with_pending_input(&self) -> Vec<ConnectionId> {
         let idle = self.all.iter().filter(|(_, line)| !line.busy);
         let pending = |line: &Line| line.stream.as_ref().is_some_and(Stream::has_pending_input);
         idle.filter(|(_, line)| pending(line)).map(|(conn, _)| *conn).collect()
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -6,7 +6,7 @@
 use crate::exchange::ExchangeOutcome;
 use crate::Clock;
 use shaletide_routing::Verdict;
-use shaletide_types::{AttemptNo, BackendId, RequestId, Time};
+use shaletide_types::{AttemptNumber, BackendId, RequestId, Time};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -163,7 +163,7 @@
         match outcome {
             ExchangeOutcome::Answered { verdict, .. } => AttemptOutcome::Answered(*verdict),
             _ if !written => AttemptOutcome::NotWritten,
-            ExchangeOutcome::Spoilt => AttemptOutcome::InvalidResponse,
+            ExchangeOutcome::InvalidResponse => AttemptOutcome::InvalidResponse,
             ExchangeOutcome::Ended => AttemptOutcome::ConnectionClosed,
         }
     }
@@ -171,7 +171,7 @@
     fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Answered(Verdict::Served) => "served",
-            AttemptOutcome::Answered(Verdict::NeverRan) => "never_ran",
+            AttemptOutcome::Answered(Verdict::NotExecuted) => "never_ran",
             AttemptOutcome::Answered(Verdict::Error) => "error",
             AttemptOutcome::InvalidResponse => "invalid_response",
             AttemptOutcome::ConnectionClosed => "connection_closed",
@@ -184,7 +184,7 @@
 /// Emits the events of one attempt.
 pub(crate) struct AttemptTrace {
     pub request: Rc<RequestTrace>,
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     pub backend: BackendId,
 }
 
--- a/crates/record-service/src/lib.rs
+++ b/crates/record-service/src/lib.rs
@@ -14,7 +14,7 @@
 use shaletide_record::{ReplyId, Resolved, Ticket, Verdict};
 pub use shaletide_store::StoreError;
 use shaletide_store::{
-    Anchor, Event as Said, Fate, Head, NoteMaker, Opening, SendError, SqliteOptions, SqliteStore, Store,
+    Anchor, Event as Said, FactEncoder, Fate, Head, Opening, SendError, SqliteOptions, SqliteStore, Store,
     Writer, WriterConfig,
 };
 use shaletide_types::{causes, Micros, Time};
@@ -188,7 +188,7 @@
         // Above all tickets of the recorder's own, which count from 0.
         let ticket = u64::MAX - self.next_reply.replace(self.next_reply.get() + 1);
         let at = self.clock.now();
-        let note: NoteMaker = Box::new(move |anchor: &Anchor| {
+        let note: FactEncoder = Box::new(move |anchor: &Anchor| {
             let (through, sum) = (anchor.through.seq, chain::hex(&anchor.through.sum));
             Fact::Pruned { through, sum, by: by.clone() }.row(at, About::default())
         });
@@ -295,7 +295,7 @@
                 self.push(Event::WriteFailed { ticket: Ticket(ticket), why });
             }
             Said::Lost { ticket } => {
-                let why = shaletide_record::StoreTrouble::Failed;
+                let why = shaletide_record::StoreFailure::Failed;
                 self.push(Event::WriteFailed { ticket: Ticket(ticket), why });
             }
             Said::Forgotten { .. } => {}
@@ -368,8 +368,8 @@
             self.writer.borrow().as_ref().map_or(Err(SendError::Ended), |w| w.send(ticket.0, vec![write]));
         if let Err(e) = sent {
             let why = match e {
-                SendError::QueueFull => shaletide_record::StoreTrouble::Slow,
-                _ => shaletide_record::StoreTrouble::Failed,
+                SendError::QueueFull => shaletide_record::StoreFailure::Slow,
+                _ => shaletide_record::StoreFailure::Failed,
             };
             self.events.borrow_mut().push_back(Event::WriteFailed { ticket, why });
             // The queue has room again soon, and nothing else says so. Not at once: on a disk that hangs that would
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -1,7 +1,7 @@
 //! Opening the store and reading what it remembers, on a thread of its own: a disk may fail, or hang.
 
 use crate::StoreError;
-use shaletide_record::Remembered;
+use shaletide_record::StoredKey;
 use shaletide_store::{Head, Reading, SqliteOptions, SqliteStore};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, TryRecvError};
@@ -24,7 +24,7 @@
 pub(crate) struct StoreContents {
     pub store: SqliteStore,
     pub head: Head,
-    pub held: Vec<Remembered>,
+    pub held: Vec<StoredKey>,
 }
 
 impl StoreContents {
@@ -50,7 +50,7 @@
     fn read_once(path: &Path) -> Result<StoreContents, StoreError> {
         let store = opened(path)?;
         let head = store.head()?;
-        let mut held: Vec<Remembered> = Vec::new();
+        let mut held: Vec<StoredKey> = Vec::new();
         loop {
             let page = store.keys(held.last().map(|remembered| &remembered.key), PAGE)?;
             let is_last = page.len() < PAGE;
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -135,7 +135,7 @@
 impl Recording for Record {
     /// Classes of which only facts are kept are served: their facts are lost meanwhile.
     fn records(&self, class: &str) -> bool {
-        self.next.borrow().0.needs_permit(class)
+        self.next.borrow().0.requires_intent(class)
     }
 
     fn ask(&self, _: Time, _: &Asked<'_>) -> Verdict {
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -10,7 +10,7 @@
     /// kept until they are neither.
     pub keep: Micros,
     /// How long an attempt waits for its intent to be durable; well inside the deadlines of its class.
-    pub permit_wait: Micros,
+    pub intent_timeout: Micros,
     /// What a client is advised where nothing better is known.
     pub retry_after: Micros,
     /// Classes by name. One that is not named is neither recorded nor held up.
@@ -21,7 +21,7 @@
 
 impl RecordConfig {
     /// No request of that class may go out before its intent is durable.
-    pub fn needs_permit(&self, class: &str) -> bool {
+    pub fn requires_intent(&self, class: &str) -> bool {
         self.classes.get(class).is_some_and(|rule| rule.permit)
     }
 }
@@ -85,7 +85,7 @@
     fn default() -> RecordConfig {
         RecordConfig {
             keep: Micros(86_400_000_000),
-            permit_wait: Micros(50_000),
+            intent_timeout: Micros(50_000),
             retry_after: Micros(1_000_000),
             classes: BTreeMap::new(),
             bounds: Bounds::default(),
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -2,7 +2,7 @@
 
 use crate::fact::{Fact, Seen};
 use crate::row::{KeyId, KeyState, Refused, Write};
-use shaletide_types::{AttemptNo, Micros, Outcome, RequestId, Time};
+use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 
 /// Names a write to the one who asked for it; they count up, and each is used for one write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -61,7 +61,7 @@
     /// 409: it is not sent, now or by another try.
     Conflict(Conflict),
     /// 400: its class wants a key.
-    KeyWanted,
+    KeyRequired,
     /// 400: its key, or its tenant's name, is longer than is kept.
     KeyTooLong,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ending {
     /// By the answer to this attempt.
-    Served(AttemptNo),
+    Served(AttemptNumber),
     /// Refused: a retry is harmless.
     Refused,
     /// Failed: nothing is promised.
@@ -83,7 +83,7 @@
 
 /// What ails a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum StoreTrouble {
+pub enum StoreFailure {
     /// It does not answer in time.
     Slow,
     /// Its file or server is gone.
@@ -111,11 +111,11 @@
 pub enum Event {
     /// The engine asks whether an attempt may be sent; answered by one [`Action::Permit`] within the time that a
     /// permit may take, unless it is withdrawn before.
-    PermitWanted {
+    IntentRequested {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// What was known of its box.
         seen: Seen,
     },
@@ -124,7 +124,7 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// What was known of its box.
         seen: Seen,
     },
@@ -133,14 +133,14 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// An attempt is over.
     AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// How.
         outcome: Outcome,
     },
@@ -170,12 +170,12 @@
         /// Which.
         ticket: Ticket,
         /// Why.
-        why: StoreTrouble,
+        why: StoreFailure,
     },
     /// The store takes nothing, and is tried again after this time.
     StoreDown {
         /// Why.
-        why: StoreTrouble,
+        why: StoreFailure,
         /// When it is tried again.
         again: Micros,
     },
@@ -234,7 +234,7 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// It may.
         given: bool,
     },
--- a/crates/record/src/journal.rs
+++ b/crates/record/src/journal.rs
@@ -3,7 +3,7 @@
 use crate::config::Bounds;
 use crate::event::{Action, ReplyId, Ticket};
 use crate::row::{KeyId, Write};
-use shaletide_types::{AttemptNo, Micros, RequestId, Time};
+use shaletide_types::{AttemptNumber, Micros, RequestId, Time};
 use std::collections::BTreeMap;
 
 /// What a row takes besides its strings, roughly.
@@ -17,7 +17,7 @@
     /// Nothing.
     Owed,
     /// The permit of an attempt.
-    Permit(RequestId, AttemptNo),
+    Permit(RequestId, AttemptNumber),
     /// The key is free.
     Free(KeyId),
     /// The key was served.
@@ -79,7 +79,7 @@
     }
 
     /// It failed: it waits for the store to come back. An intent does not; the attempt is told.
-    pub fn failed(&mut self, ticket: Ticket) -> Option<(RequestId, AttemptNo)> {
+    pub fn failed(&mut self, ticket: Ticket) -> Option<(RequestId, AttemptNumber)> {
         match self.entries.get_mut(&ticket) {
             Some(Entry { then: Then::Permit(request, attempt), .. }) => {
                 let attempt = (*request, *attempt);
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -13,7 +13,7 @@
 mod served;
 
 pub use config::{Bounds, ClassRule, RecordConfig, WithoutKey};
-pub use event::{Action, Asked, Conflict, Ending, Event, ReplyId, Resolved, StoreTrouble, Ticket, Verdict};
+pub use event::{Action, Asked, Conflict, Ending, Event, ReplyId, Resolved, StoreFailure, Ticket, Verdict};
 pub use fact::{About, Fact, Seen};
 pub use recorder::Recorder;
-pub use row::{Claim, KeyId, KeyState, Refused, Remembered, Row, Write};
+pub use row::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -9,9 +9,9 @@
 use crate::fact::{About, Fact};
 use crate::journal::{Journal, Then};
 use crate::request::{Followed, Held, Live};
-use crate::row::{Claim, KeyId, KeyState, Remembered, Write};
+use crate::row::{Claim, KeyId, KeyState, StoredKey, Write};
 use crate::served::Served;
-use shaletide_types::{AttemptNo, Micros, RequestId, Time, MAX_WALL_CLOCK_ERROR};
+use shaletide_types::{AttemptNumber, Micros, RequestId, Time, MAX_WALL_CLOCK_ERROR};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Decides about keys, and says what is written.
@@ -31,7 +31,7 @@
     live: BTreeMap<KeyId, Live>,
     served: Served,
     /// Until when attempts wait for their intents.
-    waits: BTreeSet<(Time, RequestId, AttemptNo)>,
+    waits: BTreeSet<(Time, RequestId, AttemptNumber)>,
     dropped: u64,
     /// Those of them of which no fact tells yet.
     dropped_unsaid: u64,
@@ -66,10 +66,10 @@
     /// served one is kept yet goes by the wall clock, the only one that lives through a restart, which may be wrong: a key
     /// is taken for younger by [`MAX_WALL_CLOCK_ERROR`] than the clock says, and kept no longer than its whole time from
     /// now. So none is free too early, and one may be known that much longer.
-    pub fn restore(&mut self, now: Time, mut held: Vec<Remembered>, out: &mut Vec<Action>) {
+    pub fn restore(&mut self, now: Time, mut held: Vec<StoredKey>, out: &mut Vec<Action>) {
         held.sort_by_key(|r| r.seq);
         let (wall, keep) = (self.wall(now), self.config.keep);
-        for Remembered { key, state, since, seq } in held {
+        for StoredKey { key, state, since, seq } in held {
             match state {
                 KeyState::Served => {
                     let age = Micros((wall - since).0.saturating_sub(MAX_WALL_CLOCK_ERROR.0));
@@ -91,7 +91,7 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         self.end_waits(now, out);
         match event {
-            Event::PermitWanted { request, attempt, seen } => {
+            Event::IntentRequested { request, attempt, seen } => {
                 self.permit_wanted(now, request, attempt, seen, out)
             }
             Event::Sent { request, attempt, seen } => self.followed_sent(now, request, attempt, seen, out),
--- a/crates/record/src/recorder/asks.rs
+++ b/crates/record/src/recorder/asks.rs
@@ -39,7 +39,7 @@
             return Verdict::KeyTooLong;
         }
         if key.is_none() && rule.without_key == WithoutKey::Refuse {
-            return Verdict::KeyWanted;
+            return Verdict::KeyRequired;
         }
         let key = key.map(|key| key_id(&asked, key));
         if let Some(verdict) = key.as_ref().and_then(|key| self.stands_against(now, key)) {
@@ -71,7 +71,7 @@
     pub(super) fn is_unready(&self, now: Time) -> bool {
         let bounds = &self.config.bounds;
         self.journal.down().is_some()
-            || self.journal.is_stalled(now, self.config.permit_wait)
+            || self.journal.is_stalled(now, self.config.intent_timeout)
             || self.journal.owed() >= bounds.owed_facts
             || self.waits.len() >= bounds.waiting
             || self.requests.len() >= bounds.unsettled
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -6,11 +6,11 @@
 use crate::journal::Then;
 use crate::request::{Held, Live, Standing, Tried};
 use crate::row::{Claim, KeyState};
-use shaletide_types::{AttemptNo, Outcome, RequestId, Time};
+use shaletide_types::{AttemptNumber, Outcome, RequestId, Time};
 
 impl Recorder {
     pub(super) fn permit_wanted(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, seen: Seen, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen, out: &mut Vec<Action>,
     ) {
         if !self.may_wait(now, request, attempt) {
             return out.push(Action::Permit { request, attempt, given: false });
@@ -18,7 +18,7 @@
         if self.is_unready_for(now) {
             return self.deny(request, attempt, Verdict::Refuse(self.advice(now)), out);
         }
-        let until_at_most = now + self.config.permit_wait;
+        let until_at_most = now + self.config.intent_timeout;
         let Some(held) = self.requests.get_mut(&request) else { return };
         let until = held.deadline.min(until_at_most);
         let (claim, key) = (held.claim_of_intent(), held.key.clone());
@@ -31,7 +31,7 @@
 
     /// It may be asked for at all: the request goes on, and its key is its own or not even asked for. Behind an
     /// intent that may yet be refused nothing can be said of the key.
-    fn may_wait(&self, now: Time, request: RequestId, attempt: AttemptNo) -> bool {
+    fn may_wait(&self, now: Time, request: RequestId, attempt: AttemptNumber) -> bool {
         self.requests.get(&request).is_some_and(|r| {
             !r.over
                 && r.barred.is_none()
@@ -44,13 +44,13 @@
     /// The store does not write, or too many wait for it already.
     fn is_unready_for(&self, now: Time) -> bool {
         self.journal.down().is_some()
-            || self.journal.is_stalled(now, self.config.permit_wait)
+            || self.journal.is_stalled(now, self.config.intent_timeout)
             || self.waits.len() >= self.config.bounds.waiting
     }
 
     /// An attempt is not sent. Where nothing of its request may have run, that ends it at once.
     pub(super) fn deny(
-        &mut self, request: RequestId, attempt: AttemptNo, verdict: Verdict, out: &mut Vec<Action>,
+        &mut self, request: RequestId, attempt: AttemptNumber, verdict: Verdict, out: &mut Vec<Action>,
     ) {
         // The verdict first: the end of its only attempt would have the engine answer without it.
         self.bar(request, verdict, out);
@@ -75,18 +75,18 @@
         }
     }
 
-    pub(super) fn set(&mut self, request: RequestId, attempt: AttemptNo, tried: Tried) {
+    pub(super) fn set(&mut self, request: RequestId, attempt: AttemptNumber, tried: Tried) {
         if let Some(held) = self.requests.get_mut(&request) {
             held.attempts.insert(attempt, tried);
         }
     }
 
-    pub(super) fn tried(&self, request: RequestId, attempt: AttemptNo) -> Option<Tried> {
+    pub(super) fn tried(&self, request: RequestId, attempt: AttemptNumber) -> Option<Tried> {
         self.requests.get(&request)?.attempts.get(&attempt).copied()
     }
 
     pub(super) fn withdrawn(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>,
     ) {
         match self.tried(request, attempt) {
             // Whether its intent takes the key is not known: what frees it waits for that, or it would free
@@ -95,23 +95,24 @@
                 self.waits.remove(&(until, request, attempt));
                 self.set(request, attempt, Tried::Late);
             }
-            Some(Tried::Given) => self.never_ran(now, request, attempt, out),
+            Some(Tried::Given) => self.not_executed(now, request, attempt, out),
             _ => {}
         }
     }
 
     /// Its intent is on record, or may be, and it was not sent.
-    pub(super) fn never_ran(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, out: &mut Vec<Action>,
+    pub(super) fn not_executed(
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>,
     ) {
-        self.set(request, attempt, Tried::NeverRan);
+        self.set(request, attempt, Tried::NotExecuted);
         self.ended(now, request, Fact::Withdrawn { attempt: attempt.0 }, out);
     }
 
     pub(super) fn attempt_ended(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, outcome: Outcome, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, outcome: Outcome,
+        out: &mut Vec<Action>,
     ) {
-        let may_have_run = !outcome.never_ran();
+        let may_have_run = !outcome.not_executed();
         let fact = Fact::Outcome { attempt: attempt.0, outcome: word(outcome).into(), may_have_run };
         match self.tried(request, attempt) {
             Some(Tried::Given) => {
@@ -134,7 +135,7 @@
             return self.followed_over(now, request, fact, out);
         };
         held.over = true;
-        let waiting: Vec<AttemptNo> =
+        let waiting: Vec<AttemptNumber> =
             held.attempts.iter().filter(|(_, t)| matches!(t, Tried::Waiting(_))).map(|(no, _)| *no).collect();
         waiting.into_iter().for_each(|no| self.withdrawn(now, request, no, out));
         self.ended(now, request, fact, out);
@@ -171,7 +172,7 @@
 
     /// An attempt of a request that is only recorded goes out.
     pub(super) fn followed_sent(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, seen: Seen, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen, out: &mut Vec<Action>,
     ) {
         if let Some(followed) = self.followed.get_mut(&request) {
             followed.out.insert(attempt);
@@ -181,7 +182,7 @@
 
     /// One of them is over; it may be that its request was before.
     fn followed_ended(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNo, fact: Fact, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, fact: Fact, out: &mut Vec<Action>,
     ) {
         self.follow(now, request, fact, out);
         if let Some(followed) = self.followed.get_mut(&request) {
@@ -232,12 +233,12 @@
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Rejected => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::NeverSent => "never_sent",
+        Outcome::NotSent => "never_sent",
     }
 }
 
--- a/crates/record/src/recorder/store.rs
+++ b/crates/record/src/recorder/store.rs
@@ -5,7 +5,7 @@
 use crate::journal::Then;
 use crate::request::{Live, Tried};
 use crate::row::{KeyId, KeyState, Refused};
-use shaletide_types::{AttemptNo, RequestId, Time};
+use shaletide_types::{AttemptNumber, RequestId, Time};
 
 impl Recorder {
     pub(super) fn committed(&mut self, now: Time, ticket: Ticket, seq: u64, out: &mut Vec<Action>) {
@@ -26,7 +26,7 @@
     }
 
     /// An intent is durable, and the key is the request's. Too late for it, it is withdrawn.
-    fn permitted(&mut self, now: Time, request: RequestId, attempt: AttemptNo, out: &mut Vec<Action>) {
+    fn permitted(&mut self, now: Time, request: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>) {
         if let Some(held) = self.requests.get_mut(&request) {
             held.taken = true;
         }
@@ -36,7 +36,7 @@
                 self.set(request, attempt, Tried::Given);
                 out.push(Action::Permit { request, attempt, given: true });
             }
-            Some(Tried::Late) => self.never_ran(now, request, attempt, out),
+            Some(Tried::Late) => self.not_executed(now, request, attempt, out),
             _ => {}
         }
     }
@@ -66,9 +66,9 @@
         self.say_dropped(now, out);
     }
 
-    fn taken(&mut self, request: RequestId, attempt: AttemptNo, state: KeyState, out: &mut Vec<Action>) {
+    fn taken(&mut self, request: RequestId, attempt: AttemptNumber, state: KeyState, out: &mut Vec<Action>) {
         let before = self.tried(request, attempt);
-        self.set(request, attempt, Tried::NeverRan);
+        self.set(request, attempt, Tried::NotExecuted);
         let Some(held) = self.requests.get_mut(&request) else { return };
         if let Some(key) = held.key.clone().filter(|_| std::mem::take(&mut held.owns)) {
             match state {
@@ -102,6 +102,6 @@
             // Whether the store holds the key for it is not known: no other attempt may go by that.
             self.bar(request, verdict, out);
         }
-        self.never_ran(now, request, attempt, out);
+        self.not_executed(now, request, attempt, out);
     }
 }
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -2,7 +2,7 @@
 
 use crate::event::{Conflict, Verdict};
 use crate::row::{Claim, KeyId, KeyState};
-use shaletide_types::{AttemptNo, Outcome, Time};
+use shaletide_types::{AttemptNumber, Outcome, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How far an attempt has got, for all that the recorder knows.
@@ -15,7 +15,7 @@
     /// Its permit was given: it may have run.
     Given,
     /// It never ran and never will.
-    NeverRan,
+    NotExecuted,
     /// It is over and may have run.
     MayHaveRun,
     /// It was served.
@@ -26,7 +26,7 @@
     pub fn ended(outcome: Outcome) -> Tried {
         match outcome {
             Outcome::Ok => Tried::Served,
-            outcome if outcome.never_ran() => Tried::NeverRan,
+            outcome if outcome.not_executed() => Tried::NotExecuted,
             _ => Tried::MayHaveRun,
         }
     }
@@ -52,7 +52,7 @@
 pub(crate) struct Followed {
     pub key: Option<KeyId>,
     /// Attempts that went out and whose end is not told.
-    pub out: BTreeSet<AttemptNo>,
+    pub out: BTreeSet<AttemptNumber>,
     /// Nothing is owed to its client.
     pub over: bool,
 }
@@ -62,7 +62,7 @@
 pub(crate) struct Held {
     pub key: Option<KeyId>,
     pub deadline: Time,
-    pub attempts: BTreeMap<AttemptNo, Tried>,
+    pub attempts: BTreeMap<AttemptNumber, Tried>,
     /// No further attempt begins.
     pub over: bool,
     /// No further attempt gets a permit, and its front was told why.
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -87,7 +87,7 @@
 
 /// A key that a store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Remembered {
+pub struct StoredKey {
     /// The key.
     pub key: KeyId,
     /// How it stands.
--- a/crates/record/tests/bounds.rs
+++ b/crates/record/tests/bounds.rs
@@ -18,8 +18,8 @@
     assert_eq!(w.ask_as("settle", Some(&longer)).1, Verdict::KeyTooLong);
     assert_eq!(w.ask_as("settle", Some(&[0, 0])).1, GO);
     assert_eq!(w.ask_as("settle", Some(&[0])).1, GO, "another one");
-    assert_eq!(w.ask_as("settle", Some(b"")).1, Verdict::KeyWanted, "it names nothing");
-    assert_eq!(w.ask_as("settle", None).1, Verdict::KeyWanted);
+    assert_eq!(w.ask_as("settle", Some(b"")).1, Verdict::KeyRequired, "it names nothing");
+    assert_eq!(w.ask_as("settle", None).1, Verdict::KeyRequired);
     assert_eq!(w.ask_as("odd", Some(&long)).1, GO, "another class, another key");
     assert_eq!(w.ask_as("views", Some(&longer)).1, Verdict::Go { permit: false }, "of no interest");
 }
@@ -49,9 +49,9 @@
     for _ in 0..25 {
         let (request, verdict) = w.ask_as("bid", Some(b"k"));
         assert_eq!(verdict, Verdict::Go { permit: false });
-        w.tell(Event::Sent { request, attempt: AttemptNo(0), seen: Seen::default() });
-        w.tell(Event::AttemptEnded { request, attempt: AttemptNo(0), outcome: Outcome::Ok });
-        w.tell(Event::Over { request, ending: Ending::Served(AttemptNo(0)) });
+        w.tell(Event::Sent { request, attempt: AttemptNumber(0), seen: Seen::default() });
+        w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Ok });
+        w.tell(Event::Over { request, ending: Ending::Served(AttemptNumber(0)) });
     }
     assert_eq!((w.store.queue.len(), w.recorder.dropped(), w.recorder.owed()), (10, 90, 0));
     w.commit_all();
@@ -65,13 +65,13 @@
 fn what_ends_behind_the_answer_is_on_record_too() {
     let mut w = World::new();
     let (request, _) = w.ask_as("bid", Some(b"k"));
-    for attempt in [0, 1].map(AttemptNo) {
+    for attempt in [0, 1].map(AttemptNumber) {
         w.tell(Event::Sent { request, attempt, seen: Seen::default() });
     }
-    w.tell(Event::AttemptEnded { request, attempt: AttemptNo(1), outcome: Outcome::Ok });
-    w.tell(Event::Over { request, ending: Ending::Served(AttemptNo(1)) });
-    w.tell(Event::AttemptEnded { request, attempt: AttemptNo(0), outcome: Outcome::Cancelled });
-    w.tell(Event::AttemptEnded { request, attempt: AttemptNo(0), outcome: Outcome::Cancelled });
+    w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(1), outcome: Outcome::Ok });
+    w.tell(Event::Over { request, ending: Ending::Served(AttemptNumber(1)) });
+    w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Cancelled });
+    w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Cancelled });
     w.commit_all();
     assert_eq!(w.kinds(), ["asked", "intent", "intent", "outcome", "answer", "outcome"]);
 }
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -19,7 +19,7 @@
     let bid = ClassRule { permit: false, without_key: WithoutKey::Record };
     let classes = [("settle", settle), ("odd", odd), ("bid", bid)];
     let classes = classes.into_iter().map(|(name, rule)| (name.to_string(), rule)).collect();
-    RecordConfig { keep: KEEP, permit_wait: WAIT, classes, ..RecordConfig::default() }
+    RecordConfig { keep: KEEP, intent_timeout: WAIT, classes, ..RecordConfig::default() }
 }
 
 pub fn key(name: &str) -> KeyId {
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Order {
     pub key: Option<KeyId>,
-    pub tries: BTreeMap<AttemptNo, Try>,
+    pub tries: BTreeMap<AttemptNumber, Try>,
     pub ended: Option<Verdict>,
     pub over: bool,
 }
@@ -52,7 +52,7 @@
     pub store: Store,
     pub orders: BTreeMap<RequestId, Order>,
     /// What has gone to a box and may run yet; boxes live through our restarts.
-    pub at_boxes: BTreeSet<(u64, RequestId, AttemptNo, KeyId)>,
+    pub at_boxes: BTreeSet<(u64, RequestId, AttemptNumber, KeyId)>,
     pub runs: BTreeMap<KeyId, u32>,
     pub replies: Vec<Resolved>,
     next: u64,
@@ -127,7 +127,7 @@
         }
     }
 
-    fn permit(&mut self, request: RequestId, attempt: AttemptNo, given: bool) {
+    fn permit(&mut self, request: RequestId, attempt: AttemptNumber, given: bool) {
         let order = self.orders.get_mut(&request).expect("it is under way");
         let step = order.tries.get_mut(&attempt).expect("it was asked for");
         match *step {
@@ -140,29 +140,29 @@
     pub fn want(&mut self, request: RequestId, no: u32) {
         let until = self.now + WAIT;
         let order = self.orders.get_mut(&request).unwrap();
-        order.tries.insert(AttemptNo(no), Try::Asked(until));
+        order.tries.insert(AttemptNumber(no), Try::Asked(until));
         let seen = Seen { backend: format!("box-{no}"), pool: "p".into(), list: 3, ..Seen::default() };
-        self.tell(Event::PermitWanted { request, attempt: AttemptNo(no), seen });
+        self.tell(Event::IntentRequested { request, attempt: AttemptNumber(no), seen });
     }
 
     pub fn step(&self, request: RequestId, no: u32) -> Try {
-        self.orders[&request].tries[&AttemptNo(no)]
+        self.orders[&request].tries[&AttemptNumber(no)]
     }
 
     /// The first byte goes out; the box runs it now, later or never.
     pub fn send(&mut self, request: RequestId, no: u32) {
         let order = self.orders.get_mut(&request).unwrap();
         assert_eq!(
-            order.tries.insert(AttemptNo(no), Try::Sent),
+            order.tries.insert(AttemptNumber(no), Try::Sent),
             Some(Try::Permitted),
             "no byte before its permit"
         );
         let key = order.key.clone().unwrap_or_else(|| key("none"));
-        self.at_boxes.insert((self.run, request, AttemptNo(no), key));
+        self.at_boxes.insert((self.run, request, AttemptNumber(no), key));
     }
 
     /// What lies at a box runs, or never will.
-    pub fn box_runs(&mut self, which: (u64, RequestId, AttemptNo, KeyId), ran: bool) {
+    pub fn box_runs(&mut self, which: (u64, RequestId, AttemptNumber, KeyId), ran: bool) {
         self.at_boxes.remove(&which);
         if ran {
             *self.runs.entry(which.3).or_default() += 1;
@@ -174,19 +174,19 @@
         let at = (
             self.run,
             request,
-            AttemptNo(no),
+            AttemptNumber(no),
             self.orders[&request].key.clone().unwrap_or_else(|| key("none")),
         );
-        if self.at_boxes.contains(&at) && (outcome.never_ran() || outcome == Outcome::Ok) {
+        if self.at_boxes.contains(&at) && (outcome.not_executed() || outcome == Outcome::Ok) {
             self.box_runs(at, outcome == Outcome::Ok);
         }
-        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNo(no), Try::Ended);
-        self.tell(Event::AttemptEnded { request, attempt: AttemptNo(no), outcome });
+        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNumber(no), Try::Ended);
+        self.tell(Event::AttemptEnded { request, attempt: AttemptNumber(no), outcome });
     }
 
     pub fn withdraw(&mut self, request: RequestId, no: u32) {
-        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNo(no), Try::Ended);
-        self.tell(Event::Withdrawn { request, attempt: AttemptNo(no) });
+        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNumber(no), Try::Ended);
+        self.tell(Event::Withdrawn { request, attempt: AttemptNumber(no) });
     }
 
     pub fn over(&mut self, request: RequestId, ending: Ending) {
@@ -246,7 +246,7 @@
         self.commit_all();
         self.send(request, 0);
         self.end(request, 0, Outcome::Ok);
-        self.over(request, Ending::Served(AttemptNo(0)));
+        self.over(request, Ending::Served(AttemptNumber(0)));
         self.commit_all();
         request
     }
--- a/crates/record/tests/common/store.rs
+++ b/crates/record/tests/common/store.rs
@@ -39,7 +39,7 @@
             if n < durable {
                 let _ = self.apply(run, write);
             }
-            told.push(Event::WriteFailed { ticket, why: StoreTrouble::Failed });
+            told.push(Event::WriteFailed { ticket, why: StoreFailure::Failed });
         }
         told
     }
@@ -72,9 +72,9 @@
         Ok(seq)
     }
 
-    pub fn remembered(&self) -> Vec<Remembered> {
+    pub fn remembered(&self) -> Vec<StoredKey> {
         let each = self.keys.iter();
-        let one = |(key, k): (&KeyId, &Kept)| Remembered {
+        let one = |(key, k): (&KeyId, &Kept)| StoredKey {
             key: key.clone(),
             state: k.state,
             since: k.since,
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -1,15 +1,15 @@
 //! A million served keys, remembered in a stated memory.
 
 use shaletide_record::*;
-use shaletide_types::{AttemptNo, Micros, RequestId, Time};
+use shaletide_types::{AttemptNumber, Micros, RequestId, Time};
 
 const KEYS: u64 = 1_000_000;
 /// Bytes a key, at most.
 const EACH: u64 = 64;
 const KEEP: Micros = Micros(86_400_000_000);
 
-fn remembered(from: u64, to: u64) -> Vec<Remembered> {
-    let one = |n: u64| Remembered {
+fn remembered(from: u64, to: u64) -> Vec<StoredKey> {
+    let one = |n: u64| StoredKey {
         key: KeyId { tenant: "t".into(), class: "settle".into(), key: n.to_be_bytes().into() },
         state: KeyState::Served,
         since: Time(n * KEEP.0 / KEYS),
@@ -56,10 +56,10 @@
             let (request, deadline) = (RequestId(n), Time(10_000_000));
             let asked = Asked { request, tenant: "t", class: "settle", key: Some(key.as_bytes()), deadline };
             assert_eq!(recorder.ask(Time(0), asked, &mut out), Verdict::Go { permit: true });
-            let attempt = AttemptNo(0);
+            let attempt = AttemptNumber(0);
             recorder.handle(
                 Time(0),
-                Event::PermitWanted { request, attempt, seen: Seen::default() },
+                Event::IntentRequested { request, attempt, seen: Seen::default() },
                 &mut out,
             );
             for action in std::mem::take(&mut out) {
--- a/crates/record/tests/unsure.rs
+++ b/crates/record/tests/unsure.rs
@@ -24,9 +24,9 @@
 fn a_key_that_may_not_be_taken_is_not_set() {
     let (mut recorder, request, mut out) = one_settle();
     let wanted =
-        |attempt| Event::PermitWanted { request, attempt: AttemptNo(attempt), seen: Seen::default() };
+        |attempt| Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen: Seen::default() };
     recorder.handle(at(2), wanted(0), &mut out);
-    recorder.handle(at(3), Event::Withdrawn { request, attempt: AttemptNo(0) }, &mut out);
+    recorder.handle(at(3), Event::Withdrawn { request, attempt: AttemptNumber(0) }, &mut out);
     let tickets: Vec<Ticket> = out
         .iter()
         .filter_map(|action| match action {
@@ -37,7 +37,7 @@
     assert!(!tickets.is_empty());
     out.clear();
     for ticket in tickets {
-        recorder.handle(at(4), Event::WriteFailed { ticket, why: StoreTrouble::Locked }, &mut out);
+        recorder.handle(at(4), Event::WriteFailed { ticket, why: StoreFailure::Locked }, &mut out);
     }
     recorder.handle(at(50), Event::StoreUp, &mut out);
     recorder.handle(at(60), wanted(1), &mut out);
@@ -50,7 +50,7 @@
 fn a_verdict_comes_before_the_permit_that_is_not_given() {
     let (mut recorder, request, mut out) = one_settle();
     out.clear();
-    let wanted = Event::PermitWanted { request, attempt: AttemptNo(0), seen: Seen::default() };
+    let wanted = Event::IntentRequested { request, attempt: AttemptNumber(0), seen: Seen::default() };
     recorder.handle(at(2), wanted, &mut out);
     let Some(Action::Write { ticket, .. }) = out.first() else { panic!("{out:?}") };
     let refused = Event::Refused { ticket: *ticket, why: Refused::Taken(KeyState::Served) };
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -15,7 +15,7 @@
     let config = RecordConfig { keep: KEEP, classes, ..RecordConfig::default() };
     let mut recorder = Recorder::new(config, [1; 16], Time(wall), Time(wall));
     let key = KeyId { tenant: "t".into(), class: "settle".into(), key: b"k".as_slice().into() };
-    let held = Remembered { key, state: KeyState::Served, since: Time(NOW - served_ago), seq: 1 };
+    let held = StoredKey { key, state: KeyState::Served, since: Time(NOW - served_ago), seq: 1 };
     recorder.restore(Time(wall), vec![held], &mut Vec::new());
     recorder
 }
