--- a/crates/record/tests/windows.rs
+++ b/crates/record/tests/windows.rs
@@ -25,7 +25,7 @@
         (|w, id| w.end(id, 0, Outcome::Ok), conflict(Conflict::Served), conflict(Conflict::Doubt)), // not recorded
         (|w, _| w.commit_all(), conflict(Conflict::Served), conflict(Conflict::Served)), // recorded, not answered
         (
-            |w, id| w.over(id, Ending::Served(AttemptNo(0))),
+            |w, id| w.over(id, Ending::Served(AttemptNumber(0))),
             conflict(Conflict::Served),
             conflict(Conflict::Served),
         ),
@@ -76,7 +76,7 @@
     w.want(id, 0);
     w.commit_all();
     w.send(id, 0);
-    w.end(id, 0, Outcome::Full);
+    w.end(id, 0, Outcome::Rejected);
     assert_eq!(w.ask("k").1, SECOND, "it may go again itself");
     w.want(id, 1);
     w.commit_all();
@@ -191,7 +191,7 @@
         w.fail(durable);
         assert_eq!(w.step(id, 0), Try::Denied);
         assert_eq!(w.orders[&id].ended, Some(SECOND));
-        w.tell(Event::StoreDown { why: StoreTrouble::Full, again: Micros(5_000_000) });
+        w.tell(Event::StoreDown { why: StoreFailure::Full, again: Micros(5_000_000) });
         w.pass(Micros(2_000_000));
         assert_eq!(w.ask("k").1, Verdict::Refuse(Micros(3_000_000)), "not before it is tried again");
         assert_eq!(w.ask("other").1, Verdict::Refuse(Micros(3_000_000)));
@@ -230,7 +230,7 @@
     w.send(id, 0);
     w.end(id, 0, Outcome::Ok);
     w.fail(0);
-    w.over(id, Ending::Served(AttemptNo(0)));
+    w.over(id, Ending::Served(AttemptNumber(0)));
     assert_eq!((w.recorder.owed(), w.ask("k").1), (2, conflict(Conflict::Served)));
     w.tell(Event::StoreUp);
     w.commit_all();
@@ -355,7 +355,7 @@
     w.send(id, 2);
     w.end(id, 0, Outcome::Reset);
     assert_eq!(w.ask("k").1, conflict(Conflict::InFlight));
-    w.end(id, 2, Outcome::Full);
+    w.end(id, 2, Outcome::Rejected);
     assert_eq!(w.ask("k").1, conflict(Conflict::Doubt));
     w.want(id, 3);
     w.commit_all();
--- a/crates/record/tests/world.rs
+++ b/crates/record/tests/world.rs
@@ -14,12 +14,12 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Rejected,
     Outcome::TimedOut,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::NeverSent,
+    Outcome::NotSent,
 ];
 
 /// A thing that happens; `n` says to which, or which way.
@@ -117,12 +117,12 @@
 /// The outcome is one that can be: a box that has run it does not turn it away, one that never will serves nothing.
 fn end(w: &mut World, id: RequestId, no: u32, outcome: Outcome) {
     let key = w.orders[&id].key.clone().unwrap();
-    let there = w.at_boxes.contains(&(w.run, id, AttemptNo(no), key));
+    let there = w.at_boxes.contains(&(w.run, id, AttemptNumber(no), key));
     let outcome = match outcome {
         o if there => o,
         _ => Outcome::Reset,
     };
-    if !outcome.never_ran() {
+    if !outcome.not_executed() {
         w.end(id, no, outcome);
         return w.over(id, Ending::Failed);
     }
--- a/crates/routing/src/answers.rs
+++ b/crates/routing/src/answers.rs
@@ -63,7 +63,7 @@
     /// It is the answer to the request and goes to the client unchanged.
     Served,
     /// The request has not run and never will.
-    NeverRan,
+    NotExecuted,
     /// An error; the request may have run.
     Error,
 }
@@ -74,7 +74,7 @@
     /// These count as served.
     pub served: StatusSet,
     /// These prove that the request never ran, whatever `served` says.
-    pub never_ran: Vec<Proof>,
+    pub not_executed: Vec<Proof>,
     /// What the client gets of an error.
     pub errors: Errors,
     /// The header in which a backend says how loaded it is, in lower case; none: it says nothing.
@@ -87,7 +87,7 @@
         let mut served = StatusSet::none();
         served.add(200, 599);
         [429, 500, 502, 503, 504].into_iter().for_each(|status| served.remove(status));
-        Answers { served, never_ran: Vec::new(), errors: Errors::AsTheyAre, report: None }
+        Answers { served, not_executed: Vec::new(), errors: Errors::AsTheyAre, report: None }
     }
 
     /// The platform's table: 200 is served, 503 and 504 with `X-Unprocessed: 1` never ran.
@@ -95,8 +95,8 @@
         let mut served = StatusSet::none();
         served.add(200, 200);
         let proof = |status| Proof { status, header: "x-unprocessed".into(), value: Some("1".into()) };
-        let never_ran = vec![proof(503), proof(504)];
-        Answers { served, never_ran, errors: Errors::OwnWords, report: Some("x-backend-load".into()) }
+        let not_executed = vec![proof(503), proof(504)];
+        Answers { served, not_executed, errors: Errors::OwnWords, report: Some("x-backend-load".into()) }
     }
 
     /// What an answer of that status means; `header` gives the value of a header by its lower-case name. One
@@ -109,7 +109,7 @@
         };
         match () {
             () if status < 200 => Verdict::Error,
-            () if self.never_ran.iter().any(proves) => Verdict::NeverRan,
+            () if self.not_executed.iter().any(proves) => Verdict::NotExecuted,
             () if self.served.has(status) => Verdict::Served,
             () => Verdict::Error,
         }
@@ -147,7 +147,7 @@
     #[test]
     fn an_answer_below_200_is_never_served_and_proves_nothing() {
         let proof = Proof { status: 103, header: "x-unprocessed".into(), value: None };
-        let answers = Answers { served: set(&[(100, 599)]), never_ran: vec![proof], ..Answers::plain() };
+        let answers = Answers { served: set(&[(100, 599)]), not_executed: vec![proof], ..Answers::plain() };
         assert!((0..200).all(|s| answers.judge(s, |_| Some("1")) == Verdict::Error));
         assert_eq!(answers.judge(200, |_| None), Verdict::Served);
     }
@@ -160,7 +160,7 @@
         assert_eq!(platform.judge(201, |_| None), Verdict::Error);
         assert_eq!(platform.judge(500, header("1")), Verdict::Error);
         for status in [503, 504] {
-            assert_eq!(platform.judge(status, header(" 1\t")), Verdict::NeverRan, "the value is trimmed");
+            assert_eq!(platform.judge(status, header(" 1\t")), Verdict::NotExecuted, "the value is trimmed");
             assert_eq!(platform.judge(status, header("11")), Verdict::Error);
             assert_eq!(platform.judge(status, header("")), Verdict::Error);
             assert_eq!(platform.judge(status, |_| None), Verdict::Error);
@@ -170,8 +170,8 @@
     #[test]
     fn proof_wins_over_served_and_may_take_any_value() {
         let proof = Proof { status: 404, header: "x-later".into(), value: None };
-        let answers = Answers { never_ran: vec![proof], ..Answers::plain() };
-        assert_eq!(answers.judge(404, |name| (name == "x-later").then_some("")), Verdict::NeverRan);
+        let answers = Answers { not_executed: vec![proof], ..Answers::plain() };
+        assert_eq!(answers.judge(404, |name| (name == "x-later").then_some("")), Verdict::NotExecuted);
         assert_eq!(answers.judge(404, |_| None), Verdict::Served);
     }
 }
--- a/crates/routing/src/last.rs
+++ b/crates/routing/src/last.rs
@@ -19,11 +19,11 @@
 
 /// The answer, not a served one, in which the last attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LastAnswer {
+pub struct LastResponse {
     /// Its status.
     pub status: u16,
     /// It proves that this attempt never ran; else it is an error.
-    pub never_ran: bool,
+    pub not_executed: bool,
 }
 
 /// What the client gets.
@@ -56,7 +56,7 @@
 ///
 /// So a client sees 429 or 503 only where coming again does no harm (a safe class, or proof), and nothing that reads like success for
 /// what never ran.
-pub fn gets(decision: Decision, errors: Errors, safe: bool, last: Option<LastAnswer>) -> Gets {
+pub fn gets(decision: Decision, errors: Errors, safe: bool, last: Option<LastResponse>) -> Gets {
     let own = match decision {
         Decision::Served => return Gets::Pass,
         Decision::TimedOut => return Gets::GatewayTimeout,
@@ -66,7 +66,7 @@
     let Some(last) = last.filter(|_| errors == Errors::AsTheyAre) else { return own };
     let refused = matches!(decision, Decision::Refused(_));
     let says_harmless = matches!(last.status, 429 | 503);
-    match last.never_ran {
+    match last.not_executed {
         true if says_harmless && (refused || safe) => Gets::Pass,
         true if says_harmless => Gets::BadGateway,
         // The status does not say what the refusal has to say.
@@ -83,8 +83,8 @@
     const AFTER: Micros = Micros(70_000);
     const OWN_503: Gets = Gets::Refuse(AFTER);
 
-    fn all_answers() -> Vec<Option<LastAnswer>> {
-        let answer = |status| [true, false].map(|never_ran| Some(LastAnswer { status, never_ran }));
+    fn all_answers() -> Vec<Option<LastResponse>> {
+        let answer = |status| [true, false].map(|not_executed| Some(LastResponse { status, not_executed }));
         [200, 204, 302, 404, 429, 500, 502, 503, 504].into_iter().flat_map(answer).chain([None]).collect()
     }
 
@@ -128,9 +128,9 @@
             (&[200, 204, 302, 399], true, [OWN_503, OWN_503, BadGateway, BadGateway]),
             (&[200, 204, 302, 399, 400, 404, 500, 502, 504, 599], false, [Pass; 4]),
         ];
-        for (statuses, never_ran, cells) in rows {
+        for (statuses, not_executed, cells) in rows {
             for status in statuses {
-                let last = Some(LastAnswer { status: *status, never_ran });
+                let last = Some(LastResponse { status: *status, not_executed });
                 let refused = Decision::Refused(AFTER);
                 let each =
                     [(refused, true), (refused, false), (Decision::Failed, true), (Decision::Failed, false)];
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,6 +11,6 @@
 
 pub use answers::{Answers, Errors, Proof, StatusSet, Verdict};
 pub use form::{Form, Source};
-pub use last::{gets, Decision, Gets, LastAnswer};
+pub use last::{gets, Decision, Gets, LastResponse};
 pub use pools::Pools;
 pub use table::{Asked, HeaderMatch, Match, Reason, Route, RouteId, Table};
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -6,7 +6,8 @@
 
 use shaletide_balancer as module;
 use shaletide_balancer::{
-    Allowance, Arrival, AttemptEnd, Balancer, Config, ConfigError, GiveUpCounts, Handover, Standing,
+    Arrival, AttemptEnd, Balancer, Config, ConfigError, GiveUpCounts, PoolHealth, SharedLimits,
+    TransferredRequest,
 };
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,9 +31,9 @@
         /// Whose.
         pool: PoolId,
         /// What sort of news.
-        update: ListUpdate,
+        update: EndpointUpdate,
         /// The entries.
-        backends: Vec<Backend>,
+        backends: Vec<BackendEntry>,
     },
     /// A backend belongs to another pool from now on; the news of that pool's list follows.
     Moved {
@@ -55,7 +56,7 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// What a backend says of its own load.
     Reported {
@@ -94,7 +95,7 @@
         /// The request.
         request: RequestId,
         /// Its number within the request.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// Where to.
         backend: BackendId,
         /// The first byte may go out only before then.
@@ -119,7 +120,7 @@
         /// The request.
         request: RequestId,
         /// The attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// Ask for an [`Event::Timer`].
     SetTimer {
@@ -176,9 +177,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     pools: BTreeMap<PoolId, Pool>,
-    shared: Allowance,
+    shared: SharedLimits,
     requests: BTreeMap<RequestId, Owed>,
-    flights: BTreeMap<(RequestId, AttemptNo), Flight>,
+    flights: BTreeMap<(RequestId, AttemptNumber), Flight>,
     /// Events for the modules that others have brought about.
     work: VecDeque<(PoolId, module::Event)>,
     said: Vec<module::Action>,
@@ -208,9 +209,9 @@
     }
 
     /// Requests given up by the modules of all pools since the last call, by reason.
-    pub fn take_given_up(&mut self) -> GiveUpCounts {
+    pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
         let mut all = GiveUpCounts::default();
-        self.pools.values_mut().for_each(|pool| all.merge(pool.module.take_given_up()));
+        self.pools.values_mut().for_each(|pool| all.merge(pool.module.take_give_up_counts()));
         all
     }
 
@@ -234,9 +235,11 @@
         match event {
             Event::Members { pool, update, backends } => {
                 let was = self.standing(now, pool).filter(|_| !self.gained(pool));
-                self.work.push_back((pool, module::Event::Members { update, backends }));
+                self.work.push_back((pool, module::Event::EndpointsUpdated { update, backends }));
                 self.run(now, actions);
-                if was != Some(Standing::Able) && self.standing(now, pool) == Some(Standing::Able) {
+                if was != Some(PoolHealth::Available)
+                    && self.standing(now, pool) == Some(PoolHealth::Available)
+                {
                     self.relieve(now);
                 }
             }
@@ -248,22 +251,22 @@
                 }
             }
             Event::Reported { pool, backend, report } => {
-                self.work.push_back((pool, module::Event::Reported(backend, report)));
+                self.work.push_back((pool, module::Event::LoadReported(backend, report)));
             }
             Event::AttemptEnded(end) => self.ended(end),
             Event::ClientGone { request } => {
                 if let Some(owed) = self.requests.get(&request) {
-                    self.work.push_back((owed.pool, module::Event::ClientGone { request }));
+                    self.work.push_back((owed.pool, module::Event::ClientDisconnected { request }));
                     self.settle(request);
                 }
             }
             Event::Closed { pool } => {
                 if let Some(p) = self.pools.get_mut(&pool) {
                     p.closing = true;
-                    let held = p.module.release();
-                    let (update, backends) = (ListUpdate::Full, Vec::new());
-                    self.work.push_back((pool, module::Event::Members { update, backends }));
-                    self.work.push_back((pool, module::Event::Closing));
+                    let held = p.module.release_queued();
+                    let (update, backends) = (EndpointUpdate::Snapshot, Vec::new());
+                    self.work.push_back((pool, module::Event::EndpointsUpdated { update, backends }));
+                    self.work.push_back((pool, module::Event::Drain));
                     held.into_iter().for_each(|(id, handover)| self.place_anew(now, pool, id, handover));
                 }
             }
@@ -277,8 +280,8 @@
     }
 
     /// Whether a pool can take anything; `None` where there is no such pool.
-    pub fn standing(&self, now: Time, pool: PoolId) -> Option<Standing> {
-        self.pools.get(&pool).filter(|p| !p.closing).map(|p| p.module.standing(now))
+    pub fn standing(&self, now: Time, pool: PoolId) -> Option<PoolHealth> {
+        self.pools.get(&pool).filter(|p| !p.closing).map(|p| p.module.health(now))
     }
 
     fn request(&mut self, now: Time, mut arrival: Arrival, route: Rc<[PoolId]>, actions: &mut Vec<Action>) {
@@ -293,7 +296,7 @@
             return;
         };
         owed.pool = pool;
-        arrival.elsewhere = more;
+        arrival.may_fail_over = more;
         self.own(request, owed);
         self.work.push_back((pool, module::Event::Request(arrival)));
     }
@@ -304,7 +307,8 @@
         let places = || owed.route.iter().enumerate().take(MAX_ROUTE_POOLS);
         let open = |pool: &PoolId| self.standing(now, *pool);
         let fresh = places().filter(|(at, _)| owed.asked & (1 << at) == 0);
-        let able = fresh.filter(|(_, pool)| open(pool) == Some(Standing::Able)).map(|(at, pool)| (at, *pool));
+        let able =
+            fresh.filter(|(_, pool)| open(pool) == Some(PoolHealth::Available)).map(|(at, pool)| (at, *pool));
         let mut able = able.collect::<Vec<_>>().into_iter();
         if let Some((at, pool)) = able.next() {
             owed.asked |= 1 << at;
@@ -334,35 +338,37 @@
     }
 
     /// A module gave a request up to the next.
-    fn pass_on(&mut self, now: Time, from: PoolId, request: RequestId, handover: Handover) {
+    fn pass_on(&mut self, now: Time, from: PoolId, request: RequestId, handover: TransferredRequest) {
         if let Some(owed) = self.settle(request) {
             self.place(now, from, request, owed, handover);
         }
     }
 
     /// As if no pool had been asked yet.
-    fn place_anew(&mut self, now: Time, from: PoolId, request: RequestId, handover: Handover) {
+    fn place_anew(&mut self, now: Time, from: PoolId, request: RequestId, handover: TransferredRequest) {
         if let Some(owed) = self.settle(request) {
             self.place(now, from, request, Owed { asked: 0, ..owed }, handover);
         }
     }
 
     /// Where no pool of its route is left it goes back to the one that had it: what is out may still be answered.
-    fn place(&mut self, now: Time, from: PoolId, request: RequestId, mut owed: Owed, handover: Handover) {
+    fn place(
+        &mut self, now: Time, from: PoolId, request: RequestId, mut owed: Owed, handover: TransferredRequest,
+    ) {
         let (pool, more) = self.next(now, &mut owed).unwrap_or((from, false));
         owed.pool = pool;
         self.own(request, owed);
-        let handover = Box::new(handover.elsewhere(more));
-        self.work.push_back((pool, module::Event::HandedOver(request, handover)));
+        let handover = Box::new(handover.with_failover(more));
+        self.work.push_back((pool, module::Event::FailedOver(request, handover)));
     }
 
     /// A pool can take something again: what waits in pools that cannot is placed anew.
     fn relieve(&mut self, now: Time) {
-        let stuck = |p: &Pool| p.owes > 0 && p.module.standing(now) != Standing::Able;
+        let stuck = |p: &Pool| p.owes > 0 && p.module.health(now) != PoolHealth::Available;
         let stuck: Vec<PoolId> = self.pools.iter().filter(|(_, p)| stuck(p)).map(|(id, _)| *id).collect();
         for from in stuck {
             let Some(pool) = self.pools.get_mut(&from) else { continue };
-            let held = pool.module.release();
+            let held = pool.module.release_queued();
             held.into_iter().for_each(|(id, handover)| self.place_anew(now, from, id, handover));
         }
     }
@@ -376,7 +382,9 @@
         if from == to || !self.pools.contains_key(&to) {
             return;
         }
-        let Some(moved) = self.pools.get_mut(&from).and_then(|p| p.module.take_out(backend)) else { return };
+        let Some(moved) = self.pools.get_mut(&from).and_then(|p| p.module.migrate_out(backend)) else {
+            return;
+        };
         let mut count = 0;
         for flight in self.flights.values_mut().filter(|f| f.backend == backend && f.pool == from) {
             flight.pool = to;
@@ -385,8 +393,8 @@
         self.pools.entry(from).and_modify(|p| p.holds -= count);
         self.pools.entry(to).and_modify(|p| {
             p.holds += count;
-            p.gained |= p.module.standing(now) != Standing::Able;
-            p.module.put_in(moved);
+            p.gained |= p.module.health(now) != PoolHealth::Available;
+            p.module.migrate_in(moved);
         });
     }
 
@@ -397,7 +405,7 @@
             pool.holds -= 1;
         }
         let owner = self.requests.get(&end.request).map(|owed| owed.pool);
-        if end.settled || end.outcome == Outcome::Ok {
+        if end.request_answered || end.outcome == Outcome::Ok {
             self.settle(end.request);
         }
         if let Some(owner) = owner.filter(|owner| *owner != flight.pool) {
@@ -428,10 +436,10 @@
                 self.pools.entry(pool).and_modify(|p| p.holds += 1);
                 Action::Dispatch { request, attempt, backend, send_by }
             }
-            module::Action::PassOn { request, handover } => {
+            module::Action::FailOver { request, handover } => {
                 return self.pass_on(now, pool, request, *handover)
             }
-            module::Action::Refuse { request, retry_after } => {
+            module::Action::Reject { request, retry_after } => {
                 self.settle(request);
                 Action::Refuse { request, retry_after }
             }
@@ -444,7 +452,7 @@
                 let token = TimerToken(u64::from(pool.0) << TOKENS | token.0 & ((1 << TOKENS) - 1));
                 Action::SetTimer { token, after }
             }
-            module::Action::Follow => Action::Follow { pool },
+            module::Action::Subscribe => Action::Follow { pool },
             module::Action::Log(text) => Action::Log { pool, text },
         });
     }
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -78,7 +78,7 @@
     world.warm_up(40, &[0, 1]);
     let id = world.arrive(UNSAFE, SECOND, &[0, 1]);
     world.end(id, 0, Outcome::ConnectFailed);
-    world.end(id, 1, Outcome::Full);
+    world.end(id, 1, Outcome::Rejected);
     assert_eq!(world.sent_to(id).iter().map(|b| b / 10).collect::<Vec<_>>(), [0, 0, 1]);
     world.end(id, 2, Outcome::Ok);
     assert_eq!(world.answer(id), Some("served"));
@@ -222,7 +222,7 @@
 /// It keeps what it holds and what it was sent while cold: another pool's module does not start afresh with it.
 #[test]
 fn a_backend_that_moves_keeps_its_counts_and_its_cold_budget() {
-    let cold = |now: Time| Backend { booted: Some(now), ..backend(0, 1, 0) };
+    let cold = |now: Time| BackendEntry { started_at: Some(now), ..backend(0, 1, 0) };
     let now = Time(1_000_000_000);
     let mut world = World::new(config(), &[vec![cold(now)], Vec::new()]);
     let before: usize = world.burst(40, &[0]);
@@ -239,7 +239,7 @@
 #[test]
 fn a_backend_with_more_cores_holds_more() {
     let held = |cores| {
-        let mut world = World::new(config(), &[vec![Backend { cores, ..backend(0, 1, 0) }]]);
+        let mut world = World::new(config(), &[vec![BackendEntry { cores, ..backend(0, 1, 0) }]]);
         world.burst(100, &[0])
     };
     assert_eq!((held(1), held(8)), (4, 32));
@@ -278,13 +278,13 @@
     /// Whatever happens in whichever order: the world panics at the first broken rule, and all is answered.
     #[test]
     fn every_rule_holds_over_all_pools(steps in proptest::collection::vec(step(), 1..150)) {
-        let list = |pool: u32| -> Vec<Backend> {
+        let list = |pool: u32| -> Vec<BackendEntry> {
             (0..3).map(|n| backend(pool * 10 + n, u64::from(n % 2), u32::from(pool == 2))).collect()
         };
         let mut world = World::new(config(), &[list(0), list(1), list(2)]);
         world.warm_up(20, &[0, 1]);
         let states = [BackendState::Ready, BackendState::Draining, BackendState::Gone];
-        let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset, Outcome::NeverSent];
+        let outcomes = [Outcome::Ok, Outcome::Error, Outcome::Rejected, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
         for step in steps {
             match step {
                 Step::Arrive(class, left, route) => drop(world.arrive(class, left, ROUTES[usize::from(route)])),
@@ -307,7 +307,7 @@
                     }
                 }
                 Step::Full(pool, which) if world.lists.contains_key(&PoolId(pool)) => {
-                    let here: Vec<Backend> = list(pool).into_iter().enumerate()
+                    let here: Vec<BackendEntry> = list(pool).into_iter().enumerate()
                         .filter(|(at, b)| which & (1 << at) != 0
                             && world.lists.iter().all(|(p, l)| p.0 == pool || !l.contains_key(&b.id)))
                         .map(|(_, b)| b).collect();
@@ -361,13 +361,13 @@
 fn what_may_have_run_in_a_group_that_is_gone_is_never_refused() {
     for route in [&[0][..], &[0, 1]] {
         let mut cfg = config();
-        cfg.classes[KEYED].effect = Effect::Keyed(KeyScope::All, WINDOW);
-        cfg.only_realm = Some(0);
+        cfg.classes[KEYED].idempotency = Idempotency::Keyed(DeduplicationScope::All, WINDOW);
+        cfg.only_deduplication_domain = Some(0);
         let mut world = World::new(cfg, &[vec![backend(0, 1, 0)], Vec::new()]);
         world.warm_up(20, &[0]);
         let id = world.arrive(KEYED, SECOND, route);
         assert_eq!(world.sent_to(id), [0]);
-        world.cfg.only_realm = Some(1);
+        world.cfg.only_deduplication_domain = Some(1);
         world.open(1);
         world.full(1, vec![backend(10, 1, 1)]);
         world.close(0);
@@ -380,7 +380,7 @@
 /// A reload that puts thousands of boxes into another pool is carried out between two requests.
 #[test]
 fn thousands_of_boxes_move_at_once() {
-    let many: Vec<Backend> = (0..6_000).map(|id| backend(id, u64::from(id), 0)).collect();
+    let many: Vec<BackendEntry> = (0..6_000).map(|id| backend(id, u64::from(id), 0)).collect();
     let mut world = World::new(config(), &[many.clone(), Vec::new()]);
     let start = std::time::Instant::now();
     for b in &many {
@@ -397,7 +397,7 @@
 /// An operator may well name a kind for each box.
 #[test]
 fn as_many_kinds_as_boxes_cost_little() {
-    let one = |id| Backend { kind: KindId(id), ..backend(id, u64::from(id), 0) };
+    let one = |id| BackendEntry { server_type: ServerTypeId(id), ..backend(id, u64::from(id), 0) };
     let mut world = World::new(config(), &[(0..3_000).map(one).collect()]);
     world.arrive(SAFE, SECOND, &[0]);
     let start = std::time::Instant::now();
--- a/crates/routing/tests/world/mod.rs
+++ b/crates/routing/tests/world/mod.rs
@@ -1,6 +1,6 @@
 //! A made-up world around the machine of all pools: it carries out what is asked and checks every rule as it goes.
 
-use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, Standing};
+use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, PoolHealth};
 use shaletide_routing::pools::{Action, Event};
 use shaletide_routing::Pools;
 use shaletide_types::*;
@@ -9,14 +9,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Try {
-    pub to: Backend,
+    pub to: BackendEntry,
     pub at: Time,
     pub outcome: Option<Outcome>,
 }
 
 impl Try {
     pub fn may_have_run(&self) -> bool {
-        self.outcome.is_none_or(|o| !o.never_ran())
+        self.outcome.is_none_or(|o| !o.not_executed())
     }
 }
 
@@ -34,7 +34,7 @@
     pub pools: Pools,
     pub now: Time,
     /// What each pool's list says.
-    pub lists: BTreeMap<PoolId, BTreeMap<BackendId, Backend>>,
+    pub lists: BTreeMap<PoolId, BTreeMap<BackendId, BackendEntry>>,
     pub requests: BTreeMap<RequestId, Open>,
     pub timers: Vec<(Time, TimerToken)>,
     pub cancelled: Vec<(RequestId, usize)>,
@@ -47,32 +47,44 @@
 pub const WINDOW: Micros = Micros(800_000);
 
 pub fn config() -> Config {
-    let class =
-        |effect| Class { aim: Micros(400_000), aim_stretch: 0.0, effect, worth: 1.0, late_worth: 0.2 };
+    let class = |effect| Class {
+        latency_objective: Micros(400_000),
+        latency_objective_per_work_hint: 0.0,
+        idempotency: effect,
+        priority_weight: 1.0,
+        late_weight_fraction: 0.2,
+    };
     Config {
         proxies: 1,
         classes: vec![
-            class(Effect::Free),
-            class(Effect::Keyed(KeyScope::Cell, WINDOW)),
-            class(Effect::Unsafe),
+            class(Idempotency::Safe),
+            class(Idempotency::Keyed(DeduplicationScope::Group, WINDOW)),
+            class(Idempotency::NonIdempotent),
         ],
         tenants: vec![shaletide_balancer::Tenant { quota_per_s: 20.0 }],
-        only_realm: None,
-        spare: true,
+        only_deduplication_domain: None,
+        has_failover_pool: true,
         max_attempts: 4,
-        tick: Micros(5_000),
+        min_timer_interval: Micros(5_000),
         ..Config::example()
     }
 }
 
-pub fn backend(id: u32, cell: u64, realm: u32) -> Backend {
-    let (state, cell) = (BackendState::Ready, CellId(cell));
-    Backend { id: BackendId(id), mark: u64::from(id), cell, realm, state, ..Backend::default() }
+pub fn backend(id: u32, cell: u64, realm: u32) -> BackendEntry {
+    let (state, cell) = (BackendState::Ready, DeduplicationGroupId(cell));
+    BackendEntry {
+        id: BackendId(id),
+        stable_hash: u64::from(id),
+        deduplication_group: cell,
+        deduplication_domain: realm,
+        state,
+        ..BackendEntry::default()
+    }
 }
 
 impl World {
     /// Pools numbered from 0, each with its list.
-    pub fn new(cfg: Config, pools: &[Vec<Backend>]) -> World {
+    pub fn new(cfg: Config, pools: &[Vec<BackendEntry>]) -> World {
         let mut world = World {
             cfg,
             pools: Pools::new(),
@@ -95,10 +107,10 @@
         self.lists.entry(PoolId(pool)).or_default();
     }
 
-    pub fn full(&mut self, pool: u32, list: Vec<Backend>) {
+    pub fn full(&mut self, pool: u32, list: Vec<BackendEntry>) {
         let known = self.lists.entry(PoolId(pool)).or_default();
         *known = list.iter().map(|b| (b.id, b.clone())).collect();
-        self.event(Event::Members { pool: PoolId(pool), update: ListUpdate::Full, backends: list });
+        self.event(Event::Members { pool: PoolId(pool), update: EndpointUpdate::Snapshot, backends: list });
     }
 
     /// A change of one entry's state.
@@ -107,7 +119,7 @@
         let entry = list.get_mut(&BackendId(id)).expect("an entry");
         entry.state = state;
         let backends = vec![entry.clone()];
-        self.event(Event::Members { pool: PoolId(pool), update: ListUpdate::Changes, backends });
+        self.event(Event::Members { pool: PoolId(pool), update: EndpointUpdate::Delta, backends });
     }
 
     pub fn shift(&mut self, id: u32, from: u32, to: u32) {
@@ -117,8 +129,8 @@
         let (from, to) = (PoolId(from), PoolId(to));
         self.event(Event::Moved { backend: BackendId(id), from, to });
         for pool in [from, to] {
-            let list: Vec<Backend> = self.lists[&pool].values().cloned().collect();
-            self.event(Event::Members { pool, update: ListUpdate::Full, backends: list });
+            let list: Vec<BackendEntry> = self.lists[&pool].values().cloned().collect();
+            self.event(Event::Members { pool, update: EndpointUpdate::Snapshot, backends: list });
         }
     }
 
@@ -133,7 +145,7 @@
         actions.into_iter().for_each(|action| self.apply(action));
     }
 
-    fn listed(&self, id: BackendId) -> Option<&Backend> {
+    fn listed(&self, id: BackendId) -> Option<&BackendEntry> {
         self.lists.values().find_map(|list| list.get(&id))
     }
 
@@ -150,16 +162,17 @@
                     "attempts are counted over all pools"
                 );
                 for t in r.tries.iter().filter(|t| t.may_have_run()) {
-                    match self.cfg.classes[r.class].effect {
-                        Effect::Free => {}
-                        Effect::Unsafe => panic!("an unsafe request was sent twice"),
-                        Effect::Keyed(_, window) => {
+                    match self.cfg.classes[r.class].idempotency {
+                        Idempotency::Safe => {}
+                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::Keyed(_, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             assert!(
                                 send_by.is_some_and(|by| by <= t.at + window),
                                 "no bound on the first byte"
                             );
-                            let same = (t.to.realm, t.to.cell) == (to.realm, to.cell);
+                            let same = (t.to.deduplication_domain, t.to.deduplication_group)
+                                == (to.deduplication_domain, to.deduplication_group);
                             assert!(same, "a key was repeated outside its group");
                         }
                     }
@@ -195,8 +208,8 @@
             tenant: None,
             time_left: Micros(left),
             work_hint: None,
-            repeat: false,
-            elsewhere: false,
+            is_client_retry: false,
+            may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = route.iter().map(|p| PoolId(*p)).collect();
         self.event(Event::Request { arrival, pools });
@@ -218,14 +231,20 @@
         if outcome == Outcome::Ok && r.answer.is_none() && !r.left {
             r.answer = Some("served");
         }
-        let (settled, attempt) = (r.answer.is_some() || r.left, AttemptNo(no as u32));
-        self.event(Event::AttemptEnded(AttemptEnd { request: id, attempt, outcome, latency, settled }));
+        let (settled, attempt) = (r.answer.is_some() || r.left, AttemptNumber(no as u32));
+        self.event(Event::AttemptEnded(AttemptEnd {
+            request: id,
+            attempt,
+            outcome,
+            latency,
+            request_answered: settled,
+        }));
     }
 
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
-            self.now = (self.now + self.cfg.tick).min(until);
+            self.now = (self.now + self.cfg.min_timer_interval).min(until);
             let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
@@ -279,7 +298,7 @@
     /// Nobody listens at any backend of a pool, until none is in use.
     pub fn eject_all(&mut self, pool: u32) {
         for _ in 0..100 {
-            if self.pools.standing(self.now, PoolId(pool)) != Some(Standing::Able) {
+            if self.pools.standing(self.now, PoolId(pool)) != Some(PoolHealth::Available) {
                 return;
             }
             let id = self.arrive(SAFE, 3_000_000, &[pool]);
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -5,7 +5,7 @@
 use crate::setup::{RecordSetup, Setup};
 use crate::start::control_socket;
 use crate::start::listening::{ListenOutcomes, Listening};
-use shaletide_balancer::{ConfigError, ListUpdate, PoolId};
+use shaletide_balancer::{ConfigError, EndpointUpdate, PoolId};
 use shaletide_control::ControlError;
 use shaletide_discovery::{Place, Terms};
 use shaletide_http::{ListenError, Rules, Server};
@@ -132,7 +132,7 @@
             host.setup(first, &operator.proxy.zone, seed, network, pools).map_err(StartError::Config)?;
         // The list from before the restart is in place before anything is served.
         if let (Some(pool), false) = (ids.first(), setup.known.endpoints.is_empty()) {
-            shaletide_discovery::tell(&host, *pool, ListUpdate::Cached, &setup.known);
+            shaletide_discovery::tell(&host, *pool, EndpointUpdate::Cached, &setup.known);
         }
         let listening = Listening::begin(&setup, &host)?;
         if let Some(socket) = &operator.control {
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -3,7 +3,7 @@
 use super::rules::{checked, Rule};
 use super::script::Played;
 use super::stage::{classes, DEADLINE};
-use shaletide_balancer::{halb_shares, Effect, Time};
+use shaletide_balancer::{halb_shares, Idempotency, Time};
 use shaletide_testkit::{ClassResult, End, Ended, LoadResult, Record};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -130,9 +130,9 @@
     writeln!(text, "  {}", row(head.map(String::from)))?;
     for ((class, calm), asked) in played.result.by_class().iter().zip(&calm).zip(classes()) {
         let effect = match asked.effect {
-            Effect::Free => "safe",
-            Effect::Keyed(..) => "keyed",
-            Effect::Unsafe => "unsafe",
+            Idempotency::Safe => "safe",
+            Idempotency::Keyed(..) => "keyed",
+            Idempotency::NonIdempotent => "unsafe",
         };
         let late = played.result.sent.iter().filter(|s| played.result.classes[s.class] == class.name);
         let late = late.filter(|s| matches!(s.end, End::Status(_)) && !s.in_time).count();
@@ -220,7 +220,7 @@
     /// Two boxes in two bays, the second started at 10 s, the first drains at 10 s; and a request of each class.
     fn sound() -> Played {
         let info = |name: &str, bay, at| {
-            let power = Power { cores: 1, speed: 1.0, cold_from: 0.3, ramp: RAMP };
+            let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.3, ramp: RAMP };
             BoxInfo { name: name.into(), bay, power, boots: vec![Boot { at, died: None }] }
         };
         let boxes = vec![info("fast-1", 1, None), info("slow-1", 2, Some(Time(10_000_000)))];
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -1,6 +1,6 @@
 //! What stands around the proxy in the demo, and the operators' file that it runs by.
 
-use shaletide_balancer::{Effect, KeyScope, Micros};
+use shaletide_balancer::{DeduplicationScope, Idempotency, Micros};
 use shaletide_testkit::*;
 use std::io;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
 fn boxes() -> Vec<BoxSpec> {
     let of_kind = |(kind, count, speed): (&'static str, u32, f64)| {
         (1..=count).map(move |n| {
-            let power = Power { cores: 1, speed, cold_from: COLD_FROM, ramp: RAMP };
+            let power = Power { cores: 1, speed, initial_capacity_fraction: COLD_FROM, ramp: RAMP };
             BoxSpec {
                 kind: kind.into(),
                 zone: "hall".into(),
@@ -82,9 +82,9 @@
     let class =
         |name, share, effect, body| LoadClass { share, body, ..LoadClass::new(name, effect, DEADLINE) };
     vec![
-        class("read", 6.0, Effect::Free, 0),
-        class("settle", 2.0, Effect::Keyed(KeyScope::Cell, WINDOW), 20),
-        class("pay", 2.0, Effect::Unsafe, 20),
+        class("read", 6.0, Idempotency::Safe, 0),
+        class("settle", 2.0, Idempotency::Keyed(DeduplicationScope::Group, WINDOW), 20),
+        class("pay", 2.0, Idempotency::NonIdempotent, 20),
     ]
 }
 
@@ -152,11 +152,11 @@
         let asked = classes();
         assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
         for (def, class) in operator.config.classes.iter().zip(asked) {
-            assert_eq!(def.effect, class.effect);
+            assert_eq!(def.idempotency, class.effect);
         }
-        assert_eq!(operator.config.ramp, RAMP);
+        assert_eq!(operator.config.slow_start_window, RAMP);
         assert_eq!(
-            (operator.config.fall_multiple, operator.config.fall_window),
+            (operator.config.overload_multiple, operator.config.overload_window),
             (PUSH.multiple, PUSH.window)
         );
     }
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -3,7 +3,7 @@
 use super::args::{Filter, List};
 use super::when::Zone;
 use super::{words, Failure, PAGE};
-use shaletide_record::{KeyState, Remembered, Row};
+use shaletide_record::{KeyState, Row, StoredKey};
 use shaletide_store::{Query, Reading, StoreError};
 use std::io::Write;
 
@@ -57,7 +57,7 @@
 }
 
 fn unsettled(store: &dyn Reading, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
-    let mut after: Option<Remembered> = None;
+    let mut after: Option<StoredKey> = None;
     let mut left = asked.limit;
     writeln!(out, "times in {}", zone.name)?;
     loop {
@@ -87,7 +87,7 @@
 }
 
 /// The box to which its last attempt went.
-fn last_box(store: &dyn Reading, held: &Remembered) -> Result<Option<String>, StoreError> {
+fn last_box(store: &dyn Reading, held: &StoredKey) -> Result<Option<String>, StoreError> {
     let id = &held.key;
     let mut query = Query {
         key: Some(id.key.clone()),
--- a/crates/shaletide/src/record/show.rs
+++ b/crates/shaletide/src/record/show.rs
@@ -3,7 +3,7 @@
 use super::args::Which;
 use super::when::Zone;
 use super::{list, words, Failure, PAGE};
-use shaletide_record::{Fact, KeyId, KeyState, Remembered, Row};
+use shaletide_record::{Fact, KeyId, KeyState, Row, StoredKey};
 use shaletide_store::{Query, Reading, StoreError};
 use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,7 +97,7 @@
     store: &'a dyn Reading,
     id: &'a KeyId,
     /// How the key stands now.
-    held: Option<Remembered>,
+    held: Option<StoredKey>,
     corrections: &'a BTreeMap<u64, Vec<Row>>,
     zone: &'a Zone,
 }
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -1,7 +1,9 @@
 //! From a configuration to what the shells want: pure, so that a reload is decided before anything is touched.
 
-use shaletide_balancer::{ClassId, Discovery, Micros, PoolId, TenantId};
-use shaletide_config::operator::{self, Additions, BoxDef, ClassDef, Operator, Recording, Source as Boxes};
+use shaletide_balancer::{ClassId, DiscoveryMode, Micros, PoolId, TenantId};
+use shaletide_config::operator::{
+    self, Additions, BackendDef, ClassDef, Operator, Recording, Source as Boxes,
+};
 use shaletide_http::{ClassRule as FrontRule, RulesDef};
 use shaletide_membership::{bay, Endpoint, List, PoolSpec, Source};
 use shaletide_net::{Network, PoolSetup};
@@ -96,10 +98,11 @@
         let setup = |(number, def): (usize, &shaletide_config::operator::PoolDef)| {
             let id = PoolId(number as u32);
             let mut config = operator.config.clone();
-            config.spare = operator.routes.iter().any(|r| r.pools.len() > 1 && r.pools.contains(&id));
+            config.has_failover_pool =
+                operator.routes.iter().any(|r| r.pools.len() > 1 && r.pools.contains(&id));
             let source = match &def.source {
                 Boxes::Static(boxes) => {
-                    config.discovery = Discovery::Push;
+                    config.discovery = DiscoveryMode::Push;
                     Source::Static(boxes.iter().map(endpoint).collect())
                 }
                 Boxes::Discovery { mode, .. } => {
@@ -117,7 +120,7 @@
     }
 
     /// The pools whose lists are told by a discovery: by index, where it is and how it tells.
-    pub fn discoveries(&self) -> Vec<(usize, SocketAddr, Discovery)> {
+    pub fn discoveries(&self) -> Vec<(usize, SocketAddr, DiscoveryMode)> {
         let each = self.operator.pools.iter().enumerate();
         let listed = each.filter_map(|(at, def)| match def.source {
             Boxes::Discovery { address, mode } => Some((at, address, mode)),
@@ -135,7 +138,7 @@
         });
         let classes = operator.classes.iter().zip(&operator.config.classes).map(|(def, class)| FrontRule {
             name: def.name.clone(),
-            effect: class.effect,
+            effect: class.idempotency,
             methods: def.methods.iter().filter_map(|m| m.parse().ok()).collect(),
             deadline: def.deadline,
         });
@@ -212,7 +215,7 @@
     let classes = operator.classes.iter().filter_map(|c| Some((c.name.clone(), rule(c)?)));
     let config = RecordConfig {
         keep: def.keep,
-        permit_wait: def.wait,
+        intent_timeout: def.wait,
         retry_after: def.retry_after,
         classes: classes.collect(),
         ..RecordConfig::default()
@@ -240,7 +243,7 @@
     items.extend(placed.into_iter().map(|(_, item)| item));
 }
 
-fn endpoint(def: &BoxDef) -> Endpoint {
+fn endpoint(def: &BackendDef) -> Endpoint {
     Endpoint {
         name: def.address.to_string(),
         address: def.address,
@@ -297,11 +300,12 @@
 
     #[test]
     fn only_pools_with_another_beside_them_may_be_left_whole() {
-        let spare: Vec<bool> = setup("a b", "x y").pools().iter().map(|p| p.config.spare).collect();
+        let spare: Vec<bool> =
+            setup("a b", "x y").pools().iter().map(|p| p.config.has_failover_pool).collect();
         assert_eq!(spare, [true, true]);
         let mut one = setup("a b", "x y");
         one.operator.routes.remove(0);
-        let spare: Vec<bool> = one.pools().iter().map(|p| p.config.spare).collect();
+        let spare: Vec<bool> = one.pools().iter().map(|p| p.config.has_failover_pool).collect();
         assert_eq!(spare, [false, false]);
     }
 }
--- a/crates/shaletide/tests/book/mod.rs
+++ b/crates/shaletide/tests/book/mod.rs
@@ -3,7 +3,7 @@
 
 use shaletide_record::*;
 use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store};
-use shaletide_types::{AttemptNo, Micros, Outcome, RequestId, Time};
+use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -139,11 +139,11 @@
             ready: true,
             out: 2,
         };
-        self.tell(Event::PermitWanted { request, attempt: AttemptNo(attempt), seen });
+        self.tell(Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen });
     }
 
     pub fn ended(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        self.tell(Event::AttemptEnded { request, attempt: AttemptNo(attempt), outcome });
+        self.tell(Event::AttemptEnded { request, attempt: AttemptNumber(attempt), outcome });
     }
 
     pub fn over(&mut self, request: RequestId, ending: Ending) {
@@ -156,7 +156,7 @@
         self.intent(request, 0, "box-2");
         self.pass(18);
         self.ended(request, 0, Outcome::Ok);
-        self.over(request, Ending::Served(AttemptNo(0)));
+        self.over(request, Ending::Served(AttemptNumber(0)));
     }
 
     /// One whose connection breaks at box-7.
--- a/crates/shaletide/tests/load.rs
+++ b/crates/shaletide/tests/load.rs
@@ -4,7 +4,7 @@
 mod rig;
 
 use rig::*;
-use shaletide_types::{Effect, KeyScope, Micros};
+use shaletide_types::{DeduplicationScope, Idempotency, Micros};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 
 fn boxes(count: u64) -> Vec<BoxSpec> {
     let boxes = (0..count).map(|n| {
-        let power = Power { cores: 2, speed: 1.0, cold_from: 0.3, ramp: Micros(9_000_000) };
+        let power = Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(9_000_000) };
         BoxSpec { bay: 1 + n / 3, ..BoxSpec::new(&format!("b{n}"), power) }
     });
     boxes.collect()
 }
 
 fn classes() -> Vec<LoadClass> {
-    let keyed = Effect::Keyed(KeyScope::Cell, WINDOW);
+    let keyed = Idempotency::Keyed(DeduplicationScope::Group, WINDOW);
     let class = |name, share, effect, body| LoadClass {
         share,
         body,
@@ -29,8 +29,8 @@
         ..LoadClass::new(name, effect, DEADLINE)
     };
     vec![
-        class("read", 4.0, Effect::Free, 0),
-        class("pay", 1.0, Effect::Unsafe, 20),
+        class("read", 4.0, Idempotency::Safe, 0),
+        class("pay", 1.0, Idempotency::NonIdempotent, 20),
         class("vote", 1.0, keyed, 20),
     ]
 }
--- a/crates/shaletide/tests/record.rs
+++ b/crates/shaletide/tests/record.rs
@@ -6,7 +6,7 @@
 use shaletide_control::{Command, Control, Reply};
 use shaletide_record::{Ending, Event, Fact, Resolved};
 use shaletide_store::{SqliteOptions, SqliteStore};
-use shaletide_types::{AttemptNo, Outcome};
+use shaletide_types::{AttemptNumber, Outcome};
 use std::process::Command as Program;
 
 /// Each sort of story once.
@@ -17,12 +17,12 @@
     // Refused: the box turned it away, and no other was tried.
     let refused = book.settle("milford", b"refused");
     book.intent(refused, 0, "box-3");
-    book.ended(refused, 0, Outcome::Full);
+    book.ended(refused, 0, Outcome::Rejected);
     book.over(refused, Ending::Refused);
     // Withdrawn: the permit was given, and it was not sent.
     let withdrawn = book.settle("other", b"withdrawn");
     book.intent(withdrawn, 0, "box-3");
-    book.tell(Event::Withdrawn { request: withdrawn, attempt: AttemptNo(0) });
+    book.tell(Event::Withdrawn { request: withdrawn, attempt: AttemptNumber(0) });
     book.over(withdrawn, Ending::TimedOut);
     book.pass(100);
     book.doubt("milford", b"odd");
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -9,7 +9,7 @@
 /// One instance: its decisions and its own numbering of backends.
 struct Instance {
     balancer: Balancer,
-    shared: Allowance,
+    shared: SharedLimits,
     names: Names,
     numbers: HashMap<String, BackendId>,
     addresses: Vec<String>,
@@ -67,12 +67,12 @@
         Ok(match self.whole(at, "an outcome code from 0 to 7")? {
             0 => Outcome::Error,
             1 => Outcome::Ok,
-            2 => Outcome::Full,
+            2 => Outcome::Rejected,
             3 => Outcome::TimedOut,
             4 => Outcome::ConnectFailed,
             5 => Outcome::Reset,
             6 => Outcome::Cancelled,
-            7 => Outcome::NeverSent,
+            7 => Outcome::NotSent,
             _ => return Err(self.bad(at, "an outcome code from 0 to 7")),
         })
     }
@@ -153,7 +153,7 @@
         let instance = match made {
             Ok((balancer, names)) => Some(Instance {
                 balancer,
-                shared: Allowance::new(),
+                shared: SharedLimits::new(),
                 names,
                 numbers: HashMap::new(),
                 addresses: Vec::new(),
@@ -173,29 +173,29 @@
     Ok(Some(match f.name {
         "VIEW" => {
             let update = match f.text(3, "a list kind")? {
-                "incr" => ListUpdate::Changes,
-                "total" => ListUpdate::Full,
-                "warm_copy" => ListUpdate::Cached,
-                "lost" => ListUpdate::Lost,
+                "incr" => EndpointUpdate::Delta,
+                "total" => EndpointUpdate::Snapshot,
+                "warm_copy" => EndpointUpdate::Cached,
+                "lost" => EndpointUpdate::SubscriptionLost,
                 _ => return Err(f.bad(3, "incr, total, warm_copy or lost")),
             };
             let mut backends = Vec::new();
-            if update != ListUpdate::Lost {
+            if update != EndpointUpdate::SubscriptionLost {
                 let id = f.whole(1, "a roster number")?;
                 for row in rosters.get(&id).ok_or_else(|| f.bad(1, "a known roster number"))? {
                     let id = to.backend(&row.address);
                     backends.push(to.names.entry(row, id));
                 }
             }
-            Event::Members { update, backends }
+            Event::EndpointsUpdated { update, backends }
         }
         "JOB_IN" => {
             let flags = f.values[6].as_u64().unwrap_or(0);
             Event::Request(Arrival {
                 request: f.request(1)?,
                 work_hint: f.values[2].as_u64().filter(|_| flags & 1 == 1).map(Micros),
-                repeat: flags & 2 == 2,
-                elsewhere: false,
+                is_client_retry: flags & 2 == 2,
+                may_fail_over: false,
                 time_left: Micros(f.whole(3, "the time left in microseconds")?),
                 tenant: match &f.values[5] {
                     Value::String(name) => {
@@ -208,19 +208,19 @@
         }
         "ESTABLISHED" => Event::StreamStarted {
             request: f.request(1)?,
-            attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
+            attempt: AttemptNumber(f.whole(2, "an attempt")? as u32),
         },
         "RETURNED" => {
             f.text(3, "a backend")?;
             Event::AttemptEnded(AttemptEnd {
                 request: f.request(1)?,
-                attempt: AttemptNo(f.whole(2, "an attempt")? as u32),
+                attempt: AttemptNumber(f.whole(2, "an attempt")? as u32),
                 outcome: f.outcome(4)?,
                 latency: Micros(f.whole(5, "a time in microseconds")?),
-                settled: f.flag(6, "true or false")?,
+                request_answered: f.flag(6, "true or false")?,
             })
         }
-        "VANISHED" => Event::ClientGone { request: f.request(1)? },
+        "VANISHED" => Event::ClientDisconnected { request: f.request(1)? },
         "TIMEOUT_FIRED" => Event::Timer { token: TimerToken(f.whole(1, "a token")?) },
         // MEMO, STATUS_BACK: peers are told nothing and no backend is probed, so neither is ever heard.
         _ => return Ok(None),
@@ -247,12 +247,12 @@
         Value::Null => None,
         v => Some(v.as_u64().ok_or_else(|| bad("a start time or null"))?),
     };
-    let entry = Backend {
-        cell: CellId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
+    let entry = BackendEntry {
+        deduplication_group: DeduplicationGroupId(row[1].as_u64().ok_or_else(|| bad("a cell number"))?),
         state,
         weight: row[5].as_f64().filter(|w| (0.0..=1e6).contains(w)).map_or(0, |w| (w * 1e3).round() as u32),
-        booted: booted.filter(|t| *t > 0).map(Time),
-        ..Backend::default()
+        started_at: booted.filter(|t| *t > 0).map(Time),
+        ..BackendEntry::default()
     };
     Ok(Row::new(address, address, text(0, "a zone")?, text(2, "a kind")?, entry))
 }
@@ -269,7 +269,7 @@
             let to = address(backend);
             writeln!(reply, "[\"HAND_OFF\",\"{who}\",\"{:016x}\",\"{to}\",0]", request.0)
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Reject { request, retry_after } => {
             writeln!(reply, "[\"BOUNCE\",\"{who}\",\"{:016x}\",{}]", request.0, retry_after.0)
         }
         Action::Fail { request, .. } => writeln!(reply, "[\"LOSE\",\"{who}\",\"{:016x}\"]", request.0),
@@ -277,8 +277,8 @@
             writeln!(reply, "[\"RECALL\",\"{who}\",\"{:016x}\",{}]", request.0, attempt.0)
         }
         Action::SetTimer { token, after } => writeln!(reply, "[\"AFTER\",\"{who}\",{},{}]", token.0, after.0),
-        Action::PassOn { .. } => Ok(()), // only where a request may go elsewhere, and here none may
-        Action::Follow => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
+        Action::FailOver { .. } => Ok(()), // only where a request may go elsewhere, and here none may
+        Action::Subscribe => writeln!(reply, "[\"FOLLOW\",\"{who}\",true]"),
         Action::Log(text) => writeln!(reply, "{}", serde_json::json!(["WRITE_LOG", who, text])),
     };
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -13,7 +13,7 @@
 use crate::settings::RunSettings;
 use shaletide_lab::links::{Cut, Direction, Fault as LinkFault, Link, Links};
 use shaletide_testkit::*;
-use shaletide_types::{Effect, KeyScope, Micros, Time};
+use shaletide_types::{DeduplicationScope, Idempotency, Micros, Time};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::PathBuf;
@@ -84,25 +84,26 @@
     runs: u32,
 }
 
-fn class(name: &str, effect: Effect, body: usize, deadline_us: u64) -> LoadClass {
+fn class(name: &str, effect: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
     let deadline = Duration::from_micros(deadline_us);
     let headers = vec![("X-Account".into(), "north".into())];
     LoadClass { body, headers, ..LoadClass::new(name, effect, deadline) }
 }
 
 pub(crate) fn classes(settings: &RunSettings) -> Vec<LoadClass> {
-    let keyed = Effect::Keyed(KeyScope::Cell, Micros(settings.window_us));
+    let keyed = Idempotency::Keyed(DeduplicationScope::Group, Micros(settings.window_us));
     let [read, pay, vote] = settings.deadlines_us;
     vec![
-        class("read", Effect::Free, 0, read),
-        class("pay", Effect::Unsafe, LONG_BODY, pay),
+        class("read", Idempotency::Safe, 0, read),
+        class("pay", Idempotency::NonIdempotent, LONG_BODY, pay),
         class("vote", keyed, 20, vote),
     ]
 }
 
 fn backend(place: usize, settings: &RunSettings) -> BoxSpec {
     let RunSettings { cold_from, ramp_us, .. } = *settings;
-    let power = Power { cores: CORES, speed: 1.0, cold_from, ramp: Micros(ramp_us) };
+    let power =
+        Power { cores: CORES, speed: 1.0, initial_capacity_fraction: cold_from, ramp: Micros(ramp_us) };
     BoxSpec {
         bay: 1 + (place / BAY) as u64,
         idle: Duration::from_secs(10),
--- a/crates/soak/tests/wall_clock.rs
+++ b/crates/soak/tests/wall_clock.rs
@@ -4,7 +4,7 @@
 
 use rig::*;
 use shaletide_testkit::Status;
-use shaletide_types::{Effect, Micros};
+use shaletide_types::{Idempotency, Micros};
 use std::time::Duration;
 
 /// A backend is warm after this time.
@@ -30,7 +30,7 @@
 }
 
 fn backends() -> Vec<BoxSpec> {
-    let power = shaletide_testkit::Power { cores: 2, speed: 1.0, cold_from: 0.1, ramp: RAMP };
+    let power = shaletide_testkit::Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.1, ramp: RAMP };
     (0..5).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()
 }
 
@@ -53,7 +53,7 @@
     let known: Vec<String> = entries.iter().map(Entry::text).collect();
     let discovery = ListServer::start(fleet.clock(), &["n0"], entries).expect("a discovery");
     let proxy = program.joined(discovery.address(0), &known, &settings());
-    let class = LoadClass::new("read", Effect::Free, Duration::from_secs(3));
+    let class = LoadClass::new("read", Idempotency::Safe, Duration::from_secs(3));
     let load = Load { clock: fleet.clock(), ..Load::new(RATE_PER_S, vec![class], AWAY * 2 + COUNTED) };
     let to = proxy.address;
     let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -2,7 +2,7 @@
 //!
 //! A store's crate calls [`run`] with a way to make an empty one; a failure is a panic that names what was asked.
 
-use shaletide_record::{Claim, KeyId, KeyState, Refused, Remembered, Row, Write};
+use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{holds, verify, Anchor, Broken, Fate, Head, Query, Store, StoreError, Sums};
@@ -97,7 +97,7 @@
     store.commit(batch, &plain_sum).expect("commit")
 }
 
-fn remembered(store: &dyn Store) -> Vec<Remembered> {
+fn remembered(store: &dyn Store) -> Vec<StoredKey> {
     store.keys(None, usize::MAX).expect("keys")
 }
 
@@ -163,7 +163,7 @@
 
 fn states_of_a_key(store: &mut dyn Store) {
     let k = key("k");
-    let is = |state, since, seq| Some(Remembered { key: key("k"), state, since: Time(since), seq });
+    let is = |state, since, seq| Some(StoredKey { key: key("k"), state, since: Time(since), seq });
     assert_eq!(store.key(&k).expect("key"), None);
     commit(store, &[take(10, &k)]);
     assert_eq!(store.key(&k).expect("key"), is(KeyState::InFlight, 10, 1));
@@ -216,7 +216,7 @@
 fn pages_of_keys(store: &mut dyn Store) {
     let batch: Vec<Write> = (0..25u8).rev().map(|n| take(1, &key([n]))).collect();
     commit(store, &batch);
-    let mut seen: Vec<Remembered> = Vec::new();
+    let mut seen: Vec<StoredKey> = Vec::new();
     loop {
         let page = store.keys(seen.last().map(|held| &held.key), 10).expect("keys");
         if page.is_empty() {
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use shaletide_record::{KeyId, Refused, Remembered, Row, Write};
+use shaletide_record::{KeyId, Refused, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
@@ -126,10 +126,10 @@
     fn anchor(&self) -> Result<Option<Anchor>, StoreError> {
         self.inner.anchor()
     }
-    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<Remembered>, StoreError> {
+    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         self.inner.keys(after, limit)
     }
-    fn key(&self, key: &KeyId) -> Result<Option<Remembered>, StoreError> {
+    fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
         self.inner.key(key)
     }
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError> {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -22,4 +22,4 @@
 pub use sqlite::{SqliteOptions, SqliteReader, SqliteStore};
 pub use store::{storable, Anchor, Head, Note, Pruned, Query, Reading, Store, Sums, MAX_ROW_BYTES};
 pub use verify::{holds, verify, Broken, Verified};
-pub use writer::{Event, NoteMaker, Opener, Opening, SendError, StillBusy, Writer, WriterConfig};
+pub use writer::{Event, FactEncoder, Opener, Opening, SendError, StillBusy, Writer, WriterConfig};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use shaletide_record::{Claim, KeyId, KeyState, Refused, Remembered, Row, Write};
+use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default)]
 struct State {
     rows: BTreeMap<u64, Row>,
-    keys: BTreeMap<KeyId, Remembered>,
+    keys: BTreeMap<KeyId, StoredKey>,
     anchor: Option<Anchor>,
 }
 
@@ -64,7 +64,7 @@
     }
 
     fn claim(&mut self, write: &Write, seq: u64) -> Result<(), Refused> {
-        let held = |key: &KeyId, state| Remembered { key: key.clone(), state, since: write.row.at, seq };
+        let held = |key: &KeyId, state| StoredKey { key: key.clone(), state, since: write.row.at, seq };
         match &write.claim {
             Claim::None => {}
             Claim::Take(key) => {
@@ -113,12 +113,12 @@
     fn anchor(&self) -> Result<Option<Anchor>, StoreError> {
         Ok(self.state().anchor)
     }
-    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<Remembered>, StoreError> {
+    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         let state = self.state();
         let behind = state.keys.values().filter(|held| after.is_none_or(|after| held.key > *after));
         Ok(behind.take(limit).cloned().collect())
     }
-    fn key(&self, key: &KeyId) -> Result<Option<Remembered>, StoreError> {
+    fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
         Ok(self.state().keys.get(key).cloned())
     }
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError> {
--- a/crates/store/src/sqlite/mod.rs
+++ b/crates/store/src/sqlite/mod.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use rusqlite::Connection;
-use shaletide_record::{KeyId, Refused, Remembered, Row, Write};
+use shaletide_record::{KeyId, Refused, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
@@ -70,10 +70,10 @@
     fn anchor(&self) -> Result<Option<Anchor>, StoreError> {
         read::anchor(&self.db)
     }
-    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<Remembered>, StoreError> {
+    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         read::keys(&self.db, after, limit)
     }
-    fn key(&self, key: &KeyId) -> Result<Option<Remembered>, StoreError> {
+    fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
         read::key(&self.db, key)
     }
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError> {
@@ -141,10 +141,10 @@
     fn anchor(&self) -> Result<Option<Anchor>, StoreError> {
         read::anchor(&self.db)
     }
-    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<Remembered>, StoreError> {
+    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         read::keys(&self.db, after, limit)
     }
-    fn key(&self, key: &KeyId) -> Result<Option<Remembered>, StoreError> {
+    fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
         read::key(&self.db, key)
     }
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError> {
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -7,7 +7,7 @@
 use rusqlite::types::Value;
 use rusqlite::{params_from_iter, Connection, OptionalExtension};
 use rustix::fs::{renameat_with, RenameFlags, CWD};
-use shaletide_record::{KeyId, KeyState, Remembered, Row};
+use shaletide_record::{KeyId, KeyState, Row, StoredKey};
 use shaletide_types::Time;
 
 use super::files::{beside, sync_parent};
@@ -65,7 +65,7 @@
 
 pub(super) fn keys(
     db: &Connection, after: Option<&KeyId>, limit: usize,
-) -> Result<Vec<Remembered>, StoreError> {
+) -> Result<Vec<StoredKey>, StoreError> {
     let first = "SELECT tenant, class, key, state, since, seq FROM keys ORDER BY tenant, class, key LIMIT ?1";
     let next = "SELECT tenant, class, key, state, since, seq FROM keys
          WHERE (tenant, class, key) > (?2, ?3, ?4) ORDER BY tenant, class, key LIMIT ?1";
@@ -78,15 +78,15 @@
     rows.collect::<Result<_, _>>().map_err(classify)
 }
 
-pub(super) fn key(db: &Connection, key: &KeyId) -> Result<Option<Remembered>, StoreError> {
+pub(super) fn key(db: &Connection, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
     let sql = "SELECT tenant, class, key, state, since, seq FROM keys
          WHERE tenant = ?1 AND class = ?2 AND key = ?3";
     let mut found = db.prepare_cached(sql).map_err(classify)?;
     found.query_row((&key.tenant, &key.class, &key.key), remembered_of).optional().map_err(classify)
 }
 
-fn remembered_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<Remembered> {
-    Ok(Remembered {
+fn remembered_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<StoredKey> {
+    Ok(StoredKey {
         key: KeyId { tenant: row.get(0)?, class: row.get(1)?, key: row.get(2)? },
         state: state_of(row.get(3)?),
         since: Time(of_sql(row.get(4)?)),
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use shaletide_record::{chain, Claim, KeyId, Refused, Remembered, Row, Write};
+use shaletide_record::{chain, Claim, KeyId, Refused, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{CommitError, StoreError};
@@ -108,13 +108,13 @@
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
-    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<Remembered>, StoreError>;
+    fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError>;
 
     /// How a key stands; none if it is free.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
-    fn key(&self, key: &KeyId) -> Result<Option<Remembered>, StoreError>;
+    fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError>;
 
     /// The rows that are asked for, at most [`Query::limit`] of them.
     ///
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -68,7 +68,7 @@
 pub type Opener = Box<dyn FnMut(Opening) -> Result<Box<dyn Store>, StoreError> + Send>;
 
 /// Makes the row that tells of an anchor, in the writer's thread; the run is set by the writer.
-pub type NoteMaker = Box<dyn Fn(&Anchor) -> Row + Send>;
+pub type FactEncoder = Box<dyn Fn(&Anchor) -> Row + Send>;
 
 /// What became of a ticket, or of the store. Sent from the writer's thread, which waits meanwhile.
 ///
@@ -162,7 +162,7 @@
 enum Job {
     Write { ticket: u64, writes: Vec<Write>, bytes: usize },
     Forget { ticket: u64, before: Time },
-    Prune { ticket: u64, before: Time, note: NoteMaker },
+    Prune { ticket: u64, before: Time, note: FactEncoder },
 }
 
 /// What the caller's side and the thread both look at.
@@ -238,7 +238,7 @@
     ///
     /// # Errors
     /// See [`SendError`].
-    pub fn prune(&self, ticket: u64, before: Time, note: NoteMaker) -> Result<(), SendError> {
+    pub fn prune(&self, ticket: u64, before: Time, note: FactEncoder) -> Result<(), SendError> {
         self.queue(Job::Prune { ticket, before, note }, 0)
     }
 
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -10,7 +10,7 @@
 use shaletide_record::{Refused, Write};
 use shaletide_types::Time;
 
-use super::{Event, Job, NoteMaker, Opener, Shared, WriterConfig};
+use super::{Event, FactEncoder, Job, Opener, Shared, WriterConfig};
 use crate::{CommitError, Fate, Head, Store, StoreError, Sums};
 
 /// The writes of one call.
@@ -22,7 +22,7 @@
 /// Something that is done a step at a time, between commits.
 pub(super) enum Chore {
     Forget { ticket: u64, before: Time, keys: usize },
-    Prune { ticket: u64, before: Time, note: NoteMaker, rows: u64 },
+    Prune { ticket: u64, before: Time, note: FactEncoder, rows: u64 },
 }
 
 impl Chore {
--- a/crates/testkit/examples/fleet.rs
+++ b/crates/testkit/examples/fleet.rs
@@ -2,7 +2,7 @@
 //! costs to stand in for them. Arguments: requests a second, seconds.
 
 use shaletide_testkit::*;
-use shaletide_types::Effect;
+use shaletide_types::Idempotency;
 use std::time::Duration;
 
 fn main() -> std::io::Result<()> {
@@ -15,7 +15,7 @@
     let services = vec![Service::new("read", Law::Exponential(2.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes) })?;
     for handle in fleet.boxes() {
-        let class = LoadClass::new("read", Effect::Free, Duration::from_secs(1));
+        let class = LoadClass::new("read", Idempotency::Safe, Duration::from_secs(1));
         let spread = sequential(handle.address, &class, 200);
         println!("{handle:?}, one by one: p50 {:?}, p99 {:?}", spread.p50(), spread.p99());
         let load = Load::new(rate, vec![class], Duration::from_secs_f64(seconds));
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -156,7 +156,7 @@
     const SECOND: Micros = Micros(1_000_000);
 
     fn ledger() -> Ledger {
-        let power = Power { cores: 1, speed: 1.0, cold_from: 0.2, ramp: Micros(10_000_000) };
+        let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.2, ramp: Micros(10_000_000) };
         let info = |name: &str, bay, at| {
             let boots = vec![Boot { at, died: None }];
             BoxInfo { name: name.into(), bay, power, boots }
--- a/crates/testkit/src/fleet/connection.rs
+++ b/crates/testkit/src/fleet/connection.rs
@@ -111,7 +111,7 @@
         Sending::Whole => (wire.write(&whole).await, Ended::Served),
         Sending::TwoSegments => (in_two(wire, &head, &body).await, Ended::Served),
         Sending::Drip(over) => (drip(wire, &whole, *over).await, Ended::Served),
-        Sending::Raw(pieces) => (raw(wire, pieces).await, Ended::Spoilt),
+        Sending::Raw(pieces) => (raw(wire, pieces).await, Ended::InvalidResponse),
     };
     match done {
         Ok(()) if behaviour.close.is_some() => (Then::Ends, how),
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/ledger.rs
@@ -35,7 +35,7 @@
     /// Its connection was reset, as the box was told.
     Reset,
     /// Other bytes than an answer were sent, as the box was told.
-    Spoilt,
+    InvalidResponse,
     /// The box died over it.
     BoxDied,
 }
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -10,7 +10,7 @@
 pub use sequential::{sequential, Spread};
 
 use crate::{Clock, Law};
-use shaletide_types::{Effect, Micros};
+use shaletide_types::{Idempotency, Micros};
 use std::time::Duration;
 use tokio::sync::watch;
 
@@ -24,7 +24,7 @@
     /// None is as the platform has it: `GET` for what is safe to repeat, `POST` for the rest.
     pub method: Option<String>,
     /// Keyed ones bring a key of their own.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// The client waits so long, and says so in `X-Time-Left`.
     pub deadline: Duration,
     /// Bytes of the body, for methods that have one.
@@ -35,7 +35,7 @@
 
 impl LoadClass {
     /// A class of share 1 with an empty body.
-    pub fn new(name: &str, effect: Effect, deadline: Duration) -> LoadClass {
+    pub fn new(name: &str, effect: Idempotency, deadline: Duration) -> LoadClass {
         LoadClass {
             name: name.into(),
             share: 1.0,
@@ -48,7 +48,7 @@
     }
 
     fn method(&self) -> &str {
-        let usual = if self.effect == Effect::Free { "GET" } else { "POST" };
+        let usual = if self.effect == Idempotency::Safe { "GET" } else { "POST" };
         self.method.as_deref().unwrap_or(usual)
     }
 
@@ -63,7 +63,7 @@
         };
         line("X-Correlation-Id", id);
         line("X-Time-Left", &format!("{left:.6}"));
-        if matches!(self.effect, Effect::Keyed(..)) {
+        if matches!(self.effect, Idempotency::Keyed(..)) {
             line("Idempotency-Key", &format!("k-{id}"));
         }
         if repeat {
--- a/crates/testkit/src/power.rs
+++ b/crates/testkit/src/power.rs
@@ -10,7 +10,7 @@
     /// Of one core when warm, as a multiple of a standard core.
     pub speed: f64,
     /// The part of its speed that a box has when it has just started, from 0 to 1.
-    pub cold_from: f64,
+    pub initial_capacity_fraction: f64,
     /// The rest comes evenly over so long.
     pub ramp: Micros,
 }
@@ -21,11 +21,11 @@
 impl Power {
     /// So many cores of that speed that are warm from the start.
     pub fn warm(cores: u32, speed: f64) -> Power {
-        Power { cores, speed, cold_from: 1.0, ramp: Micros(0) }
+        Power { cores, speed, initial_capacity_fraction: 1.0, ramp: Micros(0) }
     }
 
     fn coldest(&self) -> f64 {
-        self.cold_from.clamp(LEAST, 1.0)
+        self.initial_capacity_fraction.clamp(LEAST, 1.0)
     }
 
     /// The part of its speed that a box has; one that started long ago (`None`) is warm.
@@ -87,7 +87,8 @@
 mod tests {
     use super::*;
 
-    const SLOW: Power = Power { cores: 2, speed: 1.5, cold_from: 0.2, ramp: Micros(1_000_000) };
+    const SLOW: Power =
+        Power { cores: 2, speed: 1.5, initial_capacity_fraction: 0.2, ramp: Micros(1_000_000) };
 
     #[test]
     fn capacity_rises_evenly_from_the_cold_part_to_the_whole() {
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -197,7 +197,7 @@
     /// Speed in the ramp is 0.5 + t / 2 per s: 375 ms of work are done by 0.5 t + t^2 / 4 = 0.375.
     #[test]
     fn a_cold_box_does_what_its_warmth_allows() {
-        let power = Power { cores: 1, speed: 1.0, cold_from: 0.5, ramp: Micros(1_000_000) };
+        let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.5, ramp: Micros(1_000_000) };
         let mut processor = Processor::new(power, Some(ms(7_000)));
         processor.arrive(ms(7_000), 1, 375.0);
         let expected = 7_000_000.0 + 1e6 * ((1.0f64 + 1.5).sqrt() - 1.0);
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -167,7 +167,7 @@
 /// Its work takes 20 ms warm, and at a tenth of the speed ten times as long.
 #[test]
 fn a_box_that_died_comes_back_cold_at_the_same_address() {
-    let power = Power { cores: 1, speed: 1.0, cold_from: 0.1, ramp: Micros(60_000_000) };
+    let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.1, ramp: Micros(60_000_000) };
     let (fleet, handle) = working(BoxSpec::new("b0", power), 20.0);
     let mut client = Client::connect(handle.address);
     assert_eq!(client.ask(&read(3.0)).status(), 200);
@@ -284,7 +284,7 @@
     let mut got = [0; 11];
     client.0.read_exact(&mut got).unwrap();
     assert_eq!(&got, b"\x01 no answer");
-    assert_eq!(fleet.ledger().records[4].ended.map(|(_, how)| how), Some(Ended::Spoilt));
+    assert_eq!(fleet.ledger().records[4].ended.map(|(_, how)| how), Some(Ended::InvalidResponse));
 }
 
 #[test]
--- a/crates/testkit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,7 +1,7 @@
 //! Load clients on boxes without a proxy between: rates, counts, latencies, what they make of bad answers.
 
 use shaletide_testkit::*;
-use shaletide_types::{Effect, KeyScope, Micros};
+use shaletide_types::{DeduplicationScope, Idempotency, Micros};
 use std::time::{Duration, Instant};
 
 const DEADLINE: Duration = Duration::from_secs(2);
@@ -15,7 +15,7 @@
 }
 
 fn reads() -> LoadClass {
-    LoadClass::new("read", Effect::Free, DEADLINE)
+    LoadClass::new("read", Idempotency::Safe, DEADLINE)
 }
 
 fn run(load: Load, to: &BoxHandle) -> LoadResult {
@@ -30,10 +30,10 @@
 #[test]
 fn two_thousand_a_second_are_carried_and_counted_on_both_sides() {
     let (fleet, handle) = box_of(64, Law::Fixed(1.0));
-    let keyed = Effect::Keyed(KeyScope::Cell, Micros(1_000_000));
+    let keyed = Idempotency::Keyed(DeduplicationScope::Group, Micros(1_000_000));
     let classes = vec![
         LoadClass { share: 2.0, ..reads() },
-        LoadClass { body: 100, ..LoadClass::new("pay", Effect::Unsafe, DEADLINE) },
+        LoadClass { body: 100, ..LoadClass::new("pay", Idempotency::NonIdempotent, DEADLINE) },
         LoadClass::new("vote", keyed, DEADLINE),
     ];
     let result = run(Load::new(2_000.0, classes, Duration::from_secs(1)), &handle);
@@ -61,7 +61,7 @@
 #[test]
 fn a_seed_fixes_what_is_sent() {
     let (_fleet, handle) = box_of(64, Law::Fixed(0.1));
-    let classes = vec![reads(), LoadClass::new("pay", Effect::Unsafe, DEADLINE)];
+    let classes = vec![reads(), LoadClass::new("pay", Idempotency::NonIdempotent, DEADLINE)];
     let drawn = |seed| {
         let result = run(Load { seed, ..short(200.0, classes.clone()) }, &handle);
         let mut sent: Vec<(u32, usize)> = result.sent.iter().map(|s| (s.number, s.class)).collect();
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -1,22 +1,22 @@
 //! An entry of the backend list.
 
-use crate::{BackendId, CellId, KindId, Time, ZoneId};
+use crate::{BackendId, DeduplicationGroupId, ServerTypeId, Time, ZoneId};
 
 /// A line of the backend list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Backend {
+pub struct BackendEntry {
     /// Which backend.
     pub id: BackendId,
     /// A number drawn from its address, the same at every proxy.
-    pub mark: u64,
+    pub stable_hash: u64,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
-    pub cell: CellId,
+    pub deduplication_group: DeduplicationGroupId,
     /// Boxes of different realms never drop each other's repeats, whatever their zones and cells.
-    pub realm: u32,
+    pub deduplication_domain: u32,
     /// Its kind.
-    pub kind: KindId,
+    pub server_type: ServerTypeId,
     /// How many cores it has; what it may hold grows with it.
     pub cores: u32,
     /// The weight that the list gives it, in thousandths; 0 where the list says none.
@@ -24,23 +24,23 @@
     /// What it may be sent.
     pub state: BackendState,
     /// When it last started; `None` means long ago.
-    pub booted: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
-impl Default for Backend {
+impl Default for BackendEntry {
     /// Number 0 of everything, one core, gone, booted long ago.
-    fn default() -> Backend {
-        Backend {
+    fn default() -> BackendEntry {
+        BackendEntry {
             id: BackendId(0),
-            mark: 0,
+            stable_hash: 0,
             zone: ZoneId(0),
-            cell: CellId(0),
-            realm: 0,
-            kind: KindId(0),
+            deduplication_group: DeduplicationGroupId(0),
+            deduplication_domain: 0,
+            server_type: ServerTypeId(0),
             cores: 1,
             weight: 0,
             state: BackendState::Gone,
-            booted: None,
+            started_at: None,
         }
     }
 }
@@ -59,13 +59,13 @@
 
 /// What sort of news about the list this is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ListUpdate {
+pub enum EndpointUpdate {
     /// The entries that changed.
-    Changes,
+    Delta,
     /// The whole list; what is absent is gone.
-    Full,
+    Snapshot,
     /// The whole list as it was before a restart, perhaps out of date.
     Cached,
     /// The call or the subscription failed; the list held stays.
-    Lost,
+    SubscriptionLost,
 }
--- a/crates/types/src/idempotency.rs
+++ b/crates/types/src/idempotency.rs
@@ -4,22 +4,22 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated and refused at will.
-    Free,
+    Safe,
     /// The backends of one scope discard repeats for a time after the first send.
-    Keyed(KeyScope, Micros),
+    Keyed(DeduplicationScope, Micros),
     /// A second run does harm.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// Which backends discard each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum KeyScope {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
     Zone,
     /// Those of one cell.
-    Cell,
+    Group,
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -16,19 +16,19 @@
     /// A place in the network.
     ZoneId(u32);
     /// A handful of backends that share which keys they have seen.
-    CellId(u64);
+    DeduplicationGroupId(u64);
     /// A named set of backends with a decision module of its own.
     PoolId(u32);
     /// A sort of machine: backends of one kind are taken as equally fast.
-    KindId(u32);
+    ServerTypeId(u32);
     /// Index into the configured classes.
     ClassId(usize);
     /// Index into the configured tenants.
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
-    AttemptNo(u32);
+    AttemptNumber(u32);
     /// A connection to a backend; never used again.
-    ConnId(u64);
+    ConnectionId(u64);
     /// Names a timer to its owner.
     TimerToken(u64);
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -9,9 +9,9 @@
 mod outcome;
 mod time;
 
-pub use backend::{Backend, BackendState, ListUpdate};
+pub use backend::{BackendEntry, BackendState, EndpointUpdate};
 pub use error_chain::causes;
-pub use idempotency::{Effect, KeyScope};
+pub use idempotency::{DeduplicationScope, Idempotency};
 pub use ids::*;
 pub use load_report::LoadReport;
 pub use outcome::Outcome;
--- a/crates/types/src/load_report.rs
+++ b/crates/types/src/load_report.rs
@@ -13,10 +13,10 @@
 
 impl LoadReport {
     /// Reads `TEXT name=value, name=value`, by the names that the field and the platform have for the three; what
-    /// is unknown or no number is passed over, and so is all beyond the first [`LoadReport::MOST`] bytes.
-    pub fn read(text: &str) -> LoadReport {
+    /// is unknown or no number is passed over, and so is all beyond the first [`LoadReport::MAX_BYTES`] bytes.
+    pub fn parse(text: &str) -> LoadReport {
         let mut report = LoadReport::default();
-        let end = (0..=text.len().min(LoadReport::MOST)).rev().find(|at| text.is_char_boundary(*at));
+        let end = (0..=text.len().min(LoadReport::MAX_BYTES)).rev().find(|at| text.is_char_boundary(*at));
         let Some(said) = text[..end.unwrap_or(0)].trim_start().strip_prefix("TEXT") else { return report };
         for (name, value) in said.split(',').filter_map(|part| part.split_once('=')) {
             let value = value.trim().parse().ok();
@@ -31,5 +31,5 @@
     }
 
     /// A report is looked at so far, in bytes.
-    pub const MOST: usize = 512;
+    pub const MAX_BYTES: usize = 512;
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -8,7 +8,7 @@
     /// An error answer; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection was made.
@@ -18,12 +18,12 @@
     /// Withdrawn; it may have run.
     Cancelled,
     /// Never sent.
-    NeverSent,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
-    pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NeverSent)
+    pub fn not_executed(self) -> bool {
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
