--- a/crates/config/src/operator/additions.rs
+++ b/crates/config/src/operator/additions.rs
@@ -7,7 +7,7 @@
 use crate::report::{Finding, Report};
 use crate::section::File;
 use shaletide_balancer::Micros;
-use shaletide_routing::{Answers, Route, Source};
+use shaletide_routing::{AttributeSource, ResponseRules, Route};
 use toml::de::DeTable;
 
 /// The pool of the boxes that NODE_CONFIG's discovery tells of; its [`PoolId`](shaletide_balancer::PoolId) is 0.
@@ -34,9 +34,9 @@
     /// Times.
     pub limits: AddedLimits,
     /// Where the bay stands that a request is about.
-    pub bay: Option<Source>,
+    pub bay: Option<AttributeSource>,
     /// Where the zone stands that a request comes from; none: the proxy's own.
-    pub zone: Option<Source>,
+    pub zone: Option<AttributeSource>,
     /// Pools beside [`PLATFORM_POOL`], which is pool 0: the first of these is pool 1.
     pub pools: Vec<PoolDef>,
     /// The routes; at least one. Without any in the file: one that leads all to all pools, the platform's first.
@@ -79,7 +79,7 @@
         desk.add(Finding::at(added.place(number), what, "expected another name"));
     }
     let answers = file.table(desk, "answers");
-    let answers = request::answers(desk, &answers, &Answers::platform());
+    let answers = request::answers(desk, &answers, &ResponseRules::platform());
     let known = routes::Known {
         classes: &Index::given("class", names.classes.iter().cloned()),
         tenants: &Index::given("tenant", names.tenants.iter().cloned()),
--- a/crates/config/src/operator/mod.rs
+++ b/crates/config/src/operator/mod.rs
@@ -20,7 +20,7 @@
 use crate::section::{File, Section};
 use crate::source::Source as Text;
 use crate::syntax;
-use shaletide_routing::Answers;
+use shaletide_routing::ResponseRules;
 use toml::de::DeTable;
 
 /// A file may be so long, in bytes.
@@ -110,7 +110,7 @@
     let mut taken = pools::Addresses::new(listeners.clone());
     let (pools, pool_names) = pools::pools(desk, &file, &mut taken);
     let answers: Section<'_, '_> = file.table(desk, "answers");
-    let answers = request::answers(desk, &answers, &Answers::plain());
+    let answers = request::answers(desk, &answers, &ResponseRules::plain());
     let known = routes::Known {
         classes: &classes.names,
         tenants: &tenant_names,
--- a/crates/config/src/operator/request.rs
+++ b/crates/config/src/operator/request.rs
@@ -7,21 +7,23 @@
 use crate::section::Section;
 use crate::values;
 use shaletide_balancer::ClassId;
-use shaletide_routing::{Answers, Errors, Form, Proof, Source, StatusSet};
+use shaletide_routing::{
+    AttributeSource, ErrorResponses, NotExecutedProof, RequestFormat, ResponseRules, StatusSet,
+};
 use toml::de::{DeTable, DeValue};
 
 /// The whole form of a request.
-pub(super) fn form(desk: &mut Desk<'_>, section: &Section<'_, '_>, classes: &Index) -> Form {
+pub(super) fn form(desk: &mut Desk<'_>, section: &Section<'_, '_>, classes: &Index) -> RequestFormat {
     let otherwise = section.name(desk, "otherwise");
     let otherwise = otherwise.value.zip(otherwise.at);
     let otherwise = otherwise.and_then(|(name, at)| classes.find(desk, "request.otherwise", &name, at));
-    let stand_in = || Source::Path(1);
-    Form {
+    let stand_in = || AttributeSource::Path(1);
+    RequestFormat {
         class: place(desk, section, "class").unwrap_or_else(stand_in),
-        otherwise: otherwise.map(ClassId),
+        default_class: otherwise.map(ClassId),
         tenant: place(desk, section, "tenant"),
         key: place(desk, section, "key").unwrap_or_else(stand_in),
-        bay: place(desk, section, "bay"),
+        deduplication_group: place(desk, section, "bay"),
         zone: place(desk, section, "zone"),
         id: section.read(desk, "id", values::header).or(String::new()),
         id_required: section.flag(desk, "id_required").or(false),
@@ -30,7 +32,7 @@
 }
 
 /// A place in a request, or the schema's default for it.
-pub(super) fn place(desk: &mut Desk<'_>, section: &Section<'_, '_>, key: &str) -> Option<Source> {
+pub(super) fn place(desk: &mut Desk<'_>, section: &Section<'_, '_>, key: &str) -> Option<AttributeSource> {
     let Some((value, at)) = section.raw(key) else {
         return section.read(desk, key, default_place).value;
     };
@@ -41,8 +43,8 @@
     let place = Section::open_at(desk, &PLACE, section.path(key), table, at.clone());
     let (path, header) = (place.raw("path").is_some(), place.raw("header").is_some());
     match (path, header) {
-        (true, false) => place.count(desk, "path").value.map(|n| Source::Path(n as usize)),
-        (false, true) => place.read(desk, "header", values::header).value.map(Source::Header),
+        (true, false) => place.count(desk, "path").value.map(|n| AttributeSource::Path(n as usize)),
+        (false, true) => place.read(desk, "header", values::header).value.map(AttributeSource::Header),
         (true, true) => {
             section.wrong(desk, key, at, "it says two places");
             None
@@ -58,20 +60,20 @@
 }
 
 /// A place in the plain form that the schema's defaults have.
-fn default_place(_: &crate::schema::Kind, value: &DeValue<'_>) -> values::Found<Source> {
+fn default_place(_: &crate::schema::Kind, value: &DeValue<'_>) -> values::Found<AttributeSource> {
     let table: Option<&DeTable<'_>> = value.as_table();
     let get = |key: &str| table.and_then(|t| t.get(key)).map(|v| v.get_ref());
     match (get("path"), get("header")) {
         (Some(part), None) => {
-            values::count(&Kind::Count(1, MAX_PATH_PART), part).map(|n| Source::Path(n as usize))
+            values::count(&Kind::Count(1, MAX_PATH_PART), part).map(|n| AttributeSource::Path(n as usize))
         }
-        (None, Some(name)) => values::header(&crate::schema::Kind::Header, name).map(Source::Header),
+        (None, Some(name)) => values::header(&crate::schema::Kind::Header, name).map(AttributeSource::Header),
         _ => Err("no place".into()),
     }
 }
 
 /// What an answer means. A key that is absent is as in `base`.
-pub(super) fn answers(desk: &mut Desk<'_>, section: &Section<'_, '_>, base: &Answers) -> Answers {
+pub(super) fn answers(desk: &mut Desk<'_>, section: &Section<'_, '_>, base: &ResponseRules) -> ResponseRules {
     let mut answers = base.clone();
     if section.raw("served").is_some() {
         let listed = section.listed(desk, "served", values::statuses);
@@ -94,18 +96,18 @@
         answers.not_executed = tables.iter().filter_map(|table| proof(desk, table)).collect();
     }
     if section.raw("errors").is_some() {
-        answers.errors = match section.word(desk, "errors").value {
-            Some("own_words") => Errors::OwnWords,
-            _ => Errors::AsTheyAre,
+        answers.error_responses = match section.word(desk, "errors").value {
+            Some("own_words") => ErrorResponses::Replace,
+            _ => ErrorResponses::Forward,
         };
     }
     answers
 }
 
-fn proof(desk: &mut Desk<'_>, table: &Section<'_, '_>) -> Option<Proof> {
+fn proof(desk: &mut Desk<'_>, table: &Section<'_, '_>) -> Option<NotExecutedProof> {
     let status = table.count(desk, "status");
     let header = table.read(desk, "header", values::header);
     let value = table.read(desk, "value", values::header_value);
     let status = u16::try_from(status.value?).ok()?;
-    (!value.is_wrong()).then_some(Proof { status, header: header.value?, value: value.value })
+    (!value.is_wrong()).then_some(NotExecutedProof { status, header: header.value?, value: value.value })
 }
--- a/crates/config/src/operator/routes.rs
+++ b/crates/config/src/operator/routes.rs
@@ -8,7 +8,7 @@
 use crate::section::{File, Section};
 use crate::values;
 use shaletide_balancer::{ClassId, PoolId, TenantId};
-use shaletide_routing::{Answers, HeaderMatch, Match, Route, Table};
+use shaletide_routing::{HeaderMatch, Match, ResponseRules, Route, RouteTable};
 use std::hash::Hash;
 use toml::de::DeValue;
 
@@ -23,7 +23,7 @@
     pub tenants: &'k Index,
     pub pools: &'k Index,
     /// How answers are read where a route does not say.
-    pub answers: &'k Answers,
+    pub answers: &'k ResponseRules,
 }
 
 /// The routes; where there are none, one that leads all requests to all pools.
@@ -40,7 +40,8 @@
     let mut left = CONDITIONS;
     for (section, name) in sections.iter().zip(names.in_order()) {
         let (when, good) = conditions(desk, section, known);
-        let asked = when.classes.len() + when.tenants.len() + when.zones.len() + when.bays.len();
+        let asked =
+            when.classes.len() + when.tenants.len() + when.zones.len() + when.deduplication_groups.len();
         if asked > left {
             let expected = format!("expected at most {CONDITIONS} names in the conditions of all routes");
             desk.add(Finding::at(section.at.clone(), "too many names in the conditions of routes", expected));
@@ -73,7 +74,7 @@
         classes,
         tenants,
         zones: zones.items.into_iter().map(|(z, _)| z).collect(),
-        bays: bays.items.into_iter().map(|(b, _)| b).collect(),
+        deduplication_groups: bays.items.into_iter().map(|(b, _)| b).collect(),
         path_prefix: path.value,
         methods: methods.items.into_iter().map(|(m, _)| m).collect(),
         headers,
@@ -116,7 +117,7 @@
     table.raw("name").map_or(table.at.clone(), |(_, at)| at)
 }
 
-fn own_answers(desk: &mut Desk<'_>, section: &Section<'_, '_>, base: &Answers) -> Answers {
+fn own_answers(desk: &mut Desk<'_>, section: &Section<'_, '_>, base: &ResponseRules) -> ResponseRules {
     match section.raw("answers") {
         Some((DeValue::Table(table), at)) => {
             let own = Section::open(desk, &ANSWERS, table, at);
@@ -133,8 +134,8 @@
 /// Routes that no request can reach; those with something wrong are left out, as nobody knows what they take.
 fn hidden(desk: &mut Desk<'_>, routes: &[Route], sound: &[bool], names: &Index) {
     let known: Vec<usize> = (0..routes.len()).filter(|n| sound[*n]).collect();
-    let table = Table::new(known.iter().map(|n| routes[*n].clone()).collect());
-    for (late, early) in table.hidden() {
+    let table = RouteTable::new(known.iter().map(|n| routes[*n].clone()).collect());
+    for (late, early) in table.shadowed() {
         let (late, early) = (known[late.0], known[early.0]);
         let (name, before) = (quoted(&routes[late].name), quoted(&routes[early].name));
         let what = format!("the route {name} takes no request");
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -1,7 +1,7 @@
 //! What the operators' file says, as values that have been checked against each other.
 
 use shaletide_balancer::{BackendState, Config, DiscoveryMode, Micros};
-use shaletide_routing::{Form, Route};
+use shaletide_routing::{RequestFormat, Route};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -22,7 +22,7 @@
     /// The tenants' names, in the order of `config.tenants`.
     pub tenants: Vec<String>,
     /// How a request is read.
-    pub form: Form,
+    pub form: RequestFormat,
     /// The pools; a [`PoolId`](shaletide_balancer::PoolId) in `routes` is an index into them.
     pub pools: Vec<PoolDef>,
     /// The routes in their order; at least one. None is hidden by an earlier one, and each pool is in one.
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -313,7 +313,7 @@
 /// The first key that is missing, of the wrong type or out of its range, by its path in the settings.
 pub fn operator(node: Node, settings: &Value) -> Result<(crate::operator::Operator, Names), String> {
     use crate::operator::{ClassDef, Limits, Operator, PoolDef, ProxyDef, Recording, Source, PLATFORM_POOL};
-    use shaletide_routing::{Answers, Form, Match, Route};
+    use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
     let (config, names) = read(settings)?;
     let root = Key { path: String::new(), value: Some(settings) };
     let limits = root.get("limits");
@@ -355,7 +355,7 @@
         },
         classes,
         tenants: names.tenants.clone(),
-        form: Form::platform(),
+        form: RequestFormat::platform(),
         pools: vec![PoolDef {
             name: PLATFORM_POOL.into(),
             repeat_group: PLATFORM_POOL.into(),
@@ -365,7 +365,7 @@
             name: "default".into(),
             when: Match::default(),
             pools: vec![PoolId(0)],
-            answers: Answers::platform(),
+            answers: ResponseRules::platform(),
         }],
         record: None,
         control: None,
--- a/crates/config/tests/additions.rs
+++ b/crates/config/tests/additions.rs
@@ -4,7 +4,7 @@
 use shaletide_config::operator::{read_additions, Additions, PlatformNames};
 use shaletide_config::schema::{Platform, Shape, SECTIONS};
 use shaletide_config::Report;
-use shaletide_routing::{Answers, Source};
+use shaletide_routing::{AttributeSource, ResponseRules};
 
 fn read(text: &str) -> Result<Additions, Report> {
     let names = PlatformNames { classes: vec!["read".into(), "pay".into()], tenants: vec!["north".into()] };
@@ -22,7 +22,7 @@
     assert_eq!((added.bay, added.zone, added.pools.len()), (None, None, 0));
     assert_eq!(added.routes.len(), 1);
     assert_eq!(added.routes[0].pools, [PoolId(0)]);
-    assert_eq!(added.routes[0].answers, Answers::platform());
+    assert_eq!(added.routes[0].answers, ResponseRules::platform());
 }
 
 #[test]
@@ -33,7 +33,10 @@
          [[route]]\nname = \"a\"\nclass = \"pay\"\ntenant = \"north\"\npools = [\"far\", \"platform\"]\n\
          [[route]]\nname = \"b\"\npools = \"platform\"\n",
     );
-    assert_eq!((added.limits.answer_stall, added.bay), (Some(Micros(40_000)), Some(Source::Path(3))));
+    assert_eq!(
+        (added.limits.answer_stall, added.bay),
+        (Some(Micros(40_000)), Some(AttributeSource::Path(3)))
+    );
     assert_eq!(added.pools[0].name, "far");
     assert_eq!(added.routes[0].pools, [PoolId(1), PoolId(0)]);
     assert_eq!(
@@ -42,7 +45,7 @@
     );
     // What the file does not say of answers is as on the platform.
     assert!(added.routes[1].answers.served.has(299));
-    assert_eq!(added.routes[1].answers.not_executed, Answers::platform().not_executed);
+    assert_eq!(added.routes[1].answers.not_executed, ResponseRules::platform().not_executed);
 }
 
 #[test]
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -4,7 +4,9 @@
     BackendState, ClassId, DeduplicationScope, DiscoveryMode, Idempotency, Micros, PoolId, TenantId,
 };
 use shaletide_config::operator::{read, read_bytes, Operator, RecordDef, Recording, Source, WithoutKey};
-use shaletide_routing::{Answers, Errors, Form, HeaderMatch, Match, Proof, Source as Place};
+use shaletide_routing::{
+    AttributeSource, ErrorResponses, HeaderMatch, Match, NotExecutedProof, RequestFormat, ResponseRules,
+};
 
 const SMALLEST: &str = r#"
 [[listener]]
@@ -36,7 +38,7 @@
     assert_eq!(operator.limits.connect_timeout, Micros(300_000));
     assert_eq!((operator.limits.descriptors, operator.limits.max_body), (1024, 65536));
     assert_eq!(operator.limits.answer_stall, None);
-    assert_eq!(operator.form, Form { id_required: false, ..Form::platform() });
+    assert_eq!(operator.form, RequestFormat { id_required: false, ..RequestFormat::platform() });
     assert_eq!(operator.classes[0].methods, ["GET", "HEAD"]);
     assert_eq!(operator.classes[0].deadline, Micros(2_000_000));
     assert_eq!(operator.config.classes[0].idempotency, Idempotency::Safe);
@@ -44,13 +46,13 @@
     assert_eq!(operator.routes.len(), 1);
     assert_eq!((operator.routes[0].name.as_str(), &operator.routes[0].when), ("default", &Match::default()));
     assert_eq!(operator.routes[0].pools, [PoolId(0)]);
-    assert_eq!(operator.routes[0].answers, Answers::plain());
+    assert_eq!(operator.routes[0].answers, ResponseRules::plain());
 }
 
 #[test]
 fn the_default_of_served_in_the_schema_is_the_plain_one() {
     let served = "[answers]\nserved = [\"200-428\", 430, \"431-499\", 501, \"505-599\"]\nnever_ran = []\n";
-    assert_eq!(with(&format!("{served}errors = \"as_they_are\"")).routes[0].answers, Answers::plain());
+    assert_eq!(with(&format!("{served}errors = \"as_they_are\"")).routes[0].answers, ResponseRules::plain());
 }
 
 #[test]
@@ -75,25 +77,25 @@
     );
     assert_eq!(operator.classes[1].methods, ["POST", "PUT", "PATCH", "DELETE"]);
     assert_eq!(operator.config.classes[2].idempotency, Idempotency::NonIdempotent);
-    assert_eq!(operator.form.otherwise, Some(ClassId(0)));
-    assert_eq!(operator.form.bay, Some(Place::Path(3)));
-    assert_eq!(operator.form.zone, Some(Place::Header("x-zone".into())));
+    assert_eq!(operator.form.default_class, Some(ClassId(0)));
+    assert_eq!(operator.form.deduplication_group, Some(AttributeSource::Path(3)));
+    assert_eq!(operator.form.zone, Some(AttributeSource::Header("x-zone".into())));
     let Source::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
     assert_eq!((boxes[2].bay.as_str(), boxes[2].state), ("1", BackendState::Draining));
     let route = &operator.routes[0];
     assert_eq!((&route.when.classes[..], &route.when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
     assert_eq!(
-        (route.when.bays.join(","), route.when.zones.join(",")),
+        (route.when.deduplication_groups.join(","), route.when.zones.join(",")),
         ("1,annex".into(), "quay-office".into())
     );
     assert_eq!(route.when.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
     assert_eq!(route.pools, [PoolId(0), PoolId(1)]);
     // Its own `served` and `errors`, and `not_executed` of [answers].
     assert!(route.answers.served.has(299) && !route.answers.served.has(300));
-    assert_eq!(route.answers.errors, Errors::OwnWords);
-    let proof = Proof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
+    assert_eq!(route.answers.error_responses, ErrorResponses::Replace);
+    let proof = NotExecutedProof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
     assert_eq!(route.answers.not_executed, [proof]);
-    assert_eq!(operator.routes[1].answers.errors, Errors::AsTheyAre);
+    assert_eq!(operator.routes[1].answers.error_responses, ErrorResponses::Forward);
 }
 
 #[test]
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -265,7 +265,7 @@
             Action::Dispatch { request, attempt, backend, .. } => {
                 self.dispatch(proxy, request, attempt, backend.0 as usize)
             }
-            Action::Refuse { request, retry_after } => self.refused(request, retry_after),
+            Action::Reject { request, retry_after } => self.refused(request, retry_after),
             Action::Fail { request, .. } => {
                 if let Some(open) = self.forget(request) {
                     self.closed(open.client, open.came, End::Failed, Micros(0));
@@ -282,7 +282,7 @@
                 let life = self.proxies[proxy].life;
                 self.at(self.now + after, Ev::Timer { proxy, life, token });
             }
-            Action::Follow { .. } | Action::Log { .. } => {}
+            Action::Subscribe { .. } | Action::Log { .. } => {}
         }
     }
 }
--- a/crates/emulator/src/play/attempts.rs
+++ b/crates/emulator/src/play/attempts.rs
@@ -237,8 +237,10 @@
         }
         let report = if self.who == Who::Program { self.sites[site].report(self.now) } else { None };
         if let Some(report) = report.filter(|_| matches!(outcome, Outcome::Ok | Outcome::Rejected)) {
-            self.todo
-                .push_back((proxy, Event::Reported { pool: POOL, backend: BackendId(site as u32), report }));
+            self.todo.push_back((
+                proxy,
+                Event::LoadReported { pool: POOL, backend: BackendId(site as u32), report },
+            ));
         }
         let over = outcome == Outcome::Ok || !self.requests.contains_key(&id);
         self.ended(attempt, outcome, over);
--- a/crates/emulator/src/play/clients.rs
+++ b/crates/emulator/src/play/clients.rs
@@ -173,7 +173,7 @@
         let proxy = open.proxy;
         let out: Vec<usize> = open.tries.iter().copied().filter(|t| !self.attempts[*t].over).collect();
         if out.is_empty() {
-            self.todo.push_back((proxy, Event::ClientGone { request: id }));
+            self.todo.push_back((proxy, Event::ClientDisconnected { request: id }));
         }
         for attempt in out {
             self.let_go(attempt);
--- a/crates/emulator/src/play/lists.rs
+++ b/crates/emulator/src/play/lists.rs
@@ -81,7 +81,7 @@
         }
         let backends: Vec<BackendEntry> = rows.into_values().collect();
         if !backends.is_empty() {
-            self.todo.push_back((proxy, Event::Members { pool: POOL, update, backends }));
+            self.todo.push_back((proxy, Event::EndpointsUpdated { pool: POOL, update, backends }));
         }
     }
 }
--- a/crates/engine/src/conns.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionLimits {
     /// At most so many, all backends together.
-    pub most: usize,
+    pub max_connections: usize,
     /// One that was idle for so long is not used again.
-    pub idle: Micros,
+    pub idle_timeout: Micros,
     /// One is not used again so soon after an answer: what a backend sends behind one in a segment of its own
     /// would pass for the answer to the next request.
-    pub quiet: Micros,
+    pub reuse_delay: Micros,
 }
 
 /// How far a connection has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
     /// It comes up, for an attempt or for nobody any more.
-    Opening(Option<(RequestId, AttemptNumber)>),
+    Connecting(Option<(RequestId, AttemptNumber)>),
     /// Nothing is on it, since then; one that was never used is quiet at once.
     Idle(Time, bool),
     /// An attempt is on it.
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Conn {
+pub(crate) struct Connection {
     pub backend: BackendId,
     pub step: ConnectionState,
     /// It leads to where its backend listened before.
@@ -37,7 +37,7 @@
 /// All of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionPool {
-    pub all: BTreeMap<ConnectionId, Conn>,
+    pub all: BTreeMap<ConnectionId, Connection>,
     /// The idle ones of each backend, the most recently used last.
     pub idle: BTreeMap<BackendId, Vec<ConnectionId>>,
     /// When something was last heard of each backend that has or had one.
@@ -48,25 +48,25 @@
 impl ConnectionPool {
     /// A new one, coming up for that attempt.
     pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNumber) -> ConnectionId {
-        let conn = ConnectionId(self.next);
+        let connection = ConnectionId(self.next);
         self.next += 1;
         self.all.insert(
-            conn,
-            Conn { backend, step: ConnectionState::Opening(Some((request, attempt))), old: false },
+            connection,
+            Connection { backend, step: ConnectionState::Connecting(Some((request, attempt))), old: false },
         );
-        conn
+        connection
     }
 
     /// Takes one out of those that there are.
-    pub fn remove(&mut self, conn: ConnectionId) -> Option<Conn> {
-        let gone = self.all.remove(&conn)?;
-        self.unlist(gone.backend, conn);
+    pub fn remove(&mut self, connection: ConnectionId) -> Option<Connection> {
+        let gone = self.all.remove(&connection)?;
+        self.unlist(gone.backend, connection);
         Some(gone)
     }
 
-    fn unlist(&mut self, backend: BackendId, conn: ConnectionId) {
+    fn unlist(&mut self, backend: BackendId, connection: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&backend) {
-            idle.retain(|c| *c != conn);
+            idle.retain(|c| *c != connection);
             if idle.is_empty() {
                 self.idle.remove(&backend);
             }
@@ -74,28 +74,28 @@
     }
 
     /// Nothing is on it from now on.
-    pub fn rest(&mut self, now: Time, conn: ConnectionId, used: bool) {
-        if let Some(c) = self.all.get_mut(&conn) {
+    pub fn rest(&mut self, now: Time, connection: ConnectionId, used: bool) {
+        if let Some(c) = self.all.get_mut(&connection) {
             c.step = ConnectionState::Idle(now, used);
-            self.idle.entry(c.backend).or_default().push(conn);
+            self.idle.entry(c.backend).or_default().push(connection);
         }
     }
 
     /// The attempt is on it from now on.
-    pub fn busy(&mut self, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        if let Some(c) = self.all.get_mut(&conn) {
+    pub fn busy(&mut self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
+        if let Some(c) = self.all.get_mut(&connection) {
             c.step = ConnectionState::Busy(request, attempt);
             let backend = c.backend;
-            self.unlist(backend, conn);
+            self.unlist(backend, connection);
         }
     }
 
     /// The most recently used idle one of a backend that is quiet and not too old.
     pub fn fit(&self, now: Time, backend: BackendId, keeping: &ConnectionLimits) -> Option<ConnectionId> {
         let idle = self.idle.get(&backend)?;
-        let fit = |conn: &&ConnectionId| match self.all.get(conn).map(|c| c.step) {
+        let fit = |connection: &&ConnectionId| match self.all.get(connection).map(|c| c.step) {
             Some(ConnectionState::Idle(since, used)) => {
-                now - since < keeping.idle && (!used || now - since >= keeping.quiet)
+                now - since < keeping.idle_timeout && (!used || now - since >= keeping.reuse_delay)
             }
             _ => false,
         };
@@ -106,9 +106,12 @@
     /// where none is idle that which has been coming up longest for nobody any more.
     pub fn spare(&self) -> Option<ConnectionId> {
         let first = self.idle.values().filter_map(|idle| idle.first());
-        let idle = first.filter_map(|conn| Some((self.since(*conn)?, *conn))).min().map(|(_, conn)| conn);
+        let idle = first
+            .filter_map(|connection| Some((self.since(*connection)?, *connection)))
+            .min()
+            .map(|(_, connection)| connection);
         let nobodys =
-            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.step == ConnectionState::Opening(None));
+            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.step == ConnectionState::Connecting(None));
         idle.or_else(|| self.all.keys().find(nobodys).copied())
     }
 
@@ -120,11 +123,14 @@
     /// Those idle for too long.
     pub fn stale(&self, now: Time, keeping: &ConnectionLimits) -> Vec<ConnectionId> {
         let idle = self.idle.values().flatten().copied();
-        idle.filter(|conn| self.since(*conn).is_some_and(|since| now - since >= keeping.idle)).collect()
+        idle.filter(|connection| {
+            self.since(*connection).is_some_and(|since| now - since >= keeping.idle_timeout)
+        })
+        .collect()
     }
 
-    fn since(&self, conn: ConnectionId) -> Option<Time> {
-        match self.all.get(&conn)?.step {
+    fn since(&self, connection: ConnectionId) -> Option<Time> {
+        match self.all.get(&connection)?.step {
             ConnectionState::Idle(since, _) => Some(since),
             _ => None,
         }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,15 +2,15 @@
 
 mod look;
 
-use crate::conns::{ConnectionLimits, ConnectionPool, ConnectionState};
-use crate::event::{Action, Event, Final, Order};
+use crate::connection_pool::{ConnectionLimits, ConnectionPool, ConnectionState};
+use crate::event::{Action, Event, FinalOutcome, RequestSpec};
 use crate::guard::{may_begin, may_go, write_by};
 #[cfg(feature = "mutants")]
-use crate::plant::Plant;
-use crate::plant::{planted, Planted};
-use crate::request::{Group, Phase, Request, Step, Try};
+use crate::mutant::Mutant;
+use crate::mutant::{mutant, ActiveMutant};
+use crate::request::{Attempt, AttemptState, Group, Request, RequestState};
 use shaletide_balancer::AttemptEnd;
-use shaletide_routing::{pools, Pools, Verdict};
+use shaletide_routing::{pools, Pools, ResponseClass};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -56,13 +56,13 @@
     only_deduplication_domain: Option<u32>,
     backends: BTreeMap<BackendId, Place>,
     requests: BTreeMap<RequestId, Request>,
-    conns: ConnectionPool,
+    connection_pool: ConnectionPool,
     deadlines: BTreeSet<(Time, RequestId)>,
     timers: BTreeSet<(Time, TimerToken)>,
     sweep_at: Option<Time>,
     tell: VecDeque<pools::Event>,
     asks: Vec<pools::Action>,
-    planted: Planted,
+    mutant: ActiveMutant,
 }
 
 impl<P: Policy> Engine<P> {
@@ -75,13 +75,13 @@
             only_deduplication_domain: None,
             backends: BTreeMap::new(),
             requests: BTreeMap::new(),
-            conns: ConnectionPool::default(),
+            connection_pool: ConnectionPool::default(),
             deadlines: BTreeSet::new(),
             timers: BTreeSet::new(),
             sweep_at: None,
             tell: VecDeque::new(),
             asks: Vec::new(),
-            planted: Planted::default(),
+            mutant: ActiveMutant::default(),
         }
     }
 
@@ -96,17 +96,17 @@
 
     /// With a bug.
     #[cfg(feature = "mutants")]
-    pub fn plant(&mut self, plant: Option<Plant>) {
-        self.planted = Planted(plant);
+    pub fn mutant(&mut self, mutant: Option<Mutant>) {
+        self.mutant = ActiveMutant(mutant);
     }
 
     /// The policy, to set it up.
-    pub fn policy(&mut self) -> &mut P {
+    pub fn policy_mut(&mut self) -> &mut P {
         &mut self.policy
     }
 
     /// The same, to look at.
-    pub fn see_policy(&self) -> &P {
+    pub fn policy(&self) -> &P {
         &self.policy
     }
 
@@ -117,21 +117,21 @@
 
     /// The connections that there are.
     pub fn connections(&self) -> impl Iterator<Item = (ConnectionId, BackendId, ConnectionState)> + '_ {
-        self.conns.all.iter().map(|(id, c)| (*id, c.backend, c.step))
+        self.connection_pool.all.iter().map(|(id, c)| (*id, c.backend, c.step))
     }
 
     /// How many there are.
     pub fn connection_count(&self) -> usize {
-        self.conns.all.len()
+        self.connection_pool.all.len()
     }
 
     /// The connection that makes way for another.
     pub fn idle_connection(&self) -> Option<ConnectionId> {
-        self.conns.spare()
+        self.connection_pool.spare()
     }
 
     /// What a backend may be sent; gone where no list has it.
-    pub fn state(&self, backend: BackendId) -> BackendState {
+    pub fn backend_state(&self, backend: BackendId) -> BackendState {
         self.backends.get(&backend).map_or(BackendState::Gone, |p| p.state)
     }
 
@@ -150,72 +150,80 @@
     /// Takes one event that happened at `now` and adds the actions it calls for.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { pool, update, backends } => self.members(now, pool, update, backends, out),
-            Event::Moved { backend, from, to } => {
+            Event::EndpointsUpdated { pool, update, backends } => {
+                self.members(now, pool, update, backends, out)
+            }
+            Event::BackendMoved { backend, from, to } => {
                 if let Some(place) = self.backends.get_mut(&backend) {
                     place.pool = to;
                 }
-                self.tell.push_back(pools::Event::Moved { backend, from, to });
+                self.tell.push_back(pools::Event::BackendMoved { backend, from, to });
             }
             Event::AddressChanged { backend } => {
-                self.conns.all.values_mut().filter(|c| c.backend == backend).for_each(|c| c.old = true);
+                self.connection_pool
+                    .all
+                    .values_mut()
+                    .filter(|c| c.backend == backend)
+                    .for_each(|c| c.old = true);
                 self.let_go(now, backend, out);
             }
             Event::PoolClosed { pool } => {
                 self.members(now, pool, EndpointUpdate::Snapshot, Vec::new(), out);
-                self.tell.push_back(pools::Event::Closed { pool });
+                self.tell.push_back(pools::Event::PoolClosed { pool });
             }
             Event::Request(order) => self.request(now, order),
-            Event::Left { request } => self.left(now, request, out),
-            Event::GiveUp { request, advice } => {
-                if self.requests.get(&request).is_some_and(|r| r.phase == Phase::Open) {
-                    self.tell.push_back(pools::Event::ClientGone { request });
+            Event::ClientDisconnected { request } => self.left(now, request, out),
+            Event::GiveUp { request, retry_after: advice } => {
+                if self.requests.get(&request).is_some_and(|r| r.state == RequestState::Open) {
+                    self.tell.push_back(pools::Event::ClientDisconnected { request });
                     self.give_up(now, request, advice, true, out);
                 }
             }
-            Event::Permit { request, attempt, given } => self.permit(now, request, attempt, given, out),
-            Event::Up { conn } => self.up(now, conn, out),
-            Event::ConnectFailed { conn, blame } => {
+            Event::IntentPersisted { request, attempt, persisted: given } => {
+                self.permit(now, request, attempt, given, out)
+            }
+            Event::Connected { connection } => self.up(now, connection, out),
+            Event::ConnectFailed { connection, backend_at_fault: blame } => {
                 let outcome = if blame { Outcome::ConnectFailed } else { Outcome::NotSent };
-                if let Some(ConnectionState::Opening(Some((request, attempt)))) =
-                    self.conns.remove(conn).map(|c| c.step)
+                if let Some(ConnectionState::Connecting(Some((request, attempt)))) =
+                    self.connection_pool.remove(connection).map(|c| c.step)
                 {
                     self.end(now, request, attempt, outcome, false, out);
                 }
             }
-            Event::Written { conn } => {
-                if let Some(t) = self.on(conn).and_then(|(request, no)| self.attempt(request, no)) {
-                    if t.step == Step::Writing(conn) {
-                        t.step = Step::Written(conn);
+            Event::RequestWritten { connection } => {
+                if let Some(t) = self.on(connection).and_then(|(request, no)| self.attempt(request, no)) {
+                    if t.state == AttemptState::Writing(connection) {
+                        t.state = AttemptState::Written(connection);
                     }
                 }
             }
-            Event::Reported { conn, report } => {
-                let backend = self.conns.all.get(&conn).filter(|c| !c.old).map(|c| c.backend);
+            Event::LoadReported { connection, report } => {
+                let backend = self.connection_pool.all.get(&connection).filter(|c| !c.old).map(|c| c.backend);
                 if let Some((backend, place)) = backend.and_then(|b| Some((b, self.backends.get(&b)?))) {
-                    self.tell.push_back(pools::Event::Reported { pool: place.pool, backend, report });
+                    self.tell.push_back(pools::Event::LoadReported { pool: place.pool, backend, report });
                 }
             }
-            Event::Answered { conn, verdict, keep, behind } => {
+            Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
                 self.answered(
                     now,
-                    conn,
+                    connection,
                     verdict,
-                    keep && (!behind || planted!(self.planted, ReusedWithBytesBehind)),
+                    keep && (!behind || mutant!(self.mutant, ReusedWithExcessBytes)),
                     out,
                 );
             }
-            Event::InvalidResponse { conn } => self.broken(now, conn, Outcome::Error, out),
-            Event::Ended { conn } => self.broken(now, conn, Outcome::Reset, out),
-            Event::Unfit { conn } => self.unfit(now, conn, out),
-            Event::Closed { conn, written } => self.closed(now, conn, written, out),
+            Event::InvalidResponse { connection } => self.broken(now, connection, Outcome::Error, out),
+            Event::ConnectionClosed { connection } => self.broken(now, connection, Outcome::Reset, out),
+            Event::ConnectionUnusable { connection } => self.unfit(now, connection, out),
+            Event::CloseCompleted { connection, written } => self.closed(now, connection, written, out),
             Event::Wake => self.wake(now, out),
         }
         self.consult(now, out);
     }
 
     /// Carries out what a policy asks, outside of [`Policy::handle`]: for policies that are driven from outside.
-    pub fn ask(&mut self, now: Time, ask: pools::Action, out: &mut Vec<Action>) {
+    pub fn apply_policy_action(&mut self, now: Time, ask: pools::Action, out: &mut Vec<Action>) {
         self.asked(now, ask, out);
         self.consult(now, out);
     }
@@ -235,7 +243,7 @@
             pools::Action::Dispatch { request, attempt, backend, send_by } => {
                 self.dispatch(now, request, attempt, backend, send_by, out);
             }
-            pools::Action::Refuse { request, retry_after } => {
+            pools::Action::Reject { request, retry_after } => {
                 self.give_up(now, request, retry_after, true, out)
             }
             pools::Action::Fail { request, retry_after } => {
@@ -247,7 +255,7 @@
             pools::Action::SetTimer { token, after } => {
                 self.timers.insert((now + after, token));
             }
-            pools::Action::Follow { pool } => out.push(Action::Follow { pool }),
+            pools::Action::Subscribe { pool } => out.push(Action::Subscribe { pool }),
             pools::Action::Log { pool, text } => out.push(Action::Log { pool, text }),
         }
     }
@@ -260,7 +268,7 @@
     ) {
         let mut lost: BTreeSet<BackendId> = BTreeSet::new();
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached)
-            && !planted!(self.planted, DrainForgottenByWholeList)
+            && !mutant!(self.mutant, DrainMissedInSnapshot)
         {
             let absent = self.backends.iter().filter(|(_, p)| p.pool == pool).map(|(id, _)| *id);
             lost.extend(absent);
@@ -280,7 +288,7 @@
             }
         }
         let listed: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
-        self.tell.push_back(pools::Event::Members { pool, update, backends: list });
+        self.tell.push_back(pools::Event::EndpointsUpdated { pool, update, backends: list });
         for id in lost {
             let gone = match self.backends.get_mut(&id) {
                 Some(place) if place.pool != pool => continue,
@@ -293,7 +301,7 @@
             };
             if gone {
                 self.backends.remove(&id);
-                self.conns.heard.remove(&id);
+                self.connection_pool.heard.remove(&id);
             }
             self.let_go(now, id, out);
         }
@@ -301,20 +309,20 @@
 
     /// Nothing new goes to that backend on what is open or opening now.
     fn let_go(&mut self, now: Time, backend: BackendId, out: &mut Vec<Action>) {
-        for conn in self.conns.idle_of(backend) {
-            self.close(conn, out);
+        for connection in self.connection_pool.idle_of(backend) {
+            self.close(connection, out);
         }
-        let opening = self.conns.all.iter().filter(|(_, c)| c.backend == backend);
+        let opening = self.connection_pool.all.iter().filter(|(_, c)| c.backend == backend);
         let opening: Vec<(ConnectionId, ConnectionState)> = opening.map(|(id, c)| (*id, c.step)).collect();
-        for (conn, step) in opening {
+        for (connection, step) in opening {
             match step {
-                ConnectionState::Opening(Some((request, attempt)))
-                    if !planted!(self.planted, DrainOfTheNewsBefore) =>
+                ConnectionState::Connecting(Some((request, attempt)))
+                    if !mutant!(self.mutant, StaleDrainState) =>
                 {
-                    self.close(conn, out);
+                    self.close(connection, out);
                     self.end(now, request, attempt, Outcome::NotSent, false, out);
                 }
-                ConnectionState::Opening(None) => self.close(conn, out),
+                ConnectionState::Connecting(None) => self.close(connection, out),
                 _ => {}
             }
         }
@@ -322,28 +330,41 @@
 
     // --- requests ---
 
-    fn request(&mut self, now: Time, order: Order) {
+    fn request(&mut self, now: Time, order: RequestSpec) {
         let id = order.arrival.request;
         if self.requests.contains_key(&id) {
             return;
         }
         let deadline = now + order.arrival.time_left;
-        let (effect, permit, recorded) = (order.effect, order.permit, order.recorded);
-        let (phase, last, tries) = (Phase::Open, None, Vec::new());
-        self.requests.insert(id, Request { effect, deadline, permit, recorded, phase, last, tries });
+        let (effect, permit, recorded) = (order.idempotency, order.requires_intent, order.recorded);
+        let (phase, last, attempts) = (RequestState::Open, None, Vec::new());
+        self.requests.insert(
+            id,
+            Request {
+                idempotency: effect,
+                deadline,
+                requires_intent: permit,
+                recorded,
+                state: phase,
+                last_answered: last,
+                attempts,
+            },
+        );
         self.deadlines.insert((deadline, id));
         self.tell.push_back(pools::Event::Request { arrival: order.arrival, pools: order.pools });
     }
 
     fn left(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.phase != Phase::Over) else { return };
-        if planted!(self.planted, AnswerAfterLeaving) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.state != RequestState::Finished) else {
+            return;
+        };
+        if mutant!(self.mutant, AnswerAfterDisconnect) {
             return;
         }
-        let open = r.phase == Phase::Open;
+        let open = r.state == RequestState::Open;
         self.over(id);
         if open {
-            self.tell.push_back(pools::Event::ClientGone { request: id });
+            self.tell.push_back(pools::Event::ClientDisconnected { request: id });
         }
         self.stop_all(now, id, Outcome::Cancelled, true, out); // nothing goes on for a client that left
         self.forget(id);
@@ -353,9 +374,9 @@
     fn over(&mut self, id: RequestId) {
         let cancel = self.cancel;
         if let Some(r) = self.requests.get_mut(&id) {
-            r.phase = Phase::Over;
+            r.state = RequestState::Finished;
             let deadline = (r.deadline, id);
-            if (cancel || !r.out()) && !planted!(self.planted, TimerOutlivesRequest) {
+            if (cancel || !r.out()) && !mutant!(self.mutant, TimerOutlivesRequest) {
                 self.deadlines.remove(&deadline);
             }
         }
@@ -363,9 +384,9 @@
 
     /// Once it is over and its attempts have ended nothing is kept of it.
     fn forget(&mut self, id: RequestId) {
-        if let Some(r) = self.requests.get(&id).filter(|r| r.phase == Phase::Over && !r.out()) {
+        if let Some(r) = self.requests.get(&id).filter(|r| r.state == RequestState::Finished && !r.out()) {
             let deadline = (r.deadline, id);
-            if !planted!(self.planted, TimerOutlivesRequest) {
+            if !mutant!(self.mutant, TimerOutlivesRequest) {
                 self.deadlines.remove(&deadline);
             }
             self.requests.remove(&id);
@@ -373,13 +394,13 @@
     }
 
     fn give_up(&mut self, now: Time, id: RequestId, advice: Micros, refuse: bool, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.phase == Phase::Open) else { return };
-        r.phase = Phase::GivenUp(advice);
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.state == RequestState::Open) else { return };
+        r.state = RequestState::GivenUp(advice);
         if r.out() {
-            r.last = None; // the last attempt ends without an answer
+            r.last_answered = None; // the last attempt ends without an answer
         }
-        if refuse && planted!(self.planted, RefusedAfterRunning) {
-            self.answer(id, Final::Refused(advice), out);
+        if refuse && mutant!(self.mutant, RejectedAfterExecution) {
+            self.answer(id, FinalOutcome::Rejected(advice), out);
             self.stop_all(now, id, Outcome::Cancelled, self.cancel, out);
             return self.forget(id);
         }
@@ -391,42 +412,46 @@
     fn conclude(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id) else { return };
         // Where nothing may be called back, what has begun may run: that is known at once.
-        if r.tries.iter().any(|t| t.out() && (self.cancel || !t.may_have_run())) {
+        if r.attempts.iter().any(|t| t.out() && (self.cancel || !t.may_have_run())) {
             return;
         }
-        let answer = match r.phase {
+        let answer = match r.state {
             // A client that is told in whole seconds comes back that much later.
-            Phase::GivenUp(advice)
+            RequestState::GivenUp(advice)
                 if r.is_harmless(now + whole_seconds(advice), self.only_deduplication_domain) =>
             {
-                Final::Refused(advice)
+                FinalOutcome::Rejected(advice)
             }
-            Phase::GivenUp(_) => Final::Failed,
-            Phase::TimedOut => Final::TimedOut,
-            Phase::Open | Phase::Over => return,
+            RequestState::GivenUp(_) => FinalOutcome::Failed,
+            RequestState::TimedOut => FinalOutcome::TimedOut,
+            RequestState::Open | RequestState::Finished => return,
         };
         self.answer(id, answer, out);
         self.forget(id);
     }
 
-    fn answer(&mut self, request: RequestId, answer: Final, out: &mut Vec<Action>) {
-        let last = self.requests.get(&request).and_then(|r| r.last).filter(|_| answer != Final::TimedOut);
-        let last = last.filter(|_| !matches!(answer, Final::Served(_)));
+    fn answer(&mut self, request: RequestId, answer: FinalOutcome, out: &mut Vec<Action>) {
+        let last = self
+            .requests
+            .get(&request)
+            .and_then(|r| r.last_answered)
+            .filter(|_| answer != FinalOutcome::TimedOut);
+        let last = last.filter(|_| !matches!(answer, FinalOutcome::Served(_)));
         self.over(request);
-        out.push(Action::Answer { request, answer, last });
+        out.push(Action::Answer { request, answer, last_attempt: last });
     }
 
     // --- attempts ---
 
-    fn attempt(&mut self, request: RequestId, no: AttemptNumber) -> Option<&mut Try> {
-        self.requests.get_mut(&request)?.tries.get_mut(no.0 as usize)
+    fn attempt(&mut self, request: RequestId, no: AttemptNumber) -> Option<&mut Attempt> {
+        self.requests.get_mut(&request)?.attempts.get_mut(no.0 as usize)
     }
 
     /// The attempt that is on a connection or waits for it.
-    fn on(&self, conn: ConnectionId) -> Option<(RequestId, AttemptNumber)> {
-        match self.conns.all.get(&conn)?.step {
+    fn on(&self, connection: ConnectionId) -> Option<(RequestId, AttemptNumber)> {
+        match self.connection_pool.all.get(&connection)?.step {
             ConnectionState::Busy(request, attempt) => Some((request, attempt)),
-            ConnectionState::Opening(waiting) => waiting,
+            ConnectionState::Connecting(waiting) => waiting,
             ConnectionState::Idle(..) => None,
         }
     }
@@ -439,18 +464,26 @@
         let ready = place.is_some_and(|p| p.state == BackendState::Ready);
         let group =
             place.map_or(Group { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) }, |p| p.group);
-        let next = |r: &&mut Request| r.tries.len() < MOST_TRIES && r.tries.len() == attempt.0 as usize;
+        let next = |r: &&mut Request| r.attempts.len() < MOST_TRIES && r.attempts.len() == attempt.0 as usize;
         let Some(r) = self.requests.get_mut(&request).filter(next) else {
             // Each attempt that is asked for has one end, whatever it was asked for.
-            let settled = self.requests.get(&request).is_none_or(|r| r.phase != Phase::Open);
+            let settled = self.requests.get(&request).is_none_or(|r| r.state != RequestState::Open);
             self.tell_end(request, attempt, Outcome::NotSent, Micros(0), settled);
             return;
         };
-        let allowed = ready && may_go(now, r, group, None, self.planted).is_ok();
-        let step = if allowed { Step::Permit } else { Step::Ended(Outcome::NotSent) };
-        let permitted = r.permit && allowed;
-        r.tries.push(Try { backend, group, asked: now, ended: now, send_by, permitted, step });
-        let settled = r.phase != Phase::Open;
+        let allowed = ready && may_go(now, r, group, None, self.mutant).is_ok();
+        let step = if allowed { AttemptState::AwaitingIntent } else { AttemptState::Ended(Outcome::NotSent) };
+        let permitted = r.requires_intent && allowed;
+        r.attempts.push(Attempt {
+            backend,
+            group,
+            dispatched_at: now,
+            ended_at: now,
+            send_by,
+            intent_requested: permitted,
+            state: step,
+        });
+        let settled = r.state != RequestState::Open;
         if !allowed {
             self.tell_end(request, attempt, Outcome::NotSent, Micros(0), settled);
         } else if permitted {
@@ -464,9 +497,9 @@
         &mut self, now: Time, request: RequestId, no: AttemptNumber, given: bool, out: &mut Vec<Action>,
     ) {
         match self.attempt(request, no) {
-            Some(t) if t.step == Step::Permit && given => self.begin(now, request, no, out),
-            Some(t) if t.step == Step::Permit => {
-                t.permitted = false; // there is nothing to withdraw
+            Some(t) if t.state == AttemptState::AwaitingIntent && given => self.begin(now, request, no, out),
+            Some(t) if t.state == AttemptState::AwaitingIntent => {
+                t.intent_requested = false; // there is nothing to withdraw
                 self.end(now, request, no, Outcome::NotSent, false, out);
             }
             _ => {} // it has been withdrawn
@@ -479,109 +512,116 @@
             return self.end(now, request, no, Outcome::NotSent, false, out);
         }
         let Some(backend) = self.attempt(request, no).map(|t| t.backend) else { return };
-        if let Some(conn) = self.conns.fit(now, backend, &self.keeping) {
-            return self.send(now, conn, request, no, out);
+        if let Some(connection) = self.connection_pool.fit(now, backend, &self.keeping) {
+            return self.send(now, connection, request, no, out);
         }
         // At the bound one that nobody uses makes room; where there is none the backend is not to blame.
-        if self.conns.all.len() >= self.keeping.most {
-            match self.conns.spare() {
-                Some(conn) => self.close(conn, out),
+        if self.connection_pool.all.len() >= self.keeping.max_connections {
+            match self.connection_pool.spare() {
+                Some(connection) => self.close(connection, out),
                 None => return self.end(now, request, no, Outcome::NotSent, false, out),
             }
         }
-        let conn = self.conns.open(backend, request, no);
+        let connection = self.connection_pool.open(backend, request, no);
         if let Some(t) = self.attempt(request, no) {
-            t.step = Step::Opening(conn);
+            t.state = AttemptState::Connecting(connection);
         }
-        out.push(Action::Open { conn, backend });
+        out.push(Action::Connect { connection, backend });
     }
 
     fn may_begin(&self, now: Time, request: RequestId, no: AttemptNumber) -> bool {
         let Some(r) = self.requests.get(&request) else { return false };
         let own = no.0 as usize;
         // One that was listed elsewhere since then drops other repeats than the one that was asked for.
-        let as_asked = |t: &Try, p: &Place| p.state == BackendState::Ready && p.group == t.group;
-        let ready =
-            r.tries.get(own).is_some_and(|t| self.backends.get(&t.backend).is_some_and(|p| as_asked(t, p)));
-        may_begin(now, r, own, ready, self.planted).is_ok()
+        let as_asked = |t: &Attempt, p: &Place| p.state == BackendState::Ready && p.group == t.group;
+        let ready = r
+            .attempts
+            .get(own)
+            .is_some_and(|t| self.backends.get(&t.backend).is_some_and(|p| as_asked(t, p)));
+        may_begin(now, r, own, ready, self.mutant).is_ok()
     }
 
     /// Not a byte has gone out yet: from here on it may.
     fn send(
-        &mut self, now: Time, conn: ConnectionId, request: RequestId, no: AttemptNumber,
+        &mut self, now: Time, connection: ConnectionId, request: RequestId, no: AttemptNumber,
         out: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get(&request) else { return };
-        let (deadline, by) = (r.deadline, write_by(now, r, no.0 as usize, self.planted));
+        let (deadline, by) = (r.deadline, write_by(now, r, no.0 as usize, self.mutant));
         if let Some(t) = self.attempt(request, no) {
-            t.step = Step::Writing(conn);
+            t.state = AttemptState::Writing(connection);
         }
-        self.conns.busy(conn, request, no);
-        out.push(Action::Send { conn, request, attempt: no, deadline, by });
+        self.connection_pool.busy(connection, request, no);
+        out.push(Action::Send { connection, request, attempt: no, deadline, write_deadline: by });
     }
 
-    fn up(&mut self, now: Time, conn: ConnectionId, out: &mut Vec<Action>) {
-        let Some(c) = self.conns.all.get(&conn) else { return };
-        let (ConnectionState::Opening(waiting), backend) = (c.step, c.backend) else { return };
+    fn up(&mut self, now: Time, connection: ConnectionId, out: &mut Vec<Action>) {
+        let Some(c) = self.connection_pool.all.get(&connection) else { return };
+        let (ConnectionState::Connecting(waiting), backend) = (c.step, c.backend) else { return };
         let waiting = waiting.filter(|(request, no)| self.may_begin(now, *request, *no));
         if let Some((request, no)) = waiting {
-            return self.send(now, conn, request, no, out);
+            return self.send(now, connection, request, no, out);
         }
-        let turned_away = self.on(conn);
-        self.rest(now, conn, backend, false, out); // an unused connection stays warm
+        let turned_away = self.on(connection);
+        self.rest(now, connection, backend, false, out); // an unused connection stays warm
         if let Some((request, no)) = turned_away {
             self.end(now, request, no, Outcome::NotSent, false, out);
         }
     }
 
     /// A connection that may be used again, if its backend may be.
-    fn rest(&mut self, now: Time, conn: ConnectionId, backend: BackendId, used: bool, out: &mut Vec<Action>) {
-        let old = self.conns.all.get(&conn).is_some_and(|c| c.old);
-        if old || self.state(backend) != BackendState::Ready {
-            return self.close(conn, out);
+    fn rest(
+        &mut self, now: Time, connection: ConnectionId, backend: BackendId, used: bool, out: &mut Vec<Action>,
+    ) {
+        let old = self.connection_pool.all.get(&connection).is_some_and(|c| c.old);
+        if old || self.backend_state(backend) != BackendState::Ready {
+            return self.close(connection, out);
         }
-        self.conns.rest(now, conn, used);
-        self.sweep_at.get_or_insert(now + self.keeping.idle);
+        self.connection_pool.rest(now, connection, used);
+        self.sweep_at.get_or_insert(now + self.keeping.idle_timeout);
     }
 
-    fn close(&mut self, conn: ConnectionId, out: &mut Vec<Action>) {
-        if self.conns.remove(conn).is_some() {
-            out.push(Action::Close { conn });
+    fn close(&mut self, connection: ConnectionId, out: &mut Vec<Action>) {
+        if self.connection_pool.remove(connection).is_some() {
+            out.push(Action::Close { connection });
         }
     }
 
     fn answered(
-        &mut self, now: Time, conn: ConnectionId, verdict: Verdict, clean: bool, out: &mut Vec<Action>,
+        &mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool,
+        out: &mut Vec<Action>,
     ) {
-        let Some((request, no)) = self.on(conn) else { return };
+        let Some((request, no)) = self.on(connection) else { return };
         let Some(t) = self.attempt(request, no) else { return };
-        let (step, backend) = (t.step, t.backend);
+        let (step, backend) = (t.state, t.backend);
         if self.backends.contains_key(&backend) {
-            self.conns.heard.insert(backend, now);
+            self.connection_pool.heard.insert(backend, now);
         }
         match step {
             // It was told to close: that has been carried out, or is about to be.
-            Step::Stopping(..) => drop(self.conns.remove(conn)),
+            AttemptState::Cancelling(..) => drop(self.connection_pool.remove(connection)),
             // An answer to half of a request is one, but what goes on behind it is none of the next.
-            Step::Written(_) if clean => self.rest(now, conn, backend, true, out),
-            _ => self.close(conn, out),
+            AttemptState::Written(_) if clean => self.rest(now, connection, backend, true, out),
+            _ => self.close(connection, out),
         }
         let outcome = match verdict {
-            Verdict::Served => Outcome::Ok,
-            Verdict::NotExecuted => Outcome::Rejected,
-            Verdict::Error => Outcome::Error,
+            ResponseClass::Served => Outcome::Ok,
+            ResponseClass::NotExecuted => Outcome::Rejected,
+            ResponseClass::Error => Outcome::Error,
         };
         self.end(now, request, no, outcome, true, out);
     }
 
     /// What came is no answer, or nothing comes any more.
-    fn broken(&mut self, now: Time, conn: ConnectionId, outcome: Outcome, out: &mut Vec<Action>) {
-        let on = self.on(conn);
-        self.close(conn, out);
+    fn broken(&mut self, now: Time, connection: ConnectionId, outcome: Outcome, out: &mut Vec<Action>) {
+        let on = self.on(connection);
+        self.close(connection, out);
         let Some((request, no)) = on else { return };
         let Some(t) = self.attempt(request, no) else { return };
-        let written = match t.step {
-            Step::Written(_) | Step::Stopping(..) => !planted!(self.planted, NeverRanAfterLastByte),
+        let written = match t.state {
+            AttemptState::Written(_) | AttemptState::Cancelling(..) => {
+                !mutant!(self.mutant, NotExecutedAfterLastByte)
+            }
             _ => false, // the backend begins with the last byte, and never before it
         };
         let outcome = if written { outcome } else { Outcome::ConnectFailed };
@@ -589,27 +629,27 @@
     }
 
     /// Not a byte went out on it: another is looked for.
-    fn unfit(&mut self, now: Time, conn: ConnectionId, out: &mut Vec<Action>) {
-        let on = self.on(conn);
-        self.close(conn, out);
+    fn unfit(&mut self, now: Time, connection: ConnectionId, out: &mut Vec<Action>) {
+        let on = self.on(connection);
+        self.close(connection, out);
         let Some((request, no)) = on else { return };
         let Some(t) = self.attempt(request, no) else { return };
-        let step = t.step;
-        if !matches!(step, Step::Written(_)) {
-            t.step = Step::Permit; // it stands where it stood: its permit can be given back
+        let step = t.state;
+        if !matches!(step, AttemptState::Written(_)) {
+            t.state = AttemptState::AwaitingIntent; // it stands where it stood: its permit can be given back
         }
         match step {
-            Step::Writing(_) => self.begin(now, request, no, out),
-            Step::Written(_) => self.end(now, request, no, Outcome::Reset, false, out),
+            AttemptState::Writing(_) => self.begin(now, request, no, out),
+            AttemptState::Written(_) => self.end(now, request, no, Outcome::Reset, false, out),
             _ => self.end(now, request, no, Outcome::NotSent, false, out),
         }
     }
 
-    fn closed(&mut self, now: Time, conn: ConnectionId, written: bool, out: &mut Vec<Action>) {
-        let on = self.on(conn);
-        self.conns.remove(conn);
+    fn closed(&mut self, now: Time, connection: ConnectionId, written: bool, out: &mut Vec<Action>) {
+        let on = self.on(connection);
+        self.connection_pool.remove(connection);
         let Some((request, no)) = on else { return };
-        if let Some(Step::Stopping(_, outcome)) = self.attempt(request, no).map(|t| t.step) {
+        if let Some(AttemptState::Cancelling(_, outcome)) = self.attempt(request, no).map(|t| t.state) {
             let outcome = if written { outcome } else { Outcome::NotSent };
             self.end(now, request, no, outcome, false, out);
         }
@@ -627,18 +667,18 @@
         out: &mut Vec<Action>,
     ) {
         let Some(t) = self.attempt(id, no) else { return };
-        match t.step {
-            Step::Permit => self.end(now, id, no, Outcome::NotSent, false, out),
-            Step::Opening(conn) => {
-                if let Some(c) = self.conns.all.get_mut(&conn) {
-                    c.step = ConnectionState::Opening(None);
+        match t.state {
+            AttemptState::AwaitingIntent => self.end(now, id, no, Outcome::NotSent, false, out),
+            AttemptState::Connecting(connection) => {
+                if let Some(c) = self.connection_pool.all.get_mut(&connection) {
+                    c.step = ConnectionState::Connecting(None);
                 }
                 self.end(now, id, no, Outcome::NotSent, false, out);
             }
-            Step::Writing(conn) | Step::Written(conn) if cancel => {
-                t.step = Step::Stopping(conn, outcome);
-                let (backend, sent) = (t.backend, t.asked);
-                out.push(Action::Close { conn });
+            AttemptState::Writing(connection) | AttemptState::Written(connection) if cancel => {
+                t.state = AttemptState::Cancelling(connection, outcome);
+                let (backend, sent) = (t.backend, t.dispatched_at);
+                out.push(Action::Close { connection });
                 self.distrust(backend, sent, out);
             }
             _ => {}
@@ -650,9 +690,9 @@
     /// those may have run for all one can tell, while a new connection that does not come up proves that it
     /// did not.
     fn distrust(&mut self, backend: BackendId, sent: Time, out: &mut Vec<Action>) {
-        if self.conns.heard.get(&backend).is_none_or(|at| *at < sent) {
-            for conn in self.conns.idle_of(backend) {
-                self.close(conn, out);
+        if self.connection_pool.heard.get(&backend).is_none_or(|at| *at < sent) {
+            for connection in self.connection_pool.idle_of(backend) {
+                self.close(connection, out);
             }
         }
     }
@@ -663,35 +703,36 @@
         out: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no.0 as usize).filter(|t| t.out()) else { return };
-        if matches!(t.step, Step::Permit | Step::Opening(_)) && t.permitted {
-            out.push(Action::Withdraw { request: id, attempt: no });
+        let Some(t) = r.attempts.get_mut(no.0 as usize).filter(|t| t.out()) else { return };
+        if matches!(t.state, AttemptState::AwaitingIntent | AttemptState::Connecting(_)) && t.intent_requested
+        {
+            out.push(Action::WithdrawIntent { request: id, attempt: no });
         }
-        let latency = now - t.asked;
-        (t.step, t.ended) = (Step::Ended(outcome), now);
+        let latency = now - t.dispatched_at;
+        (t.state, t.ended_at) = (AttemptState::Ended(outcome), now);
         if r.recorded {
-            out.push(Action::Ended { request: id, attempt: no, outcome });
+            out.push(Action::AttemptEnded { request: id, attempt: no, outcome });
         }
         match outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // says nothing of the one sent before
-            _ => r.last = answered.then_some(no),
+            _ => r.last_answered = answered.then_some(no),
         }
-        let phase = r.phase;
+        let phase = r.state;
         let late = now >= r.deadline;
         let serves = match phase {
-            Phase::Open | Phase::GivenUp(_) => outcome == Outcome::Ok && !late,
-            Phase::TimedOut | Phase::Over => {
-                outcome == Outcome::Ok && phase == Phase::Over && planted!(self.planted, LateSuccess)
+            RequestState::Open | RequestState::GivenUp(_) => outcome == Outcome::Ok && !late,
+            RequestState::TimedOut | RequestState::Finished => {
+                outcome == Outcome::Ok && phase == RequestState::Finished && mutant!(self.mutant, LateSuccess)
             }
         };
-        let settled = serves || phase != Phase::Open;
+        let settled = serves || phase != RequestState::Open;
         self.tell_end(id, no, outcome, latency, settled);
         if serves {
-            self.answer(id, Final::Served(no), out);
-            if !planted!(self.planted, HedgeLeftRunning) {
+            self.answer(id, FinalOutcome::Served(no), out);
+            if !mutant!(self.mutant, HedgeNotCancelled) {
                 self.stop_all(now, id, Outcome::Cancelled, self.cancel, out);
             }
-        } else if outcome == Outcome::Ok && phase == Phase::Open {
+        } else if outcome == Outcome::Ok && phase == RequestState::Open {
             self.time_out(now, id, out); // it came too late to be passed on in time
         }
         self.conclude(now, id, out);
@@ -713,15 +754,15 @@
         let Some(r) = self.requests.get_mut(&id) else { return };
         let deadline = (r.deadline, id);
         self.deadlines.remove(&deadline);
-        if r.phase == Phase::Open {
-            r.phase = Phase::TimedOut;
-            self.tell.push_back(pools::Event::ClientGone { request: id });
+        if r.state == RequestState::Open {
+            r.state = RequestState::TimedOut;
+            self.tell.push_back(pools::Event::ClientDisconnected { request: id });
         }
         self.stop_all(now, id, Outcome::TimedOut, true, out);
-        if self.requests.get(&id).is_some_and(|r| r.phase != Phase::Over) {
+        if self.requests.get(&id).is_some_and(|r| r.state != RequestState::Finished) {
             // The answer does not wait for what the connections have to say: what is not known to be harmless by
             // now is a failure.
-            self.answer(id, Final::TimedOut, out);
+            self.answer(id, FinalOutcome::TimedOut, out);
         }
         self.forget(id);
     }
@@ -736,11 +777,11 @@
             self.tell.push_back(pools::Event::Timer { token });
         }
         if self.sweep_at.is_some_and(|at| at <= now) {
-            for conn in self.conns.stale(now, &self.keeping) {
-                self.close(conn, out);
+            for connection in self.connection_pool.stale(now, &self.keeping) {
+                self.close(connection, out);
             }
-            let some = !self.conns.idle.is_empty();
-            self.sweep_at = some.then(|| now + self.keeping.idle.times(0.25).max(Micros(1_000)));
+            let some = !self.connection_pool.idle.is_empty();
+            self.sweep_at = some.then(|| now + self.keeping.idle_timeout.times(0.25).max(Micros(1_000)));
         }
     }
 }
--- a/crates/engine/src/engine/look.rs
+++ b/crates/engine/src/engine/look.rs
@@ -17,17 +17,17 @@
 
     /// The idle connections of a backend, the most recently used last.
     pub fn idle_of(&self, backend: BackendId) -> Vec<ConnectionId> {
-        self.conns.idle_of(backend)
+        self.connection_pool.idle_of(backend)
     }
 
     /// A connection leads to where its backend listened before.
-    pub fn leads_elsewhere(&self, conn: ConnectionId) -> bool {
-        self.conns.all.get(&conn).is_some_and(|c| c.old)
+    pub fn is_address_outdated(&self, connection: ConnectionId) -> bool {
+        self.connection_pool.all.get(&connection).is_some_and(|c| c.old)
     }
 
     /// When something was last heard of each backend.
     pub fn heard(&self) -> impl Iterator<Item = (BackendId, Time)> + '_ {
-        self.conns.heard.iter().map(|(backend, at)| (*backend, *at))
+        self.connection_pool.heard.iter().map(|(backend, at)| (*backend, *at))
     }
 
     /// When idle connections are looked through next.
@@ -36,7 +36,7 @@
     }
 
     /// Nothing waits inside: every event has been told to the policy and everything that it asked is done.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_no_pending_events(&self) -> bool {
         self.tell.is_empty() && self.asks.is_empty()
     }
 }
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,21 +1,21 @@
 //! What the engine is told and what it asks for.
 
 use shaletide_balancer::Arrival;
-use shaletide_routing::Verdict;
+use shaletide_routing::ResponseClass;
 use shaletide_types::*;
 use std::rc::Rc;
 
 /// A request of any front.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct RequestSpec {
     /// What the decision module is told; its `request` is the payload's id at the front.
     pub arrival: Arrival,
     /// What a second run would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The pools of its route, the preferred first.
     pub pools: Rc<[PoolId]>,
     /// No byte of it may go out before [`Event::Permit`] says so.
-    pub permit: bool,
+    pub requires_intent: bool,
     /// Each end of an attempt of it is told: [`Action::Ended`].
     pub recorded: bool,
 }
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of a pool's list.
-    Members {
+    EndpointsUpdated {
         /// Whose.
         pool: PoolId,
         /// What sort of news.
@@ -33,7 +33,7 @@
         backends: Vec<BackendEntry>,
     },
     /// A backend belongs to another pool from now on.
-    Moved {
+    BackendMoved {
         /// Which.
         backend: BackendId,
         /// The pool that it leaves.
@@ -52,9 +52,9 @@
         pool: PoolId,
     },
     /// A request was taken: it is owed one final answer.
-    Request(Order),
+    Request(RequestSpec),
     /// Its client left; nothing is owed any more.
-    Left {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
@@ -63,72 +63,72 @@
         /// The request.
         request: RequestId,
         /// When its client had better come again.
-        advice: Micros,
+        retry_after: Micros,
     },
     /// The store's word on an attempt for which [`Action::PersistIntent`] asked.
-    Permit {
+    IntentPersisted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
         /// It may be sent.
-        given: bool,
+        persisted: bool,
     },
     /// A connection is up.
-    Up {
+    Connected {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// A connection did not come up.
     ConnectFailed {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The backend is to blame, and not this machine.
-        blame: bool,
+        backend_at_fault: bool,
     },
     /// The last byte of the request on it has gone to the kernel: from here on it may run.
-    Written {
+    RequestWritten {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// What the backend at the other end of a connection says of its own load, in an answer that is about to be told.
-    Reported {
+    LoadReported {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// What it says.
         report: LoadReport,
     },
     /// A whole answer came.
-    Answered {
+    ResponseReceived {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// What it means by the request's route.
-        verdict: Verdict,
+        verdict: ResponseClass,
         /// The answer lets the connection be used again.
-        keep: bool,
+        reusable: bool,
         /// More has come than the answer.
-        behind: bool,
+        has_excess_bytes: bool,
     },
     /// What came can never become an answer.
     InvalidResponse {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// The connection ended.
-    Ended {
+    ConnectionClosed {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// An idle connection turned out to be closed or to have something on it, at the latest when it was to be
     /// written to: not a byte of a request went out on it.
-    Unfit {
+    ConnectionUnusable {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// A connection with a request on it is closed, as asked.
-    Closed {
+    CloseCompleted {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The last byte of the request had gone to the kernel by then.
         written: bool,
     },
@@ -138,11 +138,11 @@
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Final {
+pub enum FinalOutcome {
     /// By the answer to this attempt.
     Served(AttemptNumber),
     /// A retry is harmless; the client had better come again after this time.
-    Refused(Micros),
+    Rejected(Micros),
     /// Nothing is promised.
     Failed,
     /// Its time was up.
@@ -153,16 +153,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Open a connection.
-    Open {
+    Connect {
         /// Its name from now on.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// Where to.
         backend: BackendId,
     },
     /// Write a request on a connection that is up, if that is quiet at this moment; else [`Event::Unfit`].
     Send {
         /// The connection.
-        conn: ConnectionId,
+        connection: ConnectionId,
         /// The request.
         request: RequestId,
         /// Which attempt this is.
@@ -171,21 +171,21 @@
         deadline: Time,
         /// Its last byte may go out only before then: no further byte is written from then on, and the connection is told
         /// as [`Event::Ended`], or as [`Event::Unfit`] where not a byte had gone out.
-        by: Option<Time>,
+        write_deadline: Option<Time>,
     },
     /// Close a connection at once. Where a request is on it, [`Event::Closed`] says how far that had got.
     Close {
         /// Which.
-        conn: ConnectionId,
+        connection: ConnectionId,
     },
     /// The final answer.
     Answer {
         /// The request.
         request: RequestId,
         /// How it ends.
-        answer: Final,
+        answer: FinalOutcome,
         /// The attempt whose answer, though not served, ended the request.
-        last: Option<AttemptNumber>,
+        last_attempt: Option<AttemptNumber>,
     },
     /// Ask the store whether an attempt may be sent; [`Event::Permit`] tells.
     PersistIntent {
@@ -195,14 +195,14 @@
         attempt: AttemptNumber,
     },
     /// An attempt for which a permit was asked was not sent and never will be.
-    Withdraw {
+    WithdrawIntent {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
     /// An attempt of a recorded request is over.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -211,7 +211,7 @@
         outcome: Outcome,
     },
     /// Ask a pool's discovery for changes from now on.
-    Follow {
+    Subscribe {
         /// Whose.
         pool: PoolId,
     },
--- a/crates/engine/src/guard.rs
+++ b/crates/engine/src/guard.rs
@@ -1,7 +1,7 @@
 //! Whether an attempt may go out: asked when the policy asks for it, and again at its first byte.
 
-use crate::plant::{planted, Planted};
-use crate::request::{Group, Phase, Request, Step, Try};
+use crate::mutant::{mutant, ActiveMutant};
+use crate::request::{Attempt, AttemptState, Group, Request, RequestState};
 use shaletide_balancer::{deduplicates_repeats, first_retry_deadline, retry_deadline};
 use shaletide_types::*;
 
@@ -22,35 +22,41 @@
 }
 
 /// The attempts beside `own` that may have run or may run yet: one that has not begun is no proof of anything.
-fn may_run(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Try> {
-    let others = request.tries.iter().enumerate().filter(move |(no, _)| Some(*no) != own).map(|(_, t)| t);
+fn may_run(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Attempt> {
+    let others = request.attempts.iter().enumerate().filter(move |(no, _)| Some(*no) != own).map(|(_, t)| t);
     others.filter(|t| t.out() || t.may_have_run())
 }
 
 /// When an attempt has to have gone out at the latest, as its key's repeats are dropped no longer; none where it is no
 /// repeat.
-fn go_by(request: &Request, own: Option<usize>, planted: Planted) -> Option<Time> {
-    let Idempotency::Keyed(_, window) = request.effect else { return None };
-    let start = |t: &Try| if planted!(planted, WindowFromEnd) { t.ended.max(t.asked) } else { t.asked };
+fn go_by(request: &Request, own: Option<usize>, mutant: ActiveMutant) -> Option<Time> {
+    let Idempotency::Keyed(_, window) = request.idempotency else { return None };
+    let start = |t: &Attempt| {
+        if mutant!(mutant, WindowStartsAtEnd) {
+            t.ended_at.max(t.dispatched_at)
+        } else {
+            t.dispatched_at
+        }
+    };
     first_retry_deadline(window, may_run(request, own).map(start))
 }
 
 /// When the last byte of an attempt that begins now has to have gone out at the latest. One that is no repeat may yet have
 /// one, which is whole before it: then it is the one that comes later.
-pub(crate) fn write_by(now: Time, request: &Request, own: usize, planted: Planted) -> Option<Time> {
-    let Idempotency::Keyed(_, window) = request.effect else { return None };
-    go_by(request, Some(own), planted).or_else(|| (window >= SHORT).then(|| retry_deadline(window, now)))
+pub(crate) fn write_by(now: Time, request: &Request, own: usize, mutant: ActiveMutant) -> Option<Time> {
+    let Idempotency::Keyed(_, window) = request.idempotency else { return None };
+    go_by(request, Some(own), mutant).or_else(|| (window >= SHORT).then(|| retry_deadline(window, now)))
 }
 
 /// The rules on one attempt of `request` to a backend of that group: `own` is its number where it is one of
 /// the request's attempts already.
 pub(crate) fn may_go(
-    now: Time, request: &Request, to: Group, own: Option<usize>, planted: Planted,
+    now: Time, request: &Request, to: Group, own: Option<usize>, mutant: ActiveMutant,
 ) -> Result<(), No> {
-    if request.phase != Phase::Open || now >= request.deadline {
+    if request.state != RequestState::Open || now >= request.deadline {
         return Err(No::Over);
     }
-    match request.effect {
+    match request.idempotency {
         Idempotency::Safe => Ok(()),
         Idempotency::NonIdempotent if may_run(request, own).next().is_some() => Err(No::Repeat),
         Idempotency::NonIdempotent => Ok(()),
@@ -62,7 +68,7 @@
                     (to.realm, to.zone, to.cell),
                 )
             });
-            match go_by(request, own, planted) {
+            match go_by(request, own, mutant) {
                 _ if !known => Err(No::Repeat),
                 Some(until) if now >= until => Err(No::TooLate),
                 _ => Ok(()),
@@ -73,16 +79,17 @@
 
 /// What is asked once more at the first byte of attempt `own`.
 pub(crate) fn may_begin(
-    now: Time, request: &Request, own: usize, ready: bool, planted: Planted,
+    now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant,
 ) -> Result<(), No> {
-    let Some(attempt) = request.tries.get(own).filter(|t| !matches!(t.step, Step::Ended(_))) else {
+    let Some(attempt) = request.attempts.get(own).filter(|t| !matches!(t.state, AttemptState::Ended(_)))
+    else {
         return Err(No::Over);
     };
-    if !ready && !planted!(planted, DrainOfTheNewsBefore) {
+    if !ready && !mutant!(mutant, StaleDrainState) {
         return Err(No::NotReady);
     }
     if attempt.send_by.is_some_and(|by| now >= by) {
         return Err(No::TooLate);
     }
-    may_go(now, request, attempt.group, Some(own), planted)
+    may_go(now, request, attempt.group, Some(own), mutant)
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,16 +14,16 @@
 //! - [`Engine::wake_at`] is asked after each call, and [`Event::Wake`] told then.
 #![forbid(unsafe_code)]
 
-mod conns;
+mod connection_pool;
 mod engine;
 mod event;
 mod guard;
 pub mod monitor;
-mod plant;
+mod mutant;
 mod request;
 
-pub use conns::{ConnectionLimits, ConnectionState};
+pub use connection_pool::{ConnectionLimits, ConnectionState};
 pub use engine::{Engine, Policy};
-pub use event::{Action, Event, Final, Order};
-pub use plant::Plant;
-pub use request::{Phase, Request, Step, Try};
+pub use event::{Action, Event, FinalOutcome, RequestSpec};
+pub use mutant::Mutant;
+pub use request::{Attempt, AttemptState, Request, RequestState};
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Record, Sent};
 use super::{broken, Rule, Rules, Verdict};
-use crate::event::Final;
+use crate::event::FinalOutcome;
 use shaletide_types::*;
 
 /// In microseconds.
@@ -17,26 +17,28 @@
     broken(Rule::InTime, now, format!("request {} has no answer and its time was up", id.0))
 }
 
-pub(super) fn may_answer(record: &Record, now: Time, id: RequestId, answer: Final, rules: &Rules) -> Verdict {
+pub(super) fn may_answer(
+    record: &Record, now: Time, id: RequestId, answer: FinalOutcome, rules: &Rules,
+) -> Verdict {
     let Some(r) = record.requests.get(&id).filter(|r| r.open) else {
         return broken(Rule::OneAnswer, now, format!("request {} is answered and none is owed", id.0));
     };
     match answer {
-        Final::Served(attempt) if record.served != Some((id, attempt)) => {
+        FinalOutcome::Served(attempt) if record.served != Some((id, attempt)) => {
             let text = format!("request {} is served by attempt {}, which has no answer", id.0, attempt.0);
             broken(Rule::OneAnswer, now, text)
         }
-        Final::Served(_) if now >= r.deadline => {
+        FinalOutcome::Served(_) if now >= r.deadline => {
             broken(Rule::InTime, now, format!("request {} is served after its time was up", id.0))
         }
         _ if now > r.deadline + rules.answer_slack => {
             broken(Rule::InTime, now, format!("request {} is answered after its time was up", id.0))
         }
-        Final::TimedOut if now < r.deadline => {
+        FinalOutcome::TimedOut if now < r.deadline => {
             broken(Rule::InTime, now, format!("request {} times out before its time is up", id.0))
         }
-        Final::Refused(advice) => harmless(record, now, id, advice, rules),
-        Final::Served(_) | Final::Failed | Final::TimedOut => Ok(()),
+        FinalOutcome::Rejected(advice) => harmless(record, now, id, advice, rules),
+        FinalOutcome::Served(_) | FinalOutcome::Failed | FinalOutcome::TimedOut => Ok(()),
     }
 }
 
@@ -76,9 +78,9 @@
     }
     let over = record.ended.iter().filter_map(|id| Some((id, record.requests.get(id)?)));
     for (id, r) in over.filter(|(_, r)| !r.open) {
-        for conn in Record::under_way(r) {
-            if record.runs_on(conn) {
-                let text = format!("request {} is over and still runs on connection {}", id.0, conn.0);
+        for connection in Record::under_way(r) {
+            if record.runs_on(connection) {
+                let text = format!("request {} is over and still runs on connection {}", id.0, connection.0);
                 return broken(Rule::NothingAfter, now, text);
             }
         }
--- a/crates/engine/src/monitor/cold.rs
+++ b/crates/engine/src/monitor/cold.rs
@@ -51,15 +51,17 @@
     /// The engine is about to be told this.
     pub fn see(&mut self, now: Time, event: &Event) {
         match event {
-            Event::Members { backends, .. } => backends.iter().for_each(|b| self.listed(now, b)),
+            Event::EndpointsUpdated { backends, .. } => backends.iter().for_each(|b| self.listed(now, b)),
             Event::Request(order) => {
                 let work = order.arrival.work_hint.unwrap_or(self.rules.work);
                 self.work.insert(order.arrival.request, work);
             }
-            Event::ConnectFailed { conn, .. } | Event::Ended { conn } | Event::Closed { conn, .. } => {
-                self.lines.remove(conn);
+            Event::ConnectFailed { connection, .. }
+            | Event::ConnectionClosed { connection }
+            | Event::CloseCompleted { connection, .. } => {
+                self.lines.remove(connection);
             }
-            Event::Left { request } => drop(self.work.remove(request)),
+            Event::ClientDisconnected { request } => drop(self.work.remove(request)),
             _ => {}
         }
     }
@@ -70,11 +72,11 @@
     /// A box that is still cold was sent too much.
     pub fn act(&mut self, now: Time, action: &Action) -> Verdict {
         match action {
-            Action::Open { conn, backend } => drop(self.lines.insert(*conn, *backend)),
-            Action::Close { conn } => drop(self.lines.remove(conn)),
+            Action::Connect { connection, backend } => drop(self.lines.insert(*connection, *backend)),
+            Action::Close { connection } => drop(self.lines.remove(connection)),
             Action::Answer { request, .. } => drop(self.work.remove(request)),
-            Action::Send { conn, request, .. } => {
-                let to = self.lines.get(conn).copied();
+            Action::Send { connection, request, .. } => {
+                let to = self.lines.get(connection).copied();
                 let work = self.work.get(request).copied().unwrap_or(self.rules.work);
                 return to.map_or(Ok(()), |to| self.sent(now, to, work));
             }
--- a/crates/engine/src/monitor/kept.rs
+++ b/crates/engine/src/monitor/kept.rs
@@ -3,7 +3,7 @@
 
 use super::record::{Record, Watched};
 use super::{broken, Monitor, Rule, Verdict};
-use crate::conns::ConnectionState;
+use crate::connection_pool::ConnectionState;
 use crate::engine::Engine;
 use shaletide_types::*;
 
@@ -30,7 +30,8 @@
             }
         }
         // An open request has its time awaited, and so has one whose attempts may not be called back before.
-        let runs_on = |r: &Watched| r.open || Record::under_way(r).any(|conn| self.record.runs_on(conn));
+        let runs_on =
+            |r: &Watched| r.open || Record::under_way(r).any(|connection| self.record.runs_on(connection));
         for (id, r) in self.record.requests.iter().filter(|(_, r)| runs_on(r)) {
             if !engine.deadlines().contains(&(r.deadline, *id)) {
                 let text = format!("request {} goes on and nothing awaits its deadline", id.0);
@@ -42,15 +43,15 @@
                 return kept(format!("box {} is gone and kept", backend.0));
             }
         }
-        for (conn, _, step) in engine.connections() {
-            if !self.record.lines.contains_key(&conn) {
-                return kept(format!("connection {} is over and kept", conn.0));
+        for (connection, _, step) in engine.connections() {
+            if !self.record.lines.contains_key(&connection) {
+                return kept(format!("connection {} is over and kept", connection.0));
             }
-            if let ConnectionState::Opening(Some((id, _))) = step {
+            if let ConnectionState::Connecting(Some((id, _))) = step {
                 if !open(&id) {
                     return kept(format!(
                         "connection {} comes up for request {}, which is over",
-                        conn.0, id.0
+                        connection.0, id.0
                     ));
                 }
             }
--- a/crates/engine/src/monitor/lines.rs
+++ b/crates/engine/src/monitor/lines.rs
@@ -6,13 +6,13 @@
 use shaletide_types::*;
 
 pub(super) fn may_use(
-    record: &Record, now: Time, conn: ConnectionId, rules: &Rules,
+    record: &Record, now: Time, connection: ConnectionId, rules: &Rules,
 ) -> Result<Line, Violation> {
     let no = |how: &str| {
-        let text = format!("connection {} is used and {how}", conn.0);
+        let text = format!("connection {} is used and {how}", connection.0);
         Err(Violation { rule: Rule::CleanConnection, at: now, text })
     };
-    let Some(line) = record.lines.get(&conn) else { return no("is not there") };
+    let Some(line) = record.lines.get(&connection) else { return no("is not there") };
     match line.step {
         LineStep::Opening => no("is not up"),
         LineStep::Unclean => no("is unclean"),
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -167,9 +167,9 @@
     fn allowed(&self, now: Time, action: &Action) -> Verdict {
         let (record, rules) = (&self.record, &self.rules);
         match action {
-            Action::Send { conn, request, attempt, .. } => {
+            Action::Send { connection, request, attempt, .. } => {
                 answers::may_send(record, now, *request)?;
-                let line = lines::may_use(record, now, *conn, rules)?;
+                let line = lines::may_use(record, now, *connection, rules)?;
                 drains::may_send(record, now, line.to, rules)?;
                 repeats::may_send(record, now, *request, line.to)?;
                 permits::may_send(record, now, *request, *attempt)
@@ -178,11 +178,13 @@
                 answers::may_answer(record, now, *request, *answer, rules)
             }
             Action::PersistIntent { request, attempt } => permits::may_ask(record, now, *request, *attempt),
-            Action::Withdraw { request, attempt } => permits::may_withdraw(record, now, *request, *attempt),
-            Action::Open { .. }
+            Action::WithdrawIntent { request, attempt } => {
+                permits::may_withdraw(record, now, *request, *attempt)
+            }
+            Action::Connect { .. }
             | Action::Close { .. }
-            | Action::Ended { .. }
-            | Action::Follow { .. }
+            | Action::AttemptEnded { .. }
+            | Action::Subscribe { .. }
             | Action::Log { .. } => Ok(()),
         }
     }
--- a/crates/engine/src/monitor/record.rs
+++ b/crates/engine/src/monitor/record.rs
@@ -1,8 +1,8 @@
 //! What can be known from outside: what is listed, what is open, what is on each connection and what may have run.
 
 use super::Rules;
-use crate::event::{Action, Event, Order};
-use shaletide_routing::Verdict;
+use crate::event::{Action, Event, RequestSpec};
+use shaletide_routing::ResponseClass;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -120,8 +120,10 @@
 impl Record {
     pub(super) fn see(&mut self, now: Time, event: &Event, rules: &Rules) {
         match event {
-            Event::Members { pool, update, backends } => self.members(now, *pool, *update, backends, rules),
-            Event::Moved { backend, to, .. } => {
+            Event::EndpointsUpdated { pool, update, backends } => {
+                self.members(now, *pool, *update, backends, rules)
+            }
+            Event::BackendMoved { backend, to, .. } => {
                 if let Some(entry) = self.boxes.get_mut(backend) {
                     entry.pool = *to;
                 }
@@ -131,39 +133,47 @@
             }
             Event::PoolClosed { pool } => self.members(now, *pool, EndpointUpdate::Snapshot, &[], rules),
             Event::Request(order) => self.request(now, order),
-            Event::Left { request } => self.end(*request),
-            Event::Permit { request, attempt, given } => self.permit(*request, *attempt, *given),
-            Event::Up { conn } => {
-                if let Some(line) = self.lines.get_mut(conn) {
+            Event::ClientDisconnected { request } => self.end(*request),
+            Event::IntentPersisted { request, attempt, persisted: given } => {
+                self.permit(*request, *attempt, *given)
+            }
+            Event::Connected { connection } => {
+                if let Some(line) = self.lines.get_mut(connection) {
                     line.step = LineStep::Up(None);
                 }
             }
-            Event::ConnectFailed { conn, .. } => drop(self.lines.remove(conn)),
-            Event::Written { conn } => {
-                if let Some(Line { step: LineStep::Busy { written, .. }, .. }) = self.lines.get_mut(conn) {
+            Event::ConnectFailed { connection, .. } => drop(self.lines.remove(connection)),
+            Event::RequestWritten { connection } => {
+                if let Some(Line { step: LineStep::Busy { written, .. }, .. }) =
+                    self.lines.get_mut(connection)
+                {
                     *written = true;
                 }
             }
-            Event::Answered { conn, verdict, keep, behind } => {
-                self.answered(now, *conn, *verdict, *keep && !*behind)
+            Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
+                self.answered(now, *connection, *verdict, *keep && !*behind)
             }
-            Event::InvalidResponse { conn } | Event::Ended { conn } => self.cut(*conn, false),
-            Event::Unfit { conn } => self.unfit(*conn),
-            Event::Closed { conn, written } => self.cut(*conn, *written),
-            Event::GiveUp { .. } | Event::Reported { .. } | Event::Wake => {}
+            Event::InvalidResponse { connection } | Event::ConnectionClosed { connection } => {
+                self.cut(*connection, false)
+            }
+            Event::ConnectionUnusable { connection } => self.unfit(*connection),
+            Event::CloseCompleted { connection, written } => self.cut(*connection, *written),
+            Event::GiveUp { .. } | Event::LoadReported { .. } | Event::Wake => {}
         }
     }
 
     pub(super) fn act(&mut self, now: Time, action: &Action) {
         match action {
-            Action::Open { conn, backend } => {
+            Action::Connect { connection, backend } => {
                 let line = Line { to: *backend, step: LineStep::Opening, old: false };
-                self.lines.insert(*conn, line);
+                self.lines.insert(*connection, line);
+            }
+            Action::Send { connection, request, attempt, .. } => {
+                self.send(now, *connection, *request, *attempt)
             }
-            Action::Send { conn, request, attempt, .. } => self.send(now, *conn, *request, *attempt),
-            Action::Close { conn } => match self.lines.get_mut(conn).map(|l| &mut l.step) {
+            Action::Close { connection } => match self.lines.get_mut(connection).map(|l| &mut l.step) {
                 Some(LineStep::Busy { closing, .. }) => *closing = true,
-                _ => drop(self.lines.remove(conn)),
+                _ => drop(self.lines.remove(connection)),
             },
             Action::Answer { request, .. } => self.end(*request),
             Action::PersistIntent { request, attempt } => {
@@ -171,12 +181,12 @@
                     r.permits.insert(*attempt, Permit::Asked);
                 }
             }
-            Action::Withdraw { request, attempt } => {
+            Action::WithdrawIntent { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(request) {
                     r.permits.remove(attempt);
                 }
             }
-            Action::Ended { .. } | Action::Follow { .. } | Action::Log { .. } => {}
+            Action::AttemptEnded { .. } | Action::Subscribe { .. } | Action::Log { .. } => {}
         }
     }
 
@@ -194,8 +204,8 @@
     }
 
     /// A request is on that connection, and it is not to be closed.
-    pub(super) fn runs_on(&self, conn: ConnectionId) -> bool {
-        let step = self.lines.get(&conn).map(|line| line.step);
+    pub(super) fn runs_on(&self, connection: ConnectionId) -> bool {
+        let step = self.lines.get(&connection).map(|line| line.step);
         matches!(step, Some(LineStep::Busy { closing: false, .. }))
     }
 
@@ -231,12 +241,12 @@
 
     // --- requests ---
 
-    fn request(&mut self, now: Time, order: &Order) {
+    fn request(&mut self, now: Time, order: &RequestSpec) {
         let (id, deadline) = (order.arrival.request, now + order.arrival.time_left);
         if self.requests.contains_key(&id) {
             return;
         }
-        let (effect, permit) = (order.effect, order.permit);
+        let (effect, permit) = (order.idempotency, order.requires_intent);
         let (sent, permits) = (BTreeMap::new(), BTreeMap::new());
         self.requests.insert(id, Watched { effect, deadline, permit, open: true, sent, permits });
         self.deadlines.insert((deadline, id));
@@ -267,14 +277,14 @@
 
     // --- connections ---
 
-    fn send(&mut self, now: Time, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
+    fn send(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
+        let Some(line) = self.lines.get_mut(&connection) else { return };
         line.step = LineStep::Busy { request, attempt, written: false, closing: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
         r.permits.remove(&attempt);
         let nowhere = Where { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) };
         let place = self.boxes.get(&line.to).map_or(nowhere, |e| e.place);
-        r.sent.insert(attempt, Sent { at: now, place, on: Some(conn) });
+        r.sent.insert(attempt, Sent { at: now, place, on: Some(connection) });
     }
 
     /// The attempt on it has ended; of one that did not run, and of one that may run at will, nothing is kept.
@@ -289,31 +299,31 @@
         self.ended.push(request);
     }
 
-    fn answered(&mut self, now: Time, conn: ConnectionId, verdict: Verdict, clean: bool) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
+    fn answered(&mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool) {
+        let Some(line) = self.lines.get_mut(&connection) else { return };
         let LineStep::Busy { request, attempt, written, closing } = line.step else { return };
         // An answer to half of a request leaves the other half to go out before the next one.
         line.step = if clean && written { LineStep::Up(Some(now)) } else { LineStep::Unclean };
         if closing {
-            self.lines.remove(&conn);
+            self.lines.remove(&connection);
         }
-        if verdict == Verdict::Served {
+        if verdict == ResponseClass::Served {
             self.served = Some((request, attempt));
         }
-        self.ended(request, attempt, verdict != Verdict::NotExecuted);
+        self.ended(request, attempt, verdict != ResponseClass::NotExecuted);
     }
 
     /// It ended, or is closed as asked. What had not gone out whole by then cannot have run.
-    fn cut(&mut self, conn: ConnectionId, whole: bool) {
-        let Some(line) = self.lines.remove(&conn) else { return };
+    fn cut(&mut self, connection: ConnectionId, whole: bool) {
+        let Some(line) = self.lines.remove(&connection) else { return };
         if let LineStep::Busy { request, attempt, written, .. } = line.step {
             self.ended(request, attempt, written || whole);
         }
     }
 
     /// Not a byte of a request went out on it: the permit is as good as before.
-    fn unfit(&mut self, conn: ConnectionId) {
-        let Some(line) = self.lines.remove(&conn) else { return };
+    fn unfit(&mut self, connection: ConnectionId) {
+        let Some(line) = self.lines.remove(&connection) else { return };
         let LineStep::Busy { request, attempt, .. } = line.step else { return };
         self.ended(request, attempt, false);
         if let Some(r) = self.requests.get_mut(&request).filter(|r| r.permit) {
--- a/crates/engine/src/monitor/tests.rs
+++ b/crates/engine/src/monitor/tests.rs
@@ -1,9 +1,9 @@
 //! Each rule fires on a stream that breaks it and is silent on a good one.
 
 use super::*;
-use crate::event::{Final, Order};
+use crate::event::{FinalOutcome, RequestSpec};
 use shaletide_balancer::Arrival;
-use shaletide_routing::Verdict as Meaning;
+use shaletide_routing::ResponseClass;
 use std::rc::Rc;
 
 const KEYED: Idempotency = Idempotency::Keyed(DeduplicationScope::Group, Micros(2_000));
@@ -52,7 +52,7 @@
             state,
             ..BackendEntry::default()
         }];
-        self.step(Event::Members { pool: PoolId(0), update: EndpointUpdate::Delta, backends }, &[]);
+        self.step(Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Delta, backends }, &[]);
     }
 
     fn request(&mut self, effect: Idempotency, permit: bool) {
@@ -66,49 +66,66 @@
             may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
-        self.step(Event::Request(Order { arrival, effect, pools, permit, recorded: permit }), &[]);
+        self.step(
+            Event::Request(RequestSpec {
+                arrival,
+                idempotency: effect,
+                pools,
+                requires_intent: permit,
+                recorded: permit,
+            }),
+            &[],
+        );
     }
 
     /// Attempt and connection of that number are sent to that box.
     fn sent(&mut self, no: u32, to: u32) {
         self.asked(&[open(no, to)]);
-        self.step(Event::Up { conn: conn(no) }, &[send(no, no)]);
+        self.step(Event::Connected { connection: connection(no) }, &[send(no, no)]);
     }
 
-    fn answered(&mut self, no: u32, verdict: Meaning, keep: bool, behind: bool, actions: &[Action]) {
-        self.step(Event::Written { conn: conn(no) }, &[]);
-        self.step(Event::Answered { conn: conn(no), verdict, keep, behind }, actions);
+    fn answered(&mut self, no: u32, verdict: ResponseClass, keep: bool, behind: bool, actions: &[Action]) {
+        self.step(Event::RequestWritten { connection: connection(no) }, &[]);
+        self.step(
+            Event::ResponseReceived {
+                connection: connection(no),
+                verdict,
+                reusable: keep,
+                has_excess_bytes: behind,
+            },
+            actions,
+        );
     }
 }
 
-fn conn(no: u32) -> ConnectionId {
+fn connection(no: u32) -> ConnectionId {
     ConnectionId(u64::from(no))
 }
 
 fn open(no: u32, to: u32) -> Action {
-    Action::Open { conn: conn(no), backend: BackendId(to) }
+    Action::Connect { connection: connection(no), backend: BackendId(to) }
 }
 
 fn send(on: u32, no: u32) -> Action {
     Action::Send {
-        conn: conn(on),
+        connection: connection(on),
         request: RequestId(0),
         attempt: AttemptNumber(no),
         deadline: Time(0),
-        by: None,
+        write_deadline: None,
     }
 }
 
 fn close(no: u32) -> Action {
-    Action::Close { conn: conn(no) }
+    Action::Close { connection: connection(no) }
 }
 
-fn answer(answer: Final) -> Action {
-    Action::Answer { request: RequestId(0), answer, last: None }
+fn answer(answer: FinalOutcome) -> Action {
+    Action::Answer { request: RequestId(0), answer, last_attempt: None }
 }
 
-const SERVED: Final = Final::Served(AttemptNumber(0));
-const REFUSED: Final = Final::Refused(Micros(1));
+const SERVED: FinalOutcome = FinalOutcome::Served(AttemptNumber(0));
+const REFUSED: FinalOutcome = FinalOutcome::Rejected(Micros(1));
 
 /// What is said of a stream that begins with a request of that effect.
 fn said(effect: Idempotency, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
@@ -124,14 +141,14 @@
     s.request(KEYED, true);
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
     s.asked(&[Action::PersistIntent { request, attempt }]);
-    s.step(Event::Permit { request, attempt, given: true }, &[open(0, 0)]);
-    s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
-    s.step(Event::Ended { conn: conn(0) }, &[close(0)]); // before its last byte
+    s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[open(0, 0)]);
+    s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
+    s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]); // before its last byte
     s.asked(&[Action::PersistIntent { request, attempt: AttemptNumber(1) }]);
-    s.step(Event::Permit { request, attempt: AttemptNumber(1), given: true }, &[open(1, 1)]);
-    s.step(Event::Up { conn: conn(1) }, &[send(1, 1)]);
-    s.answered(1, Meaning::Served, true, false, &[answer(Final::Served(AttemptNumber(1)))]);
-    s.step(Event::Unfit { conn: conn(1) }, &[close(1)]);
+    s.step(Event::IntentPersisted { request, attempt: AttemptNumber(1), persisted: true }, &[open(1, 1)]);
+    s.step(Event::Connected { connection: connection(1) }, &[send(1, 1)]);
+    s.answered(1, ResponseClass::Served, true, false, &[answer(FinalOutcome::Served(AttemptNumber(1)))]);
+    s.step(Event::ConnectionUnusable { connection: connection(1) }, &[close(1)]);
     assert_eq!(s.said, []);
     assert_eq!(s.monitor.quiet(s.now), Ok(()));
     let record = s.monitor.record();
@@ -142,18 +159,18 @@
 fn there_is_one_answer_and_it_is_one_that_came() {
     let twice = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::Served, false, false, &[answer(SERVED), close(0)]);
-        s.asked(&[answer(Final::Failed)]);
+        s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
+        s.asked(&[answer(FinalOutcome::Failed)]);
     };
     assert_eq!(said(KEYED, RULES, twice), [Rule::OneAnswer]);
     let none = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::Error, false, false, &[answer(SERVED), close(0)]);
+        s.answered(0, ResponseClass::Error, false, false, &[answer(SERVED), close(0)]);
     };
     assert_eq!(said(KEYED, RULES, none), [Rule::OneAnswer]);
     let after_leaving = |s: &mut Stream| {
-        s.step(Event::Left { request: RequestId(0) }, &[]);
-        s.asked(&[answer(Final::Failed)]);
+        s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
+        s.asked(&[answer(FinalOutcome::Failed)]);
     };
     assert_eq!(said(KEYED, RULES, after_leaving), [Rule::OneAnswer]);
 }
@@ -163,7 +180,7 @@
     let late = |s: &mut Stream| {
         s.sent(0, 0);
         s.now = s.now + Micros(5_000);
-        s.answered(0, Meaning::Served, false, false, &[answer(SERVED), close(0)]);
+        s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
     };
     assert_eq!(said(KEYED, RULES, late), [Rule::InTime]);
     let none = |s: &mut Stream| {
@@ -175,10 +192,10 @@
     assert_eq!(said(KEYED, Rules { answer_slack: Micros(1), ..RULES }, none), []);
     let in_time = |s: &mut Stream| {
         s.now = s.now + Micros(5_000);
-        s.step(Event::Wake, &[answer(Final::TimedOut)]);
+        s.step(Event::Wake, &[answer(FinalOutcome::TimedOut)]);
     };
     assert_eq!(said(KEYED, RULES, in_time), []);
-    let early = |s: &mut Stream| s.asked(&[answer(Final::TimedOut)]);
+    let early = |s: &mut Stream| s.asked(&[answer(FinalOutcome::TimedOut)]);
     assert_eq!(said(KEYED, RULES, early), [Rule::InTime]);
 }
 
@@ -186,14 +203,14 @@
 fn nothing_is_left_running_and_nothing_is_sent_after_the_end() {
     let running = |s: &mut Stream| {
         s.sent(0, 0);
-        s.step(Event::Left { request: RequestId(0) }, &[]);
+        s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
     };
     assert_eq!(said(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
     assert_eq!(said(Idempotency::Safe, Rules { cancel: false, ..RULES }, running), []);
     let sent = |s: &mut Stream| {
         s.asked(&[open(0, 0)]);
-        s.step(Event::Left { request: RequestId(0) }, &[]);
-        s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
+        s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
+        s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     };
     assert_eq!(said(Idempotency::Safe, RULES, sent), [Rule::NothingAfter]);
 }
@@ -201,13 +218,29 @@
 #[test]
 fn an_unsafe_request_goes_out_again_only_when_nothing_has_run() {
     for (end, ran) in [
-        (Event::Unfit { conn: conn(0) }, false),
-        (Event::Ended { conn: conn(0) }, false),
-        (Event::InvalidResponse { conn: conn(0) }, false),
-        (Event::Answered { conn: conn(0), verdict: Meaning::NotExecuted, keep: false, behind: false }, false),
-        (Event::Answered { conn: conn(0), verdict: Meaning::Error, keep: false, behind: false }, true),
-        (Event::Closed { conn: conn(0), written: false }, false),
-        (Event::Closed { conn: conn(0), written: true }, true),
+        (Event::ConnectionUnusable { connection: connection(0) }, false),
+        (Event::ConnectionClosed { connection: connection(0) }, false),
+        (Event::InvalidResponse { connection: connection(0) }, false),
+        (
+            Event::ResponseReceived {
+                connection: connection(0),
+                verdict: ResponseClass::NotExecuted,
+                reusable: false,
+                has_excess_bytes: false,
+            },
+            false,
+        ),
+        (
+            Event::ResponseReceived {
+                connection: connection(0),
+                verdict: ResponseClass::Error,
+                reusable: false,
+                has_excess_bytes: false,
+            },
+            true,
+        ),
+        (Event::CloseCompleted { connection: connection(0), written: false }, false),
+        (Event::CloseCompleted { connection: connection(0), written: true }, true),
     ] {
         let again = |s: &mut Stream| {
             s.sent(0, 0);
@@ -219,8 +252,8 @@
     }
     let after_its_last_byte = |s: &mut Stream| {
         s.sent(0, 0);
-        s.step(Event::Written { conn: conn(0) }, &[]);
-        s.step(Event::Ended { conn: conn(0) }, &[close(0)]);
+        s.step(Event::RequestWritten { connection: connection(0) }, &[]);
+        s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]);
         s.sent(1, 1);
     };
     assert_eq!(said(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
@@ -253,7 +286,7 @@
     assert_eq!(said(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
     let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::NotExecuted, false, false, &[close(0)]);
+        s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
         s.sent(1, 1);
     };
     assert_eq!(said(KEYED, RULES, not_executed), []);
@@ -263,7 +296,7 @@
 fn a_refusal_only_where_a_retry_is_harmless() {
     let ran = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::Error, false, false, &[close(0)]);
+        s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.asked(&[answer(REFUSED)]);
     };
     assert_eq!(said(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRefusal]);
@@ -273,16 +306,16 @@
     assert_eq!(said(all, RULES, ran), [Rule::HarmlessRefusal]);
     let told_to_be_back = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::Error, false, false, &[close(0)]);
+        s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.now = s.now + Micros(1_999);
-        s.asked(&[answer(Final::Refused(Micros(0)))]);
+        s.asked(&[answer(FinalOutcome::Rejected(Micros(0)))]);
     };
     let one_realm = Rules { one_realm: true, ..RULES };
     assert_eq!(said(all, one_realm, told_to_be_back), []);
     assert_eq!(said(all, one_realm, ran), [Rule::HarmlessRefusal], "back in a second, after the window");
     let did_not = |s: &mut Stream| {
         s.sent(0, 0);
-        s.answered(0, Meaning::NotExecuted, false, false, &[close(0)]);
+        s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
         s.asked(&[answer(REFUSED)]);
     };
     assert_eq!(said(Idempotency::NonIdempotent, RULES, did_not), []);
@@ -290,7 +323,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_box_after_its_drain_but_for_the_grace() {
-    let whole = |backends: Vec<BackendEntry>| Event::Members {
+    let whole = |backends: Vec<BackendEntry>| Event::EndpointsUpdated {
         pool: PoolId(0),
         update: EndpointUpdate::Snapshot,
         backends,
@@ -321,7 +354,7 @@
     };
     assert_eq!(said(Idempotency::Safe, RULES, back), []);
     let of_another = |s: &mut Stream| {
-        s.step(Event::Moved { backend: BackendId(0), from: PoolId(0), to: PoolId(1) }, &[]);
+        s.step(Event::BackendMoved { backend: BackendId(0), from: PoolId(0), to: PoolId(1) }, &[]);
         s.step(whole(vec![]), &[]);
         s.sent(0, 0);
     };
@@ -334,10 +367,18 @@
         said(Idempotency::Safe, RULES, |s| {
             s.sent(0, 0);
             if written {
-                s.step(Event::Written { conn: conn(0) }, &[]);
+                s.step(Event::RequestWritten { connection: connection(0) }, &[]);
             }
-            let verdict = Meaning::Error;
-            s.step(Event::Answered { conn: conn(0), verdict, keep, behind }, &[]);
+            let verdict = ResponseClass::Error;
+            s.step(
+                Event::ResponseReceived {
+                    connection: connection(0),
+                    verdict,
+                    reusable: keep,
+                    has_excess_bytes: behind,
+                },
+                &[],
+            );
             s.now = s.now + Micros(wait);
             s.asked(&[send(0, 1)]);
         })
@@ -357,7 +398,7 @@
     let old = |s: &mut Stream| {
         s.asked(&[open(0, 0)]);
         s.step(Event::AddressChanged { backend: BackendId(0) }, &[]);
-        s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
+        s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     };
     assert_eq!(said(Idempotency::Safe, RULES, old), [Rule::CleanConnection]);
 }
@@ -366,7 +407,7 @@
 fn no_byte_goes_before_its_permit_and_no_permit_is_left_open() {
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
     let ask = Action::PersistIntent { request, attempt };
-    let back = Action::Withdraw { request, attempt };
+    let back = Action::WithdrawIntent { request, attempt };
     let said = |stream: &dyn Fn(&mut Stream)| {
         let mut s = Stream::new(RULES);
         s.request(Idempotency::Safe, true);
@@ -377,7 +418,7 @@
     assert_eq!(said(&|s| s.asked(&[ask.clone(), back.clone()])), []);
     assert_eq!(said(&|s| s.asked(&[ask.clone(), back.clone(), back.clone()])), [Rule::Permit]);
     assert_eq!(said(&|s| s.asked(&[ask.clone(), ask.clone()])), [Rule::Permit]);
-    let left = Event::Left { request };
+    let left = Event::ClientDisconnected { request };
     assert_eq!(
         said(&|s| {
             s.asked(std::slice::from_ref(&ask));
@@ -389,7 +430,8 @@
         said(&|s| {
             s.asked(std::slice::from_ref(&ask));
             s.step(left.clone(), std::slice::from_ref(&back));
-            s.step(Event::Permit { request, attempt, given: true }, &[]); // too late
+            s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[]);
+            // too late
         }),
         []
     );
@@ -397,10 +439,10 @@
     assert_eq!(
         said(&|s| {
             s.asked(std::slice::from_ref(&ask));
-            s.step(Event::Permit { request, attempt, given: true }, &[open(0, 0)]);
-            s.step(Event::Up { conn: conn(0) }, &[send(0, 0)]);
-            s.step(Event::Unfit { conn: conn(0) }, &[close(0), open(1, 0)]);
-            s.step(Event::Up { conn: conn(1) }, &[send(1, 0)]);
+            s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[open(0, 0)]);
+            s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
+            s.step(Event::ConnectionUnusable { connection: connection(0) }, &[close(0), open(1, 0)]);
+            s.step(Event::Connected { connection: connection(1) }, &[send(1, 0)]);
         }),
         []
     );
@@ -433,7 +475,7 @@
         let (id, state) = (BackendId(0), BackendState::Ready);
         let row = BackendEntry { id, started_at: booted, cores: 1, state, ..BackendEntry::default() };
         let (pool, update) = (PoolId(0), EndpointUpdate::Snapshot);
-        cold.see(now, &Event::Members { pool, update, backends: vec![row] });
+        cold.see(now, &Event::EndpointsUpdated { pool, update, backends: vec![row] });
         let all = (0..count).map(|no| {
             cold.act(now, &open(no, 0)).and_then(|()| cold.act(now, &send(no, no))).map_err(|v| v.rule)
         });
@@ -447,7 +489,7 @@
         BackendEntry { started_at: Some(Time(0)), state: BackendState::Ready, ..BackendEntry::default() };
     small.see(
         Time(0),
-        &Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends: vec![row] },
+        &Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends: vec![row] },
     );
     assert!(small.act(Time(0), &open(0, 0)).is_ok());
     assert!(small.act(Time(0), &send(0, 0)).is_ok(), "one always may go");
--- a/crates/engine/src/plant.rs
+++ b/crates/engine/src/mutant.rs
@@ -1,58 +1,58 @@
 //! Bugs that tests switch on to see them found.
 
-/// One planted bug. Without the feature `plants` there is none to choose and every question is answered no, so
+/// One mutant bug. Without the feature `mutants` there is none to choose and every question is answered no, so
 /// that nothing of it is in a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
-pub enum Plant {
+pub enum Mutant {
     /// A success that comes after the time-out's answer is answered too.
     #[cfg(feature = "mutants")]
     LateSuccess,
     /// A connection that ends after the last byte is taken to mean that the request never ran.
     #[cfg(feature = "mutants")]
-    NeverRanAfterLastByte,
+    NotExecutedAfterLastByte,
     /// A key's window is measured from the end of the first attempt.
     #[cfg(feature = "mutants")]
-    WindowFromEnd,
+    WindowStartsAtEnd,
     /// Whether a box drains is asked when an attempt is asked for, and no more at its first byte.
     #[cfg(feature = "mutants")]
-    DrainOfTheNewsBefore,
+    StaleDrainState,
     /// When a request is answered its other attempts go on.
     #[cfg(feature = "mutants")]
-    HedgeLeftRunning,
+    HedgeNotCancelled,
     /// A client that leaves is answered all the same, when its attempt ends.
     #[cfg(feature = "mutants")]
-    AnswerAfterLeaving,
+    AnswerAfterDisconnect,
     /// A refusal is given out as the policy words it.
     #[cfg(feature = "mutants")]
-    RefusedAfterRunning,
+    RejectedAfterExecution,
     /// A connection is kept though more came than the answer.
     #[cfg(feature = "mutants")]
-    ReusedWithBytesBehind,
+    ReusedWithExcessBytes,
     /// A request's deadline goes on when the request is over.
     #[cfg(feature = "mutants")]
     TimerOutlivesRequest,
     /// What is absent from a whole list keeps the state that it had.
     #[cfg(feature = "mutants")]
-    DrainForgottenByWholeList,
+    DrainMissedInSnapshot,
 }
 
-/// Which bug is planted, if any.
+/// Which bug is mutant, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Planted(#[cfg(feature = "mutants")] pub Option<Plant>);
+pub(crate) struct ActiveMutant(#[cfg(feature = "mutants")] pub Option<Mutant>);
 
-/// Whether a bug is planted; a constant where the feature is off.
-macro_rules! planted {
-    ($planted:expr, $plant:ident) => {{
+/// Whether a bug is mutant; a constant where the feature is off.
+macro_rules! mutant {
+    ($active:expr, $mutant:ident) => {{
         #[cfg(feature = "mutants")]
         {
-            $planted.0 == Some($crate::Plant::$plant)
+            $active.0 == Some($crate::Mutant::$mutant)
         }
         #[cfg(not(feature = "mutants"))]
         {
-            let _ = &$planted;
+            let _ = &$active;
             false
         }
     }};
 }
-pub(crate) use planted;
+pub(crate) use mutant;
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -5,62 +5,63 @@
 
 /// How far an attempt has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum AttemptState {
     /// It waits for its permit.
-    Permit,
+    AwaitingIntent,
     /// It waits for its connection.
-    Opening(ConnectionId),
+    Connecting(ConnectionId),
     /// Its bytes go out.
     Writing(ConnectionId),
     /// Its last byte has gone: it may run.
     Written(ConnectionId),
     /// Its connection is to be closed; how far it had got is not known yet.
-    Stopping(ConnectionId, Outcome),
+    Cancelling(ConnectionId, Outcome),
     /// It is over.
     Ended(Outcome),
 }
 
 /// An attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Try {
+pub struct Attempt {
     /// Where it goes.
     pub backend: BackendId,
     /// What drops its repeats.
     pub group: Group,
     /// When it was asked for; a box may drop its repeats for the window counted from here at the earliest.
-    pub asked: Time,
+    pub dispatched_at: Time,
     /// When it ended.
-    pub ended: Time,
+    pub ended_at: Time,
     /// Its last byte may go out only before then.
     pub send_by: Option<Time>,
     /// A permit was asked for, and nothing has gone out on it yet.
-    pub permitted: bool,
+    pub intent_requested: bool,
     /// How far it has got.
-    pub step: Step,
+    pub state: AttemptState,
 }
 
-impl Try {
+impl Attempt {
     /// It has not ended.
     pub fn out(&self) -> bool {
-        !matches!(self.step, Step::Ended(_))
+        !matches!(self.state, AttemptState::Ended(_))
     }
 
     /// It is not known that it has not run.
     pub fn may_have_run(&self) -> bool {
-        match self.step {
-            Step::Ended(outcome) => !outcome.not_executed(),
-            Step::Permit | Step::Opening(_) => false,
-            Step::Writing(_) | Step::Written(_) | Step::Stopping(..) => true,
+        match self.state {
+            AttemptState::Ended(outcome) => !outcome.not_executed(),
+            AttemptState::AwaitingIntent | AttemptState::Connecting(_) => false,
+            AttemptState::Writing(_) | AttemptState::Written(_) | AttemptState::Cancelling(..) => true,
         }
     }
 
     /// The connection that it is on or waits for.
-    pub fn conn(&self) -> Option<ConnectionId> {
-        match self.step {
-            Step::Opening(conn) | Step::Writing(conn) | Step::Written(conn) | Step::Stopping(conn, _) => {
-                Some(conn)
-            }
-            Step::Permit | Step::Ended(_) => None,
+    pub fn connection(&self) -> Option<ConnectionId> {
+        match self.state {
+            AttemptState::Connecting(connection)
+            | AttemptState::Writing(connection)
+            | AttemptState::Written(connection)
+            | AttemptState::Cancelling(connection, _) => Some(connection),
+            AttemptState::AwaitingIntent | AttemptState::Ended(_) => None,
         }
     }
 }
@@ -85,7 +86,7 @@
 
 /// How far a request has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Phase {
+pub enum RequestState {
     /// It is owed an answer.
     Open,
     /// It is given up, with advice for the client, and answered when its attempts are known to have ended.
@@ -93,49 +94,50 @@
     /// Its time is up, and it is answered when its attempts are known to have ended.
     TimedOut,
     /// Nothing is owed: it was answered, or its client left. It is kept until its attempts have ended.
-    Over,
+    Finished,
 }
 
 /// A request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
     /// What a second run would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// When its time is up.
     pub deadline: Time,
     /// Its attempts want a permit.
-    pub permit: bool,
+    pub requires_intent: bool,
     /// The ends of its attempts are told.
     pub recorded: bool,
     /// How far it has got.
-    pub phase: Phase,
+    pub state: RequestState,
     /// The attempt whose answer was the last to come, if nothing ended without one since.
-    pub last: Option<AttemptNumber>,
+    pub last_answered: Option<AttemptNumber>,
     /// Its attempts by number.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
 }
 
 impl Request {
     /// Some attempt has not ended.
     pub fn out(&self) -> bool {
-        self.tries.iter().any(Try::out)
+        self.attempts.iter().any(Attempt::out)
     }
 
     /// Numbers of the attempts that have not ended.
     pub fn still_out(&self) -> Vec<AttemptNumber> {
-        let each = self.tries.iter().enumerate();
+        let each = self.attempts.iter().enumerate();
         each.filter(|(_, t)| t.out()).map(|(no, _)| AttemptNumber(no as u32)).collect()
     }
 
     /// Whether a retry at `back` is harmless: nothing may have run, or running again does nothing. `only_deduplication_domain`: the one
     /// to which all boxes belong that a retry may reach.
     pub fn is_harmless(&self, back: Time, only_deduplication_domain: Option<u32>) -> bool {
-        let drops = |t: &Try| match self.effect {
+        let drops = |t: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
-                only_deduplication_domain == Some(t.group.realm) && back < retry_deadline(window, t.asked)
+                only_deduplication_domain == Some(t.group.realm)
+                    && back < retry_deadline(window, t.dispatched_at)
             }
             effect => effect == Idempotency::Safe,
         };
-        self.tries.iter().all(|t| !t.may_have_run() || drops(t))
+        self.attempts.iter().all(|t| !t.may_have_run() || drops(t))
     }
 }
--- a/crates/engine/tests/found.rs
+++ b/crates/engine/tests/found.rs
@@ -1,8 +1,8 @@
 //! What the explorer found in the engine: each counterexample as the script of its events.
 
 use shaletide_balancer::Arrival;
-use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Final, Order, Policy};
-use shaletide_routing::{pools, Verdict};
+use shaletide_engine::{Action, ConnectionLimits, Engine, Event, FinalOutcome, Policy, RequestSpec};
+use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::rc::Rc;
 
@@ -29,7 +29,11 @@
 
 impl Script {
     fn new(cancel: bool) -> Script {
-        let keeping = ConnectionLimits { most: 8, idle: Micros(100_000), quiet: Micros(1_000) };
+        let keeping = ConnectionLimits {
+            max_connections: 8,
+            idle_timeout: Micros(100_000),
+            reuse_delay: Micros(1_000),
+        };
         let mut engine = Engine::new(Quiet::default(), keeping);
         engine.configure(keeping, cancel, None);
         let mut script = Script { engine, now: Time(1_000_000) };
@@ -45,7 +49,7 @@
 
     fn asked(&mut self, ask: pools::Action) -> Vec<Action> {
         let mut out = Vec::new();
-        self.engine.ask(self.now, ask, &mut out);
+        self.engine.apply_policy_action(self.now, ask, &mut out);
         out
     }
 
@@ -56,7 +60,7 @@
             state,
             ..BackendEntry::default()
         }];
-        self.told(Event::Members { pool: PoolId(0), update: EndpointUpdate::Delta, backends })
+        self.told(Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Delta, backends })
     }
 
     fn request(&mut self, effect: Idempotency, permit: bool) {
@@ -70,7 +74,13 @@
             may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
-        self.told(Event::Request(Order { arrival, effect, pools, permit, recorded: false }));
+        self.told(Event::Request(RequestSpec {
+            arrival,
+            idempotency: effect,
+            pools,
+            requires_intent: permit,
+            recorded: false,
+        }));
     }
 
     fn dispatch(&mut self, attempt: u32) -> Vec<Action> {
@@ -78,17 +88,22 @@
         self.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None })
     }
 
-    fn up(&mut self, conn: u64) -> Vec<Action> {
-        self.told(Event::Up { conn: ConnectionId(conn) })
+    fn up(&mut self, connection: u64) -> Vec<Action> {
+        self.told(Event::Connected { connection: ConnectionId(connection) })
     }
 
-    fn answered(&mut self, conn: u64, verdict: Verdict, keep: bool) -> Vec<Action> {
-        self.told(Event::Answered { conn: ConnectionId(conn), verdict, keep, behind: false })
+    fn answered(&mut self, connection: u64, verdict: ResponseClass, keep: bool) -> Vec<Action> {
+        self.told(Event::ResponseReceived {
+            connection: ConnectionId(connection),
+            verdict,
+            reusable: keep,
+            has_excess_bytes: false,
+        })
     }
 }
 
-fn answer(answer: Final) -> Action {
-    Action::Answer { request: RequestId(0), answer, last: None }
+fn answer(answer: FinalOutcome) -> Action {
+    Action::Answer { request: RequestId(0), answer, last_attempt: None }
 }
 
 fn sends(out: &[Action]) -> usize {
@@ -96,7 +111,7 @@
 }
 
 fn withdrawn(attempt: u32) -> Action {
-    Action::Withdraw { request: RequestId(0), attempt: AttemptNumber(attempt) }
+    Action::WithdrawIntent { request: RequestId(0), attempt: AttemptNumber(attempt) }
 }
 
 /// It was begun under a number that no attempt has: the one that was made for it hung in the air until the
@@ -106,11 +121,11 @@
     let mut s = Script::new(true);
     s.request(KEYED, true);
     assert_eq!(s.dispatch(1), []);
-    assert_eq!(s.engine.requests()[&RequestId(0)].tries, []);
-    let ends = &s.engine.see_policy().ends;
+    assert_eq!(s.engine.requests()[&RequestId(0)].attempts, []);
+    let ends = &s.engine.policy().ends;
     assert_eq!((ends.len(), ends[0].outcome, ends[0].request_answered), (1, Outcome::NotSent, false));
     assert!(matches!(s.dispatch(0)[..], [Action::PersistIntent { attempt: AttemptNumber(0), .. }]));
-    assert_eq!(s.told(Event::Left { request: RequestId(0) }), [withdrawn(0)]);
+    assert_eq!(s.told(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
     assert!(s.engine.requests().is_empty());
 }
 
@@ -121,14 +136,14 @@
         let mut s = Script::new(true);
         s.request(KEYED, true);
         s.dispatch(0);
-        s.told(Event::Permit { request: RequestId(0), attempt: AttemptNumber(0), given: true });
+        s.told(Event::IntentPersisted { request: RequestId(0), attempt: AttemptNumber(0), persisted: true });
         s.up(0);
-        let unfit = Event::Unfit { conn: ConnectionId(0) };
+        let unfit = Event::ConnectionUnusable { connection: ConnectionId(0) };
         if drained {
             s.list(0, 0, BackendState::Draining);
             assert!(s.told(unfit).contains(&withdrawn(0)), "it cannot begin again");
         } else {
-            s.told(Event::Left { request: RequestId(0) });
+            s.told(Event::ClientDisconnected { request: RequestId(0) });
             assert!(s.told(unfit).contains(&withdrawn(0)), "it was called back meanwhile");
             assert!(s.engine.requests().is_empty());
         }
@@ -145,7 +160,7 @@
     assert_eq!(sends(&s.up(0)), 1);
     s.list(0, 100, BackendState::Ready);
     assert_eq!(sends(&s.up(1)), 0);
-    assert_eq!(s.engine.see_policy().ends.last().map(|e| e.outcome), Some(Outcome::NotSent));
+    assert_eq!(s.engine.policy().ends.last().map(|e| e.outcome), Some(Outcome::NotSent));
 }
 
 /// What was idle was closed, and what was busy came to rest later and was used again.
@@ -155,10 +170,10 @@
     s.request(KEYED, false);
     s.dispatch(0);
     s.up(0);
-    s.told(Event::Written { conn: ConnectionId(0) });
+    s.told(Event::RequestWritten { connection: ConnectionId(0) });
     s.told(Event::AddressChanged { backend: BackendId(0) });
-    let closed = Action::Close { conn: ConnectionId(0) };
-    assert_eq!(s.answered(0, Verdict::NotExecuted, true), [closed]);
+    let closed = Action::Close { connection: ConnectionId(0) };
+    assert_eq!(s.answered(0, ResponseClass::NotExecuted, true), [closed]);
     assert_eq!(s.engine.connection_count(), 0);
 }
 
@@ -174,16 +189,22 @@
         let begun = s.now;
         s.dispatch(0);
         let first = s.up(0);
-        assert!(matches!(first[..], [Action::Send { by: None, .. }]), "it is no repeat: {first:?}");
-        s.told(Event::Written { conn: ConnectionId(0) });
-        s.told(Event::Ended { conn: ConnectionId(0) });
+        assert!(
+            matches!(first[..], [Action::Send { write_deadline: None, .. }]),
+            "it is no repeat: {first:?}"
+        );
+        s.told(Event::RequestWritten { connection: ConnectionId(0) });
+        s.told(Event::ConnectionClosed { connection: ConnectionId(0) });
         s.now = begun + Micros(asked);
         s.dispatch(1);
         s.now = begun + Micros(up);
         let out = s.up(1);
         assert_eq!(sends(&out), usize::from(goes), "asked at {asked}, up at {up}");
         let end = begun + Micros(1_750);
-        assert!(out.iter().all(|a| !matches!(a, Action::Send { by, .. } if *by != Some(end))), "{out:?}");
+        assert!(
+            out.iter().all(|a| !matches!(a, Action::Send { write_deadline: by, .. } if *by != Some(end))),
+            "{out:?}"
+        );
     }
 }
 
@@ -196,7 +217,7 @@
     s.dispatch(0);
     s.now = s.now + Micros(2_000); // the connection took so long
     let end = s.now + Micros(380_000);
-    assert!(matches!(s.up(0)[..], [Action::Send { by, .. }] if by == Some(end)));
+    assert!(matches!(s.up(0)[..], [Action::Send { write_deadline: by, .. }] if by == Some(end)));
 }
 
 /// It was kept until its connection came up, with its permit open.
@@ -207,7 +228,9 @@
     s.dispatch(0);
     s.dispatch(1);
     s.up(0);
-    assert!(s.answered(0, Verdict::Served, false).contains(&answer(Final::Served(AttemptNumber(0)))));
+    assert!(s
+        .answered(0, ResponseClass::Served, false)
+        .contains(&answer(FinalOutcome::Served(AttemptNumber(0)))));
     assert!(s.engine.requests().is_empty());
 }
 
@@ -219,8 +242,8 @@
     s.dispatch(0);
     s.dispatch(1);
     let (request, retry_after) = (RequestId(0), Micros(7));
-    let out = s.asked(pools::Action::Refuse { request, retry_after });
-    assert_eq!(out, [answer(Final::Refused(retry_after))]);
+    let out = s.asked(pools::Action::Reject { request, retry_after });
+    assert_eq!(out, [answer(FinalOutcome::Rejected(retry_after))]);
     assert!(s.engine.requests().is_empty());
 }
 
@@ -231,9 +254,9 @@
     s.request(KEYED, false);
     s.dispatch(0);
     s.up(0);
-    s.told(Event::Written { conn: ConnectionId(0) });
+    s.told(Event::RequestWritten { connection: ConnectionId(0) });
     s.list(0, 0, BackendState::Gone);
-    s.answered(0, Verdict::Served, true);
+    s.answered(0, ResponseClass::Served, true);
     assert_eq!((s.engine.heard().count(), s.engine.count_listed()), (0, 0));
 }
 
@@ -243,9 +266,16 @@
     let mut s = Script::new(true);
     s.request(KEYED, true);
     s.dispatch(0);
-    assert_eq!(s.told(Event::Left { request: RequestId(0) }), [withdrawn(0)]);
+    assert_eq!(s.told(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
     for given in [true, false] {
-        assert_eq!(s.told(Event::Permit { request: RequestId(0), attempt: AttemptNumber(0), given }), []);
+        assert_eq!(
+            s.told(Event::IntentPersisted {
+                request: RequestId(0),
+                attempt: AttemptNumber(0),
+                persisted: given
+            }),
+            []
+        );
         assert!(s.engine.requests().is_empty() && s.engine.deadlines().is_empty());
     }
 }
@@ -255,18 +285,25 @@
 #[test]
 fn connections_that_come_up_for_nobody_make_way_at_the_bound_the_oldest_first() {
     let mut s = Script::new(true);
-    for conn in 0..8 {
+    for connection in 0..8 {
         s.request(KEYED, false);
-        assert_eq!(s.dispatch(0), [Action::Open { conn: ConnectionId(conn), backend: BackendId(0) }]);
-        s.told(Event::Left { request: RequestId(0) });
+        assert_eq!(
+            s.dispatch(0),
+            [Action::Connect { connection: ConnectionId(connection), backend: BackendId(0) }]
+        );
+        s.told(Event::ClientDisconnected { request: RequestId(0) });
     }
     s.request(KEYED, false);
-    let (closed, opened) = (Action::Close { conn: ConnectionId(0) }, ConnectionId(8));
-    assert_eq!(s.dispatch(0), [closed, Action::Open { conn: opened, backend: BackendId(0) }]);
+    let (closed, opened) = (Action::Close { connection: ConnectionId(0) }, ConnectionId(8));
+    assert_eq!(s.dispatch(0), [closed, Action::Connect { connection: opened, backend: BackendId(0) }]);
     assert_eq!(s.engine.connection_count(), 8);
-    assert_eq!(s.told(Event::ConnectFailed { conn: ConnectionId(0), blame: true }), [], "it is gone");
+    assert_eq!(
+        s.told(Event::ConnectFailed { connection: ConnectionId(0), backend_at_fault: true }),
+        [],
+        "it is gone"
+    );
     s.up(1);
-    s.told(Event::Left { request: RequestId(0) });
+    s.told(Event::ClientDisconnected { request: RequestId(0) });
     s.request(KEYED, false);
     assert_eq!(sends(&s.dispatch(0)), 1, "on the one that came up for nobody");
 }
@@ -279,7 +316,7 @@
     for _ in 0..8 {
         s.request(KEYED, false);
         s.dispatch(0);
-        s.told(Event::Left { request: RequestId(0) });
+        s.told(Event::ClientDisconnected { request: RequestId(0) });
     }
     s.up(5);
     s.request(KEYED, false);
@@ -287,6 +324,9 @@
     let out = s.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None });
     assert_eq!(
         out,
-        [Action::Close { conn: ConnectionId(5) }, Action::Open { conn: ConnectionId(8), backend }]
+        [
+            Action::Close { connection: ConnectionId(5) },
+            Action::Connect { connection: ConnectionId(8), backend }
+        ]
     );
 }
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -15,7 +15,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
 use shaletide_balancer::*;
-use shaletide_engine::Order;
+use shaletide_engine::RequestSpec;
 use shaletide_net::{strip_hop_by_hop, Host, Named, NotTaken, RequestEvent};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -157,7 +157,8 @@
             answers: directions.answers.clone(),
             got: RefCell::default(),
         });
-        let order = Order { arrival, effect, pools, permit: false, recorded: false };
+        let order =
+            RequestSpec { arrival, idempotency: effect, pools, requires_intent: false, recorded: false };
         Ok(Outgoing { id, deadline, order, tenant: parsed.tenant_name, key: parsed.key, forwarded })
     }
 
@@ -169,7 +170,7 @@
         let _id_guard = IdGuard::new(&self.open_ids, id).ok_or(Fault::IdInUse)?;
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
-        let is_safe = order.effect == Idempotency::Safe;
+        let is_safe = order.idempotency == Idempotency::Safe;
         let named = Named {
             tenant: tenant.as_deref().unwrap_or_default(),
             class: &rules.classes[order.arrival.class.0].name,
@@ -205,7 +206,7 @@
 struct Outgoing {
     id: HeaderValue,
     deadline: Time,
-    order: Order,
+    order: RequestSpec,
     tenant: Option<String>,
     key: Option<String>,
     forwarded: Rc<ForwardedRequest>,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -7,7 +7,7 @@
 use hyper::{HeaderMap, Method, StatusCode, Version};
 use shaletide_balancer::{ClassId, Idempotency, Micros, TenantId};
 use shaletide_net::connection_names;
-use shaletide_routing::{Asked, RouteId};
+use shaletide_routing::{RequestAttributes, RouteId};
 use std::borrow::Cow;
 use std::collections::HashSet;
 use std::net::Ipv6Addr;
@@ -185,16 +185,16 @@
     let read = |place: &Option<Place>| place.as_ref().map_or(Ok(None), |place| text(place, head));
     let tenant_name = read(&rules.tenant)?;
     let tenant = tenant_name.and_then(|name| rules.tenants.get(name)).copied();
-    let asked = Asked {
+    let asked = RequestAttributes {
         class,
         tenant,
         zone: read(&rules.from)?.unwrap_or(&rules.zone),
-        bay: read(&rules.bay)?,
+        deduplication_group: read(&rules.bay)?,
         path: head.uri.path(),
         method: head.method.as_str(),
         header: &|name| headers.get(name).and_then(|value| value.to_str().ok()),
     };
-    let route = rules.table.first(&asked).ok_or(Fault::NoRoute)?;
+    let route = rules.table.find(&asked).ok_or(Fault::NoRoute)?;
     // Only for the record.
     let own = |text: Option<&str>| text.filter(|_| rules.record).map(String::from);
     let (tenant_name, key) = (own(tenant_name), own(key));
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::rules::{ClassRule, RulesDef};
 use shaletide_balancer::DeduplicationScope;
-use shaletide_routing::{Form, Source};
+use shaletide_routing::{AttributeSource, RequestFormat};
 
 fn headers(lines: &[(&'static str, &'static str)]) -> HeaderMap {
     let mut map = HeaderMap::new();
@@ -25,7 +25,10 @@
         deadline: Micros(1_000_000),
     };
     RulesDef {
-        form: Form { bay: Some(Source::Path(2)), ..Form::platform() },
+        form: RequestFormat {
+            deduplication_group: Some(AttributeSource::Path(2)),
+            ..RequestFormat::platform()
+        },
         classes: vec![
             class("read", Idempotency::Safe, &[Method::GET, Method::HEAD]),
             class("vote", Idempotency::Keyed(DeduplicationScope::All, Micros(1)), &[Method::POST]),
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -10,7 +10,7 @@
 use shaletide_balancer::Micros;
 use shaletide_net::Answer;
 use shaletide_record::{Conflict, Verdict};
-use shaletide_routing::{gets, Decision, Gets};
+use shaletide_routing::{client_response, ClientResponse, Decision};
 
 /// The response to a request that the record refuses.
 pub(crate) fn record_refusal(rules: &Rules, verdict: Verdict) -> Result<Response<Full<Bytes>>, Fault> {
@@ -47,20 +47,22 @@
 pub(crate) fn final_response(
     rules: &Rules, answer: Answer, call: &ForwardedRequest, safe: bool,
 ) -> Response<Full<Bytes>> {
-    if let (Some(conflict), Decision::Refused(_)) = (answer.conflict, answer.decision) {
+    if let (Some(conflict), Decision::Rejected(_)) = (answer.conflict, answer.decision) {
         return conflicting(conflict);
     }
     let (last, got) = answer.attempt.and_then(|attempt| call.take(attempt)).unzip();
-    match (gets(answer.decision, call.answers.errors, safe, last), got) {
-        (Gets::Pass, Some(got)) => {
+    match (client_response(answer.decision, call.answers.error_responses, safe, last), got) {
+        (ClientResponse::Forward, Some(got)) => {
             let mut response = Response::new(Full::new(got.body));
             *response.status_mut() = got.status;
             *response.headers_mut() = got.headers;
             response
         }
-        (Gets::Refuse(after), _) => refused(rules, after),
-        (Gets::GatewayTimeout, _) => plain(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
-        (Gets::BadGateway | Gets::Pass, _) => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+        (ClientResponse::Reject(after), _) => refused(rules, after),
+        (ClientResponse::GatewayTimeout, _) => plain(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
+        (ClientResponse::BadGateway | ClientResponse::Forward, _) => {
+            plain(StatusCode::BAD_GATEWAY, "failed\n")
+        }
     }
 }
 
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use shaletide_balancer::{ClassId, Idempotency, Micros, PoolId, TenantId};
 use shaletide_body_limits::{BodyLimits, Rate};
-use shaletide_routing::{Answers, Form, Route, Source, Table};
+use shaletide_routing::{AttributeSource, RequestFormat, ResponseRules, Route, RouteTable};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct RulesDef {
     /// Where in a request things stand.
-    pub form: Form,
+    pub form: RequestFormat,
     /// The classes in the order of their numbers.
     pub classes: Vec<ClassRule>,
     /// The tenants in the order of their numbers.
@@ -72,7 +72,7 @@
     /// Pools, the preferred first.
     pub pools: Rc<[PoolId]>,
     /// What an answer means.
-    pub answers: Rc<Answers>,
+    pub answers: Rc<ResponseRules>,
 }
 
 /// All that requests are read and checked by.
@@ -94,7 +94,7 @@
     pub(crate) in_parts: Vec<(Vec<String>, ClassId)>,
     pub(crate) classes: Vec<ClassRule>,
     pub(crate) tenants: HashMap<String, TenantId>,
-    pub(crate) table: Table,
+    pub(crate) table: RouteTable,
     pub(crate) directions: Vec<Directions>,
     pub(crate) zone: String,
     pub(crate) max_retry_after: Micros,
@@ -119,16 +119,21 @@
     /// request; the configuration has been checked for such.
     pub fn new(def: RulesDef) -> Rules {
         let header = |name: &str| name.parse().unwrap_or(HeaderName::from_static("x-unnamed"));
-        let place = |source: &Source| match source {
-            Source::Path(part) => Place::Path(*part),
-            Source::Header(name) => Place::Header(header(name)),
+        let place = |source: &AttributeSource| match source {
+            AttributeSource::Path(part) => Place::Path(*part),
+            AttributeSource::Header(name) => Place::Header(header(name)),
         };
         let form = &def.form;
-        let places =
-            [Some(&form.class), form.tenant.as_ref(), Some(&form.key), form.bay.as_ref(), form.zone.as_ref()];
+        let places = [
+            Some(&form.class),
+            form.tenant.as_ref(),
+            Some(&form.key),
+            form.deduplication_group.as_ref(),
+            form.zone.as_ref(),
+        ];
         let places = places.into_iter().flatten().filter_map(|source| match source {
-            Source::Header(name) => Some(header(name)),
-            Source::Path(_) => None,
+            AttributeSource::Header(name) => Some(header(name)),
+            AttributeSource::Path(_) => None,
         });
         let matched = def.routes.iter().flat_map(|route| &route.when.headers).map(|h| header(&h.name));
         let to_keep = [HOST, CONTENT_LENGTH, header(&form.id), header(&form.time_left)];
@@ -149,10 +154,10 @@
         let tenants = numbered(def.tenants.iter().collect()).into_iter();
         Rules {
             class: place(&form.class),
-            otherwise: form.otherwise,
+            otherwise: form.default_class,
             tenant: form.tenant.as_ref().map(place),
             key: place(&form.key),
-            bay: form.bay.as_ref().map(place),
+            bay: form.deduplication_group.as_ref().map(place),
             from: form.zone.as_ref().map(place),
             id: header(&form.id),
             id_required: form.id_required,
@@ -162,7 +167,7 @@
             in_parts,
             tenants: tenants.map(|(name, at)| (name, TenantId(at))).collect(),
             directions: def.routes.iter().map(directions).collect(),
-            table: Table::new(def.routes),
+            table: RouteTable::new(def.routes),
             classes: def.classes,
             zone: def.zone,
             max_retry_after: def.max_retry_after,
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -5,7 +5,7 @@
 use shaletide_balancer::{Config, Idempotency, Micros};
 use shaletide_membership::{PoolSpec, Source};
 use shaletide_net::{Clock, Host, Network, PoolSetup};
-use shaletide_routing::{Answers, Form, Match, Route};
+use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
@@ -28,7 +28,7 @@
     let setup = PoolSetup { spec, config };
     let pools = host.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
     tokio::task::spawn_local(host.clone().timers());
-    let (form, answers) = (Form::platform(), Answers::platform());
+    let (form, answers) = (RequestFormat::platform(), ResponseRules::platform());
     let class = ClassRule {
         name: "pay".into(),
         effect: Idempotency::NonIdempotent,
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -12,7 +12,7 @@
     driven, strip_hop_by_hop, ExchangeFuture, ExchangeOutcome, ExchangeSpec, PeerWatch, RequestTrace, Stream,
     UpstreamRequest,
 };
-use shaletide_routing::{Answers, Errors, LastResponse, Verdict};
+use shaletide_routing::{ErrorResponses, LastResponse, ResponseClass, ResponseRules};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -38,9 +38,9 @@
     /// The header that tells a backend how long the proxy waits, in seconds.
     pub time_left: HeaderName,
     /// How the request's route judges responses.
-    pub answers: Rc<Answers>,
+    pub answers: Rc<ResponseRules>,
     /// The responses that may be passed on, by attempt.
-    pub got: RefCell<Vec<(AttemptNumber, Verdict, BackendResponse)>>,
+    pub got: RefCell<Vec<(AttemptNumber, ResponseClass, BackendResponse)>>,
 }
 
 /// A backend's complete response.
@@ -61,7 +61,7 @@
         let at = all.iter().position(|(no, ..)| *no == attempt)?;
         let (_, verdict, got) = all.swap_remove(at);
         Some((
-            LastResponse { status: got.status.as_u16(), not_executed: verdict == Verdict::NotExecuted },
+            LastResponse { status: got.status.as_u16(), not_executed: verdict == ResponseClass::NotExecuted },
             got,
         ))
     }
@@ -84,9 +84,12 @@
             match exchange(&spec.stream, request, (spec.stall, spec.max_body)).await {
                 Ok(Answered { got, keep, excess }) => {
                     let header = |name: &str| said_once(&got.headers, name);
-                    let verdict = self.answers.judge(got.status.as_u16(), header);
-                    let report = self.answers.report.as_deref().and_then(header).map(LoadReport::parse);
-                    if verdict == Verdict::Served || self.answers.errors == Errors::AsTheyAre {
+                    let verdict = self.answers.classify(got.status.as_u16(), header);
+                    let report =
+                        self.answers.load_report_header.as_deref().and_then(header).map(LoadReport::parse);
+                    if verdict == ResponseClass::Served
+                        || self.answers.error_responses == ErrorResponses::Forward
+                    {
                         self.got.borrow_mut().push((spec.attempt, verdict, got));
                     }
                     ExchangeOutcome::Answered { verdict, keep, excess, report }
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -25,7 +25,7 @@
             client: None,
             trace: None,
             time_left: HeaderName::from_static("x-time-left"),
-            answers: Rc::new(Answers::plain()),
+            answers: Rc::new(ResponseRules::plain()),
             got: RefCell::default(),
         });
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
@@ -35,7 +35,7 @@
         assert!(stream.request_written());
         match stall {
             None => {
-                assert!(matches!(outcome, ExchangeOutcome::Answered { verdict: Verdict::Served, .. }));
+                assert!(matches!(outcome, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }));
                 assert_eq!(&call.take(attempt).unwrap().1.body[..], b"cash");
                 assert!(call.take(attempt).is_none());
             }
@@ -58,7 +58,7 @@
         client: None,
         trace: None,
         time_left: HeaderName::from_static("x-time-left"),
-        answers: Rc::new(Answers::plain()),
+        answers: Rc::new(ResponseRules::plain()),
         got: RefCell::default(),
     }
 }
@@ -190,7 +190,10 @@
         peer
     });
     let outcome = call("cash").run(spec(&stream, to, stall)).await;
-    assert!(matches!(outcome, ExchangeOutcome::Answered { verdict: Verdict::Served, .. }), "{outcome:?}");
+    assert!(
+        matches!(outcome, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }),
+        "{outcome:?}"
+    );
     drop(backend.join().unwrap());
 }
 
@@ -198,13 +201,13 @@
 #[tokio::test]
 async fn contradicting_unprocessed_headers_are_ignored() {
     for (said, verdict) in [
-        ("X-Unprocessed: 1\r\n", Verdict::NotExecuted),
-        ("X-Unprocessed: 1\r\nX-Unprocessed: 1\r\n", Verdict::NotExecuted),
-        ("X-Unprocessed: 1\r\nx-unprocessed: 0\r\n", Verdict::Error),
-        ("X-Unprocessed: 0\r\nX-Unprocessed: 1\r\n", Verdict::Error),
-        ("X-Unprocessed: 0\r\n", Verdict::Error),
-        ("X-Unprocessed: \r\n", Verdict::Error),
-        ("", Verdict::Error),
+        ("X-Unprocessed: 1\r\n", ResponseClass::NotExecuted),
+        ("X-Unprocessed: 1\r\nX-Unprocessed: 1\r\n", ResponseClass::NotExecuted),
+        ("X-Unprocessed: 1\r\nx-unprocessed: 0\r\n", ResponseClass::Error),
+        ("X-Unprocessed: 0\r\nX-Unprocessed: 1\r\n", ResponseClass::Error),
+        ("X-Unprocessed: 0\r\n", ResponseClass::Error),
+        ("X-Unprocessed: \r\n", ResponseClass::Error),
+        ("", ResponseClass::Error),
     ] {
         let (stream, to, mut peer) = connected().await;
         let backend = std::thread::spawn(move || {
@@ -212,7 +215,8 @@
             write!(peer, "HTTP/1.1 503 X\r\n{said}Content-Length: 0\r\n\r\n").unwrap();
             peer
         });
-        let asked = Rc::new(ForwardedRequest { answers: Rc::new(Answers::platform()), ..plain("cash") });
+        let asked =
+            Rc::new(ForwardedRequest { answers: Rc::new(ResponseRules::platform()), ..plain("cash") });
         let outcome = asked.run(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::Answered { verdict: v, .. } if v == verdict),
@@ -238,7 +242,7 @@
         peer.write_all(WHOLE).unwrap();
         String::from_utf8(head).unwrap()
     });
-    assert!(matches!(run.await, ExchangeOutcome::Answered { verdict: Verdict::Served, .. }));
+    assert!(matches!(run.await, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }));
     let head = served.join().unwrap().to_ascii_lowercase();
     let told = head.split("x-time-left: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
     assert!(told.parse::<f64>().unwrap() <= 19.7, "{told}");
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -8,7 +8,7 @@
 use crate::shell::{Doing, Pending};
 use crate::world::{World, TICK};
 use shaletide_engine::monitor::{LineStep, Permit, Watched, Where};
-use shaletide_engine::{ConnectionState, Phase, Policy, Request, Step};
+use shaletide_engine::{AttemptState, ConnectionState, Policy, Request, RequestState};
 use shaletide_types::*;
 use std::hash::Hasher;
 
@@ -26,7 +26,7 @@
 }
 
 impl Canon {
-    /// For states of that world. `end_counts`: a planted bug reads when attempts ended.
+    /// For states of that world. `end_counts`: a mutant bug reads when attempts ended.
     pub fn new(world: &World, end_counts: bool) -> Canon {
         let (best, now, parts, cells, seen) = Default::default();
         Canon { alike: world.alike(), best, now, parts, cells, seen, end_counts }
@@ -103,47 +103,48 @@
             let now = node.engine.heard().any(|(b, at)| b == backend && at == node.now);
             out.push(u8::from(now));
         }
-        for conn in node.engine.idle_of(backend) {
+        for connection in node.engine.idle_of(backend) {
             out.push(254);
-            self.line(world, node, conn, boxes, out);
+            self.line(world, node, connection, boxes, out);
         }
         out.push(255);
     }
 
     /// What is known of a connection on all three sides.
     fn line<P: Policy>(
-        &mut self, world: &World, node: &Node<P>, conn: ConnectionId, boxes: &[u8], out: &mut Vec<u8>,
+        &mut self, world: &World, node: &Node<P>, connection: ConnectionId, boxes: &[u8], out: &mut Vec<u8>,
     ) {
-        self.seen.push(conn);
-        let known = node.engine.connections().find(|c| c.0 == conn);
+        self.seen.push(connection);
+        let known = node.engine.connections().find(|c| c.0 == connection);
         let engine = match known.map(|c| c.2) {
             None => 0,
-            Some(ConnectionState::Opening(None)) => 1,
-            Some(ConnectionState::Opening(Some(_))) => 2,
+            Some(ConnectionState::Connecting(None)) => 1,
+            Some(ConnectionState::Connecting(Some(_))) => 2,
             Some(ConnectionState::Busy(..)) => 3,
             Some(ConnectionState::Idle(since, used)) => {
                 // Too old to be used, or quiet: what is older is no different.
-                let age = age(since, node.now, world.keeping.idle);
+                let age = age(since, node.now, world.keeping.idle_timeout);
                 4 + u8::from(used) + 2 * age
             }
         };
-        let doing = node.shell.lines.iter().find(|l| l.0 == conn).map(|l| l.1);
+        let doing = node.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1);
         let shell = match doing {
             None => 0,
             Some(Doing::Opening) => 1,
             Some(Doing::Idle) => 2,
             Some(Doing::Busy { written, closing, .. }) => 3 + u8::from(written) + 2 * u8::from(closing),
         };
-        let line = node.monitor.record().lines.get(&conn);
+        let line = node.monitor.record().lines.get(&connection);
         let monitor = match line.map(|l| l.step) {
             None => 0,
             Some(LineStep::Opening) => 1,
             Some(LineStep::Unclean) => 2,
             Some(LineStep::Busy { written, closing, .. }) => 3 + u8::from(written) + 2 * u8::from(closing),
             Some(LineStep::Up(None)) => 7,
-            Some(LineStep::Up(Some(since))) => 8 + age(since, node.now, world.keeping.quiet),
+            Some(LineStep::Up(Some(since))) => 8 + age(since, node.now, world.keeping.reuse_delay),
         };
-        let old = u8::from(line.is_some_and(|l| l.old)) | u8::from(node.engine.leads_elsewhere(conn)) << 1;
+        let old = u8::from(line.is_some_and(|l| l.old))
+            | u8::from(node.engine.is_address_outdated(connection)) << 1;
         let to = match known {
             None => 15,
             Some((_, _, ConnectionState::Busy(..))) if !world.reuses() => 14,
@@ -166,14 +167,14 @@
         match r {
             None => out.push(255),
             Some(r) => {
-                let phase = match r.phase {
-                    Phase::Open => 0,
-                    Phase::GivenUp(_) => 1,
-                    Phase::TimedOut => 2,
-                    Phase::Over => 3,
+                let phase = match r.state {
+                    RequestState::Open => 0,
+                    RequestState::GivenUp(_) => 1,
+                    RequestState::TimedOut => 2,
+                    RequestState::Finished => 3,
                 };
                 // Once it is over nothing asks for its deadline.
-                let left = if r.phase == Phase::Over { 0 } else { span(r.deadline, node.now) };
+                let left = if r.state == RequestState::Finished { 0 } else { span(r.deadline, node.now) };
                 out.extend([phase, left]);
             }
         }
@@ -192,15 +193,16 @@
         if is_over(r, w) {
             return; // nothing asks for it any more
         }
-        let effect = r.map(|r| r.effect).or(w.map(|w| w.effect));
-        let sends = r.is_none_or(|r| r.phase == Phase::Open) || world.one_realm;
-        let ran = r.into_iter().flat_map(|r| &r.tries).filter(|t| !t.out() && t.may_have_run());
+        let effect = r.map(|r| r.idempotency).or(w.map(|w| w.effect));
+        let sends = r.is_none_or(|r| r.state == RequestState::Open) || world.one_realm;
+        let ran = r.into_iter().flat_map(|r| &r.attempts).filter(|t| !t.out() && t.may_have_run());
         let mut cells = 0u64;
         match effect {
             Some(Idempotency::Keyed(_, window)) if sends => {
                 let mut oldest = None;
                 for t in ran {
-                    let from = if self.end_counts { t.ended.max(t.asked) } else { t.asked };
+                    let from =
+                        if self.end_counts { t.ended_at.max(t.dispatched_at) } else { t.dispatched_at };
                     oldest = oldest.max(Some(age(from, node.now, window)));
                     cells |= 1 << (self.cell(t.group.realm, t.group.cell) & 15);
                 }
@@ -232,7 +234,7 @@
         &mut self, world: &World, node: &Node<P>, id: RequestId, boxes: &[u8], out: &mut Vec<u8>,
     ) {
         let (r, w) = (node.engine.requests().get(&id), node.monitor.record().requests.get(&id));
-        let known = r.map_or(0, |r| r.tries.len());
+        let known = r.map_or(0, |r| r.attempts.len());
         let others = w.into_iter().flat_map(|w| w.sent.keys().chain(w.permits.keys()));
         let pending = node.shell.permits.iter().filter(|p| p.request == id).map(|p| p.attempt);
         let most = others.copied().chain(pending).map(|a| a.0 as usize + 1).max().unwrap_or(0);
@@ -265,7 +267,7 @@
         &mut self, world: &World, node: &Node<P>, id: RequestId, no: usize, boxes: &[u8], out: &mut Vec<u8>,
     ) -> bool {
         let attempt = AttemptNumber(no as u32);
-        let t = node.engine.requests().get(&id).and_then(|r| r.tries.get(no)).filter(|t| t.out());
+        let t = node.engine.requests().get(&id).and_then(|r| r.attempts.get(no)).filter(|t| t.out());
         let w = node.monitor.record().requests.get(&id);
         let sent = w.and_then(|w| w.sent.get(&attempt)).filter(|s| s.on.is_some());
         let permit = w.and_then(|w| w.permits.get(&attempt));
@@ -276,7 +278,8 @@
         }
         // Where nothing more is sent nobody asks how old an attempt is, nor where it is; but a refusal may.
         let known = node.engine.requests().get(&id);
-        let sends = known.is_some_and(|r| r.phase == Phase::Open) || world.one_realm && !is_over(known, w);
+        let sends =
+            known.is_some_and(|r| r.state == RequestState::Open) || world.one_realm && !is_over(known, w);
         let window = w.filter(|_| sends).and_then(|w| match w.effect {
             Idempotency::Keyed(_, window) => Some(window),
             Idempotency::Safe | Idempotency::NonIdempotent => None,
@@ -285,34 +288,34 @@
         match t {
             None => out.push(255),
             Some(t) => {
-                let step = match t.step {
-                    Step::Permit => 0,
-                    Step::Opening(_) => 1,
-                    Step::Writing(_) => 2,
-                    Step::Written(_) => 3,
-                    Step::Stopping(..) => 4,
-                    Step::Ended(_) => 5,
+                let step = match t.state {
+                    AttemptState::AwaitingIntent => 0,
+                    AttemptState::Connecting(_) => 1,
+                    AttemptState::Writing(_) => 2,
+                    AttemptState::Written(_) => 3,
+                    AttemptState::Cancelling(..) => 4,
+                    AttemptState::Ended(_) => 5,
                 };
-                let stopping = matches!(t.step, Step::Stopping(..));
-                let whole = matches!(t.step, Step::Written(_)) || stopping;
+                let stopping = matches!(t.state, AttemptState::Cancelling(..));
+                let whole = matches!(t.state, AttemptState::Written(_)) || stopping;
                 // Of what is written whole the box is asked only to use its connection again.
                 let to = if whole && !world.reuses() { 14 } else { place_of(boxes, t.backend) };
                 let heard = world.reuses()
                     && !stopping
-                    && node.engine.heard().any(|(b, at)| b == t.backend && at >= t.asked);
+                    && node.engine.heard().any(|(b, at)| b == t.backend && at >= t.dispatched_at);
                 let by = t.send_by.map_or(255, |by| span(by, node.now));
                 // Only what has not begun is asked for its first byte.
                 let by = if whole { 255 } else { by };
                 // What has not begun goes only where it was asked for.
                 let listed = node.engine.listed(t.backend).map(|(_, group, _)| group);
                 let moved = !whole && listed != Some(t.group);
-                let flags = u8::from(heard) | u8::from(t.permitted) << 1 | u8::from(moved) << 2;
-                out.extend([step, to, since(t.asked), flags, by]);
+                let flags = u8::from(heard) | u8::from(t.intent_requested) << 1 | u8::from(moved) << 2;
+                out.extend([step, to, since(t.dispatched_at), flags, by]);
                 if window.is_some() {
                     out.push(self.cell(t.group.realm, t.group.cell));
                 }
-                if let Some(conn) = t.conn() {
-                    self.line(world, node, conn, boxes, out);
+                if let Some(connection) = t.connection() {
+                    self.line(world, node, connection, boxes, out);
                 }
             }
         }
@@ -323,8 +326,8 @@
                 if window.is_some() {
                     out.push(self.place(s.place));
                 }
-                if let Some(conn) = s.on.filter(|c| t.and_then(|t| t.conn()) != Some(*c)) {
-                    self.line(world, node, conn, boxes, out);
+                if let Some(connection) = s.on.filter(|c| t.and_then(|t| t.connection()) != Some(*c)) {
+                    self.line(world, node, connection, boxes, out);
                 }
             }
         }
@@ -344,12 +347,12 @@
         let engine = node.engine.connections().map(|c| c.0);
         let shell = node.shell.lines.iter().map(|l| l.0);
         let monitor = node.monitor.record().lines.keys().copied();
-        for conn in engine.chain(shell).chain(monitor) {
-            if self.seen.contains(&conn) {
+        for connection in engine.chain(shell).chain(monitor) {
+            if self.seen.contains(&connection) {
                 continue;
             }
             scratch.clear();
-            self.line(world, node, conn, boxes, &mut scratch);
+            self.line(world, node, connection, boxes, &mut scratch);
             rest.push([scratch[0], scratch[1], scratch[2], scratch[3]]);
         }
         rest.sort_unstable();
@@ -360,7 +363,7 @@
 
 /// Nothing is owed any more, on either side.
 fn is_over(r: Option<&Request>, w: Option<&Watched>) -> bool {
-    r.is_none_or(|r| r.phase == Phase::Over) && w.is_none_or(|w| !w.open)
+    r.is_none_or(|r| r.state == RequestState::Finished) && w.is_none_or(|w| !w.open)
 }
 
 fn place_of(boxes: &[u8], backend: BackendId) -> u8 {
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -2,7 +2,7 @@
 
 use crate::moves::Move;
 use crate::node::{Chooser, Node};
-use shaletide_engine::{ConnectionState, Phase, Step};
+use shaletide_engine::{AttemptState, ConnectionState, RequestState};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -182,8 +182,8 @@
             }
             _ => {
                 if let Some((what, place)) = on_line(step) {
-                    let conn = before.shell.lines[usize::from(place)].0;
-                    let (request, attempt, at) = holder(before, conn);
+                    let connection = before.shell.lines[usize::from(place)].0;
+                    let (request, attempt, at) = holder(before, connection);
                     add(what, request, attempt, at);
                 }
             }
@@ -209,13 +209,13 @@
 }
 
 fn holder(
-    node: &Node<Chooser>, conn: ConnectionId,
+    node: &Node<Chooser>, connection: ConnectionId,
 ) -> (Option<RequestId>, Option<AttemptNumber>, Option<At>) {
-    match node.engine.connections().find(|c| c.0 == conn).map(|c| c.2) {
-        Some(ConnectionState::Opening(Some((r, no))) | ConnectionState::Busy(r, no)) => {
+    match node.engine.connections().find(|c| c.0 == connection).map(|c| c.2) {
+        Some(ConnectionState::Connecting(Some((r, no))) | ConnectionState::Busy(r, no)) => {
             (Some(r), Some(no), None)
         }
-        Some(ConnectionState::Opening(None)) => (None, None, Some(At::Nobody)),
+        Some(ConnectionState::Connecting(None)) => (None, None, Some(At::Nobody)),
         Some(ConnectionState::Idle(..)) => (None, None, Some(At::Idle)),
         None => (None, None, None),
     }
@@ -224,7 +224,7 @@
 fn at_box(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNumber)> + '_ {
     let backend = BackendId(u32::from(at));
     node.engine.requests().iter().flat_map(move |(id, r)| {
-        let here = r.tries.iter().enumerate().filter(move |(_, t)| t.backend == backend && t.out());
+        let here = r.attempts.iter().enumerate().filter(move |(_, t)| t.backend == backend && t.out());
         here.map(|(no, _)| (*id, AttemptNumber(no as u32)))
     })
 }
@@ -233,22 +233,22 @@
     node: &Node<Chooser>, request: Option<RequestId>, attempt: Option<AttemptNumber>, at: Option<At>,
 ) -> Situation {
     let known = request.and_then(|id| node.engine.requests().get(&id));
-    let owed = match known.map(|r| r.phase) {
+    let owed = match known.map(|r| r.state) {
         None => Owed::Unknown,
-        Some(Phase::Open) => Owed::Open,
-        Some(Phase::GivenUp(_)) => Owed::GivenUp,
-        Some(Phase::TimedOut) => Owed::TimedOut,
-        Some(Phase::Over) => Owed::Over,
+        Some(RequestState::Open) => Owed::Open,
+        Some(RequestState::GivenUp(_)) => Owed::GivenUp,
+        Some(RequestState::TimedOut) => Owed::TimedOut,
+        Some(RequestState::Finished) => Owed::Over,
     };
-    let step = attempt.and_then(|no| known?.tries.get(no.0 as usize)).map(|t| t.step);
+    let step = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
     let step = match step {
         None => At::None,
-        Some(Step::Permit) => At::Permit,
-        Some(Step::Opening(_)) => At::Opening,
-        Some(Step::Writing(_)) => At::Writing,
-        Some(Step::Written(_)) => At::Written,
-        Some(Step::Stopping(..)) => At::Stopping,
-        Some(Step::Ended(_)) => At::Ended,
+        Some(AttemptState::AwaitingIntent) => At::Permit,
+        Some(AttemptState::Connecting(_)) => At::Opening,
+        Some(AttemptState::Writing(_)) => At::Writing,
+        Some(AttemptState::Written(_)) => At::Written,
+        Some(AttemptState::Cancelling(..)) => At::Stopping,
+        Some(AttemptState::Ended(_)) => At::Ended,
     };
     (owed, at.unwrap_or(step))
 }
--- a/crates/model-checker/src/moves.rs
+++ b/crates/model-checker/src/moves.rs
@@ -3,7 +3,7 @@
 use crate::node::Node;
 use crate::shell::Doing;
 use crate::world::World;
-use shaletide_engine::{Phase, Policy, Step};
+use shaletide_engine::{AttemptState, Policy, RequestState};
 use shaletide_types::*;
 
 /// How an answer leaves its connection.
@@ -112,7 +112,7 @@
     }
     let mut out_all = 0;
     for r in node.engine.requests().values() {
-        out_all += r.tries.iter().filter(|t| t.out()).count();
+        out_all += r.attempts.iter().filter(|t| t.out()).count();
     }
     if world.traffic.alike {
         let known =
@@ -124,12 +124,12 @@
     }
     for (id, r) in node.engine.requests() {
         let id = id.0 as u8;
-        let open = r.phase == Phase::Open;
+        let open = r.state == RequestState::Open;
         if !open && !world.traffic.alike {
             continue;
         }
         let late = node.shell.permits.iter().filter(|p| p.request.0 as u8 == id && p.withdrawn).count();
-        let out_here = r.tries.iter().filter(|t| t.out()).count() + late.saturating_sub(1);
+        let out_here = r.attempts.iter().filter(|t| t.out()).count() + late.saturating_sub(1);
         if out_here < world.out_each && out_all < world.out_all {
             for to in 0..world.boxes.len() as u8 {
                 out.push(Move::Dispatch(id, to));
@@ -145,8 +145,8 @@
         if open || world.traffic.alike {
             out.push(Move::Refuse(id));
         }
-        for (no, t) in r.tries.iter().enumerate() {
-            let out_still = t.out() && !matches!(t.step, Step::Stopping(..));
+        for (no, t) in r.attempts.iter().enumerate() {
+            let out_still = t.out() && !matches!(t.state, AttemptState::Cancelling(..));
             if out_still || world.traffic.alike {
                 out.push(Move::Cancel(id, no as u8));
             }
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -5,8 +5,8 @@
 use crate::world::{World, TICK};
 use shaletide_balancer::Arrival;
 use shaletide_engine::monitor::{Monitor, Rule, Verdict, Violation};
-use shaletide_engine::{Action, ConnectionState, Engine, Event, Order, Policy};
-use shaletide_routing::{pools, Verdict as Meaning};
+use shaletide_engine::{Action, ConnectionState, Engine, Event, Policy, RequestSpec};
+use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::rc::Rc;
 
@@ -94,7 +94,7 @@
     /// # Errors
     /// The one that is broken.
     pub fn check(&self) -> Verdict {
-        if !self.engine.is_settled() {
+        if !self.engine.has_no_pending_events() {
             let text = "something waits inside the engine".to_string();
             return Err(Violation { rule: Rule::NothingKept, at: self.now, text });
         }
@@ -115,7 +115,7 @@
                 seen
             }
             Input::Ask(ask) => {
-                self.engine.ask(self.now, ask.clone(), &mut out);
+                self.engine.apply_policy_action(self.now, ask.clone(), &mut out);
                 Ok(())
             }
         };
@@ -130,13 +130,16 @@
     /// are not touched.
     fn sweep(&mut self) -> Verdict {
         let unwanted =
-            self.engine.connections().filter(|c| c.2 == ConnectionState::Opening(None)).map(|c| c.0);
+            self.engine.connections().filter(|c| c.2 == ConnectionState::Connecting(None)).map(|c| c.0);
         let unwanted: Vec<ConnectionId> = unwanted.collect();
-        for conn in unwanted {
-            self.put(Input::Event(Event::ConnectFailed { conn, blame: false }), &mut |_, _| {})?;
+        for connection in unwanted {
+            self.put(
+                Input::Event(Event::ConnectFailed { connection, backend_at_fault: false }),
+                &mut |_, _| {},
+            )?;
         }
-        while let Some((conn, _)) = self.shell.lines.iter().find(|l| l.1 == Doing::Idle) {
-            let unfit = Event::Unfit { conn: *conn };
+        while let Some((connection, _)) = self.shell.lines.iter().find(|l| l.1 == Doing::Idle) {
+            let unfit = Event::ConnectionUnusable { connection: *connection };
             self.put(Input::Event(unfit), &mut |_, _| {})?;
         }
         let idle = self.engine.sweep_at().is_some_and(|at| at <= self.now);
@@ -150,39 +153,39 @@
     /// What the world knows of an event before the engine does.
     fn before(&mut self, event: &Event) {
         match event {
-            Event::Up { conn } => self.shell.set(*conn, Doing::Idle),
-            Event::Written { conn } => {
+            Event::Connected { connection } => self.shell.set(*connection, Doing::Idle),
+            Event::RequestWritten { connection } => {
                 if let Some((_, Doing::Busy { written, .. })) =
-                    self.shell.lines.iter_mut().find(|l| l.0 == *conn)
+                    self.shell.lines.iter_mut().find(|l| l.0 == *connection)
                 {
                     *written = true;
                 }
             }
-            Event::Answered { conn, .. } => match self.doing(*conn) {
-                Some(Doing::Busy { closing: true, .. }) => self.shell.drop_line(*conn),
-                _ => self.shell.set(*conn, Doing::Idle),
+            Event::ResponseReceived { connection, .. } => match self.doing(*connection) {
+                Some(Doing::Busy { closing: true, .. }) => self.shell.drop_line(*connection),
+                _ => self.shell.set(*connection, Doing::Idle),
             },
-            Event::ConnectFailed { conn, .. }
-            | Event::InvalidResponse { conn }
-            | Event::Ended { conn }
-            | Event::Unfit { conn }
-            | Event::Closed { conn, .. } => self.shell.drop_line(*conn),
+            Event::ConnectFailed { connection, .. }
+            | Event::InvalidResponse { connection }
+            | Event::ConnectionClosed { connection }
+            | Event::ConnectionUnusable { connection }
+            | Event::CloseCompleted { connection, .. } => self.shell.drop_line(*connection),
             _ => {}
         }
     }
 
-    fn doing(&self, conn: ConnectionId) -> Option<Doing> {
-        self.shell.lines.iter().find(|l| l.0 == conn).map(|l| l.1)
+    fn doing(&self, connection: ConnectionId) -> Option<Doing> {
+        self.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1)
     }
 
     fn whole(&self, pool: PoolId) -> Input {
         let backends = self.shell.rows(pool, None);
-        Input::Event(Event::Members { pool, update: EndpointUpdate::Snapshot, backends })
+        Input::Event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Snapshot, backends })
     }
 
     fn row(&self, id: u8) -> Input {
         let (pool, row) = (self.shell.boxes[usize::from(id)].pool, self.shell.row(usize::from(id)));
-        Input::Event(Event::Members { pool, update: EndpointUpdate::Delta, backends: vec![row] })
+        Input::Event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Delta, backends: vec![row] })
     }
 
     fn order(&self, world: &World, id: RequestId) -> Input {
@@ -197,8 +200,13 @@
             may_fail_over: false,
         };
         let route: Rc<[PoolId]> = (0..u32::from(world.pools())).map(PoolId).collect();
-        let order =
-            Order { arrival, effect: kind.effect, pools: route, permit: kind.permit, recorded: kind.permit };
+        let order = RequestSpec {
+            arrival,
+            idempotency: kind.effect,
+            pools: route,
+            requires_intent: kind.permit,
+            recorded: kind.permit,
+        };
         Input::Event(Event::Request(order))
     }
 
@@ -212,7 +220,7 @@
             }
             Move::Leave(id) => {
                 self.shell.left.leaves -= 1;
-                vec![Input::Event(Event::Left { request: request(id) })]
+                vec![Input::Event(Event::ClientDisconnected { request: request(id) })]
             }
             Move::Stop => {
                 self.shell.left.stops -= 1;
@@ -233,7 +241,7 @@
             Move::Permit(place, given) => {
                 let p = self.shell.permits.remove(usize::from(place));
                 let (request, attempt) = (p.request, p.attempt);
-                vec![Input::Event(Event::Permit { request, attempt, given })]
+                vec![Input::Event(Event::IntentPersisted { request, attempt, persisted: given })]
             }
             Move::Up(_)
             | Move::ConnectFailed(..)
@@ -249,7 +257,7 @@
 
     fn ask(&self, step: Move) -> pools::Action {
         let request = |id: u8| RequestId(u64::from(id));
-        let next = |id: u8| self.engine.requests().get(&request(id)).map_or(0, |r| r.tries.len() as u32);
+        let next = |id: u8| self.engine.requests().get(&request(id)).map_or(0, |r| r.attempts.len() as u32);
         let dispatch = |id: u8, to: u8, attempt: u32, send_by: Option<Time>| {
             let backend = BackendId(u32::from(to));
             pools::Action::Dispatch {
@@ -265,7 +273,7 @@
             Move::Dispatch(id, to) => dispatch(id, to, next(id), None),
             Move::DispatchNow(id, to) => dispatch(id, to, next(id), Some(self.now + TICK)),
             Move::Misnumber(id, to) => dispatch(id, to, next(id) + 1, None),
-            Move::Refuse(id) => pools::Action::Refuse { request: request(id), retry_after },
+            Move::Refuse(id) => pools::Action::Reject { request: request(id), retry_after },
             Move::Fail(id) => pools::Action::Fail { request: request(id), retry_after },
             Move::Cancel(id, no) => {
                 pools::Action::Cancel { request: request(id), attempt: AttemptNumber(u32::from(no)) }
@@ -275,23 +283,31 @@
     }
 
     fn on_line(&self, step: Move) -> Event {
-        let conn = |place: u8| self.shell.lines[usize::from(place)].0;
+        let connection = |place: u8| self.shell.lines[usize::from(place)].0;
         match step {
-            Move::Up(place) => Event::Up { conn: conn(place) },
-            Move::ConnectFailed(place, blame) => Event::ConnectFailed { conn: conn(place), blame },
-            Move::Written(place) => Event::Written { conn: conn(place) },
+            Move::Up(place) => Event::Connected { connection: connection(place) },
+            Move::ConnectFailed(place, blame) => {
+                Event::ConnectFailed { connection: connection(place), backend_at_fault: blame }
+            }
+            Move::Written(place) => Event::RequestWritten { connection: connection(place) },
             Move::Answered(place, verdict, after) => {
-                let verdict = [Meaning::Served, Meaning::NotExecuted, Meaning::Error][usize::from(verdict)];
+                let verdict = [ResponseClass::Served, ResponseClass::NotExecuted, ResponseClass::Error]
+                    [usize::from(verdict)];
                 let (keep, behind) = (after != After::Close, after == After::Behind);
-                Event::Answered { conn: conn(place), verdict, keep, behind }
+                Event::ResponseReceived {
+                    connection: connection(place),
+                    verdict,
+                    reusable: keep,
+                    has_excess_bytes: behind,
+                }
             }
-            Move::InvalidResponse(place) => Event::InvalidResponse { conn: conn(place) },
-            Move::Ended(place) => Event::Ended { conn: conn(place) },
-            Move::Unfit(place) => Event::Unfit { conn: conn(place) },
+            Move::InvalidResponse(place) => Event::InvalidResponse { connection: connection(place) },
+            Move::Ended(place) => Event::ConnectionClosed { connection: connection(place) },
+            Move::Unfit(place) => Event::ConnectionUnusable { connection: connection(place) },
             Move::Closed(place, written) => {
-                let conn = conn(place);
-                let gone = matches!(self.doing(conn), Some(Doing::Busy { written: true, .. }));
-                Event::Closed { conn, written: written || gone }
+                let connection = connection(place);
+                let gone = matches!(self.doing(connection), Some(Doing::Busy { written: true, .. }));
+                Event::CloseCompleted { connection, written: written || gone }
             }
             other => unreachable!("{other:?} is on no connection"),
         }
@@ -335,7 +351,7 @@
                 left.losses -= 1;
                 self.shell.lost = true;
                 let (pool, update) = (pool(of), EndpointUpdate::SubscriptionLost);
-                vec![Input::Event(Event::Members { pool, update, backends: Vec::new() })]
+                vec![Input::Event(Event::EndpointsUpdated { pool, update, backends: Vec::new() })]
             }
             Move::Readdress(id) => {
                 left.readdressed -= 1;
@@ -354,8 +370,8 @@
                 let row = BackendEntry { state: BackendState::Gone, ..self.shell.row(usize::from(id)) };
                 self.shell.boxes[usize::from(id)].pool = to;
                 let (update, backends) = (EndpointUpdate::Delta, vec![row]);
-                let gone = Event::Members { pool: from, update, backends };
-                let moved = Event::Moved { backend, from, to };
+                let gone = Event::EndpointsUpdated { pool: from, update, backends };
+                let moved = Event::BackendMoved { backend, from, to };
                 vec![Input::Event(moved), Input::Event(gone), self.row(id)]
             }
             Move::ClosePool(of) => {
