--- a/crates/model-checker/src/restarts.rs
+++ b/crates/model-checker/src/restarts.rs
@@ -10,10 +10,10 @@
 use crate::world::{ticks, World, TICK};
 use crate::worlds::base;
 use shaletide_balancer::Arrival;
-use shaletide_engine::{Action, Engine, Event, Final, Order, Phase, Step};
+use shaletide_engine::{Action, AttemptState, Engine, Event, FinalOutcome, RequestSpec, RequestState};
 use shaletide_record as record;
 use shaletide_record::{Claim, KeyId, KeyState, Recorder, Ticket, Verdict};
-use shaletide_routing::{pools, Verdict as Meaning};
+use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -39,7 +39,7 @@
     /// Ticks that pass; a request has two, its permit one.
     pub ticks: u8,
     /// A bug of the shell around it, for tests.
-    pub plant: Option<Careless>,
+    pub mutant: Option<Careless>,
 }
 
 impl Default for Restarts {
@@ -52,7 +52,7 @@
             failures: 1,
             resolves: 1,
             ticks: 2,
-            plant: None,
+            mutant: None,
         }
     }
 }
@@ -129,7 +129,7 @@
 #[derive(Clone, Debug)]
 struct Sent {
     run: u64,
-    conn: ConnectionId,
+    connection: ConnectionId,
     fate: Fate,
 }
 
@@ -236,7 +236,11 @@
 
     fn listed(&mut self, bounds: &Restarts) {
         let backends = self.shell.rows(PoolId(0), None);
-        self.events.push_back(Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends });
+        self.events.push_back(Event::EndpointsUpdated {
+            pool: PoolId(0),
+            update: EndpointUpdate::Snapshot,
+            backends,
+        });
         self.drain(bounds);
     }
 
@@ -251,7 +255,7 @@
         self.told.clear();
         self.down = false;
         self.asked = 0;
-        if bounds.plant == Some(Careless::FreesInFlight) {
+        if bounds.mutant == Some(Careless::FreesInFlight) {
             self.book.key = self.book.key.filter(|(state, ..)| *state != KeyState::InFlight);
         }
         let held = self.book.key.map(|(state, _, _, seq)| record::StoredKey {
@@ -260,7 +264,7 @@
             since: self.now,
             seq,
         });
-        let forgets = bounds.plant == Some(Careless::ForgetsInFlight);
+        let forgets = bounds.mutant == Some(Careless::ForgetsInFlight);
         let held = held.filter(|held| !(forgets && held.state == KeyState::InFlight));
         let mut out = Vec::new();
         self.recorder.restore(self.now, held.into_iter().collect(), &mut out);
@@ -283,22 +287,22 @@
                     self.told.push_back(vec![record::Event::WriteFailed { ticket, why }]);
                 }
                 record::Action::Write { ticket, write } => {
-                    if bounds.plant == Some(Careless::EarlyCommit) {
+                    if bounds.mutant == Some(Careless::EarlyCommit) {
                         self.told
                             .push_back(vec![record::Event::Committed { ticket, seq: self.book.seq + 1 }]);
                     }
                     self.queue.push_back((ticket, *write));
                 }
-                record::Action::Permit { .. } if bounds.plant == Some(Careless::IntentAfterSend) => {}
+                record::Action::Permit { .. } if bounds.mutant == Some(Careless::IntentAfterSend) => {}
                 record::Action::Permit { request, attempt, given } => {
-                    self.events.push_back(Event::Permit { request, attempt, given });
+                    self.events.push_back(Event::IntentPersisted { request, attempt, persisted: given });
                 }
                 record::Action::End { request, verdict } => {
                     let advice = match verdict {
                         Verdict::Refuse(advice) => advice,
                         _ => Micros(0),
                     };
-                    self.events.push_back(Event::GiveUp { request, advice });
+                    self.events.push_back(Event::GiveUp { request, retry_after: advice });
                 }
                 record::Action::Reply { .. } => {}
             }
@@ -317,50 +321,50 @@
     fn acted(&mut self, bounds: &Restarts, actions: Vec<Action>) {
         for action in actions {
             match &action {
-                Action::Send { conn, .. } => self.send(*conn),
+                Action::Send { connection, .. } => self.send(*connection),
                 Action::PersistIntent { request, attempt } => {
                     let (request, attempt, seen) = (*request, *attempt, record::Seen::default());
-                    if bounds.plant == Some(Careless::IntentAfterSend) {
-                        self.events.push_back(Event::Permit { request, attempt, given: true });
+                    if bounds.mutant == Some(Careless::IntentAfterSend) {
+                        self.events.push_back(Event::IntentPersisted { request, attempt, persisted: true });
                     }
                     self.record(bounds, record::Event::IntentRequested { request, attempt, seen });
                 }
-                Action::Withdraw { request, attempt } => {
+                Action::WithdrawIntent { request, attempt } => {
                     let (request, attempt) = (*request, *attempt);
                     self.record(bounds, record::Event::Withdrawn { request, attempt });
                 }
-                Action::Ended { request, attempt, outcome } => {
+                Action::AttemptEnded { request, attempt, outcome } => {
                     let (request, attempt, outcome) = (*request, *attempt, *outcome);
                     self.record(bounds, record::Event::AttemptEnded { request, attempt, outcome });
                 }
                 Action::Answer { request, answer, .. } => {
                     let ending = match answer {
-                        Final::Served(no) => record::Ending::Served(*no),
-                        Final::Refused(_) => record::Ending::Refused,
-                        Final::Failed => record::Ending::Failed,
-                        Final::TimedOut => record::Ending::TimedOut,
+                        FinalOutcome::Served(no) => record::Ending::Served(*no),
+                        FinalOutcome::Rejected(_) => record::Ending::Refused,
+                        FinalOutcome::Failed => record::Ending::Failed,
+                        FinalOutcome::TimedOut => record::Ending::TimedOut,
                     };
                     self.record(bounds, record::Event::Over { request: *request, ending });
                 }
                 _ => {}
             }
-            if !matches!(action, Action::PersistIntent { .. } | Action::Withdraw { .. }) {
+            if !matches!(action, Action::PersistIntent { .. } | Action::WithdrawIntent { .. }) {
                 self.shell.carry_out(&action);
             }
         }
     }
 
     /// The rule: nothing is sent while something else of the key may have run.
-    fn send(&mut self, conn: ConnectionId) {
+    fn send(&mut self, connection: ConnectionId) {
         if self.sent.iter().any(|s| s.fate != Fate::Never) {
             self.broken = Some("a key that may have run is sent again");
         }
-        self.sent.push(Sent { run: self.run, conn, fate: Fate::Maybe });
+        self.sent.push(Sent { run: self.run, connection, fate: Fate::Maybe });
     }
 
-    fn fate(&mut self, conn: ConnectionId, fate: Fate) {
+    fn fate(&mut self, connection: ConnectionId, fate: Fate) {
         let run = self.run;
-        if let Some(sent) = self.sent.iter_mut().find(|s| (s.run, s.conn) == (run, conn)) {
+        if let Some(sent) = self.sent.iter_mut().find(|s| (s.run, s.connection) == (run, connection)) {
             sent.fate = fate;
         }
     }
@@ -387,7 +391,13 @@
             may_fail_over: false,
         };
         let (pools, effect) = ([PoolId(0)].into(), Idempotency::NonIdempotent);
-        self.events.push_back(Event::Request(Order { arrival, effect, pools, permit: true, recorded: true }));
+        self.events.push_back(Event::Request(RequestSpec {
+            arrival,
+            idempotency: effect,
+            pools,
+            requires_intent: true,
+            recorded: true,
+        }));
     }
 
     fn commit(&mut self, bounds: &Restarts) {
@@ -401,7 +411,7 @@
                 break;
             }
         }
-        if bounds.plant != Some(Careless::EarlyCommit) {
+        if bounds.mutant != Some(Careless::EarlyCommit) {
             self.told.push_back(heard);
         }
     }
@@ -422,18 +432,18 @@
     }
 
     fn go(&mut self, bounds: &Restarts, world: &World, step: Happens) {
-        let conn = |node: &Node, place: u8| node.shell.lines[usize::from(place)].0;
+        let connection = |node: &Node, place: u8| node.shell.lines[usize::from(place)].0;
         let mut ask = None;
         match step {
             Happens::Ask => self.ask(bounds),
             Happens::Leave(request) => {
-                self.events.push_back(Event::Left { request });
+                self.events.push_back(Event::ClientDisconnected { request });
                 self.drain(bounds);
                 let ending = record::Ending::Left;
                 self.record(bounds, record::Event::Over { request, ending });
             }
             Happens::Dispatch(request, to) => {
-                let next = self.engine.requests().get(&request).map_or(0, |r| r.tries.len() as u32);
+                let next = self.engine.requests().get(&request).map_or(0, |r| r.attempts.len() as u32);
                 let (attempt, backend) = (AttemptNumber(next), BackendId(u32::from(to)));
                 ask = Some(pools::Action::Dispatch { request, attempt, backend, send_by: None });
             }
@@ -456,51 +466,57 @@
                 self.told.push_back(vec![record::Event::StoreUp]);
             }
             Happens::Up(place) => {
-                let conn = conn(self, place);
-                self.shell.set(conn, Doing::Idle);
-                self.events.push_back(Event::Up { conn });
+                let connection = connection(self, place);
+                self.shell.set(connection, Doing::Idle);
+                self.events.push_back(Event::Connected { connection });
             }
             Happens::ConnectFailed(place) => {
-                let conn = conn(self, place);
-                self.shell.drop_line(conn);
-                self.events.push_back(Event::ConnectFailed { conn, blame: true });
+                let connection = connection(self, place);
+                self.shell.drop_line(connection);
+                self.events.push_back(Event::ConnectFailed { connection, backend_at_fault: true });
             }
             Happens::Written(place) => {
-                let conn = conn(self, place);
+                let connection = connection(self, place);
                 if let Some((_, Doing::Busy { written, .. })) = self.shell.lines.get_mut(usize::from(place)) {
                     *written = true;
                 }
-                self.events.push_back(Event::Written { conn });
+                self.events.push_back(Event::RequestWritten { connection });
             }
             Happens::Answered(place, verdict) => {
-                let conn = conn(self, place);
-                self.fate(conn, [Fate::Ran, Fate::Never, Fate::Maybe][usize::from(verdict)]);
-                self.shell.drop_line(conn);
-                let verdict = [Meaning::Served, Meaning::NotExecuted, Meaning::Error][usize::from(verdict)];
-                self.events.push_back(Event::Answered { conn, verdict, keep: false, behind: false });
+                let connection = connection(self, place);
+                self.fate(connection, [Fate::Ran, Fate::Never, Fate::Maybe][usize::from(verdict)]);
+                self.shell.drop_line(connection);
+                let verdict = [ResponseClass::Served, ResponseClass::NotExecuted, ResponseClass::Error]
+                    [usize::from(verdict)];
+                self.events.push_back(Event::ResponseReceived {
+                    connection,
+                    verdict,
+                    reusable: false,
+                    has_excess_bytes: false,
+                });
             }
             Happens::Ended(place) => {
-                let (conn, doing) = self.shell.lines[usize::from(place)];
+                let (connection, doing) = self.shell.lines[usize::from(place)];
                 if matches!(doing, Doing::Busy { written: false, .. }) {
-                    self.fate(conn, Fate::Never);
+                    self.fate(connection, Fate::Never);
                 }
-                self.shell.drop_line(conn);
-                self.events.push_back(Event::Ended { conn });
+                self.shell.drop_line(connection);
+                self.events.push_back(Event::ConnectionClosed { connection });
             }
             Happens::Unfit(place) => {
-                let conn = conn(self, place);
-                self.fate(conn, Fate::Never);
-                self.shell.drop_line(conn);
-                self.events.push_back(Event::Unfit { conn });
+                let connection = connection(self, place);
+                self.fate(connection, Fate::Never);
+                self.shell.drop_line(connection);
+                self.events.push_back(Event::ConnectionUnusable { connection });
             }
             Happens::Closed(place, written) => {
-                let (conn, doing) = self.shell.lines[usize::from(place)];
+                let (connection, doing) = self.shell.lines[usize::from(place)];
                 let written = written || matches!(doing, Doing::Busy { written: true, .. });
                 if !written {
-                    self.fate(conn, Fate::Never);
+                    self.fate(connection, Fate::Never);
                 }
-                self.shell.drop_line(conn);
-                self.events.push_back(Event::Closed { conn, written });
+                self.shell.drop_line(connection);
+                self.events.push_back(Event::CloseCompleted { connection, written });
             }
             Happens::Resolve(ran) => {
                 self.left.resolves -= 1;
@@ -521,14 +537,14 @@
         }
         if let Some(ask) = ask {
             let mut out = Vec::new();
-            self.engine.ask(self.now, ask, &mut out);
+            self.engine.apply_policy_action(self.now, ask, &mut out);
             self.acted(bounds, out);
         }
         self.drain(bounds);
         // Connections are used once.
-        while let Some((conn, _)) = self.shell.lines.iter().find(|l| l.1 == Doing::Idle).copied() {
-            self.shell.drop_line(conn);
-            self.events.push_back(Event::Unfit { conn });
+        while let Some((connection, _)) = self.shell.lines.iter().find(|l| l.1 == Doing::Idle).copied() {
+            self.shell.drop_line(connection);
+            self.events.push_back(Event::ConnectionUnusable { connection });
             self.drain(bounds);
         }
     }
@@ -539,15 +555,16 @@
             out.push(Happens::Ask);
         }
         for (id, r) in self.engine.requests() {
-            if r.phase != Phase::Open {
+            if r.state != RequestState::Open {
                 continue;
             }
             out.extend([Happens::Leave(*id), Happens::Fail(*id)]);
-            if r.tries.len() < usize::from(bounds.attempts) && !r.out() {
+            if r.attempts.len() < usize::from(bounds.attempts) && !r.out() {
                 out.extend((0..bounds.boxes).map(|to| Happens::Dispatch(*id, to)));
             }
-            let out_still = r.tries.iter().enumerate();
-            let out_still = out_still.filter(|(_, t)| t.out() && !matches!(t.step, Step::Stopping(..)));
+            let out_still = r.attempts.iter().enumerate();
+            let out_still =
+                out_still.filter(|(_, t)| t.out() && !matches!(t.state, AttemptState::Cancelling(..)));
             out.extend(out_still.map(|(no, _)| Happens::Cancel(*id, AttemptNumber(no as u32))));
         }
         if !self.queue.is_empty() && !self.down {
@@ -613,7 +630,7 @@
     /// What must hold when nothing is under way: a key that never ran is free, unless a kill came between.
     fn at_rest(&self, bounds: &Restarts) -> Option<&'static str> {
         let idle = self.engine.requests().is_empty() && self.queue.is_empty() && self.told.is_empty();
-        if !idle || self.down || bounds.plant.is_some() {
+        if !idle || self.down || bounds.mutant.is_some() {
             return None;
         }
         let killed = self.run > 1;
@@ -662,7 +679,7 @@
 
     /// Sent in this run, on a connection that is still there.
     fn is_live(&self, sent: &Sent) -> bool {
-        sent.run == self.run && self.shell.lines.iter().any(|l| l.0 == sent.conn)
+        sent.run == self.run && self.shell.lines.iter().any(|l| l.0 == sent.connection)
     }
 
     fn dead(&self, fate: Fate) -> bool {
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -115,36 +115,39 @@
         self.lines.iter().any(|(_, d)| matches!(d, Doing::Busy { closing: true, .. }))
     }
 
-    pub(crate) fn set(&mut self, conn: ConnectionId, doing: Doing) {
-        if let Some(line) = self.lines.iter_mut().find(|l| l.0 == conn) {
+    pub(crate) fn set(&mut self, connection: ConnectionId, doing: Doing) {
+        if let Some(line) = self.lines.iter_mut().find(|l| l.0 == connection) {
             line.1 = doing;
         }
     }
 
-    pub(crate) fn drop_line(&mut self, conn: ConnectionId) {
-        self.lines.retain(|l| l.0 != conn);
+    pub(crate) fn drop_line(&mut self, connection: ConnectionId) {
+        self.lines.retain(|l| l.0 != connection);
     }
 
     /// Carries out what the engine asks.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Open { conn, .. } => self.lines.push((*conn, Doing::Opening)),
-            Action::Send { conn, request, attempt, .. } => {
+            Action::Connect { connection, .. } => self.lines.push((*connection, Doing::Opening)),
+            Action::Send { connection, request, attempt, .. } => {
                 let (request, attempt) = (*request, *attempt);
-                self.set(*conn, Doing::Busy { request, attempt, written: false, closing: false });
+                self.set(*connection, Doing::Busy { request, attempt, written: false, closing: false });
             }
-            Action::Close { conn } => match self.lines.iter_mut().find(|l| l.0 == *conn) {
+            Action::Close { connection } => match self.lines.iter_mut().find(|l| l.0 == *connection) {
                 Some((_, Doing::Busy { closing, .. })) => *closing = true,
-                _ => self.drop_line(*conn),
+                _ => self.drop_line(*connection),
             },
             Action::PersistIntent { request, attempt } => {
                 self.permits.push(Pending { request: *request, attempt: *attempt, withdrawn: false });
             }
-            Action::Withdraw { request, attempt } => {
+            Action::WithdrawIntent { request, attempt } => {
                 let is = |p: &&mut Pending| (p.request, p.attempt) == (*request, *attempt);
                 self.permits.iter_mut().filter(is).for_each(|p| p.withdrawn = true);
             }
-            Action::Answer { .. } | Action::Ended { .. } | Action::Follow { .. } | Action::Log { .. } => {}
+            Action::Answer { .. }
+            | Action::AttemptEnded { .. }
+            | Action::Subscribe { .. }
+            | Action::Log { .. } => {}
         }
     }
 }
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -4,8 +4,8 @@
 use crate::node::{Input, Node};
 use crate::search::{Counterexample, Start};
 use crate::world::{World, TICK};
-use shaletide_engine::{Action, Event, Final};
-use shaletide_routing::{pools, Verdict};
+use shaletide_engine::{Action, Event, FinalOutcome};
+use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::fmt::Write;
 
@@ -50,7 +50,7 @@
             let by = send_by.map_or("", |_| ", its first byte in this millisecond");
             format!("attempt {} of request {} at box {}{by}", attempt.0, request.0, backend.0)
         }
-        pools::Action::Refuse { request, .. } => format!("refuse request {}", request.0),
+        pools::Action::Reject { request, .. } => format!("refuse request {}", request.0),
         pools::Action::Fail { request, .. } => format!("give request {} up", request.0),
         pools::Action::Cancel { request, attempt } => {
             format!("call back attempt {} of request {}", attempt.0, request.0)
@@ -60,19 +60,19 @@
 }
 
 fn told<P: shaletide_engine::Policy>(event: &Event, node: &Node<P>) -> String {
-    let to = |conn: &ConnectionId| {
-        let line = node.engine.connections().find(|c| c.0 == *conn);
+    let to = |connection: &ConnectionId| {
+        let line = node.engine.connections().find(|c| c.0 == *connection);
         line.map_or("a box".to_string(), |c| format!("box {}", c.1 .0))
     };
     match event {
-        Event::Members { pool, update, backends } => {
+        Event::EndpointsUpdated { pool, update, backends } => {
             let rows: Vec<String> = backends
                 .iter()
                 .map(|b| format!("box {} {:?} in cell {}", b.id.0, b.state, b.deduplication_group.0))
                 .collect();
             format!("list of pool {}: {update:?} [{}]", pool.0, rows.join(", "))
         }
-        Event::Moved { backend, from, to } => {
+        Event::BackendMoved { backend, from, to } => {
             format!("list: box {} goes from pool {} to pool {}", backend.0, from.0, to.0)
         }
         Event::AddressChanged { backend } => format!("list: box {} listens at another address", backend.0),
@@ -80,43 +80,49 @@
         Event::Request(order) => format!(
             "client: request {} comes, {:?}, with {} ms left",
             order.arrival.request.0,
-            order.effect,
+            order.idempotency,
             order.arrival.time_left.0 / TICK.0
         ),
-        Event::Left { request } => format!("client: leaves request {}", request.0),
+        Event::ClientDisconnected { request } => format!("client: leaves request {}", request.0),
         Event::GiveUp { request, .. } => format!("store: request {} is to be given up", request.0),
-        Event::Permit { request, attempt, given } => {
+        Event::IntentPersisted { request, attempt, persisted: given } => {
             let word = if *given { "gives" } else { "refuses" };
             format!("store: {word} the permit for attempt {} of request {}", attempt.0, request.0)
         }
-        Event::Up { conn } => format!("{}: connection {} is up", to(conn), conn.0),
-        Event::ConnectFailed { conn, blame } => {
+        Event::Connected { connection } => format!("{}: connection {} is up", to(connection), connection.0),
+        Event::ConnectFailed { connection, backend_at_fault: blame } => {
             let blame = if *blame { "" } else { ", through no fault of its own" };
-            format!("{}: connection {} does not come up{blame}", to(conn), conn.0)
+            format!("{}: connection {} does not come up{blame}", to(connection), connection.0)
         }
-        Event::Written { conn } => format!("shell: the last byte has gone on connection {}", conn.0),
-        Event::Reported { conn, .. } => format!("{}: says how loaded it is", to(conn)),
-        Event::Answered { conn, verdict, keep, behind } => {
+        Event::RequestWritten { connection } => {
+            format!("shell: the last byte has gone on connection {}", connection.0)
+        }
+        Event::LoadReported { connection, .. } => format!("{}: says how loaded it is", to(connection)),
+        Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
             let what = match verdict {
-                Verdict::Served => "the answer",
-                Verdict::NotExecuted => "an answer that it never ran",
-                Verdict::Error => "an error",
+                ResponseClass::Served => "the answer",
+                ResponseClass::NotExecuted => "an answer that it never ran",
+                ResponseClass::Error => "an error",
             };
             let after = match (keep, behind) {
                 (_, true) => ", and more behind it",
                 (true, false) => ", and the connection may be kept",
                 (false, false) => "",
             };
-            format!("{}: {what} on connection {}{after}", to(conn), conn.0)
+            format!("{}: {what} on connection {}{after}", to(connection), connection.0)
+        }
+        Event::InvalidResponse { connection } => {
+            format!("{}: no answer can come of connection {}", to(connection), connection.0)
         }
-        Event::InvalidResponse { conn } => {
-            format!("{}: no answer can come of connection {}", to(conn), conn.0)
+        Event::ConnectionClosed { connection } => {
+            format!("{}: ends connection {}", to(connection), connection.0)
         }
-        Event::Ended { conn } => format!("{}: ends connection {}", to(conn), conn.0),
-        Event::Unfit { conn } => format!("shell: connection {} cannot be written to", conn.0),
-        Event::Closed { conn, written } => {
+        Event::ConnectionUnusable { connection } => {
+            format!("shell: connection {} cannot be written to", connection.0)
+        }
+        Event::CloseCompleted { connection, written } => {
             let how = if *written { "after" } else { "before" };
-            format!("shell: connection {} is closed, {how} its last byte", conn.0)
+            format!("shell: connection {} is closed, {how} its last byte", connection.0)
         }
         Event::Wake => "clock: wakes the engine".to_string(),
     }
@@ -124,30 +130,32 @@
 
 fn asked(action: &Action) -> String {
     match action {
-        Action::Open { conn, backend } => format!("open connection {} to box {}", conn.0, backend.0),
-        Action::Send { conn, request, attempt, .. } => {
-            format!("send attempt {} of request {} on connection {}", attempt.0, request.0, conn.0)
+        Action::Connect { connection, backend } => {
+            format!("open connection {} to box {}", connection.0, backend.0)
+        }
+        Action::Send { connection, request, attempt, .. } => {
+            format!("send attempt {} of request {} on connection {}", attempt.0, request.0, connection.0)
         }
-        Action::Close { conn } => format!("close connection {}", conn.0),
+        Action::Close { connection } => format!("close connection {}", connection.0),
         Action::Answer { request, answer, .. } => {
             let how = match answer {
-                Final::Served(attempt) => format!("served by attempt {}", attempt.0),
-                Final::Refused(_) => "refused".to_string(),
-                Final::Failed => "failed".to_string(),
-                Final::TimedOut => "timed out".to_string(),
+                FinalOutcome::Served(attempt) => format!("served by attempt {}", attempt.0),
+                FinalOutcome::Rejected(_) => "refused".to_string(),
+                FinalOutcome::Failed => "failed".to_string(),
+                FinalOutcome::TimedOut => "timed out".to_string(),
             };
             format!("answer request {}: {how}", request.0)
         }
-        Action::Ended { request, attempt, outcome } => {
+        Action::AttemptEnded { request, attempt, outcome } => {
             format!("attempt {} of request {} is over: {outcome:?}", attempt.0, request.0)
         }
         Action::PersistIntent { request, attempt } => {
             format!("ask the permit for attempt {} of request {}", attempt.0, request.0)
         }
-        Action::Withdraw { request, attempt } => {
+        Action::WithdrawIntent { request, attempt } => {
             format!("give back the permit for attempt {} of request {}", attempt.0, request.0)
         }
-        Action::Follow { pool } => format!("follow pool {}", pool.0),
+        Action::Subscribe { pool } => format!("follow pool {}", pool.0),
         Action::Log { text, .. } => format!("log {text}"),
     }
 }
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -122,7 +122,7 @@
 
     /// Connections may be used again; else what is idle is nobody's.
     pub fn reuses(&self) -> bool {
-        self.keeping.idle > Micros(0)
+        self.keeping.idle_timeout > Micros(0)
     }
 
     /// The measures of the monitors.
@@ -130,7 +130,7 @@
         Rules {
             drain_grace: Micros(0),
             answer_slack: ticks(self.late),
-            quiet: self.keeping.quiet,
+            quiet: self.keeping.reuse_delay,
             cancel: self.cancel,
             one_realm: self.one_realm,
         }
--- a/crates/model-checker/src/worlds.rs
+++ b/crates/model-checker/src/worlds.rs
@@ -23,7 +23,8 @@
 /// What can come on connections that are used again.
 const AGAIN: Traffic = Traffic { keeps: true, behind: true, unfit: true, early: true, alike: false };
 /// Few connections, idle and quiet for a time.
-const KEEPING: ConnectionLimits = ConnectionLimits { most: 2, idle: ticks(3), quiet: ticks(1) };
+const KEEPING: ConnectionLimits =
+    ConnectionLimits { max_connections: 2, idle_timeout: ticks(3), reuse_delay: ticks(1) };
 
 /// So many boxes, each in a cell of its own, in so many pools, and requests of one effect after the other.
 /// Connections are used once.
@@ -34,7 +35,7 @@
         boxes: (0..boxes).map(spec).collect(),
         requests: [FREE, KEYED, UNSAFE].into_iter().cycle().take(requests).collect(),
         at_once: false,
-        keeping: ConnectionLimits { most: 64, idle: Micros(0), quiet: Micros(0) },
+        keeping: ConnectionLimits { max_connections: 64, idle_timeout: Micros(0), reuse_delay: Micros(0) },
         cancel: true,
         one_realm: false,
         out_each: 2,
@@ -101,7 +102,7 @@
         },
         "leaving" => World { news: News { leaves: 2, ..none }, ..two(FREE, KEYED) },
         "late-connect" => {
-            World { keeping: ConnectionLimits { most: 2, ..KEEPING }, ..again(FREE, UNSAFE, ONCE) }
+            World { keeping: ConnectionLimits { max_connections: 2, ..KEEPING }, ..again(FREE, UNSAFE, ONCE) }
         }
         "settle" => of(
             &[UNSAFE, KEYED],
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -3,9 +3,9 @@
 
 use shaletide_balancer::{Class, Config, Tenant};
 use shaletide_engine::monitor::{Cold, ColdRules};
-use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Order, Policy};
+use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Policy, RequestSpec};
 use shaletide_model_checker::*;
-use shaletide_routing::{pools, Pools, Verdict};
+use shaletide_routing::{pools, Pools, ResponseClass};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -56,7 +56,7 @@
     fn handle(&mut self, now: Time, event: pools::Event, asks: &mut Vec<pools::Action>) {
         match &event {
             pools::Event::AttemptEnded(end) if end.request_answered => drop(self.settled.insert(end.request)),
-            pools::Event::ClientGone { request } => drop(self.settled.insert(*request)),
+            pools::Event::ClientDisconnected { request } => drop(self.settled.insert(*request)),
             _ => {}
         }
         let before = asks.len();
@@ -71,7 +71,7 @@
                     assert!(!self.settled.contains(request), "nothing is sent of what is settled");
                     *next += 1;
                 }
-                pools::Action::Refuse { request, retry_after }
+                pools::Action::Reject { request, retry_after }
                 | pools::Action::Fail { request, retry_after } => {
                     assert!(self.settled.insert(*request), "given up once, and not after its end");
                     assert!(*retry_after > Micros(0), "with advice");
@@ -110,7 +110,7 @@
     };
     let boxes = (0..6).map(|b| BoxSpec { pool: b % 2, cell: u64::from(b / 2), listed: true }).collect();
     let traffic = Traffic { keeps: true, behind: true, unfit: true, early: true, alike: true };
-    let keeping = ConnectionLimits { most: 16, idle: ticks(100), quiet: ticks(1) };
+    let keeping = ConnectionLimits { max_connections: 16, idle_timeout: ticks(100), reuse_delay: ticks(1) };
     World { boxes, requests, news, traffic, keeping, asks: false, ..base(6, 1, 0, 2) }
 }
 
@@ -164,7 +164,7 @@
     }
     assert!(node.engine.requests().is_empty(), "seed {seed}: all is answered and forgotten");
     assert_eq!(node.monitor.quiet(node.now), Ok(()));
-    node.engine.see_policy().asked.values().map(|n| u64::from(*n)).sum()
+    node.engine.policy().asked.values().map(|n| u64::from(*n)).sum()
 }
 
 #[test]
@@ -189,7 +189,8 @@
     };
     let mut policy = Pools::new();
     policy.configure(PoolId(0), cfg, 3).expect("sound");
-    let keeping = ConnectionLimits { most: 256, idle: Micros(1_000_000), quiet: Micros(0) };
+    let keeping =
+        ConnectionLimits { max_connections: 256, idle_timeout: Micros(1_000_000), reuse_delay: Micros(0) };
     let mut engine = Engine::new(policy, keeping);
     let (mut cold, mut strict) = (Cold::new(rules), Cold::new(ColdRules { multiple: 0.2, ..rules }));
     let mut now = Time(1_000_000_000);
@@ -208,9 +209,12 @@
             events.push_back(Event::Wake);
         }
         while due.front().is_some_and(|d| d.0 <= now) {
-            let Some((_, conn)) = due.pop_front() else { break };
-            let (verdict, keep, behind) = (Verdict::Served, true, false);
-            events.extend([Event::Written { conn }, Event::Answered { conn, verdict, keep, behind }]);
+            let Some((_, connection)) = due.pop_front() else { break };
+            let (verdict, keep, behind) = (ResponseClass::Served, true, false);
+            events.extend([
+                Event::RequestWritten { connection },
+                Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind },
+            ]);
         }
         while let Some(event) = events.pop_front() {
             cold.see(now, &event);
@@ -221,13 +225,13 @@
                 cold.act(now, action).unwrap_or_else(|v| panic!("at tick {tick}: {v}"));
                 too_much += u32::from(strict.act(now, action).is_err());
                 match action {
-                    Action::Open { conn, backend } => {
-                        lines.insert(*conn, *backend);
-                        events.push_back(Event::Up { conn: *conn });
+                    Action::Connect { connection, backend } => {
+                        lines.insert(*connection, *backend);
+                        events.push_back(Event::Connected { connection: *connection });
                     }
-                    Action::Send { conn, .. } => {
-                        to_cold += u32::from(lines.get(conn) == Some(&BackendId(3)));
-                        due.push_back((now + ticks(20), *conn));
+                    Action::Send { connection, .. } => {
+                        to_cold += u32::from(lines.get(connection) == Some(&BackendId(3)));
+                        due.push_back((now + ticks(20), *connection));
                     }
                     _ => {}
                 }
@@ -247,7 +251,7 @@
         ..BackendEntry::default()
     };
     let backends = (0..count).map(row).collect();
-    Event::Members { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends }
+    Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Snapshot, backends }
 }
 
 fn arrival(number: u64) -> Event {
@@ -261,5 +265,11 @@
         may_fail_over: false,
     };
     let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
-    Event::Request(Order { arrival, effect: Idempotency::Safe, pools, permit: false, recorded: false })
+    Event::Request(RequestSpec {
+        arrival,
+        idempotency: Idempotency::Safe,
+        pools,
+        requires_intent: false,
+        recorded: false,
+    })
 }
--- a/crates/model-checker/tests/restarts.rs
+++ b/crates/model-checker/tests/restarts.rs
@@ -7,8 +7,16 @@
 
 const LONG: Duration = Duration::from_secs(1_200);
 /// One attempt a request, and nothing goes wrong but a kill.
-const SMALL: Restarts =
-    Restarts { boxes: 1, asks: 2, attempts: 1, restarts: 1, failures: 0, resolves: 1, ticks: 2, plant: None };
+const SMALL: Restarts = Restarts {
+    boxes: 1,
+    asks: 2,
+    attempts: 1,
+    restarts: 1,
+    failures: 0,
+    resolves: 1,
+    ticks: 2,
+    mutant: None,
+};
 
 fn holds(bounds: Restarts, states: usize, transitions: u64) {
     let found = restarts(&bounds, LONG);
@@ -18,9 +26,9 @@
     assert_eq!((found.states, found.transitions), (states, transitions), "a branch was lost or has come");
 }
 
-fn breaks(plant: Careless) -> (Vec<Happens>, &'static str) {
-    let found = restarts(&Restarts { plant: Some(plant), resolves: 0, ..SMALL }, LONG);
-    found.counterexample.unwrap_or_else(|| panic!("{plant:?} is not found: {} states", found.states))
+fn breaks(mutant: Careless) -> (Vec<Happens>, &'static str) {
+    let found = restarts(&Restarts { mutant: Some(mutant), resolves: 0, ..SMALL }, LONG);
+    found.counterexample.unwrap_or_else(|| panic!("{mutant:?} is not found: {} states", found.states))
 }
 
 #[test]
@@ -49,10 +57,11 @@
 
 #[test]
 fn an_intent_behind_the_send_a_commit_told_early_and_a_start_that_frees_are_found() {
-    let plants = [(Careless::IntentAfterSend, 7), (Careless::EarlyCommit, 11), (Careless::FreesInFlight, 11)];
-    for (plant, steps) in plants {
-        let (way, rule) = breaks(plant);
-        println!("{plant:?}: {rule}, {} steps: {way:?}", way.len());
+    let mutants =
+        [(Careless::IntentAfterSend, 7), (Careless::EarlyCommit, 11), (Careless::FreesInFlight, 11)];
+    for (mutant, steps) in mutants {
+        let (way, rule) = breaks(mutant);
+        println!("{mutant:?}: {rule}, {} steps: {way:?}", way.len());
         assert_eq!(rule, "a key that may have run is sent again");
         assert!(way.contains(&Happens::Kill) && way.len() == steps, "{way:?}");
     }
@@ -61,5 +70,5 @@
 /// Memory answers what it knows; the store's constraint has the last word.
 #[test]
 fn a_recorder_that_is_not_told_of_what_was_in_flight_sends_nothing_twice() {
-    holds(Restarts { plant: Some(Careless::ForgetsInFlight), resolves: 0, ..SMALL }, 23_453, 70_754);
+    holds(Restarts { mutant: Some(Careless::ForgetsInFlight), resolves: 0, ..SMALL }, 23_453, 70_754);
 }
--- a/crates/net/src/driven.rs
+++ b/crates/net/src/driven.rs
@@ -11,7 +11,7 @@
 /// hyper does not tell `work` of that end by itself as long as the connection's future is kept: a wait for
 /// the sender to be ready again would last for ever after an answer with which the backend closed.
 pub async fn driven<T>(
-    conn: &mut http1::Connection<
+    connection: &mut http1::Connection<
         Stream,
         impl hyper::body::Body<Data = Bytes, Error: Into<BoxError>> + 'static,
     >,
@@ -26,7 +26,7 @@
         if over {
             return Poll::Ready(None);
         }
-        if std::pin::Pin::new(&mut *conn).poll(cx).is_ready() {
+        if std::pin::Pin::new(&mut *connection).poll(cx).is_ready() {
             over = true;
             cx.waker().wake_by_ref(); // once more for what it brought before it ended
         }
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::stream::{PeerWatch, Stream};
 use crate::trace::RequestTrace;
-use shaletide_routing::Verdict;
+use shaletide_routing::ResponseClass;
 use shaletide_types::{AttemptNumber, LoadReport};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     /// A complete response.
     Answered {
         /// What it means.
-        verdict: Verdict,
+        verdict: ResponseClass,
         /// The response allows the connection to be reused.
         keep: bool,
         /// Bytes followed the response.
--- a/crates/net/src/host.rs
+++ b/crates/net/src/host.rs
@@ -11,7 +11,7 @@
 use crate::{span, Clock};
 use shaletide_balancer::*;
 use shaletide_engine::monitor::{Monitor, Rules};
-use shaletide_engine::{Action, ConnectionLimits, ConnectionState, Engine, Event, Final, Order};
+use shaletide_engine::{Action, ConnectionLimits, ConnectionState, Engine, Event, FinalOutcome, RequestSpec};
 use shaletide_membership::{Directory, Endpoint, PoolSpec, StartTimes};
 use shaletide_record::{Asked, Conflict as KeyConflict, Ending, Seen, Verdict};
 use shaletide_routing::{Decision, Pools};
@@ -184,16 +184,20 @@
 
 /// Not a byte of a request has gone out on it. Another is looked for, but not where it has only just come up: a backend
 /// that ends each new connection, or is the first to speak, would be connected to for as long as the request has time.
-fn unusable(conn: ConnectionId, fresh: bool) -> Event {
+fn unusable(connection: ConnectionId, fresh: bool) -> Event {
     if fresh {
-        Event::Ended { conn }
+        Event::ConnectionClosed { connection }
     } else {
-        Event::Unfit { conn }
+        Event::ConnectionUnusable { connection }
     }
 }
 
 fn keeping(network: &Network) -> ConnectionLimits {
-    ConnectionLimits { most: network.most, idle: network.idle_timeout.times(IDLE_PART), quiet: QUIET }
+    ConnectionLimits {
+        max_connections: network.most,
+        idle_timeout: network.idle_timeout.times(IDLE_PART),
+        reuse_delay: QUIET,
+    }
 }
 
 impl Host {
@@ -260,7 +264,7 @@
             let cancel = setups.iter().all(|s| s.config.may_cancel_attempts);
             s.starts.set_ramp(setups.iter().map(|s| s.config.slow_start_window).max().unwrap_or_default());
             for (id, setup) in ids.iter().zip(setups) {
-                s.engine.policy().configure(
+                s.engine.policy_mut().configure(
                     *id,
                     Config { zone, only_deduplication_domain, ..setup.config },
                     seed,
@@ -275,7 +279,7 @@
                 };
                 check.monitor.configure(rules);
             }
-            let closed: Vec<PoolId> = s.engine.see_policy().open().filter(|id| !ids.contains(id)).collect();
+            let closed: Vec<PoolId> = s.engine.policy().open().filter(|id| !ids.contains(id)).collect();
             (told, ids, closed)
         };
         self.take_in(told);
@@ -321,7 +325,7 @@
     /// # Errors
     /// Why it is not taken. Nothing is owed then.
     pub fn request(
-        self: &Rc<Self>, mut order: Order, named: Named<'_>, upstream_request: Rc<dyn UpstreamRequest>,
+        self: &Rc<Self>, mut order: RequestSpec, named: Named<'_>, upstream_request: Rc<dyn UpstreamRequest>,
     ) -> Result<(RequestId, oneshot::Receiver<Answer>), NotTaken> {
         // Each attempt asks again: a request that need not be taken costs no decision and no connection.
         if upstream_request.client().is_some_and(PeerWatch::closed) {
@@ -349,7 +353,7 @@
         let open = Open { upstream_request, answer, recorded, conflict: None };
         self.state.borrow_mut().open.insert(id, open);
         order.arrival.request = id;
-        (order.permit, order.recorded) = (recorded == Some(true), recorded.is_some());
+        (order.requires_intent, order.recorded) = (recorded == Some(true), recorded.is_some());
         self.tell(Event::Request(order));
         Ok((id, wait))
     }
@@ -361,7 +365,7 @@
 
     /// The record's word on an attempt.
     pub fn permit(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, given: bool) {
-        self.tell(Event::Permit { request, attempt, given });
+        self.tell(Event::IntentPersisted { request, attempt, persisted: given });
     }
 
     /// The record has seen that a request must not be sent: it ends now.
@@ -376,13 +380,13 @@
             }
             _ => Micros(0),
         };
-        self.tell(Event::GiveUp { request, advice });
+        self.tell(Event::GiveUp { request, retry_after: advice });
     }
 
     /// All that is open is given up: nothing of it goes out any more, and it is answered by what is known of it.
     pub fn give_up(self: &Rc<Self>, advice: Micros) {
         let open: Vec<RequestId> = self.state.borrow().open.keys().copied().collect();
-        open.into_iter().for_each(|request| self.tell(Event::GiveUp { request, advice }));
+        open.into_iter().for_each(|request| self.tell(Event::GiveUp { request, retry_after: advice }));
     }
 
     /// The version of a pool's list, of which news follows.
@@ -406,12 +410,12 @@
     /// What is known of a box at this moment.
     fn seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
         let s = self.state.borrow();
-        let tries = s.engine.requests().get(&request).map(|r| &r.tries);
+        let tries = s.engine.requests().get(&request).map(|r| &r.attempts);
         let Some(backend) = tries.and_then(|t| t.get(attempt.0 as usize)).map(|t| t.backend) else {
             return Seen::default();
         };
         let pool = s.directory.pool(backend);
-        let state = s.engine.state(backend);
+        let state = s.engine.backend_state(backend);
         let busy = |step: &ConnectionState| matches!(step, ConnectionState::Busy(..));
         let out = s.engine.connections().filter(|(_, to, step)| *to == backend && busy(step)).count();
         Seen {
@@ -438,7 +442,7 @@
             open.upstream_request.trace().inspect(|trace| trace.event(RequestEvent::ClientClosed));
             open.recorded.is_some()
         };
-        self.tell(Event::Left { request: id });
+        self.tell(Event::ClientDisconnected { request: id });
         if recorded {
             self.note(shaletide_record::Event::Over { request: id, ending: Ending::Left });
         }
@@ -505,73 +509,73 @@
 
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Open { conn, backend } => self.open(conn, backend),
-            Action::Send { conn, request, attempt, deadline, by } => {
+            Action::Connect { connection, backend } => self.open(connection, backend),
+            Action::Send { connection, request, attempt, deadline, write_deadline: by } => {
                 if self.recorded(request) == Some(false) {
                     let seen = self.seen(request, attempt);
                     self.note(shaletide_record::Event::Sent { request, attempt, seen });
                 }
-                self.send(conn, request, attempt, deadline, by);
+                self.send(connection, request, attempt, deadline, by);
             }
-            Action::Close { conn } => {
+            Action::Close { connection } => {
                 let mut s = self.state.borrow_mut();
-                let line = s.lines.all.remove(&conn);
+                let line = s.lines.all.remove(&connection);
                 if let Some(line) = line.filter(|line| line.busy) {
                     // Dropped, it writes nothing more: how far it has got is certain now.
                     let written = line.stream.as_ref().is_some_and(Stream::request_written);
                     line.stream.as_ref().inspect(|stream| stream.end_trace(|| AttemptOutcome::Cancelled));
-                    s.events.push_back(Event::Closed { conn, written });
+                    s.events.push_back(Event::CloseCompleted { connection, written });
                 }
             }
-            Action::Answer { request, answer, last } => self.answer(request, answer, last),
+            Action::Answer { request, answer, last_attempt: last } => self.answer(request, answer, last),
             Action::PersistIntent { request, attempt } => {
                 let seen = self.seen(request, attempt);
                 self.note(shaletide_record::Event::IntentRequested { request, attempt, seen });
             }
-            Action::Withdraw { request, attempt } => {
+            Action::WithdrawIntent { request, attempt } => {
                 self.note(shaletide_record::Event::Withdrawn { request, attempt });
             }
-            Action::Ended { request, attempt, outcome } => {
+            Action::AttemptEnded { request, attempt, outcome } => {
                 self.note(shaletide_record::Event::AttemptEnded { request, attempt, outcome });
             }
-            Action::Follow { pool } => {
+            Action::Subscribe { pool } => {
                 self.state.borrow_mut().follow.entry(pool).or_default().notify_one();
             }
             Action::Log { pool, text } => info!("pool {}: {text}", pool.0),
         }
     }
 
-    fn open(self: &Rc<Self>, conn: ConnectionId, backend: BackendId) {
+    fn open(self: &Rc<Self>, connection: ConnectionId, backend: BackendId) {
         let mut s = self.state.borrow_mut();
         let Some(to) = s.directory.address(backend) else {
-            s.events.push_back(Event::ConnectFailed { conn, blame: false });
+            s.events.push_back(Event::ConnectFailed { connection, backend_at_fault: false });
             return;
         };
         s.lines.opened += 1;
-        s.trace_opening(conn, AttemptEvent::Connecting);
+        s.trace_opening(connection, AttemptEvent::Connecting);
         let host = self.clone();
         let task = tokio::task::spawn_local(async move {
             let within = span(host.network.get().connect_timeout);
             let event = match host.connected(to, within).await {
                 Ok(tcp) => {
-                    host.state.borrow_mut().came_up(conn, Stream::new(tcp));
-                    Event::Up { conn }
+                    host.state.borrow_mut().came_up(connection, Stream::new(tcp));
+                    Event::Connected { connection }
                 }
                 Err(failure) => {
                     let mut s = host.state.borrow_mut();
-                    s.trace_opening(conn, AttemptEvent::ConnectFailed);
-                    s.lines.all.remove(&conn);
+                    s.trace_opening(connection, AttemptEvent::ConnectFailed);
+                    s.lines.all.remove(&connection);
                     s.counts.unconnected += 1;
-                    Event::ConnectFailed { conn, blame: failure == ConnectFailure::Peer }
+                    Event::ConnectFailed { connection, backend_at_fault: failure == ConnectFailure::Peer }
                 }
             };
             host.tell(event);
-            if let Some(line) = host.state.borrow_mut().lines.all.get_mut(&conn) {
+            if let Some(line) = host.state.borrow_mut().lines.all.get_mut(&connection) {
                 line.fresh = false;
             }
         });
         let task = Some(task.abort_handle());
-        s.lines.all.insert(conn, Line { backend, to, stream: None, task, busy: false, fresh: false });
+        s.lines.all.insert(connection, Line { backend, to, stream: None, task, busy: false, fresh: false });
     }
 
     /// Connects within that time. A shortage of the system's is waited for, as the backend may be sound.
@@ -600,20 +604,20 @@
     }
 
     fn send(
-        self: &Rc<Self>, conn: ConnectionId, request: RequestId, attempt: AttemptNumber, deadline: Time,
-        by: Option<Time>,
+        self: &Rc<Self>, connection: ConnectionId, request: RequestId, attempt: AttemptNumber,
+        deadline: Time, by: Option<Time>,
     ) {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
-        let line = s.lines.all.get_mut(&conn);
+        let line = s.lines.all.get_mut(&connection);
         let fresh = line.as_ref().is_some_and(|line| line.fresh);
         // The kernel itself is asked before the first byte goes out: till then the loop may do other things.
         let fit = line
             .filter(|line| line.stream.as_ref().is_some_and(|stream| !stream.has_pending_input_as_polled()));
         let (Some(line), Some(open)) = (fit, s.open.get(&request)) else {
             s.counts.unfit += 1;
-            s.trace_unusable(conn, request, attempt);
-            s.events.push_back(unusable(conn, fresh));
+            s.trace_unusable(connection, request, attempt);
+            s.events.push_back(unusable(connection, fresh));
             return;
         };
         let Some(stream) = line.stream.clone() else { return };
@@ -635,14 +639,14 @@
         let (host, run) = (self.clone(), open.upstream_request.clone().run(exchange));
         let task = tokio::task::spawn_local(async move {
             let outcome = run.await;
-            host.exchange_ended(conn, request, outcome, &stream, fresh);
+            host.exchange_ended(connection, request, outcome, &stream, fresh);
         });
         (line.task, line.busy) = (Some(task.abort_handle()), true);
     }
 
     fn exchange_ended(
-        self: &Rc<Self>, conn: ConnectionId, request: RequestId, outcome: ExchangeOutcome, stream: &Stream,
-        fresh: bool,
+        self: &Rc<Self>, connection: ConnectionId, request: RequestId, outcome: ExchangeOutcome,
+        stream: &Stream, fresh: bool,
     ) {
         stream.end_trace(|| AttemptOutcome::of(&outcome, !stream.is_unwritten()));
         let ended = matches!(outcome, ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended);
@@ -652,57 +656,57 @@
         let written = stream.request_written();
         let event = {
             let mut s = self.state.borrow_mut();
-            let Some(line) = s.lines.all.get_mut(&conn) else { return };
+            let Some(line) = s.lines.all.get_mut(&connection) else { return };
             (line.busy, line.task) = (false, None);
             match outcome {
                 ExchangeOutcome::Answered { verdict, keep, excess, report } => {
-                    s.events.extend(report.map(|report| Event::Reported { conn, report }));
-                    Event::Answered { conn, verdict, keep, behind: excess }
+                    s.events.extend(report.map(|report| Event::LoadReported { connection, report }));
+                    Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: excess }
                 }
                 // What ended or came before the first byte went out is about an earlier request, if any.
                 ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended if stream.is_unwritten() => {
                     s.counts.unfit += 1;
-                    unusable(conn, fresh && !stream.write_deadline_passed())
+                    unusable(connection, fresh && !stream.write_deadline_passed())
                 }
                 ExchangeOutcome::InvalidResponse => {
                     s.counts.spoilt += 1;
-                    Event::InvalidResponse { conn }
+                    Event::InvalidResponse { connection }
                 }
                 ExchangeOutcome::Ended => {
                     s.counts.ended += 1;
-                    Event::Ended { conn }
+                    Event::ConnectionClosed { connection }
                 }
             }
         };
         if written {
-            self.tell(Event::Written { conn });
+            self.tell(Event::RequestWritten { connection });
         }
         self.tell(event);
     }
 
-    fn answer(&self, request: RequestId, answer: Final, last: Option<AttemptNumber>) {
+    fn answer(&self, request: RequestId, answer: FinalOutcome, last: Option<AttemptNumber>) {
         let mut s = self.state.borrow_mut();
         let Some(open) = s.open.remove(&request) else { return };
         let ending = match answer {
-            Final::Served(attempt) => Ending::Served(attempt),
-            Final::Refused(_) => Ending::Refused,
-            Final::Failed => Ending::Failed,
-            Final::TimedOut => Ending::TimedOut,
+            FinalOutcome::Served(attempt) => Ending::Served(attempt),
+            FinalOutcome::Rejected(_) => Ending::Refused,
+            FinalOutcome::Failed => Ending::Failed,
+            FinalOutcome::TimedOut => Ending::TimedOut,
         };
         let (decision, attempt) = match answer {
-            Final::Served(attempt) => {
+            FinalOutcome::Served(attempt) => {
                 s.counts.served += 1;
                 (Decision::Served, Some(attempt))
             }
-            Final::Refused(after) => {
+            FinalOutcome::Rejected(after) => {
                 s.counts.refused += 1;
-                (Decision::Refused(after), last)
+                (Decision::Rejected(after), last)
             }
-            Final::Failed => {
+            FinalOutcome::Failed => {
                 s.counts.failed += 1;
                 (Decision::Failed, last)
             }
-            Final::TimedOut => {
+            FinalOutcome::TimedOut => {
                 s.counts.timed_out += 1;
                 (Decision::TimedOut, None)
             }
@@ -751,7 +755,7 @@
         loop {
             tokio::time::sleep(SWEEP).await;
             let unfit = self.state.borrow().lines.with_pending_input();
-            unfit.into_iter().for_each(|conn| self.tell(Event::Unfit { conn }));
+            unfit.into_iter().for_each(|connection| self.tell(Event::ConnectionUnusable { connection }));
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
             if let Some(check) = &mut s.check {
@@ -769,7 +773,7 @@
     /// Closes a connection that nobody uses to make room for a client; false where there is none.
     pub fn make_room(self: &Rc<Self>) -> bool {
         let spare = self.state.borrow().engine.idle_connection();
-        spare.into_iter().for_each(|conn| self.tell(Event::Unfit { conn }));
+        spare.into_iter().for_each(|connection| self.tell(Event::ConnectionUnusable { connection }));
         spare.is_some()
     }
 
@@ -778,7 +782,7 @@
         let mut s = self.state.borrow_mut();
         let c = std::mem::take(&mut s.counts);
         let opened = std::mem::take(&mut s.lines.opened);
-        let given_up = s.engine.policy().take_give_up_counts();
+        let given_up = s.engine.policy_mut().take_give_up_counts();
         info!(
             "requests {} served {} refused {} failed {} overdue {} gone {}; sent {} spoilt {} ended {} unfit {} \
              unconnected {}; given up: {}; open requests {} {} upstreams {} connects {} lag {} us; failed system calls: {}",
@@ -812,27 +816,27 @@
 
 impl State {
     /// An event of the attempt for which a connection is being established.
-    fn trace_opening(&self, conn: ConnectionId, event: AttemptEvent) {
+    fn trace_opening(&self, connection: ConnectionId, event: AttemptEvent) {
         if !request_trace_enabled() {
             return;
         }
-        let opening = self.engine.connections().find(|(id, ..)| *id == conn);
-        if let Some((_, backend, ConnectionState::Opening(Some((request, attempt))))) = opening {
+        let opening = self.engine.connections().find(|(id, ..)| *id == connection);
+        if let Some((_, backend, ConnectionState::Connecting(Some((request, attempt))))) = opening {
             let open = self.open.get(&request);
             open.and_then(|open| open.trace(attempt, backend)).inspect(|trace| trace.event(event));
         }
     }
 
     /// An attempt was given a connection that cannot be used.
-    fn trace_unusable(&self, conn: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        let backend = self.lines.all.get(&conn).map(|line| line.backend);
+    fn trace_unusable(&self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
+        let backend = self.lines.all.get(&connection).map(|line| line.backend);
         let trace =
             self.open.get(&request).zip(backend).and_then(|(open, backend)| open.trace(attempt, backend));
         trace.inspect(|trace| trace.event(AttemptEvent::ConnectionUnusable));
     }
 
-    fn came_up(&mut self, conn: ConnectionId, stream: Stream) {
-        if let Some(line) = self.lines.all.get_mut(&conn) {
+    fn came_up(&mut self, connection: ConnectionId, stream: Stream) {
+        if let Some(line) = self.lines.all.get_mut(&connection) {
             (line.stream, line.task, line.fresh) = (Some(stream), None, true);
         }
     }
--- a/crates/net/src/host/lists.rs
+++ b/crates/net/src/host/lists.rs
@@ -53,13 +53,13 @@
             warn!("{}", self.described(conflict));
         }
         for moved in &told.moved {
-            self.tell(Event::Moved { backend: moved.id, from: moved.from, to: moved.to });
+            self.tell(Event::BackendMoved { backend: moved.id, from: moved.from, to: moved.to });
         }
         for (pool, update, backends) in told.rows {
             self.note_list(pool, update, &backends);
             let readdressed = self.log_list(pool, update, &backends);
             readdressed.into_iter().for_each(|backend| self.tell(Event::AddressChanged { backend }));
-            self.tell(Event::Members { pool, update, backends });
+            self.tell(Event::EndpointsUpdated { pool, update, backends });
         }
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
@@ -126,7 +126,8 @@
         }
         let ids: HashSet<BackendId> = backends.iter().map(|b| b.id).collect();
         let led = s.engine.connections().filter(|(_, backend, _)| ids.contains(backend));
-        let led = led.filter_map(|(conn, backend, _)| Some((backend, s.lines.all.get(&conn)?.to)));
+        let led =
+            led.filter_map(|(connection, backend, _)| Some((backend, s.lines.all.get(&connection)?.to)));
         let moved = led.filter(|(backend, to)| s.directory.address(*backend).is_some_and(|at| at != *to));
         moved.map(|(backend, _)| backend).collect()
     }
--- a/crates/net/src/host/tests.rs
+++ b/crates/net/src/host/tests.rs
@@ -67,7 +67,7 @@
     List { index: 1, snapshot: false, endpoints: vec![entry] }.entries().0
 }
 
-fn order(pools: &[PoolId]) -> Order {
+fn order(pools: &[PoolId]) -> RequestSpec {
     let arrival = Arrival {
         request: RequestId(0),
         class: ClassId(0),
@@ -77,7 +77,13 @@
         is_client_retry: false,
         may_fail_over: false,
     };
-    Order { arrival, effect: Idempotency::NonIdempotent, pools: pools.into(), permit: false, recorded: false }
+    RequestSpec {
+        arrival,
+        idempotency: Idempotency::NonIdempotent,
+        pools: pools.into(),
+        requires_intent: false,
+        recorded: false,
+    }
 }
 
 /// A backend that drains while its connection comes up is sent nothing, and one that is gone is forgotten.
@@ -148,7 +154,7 @@
             }
             let opened = host.state.borrow().lines.opened;
             assert_eq!((opened, host.upstreams()), (1, 0), "none is opened in its place");
-            assert!(matches!(answer.await.unwrap().decision, Decision::Refused(_)));
+            assert!(matches!(answer.await.unwrap().decision, Decision::Rejected(_)));
         })
         .await;
 }
@@ -189,8 +195,9 @@
     let start = std::time::Instant::now();
     (0..300).for_each(|_| host.members(pools[1], EndpointUpdate::Delta, Vec::new()));
     assert!(start.elapsed().as_millis() < 800, "{:?}", start.elapsed());
-    let served =
-        |ids: [u32; 3]| ids.map(|id| host.state.borrow().engine.state(BackendId(id)) == BackendState::Ready);
+    let served = |ids: [u32; 3]| {
+        ids.map(|id| host.state.borrow().engine.backend_state(BackendId(id)) == BackendState::Ready)
+    };
     assert_eq!(served([0, 29_999, 30_000]), [true, true, false]);
     host.members(pools[0], EndpointUpdate::Snapshot, many(1, 3));
     assert_eq!(served([0, 1, 29_999]), [false, true, false], "what is absent is gone");
@@ -210,7 +217,7 @@
             let (_, moves) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
             let q = pool("q", Config::example());
             assert_eq!(host.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
-            assert!(matches!(held.await.unwrap().decision, Decision::Refused(_)));
+            assert!(matches!(held.await.unwrap().decision, Decision::Rejected(_)));
             host.members(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(host.clone().timers());
             while host.state.borrow().lines.opened == 0 {
--- a/crates/net/src/host/tests/client_gone.rs
+++ b/crates/net/src/host/tests/client_gone.rs
@@ -2,7 +2,7 @@
 //! not been polled since, so that only the socket itself can tell.
 
 use super::*;
-use shaletide_routing::Verdict;
+use shaletide_routing::ResponseClass;
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream as StdStream};
 
@@ -57,14 +57,14 @@
 /// A request that gets the same answer at each attempt.
 struct Request {
     client: PeerWatch,
-    verdict: Verdict,
+    verdict: ResponseClass,
     /// The client that ends its connection in this way in the moment in which the first attempt is answered.
     ends: RefCell<Option<(Client, End)>>,
     written: Cell<u32>,
 }
 
 impl Request {
-    fn new(client: &Client, verdict: Verdict) -> Request {
+    fn new(client: &Client, verdict: ResponseClass) -> Request {
         let client = client.accepted.watch();
         Request { client, verdict, ends: RefCell::default(), written: Cell::default() }
     }
@@ -125,14 +125,14 @@
     /// Requests that are served pay for retries.
     async fn earn_retries(&self) {
         for _ in 0..30 {
-            let request = Rc::new(Request::new(&self.client, Verdict::Served));
+            let request = Rc::new(Request::new(&self.client, ResponseClass::Served));
             let (_, answer) = self.host.request(order(&self.pools), Named::default(), request).unwrap();
             assert_eq!(answer.await.unwrap().decision, Decision::Served);
         }
     }
 
     fn request(&self) -> Result<(RequestId, oneshot::Receiver<Answer>), NotTaken> {
-        let request = Request::new(&self.client, Verdict::NotExecuted);
+        let request = Request::new(&self.client, ResponseClass::NotExecuted);
         self.host.request(order(&self.pools), Named::default(), Rc::new(request))
     }
 }
@@ -182,7 +182,7 @@
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
-        let request = Request::new(&setup.client, Verdict::NotExecuted);
+        let request = Request::new(&setup.client, ResponseClass::NotExecuted);
         let _open = setup.client.end(end);
         let taken = setup.host.request(order(&setup.pools), Named::default(), Rc::new(request));
         assert_eq!(taken.map(|_| ()), Err(NotTaken::ClientClosed), "{end:?}");
@@ -258,7 +258,7 @@
             setup.list_backends(&["b", "c"]); // a further attempt goes to another one
             let timers = tokio::task::spawn_local(setup.host.clone().timers());
             setup.earn_retries().await;
-            let request = Rc::new(Request::new(&setup.client, Verdict::NotExecuted));
+            let request = Rc::new(Request::new(&setup.client, ResponseClass::NotExecuted));
             let accepted = setup.client.accepted.clone();
             let stays = match closes {
                 true => {
--- a/crates/net/src/lines.rs
+++ b/crates/net/src/lines.rs
@@ -41,6 +41,6 @@
     pub fn with_pending_input(&self) -> Vec<ConnectionId> {
         let idle = self.all.iter().filter(|(_, line)| !line.busy);
         let pending = |line: &Line| line.stream.as_ref().is_some_and(Stream::has_pending_input);
-        idle.filter(|(_, line)| pending(line)).map(|(conn, _)| *conn).collect()
+        idle.filter(|(_, line)| pending(line)).map(|(connection, _)| *connection).collect()
     }
 }
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -5,7 +5,7 @@
 
 use crate::exchange::ExchangeOutcome;
 use crate::Clock;
-use shaletide_routing::Verdict;
+use shaletide_routing::ResponseClass;
 use shaletide_types::{AttemptNumber, BackendId, RequestId, Time};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -146,7 +146,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
     /// By a response with this meaning.
-    Answered(Verdict),
+    Answered(ResponseClass),
     /// By invalid bytes or a response that took too long.
     InvalidResponse,
     /// By the end of the connection.
@@ -170,9 +170,9 @@
 
     fn name(self) -> &'static str {
         match self {
-            AttemptOutcome::Answered(Verdict::Served) => "served",
-            AttemptOutcome::Answered(Verdict::NotExecuted) => "never_ran",
-            AttemptOutcome::Answered(Verdict::Error) => "error",
+            AttemptOutcome::Answered(ResponseClass::Served) => "served",
+            AttemptOutcome::Answered(ResponseClass::NotExecuted) => "never_ran",
+            AttemptOutcome::Answered(ResponseClass::Error) => "error",
             AttemptOutcome::InvalidResponse => "invalid_response",
             AttemptOutcome::ConnectionClosed => "connection_closed",
             AttemptOutcome::NotWritten => "not_written",
--- a/crates/routing/benches/first.rs
+++ b/crates/routing/benches/first.rs
@@ -9,15 +9,15 @@
 const TENANTS: usize = 10_000;
 
 fn route(at: usize, when: Match) -> Route {
-    Route { name: format!("r{at}"), when, pools: vec![PoolId(0)], answers: Answers::plain() }
+    Route { name: format!("r{at}"), when, pools: vec![PoolId(0)], answers: ResponseRules::plain() }
 }
 
 /// Every sort of condition, spread over the routes; the last takes everything.
-fn table(routes: usize) -> Table {
+fn table(routes: usize) -> RouteTable {
     let class = |at: usize| vec![ClassId(at % 8)];
     let each = |at: usize| match at % 5 {
         0 => Match { classes: class(at), tenants: vec![TenantId(at % TENANTS)], ..Match::default() },
-        1 => Match { bays: vec![format!("b{at}")], ..Match::default() },
+        1 => Match { deduplication_groups: vec![format!("b{at}")], ..Match::default() },
         2 => Match { path_prefix: Some(format!("/api/v{}/r{at}", at % 3)), ..Match::default() },
         3 => {
             let headers = vec![HeaderMatch { name: "x-canary".into(), value: Some(format!("c{at}")) }];
@@ -27,17 +27,17 @@
     };
     let mut all: Vec<Route> = (0..routes - 1).map(|at| route(at, each(at))).collect();
     all.push(route(routes - 1, Match::default()));
-    Table::new(all)
+    RouteTable::new(all)
 }
 
 /// 64 classes and 10,000 tenants in each route: what a product of the two could not hold.
-fn broad(routes: usize) -> Table {
+fn broad(routes: usize) -> RouteTable {
     let when = |at: usize| Match {
         classes: (0..64).map(ClassId).collect(),
         tenants: (0..TENANTS).filter(|t| t % 1_000 != at % 1_000).map(TenantId).collect(),
         ..Match::default()
     };
-    Table::new((0..routes).map(|at| route(at, when(at))).collect())
+    RouteTable::new((0..routes).map(|at| route(at, when(at))).collect())
 }
 
 fn once(work: impl FnOnce()) -> Duration {
@@ -53,31 +53,31 @@
     (0..5).map(round).fold(f64::INFINITY, f64::min)
 }
 
-fn first(table: &Table) -> f64 {
+fn first(table: &RouteTable) -> f64 {
     let header = |name: &str| (name == "x-canary").then_some("none");
-    let asked = Asked {
+    let asked = RequestAttributes {
         class: ClassId(3),
         tenant: Some(TenantId(77)),
         zone: "a",
-        bay: Some("b"),
+        deduplication_group: Some("b"),
         path: "/api/v1/other/k7",
         method: "GET",
         header: &header,
     };
-    per_call(|| assert!(black_box(table).first(black_box(&asked)).is_some()))
+    per_call(|| assert!(black_box(table).find(black_box(&asked)).is_some()))
 }
 
 fn main() {
     for routes in [1, 10, 200, 1_000] {
         let table = table(routes);
-        let hidden = once(|| assert!(black_box(table.hidden()).is_empty()));
+        let hidden = once(|| assert!(black_box(table.shadowed()).is_empty()));
         println!("{routes:5} routes: first {:6.0} ns, hidden {hidden:?}", first(&table));
     }
     let mut built = None;
     let build = once(|| built = Some(broad(1_000)));
     let table = built.expect("just built");
-    let hidden = once(|| assert!(black_box(table.hidden()).is_empty()));
-    let several = once(|| drop(black_box(table.hidden_by_several())));
+    let hidden = once(|| assert!(black_box(table.shadowed()).is_empty()));
+    let several = once(|| drop(black_box(table.shadowed_by_several())));
     println!("1,000 routes of 64 classes and 9,990 tenants: built in {build:?}, hidden {hidden:?}, by several {several:?}");
     println!("  first {:.0} ns", first(&table));
 }
--- a/crates/routing/src/answers.rs
+++ b/crates/routing/src/answers.rs
@@ -39,7 +39,7 @@
 
 /// A status and a header that together prove that the request never ran.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Proof {
+pub struct NotExecutedProof {
     /// The answer's status.
     pub status: u16,
     /// The header's name, in lower case.
@@ -50,16 +50,16 @@
 
 /// What a client gets where the last attempt ended in an error status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Errors {
+pub enum ErrorResponses {
     /// The backend's answer unchanged, unless it is a 429 or 503 that proves nothing: then 502.
-    AsTheyAre,
+    Forward,
     /// The proxy's own words, as on the platform.
-    OwnWords,
+    Replace,
 }
 
 /// What an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ResponseClass {
     /// It is the answer to the request and goes to the client unchanged.
     Served,
     /// The request has not run and never will.
@@ -70,48 +70,59 @@
 
 /// How a route reads answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answers {
+pub struct ResponseRules {
     /// These count as served.
     pub served: StatusSet,
     /// These prove that the request never ran, whatever `served` says.
-    pub not_executed: Vec<Proof>,
+    pub not_executed: Vec<NotExecutedProof>,
     /// What the client gets of an error.
-    pub errors: Errors,
+    pub error_responses: ErrorResponses,
     /// The header in which a backend says how loaded it is, in lower case; none: it says nothing.
-    pub report: Option<String>,
+    pub load_report_header: Option<String>,
 }
 
-impl Answers {
+impl ResponseRules {
     /// Every final status is served but 429, 500, 502, 503 and 504; nothing proves that a request never ran.
-    pub fn plain() -> Answers {
+    pub fn plain() -> ResponseRules {
         let mut served = StatusSet::none();
         served.add(200, 599);
         [429, 500, 502, 503, 504].into_iter().for_each(|status| served.remove(status));
-        Answers { served, not_executed: Vec::new(), errors: Errors::AsTheyAre, report: None }
+        ResponseRules {
+            served,
+            not_executed: Vec::new(),
+            error_responses: ErrorResponses::Forward,
+            load_report_header: None,
+        }
     }
 
     /// The platform's table: 200 is served, 503 and 504 with `X-Unprocessed: 1` never ran.
-    pub fn platform() -> Answers {
+    pub fn platform() -> ResponseRules {
         let mut served = StatusSet::none();
         served.add(200, 200);
-        let proof = |status| Proof { status, header: "x-unprocessed".into(), value: Some("1".into()) };
+        let proof =
+            |status| NotExecutedProof { status, header: "x-unprocessed".into(), value: Some("1".into()) };
         let not_executed = vec![proof(503), proof(504)];
-        Answers { served, not_executed, errors: Errors::OwnWords, report: Some("x-backend-load".into()) }
+        ResponseRules {
+            served,
+            not_executed,
+            error_responses: ErrorResponses::Replace,
+            load_report_header: Some("x-backend-load".into()),
+        }
     }
 
     /// What an answer of that status means; `header` gives the value of a header by its lower-case name. One
     /// that is not final, below 200, is neither served nor proof.
-    pub fn judge<'a>(&self, status: u16, header: impl Fn(&str) -> Option<&'a str>) -> Verdict {
-        let proves = |proof: &Proof| {
+    pub fn classify<'a>(&self, status: u16, header: impl Fn(&str) -> Option<&'a str>) -> ResponseClass {
+        let proves = |proof: &NotExecutedProof| {
             let value = || header(&proof.header);
             proof.status == status
                 && value().is_some_and(|got| proof.value.as_ref().is_none_or(|want| want == got.trim()))
         };
         match () {
-            () if status < 200 => Verdict::Error,
-            () if self.not_executed.iter().any(proves) => Verdict::NotExecuted,
-            () if self.served.has(status) => Verdict::Served,
-            () => Verdict::Error,
+            () if status < 200 => ResponseClass::Error,
+            () if self.not_executed.iter().any(proves) => ResponseClass::NotExecuted,
+            () if self.served.has(status) => ResponseClass::Served,
+            () => ResponseClass::Error,
         }
     }
 }
@@ -138,40 +149,49 @@
 
     #[test]
     fn by_default_all_final_statuses_are_served_but_five() {
-        let plain = Answers::plain();
-        let failing: Vec<u16> = (200..600).filter(|s| plain.judge(*s, |_| None) != Verdict::Served).collect();
+        let plain = ResponseRules::plain();
+        let failing: Vec<u16> =
+            (200..600).filter(|s| plain.classify(*s, |_| None) != ResponseClass::Served).collect();
         assert_eq!(failing, [429, 500, 502, 503, 504]);
-        assert_eq!(plain.errors, Errors::AsTheyAre);
+        assert_eq!(plain.error_responses, ErrorResponses::Forward);
     }
 
     #[test]
     fn an_answer_below_200_is_never_served_and_proves_nothing() {
-        let proof = Proof { status: 103, header: "x-unprocessed".into(), value: None };
-        let answers = Answers { served: set(&[(100, 599)]), not_executed: vec![proof], ..Answers::plain() };
-        assert!((0..200).all(|s| answers.judge(s, |_| Some("1")) == Verdict::Error));
-        assert_eq!(answers.judge(200, |_| None), Verdict::Served);
+        let proof = NotExecutedProof { status: 103, header: "x-unprocessed".into(), value: None };
+        let answers =
+            ResponseRules { served: set(&[(100, 599)]), not_executed: vec![proof], ..ResponseRules::plain() };
+        assert!((0..200).all(|s| answers.classify(s, |_| Some("1")) == ResponseClass::Error));
+        assert_eq!(answers.classify(200, |_| None), ResponseClass::Served);
     }
 
     #[test]
     fn the_platform_serves_200_and_takes_the_header_on_503_and_504_as_proof() {
-        let platform = Answers::platform();
+        let platform = ResponseRules::platform();
         let header = |value: &'static str| move |name: &str| (name == "x-unprocessed").then_some(value);
-        assert_eq!(platform.judge(200, header("1")), Verdict::Served);
-        assert_eq!(platform.judge(201, |_| None), Verdict::Error);
-        assert_eq!(platform.judge(500, header("1")), Verdict::Error);
+        assert_eq!(platform.classify(200, header("1")), ResponseClass::Served);
+        assert_eq!(platform.classify(201, |_| None), ResponseClass::Error);
+        assert_eq!(platform.classify(500, header("1")), ResponseClass::Error);
         for status in [503, 504] {
-            assert_eq!(platform.judge(status, header(" 1\t")), Verdict::NotExecuted, "the value is trimmed");
-            assert_eq!(platform.judge(status, header("11")), Verdict::Error);
-            assert_eq!(platform.judge(status, header("")), Verdict::Error);
-            assert_eq!(platform.judge(status, |_| None), Verdict::Error);
+            assert_eq!(
+                platform.classify(status, header(" 1\t")),
+                ResponseClass::NotExecuted,
+                "the value is trimmed"
+            );
+            assert_eq!(platform.classify(status, header("11")), ResponseClass::Error);
+            assert_eq!(platform.classify(status, header("")), ResponseClass::Error);
+            assert_eq!(platform.classify(status, |_| None), ResponseClass::Error);
         }
     }
 
     #[test]
     fn proof_wins_over_served_and_may_take_any_value() {
-        let proof = Proof { status: 404, header: "x-later".into(), value: None };
-        let answers = Answers { not_executed: vec![proof], ..Answers::plain() };
-        assert_eq!(answers.judge(404, |name| (name == "x-later").then_some("")), Verdict::NotExecuted);
-        assert_eq!(answers.judge(404, |_| None), Verdict::Served);
+        let proof = NotExecutedProof { status: 404, header: "x-later".into(), value: None };
+        let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::plain() };
+        assert_eq!(
+            answers.classify(404, |name| (name == "x-later").then_some("")),
+            ResponseClass::NotExecuted
+        );
+        assert_eq!(answers.classify(404, |_| None), ResponseClass::Served);
     }
 }
--- a/crates/routing/src/form.rs
+++ b/crates/routing/src/form.rs
@@ -4,7 +4,7 @@
 
 /// A place in a request's head.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Source {
+pub enum AttributeSource {
     /// The part of the path of that number, from 1: in `/read/k7` part 1 is `read`. Read as it stands,
     /// without decoding.
     Path(usize),
@@ -14,20 +14,20 @@
 
 /// How a request is read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Form {
+pub struct RequestFormat {
     /// The name of its class.
-    pub class: Source,
+    pub class: AttributeSource,
     /// The class of a request in which that place is empty or names no class; none: such a request is
     /// refused.
-    pub otherwise: Option<ClassId>,
+    pub default_class: Option<ClassId>,
     /// The name of its tenant.
-    pub tenant: Option<Source>,
+    pub tenant: Option<AttributeSource>,
     /// What keeps a keyed request from running twice.
-    pub key: Source,
+    pub key: AttributeSource,
     /// The bay that it is about, for routes.
-    pub bay: Option<Source>,
+    pub deduplication_group: Option<AttributeSource>,
     /// The zone that it came from, for routes; none: the proxy's own.
-    pub zone: Option<Source>,
+    pub zone: Option<AttributeSource>,
     /// The header that names the request.
     pub id: String,
     /// A request without that header is refused; else it is given an id.
@@ -36,15 +36,15 @@
     pub time_left: String,
 }
 
-impl Form {
+impl RequestFormat {
     /// The platform's form, and the default of the operators' file but for `id_required`.
-    pub fn platform() -> Form {
-        Form {
-            class: Source::Path(1),
-            otherwise: None,
-            tenant: Some(Source::Header("x-account".into())),
-            key: Source::Header("idempotency-key".into()),
-            bay: None,
+    pub fn platform() -> RequestFormat {
+        RequestFormat {
+            class: AttributeSource::Path(1),
+            default_class: None,
+            tenant: Some(AttributeSource::Header("x-account".into())),
+            key: AttributeSource::Header("idempotency-key".into()),
+            deduplication_group: None,
             zone: None,
             id: "x-correlation-id".into(),
             id_required: true,
@@ -59,11 +59,11 @@
 
     #[test]
     fn the_platform_form_reads_class_from_the_path_and_demands_an_id() {
-        let form = Form::platform();
-        assert_eq!(form.class, Source::Path(1));
-        assert_eq!(form.tenant, Some(Source::Header("x-account".into())));
-        assert_eq!(form.key, Source::Header("idempotency-key".into()));
-        assert_eq!((form.otherwise, form.bay, form.zone), (None, None, None));
+        let form = RequestFormat::platform();
+        assert_eq!(form.class, AttributeSource::Path(1));
+        assert_eq!(form.tenant, Some(AttributeSource::Header("x-account".into())));
+        assert_eq!(form.key, AttributeSource::Header("idempotency-key".into()));
+        assert_eq!((form.default_class, form.deduplication_group, form.zone), (None, None, None));
         assert!(form.id_required && form.id == "x-correlation-id" && form.time_left == "x-time-left");
     }
 }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -6,7 +6,7 @@
 //! each sort of condition. Nothing is kept for pairs of values: 1,000 routes that name 64 classes and 10,000
 //! tenants hold some 1.3 MB of rows, however they combine them. A look-up allocates nothing.
 
-use crate::table::{Asked, Match};
+use crate::table::{Match, RequestAttributes};
 use shaletide_types::*;
 use std::borrow::Borrow;
 use std::collections::HashMap;
@@ -184,7 +184,7 @@
             classes: Condition::new(routes, |when| &when.classes),
             tenants: Condition::new(routes, |when| &when.tenants),
             zones: Condition::new(routes, |when| &when.zones),
-            bays: Condition::new(routes, |when| &when.bays),
+            bays: Condition::new(routes, |when| &when.deduplication_groups),
             methods: Condition::new(routes, |when| &when.methods),
             paths: Paths::new(routes),
             header: Header::new(routes),
@@ -193,14 +193,14 @@
 
     /// The rows that a request leaves: a route whose bit stands in all of them takes it, but for the headers
     /// that are not `settled`.
-    pub fn rows<'a>(&'a self, asked: &Asked<'_>) -> [&'a [u64]; SORTS] {
+    pub fn rows<'a>(&'a self, asked: &RequestAttributes<'_>) -> [&'a [u64]; SORTS] {
         let classes = self.classes.row(Some(&asked.class));
         let header = self.header.as_ref().map_or(classes, |h| h.row((asked.header)(&h.name)));
         [
             classes,
             self.tenants.row(asked.tenant.as_ref()),
             self.zones.row(Some(asked.zone)),
-            self.bays.row(asked.bay),
+            self.bays.row(asked.deduplication_group),
             self.methods.row(Some(asked.method)),
             self.paths.row(asked.path),
             header,
@@ -219,7 +219,7 @@
             self.classes.rows(&when.classes),
             self.tenants.rows(&when.tenants),
             self.zones.rows(&when.zones),
-            self.bays.rows(&when.bays),
+            self.bays.rows(&when.deduplication_groups),
             self.methods.rows(&when.methods),
             vec![self.paths.row(when.prefix())],
         ]
--- a/crates/routing/src/last.rs
+++ b/crates/routing/src/last.rs
@@ -1,6 +1,6 @@
 //! What the client gets at the end of a request: a backend's answer unchanged or the proxy's own words.
 
-use crate::Errors;
+use crate::ErrorResponses;
 use shaletide_types::Micros;
 
 /// The decision module's last word on a request.
@@ -10,7 +10,7 @@
     Served,
     /// Every attempt is known not to have run, or running it again does no harm; with the time after which
     /// the client had better come again.
-    Refused(Micros),
+    Rejected(Micros),
     /// Given up; an attempt may have run.
     Failed,
     /// Its time was up.
@@ -28,11 +28,11 @@
 
 /// What the client gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gets {
+pub enum ClientResponse {
     /// The backend's answer, unchanged.
-    Pass,
+    Forward,
     /// The proxy's own 503, with this time in `Retry-After`.
-    Refuse(Micros),
+    Reject(Micros),
     /// The proxy's own 502.
     BadGateway,
     /// The proxy's own 504.
@@ -56,23 +56,25 @@
 ///
 /// So a client sees 429 or 503 only where coming again does no harm (a safe class, or proof), and nothing that reads like success for
 /// what never ran.
-pub fn gets(decision: Decision, errors: Errors, safe: bool, last: Option<LastResponse>) -> Gets {
+pub fn client_response(
+    decision: Decision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
+) -> ClientResponse {
     let own = match decision {
-        Decision::Served => return Gets::Pass,
-        Decision::TimedOut => return Gets::GatewayTimeout,
-        Decision::Refused(after) => Gets::Refuse(after),
-        Decision::Failed => Gets::BadGateway,
+        Decision::Served => return ClientResponse::Forward,
+        Decision::TimedOut => return ClientResponse::GatewayTimeout,
+        Decision::Rejected(after) => ClientResponse::Reject(after),
+        Decision::Failed => ClientResponse::BadGateway,
     };
-    let Some(last) = last.filter(|_| errors == Errors::AsTheyAre) else { return own };
-    let refused = matches!(decision, Decision::Refused(_));
+    let Some(last) = last.filter(|_| errors == ErrorResponses::Forward) else { return own };
+    let refused = matches!(decision, Decision::Rejected(_));
     let says_harmless = matches!(last.status, 429 | 503);
     match last.not_executed {
-        true if says_harmless && (refused || safe) => Gets::Pass,
-        true if says_harmless => Gets::BadGateway,
+        true if says_harmless && (refused || safe) => ClientResponse::Forward,
+        true if says_harmless => ClientResponse::BadGateway,
         // The status does not say what the refusal has to say.
         true if last.status < 400 || refused && !safe => own,
-        false if says_harmless && !safe => Gets::BadGateway,
-        _ => Gets::Pass,
+        false if says_harmless && !safe => ClientResponse::BadGateway,
+        _ => ClientResponse::Forward,
     }
 }
 
@@ -81,7 +83,7 @@
     use super::*;
 
     const AFTER: Micros = Micros(70_000);
-    const OWN_503: Gets = Gets::Refuse(AFTER);
+    const OWN_503: ClientResponse = ClientResponse::Reject(AFTER);
 
     fn all_answers() -> Vec<Option<LastResponse>> {
         let answer = |status| [true, false].map(|not_executed| Some(LastResponse { status, not_executed }));
@@ -91,11 +93,16 @@
     #[test]
     fn a_served_answer_passes_and_a_late_request_gets_a_504_whatever_came_before() {
         for last in all_answers() {
-            for (errors, safe) in
-                [(Errors::AsTheyAre, true), (Errors::AsTheyAre, false), (Errors::OwnWords, true)]
-            {
-                assert_eq!(gets(Decision::Served, errors, safe, last), Gets::Pass);
-                assert_eq!(gets(Decision::TimedOut, errors, safe, last), Gets::GatewayTimeout);
+            for (errors, safe) in [
+                (ErrorResponses::Forward, true),
+                (ErrorResponses::Forward, false),
+                (ErrorResponses::Replace, true),
+            ] {
+                assert_eq!(client_response(Decision::Served, errors, safe, last), ClientResponse::Forward);
+                assert_eq!(
+                    client_response(Decision::TimedOut, errors, safe, last),
+                    ClientResponse::GatewayTimeout
+                );
             }
         }
     }
@@ -104,8 +111,14 @@
     fn in_its_own_words_the_proxy_passes_on_no_error() {
         for last in all_answers() {
             for safe in [true, false] {
-                assert_eq!(gets(Decision::Refused(AFTER), Errors::OwnWords, safe, last), OWN_503);
-                assert_eq!(gets(Decision::Failed, Errors::OwnWords, safe, last), Gets::BadGateway);
+                assert_eq!(
+                    client_response(Decision::Rejected(AFTER), ErrorResponses::Replace, safe, last),
+                    OWN_503
+                );
+                assert_eq!(
+                    client_response(Decision::Failed, ErrorResponses::Replace, safe, last),
+                    ClientResponse::BadGateway
+                );
             }
         }
     }
@@ -113,28 +126,35 @@
     #[test]
     fn without_an_answer_there_is_nothing_to_pass_on() {
         for safe in [true, false] {
-            assert_eq!(gets(Decision::Refused(AFTER), Errors::AsTheyAre, safe, None), OWN_503);
-            assert_eq!(gets(Decision::Failed, Errors::AsTheyAre, safe, None), Gets::BadGateway);
+            assert_eq!(
+                client_response(Decision::Rejected(AFTER), ErrorResponses::Forward, safe, None),
+                OWN_503
+            );
+            assert_eq!(
+                client_response(Decision::Failed, ErrorResponses::Forward, safe, None),
+                ClientResponse::BadGateway
+            );
         }
     }
 
     #[test]
     fn answers_as_they_are_follow_the_table() {
-        use Gets::{BadGateway, Pass};
-        let rows: [(&[u16], bool, [Gets; 4]); 5] = [
-            (&[429, 503], true, [Pass, Pass, Pass, BadGateway]),
-            (&[429, 503], false, [Pass, BadGateway, Pass, BadGateway]),
-            (&[400, 404, 500, 502, 504, 599], true, [Pass, OWN_503, Pass, Pass]),
+        use ClientResponse::{BadGateway, Forward};
+        let rows: [(&[u16], bool, [ClientResponse; 4]); 5] = [
+            (&[429, 503], true, [Forward, Forward, Forward, BadGateway]),
+            (&[429, 503], false, [Forward, BadGateway, Forward, BadGateway]),
+            (&[400, 404, 500, 502, 504, 599], true, [Forward, OWN_503, Forward, Forward]),
             (&[200, 204, 302, 399], true, [OWN_503, OWN_503, BadGateway, BadGateway]),
-            (&[200, 204, 302, 399, 400, 404, 500, 502, 504, 599], false, [Pass; 4]),
+            (&[200, 204, 302, 399, 400, 404, 500, 502, 504, 599], false, [Forward; 4]),
         ];
         for (statuses, not_executed, cells) in rows {
             for status in statuses {
                 let last = Some(LastResponse { status: *status, not_executed });
-                let refused = Decision::Refused(AFTER);
+                let refused = Decision::Rejected(AFTER);
                 let each =
                     [(refused, true), (refused, false), (Decision::Failed, true), (Decision::Failed, false)];
-                let got = each.map(|(decision, safe)| gets(decision, Errors::AsTheyAre, safe, last));
+                let got = each
+                    .map(|(decision, safe)| client_response(decision, ErrorResponses::Forward, safe, last));
                 assert_eq!(got, cells, "{last:?}");
             }
         }
@@ -144,7 +164,8 @@
     fn a_429_or_503_reaches_a_client_only_where_coming_again_does_no_harm() {
         for last in all_answers().into_iter().flatten().filter(|last| matches!(last.status, 429 | 503)) {
             for (decision, safe) in [(Decision::Failed, false), (Decision::Failed, true)] {
-                let passed = gets(decision, Errors::AsTheyAre, safe, Some(last)) == Gets::Pass;
+                let passed = client_response(decision, ErrorResponses::Forward, safe, Some(last))
+                    == ClientResponse::Forward;
                 assert!(!passed || safe, "{last:?}");
             }
         }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod pools;
 mod table;
 
-pub use answers::{Answers, Errors, Proof, StatusSet, Verdict};
-pub use form::{Form, Source};
-pub use last::{gets, Decision, Gets, LastResponse};
+pub use answers::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules, StatusSet};
+pub use form::{AttributeSource, RequestFormat};
+pub use last::{client_response, ClientResponse, Decision, LastResponse};
 pub use pools::Pools;
-pub use table::{Asked, HeaderMatch, Match, Reason, Route, RouteId, Table};
+pub use table::{HeaderMatch, Match, Mismatch, RequestAttributes, Route, RouteId, RouteTable};
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of a pool's list.
-    Members {
+    EndpointsUpdated {
         /// Whose.
         pool: PoolId,
         /// What sort of news.
@@ -36,7 +36,7 @@
         backends: Vec<BackendEntry>,
     },
     /// A backend belongs to another pool from now on; the news of that pool's list follows.
-    Moved {
+    BackendMoved {
         /// Which.
         backend: BackendId,
         /// The pool that it leaves.
@@ -59,7 +59,7 @@
         attempt: AttemptNumber,
     },
     /// What a backend says of its own load.
-    Reported {
+    LoadReported {
         /// The pool that it belongs to.
         pool: PoolId,
         /// Which.
@@ -70,13 +70,13 @@
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
     /// The client left.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A pool is no more: what it holds is handed on or given up at once, and what is out at its backends ends
     /// as ever.
-    Closed {
+    PoolClosed {
         /// Which.
         pool: PoolId,
     },
@@ -102,7 +102,7 @@
         send_by: Option<Time>,
     },
     /// Final answer: refused, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When the client had better come again, from now.
@@ -130,7 +130,7 @@
         after: Micros,
     },
     /// Ask a pool's discovery for changes from now on.
-    Follow {
+    Subscribe {
         /// Whose.
         pool: PoolId,
     },
@@ -221,46 +221,45 @@
     }
 
     /// How many there are, those included that are no more but hold something still.
-    pub fn kept(&self) -> usize {
+    pub fn retained_count(&self) -> usize {
         self.pools.len()
     }
 
     /// Requests that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
     /// Takes one event that happened at `now` and adds the actions it calls for.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Members { pool, update, backends } => {
-                let was = self.standing(now, pool).filter(|_| !self.gained(pool));
+            Event::EndpointsUpdated { pool, update, backends } => {
+                let was = self.health(now, pool).filter(|_| !self.gained(pool));
                 self.work.push_back((pool, module::Event::EndpointsUpdated { update, backends }));
                 self.run(now, actions);
-                if was != Some(PoolHealth::Available)
-                    && self.standing(now, pool) == Some(PoolHealth::Available)
+                if was != Some(PoolHealth::Available) && self.health(now, pool) == Some(PoolHealth::Available)
                 {
                     self.relieve(now);
                 }
             }
-            Event::Moved { backend, from, to } => self.carry_over(now, backend, from, to),
+            Event::BackendMoved { backend, from, to } => self.carry_over(now, backend, from, to),
             Event::Request { arrival, pools } => self.request(now, arrival, pools, actions),
             Event::StreamStarted { request, attempt } => {
                 if let Some(owed) = self.requests.get(&request) {
                     self.work.push_back((owed.pool, module::Event::StreamStarted { request, attempt }));
                 }
             }
-            Event::Reported { pool, backend, report } => {
+            Event::LoadReported { pool, backend, report } => {
                 self.work.push_back((pool, module::Event::LoadReported(backend, report)));
             }
             Event::AttemptEnded(end) => self.ended(end),
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 if let Some(owed) = self.requests.get(&request) {
                     self.work.push_back((owed.pool, module::Event::ClientDisconnected { request }));
                     self.settle(request);
                 }
             }
-            Event::Closed { pool } => {
+            Event::PoolClosed { pool } => {
                 if let Some(p) = self.pools.get_mut(&pool) {
                     p.closing = true;
                     let held = p.module.release_queued();
@@ -280,7 +279,7 @@
     }
 
     /// Whether a pool can take anything; `None` where there is no such pool.
-    pub fn standing(&self, now: Time, pool: PoolId) -> Option<PoolHealth> {
+    pub fn health(&self, now: Time, pool: PoolId) -> Option<PoolHealth> {
         self.pools.get(&pool).filter(|p| !p.closing).map(|p| p.module.health(now))
     }
 
@@ -292,7 +291,7 @@
         let mut owed = Owed { pool: PoolId(0), route, asked: 0 };
         let Some((pool, more)) = self.next(now, &mut owed) else {
             // No pool of its route is left: it was never sent anywhere, and the next may be for another route.
-            actions.push(Action::Refuse { request, retry_after: NO_POOL });
+            actions.push(Action::Reject { request, retry_after: NO_POOL });
             return;
         };
         owed.pool = pool;
@@ -305,7 +304,7 @@
     /// something and has not been asked. Where none can, the first that at least has backends, for good.
     fn next(&self, now: Time, owed: &mut Owed) -> Option<(PoolId, bool)> {
         let places = || owed.route.iter().enumerate().take(MAX_ROUTE_POOLS);
-        let open = |pool: &PoolId| self.standing(now, *pool);
+        let open = |pool: &PoolId| self.health(now, *pool);
         let fresh = places().filter(|(at, _)| owed.asked & (1 << at) == 0);
         let able =
             fresh.filter(|(_, pool)| open(pool) == Some(PoolHealth::Available)).map(|(at, pool)| (at, *pool));
@@ -441,7 +440,7 @@
             }
             module::Action::Reject { request, retry_after } => {
                 self.settle(request);
-                Action::Refuse { request, retry_after }
+                Action::Reject { request, retry_after }
             }
             module::Action::Fail { request, retry_after } => {
                 self.settle(request);
@@ -452,7 +451,7 @@
                 let token = TimerToken(u64::from(pool.0) << TOKENS | token.0 & ((1 << TOKENS) - 1));
                 Action::SetTimer { token, after }
             }
-            module::Action::Subscribe => Action::Follow { pool },
+            module::Action::Subscribe => Action::Subscribe { pool },
             module::Action::Log(text) => Action::Log { pool, text },
         });
     }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,7 +1,7 @@
 //! The routes in their order: the first that matches a request names its pools.
 
 use crate::index::{bits, Index, SORTS};
-use crate::Answers;
+use crate::ResponseRules;
 use shaletide_types::*;
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
     /// From one of these zones.
     pub zones: Vec<String>,
     /// About one of these bays.
-    pub bays: Vec<String>,
+    pub deduplication_groups: Vec<String>,
     /// The path is this or lies under it, by whole parts: `/read` takes `/read` and `/read/k` and not
     /// `/reader`. A slash at the end says nothing: `/read/` is `/read`, and `/` takes every path, `*` too.
     pub path_prefix: Option<String>,
@@ -48,11 +48,11 @@
     /// Where to, in order of preference; at least one.
     pub pools: Vec<PoolId>,
     /// How its backends' answers are read.
-    pub answers: Answers,
+    pub answers: ResponseRules,
 }
 
 /// What is asked of the table about a request.
-pub struct Asked<'a> {
+pub struct RequestAttributes<'a> {
     /// Its class.
     pub class: ClassId,
     /// Its tenant, if it has a known one.
@@ -60,7 +60,7 @@
     /// Its zone.
     pub zone: &'a str,
     /// Its bay.
-    pub bay: Option<&'a str>,
+    pub deduplication_group: Option<&'a str>,
     /// Its path, without the query.
     pub path: &'a str,
     /// Its method.
@@ -71,7 +71,7 @@
 
 /// Why a route does not take a request: the condition that fails first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum Mismatch {
     /// It takes other classes.
     Class,
     /// It takes other tenants.
@@ -79,7 +79,7 @@
     /// It takes requests from other zones.
     Zone,
     /// It takes requests about other bays.
-    Bay,
+    DeduplicationGroup,
     /// The path lies elsewhere.
     Path,
     /// It takes other methods.
@@ -90,19 +90,21 @@
 
 impl Match {
     /// Why it does not take the request; `None`: it does.
-    pub fn against(&self, asked: &Asked<'_>) -> Option<Reason> {
+    pub fn mismatch(&self, asked: &RequestAttributes<'_>) -> Option<Mismatch> {
         let named = |list: &[String], name: Option<&str>| {
             list.is_empty() || name.is_some_and(|name| list.iter().any(|n| n == name))
         };
         let tenant = || asked.tenant.is_some_and(|t| self.tenants.contains(&t));
         match () {
-            () if !self.classes.is_empty() && !self.classes.contains(&asked.class) => Some(Reason::Class),
-            () if !self.tenants.is_empty() && !tenant() => Some(Reason::Tenant),
-            () if !named(&self.zones, Some(asked.zone)) => Some(Reason::Zone),
-            () if !named(&self.bays, asked.bay) => Some(Reason::Bay),
-            () if !under(self.prefix(), asked.path) => Some(Reason::Path),
-            () if !named(&self.methods, Some(asked.method)) => Some(Reason::Method),
-            () => self.headers.iter().position(|h| !h.takes(asked)).map(Reason::Header),
+            () if !self.classes.is_empty() && !self.classes.contains(&asked.class) => Some(Mismatch::Class),
+            () if !self.tenants.is_empty() && !tenant() => Some(Mismatch::Tenant),
+            () if !named(&self.zones, Some(asked.zone)) => Some(Mismatch::Zone),
+            () if !named(&self.deduplication_groups, asked.deduplication_group) => {
+                Some(Mismatch::DeduplicationGroup)
+            }
+            () if !under(self.prefix(), asked.path) => Some(Mismatch::Path),
+            () if !named(&self.methods, Some(asked.method)) => Some(Mismatch::Method),
+            () => self.headers.iter().position(|h| !h.takes(asked)).map(Mismatch::Header),
         }
     }
 
@@ -114,7 +116,7 @@
         all(&self.classes, &other.classes)
             && all(&self.tenants, &other.tenants)
             && all(&self.zones, &other.zones)
-            && all(&self.bays, &other.bays)
+            && all(&self.deduplication_groups, &other.deduplication_groups)
             && all(&self.methods, &other.methods)
             && under(self.prefix(), other.prefix())
             && self.headers_cover(other)
@@ -135,7 +137,7 @@
 }
 
 impl HeaderMatch {
-    fn takes(&self, asked: &Asked<'_>) -> bool {
+    fn takes(&self, asked: &RequestAttributes<'_>) -> bool {
         let got = (asked.header)(&self.name);
         got.is_some_and(|got| self.value.as_ref().is_none_or(|want| want == got))
     }
@@ -154,17 +156,17 @@
 
 /// All routes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Table {
+pub struct RouteTable {
     routes: Vec<Route>,
     index: Index,
 }
 
-impl Table {
+impl RouteTable {
     /// The routes in their order. What the index for them takes stands in its module; it is built in one walk
     /// over all values that they name.
-    pub fn new(routes: Vec<Route>) -> Table {
+    pub fn new(routes: Vec<Route>) -> RouteTable {
         let index = Index::new(&routes.iter().map(|r| &r.when).collect::<Vec<_>>());
-        Table { routes, index }
+        RouteTable { routes, index }
     }
 
     /// The route of that index.
@@ -180,7 +182,7 @@
     /// The first that takes the request. A look-up for each sort of condition and a step for each 64 routes;
     /// only headers other than the one that most routes ask for are looked at route by route, and only of
     /// routes whose other conditions hold. Allocates nothing.
-    pub fn first(&self, asked: &Asked<'_>) -> Option<RouteId> {
+    pub fn find(&self, asked: &RequestAttributes<'_>) -> Option<RouteId> {
         let rows = self.index.rows(asked);
         let together = |word: usize| rows.iter().fold(u64::MAX, |left, row| left & row[word]);
         let mut candidates = (0..rows[0].len()).flat_map(|word| bits(word, together(word)));
@@ -192,10 +194,10 @@
     }
 
     /// Why each route before the one that takes the request does not, in order. Walks them all.
-    pub fn explain(&self, asked: &Asked<'_>) -> (Vec<(RouteId, Reason)>, Option<RouteId>) {
+    pub fn explain(&self, asked: &RequestAttributes<'_>) -> (Vec<(RouteId, Mismatch)>, Option<RouteId>) {
         let mut passed = Vec::new();
         for (at, route) in self.routes.iter().enumerate() {
-            match route.when.against(asked) {
+            match route.when.mismatch(asked) {
                 Some(reason) => passed.push((RouteId(at), reason)),
                 None => return (passed, Some(RouteId(at))),
             }
@@ -204,7 +206,7 @@
     }
 
     /// Routes that no request can reach, each with the first earlier one that takes all of its requests.
-    pub fn hidden(&self) -> Vec<(RouteId, RouteId)> {
+    pub fn shadowed(&self) -> Vec<(RouteId, RouteId)> {
         let each = (0..self.routes.len()).map(|at| Shadow::new(self, at));
         each.filter_map(|shadow| Some((RouteId(shadow.route), RouteId(shadow.by_one()?)))).collect()
     }
@@ -213,7 +215,7 @@
     /// out one sort of condition: a route for two classes behind one for each. Routes hidden by a mixture, or
     /// because all classes that there are have been taken one by one, are not found: the table knows neither
     /// all classes nor all tenants.
-    pub fn hidden_by_several(&self) -> Vec<(RouteId, Vec<RouteId>)> {
+    pub fn shadowed_by_several(&self) -> Vec<(RouteId, Vec<RouteId>)> {
         let each = (0..self.routes.len()).map(|at| Shadow::new(self, at));
         let alone = each.filter(|shadow| shadow.by_one().is_none());
         let named = |by: BTreeSet<usize>| by.into_iter().map(RouteId).collect();
@@ -232,7 +234,7 @@
 }
 
 impl<'a> Shadow<'a> {
-    fn new(table: &'a Table, route: usize) -> Shadow<'a> {
+    fn new(table: &'a RouteTable, route: usize) -> Shadow<'a> {
         let when = &table.routes[route].when;
         let rows = table.index.covering(when);
         let mut before = vec![0; route / 64 + 1];
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -18,13 +18,13 @@
 
 impl Request {
     /// What `with` makes of it.
-    pub fn ask<T>(&self, with: impl FnOnce(&Asked<'_>) -> T) -> T {
+    pub fn ask<T>(&self, with: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
         let header = |name: &str| self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
-        with(&Asked {
+        with(&RequestAttributes {
             class: ClassId(self.class),
             tenant: self.tenant.map(TenantId),
             zone: &self.zone,
-            bay: self.bay.as_deref(),
+            deduplication_group: self.bay.as_deref(),
             path: &self.path,
             method: &self.method,
             header: &header,
@@ -33,11 +33,11 @@
 }
 
 pub fn route(when: Match) -> Route {
-    Route { name: String::new(), when, pools: vec![PoolId(0)], answers: Answers::plain() }
+    Route { name: String::new(), when, pools: vec![PoolId(0)], answers: ResponseRules::plain() }
 }
 
-pub fn table(routes: impl IntoIterator<Item = Match>) -> Table {
-    Table::new(routes.into_iter().map(route).collect())
+pub fn table(routes: impl IntoIterator<Item = Match>) -> RouteTable {
+    RouteTable::new(routes.into_iter().map(route).collect())
 }
 
 pub fn header(name: &str, value: Option<&str>) -> HeaderMatch {
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -18,8 +18,8 @@
     }
 }
 
-fn why(when: Match, request: &Request) -> Option<Reason> {
-    request.ask(|asked| when.against(asked))
+fn why(when: Match, request: &Request) -> Option<Mismatch> {
+    request.ask(|asked| when.mismatch(asked))
 }
 
 #[test]
@@ -32,16 +32,16 @@
 fn each_condition_says_why_it_does_not_hold() {
     let texts = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     let cases = [
-        (Match { classes: vec![ClassId(0), ClassId(3)], ..Match::default() }, Reason::Class),
-        (Match { tenants: vec![TenantId(1)], ..Match::default() }, Reason::Tenant),
-        (Match { zones: texts(&["b", "c"]), ..Match::default() }, Reason::Zone),
-        (Match { bays: texts(&["b2"]), ..Match::default() }, Reason::Bay),
-        (Match { path_prefix: Some("/write".into()), ..Match::default() }, Reason::Path),
-        (Match { methods: texts(&["POST", "get"]), ..Match::default() }, Reason::Method),
-        (Match { headers: vec![header("x-canary", Some("green"))], ..Match::default() }, Reason::Header(0)),
+        (Match { classes: vec![ClassId(0), ClassId(3)], ..Match::default() }, Mismatch::Class),
+        (Match { tenants: vec![TenantId(1)], ..Match::default() }, Mismatch::Tenant),
+        (Match { zones: texts(&["b", "c"]), ..Match::default() }, Mismatch::Zone),
+        (Match { deduplication_groups: texts(&["b2"]), ..Match::default() }, Mismatch::DeduplicationGroup),
+        (Match { path_prefix: Some("/write".into()), ..Match::default() }, Mismatch::Path),
+        (Match { methods: texts(&["POST", "get"]), ..Match::default() }, Mismatch::Method),
+        (Match { headers: vec![header("x-canary", Some("green"))], ..Match::default() }, Mismatch::Header(0)),
         (
             Match { headers: vec![header("x-canary", None), header("x-other", None)], ..Match::default() },
-            Reason::Header(1),
+            Mismatch::Header(1),
         ),
     ];
     for (when, reason) in cases {
@@ -57,23 +57,23 @@
         classes: vec![ClassId(0), ClassId(1)],
         tenants: vec![TenantId(2)],
         zones: vec!["a".into()],
-        bays: vec!["b0".into(), "b1".into()],
+        deduplication_groups: vec!["b0".into(), "b1".into()],
         path_prefix: Some("/read".into()),
         methods: vec!["GET".into()],
         headers: vec![header("x-canary", Some("blue")), header("x-canary", None)],
     };
     assert_eq!(why(all.clone(), &get()), None);
     let other = Match { classes: vec![ClassId(0)], tenants: vec![TenantId(0)], ..all };
-    assert_eq!(why(other, &get()), Some(Reason::Class), "class comes before tenant");
+    assert_eq!(why(other, &get()), Some(Mismatch::Class), "class comes before tenant");
 }
 
 #[test]
 fn a_request_without_tenant_or_bay_is_none_of_those_named() {
     let without = Request { tenant: None, bay: None, ..get() };
     let tenants = Match { tenants: vec![TenantId(0)], ..Match::default() };
-    let bays = Match { bays: vec!["".into()], ..Match::default() };
-    assert_eq!(why(tenants, &without), Some(Reason::Tenant));
-    assert_eq!(why(bays, &without), Some(Reason::Bay));
+    let bays = Match { deduplication_groups: vec!["".into()], ..Match::default() };
+    assert_eq!(why(tenants, &without), Some(Mismatch::Tenant));
+    assert_eq!(why(bays, &without), Some(Mismatch::DeduplicationGroup));
 }
 
 #[test]
@@ -82,7 +82,7 @@
         let when = Match { path_prefix: Some(prefix.into()), ..Match::default() };
         let request = Request { path: path.into(), ..get() };
         let plain = why(when.clone(), &request).is_none();
-        assert_eq!(plain, request.ask(|asked| table([when]).first(asked).is_some()), "{prefix} {path}");
+        assert_eq!(plain, request.ask(|asked| table([when]).find(asked).is_some()), "{prefix} {path}");
         plain
     };
     for prefix in ["/read", "/read/"] {
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -203,7 +203,7 @@
     assert_eq!(world.pools.open().collect::<Vec<_>>(), [PoolId(1)]);
     let id = world.arrive(UNSAFE, SECOND, &[0]);
     assert_eq!(world.answer(id), Some("refused"), "a route to nowhere refuses at once");
-    assert_eq!(world.pools.kept(), 1, "nothing is left of one that is no more");
+    assert_eq!(world.pools.retained_count(), 1, "nothing is left of one that is no more");
 }
 
 /// Where no pool can take anything a request waits in the first. That one may be taken away meanwhile.
@@ -216,7 +216,7 @@
     world.full(1, vec![backend(10, 1, 1)]);
     world.advance(20_000);
     assert_eq!(world.sent_to(id), [10]);
-    assert_eq!(world.pools.kept(), 1);
+    assert_eq!(world.pools.retained_count(), 1);
 }
 
 /// It keeps what it holds and what it was sent while cold: another pool's module does not start afresh with it.
@@ -328,8 +328,8 @@
         for r in world.requests.values() {
             prop_assert!(r.left || r.answer.is_some());
         }
-        prop_assert_eq!(world.pools.owed(), 0);
-        prop_assert_eq!(world.pools.kept(), world.pools.open().count());
+        prop_assert_eq!(world.pools.pending_requests(), 0);
+        prop_assert_eq!(world.pools.retained_count(), world.pools.open().count());
     }
 }
 
@@ -385,7 +385,7 @@
     let start = std::time::Instant::now();
     for b in &many {
         let (from, to) = (PoolId(0), PoolId(1));
-        world.event(shaletide_routing::pools::Event::Moved { backend: b.id, from, to });
+        world.event(shaletide_routing::pools::Event::BackendMoved { backend: b.id, from, to });
     }
     world.full(0, Vec::new());
     world.full(1, many);
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -40,7 +40,7 @@
             classes: classes.into_iter().map(ClassId).collect(),
             tenants: tenants.into_iter().map(TenantId).collect(),
             zones,
-            bays,
+            deduplication_groups: bays,
             path_prefix: path.map(String::from),
             methods,
             headers,
@@ -75,8 +75,8 @@
         let table = table(routes.clone());
         for request in asked {
             request.ask(|asked| {
-                let naive = routes.iter().position(|when| when.against(asked).is_none()).map(RouteId);
-                prop_assert_eq!(table.first(asked), naive);
+                let naive = routes.iter().position(|when| when.mismatch(asked).is_none()).map(RouteId);
+                prop_assert_eq!(table.find(asked), naive);
                 let (passed, found) = table.explain(asked);
                 prop_assert_eq!(found, naive);
                 prop_assert_eq!(passed.len(), naive.map_or(routes.len(), |id| id.0));
@@ -88,7 +88,7 @@
     #[test]
     fn what_is_said_to_be_hidden_is_never_found(routes in vec(conditions(), 0..40), asked in vec(request(), 200)) {
         let table = table(routes.clone());
-        let (hidden, several) = (table.hidden(), table.hidden_by_several());
+        let (hidden, several) = (table.shadowed(), table.shadowed_by_several());
         for (route, by) in &hidden {
             let first = routes[..route.0].iter().position(|e| e.covers(&routes[route.0]));
             prop_assert_eq!(first, Some(by.0));
@@ -100,7 +100,7 @@
             prop_assert!(hidden.iter().all(|(alone, _)| alone != route));
         }
         for request in asked {
-            let found = request.ask(|asked| table.first(asked));
+            let found = request.ask(|asked| table.find(asked));
             prop_assert!(hidden.iter().all(|(route, _)| Some(*route) != found));
             prop_assert!(several.iter().all(|(route, _)| Some(*route) != found));
         }
@@ -112,7 +112,7 @@
         a in conditions(), b in conditions(), asked in vec(request(), 200),
     ) {
         for request in asked {
-            let (by_a, by_b) = request.ask(|r| (a.against(r).is_none(), b.against(r).is_none()));
+            let (by_a, by_b) = request.ask(|r| (a.mismatch(r).is_none(), b.mismatch(r).is_none()));
             prop_assert!(!a.covers(&b) || by_a || !by_b);
             prop_assert!(!b.covers(&a) || by_b || !by_a);
         }
@@ -127,19 +127,19 @@
 fn a_wider_route_hides_a_narrower_one_behind_it_and_not_the_other_way_round() {
     let narrow = Match { path_prefix: Some("/a/b/".into()), ..classes(&[1]) };
     let wide = Match { path_prefix: Some("/a".into()), ..classes(&[0, 1]) };
-    assert_eq!(table([wide.clone(), narrow.clone()]).hidden(), [(RouteId(1), RouteId(0))]);
-    assert_eq!(table([narrow, wide]).hidden(), []);
-    assert_eq!(table([classes(&[]), classes(&[2])]).hidden(), [(RouteId(1), RouteId(0))]);
+    assert_eq!(table([wide.clone(), narrow.clone()]).shadowed(), [(RouteId(1), RouteId(0))]);
+    assert_eq!(table([narrow, wide]).shadowed(), []);
+    assert_eq!(table([classes(&[]), classes(&[2])]).shadowed(), [(RouteId(1), RouteId(0))]);
     let root = Match { path_prefix: Some("/".into()), ..Match::default() };
-    assert_eq!(table([root, Match::default()]).hidden(), [(RouteId(1), RouteId(0))], "/ is every path");
+    assert_eq!(table([root, Match::default()]).shadowed(), [(RouteId(1), RouteId(0))], "/ is every path");
 }
 
 #[test]
 fn a_header_more_does_not_hide_and_a_header_less_does() {
     let with = |value| Match { headers: vec![header("x-canary", value)], ..Match::default() };
-    assert_eq!(table([with(None), Match::default()]).hidden(), []);
+    assert_eq!(table([with(None), Match::default()]).shadowed(), []);
     assert_eq!(
-        table([with(Some("1")), with(None), with(Some("1")), with(Some("2"))]).hidden(),
+        table([with(Some("1")), with(None), with(Some("1")), with(Some("2"))]).shadowed(),
         [(RouteId(2), RouteId(0)), (RouteId(3), RouteId(1)),]
     );
 }
@@ -148,16 +148,16 @@
 fn several_together_hide_a_route_whose_values_they_share_out() {
     let routes = [classes(&[0]), classes(&[1, 2]), classes(&[0, 2]), classes(&[0, 3])];
     let table = table(routes);
-    assert_eq!(table.hidden(), []);
-    assert_eq!(table.hidden_by_several(), [(RouteId(2), vec![RouteId(0), RouteId(1)])]);
+    assert_eq!(table.shadowed(), []);
+    assert_eq!(table.shadowed_by_several(), [(RouteId(2), vec![RouteId(0), RouteId(1)])]);
 }
 
 #[test]
 fn an_empty_table_finds_nothing() {
     let none = table([]);
     Request::default()
-        .ask(|asked| assert_eq!((none.first(asked), none.explain(asked)), (None, (vec![], None))));
+        .ask(|asked| assert_eq!((none.find(asked), none.explain(asked)), (None, (vec![], None))));
     assert!(
-        none.hidden().is_empty() && none.hidden_by_several().is_empty() && none.get(RouteId(0)).is_none()
+        none.shadowed().is_empty() && none.shadowed_by_several().is_empty() && none.get(RouteId(0)).is_none()
     );
 }
--- a/crates/routing/tests/world/mod.rs
+++ b/crates/routing/tests/world/mod.rs
@@ -110,7 +110,11 @@
     pub fn full(&mut self, pool: u32, list: Vec<BackendEntry>) {
         let known = self.lists.entry(PoolId(pool)).or_default();
         *known = list.iter().map(|b| (b.id, b.clone())).collect();
-        self.event(Event::Members { pool: PoolId(pool), update: EndpointUpdate::Snapshot, backends: list });
+        self.event(Event::EndpointsUpdated {
+            pool: PoolId(pool),
+            update: EndpointUpdate::Snapshot,
+            backends: list,
+        });
     }
 
     /// A change of one entry's state.
@@ -119,7 +123,7 @@
         let entry = list.get_mut(&BackendId(id)).expect("an entry");
         entry.state = state;
         let backends = vec![entry.clone()];
-        self.event(Event::Members { pool: PoolId(pool), update: EndpointUpdate::Delta, backends });
+        self.event(Event::EndpointsUpdated { pool: PoolId(pool), update: EndpointUpdate::Delta, backends });
     }
 
     pub fn shift(&mut self, id: u32, from: u32, to: u32) {
@@ -127,16 +131,16 @@
             self.lists.get_mut(&PoolId(from)).expect("a pool").remove(&BackendId(id)).expect("an entry");
         self.lists.get_mut(&PoolId(to)).expect("a pool").insert(entry.id, entry);
         let (from, to) = (PoolId(from), PoolId(to));
-        self.event(Event::Moved { backend: BackendId(id), from, to });
+        self.event(Event::BackendMoved { backend: BackendId(id), from, to });
         for pool in [from, to] {
             let list: Vec<BackendEntry> = self.lists[&pool].values().cloned().collect();
-            self.event(Event::Members { pool, update: EndpointUpdate::Snapshot, backends: list });
+            self.event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Snapshot, backends: list });
         }
     }
 
     pub fn close(&mut self, pool: u32) {
         self.lists.remove(&PoolId(pool));
-        self.event(Event::Closed { pool: PoolId(pool) });
+        self.event(Event::PoolClosed { pool: PoolId(pool) });
     }
 
     pub fn event(&mut self, event: Event) {
@@ -179,7 +183,7 @@
                 }
                 r.tries.push(Try { to, at: self.now, outcome: None });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 assert!(retry_after > Micros(0), "refused without advice");
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let ran = r.tries.iter().any(Try::may_have_run);
@@ -192,7 +196,7 @@
             }
             Action::Cancel { request, attempt } => self.cancelled.push((request, attempt.0 as usize)),
             Action::SetTimer { token, after } => self.timers.push((self.now + after, token)),
-            Action::Follow { .. } | Action::Log { .. } => {}
+            Action::Subscribe { .. } | Action::Log { .. } => {}
         }
     }
 
@@ -219,7 +223,7 @@
     pub fn leave(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.left) else { return };
         r.left = true;
-        self.event(Event::ClientGone { request: id });
+        self.event(Event::ClientDisconnected { request: id });
     }
 
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
@@ -298,7 +302,7 @@
     /// Nobody listens at any backend of a pool, until none is in use.
     pub fn eject_all(&mut self, pool: u32) {
         for _ in 0..100 {
-            if self.pools.standing(self.now, PoolId(pool)) != Some(PoolHealth::Available) {
+            if self.pools.health(self.now, PoolId(pool)) != Some(PoolHealth::Available) {
                 return;
             }
             let id = self.arrive(SAFE, 3_000_000, &[pool]);
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -4,7 +4,7 @@
 use crate::setup::errors_of;
 use shaletide_balancer::{ClassId, TenantId};
 use shaletide_config::operator::{Operator, PoolDef, Source};
-use shaletide_routing::{Asked, Reason, Route, Table};
+use shaletide_routing::{Mismatch, RequestAttributes, Route, RouteTable};
 use std::fmt::Write;
 
 /// The explanation, or what of the question makes no sense.
@@ -14,7 +14,7 @@
     let known = |name: &String| operator.classes.iter().position(|c| c.name == *name);
     let class = match named.as_ref().and_then(known) {
         Some(at) => ClassId(at),
-        None => match (asked.class.as_ref(), operator.form.otherwise) {
+        None => match (asked.class.as_ref(), operator.form.default_class) {
             (None, Some(class)) => class,
             (name, _) => return Err(no_class(operator, name.or(named.as_ref()))),
         },
@@ -35,11 +35,11 @@
             header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
         headers.push((name.to_ascii_lowercase(), value));
     }
-    let question = Asked {
+    let question = RequestAttributes {
         class,
         tenant,
         zone: asked.zone.as_deref().unwrap_or(&operator.proxy.zone),
-        bay: asked.bay.as_deref(),
+        deduplication_group: asked.bay.as_deref(),
         path: &path,
         method: &method,
         header: &|name| headers.iter().find(|h| h.0 == name).map(|h| h.1),
@@ -51,7 +51,7 @@
         let _ = writeln!(text, "  is refused with 405: the class takes {}", def.methods.join(", "));
         return Ok(text);
     }
-    let table = Table::new(operator.routes.clone());
+    let table = RouteTable::new(operator.routes.clone());
     let (passed, taken) = table.explain(&question);
     for (id, reason) in passed {
         let Some(route) = table.get(id) else { continue };
@@ -77,29 +77,31 @@
     }
 }
 
-fn because(operator: &Operator, route: &Route, reason: Reason, asked: &Asked<'_>) -> String {
+fn because(operator: &Operator, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>) -> String {
     let when = &route.when;
     match reason {
-        Reason::Class => {
+        Mismatch::Class => {
             let names =
                 when.classes.iter().filter_map(|c| operator.classes.get(c.0)).map(|c| c.name.as_str());
             format!("it takes class {}", names.collect::<Vec<_>>().join(", "))
         }
-        Reason::Tenant => {
+        Mismatch::Tenant => {
             let names = when.tenants.iter().filter_map(|t| operator.tenants.get(t.0)).map(String::as_str);
             let here = if asked.tenant.is_none() { " and the request has none" } else { "" };
             format!("it takes tenant {}{here}", names.collect::<Vec<_>>().join(", "))
         }
-        Reason::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), asked.zone),
-        Reason::Bay => match asked.bay {
-            Some(bay) => format!("it takes bay {}, not {bay}", when.bays.join(", ")),
-            None => format!("it takes bay {} and the request names none", when.bays.join(", ")),
+        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), asked.zone),
+        Mismatch::DeduplicationGroup => match asked.deduplication_group {
+            Some(bay) => format!("it takes bay {}, not {bay}", when.deduplication_groups.join(", ")),
+            None => {
+                format!("it takes bay {} and the request names none", when.deduplication_groups.join(", "))
+            }
         },
-        Reason::Path => {
+        Mismatch::Path => {
             format!("it takes paths under {}", when.path_prefix.as_deref().unwrap_or("/"))
         }
-        Reason::Method => format!("it takes {}, not {}", when.methods.join(", "), asked.method),
-        Reason::Header(at) => match when.headers.get(at) {
+        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), asked.method),
+        Mismatch::Header(at) => match when.headers.get(at) {
             Some(h) => match (&h.value, (asked.header)(&h.name)) {
                 (Some(value), Some(got)) => format!("it wants header {}: {value}, not {got}", h.name),
                 (Some(value), None) => format!("it wants header {}: {value}", h.name),
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -8,7 +8,7 @@
 use shaletide_membership::{bay, Endpoint, List, PoolSpec, Source};
 use shaletide_net::{Network, PoolSetup};
 use shaletide_record::{ClassRule, RecordConfig, WithoutKey};
-use shaletide_routing::{Errors, Route};
+use shaletide_routing::{ErrorResponses, Route};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -75,7 +75,7 @@
         operator.limits.body_rate = more.limits.body_rate;
         operator.limits.body_grace = more.limits.body_grace;
         operator.limits.held_bodies = more.limits.held_bodies;
-        (operator.form.bay, operator.form.zone) = (more.bay, more.zone);
+        (operator.form.deduplication_group, operator.form.zone) = (more.bay, more.zone);
         operator.pools.extend(more.pools);
         operator.routes = more.routes;
     }
@@ -183,7 +183,7 @@
         reorder(&mut operator.tenants, &tenants);
         reorder(&mut operator.config.tenants, &tenants);
         let class = |id: ClassId| ClassId(classes.get(id.0).copied().unwrap_or(id.0));
-        operator.form.otherwise = operator.form.otherwise.map(class);
+        operator.form.default_class = operator.form.default_class.map(class);
         for route in &mut operator.routes {
             route.when.classes.iter_mut().for_each(|id| *id = class(*id));
             let tenant = |id: TenantId| TenantId(tenants.get(id.0).copied().unwrap_or(id.0));
@@ -259,9 +259,9 @@
 
 /// Whether a route passes errors on as they are, for `explain`.
 pub fn errors_of(route: &Route) -> &'static str {
-    match route.answers.errors {
-        Errors::AsTheyAre => "as they are",
-        Errors::OwnWords => "in own words",
+    match route.answers.error_responses {
+        ErrorResponses::Forward => "as they are",
+        ErrorResponses::Replace => "in own words",
     }
 }
 
@@ -291,7 +291,7 @@
         let names: Vec<&str> = next.operator.classes.iter().map(|c| c.name.as_str()).collect();
         assert_eq!(names, ["a", "b", "c"]);
         assert_eq!(next.operator.tenants, ["x", "y", "z"]);
-        assert_eq!(next.operator.form.otherwise, Some(ClassId(0)));
+        assert_eq!(next.operator.form.default_class, Some(ClassId(0)));
         let when = &next.operator.routes[0].when;
         assert_eq!((&when.classes[..], &when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
         let fewer = old.follow(setup("a b", "x")).unwrap_err();
