--- a/crates/body-limits/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -3,7 +3,7 @@
 //! The room is given before the first byte is read, for the length that a head names, so that whatever was let in can
 //! come whole: nobody holds a part and waits for the rest of the room. What does not fit is not read; it stands in line.
 
-use crate::pace::{Pace, Rate};
+use crate::rate::{MinimumRate, RateTracker};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -15,22 +15,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
     /// How fast a body has to come.
-    pub rate: Rate,
+    pub rate: MinimumRate,
     /// Bytes that all bodies may hold together. One that is longer than that is let in when it is alone.
-    pub held: usize,
+    pub max_buffered_bytes: usize,
     /// A body that has been coming for less is not pushed out.
     pub patience: Micros,
 }
 
 /// Whether a body may be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Entry {
+pub enum BodyState {
     /// It may.
-    In,
+    Admitted,
     /// It stands in line.
-    Waits,
+    Queued,
     /// It was pushed out, or is over.
-    Out,
+    Evicted,
 }
 
 #[derive(Clone, Debug)]
@@ -38,14 +38,14 @@
     length: usize,
     came: usize,
     begun: Time,
-    pace: Pace,
+    pace: RateTracker,
     /// Its request was taken: it is owed an answer, and keeps its room until it has it.
     taken: bool,
 }
 
 /// All of them. Bounds: a row for each body that its front reads or has in line.
 #[derive(Clone, Debug)]
-pub struct Bodies {
+pub struct BodyAdmission {
     measures: BodyLimits,
     inside: BTreeMap<BodyId, Body>,
     line: VecDeque<(BodyId, usize)>,
@@ -55,10 +55,10 @@
     let_in: Vec<BodyId>,
 }
 
-impl Bodies {
+impl BodyAdmission {
     /// None yet.
-    pub fn new(measures: BodyLimits) -> Bodies {
-        Bodies {
+    pub fn new(measures: BodyLimits) -> BodyAdmission {
+        BodyAdmission {
             measures,
             inside: BTreeMap::new(),
             line: VecDeque::new(),
@@ -86,23 +86,23 @@
     }
 
     /// Those that were let in out of the line since this was asked last.
-    pub fn let_in(&mut self) -> Vec<BodyId> {
+    pub fn take_admitted(&mut self) -> Vec<BodyId> {
         std::mem::take(&mut self.let_in)
     }
 
     /// How it stands with that one.
-    pub fn entry(&self, id: BodyId) -> Entry {
+    pub fn state(&self, id: BodyId) -> BodyState {
         if self.inside.contains_key(&id) {
-            Entry::In
+            BodyState::Admitted
         } else if self.line.iter().any(|(waiting, _)| *waiting == id) {
-            Entry::Waits
+            BodyState::Queued
         } else {
-            Entry::Out
+            BodyState::Evicted
         }
     }
 
     /// So many bytes of it have come.
-    pub fn came(&mut self, now: Time, id: BodyId, bytes: usize) {
+    pub fn on_bytes(&mut self, now: Time, id: BodyId, bytes: usize) {
         if let Some(body) = self.inside.get_mut(&id) {
             body.came += bytes;
             body.pace.moved(now, bytes);
@@ -115,14 +115,14 @@
     }
 
     /// It is whole, and its request was taken.
-    pub fn taken(&mut self, id: BodyId) {
+    pub fn on_complete(&mut self, id: BodyId) {
         if let Some(body) = self.inside.get_mut(&id) {
             body.taken = true;
         }
     }
 
     /// It is not held any more, nor waited for.
-    pub fn over(&mut self, now: Time, id: BodyId) {
+    pub fn remove(&mut self, now: Time, id: BodyId) {
         if let Some(body) = self.inside.remove(&id) {
             self.held -= body.length;
         }
@@ -132,11 +132,11 @@
 
     /// Makes room for the first in line: of those that are owed nothing and had time to come, the one goes that moves
     /// least, and of several the one that holds most. None where nobody waits or nobody may go.
-    pub fn push_out(&mut self, now: Time) -> Option<BodyId> {
+    pub fn evict_slowest(&mut self, now: Time) -> Option<BodyId> {
         self.move_up(now);
         self.line.front()?;
         let slowest = self.slowest(now)?;
-        self.over(now, slowest);
+        self.remove(now, slowest);
         Some(slowest)
     }
 
@@ -159,12 +159,12 @@
     }
 
     fn fits(&self, length: usize) -> bool {
-        self.held == 0 || self.held + length <= self.measures.held
+        self.held == 0 || self.held + length <= self.measures.max_buffered_bytes
     }
 
     fn enter(&mut self, now: Time, id: BodyId, length: usize) {
         self.held += length;
-        let pace = Pace::new(self.measures.rate, now);
+        let pace = RateTracker::new(self.measures.rate, now);
         self.inside.insert(id, Body { length, came: 0, begun: now, pace, taken: false });
     }
 
--- a/crates/body-limits/src/lib.rs
+++ b/crates/body-limits/src/lib.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 
 mod bodies;
-mod pace;
+mod rate;
 
-pub use bodies::{Bodies, BodyId, BodyLimits, Entry};
-pub use pace::{Pace, Rate};
+pub use bodies::{BodyAdmission, BodyId, BodyLimits, BodyState};
+pub use rate::{MinimumRate, RateTracker};
--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -7,7 +7,7 @@
 use hyper::Request;
 use shaletide_membership::List;
 use shaletide_net::timeout::{timeout, timeout_at, TimedOut};
-use shaletide_net::{driven, BoxError, Stream};
+use shaletide_net::{drive_connection, BoxError, Stream};
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -99,7 +99,7 @@
         let body = timeout(times.transfer, collected(answer.into_body(), times.piece));
         Ok((status, body.await.map_err(silent)??))
     };
-    let (status, body) = driven(conn, answer).await.unwrap_or(Err(WatchError::Ended))?;
+    let (status, body) = drive_connection(conn, answer).await.unwrap_or(Err(WatchError::Ended))?;
     *link = Some(live);
     if status != 200 {
         return Err(WatchError::Status(status));
--- a/crates/discovery/src/call/tests.rs
+++ b/crates/discovery/src/call/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `call` that need its private items.
 
 use super::*;
-use crate::pace::{Pace, MAX_TRANSFER};
+use crate::poll_schedule::{PollSchedule, MAX_TRANSFER};
 use shaletide_testkit::NeverUp;
 use std::io::{BufRead, BufReader, Write};
 use std::time::Instant;
@@ -188,7 +188,7 @@
 /// than it may take to begin. It is not silent.
 #[test]
 fn a_long_list_that_comes_in_pieces_is_waited_for_while_it_comes() {
-    let pace = Pace::pushed(Duration::from_secs(2));
+    let pace = PollSchedule::pushed(Duration::from_secs(2));
     let (size, pause) = (16 << 10, pace.prompt / 5);
     let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let pieces = whole.len().div_ceil(size) as u32;
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_list_that_stops_midway_is_given_up_as_soon_as_one_that_does_not_begin() {
-    let pace = Pace::pushed(Duration::from_secs(2));
+    let pace = PollSchedule::pushed(Duration::from_secs(2));
     let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let at = in_pieces(vec![whole], 16 << 10, PATIENCE);
     with_runtime(async {
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -1,15 +1,15 @@
 //! Lists of backends, watched: the platform's agent, or a discovery that has to be asked. What comes is handed to
-//! the host; what it means is the machines' to say.
+//! the driver; what it means is the machines' to say.
 #![forbid(unsafe_code)]
 
 mod call;
-mod pace;
+mod poll_schedule;
 
 use call::{fetch, fit, CallTimes, WatchError};
-use pace::Pace;
+use poll_schedule::PollSchedule;
 use shaletide_balancer::{DiscoveryMode, EndpointUpdate, PoolId};
 use shaletide_membership::List;
-use shaletide_net::{timeout, Host};
+use shaletide_net::{timeout, Driver};
 use std::cell::Cell;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 
 /// What is known of a discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct WatchConfig {
     /// Whether it is to be asked.
     pub mode: DiscoveryMode,
     /// This proxy's number among all that watch it.
@@ -39,7 +39,7 @@
 
 /// Where discovery is, and since when: the start of the program, or the signal that moved it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct DiscoveryEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it has counts from then on, or soon after.
@@ -52,7 +52,8 @@
 ///
 /// Ends only by being dropped, which leaves the pool with the list that it has.
 pub async fn watch(
-    host: Rc<Host>, pool: PoolId, mut moved: Receiver<Place>, known: Option<u64>, terms: Terms,
+    driver: Rc<Driver>, pool: PoolId, mut moved: Receiver<DiscoveryEndpoint>, known: Option<u64>,
+    terms: WatchConfig,
 ) {
     // An agent's answers cost nothing: begin with the truth.
     let mut index = known.filter(|_| terms.mode != DiscoveryMode::Push);
@@ -62,7 +63,7 @@
     loop {
         let at = moved.borrow_and_update().address;
         tokio::select! {
-            _ = async { tokio::join!(follow(&host, pool, at, index, terms, &heard), expire(&host, pool, until, terms, &heard)) } => {}
+            _ = async { tokio::join!(follow(&driver, pool, at, index, terms, &heard), expire(&driver, pool, until, terms, &heard)) } => {}
             Ok(()) = moved.changed() => {
                 let again = moved.borrow().since + MOVED + terms.grace * 3 / 4;
                 until = if heard.replace(false) { again } else { until.min(again) };
@@ -74,7 +75,7 @@
 
 /// Takes all boxes out of use at that moment, unless discovery has been heard: it may have known for as long as the
 /// grace lasts that they drain. Its first list brings back those that serve.
-async fn expire(host: &Rc<Host>, pool: PoolId, until: Instant, terms: Terms, heard: &Cell<bool>) {
+async fn expire(driver: &Rc<Driver>, pool: PoolId, until: Instant, terms: WatchConfig, heard: &Cell<bool>) {
     if !terms.strict || terms.mode != DiscoveryMode::Push {
         return;
     }
@@ -84,23 +85,24 @@
     }
     if !heard.get() {
         warn!("discovery has not been heard: its list of before is too old to go by");
-        host.members(pool, EndpointUpdate::Snapshot, Vec::new());
+        driver.update_endpoints(pool, EndpointUpdate::Snapshot, Vec::new());
     }
 }
 
 /// Follows one discovery for ever, from that index on or from the whole list.
 async fn follow(
-    host: &Rc<Host>, pool: PoolId, at: SocketAddr, from: Option<u64>, terms: Terms, heard: &Cell<bool>,
+    driver: &Rc<Driver>, pool: PoolId, at: SocketAddr, from: Option<u64>, terms: WatchConfig,
+    heard: &Cell<bool>,
 ) {
-    let Terms { mode, position, grace, .. } = terms;
+    let WatchConfig { mode, position, grace, .. } = terms;
     let asked = mode != DiscoveryMode::Push;
     let (mut whole, mut index) = (from.is_none(), from.unwrap_or(0));
     let (mut link, mut failures, mut waits, mut in_vain) = (None, 0u32, 0u32, false);
-    let own = if asked { Pace::asked(grace) } else { Pace::pushed(grace) };
+    let own = if asked { PollSchedule::asked(grace) } else { PollSchedule::pushed(grace) };
     // A call of the module's is answered once, by what it missed; only what follows waits for news.
     let mut catches_up = asked && !whole;
     if catches_up {
-        host.followed(pool).await;
+        driver.subscribe_requested(pool).await;
     }
     loop {
         let wait = if catches_up { Duration::ZERO } else { own.wait(position, waits) };
@@ -126,7 +128,7 @@
                 let gap = !list.snapshot && list.index < index;
                 if !gap {
                     let update = if list.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
-                    tell(host, pool, update, &list);
+                    tell(driver, pool, update, &list);
                     heard.set(true);
                     index = list.index;
                 }
@@ -145,11 +147,11 @@
                 // It may not know that version any more, nor ever again.
                 whole |= matches!(e, WatchError::Status(..500));
                 if asked {
-                    forget(host.followed(pool)).await;
-                    host.members(pool, EndpointUpdate::SubscriptionLost, Vec::new());
+                    forget(driver.subscribe_requested(pool)).await;
+                    driver.update_endpoints(pool, EndpointUpdate::SubscriptionLost, Vec::new());
                     // When to ask again is the module's to say, but not without bound.
                     let latest = own.latest_retry(asked_at, Instant::now(), position, failures);
-                    let _ = tokio::time::timeout_at(latest.into(), host.followed(pool)).await;
+                    let _ = tokio::time::timeout_at(latest.into(), driver.subscribe_requested(pool)).await;
                 } else {
                     tokio::time::sleep(own.pause_after(failures)).await;
                 }
@@ -168,11 +170,11 @@
 }
 
 /// Hands a list on. Of the entries that make no sense one is logged, with their number: a list may be long.
-pub fn tell(host: &Rc<Host>, pool: PoolId, update: EndpointUpdate, list: &List) {
+pub fn tell(driver: &Rc<Driver>, pool: PoolId, update: EndpointUpdate, list: &List) {
     let (entries, skipped) = list.entries();
     if let Some(skipped) = skipped {
         warn!("{} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
     }
-    host.list_version(pool, list.index);
-    host.members(pool, update, entries);
+    driver.set_list_version(pool, list.index);
+    driver.update_endpoints(pool, update, entries);
 }
--- a/crates/discovery/src/pace.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -11,7 +11,7 @@
 
 /// How calls are made: what an outage leaves the proxy blind to is told once they are over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Pace {
+pub(crate) struct PollSchedule {
     /// One call waits so long for news, from the shortest to the longest of all proxies.
     wait: [Duration; 2],
     /// What an answer's head may take beyond that before discovery counts as silent, and each further piece of it.
@@ -29,7 +29,7 @@
     pub(crate) pause: Duration,
 }
 
-impl Pace {
+impl PollSchedule {
     /// Calls of a discovery that all proxies ask are dear to it, and it works through them in turn. A watch that fell
     /// silent is opened anew before what it missed counts as told: 2 s after its wait is over, and the grace. Watches
     /// fall silent together, and calls made in one moment would wait for each other for longer than that: so no two
@@ -39,24 +39,31 @@
     /// Whatever failed before, a change is known 6 s after discovery had it and could be reached, and after a move 4 s
     /// after the signal: that moment may come just after a call was given up or failed, so neither the time after
     /// which one is given up nor that from one call to the next may be longer than that, less an answer's time.
-    pub(crate) fn asked(grace: Duration) -> Pace {
+    pub(crate) fn asked(grace: Duration) -> PollSchedule {
         let prompt = (grace / 2 + Duration::from_millis(400)).min(Duration::from_millis(1500));
         let (wait, turn) = ([6, 14].map(Duration::from_secs), [3, 5].map(Duration::from_secs));
         let retry = [1500, 2500].map(Duration::from_millis);
-        Pace { wait, prompt, turn, retry, transfer: prompt, pause: Duration::from_millis(50) }
+        PollSchedule { wait, prompt, turn, retry, transfer: prompt, pause: Duration::from_millis(50) }
     }
 
     /// An agent on the own machine answers at once and at no cost. A call that was out as it fell silent is never
     /// answered, not even when it is back, and what it has counts as told meanwhile: so a wait, its answer's time
     /// and a pause last no longer than two thirds of the grace, and so do an answer's time and the longest pause.
     /// Below 170 ms of grace calls do not get any faster: they would cost more than they tell.
-    pub(crate) fn pushed(grace: Duration) -> Pace {
+    pub(crate) fn pushed(grace: Duration) -> PollSchedule {
         let part = |hundredths: u32, least: u64, most: u64| {
             (grace * hundredths / 100).clamp(Duration::from_millis(least), Duration::from_millis(most))
         };
         let (wait, prompt, pause) = (part(35, 50, 1000), part(25, 40, 500), part(2, 5, 50));
         let retry = pause * (1 << MAX_DOUBLINGS);
-        Pace { wait: [wait; 2], prompt, turn: [prompt; 2], retry: [retry; 2], transfer: prompt, pause }
+        PollSchedule {
+            wait: [wait; 2],
+            prompt,
+            turn: [prompt; 2],
+            retry: [retry; 2],
+            transfer: prompt,
+            pause,
+        }
     }
 
     /// How long the so many-th call of a proxy waits.
--- a/crates/discovery/src/pace/tests.rs
+++ b/crates/discovery/src/poll_schedule/tests.rs
@@ -6,13 +6,13 @@
 fn an_agent_that_was_silent_is_heard_within_two_thirds_of_any_grace() {
     for ms in [170, 200, 300, 500, 700, 1000, 1500, 2000, 3000, 60_000] {
         let grace = Duration::from_millis(ms);
-        let pace = Pace::pushed(grace);
+        let pace = PollSchedule::pushed(grace);
         assert!(pace.wait[1] + pace.prompt + pace.pause <= grace * 2 / 3, "{ms}: {pace:?}");
         assert!(pace.prompt + pace.pause * 8 <= grace * 2 / 3, "{ms}: {pace:?}");
     }
-    let longest = Pace::pushed(Duration::from_secs(3600));
-    let least = Pace::pushed(Duration::ZERO);
-    let times = |p: Pace| [p.wait[1], p.prompt, p.pause].map(|t| t.as_millis());
+    let longest = PollSchedule::pushed(Duration::from_secs(3600));
+    let least = PollSchedule::pushed(Duration::ZERO);
+    let times = |p: PollSchedule| [p.wait[1], p.prompt, p.pause].map(|t| t.as_millis());
     assert_eq!((times(longest), times(least)), ([1000, 500, 50], [50, 40, 5]));
 }
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_watch_that_fell_silent_is_open_again_before_what_it_missed_counts() {
     for ms in [150, 300, 500, 1000, 2000, 10_000] {
-        let (grace, pace) = (Duration::from_millis(ms), Pace::asked(Duration::from_millis(ms)));
+        let (grace, pace) = (Duration::from_millis(ms), PollSchedule::asked(Duration::from_millis(ms)));
         let again = pace.prompt + Duration::from_millis(150 + 500 + 300 + 500);
         assert!(again <= Duration::from_secs(2) + grace, "{ms}: {pace:?}");
     }
@@ -31,7 +31,7 @@
 #[test]
 fn proxies_whose_watches_fell_silent_together_do_not_ask_together() {
     let grace = Duration::from_millis(150);
-    let pace = Pace::asked(grace);
+    let pace = PollSchedule::asked(grace);
     for proxies in [6u32, 20, 64, 300, 1000] {
         for call in [0, 1, 7] {
             let mut ends: Vec<Duration> = (0..proxies).map(|p| pace.wait(p, call)).collect();
@@ -57,7 +57,7 @@
         (Duration::from_secs(6), Duration::from_secs(4), Duration::from_millis(850));
     for ms in [150, 300, 700, 1000, 2000, 10_000] {
         let grace = Duration::from_millis(ms);
-        let (pace, made) = (Pace::asked(grace), Instant::now());
+        let (pace, made) = (PollSchedule::asked(grace), Instant::now());
         // From making a call that fails or is given up after that time to making the next.
         let worst = |took: Duration| {
             let next = |n: u32| pace.latest_retry(made, made + took, n % 300, n / 300) - made;
@@ -72,7 +72,7 @@
 
 #[test]
 fn retries_of_many_proxies_that_failed_together_are_spread_over_a_second() {
-    let (pace, made) = (Pace::asked(Duration::from_secs(1)), Instant::now());
+    let (pace, made) = (PollSchedule::asked(Duration::from_secs(1)), Instant::now());
     let mut at: Vec<Duration> = (0..300).map(|p| pace.latest_retry(made, made, p, 3) - made).collect();
     at.sort();
     let gaps = at.windows(2).map(|pair| pair[1] - pair[0]);
--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -42,7 +42,7 @@
 
     /// Does what a failed accept calls for; never fatal.
     async fn accept_failed(self: &Rc<Self>, error: &std::io::Error) {
-        self.host.system_errors.note(self.host.clock.now(), SystemCall::Accept, error);
+        self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, error);
         let failures = self.accept_failures.get().saturating_add(1);
         self.accept_failures.set(failures);
         match accept_failure(error) {
@@ -56,7 +56,7 @@
     /// Closes a connection that nobody uses, of a client or to a backend.
     pub(crate) fn free_descriptor(&self) {
         if !self.evict_one() {
-            self.host.make_room(); // where there is none, one ends by itself
+            self.driver.close_idle_connection(); // where there is none, one ends by itself
         }
     }
 
@@ -68,7 +68,7 @@
         self.accepted.set(self.accepted.get() + 1);
         let key = self.next_connection.get();
         self.next_connection.set(key + 1);
-        let now = self.host.clock.now();
+        let now = self.driver.clock.now();
         let client = Rc::new(Client::new(key, Stream::new(tcp), now, self.counters.clone()));
         client.trace_accepted();
         self.clients.borrow_mut().insert(key, client.clone());
--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use shaletide_balancer::Time;
-use shaletide_body_limits::{BodyId, Entry};
+use shaletide_body_limits::{BodyId, BodyState};
 use shaletide_net::timeout::sleep_until;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +38,7 @@
     /// Where it gives none; heads are checked for that before.
     pub fn new(server: &Rc<Server>, client: &Rc<Client>, body: &Incoming) -> Result<IncomingBody, BodyError> {
         let length = body.size_hint().exact().ok_or(BodyError::Fault(Fault::Length))? as usize;
-        let id = server.bodies.borrow_mut().begin(server.host.clock.now(), length);
+        let id = server.bodies.borrow_mut().begin(server.driver.clock.now(), length);
         server.body_senders.borrow_mut().insert(id, client.clone());
         Ok(IncomingBody { server: server.clone(), client: client.clone(), id, length })
     }
@@ -53,25 +53,25 @@
         let read = self.read(until, &mut body).await;
         self.client.body_since.set(None);
         let whole = read.map_err(BodyError::Fault)?;
-        self.server.bodies.borrow_mut().taken(self.id);
+        self.server.bodies.borrow_mut().on_complete(self.id);
         Ok(whole)
     }
 
     fn now(&self) -> Time {
-        self.server.host.clock.now()
+        self.server.driver.clock.now()
     }
 
     /// Waits until it may be read.
     async fn enter(&self, until: Time) -> Result<(), BodyError> {
         loop {
             let now = self.now();
-            match self.server.bodies.borrow().entry(self.id) {
-                Entry::In => return Ok(()),
-                Entry::Out => return Err(BodyError::Fault(Fault::Slow)),
-                Entry::Waits if now >= until => return Err(BodyError::NoRoom),
-                Entry::Waits => {}
+            match self.server.bodies.borrow().state(self.id) {
+                BodyState::Admitted => return Ok(()),
+                BodyState::Evicted => return Err(BodyError::Fault(Fault::Slow)),
+                BodyState::Queued if now >= until => return Err(BodyError::NoRoom),
+                BodyState::Queued => {}
             }
-            let pushed = self.server.bodies.borrow_mut().push_out(now);
+            let pushed = self.server.bodies.borrow_mut().evict_slowest(now);
             self.server.notify_senders(pushed);
             let _ = tokio::time::timeout(EVICTION_CHECK_INTERVAL, self.client.body_changed.notified()).await;
         }
@@ -85,17 +85,17 @@
                 biased; // bytes that are there are read before the time is checked, and set no timer
                 frame = body.frame() => frame,
                 () = self.client.body_changed.notified() => {
-                    let is_in = self.server.bodies.borrow().entry(self.id) == Entry::In;
+                    let is_in = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
                     if self.client.is_evicted() || !is_in {
                         return Err(Fault::Slow);
                     }
                     continue;
                 }
-                () = sleep_until(self.server.host.clock.instant(due)) => return Err(Fault::Slow),
+                () = sleep_until(self.server.driver.clock.instant(due)) => return Err(Fault::Slow),
             };
             let Some(part) = frame else { return Err(Fault::Body) };
             let part = part.ok().and_then(|frame| frame.into_data().ok()).ok_or(Fault::Body)?;
-            self.server.bodies.borrow_mut().came(self.now(), self.id, part.len());
+            self.server.bodies.borrow_mut().on_bytes(self.now(), self.id, part.len());
             if parts.is_empty() && part.len() == self.length {
                 return Ok(part);
             }
@@ -113,7 +113,7 @@
 impl Drop for IncomingBody {
     fn drop(&mut self) {
         self.server.body_senders.borrow_mut().remove(&self.id);
-        self.server.bodies.borrow_mut().over(self.now(), self.id);
+        self.server.bodies.borrow_mut().remove(self.now(), self.id);
         self.server.notify_senders(None);
     }
 }
@@ -121,7 +121,7 @@
 impl Server {
     /// Wakes the readers of the bodies that were admitted, and of the one that was evicted.
     fn notify_senders(&self, pushed: Option<BodyId>) {
-        let let_in = self.bodies.borrow_mut().let_in();
+        let let_in = self.bodies.borrow_mut().take_admitted();
         let body_senders = self.body_senders.borrow();
         let concerned = let_in.into_iter().chain(pushed).filter_map(|id| body_senders.get(&id));
         concerned.for_each(|client| client.body_changed.notify_one());
--- a/crates/http/src/eviction.rs
+++ b/crates/http/src/eviction.rs
@@ -64,7 +64,7 @@
     /// Closes the connection that [`eviction_order`] names first and on which no request waits to be read. Whether
     /// there was one.
     pub(crate) fn evict_one(&self) -> bool {
-        let now = self.host.clock.now();
+        let now = self.driver.clock.now();
         let crowded_by_unproven = self.unproven() > self.max_clients / UNPROVEN_DIVISOR;
         let clients = self.clients.borrow();
         let candidates = clients.values().map(|client| client.candidate());
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,4 +1,4 @@
-//! The HTTP front: clients' connections, their requests read, checked and handed to the host, and the answers
+//! The HTTP front: clients' connections, their requests read, checked and handed to the driver, and the answers
 //! that come back. It holds no pool, no address and no decision.
 #![forbid(unsafe_code)]
 
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -1,4 +1,4 @@
-//! From a request to its response: check the head, read the body, hand it to the host and render the answer.
+//! From a request to its response: check the head, read the body, hand it to the driver and render the answer.
 
 use crate::bodies::{BodyError, IncomingBody};
 use crate::connection::Client;
@@ -16,7 +16,7 @@
 use hyper::{Request, Response, StatusCode};
 use shaletide_balancer::*;
 use shaletide_engine::RequestSpec;
-use shaletide_net::{strip_hop_by_hop, Host, Named, NotTaken, RequestEvent};
+use shaletide_net::{strip_hop_by_hop, Driver, RequestEvent, RequestIdentity, SubmitError};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
     ) -> Response<Full<Bytes>> {
         let rules = self.rules();
         let (head, body) = request.into_parts();
-        client.trace_request(self.host.clock, &rules, &head);
+        client.trace_request(self.driver.clock, &rules, &head);
         let result = match (check_target(&head), head.uri.path()) {
             (Err(fault), _) => Err(fault),
             (Ok(()), "/-/ready") => ready(client, &rules, &head, &body),
@@ -89,9 +89,9 @@
     ) -> Result<Response<Full<Bytes>>, Fault> {
         // What stood in the accept queue or waited for the event loop has used up that much of its time.
         let waited = Micros(client.stream.since_last_received().as_micros() as u64);
-        let received = self.host.clock.now() - waited;
+        let received = self.driver.clock.now() - waited;
         let parsed = read_head(rules, &head, &body)?;
-        let deadline = received + Micros(parsed.left.0.saturating_sub(self.host.margin().0));
+        let deadline = received + Micros(parsed.left.0.saturating_sub(self.driver.deadline_margin().0));
         let body_deadline = self.before_stop(received + parsed.left.min(rules.body_timeout));
         let (body, _reserved) = match self.body(client, body_deadline, body).await {
             Ok(body) => body,
@@ -117,7 +117,7 @@
         self.stop_deadline.get().map_or(deadline, |stop| deadline.min(stop))
     }
 
-    /// The request as the host is given it.
+    /// The request as the driver is given it.
     fn outgoing(
         &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
     ) -> Result<Outgoing, Fault> {
@@ -126,7 +126,7 @@
             request: RequestId(0),
             class: parsed.class,
             tenant: parsed.tenant,
-            time_left: deadline - self.host.clock.now(),
+            time_left: deadline - self.driver.clock.now(),
             work_hint: headers.get("x-weight-hint").and_then(number).map(|us| Micros(us as u64)),
             is_client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
             may_fail_over: false,
@@ -162,7 +162,7 @@
         Ok(Outgoing { id, deadline, order, tenant: parsed.tenant_name, key: parsed.key, forwarded })
     }
 
-    /// Hands a request to the host and waits for its answer.
+    /// Hands a request to the driver and waits for its answer.
     async fn forward(
         self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: Outgoing,
     ) -> Result<Response<Full<Bytes>>, Fault> {
@@ -171,18 +171,18 @@
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
         let is_safe = order.idempotency == Idempotency::Safe;
-        let named = Named {
+        let named = RequestIdentity {
             tenant: tenant.as_deref().unwrap_or_default(),
             class: &rules.classes[order.arrival.class.0].name,
             key: key.as_deref().map(str::as_bytes),
         };
-        let (request, answer) = match self.host.request(order, named, forwarded.clone()) {
+        let (request, answer) = match self.driver.submit(order, named, forwarded.clone()) {
             Ok(accepted) => accepted,
-            Err(NotTaken::Record(verdict)) => return record_refusal(rules, verdict),
-            Err(NotTaken::ClientClosed) => return Err(Fault::ClientClosed),
+            Err(SubmitError::Record(verdict)) => return record_refusal(rules, verdict),
+            Err(SubmitError::ClientClosed) => return Err(Fault::ClientClosed),
         };
         let body_length = forwarded.body.len();
-        let mut guard = RequestGuard { host: &self.host, id: request, open: true };
+        let mut guard = RequestGuard { driver: &self.driver, id: request, open: true };
         let answer = tokio::select! {
             biased;
             answer = answer => answer,
@@ -202,7 +202,7 @@
     }
 }
 
-/// A request that is ready for the host.
+/// A request that is ready for the driver.
 struct Outgoing {
     id: HeaderValue,
     deadline: Time,
@@ -230,7 +230,7 @@
 
 /// Withdraws a request when hyper drops it unanswered because its client has closed the connection.
 struct RequestGuard<'a> {
-    host: &'a Rc<Host>,
+    driver: &'a Rc<Driver>,
     id: RequestId,
     open: bool,
 }
@@ -238,7 +238,7 @@
 impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.host.client_gone(self.id);
+            self.driver.client_gone(self.id);
         }
     }
 }
--- a/crates/http/src/proxy/tests.rs
+++ b/crates/http/src/proxy/tests.rs
@@ -11,18 +11,18 @@
 async fn request_waiting_for_body_space_is_answered_before_shutdown_ends() {
     let run = async {
         let server = server_without_backends(2);
-        let holder = server.bodies.borrow_mut().begin(server.host.clock.now(), 64);
-        server.bodies.borrow_mut().let_in();
-        server.bodies.borrow_mut().taken(holder); // its request waits for an answer
+        let holder = server.bodies.borrow_mut().begin(server.driver.clock.now(), 64);
+        server.bodies.borrow_mut().take_admitted();
+        server.bodies.borrow_mut().on_complete(holder); // its request waits for an answer
         let mut client = connect_client(&server).await;
-        server.stop_deadline.set(Some(server.host.clock.now() + Micros(300_000)));
+        server.stop_deadline.set(Some(server.driver.clock.now() + Micros(300_000)));
         client.write_all(PAY.as_bytes()).unwrap();
         let late = tokio::time::sleep(span(DEADLINE) / 2);
         tokio::select! {
             answer = read_to_end(client) => assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}"),
             () = late => panic!("it still waits"),
         }
-        server.bodies.borrow_mut().over(server.host.clock.now(), holder);
+        server.bodies.borrow_mut().remove(server.driver.clock.now(), holder);
     };
     tokio::task::LocalSet::new().run_until(run).await;
 }
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -8,28 +8,30 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use shaletide_balancer::Micros;
-use shaletide_net::Answer;
-use shaletide_record::{Conflict, Verdict};
+use shaletide_net::FinalResponse;
+use shaletide_record::{KeyConflict, KeyDecision};
 use shaletide_routing::{client_response, ClientResponse, Decision};
 
 /// The response to a request that the record refuses.
-pub(crate) fn record_refusal(rules: &Rules, verdict: Verdict) -> Result<Response<Full<Bytes>>, Fault> {
+pub(crate) fn record_refusal(rules: &Rules, verdict: KeyDecision) -> Result<Response<Full<Bytes>>, Fault> {
     match verdict {
-        Verdict::Refuse(after) => Ok(refused(rules, after)),
-        Verdict::Conflict(conflict) => Ok(conflicting(conflict)),
-        Verdict::KeyRequired | Verdict::Go { .. } => Err(Fault::Key),
-        Verdict::KeyTooLong => Err(Fault::KeyTooLong),
+        KeyDecision::Reject(after) => Ok(refused(rules, after)),
+        KeyDecision::Conflict(conflict) => Ok(conflicting(conflict)),
+        KeyDecision::KeyRequired | KeyDecision::Proceed { .. } => Err(Fault::Key),
+        KeyDecision::KeyTooLong => Err(Fault::KeyTooLong),
     }
 }
 
 /// 409 for a key that is not sent to any backend.
-fn conflicting(conflict: Conflict) -> Response<Full<Bytes>> {
+fn conflicting(conflict: KeyConflict) -> Response<Full<Bytes>> {
     plain(
         StatusCode::CONFLICT,
         match conflict {
-            Conflict::InFlight => "a request of this key is under way\n",
-            Conflict::Doubt => "a request of this key may have run; an operator has to say whether it did\n",
-            Conflict::Served => "a request of this key was served\n",
+            KeyConflict::InFlight => "a request of this key is under way\n",
+            KeyConflict::Doubt => {
+                "a request of this key may have run; an operator has to say whether it did\n"
+            }
+            KeyConflict::Served => "a request of this key was served\n",
         },
     )
 }
@@ -43,9 +45,9 @@
     response
 }
 
-/// The response to a request that the host has answered.
+/// The response to a request that the driver has answered.
 pub(crate) fn final_response(
-    rules: &Rules, answer: Answer, call: &ForwardedRequest, safe: bool,
+    rules: &Rules, answer: FinalResponse, call: &ForwardedRequest, safe: bool,
 ) -> Response<Full<Bytes>> {
     if let (Some(conflict), Decision::Rejected(_)) = (answer.conflict, answer.decision) {
         return conflicting(conflict);
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -3,7 +3,7 @@
 use hyper::header::{HeaderName, CONTENT_LENGTH, HOST};
 use hyper::Method;
 use shaletide_balancer::{ClassId, Idempotency, Micros, PoolId, TenantId};
-use shaletide_body_limits::{BodyLimits, Rate};
+use shaletide_body_limits::{BodyLimits, MinimumRate};
 use shaletide_routing::{AttributeSource, RequestFormat, ResponseRules, Route, RouteTable};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -175,8 +175,8 @@
             head_timeout: def.head_timeout,
             body_timeout: def.body_timeout,
             bodies: BodyLimits {
-                rate: Rate { least: def.body_rate, grace: def.body_grace },
-                held: def.held_bodies,
+                rate: MinimumRate { bytes_per_s: def.body_rate, grace: def.body_grace },
+                max_buffered_bytes: def.held_bodies,
                 patience: FIRST_REQUEST_PATIENCE,
             },
             max_body: def.max_body,
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -37,10 +37,10 @@
     /// doing.
     pub(crate) fn note_closed(&self, client: &Client, reason: CloseReason) {
         self.closed.add(reason);
-        client.trace_closed(self.host.clock, reason);
+        client.trace_closed(self.driver.clock, reason);
         if client.busy.get() && reason != CloseReason::Client {
             let (number, reason) = (client.number, reason.name());
-            self.host.rule_broken(&format!(
+            self.driver.report_violation(&format!(
                 "connection {number} was closed ({reason}) while a request on it had no answer"
             ));
         }
@@ -68,7 +68,7 @@
             let answer = self.answer(client, request).await;
             client.answered.set(true);
             client.announced_close.set(answer.headers().contains_key(CONNECTION));
-            client.idle_since.set(self.host.clock.now());
+            client.idle_since.set(self.driver.clock.now());
             client.stream.mark_idle();
             client.busy.set(false);
             Ok::<_, Infallible>(answer)
@@ -85,7 +85,7 @@
                 },
                 // Checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout starts anew.
                 _ = cut.as_mut(), if client.evicted.get() => {
-                    let is_late = span(self.host.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
+                    let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
                     if is_late && !client.busy.get() && !client.stream.has_unread_bytes() {
                         return (CloseReason::NotRead, false);
                     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -6,22 +6,22 @@
 use crate::rules::Rules;
 use hyper::header::HeaderValue;
 use shaletide_balancer::Time;
-use shaletide_body_limits::{Bodies, BodyId};
-use shaletide_net::Host;
+use shaletide_body_limits::{BodyAdmission, BodyId};
+use shaletide_net::Driver;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The HTTP server in front of the host.
+/// The HTTP server in front of the driver.
 pub struct Server {
-    pub(crate) host: Rc<Host>,
+    pub(crate) driver: Rc<Driver>,
     pub(crate) counters: Rc<ConnectionCounters>,
     pub(crate) rules: RefCell<Rc<Rules>>,
     pub(crate) max_clients: usize,
     pub(crate) clients: RefCell<HashMap<u64, Rc<Client>>>,
     /// The admission of request bodies, and the connections that send them.
-    pub(crate) bodies: RefCell<Bodies>,
+    pub(crate) bodies: RefCell<BodyAdmission>,
     pub(crate) body_senders: RefCell<HashMap<BodyId, Rc<Client>>>,
     /// The ids of open requests.
     pub(crate) open_ids: RefCell<HashSet<HeaderValue>>,
@@ -51,11 +51,11 @@
 
 impl Server {
     /// A server with a limit on connections; `seed` starts its generator of request ids.
-    pub fn new(host: Rc<Host>, rules: Rules, max_clients: usize, seed: u64) -> Rc<Server> {
+    pub fn new(driver: Rc<Driver>, rules: Rules, max_clients: usize, seed: u64) -> Rc<Server> {
         Rc::new(Server {
-            host,
+            driver,
             counters: Rc::default(),
-            bodies: RefCell::new(Bodies::new(rules.bodies)),
+            bodies: RefCell::new(BodyAdmission::new(rules.bodies)),
             body_senders: RefCell::default(),
             rules: RefCell::new(Rc::new(rules)),
             max_clients,
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -52,7 +52,7 @@
 
     /// Accepts for a little longer, answers all accepted requests and returns.
     async fn shut_down(self: Rc<Self>, mut listeners: Vec<TcpListener>) {
-        let begun = self.host.clock.now();
+        let begun = self.driver.clock.now();
         let rules = self.rules();
         // Requests accepted by earlier rules may have later deadlines; where the time to stop is limited, they are
         // answered before it ends.
@@ -75,10 +75,10 @@
         // loop, as a process that was not scheduled for long may find both times over.
         let mut over: Option<Time> = None;
         loop {
-            let now = self.host.clock.now();
+            let now = self.driver.clock.now();
             if over.is_none() && now >= last {
                 over = Some(now + FLUSH_TIME); // later requests had no later deadline
-                self.host.give_up(rules.max_retry_after);
+                self.driver.give_up_all(rules.max_retry_after);
             }
             self.close_idle();
             listeners.retain(|listener| !self.drain_backlog(listener));
@@ -101,7 +101,7 @@
         let open =
             clients.values().filter(|client| client.busy.get() && !client.stream.peer_closed()).count();
         if open > 0 {
-            self.host.rule_broken(&format!("the program ends while {open} requests have no answer"));
+            self.driver.report_violation(&format!("the program ends while {open} requests have no answer"));
         }
     }
 
@@ -117,7 +117,7 @@
                 Ok((accepted, _)) => self.admit_accepted(accepted.into()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) => {
-                    self.host.system_errors.note(self.host.clock.now(), SystemCall::Accept, &e);
+                    self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, &e);
                     match accept_failure(&e) {
                         AcceptFailure::Connection => {}
                         AcceptFailure::SystemShortage => return false, // tried again soon
@@ -137,13 +137,13 @@
         match accepted.set_nonblocking(true).and_then(|()| TcpStream::from_std(accepted)) {
             Ok(tcp) => self.admit(tcp),
             // The event loop has no memory for it: it cannot be served.
-            Err(e) => self.host.system_errors.note(self.host.clock.now(), SystemCall::Register, &e),
+            Err(e) => self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Register, &e),
         }
     }
 
     /// Closes the connections that have no request open, except new ones. The others end with their response.
     fn close_idle(&self) {
-        let now = self.host.clock.now();
+        let now = self.driver.clock.now();
         let idle = |c: &&Rc<Client>| {
             !c.busy.get() && (c.answered.get() || now - c.idle_since.get() >= NEW_CONNECTION_GRACE)
         };
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use shaletide_balancer::{Config, Idempotency, Micros};
 use shaletide_membership::{PoolSpec, Source};
-use shaletide_net::{Clock, Host, Network, PoolSetup};
+use shaletide_net::{Clock, Driver, PoolSetup, UpstreamConfig};
 use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
 use std::rc::Rc;
 use tokio::net::TcpStream;
@@ -14,20 +14,20 @@
 /// A front with so many connection slots, whose one class has a pool with no backend in it: requests wait for one until their
 /// time is up.
 pub(crate) fn server_without_backends(max: usize) -> Rc<Server> {
-    let network = Network {
+    let network = UpstreamConfig {
         connect_timeout: DEADLINE,
         idle_timeout: DEADLINE,
         answer_stall: None,
         max_body: 64,
-        most: 8,
+        max_connections: 8,
     };
-    let host = Host::new(Clock::new(), network);
-    let spec = PoolSpec { name: "p".into(), repeats: None, source: Source::Listed };
+    let driver = Driver::new(Clock::new(), network);
+    let spec = PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered };
     let mut config = Config::example();
     config.classes[0].latency_objective = Micros(2_000_000); // whoever finds no backend is refused well before that, and after 1 s
     let setup = PoolSetup { spec, config };
-    let pools = host.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
-    tokio::task::spawn_local(host.clone().timers());
+    let pools = driver.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
+    tokio::task::spawn_local(driver.clone().run_timers());
     let (form, answers) = (RequestFormat::platform(), ResponseRules::platform());
     let class = ClassRule {
         name: "pay".into(),
@@ -52,7 +52,7 @@
         record: false,
         longest_stop: None,
     };
-    Server::new(host, Rules::new(rules), max, 1)
+    Server::new(driver, Rules::new(rules), max, 1)
 }
 
 /// A connection that was just accepted, and its client's end.
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -9,8 +9,8 @@
 use shaletide_balancer::{AttemptNumber, LoadReport};
 use shaletide_net::timeout::timeout;
 use shaletide_net::{
-    driven, strip_hop_by_hop, ExchangeFuture, ExchangeOutcome, ExchangeSpec, PeerWatch, RequestTrace, Stream,
-    UpstreamRequest,
+    drive_connection, strip_hop_by_hop, ExchangeFuture, ExchangeOutcome, ExchangeSpec, PeerWatch,
+    RequestTrace, Stream, UpstreamRequest,
 };
 use shaletide_routing::{ErrorResponses, LastResponse, ResponseClass, ResponseRules};
 use std::cell::RefCell;
@@ -92,10 +92,10 @@
                     {
                         self.got.borrow_mut().push((spec.attempt, verdict, got));
                     }
-                    ExchangeOutcome::Answered { verdict, keep, excess, report }
+                    ExchangeOutcome::Response { class: verdict, reusable: keep, excess, report }
                 }
                 Err(ExchangeError::InvalidResponse) => ExchangeOutcome::InvalidResponse,
-                Err(ExchangeError::Ended) => ExchangeOutcome::Ended,
+                Err(ExchangeError::Ended) => ExchangeOutcome::ConnectionClosed,
             }
         })
     }
@@ -180,7 +180,7 @@
     };
     let (head, body, bodiless) = tokio::select! {
         biased;
-        done = driven(&mut conn, work) => done.unwrap_or(Err(ExchangeError::Ended))?,
+        done = drive_connection(&mut conn, work) => done.unwrap_or(Err(ExchangeError::Ended))?,
         _ = watch_response(stream, stall) => return Err(ExchangeError::InvalidResponse),
     };
     if stream.may_answer_previous_request() {
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -35,7 +35,7 @@
         assert!(stream.request_written());
         match stall {
             None => {
-                assert!(matches!(outcome, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }));
+                assert!(matches!(outcome, ExchangeOutcome::Response { class: ResponseClass::Served, .. }));
                 assert_eq!(&call.take(attempt).unwrap().1.body[..], b"cash");
                 assert!(call.take(attempt).is_none());
             }
@@ -87,7 +87,10 @@
             true => peer.shutdown(std::net::Shutdown::Write).unwrap(),
         }
         let outcome = call("cash").run(spec(&stream, to, None)).await;
-        assert!(matches!(outcome, ExchangeOutcome::Ended | ExchangeOutcome::InvalidResponse), "{outcome:?}");
+        assert!(
+            matches!(outcome, ExchangeOutcome::ConnectionClosed | ExchangeOutcome::InvalidResponse),
+            "{outcome:?}"
+        );
         assert!(stream.is_unwritten());
         drop(stream);
         peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -110,7 +113,7 @@
         });
         if used {
             let first = call("cash").run(spec(&stream, to, None)).await;
-            assert!(matches!(first, ExchangeOutcome::Answered { keep: true, .. }), "{first:?}");
+            assert!(matches!(first, ExchangeOutcome::Response { reusable: true, .. }), "{first:?}");
         }
         let outcome = call(vec![0; 64 << 20]).run(spec(&stream, to, None)).await;
         assert!(!stream.request_written());
@@ -143,7 +146,7 @@
             task.await.unwrap()
         })
         .await;
-    assert!(matches!(outcome, ExchangeOutcome::Answered { .. }), "{outcome:?}");
+    assert!(matches!(outcome, ExchangeOutcome::Response { .. }), "{outcome:?}");
     let (stream, to, mut peer) = connected().await;
     std::thread::spawn(move || {
         for byte in WHOLE.chunks(1) {
@@ -190,10 +193,7 @@
         peer
     });
     let outcome = call("cash").run(spec(&stream, to, stall)).await;
-    assert!(
-        matches!(outcome, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }),
-        "{outcome:?}"
-    );
+    assert!(matches!(outcome, ExchangeOutcome::Response { class: ResponseClass::Served, .. }), "{outcome:?}");
     drop(backend.join().unwrap());
 }
 
@@ -219,7 +219,7 @@
             Rc::new(ForwardedRequest { answers: Rc::new(ResponseRules::platform()), ..plain("cash") });
         let outcome = asked.run(spec(&stream, to, None)).await;
         assert!(
-            matches!(outcome, ExchangeOutcome::Answered { verdict: v, .. } if v == verdict),
+            matches!(outcome, ExchangeOutcome::Response { class: v, .. } if v == verdict),
             "{said:?}: {outcome:?}"
         );
         drop(backend.join().unwrap());
@@ -242,7 +242,7 @@
         peer.write_all(WHOLE).unwrap();
         String::from_utf8(head).unwrap()
     });
-    assert!(matches!(run.await, ExchangeOutcome::Answered { verdict: ResponseClass::Served, .. }));
+    assert!(matches!(run.await, ExchangeOutcome::Response { class: ResponseClass::Served, .. }));
     let head = served.join().unwrap().to_ascii_lowercase();
     let told = head.split("x-time-left: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
     assert!(told.parse::<f64>().unwrap() <= 19.7, "{told}");
--- a/crates/membership/benches/news.rs
+++ b/crates/membership/benches/news.rs
@@ -11,30 +11,31 @@
         name: format!("box-{n}-{generation}"),
         address: SocketAddr::from((Ipv4Addr::from(n as u32 + 0x0a00_0000), 80)),
         zone: format!("z{}", n % 8),
-        kind: format!("k{}", n % 4),
-        bay: (n % 100) as u64,
+        server_type: format!("k{}", n % 4),
+        deduplication_group: (n % 100) as u64,
         cores: 4,
         weight: 0,
         state: BackendState::Ready,
-        booted: None,
+        started_at: None,
     }
 }
 
 fn main() {
     for boxes in [100, 10_000, 100_000] {
-        let pools = vec![PoolSpec { name: "p".into(), repeats: None, source: Source::Listed }];
+        let pools = vec![PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered }];
         let (mut directory, _) = Directory::new(&[], &[], pools);
         let list = |generation| (0..boxes).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
         let (first, second, one) = (list(0), list(1), vec![endpoint(boxes / 2, 1)]);
         let began = Instant::now();
-        let held =
-            allocation_counter::measure(|| drop(directory.news(PoolId(0), EndpointUpdate::Snapshot, first)));
+        let held = allocation_counter::measure(|| {
+            drop(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, first))
+        });
         let whole = began.elapsed();
         let began = Instant::now();
-        drop(black_box(directory.news(PoolId(0), EndpointUpdate::Delta, one)));
+        drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Delta, one)));
         let single = began.elapsed();
         let began = Instant::now();
-        drop(black_box(directory.news(PoolId(0), EndpointUpdate::Snapshot, second)));
+        drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, second)));
         directory.retain(|_| false);
         let renewed = began.elapsed();
         let each = held.bytes_current / boxes as i64;
--- a/crates/membership/src/claims.rs
+++ b/crates/membership/src/address_owners.rs
@@ -22,13 +22,13 @@
 
 /// The pools in line for each address. Several entries of one pool at one address are one claim.
 #[derive(Clone, Debug, Default)]
-pub struct Claims {
+pub struct AddressOwners {
     lines: BTreeMap<SocketAddr, Vec<PoolId>>,
     entries: BTreeSet<(SocketAddr, PoolId, Key)>,
     contested: BTreeSet<SocketAddr>,
 }
 
-impl Claims {
+impl AddressOwners {
     /// The pool that has the address.
     pub fn owner(&self, address: SocketAddr) -> Option<PoolId> {
         self.line(address).first().copied()
@@ -102,7 +102,7 @@
     fn an_address_goes_down_the_line_and_an_heir_steps_into_his_place() {
         let at: SocketAddr = "10.0.0.1:80".parse().unwrap();
         let (key, other) = (Key::from("k"), Key::from("l"));
-        let mut claims = Claims::default();
+        let mut claims = AddressOwners::default();
         for pool in [1, 2, 3, 4] {
             claims.add(at, PoolId(pool), &key);
         }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,15 +1,15 @@
 //! All pools: which box belongs to which, under which number, and what the balancers are told.
 
-use crate::claims::{Claims, Conflict, Key};
+use crate::address_owners::{AddressOwners, Conflict, Key};
 use crate::list::Endpoint;
-use crate::pool::{Changes, Listed, Names, Pool, PoolSpec};
+use crate::pool::{Changes, ListedBackend, NameTables, Pool, PoolSpec};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// A box that went from one pool to another and is the same process still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Moved {
+pub struct BackendMove {
     /// Its number, before and after.
     pub id: BackendId,
     /// The pool that it left; its balancer is told that the box is gone.
@@ -20,12 +20,12 @@
 
 /// What follows from news, to be carried out in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
+pub struct DirectoryUpdate {
     /// Boxes whose budget, counts and drain go along to another pool.
-    pub moved: Vec<Moved>,
+    pub moved: Vec<BackendMove>,
     /// What each pool's balancer is to be told, in this order: the pool that lost a box hears of it before
     /// the one that got it.
-    pub rows: Vec<(PoolId, EndpointUpdate, Vec<BackendEntry>)>,
+    pub notifications: Vec<(PoolId, EndpointUpdate, Vec<BackendEntry>)>,
     /// Conflicts that were not there before.
     pub conflicts: Vec<Conflict>,
     /// Entries beyond [`crate::MAX_ENTRIES`], which were left out.
@@ -55,13 +55,13 @@
 /// old one is forgotten, see [`Directory::forget`].
 ///
 /// Bounds: [`crate::MAX_ENTRIES`] entries a pool, some 650 bytes each, the boxes gone that the
-/// host has not let be forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of kinds. Numbers of
+/// host has not let be forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of kinds. Interner of
 /// boxes and pools are used once: 2^32 of them.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     pub(crate) pools: BTreeMap<PoolId, Pool>,
-    pub(crate) claims: Claims,
-    pub(crate) names: Names,
+    pub(crate) claims: AddressOwners,
+    pub(crate) names: NameTables,
     /// By group, or by pool where it has none.
     pub(crate) realms: BTreeMap<(bool, String), u32>,
     pub(crate) realms_met: u32,
@@ -75,9 +75,11 @@
 impl Directory {
     /// At the start of the program, with names of zones and kinds that are numbered from 0. The boxes of
     /// static pools are as old as the configuration says.
-    pub fn new(zones: &[String], kinds: &[String], pools: Vec<PoolSpec>) -> (Directory, Told) {
-        let names =
-            Names { zones: crate::numbers::Numbers::new(zones), kinds: crate::numbers::Numbers::new(kinds) };
+    pub fn new(zones: &[String], kinds: &[String], pools: Vec<PoolSpec>) -> (Directory, DirectoryUpdate) {
+        let names = NameTables {
+            zones: crate::interner::Interner::new(zones),
+            kinds: crate::interner::Interner::new(kinds),
+        };
         let mut directory = Directory { names, ..Directory::default() };
         let told = directory.set(None, pools);
         (directory, told)
@@ -87,23 +89,25 @@
     /// address is new counts as started now, one taken out is gone, and one that went to another static pool
     /// keeps its number and its age. A pool that was static and is listed now keeps its boxes until its list
     /// comes.
-    pub fn reload(&mut self, now: Time, pools: Vec<PoolSpec>) -> Told {
+    pub fn reload(&mut self, now: Time, pools: Vec<PoolSpec>) -> DirectoryUpdate {
         self.set(Some(now), pools)
     }
 
     /// News of a listed pool's list; of other pools it is ignored. Other pools than that one are told
     /// changes, by which no subscription of theirs is answered.
-    pub fn news(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) -> Told {
-        let mut told = Told::default();
+    pub fn apply_update(
+        &mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>,
+    ) -> DirectoryUpdate {
+        let mut told = DirectoryUpdate::default();
         let Some(to) = self.pools.get(&pool).filter(|to| !to.fixed) else { return told };
         if update == EndpointUpdate::SubscriptionLost {
-            told.rows.push((pool, update, Vec::new()));
+            told.notifications.push((pool, update, Vec::new()));
             return told;
         }
         let names = &mut self.names;
         let entries = entries.into_iter().map(|e| {
             let key = Key::from(e.name.as_str());
-            (key, (e.state != BackendState::Gone).then(|| Listed::new(e, names)))
+            (key, (e.state != BackendState::Gone).then(|| ListedBackend::new(e, names)))
         });
         let whole = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let (changes, skipped) = to.changes(whole, entries);
@@ -115,20 +119,21 @@
         if whole {
             rows.retain(|row| row.state != BackendState::Gone); // they are by being absent
         }
-        told.rows.push((pool, update, rows));
+        told.notifications.push((pool, update, rows));
         let mut gains: BTreeMap<PoolId, Vec<BackendEntry>> = BTreeMap::new();
         for (address, owner) in passed_on {
             let keys: Vec<Key> = self.claims.entries(address, owner).cloned().collect();
             gains.entry(owner).or_default().extend(keys.iter().filter_map(|key| self.tell(owner, key)));
         }
-        told.rows.extend(gains.into_iter().map(|(owner, rows)| (owner, EndpointUpdate::Delta, rows)));
+        told.notifications
+            .extend(gains.into_iter().map(|(owner, rows)| (owner, EndpointUpdate::Delta, rows)));
         told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
         told
     }
 
     /// Takes over what the lists say. All entries that came are claimed before any that went is given up, so
     /// that a pool keeps its place in line when one name follows another, in whatever order they are told.
-    /// Returns the addresses that went to another pool; `heir` as with [`Claims::remove`].
+    /// Returns the addresses that went to another pool; `heir` as with [`AddressOwners::remove`].
     pub(crate) fn apply(
         &mut self, news: Vec<(PoolId, Changes)>, heir: impl Fn(PoolId) -> bool,
     ) -> BTreeMap<SocketAddr, PoolId> {
@@ -185,12 +190,14 @@
     }
 
     /// Takes the box of that entry over into another pool. Returns it with the row for the pool that it left.
-    pub(crate) fn shift(&mut self, key: &Key, from: PoolId, to: PoolId) -> Option<(Moved, BackendEntry)> {
+    pub(crate) fn shift(
+        &mut self, key: &Key, from: PoolId, to: PoolId,
+    ) -> Option<(BackendMove, BackendEntry)> {
         let id = self.pools.get_mut(&from)?.numbers.remove(key)?;
         let row = self.bury(id)?;
         self.boxes.get_mut(&id)?.pool = to;
         self.pools.get_mut(&to)?.numbers.insert(key.clone(), id);
-        Some((Moved { id, from, to }, row))
+        Some((BackendMove { id, from, to }, row))
     }
 
     /// What a box's balancer was last told of it.
@@ -249,7 +256,7 @@
     }
 
     /// The pool's boxes as its balancer was last told, but for those gone.
-    pub fn boxes(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
+    pub fn backends(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
         let numbers = self.pools.get(&pool).into_iter().flat_map(|p| p.numbers.values());
         let rows = numbers.filter_map(|id| self.boxes.get(id)).map(|known| &known.told);
         rows.filter(|row| row.state != BackendState::Gone)
@@ -266,7 +273,7 @@
     }
 
     /// The pool's repeat group. Boxes of different realms never drop each other's repeats.
-    pub fn realm(&self, pool: PoolId) -> Option<u32> {
+    pub fn deduplication_domain(&self, pool: PoolId) -> Option<u32> {
         self.pools.get(&pool).map(|pool| pool.realm)
     }
 
--- a/crates/membership/src/numbers.rs
+++ b/crates/membership/src/interner.rs
@@ -1,4 +1,4 @@
-//! Numbers for names that are met in lists.
+//! Interner for names that are met in lists.
 
 use crate::list::fold;
 use std::collections::BTreeMap;
@@ -9,13 +9,13 @@
 
 /// Names in the order in which they were met; a name keeps its number for the life of the program.
 #[derive(Clone, Debug, Default)]
-pub struct Numbers {
+pub struct Interner {
     by_name: BTreeMap<String, u32>,
 }
 
-impl Numbers {
-    pub fn new(names: &[String]) -> Numbers {
-        let mut numbers = Numbers::default();
+impl Interner {
+    pub fn new(names: &[String]) -> Interner {
+        let mut numbers = Interner::default();
         names.iter().for_each(|name| {
             numbers.of(name);
         });
@@ -43,7 +43,7 @@
 
     #[test]
     fn a_name_keeps_its_number_also_past_the_bound() {
-        let mut numbers = Numbers::new(&["a".into(), "b".into(), "a".into()]);
+        let mut numbers = Interner::new(&["a".into(), "b".into(), "a".into()]);
         assert_eq!((numbers.of("b"), numbers.of("c"), numbers.of("a")), (1, 2, 0));
         (0..MAX_NUMBERED).for_each(|n| {
             numbers.of(&format!("n{n}"));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,17 +6,17 @@
 //! is to be told. [`StartTimes`] says when backends started, by the own clock.
 #![forbid(unsafe_code)]
 
-mod claims;
+mod address_owners;
 mod directory;
+mod interner;
 mod list;
-mod numbers;
 mod pool;
 mod reload;
-mod starts;
+mod start_times;
 
-pub use claims::Conflict;
-pub use directory::{Directory, Moved, Told};
-pub use list::{bay, mark, Endpoint, List, Skipped, MAX_ENTRIES, MAX_NAME};
-pub use numbers::MAX_NUMBERED;
+pub use address_owners::Conflict;
+pub use directory::{BackendMove, Directory, DirectoryUpdate};
+pub use interner::MAX_NUMBERED;
+pub use list::{deduplication_group_hash, stable_hash, Endpoint, List, Skipped, MAX_ENTRIES, MAX_NAME};
 pub use pool::{PoolSpec, Source};
-pub use starts::StartTimes;
+pub use start_times::StartTimes;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -44,9 +44,9 @@
     /// Its zone's name.
     pub zone: String,
     /// What sort of machine it is.
-    pub kind: String,
+    pub server_type: String,
     /// Its bay: backends of one bay share which keys they have seen. For bays with names see [`bay`].
-    pub bay: u64,
+    pub deduplication_group: u64,
     /// How many cores it has.
     pub cores: u32,
     /// Its weight in thousandths; 0 where the list says none, or nothing that is one.
@@ -55,7 +55,7 @@
     pub state: BackendState,
     /// When it last started, by the clock of whoever made the list, until [`crate::StartTimes`] has put the own clock's
     /// time there; `None` means long ago.
-    pub booted: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// A list of which each entry is still text.
@@ -111,10 +111,20 @@
         let weight = e.weight.as_f64().filter(|w| (0.0..=MAX_WEIGHT).contains(w)).unwrap_or(0.0);
         let weight = (weight * 1e3).round() as u32;
         let booted = (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64));
-        let own = || bay(&e.name);
+        let own = || deduplication_group_hash(&e.name);
         let group = e.group.unwrap_or_else(own);
         let (name, bay) = (e.name, group);
-        Ok(Endpoint { name, address, zone, kind, bay, cores, weight, state, booted })
+        Ok(Endpoint {
+            name,
+            address,
+            zone,
+            server_type: kind,
+            deduplication_group: bay,
+            cores,
+            weight,
+            state,
+            started_at: booted,
+        })
     }
 
     /// Of an entry that makes no sense otherwise: that nothing new may go to the box of that name. It counts as gone,
@@ -123,15 +133,15 @@
         let Said { name, status } = Said::deserialize(value).ok()?;
         let nothing_new = matches!(status.as_str(), "DRAINING" | "DELETED") && name.len() <= MAX_NAME;
         nothing_new.then(|| Endpoint {
-            bay: bay(&name),
+            deduplication_group: deduplication_group_hash(&name),
             name,
             address: SocketAddr::from(([0, 0, 0, 0], 0)),
             zone: String::new(),
-            kind: String::new(),
+            server_type: String::new(),
             cores: 1,
             weight: 0,
             state: BackendState::Gone,
-            booted: None,
+            started_at: None,
         })
     }
 }
@@ -189,12 +199,12 @@
 }
 
 /// What the order that all proxies share is drawn from: a number out of a name that is the same at each.
-pub fn mark(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     fold(name) >> 20
 }
 
 /// The number of a bay that has a name.
-pub fn bay(name: &str) -> u64 {
+pub fn deduplication_group_hash(name: &str) -> u64 {
     fold(name)
 }
 
@@ -218,24 +228,24 @@
             name: "b7".into(),
             address: "10.0.0.7:80".parse().unwrap(),
             zone: "a".into(),
-            kind: "big".into(),
-            bay: 9,
+            server_type: "big".into(),
+            deduplication_group: 9,
             cores: 4,
             weight: 1_500,
             state: BackendState::Draining,
-            booted: Some(Time(12_500)),
+            started_at: Some(Time(12_500)),
         };
         let plain = ("b8".to_string(), "[::1]:80".parse().unwrap(), String::new());
         let second = Endpoint {
             name: plain.0,
             address: plain.1,
             zone: plain.2.clone(),
-            kind: plain.2,
-            bay: bay("b8"),
+            server_type: plain.2,
+            deduplication_group: deduplication_group_hash("b8"),
             cores: 1,
             weight: 0,
             state: BackendState::Ready,
-            booted: None,
+            started_at: None,
         };
         assert_eq!(entries, [first, second]);
     }
@@ -327,8 +337,8 @@
     /// Other proxies and earlier releases draw the same order.
     #[test]
     fn the_mark_of_a_name_never_changes() {
-        assert_eq!(mark(""), 0xcbf2_9ce4_8422_2325 >> 20);
-        assert_eq!(mark("a"), 0xaf63_dc4c_8601_ec8c >> 20);
-        assert_eq!(mark("foobar"), 0x8594_4171_f739_67e8 >> 20);
+        assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325 >> 20);
+        assert_eq!(stable_hash("a"), 0xaf63_dc4c_8601_ec8c >> 20);
+        assert_eq!(stable_hash("foobar"), 0x8594_4171_f739_67e8 >> 20);
     }
 }
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -1,8 +1,8 @@
 //! One pool: what its list says.
 
-use crate::claims::Key;
-use crate::list::{mark, Endpoint, MAX_ENTRIES};
-use crate::numbers::Numbers;
+use crate::address_owners::Key;
+use crate::interner::Interner;
+use crate::list::{stable_hash, Endpoint, MAX_ENTRIES};
 use shaletide_types::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     /// Its name; no two have the same.
     pub name: String,
     /// The pools that name the same group drop each other's repeats. `None`: no other pool's boxes do.
-    pub repeats: Option<String>,
+    pub repeat_group: Option<String>,
     /// Where its boxes come from.
     pub source: Source,
 }
@@ -25,12 +25,12 @@
     /// the start of the program.
     Static(Vec<Endpoint>),
     /// A list of which there is news. A box is known by its name.
-    Listed,
+    Discovered,
 }
 
 /// An entry that is not gone.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListedBackend {
     pub name: Key,
     pub address: SocketAddr,
     pub booted: Option<Time>,
@@ -44,21 +44,21 @@
 
 /// The names' numbers over all pools.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
-    pub zones: Numbers,
-    pub kinds: Numbers,
+pub struct NameTables {
+    pub zones: Interner,
+    pub kinds: Interner,
 }
 
-impl Listed {
-    pub fn new(e: Endpoint, names: &mut Names) -> Listed {
+impl ListedBackend {
+    pub fn new(e: Endpoint, names: &mut NameTables) -> ListedBackend {
         let kind = ServerTypeId(names.kinds.of(&speed_kind(&e)));
-        Listed {
+        ListedBackend {
             name: e.name.into(),
             address: e.address,
-            booted: e.booted,
+            booted: e.started_at,
             zone: ZoneId(names.zones.of(&e.zone)),
             kind,
-            bay: e.bay,
+            bay: e.deduplication_group,
             cores: e.cores.max(1),
             weight: e.weight,
             state: e.state,
@@ -69,7 +69,7 @@
     pub fn row(&self, id: BackendId, realm: u32) -> BackendEntry {
         BackendEntry {
             id,
-            stable_hash: mark(&self.name),
+            stable_hash: stable_hash(&self.name),
             zone: self.zone,
             deduplication_group: cell(self.bay, realm),
             deduplication_domain: realm,
@@ -85,8 +85,8 @@
 /// Machines of one kind are taken as equally fast: with more cores it is another kind, whatever its name.
 fn speed_kind(e: &Endpoint) -> std::borrow::Cow<'_, str> {
     match e.cores {
-        0 | 1 => e.kind.as_str().into(),
-        cores => format!("{} of {cores} cores", e.kind).into(),
+        0 | 1 => e.server_type.as_str().into(),
+        cores => format!("{} of {cores} cores", e.server_type).into(),
     }
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// What becomes of the entries named; `None`: gone.
-pub type Changes = BTreeMap<Key, Option<Listed>>;
+pub type Changes = BTreeMap<Key, Option<ListedBackend>>;
 
 /// A pool and what its list says now.
 #[derive(Clone, Debug)]
@@ -113,7 +113,7 @@
     pub realm: u32,
     /// Its boxes come from the configuration.
     pub fixed: bool,
-    pub listed: BTreeMap<Key, Listed>,
+    pub listed: BTreeMap<Key, ListedBackend>,
     /// The entries' numbers, also of those gone that may not be forgotten yet.
     pub numbers: BTreeMap<Key, BackendId>,
 }
@@ -122,7 +122,7 @@
     /// What the entries change; `whole`: what is absent is gone. A name that stands twice counts as it stands
     /// last. Returns how many had no room, too.
     pub fn changes(
-        &self, whole: bool, entries: impl Iterator<Item = (Key, Option<Listed>)>,
+        &self, whole: bool, entries: impl Iterator<Item = (Key, Option<ListedBackend>)>,
     ) -> (Changes, usize) {
         let (mut changes, mut size) = (Changes::new(), self.listed.len());
         if whole {
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,9 +1,9 @@
 //! The pools as the configuration has them, at the start and whenever it is read again.
 
-use crate::claims::Key;
-use crate::directory::{Directory, Told};
+use crate::address_owners::Key;
+use crate::directory::{Directory, DirectoryUpdate};
 use crate::list::Endpoint;
-use crate::pool::{Changes, Listed, Pool, PoolSpec, Source};
+use crate::pool::{Changes, ListedBackend, Pool, PoolSpec, Source};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,11 +13,11 @@
 
 impl Directory {
     /// `now` is none at the start of the program.
-    pub(crate) fn set(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> Told {
+    pub(crate) fn set(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
         let before = self.claims.conflicts();
         let fixed_owners = self.fixed_owners();
         let earlier: BTreeMap<PoolId, bool> = self.pools.iter().map(|(id, pool)| (*id, pool.fixed)).collect();
-        let mut told = Told::default();
+        let mut told = DirectoryUpdate::default();
         let mut news = Vec::new();
         let mut kept = BTreeSet::new();
         for spec in specs {
@@ -42,12 +42,12 @@
         self.pools.retain(|id, _| kept.contains(id));
         let realms: BTreeSet<u32> = self.pools.values().map(|pool| pool.realm).collect();
         self.realms.retain(|_, realm| realms.contains(realm));
-        told.rows.extend(gone.into_iter().map(|(id, rows)| (id, EndpointUpdate::Delta, rows)));
+        told.notifications.extend(gone.into_iter().map(|(id, rows)| (id, EndpointUpdate::Delta, rows)));
         // A new static pool has its whole list; of a new listed one nothing is known yet.
         kept.iter().filter(|id| fixed.contains(id) && !earlier.contains_key(id)).for_each(|id| {
             rest.entry(*id).or_default();
         });
-        told.rows.extend(rest.into_iter().map(|(id, rows)| {
+        told.notifications.extend(rest.into_iter().map(|(id, rows)| {
             (
                 id,
                 if earlier.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
@@ -60,7 +60,7 @@
 
     /// The pool of that name, made if there is none, as the configuration has it; its list is left as it is.
     fn place(&mut self, spec: &PoolSpec) -> PoolId {
-        let group = spec.repeats.clone();
+        let group = spec.repeat_group.clone();
         let group = (group.is_some(), group.unwrap_or_else(|| spec.name.clone()));
         let realm = *self.realms.entry(group).or_insert_with(|| {
             self.realms_met += 1;
@@ -89,8 +89,8 @@
         let names = &mut self.names;
         let present = boxes.into_iter().zip(ages).filter(|(e, _)| e.state != BackendState::Gone);
         let entries = present.map(|(e, age)| {
-            let booted = age.unwrap_or(e.booted);
-            (key(e.address), Some(Listed::new(Endpoint { booted, ..e }, names)))
+            let booted = age.unwrap_or(e.started_at);
+            (key(e.address), Some(ListedBackend::new(Endpoint { started_at: booted, ..e }, names)))
         });
         self.pools.get(&id).map_or_else(Default::default, |pool| pool.changes(true, entries))
     }
@@ -116,7 +116,8 @@
     /// Boxes that went from one static pool to another: the same process, so the same number. Returns what
     /// the pools that they left are told.
     fn carry_over(
-        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, fixed: &BTreeSet<PoolId>, told: &mut Told,
+        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, fixed: &BTreeSet<PoolId>,
+        told: &mut DirectoryUpdate,
     ) -> Rows {
         let mut gone = Rows::new();
         for (address, from) in owners {
--- a/crates/membership/src/starts.rs
+++ b/crates/membership/src/start_times.rs
@@ -62,20 +62,22 @@
 
 impl StartTimes {
     /// The longest time that a backend of any pool takes to be warm.
-    pub fn set_ramp(&mut self, ramp: Micros) {
+    pub fn set_slow_start_window(&mut self, ramp: Micros) {
         self.ramp = ramp;
     }
 
     /// Puts the local clock's times in the place of the listed ones. Cost: a look-up for each entry.
-    pub fn localize(&mut self, now: Time, pool: PoolId, update: EndpointUpdate, entries: &mut [Endpoint]) {
+    pub fn to_local_clock(
+        &mut self, now: Time, pool: PoolId, update: EndpointUpdate, entries: &mut [Endpoint],
+    ) {
         for entry in entries.iter() {
-            if let (Some(listed), true) = (entry.booted, entry.state != BackendState::Gone) {
+            if let (Some(listed), true) = (entry.started_at, entry.state != BackendState::Gone) {
                 self.lead.observe(&(pool, entry.name.clone()), lead(now, listed));
             }
         }
         for entry in entries.iter_mut() {
-            if let Some(listed) = entry.booted {
-                entry.booted = self.local(now, (pool, entry.name.clone()), listed);
+            if let Some(listed) = entry.started_at {
+                entry.started_at = self.local(now, (pool, entry.name.clone()), listed);
             }
         }
         self.forget(pool, update, entries);
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -19,42 +19,42 @@
         name: name.into(),
         address: at(address),
         zone: "z".into(),
-        kind: "k".into(),
-        bay: 7,
+        server_type: "k".into(),
+        deduplication_group: 7,
         cores: 1,
         weight: 0,
         state,
-        booted: None,
+        started_at: None,
     }
 }
 
 pub fn listed(name: &str) -> PoolSpec {
-    PoolSpec { name: name.into(), repeats: None, source: Source::Listed }
+    PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }
 }
 
 /// A static pool of boxes at these addresses.
 pub fn fixed(name: &str, addresses: &[u8]) -> PoolSpec {
     let boxes = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-    PoolSpec { name: name.into(), repeats: None, source: Source::Static(boxes) }
+    PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(boxes) }
 }
 
 /// What each pool's balancer makes of what it was told.
 pub struct Mirror {
     pub directory: Directory,
     pub pools: BTreeMap<PoolId, BTreeMap<BackendId, (BackendEntry, SocketAddr)>>,
-    pub last: Told,
+    pub last: DirectoryUpdate,
 }
 
 impl Mirror {
     pub fn new(pools: Vec<PoolSpec>) -> Mirror {
         let (directory, told) = Directory::new(&[], &[], pools);
-        let mut mirror = Mirror { directory, pools: BTreeMap::new(), last: Told::default() };
+        let mut mirror = Mirror { directory, pools: BTreeMap::new(), last: DirectoryUpdate::default() };
         mirror.hear(told);
         mirror
     }
 
     pub fn news(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) {
-        let told = self.directory.news(pool, update, entries);
+        let told = self.directory.apply_update(pool, update, entries);
         self.hear(told);
     }
 
@@ -67,8 +67,8 @@
         self.hear(told);
     }
 
-    fn hear(&mut self, told: Told) {
-        for (pool, update, rows) in &told.rows {
+    fn hear(&mut self, told: DirectoryUpdate) {
+        for (pool, update, rows) in &told.notifications {
             let known = self.pools.entry(*pool).or_default();
             if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                 known.clear();
@@ -105,7 +105,7 @@
     fn look_ups_say_what_was_told(&self) {
         let mut ids = BTreeSet::new();
         for (pool, boxes) in &self.pools {
-            let mut rows: Vec<BackendEntry> = self.directory.boxes(*pool).cloned().collect();
+            let mut rows: Vec<BackendEntry> = self.directory.backends(*pool).cloned().collect();
             rows.sort_by_key(|row| row.id);
             assert_eq!(rows, boxes.values().map(|(row, _)| row.clone()).collect::<Vec<_>>());
             for (id, (row, address)) in boxes {
@@ -114,7 +114,7 @@
                 assert_eq!(self.directory.address(*id), Some(*address));
                 assert_eq!(self.directory.state(*id), row.state);
                 assert_eq!(self.directory.pool(*id), Some(*pool));
-                assert_eq!(self.directory.realm(*pool), Some(row.deduplication_domain));
+                assert_eq!(self.directory.deduplication_domain(*pool), Some(row.deduplication_domain));
             }
         }
     }
--- a/crates/membership/tests/large_list.rs
+++ b/crates/membership/tests/large_list.rs
@@ -32,11 +32,11 @@
 }
 
 fn in_state(directory: &Directory, state: BackendState) -> usize {
-    directory.boxes(POOL).filter(|backend| backend.state == state).count()
+    directory.backends(POOL).filter(|backend| backend.state == state).count()
 }
 
 fn numbers(directory: &Directory) -> Vec<BackendId> {
-    directory.boxes(POOL).map(|backend| backend.id).collect()
+    directory.backends(POOL).map(|backend| backend.id).collect()
 }
 
 #[test]
@@ -44,23 +44,26 @@
     let started = Instant::now();
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
     for update in [EndpointUpdate::Cached, EndpointUpdate::Snapshot] {
-        let told = directory.news(POOL, update, listed_entries(0..BACKENDS, "SERVING"));
-        assert_eq!((told.skipped, told.conflicts.len(), told.rows.len()), (0, 0, 1));
-        assert_eq!((told.rows[0].2.len(), in_state(&directory, READY)), (BACKENDS, BACKENDS));
+        let told = directory.apply_update(POOL, update, listed_entries(0..BACKENDS, "SERVING"));
+        assert_eq!((told.skipped, told.conflicts.len(), told.notifications.len()), (0, 0, 1));
+        assert_eq!((told.notifications[0].2.len(), in_state(&directory, READY)), (BACKENDS, BACKENDS));
     }
     let before = numbers(&directory);
 
-    let told = directory.news(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DRAINING"));
-    assert_eq!((told.skipped, told.rows[0].2.len()), (0, HALF));
+    let told = directory.apply_update(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DRAINING"));
+    assert_eq!((told.skipped, told.notifications[0].2.len()), (0, HALF));
     assert_eq!((in_state(&directory, DRAINING), in_state(&directory, READY)), (HALF, HALF));
     assert_eq!(numbers(&directory), before, "each keeps its number");
 
-    directory.news(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DELETED"));
+    directory.apply_update(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DELETED"));
     assert_eq!((in_state(&directory, READY), directory.gone().count()), (HALF, HALF));
     directory.retain(|_| false);
 
-    let told = directory.news(POOL, EndpointUpdate::Snapshot, listed_entries(0..BACKENDS, "SERVING"));
-    assert_eq!((told.skipped, told.rows[0].2.len(), in_state(&directory, READY)), (0, BACKENDS, BACKENDS));
+    let told = directory.apply_update(POOL, EndpointUpdate::Snapshot, listed_entries(0..BACKENDS, "SERVING"));
+    assert_eq!(
+        (told.skipped, told.notifications[0].2.len(), in_state(&directory, READY)),
+        (0, BACKENDS, BACKENDS)
+    );
     println!("five lists in {:?}", started.elapsed());
     assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
 }
@@ -70,7 +73,8 @@
 fn a_directory_of_1024_backends_holds_less_than_2_mib() {
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
     let entries = listed_entries(0..BACKENDS, "SERVING");
-    let held = allocation_counter::measure(|| drop(directory.news(POOL, EndpointUpdate::Snapshot, entries)));
+    let held =
+        allocation_counter::measure(|| drop(directory.apply_update(POOL, EndpointUpdate::Snapshot, entries)));
     println!("{} B, at the most {} B", held.bytes_current, held.bytes_max);
     assert!(held.bytes_current < 2 << 20, "{} B", held.bytes_current);
     assert!(held.bytes_max < 4 << 20, "{} B", held.bytes_max);
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -43,7 +43,7 @@
 #[test]
 fn a_name_that_goes_and_comes_in_one_update_counts_as_it_stands_last() {
     let mut m = two();
-    let reborn = Endpoint { booted: Some(Time(9)), ..entry("x", 1, READY) };
+    let reborn = Endpoint { started_at: Some(Time(9)), ..entry("x", 1, READY) };
     m.changes(A, vec![entry("x", 1, READY)]);
     m.changes(A, vec![entry("x", 1, GONE), reborn]);
     assert_eq!(m.boxes(A), [(0, 1, READY)]);
@@ -105,7 +105,7 @@
     );
     m.changes(A, vec![entry("x", 1, GONE)]);
     assert_eq!(
-        m.last.rows.iter().map(|(pool, ..)| *pool).collect::<Vec<_>>(),
+        m.last.notifications.iter().map(|(pool, ..)| *pool).collect::<Vec<_>>(),
         [A, B],
         "the loser hears first"
     );
@@ -134,32 +134,33 @@
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY)]);
     m.news(A, EndpointUpdate::SubscriptionLost, vec![entry("y", 2, READY)]);
-    assert_eq!(m.last.rows, [(A, EndpointUpdate::SubscriptionLost, vec![])]);
+    assert_eq!(m.last.notifications, [(A, EndpointUpdate::SubscriptionLost, vec![])]);
     assert_eq!(m.boxes(A), [(0, 1, READY)]);
     m.changes(PoolId(9), vec![entry("y", 2, READY)]);
-    assert_eq!(m.last, Told::default(), "news for no pool is no news");
+    assert_eq!(m.last, DirectoryUpdate::default(), "news for no pool is no news");
 }
 
 #[test]
 fn an_entry_that_was_never_known_does_not_go() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, GONE)]);
-    assert_eq!(m.last.rows, [(A, EndpointUpdate::Delta, vec![])]);
+    assert_eq!(m.last.notifications, [(A, EndpointUpdate::Delta, vec![])]);
 }
 
 #[test]
 fn rows_carry_plain_zones_their_realm_and_cells_of_its_own() {
-    let shared = |name: &str| PoolSpec { repeats: Some("g".into()), ..listed(name) };
+    let shared = |name: &str| PoolSpec { repeat_group: Some("g".into()), ..listed(name) };
     let pools = vec![listed("a"), listed("b"), shared("c"), shared("d")];
     let (mut directory, _) = Directory::new(&["z0".into(), "z".into()], &["k".into()], pools);
     let rows: Vec<BackendEntry> = (0..4u8)
         .map(|n| {
             let e = Endpoint { cores: 0, ..entry("x", n, READY) };
-            directory.news(PoolId(n.into()), EndpointUpdate::Delta, vec![e]).rows[0].2[0].clone()
+            directory.apply_update(PoolId(n.into()), EndpointUpdate::Delta, vec![e]).notifications[0].2[0]
+                .clone()
         })
         .collect();
     assert!(rows.iter().all(|row| (row.zone, row.server_type, row.cores) == (ZoneId(1), ServerTypeId(0), 1)));
-    assert!(rows.iter().all(|row| row.stable_hash == mark("x")));
+    assert!(rows.iter().all(|row| row.stable_hash == stable_hash("x")));
     assert_eq!(
         rows[0].deduplication_group,
         DeduplicationGroupId(7),
@@ -185,9 +186,9 @@
     let mut m = two();
     let many =
         |from: usize, to: usize| (from..to).map(|n| entry(&n.to_string(), 1, READY)).collect::<Vec<_>>();
-    let told = m.directory.news(A, EndpointUpdate::Snapshot, many(0, MAX_ENTRIES + 5));
-    assert_eq!((told.skipped, told.rows[0].2.len()), (5, MAX_ENTRIES));
+    let told = m.directory.apply_update(A, EndpointUpdate::Snapshot, many(0, MAX_ENTRIES + 5));
+    assert_eq!((told.skipped, told.notifications[0].2.len()), (5, MAX_ENTRIES));
     let news = vec![entry("0", 1, GONE), entry("new", 1, READY), entry("one too many", 1, READY)];
-    let told = m.directory.news(A, EndpointUpdate::Delta, news);
-    assert_eq!((told.skipped, told.rows[0].2.len()), (1, 2));
+    let told = m.directory.apply_update(A, EndpointUpdate::Delta, news);
+    assert_eq!((told.skipped, told.notifications[0].2.len()), (1, 2));
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -21,7 +21,7 @@
     let one = (0..4u8, 1..5u8, state, 0..3u64);
     vec(one, 0..5).prop_map(|all| {
         let one = |(name, address, state, booted): (u8, u8, BackendState, u64)| Endpoint {
-            booted: (booted > 0).then_some(Time(booted)),
+            started_at: (booted > 0).then_some(Time(booted)),
             ..entry(&format!("n{name}"), address, state)
         };
         all.into_iter().map(one).collect()
@@ -85,7 +85,7 @@
         let fixed = owner.0 > 1;
         told.sort_by(|a, b| a.0.cmp(&b.0));
         // The age of a static box is the directory's to say.
-        let age = |e: &Endpoint, at: usize| if fixed { told[at].2 } else { e.booted };
+        let age = |e: &Endpoint, at: usize| if fixed { told[at].2 } else { e.started_at };
         let listed = wanted[&owner].iter().enumerate().map(|(at, e)| (e.name.clone(), e.state, age(e, at)));
         assert_eq!(listed.collect::<Vec<_>>(), told, "{address} in {owner:?}");
         if let Some(old) = before.get(&address).filter(|old| wanted.contains_key(old)) {
--- a/crates/membership/tests/reloads.rs
+++ b/crates/membership/tests/reloads.rs
@@ -11,17 +11,17 @@
 #[test]
 fn at_the_start_static_boxes_are_old_and_later_ones_are_new() {
     let mut m = Mirror::new(vec![fixed("p", &[1, 2])]);
-    assert_eq!(m.last.rows[0].1, EndpointUpdate::Snapshot);
+    assert_eq!(m.last.notifications[0].1, EndpointUpdate::Snapshot);
     m.reload(50, vec![fixed("p", &[2, 3])]);
     assert_eq!(m.boxes(P), [(1, 2, READY), (2, 3, READY)]);
     assert_eq!((m.row(P, 1).started_at, m.row(P, 2).started_at), (None, Some(Time(50))));
     assert_eq!(
-        m.last.rows.iter().map(|(_, _, rows)| rows.len()).collect::<Vec<_>>(),
+        m.last.notifications.iter().map(|(_, _, rows)| rows.len()).collect::<Vec<_>>(),
         [1, 1],
         "only what differs"
     );
     m.reload(60, vec![fixed("p", &[3, 2])]);
-    assert_eq!(m.last, Told::default(), "the same boxes are no news");
+    assert_eq!(m.last, DirectoryUpdate::default(), "the same boxes are no news");
     m.reload(70, vec![fixed("p", &[1, 2, 3])]);
     assert_eq!(m.row(P, 0).started_at, Some(Time(70)), "back in, under its number that is held, and new");
 }
@@ -31,7 +31,7 @@
     let mut m = Mirror::new(vec![fixed("p", &[1, 2]), fixed("q", &[3])]);
     m.reload(10, vec![fixed("p", &[1, 2, 4]), fixed("q", &[3])]);
     m.reload(50, vec![fixed("p", &[1]), fixed("q", &[2, 3, 4])]);
-    let moved = |id| Moved { id: BackendId(id), from: P, to: Q };
+    let moved = |id| BackendMove { id: BackendId(id), from: P, to: Q };
     assert_eq!(m.last.moved, [moved(1), moved(3)]);
     assert_eq!(m.boxes(Q), [(1, 2, READY), (2, 3, READY), (3, 4, READY)]);
     assert_eq!((m.row(Q, 1).started_at, m.row(Q, 3).started_at), (None, Some(Time(10))));
@@ -42,11 +42,11 @@
 
 #[test]
 fn a_box_moves_also_within_a_repeat_group_and_to_a_pool_that_is_new() {
-    let shared = |spec: PoolSpec| PoolSpec { repeats: Some("g".into()), ..spec };
+    let shared = |spec: PoolSpec| PoolSpec { repeat_group: Some("g".into()), ..spec };
     let mut m = Mirror::new(vec![shared(fixed("p", &[1, 2]))]);
     let row = m.row(P, 0).clone();
     m.reload(50, vec![shared(fixed("r", &[1])), shared(fixed("p", &[2]))]);
-    assert_eq!(m.last.moved, [Moved { id: BackendId(0), from: P, to: PoolId(1) }]);
+    assert_eq!(m.last.moved, [BackendMove { id: BackendId(0), from: P, to: PoolId(1) }]);
     assert_eq!(*m.row(PoolId(1), 0), row);
 }
 
@@ -58,7 +58,7 @@
     assert_eq!((m.boxes(P), m.boxes(Q)), (vec![], vec![]));
     assert_eq!(m.directory.state(BackendId(0)), GONE);
     m.changes(Q, vec![entry("x", 2, READY)]);
-    assert_eq!(m.last, Told::default(), "news for a pool that is no more");
+    assert_eq!(m.last, DirectoryUpdate::default(), "news for a pool that is no more");
     m.directory.retain(|_| false);
     assert_eq!(m.directory.address(BackendId(0)), None);
     m.reload(60, vec![listed("q")]);
@@ -70,7 +70,7 @@
     let mut m = Mirror::new(vec![listed("p"), fixed("q", &[1])]);
     m.changes(P, vec![entry("x", 2, READY)]);
     m.reload(50, vec![fixed("q", &[1, 3]), listed("p")]);
-    assert_eq!(m.last.rows.iter().map(|(pool, ..)| *pool).collect::<Vec<_>>(), [Q]);
+    assert_eq!(m.last.notifications.iter().map(|(pool, ..)| *pool).collect::<Vec<_>>(), [Q]);
     assert_eq!(m.boxes(P), [(1, 2, READY)]);
 }
 
@@ -102,7 +102,7 @@
     let mut m = Mirror::new(vec![fixed("p", &[1])]);
     m.reload(50, vec![listed("p")]);
     assert_eq!(m.boxes(P), [(0, 1, READY)], "until its list comes");
-    let old = Endpoint { booted: Some(Time(5)), ..entry("x", 1, READY) };
+    let old = Endpoint { started_at: Some(Time(5)), ..entry("x", 1, READY) };
     m.news(P, EndpointUpdate::Snapshot, vec![old]);
     assert_eq!(m.boxes(P), [(1, 1, READY)]);
     m.reload(60, vec![fixed("p", &[1])]);
@@ -113,9 +113,9 @@
 #[test]
 fn a_change_of_the_repeat_group_is_told_to_the_balancer() {
     let mut m = Mirror::new(vec![fixed("p", &[1]), fixed("q", &[2])]);
-    let shared = |spec: PoolSpec| PoolSpec { repeats: Some("g".into()), ..spec };
+    let shared = |spec: PoolSpec| PoolSpec { repeat_group: Some("g".into()), ..spec };
     m.reload(50, vec![shared(fixed("p", &[1])), shared(fixed("q", &[2]))]);
-    assert_eq!(m.directory.realm(P), m.directory.realm(Q));
+    assert_eq!(m.directory.deduplication_domain(P), m.directory.deduplication_domain(Q));
     assert_eq!(m.row(P, 0).deduplication_group, m.row(Q, 1).deduplication_group);
     assert_eq!(m.row(P, 0).started_at, None);
 }
--- a/crates/membership/tests/starts.rs
+++ b/crates/membership/tests/starts.rs
@@ -14,12 +14,12 @@
         name: name.into(),
         address: "127.0.0.1:1".parse().unwrap(),
         zone: String::new(),
-        kind: String::new(),
-        bay: 0,
+        server_type: String::new(),
+        deduplication_group: 0,
         cores: 1,
         weight: 0,
         state: BackendState::Ready,
-        booted: (booted > 0).then_some(Time(booted)),
+        started_at: (booted > 0).then_some(Time(booted)),
     }
 }
 
@@ -29,15 +29,15 @@
 ) -> Vec<Option<f64>> {
     let now = Time((now as i64 + ahead) as u64);
     let mut entries: Vec<Endpoint> = listed.iter().map(|(name, booted)| entry(name, *booted)).collect();
-    starts.localize(now, POOL, update, &mut entries);
-    entries.iter().map(|e| e.booted.map(|at| (now - at).secs())).collect()
+    starts.to_local_clock(now, POOL, update, &mut entries);
+    entries.iter().map(|e| e.started_at.map(|at| (now - at).secs())).collect()
 }
 
 const CLOCKS: [i64; 5] = [0, HOUR as i64, -(HOUR as i64), 7 * SECOND as i64, -7 * (SECOND as i64)];
 
 fn starts() -> StartTimes {
     let mut starts = StartTimes::default();
-    starts.set_ramp(Micros(9 * SECOND));
+    starts.set_slow_start_window(Micros(9 * SECOND));
     starts
 }
 
--- a/crates/model-checker/src/restarts.rs
+++ b/crates/model-checker/src/restarts.rs
@@ -12,7 +12,7 @@
 use shaletide_balancer::Arrival;
 use shaletide_engine::{Action, AttemptState, Engine, Event, FinalOutcome, RequestSpec, RequestState};
 use shaletide_record as record;
-use shaletide_record::{Claim, KeyId, KeyState, Recorder, Ticket, Verdict};
+use shaletide_record::{Claim, KeyDecision, KeyId, KeyState, Recorder, Ticket};
 use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::collections::hash_map::DefaultHasher;
@@ -142,12 +142,12 @@
 
 impl Book {
     /// As the conformance suite wants it of any store.
-    fn commit(&mut self, run: u64, write: &record::Write) -> Result<u64, record::Refused> {
+    fn commit(&mut self, run: u64, write: &record::Write) -> Result<u64, record::ClaimRejection> {
         let (seq, request) = (self.seq + 1, write.row.request);
         match &write.claim {
             Claim::None | Claim::FreeServed { .. } => {}
             Claim::Take(_) => match self.key {
-                Some((state, ..)) => return Err(record::Refused::Taken(state)),
+                Some((state, ..)) => return Err(record::ClaimRejection::Taken(state)),
                 None => self.key = Some((KeyState::InFlight, run, request, seq)),
             },
             Claim::Set(_, state) => self.key = Some((*state, run, request, seq)),
@@ -200,7 +200,7 @@
 }
 
 fn recorder(now: Time) -> Recorder {
-    let rule = record::ClassRule { permit: true, without_key: record::WithoutKey::Refuse };
+    let rule = record::ClassRule { requires_intent: true, without_key: record::WithoutKey::Refuse };
     let classes = BTreeMap::from([("settle".to_string(), rule)]);
     let config = record::RecordConfig {
         intent_timeout: TICK,
@@ -293,13 +293,14 @@
                     }
                     self.queue.push_back((ticket, *write));
                 }
-                record::Action::Permit { .. } if bounds.mutant == Some(Careless::IntentAfterSend) => {}
-                record::Action::Permit { request, attempt, given } => {
+                record::Action::IntentPersisted { .. }
+                    if bounds.mutant == Some(Careless::IntentAfterSend) => {}
+                record::Action::IntentPersisted { request, attempt, persisted: given } => {
                     self.events.push_back(Event::IntentPersisted { request, attempt, persisted: given });
                 }
-                record::Action::End { request, verdict } => {
+                record::Action::EndRequest { request, verdict } => {
                     let advice = match verdict {
-                        Verdict::Refuse(advice) => advice,
+                        KeyDecision::Reject(advice) => advice,
                         _ => Micros(0),
                     };
                     self.events.push_back(Event::GiveUp { request, retry_after: advice });
@@ -331,7 +332,7 @@
                 }
                 Action::WithdrawIntent { request, attempt } => {
                     let (request, attempt) = (*request, *attempt);
-                    self.record(bounds, record::Event::Withdrawn { request, attempt });
+                    self.record(bounds, record::Event::IntentWithdrawn { request, attempt });
                 }
                 Action::AttemptEnded { request, attempt, outcome } => {
                     let (request, attempt, outcome) = (*request, *attempt, *outcome);
@@ -339,12 +340,12 @@
                 }
                 Action::Answer { request, answer, .. } => {
                     let ending = match answer {
-                        FinalOutcome::Served(no) => record::Ending::Served(*no),
-                        FinalOutcome::Rejected(_) => record::Ending::Refused,
-                        FinalOutcome::Failed => record::Ending::Failed,
-                        FinalOutcome::TimedOut => record::Ending::TimedOut,
+                        FinalOutcome::Served(no) => record::RequestEnding::Served(*no),
+                        FinalOutcome::Rejected(_) => record::RequestEnding::Rejected,
+                        FinalOutcome::Failed => record::RequestEnding::Failed,
+                        FinalOutcome::TimedOut => record::RequestEnding::TimedOut,
                     };
-                    self.record(bounds, record::Event::Over { request: *request, ending });
+                    self.record(bounds, record::Event::RequestEnded { request: *request, ending });
                 }
                 _ => {}
             }
@@ -374,11 +375,11 @@
         self.asked += 1;
         let (request, id) = (RequestId(self.asked), key());
         let deadline = self.now + ticks(2);
-        let asked = record::Asked { request, tenant: "", class: "settle", key: Some(&id.key), deadline };
+        let asked = record::KeyRequest { request, tenant: "", class: "settle", key: Some(&id.key), deadline };
         let mut out = Vec::new();
         let verdict = self.recorder.ask(self.now, asked, &mut out);
         self.carry_out(bounds, out);
-        if verdict != (Verdict::Go { permit: true }) {
+        if verdict != (KeyDecision::Proceed { requires_intent: true }) {
             return;
         }
         let arrival = Arrival {
@@ -405,7 +406,7 @@
         while let Some((ticket, write)) = self.queue.pop_front() {
             heard.push(match self.book.commit(self.run, &write) {
                 Ok(seq) => record::Event::Committed { ticket, seq },
-                Err(why) => record::Event::Refused { ticket, why },
+                Err(why) => record::Event::ClaimRejected { ticket, why },
             });
             if write.claim != Claim::None {
                 break;
@@ -439,8 +440,8 @@
             Happens::Leave(request) => {
                 self.events.push_back(Event::ClientDisconnected { request });
                 self.drain(bounds);
-                let ending = record::Ending::Left;
-                self.record(bounds, record::Event::Over { request, ending });
+                let ending = record::RequestEnding::ClientDisconnected;
+                self.record(bounds, record::Event::RequestEnded { request, ending });
             }
             Happens::Dispatch(request, to) => {
                 let next = self.engine.requests().get(&request).map_or(0, |r| r.attempts.len() as u32);
--- a/crates/net/src/lines.rs
+++ b/crates/net/src/connection_table.rs
@@ -7,7 +7,7 @@
 use tokio::task::AbortHandle;
 
 /// A connection's socket and what is done on it.
-pub(crate) struct Line {
+pub(crate) struct UpstreamConnection {
     pub backend: BackendId,
     pub to: SocketAddr,
     /// None while it comes up.
@@ -20,7 +20,7 @@
     pub fresh: bool,
 }
 
-impl Drop for Line {
+impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         if let Some(task) = &self.task {
             task.abort();
@@ -30,17 +30,17 @@
 
 /// All of them, by the engine's names.
 #[derive(Default)]
-pub(crate) struct Lines {
-    pub all: HashMap<ConnectionId, Line>,
+pub(crate) struct ConnectionTable {
+    pub all: HashMap<ConnectionId, UpstreamConnection>,
     /// Opened since the last report.
     pub opened: u64,
 }
 
-impl Lines {
+impl ConnectionTable {
     /// Idle ones on which something has come, or that the other side has closed.
     pub fn with_pending_input(&self) -> Vec<ConnectionId> {
         let idle = self.all.iter().filter(|(_, line)| !line.busy);
-        let pending = |line: &Line| line.stream.as_ref().is_some_and(Stream::has_pending_input);
+        let pending = |line: &UpstreamConnection| line.stream.as_ref().is_some_and(Stream::has_pending_input);
         idle.filter(|(_, line)| pending(line)).map(|(connection, _)| *connection).collect()
     }
 }
--- a/crates/net/src/driven.rs
+++ b/crates/net/src/drive_connection.rs
@@ -1,4 +1,4 @@
-//! hyper's connections, driven by whoever waits for something on them.
+//! hyper's connections, drive_connection by whoever waits for something on them.
 
 use crate::stream::Stream;
 use bytes::Bytes;
@@ -10,7 +10,7 @@
 /// Runs `work` to its end while driving the connection that it is on. `None`: the connection ended first.
 /// hyper does not tell `work` of that end by itself as long as the connection's future is kept: a wait for
 /// the sender to be ready again would last for ever after an answer with which the backend closed.
-pub async fn driven<T>(
+pub async fn drive_connection<T>(
     connection: &mut http1::Connection<
         Stream,
         impl hyper::body::Body<Data = Bytes, Error: Into<BoxError>> + 'static,
--- a/crates/net/src/host.rs
+++ b/crates/net/src/driver.rs
@@ -1,10 +1,10 @@
-//! The host of the machines and their sole owner: events go in, actions are carried out, always after the
+//! The driver of the machines and their sole owner: events go in, actions are carried out, always after the
 //! engine's borrow has ended. It holds sockets, payloads and one timer, and decides nothing.
 
+use crate::connection_table::{ConnectionTable, UpstreamConnection};
 use crate::exchange::{ExchangeOutcome, ExchangeSpec, UpstreamRequest};
 use crate::io_error::{connect_failure, ConnectFailure, SystemCall, SystemErrors};
-use crate::lines::{Line, Lines};
-use crate::recording::{Named, Recording};
+use crate::recording::{RequestIdentity, RequestRecorder};
 use crate::stream::{PeerWatch, Stream};
 use crate::timeout::{self, TimedOut};
 use crate::trace::{request_trace_enabled, AttemptEvent, AttemptOutcome, AttemptTrace, RequestEvent};
@@ -13,7 +13,7 @@
 use shaletide_engine::monitor::{Monitor, Rules};
 use shaletide_engine::{Action, ConnectionLimits, ConnectionState, Engine, Event, FinalOutcome, RequestSpec};
 use shaletide_membership::{Directory, Endpoint, PoolSpec, StartTimes};
-use shaletide_record::{Asked, Conflict as KeyConflict, Ending, Seen, Verdict};
+use shaletide_record::{KeyConflict, KeyDecision, KeyRequest, RequestEnding, Seen};
 use shaletide_routing::{Decision, Pools};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -51,7 +51,7 @@
 
 /// How connections to backends are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Network {
+pub struct UpstreamConfig {
     /// A connection that is not up by then counts as failed.
     pub connect_timeout: Micros,
     /// Backends close connections that were idle for so long.
@@ -61,12 +61,12 @@
     /// The body of an answer is no longer than this, in bytes; else it counts as spoilt.
     pub max_body: usize,
     /// So many connections at most.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// The final answer to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct FinalResponse {
     /// The last word on it.
     pub decision: Decision,
     /// The attempt whose answer is passed on, or was the last to come.
@@ -77,9 +77,9 @@
 
 /// Why a request is not taken.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NotTaken {
+pub enum SubmitError {
     /// The record does not let its key go.
-    Record(Verdict),
+    Record(KeyDecision),
     /// Its client has closed its connection.
     ClientClosed,
 }
@@ -96,7 +96,7 @@
 /// What is kept for a front while its request is open.
 struct Open {
     upstream_request: Rc<dyn UpstreamRequest>,
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<FinalResponse>,
     /// It is on record, and its attempts want permits.
     recorded: Option<bool>,
     /// The record has ended it.
@@ -152,7 +152,7 @@
     /// Backends numbered so far; a line names each new one, as the module's lines speak of numbers.
     named: u32,
     open: HashMap<RequestId, Open>,
-    lines: Lines,
+    lines: ConnectionTable,
     events: VecDeque<Event>,
     /// Events are being told; what is added meanwhile is told after them.
     telling: bool,
@@ -161,7 +161,7 @@
     /// The rules' monitors, where they are wanted.
     check: Option<Check>,
     /// The record, where there is one, and the version of each pool's list.
-    record: Option<Rc<dyn Recording>>,
+    record: Option<Rc<dyn RequestRecorder>>,
     versions: HashMap<PoolId, u64>,
     /// When the timer is set to fire.
     armed: Option<Time>,
@@ -170,11 +170,11 @@
 }
 
 /// Owner of the engine and the directory, and of what is out for them.
-pub struct Host {
+pub struct Driver {
     state: RefCell<State>,
     /// The time by which all is done.
     pub clock: Clock,
-    network: Cell<Network>,
+    network: Cell<UpstreamConfig>,
     sooner: Notify,
     /// How late timers fire: the largest of late, fading.
     lag: Cell<u64>,
@@ -192,24 +192,24 @@
     }
 }
 
-fn keeping(network: &Network) -> ConnectionLimits {
+fn keeping(network: &UpstreamConfig) -> ConnectionLimits {
     ConnectionLimits {
-        max_connections: network.most,
+        max_connections: network.max_connections,
         idle_timeout: network.idle_timeout.times(IDLE_PART),
         reuse_delay: QUIET,
     }
 }
 
-impl Host {
-    /// A host of no pools; [`Host::setup`] gives it some.
-    pub fn new(clock: Clock, network: Network) -> Rc<Host> {
+impl Driver {
+    /// A driver of no pools; [`Driver::setup`] gives it some.
+    pub fn new(clock: Clock, network: UpstreamConfig) -> Rc<Driver> {
         let state = State {
             engine: Engine::new(Pools::new(), keeping(&network)),
             directory: Directory::default(),
             starts: StartTimes::default(),
             named: 0,
             open: HashMap::new(),
-            lines: Lines::default(),
+            lines: ConnectionTable::default(),
             events: VecDeque::new(),
             telling: false,
             actions: Vec::new(),
@@ -221,7 +221,7 @@
             last: 0,
             counts: Counts::default(),
         };
-        Rc::new(Host {
+        Rc::new(Driver {
             state: RefCell::new(state),
             clock,
             network: Cell::new(network),
@@ -238,8 +238,8 @@
     /// # Errors
     /// The field of a configuration that is unsound; the caller checks these before, so that nothing is half done.
     pub fn setup(
-        self: &Rc<Self>, first: Option<(&[String], &[String])>, zone: &str, seed: u64, network: Network,
-        setups: Vec<PoolSetup>,
+        self: &Rc<Self>, first: Option<(&[String], &[String])>, zone: &str, seed: u64,
+        network: UpstreamConfig, setups: Vec<PoolSetup>,
     ) -> Result<Vec<PoolId>, ConfigError> {
         let now = self.clock.now();
         self.network.set(network);
@@ -258,11 +258,14 @@
             let zone = s.directory.zone(zone);
             let named = |setup: &PoolSetup| s.directory.pool_named(&setup.spec.name).unwrap_or_default();
             let ids: Vec<PoolId> = setups.iter().map(named).collect();
-            let realms: HashSet<Option<u32>> = ids.iter().map(|id| s.directory.realm(*id)).collect();
+            let realms: HashSet<Option<u32>> =
+                ids.iter().map(|id| s.directory.deduplication_domain(*id)).collect();
             let only_deduplication_domain =
                 realms.iter().next().copied().flatten().filter(|_| realms.len() == 1);
             let cancel = setups.iter().all(|s| s.config.may_cancel_attempts);
-            s.starts.set_ramp(setups.iter().map(|s| s.config.slow_start_window).max().unwrap_or_default());
+            s.starts.set_slow_start_window(
+                setups.iter().map(|s| s.config.slow_start_window).max().unwrap_or_default(),
+            );
             for (id, setup) in ids.iter().zip(setups) {
                 s.engine.policy_mut().configure(
                     *id,
@@ -291,7 +294,7 @@
     }
 
     /// Holds all that happens from now on against the rules, by observers that share no code with the engine. A rule
-    /// that breaks has a line in the log; [`Host::broken`] tells of all.
+    /// that breaks has a line in the log; [`Driver::broken`] tells of all.
     pub fn self_check(&self, drain_grace: Micros) {
         let mut s = self.state.borrow_mut();
         let rules = Rules { drain_grace, answer_slack: SLACK, quiet: QUIET, cancel: true, one_realm: false };
@@ -299,7 +302,7 @@
     }
 
     /// A rule that the caller watches over was broken: it counts and has a line, like those of the self-check.
-    pub fn rule_broken(&self, text: &str) {
+    pub fn report_violation(&self, text: &str) {
         error!("self-check: {text}");
         if let Some(check) = &mut self.state.borrow_mut().check {
             check.count += 1;
@@ -310,13 +313,13 @@
     }
 
     /// How many rules were broken since the self-check began, and the first of them.
-    pub fn broken(&self) -> (u64, Vec<String>) {
+    pub fn violations(&self) -> (u64, Vec<String>) {
         let s = self.state.borrow();
         s.check.as_ref().map_or((0, Vec::new()), |check| (check.count, check.broken.clone()))
     }
 
     /// What is held back of a client's time.
-    pub fn margin(&self) -> Micros {
+    pub fn deadline_margin(&self) -> Micros {
         Micros((MARGIN.0 + self.lag.get()).min(MOST_MARGIN.0))
     }
 
@@ -324,14 +327,15 @@
     ///
     /// # Errors
     /// Why it is not taken. Nothing is owed then.
-    pub fn request(
-        self: &Rc<Self>, mut order: RequestSpec, named: Named<'_>, upstream_request: Rc<dyn UpstreamRequest>,
-    ) -> Result<(RequestId, oneshot::Receiver<Answer>), NotTaken> {
+    pub fn submit(
+        self: &Rc<Self>, mut order: RequestSpec, named: RequestIdentity<'_>,
+        upstream_request: Rc<dyn UpstreamRequest>,
+    ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
         // Each attempt asks again: a request that need not be taken costs no decision and no connection.
         if upstream_request.client().is_some_and(PeerWatch::closed) {
             self.state.borrow_mut().counts.gone += 1;
             upstream_request.trace().inspect(|trace| trace.event(RequestEvent::ClientClosed));
-            return Err(NotTaken::ClientClosed);
+            return Err(SubmitError::ClientClosed);
         }
         let now = self.clock.now();
         let (id, record) = {
@@ -340,13 +344,13 @@
             s.counts.requests += 1;
             (RequestId(s.last), s.record.clone())
         };
-        let Named { tenant, class, key } = named;
-        let asked = Asked { request: id, tenant, class, key, deadline: now + order.arrival.time_left };
+        let RequestIdentity { tenant, class, key } = named;
+        let asked = KeyRequest { request: id, tenant, class, key, deadline: now + order.arrival.time_left };
         let recorded =
             match record.filter(|record| record.records(class)).map(|record| record.ask(now, &asked)) {
                 None => None,
-                Some(Verdict::Go { permit }) => Some(permit),
-                Some(verdict) => return Err(NotTaken::Record(verdict)),
+                Some(KeyDecision::Proceed { requires_intent: permit }) => Some(permit),
+                Some(verdict) => return Err(SubmitError::Record(verdict)),
             };
         upstream_request.trace().inspect(|trace| trace.taken(id));
         let (answer, wait) = oneshot::channel();
@@ -359,20 +363,20 @@
     }
 
     /// From now on this is told of what happens.
-    pub fn record(&self, record: Rc<dyn Recording>) {
+    pub fn set_recorder(&self, record: Rc<dyn RequestRecorder>) {
         self.state.borrow_mut().record = Some(record);
     }
 
     /// The record's word on an attempt.
-    pub fn permit(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, given: bool) {
+    pub fn on_intent_persisted(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, given: bool) {
         self.tell(Event::IntentPersisted { request, attempt, persisted: given });
     }
 
     /// The record has seen that a request must not be sent: it ends now.
-    pub fn end(self: &Rc<Self>, request: RequestId, verdict: Verdict) {
+    pub fn end_by_record(self: &Rc<Self>, request: RequestId, verdict: KeyDecision) {
         let advice = match verdict {
-            Verdict::Refuse(advice) => advice,
-            Verdict::Conflict(conflict) => {
+            KeyDecision::Reject(advice) => advice,
+            KeyDecision::Conflict(conflict) => {
                 if let Some(open) = self.state.borrow_mut().open.get_mut(&request) {
                     open.conflict = Some(conflict);
                 }
@@ -384,13 +388,13 @@
     }
 
     /// All that is open is given up: nothing of it goes out any more, and it is answered by what is known of it.
-    pub fn give_up(self: &Rc<Self>, advice: Micros) {
+    pub fn give_up_all(self: &Rc<Self>, advice: Micros) {
         let open: Vec<RequestId> = self.state.borrow().open.keys().copied().collect();
         open.into_iter().for_each(|request| self.tell(Event::GiveUp { request, retry_after: advice }));
     }
 
     /// The version of a pool's list, of which news follows.
-    pub fn list_version(&self, pool: PoolId, version: u64) {
+    pub fn set_list_version(&self, pool: PoolId, version: u64) {
         self.state.borrow_mut().versions.insert(pool, version);
     }
 
@@ -444,22 +448,27 @@
         };
         self.tell(Event::ClientDisconnected { request: id });
         if recorded {
-            self.note(shaletide_record::Event::Over { request: id, ending: Ending::Left });
+            self.note(shaletide_record::Event::RequestEnded {
+                request: id,
+                ending: RequestEnding::ClientDisconnected,
+            });
         }
     }
 
     /// News of a pool's list.
-    pub fn members(self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>) {
+    pub fn update_endpoints(
+        self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>,
+    ) {
         let told = {
             let mut s = self.state.borrow_mut();
-            s.starts.localize(self.clock.now(), pool, update, &mut entries);
-            s.directory.news(pool, update, entries)
+            s.starts.to_local_clock(self.clock.now(), pool, update, &mut entries);
+            s.directory.apply_update(pool, update, entries)
         };
         self.take_in(told);
     }
 
     /// Until a pool's module asks its discovery for changes.
-    pub async fn followed(&self, pool: PoolId) {
+    pub async fn subscribe_requested(&self, pool: PoolId) {
         let follow = self.state.borrow_mut().follow.entry(pool).or_default().clone();
         follow.notified().await;
     }
@@ -513,7 +522,7 @@
             Action::Send { connection, request, attempt, deadline, write_deadline: by } => {
                 if self.recorded(request) == Some(false) {
                     let seen = self.seen(request, attempt);
-                    self.note(shaletide_record::Event::Sent { request, attempt, seen });
+                    self.note(shaletide_record::Event::AttemptStarted { request, attempt, seen });
                 }
                 self.send(connection, request, attempt, deadline, by);
             }
@@ -533,7 +542,7 @@
                 self.note(shaletide_record::Event::IntentRequested { request, attempt, seen });
             }
             Action::WithdrawIntent { request, attempt } => {
-                self.note(shaletide_record::Event::Withdrawn { request, attempt });
+                self.note(shaletide_record::Event::IntentWithdrawn { request, attempt });
             }
             Action::AttemptEnded { request, attempt, outcome } => {
                 self.note(shaletide_record::Event::AttemptEnded { request, attempt, outcome });
@@ -553,29 +562,32 @@
         };
         s.lines.opened += 1;
         s.trace_opening(connection, AttemptEvent::Connecting);
-        let host = self.clone();
+        let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let within = span(host.network.get().connect_timeout);
-            let event = match host.connected(to, within).await {
+            let within = span(driver.network.get().connect_timeout);
+            let event = match driver.connected(to, within).await {
                 Ok(tcp) => {
-                    host.state.borrow_mut().came_up(connection, Stream::new(tcp));
+                    driver.state.borrow_mut().came_up(connection, Stream::new(tcp));
                     Event::Connected { connection }
                 }
                 Err(failure) => {
-                    let mut s = host.state.borrow_mut();
+                    let mut s = driver.state.borrow_mut();
                     s.trace_opening(connection, AttemptEvent::ConnectFailed);
                     s.lines.all.remove(&connection);
                     s.counts.unconnected += 1;
                     Event::ConnectFailed { connection, backend_at_fault: failure == ConnectFailure::Peer }
                 }
             };
-            host.tell(event);
-            if let Some(line) = host.state.borrow_mut().lines.all.get_mut(&connection) {
+            driver.tell(event);
+            if let Some(line) = driver.state.borrow_mut().lines.all.get_mut(&connection) {
                 line.fresh = false;
             }
         });
         let task = Some(task.abort_handle());
-        s.lines.all.insert(connection, Line { backend, to, stream: None, task, busy: false, fresh: false });
+        s.lines.all.insert(
+            connection,
+            UpstreamConnection { backend, to, stream: None, task, busy: false, fresh: false },
+        );
     }
 
     /// Connects within that time. A shortage of the system's is waited for, as the backend may be sound.
@@ -636,10 +648,10 @@
         stream.set_write_deadline(by.map(|by| self.clock.instant(by).into_std()));
         stream.set_client(open.upstream_request.client().cloned());
         stream.begin_trace(open.trace(attempt, line.backend));
-        let (host, run) = (self.clone(), open.upstream_request.clone().run(exchange));
+        let (driver, run) = (self.clone(), open.upstream_request.clone().run(exchange));
         let task = tokio::task::spawn_local(async move {
             let outcome = run.await;
-            host.exchange_ended(connection, request, outcome, &stream, fresh);
+            driver.exchange_ended(connection, request, outcome, &stream, fresh);
         });
         (line.task, line.busy) = (Some(task.abort_handle()), true);
     }
@@ -649,7 +661,7 @@
         stream: &Stream, fresh: bool,
     ) {
         stream.end_trace(|| AttemptOutcome::of(&outcome, !stream.is_unwritten()));
-        let ended = matches!(outcome, ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended);
+        let ended = matches!(outcome, ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionClosed);
         if ended && stream.is_unwritten() && stream.client_closed() && self.is_open(request) {
             return self.client_gone(request); // the connection is closed with it, and its backend not blamed
         }
@@ -659,12 +671,14 @@
             let Some(line) = s.lines.all.get_mut(&connection) else { return };
             (line.busy, line.task) = (false, None);
             match outcome {
-                ExchangeOutcome::Answered { verdict, keep, excess, report } => {
+                ExchangeOutcome::Response { class: verdict, reusable: keep, excess, report } => {
                     s.events.extend(report.map(|report| Event::LoadReported { connection, report }));
                     Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: excess }
                 }
                 // What ended or came before the first byte went out is about an earlier request, if any.
-                ExchangeOutcome::InvalidResponse | ExchangeOutcome::Ended if stream.is_unwritten() => {
+                ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionClosed
+                    if stream.is_unwritten() =>
+                {
                     s.counts.unfit += 1;
                     unusable(connection, fresh && !stream.write_deadline_passed())
                 }
@@ -672,7 +686,7 @@
                     s.counts.spoilt += 1;
                     Event::InvalidResponse { connection }
                 }
-                ExchangeOutcome::Ended => {
+                ExchangeOutcome::ConnectionClosed => {
                     s.counts.ended += 1;
                     Event::ConnectionClosed { connection }
                 }
@@ -688,10 +702,10 @@
         let mut s = self.state.borrow_mut();
         let Some(open) = s.open.remove(&request) else { return };
         let ending = match answer {
-            FinalOutcome::Served(attempt) => Ending::Served(attempt),
-            FinalOutcome::Rejected(_) => Ending::Refused,
-            FinalOutcome::Failed => Ending::Failed,
-            FinalOutcome::TimedOut => Ending::TimedOut,
+            FinalOutcome::Served(attempt) => RequestEnding::Served(attempt),
+            FinalOutcome::Rejected(_) => RequestEnding::Rejected,
+            FinalOutcome::Failed => RequestEnding::Failed,
+            FinalOutcome::TimedOut => RequestEnding::TimedOut,
         };
         let (decision, attempt) = match answer {
             FinalOutcome::Served(attempt) => {
@@ -713,14 +727,14 @@
         };
         drop(s);
         // A client may have left in this very moment.
-        let _ = open.answer.send(Answer { decision, attempt, conflict: open.conflict });
+        let _ = open.answer.send(FinalResponse { decision, attempt, conflict: open.conflict });
         if open.recorded.is_some() {
-            self.note(shaletide_record::Event::Over { request, ending });
+            self.note(shaletide_record::Event::RequestEnded { request, ending });
         }
     }
 
     /// Tells the engine the time whenever it wants to know, for as long as the program runs.
-    pub async fn timers(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
             let at = {
                 let mut s = self.state.borrow_mut();
@@ -751,7 +765,7 @@
     }
 
     /// Looks idle connections over, for as long as the program runs: those that the other side has closed go.
-    pub async fn sweep(self: Rc<Self>) {
+    pub async fn sweep_idle_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP).await;
             let unfit = self.state.borrow().lines.with_pending_input();
@@ -766,12 +780,12 @@
     }
 
     /// How many connections there are to backends.
-    pub fn upstreams(&self) -> usize {
+    pub fn upstream_connection_count(&self) -> usize {
         self.state.borrow().engine.connection_count()
     }
 
     /// Closes a connection that nobody uses to make room for a client; false where there is none.
-    pub fn make_room(self: &Rc<Self>) -> bool {
+    pub fn close_idle_connection(self: &Rc<Self>) -> bool {
         let spare = self.state.borrow().engine.idle_connection();
         spare.into_iter().for_each(|connection| self.tell(Event::ConnectionUnusable { connection }));
         spare.is_some()
--- a/crates/net/src/host/lists.rs
+++ b/crates/net/src/driver/lists.rs
@@ -1,9 +1,9 @@
 //! Lists of backends as the directory has them: passed on to the engine, put on record and logged.
 
-use super::{Host, LIST_BYTES, NAMED};
+use super::{Driver, LIST_BYTES, NAMED};
 use shaletide_balancer::*;
 use shaletide_engine::Event;
-use shaletide_membership::{Conflict, Told};
+use shaletide_membership::{Conflict, DirectoryUpdate};
 use shaletide_record::Fact;
 use std::collections::HashSet;
 use std::fmt;
@@ -43,9 +43,9 @@
     }
 }
 
-impl Host {
+impl Driver {
     /// Passes on what the directory says.
-    pub(super) fn take_in(self: &Rc<Self>, told: Told) {
+    pub(super) fn take_in(self: &Rc<Self>, told: DirectoryUpdate) {
         if told.skipped > 0 {
             warn!("{} backends skipped: a pool's list is too long", told.skipped);
         }
@@ -55,7 +55,7 @@
         for moved in &told.moved {
             self.tell(Event::BackendMoved { backend: moved.id, from: moved.from, to: moved.to });
         }
-        for (pool, update, backends) in told.rows {
+        for (pool, update, backends) in told.notifications {
             self.note_list(pool, update, &backends);
             let readdressed = self.log_list(pool, update, &backends);
             readdressed.into_iter().for_each(|backend| self.tell(Event::AddressChanged { backend }));
@@ -87,7 +87,7 @@
             let version = s.versions.get(&pool).copied().unwrap_or_default();
             Fact::List { pool: pool_name, version, news }
         };
-        self.note(shaletide_record::Event::Note(fact));
+        self.note(shaletide_record::Event::RecordFact(fact));
     }
 
     /// Which list has the address, and which has to wait for it.
--- a/crates/net/src/host/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `host` that need its private items.
+//! Tests of `driver` that need its private items.
 
 mod client_gone;
 
@@ -37,29 +37,29 @@
         Box::pin(async move {
             match write_request(&mut leg.stream).await {
                 Ok(_) => std::future::pending().await,
-                Err(_) => ExchangeOutcome::Ended,
+                Err(_) => ExchangeOutcome::ConnectionClosed,
             }
         })
     }
 }
 
-const NETWORK: Network = Network {
+const NETWORK: UpstreamConfig = UpstreamConfig {
     connect_timeout: Micros(1_000_000),
     idle_timeout: Micros(1_000_000),
     answer_stall: None,
     max_body: 64 * 1024,
-    most: 4,
+    max_connections: 4,
 };
 
 fn pool(name: &str, config: Config) -> PoolSetup {
-    PoolSetup { spec: PoolSpec { name: name.into(), repeats: None, source: Source::Listed }, config }
+    PoolSetup { spec: PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }, config }
 }
 
-fn host(pools: &[&str]) -> (Rc<Host>, Vec<PoolId>) {
-    let host = Host::new(Clock::new(), NETWORK);
+fn driver(pools: &[&str]) -> (Rc<Driver>, Vec<PoolId>) {
+    let driver = Driver::new(Clock::new(), NETWORK);
     let pools = pools.iter().map(|name| pool(name, Config::example())).collect();
-    let ids = host.setup(Some((&[], &[])), "", 1, NETWORK, pools).unwrap();
-    (host, ids)
+    let ids = driver.setup(Some((&[], &[])), "", 1, NETWORK, pools).unwrap();
+    (driver, ids)
 }
 
 fn entries(status: &str, address: &str) -> Vec<Endpoint> {
@@ -94,18 +94,19 @@
         .run_until(async {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let at = listener.local_addr().unwrap().to_string();
-            let (host, pools) = host(&["p"]);
-            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
-            assert_eq!(host.upstreams(), 1, "it comes up");
-            host.members(pools[0], EndpointUpdate::Delta, entries("DRAINING", &at));
-            assert_eq!(host.upstreams(), 0);
-            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (left, _) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
-            host.client_gone(left);
-            assert_eq!(host.state.borrow().counts.sent, 0);
-            host.members(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
-            assert_eq!(host.state.borrow().directory.address(BackendId(0)), None, "forgotten");
+            let (driver, pools) = driver(&["p"]);
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
+            let (_, answer) =
+                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            assert_eq!(driver.upstream_connection_count(), 1, "it comes up");
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DRAINING", &at));
+            assert_eq!(driver.upstream_connection_count(), 0);
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
+            let (left, _) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            driver.client_gone(left);
+            assert_eq!(driver.state.borrow().counts.sent, 0);
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
+            assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "forgotten");
             drop(answer);
         })
         .await;
@@ -118,16 +119,18 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            let (host, pools) = host(&["p"]);
-            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.1:9"));
+            let (driver, pools) = driver(&["p"]);
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.1:9"));
             for _ in 0..3 {
-                let (left, _) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
-                host.client_gone(left); // its connection comes up for others
+                let (left, _) =
+                    driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+                driver.client_gone(left); // its connection comes up for others
             }
-            let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
-            assert_eq!((host.upstreams(), host.state.borrow().lines.opened), (4, 4));
-            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.2:9"));
-            assert_eq!((host.upstreams(), host.state.borrow().lines.opened), (1, 5));
+            let (_, answer) =
+                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            assert_eq!((driver.upstream_connection_count(), driver.state.borrow().lines.opened), (4, 4));
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.2:9"));
+            assert_eq!((driver.upstream_connection_count(), driver.state.borrow().lines.opened), (1, 5));
             assert!(answer.is_empty(), "it is on its way to the new address");
         })
         .await;
@@ -142,18 +145,19 @@
         .run_until(async {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let at = listener.local_addr().unwrap().to_string();
-            let (host, pools) = host(&["p"]);
-            host.members(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (_, answer) = host.request(order(&pools), Named::default(), Rc::new(Says)).unwrap();
+            let (driver, pools) = driver(&["p"]);
+            driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
+            let (_, answer) =
+                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Says)).unwrap();
             tokio::task::yield_now().await; // the kernel is asked to connect
             drop(listener.accept().unwrap());
             let begun = std::time::Instant::now();
-            while host.state.borrow().counts.unfit == 0 {
+            while driver.state.borrow().counts.unfit == 0 {
                 assert!(begun.elapsed().as_secs() < 20, "it is not found out");
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let opened = host.state.borrow().lines.opened;
-            assert_eq!((opened, host.upstreams()), (1, 0), "none is opened in its place");
+            let opened = driver.state.borrow().lines.opened;
+            assert_eq!((opened, driver.upstream_connection_count()), (1, 0), "none is opened in its place");
             assert!(matches!(answer.await.unwrap().decision, Decision::Rejected(_)));
         })
         .await;
@@ -165,17 +169,17 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            let (host, pools) = host(&["p"]);
+            let (driver, pools) = driver(&["p"]);
             let hasty = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
-            host.setup(None, "", 1, NETWORK, vec![hasty]).unwrap();
-            let (id, held) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
-            let timers = tokio::task::spawn_local(host.clone().timers());
+            driver.setup(None, "", 1, NETWORK, vec![hasty]).unwrap();
+            let (id, held) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let timers = tokio::task::spawn_local(driver.clone().run_timers());
             let start = std::time::Instant::now();
             for _ in 0..20 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             assert!(start.elapsed().as_millis() < 300, "{:?}", start.elapsed());
-            host.client_gone(id);
+            driver.client_gone(id);
             drop(held);
             timers.abort();
         })
@@ -186,23 +190,23 @@
 /// nothing for the boxes of the others.
 #[tokio::test]
 async fn connections_follow_the_lists_and_news_costs_what_it_brings() {
-    let (host, pools) = host(&["p", "q"]);
+    let (driver, pools) = driver(&["p", "q"]);
     let many = |from: u32, to: u32| -> Vec<Endpoint> {
         let entry = |n: u32| serde_json::json!({"name": format!("{n:05}"), "address": "127.0.0.1:9", "status": "SERVING"});
         List { index: 1, snapshot: true, endpoints: (from..to).map(entry).collect() }.entries().0
     };
-    host.members(pools[0], EndpointUpdate::Snapshot, many(0, 30_000));
+    driver.update_endpoints(pools[0], EndpointUpdate::Snapshot, many(0, 30_000));
     let start = std::time::Instant::now();
-    (0..300).for_each(|_| host.members(pools[1], EndpointUpdate::Delta, Vec::new()));
+    (0..300).for_each(|_| driver.update_endpoints(pools[1], EndpointUpdate::Delta, Vec::new()));
     assert!(start.elapsed().as_millis() < 800, "{:?}", start.elapsed());
     let served = |ids: [u32; 3]| {
-        ids.map(|id| host.state.borrow().engine.backend_state(BackendId(id)) == BackendState::Ready)
+        ids.map(|id| driver.state.borrow().engine.backend_state(BackendId(id)) == BackendState::Ready)
     };
     assert_eq!(served([0, 29_999, 30_000]), [true, true, false]);
-    host.members(pools[0], EndpointUpdate::Snapshot, many(1, 3));
+    driver.update_endpoints(pools[0], EndpointUpdate::Snapshot, many(1, 3));
     assert_eq!(served([0, 1, 29_999]), [false, true, false], "what is absent is gone");
     let drains = Endpoint { state: BackendState::Draining, ..many(1, 2).remove(0) };
-    host.members(pools[0], EndpointUpdate::Delta, vec![drains]);
+    driver.update_endpoints(pools[0], EndpointUpdate::Delta, vec![drains]);
     assert_eq!(served([0, 1, 2]), [false, false, true]);
 }
 
@@ -212,15 +216,16 @@
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
-            let (host, pools) = host(&["p", "q"]);
-            let (_, held) = host.request(order(&pools[..1]), Named::default(), Rc::new(Mute)).unwrap();
-            let (_, moves) = host.request(order(&pools), Named::default(), Rc::new(Mute)).unwrap();
+            let (driver, pools) = driver(&["p", "q"]);
+            let (_, held) =
+                driver.submit(order(&pools[..1]), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let (_, moves) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
             let q = pool("q", Config::example());
-            assert_eq!(host.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
+            assert_eq!(driver.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
             assert!(matches!(held.await.unwrap().decision, Decision::Rejected(_)));
-            host.members(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
-            let timers = tokio::task::spawn_local(host.clone().timers());
-            while host.state.borrow().lines.opened == 0 {
+            driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
+            let timers = tokio::task::spawn_local(driver.clone().run_timers());
+            while driver.state.borrow().lines.opened == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             timers.abort();
--- a/crates/net/src/host/tests/client_gone.rs
+++ b/crates/net/src/driver/tests/client_gone.rs
@@ -82,22 +82,22 @@
                     self.written.set(self.written.get() + 1);
                     let ends = self.ends.take();
                     std::mem::forget(ends.and_then(|(client, end)| client.end(end)));
-                    ExchangeOutcome::Answered {
-                        verdict: self.verdict,
-                        keep: true,
+                    ExchangeOutcome::Response {
+                        class: self.verdict,
+                        reusable: true,
                         excess: false,
                         report: None,
                     }
                 }
-                Err(_) => ExchangeOutcome::Ended,
+                Err(_) => ExchangeOutcome::ConnectionClosed,
             }
         })
     }
 }
 
-/// A host of one pool, a client, and a backend's listener.
+/// A driver of one pool, a client, and a backend's listener.
 struct Setup {
-    host: Rc<Host>,
+    driver: Rc<Driver>,
     pools: Vec<PoolId>,
     client: Client,
     backend: TcpListener,
@@ -105,13 +105,13 @@
 
 impl Setup {
     fn new() -> Setup {
-        let (host, pools) = host(&["p"]);
+        let (driver, pools) = driver(&["p"]);
         // The only proxy has the whole budget of retries to itself.
         let only = pool("p", Config { proxies: 1, ..Config::example() });
-        host.setup(None, "", 1, NETWORK, vec![only]).unwrap();
+        driver.setup(None, "", 1, NETWORK, vec![only]).unwrap();
         let backend = TcpListener::bind("127.0.0.1:0").unwrap();
         backend.set_nonblocking(true).unwrap();
-        Setup { host, pools, client: Client::connect(), backend }
+        Setup { driver, pools, client: Client::connect(), backend }
     }
 
     /// Under each of these names.
@@ -119,21 +119,22 @@
         let at = self.backend.local_addr().unwrap().to_string();
         let entry = |name: &&str| serde_json::json!({"name": name, "address": at, "status": "SERVING"});
         let list = List { index: 1, snapshot: false, endpoints: names.iter().map(entry).collect() };
-        self.host.members(self.pools[0], EndpointUpdate::Delta, list.entries().0);
+        self.driver.update_endpoints(self.pools[0], EndpointUpdate::Delta, list.entries().0);
     }
 
     /// Requests that are served pay for retries.
     async fn earn_retries(&self) {
         for _ in 0..30 {
             let request = Rc::new(Request::new(&self.client, ResponseClass::Served));
-            let (_, answer) = self.host.request(order(&self.pools), Named::default(), request).unwrap();
+            let (_, answer) =
+                self.driver.submit(order(&self.pools), RequestIdentity::default(), request).unwrap();
             assert_eq!(answer.await.unwrap().decision, Decision::Served);
         }
     }
 
-    fn request(&self) -> Result<(RequestId, oneshot::Receiver<Answer>), NotTaken> {
+    fn request(&self) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
         let request = Request::new(&self.client, ResponseClass::NotExecuted);
-        self.host.request(order(&self.pools), Named::default(), Rc::new(request))
+        self.driver.submit(order(&self.pools), RequestIdentity::default(), Rc::new(request))
     }
 }
 
@@ -157,10 +158,10 @@
     count
 }
 
-/// Nothing of the request is left in the engine or the host, and nothing was written to the backend.
-fn assert_forgotten(host: &Host, backend: &TcpListener, case: &str) {
+/// Nothing of the request is left in the engine or the driver, and nothing was written to the backend.
+fn assert_forgotten(driver: &Driver, backend: &TcpListener, case: &str) {
     assert_eq!(received(backend), 0, "{case}: written to the backend");
-    let state = host.state.borrow();
+    let state = driver.state.borrow();
     assert!(state.open.is_empty(), "{case}: still awaited");
     assert!(state.engine.requests().is_empty(), "{case}: still in the engine");
 }
@@ -184,10 +185,10 @@
         setup.list_backends(&["b"]);
         let request = Request::new(&setup.client, ResponseClass::NotExecuted);
         let _open = setup.client.end(end);
-        let taken = setup.host.request(order(&setup.pools), Named::default(), Rc::new(request));
-        assert_eq!(taken.map(|_| ()), Err(NotTaken::ClientClosed), "{end:?}");
+        let taken = setup.driver.submit(order(&setup.pools), RequestIdentity::default(), Rc::new(request));
+        assert_eq!(taken.map(|_| ()), Err(SubmitError::ClientClosed), "{end:?}");
         settle().await;
-        assert_forgotten(&setup.host, &setup.backend, &format!("{end:?}"));
+        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
     })
     .await;
 }
@@ -199,11 +200,11 @@
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.host.upstreams(), 1, "it comes up");
+        assert_eq!(setup.driver.upstream_connection_count(), 1, "it comes up");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_forgotten(&setup.host, &setup.backend, &format!("{end:?}"));
+        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
@@ -217,15 +218,15 @@
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let (warms_up, answer) = setup.request().unwrap();
-        setup.host.client_gone(warms_up); // the connection comes up for others
+        setup.driver.client_gone(warms_up); // the connection comes up for others
         drop(answer);
         settle().await;
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.host.state.borrow().counts.sent, 1, "decided on");
+        assert_eq!(setup.driver.state.borrow().counts.sent, 1, "decided on");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_forgotten(&setup.host, &setup.backend, &format!("{end:?}"));
+        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
@@ -237,12 +238,16 @@
     run(async |end| {
         let setup = Setup::new();
         let (_, answer) = setup.request().unwrap();
-        let timers = tokio::task::spawn_local(setup.host.clone().timers());
+        let timers = tokio::task::spawn_local(setup.driver.clone().run_timers());
         let (accepted, backend) = (setup.client.accepted.clone(), setup.backend.local_addr().unwrap());
         let _open = setup.client.end(end);
-        setup.host.members(setup.pools[0], EndpointUpdate::Delta, entries("SERVING", &backend.to_string()));
+        setup.driver.update_endpoints(
+            setup.pools[0],
+            EndpointUpdate::Delta,
+            entries("SERVING", &backend.to_string()),
+        );
         settle().await;
-        assert_forgotten(&setup.host, &setup.backend, &format!("{end:?}"));
+        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
         timers.abort();
         drop((accepted, answer));
     })
@@ -256,7 +261,7 @@
         for closes in [false, true] {
             let setup = Setup::new();
             setup.list_backends(&["b", "c"]); // a further attempt goes to another one
-            let timers = tokio::task::spawn_local(setup.host.clone().timers());
+            let timers = tokio::task::spawn_local(setup.driver.clone().run_timers());
             setup.earn_retries().await;
             let request = Rc::new(Request::new(&setup.client, ResponseClass::NotExecuted));
             let accepted = setup.client.accepted.clone();
@@ -267,15 +272,17 @@
                 }
                 false => Some(setup.client),
             };
-            let (id, answer) =
-                setup.host.request(order(&setup.pools), Named::default(), request.clone()).unwrap();
+            let (id, answer) = setup
+                .driver
+                .submit(order(&setup.pools), RequestIdentity::default(), request.clone())
+                .unwrap();
             while request.written.get() < if closes { 1 } else { 2 } {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             settle().await;
             assert!(!closes || request.written.get() == 1, "{end:?}: sent {} times", request.written.get());
-            setup.host.client_gone(id);
-            assert!(setup.host.state.borrow().engine.requests().is_empty(), "{end:?}: still in the engine");
+            setup.driver.client_gone(id);
+            assert!(setup.driver.state.borrow().engine.requests().is_empty(), "{end:?}: still in the engine");
             timers.abort();
             drop((accepted, answer, stays));
         }
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The interface between the host and a protocol: how one attempt of a request is carried out on a connection.
+//! The interface between the driver and a protocol: how one attempt of a request is carried out on a connection.
 
 use crate::stream::{PeerWatch, Stream};
 use crate::trace::RequestTrace;
@@ -30,11 +30,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ExchangeOutcome {
     /// A complete response.
-    Answered {
+    Response {
         /// What it means.
-        verdict: ResponseClass,
+        class: ResponseClass,
         /// The response allows the connection to be reused.
-        keep: bool,
+        reusable: bool,
         /// Bytes followed the response.
         excess: bool,
         /// The load that the backend reports.
@@ -43,13 +43,13 @@
     /// What was received is no valid response, or took too long.
     InvalidResponse,
     /// The connection was closed.
-    Ended,
+    ConnectionClosed,
 }
 
-/// An attempt in progress. Where it is dropped midway the host closes the connection.
+/// An attempt in progress. Where it is dropped midway the driver closes the connection.
 pub type ExchangeFuture = Pin<Box<dyn Future<Output = ExchangeOutcome>>>;
 
-/// A request that the host sends to backends.
+/// A request that the driver sends to backends.
 pub trait UpstreamRequest {
     /// The client's connection, if there is one: no attempt begins once the client has closed it.
     fn client(&self) -> Option<&PeerWatch>;
@@ -60,6 +60,6 @@
     }
 
     /// Writes the request and reads its response. Must call [`Stream::begin_request`] before the first byte, so that
-    /// the host knows when the last one was written.
+    /// the driver knows when the last one was written.
     fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture;
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,26 +1,26 @@
-//! The thin shell around the machines: the clock, streams, connections to backends, and the host that tells the
+//! The thin shell around the machines: the clock, streams, connections to backends, and the driver that tells the
 //! machines what happens and carries out what they ask. It translates and decides nothing.
 #![forbid(unsafe_code)]
 
-mod driven;
+mod connection_table;
+mod drive_connection;
+mod driver;
 mod exchange;
-mod host;
 mod io_error;
-mod lines;
 mod recording;
 pub mod socket_table;
 mod stream;
 pub mod timeout;
 mod trace;
 
-pub use driven::{driven, BoxError};
+pub use drive_connection::{drive_connection, BoxError};
+pub use driver::{Driver, FinalResponse, PoolSetup, SubmitError, UpstreamConfig};
 pub use exchange::{ExchangeFuture, ExchangeOutcome, ExchangeSpec, UpstreamRequest};
-pub use host::{Answer, Host, Network, NotTaken, PoolSetup};
 pub use io_error::{
     accept_failure, is_shortage, listen_failure, retry_shortage, uninterrupted, AcceptFailure, ListenFailure,
     SystemCall, SystemErrors,
 };
-pub use recording::{Named, Recording};
+pub use recording::{RequestIdentity, RequestRecorder};
 pub use stream::{PeerWatch, Stream};
 pub use trace::{request_trace_enabled, RequestEvent, RequestTrace, REQUEST_TARGET};
 
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -28,7 +28,7 @@
     HeadRead,
     /// Its body was read completely.
     BodyRead,
-    /// The host accepted it and numbered it.
+    /// The driver accepted it and numbered it.
     Taken,
     /// Its client closed the connection before it was answered.
     ClientClosed,
@@ -82,7 +82,7 @@
         self.emit(event.name(), Details::default());
     }
 
-    /// The request was rejected before the host accepted it.
+    /// The request was rejected before the driver accepted it.
     pub fn rejected(&self, fault: impl std::fmt::Debug) {
         self.emit("rejected", Details { fault: Some(&format!("{fault:?}")), ..Details::default() });
     }
@@ -92,7 +92,7 @@
         self.emit("answered", Details { status: Some(status), ..Details::default() });
     }
 
-    /// The host accepted it under that number, which its further events have.
+    /// The driver accepted it under that number, which its further events have.
     pub(crate) fn taken(&self, request: RequestId) {
         self.request.set(Some(request.0));
         self.event(RequestEvent::Taken);
@@ -161,10 +161,10 @@
     /// What an exchange of which a byte was `written` or not means.
     pub fn of(outcome: &ExchangeOutcome, written: bool) -> AttemptOutcome {
         match outcome {
-            ExchangeOutcome::Answered { verdict, .. } => AttemptOutcome::Answered(*verdict),
+            ExchangeOutcome::Response { class: verdict, .. } => AttemptOutcome::Answered(*verdict),
             _ if !written => AttemptOutcome::NotWritten,
             ExchangeOutcome::InvalidResponse => AttemptOutcome::InvalidResponse,
-            ExchangeOutcome::Ended => AttemptOutcome::ConnectionClosed,
+            ExchangeOutcome::ConnectionClosed => AttemptOutcome::ConnectionClosed,
         }
     }
 
--- a/crates/record-service/src/lib.rs
+++ b/crates/record-service/src/lib.rs
@@ -1,21 +1,22 @@
-//! The recorder at work: what the host does of requests on record goes in, writes go to the store's own thread, and what
+//! The recorder at work: what the driver does of requests on record goes in, writes go to the store's own thread, and what
 //! became of them comes back. A thin shell; what is decided about keys is decided in `shaletide-record`.
 #![forbid(unsafe_code)]
 
 mod opening;
 mod record;
-mod words;
+mod store_error;
 
 use opening::StoreContents;
 pub use record::Record;
+use store_error::store_failure;
 
-use shaletide_net::{Clock, Host, Recording};
-use shaletide_record::{chain, About, Action, Asked, Event, Fact, KeyId, RecordConfig, Recorder};
-use shaletide_record::{ReplyId, Resolved, Ticket, Verdict};
+use shaletide_net::{Clock, Driver, RequestRecorder};
+use shaletide_record::{chain, About, Action, Event, Fact, KeyId, KeyRequest, RecordConfig, Recorder};
+use shaletide_record::{KeyDecision, ReplyId, ResolveResult, Ticket};
 pub use shaletide_store::StoreError;
 use shaletide_store::{
-    Anchor, Event as Said, FactEncoder, Fate, Head, Opening, SendError, SqliteOptions, SqliteStore, Store,
-    Writer, WriterConfig,
+    Anchor, CommitOutcome, FactEncoder, Head, Opening, SendError, SqliteOptions, SqliteStore, Store, Writer,
+    WriterConfig, WriterEvent,
 };
 use shaletide_types::{causes, Micros, Time};
 use std::cell::{Cell, RefCell};
@@ -52,17 +53,17 @@
 }
 
 /// The recorder and its writer.
-pub struct Keeper {
+pub struct RecordService {
     recorder: RefCell<Recorder>,
     writer: RefCell<Option<Writer>>,
-    host: RefCell<Weak<Host>>,
+    driver: RefCell<Weak<Driver>>,
     clock: Clock,
     /// Events that came up while others were carried out.
     events: RefCell<VecDeque<Event>>,
     busy: Cell<bool>,
     sooner: Notify,
     armed: Cell<Option<Time>>,
-    replies: RefCell<HashMap<ReplyId, oneshot::Sender<Resolved>>>,
+    replies: RefCell<HashMap<ReplyId, oneshot::Sender<ResolveResult>>>,
     next_reply: Cell<u64>,
     prunes: RefCell<HashMap<u64, oneshot::Sender<Result<u64, String>>>>,
     /// The store takes nothing, as far as is known.
@@ -74,14 +75,14 @@
     version: Cell<u64>,
 }
 
-impl Keeper {
-    /// Takes over what a store that was opened remembers, and starts its writer. The receiver is for [`Keeper::work`].
+impl RecordService {
+    /// Takes over what a store that was opened remembers, and starts its writer. The receiver is for [`RecordService::work`].
     ///
     /// # Errors
     /// The system gives no thread.
     fn begin(
         path: &Path, contents: StoreContents, config: RecordConfig, clock: Clock, run: Run,
-    ) -> Result<(Rc<Keeper>, mpsc::UnboundedReceiver<Said>), StoreError> {
+    ) -> Result<(Rc<RecordService>, mpsc::UnboundedReceiver<WriterEvent>), StoreError> {
         let StoreContents { store, head, held } = contents;
         info!("the store of record has {} rows and {} keys, head {}", head.seq, held.len(), head);
         if head.seq == 0 && held.is_empty() {
@@ -96,12 +97,12 @@
         let mut actions = Vec::new();
         let Run { proxy, version, digest } = run;
         let start = Fact::Start { proxy, version, config: 1, digest };
-        recorder.handle(now, Event::Note(start), &mut actions);
+        recorder.handle(now, Event::RecordFact(start), &mut actions);
         recorder.restore(now, held, &mut actions);
-        let keeper = Rc::new(Keeper {
+        let service = Rc::new(RecordService {
             recorder: RefCell::new(recorder),
             writer: RefCell::new(Some(writer)),
-            host: RefCell::default(),
+            driver: RefCell::default(),
             clock,
             events: RefCell::default(),
             busy: Cell::default(),
@@ -115,15 +116,15 @@
             slow_said: Cell::default(),
             version: Cell::new(1),
         });
-        keeper.carry_out(actions);
-        keeper.drain();
-        Ok((keeper, heard))
+        service.carry_out(actions);
+        service.drain();
+        Ok((service, heard))
     }
 
-    /// Works for this host from now on.
-    pub fn serve(self: &Rc<Self>, host: &Rc<Host>) {
-        self.host.replace(Rc::downgrade(host));
-        host.record(self.clone());
+    /// Works for this driver from now on.
+    pub fn serve(self: &Rc<Self>, driver: &Rc<Driver>) {
+        self.driver.replace(Rc::downgrade(driver));
+        driver.set_recorder(self.clone());
     }
 
     /// Another configuration, and the digest of the file that says it.
@@ -134,7 +135,7 @@
     }
 
     /// Hears what the store says and watches the time, for as long as the program runs.
-    pub async fn work(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<Said>) {
+    pub async fn work(self: Rc<Self>, mut heard: mpsc::UnboundedReceiver<WriterEvent>) {
         let mut look = tokio::time::interval(SLOW);
         loop {
             let at = self.recorder.borrow().wake_at();
@@ -164,17 +165,17 @@
     }
 
     /// Whether an attempt in doubt ran, by an operator.
-    pub async fn resolve(self: &Rc<Self>, key: KeyId, ran: bool, by: String, note: String) -> Resolved {
+    pub async fn resolve(self: &Rc<Self>, key: KeyId, ran: bool, by: String, note: String) -> ResolveResult {
         let reply = ReplyId(self.next_reply.replace(self.next_reply.get() + 1));
         let (tell, told) = oneshot::channel();
         self.replies.borrow_mut().insert(reply, tell);
         self.push(Event::Resolve { reply, key, ran, by, note });
-        told.await.unwrap_or(Resolved::StoreDown)
+        told.await.unwrap_or(ResolveResult::StoreDown)
     }
 
     /// A fact that is about no request.
     pub fn note(&self, fact: Fact) {
-        self.push(Event::Note(fact));
+        self.push(Event::RecordFact(fact));
     }
 
     /// Has rows pruned that are older, and says how many went.
@@ -215,7 +216,7 @@
 
     /// The same until that time.
     pub async fn settled_by(&self, end: Instant) -> bool {
-        while self.recorder.borrow().owed() > 0 {
+        while self.recorder.borrow().pending_fact_count() > 0 {
             if Instant::now() >= end {
                 return false;
             }
@@ -230,8 +231,8 @@
         let Some(writer) = self.writer.borrow_mut().take() else { return };
         let ended = writer.stop(end.saturating_duration_since(Instant::now()));
         let r = self.recorder.borrow();
-        if ended.is_err() || r.owed() > 0 {
-            let (facts, keys) = (r.owed(), r.unsettled());
+        if ended.is_err() || r.pending_fact_count() > 0 {
+            let (facts, keys) = (r.pending_fact_count(), r.unsettled());
             error!("the store did not take its last writes in time: {facts} facts, {keys} keys unsettled");
         }
     }
@@ -243,7 +244,7 @@
             "record: keys unsettled {} served {}, facts on their way {}, left out {}",
             r.unsettled(),
             r.served(),
-            r.owed(),
+            r.pending_fact_count(),
             r.dropped()
         );
     }
@@ -267,48 +268,48 @@
         }
     }
 
-    fn hear(&self, said: Said) {
+    fn hear(&self, said: WriterEvent) {
         match said {
-            Said::Failed { ticket, ref trouble, .. } if self.prunes.borrow().contains_key(&ticket) => {
-                self.pruned(ticket, Err(trouble.to_string()));
+            WriterEvent::Failed { ticket, ref error, .. } if self.prunes.borrow().contains_key(&ticket) => {
+                self.pruned(ticket, Err(error.to_string()));
             }
-            Said::Lost { ticket } if self.prunes.borrow().contains_key(&ticket) => {
+            WriterEvent::Lost { ticket } if self.prunes.borrow().contains_key(&ticket) => {
                 self.pruned(ticket, Err("the store did not get to it".into()));
             }
-            Said::Committed { ticket, seqs } => {
+            WriterEvent::Committed { ticket, seqs } => {
                 let seq = seqs.last().copied().unwrap_or_default();
                 self.push(Event::Committed { ticket: Ticket(ticket), seq });
             }
-            Said::Refused { ticket, rows } => {
+            WriterEvent::Refused { ticket, rows } => {
                 let refused = rows.iter().find_map(|row| row.err());
                 let seq = rows.iter().find_map(|row| row.ok()).unwrap_or_default();
                 self.push(match refused {
-                    Some(why) => Event::Refused { ticket: Ticket(ticket), why },
+                    Some(why) => Event::ClaimRejected { ticket: Ticket(ticket), why },
                     None => Event::Committed { ticket: Ticket(ticket), seq },
                 });
             }
             // What may be on record all the same is told as soon as the store is back and tells: the recorder's own
             // limit answers whoever waits for it.
-            Said::Failed { fate: Fate::Unknown, .. } => {}
-            Said::Failed { ticket, trouble, .. } => {
-                let why = words::trouble(&trouble);
+            WriterEvent::Failed { outcome: CommitOutcome::Unknown, .. } => {}
+            WriterEvent::Failed { ticket, error, .. } => {
+                let why = store_failure(&error);
                 self.push(Event::WriteFailed { ticket: Ticket(ticket), why });
             }
-            Said::Lost { ticket } => {
+            WriterEvent::Lost { ticket } => {
                 let why = shaletide_record::StoreFailure::Failed;
                 self.push(Event::WriteFailed { ticket: Ticket(ticket), why });
             }
-            Said::Forgotten { .. } => {}
-            Said::Pruned { ticket, pruned } => {
+            WriterEvent::Forgotten { .. } => {}
+            WriterEvent::Pruned { ticket, pruned } => {
                 info!("store: {} rows pruned", pruned.rows);
                 self.pruned(ticket, Ok(pruned.rows));
             }
-            Said::Down { trouble } => {
-                error!("store: {}: {}", trouble.word(), causes(&trouble));
+            WriterEvent::Down { error } => {
+                error!("store: {}: {}", error.code(), causes(&error));
                 self.down.set(true);
-                self.push(Event::StoreDown { why: words::trouble(&trouble), again: AGAIN });
+                self.push(Event::StoreDown { why: store_failure(&error), again: AGAIN });
             }
-            Said::Back { head } => {
+            WriterEvent::Back { head } => {
                 info!("store: at work, head {}", head);
                 self.down.set(false);
                 self.push(Event::StoreUp);
@@ -344,17 +345,17 @@
         for action in actions {
             match action {
                 Action::Write { ticket, write } => self.write(ticket, *write),
-                Action::Permit { request, attempt, given } => {
-                    if let Some(host) = self.host.borrow().upgrade() {
-                        host.permit(request, attempt, given);
+                Action::IntentPersisted { request, attempt, persisted: given } => {
+                    if let Some(driver) = self.driver.borrow().upgrade() {
+                        driver.on_intent_persisted(request, attempt, given);
                     }
                 }
-                Action::End { request, verdict } => {
-                    if let Some(host) = self.host.borrow().upgrade() {
-                        host.end(request, verdict);
+                Action::EndRequest { request, verdict } => {
+                    if let Some(driver) = self.driver.borrow().upgrade() {
+                        driver.end_by_record(request, verdict);
                     }
                 }
-                Action::Reply { reply, resolved } => {
+                Action::Reply { reply, result: resolved } => {
                     if let Some(tell) = self.replies.borrow_mut().remove(&reply) {
                         let _ = tell.send(resolved); // whoever asked may have left
                     }
@@ -381,12 +382,12 @@
     }
 }
 
-impl Recording for Keeper {
+impl RequestRecorder for RecordService {
     fn records(&self, class: &str) -> bool {
         self.recorder.borrow().records(class)
     }
 
-    fn ask(&self, now: Time, asked: &Asked<'_>) -> Verdict {
+    fn ask(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision {
         let mut actions = Vec::new();
         let verdict = self.recorder.borrow_mut().ask(now, *asked, &mut actions);
         // What these call for comes behind them: writes go out in the order of their tickets.
@@ -414,7 +415,7 @@
 }
 
 fn start_writer(
-    path: PathBuf, store: SqliteStore, head: &Head, said: mpsc::UnboundedSender<Said>,
+    path: PathBuf, store: SqliteStore, head: &Head, said: mpsc::UnboundedSender<WriterEvent>,
 ) -> std::io::Result<Writer> {
     let mut first = Some(store);
     let opener = Box::new(move |opening: Opening| -> Result<Box<dyn Store>, StoreError> {
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -2,7 +2,7 @@
 
 use crate::StoreError;
 use shaletide_record::StoredKey;
-use shaletide_store::{Head, Reading, SqliteOptions, SqliteStore};
+use shaletide_store::{Head, SqliteOptions, SqliteStore, StoreReader};
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, TryRecvError};
 use std::time::{Duration, Instant};
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -1,9 +1,9 @@
 //! The record as the daemon holds it: at work, or waiting for its store.
 
 use crate::opening::{may_open_later, OpeningAttempt};
-use crate::{Keeper, Run, StoreError, AGAIN};
-use shaletide_net::{Host, Recording};
-use shaletide_record::{Asked, Event, RecordConfig, Verdict};
+use crate::{RecordService, Run, StoreError, AGAIN};
+use shaletide_net::{Driver, RequestRecorder};
+use shaletide_record::{Event, KeyDecision, KeyRequest, RecordConfig};
 use shaletide_types::{causes, Time};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
@@ -21,9 +21,9 @@
 /// The record of one proxy.
 pub struct Record {
     path: PathBuf,
-    host: Rc<Host>,
-    keeper: RefCell<Option<Rc<Keeper>>>,
-    /// What the next run begins with, as long as there is no keeper.
+    driver: Rc<Driver>,
+    service: RefCell<Option<Rc<RecordService>>>,
+    /// What the next run begins with, as long as there is no service.
     next: RefCell<(RecordConfig, Run)>,
 }
 
@@ -34,12 +34,12 @@
     /// # Errors
     /// The store cannot be right, whatever becomes of its disk.
     pub fn open(
-        path: &Path, config: RecordConfig, host: &Rc<Host>, run: Run,
+        path: &Path, config: RecordConfig, driver: &Rc<Driver>, run: Run,
     ) -> Result<Rc<Record>, StoreError> {
         let record = Rc::new(Record {
             path: path.into(),
-            host: host.clone(),
-            keeper: RefCell::default(),
+            driver: driver.clone(),
+            service: RefCell::default(),
             next: RefCell::new((config, run)),
         });
         match record.open_once() {
@@ -72,15 +72,15 @@
         &self.path
     }
 
-    /// The keeper, once the store is open.
-    pub fn keeper(&self) -> Option<Rc<Keeper>> {
-        self.keeper.borrow().clone()
+    /// The service, once the store is open.
+    pub fn service(&self) -> Option<Rc<RecordService>> {
+        self.service.borrow().clone()
     }
 
     /// Another configuration, and the digest of the file that says it.
     pub fn configure(&self, config: RecordConfig, digest: String) {
-        match self.keeper() {
-            Some(keeper) => keeper.configure(config, digest),
+        match self.service() {
+            Some(service) => service.configure(config, digest),
             None => {
                 let mut next = self.next.borrow_mut();
                 next.0 = config;
@@ -91,21 +91,21 @@
 
     fn begin(&self, contents: crate::StoreContents) -> Result<(), StoreError> {
         let (config, run) = self.next.borrow().clone();
-        let (keeper, heard) = Keeper::begin(&self.path, contents, config, self.host.clock, run)?;
-        keeper.serve(&self.host);
-        tokio::task::spawn_local(keeper.clone().work(heard));
-        self.keeper.replace(Some(keeper));
+        let (service, heard) = RecordService::begin(&self.path, contents, config, self.driver.clock, run)?;
+        service.serve(&self.driver);
+        tokio::task::spawn_local(service.clone().work(heard));
+        self.service.replace(Some(service));
         Ok(())
     }
 
     fn report_failure(&self, error: &StoreError) {
-        let (word, path) = (error.word(), self.path.display());
+        let (word, path) = (error.code(), self.path.display());
         error!("store: {word}: {path} does not open, what needs the record is refused: {}", causes(error));
     }
 
     /// Refuses what needs the record until the store opens; `attempt` may be under way already.
     fn wait_for_store(self: &Rc<Record>, attempt: Option<OpeningAttempt>) {
-        self.host.record(self.clone());
+        self.driver.set_recorder(self.clone());
         tokio::task::spawn_local(self.clone().open_later(attempt));
     }
 
@@ -119,9 +119,9 @@
             match opened.and_then(|contents| self.begin(contents)) {
                 Ok(()) => return info!("store: open, what needs the record is taken again"),
                 // Each kind of failure once.
-                Err(error) if error.word() != said => {
+                Err(error) if error.code() != said => {
                     self.report_failure(&error);
-                    said = error.word();
+                    said = error.code();
                 }
                 Err(_) => {}
             }
@@ -132,14 +132,14 @@
 }
 
 /// As long as the store is not open.
-impl Recording for Record {
+impl RequestRecorder for Record {
     /// Classes of which only facts are kept are served: their facts are lost meanwhile.
     fn records(&self, class: &str) -> bool {
         self.next.borrow().0.requires_intent(class)
     }
 
-    fn ask(&self, _: Time, _: &Asked<'_>) -> Verdict {
-        Verdict::Refuse(AGAIN)
+    fn ask(&self, _: Time, _: &KeyRequest<'_>) -> KeyDecision {
+        KeyDecision::Reject(AGAIN)
     }
 
     fn tell(&self, _: Time, _: Event) {}
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -22,7 +22,7 @@
 impl RecordConfig {
     /// No request of that class may go out before its intent is durable.
     pub fn requires_intent(&self, class: &str) -> bool {
-        self.classes.get(class).is_some_and(|rule| rule.permit)
+        self.classes.get(class).is_some_and(|rule| rule.requires_intent)
     }
 }
 
@@ -31,7 +31,7 @@
 pub struct ClassRule {
     /// No byte goes out before its intent is durable, and its keys are unique. Such a class is recorded in any
     /// case; another goes on record as far as the queue has room.
-    pub permit: bool,
+    pub requires_intent: bool,
     /// What becomes of a request without a key, where a permit is needed.
     pub without_key: WithoutKey,
 }
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -1,7 +1,7 @@
 //! What the recorder is told, what it answers and what it asks for.
 
 use crate::fact::{Fact, Seen};
-use crate::row::{KeyId, KeyState, Refused, Write};
+use crate::row::{ClaimRejection, KeyId, KeyState, Write};
 use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 
 /// Names a write to the one who asked for it; they count up, and each is used for one write.
@@ -14,7 +14,7 @@
 
 /// A request as a front has read it, before the engine hears of it.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct KeyRequest<'a> {
     /// Which.
     pub request: RequestId,
     /// The tenant's name; empty where there is none.
@@ -29,7 +29,7 @@
 
 /// Why a key is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Conflict {
+pub enum KeyConflict {
     /// An attempt of it is out.
     InFlight,
     /// An attempt of it may have run.
@@ -38,28 +38,28 @@
     Served,
 }
 
-impl From<KeyState> for Conflict {
-    fn from(state: KeyState) -> Conflict {
+impl From<KeyState> for KeyConflict {
+    fn from(state: KeyState) -> KeyConflict {
         match state {
-            KeyState::InFlight => Conflict::InFlight,
-            KeyState::Doubt => Conflict::Doubt,
-            KeyState::Served => Conflict::Served,
+            KeyState::InFlight => KeyConflict::InFlight,
+            KeyState::Doubt => KeyConflict::Doubt,
+            KeyState::Served => KeyConflict::Served,
         }
     }
 }
 
 /// What a front does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum KeyDecision {
     /// It goes to the engine; with this for `permit` in its order.
-    Go {
+    Proceed {
         /// Its attempts want a permit, and the recorder is told how each of them and the request itself end.
-        permit: bool,
+        requires_intent: bool,
     },
     /// 503: nothing was sent, and it may come again after this time.
-    Refuse(Micros),
+    Reject(Micros),
     /// 409: it is not sent, now or by another try.
-    Conflict(Conflict),
+    Conflict(KeyConflict),
     /// 400: its class wants a key.
     KeyRequired,
     /// 400: its key, or its tenant's name, is longer than is kept.
@@ -68,17 +68,17 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Ending {
+pub enum RequestEnding {
     /// By the answer to this attempt.
     Served(AttemptNumber),
     /// Refused: a retry is harmless.
-    Refused,
+    Rejected,
     /// Failed: nothing is promised.
     Failed,
     /// Its time was up.
     TimedOut,
     /// Its client left; it was answered nothing.
-    Left,
+    ClientDisconnected,
 }
 
 /// What ails a store.
@@ -102,7 +102,7 @@
 
 /// What happened.
 ///
-/// What the shell owes: each [`Verdict::Go`] ends in one [`Event::Over`]; each permit that was given in one
+/// What the shell owes: each [`KeyDecision::Proceed`] ends in one [`Event::Over`]; each permit that was given in one
 /// [`Event::Withdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each [`Action::Write`] ends in one [`Event::Committed`], [`Event::Refused`] or
 /// [`Event::WriteFailed`], in the order of tickets; once one has failed, all that were sent behind it fail too,
 /// and all of that is told before an [`Event::StoreUp`], which follows each failure. A write that failed may be on
@@ -120,7 +120,7 @@
         seen: Seen,
     },
     /// An attempt of a recorded class that needs no permit goes out.
-    Sent {
+    AttemptStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -129,7 +129,7 @@
         seen: Seen,
     },
     /// An attempt for which a permit was asked was not sent and never will be.
-    Withdrawn {
+    IntentWithdrawn {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -145,11 +145,11 @@
         outcome: Outcome,
     },
     /// A request is over: nothing is owed to its client, and no further attempt begins.
-    Over {
+    RequestEnded {
         /// The request.
         request: RequestId,
         /// How.
-        ending: Ending,
+        ending: RequestEnding,
     },
     /// A write is durable.
     Committed {
@@ -159,11 +159,11 @@
         seq: u64,
     },
     /// A row was not taken though the store is well: nothing of it is on record.
-    Refused {
+    ClaimRejected {
         /// Which.
         ticket: Ticket,
         /// Why.
-        why: Refused,
+        why: ClaimRejection,
     },
     /// A write failed, or nobody can tell whether it did.
     WriteFailed {
@@ -195,7 +195,7 @@
         note: String,
     },
     /// A fact that is about no request: a start, a configuration, a list, a correction, a cut.
-    Note(Fact),
+    RecordFact(Fact),
     /// What a wall clock shows now: facts bear its time. Nothing is decided by it.
     Clock(Time),
     /// The time for which [`crate::Recorder::wake_at`] asked has come.
@@ -204,7 +204,7 @@
 
 /// What came of a resolution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Resolved {
+pub enum ResolveResult {
     /// It is durable, and the key is free or served as was said.
     Done,
     /// The key is free or unknown.
@@ -230,26 +230,26 @@
         write: Box<Write>,
     },
     /// Tell the engine whether an attempt may be sent.
-    Permit {
+    IntentPersisted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
         /// It may.
-        given: bool,
+        persisted: bool,
     },
     /// Nothing of this request has gone out and nothing will: end it at once with this answer.
-    End {
+    EndRequest {
         /// The request.
         request: RequestId,
-        /// [`Verdict::Refuse`] or [`Verdict::Conflict`].
-        verdict: Verdict,
+        /// [`KeyDecision::Reject`] or [`KeyDecision::Conflict`].
+        verdict: KeyDecision,
     },
     /// Tell an operator what came of a resolution.
     Reply {
         /// The operator's command.
         reply: ReplyId,
         /// What came of it.
-        resolved: Resolved,
+        result: ResolveResult,
     },
 }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -13,7 +13,10 @@
 mod served;
 
 pub use config::{Bounds, ClassRule, RecordConfig, WithoutKey};
-pub use event::{Action, Asked, Conflict, Ending, Event, ReplyId, Resolved, StoreFailure, Ticket, Verdict};
+pub use event::{
+    Action, Event, KeyConflict, KeyDecision, KeyRequest, ReplyId, RequestEnding, ResolveResult, StoreFailure,
+    Ticket,
+};
 pub use fact::{About, Fact, Seen};
 pub use recorder::Recorder;
-pub use row::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
+pub use row::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -94,22 +94,24 @@
             Event::IntentRequested { request, attempt, seen } => {
                 self.permit_wanted(now, request, attempt, seen, out)
             }
-            Event::Sent { request, attempt, seen } => self.followed_sent(now, request, attempt, seen, out),
-            Event::Withdrawn { request, attempt } => self.withdrawn(now, request, attempt, out),
+            Event::AttemptStarted { request, attempt, seen } => {
+                self.followed_sent(now, request, attempt, seen, out)
+            }
+            Event::IntentWithdrawn { request, attempt } => self.withdrawn(now, request, attempt, out),
             Event::AttemptEnded { request, attempt, outcome } => {
                 self.attempt_ended(now, request, attempt, outcome, out)
             }
-            Event::Over { request, ending } => self.over(now, request, ending, out),
+            Event::RequestEnded { request, ending } => self.over(now, request, ending, out),
             Event::Committed { ticket, seq } => self.committed(now, ticket, seq, out),
-            Event::Refused { ticket, why } => self.refused(now, ticket, why, out),
+            Event::ClaimRejected { ticket, why } => self.refused(now, ticket, why, out),
             Event::WriteFailed { ticket, .. } => self.write_failed(now, ticket, out),
             Event::StoreDown { again, .. } => self.journal.set_down(now + again),
             Event::StoreUp => self.journal.reopen(now, out),
             Event::Resolve { reply, key, ran, by, note } => {
                 self.resolve(now, reply, key, Fact::Resolved { by, ran, note }, ran, out)
             }
-            Event::Note(fact) if fact.is_spare() => self.spare(now, fact, About::default(), out),
-            Event::Note(fact) => self.write(now, fact, About::default(), Claim::None, Then::Owed, out),
+            Event::RecordFact(fact) if fact.is_spare() => self.spare(now, fact, About::default(), out),
+            Event::RecordFact(fact) => self.write(now, fact, About::default(), Claim::None, Then::Owed, out),
             Event::Clock(wall) => self.wall = (now, wall),
             Event::Wake => {}
         }
@@ -138,7 +140,7 @@
     }
 
     /// Facts that must not be lost and are not known to be durable.
-    pub fn owed(&self) -> usize {
+    pub fn pending_fact_count(&self) -> usize {
         self.journal.owed()
     }
 
--- a/crates/record/src/recorder/asks.rs
+++ b/crates/record/src/recorder/asks.rs
@@ -2,7 +2,7 @@
 
 use super::Recorder;
 use crate::config::WithoutKey;
-use crate::event::{Action, Asked, Conflict, ReplyId, Resolved, Verdict};
+use crate::event::{Action, KeyConflict, KeyDecision, KeyRequest, ReplyId, ResolveResult};
 use crate::fact::{About, Fact};
 use crate::journal::Then;
 use crate::request::{Followed, Held, Live, Standing};
@@ -20,26 +20,26 @@
     }
 
     /// Says what a front does with a request, before the engine hears of it.
-    pub fn ask(&mut self, now: Time, asked: Asked, out: &mut Vec<Action>) -> Verdict {
+    pub fn ask(&mut self, now: Time, asked: KeyRequest, out: &mut Vec<Action>) -> KeyDecision {
         self.end_waits(now, out);
         self.expire(now, out);
         let Some(rule) = self.config.classes.get(asked.class).copied() else {
-            return Verdict::Go { permit: false };
+            return KeyDecision::Proceed { requires_intent: false };
         };
         let key = asked.key.filter(|k| !k.is_empty());
         // Each row holds it, and operators have to be able to say it.
         if asked.tenant.len() > TENANT {
-            return Verdict::KeyTooLong;
+            return KeyDecision::KeyTooLong;
         }
-        if !rule.permit {
+        if !rule.requires_intent {
             self.ask_followed(now, &asked, key, out);
-            return Verdict::Go { permit: false };
+            return KeyDecision::Proceed { requires_intent: false };
         }
         if key.is_some_and(|k| k.len() > self.config.bounds.key) {
-            return Verdict::KeyTooLong;
+            return KeyDecision::KeyTooLong;
         }
         if key.is_none() && rule.without_key == WithoutKey::Refuse {
-            return Verdict::KeyRequired;
+            return KeyDecision::KeyRequired;
         }
         let key = key.map(|key| key_id(&asked, key));
         if let Some(verdict) = key.as_ref().and_then(|key| self.stands_against(now, key)) {
@@ -47,24 +47,24 @@
             return verdict;
         }
         if self.is_unready(now) || self.requests.contains_key(&asked.request) {
-            return Verdict::Refuse(self.advice(now));
+            return KeyDecision::Reject(self.advice(now));
         }
         self.take_in(now, &asked, key, out);
-        Verdict::Go { permit: true }
+        KeyDecision::Proceed { requires_intent: true }
     }
 
     /// Why a request of this key is not sent now.
-    fn stands_against(&self, now: Time, key: &KeyId) -> Option<Verdict> {
+    fn stands_against(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
         let conflict = match self.live.get(key) {
             Some(Live::Held(request)) => self.requests.get(request).and_then(Held::conflict),
             Some(Live::Freeing) => None,
-            Some(Live::Doubt { .. }) => Some(Conflict::Doubt),
-            Some(Live::Served) => Some(Conflict::Served),
-            None if self.served.has(key) => Some(Conflict::Served),
+            Some(Live::Doubt { .. }) => Some(KeyConflict::Doubt),
+            Some(Live::Served) => Some(KeyConflict::Served),
+            None if self.served.has(key) => Some(KeyConflict::Served),
             None => return None,
         };
         // Nothing of it has run, but its fate is not known yet: harmless, a little later.
-        Some(conflict.map_or(Verdict::Refuse(self.advice(now)), Verdict::Conflict))
+        Some(conflict.map_or(KeyDecision::Reject(self.advice(now)), KeyDecision::Conflict))
     }
 
     /// Nothing new is taken: the store does not write, or a bound is reached.
@@ -84,7 +84,7 @@
         again.max(self.config.retry_after)
     }
 
-    fn take_in(&mut self, now: Time, asked: &Asked, key: Option<KeyId>, out: &mut Vec<Action>) {
+    fn take_in(&mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, out: &mut Vec<Action>) {
         if let Some(key) = &key {
             self.live.insert(key.clone(), Live::Held(asked.request));
         }
@@ -96,7 +96,7 @@
         self.write(now, fact(now, asked, owns), about, Claim::None, Then::Owed, out);
     }
 
-    fn ask_followed(&mut self, now: Time, asked: &Asked, key: Option<&[u8]>, out: &mut Vec<Action>) {
+    fn ask_followed(&mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, out: &mut Vec<Action>) {
         let key = key.filter(|k| k.len() <= self.config.bounds.key).map(|key| key_id(asked, key));
         if self.followed.len() >= self.config.bounds.unsettled {
             self.dropped += 1;
@@ -110,13 +110,14 @@
     }
 
     fn turned(
-        &mut self, now: Time, asked: &Asked, key: Option<KeyId>, verdict: Verdict, out: &mut Vec<Action>,
+        &mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, verdict: KeyDecision,
+        out: &mut Vec<Action>,
     ) {
-        let Verdict::Conflict(conflict) = verdict else { return };
+        let KeyDecision::Conflict(conflict) = verdict else { return };
         let why = match conflict {
-            Conflict::InFlight => "in_flight",
-            Conflict::Doubt => "doubt",
-            Conflict::Served => "served",
+            KeyConflict::InFlight => "in_flight",
+            KeyConflict::Doubt => "doubt",
+            KeyConflict::Served => "served",
         };
         let about = About { request: Some(asked.request.0), key, backend: None };
         self.spare(now, Fact::Turned { why: why.into() }, about, out);
@@ -127,7 +128,9 @@
         &mut self, now: Time, reply: ReplyId, key: KeyId, fact: Fact, ran: bool, out: &mut Vec<Action>,
     ) {
         let why_not = match self.live.get(&key) {
-            Some(Live::Doubt { resolving: false }) if self.journal.down().is_some() => Resolved::StoreDown,
+            Some(Live::Doubt { resolving: false }) if self.journal.down().is_some() => {
+                ResolveResult::StoreDown
+            }
             Some(Live::Doubt { resolving: false }) => {
                 self.live.insert(key.clone(), Live::Doubt { resolving: true });
                 let claim = match ran {
@@ -138,23 +141,23 @@
                 return self.write(now, fact, about, claim, Then::Resolve(key, ran, reply), out);
             }
             Some(Live::Held(request)) => match self.requests.get(request).map(Held::standing) {
-                Some(Standing::Served) => Resolved::Served,
-                _ => Resolved::InFlight,
+                Some(Standing::Served) => ResolveResult::Served,
+                _ => ResolveResult::InFlight,
             },
-            Some(Live::Served) => Resolved::Served,
-            Some(Live::Doubt { .. } | Live::Freeing) => Resolved::NotYet,
-            None if self.served.has(&key) => Resolved::Served,
-            None => Resolved::Unknown,
+            Some(Live::Served) => ResolveResult::Served,
+            Some(Live::Doubt { .. } | Live::Freeing) => ResolveResult::NotYet,
+            None if self.served.has(&key) => ResolveResult::Served,
+            None => ResolveResult::Unknown,
         };
-        out.push(Action::Reply { reply, resolved: why_not });
+        out.push(Action::Reply { reply, result: why_not });
     }
 }
 
-fn key_id(asked: &Asked, key: &[u8]) -> KeyId {
+fn key_id(asked: &KeyRequest, key: &[u8]) -> KeyId {
     KeyId { tenant: asked.tenant.into(), class: asked.class.into(), key: key.into() }
 }
 
-fn fact(now: Time, asked: &Asked, keyed: bool) -> Fact {
+fn fact(now: Time, asked: &KeyRequest, keyed: bool) -> Fact {
     let (tenant, class) = (asked.tenant.into(), asked.class.into());
     Fact::Asked { tenant, class, keyed, time_left: (asked.deadline - now).0 }
 }
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -1,7 +1,7 @@
 //! Requests that need permits, from their first attempt to their end.
 
 use super::Recorder;
-use crate::event::{Action, Ending, Verdict};
+use crate::event::{Action, KeyDecision, RequestEnding};
 use crate::fact::{About, Fact, Seen};
 use crate::journal::Then;
 use crate::request::{Held, Live, Standing, Tried};
@@ -13,10 +13,10 @@
         &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen, out: &mut Vec<Action>,
     ) {
         if !self.may_wait(now, request, attempt) {
-            return out.push(Action::Permit { request, attempt, given: false });
+            return out.push(Action::IntentPersisted { request, attempt, persisted: false });
         }
         if self.is_unready_for(now) {
-            return self.deny(request, attempt, Verdict::Refuse(self.advice(now)), out);
+            return self.deny(request, attempt, KeyDecision::Reject(self.advice(now)), out);
         }
         let until_at_most = now + self.config.intent_timeout;
         let Some(held) = self.requests.get_mut(&request) else { return };
@@ -50,19 +50,19 @@
 
     /// An attempt is not sent. Where nothing of its request may have run, that ends it at once.
     pub(super) fn deny(
-        &mut self, request: RequestId, attempt: AttemptNumber, verdict: Verdict, out: &mut Vec<Action>,
+        &mut self, request: RequestId, attempt: AttemptNumber, verdict: KeyDecision, out: &mut Vec<Action>,
     ) {
         // The verdict first: the end of its only attempt would have the engine answer without it.
         self.bar(request, verdict, out);
-        out.push(Action::Permit { request, attempt, given: false });
+        out.push(Action::IntentPersisted { request, attempt, persisted: false });
     }
 
     /// No attempt of a request goes any more, if nothing of it may have run.
-    pub(super) fn bar(&mut self, request: RequestId, verdict: Verdict, out: &mut Vec<Action>) {
+    pub(super) fn bar(&mut self, request: RequestId, verdict: KeyDecision, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
         if !held.over && held.barred.is_none() && !held.may_have_run() {
             held.barred = Some(verdict);
-            out.push(Action::End { request, verdict });
+            out.push(Action::EndRequest { request, verdict });
         }
     }
 
@@ -71,7 +71,7 @@
         while let Some(&(until, request, attempt)) = self.waits.first().filter(|w| w.0 <= now) {
             self.waits.remove(&(until, request, attempt));
             self.set(request, attempt, Tried::Late);
-            self.deny(request, attempt, Verdict::Refuse(self.advice(now)), out);
+            self.deny(request, attempt, KeyDecision::Reject(self.advice(now)), out);
         }
     }
 
@@ -125,9 +125,11 @@
         }
     }
 
-    pub(super) fn over(&mut self, now: Time, request: RequestId, ending: Ending, out: &mut Vec<Action>) {
+    pub(super) fn over(
+        &mut self, now: Time, request: RequestId, ending: RequestEnding, out: &mut Vec<Action>,
+    ) {
         let attempt = match ending {
-            Ending::Served(no) => Some(no.0),
+            RequestEnding::Served(no) => Some(no.0),
             _ => None,
         };
         let fact = Fact::Answer { ending: ending_word(ending).into(), attempt };
@@ -242,12 +244,12 @@
     }
 }
 
-fn ending_word(ending: Ending) -> &'static str {
+fn ending_word(ending: RequestEnding) -> &'static str {
     match ending {
-        Ending::Served(_) => "served",
-        Ending::Refused => "refused",
-        Ending::Failed => "failed",
-        Ending::TimedOut => "timed_out",
-        Ending::Left => "left",
+        RequestEnding::Served(_) => "served",
+        RequestEnding::Rejected => "refused",
+        RequestEnding::Failed => "failed",
+        RequestEnding::TimedOut => "timed_out",
+        RequestEnding::ClientDisconnected => "left",
     }
 }
--- a/crates/record/src/recorder/store.rs
+++ b/crates/record/src/recorder/store.rs
@@ -1,10 +1,10 @@
 //! What the store says.
 
 use super::Recorder;
-use crate::event::{Action, Resolved, Ticket, Verdict};
+use crate::event::{Action, KeyDecision, ResolveResult, Ticket};
 use crate::journal::Then;
 use crate::request::{Live, Tried};
-use crate::row::{KeyId, KeyState, Refused};
+use crate::row::{ClaimRejection, KeyId, KeyState};
 use shaletide_types::{AttemptNumber, RequestId, Time};
 
 impl Recorder {
@@ -18,7 +18,7 @@
                     true => self.is_served(now, &key, seq),
                     false => drop(self.live.remove(&key)),
                 }
-                out.push(Action::Reply { reply, resolved: Resolved::Done });
+                out.push(Action::Reply { reply, result: ResolveResult::Done });
             }
             Some(Then::Spare | Then::Owed) | None => {}
         }
@@ -34,7 +34,7 @@
             Some(Tried::Waiting(until)) => {
                 self.waits.remove(&(until, request, attempt));
                 self.set(request, attempt, Tried::Given);
-                out.push(Action::Permit { request, attempt, given: true });
+                out.push(Action::IntentPersisted { request, attempt, persisted: true });
             }
             Some(Tried::Late) => self.not_executed(now, request, attempt, out),
             _ => {}
@@ -56,8 +56,8 @@
 
     /// The store knows of a holder of this key. In doubt it is kept, so that an operator can end that; else the
     /// store is asked anew each time, as nobody would tell here when it is free again.
-    pub(super) fn refused(&mut self, now: Time, ticket: Ticket, why: Refused, out: &mut Vec<Action>) {
-        let Refused::Taken(state) = why;
+    pub(super) fn refused(&mut self, now: Time, ticket: Ticket, why: ClaimRejection, out: &mut Vec<Action>) {
+        let ClaimRejection::Taken(state) = why;
         match self.journal.settled(ticket) {
             Some(Then::Permit(request, attempt)) => self.taken(request, attempt, state, out),
             Some(Then::Free(key)) => self.freed(&key),
@@ -77,10 +77,10 @@
             }
         }
         // Also where the attempt was called back meanwhile: another one would take the key of somebody else.
-        self.bar(request, Verdict::Conflict(state.into()), out);
+        self.bar(request, KeyDecision::Conflict(state.into()), out);
         if let Some(Tried::Waiting(until)) = before {
             self.waits.remove(&(until, request, attempt));
-            out.push(Action::Permit { request, attempt, given: false });
+            out.push(Action::IntentPersisted { request, attempt, persisted: false });
         }
         self.forget(request);
     }
@@ -93,7 +93,7 @@
         }
         let Some((request, attempt)) = self.journal.failed(ticket) else { return };
         let sure = self.requests.get_mut(&request).is_some_and(|h| std::mem::replace(&mut h.taken, true));
-        let verdict = Verdict::Refuse(self.advice(now));
+        let verdict = KeyDecision::Reject(self.advice(now));
         if let Some(Tried::Waiting(until)) = self.tried(request, attempt) {
             self.waits.remove(&(until, request, attempt));
             self.set(request, attempt, Tried::Late);
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -1,6 +1,6 @@
 //! What is kept of a request that needs permits, and how its key stands by it.
 
-use crate::event::{Conflict, Verdict};
+use crate::event::{KeyConflict, KeyDecision};
 use crate::row::{Claim, KeyId, KeyState};
 use shaletide_types::{AttemptNumber, Outcome, Time};
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
     /// No further attempt begins.
     pub over: bool,
     /// No further attempt gets a permit, and its front was told why.
-    pub barred: Option<Verdict>,
+    pub barred: Option<KeyDecision>,
     /// The store holds its key for it, or may.
     pub taken: bool,
     /// What becomes of its key is still up to it.
@@ -128,12 +128,12 @@
     }
 
     /// Why its key is not sent again; none where that is harmless a little later.
-    pub fn conflict(&self) -> Option<Conflict> {
+    pub fn conflict(&self) -> Option<KeyConflict> {
         match self.standing() {
             Standing::Waiting | Standing::Free => None,
-            Standing::InFlight => Some(Conflict::InFlight),
-            Standing::Doubt => Some(Conflict::Doubt),
-            Standing::Served => Some(Conflict::Served),
+            Standing::InFlight => Some(KeyConflict::InFlight),
+            Standing::Doubt => Some(KeyConflict::Doubt),
+            Standing::Served => Some(KeyConflict::Served),
         }
     }
 }
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -80,7 +80,7 @@
 
 /// Why a row was not taken though the store is well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum ClaimRejection {
     /// Its key is taken, and stands so.
     Taken(KeyState),
 }
