--- a/crates/record/tests/bounds.rs
+++ b/crates/record/tests/bounds.rs
@@ -6,8 +6,8 @@
 use shaletide_record::*;
 use shaletide_types::*;
 
-const GO: Verdict = Verdict::Go { permit: true };
-const SECOND: Verdict = Verdict::Refuse(Micros(1_000_000));
+const GO: KeyDecision = KeyDecision::Proceed { requires_intent: true };
+const SECOND: KeyDecision = KeyDecision::Reject(Micros(1_000_000));
 
 #[test]
 fn keys_of_every_form() {
@@ -15,13 +15,17 @@
     let long = vec![b'k'; 1_024];
     let longer = vec![b'k'; 10 * 1_024];
     assert_eq!(w.ask_as("settle", Some(&long)).1, GO);
-    assert_eq!(w.ask_as("settle", Some(&longer)).1, Verdict::KeyTooLong);
+    assert_eq!(w.ask_as("settle", Some(&longer)).1, KeyDecision::KeyTooLong);
     assert_eq!(w.ask_as("settle", Some(&[0, 0])).1, GO);
     assert_eq!(w.ask_as("settle", Some(&[0])).1, GO, "another one");
-    assert_eq!(w.ask_as("settle", Some(b"")).1, Verdict::KeyRequired, "it names nothing");
-    assert_eq!(w.ask_as("settle", None).1, Verdict::KeyRequired);
+    assert_eq!(w.ask_as("settle", Some(b"")).1, KeyDecision::KeyRequired, "it names nothing");
+    assert_eq!(w.ask_as("settle", None).1, KeyDecision::KeyRequired);
     assert_eq!(w.ask_as("odd", Some(&long)).1, GO, "another class, another key");
-    assert_eq!(w.ask_as("views", Some(&longer)).1, Verdict::Go { permit: false }, "of no interest");
+    assert_eq!(
+        w.ask_as("views", Some(&longer)).1,
+        KeyDecision::Proceed { requires_intent: false },
+        "of no interest"
+    );
 }
 
 #[test]
@@ -34,7 +38,7 @@
         w.commit_all();
         w.send(id, 0);
         w.end(id, 0, Outcome::Reset);
-        w.over(id, Ending::Failed);
+        w.over(id, RequestEnding::Failed);
     }
     assert!(matches!(Fact::of(&w.store.rows[0]), Fact::Asked { keyed: false, .. }));
     assert_eq!(w.recorder.unsettled(), 0);
@@ -48,12 +52,12 @@
     let mut w = World::with(config);
     for _ in 0..25 {
         let (request, verdict) = w.ask_as("bid", Some(b"k"));
-        assert_eq!(verdict, Verdict::Go { permit: false });
-        w.tell(Event::Sent { request, attempt: AttemptNumber(0), seen: Seen::default() });
+        assert_eq!(verdict, KeyDecision::Proceed { requires_intent: false });
+        w.tell(Event::AttemptStarted { request, attempt: AttemptNumber(0), seen: Seen::default() });
         w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Ok });
-        w.tell(Event::Over { request, ending: Ending::Served(AttemptNumber(0)) });
+        w.tell(Event::RequestEnded { request, ending: RequestEnding::Served(AttemptNumber(0)) });
     }
-    assert_eq!((w.store.queue.len(), w.recorder.dropped(), w.recorder.owed()), (10, 90, 0));
+    assert_eq!((w.store.queue.len(), w.recorder.dropped(), w.recorder.pending_fact_count()), (10, 90, 0));
     w.commit_all();
     assert_eq!(Fact::of(w.store.rows.last().unwrap()), Fact::Dropped { facts: 90 });
     w.ask_as("bid", None);
@@ -66,10 +70,10 @@
     let mut w = World::new();
     let (request, _) = w.ask_as("bid", Some(b"k"));
     for attempt in [0, 1].map(AttemptNumber) {
-        w.tell(Event::Sent { request, attempt, seen: Seen::default() });
+        w.tell(Event::AttemptStarted { request, attempt, seen: Seen::default() });
     }
     w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(1), outcome: Outcome::Ok });
-    w.tell(Event::Over { request, ending: Ending::Served(AttemptNumber(1)) });
+    w.tell(Event::RequestEnded { request, ending: RequestEnding::Served(AttemptNumber(1)) });
     w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Cancelled });
     w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Cancelled });
     w.commit_all();
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -14,9 +14,9 @@
 
 /// Settles need a permit and a key; odd ones a permit; bids are only recorded.
 pub fn config() -> RecordConfig {
-    let settle = ClassRule { permit: true, without_key: WithoutKey::Refuse };
-    let odd = ClassRule { permit: true, without_key: WithoutKey::Record };
-    let bid = ClassRule { permit: false, without_key: WithoutKey::Record };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+    let odd = ClassRule { requires_intent: true, without_key: WithoutKey::Record };
+    let bid = ClassRule { requires_intent: false, without_key: WithoutKey::Record };
     let classes = [("settle", settle), ("odd", odd), ("bid", bid)];
     let classes = classes.into_iter().map(|(name, rule)| (name.to_string(), rule)).collect();
     RecordConfig { keep: KEEP, intent_timeout: WAIT, classes, ..RecordConfig::default() }
@@ -40,7 +40,7 @@
 pub struct Order {
     pub key: Option<KeyId>,
     pub tries: BTreeMap<AttemptNumber, Try>,
-    pub ended: Option<Verdict>,
+    pub ended: Option<KeyDecision>,
     pub over: bool,
 }
 
@@ -54,7 +54,7 @@
     /// What has gone to a box and may run yet; boxes live through our restarts.
     pub at_boxes: BTreeSet<(u64, RequestId, AttemptNumber, KeyId)>,
     pub runs: BTreeMap<KeyId, u32>,
-    pub replies: Vec<Resolved>,
+    pub replies: Vec<ResolveResult>,
     next: u64,
 }
 
@@ -80,15 +80,15 @@
         }
     }
 
-    pub fn ask_as(&mut self, class: &str, key: Option<&[u8]>) -> (RequestId, Verdict) {
+    pub fn ask_as(&mut self, class: &str, key: Option<&[u8]>) -> (RequestId, KeyDecision) {
         self.next += 1;
         let request = RequestId(self.next);
         let deadline = self.now + Micros(10_000_000);
         let mut out = Vec::new();
-        let asked = Asked { request, tenant: "t", class, key, deadline };
+        let asked = KeyRequest { request, tenant: "t", class, key, deadline };
         let verdict = self.recorder.ask(self.now, asked, &mut out);
         self.carry_out(out);
-        if verdict == (Verdict::Go { permit: true }) {
+        if verdict == (KeyDecision::Proceed { requires_intent: true }) {
             let key = key.map(|k| KeyId { tenant: "t".into(), class: class.into(), key: k.into() });
             let tries = BTreeMap::new();
             self.orders.insert(request, Order { key, tries, ended: None, over: false });
@@ -96,14 +96,14 @@
         (request, verdict)
     }
 
-    pub fn ask(&mut self, key: &str) -> (RequestId, Verdict) {
+    pub fn ask(&mut self, key: &str) -> (RequestId, KeyDecision) {
         self.ask_as("settle", Some(key.as_bytes()))
     }
 
     /// One that is to go.
     pub fn go(&mut self, key: &str) -> RequestId {
         let (request, verdict) = self.ask(key);
-        assert_eq!(verdict, Verdict::Go { permit: true }, "{key}");
+        assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true }, "{key}");
         request
     }
 
@@ -117,12 +117,14 @@
         for action in out {
             match action {
                 Action::Write { ticket, write } => self.store.queue.push_back((ticket, *write)),
-                Action::Permit { request, attempt, given } => self.permit(request, attempt, given),
-                Action::End { request, verdict } => {
+                Action::IntentPersisted { request, attempt, persisted: given } => {
+                    self.permit(request, attempt, given)
+                }
+                Action::EndRequest { request, verdict } => {
                     let order = self.orders.get_mut(&request).expect("it is under way");
                     assert!(order.ended.replace(verdict).is_none(), "ended once");
                 }
-                Action::Reply { resolved, .. } => self.replies.push(resolved),
+                Action::Reply { result: resolved, .. } => self.replies.push(resolved),
             }
         }
     }
@@ -186,12 +188,12 @@
 
     pub fn withdraw(&mut self, request: RequestId, no: u32) {
         self.orders.get_mut(&request).unwrap().tries.insert(AttemptNumber(no), Try::Ended);
-        self.tell(Event::Withdrawn { request, attempt: AttemptNumber(no) });
+        self.tell(Event::IntentWithdrawn { request, attempt: AttemptNumber(no) });
     }
 
-    pub fn over(&mut self, request: RequestId, ending: Ending) {
+    pub fn over(&mut self, request: RequestId, ending: RequestEnding) {
         self.orders.get_mut(&request).unwrap().over = true;
-        self.tell(Event::Over { request, ending });
+        self.tell(Event::RequestEnded { request, ending });
     }
 
     /// Makes the first `most` writes that wait durable, and tells so.
@@ -246,7 +248,7 @@
         self.commit_all();
         self.send(request, 0);
         self.end(request, 0, Outcome::Ok);
-        self.over(request, Ending::Served(AttemptNumber(0)));
+        self.over(request, RequestEnding::Served(AttemptNumber(0)));
         self.commit_all();
         request
     }
--- a/crates/record/tests/common/store.rs
+++ b/crates/record/tests/common/store.rs
@@ -27,7 +27,7 @@
         let batch: Vec<(Ticket, Write)> = self.queue.drain(..batch).collect();
         let tell = |(ticket, write): (Ticket, Write)| match self.apply(run, write) {
             Ok(seq) => Event::Committed { ticket, seq },
-            Err(why) => Event::Refused { ticket, why },
+            Err(why) => Event::ClaimRejected { ticket, why },
         };
         batch.into_iter().map(tell).collect()
     }
@@ -45,14 +45,14 @@
     }
 
     /// The row and what it does to its key, both or neither.
-    fn apply(&mut self, run: u64, write: Write) -> Result<u64, Refused> {
+    fn apply(&mut self, run: u64, write: Write) -> Result<u64, ClaimRejection> {
         let Write { mut row, claim } = write;
         let (seq, since, request) = (self.chain.seq + 1, row.at, row.request);
         let kept = |state| Kept { state, since, seq, run, request };
         match claim {
             Claim::None => {}
             Claim::Take(key) => match self.keys.get(&key) {
-                Some(held) => return Err(Refused::Taken(held.state)),
+                Some(held) => return Err(ClaimRejection::Taken(held.state)),
                 None => drop(self.keys.insert(key, kept(KeyState::InFlight))),
             },
             Claim::Set(key, state) => drop(self.keys.insert(key, kept(state))),
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -44,7 +44,7 @@
 /// What is not settled is kept whole: key, request, and the rows that are not durable yet.
 #[test]
 fn keys_that_are_not_settled_cost_what_is_stated() {
-    let settle = ClassRule { permit: true, without_key: WithoutKey::Refuse };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
     let classes = [("settle".to_string(), settle)].into();
     let config = RecordConfig { classes, ..RecordConfig::default() };
     let most = config.bounds.unsettled as u64;
@@ -54,8 +54,12 @@
         for n in 0..most {
             let key = format!("{n:036}");
             let (request, deadline) = (RequestId(n), Time(10_000_000));
-            let asked = Asked { request, tenant: "t", class: "settle", key: Some(key.as_bytes()), deadline };
-            assert_eq!(recorder.ask(Time(0), asked, &mut out), Verdict::Go { permit: true });
+            let asked =
+                KeyRequest { request, tenant: "t", class: "settle", key: Some(key.as_bytes()), deadline };
+            assert_eq!(
+                recorder.ask(Time(0), asked, &mut out),
+                KeyDecision::Proceed { requires_intent: true }
+            );
             let attempt = AttemptNumber(0);
             recorder.handle(
                 Time(0),
--- a/crates/record/tests/unsure.rs
+++ b/crates/record/tests/unsure.rs
@@ -10,11 +10,13 @@
 /// A recorder that has let one settle go, and what it asked for.
 fn one_settle() -> (Recorder, RequestId, Vec<Action>) {
     let mut config = RecordConfig::default();
-    config.classes.insert("settle".into(), ClassRule { permit: true, without_key: WithoutKey::Refuse });
+    config
+        .classes
+        .insert("settle".into(), ClassRule { requires_intent: true, without_key: WithoutKey::Refuse });
     let mut recorder = Recorder::new(config, [1; 16], at(0), at(0));
     let (mut out, request) = (Vec::new(), RequestId(1));
-    let asked = Asked { request, tenant: "", class: "settle", key: Some(b"k"), deadline: at(2_000) };
-    assert_eq!(recorder.ask(at(1), asked, &mut out), Verdict::Go { permit: true });
+    let asked = KeyRequest { request, tenant: "", class: "settle", key: Some(b"k"), deadline: at(2_000) };
+    assert_eq!(recorder.ask(at(1), asked, &mut out), KeyDecision::Proceed { requires_intent: true });
     (recorder, request, out)
 }
 
@@ -26,7 +28,7 @@
     let wanted =
         |attempt| Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen: Seen::default() };
     recorder.handle(at(2), wanted(0), &mut out);
-    recorder.handle(at(3), Event::Withdrawn { request, attempt: AttemptNumber(0) }, &mut out);
+    recorder.handle(at(3), Event::IntentWithdrawn { request, attempt: AttemptNumber(0) }, &mut out);
     let tickets: Vec<Ticket> = out
         .iter()
         .filter_map(|action| match action {
@@ -53,10 +55,10 @@
     let wanted = Event::IntentRequested { request, attempt: AttemptNumber(0), seen: Seen::default() };
     recorder.handle(at(2), wanted, &mut out);
     let Some(Action::Write { ticket, .. }) = out.first() else { panic!("{out:?}") };
-    let refused = Event::Refused { ticket: *ticket, why: Refused::Taken(KeyState::Served) };
+    let refused = Event::ClaimRejected { ticket: *ticket, why: ClaimRejection::Taken(KeyState::Served) };
     out.clear();
     recorder.handle(at(3), refused, &mut out);
     let place = |is: fn(&Action) -> bool| out.iter().position(is).unwrap_or_else(|| panic!("{out:?}"));
-    let end = place(|a| matches!(a, Action::End { verdict: Verdict::Conflict(_), .. }));
-    assert!(end < place(|a| matches!(a, Action::Permit { given: false, .. })));
+    let end = place(|a| matches!(a, Action::EndRequest { verdict: KeyDecision::Conflict(_), .. }));
+    assert!(end < place(|a| matches!(a, Action::IntentPersisted { persisted: false, .. })));
 }
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 const NOW: u64 = 1_000_000 * SECOND;
 
 fn recorder(wall: u64, served_ago: u64) -> Recorder {
-    let settle = ClassRule { permit: true, without_key: WithoutKey::Refuse };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
     let classes = [("settle".to_string(), settle)].into();
     let config = RecordConfig { keep: KEEP, classes, ..RecordConfig::default() };
     let mut recorder = Recorder::new(config, [1; 16], Time(wall), Time(wall));
@@ -20,9 +20,9 @@
     recorder
 }
 
-fn asked(recorder: &mut Recorder, at: Time) -> Verdict {
+fn asked(recorder: &mut Recorder, at: Time) -> KeyDecision {
     let deadline = at + Micros(SECOND);
-    let asked = Asked { request: RequestId(1), tenant: "t", class: "settle", key: Some(b"k"), deadline };
+    let asked = KeyRequest { request: RequestId(1), tenant: "t", class: "settle", key: Some(b"k"), deadline };
     recorder.ask(at, asked, &mut Vec::new())
 }
 
@@ -31,11 +31,11 @@
     for wall in [NOW, NOW + HOUR, NOW - HOUR, NOW + 7 * SECOND, NOW - 7 * SECOND] {
         let mut recorder = recorder(wall, 60 * SECOND);
         let just_started = asked(&mut recorder, Time(wall));
-        assert_eq!(just_started, Verdict::Conflict(Conflict::Served), "{wall}");
+        assert_eq!(just_started, KeyDecision::Conflict(KeyConflict::Served), "{wall}");
         let soon = Time(wall + KEEP.0 - 61 * SECOND);
-        assert_eq!(asked(&mut recorder, soon), Verdict::Conflict(Conflict::Served), "{wall}");
+        assert_eq!(asked(&mut recorder, soon), KeyDecision::Conflict(KeyConflict::Served), "{wall}");
         // And it is known no longer than its whole time after the restart: the store is told to free it.
-        assert_eq!(asked(&mut recorder, Time(wall + KEEP.0)), Verdict::Refuse(Micros(SECOND)), "{wall}");
+        assert_eq!(asked(&mut recorder, Time(wall + KEEP.0)), KeyDecision::Reject(Micros(SECOND)), "{wall}");
     }
 }
 
@@ -43,6 +43,10 @@
 fn key_served_long_ago_is_free_at_the_restart() {
     for wall in [NOW, NOW + HOUR, NOW - HOUR] {
         let mut recorder = recorder(wall, KEEP.0 + 4 * HOUR);
-        assert_eq!(asked(&mut recorder, Time(wall)), Verdict::Go { permit: true }, "{wall}");
+        assert_eq!(
+            asked(&mut recorder, Time(wall)),
+            KeyDecision::Proceed { requires_intent: true },
+            "{wall}"
+        );
     }
 }
--- a/crates/record/tests/windows.rs
+++ b/crates/record/tests/windows.rs
@@ -6,28 +6,28 @@
 use shaletide_record::*;
 use shaletide_types::*;
 
-const GO: Verdict = Verdict::Go { permit: true };
-const SECOND: Verdict = Verdict::Refuse(Micros(1_000_000));
+const GO: KeyDecision = KeyDecision::Proceed { requires_intent: true };
+const SECOND: KeyDecision = KeyDecision::Reject(Micros(1_000_000));
 
-fn conflict(why: Conflict) -> Verdict {
-    Verdict::Conflict(why)
+fn conflict(why: KeyConflict) -> KeyDecision {
+    KeyDecision::Conflict(why)
 }
 
 /// Each window of a request: what a second one of its key hears in it, and what after a kill and a restart in it.
 #[test]
 fn a_key_in_every_window_and_after_a_kill_in_it() {
     type Step = fn(&mut World, RequestId);
-    let steps: [(Step, Verdict, Verdict); 7] = [
+    let steps: [(Step, KeyDecision, KeyDecision); 7] = [
         (|_, _| {}, SECOND, GO),             // before its intent
         (|w, id| w.want(id, 0), SECOND, GO), // intent queued
-        (|w, _| w.commit_all(), conflict(Conflict::InFlight), conflict(Conflict::Doubt)), // durable, not sent
-        (|w, id| w.send(id, 0), conflict(Conflict::InFlight), conflict(Conflict::Doubt)), // sent
-        (|w, id| w.end(id, 0, Outcome::Ok), conflict(Conflict::Served), conflict(Conflict::Doubt)), // not recorded
-        (|w, _| w.commit_all(), conflict(Conflict::Served), conflict(Conflict::Served)), // recorded, not answered
+        (|w, _| w.commit_all(), conflict(KeyConflict::InFlight), conflict(KeyConflict::Doubt)), // durable, not sent
+        (|w, id| w.send(id, 0), conflict(KeyConflict::InFlight), conflict(KeyConflict::Doubt)), // sent
+        (|w, id| w.end(id, 0, Outcome::Ok), conflict(KeyConflict::Served), conflict(KeyConflict::Doubt)), // not recorded
+        (|w, _| w.commit_all(), conflict(KeyConflict::Served), conflict(KeyConflict::Served)), // recorded, not answered
         (
-            |w, id| w.over(id, Ending::Served(AttemptNumber(0))),
-            conflict(Conflict::Served),
-            conflict(Conflict::Served),
+            |w, id| w.over(id, RequestEnding::Served(AttemptNumber(0))),
+            conflict(KeyConflict::Served),
+            conflict(KeyConflict::Served),
         ),
     ];
     for window in 0..steps.len() {
@@ -60,12 +60,12 @@
         w.commit_all();
         w.send(id, 0);
         w.end(id, 0, outcome);
-        assert_eq!(w.ask("k").1, conflict(Conflict::Doubt), "{outcome:?}");
-        w.over(id, Ending::Failed);
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "{outcome:?}");
+        w.over(id, RequestEnding::Failed);
         w.commit_all();
         assert_eq!(w.store.state(&key("k")), Some(KeyState::Doubt));
         w.restart();
-        assert_eq!(w.ask("k").1, conflict(Conflict::Doubt), "{outcome:?}");
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "{outcome:?}");
     }
 }
 
@@ -82,7 +82,7 @@
     w.commit_all();
     assert_eq!(w.step(id, 1), Try::Permitted);
     w.withdraw(id, 1);
-    w.over(id, Ending::Refused);
+    w.over(id, RequestEnding::Rejected);
     assert_eq!(w.ask("k").1, SECOND, "not durable yet");
     w.commit_all();
     assert_eq!(w.store.state(&key("k")), None);
@@ -93,18 +93,18 @@
 /// Its request timed out, its attempt did not: the doubt ends by the attempt's own outcome.
 #[test]
 fn an_attempt_that_outlives_its_request_keeps_the_key_in_flight() {
-    for (outcome, then) in [(Outcome::Ok, Some(Conflict::Served)), (Outcome::ConnectFailed, None)] {
+    for (outcome, then) in [(Outcome::Ok, Some(KeyConflict::Served)), (Outcome::ConnectFailed, None)] {
         let mut w = World::new();
         let id = w.go("k");
         w.want(id, 0);
         w.commit_all();
         w.send(id, 0);
-        w.over(id, Ending::TimedOut);
+        w.over(id, RequestEnding::TimedOut);
         w.commit_all();
-        assert_eq!(w.ask("k").1, conflict(Conflict::InFlight));
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::InFlight));
         w.end(id, 0, outcome);
         w.commit_all();
-        assert_eq!(w.ask("k").1, then.map_or(GO, Verdict::Conflict));
+        assert_eq!(w.ask("k").1, then.map_or(GO, KeyDecision::Conflict));
     }
 }
 
@@ -124,8 +124,8 @@
         w.want(id, 0);
         w.commit_all();
         assert_eq!(w.step(id, 0), Try::Denied);
-        assert_eq!(w.orders[&id].ended, Some(Verdict::Conflict(state.into())));
-        w.over(id, Ending::Failed);
+        assert_eq!(w.orders[&id].ended, Some(KeyDecision::Conflict(state.into())));
+        w.over(id, RequestEnding::Failed);
         w.commit_all();
         assert_eq!(w.store.state(&key("k")), Some(state), "what another holds stays");
     }
@@ -140,7 +140,7 @@
     w.pass(WAIT);
     assert_eq!(w.step(id, 0), Try::Denied);
     assert_eq!(w.orders[&id].ended, Some(SECOND));
-    w.over(id, Ending::Refused);
+    w.over(id, RequestEnding::Rejected);
     assert_eq!(w.ask("k").1, SECOND, "what is late may still take it");
     assert_eq!(w.ask("other").1, SECOND, "the store is stalled");
     w.commit(2); // it was asked, and its intent
@@ -174,7 +174,7 @@
     w.commit_all();
     w.want(id, 1);
     w.commit_all();
-    w.over(id, Ending::Failed);
+    w.over(id, RequestEnding::Failed);
     w.commit_all();
     assert_eq!(w.step(id, 1), Try::Denied);
     assert_eq!(w.store.state(&key("k")), Some(KeyState::Served));
@@ -193,9 +193,9 @@
         assert_eq!(w.orders[&id].ended, Some(SECOND));
         w.tell(Event::StoreDown { why: StoreFailure::Full, again: Micros(5_000_000) });
         w.pass(Micros(2_000_000));
-        assert_eq!(w.ask("k").1, Verdict::Refuse(Micros(3_000_000)), "not before it is tried again");
-        assert_eq!(w.ask("other").1, Verdict::Refuse(Micros(3_000_000)));
-        w.over(id, Ending::Refused);
+        assert_eq!(w.ask("k").1, KeyDecision::Reject(Micros(3_000_000)), "not before it is tried again");
+        assert_eq!(w.ask("other").1, KeyDecision::Reject(Micros(3_000_000)));
+        w.over(id, RequestEnding::Rejected);
         assert!(w.store.queue.is_empty(), "it is left alone");
         w.tell(Event::StoreUp);
         w.commit_all();
@@ -214,7 +214,7 @@
     let again = w.go("k");
     w.want(again, 0);
     w.fail(0);
-    w.over(again, Ending::Refused);
+    w.over(again, RequestEnding::Rejected);
     w.tell(Event::StoreUp);
     w.commit_all();
     assert_eq!(w.store.state(&key("k")), Some(KeyState::Served));
@@ -230,12 +230,12 @@
     w.send(id, 0);
     w.end(id, 0, Outcome::Ok);
     w.fail(0);
-    w.over(id, Ending::Served(AttemptNumber(0)));
-    assert_eq!((w.recorder.owed(), w.ask("k").1), (2, conflict(Conflict::Served)));
+    w.over(id, RequestEnding::Served(AttemptNumber(0)));
+    assert_eq!((w.recorder.pending_fact_count(), w.ask("k").1), (2, conflict(KeyConflict::Served)));
     w.tell(Event::StoreUp);
     w.commit_all();
     assert_eq!(w.kinds(), ["asked", "intent", "outcome", "answer", "turned"]);
-    assert_eq!((w.recorder.owed(), w.recorder.served()), (0, 1));
+    assert_eq!((w.recorder.pending_fact_count(), w.recorder.served()), (0, 1));
 }
 
 fn in_doubt() -> World {
@@ -250,14 +250,15 @@
 
 #[test]
 fn an_operator_ends_a_doubt_and_nothing_else() {
-    for (ran, state, then) in [(false, None, GO), (true, Some(KeyState::Served), conflict(Conflict::Served))]
+    for (ran, state, then) in
+        [(false, None, GO), (true, Some(KeyState::Served), conflict(KeyConflict::Served))]
     {
         let mut w = in_doubt();
         w.resolve(&key("k"), ran);
-        assert_eq!(w.ask("k").1, conflict(Conflict::Doubt), "until it is durable");
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "until it is durable");
         w.resolve(&key("k"), ran);
         w.commit_all();
-        assert_eq!(w.replies, [Resolved::NotYet, Resolved::Done]);
+        assert_eq!(w.replies, [ResolveResult::NotYet, ResolveResult::Done]);
         assert_eq!((w.store.state(&key("k")), w.ask("k").1), (state, then));
         let resolved = w.store.rows.iter().find(|r| r.kind == "resolved").expect("it is a fact");
         let (by, note) = ("ann".into(), "asked the box".into());
@@ -269,12 +270,12 @@
     w.want(id, 0);
     w.commit_all();
     ["served", "k", "unheard"].iter().for_each(|k| w.resolve(&key(k), false));
-    assert_eq!(w.replies, [Resolved::Served, Resolved::InFlight, Resolved::Unknown]);
+    assert_eq!(w.replies, [ResolveResult::Served, ResolveResult::InFlight, ResolveResult::Unknown]);
     let mut w = in_doubt();
     w.fail(0);
     w.resolve(&key("k"), false);
-    assert_eq!(w.replies, [Resolved::StoreDown]);
-    assert_eq!(w.ask("k").1, conflict(Conflict::Doubt));
+    assert_eq!(w.replies, [ResolveResult::StoreDown]);
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
 }
 
 #[test]
@@ -286,11 +287,11 @@
     w.pass(Micros(KEEP.0 / 2));
     w.commit_all();
     assert_eq!((w.store.state(&key("a")), w.store.state(&key("b"))), (None, Some(KeyState::Served)));
-    assert_eq!((w.ask("a").1, w.ask("b").1), (GO, conflict(Conflict::Served)));
+    assert_eq!((w.ask("a").1, w.ask("b").1), (GO, conflict(KeyConflict::Served)));
     w.pass(KEEP);
     w.commit_all();
     assert_eq!((w.recorder.served(), w.ask("b").1), (0, GO));
-    assert_eq!(w.ask("k").1, conflict(Conflict::Doubt));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
 }
 
 /// Times are the wall clock's, for people. In a run nothing goes by them; across a restart a time that lies ahead
@@ -310,7 +311,7 @@
     assert!(w.store.rows.windows(2).any(|r| r[0].at > r[1].at), "it shows in the rows");
     w.restart_at(back);
     w.pass(Micros(KEEP.0 - 1));
-    assert_eq!((w.ask("a").1, w.ask("b").1), (conflict(Conflict::Served), conflict(Conflict::Served)));
+    assert_eq!((w.ask("a").1, w.ask("b").1), (conflict(KeyConflict::Served), conflict(KeyConflict::Served)));
     w.pass(Micros(1));
     w.commit_all();
     assert_eq!((w.ask("a").1, w.ask("b").1), (GO, GO));
@@ -333,7 +334,7 @@
         w.now = w.now + away; // no program runs meanwhile
         w.restart();
         w.pass(Micros(kept.0 - 1));
-        assert_eq!(w.ask("a").1, conflict(Conflict::Served), "{away:?}");
+        assert_eq!(w.ask("a").1, conflict(KeyConflict::Served), "{away:?}");
         w.pass(Micros(1));
         w.commit_all();
         assert_eq!((w.store.state(&key("a")), w.ask("a").1), (None, GO), "{away:?}");
@@ -354,13 +355,13 @@
     w.commit_all();
     w.send(id, 2);
     w.end(id, 0, Outcome::Reset);
-    assert_eq!(w.ask("k").1, conflict(Conflict::InFlight));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::InFlight));
     w.end(id, 2, Outcome::Rejected);
-    assert_eq!(w.ask("k").1, conflict(Conflict::Doubt));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
     w.want(id, 3);
     w.commit_all();
     assert_eq!((w.store.state(&key("k")), w.step(id, 3)), (Some(KeyState::InFlight), Try::Permitted));
     w.send(id, 3);
     w.end(id, 3, Outcome::Ok);
-    assert_eq!(w.ask("k").1, conflict(Conflict::Served));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::Served));
 }
--- a/crates/record/tests/world.rs
+++ b/crates/record/tests/world.rs
@@ -124,7 +124,7 @@
     };
     if !outcome.not_executed() {
         w.end(id, no, outcome);
-        return w.over(id, Ending::Failed);
+        return w.over(id, RequestEnding::Failed);
     }
     w.end(id, no, outcome);
 }
@@ -137,7 +137,7 @@
     let unsent: Vec<u32> =
         w.orders[&id].tries.iter().filter(|(_, t)| unsent(t)).map(|(no, _)| no.0).collect();
     unsent.into_iter().for_each(|no| w.withdraw(id, no));
-    w.over(id, Ending::TimedOut);
+    w.over(id, RequestEnding::TimedOut);
 }
 
 /// A truthful operator: says nothing while the box may yet run it.
@@ -182,7 +182,7 @@
 
 fn settled(w: &mut World) -> Result<(), TestCaseError> {
     calm(w);
-    prop_assert_eq!(w.recorder.owed(), 0);
+    prop_assert_eq!(w.recorder.pending_fact_count(), 0);
     for name in KEYS {
         resolve(w, name);
         w.commit_all();
@@ -190,14 +190,14 @@
         let (request, verdict) = w.ask(name);
         if ran {
             // One that was left to the store is refused there.
-            if verdict != Verdict::Conflict(Conflict::Served) {
-                prop_assert_eq!(verdict, Verdict::Go { permit: true });
+            if verdict != KeyDecision::Conflict(KeyConflict::Served) {
+                prop_assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true });
                 w.want(request, 0);
                 w.commit_all();
-                prop_assert_eq!(w.orders[&request].ended, Some(Verdict::Conflict(Conflict::Served)));
+                prop_assert_eq!(w.orders[&request].ended, Some(KeyDecision::Conflict(KeyConflict::Served)));
             }
         } else {
-            prop_assert_eq!(verdict, Verdict::Go { permit: true }, "{} never ran", name);
+            prop_assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true }, "{} never ran", name);
             w.want(request, 0);
             w.commit_all();
             prop_assert_eq!(w.step(request, 0), Try::Permitted);
--- a/crates/shaletide/src/commands.rs
+++ b/crates/shaletide/src/commands.rs
@@ -4,7 +4,7 @@
 use shaletide_control::{Command, Reply};
 use shaletide_record::{Fact, KeyId};
 use shaletide_record_service::Record;
-use shaletide_store::{Query, Reading, SqliteReader};
+use shaletide_store::{Query, SqliteReader, StoreReader};
 use shaletide_types::Time;
 use std::rc::Rc;
 
@@ -19,7 +19,7 @@
             _ => Reply::Refused("this proxy has no store of record".into()),
         };
     };
-    let Some(keeper) = record.keeper() else {
+    let Some(keeper) = record.service() else {
         return match command {
             Command::Ping {} => Reply::Done(format!("at work; {STORE_DOWN}")),
             _ => Reply::Refused(STORE_DOWN.into()),
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -7,9 +7,9 @@
 use crate::start::listening::{ListenOutcomes, Listening};
 use shaletide_balancer::{ConfigError, EndpointUpdate, PoolId};
 use shaletide_control::ControlError;
-use shaletide_discovery::{Place, Terms};
+use shaletide_discovery::{DiscoveryEndpoint, WatchConfig};
 use shaletide_http::{ListenError, Rules, Server};
-use shaletide_net::{span, Clock, Host};
+use shaletide_net::{span, Clock, Driver};
 use shaletide_record_service::{Record, Run, StoreError};
 use shaletide_types::causes;
 use std::cell::Cell;
@@ -70,8 +70,8 @@
 
 /// Follows one pool's list for as long as it is kept.
 struct Follower {
-    moved: watch::Sender<Place>,
-    terms: Terms,
+    moved: watch::Sender<DiscoveryEndpoint>,
+    terms: WatchConfig,
     task: AbortHandle,
 }
 
@@ -98,7 +98,7 @@
     seed: u64,
     descriptors: Descriptors,
     record: Option<Rc<Record>>,
-    host: Rc<Host>,
+    driver: Rc<Driver>,
     server: Rc<Server>,
     listening: Listening,
     followers: HashMap<PoolId, Follower>,
@@ -117,34 +117,34 @@
             operator.proxy.seed.unwrap_or_else(|| std::hash::RandomState::new().build_hasher().finish());
         let descriptors = Descriptors::new(descriptors::limit(operator.limits.descriptors), &setup);
         let network = setup.network(descriptors.upstreams);
-        let host = Host::new(Clock::new(), network);
+        let driver = Driver::new(Clock::new(), network);
         if self_check {
-            host.self_check(operator.limits.drain_grace);
+            driver.self_check(operator.limits.drain_grace);
         }
         // What was in flight when the program ended is known before anything is asked.
         let record = match &setup.record {
-            Some(record) => Some(open_record(record, &host, &operator.proxy.name)?),
+            Some(record) => Some(open_record(record, &driver, &operator.proxy.name)?),
             None => None,
         };
         let first = Some((&setup.zones[..], &setup.kinds[..]));
         let pools = setup.pools();
         let ids =
-            host.setup(first, &operator.proxy.zone, seed, network, pools).map_err(StartError::Config)?;
+            driver.setup(first, &operator.proxy.zone, seed, network, pools).map_err(StartError::Config)?;
         // The list from before the restart is in place before anything is served.
         if let (Some(pool), false) = (ids.first(), setup.known.endpoints.is_empty()) {
-            shaletide_discovery::tell(&host, *pool, EndpointUpdate::Cached, &setup.known);
+            shaletide_discovery::tell(&driver, *pool, EndpointUpdate::Cached, &setup.known);
         }
-        let listening = Listening::begin(&setup, &host)?;
+        let listening = Listening::begin(&setup, &driver)?;
         if let Some(socket) = &operator.control {
             control_socket::begin(socket.clone(), record.clone())?;
         }
         let rules = Rules::new(setup.rules(&ids));
-        let server = Server::new(host.clone(), rules, descriptors.clients, seed);
-        tokio::task::spawn_local(host.clone().timers());
-        tokio::task::spawn_local(host.clone().sweep());
+        let server = Server::new(driver.clone(), rules, descriptors.clients, seed);
+        tokio::task::spawn_local(driver.clone().run_timers());
+        tokio::task::spawn_local(driver.clone().sweep_idle_connections());
         let followers = HashMap::new();
         let setup = Arc::new(setup);
-        let mut daemon = Daemon { setup, seed, descriptors, record, host, server, listening, followers };
+        let mut daemon = Daemon { setup, seed, descriptors, record, driver, server, listening, followers };
         daemon.follow(&ids, begun);
         Ok(daemon)
     }
@@ -155,12 +155,12 @@
         mut self, again: Again, mut hangup: Option<Signal>, stop: impl Future<Output = ()>,
     ) -> RunReport {
         let ListenOutcomes { listeners, failure } = self.listening.outcomes();
-        let (host, server, record) = (self.host.clone(), self.server.clone(), self.record.clone());
+        let (driver, server, record) = (self.driver.clone(), self.server.clone(), self.record.clone());
         let reporter = tokio::task::spawn_local(async move {
             loop {
                 tokio::time::sleep(REPORT_EVERY).await;
-                host.report(&server.report());
-                record.iter().filter_map(|record| record.keeper()).for_each(|keeper| keeper.report());
+                driver.report(&server.report());
+                record.iter().filter_map(|record| record.service()).for_each(|keeper| keeper.report());
             }
         });
         let stopping = Cell::new(None);
@@ -186,14 +186,14 @@
             }
         }
         reporter.abort();
-        if let Some(keeper) = self.record.as_ref().and_then(|record| record.keeper()) {
+        if let Some(keeper) = self.record.as_ref().and_then(|record| record.service()) {
             let now = Instant::now();
             let end = stopping.get().unwrap_or(now) + self.longest_stop() + ENDED;
             let end = end.max(now + LAST_WRITES); // where earlier rules gave requests more time
             keeper.settled_by(end).await; // what it says is said by the other
             keeper.stop(end);
         }
-        let (broken, cases) = self.host.broken();
+        let (broken, cases) = self.driver.violations();
         RunReport { broken, cases, failure: failed.take().map(StartError::Listen) }
     }
 
@@ -212,7 +212,7 @@
         let zone = &next.operator.proxy.zone;
         let descriptors = self.descriptors.reconfigured(&next);
         let network = next.network(descriptors.upstreams);
-        let ids = self.host.setup(None, zone, self.seed, network, next.pools());
+        let ids = self.driver.setup(None, zone, self.seed, network, next.pools());
         let ids = ids.map_err(|e| format!("{e}"))?; // the reader has checked all of it before
         self.server.reload(Rules::new(next.rules(&ids)));
         if let (Some(record), Some(next)) = (&self.record, &next.record) {
@@ -231,21 +231,21 @@
         let grace = Duration::from_micros(self.setup.operator.limits.drain_grace.0);
         let position = self.setup.operator.proxy.position;
         let strict = |pool| self.setup.strict && ids.first() == Some(&pool);
-        let wanted: HashMap<PoolId, (SocketAddr, Terms)> = self
+        let wanted: HashMap<PoolId, (SocketAddr, WatchConfig)> = self
             .setup
             .discoveries()
             .into_iter()
             .filter_map(|(at, address, mode)| {
                 let pool = *ids.get(at)?;
-                Some((pool, (address, Terms { mode, position, grace, strict: strict(pool) })))
+                Some((pool, (address, WatchConfig { mode, position, grace, strict: strict(pool) })))
             })
             .collect();
         self.followers.retain(|pool, f| wanted.get(pool).is_some_and(|(_, terms)| *terms == f.terms));
         for (pool, (address, terms)) in wanted {
             match self.followers.get(&pool) {
                 Some(follower) => {
-                    let to = Place { address, since };
-                    let moved = |old: &mut Place| {
+                    let to = DiscoveryEndpoint { address, since };
+                    let moved = |old: &mut DiscoveryEndpoint| {
                         let moves = old.address != address;
                         *old = if moves { to } else { *old };
                         moves
@@ -255,11 +255,11 @@
                     }
                 }
                 None => {
-                    let (moved, moves) = watch::channel(Place { address, since });
+                    let (moved, moves) = watch::channel(DiscoveryEndpoint { address, since });
                     // An index means something only to the discovery that the list at the start came from.
                     let first = ids.first() == Some(&pool) && !self.setup.known.endpoints.is_empty();
                     let known = first.then_some(self.setup.known.index);
-                    let watch = shaletide_discovery::watch(self.host.clone(), pool, moves, known, terms);
+                    let watch = shaletide_discovery::watch(self.driver.clone(), pool, moves, known, terms);
                     let task = tokio::task::spawn_local(watch).abort_handle();
                     self.followers.insert(pool, Follower { moved, terms, task });
                 }
@@ -268,11 +268,11 @@
     }
 }
 
-/// The record for that host.
-fn open_record(record: &RecordSetup, host: &Rc<Host>, proxy: &str) -> Result<Rc<Record>, StartError> {
+/// The record for that driver.
+fn open_record(record: &RecordSetup, driver: &Rc<Driver>, proxy: &str) -> Result<Rc<Record>, StartError> {
     let run =
         Run { proxy: proxy.into(), version: env!("CARGO_PKG_VERSION").into(), digest: record.digest.clone() };
-    let opened = Record::open(&record.path, record.config.clone(), host, run);
+    let opened = Record::open(&record.path, record.config.clone(), driver, run);
     opened.map_err(|e| StartError::Store(record.path.clone(), Box::new(e)))
 }
 
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -6,7 +6,7 @@
 
 /// The store of record: what the proxy knew and did.
 ///
-/// Reading works beside a running proxy. What changes the store goes through the control socket of the proxy that holds
+/// StoreReader works beside a running proxy. What changes the store goes through the control socket of the proxy that holds
 /// it, or straight to the file when no proxy does. Status 0: done, or whole. 1: the answer is no. 2: it makes no sense,
 /// or cannot be read.
 #[derive(Args, Debug)]
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -6,10 +6,10 @@
 use super::{list, words, Failure, Places};
 use shaletide_control::{ask, Command, ControlError, Key, Reply};
 use shaletide_record::{
-    chain, About, Action, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, Refused, ReplyId, Resolved,
-    Row,
+    chain, About, Action, ClaimRejection, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, ReplyId,
+    ResolveResult, Row,
 };
-use shaletide_store::{Anchor, Query, Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_store::{Anchor, Query, SqliteOptions, SqliteStore, Store, StoreReader};
 use shaletide_types::{causes, Time};
 use std::collections::{BTreeSet, VecDeque};
 use std::io::Write;
@@ -148,27 +148,27 @@
     }
 
     /// Tells the recorder, and has written what it wants written.
-    fn tell(&mut self, event: Event) -> Result<Option<Resolved>, Failure> {
+    fn tell(&mut self, event: Event) -> Result<Option<ResolveResult>, Failure> {
         self.begin()?;
         let mut actions = Vec::new();
         self.recorder.handle(now(), event, &mut actions);
         self.carry_out(actions)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) -> Result<Option<Resolved>, Failure> {
+    fn carry_out(&mut self, actions: Vec<Action>) -> Result<Option<ResolveResult>, Failure> {
         let mut waiting: VecDeque<Action> = actions.into();
         let mut came = None;
         while let Some(action) = waiting.pop_front() {
             let event = match action {
                 Action::Write { ticket, write } => match self.commit(*write)? {
                     Ok(seq) => Event::Committed { ticket, seq },
-                    Err(why) => Event::Refused { ticket, why },
+                    Err(why) => Event::ClaimRejected { ticket, why },
                 },
-                Action::Reply { resolved, .. } => {
+                Action::Reply { result: resolved, .. } => {
                     came = Some(resolved);
                     continue;
                 }
-                Action::Permit { .. } | Action::End { .. } => continue,
+                Action::IntentPersisted { .. } | Action::EndRequest { .. } => continue,
             };
             let mut more = Vec::new();
             self.recorder.handle(now(), event, &mut more);
@@ -177,7 +177,7 @@
         Ok(came)
     }
 
-    fn commit(&mut self, mut write: shaletide_record::Write) -> Result<Result<u64, Refused>, Failure> {
+    fn commit(&mut self, mut write: shaletide_record::Write) -> Result<Result<u64, ClaimRejection>, Failure> {
         write.row.run = self.run;
         let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
         let committed = self.store.commit(&[write], &sums);
@@ -186,10 +186,10 @@
         rows.into_iter().next().ok_or_else(|| Failure::senseless("the store wrote nothing"))
     }
 
-    fn resolve(&mut self, id: &KeyId, ran: bool, by: &str, note: &str) -> Result<Resolved, Failure> {
-        let Some(held) = self.store.key(id)? else { return Ok(Resolved::Unknown) };
+    fn resolve(&mut self, id: &KeyId, ran: bool, by: &str, note: &str) -> Result<ResolveResult, Failure> {
+        let Some(held) = self.store.key(id)? else { return Ok(ResolveResult::Unknown) };
         if held.state == KeyState::Served {
-            return Ok(Resolved::Served);
+            return Ok(ResolveResult::Served);
         }
         self.begin()?;
         // What was in flight when the proxy ended is in doubt from now on.
@@ -198,7 +198,7 @@
         self.carry_out(actions)?;
         let event =
             Event::Resolve { reply: ReplyId(1), key: id.clone(), ran, by: by.into(), note: note.into() };
-        Ok(self.tell(event)?.unwrap_or(Resolved::StoreDown))
+        Ok(self.tell(event)?.unwrap_or(ResolveResult::StoreDown))
     }
 
     fn begin(&mut self) -> Result<(), Failure> {
@@ -206,7 +206,7 @@
             self.started = true;
             let (proxy, version) = ("shaletide record".into(), env!("CARGO_PKG_VERSION").into());
             let start = Fact::Start { proxy, version, config: 0, digest: String::new() };
-            self.tell(Event::Note(start))?;
+            self.tell(Event::RecordFact(start))?;
         }
         Ok(())
     }
@@ -238,7 +238,7 @@
         if of == 0 || !found {
             return Ok(Reply::Refused(format!("there is no row {of}")));
         }
-        self.tell(Event::Note(Fact::Correction { of, by: by.into(), text: text.into() }))?;
+        self.tell(Event::RecordFact(Fact::Correction { of, by: by.into(), text: text.into() }))?;
         Ok(Reply::Done(format!("on record; row {of} stays as it is")))
     }
 }
--- a/crates/shaletide/src/record/export.rs
+++ b/crates/shaletide/src/record/export.rs
@@ -5,13 +5,14 @@
 use super::{list, words, Failure};
 use serde_json::json;
 use shaletide_record::{chain, Row};
-use shaletide_store::{Query, Reading};
+use shaletide_store::{Query, StoreReader};
 use std::io::Write;
 
 const COLUMNS: &str = "seq,at_us,time,run,kind,request,tenant,class,key,key_hex,box,body,sum";
 
 pub fn export(
-    store: &dyn Reading, mut query: Query, format: Format, mut left: u64, zone: &Zone, out: &mut dyn Write,
+    store: &dyn StoreReader, mut query: Query, format: Format, mut left: u64, zone: &Zone,
+    out: &mut dyn Write,
 ) -> Result<(), Failure> {
     if let Format::Csv = format {
         write!(out, "{COLUMNS}\r\n")?;
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -4,7 +4,7 @@
 use super::when::Zone;
 use super::{words, Failure, PAGE};
 use shaletide_record::{KeyState, Row, StoredKey};
-use shaletide_store::{Query, Reading, StoreError};
+use shaletide_store::{Query, StoreError, StoreReader};
 use std::io::Write;
 
 /// What a filter asks for.
@@ -20,7 +20,7 @@
     })
 }
 
-pub fn list(store: &dyn Reading, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
+pub fn list(store: &dyn StoreReader, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
     if asked.in_doubt {
         return unsettled(store, asked, zone, out);
     }
@@ -47,7 +47,7 @@
 }
 
 /// The next page; the query goes on behind it.
-pub fn rows(store: &dyn Reading, query: &mut Query, left: u64) -> Result<Vec<Row>, StoreError> {
+pub fn rows(store: &dyn StoreReader, query: &mut Query, left: u64) -> Result<Vec<Row>, StoreError> {
     query.limit = usize::try_from(left).unwrap_or(usize::MAX).min(PAGE);
     let page = store.rows(query)?;
     if let Some(last) = page.last() {
@@ -56,7 +56,7 @@
     Ok(page)
 }
 
-fn unsettled(store: &dyn Reading, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
+fn unsettled(store: &dyn StoreReader, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
     let mut after: Option<StoredKey> = None;
     let mut left = asked.limit;
     writeln!(out, "times in {}", zone.name)?;
@@ -87,7 +87,7 @@
 }
 
 /// The box to which its last attempt went.
-fn last_box(store: &dyn Reading, held: &StoredKey) -> Result<Option<String>, StoreError> {
+fn last_box(store: &dyn StoreReader, held: &StoredKey) -> Result<Option<String>, StoreError> {
     let id = &held.key;
     let mut query = Query {
         key: Some(id.key.clone()),
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -11,7 +11,7 @@
 use args::{Command, Place, Which};
 use shaletide_config::operator::Operator;
 use shaletide_record::{chain, Fact, Row};
-use shaletide_store::{verify, Broken, Head, Query, Reading, SqliteReader, StoreError};
+use shaletide_store::{verify, Broken, Head, Query, SqliteReader, StoreError, StoreReader};
 use shaletide_types::causes;
 use std::ffi::OsStr;
 use std::io::Write;
@@ -156,7 +156,7 @@
 }
 
 /// Whether every row is as it was written.
-fn check(store: &dyn Reading, noted: Option<&str>, out: &mut dyn Write) -> Result<(), Failure> {
+fn check(store: &dyn StoreReader, noted: Option<&str>, out: &mut dyn Write) -> Result<(), Failure> {
     let noted = noted.map(head_of).transpose()?;
     let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
     let verified = verify(store, &sums, noted).map_err(|broken| match &broken {
@@ -188,7 +188,7 @@
 }
 
 /// Whether a row says that all up to this one was taken out.
-fn is_named(store: &dyn Reading, through: &Head) -> Result<bool, StoreError> {
+fn is_named(store: &dyn StoreReader, through: &Head) -> Result<bool, StoreError> {
     let sum = chain::hex(&through.sum);
     let names = |row: &Row| match Fact::of(row) {
         Fact::Pruned { through: seq, sum: is, .. } => seq == through.seq && is == sum,
--- a/crates/shaletide/src/record/show.rs
+++ b/crates/shaletide/src/record/show.rs
@@ -4,7 +4,7 @@
 use super::when::Zone;
 use super::{list, words, Failure, PAGE};
 use shaletide_record::{Fact, KeyId, KeyState, Row, StoredKey};
-use shaletide_store::{Query, Reading, StoreError};
+use shaletide_store::{Query, StoreError, StoreReader};
 use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -13,7 +13,7 @@
 const MOST: usize = 100_000;
 
 pub fn show(
-    store: &dyn Reading, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
+    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
 ) -> Result<(), Failure> {
     let query = Query {
         key: Some(key.to_vec()),
@@ -39,7 +39,7 @@
 
 /// No row is about it: it may be one whose rows were taken out.
 fn nothing(
-    store: &dyn Reading, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
+    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
 ) -> Result<(), Failure> {
     let none = format!("nothing is on record of the key {}", words::key(key));
     let (Some(tenant), Some(class)) = (&which.tenant, &which.class) else {
@@ -56,7 +56,7 @@
     Story { store, id: &id, held, corrections: &corrections, zone }.tell(&[], out)
 }
 
-fn all(store: &dyn Reading, mut query: Query) -> Result<Vec<Row>, StoreError> {
+fn all(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
     let mut rows: Vec<Row> = Vec::new();
     loop {
         let page = list::rows(store, &mut query, u64::MAX)?;
@@ -70,7 +70,7 @@
 
 /// The corrections of these rows, by the row that they correct: they came later, and bear no key where a running
 /// proxy wrote them.
-fn corrections(store: &dyn Reading, rows: &[Row]) -> Result<BTreeMap<u64, Vec<Row>>, StoreError> {
+fn corrections(store: &dyn StoreReader, rows: &[Row]) -> Result<BTreeMap<u64, Vec<Row>>, StoreError> {
     let told: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
     let mut found: BTreeMap<u64, Vec<Row>> = BTreeMap::new();
     let mut query = Query {
@@ -94,7 +94,7 @@
 }
 
 struct Story<'a> {
-    store: &'a dyn Reading,
+    store: &'a dyn StoreReader,
     id: &'a KeyId,
     /// How the key stands now.
     held: Option<StoredKey>,
--- a/crates/shaletide/src/record/words.rs
+++ b/crates/shaletide/src/record/words.rs
@@ -1,7 +1,7 @@
 //! Facts, keys and troubles in plain words.
 
 use shaletide_control::Reply;
-use shaletide_record::{chain, Fact, KeyId, KeyState, Resolved, Row, Seen};
+use shaletide_record::{chain, Fact, KeyId, KeyState, ResolveResult, Row, Seen};
 use shaletide_store::StoreError;
 use shaletide_types::{causes, Micros};
 
@@ -183,16 +183,16 @@
 }
 
 /// What came of a resolution.
-pub fn resolved(came: Resolved, ran: bool) -> Reply {
+pub fn resolved(came: ResolveResult, ran: bool) -> Reply {
     Reply::Refused(
         match came {
-            Resolved::Done if ran => return Reply::Done("on record; the key counts as served".into()),
-            Resolved::Done => return Reply::Done("on record; the key is free".into()),
-            Resolved::Unknown => "the key is not in doubt: it is free, or was never there",
-            Resolved::InFlight => "the key is in flight: wait for its end",
-            Resolved::Served => "the key is not in doubt: it was served",
-            Resolved::NotYet => "its last fact is not durable yet: try again",
-            Resolved::StoreDown => "the store takes nothing now; see the proxy's log, and try again",
+            ResolveResult::Done if ran => return Reply::Done("on record; the key counts as served".into()),
+            ResolveResult::Done => return Reply::Done("on record; the key is free".into()),
+            ResolveResult::Unknown => "the key is not in doubt: it is free, or was never there",
+            ResolveResult::InFlight => "the key is in flight: wait for its end",
+            ResolveResult::Served => "the key is not in doubt: it was served",
+            ResolveResult::NotYet => "its last fact is not durable yet: try again",
+            ResolveResult::StoreDown => "the store takes nothing now; see the proxy's log, and try again",
         }
         .into(),
     )
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -5,8 +5,8 @@
     self, Additions, BackendDef, ClassDef, Operator, Recording, Source as Boxes,
 };
 use shaletide_http::{ClassRule as FrontRule, RulesDef};
-use shaletide_membership::{bay, Endpoint, List, PoolSpec, Source};
-use shaletide_net::{Network, PoolSetup};
+use shaletide_membership::{deduplication_group_hash, Endpoint, List, PoolSpec, Source};
+use shaletide_net::{PoolSetup, UpstreamConfig};
 use shaletide_record::{ClassRule, RecordConfig, WithoutKey};
 use shaletide_routing::{ErrorResponses, Route};
 use std::collections::HashMap;
@@ -81,13 +81,13 @@
     }
 
     /// How connections to backends are kept, so many at most.
-    pub fn network(&self, most: usize) -> Network {
+    pub fn network(&self, most: usize) -> UpstreamConfig {
         let limits = &self.operator.limits;
-        Network {
+        UpstreamConfig {
             connect_timeout: limits.connect_timeout,
             idle_timeout: limits.idle_timeout,
             answer_stall: limits.answer_stall,
-            most,
+            max_connections: most,
             max_body: limits.max_body,
         }
     }
@@ -107,14 +107,14 @@
                 }
                 Boxes::Discovery { mode, .. } => {
                     config.discovery = *mode;
-                    Source::Listed
+                    Source::Discovered
                 }
             };
             let repeats = (def.repeat_group != def.name).then(|| def.repeat_group.clone());
             // A pool may be named as the group of others: then it is of that group, too.
             let shared = operator.pools.iter().any(|p| p.name != def.name && p.repeat_group == def.name);
             let repeats = repeats.or(shared.then(|| def.name.clone()));
-            PoolSetup { spec: PoolSpec { name: def.name.clone(), repeats, source }, config }
+            PoolSetup { spec: PoolSpec { name: def.name.clone(), repeat_group: repeats, source }, config }
         };
         operator.pools.iter().enumerate().map(setup).collect()
     }
@@ -204,12 +204,12 @@
     let def = operator.record.as_ref()?;
     let rule = |class: &ClassDef| match class.record {
         Recording::None => None,
-        Recording::Facts => Some(ClassRule { permit: false, without_key: WithoutKey::Record }),
+        Recording::Facts => Some(ClassRule { requires_intent: false, without_key: WithoutKey::Record }),
         Recording::Permit { without_key: operator::WithoutKey::Refuse } => {
-            Some(ClassRule { permit: true, without_key: WithoutKey::Refuse })
+            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Refuse })
         }
         Recording::Permit { without_key: operator::WithoutKey::Record } => {
-            Some(ClassRule { permit: true, without_key: WithoutKey::Record })
+            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Record })
         }
     };
     let classes = operator.classes.iter().filter_map(|c| Some((c.name.clone(), rule(c)?)));
@@ -248,12 +248,12 @@
         name: def.address.to_string(),
         address: def.address,
         zone: def.zone.clone(),
-        kind: def.kind.clone(),
-        bay: bay(&def.bay),
+        server_type: def.kind.clone(),
+        deduplication_group: deduplication_group_hash(&def.bay),
         cores: def.cores,
         weight: 0,
         state: def.state,
-        booted: None,
+        started_at: None,
     }
 }
 
--- a/crates/shaletide/src/start/listening.rs
+++ b/crates/shaletide/src/start/listening.rs
@@ -5,7 +5,7 @@
 use crate::setup::Setup;
 use shaletide_http::{listen, BoundSocket, ListenError};
 use shaletide_net::socket_table::Holders;
-use shaletide_net::{listen_failure, Host, ListenFailure, SystemCall};
+use shaletide_net::{listen_failure, Driver, ListenFailure, SystemCall};
 use std::cell::Cell;
 use std::future::Future;
 use std::hash::{BuildHasher, Hasher};
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     /// An address that can never be listened on.
-    pub fn begin(setup: &Setup, host: &Rc<Host>) -> Result<Listening, StartError> {
+    pub fn begin(setup: &Setup, driver: &Rc<Driver>) -> Result<Listening, StartError> {
         let addresses = &setup.operator.listeners;
         let (ready, listeners) = mpsc::channel(addresses.len().max(1));
         let greeting = Rc::new(Greeting::of(setup));
@@ -64,11 +64,11 @@
         let (tell, failure) = oneshot::channel();
         if !waits.is_empty() {
             let waits = waits.into_iter().map(|first| {
-                let (host, greeting, ready) = (host.clone(), greeting.clone(), ready.clone());
+                let (driver, greeting, ready) = (driver.clone(), greeting.clone(), ready.clone());
                 let wait = Wait {
                     address: first.address,
                     patience: setup.listen_patience,
-                    host,
+                    driver,
                     greeting,
                     ready,
                     look_up: Rc::new(|address| Box::pin(look(address))),
@@ -140,7 +140,7 @@
 struct Wait {
     address: SocketAddr,
     patience: Option<Duration>,
-    host: Rc<Host>,
+    driver: Rc<Driver>,
     greeting: Rc<Greeting>,
     ready: mpsc::Sender<TcpListener>,
     look_up: LookUp,
@@ -188,7 +188,7 @@
 
     /// Counts a failure, and has its line written where one is due: with the holder, where that was looked up in time.
     fn note_failure(&self, error: &ListenError, log: &mut WaitLog) {
-        self.host.system_errors.add(SystemCall::Listen, &error.source);
+        self.driver.system_errors.add(SystemCall::Listen, &error.source);
         debug!(address = %self.address, call = ?error.call, error = %error.source, "not listening yet");
         if !log.count() {
             return;
--- a/crates/shaletide/src/start/listening/tests.rs
+++ b/crates/shaletide/src/start/listening/tests.rs
@@ -2,20 +2,25 @@
 
 use super::*;
 use shaletide_balancer::Micros;
-use shaletide_net::{Clock, Network};
+use shaletide_net::{Clock, UpstreamConfig};
 
 /// Longer than any wait here takes.
 const PATIENCE: Duration = Duration::from_secs(10);
 
 fn wait(address: SocketAddr, look_up: LookUp) -> (Wait, mpsc::Receiver<TcpListener>) {
     let second = Micros(1_000_000);
-    let network =
-        Network { connect_timeout: second, idle_timeout: second, answer_stall: None, max_body: 64, most: 1 };
-    let host = Host::new(Clock::new(), network);
+    let network = UpstreamConfig {
+        connect_timeout: second,
+        idle_timeout: second,
+        answer_stall: None,
+        max_body: 64,
+        max_connections: 1,
+    };
+    let driver = Driver::new(Clock::new(), network);
     let greeting = Greeting { name: "n".into(), known: 0, pools: String::new() };
     let (ready, listeners) = mpsc::channel(1);
     let (greeting, next_look) = (Rc::new(greeting), Rc::default());
-    (Wait { address, patience: None, host, greeting, ready, look_up, next_look }, listeners)
+    (Wait { address, patience: None, driver, greeting, ready, look_up, next_look }, listeners)
 }
 
 /// On a machine with many sockets the table takes long to read: the attempts go on meanwhile.
--- a/crates/shaletide/tests/book/mod.rs
+++ b/crates/shaletide/tests/book/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)] // each test program uses a part of it
 
 use shaletide_record::*;
-use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_store::{SqliteOptions, SqliteStore, Store, StoreReader};
 use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -57,15 +57,15 @@
     store: SqliteStore,
     run: u64,
     requests: u64,
-    replies: Vec<Resolved>,
+    replies: Vec<ResolveResult>,
 }
 
 impl Book {
     pub fn open(path: &Path, now: Time) -> Book {
         let store = SqliteStore::open(&SqliteOptions::new(path)).unwrap();
         let run = store.head().unwrap().run + 1;
-        let settle = ClassRule { permit: true, without_key: WithoutKey::Refuse };
-        let bid = ClassRule { permit: false, without_key: WithoutKey::Record };
+        let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+        let bid = ClassRule { requires_intent: false, without_key: WithoutKey::Record };
         let classes = [("settle", settle), ("bid", bid)].map(|(name, rule)| (name.to_string(), rule));
         let bounds = Bounds { key: 1 << 20, ..Bounds::default() };
         let config = RecordConfig { classes: classes.into(), bounds, ..RecordConfig::default() };
@@ -73,7 +73,7 @@
         let recorder = Recorder::new(config, [7; 16], now, now);
         let mut book = Book { now, recorder, store, run, requests: 0, replies: Vec::new() };
         let (proxy, version) = ("quay-1".into(), "0.1.0".into());
-        book.tell(Event::Note(Fact::Start { proxy, version, config: 1, digest: "5f1c9d".into() }));
+        book.tell(Event::RecordFact(Fact::Start { proxy, version, config: 1, digest: "5f1c9d".into() }));
         let mut actions = Vec::new();
         book.recorder.restore(now, held, &mut actions);
         book.carry_out(actions);
@@ -96,14 +96,14 @@
                     let row = self.store.commit(&[*write], &sums).unwrap().remove(0);
                     let event = match row {
                         Ok(seq) => Event::Committed { ticket, seq },
-                        Err(why) => Event::Refused { ticket, why },
+                        Err(why) => Event::ClaimRejected { ticket, why },
                     };
                     let mut more = Vec::new();
                     self.recorder.handle(self.now, event, &mut more);
                     waiting.extend(more);
                 }
-                Action::Reply { resolved, .. } => self.replies.push(resolved),
-                Action::Permit { .. } | Action::End { .. } => {}
+                Action::Reply { result: resolved, .. } => self.replies.push(resolved),
+                Action::IntentPersisted { .. } | Action::EndRequest { .. } => {}
             }
         }
     }
@@ -113,11 +113,11 @@
     }
 
     /// A request of a class; its number, and what its front does with it.
-    pub fn ask(&mut self, tenant: &str, class: &str, key: &[u8]) -> (RequestId, Verdict) {
+    pub fn ask(&mut self, tenant: &str, class: &str, key: &[u8]) -> (RequestId, KeyDecision) {
         self.requests += 1;
         let request = RequestId(self.requests);
         let deadline = self.now + Micros(1_000 * MS);
-        let asked = Asked { request, tenant, class, key: Some(key), deadline };
+        let asked = KeyRequest { request, tenant, class, key: Some(key), deadline };
         let mut actions = Vec::new();
         let verdict = self.recorder.ask(self.now, asked, &mut actions);
         self.carry_out(actions);
@@ -126,7 +126,7 @@
 
     pub fn settle(&mut self, tenant: &str, key: &[u8]) -> RequestId {
         let (request, verdict) = self.ask(tenant, "settle", key);
-        assert_eq!(verdict, Verdict::Go { permit: true });
+        assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true });
         request
     }
 
@@ -146,8 +146,8 @@
         self.tell(Event::AttemptEnded { request, attempt: AttemptNumber(attempt), outcome });
     }
 
-    pub fn over(&mut self, request: RequestId, ending: Ending) {
-        self.tell(Event::Over { request, ending });
+    pub fn over(&mut self, request: RequestId, ending: RequestEnding) {
+        self.tell(Event::RequestEnded { request, ending });
     }
 
     /// One that is served at box-2.
@@ -156,7 +156,7 @@
         self.intent(request, 0, "box-2");
         self.pass(18);
         self.ended(request, 0, Outcome::Ok);
-        self.over(request, Ending::Served(AttemptNumber(0)));
+        self.over(request, RequestEnding::Served(AttemptNumber(0)));
     }
 
     /// One whose connection breaks at box-7.
@@ -166,10 +166,10 @@
         self.intent(request, 0, "box-7");
         self.pass(214);
         self.ended(request, 0, Outcome::Reset);
-        self.over(request, Ending::Failed);
+        self.over(request, RequestEnding::Failed);
     }
 
-    pub fn resolve(&mut self, key: KeyId, ran: bool, by: &str, note: &str) -> Resolved {
+    pub fn resolve(&mut self, key: KeyId, ran: bool, by: &str, note: &str) -> ResolveResult {
         self.tell(Event::Resolve { reply: ReplyId(1), key, ran, by: by.into(), note: note.into() });
         self.replies.pop().expect("a reply")
     }
--- a/crates/shaletide/tests/kills.rs
+++ b/crates/shaletide/tests/kills.rs
@@ -6,7 +6,7 @@
 
 use rig::*;
 use shaletide_record::Fact;
-use shaletide_store::{Query, Reading, SqliteReader};
+use shaletide_store::{Query, SqliteReader, StoreReader};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/shaletide/tests/record.rs
+++ b/crates/shaletide/tests/record.rs
@@ -4,7 +4,7 @@
 
 use book::*;
 use shaletide_control::{Command, Control, Reply};
-use shaletide_record::{Ending, Event, Fact, Resolved};
+use shaletide_record::{Event, Fact, RequestEnding, ResolveResult};
 use shaletide_store::{SqliteOptions, SqliteStore};
 use shaletide_types::{AttemptNumber, Outcome};
 use std::process::Command as Program;
@@ -18,20 +18,23 @@
     let refused = book.settle("milford", b"refused");
     book.intent(refused, 0, "box-3");
     book.ended(refused, 0, Outcome::Rejected);
-    book.over(refused, Ending::Refused);
+    book.over(refused, RequestEnding::Rejected);
     // Withdrawn: the permit was given, and it was not sent.
     let withdrawn = book.settle("other", b"withdrawn");
     book.intent(withdrawn, 0, "box-3");
-    book.tell(Event::Withdrawn { request: withdrawn, attempt: AttemptNumber(0) });
-    book.over(withdrawn, Ending::TimedOut);
+    book.tell(Event::IntentWithdrawn { request: withdrawn, attempt: AttemptNumber(0) });
+    book.over(withdrawn, RequestEnding::TimedOut);
     book.pass(100);
     book.doubt("milford", b"odd");
     book.pass(100);
-    assert_ne!(book.ask("milford", "settle", b"odd").1, shaletide_record::Verdict::Go { permit: true });
+    assert_ne!(
+        book.ask("milford", "settle", b"odd").1,
+        shaletide_record::KeyDecision::Proceed { requires_intent: true }
+    );
     book.doubt("milford", b"settled");
     assert_eq!(
         book.resolve(key("milford", b"settled"), false, "jo", "not in the box's book"),
-        Resolved::Done
+        ResolveResult::Done
     );
     book
 }
@@ -189,7 +192,7 @@
     let odd: [&[u8]; 7] = [b"a\0b", b"a\nb", b"a,\"b\"", b"=1+1", &long, b"\xff\xfe", "\u{1F512}".as_bytes()];
     odd.iter().for_each(|key| book.served("milford", key));
     let (by, text) = ("jo \"the pen\"", "first,\r\nsecond\0");
-    book.tell(Event::Note(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
+    book.tell(Event::RecordFact(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
     let rows = csv(&folder.says(0, &["export", "--store", "record.db", "--format", "csv"]));
     assert!(rows.iter().all(|row| row.len() == 13), "{rows:?}");
     let of = |at: usize| rows.iter().skip(1).map(|row| row[at].clone()).collect::<Vec<_>>();
@@ -329,7 +332,7 @@
     let story = folder.says(0, &["show", "--store", "record.db", "--key", "cut", "--tenant", "other"]);
     assert!(story.contains("in doubt: the proxy had ended") && story.contains("now: served"), "{story}");
     let mut book = Book::open(&folder.db(), MORNING);
-    assert!(matches!(book.ask("other", "settle", b"cut").1, shaletide_record::Verdict::Conflict(_)));
+    assert!(matches!(book.ask("other", "settle", b"cut").1, shaletide_record::KeyDecision::Conflict(_)));
     drop(book);
     assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
 }
@@ -385,7 +388,7 @@
     let folder = Folder::new();
     let mut book = stories(&folder);
     // As a running proxy writes it: without the key of the row.
-    book.tell(Event::Note(Fact::Correction { of: 4, by: "jo".into(), text: "it was box-9".into() }));
+    book.tell(Event::RecordFact(Fact::Correction { of: 4, by: "jo".into(), text: "it was box-9".into() }));
     drop(book);
     let correct = |status, row: &str| {
         let said = [
--- a/crates/shaletide/tests/record_finance.rs
+++ b/crates/shaletide/tests/record_finance.rs
@@ -4,7 +4,7 @@
 
 use book::*;
 use shaletide_control::{Command, Control, Reply};
-use shaletide_record::{Event, Fact, KeyId, Resolved};
+use shaletide_record::{Event, Fact, KeyId, ResolveResult};
 use shaletide_types::Time;
 use std::process::Command as Program;
 
@@ -68,11 +68,11 @@
     match command {
         Command::Resolve { tenant, class, key, ran, by, note } => {
             let came = book.resolve(KeyId { tenant, class, key: key.0 }, ran, &by, &note);
-            assert_eq!((came, ran), (Resolved::Done, true));
+            assert_eq!((came, ran), (ResolveResult::Done, true));
             Reply::Done("on record; the key counts as served".into())
         }
         Command::Correct { of, by, text } => {
-            book.tell(Event::Note(Fact::Correction { of, by, text }));
+            book.tell(Event::RecordFact(Fact::Correction { of, by, text }));
             Reply::Done(format!("on record; row {of} stays as it is"))
         }
         other => Reply::Senseless(format!("{other:?}")),
--- a/crates/shaletide/tests/windows.rs
+++ b/crates/shaletide/tests/windows.rs
@@ -7,7 +7,7 @@
 
 use rig::*;
 use shaletide_record::Fact;
-use shaletide_store::{Query, Reading, SqliteReader};
+use shaletide_store::{Query, SqliteReader, StoreReader};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/store/examples/child.rs
+++ b/crates/store/examples/child.rs
@@ -6,7 +6,7 @@
 use rusqlite::Connection;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, pruned, set, take};
-use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store, StoreError};
+use shaletide_store::{SqliteOptions, SqliteStore, Store, StoreError, StoreReader};
 use shaletide_types::Time;
 
 fn main() {
@@ -26,7 +26,7 @@
     };
     match done {
         Ok(()) => say("done"),
-        Err(error) => say(&format!("failed {}: {error}", error.word())),
+        Err(error) => say(&format!("failed {}: {error}", error.code())),
     }
 }
 
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -8,7 +8,7 @@
 
 use shaletide_record::{chain, KeyState, Write};
 use shaletide_store::conformance::{key, set, take};
-use shaletide_store::{Event, SqliteOptions, SqliteStore, Store, Writer, WriterConfig};
+use shaletide_store::{SqliteOptions, SqliteStore, Store, Writer, WriterConfig, WriterEvent};
 
 const ROUNDS: usize = 5;
 const ONE_BY_ONE: usize = 2_000;
@@ -30,7 +30,7 @@
         Box::new(move |_| SqliteStore::open(&options).map(|store| Box::new(store) as Box<dyn Store>));
     let notify = Box::new(move |event| say.send(event).unwrap_or(()));
     let writer = Writer::start(config, opener, Arc::new(chain::sum), notify).expect("a thread");
-    assert!(matches!(events.recv(), Ok(Event::Back { .. })));
+    assert!(matches!(events.recv(), Ok(WriterEvent::Back { .. })));
     let mut sent = vec![Instant::now(); count];
     let began = Instant::now();
     let send = |n: usize, sent: &mut Vec<Instant>| {
@@ -40,7 +40,7 @@
     (0..callers).for_each(|n| send(n, &mut sent));
     let mut waited = Vec::with_capacity(count);
     for next in callers..count + callers {
-        let Ok(Event::Committed { ticket, .. }) = events.recv() else { panic!("not committed") };
+        let Ok(WriterEvent::Committed { ticket, .. }) = events.recv() else { panic!("not committed") };
         waited.push(sent[ticket as usize].elapsed());
         if next < count {
             send(next, &mut sent);
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -2,10 +2,10 @@
 //!
 //! A store's crate calls [`run`] with a way to make an empty one; a failure is a panic that names what was asked.
 
-use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
+use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
 use shaletide_types::Time;
 
-use crate::{holds, verify, Anchor, Broken, Fate, Head, Query, Store, StoreError, Sums};
+use crate::{holds, verify, Anchor, Broken, CommitOutcome, Head, Query, Store, StoreError, Sums};
 
 /// A sum for tests: it depends on all of the row and of the one before. It keeps nobody from forging.
 pub fn plain_sum(before: &[u8; 32], row: &Row) -> [u8; 32] {
@@ -93,7 +93,7 @@
     }
 }
 
-fn commit(store: &mut dyn Store, batch: &[Write]) -> Vec<Result<u64, Refused>> {
+fn commit(store: &mut dyn Store, batch: &[Write]) -> Vec<Result<u64, ClaimRejection>> {
     store.commit(batch, &plain_sum).expect("commit")
 }
 
@@ -136,7 +136,7 @@
     assert_eq!(commit(store, &[take(1, &k)]), [Ok(1)]);
     for (seq, state) in [(2, KeyState::Doubt), (3, KeyState::Served), (4, KeyState::InFlight)] {
         assert_eq!(commit(store, &[set(seq, &k, state)]), [Ok(seq)]);
-        assert_eq!(commit(store, &[take(9, &k)]), [Err(Refused::Taken(state))]);
+        assert_eq!(commit(store, &[take(9, &k)]), [Err(ClaimRejection::Taken(state))]);
     }
     assert_eq!(commit(store, &[free(5, &k), take(6, &k)]), [Ok(5), Ok(6)]);
     assert_eq!(all_rows(store, 0).len(), 6, "of what was refused there is no row");
@@ -146,7 +146,7 @@
     let (a, b) = (key("a"), key("b"));
     let batch =
         [take(1, &a), take(2, &a), take(3, &b), free(4, &b), take(5, &b), set(6, &b, KeyState::Doubt)];
-    let taken = Err(Refused::Taken(KeyState::InFlight));
+    let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
     assert_eq!(commit(store, &batch), [Ok(1), taken, Ok(2), Ok(3), Ok(4), Ok(5)]);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 5);
     assert_eq!(commit(store, &[take(7, &a)]), [taken], "a batch of which nothing is taken");
@@ -208,7 +208,7 @@
     large.row.body = "x".repeat(crate::MAX_ROW_BYTES);
     for bad in [late, large] {
         let failed = store.commit(&[take(1, &key("good")), bad], &plain_sum).expect_err("unstorable");
-        assert!(matches!(failed.error, StoreError::Unstorable) && failed.fate == Fate::Nothing);
+        assert!(matches!(failed.error, StoreError::Unstorable) && failed.outcome == CommitOutcome::Nothing);
         assert!(remembered(store).is_empty() && all_rows(store, 0).is_empty());
     }
 }
@@ -320,7 +320,7 @@
 fn prunes_all(store: &mut dyn Store, served: &KeyId, doubt: &KeyId) {
     assert_eq!(
         commit(store, &[take(10, served)]),
-        [Err(Refused::Taken(KeyState::Served))],
+        [Err(ClaimRejection::Taken(KeyState::Served))],
         "keys outlive rows"
     );
     commit(store, &[free(11, doubt)]);
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -62,7 +62,7 @@
 
 /// What a commit that failed left behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum CommitOutcome {
     /// Nothing, for certain: the transaction was never asked to commit.
     Nothing,
     /// All of the batch or nothing; only the store, opened again, tells.
@@ -75,14 +75,14 @@
     /// Why.
     pub error: StoreError,
     /// What it left behind.
-    pub fate: Fate,
+    pub outcome: CommitOutcome,
 }
 
 impl fmt::Display for CommitError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.fate {
-            Fate::Nothing => write!(f, "nothing was written"),
-            Fate::Unknown => write!(f, "it is not known whether it was written"),
+        match self.outcome {
+            CommitOutcome::Nothing => write!(f, "nothing was written"),
+            CommitOutcome::Unknown => write!(f, "it is not known whether it was written"),
         }
     }
 }
@@ -98,7 +98,7 @@
 
 impl StoreError {
     /// One word for a log and a counter.
-    pub fn word(&self) -> &'static str {
+    pub fn code(&self) -> &'static str {
         match self {
             StoreError::Slow(_) => "slow",
             StoreError::Busy(_) => "busy",
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -5,10 +5,12 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use shaletide_record::{KeyId, Refused, Row, StoredKey, Write};
+use shaletide_record::{ClaimRejection, KeyId, Row, StoredKey, Write};
 use shaletide_types::Time;
 
-use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
+use crate::{
+    Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader, Sums,
+};
 
 /// How a commit fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -119,7 +121,7 @@
     inner: Box<dyn Store>,
 }
 
-impl Reading for Faulty {
+impl StoreReader for Faulty {
     fn head(&self) -> Result<Head, StoreError> {
         self.inner.head()
     }
@@ -144,16 +146,18 @@
 }
 
 impl Store for Faulty {
-    fn commit(&mut self, batch: &[Write], sums: &dyn Sums) -> Result<Vec<Result<u64, Refused>>, CommitError> {
+    fn commit(
+        &mut self, batch: &[Write], sums: &dyn Sums,
+    ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError> {
         let fault = self.faults.begin(batch.len());
-        let fate = if fault == Fault::Before { Fate::Nothing } else { Fate::Unknown };
-        let failed = || CommitError { error: StoreError::Io("planted".into()), fate };
+        let fate = if fault == Fault::Before { CommitOutcome::Nothing } else { CommitOutcome::Unknown };
+        let failed = || CommitError { error: StoreError::Io("planted".into()), outcome: fate };
         let done = match fault {
             Fault::None => self.inner.commit(batch, sums),
             Fault::Before | Fault::Lost => Err(failed()),
             Fault::Landed => self.inner.commit(batch, sums).and_then(|_| Err(failed())),
         };
-        let durable = |rows: &Vec<Result<u64, Refused>>| rows.iter().filter(|row| row.is_ok()).count();
+        let durable = |rows: &Vec<Result<u64, ClaimRejection>>| rows.iter().filter(|row| row.is_ok()).count();
         self.faults.end(done.as_ref().map_or(Step::Failed, |rows| Step::Durable(durable(rows))));
         done
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -18,8 +18,8 @@
 #[cfg(any(test, feature = "conformance"))]
 pub mod memory;
 
-pub use error::{Cause, CommitError, Fate, StoreError};
+pub use error::{Cause, CommitError, CommitOutcome, StoreError};
 pub use sqlite::{SqliteOptions, SqliteReader, SqliteStore};
-pub use store::{storable, Anchor, Head, Note, Pruned, Query, Reading, Store, Sums, MAX_ROW_BYTES};
+pub use store::{storable, Anchor, Head, Note, Pruned, Query, Store, StoreReader, Sums, MAX_ROW_BYTES};
 pub use verify::{holds, verify, Broken, Verified};
-pub use writer::{Event, FactEncoder, Opener, Opening, SendError, StillBusy, Writer, WriterConfig};
+pub use writer::{FactEncoder, Opener, Opening, SendError, StillBusy, Writer, WriterConfig, WriterEvent};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -4,11 +4,12 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, StoredKey, Write};
+use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{
-    storable, Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums,
+    storable, Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader,
+    Sums,
 };
 
 #[derive(Clone, Debug, Default)]
@@ -63,13 +64,13 @@
             && row.seq > query.after_seq
     }
 
-    fn claim(&mut self, write: &Write, seq: u64) -> Result<(), Refused> {
+    fn claim(&mut self, write: &Write, seq: u64) -> Result<(), ClaimRejection> {
         let held = |key: &KeyId, state| StoredKey { key: key.clone(), state, since: write.row.at, seq };
         match &write.claim {
             Claim::None => {}
             Claim::Take(key) => {
                 if let Some(taken) = self.keys.get(key) {
-                    return Err(Refused::Taken(taken.state));
+                    return Err(ClaimRejection::Taken(taken.state));
                 }
                 self.keys.insert(key.clone(), held(key, KeyState::InFlight));
             }
@@ -106,7 +107,7 @@
     }
 }
 
-impl Reading for MemoryStore {
+impl StoreReader for MemoryStore {
     fn head(&self) -> Result<Head, StoreError> {
         Ok(self.state().head())
     }
@@ -137,9 +138,11 @@
 }
 
 impl Store for MemoryStore {
-    fn commit(&mut self, batch: &[Write], sums: &dyn Sums) -> Result<Vec<Result<u64, Refused>>, CommitError> {
+    fn commit(
+        &mut self, batch: &[Write], sums: &dyn Sums,
+    ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError> {
         if !batch.iter().all(storable) {
-            return Err(CommitError { error: StoreError::Unstorable, fate: Fate::Nothing });
+            return Err(CommitError { error: StoreError::Unstorable, outcome: CommitOutcome::Nothing });
         }
         let mut state = self.state();
         let mut taken = Vec::new();
--- a/crates/store/src/sqlite/mod.rs
+++ b/crates/store/src/sqlite/mod.rs
@@ -11,10 +11,12 @@
 use std::time::Duration;
 
 use rusqlite::Connection;
-use shaletide_record::{KeyId, Refused, Row, StoredKey, Write};
+use shaletide_record::{ClaimRejection, KeyId, Row, StoredKey, Write};
 use shaletide_types::Time;
 
-use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, Query, Reading, Store, StoreError, Sums};
+use crate::{
+    Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader, Sums,
+};
 use files::{Owner, Watched};
 pub use open::SqliteOptions;
 use trouble::refine;
@@ -63,7 +65,7 @@
     }
 }
 
-impl Reading for SqliteStore {
+impl StoreReader for SqliteStore {
     fn head(&self) -> Result<Head, StoreError> {
         read::head(&self.db)
     }
@@ -88,8 +90,10 @@
 }
 
 impl Store for SqliteStore {
-    fn commit(&mut self, batch: &[Write], sums: &dyn Sums) -> Result<Vec<Result<u64, Refused>>, CommitError> {
-        let nothing = |error| CommitError { error, fate: Fate::Nothing };
+    fn commit(
+        &mut self, batch: &[Write], sums: &dyn Sums,
+    ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError> {
+        let nothing = |error| CommitError { error, outcome: CommitOutcome::Nothing };
         if !batch.iter().all(crate::storable) {
             return Err(nothing(StoreError::Unstorable));
         }
@@ -97,7 +101,7 @@
         open::check_in_force(&self.db).map_err(nothing)?;
         let result = write::commit(&mut self.db, batch, sums);
         let result = result.map_err(|failed| CommitError { error: self.refined(failed.error), ..failed })?;
-        self.watched.check().map_err(|error| CommitError { error, fate: Fate::Unknown })?;
+        self.watched.check().map_err(|error| CommitError { error, outcome: CommitOutcome::Unknown })?;
         Ok(result)
     }
 
@@ -134,7 +138,7 @@
     }
 }
 
-impl Reading for SqliteReader {
+impl StoreReader for SqliteReader {
     fn head(&self) -> Result<Head, StoreError> {
         read::head(&self.db)
     }
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -1,4 +1,4 @@
-//! Reading: the head, the keys, the rows that are asked for, and a copy of it all.
+//! StoreReader: the head, the keys, the rows that are asked for, and a copy of it all.
 
 use std::fs::File;
 use std::os::unix::fs::OpenOptionsExt;
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -1,21 +1,21 @@
 //! Writing: the batch, the expiry of keys, pruning. Each in one transaction.
 
 use rusqlite::{params, Connection, OptionalExtension, Transaction, TransactionBehavior};
-use shaletide_record::{Claim, KeyId, KeyState, Refused, Row, Write};
+use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, Write};
 use shaletide_types::Time;
 
 use super::read::{anchor, head, state_number, state_of, to_sql};
 use super::trouble::classify;
-use crate::{Anchor, CommitError, Fate, Head, Note, Pruned, StoreError, Sums};
+use crate::{Anchor, CommitError, CommitOutcome, Head, Note, Pruned, StoreError, Sums};
 
-type Taken = Vec<Result<u64, Refused>>;
+type Taken = Vec<Result<u64, ClaimRejection>>;
 
 pub(super) fn commit(db: &mut Connection, batch: &[Write], sums: &dyn Sums) -> Result<Taken, CommitError> {
-    let nothing = |error| CommitError { error, fate: Fate::Nothing };
+    let nothing = |error| CommitError { error, outcome: CommitOutcome::Nothing };
     let begun = db.transaction_with_behavior(TransactionBehavior::Immediate);
     let tx = begun.map_err(|error| nothing(classify(error)))?;
     let taken = add_all(&tx, batch, sums).map_err(nothing)?;
-    tx.commit().map_err(|error| CommitError { error: classify(error), fate: Fate::Unknown })?;
+    tx.commit().map_err(|error| CommitError { error: classify(error), outcome: CommitOutcome::Unknown })?;
     Ok(taken)
 }
 
@@ -43,7 +43,7 @@
 }
 
 /// What becomes of the key. The table's constraint decides whether it is free.
-fn claim(tx: &Transaction<'_>, write: &Write, seq: u64) -> Result<Result<(), Refused>, StoreError> {
+fn claim(tx: &Transaction<'_>, write: &Write, seq: u64) -> Result<Result<(), ClaimRejection>, StoreError> {
     let row = &write.row;
     match &write.claim {
         Claim::None => {}
@@ -75,7 +75,9 @@
     Ok(Ok(()))
 }
 
-fn take(tx: &Transaction<'_>, key: &KeyId, at: Time, seq: u64) -> Result<Result<(), Refused>, StoreError> {
+fn take(
+    tx: &Transaction<'_>, key: &KeyId, at: Time, seq: u64,
+) -> Result<Result<(), ClaimRejection>, StoreError> {
     let sql = "INSERT INTO keys (tenant, class, key, state, since, seq) VALUES (?1, ?2, ?3, ?4, ?5, ?6)
          ON CONFLICT DO NOTHING";
     let mut insert = tx.prepare_cached(sql).map_err(classify)?;
@@ -86,7 +88,7 @@
     let mut holder = tx.prepare_cached(sql).map_err(classify)?;
     let state =
         holder.query_row(params![key.tenant, key.class, key.key], |row| row.get(0)).map_err(classify)?;
-    Ok(Err(Refused::Taken(state_of(state))))
+    Ok(Err(ClaimRejection::Taken(state_of(state))))
 }
 
 type KeyValues<'a> = (&'a str, &'a str, &'a [u8], i64, i64, i64);
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use shaletide_record::{chain, Claim, KeyId, Refused, Row, StoredKey, Write};
+use shaletide_record::{chain, Claim, ClaimRejection, KeyId, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{CommitError, StoreError};
@@ -90,8 +90,8 @@
     pub limit: usize,
 }
 
-/// Reading a store, beside whoever writes to it.
-pub trait Reading: Send {
+/// StoreReader a store, beside whoever writes to it.
+pub trait StoreReader: Send {
     /// Where it ends.
     ///
     /// # Errors
@@ -137,7 +137,7 @@
 }
 
 /// A store with one writer.
-pub trait Store: Reading {
+pub trait Store: StoreReader {
     /// Makes the whole batch durable, in order, in one transaction, before it returns. Gives each row its number
     /// and its sum; the caller's `seq` and `sum` are not looked at, its `run` is kept.
     ///
@@ -146,9 +146,11 @@
     /// For [`Claim::FreeOwn`], a key whose last row was pruned is another's.
     ///
     /// # Errors
-    /// Of any kind. All of the batch is on record or nothing: see [`Fate`](crate::Fate). The store is not to be used
+    /// Of any kind. All of the batch is on record or nothing: see [`CommitOutcome`](crate::CommitOutcome). The store is not to be used
     /// for writing again, but opened anew.
-    fn commit(&mut self, batch: &[Write], sums: &dyn Sums) -> Result<Vec<Result<u64, Refused>>, CommitError>;
+    fn commit(
+        &mut self, batch: &[Write], sums: &dyn Sums,
+    ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError>;
 
     /// Forgets at most `limit` keys that were served before that time, and says how many. Fewer: that was all.
     ///
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -4,7 +4,7 @@
 
 use shaletide_record::Row;
 
-use crate::{Head, Query, Reading, StoreError, Sums};
+use crate::{Head, Query, StoreError, StoreReader, Sums};
 
 /// Rows read at a time.
 const PAGE: usize = 1000;
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// The first thing that is wrong.
-pub fn verify<R: Reading + ?Sized>(
+pub fn verify<R: StoreReader + ?Sized>(
     store: &R, sums: &dyn Sums, noted: Option<Head>,
 ) -> Result<Verified, Broken> {
     store.check()?;
@@ -127,7 +127,7 @@
 ///
 /// # Errors
 /// If it cannot be read.
-pub fn holds<R: Reading + ?Sized>(store: &R, noted: &Head) -> Result<bool, StoreError> {
+pub fn holds<R: StoreReader + ?Sized>(store: &R, noted: &Head) -> Result<bool, StoreError> {
     if noted.seq == 0 {
         return Ok(true);
     }
--- a/crates/store/src/writer/fate.rs
+++ b/crates/store/src/writer/fate.rs
@@ -1,11 +1,11 @@
 //! What became of a commit that failed when it may have been done: read from the store, once it is back.
 
-use shaletide_record::{Claim, KeyState, Refused, Row, Write};
+use shaletide_record::{Claim, ClaimRejection, KeyState, Row, Write};
 
 use crate::{Head, Query, Store, StoreError};
 
 /// What a ticket's rows have become; none if nothing of the transaction is on record.
-pub(super) type Found = Option<Vec<Result<u64, Refused>>>;
+pub(super) type Found = Option<Vec<Result<u64, ClaimRejection>>>;
 
 /// Looks for the writes behind the last row that was acknowledged. They were one transaction, so all of them are
 /// there, but those that were refused, or none.
@@ -44,10 +44,10 @@
 }
 
 /// Why a row of a transaction that was done is not there: its key was taken.
-fn holder(store: &dyn Store, write: &Write) -> Result<Refused, StoreError> {
+fn holder(store: &dyn Store, write: &Write) -> Result<ClaimRejection, StoreError> {
     let state = match &write.claim {
         Claim::Take(key) => store.key(key)?.map(|found| found.state),
         _ => None,
     };
-    Ok(Refused::Taken(state.unwrap_or(KeyState::InFlight)))
+    Ok(ClaimRejection::Taken(state.unwrap_or(KeyState::InFlight)))
 }
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use shaletide_record::{Claim, KeyId, Refused, Row, Write};
+use shaletide_record::{Claim, ClaimRejection, KeyId, Row, Write};
 use shaletide_types::Time;
 
-use crate::{storable, Anchor, Fate, Head, Pruned, Store, StoreError, Sums};
+use crate::{storable, Anchor, CommitOutcome, Head, Pruned, Store, StoreError, Sums};
 use worker::Worker;
 
 /// How the writer works.
@@ -72,12 +72,12 @@
 
 /// What became of a ticket, or of the store. Sent from the writer's thread, which waits meanwhile.
 ///
-/// Each ticket that was taken has one end: one of its events, but after a `Failed` with [`Fate::Unknown`] another
+/// Each ticket that was taken has one end: one of its events, but after a `Failed` with [`CommitOutcome::Unknown`] another
 /// one, `Committed`, `Refused` or `Lost`, as soon as the store is back. There is none if the writer ends before.
 /// Forgetting and pruning that fail are not taken up again, and what was done of them stays done.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
-pub enum Event {
+pub enum WriterEvent {
     /// All of it is durable.
     Committed {
         /// Which.
@@ -90,16 +90,16 @@
         /// Which.
         ticket: u64,
         /// What became of each row.
-        rows: Vec<Result<u64, Refused>>,
+        rows: Vec<Result<u64, ClaimRejection>>,
     },
     /// It was not acknowledged.
     Failed {
         /// Which.
         ticket: u64,
         /// Why.
-        trouble: Arc<StoreError>,
+        error: Arc<StoreError>,
         /// Whether it may be on record nevertheless.
-        fate: Fate,
+        outcome: CommitOutcome,
     },
     /// It had failed with an unknown fate; now it is certain that nothing of it is on record or ever will be.
     Lost {
@@ -123,7 +123,7 @@
     /// The store does not work; it is opened again and again. Sent for each kind of trouble once.
     Down {
         /// What is wrong.
-        trouble: Arc<StoreError>,
+        error: Arc<StoreError>,
     },
     /// The store works: at first, and after each `Down`.
     Back {
@@ -195,7 +195,7 @@
     /// # Errors
     /// If the system gives no thread.
     pub fn start(
-        config: WriterConfig, opener: Opener, sums: Arc<dyn Sums>, notify: Box<dyn FnMut(Event) + Send>,
+        config: WriterConfig, opener: Opener, sums: Arc<dyn Sums>, notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> std::io::Result<Writer> {
         let (jobs, waiting) = sync_channel(config.queue.max(1));
         let (end, ended) = sync_channel(1);
--- a/crates/store/src/writer/recover.rs
+++ b/crates/store/src/writer/recover.rs
@@ -8,8 +8,8 @@
 
 use super::fate::{look, Found};
 use super::worker::{Access, Chore, Worker};
-use super::{Event, Opening, WriterConfig};
-use crate::{holds, Anchor, Fate, Head, Pruned, Store, StoreError, Sums};
+use super::{Opening, WriterConfig, WriterEvent};
+use crate::{holds, Anchor, CommitOutcome, Head, Pruned, Store, StoreError, Sums};
 
 impl Worker {
     /// Closes the store, and opens it again later.
@@ -18,13 +18,13 @@
             Access::Open(_) => (false, self.config.backoff),
             Access::Down { wait, .. } if wait.is_zero() => (false, self.config.backoff),
             Access::Down { trouble: before, wait, .. } => {
-                (before.word() == trouble.word(), (*wait * 2).min(self.config.backoff_most))
+                (before.code() == trouble.code(), (*wait * 2).min(self.config.backoff_most))
             }
         };
         let retry_at = Instant::now() + wait;
         self.access = Access::Down { trouble: Arc::clone(&trouble), retry_at, wait };
         if !known {
-            (self.notify)(Event::Down { trouble });
+            (self.notify)(WriterEvent::Down { error: trouble });
         }
     }
 
@@ -45,7 +45,7 @@
                 self.access = Access::Open(store);
                 self.acked = Some(head);
                 self.tell_fates(found);
-                (self.notify)(Event::Back { head });
+                (self.notify)(WriterEvent::Back { head });
             }
             Err(error) => self.down(Arc::new(error)),
         }
@@ -66,7 +66,7 @@
         for (ticket, found) in std::mem::take(&mut self.unknown).into_iter().zip(found) {
             match found {
                 Some(rows) => self.say_done(ticket.id, rows),
-                None => (self.notify)(Event::Lost { ticket: ticket.id }),
+                None => (self.notify)(WriterEvent::Lost { ticket: ticket.id }),
             }
         }
     }
@@ -96,7 +96,7 @@
     fn chores_failed(&mut self, trouble: Arc<StoreError>) {
         for chore in std::mem::take(&mut self.chores) {
             let (ticket, trouble) = (chore.ticket(), Arc::clone(&trouble));
-            (self.notify)(Event::Failed { ticket, trouble, fate: Fate::Unknown });
+            (self.notify)(WriterEvent::Failed { ticket, error: trouble, outcome: CommitOutcome::Unknown });
         }
         self.down(trouble);
     }
@@ -105,19 +105,19 @@
 /// One step of a chore; what to say if it was the last.
 fn step(
     chore: &mut Chore, store: &mut dyn Store, sums: &dyn Sums, run: u64, limit: usize,
-) -> Result<Option<Event>, StoreError> {
+) -> Result<Option<WriterEvent>, StoreError> {
     match chore {
         Chore::Forget { ticket, before, keys } => {
             let forgotten = store.forget_served(*before, limit)?;
             *keys += forgotten;
-            let done = Event::Forgotten { ticket: *ticket, keys: *keys };
+            let done = WriterEvent::Forgotten { ticket: *ticket, keys: *keys };
             Ok((forgotten < limit).then_some(done))
         }
         Chore::Prune { ticket, before, note, rows } => {
             let noted = |anchor: &Anchor| Row { run, ..note(anchor) };
             let pruned = store.prune(*before, limit, &noted, sums)?;
             *rows += pruned.rows;
-            let done = Event::Pruned { ticket: *ticket, pruned: Pruned { rows: *rows, ..pruned } };
+            let done = WriterEvent::Pruned { ticket: *ticket, pruned: Pruned { rows: *rows, ..pruned } };
             Ok((!pruned.more).then_some(done))
         }
     }
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -7,11 +7,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use shaletide_record::{Refused, Write};
+use shaletide_record::{ClaimRejection, Write};
 use shaletide_types::Time;
 
-use super::{Event, FactEncoder, Job, Opener, Shared, WriterConfig};
-use crate::{CommitError, Fate, Head, Store, StoreError, Sums};
+use super::{FactEncoder, Job, Opener, Shared, WriterConfig, WriterEvent};
+use crate::{CommitError, CommitOutcome, Head, Store, StoreError, Sums};
 
 /// The writes of one call.
 pub(super) struct Ticket {
@@ -51,7 +51,7 @@
     pub(super) shared: Arc<Shared>,
     pub(super) opener: Opener,
     pub(super) sums: Arc<dyn Sums>,
-    pub(super) notify: Box<dyn FnMut(Event) + Send>,
+    pub(super) notify: Box<dyn FnMut(WriterEvent) + Send>,
     pub(super) access: Access,
     /// The last head that the store has shown; none before it was open.
     pub(super) acked: Option<Head>,
@@ -63,7 +63,7 @@
 impl Worker {
     pub(super) fn new(
         config: WriterConfig, jobs: Receiver<Job>, shared: Arc<Shared>, opener: Opener, sums: Arc<dyn Sums>,
-        notify: Box<dyn FnMut(Event) + Send>,
+        notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> Worker {
         let trouble = Arc::new(StoreError::Other("not open yet".into()));
         let access = Access::Down { trouble, retry_at: Instant::now(), wait: Duration::ZERO };
@@ -157,7 +157,7 @@
             Access::Open(store) => store,
             Access::Down { trouble, .. } => {
                 let trouble = Arc::clone(trouble);
-                return self.fail(&tickets, &trouble, Fate::Nothing);
+                return self.fail(&tickets, &trouble, CommitOutcome::Nothing);
             }
         };
         let mut batch = Vec::new();
@@ -185,7 +185,7 @@
         }
     }
 
-    fn acknowledge(&mut self, tickets: &[Ticket], lengths: &[usize], rows: Vec<Result<u64, Refused>>) {
+    fn acknowledge(&mut self, tickets: &[Ticket], lengths: &[usize], rows: Vec<Result<u64, ClaimRejection>>) {
         let mut rows = rows.into_iter();
         for (ticket, length) in tickets.iter().zip(lengths) {
             let rows = rows.by_ref().take(*length).collect();
@@ -193,26 +193,30 @@
         }
     }
 
-    pub(super) fn say_done(&mut self, ticket: u64, rows: Vec<Result<u64, Refused>>) {
-        let seqs: Result<Vec<u64>, Refused> = rows.iter().copied().collect();
+    pub(super) fn say_done(&mut self, ticket: u64, rows: Vec<Result<u64, ClaimRejection>>) {
+        let seqs: Result<Vec<u64>, ClaimRejection> = rows.iter().copied().collect();
         (self.notify)(match seqs {
-            Ok(seqs) => Event::Committed { ticket, seqs },
-            Err(_) => Event::Refused { ticket, rows },
+            Ok(seqs) => WriterEvent::Committed { ticket, seqs },
+            Err(_) => WriterEvent::Refused { ticket, rows },
         });
     }
 
     fn commit_failed(&mut self, tickets: Vec<Ticket>, failed: CommitError) {
         let trouble = Arc::new(failed.error);
-        self.fail(&tickets, &trouble, failed.fate);
-        if failed.fate == Fate::Unknown {
+        self.fail(&tickets, &trouble, failed.outcome);
+        if failed.outcome == CommitOutcome::Unknown {
             self.unknown = tickets;
         }
         self.down(trouble);
     }
 
-    fn fail(&mut self, tickets: &[Ticket], trouble: &Arc<StoreError>, fate: Fate) {
+    fn fail(&mut self, tickets: &[Ticket], trouble: &Arc<StoreError>, fate: CommitOutcome) {
         for ticket in tickets {
-            (self.notify)(Event::Failed { ticket: ticket.id, trouble: Arc::clone(trouble), fate });
+            (self.notify)(WriterEvent::Failed {
+                ticket: ticket.id,
+                error: Arc::clone(trouble),
+                outcome: fate,
+            });
         }
     }
 }
--- a/crates/store/tests/calls.rs
+++ b/crates/store/tests/calls.rs
@@ -9,7 +9,7 @@
 
 use common::{child_program, has, verified, Place};
 use shaletide_store::conformance::{key, plain_sum, take};
-use shaletide_store::{Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_store::{SqliteOptions, SqliteStore, Store, StoreReader};
 
 fn said(output: Output) -> String {
     String::from_utf8(output.stdout).expect("text")
@@ -100,7 +100,7 @@
     store.commit(&[take(1, &key("b"))], &plain_sum).expect("a reader is not in the way of that");
     drop(store);
     let again = SqliteOptions { create: false, ..place.options() };
-    assert!(SqliteStore::open(&again).is_err_and(|error| error.word() == "busy"));
+    assert!(SqliteStore::open(&again).is_err_and(|error| error.code() == "busy"));
     other.execute_batch("COMMIT").expect("ends");
     assert_eq!(SqliteStore::open(&again).expect("opens").head().expect("head").seq, 2);
 }
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -10,7 +10,7 @@
 use shaletide_record::chain::{self, hex, Chain};
 use shaletide_record::{About, Fact, KeyState};
 use shaletide_store::conformance::{all_rows, key, set};
-use shaletide_store::{verify, Event, Reading, SqliteStore, Store, Writer, WriterConfig};
+use shaletide_store::{verify, SqliteStore, Store, StoreReader, Writer, WriterConfig, WriterEvent};
 use shaletide_types::Time;
 
 #[test]
@@ -31,7 +31,10 @@
         Fact::Pruned { through: seq, sum: hex(&head), by: "ops".into() }.row(Time(99), About::default())
     };
     writer.prune(99, Time(35), Box::new(note)).expect("queued");
-    while !matches!(events.recv_timeout(Duration::from_secs(20)).expect("an event"), Event::Pruned { .. }) {}
+    while !matches!(
+        events.recv_timeout(Duration::from_secs(20)).expect("an event"),
+        WriterEvent::Pruned { .. }
+    ) {}
     writer.stop(Duration::from_secs(20)).expect("stops");
 
     let store = place.open();
--- a/crates/store/tests/common/host.rs
+++ b/crates/store/tests/common/host.rs
@@ -7,14 +7,14 @@
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::faults::{Faults, Step};
 use shaletide_store::memory::MemoryStore;
-use shaletide_store::{Event, Fate, Opener, SendError, Writer, WriterConfig};
+use shaletide_store::{CommitOutcome, Opener, SendError, Writer, WriterConfig, WriterEvent};
 
 pub const LONG: Duration = Duration::from_secs(20);
 
 /// A writer, and what it said.
 pub struct Host {
     pub writer: Writer,
-    pub events: Receiver<Event>,
+    pub events: Receiver<WriterEvent>,
 }
 
 pub fn config() -> WriterConfig {
@@ -37,34 +37,34 @@
         host
     }
 
-    pub fn next(&self) -> Event {
+    pub fn next(&self) -> WriterEvent {
         self.events.recv_timeout(LONG).expect("an event")
     }
 
     pub fn back(&self) -> u64 {
         match self.next() {
-            Event::Back { head } => head.seq,
+            WriterEvent::Back { head } => head.seq,
             other => panic!("{other:?}"),
         }
     }
 
     pub fn down(&self) -> &'static str {
         match self.next() {
-            Event::Down { trouble } => trouble.word(),
+            WriterEvent::Down { error: trouble } => trouble.code(),
             other => panic!("{other:?}"),
         }
     }
 
     pub fn committed(&self) -> (u64, Vec<u64>) {
         match self.next() {
-            Event::Committed { ticket, seqs } => (ticket, seqs),
+            WriterEvent::Committed { ticket, seqs } => (ticket, seqs),
             other => panic!("{other:?}"),
         }
     }
 
-    pub fn failed(&self) -> (u64, &'static str, Fate) {
+    pub fn failed(&self) -> (u64, &'static str, CommitOutcome) {
         match self.next() {
-            Event::Failed { ticket, trouble, fate } => (ticket, trouble.word(), fate),
+            WriterEvent::Failed { ticket, error: trouble, outcome: fate } => (ticket, trouble.code(), fate),
             other => panic!("{other:?}"),
         }
     }
@@ -73,7 +73,7 @@
         self.writer.send(ticket, vec![take(ticket, &key(name))])
     }
 
-    pub fn stop(self) -> Vec<Event> {
+    pub fn stop(self) -> Vec<WriterEvent> {
         self.writer.stop(LONG).expect("stops");
         self.events.iter().collect()
     }
--- a/crates/store/tests/edits.rs
+++ b/crates/store/tests/edits.rs
@@ -5,7 +5,7 @@
 use common::Place;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
-use shaletide_store::{verify, Broken, Head, Reading, SqliteReader, Store};
+use shaletide_store::{verify, Broken, Head, SqliteReader, Store, StoreReader};
 
 /// Six rows, then this statement; gives what `verify` says with the head noted before.
 fn after(edit: &str) -> Result<Head, Broken> {
--- a/crates/store/tests/kills.rs
+++ b/crates/store/tests/kills.rs
@@ -14,7 +14,7 @@
 use common::{child, verified, Place};
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, pruned, set, take};
-use shaletide_store::{verify, Reading, SqliteOptions, SqliteReader, SqliteStore, Store};
+use shaletide_store::{verify, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader};
 
 /// Kills of one round through the time that the whole takes.
 const KILLS: u32 = 25;
--- a/crates/store/tests/many.rs
+++ b/crates/store/tests/many.rs
@@ -8,7 +8,7 @@
 use common::Place;
 use shaletide_record::{chain, Claim, KeyId, KeyState, Row, Write};
 use shaletide_store::conformance::{free, key, pruned, set, take, write};
-use shaletide_store::{verify, Query, Reading, SqliteReader, SqliteStore, Store};
+use shaletide_store::{verify, Query, SqliteReader, SqliteStore, Store, StoreReader};
 use shaletide_types::Time;
 
 /// Rows of one settlement: chosen, intent, outcome, answer.
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power.rs
@@ -11,7 +11,7 @@
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{
-    holds, verify, Broken, Head, Reading, SqliteOptions, SqliteReader, SqliteStore, Store,
+    holds, verify, Broken, Head, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader,
 };
 
 /// The files of a store as they lie on the disk.
--- a/crates/store/tests/trouble.rs
+++ b/crates/store/tests/trouble.rs
@@ -12,7 +12,7 @@
 use common::{child, child_program, has, verified, Place};
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::{
-    CommitError, Fate, Reading, SqliteOptions, SqliteReader, SqliteStore, Store, StoreError,
+    CommitError, CommitOutcome, SqliteOptions, SqliteReader, SqliteStore, Store, StoreError, StoreReader,
 };
 
 /// A child that has said its first word.
@@ -47,7 +47,7 @@
 }
 
 fn word(opened: Result<SqliteStore, StoreError>) -> &'static str {
-    opened.err().map_or("none", |error| error.word())
+    opened.err().map_or("none", |error| error.code())
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let began = Instant::now();
     let failed = commit(&mut store, "a").expect_err("locked");
     assert!(began.elapsed() >= Duration::from_millis(200), "it waits for a while");
-    assert_eq!((failed.error.word(), failed.fate), ("busy", Fate::Nothing));
+    assert_eq!((failed.error.code(), failed.outcome), ("busy", CommitOutcome::Nothing));
     assert!(std::error::Error::source(&failed.error).is_some());
     end(other);
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
@@ -106,9 +106,9 @@
         fs::rename(&lost, &kept).expect("renamed");
         let failed = commit(&mut store, "b").expect_err("removed");
         assert!(matches!(&failed.error, StoreError::Gone { path } if path.ends_with(name)), "{failed:?}");
-        assert_eq!(failed.fate, Fate::Nothing);
+        assert_eq!(failed.outcome, CommitOutcome::Nothing);
         fs::copy(&kept, &lost).expect("copied");
-        assert_eq!(commit(&mut store, "b").expect_err("replaced").error.word(), "gone");
+        assert_eq!(commit(&mut store, "b").expect_err("replaced").error.code(), "gone");
         fs::rename(&kept, &lost).expect("renamed");
         assert_eq!(commit(&mut store, "b").expect("as it was"), 2);
     }
@@ -122,7 +122,7 @@
     assert!(!place.db().exists());
     fs::write(place.db(), []).expect("an empty file");
     assert_eq!(word(SqliteStore::open(&again)), "gone");
-    assert!(SqliteReader::open(place.file("none.db")).is_err_and(|error| error.word() == "gone"));
+    assert!(SqliteReader::open(place.file("none.db")).is_err_and(|error| error.code() == "gone"));
 }
 
 #[test]
@@ -151,7 +151,7 @@
     let before = fs::read(place.db()).expect("read");
     let error = SqliteStore::open(&place.options()).err().expect("refused");
     assert_eq!(error.to_string(), "the store has version 99; this program knows versions up to 2");
-    assert!(SqliteReader::open(place.db()).is_err_and(|error| error.word() == "newer"));
+    assert!(SqliteReader::open(place.db()).is_err_and(|error| error.code() == "newer"));
     assert_eq!(fs::read(place.db()).expect("read"), before);
 }
 
@@ -162,7 +162,7 @@
     let mut store = place.open();
     store.plant("PRAGMA query_only = ON").expect("planted");
     let failed = commit(&mut store, "a").expect_err("read-only");
-    assert_eq!((failed.error.word(), failed.fate), ("read-only", Fate::Nothing));
+    assert_eq!((failed.error.code(), failed.outcome), ("read-only", CommitOutcome::Nothing));
     store.plant("PRAGMA query_only = OFF").expect("planted");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
 }
@@ -207,7 +207,7 @@
             Err(failed) => break failed,
         }
     };
-    assert_eq!((failed.error.word(), failed.fate), ("full", Fate::Nothing));
+    assert_eq!((failed.error.code(), failed.outcome), ("full", CommitOutcome::Nothing));
     assert!(acked > 10);
     assert_eq!(verified(&store).rows, acked);
     drop(store);
@@ -265,7 +265,7 @@
         store.plant(&format!("PRAGMA synchronous = {planted}")).expect("planted");
         let failed = commit(&mut store, "a").expect_err("not in force");
         assert!(matches!(failed.error, StoreError::NotInForce { pragma: "synchronous", .. }), "{failed:?}");
-        assert_eq!(failed.fate, Fate::Nothing);
+        assert_eq!(failed.outcome, CommitOutcome::Nothing);
     }
     store.plant("PRAGMA synchronous = FULL").expect("planted");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -6,12 +6,13 @@
 use std::time::{Duration, Instant};
 
 use common::host::{config, until_it_hangs, Host, LONG};
-use shaletide_record::{Claim, KeyState, Refused};
+use shaletide_record::{Claim, ClaimRejection, KeyState};
 use shaletide_store::conformance::{all_rows, free, key, plain_sum, pruned, set, take, write};
 use shaletide_store::faults::{Fault, Faults, Step};
 use shaletide_store::memory::MemoryStore;
 use shaletide_store::{
-    verify, Event, Fate, Opener, Opening, SendError, StillBusy, StoreError, Writer, WriterConfig,
+    verify, CommitOutcome, Opener, Opening, SendError, StillBusy, StoreError, Writer, WriterConfig,
+    WriterEvent,
 };
 use shaletide_types::Time;
 
@@ -29,9 +30,9 @@
     faults.thaw();
     assert_eq!(host.committed(), (1, vec![1]));
     assert_eq!(host.committed(), (2, vec![2]));
-    let taken = Err(Refused::Taken(KeyState::InFlight));
-    assert!(matches!(host.next(), Event::Refused { ticket: 3, rows } if rows == [taken]));
-    assert!(matches!(host.next(), Event::Refused { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)]));
+    let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
+    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [taken]));
+    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)]));
     assert_eq!(host.committed(), (5, vec![5]));
     assert_eq!(faults.steps(), [Step::Began(1), Step::Durable(1), Step::Began(6), Step::Durable(4)]);
     assert!(host.stop().is_empty());
@@ -43,8 +44,9 @@
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let noting = faults.clone();
     let around = faults.clone();
-    let notify =
-        Box::new(move |event: Event| noting.note(format!("{event:?}").split(' ').next().unwrap_or_default()));
+    let notify = Box::new(move |event: WriterEvent| {
+        noting.note(format!("{event:?}").split(' ').next().unwrap_or_default())
+    });
     let opener: Opener = Box::new(move |_| Ok(around.around(Box::new(store.clone()))));
     let writer = Writer::start(config(), opener, Arc::new(plain_sum), notify).expect("a thread");
     for ticket in 0..100 {
@@ -92,7 +94,7 @@
     assert_eq!(host.writer.stop(Duration::from_millis(20)), Err(StillBusy));
     faults.thaw();
     assert!(
-        matches!(host.events.recv_timeout(LONG), Ok(Event::Committed { ticket: 5, .. })),
+        matches!(host.events.recv_timeout(LONG), Ok(WriterEvent::Committed { ticket: 5, .. })),
         "written all the same"
     );
 }
@@ -133,16 +135,16 @@
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let host = Host::in_memory(config(), &store, &faults);
     for (ticket, fault, fate) in [
-        (1, Fault::Before, Fate::Nothing),
-        (2, Fault::Lost, Fate::Unknown),
-        (3, Fault::Landed, Fate::Unknown),
+        (1, Fault::Before, CommitOutcome::Nothing),
+        (2, Fault::Lost, CommitOutcome::Unknown),
+        (3, Fault::Landed, CommitOutcome::Unknown),
     ] {
         faults.script([fault]);
         host.take(ticket, &ticket.to_string()).expect("queued");
         assert_eq!(host.failed(), (ticket, "io", fate));
         assert_eq!(host.down(), "io");
         match fault {
-            Fault::Lost => assert!(matches!(host.next(), Event::Lost { ticket: 2 })),
+            Fault::Lost => assert!(matches!(host.next(), WriterEvent::Lost { ticket: 2 })),
             Fault::Landed => assert_eq!(host.committed(), (3, vec![1])),
             _ => {}
         }
@@ -169,15 +171,15 @@
     faults.thaw();
     assert_eq!(host.committed(), (2, vec![2]));
     for ticket in 3..6 {
-        assert_eq!(host.failed(), (ticket, "io", Fate::Unknown));
+        assert_eq!(host.failed(), (ticket, "io", CommitOutcome::Unknown));
     }
     host.down();
     assert!(
-        matches!(host.next(), Event::Refused { ticket: 3, rows } if rows == [Err(Refused::Taken(KeyState::Doubt))])
+        matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
     );
     assert_eq!(host.committed(), (4, vec![3]));
     assert!(
-        matches!(host.next(), Event::Refused { ticket: 5, rows } if rows == [Err(Refused::Taken(KeyState::InFlight))])
+        matches!(host.next(), WriterEvent::Refused { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
     );
     assert_eq!(host.back(), 3);
 }
@@ -201,11 +203,11 @@
     *right.lock().expect("lock") = false;
     faults.script([Fault::Before]);
     host.take(2, "b").expect("queued");
-    assert_eq!(host.failed(), (2, "io", Fate::Nothing));
+    assert_eq!(host.failed(), (2, "io", CommitOutcome::Nothing));
     assert_eq!(host.down(), "io");
     assert_eq!(host.down(), "cut", "it knows nothing of row 1");
     host.take(3, "c").expect("queued");
-    assert_eq!(host.failed(), (3, "cut", Fate::Nothing));
+    assert_eq!(host.failed(), (3, "cut", CommitOutcome::Nothing));
     *right.lock().expect("lock") = true;
     assert_eq!(host.back(), 1);
 }
@@ -237,10 +239,10 @@
         host.committed();
     }
     host.writer.forget_served(20, Time(8)).expect("queued");
-    assert!(matches!(host.next(), Event::Forgotten { ticket: 20, keys: 8 }));
+    assert!(matches!(host.next(), WriterEvent::Forgotten { ticket: 20, keys: 8 }));
     host.writer.prune(21, Time(7), Box::new(pruned)).expect("queued");
     assert!(
-        matches!(host.next(), Event::Pruned { ticket: 21, pruned: done } if done.rows == 7 && !done.more)
+        matches!(host.next(), WriterEvent::Pruned { ticket: 21, pruned: done } if done.rows == 7 && !done.more)
     );
     host.take(22, "more").expect("queued");
     assert_eq!(host.committed(), (22, vec![14]));
--- a/crates/store/tests/writer_disk.rs
+++ b/crates/store/tests/writer_disk.rs
@@ -8,7 +8,7 @@
 use common::host::{config, Host};
 use common::{child, Place};
 use shaletide_store::conformance::{key, take};
-use shaletide_store::{Event, Fate, Opening, Reading, SqliteOptions, SqliteStore, Store};
+use shaletide_store::{CommitOutcome, Opening, SqliteOptions, SqliteStore, Store, StoreReader, WriterEvent};
 
 fn sqlite(place: &Place) -> Host {
     let options = SqliteOptions { busy_timeout: Duration::from_millis(20), ..place.options() };
@@ -32,7 +32,7 @@
     let away = place.file("away.db");
     fs::rename(place.db(), &away).expect("moved");
     host.take(2, "b").expect("queued");
-    assert_eq!(host.failed(), (2, "gone", Fate::Nothing));
+    assert_eq!(host.failed(), (2, "gone", CommitOutcome::Nothing));
     assert_eq!(host.down(), "gone");
     std::thread::sleep(Duration::from_millis(30));
     assert!(!place.db().exists(), "no new one is made in its place");
@@ -55,7 +55,7 @@
     let mut line = [0; 7];
     std::io::Read::read_exact(other.stdout.as_mut().expect("piped"), &mut line).expect("locked");
     host.take(1, "a").expect("queued");
-    assert_eq!(host.failed(), (1, "busy", Fate::Nothing));
+    assert_eq!(host.failed(), (1, "busy", CommitOutcome::Nothing));
     assert_eq!(host.down(), "busy");
     other.kill().expect("killed");
     other.wait().expect("ended");
@@ -82,8 +82,8 @@
         }
     });
     let events = host.stop();
-    let won = events.iter().filter(|event| matches!(event, Event::Committed { .. })).count();
-    let lost = events.iter().filter(|event| matches!(event, Event::Refused { .. })).count();
+    let won = events.iter().filter(|event| matches!(event, WriterEvent::Committed { .. })).count();
+    let lost = events.iter().filter(|event| matches!(event, WriterEvent::Refused { .. })).count();
     assert_eq!((won, lost), (200, 600));
     assert_eq!(place.open().keys(None, usize::MAX).expect("keys").len(), 200);
 }
