--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -344,16 +344,3 @@
 pub fn first_retry_deadline(window: Micros, sent: impl Iterator<Item = Time>) -> Option<Time> {
     sent.min().map(|first| retry_deadline(window, first))
 }
-
-/// Whether of two backends, each with its realm, zone and cell, one drops repeats of what the other has seen.
-pub fn deduplicates_repeats(
-    scope: DeduplicationScope, seen: (u32, ZoneId, DeduplicationGroupId),
-    by: (u32, ZoneId, DeduplicationGroupId),
-) -> bool {
-    seen.0 == by.0
-        && match scope {
-            DeduplicationScope::All => true,
-            DeduplicationScope::Zone => seen.1 == by.1,
-            DeduplicationScope::Group => seen.2 == by.2,
-        }
-}
--- a/crates/balancer/src/rules/draw.rs
+++ b/crates/balancer/src/rules/draw.rs
@@ -29,10 +29,10 @@
         let (mut listed, mut able) = (false, false);
         for (&b, p) in &self.peers {
             // A repeat outside the scope that knows the key would run twice.
-            let place = |b: &BackendEntry| (b.deduplication_domain, b.zone, b.deduplication_group);
+            let place = BackendEntry::deduplication_placement;
             let known = |s: &Sent| match effect {
                 Idempotency::Keyed(scope, _) => {
-                    s.not_executed || deduplicates_repeats(scope, place(&s.to), place(&p.entry))
+                    s.not_executed || scope.is_shared(place(&s.to), place(&p.entry))
                 }
                 _ => true,
             };
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -8,7 +8,7 @@
 #[cfg(feature = "mutants")]
 use crate::mutant::Mutant;
 use crate::mutant::{mutant, ActiveMutant};
-use crate::request::{Attempt, AttemptState, Group, Request, RequestState};
+use crate::request::{Attempt, AttemptState, Request, RequestState};
 use shaletide_balancer::AttemptEnd;
 use shaletide_routing::{pools, Pools, ResponseClass};
 use shaletide_types::*;
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Place {
     pool: PoolId,
-    group: Group,
+    placement: DeduplicationPlacement,
     state: BackendState,
 }
 
@@ -280,11 +280,11 @@
             } else {
                 lost.insert(b.id)
             };
-            let (group, state) = (Group::of(b), b.state);
+            let (placement, state) = (b.deduplication_placement(), b.state);
             // One that another pool has by now is not this one's to take back.
             let theirs = self.backends.get(&b.id).is_some_and(|p| p.pool != pool);
             if state != BackendState::Gone || !theirs {
-                self.backends.insert(b.id, Place { pool, group, state });
+                self.backends.insert(b.id, Place { pool, placement, state });
             }
         }
         let listed: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
@@ -462,8 +462,7 @@
     ) {
         let place = self.backends.get(&backend);
         let ready = place.is_some_and(|p| p.state == BackendState::Ready);
-        let group =
-            place.map_or(Group { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) }, |p| p.group);
+        let placement = place.map_or(DeduplicationPlacement::default(), |p| p.placement);
         let next = |r: &&mut Request| r.attempts.len() < MOST_TRIES && r.attempts.len() == attempt.0 as usize;
         let Some(r) = self.requests.get_mut(&request).filter(next) else {
             // Each attempt that is asked for has one end, whatever it was asked for.
@@ -471,12 +470,12 @@
             self.tell_end(request, attempt, Outcome::NotSent, Micros(0), settled);
             return;
         };
-        let allowed = ready && may_go(now, r, group, None, self.mutant).is_ok();
+        let allowed = ready && may_go(now, r, placement, None, self.mutant).is_ok();
         let step = if allowed { AttemptState::AwaitingIntent } else { AttemptState::Ended(Outcome::NotSent) };
         let permitted = r.requires_intent && allowed;
         r.attempts.push(Attempt {
             backend,
-            group,
+            placement,
             dispatched_at: now,
             ended_at: now,
             send_by,
@@ -533,7 +532,7 @@
         let Some(r) = self.requests.get(&request) else { return false };
         let own = no.0 as usize;
         // One that was listed elsewhere since then drops other repeats than the one that was asked for.
-        let as_asked = |t: &Attempt, p: &Place| p.state == BackendState::Ready && p.group == t.group;
+        let as_asked = |t: &Attempt, p: &Place| p.state == BackendState::Ready && p.placement == t.placement;
         let ready = r
             .attempts
             .get(own)
--- a/crates/engine/src/engine/look.rs
+++ b/crates/engine/src/engine/look.rs
@@ -1,13 +1,12 @@
 //! What the explorer has to see of the engine to tell two states apart.
 
 use super::{Engine, Policy};
-use crate::request::Group;
 use shaletide_types::*;
 
 impl<P: Policy> Engine<P> {
     /// What the lists say of a backend; none where no list has it.
-    pub fn listed(&self, backend: BackendId) -> Option<(PoolId, Group, BackendState)> {
-        self.backends.get(&backend).map(|p| (p.pool, p.group, p.state))
+    pub fn listed(&self, backend: BackendId) -> Option<(PoolId, DeduplicationPlacement, BackendState)> {
+        self.backends.get(&backend).map(|p| (p.pool, p.placement, p.state))
     }
 
     /// How many backends the lists have.
--- a/crates/engine/src/guard.rs
+++ b/crates/engine/src/guard.rs
@@ -1,8 +1,8 @@
 //! Whether an attempt may go out: asked when the policy asks for it, and again at its first byte.
 
 use crate::mutant::{mutant, ActiveMutant};
-use crate::request::{Attempt, AttemptState, Group, Request, RequestState};
-use shaletide_balancer::{deduplicates_repeats, first_retry_deadline, retry_deadline};
+use crate::request::{Attempt, AttemptState, Request, RequestState};
+use shaletide_balancer::{first_retry_deadline, retry_deadline};
 use shaletide_types::*;
 
 /// A window that is shorter than this bounds no write but that of a repeat: none may be whole in time.
@@ -51,7 +51,7 @@
 /// The rules on one attempt of `request` to a backend of that group: `own` is its number where it is one of
 /// the request's attempts already.
 pub(crate) fn may_go(
-    now: Time, request: &Request, to: Group, own: Option<usize>, mutant: ActiveMutant,
+    now: Time, request: &Request, to: DeduplicationPlacement, own: Option<usize>, mutant: ActiveMutant,
 ) -> Result<(), No> {
     if request.state != RequestState::Open || now >= request.deadline {
         return Err(No::Over);
@@ -61,13 +61,7 @@
         Idempotency::NonIdempotent if may_run(request, own).next().is_some() => Err(No::Repeat),
         Idempotency::NonIdempotent => Ok(()),
         Idempotency::Keyed(scope, _) => {
-            let known = may_run(request, own).all(|t| {
-                deduplicates_repeats(
-                    scope,
-                    (t.group.realm, t.group.zone, t.group.cell),
-                    (to.realm, to.zone, to.cell),
-                )
-            });
+            let known = may_run(request, own).all(|t| scope.is_shared(t.placement, to));
             match go_by(request, own, mutant) {
                 _ if !known => Err(No::Repeat),
                 Some(until) if now >= until => Err(No::TooLate),
@@ -91,5 +85,5 @@
     if attempt.send_by.is_some_and(|by| now >= by) {
         return Err(No::TooLate);
     }
-    may_go(now, request, attempt.group, Some(own), mutant)
+    may_go(now, request, attempt.placement, Some(own), mutant)
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -26,7 +26,7 @@
     /// Where it goes.
     pub backend: BackendId,
     /// What drops its repeats.
-    pub group: Group,
+    pub placement: DeduplicationPlacement,
     /// When it was asked for; a box may drop its repeats for the window counted from here at the earliest.
     pub dispatched_at: Time,
     /// When it ended.
@@ -66,24 +66,6 @@
     }
 }
 
-/// Where a box stands among those that drop each other's repeats.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Group {
-    /// Its realm.
-    pub realm: u32,
-    /// Its zone.
-    pub zone: ZoneId,
-    /// Its cell.
-    pub cell: DeduplicationGroupId,
-}
-
-impl Group {
-    /// That of a backend.
-    pub fn of(backend: &BackendEntry) -> Group {
-        Group { realm: backend.deduplication_domain, zone: backend.zone, cell: backend.deduplication_group }
-    }
-}
-
 /// How far a request has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestState {
@@ -133,7 +115,7 @@
     pub fn is_harmless(&self, back: Time, only_deduplication_domain: Option<u32>) -> bool {
         let drops = |t: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
-                only_deduplication_domain == Some(t.group.realm)
+                only_deduplication_domain == Some(t.placement.domain)
                     && back < retry_deadline(window, t.dispatched_at)
             }
             effect => effect == Idempotency::Safe,
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -91,7 +91,7 @@
         out.extend([b.pool.0 as u8, state(b.state), self.cell(b.pool.0, b.cell)]);
         match node.engine.listed(backend) {
             Some((pool, group, s)) => {
-                out.extend([pool.0 as u8, state(s), self.cell(group.realm, group.cell)]);
+                out.extend([pool.0 as u8, state(s), self.cell(group.domain, group.group)]);
             }
             None => out.push(255),
         }
@@ -204,7 +204,7 @@
                     let from =
                         if self.end_counts { t.ended_at.max(t.dispatched_at) } else { t.dispatched_at };
                     oldest = oldest.max(Some(age(from, node.now, window)));
-                    cells |= 1 << (self.cell(t.group.realm, t.group.cell) & 15);
+                    cells |= 1 << (self.cell(t.placement.domain, t.placement.group) & 15);
                 }
                 out.push(oldest.unwrap_or(255));
                 let over = w.into_iter().flat_map(|w| w.sent.values()).filter(|s| s.on.is_none());
@@ -308,11 +308,11 @@
                 let by = if whole { 255 } else { by };
                 // What has not begun goes only where it was asked for.
                 let listed = node.engine.listed(t.backend).map(|(_, group, _)| group);
-                let moved = !whole && listed != Some(t.group);
+                let moved = !whole && listed != Some(t.placement);
                 let flags = u8::from(heard) | u8::from(t.intent_requested) << 1 | u8::from(moved) << 2;
                 out.extend([step, to, since(t.dispatched_at), flags, by]);
                 if window.is_some() {
-                    out.push(self.cell(t.group.realm, t.group.cell));
+                    out.push(self.cell(t.placement.domain, t.placement.group));
                 }
                 if let Some(connection) = t.connection() {
                     self.line(world, node, connection, boxes, out);
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -1,6 +1,6 @@
 //! An entry of the backend list.
 
-use crate::{BackendId, DeduplicationGroupId, ServerTypeId, Time, ZoneId};
+use crate::{BackendId, DeduplicationGroupId, DeduplicationPlacement, ServerTypeId, Time, ZoneId};
 
 /// A line of the backend list.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,6 +27,17 @@
     pub started_at: Option<Time>,
 }
 
+impl BackendEntry {
+    /// Where the backend stands in each deduplication scope.
+    pub fn deduplication_placement(&self) -> DeduplicationPlacement {
+        DeduplicationPlacement {
+            domain: self.deduplication_domain,
+            zone: self.zone,
+            group: self.deduplication_group,
+        }
+    }
+}
+
 impl Default for BackendEntry {
     /// Number 0 of everything, one core, gone, booted long ago.
     fn default() -> BackendEntry {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use backend::{BackendEntry, BackendState, EndpointUpdate};
 pub use error_chain::causes;
-pub use idempotency::{DeduplicationScope, Idempotency};
+pub use idempotency::{DeduplicationPlacement, DeduplicationScope, Idempotency};
 pub use ids::*;
 pub use load_report::LoadReport;
 pub use outcome::Outcome;
