--- a/crates/soak/src/lives.rs
+++ b/crates/soak/src/lives.rs
@@ -49,15 +49,9 @@
         let mut overlapping = JoinSet::new();
         loop {
             let Started { mut child, mut life, unblocked } = self.start(place, next)?;
-            let stop_at_once = match next {
-                // A SIGHUP before its handler stands, in the loader, ends any program.
-                NextStart::EarlyStop(millis) => Some((millis, Signals::Twice)),
-                NextStart::StopWhileHeld(millis) => Some((millis, Signals::WithHangups)),
-                _ => None,
-            };
-            if let Some((millis, signals)) = stop_at_once {
+            if let NextStart::EarlyStop(millis) | NextStart::StopWhileHeld(millis) = next {
                 tokio::time::sleep(Duration::from_millis(millis)).await;
-                let exit = self.stop(&mut child, &mut life, None, signals).await?;
+                let exit = self.stop(&mut child, &mut life, None, Signals::WithHangups).await?;
                 self.note_end(child.id(), life, exit, None).await;
                 next = NextStart::Plain;
                 continue;
