--- a/crates/balancer/benches/decision/main.rs
+++ b/crates/balancer/benches/decision/main.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, in instructions, with 12 to 2,000 boxes: `cargo bench -p shaletide-balancer`. Callgrind
+//! What one decision costs, in instructions, with 12 to 2,000 backends: `cargo bench -p shaletide-balancer`. Callgrind
 //! counts a long run and a short one of this program itself; without `valgrind` there is a line that says so.
 //!
 //! *Alone* is a request and its answer while the clock stands, so that nothing is solved anew meanwhile; *in all* is
@@ -26,7 +26,7 @@
     List,
 }
 
-/// A proxy among 300, its boxes and what it asked for last.
+/// A proxy among 300, its backends and what it asked for last.
 struct Host {
     module: Balancer,
     allowance: SharedLimits,
--- a/crates/balancer/benches/decision/reports.rs
+++ b/crates/balancer/benches/decision/reports.rs
@@ -1,4 +1,4 @@
-//! What boxes say of their load, apart from the rest so that a build from before there were reports can be measured
+//! What backends say of their load, apart from the rest so that a build from before there were reports can be measured
 //! with the rest as it is.
 
 use shaletide_balancer::{Config, Event};
@@ -11,7 +11,7 @@
     cfg.weights_report_load = says;
 }
 
-/// What a box holds, a little else each time.
+/// What a backend holds, a little else each time.
 fn held(backend: BackendId, turn: u64) -> f64 {
     1.0 + ((u64::from(backend.0) * 7 + turn) % 5) as f64 * 0.5
 }
--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/loads.rs
@@ -21,7 +21,7 @@
 const ANSWERS_FEW: f64 = 3.0;
 /// By such a factor list and answers differ by chance.
 const LIST_OFF: f64 = 1.6;
-/// So long after the last word, s, pools are still taken for ones whose boxes speak.
+/// So long after the last word, s, pools are still taken for ones whose backends speak.
 const SPOKEN_FOR: f64 = 30.0;
 /// A shared processor that holds m is busy m / (1 + m) of the time. What is let in moves towards the part at which
 /// that would be as wanted, by so many times the step a second: news is a second or two old.
--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -28,7 +28,7 @@
 /// ... but not before so many requests have come, and a quota holds as many: fewer are chance alone.
 const FEW: f64 = 5.0;
 /// Where a proxy alone has no room to count, memory of what it holds, s: at most, and in its own requests,
-/// where no box speaks. What hung in a cut is forgotten as soon as others come back.
+/// where no backend speaks. What hung in a cut is forgotten as soon as others come back.
 const CROWD_MEMORY: f64 = 5.0;
 const CROWD_SAMPLES: f64 = 150.0;
 /// Memory of the arrival rate and of a tenant's quota, s: short beside a ramp or a failure.
@@ -95,7 +95,7 @@
     rate: Rate,
     /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
     crowd: Rate,
-    /// Seconds that its served requests took, for each second: by Little's law its part of what boxes hold.
+    /// Seconds that its served requests took, for each second: by Little's law its part of what backends hold.
     served: Rate,
     loads: Loads,
     reach: Reach,
--- a/crates/balancer/src/rules/admission.rs
+++ b/crates/balancer/src/rules/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: which of the held requests are sent now, and which are turned away.
+//! Admission: which of the held requests are sent now, and which are rejected.
 
 use super::draw::Drawn;
 use super::*;
--- a/crates/balancer/src/rules/shares.rs
+++ b/crates/balancer/src/rules/shares.rs
@@ -64,7 +64,7 @@
             k.cores += p.ready * f64::from(p.entry.cores);
         }
         self.rate.add(now, 0.0);
-        // What is turned away comes to no backend.
+        // What is rejected comes to no backend.
         let carried = self.loads.fleet() * self.reached * self.loads.admitted(false);
         let rate = self.rate.per_s().map(|r| r * carried);
         let told = self.loads.spoken(now);
@@ -107,7 +107,7 @@
         let rich: f64 = due.values().map(|d| (d * zones - 1.0).max(0.0)).sum();
         let own = due.get(&self.cfg.zone).copied().unwrap_or(0.0);
         self.kinds.values_mut().for_each(|k| (k.pull, k.walked, k.count) = (0.0, 0.0, 0.0));
-        // Where lists weigh, news is on its way from the start: a zone's clients alone would fill its boxes.
+        // Where lists weigh, news is on its way from the start: a zone's clients alone would fill its backends.
         let told = self.loads.spoken(now) || self.many() && self.cfg.weights_report_load;
         let mut reached = 0.0;
         for p in self.peers.values_mut() {
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -8,7 +8,7 @@
 const TOLD_MEMORY: f64 = 1.0;
 /// What was said so long ago is worth nothing any more, s: a list did not come. Whoever is cut off hears of nothing.
 const TOLD_WORTH: f64 = 2.2;
-/// More than this is not believed, requests a core: boxes hold some tens at most.
+/// More than this is not believed, requests a core: backends hold some tens at most.
 const TOLD_MOST: f64 = 64.0;
 
 /// The proxy's own random numbers, the same on every machine for the same seed.
@@ -106,7 +106,7 @@
 }
 
 /// So many further attempts a second are allowed over all proxies however few requests come, and at the start: where
-/// one request comes in a second, a fifth of a further one for each leaves most that meet a dead box without.
+/// one request comes in a second, a fifth of a further one for each leaves most that meet a dead backend without.
 const EXTRA_LEAST: f64 = 2.0;
 
 impl SharedLimits {
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -322,7 +322,7 @@
 
 #[test]
 fn while_answers_are_quick_low_worth_finds_the_whole_room_of_fleets_that_say_nothing() {
-    // Proxies with much traffic took all for like themselves, and refused a third while boxes were idle.
+    // Proxies with much traffic took all for like themselves, and refused a third while backends were idle.
     let tenants = vec![Tenant { quota_per_s: 1e-3 }];
     let cfg = Config { proxies: 100, tenants, classes: vec![class(Idempotency::Safe)], ..Config::example() };
     let refused = |weights_report_load: bool, aim: u64, took: u64| {
@@ -473,7 +473,7 @@
     assert!(sent >= 1 && most <= Some(11), "{sent} sent, {most:?} to one cold backend");
 }
 
-/// Answers of a box of many cores take their least until most of these are used: they tell its speed as it is, where
+/// Answers of a backend of many cores take their least until most of these are used: they tell its speed as it is, where
 /// those of one core that is shared tell half of it.
 #[test]
 fn a_burst_cannot_push_a_cold_backend_of_many_cores_over() {
--- a/crates/balancer/tests/zones.rs
+++ b/crates/balancer/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are cut off, and slices where boxes say what they hold: at the size at which one proxy sees little.
+//! Zones that are cut off, and slices where backends say what they hold: at the size at which one proxy sees little.
 
 mod common;
 
@@ -8,7 +8,7 @@
 const OWN: u32 = 0;
 const FAR: u32 = 1;
 
-/// One of a hundred proxies in the own zone, before twenty boxes of each zone.
+/// One of a hundred proxies in the own zone, before twenty backends of each zone.
 fn one_of_a_hundred() -> Host {
     let cfg = Config { proxies: 100, zone: ZoneId(OWN), ..Config::example() };
     let mut host = Host::new(cfg, 7);
@@ -16,7 +16,7 @@
     host
 }
 
-/// Requests, one each 20 ms, with the given end of an attempt at a box; how many attempts went to the far zone.
+/// Requests, one each 20 ms, with the given end of an attempt at a backend; how many attempts went to the far zone.
 fn ask(host: &mut Host, count: usize, end: impl Fn(&BackendEntry) -> Outcome) -> usize {
     let mut far = 0;
     for _ in 0..count {
@@ -45,7 +45,7 @@
 fn a_zone_that_is_cut_off_is_left_as_a_whole_and_asked_again() {
     let mut host = one_of_a_hundred();
     assert!(ask(&mut host, 60, |_| Outcome::Ok) > 10, "the far zone is in use");
-    // Each of its boxes would cost four attempts before it is ejected: eighty.
+    // Each of its backends would cost four attempts before it is ejected: eighty.
     let lost = ask(&mut host, 200, cut);
     assert!((4..=30).contains(&lost), "{lost} attempts to a zone that is cut off");
     host.advance(4_000_000);
@@ -74,7 +74,7 @@
     assert!(far > 10, "{far} attempts to the far zone");
 }
 
-/// A box's room is kept by how many proxies use it: with six each, and one request of each, it never turns slow.
+/// A backend's room is kept by how many proxies use it: with six each, and one request of each, it never turns slow.
 #[test]
 fn where_boxes_say_what_they_hold_few_proxies_share_one_and_all_are_covered() {
     let (proxies, boxes) = (300, 60);
@@ -101,7 +101,7 @@
     assert!(users.iter().all(|n| (3..=20).contains(n)), "some six each expected: {users:?}");
 }
 
-/// Found by reading: what was let in by the last news was held on to for ever, and a box's small part with it.
+/// Found by reading: what was let in by the last news was held on to for ever, and a backend's small part with it.
 #[test]
 fn where_boxes_fall_silent_what_they_said_last_is_not_held_on_to() {
     let cfg = Config { proxies: 100, weights_report_load: true, ..Config::example() };
--- a/crates/config/src/operator/additions.rs
+++ b/crates/config/src/operator/additions.rs
@@ -10,7 +10,7 @@
 use shaletide_routing::{AttributeSource, ResponseRules, Route};
 use toml::de::DeTable;
 
-/// The pool of the boxes that NODE_CONFIG's discovery tells of; its [`PoolId`](shaletide_balancer::PoolId) is 0.
+/// The pool of the backends that NODE_CONFIG's discovery tells of; its [`PoolId`](shaletide_balancer::PoolId) is 0.
 pub const PLATFORM_POOL: &str = "platform";
 
 /// The names that NODE_CONFIG gives, for the file to refer to.
--- a/crates/config/src/operator/basics.rs
+++ b/crates/config/src/operator/basics.rs
@@ -1,4 +1,4 @@
-//! The sections that stand once: the proxy, its limits, the rules of cold boxes, the goal; and the listeners.
+//! The sections that stand once: the proxy, its limits, the rules of cold backends, the goal; and the listeners.
 
 use super::{AddedLimits, Limits, ProxyDef};
 use crate::desk::Desk;
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -1,4 +1,4 @@
-//! Pools and their boxes.
+//! Pools and their backends.
 
 use super::names::Index;
 use super::{BackendDef, PoolDef, Source};
@@ -15,7 +15,7 @@
 
 /// So many pools may stand in a file.
 const POOLS: usize = 64;
-/// So many boxes may stand in a file.
+/// So many backends may stand in a file.
 const BOXES: usize = 10_000;
 
 /// What pools share: no address stands twice.
@@ -147,7 +147,7 @@
     }
     let fits = taken.left;
     taken.left = fits.saturating_sub(items.len());
-    // Once for all: the other values of a box in its short form.
+    // Once for all: the other values of a backend in its short form.
     let plain = long_box(&mut Desk::new(desk.source), &Section::absent(&BOX));
     let mut boxes = Vec::new();
     for item in items.iter().take(fits) {
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -53,9 +53,9 @@
 pub struct Limits {
     /// File descriptors that the process may use.
     pub descriptors: usize,
-    /// A connection to a box that is not up by then counts as failed.
+    /// A connection to a backend that is not up by then counts as failed.
     pub connect_timeout: Micros,
-    /// Boxes close connections that were idle for so long.
+    /// Backends close connections that were idle for so long.
     pub idle_timeout: Micros,
     /// The longest advice given to a client that is refused.
     pub max_retry_after: Micros,
@@ -73,7 +73,7 @@
     pub held_bodies: usize,
     /// The longest body of a request or an answer, in bytes.
     pub max_body: usize,
-    /// Nothing new goes to a box later than this after the news that it drains.
+    /// Nothing new goes to a backend later than this after the news that it drains.
     pub drain_grace: Micros,
 }
 
@@ -128,18 +128,18 @@
     pub retry_after: Micros,
 }
 
-/// A pool of boxes.
+/// A pool of backends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolDef {
     /// Its name.
     pub name: String,
     /// Pools of one group share bays.
     pub repeat_group: String,
-    /// Where its boxes come from.
+    /// Where its backends come from.
     pub source: Source,
 }
 
-/// Where a pool's boxes come from.
+/// Where a pool's backends come from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Source {
     /// They stand in the file; at least one. No address stands in two pools.
@@ -153,16 +153,16 @@
     },
 }
 
-/// A box in a static list.
+/// A backend in a static list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendDef {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Boxes of one kind are taken as equally fast.
+    /// Backends of one kind are taken as equally fast.
     pub kind: String,
     /// Its zone; may be empty.
     pub zone: String,
-    /// Its bay. A box that names none is a bay of its own, under its address.
+    /// Its bay. A backend that names none is a bay of its own, under its address.
     pub bay: String,
     /// Its cores.
     pub cores: u32,
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -279,7 +279,7 @@
 const BODY_TIMEOUT: Micros = Micros(700_000);
 /// A body may stall for so long.
 const BODY_GRACE: Micros = Micros(500_000);
-/// Where the settings do not say within what time nothing new may go to a box that drains: what the operators' file
+/// Where the settings do not say within what time nothing new may go to a backend that drains: what the operators' file
 /// has for it then.
 const DRAIN_GRACE: Micros = Micros(2_000_000);
 
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -165,11 +165,11 @@
     Methods,
     /// A list of statuses and ranges of them.
     Statuses,
-    /// A list of tables that each say what proves that a request never ran.
+    /// A list of tables that each say what proves that a request was not executed.
     Proofs,
     /// One table that names a header, or a list of them.
     Headers,
-    /// A list of boxes.
+    /// A list of backends.
     Boxes,
     /// A table like `[answers]`.
     Answers,
--- a/crates/config/src/schema/tables.rs
+++ b/crates/config/src/schema/tables.rs
@@ -74,13 +74,13 @@
     ),
 ];
 
-/// A box in a pool's list, in its long form.
+/// A backend in a pool's list, in its long form.
 pub static BOX: Section =
     inline("pool.boxes", "A box. The short form is the address alone, in quotes. At most 10000.", BOX_KEYS);
 /// A place in a request.
 pub static PLACE: Section =
     inline("place", "Where in a request something stands: one of the two.", PLACE_KEYS);
-/// What proves that a request never ran.
+/// What proves that a request was not executed.
 pub static PROOF: Section = inline("answers.not_executed", "An answer that proves this.", PROOF_KEYS);
 /// A header that a route asks for.
 pub static HEADER: Section = inline("route.header", "A header that a request must carry.", HEADER_KEYS);
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -30,7 +30,7 @@
     pub mode: DiscoveryMode,
     /// This proxy's number among all that watch it.
     pub position: u32,
-    /// Nothing new may go to a box later than this after discovery has told that it drains or is gone.
+    /// Nothing new may go to a backend later than this after discovery has told that it drains or is gone.
     pub grace: Duration,
     /// What it has counts as told from the start, and soon after a move, heard or not: a list from before that
     /// is gone by no longer than the grace lasts.
@@ -73,7 +73,7 @@
     }
 }
 
-/// Takes all boxes out of use at that moment, unless discovery has been heard: it may have known for as long as the
+/// Takes all backends out of use at that moment, unless discovery has been heard: it may have known for as long as the
 /// grace lasts that they drain. Its first list brings back those that serve.
 async fn expire(driver: &Rc<Driver>, pool: PoolId, until: Instant, terms: WatchConfig, heard: &Cell<bool>) {
     if !terms.strict || terms.mode != DiscoveryMode::Push {
--- a/crates/emulator/src/account.rs
+++ b/crates/emulator/src/account.rs
@@ -14,7 +14,7 @@
     RefusedAtOnce,
     /// Refused after it was held, with nothing sent.
     RefusedHeld,
-    /// Refused after attempts that never ran.
+    /// Refused after attempts that was not executed.
     RefusedSent,
     /// Failed, or its time was up.
     Failed,
@@ -49,9 +49,9 @@
     pub ends: [u64; 8],
     /// First tries and those served, by second.
     pub seconds: Vec<(u64, u64)>,
-    /// Tries refused at once, after they were held, and after attempts that never ran, by second.
+    /// Tries refused at once, after they were held, and after attempts that was not executed, by second.
     pub refused: Vec<[u64; 3]>,
-    /// Boxes that are slow from crowding as a second begins, and requests that a box holds in the mean.
+    /// Backends that are slow from crowding as a second begins, and requests that a backend holds in the mean.
     pub boxes: Vec<(u32, f64)>,
     /// Time to the answer of what was served, µs.
     pub latency: Histogram<u64>,
@@ -61,9 +61,9 @@
     pub handshakes: u64,
     /// Attempts that crossed zones.
     pub crossed: u64,
-    /// Times that a box was crowded.
+    /// Times that a backend was crowded.
     pub crowdings: u32,
-    /// Attempts sent to each box.
+    /// Attempts sent to each backend.
     pub by_box: Vec<u64>,
 }
 
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -21,20 +21,20 @@
     pub io_ms: Law,
 }
 
-/// A kind of box.
+/// A kind of backend.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its part of all boxes.
+    /// Its part of all backends.
     pub share: f64,
-    /// The speed of its core; each box draws its own.
+    /// The speed of its core; each backend draws its own.
     pub speed: Law,
     /// The list's size of one that holds nothing.
     pub size: f64,
-    /// The part of its speed that a box has as it starts, and how long it takes to warm.
+    /// The part of its speed that a backend has as it starts, and how long it takes to warm.
     pub cold: (f64, Micros),
 }
 
-/// What boxes have in common.
+/// What backends have in common.
 #[derive(Clone, Debug)]
 pub struct Boxes {
     /// Requests in service and waiting, at most.
@@ -51,7 +51,7 @@
     pub slower: f64,
 }
 
-/// What the boxes say of their load.
+/// What the backends say of their load.
 #[derive(Clone, Debug)]
 pub struct Reports {
     /// It is renewed so often.
@@ -60,7 +60,7 @@
     pub lag: Micros,
     /// Each figure is off by this part at most.
     pub noise: f64,
-    /// This part of the boxes says what it likes.
+    /// This part of the backends says what it likes.
     pub liars: f64,
     /// This part says nothing.
     pub silent: f64,
@@ -75,16 +75,16 @@
     Burst(f64),
     /// This part of the proxies dies and is back, with nothing, a second later.
     Herd(f64),
-    /// This part of the boxes is replaced, evenly over the time, by cold ones; the old ones drain.
+    /// This part of the backends is replaced, evenly over the time, by cold ones; the old ones drain.
     Replace(f64),
-    /// All boxes are so many times slower.
+    /// All backends are so many times slower.
     Slow(f64),
-    /// This part of the boxes takes requests and never answers.
+    /// This part of the backends takes requests and never answers.
     Silent(f64),
-    /// One zone's proxies and boxes are cut off from all others, both ways. No connection comes up across it; what
+    /// One zone's proxies and backends are cut off from all others, both ways. No connection comes up across it; what
     /// is sent on one that was there arrives after the cut, and answers on their way are lost.
     Cut,
-    /// All boxes of one zone die, and return cold at the end.
+    /// All backends of one zone die, and return cold at the end.
     ZoneDies,
     /// No proxy hears anything of the list, weights included.
     ListsStop,
@@ -176,28 +176,28 @@
     pub hot: f64,
     /// The zones' traffic, by their numbers, from 1 less this to 1 and this times an even part.
     pub zone_skew: f64,
-    /// Boxes.
+    /// Backends.
     pub boxes: u32,
     /// Zones.
     pub zones: u32,
-    /// Traffic as a part of what all boxes can do.
+    /// Traffic as a part of what all backends can do.
     pub load: f64,
     /// The sorts of requests.
     pub sorts: Vec<Sort>,
-    /// The kinds of boxes.
+    /// The kinds of backends.
     pub kinds: Vec<Kind>,
-    /// What boxes have in common.
+    /// What backends have in common.
     pub common: Boxes,
-    /// Reports, in answers and as the list's weights; none where boxes say nothing.
+    /// Reports, in answers and as the list's weights; none where backends say nothing.
     pub reports: Option<Reports>,
     /// News of the list comes so late.
     pub list_lag: Micros,
-    /// One way between proxy and box, and more between zones.
+    /// One way between proxy and backend, and more between zones.
     pub net: (Micros, Micros),
     /// The front notices that a proxy died after this time at least and at most; until then clients that it deals
     /// there find nobody.
     pub front_notices: (Micros, Micros),
-    /// Tenants' quotas, as parts of what all boxes can do; what they ask for as parts of the traffic.
+    /// Tenants' quotas, as parts of what all backends can do; what they ask for as parts of the traffic.
     pub tenants: Vec<(f64, f64)>,
     /// A client that is refused comes again so often.
     pub retries: u32,
@@ -281,8 +281,8 @@
         self
     }
 
-    /// A day by its name: `calm` has a burst, `herd` loses seven in ten proxies, `join` gets six in ten boxes anew,
-    /// `split` cuts a zone off while lists come late and links lose, `slow` has all boxes slow, `silent` a fifth of
+    /// A day by its name: `calm` has a burst, `herd` loses seven in ten proxies, `join` gets six in ten backends anew,
+    /// `split` cuts a zone off while lists come late and links lose, `slow` has all backends slow, `silent` a fifth of
     /// them silent, and on `zone` those of one zone die; `none` has no trouble.
     pub fn named(name: &str, proxies: u32, boxes: u32, seed: u64) -> Option<Day> {
         let calm = |load| Day::calm(proxies, boxes, load, seed);
@@ -339,7 +339,7 @@
         self.sorts.iter().map(|s| s.share * s.work_ms.mean()).sum::<f64>() / all
     }
 
-    /// Requests a second that all boxes together could serve.
+    /// Requests a second that all backends together could serve.
     pub fn capacity(&self) -> f64 {
         let speed: f64 = self.kinds.iter().map(|k| k.share * k.speed.mean()).sum();
         f64::from(self.boxes) * speed * 1e3 / self.work_ms()
@@ -363,7 +363,7 @@
         parts.iter().map(|p| p / all).collect()
     }
 
-    /// The kind, power and warm-up of the box of that number.
+    /// The kind, power and warm-up of the backend of that number.
     pub(crate) fn draw_box(&self, number: u32) -> (usize, Power) {
         let mut dice = Dice::of(self.seed, &format!("box {number}"));
         let mut left = dice.part();
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
 //! A fleet on a virtual clock: hundreds of the real decision modules with the real routing in one process, before
-//! modelled boxes, a list that comes late, a front that deals connections unevenly, clients that come again and give
+//! modelled backends, a list that comes late, a front that deals connections unevenly, clients that come again and give
 //! up. The same seed gives the same run, to the last count.
 //!
-//! The boxes are those of `testkit` ([`shaletide_testkit::Station`]), here with a crowd that makes them slow for long,
+//! The backends are those of `testkit` ([`shaletide_testkit::Station`]), here with a crowd that makes them slow for long,
 //! connections that are bounded and cost work, and reports of their load that lag. Nothing here decides anything: the
 //! modules do, and what they are compared with is in [`play::Who`].
 #![forbid(unsafe_code)]
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -23,7 +23,7 @@
     /// Proxies.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=MAX_PROXIES))]
     proxies: u32,
-    /// Boxes.
+    /// Backends.
     #[arg(long, default_value_t = 190, value_parser = clap::value_parser!(u32).range(1..=MAX_BACKENDS))]
     boxes: u32,
     /// The seed of all dice.
@@ -32,7 +32,7 @@
     /// How long the day lasts.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Traffic as a part of what all boxes can do, in place of the day's own.
+    /// Traffic as a part of what all backends can do, in place of the day's own.
     #[arg(long, value_parser = parse_load)]
     load: Option<f64>,
     /// How uneven the zones' traffic is: from 1 less this to 1 and this times an even part, by the zones' numbers.
@@ -45,7 +45,7 @@
     /// Who decides: random, without, program or one; all of them else.
     #[arg(long)]
     who: Option<Who>,
-    /// Show second by second what was served, what was refused and why, and how the boxes are.
+    /// Show second by second what was served, what was refused and why, and how the backends are.
     #[arg(long)]
     by_second: bool,
 }
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -20,13 +20,13 @@
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Who {
-    /// Any box that the list has, once, whatever happens.
+    /// Any backend that the list has, once, whatever happens.
     Random,
-    /// The program as it is where boxes say nothing of their load.
+    /// The program as it is where backends say nothing of their load.
     Earlier,
     /// The program.
     Program,
-    /// One module of the program that all requests come to and that is told of each box at once.
+    /// One module of the program that all requests come to and that is told of each backend at once.
     One,
 }
 
--- a/crates/emulator/src/play/attempts.rs
+++ b/crates/emulator/src/play/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way, at boxes and back.
+//! Attempts on their way, at backends and back.
 
 use super::world::*;
 use super::Who;
@@ -48,8 +48,8 @@
         }
     }
 
-    /// When a request sent now is at the box, or is known not to get there, and what a connection made for it costs
-    /// the box, ms of work: nothing where one rested, none where none comes up.
+    /// When a request sent now is at the backend, or is known not to get there, and what a connection made for it costs
+    /// the backend, ms of work: nothing where one rested, none where none comes up.
     fn connects(&mut self, proxy: usize, site: usize) -> (Micros, Option<f64>) {
         let way = self.way_between(proxy, site);
         self.tidy(proxy, site);
@@ -186,7 +186,7 @@
         let (proxy, site, at_box) = (a.proxy, a.site, a.at_box);
         self.out.remove(&(a.id, a.no));
         self.hangs_up(attempt);
-        // A box beyond a cut does not hear of it and serves it to the end.
+        // A backend beyond a cut does not hear of it and serves it to the end.
         if at_box && !self.cut_between(proxy, site) {
             self.wake(site);
             self.sites[site].station.cancel(self.now, attempt as u64);
@@ -203,7 +203,7 @@
         }
     }
 
-    /// What a box or a link has to say does not arrive.
+    /// What a backend or a link has to say does not arrive.
     fn is_lost(&mut self, proxy: usize, site: usize, outcome: Outcome) -> bool {
         let lost = self.faults.lost;
         self.cut_between(proxy, site)
--- a/crates/emulator/src/play/lists.rs
+++ b/crates/emulator/src/play/lists.rs
@@ -11,7 +11,7 @@
         self.day.reports.as_ref().map_or(Micros(1_000_000), |r| r.period)
     }
 
-    /// The list has that to say of a box from now on.
+    /// The list has that to say of a backend from now on.
     pub(super) fn logs(&mut self, site: usize, state: BackendState) {
         self.log.push(Line { at: self.now, site, state, booted: self.sites[site].booted });
     }
--- a/crates/emulator/src/play/troubles.rs
+++ b/crates/emulator/src/play/troubles.rs
@@ -77,8 +77,8 @@
         ZoneId((dice.part() * f64::from(self.day.zones)) as u32)
     }
 
-    /// Whether a proxy and a box do not hear each other. One that sees all is in none of the zones: it loses the
-    /// boxes of the one that is cut off.
+    /// Whether a proxy and a backend do not hear each other. One that sees all is in none of the zones: it loses the
+    /// backends of the one that is cut off.
     pub(super) fn cut_between(&self, proxy: usize, site: usize) -> bool {
         self.faults.cut.is_some_and(|cut| {
             let there = self.who != Who::One && self.proxies[proxy].zone == cut;
--- a/crates/emulator/src/play/world.rs
+++ b/crates/emulator/src/play/world.rs
@@ -13,15 +13,15 @@
 
 pub(super) const POOL: PoolId = PoolId(0);
 pub(super) const START: Time = Time(1_000_000_000);
-/// A box goes so long after it was told to drain.
+/// A backend goes so long after it was told to drain.
 pub(super) const DRAINS: Micros = Micros(3_000_000);
 /// A dead proxy is back after this.
 pub(super) const DOWN: Micros = Micros(1_000_000);
-/// Nothing new goes to a box so long after the news that it drains, and a little more for the way of it.
+/// Nothing new goes to a backend so long after the news that it drains, and a little more for the way of it.
 pub(super) const GRACE: Micros = Micros(2_000_000);
 /// The last deadlines are over by then.
 pub(super) const AFTER: Micros = Micros(8_000_000);
-/// The list says that a box is gone so long after it died.
+/// The list says that a backend is gone so long after it died.
 pub(super) const MISSED: Micros = Micros(1_000_000);
 /// A connection that does not come up is given up after this.
 pub(super) const CONNECT: Micros = Micros(300_000);
@@ -31,7 +31,7 @@
 pub(super) const BREAKS: f64 = 120_000.0;
 /// A client takes longer advice for this.
 pub(super) const MOST_ADVICE: Micros = Micros(2_000_000);
-/// A connection is not used any more after this part of the time after which boxes close it.
+/// A connection is not used any more after this part of the time after which backends close it.
 pub(super) const IDLE_PART: f64 = 0.6;
 
 pub(super) enum Ev {
@@ -68,7 +68,7 @@
         life: u32,
         as_of: Time,
     },
-    /// The list says that a dead box is gone, if it still is.
+    /// The list says that a dead backend is gone, if it still is.
     Missed {
         site: usize,
     },
@@ -111,7 +111,7 @@
     pub(super) proxy: usize,
     pub(super) life: u32,
     pub(super) site: usize,
-    /// Its connection belongs to that life of the box; none where none comes up.
+    /// Its connection belongs to that life of the backend; none where none comes up.
     pub(super) connected: Option<u32>,
     pub(super) sent: Time,
     pub(super) at_box: bool,
@@ -132,7 +132,7 @@
     pub(super) told_as_of: Time,
     pub(super) idle: BTreeMap<usize, Vec<Time>>,
     pub(super) open: BTreeSet<RequestId>,
-    /// When it was told that a box drains or is gone.
+    /// When it was told that a backend drains or is gone.
     pub(super) drains: BTreeMap<usize, Time>,
     /// The ready ones, and when they booted, as it was told.
     pub(super) ready: BTreeMap<usize, Option<Time>>,
@@ -152,7 +152,7 @@
     /// These parts of the answers are lost, and of the connections broken.
     pub(super) lost: f64,
     pub(super) reset: f64,
-    /// Boxes that are dead.
+    /// Backends that are dead.
     pub(super) dead: Vec<usize>,
 }
 
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/rules.rs
@@ -12,9 +12,9 @@
     Twice(RequestId),
     /// A refusal of what may have run.
     Refusal(RequestId),
-    /// Something new to a box so long after the news that it drains or is gone.
+    /// Something new to a backend so long after the news that it drains or is gone.
     Drain(BackendId, Micros),
-    /// A cold box was sent more than it can bear, in thousandths of that.
+    /// A cold backend was sent more than it can bear, in thousandths of that.
     PushedOver(BackendId, u64),
 }
 
@@ -31,7 +31,7 @@
     /// How many broke.
     pub count: u64,
     cold: BTreeMap<BackendId, VecDeque<(Time, f64)>>,
-    /// The most that a cold box was sent in a window, as a part of what it bears.
+    /// The most that a cold backend was sent in a window, as a part of what it bears.
     pub fullest: f64,
     /// The same as a part of what makes it fall: where that bears N requests of mean work, N + 3 x root of N + 3 of them, so
     /// that chance alone is no fault where N is small.
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A request that may run in any of these boxes already, each with its cell and when, is sent to another.
+    /// A request that may run in any of these backends already, each with its cell and when, is sent to another.
     pub fn sent(
         &mut self, now: Time, id: RequestId, effect: Idempotency, ran: &[(DeduplicationGroupId, Time)],
         to: DeduplicationGroupId,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Work, s of a standard core, came to a box that bears so much in the window.
+    /// Work, s of a standard core, came to a backend that bears so much in the window.
     pub fn came(
         &mut self, now: Time, to: BackendId, (work_s, mean_s): (f64, f64), bears: f64, window: Micros,
     ) {
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! A box of the emulated fleet: the station of `testkit`, and around it what a crowd does to it, the connections that
+//! A backend of the emulated fleet: the station of `testkit`, and around it what a crowd does to it, the connections that
 //! it takes, and what it says of its load.
 
 use crate::day::{Boxes, Reports};
@@ -191,7 +191,7 @@
         self.readable(now).map(|s| s.report)
     }
 
-    /// The list's weight of a box of that size, in thousandths.
+    /// The list's weight of a backend of that size, in thousandths.
     pub fn weight(&self, now: Time, size: f64) -> u32 {
         match (&self.reports, self.readable(now)) {
             (None, _) => 0,
--- a/crates/emulator/tests/cold.rs
+++ b/crates/emulator/tests/cold.rs
@@ -1,12 +1,12 @@
-//! Small cold boxes among hundreds of proxies, each of which may send one request in a window whatever its part of the
-//! budget is: together they stay below what pushes a box over all the same, as what is held in all is bounded too.
+//! Small cold backends among hundreds of proxies, each of which may send one request in a window whatever its part of the
+//! budget is: together they stay below what pushes a backend over all the same, as what is held in all is bounded too.
 
 use shaletide_emulator::day::{Kind, Trouble};
 use shaletide_emulator::{play, Day, Who};
 use shaletide_testkit::Law;
 use shaletide_types::Micros;
 
-/// A box bears so many requests of mean work in the window as it starts, and is as cold as the settings say at least.
+/// A backend bears so many requests of mean work in the window as it starts, and is as cold as the settings say at least.
 fn small(boxes: u32, bears: f64, load: f64, seed: u64) -> Day {
     let mut day = Day::calm(300, boxes, load, seed);
     let initial_capacity_fraction = 0.14;
--- a/crates/emulator/tests/fleet.rs
+++ b/crates/emulator/tests/fleet.rs
@@ -73,7 +73,7 @@
     assert!(got > right - 0.25, "{got} of {right}");
 }
 
-/// Not a number, negative, endless, absurd: from a fifth of the boxes, and nothing from another fifth.
+/// Not a number, negative, endless, absurd: from a fifth of the backends, and nothing from another fifth.
 #[test]
 fn reports_that_lie_or_are_missing_do_bounded_harm() {
     let reports = |liars, silent, lag| {
--- a/crates/emulator/tests/troubles.rs
+++ b/crates/emulator/tests/troubles.rs
@@ -20,7 +20,7 @@
     played
 }
 
-/// One that sees all is outside of all zones: here it is cut off from all boxes.
+/// One that sees all is outside of all zones: here it is cut off from all backends.
 #[test]
 fn nothing_is_served_across_a_cut_and_all_is_after_it() {
     let day = Day { zones: 1, ..calm() }.with("cut", 3, 6, Trouble::Cut);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,7 +1,7 @@
 //! The life of every request, attempt and connection as one machine without I/O.
 //!
 //! A shell tells [`Engine::handle`] what happened ([`Event`]) with the time at which it did, and carries out what
-//! comes back ([`Action`]), in order and after the call has returned. Which box, whether to retry and what is
+//! comes back ([`Action`]), in order and after the call has returned. Which backend, whether to retry and what is
 //! refused is the [`Policy`]'s to say, in a program [`shaletide_routing::Pools`]; the engine holds every request
 //! to the rules whatever the policy asks, by declining.
 //!
--- a/crates/engine/src/monitor/cold.rs
+++ b/crates/engine/src/monitor/cold.rs
@@ -1,4 +1,4 @@
-//! The budget of a box that has just started. The engine knows nothing of it: it is the module's, and watched on
+//! The budget of a backend that has just started. The engine knows nothing of it: it is the module's, and watched on
 //! recorded streams and on sockets.
 
 use super::{broken, Rule, Verdict};
@@ -6,10 +6,10 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much a cold box takes.
+/// How much a cold backend takes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRules {
-    /// The part of its capacity that a box has as it starts; it grows evenly to the whole ...
+    /// The part of its capacity that a backend has as it starts; it grows evenly to the whole ...
     pub initial_capacity_fraction: f64,
     /// ... over this time.
     pub ramp: Micros,
@@ -69,7 +69,7 @@
     /// The engine asks for this.
     ///
     /// # Errors
-    /// A box that is still cold was sent too much.
+    /// A backend that is still cold was sent too much.
     pub fn act(&mut self, now: Time, action: &Action) -> Verdict {
         match action {
             Action::Connect { connection, backend } => drop(self.lines.insert(*connection, *backend)),
@@ -113,7 +113,7 @@
         let can = warmth * f64::from(warming.cores) * rules.speed * rules.window.secs();
         let may = rules.multiple * can / f64::from(rules.proxies.max(1));
         let sum: f64 = warming.sent.iter().map(|s| s.1.secs()).sum();
-        // One request always may go: else a small box would never warm up.
+        // One request always may go: else a small backend would never warm up.
         if sum > may && warming.sent.len() > 1 {
             let text = format!("box {} was sent {sum:.3} s of work in a window and takes {may:.3} s", to.0);
             return broken(Rule::ColdBudget, now, text);
--- a/crates/engine/src/monitor/drains.rs
+++ b/crates/engine/src/monitor/drains.rs
@@ -1,4 +1,4 @@
-//! Nothing new goes to a box that drains or is gone, but for the grace after that was told.
+//! Nothing new goes to a backend that drains or is gone, but for the grace after that was told.
 
 use super::record::Record;
 use super::{broken, Rule, Rules, Verdict};
--- a/crates/engine/src/monitor/lines.rs
+++ b/crates/engine/src/monitor/lines.rs
@@ -1,5 +1,5 @@
 //! A connection is used only when it is up and quiet, nothing but whole answers has come on it, and it leads to
-//! where its box listens now.
+//! where its backend listens now.
 
 use super::record::{Line, LineStep, Record};
 use super::{Rule, Rules, Violation};
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -30,7 +30,7 @@
 /// What the rules measure by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// Something new may still go to a box for so long after its drain or its end was told; zero allows nothing.
+    /// Something new may still go to a backend for so long after its drain or its end was told; zero allows nothing.
     pub drain_grace: Micros,
     /// An answer that is none of a backend's may be so late after the deadline: as late as the shell wakes.
     pub answer_slack: Micros,
@@ -53,13 +53,13 @@
     InTime,
     /// Nothing after the final answer or after the client has left: nothing sent, nothing left running.
     NothingAfter,
-    /// An unsafe request goes out again only when all earlier attempts never ran.
+    /// An unsafe request goes out again only when all earlier attempts was not executed.
     UnsafeOnce,
     /// A keyed one only to those that drop its repeats, and inside its window.
     KeyedInside,
     /// A refusal only where a retry is harmless.
     HarmlessRefusal,
-    /// Nothing new to a box later than the grace after its drain was told.
+    /// Nothing new to a backend later than the grace after its drain was told.
     Drain,
     /// No unclean connection is used again.
     CleanConnection,
@@ -69,7 +69,7 @@
     NothingKept,
     /// When all is quiet, all is answered.
     AllAnswered,
-    /// A cold box is sent no more than its budget.
+    /// A cold backend is sent no more than its budget.
     ColdBudget,
 }
 
@@ -99,7 +99,7 @@
     pub rule: Rule,
     /// When.
     pub at: Time,
-    /// By which request, connection or box, and how.
+    /// By which request, connection or backend, and how.
     pub text: String,
 }
 
--- a/crates/engine/src/monitor/record.rs
+++ b/crates/engine/src/monitor/record.rs
@@ -6,7 +6,7 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a box stands among those that drop each other's repeats.
+/// Where a backend stands among those that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Where {
     /// Its realm.
@@ -17,7 +17,7 @@
     pub cell: DeduplicationGroupId,
 }
 
-/// The last word on a box.
+/// The last word on a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
     /// The pool that said it.
@@ -35,7 +35,7 @@
 pub struct Sent {
     /// When.
     pub at: Time,
-    /// Where the box stood then.
+    /// Where the backend stood then.
     pub place: Where,
     /// The connection that it is on; none once it has ended.
     pub on: Option<ConnectionId>,
@@ -92,11 +92,11 @@
 /// A connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Line {
-    /// Its box.
+    /// Its backend.
     pub to: BackendId,
     /// How far it has got.
     pub step: LineStep,
-    /// Its box listens elsewhere by now.
+    /// Its backend listens elsewhere by now.
     pub old: bool,
 }
 
@@ -107,7 +107,7 @@
     pub requests: BTreeMap<RequestId, Watched>,
     /// The connections that there are.
     pub lines: BTreeMap<ConnectionId, Line>,
-    /// What the lists say; a box that is gone is kept for the grace.
+    /// What the lists say; a backend that is gone is kept for the grace.
     pub boxes: BTreeMap<BackendId, Entry>,
     /// The deadlines of what is open.
     pub(super) deadlines: BTreeSet<(Time, RequestId)>,
@@ -211,7 +211,7 @@
 
     // --- lists ---
 
-    /// The last word counts; a box that another pool has spoken for since cannot be given up by the first.
+    /// The last word counts; a backend that another pool has spoken for since cannot be given up by the first.
     fn members(
         &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: &[BackendEntry], rules: &Rules,
     ) {
--- a/crates/engine/src/monitor/tests.rs
+++ b/crates/engine/src/monitor/tests.rs
@@ -23,7 +23,7 @@
 }
 
 impl Stream {
-    /// Two boxes in two cells are listed.
+    /// Two backends in two cells are listed.
     fn new(rules: Rules) -> Stream {
         let mut s = Stream { monitor: Monitor::new(rules), now: Time(1_000_000), said: Vec::new() };
         s.list(0, 0, BackendState::Ready);
@@ -78,7 +78,7 @@
         );
     }
 
-    /// Attempt and connection of that number are sent to that box.
+    /// Attempt and connection of that number are sent to that backend.
     fn sent(&mut self, no: u32, to: u32) {
         self.asked(&[open(no, to)]);
         self.step(Event::Connected { connection: connection(no) }, &[send(no, no)]);
--- a/crates/engine/src/mutant.rs
+++ b/crates/engine/src/mutant.rs
@@ -8,13 +8,13 @@
     /// A success that comes after the time-out's answer is answered too.
     #[cfg(feature = "mutants")]
     LateSuccess,
-    /// A connection that ends after the last byte is taken to mean that the request never ran.
+    /// A connection that ends after the last byte is taken to mean that the request was not executed.
     #[cfg(feature = "mutants")]
     NotExecutedAfterLastByte,
     /// A key's window is measured from the end of the first attempt.
     #[cfg(feature = "mutants")]
     WindowStartsAtEnd,
-    /// Whether a box drains is asked when an attempt is asked for, and no more at its first byte.
+    /// Whether a backend drains is asked when an attempt is asked for, and no more at its first byte.
     #[cfg(feature = "mutants")]
     StaleDrainState,
     /// When a request is answered its other attempts go on.
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -27,7 +27,7 @@
     pub backend: BackendId,
     /// What drops its repeats.
     pub placement: DeduplicationPlacement,
-    /// When it was asked for; a box may drop its repeats for the window counted from here at the earliest.
+    /// When it was asked for; a backend may drop its repeats for the window counted from here at the earliest.
     pub dispatched_at: Time,
     /// When it ended.
     pub ended_at: Time,
@@ -111,7 +111,7 @@
     }
 
     /// Whether a retry at `back` is harmless: nothing may have run, or running again does nothing. `only_deduplication_domain`: the one
-    /// to which all boxes belong that a retry may reach.
+    /// to which all backends belong that a retry may reach.
     pub fn is_harmless(&self, back: Time, only_deduplication_domain: Option<u32>) -> bool {
         let drops = |t: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
--- a/crates/engine/tests/found.rs
+++ b/crates/engine/tests/found.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Both were asked for while the box stood in the first cell; the second would have run again in the other.
+/// Both were asked for while the backend stood in the first cell; the second would have run again in the other.
 #[test]
 fn a_box_that_is_listed_in_another_cell_meanwhile_is_not_sent_a_keyed_repeat() {
     let mut s = Script::new(true);
@@ -247,7 +247,7 @@
     assert!(s.engine.requests().is_empty());
 }
 
-/// Each box that went while a request was on it left a line behind for ever.
+/// Each backend that went while a request was on it left a line behind for ever.
 #[test]
 fn nothing_is_kept_of_a_box_whose_last_answer_comes_after_it_is_gone() {
     let mut s = Script::new(true);
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// A header's value, or `None` where several differ: it may be the proof that a request never ran.
+/// A header's value, or `None` where several differ: it may be the proof that a request was not executed.
 fn said_once<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name).iter();
     let first = all.next()?;
--- a/crates/lab/src/clients/request.rs
+++ b/crates/lab/src/clients/request.rs
@@ -97,7 +97,7 @@
 }
 
 /// How long a client waits before it comes again; none where it does not. It does where it was refused or nobody took
-/// its connection, whatever its class: it never ran. One whose connection broke does only where that does no harm.
+/// its connection, whatever its class: it was not executed. One whose connection broke does only where that does no harm.
 pub fn pause(
     load: &LoadPart, class: &ClassPart, nth: u8, end: TryEnd, answer: Option<&Message>,
 ) -> Option<Duration> {
--- a/crates/lab/src/experiment/groups.rs
+++ b/crates/lab/src/experiment/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of proxies and boxes: all, one, a zone, or as `[[group]]` says.
+//! Groups of proxies and backends: all, one, a zone, or as `[[group]]` says.
 
 use super::reader::Table;
 use super::{BoxesPart, FleetPart};
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// Some proxies and boxes, by number and in order.
+/// Some proxies and backends, by number and in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Members {
     /// Proxies.
     pub proxies: Vec<usize>,
-    /// Boxes.
+    /// Backends.
     pub boxes: Vec<usize>,
 }
 
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// The proxies.
     pub fleet: FleetPart,
-    /// The boxes.
+    /// The backends.
     pub boxes: BoxesPart,
     /// The list service.
     pub list: ListPart,
@@ -61,7 +61,7 @@
 pub struct FleetPart {
     /// How many.
     pub proxies: usize,
-    /// The zones, dealt out to proxies and boxes in turn.
+    /// The zones, dealt out to proxies and backends in turn.
     pub zones: Vec<String>,
     /// File descriptors of each.
     pub descriptors: u64,
@@ -77,7 +77,7 @@
     pub more: String,
 }
 
-/// The boxes.
+/// The backends.
 #[derive(Clone, Debug)]
 pub struct BoxesPart {
     /// How many.
@@ -88,7 +88,7 @@
     pub cores: u32,
     /// Speed of a warm core, in standard cores.
     pub speed: f64,
-    /// The part of its speed that a box begins with.
+    /// The part of its speed that a backend begins with.
     pub cold_from: f64,
     /// It is warm after this.
     pub ramp: Duration,
@@ -164,7 +164,7 @@
     pub deadline: Duration,
     /// What one is worth.
     pub worth: f64,
-    /// Keyed: for so long boxes of a bay drop repeats.
+    /// Keyed: for so long backends of a bay drop repeats.
     pub key_window: Duration,
     /// Work, ms of a standard core.
     pub work_ms: Law,
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Names of boxes, by number, spares behind the others.
+    /// Names of backends, by number, spares behind the others.
     pub fn box_name(&self, number: usize) -> String {
         if number < self.boxes.count {
             format!("b{number}")
@@ -228,7 +228,7 @@
         }
     }
 
-    /// The zone of a proxy or box.
+    /// The zone of a proxy or backend.
     pub fn zone_of(&self, number: usize) -> usize {
         (number % self.boxes.count.max(1)) % self.fleet.zones.len()
     }
@@ -238,7 +238,7 @@
         number % self.fleet.zones.len()
     }
 
-    /// Whether boxes are replaced, so that each needs a spare.
+    /// Whether backends are replaced, so that each needs a spare.
     pub fn replaces(&self) -> bool {
         self.steps.iter().any(|step| matches!(step.what, What::Replace { .. }))
     }
--- a/crates/lab/src/experiment/steps.rs
+++ b/crates/lab/src/experiment/steps.rs
@@ -33,7 +33,7 @@
     Late(Duration),
 }
 
-/// What boxes do instead of their work.
+/// What backends do instead of their work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BoxFault {
     /// Work takes so many times as long.
@@ -93,29 +93,29 @@
         /// In place of the fleet's `more`.
         more: String,
     },
-    /// Puts a fault between the proxies and boxes of `who` ... and `to`.
+    /// Puts a fault between the proxies and backends of `who` ... and `to`.
     Links {
         /// The fault, or a clean link.
         fault: LinkFault,
         /// The proxies that it is between ...
         proxies: Vec<usize>,
-        /// ... and these boxes.
+        /// ... and these backends.
         boxes: Vec<usize>,
     },
     /// Changes the list service.
     List(ListState),
-    /// Boxes drain: the list says so, and so do they.
+    /// Backends drain: the list says so, and so do they.
     Drain,
-    /// Boxes die.
+    /// Backends die.
     KillBoxes,
-    /// Boxes that died start again, cold, and are listed.
+    /// Backends that died start again, cold, and are listed.
     StartBoxes,
-    /// Each box drains and a new one, cold, stands in for it.
+    /// Each backend drains and a new one, cold, stands in for it.
     Replace {
         /// The old one ends so long after.
         down: Duration,
     },
-    /// Boxes do something else than their work.
+    /// Backends do something else than their work.
     Boxes(BoxFault),
     /// So many times the usual requests.
     Burst(f64),
@@ -132,7 +132,7 @@
     pub what: What,
     /// To which proxies.
     pub proxies: Vec<usize>,
-    /// To which boxes.
+    /// To which backends.
     pub boxes: Vec<usize>,
     /// Evenly over so long, one after the other.
     pub over: Duration,
@@ -259,7 +259,7 @@
     }
 }
 
-/// `who` is on the side that opens connections; `to` is what these lead to: boxes, `list`, or, for `front`, proxies.
+/// `who` is on the side that opens connections; `to` is what these lead to: backends, `list`, or, for `front`, proxies.
 fn links(table: &Table<'_>, groups: &Groups, word: &str, members: &Members) -> What {
     let from_front = table.word("from", &["proxies", "front"]) == Some("front");
     let to = table.names("to");
--- a/crates/lab/src/judge/accounts.rs
+++ b/crates/lab/src/judge/accounts.rs
@@ -39,8 +39,8 @@
     ]
 }
 
-/// A try that was served and the one run that served it, by client and by box, lie in order: asked for, came to the
-/// box, answered by the box, answered to the client. A clock that runs slow or fast puts them in another.
+/// A try that was served and the one run that served it, by client and by backend, lie in order: asked for, came to the
+/// backend, answered by the backend, answered to the client. A clock that runs slow or fast puts them in another.
 fn clocks_agree(facts: &Facts<'_>) -> Check {
     let mut check = Check::new("clocks_agree", Kind::Lab);
     let mut served: BTreeMap<&str, Option<&BoxRun<'_>>> = BTreeMap::new();
@@ -81,7 +81,7 @@
     early_us.max(backwards_us).max(late_us)
 }
 
-/// Clients know of every id that a box saw; the tries of a request are numbered from 0 without a gap; no two requests
+/// Clients know of every id that a backend saw; the tries of a request are numbered from 0 without a gap; no two requests
 /// share an id; what clients counted by themselves is what their tries add up to, each counted once.
 fn counts_add_up(facts: &Facts<'_>) -> Check {
     let mut check = Check::new("counts_add_up", Kind::Lab);
--- a/crates/lab/src/judge/boxes.rs
+++ b/crates/lab/src/judge/boxes.rs
@@ -1,20 +1,20 @@
-//! What boxes and the list service were asked: connections, handshakes and calls, in the worst second against the calm.
+//! What backends and the list service were asked: connections, handshakes and calls, in the worst second against the calm.
 
 use super::facts::{Facts, SECOND_US};
 use super::recovery::{Before, WARM_UP_S};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A second of all boxes together, and of the list service.
+/// A second of all backends together, and of the list service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct AllBoxes {
     /// Connections open at its end.
     pub open: u64,
     /// Connections begun in it.
     pub handshakes: u64,
-    /// Of these, at the box with most.
+    /// Of these, at the backend with most.
     pub most_handshakes: u32,
-    /// Which box that is.
+    /// Which backend that is.
     pub most_at: u32,
     /// Requests that came in it.
     pub requests: u64,
@@ -22,7 +22,7 @@
     pub list_calls: u64,
 }
 
-/// A box over the run.
+/// A backend over the run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OneBox {
     /// Its number.
@@ -55,7 +55,7 @@
     }
 }
 
-/// All boxes together, by second.
+/// All backends together, by second.
 pub(crate) fn seconds(facts: &Facts<'_>) -> Vec<AllBoxes> {
     let mut seconds = vec![AllBoxes::default(); facts.seconds];
     for one in &facts.box_seconds {
@@ -75,7 +75,7 @@
     seconds
 }
 
-/// Each box over the run.
+/// Each backend over the run.
 pub(crate) fn each(facts: &Facts<'_>) -> Vec<OneBox> {
     let mut boxes: BTreeMap<u32, OneBox> = BTreeMap::new();
     for second in &facts.box_seconds {
--- a/crates/lab/src/judge/expect.rs
+++ b/crates/lab/src/judge/expect.rs
@@ -15,11 +15,11 @@
     WorstSecond,
     /// Requests lost to a fault, of all around it.
     ShareLost,
-    /// Connections begun at the worst box in its worst second, against the calm.
+    /// Connections begun at the worst backend in its worst second, against the calm.
     HandshakesPeakRatio,
     /// Calls of the list service in the worst second, against the calm.
     ListCallsPeakRatio,
-    /// What boxes were sent, for each request.
+    /// What backends were sent, for each request.
     AttemptsPerRequest,
     /// Requests that are unsafe to repeat and ran twice.
     SettlesTwice,
--- a/crates/lab/src/judge/facts.rs
+++ b/crates/lab/src/judge/facts.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// A run of a request, as its box tells it.
+/// A run of a request, as its backend tells it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BoxRun<'a> {
     pub at_box: u32,
@@ -81,7 +81,7 @@
     pub touches: &'a Touched,
 }
 
-/// A box, as the experiment made it.
+/// A backend, as the experiment made it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BoxFacts<'a> {
     pub name: &'a str,
@@ -89,14 +89,14 @@
     pub power: Option<PowerInfo>,
 }
 
-/// A start of a box.
+/// A start of a backend.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BootAt {
     pub at_us: Option<u64>,
     pub died_us: Option<u64>,
 }
 
-/// A second at a box.
+/// A second at a backend.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BoxSecond {
     pub at_us: u64,
@@ -106,7 +106,7 @@
     pub requests: u32,
 }
 
-/// What a proxy was told of a box.
+/// What a proxy was told of a backend.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ToldOf<'a> {
     pub at_us: u64,
@@ -246,7 +246,7 @@
         self.by_id.get(id).and_then(|place| self.tries.get(*place))
     }
 
-    /// How a box is called.
+    /// How a backend is called.
     pub fn box_name(&self, at_box: u32) -> String {
         self.boxes.get(&at_box).map_or_else(|| format!("box {at_box}"), |b| b.name.to_owned())
     }
--- a/crates/lab/src/judge/findings.rs
+++ b/crates/lab/src/judge/findings.rs
@@ -72,7 +72,7 @@
     pub worst: Option<(usize, f64)>,
     /// Of the requests of its aftermath that would have been served at the share of before, those that were not.
     pub share_lost: Option<f64>,
-    /// Handshakes in a second at the box with most.
+    /// Handshakes in a second at the backend with most.
     pub handshakes: Option<Peak>,
     /// Calls of the list service in a second.
     pub list_calls: Option<Peak>,
@@ -105,11 +105,11 @@
     pub groups: Vec<Group>,
     /// In order of time.
     pub faults: Vec<FaultFound>,
-    /// Boxes and list service, by second.
+    /// Backends and list service, by second.
     pub box_seconds: Vec<AllBoxes>,
-    /// Each box.
+    /// Each backend.
     pub boxes: Vec<OneBox>,
-    /// What the boxes did for nothing.
+    /// What the backends did for nothing.
     pub waste: Waste,
     /// Rules, then accounts.
     pub checks: Vec<Check>,
@@ -118,7 +118,7 @@
 }
 
 impl Findings {
-    /// What boxes were sent for each request; none without requests.
+    /// What backends were sent for each request; none without requests.
     pub fn attempts_per_request(&self) -> Option<f64> {
         (self.requests > 0).then(|| self.waste.sent as f64 / self.requests as f64)
     }
--- a/crates/lab/src/judge/rules.rs
+++ b/crates/lab/src/judge/rules.rs
@@ -14,10 +14,10 @@
 /// comes on top.
 pub const ANSWER_GRACE_US: u64 = 100_000;
 
-/// How long after a proxy was told that a box drains it may still send to it.
+/// How long after a proxy was told that a backend drains it may still send to it.
 pub const DRAIN_GRACE_US: u64 = 2_000_000;
 
-/// What a cold box may be sent: three times what it can do, in any second, and a tenth for chance.
+/// What a cold backend may be sent: three times what it can do, in any second, and a tenth for chance.
 pub const PUSH: Push = Push { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
 
 /// All rules over a run, in a fixed order.
@@ -83,7 +83,7 @@
     })
 }
 
-/// No request that is unsafe to repeat runs twice, over all its tries and all boxes.
+/// No request that is unsafe to repeat runs twice, over all its tries and all backends.
 fn unsafe_once(facts: &Facts<'_>, ledger: &Ledger) -> Check {
     let mut check = Check::new("unsafe_once", Kind::Rule);
     check.judged = count(ledger, Repeat::Unsafe);
@@ -104,8 +104,8 @@
     check
 }
 
-/// What is refused with 429 or 503, so that its client may come again, never ran. Safe requests are not held to it, nor
-/// keyed ones where all boxes share one bay: those do no harm by running again.
+/// What is refused with 429 or 503, so that its client may come again, was not executed. Safe requests are not held to it, nor
+/// keyed ones where all backends share one bay: those do no harm by running again.
 fn refused_never_ran(facts: &Facts<'_>) -> Check {
     let mut check = Check::new("refused_never_ran", Kind::Rule);
     let bays: BTreeSet<u32> = facts.boxes.values().map(|b| b.bay).collect();
@@ -133,8 +133,8 @@
     check
 }
 
-/// Nothing new comes to a box more than [`DRAIN_GRACE_US`] after the proxy that sends it was told that the box drains or
-/// is gone, until that proxy is told otherwise or the box starts anew. Runs that went through no known proxy are not
+/// Nothing new comes to a backend more than [`DRAIN_GRACE_US`] after the proxy that sends it was told that the backend drains or
+/// is gone, until that proxy is told otherwise or the backend starts anew. Runs that went through no known proxy are not
 /// judged.
 fn drained_left_alone(facts: &Facts<'_>) -> Check {
     let mut check = Check::new("drained_left_alone", Kind::Rule);
@@ -163,13 +163,13 @@
     check
 }
 
-/// Since when a box was not wanted, at that moment: from the first of the news that say so without a break.
+/// Since when a backend was not wanted, at that moment: from the first of the news that say so without a break.
 fn unwanted_since(news: &[(u64, bool)], at_us: u64) -> Option<u64> {
     let before = news.iter().take_while(|(told_us, _)| *told_us <= at_us);
     before.fold(None, |since, (told_us, unwanted)| unwanted.then(|| since.unwrap_or(*told_us)))
 }
 
-/// No cold box is sent more than [`PUSH`] allows. Judged are the starts of boxes whose power is known.
+/// No cold backend is sent more than [`PUSH`] allows. Judged are the starts of backends whose power is known.
 fn cold_not_pushed_over(facts: &Facts<'_>, ledger: &Ledger) -> Check {
     let mut check = Check::new("cold_not_pushed_over", Kind::Rule);
     let known = |at_box: &u32| facts.boxes.get(at_box).is_some_and(|b| b.power.is_some());
@@ -179,7 +179,7 @@
     check
 }
 
-/// Every try that was served was served by a box, under its id.
+/// Every try that was served was served by a backend, under its id.
 fn answers_from_boxes(facts: &Facts<'_>) -> Check {
     let mut check = Check::new("answers_from_boxes", Kind::Rule);
     let served = facts.runs.iter().filter(|run| run.end == BoxEnd::Served);
--- a/crates/lab/src/judge/waste.rs
+++ b/crates/lab/src/judge/waste.rs
@@ -1,4 +1,4 @@
-//! Work that boxes did for nothing. The work of a run is what it brought, also where it was cut short: a box that
+//! Work that backends did for nothing. The work of a run is what it brought, also where it was cut short: a backend that
 //! ended it early did less.
 
 use super::facts::{Facts, Fate};
@@ -22,7 +22,7 @@
     }
 }
 
-/// What became of the work of a run's boxes. Runs without an id, as probes, and those turned away are left out.
+/// What became of the work of a run's backends. Runs without an id, as probes, and those rejected are left out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Waste {
     /// All.
@@ -31,9 +31,9 @@
     pub for_nothing: Work,
     /// Beside the run that served the request: hedges, and first runs whose answer was lost.
     pub doubled: Work,
-    /// What boxes were sent under an id, turned away or not.
+    /// What backends were sent under an id, rejected or not.
     pub sent: u64,
-    /// What they turned away.
+    /// What they rejected.
     pub turned_away: u64,
 }
 
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! The fleet lab: many real processes of the program on loopback, faults between them, and a measured account of what
 //! clients got. For experiments alone: no product crate may import it.
 //!
-//! An [`experiment`] is read from a file and carried out by [`run`]: [`fleet`] has the processes, [`site`] boxes and
+//! An [`experiment`] is read from a file and carried out by [`run`]: [`fleet`] has the processes, [`site`] backends and
 //! list service, [`links`] all that passes between them, [`front`] and [`clients`] those who ask. Of these, what decides
 //! is pure and what has sockets and processes decides nothing.
 //!
--- a/crates/lab/src/paths.rs
+++ b/crates/lab/src/paths.rs
@@ -1,4 +1,4 @@
-//! The links of a run: one from each proxy to each box and to the list service, and, where the experiment puts a fault
+//! The links of a run: one from each proxy to each backend and to the list service, and, where the experiment puts a fault
 //! there, one from the front to each proxy. Two proxies never share one, so that any group can be cut off from any
 //! other; each costs two descriptors.
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Paths {
     links: Links,
-    /// By proxy, then by box.
+    /// By proxy, then by backend.
     boxes: Vec<Vec<Link>>,
     lists: Vec<Link>,
     fronts: Vec<Link>,
@@ -31,7 +31,7 @@
 }
 
 impl Paths {
-    /// Lays links from each proxy to each box.
+    /// Lays links from each proxy to each backend.
     ///
     /// # Errors
     /// No address, thread or descriptor.
@@ -56,7 +56,7 @@
         Ok(paths)
     }
 
-    /// What each proxy is told of the boxes' addresses.
+    /// What each proxy is told of the backends' addresses.
     pub fn views(&self, fleet: &Fleet) -> Vec<View> {
         let names = || fleet.boxes().iter().map(|b| b.spec.name.clone());
         let view = |links: &Vec<Link>| names().zip(links.iter().map(Link::address)).collect();
@@ -101,7 +101,7 @@
         Some(self.fronts.get(proxy)?.address())
     }
 
-    /// Whether connections to that box are refused, as where nobody listens.
+    /// Whether connections to that backend are refused, as where nobody listens.
     pub fn refuse_box(&self, number: usize, refuse: bool) {
         self.boxes.iter().filter_map(|links| links.get(number)).for_each(|link| link.refuse(refuse));
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Puts a fault in force between these proxies and boxes, or makes all of that clean again. How many directions of
+    /// Puts a fault in force between these proxies and backends, or makes all of that clean again. How many directions of
     /// links it met.
     ///
     /// # Errors
--- a/crates/lab/src/report/pictures.rs
+++ b/crates/lab/src/report/pictures.rs
@@ -114,7 +114,7 @@
     from_zero(findings, "a second", &lines)
 }
 
-/// Connections open at boxes.
+/// Connections open at backends.
 pub(super) fn connections(findings: &Findings) -> Picture {
     let open = findings.box_seconds.iter().map(|s| Some(s.open as f64));
     from_zero(findings, "connections", &[Line::of("open at all boxes", open)])
--- a/crates/lab/src/report/tables.rs
+++ b/crates/lab/src/report/tables.rs
@@ -9,7 +9,7 @@
 use crate::judge::standing::Standing;
 use crate::judge::Verdict;
 
-/// Boxes that are shown, those with most handshakes in a second first.
+/// Backends that are shown, those with most handshakes in a second first.
 pub const MAX_BOXES: usize = 20;
 
 /// Spans of processes that are shown.
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -1,4 +1,4 @@
-//! What boxes and list service wrote down, as samples.
+//! What backends and list service wrote down, as samples.
 
 use crate::experiment::Experiment;
 use crate::samples::{BoxEnd, ClassInfo, PowerInfo, Sample};
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the boxes wrote down, and whom the list told what.
+/// What the backends wrote down, and whom the list told what.
 pub fn records(experiment: &Experiment, site: &Site, zero: Time, samples: &mut Vec<Sample>) {
     let us = |time: Time| (time - zero).0;
     let ledger = site.fleet.ledger();
--- a/crates/lab/src/run/error.rs
+++ b/crates/lab/src/run/error.rs
@@ -14,7 +14,7 @@
     Folder(PathBuf, io::Error),
     /// An address for a proxy; the first is its number.
     Address(usize, io::Error),
-    /// Boxes, list service or links: no port, thread or descriptor.
+    /// Backends, list service or links: no port, thread or descriptor.
     Site(io::Error),
     /// A process could not be started.
     Process(io::Error),
--- a/crates/lab/src/run/setup.rs
+++ b/crates/lab/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! What a run stands on, before anything is started: folder, addresses, boxes, links, list service.
+//! What a run stands on, before anything is started: folder, addresses, backends, links, list service.
 
 use super::{Options, RunError};
 use crate::experiment::Experiment;
@@ -55,7 +55,7 @@
 }
 
 impl Ground {
-    /// Boxes and list service run when this returns, and no process does.
+    /// Backends and list service run when this returns, and no process does.
     ///
     /// # Errors
     /// What could not be had; nothing is left of the rest.
--- a/crates/lab/src/samples.rs
+++ b/crates/lab/src/samples.rs
@@ -46,7 +46,7 @@
     pub window_us: u64,
 }
 
-/// What a box can do, as in [`shaletide_testkit::Power`].
+/// What a backend can do, as in [`shaletide_testkit::Power`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PowerInfo {
     /// Cores.
@@ -117,14 +117,14 @@
     }
 }
 
-/// How a request ended at a box, as in [`shaletide_testkit::Ended`].
+/// How a request ended at a backend, as in [`shaletide_testkit::Ended`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum BoxEnd {
     /// Its answer was written whole.
     Served,
-    /// Not taken. The one end that proves that it never ran.
+    /// Not taken. The one end that proves that it was not executed.
     TurnedAway,
     /// Answered 500.
     Failed,
@@ -136,7 +136,7 @@
     Reset,
     /// Other bytes than an answer were sent.
     Spoilt,
-    /// The box died over it.
+    /// The backend died over it.
     BoxDied,
     /// Still open at the run's end.
     Open,
@@ -155,7 +155,7 @@
 pub struct Touched {
     /// Proxies by number.
     pub proxies: Vec<u32>,
-    /// Boxes by number.
+    /// Backends by number.
     pub boxes: Vec<u32>,
     /// Links by name.
     pub links: Vec<String>,
@@ -178,7 +178,7 @@
         seed: u64,
         /// Proxies, numbered from 0.
         proxies: u32,
-        /// Boxes, numbered from 0.
+        /// Backends, numbered from 0.
         boxes: u32,
         /// The classes, by number.
         classes: Vec<ClassInfo>,
@@ -196,25 +196,25 @@
         #[serde(default)]
         lasts_us: u64,
     },
-    /// A box. Once each.
+    /// A backend. Once each.
     Box {
         /// Its number.
         at_box: u32,
         /// Its name, as lists give it.
         name: String,
-        /// Boxes of one bay share the keys that they have seen.
+        /// Backends of one bay share the keys that they have seen.
         bay: u32,
         /// Its kind, as the experiment names it.
         kind: String,
         /// Its zone.
         zone: u32,
-        /// What it can do; without it, a cold box that is pushed over is not seen.
+        /// What it can do; without it, a cold backend that is pushed over is not seen.
         #[serde(default)]
         power: Option<PowerInfo>,
     },
-    /// A start of a box. The first start of a box that was there before the run need not be told.
+    /// A start of a backend. The first start of a backend that was there before the run need not be told.
     Boot {
-        /// The box.
+        /// The backend.
         at_box: u32,
         /// Which of its starts, from 0.
         boot: u32,
@@ -251,7 +251,7 @@
         request: u64,
         /// Which try of it, from 0.
         nth: u8,
-        /// What it was named to proxy and box. No two tries share one.
+        /// What it was named to proxy and backend. No two tries share one.
         id: String,
         /// Its class.
         class: u32,
@@ -270,9 +270,9 @@
         /// How it ended.
         end: TryEnd,
     },
-    /// A request at a box, in the account of the box.
+    /// A request at a backend, in the account of the backend.
     BoxRun {
-        /// The box.
+        /// The backend.
         at_box: u32,
         /// Which of its starts, from 0.
         boot: u32,
@@ -291,16 +291,16 @@
         ended_us: Option<u64>,
         /// How it ended.
         end: BoxEnd,
-        /// Since when the box drained, if it did.
+        /// Since when the backend drained, if it did.
         draining_since_us: Option<u64>,
         /// Work that it brought, ms of a standard core.
         work_ms: f64,
     },
-    /// A second at a box.
+    /// A second at a backend.
     BoxSecond {
         /// The second's begin.
         at_us: u64,
-        /// The box.
+        /// The backend.
         at_box: u32,
         /// Connections open at its end.
         open: u32,
@@ -316,13 +316,13 @@
         /// Calls in it.
         calls: u32,
     },
-    /// A proxy was given a list that says so of a box.
+    /// A proxy was given a list that says so of a backend.
     Told {
         /// When.
         at_us: u64,
         /// Which proxy.
         proxy: u32,
-        /// Which box.
+        /// Which backend.
         at_box: u32,
         /// `draining`, `gone`, or `serving` where it is back.
         state: String,
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -1,4 +1,4 @@
-//! What the proxies lead to: boxes by testkit's model, and the list service, whose news the lab can hold back.
+//! What the proxies lead to: backends by testkit's model, and the list service, whose news the lab can hold back.
 
 use crate::experiment::{BoxFault, Experiment, ListState};
 use shaletide_testkit::{
@@ -9,21 +9,21 @@
 use std::collections::VecDeque;
 use std::io;
 
-/// Records of requests at boxes that are kept; a run with more is void. One takes about 250 bytes.
+/// Records of requests at backends that are kept; a run with more is void. One takes about 250 bytes.
 pub const MAX_RUNS_KEPT: usize = 1_500_000;
 
-/// The bay of a box: boxes of one bay stand in one zone.
+/// The bay of a backend: backends of one bay stand in one zone.
 pub fn bay_of(experiment: &Experiment, number: usize) -> usize {
     let (slot, zones) = (number % experiment.boxes.count, experiment.fleet.zones.len());
     (slot / zones / experiment.boxes.bay_size) * zones + slot % zones
 }
 
-/// How many boxes there are, spares included.
+/// How many backends there are, spares included.
 pub fn box_count(experiment: &Experiment) -> usize {
     experiment.boxes.count * if experiment.replaces() { 2 } else { 1 }
 }
 
-/// What a box is made as.
+/// What a backend is made as.
 pub fn power(experiment: &Experiment) -> Power {
     let boxes = &experiment.boxes;
     let ramp = Micros(boxes.ramp.as_micros() as u64);
@@ -45,7 +45,7 @@
     }
 }
 
-/// Starts the boxes; spares are dead until they are needed.
+/// Starts the backends; spares are dead until they are needed.
 ///
 /// # Errors
 /// No port, no thread, or no descriptors.
@@ -74,14 +74,14 @@
     Delete(String),
 }
 
-/// The boxes and the list service of a run.
+/// The backends and the list service of a run.
 #[derive(Debug)]
 pub struct Site {
-    /// The boxes.
+    /// The backends.
     pub fleet: Fleet,
     /// The list service; each proxy is a watcher.
     pub list: ListServer,
-    /// Which box stands in each place: itself or its spare.
+    /// Which backend stands in each place: itself or its spare.
     stands: Vec<usize>,
     /// Changes that the list service has not been told yet, and when it is.
     held: VecDeque<(Time, Change)>,
@@ -92,7 +92,7 @@
 }
 
 impl Site {
-    /// Puts the list service before boxes that run, with what each proxy is told of their addresses.
+    /// Puts the list service before backends that run, with what each proxy is told of their addresses.
     ///
     /// # Errors
     /// No port, no thread, or no descriptors.
@@ -108,7 +108,7 @@
         Ok(Site { fleet, list, stands, held: VecDeque::new(), usual, late: usual, frozen: false, clock })
     }
 
-    /// The number of the box that stands in that place.
+    /// The number of the backend that stands in that place.
     pub fn number(&self, place: usize) -> usize {
         self.stands[place]
     }
@@ -175,7 +175,7 @@
         self.change(Change::Put(entry));
     }
 
-    /// A new box, cold, is listed in that place, and the old one drains.
+    /// A new backend, cold, is listed in that place, and the old one drains.
     pub fn replace(&mut self, place: usize) {
         self.drain(place);
         let (count, old) = (self.stands.len(), self.stands[place]);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The box that was replaced there ends, and leaves the list. Its number, if there is one.
+    /// The backend that was replaced there ends, and leaves the list. Its number, if there is one.
     pub fn replaced(&mut self, place: usize) -> Option<usize> {
         let (count, new) = (self.stands.len(), self.stands[place]);
         let old = if new < count { new + count } else { new - count };
--- a/crates/lab/src/timeline.rs
+++ b/crates/lab/src/timeline.rs
@@ -23,17 +23,17 @@
     Links(usize, bool),
     /// Changes the list service.
     List(ListState),
-    /// A box drains.
+    /// A backend drains.
     Drain(usize),
-    /// A box dies.
+    /// A backend dies.
     KillBox(usize),
-    /// A box starts.
+    /// A backend starts.
     StartBox(usize),
-    /// A box drains and its stand-in starts.
+    /// A backend drains and its stand-in starts.
     Replace(usize),
-    /// What a box was replaced by is alone: the old one ends.
+    /// What a backend was replaced by is alone: the old one ends.
     Replaced(usize),
-    /// A box does something else.
+    /// A backend does something else.
     Box(usize, BoxFault),
     /// So many times the usual requests.
     Burst(f64),
--- a/crates/lab/tests/judge/common.rs
+++ b/crates/lab/tests/judge/common.rs
@@ -19,7 +19,7 @@
     ClassInfo { name: name.into(), effect, deadline_us: S, aim_us: 100_000, worth: 1.0, window_us }
 }
 
-/// Classes: 0 read, 1 settle, 2 pay. Proxies in turn; boxes 0 and 1 in bay 0, box 2 in bay 1.
+/// Classes: 0 read, 1 settle, 2 pay. Proxies in turn; backends 0 and 1 in bay 0, backend 2 in bay 1.
 pub fn head(seconds: u64) -> Vec<Sample> {
     let classes = vec![
         class("read", Effect::Safe, 0),
--- a/crates/lab/tests/judge/lies.rs
+++ b/crates/lab/tests/judge/lies.rs
@@ -38,7 +38,7 @@
     assert_eq!(check.breaches[0].what, "unsafe request 301 ran 2 times");
 }
 
-/// Another try of the same request, under another id: the box that runs it again is found all the same.
+/// Another try of the same request, under another id: the backend that runs it again is found all the same.
 #[test]
 fn a_settle_that_runs_in_two_tries_is_found() {
     let mut samples = honest();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Box 1 is in bay 0, box 2 in bay 1; a key is known for ten seconds.
+/// Backend 1 is in bay 0, backend 2 in bay 1; a key is known for ten seconds.
 #[test]
 fn a_keyed_one_runs_again_only_in_its_bay_and_window() {
     for (at, after_us, expected) in [
@@ -145,7 +145,7 @@
     ] {
         let mut samples = honest();
         for sample in &mut samples {
-            // Request 302 ran in box 2; from here on it ran in box 0.
+            // Request 302 ran in backend 2; from here on it ran in backend 0.
             if let Sample::BoxRun { at_box, id, .. } = sample {
                 if id == "r302" {
                     *at_box = 0;
@@ -165,7 +165,7 @@
 fn what_comes_over_two_seconds_after_the_proxy_was_told_is_found_unless_it_was_told_otherwise() {
     let told = |at_us, proxy, state: &str| Sample::Told { at_us, proxy, at_box: 1, state: state.into() };
     let started = |at| Sample::Boot { at_box: 1, boot: 0, at_us: Some(at), died_us: None };
-    // Proxy 1 alone sends to box 1, in each second.
+    // Proxy 1 alone sends to backend 1, in each second.
     for (news, expected) in [
         (vec![told(18 * S, 1, "draining")], vec![]),
         (vec![told(17 * S, 1, "draining")], vec!["drained_left_alone"]),
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,4 +1,4 @@
-//! All pools: which box belongs to which, under which number, and what the balancers are told.
+//! All pools: which backend belongs to which, under which number, and what the balancers are told.
 
 use crate::address_owners::{AddressOwners, Conflict, Key};
 use crate::list::Endpoint;
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A box that went from one pool to another and is the same process still.
+/// A backend that went from one pool to another and is the same process still.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendMove {
     /// Its number, before and after.
     pub id: BackendId,
-    /// The pool that it left; its balancer is told that the box is gone.
+    /// The pool that it left; its balancer is told that the backend is gone.
     pub from: PoolId,
     /// The pool that it belongs to now.
     pub to: PoolId,
@@ -21,9 +21,9 @@
 /// What follows from news, to be carried out in this order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectoryUpdate {
-    /// Boxes whose budget, counts and drain go along to another pool.
+    /// Backends whose budget, counts and drain go along to another pool.
     pub moved: Vec<BackendMove>,
-    /// What each pool's balancer is to be told, in this order: the pool that lost a box hears of it before
+    /// What each pool's balancer is to be told, in this order: the pool that lost a backend hears of it before
     /// the one that got it.
     pub notifications: Vec<(PoolId, EndpointUpdate, Vec<BackendEntry>)>,
     /// Conflicts that were not there before.
@@ -47,16 +47,16 @@
 /// Between pools: an address that the lists of several pools bring stays with the pool that had it first,
 /// draining or not, until its list has no entry there; then it goes at once to the next in line. Within a
 /// pool any number of names may share an address: a successor at the address of one that has gone, or has not
-/// gone yet, is a box of its own.
+/// gone yet, is a backend of its own.
 ///
-/// A box of a listed pool is known by its name, one of a static pool by its address. It keeps its number
+/// A backend of a listed pool is known by its name, one of a static pool by its address. It keeps its number
 /// while its list has it, also at another address: what the balancer knows of it goes along, and connections
 /// to the old address are for the host to drop. One that returns after it was gone has a new number once the
 /// old one is forgotten, see [`Directory::forget`].
 ///
-/// Bounds: [`crate::MAX_ENTRIES`] entries a pool, some 650 bytes each, the boxes gone that the
+/// Bounds: [`crate::MAX_ENTRIES`] entries a pool, some 650 bytes each, the backends gone that the
 /// host has not let be forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of kinds. Interner of
-/// boxes and pools are used once: 2^32 of them.
+/// backends and pools are used once: 2^32 of them.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     pub(crate) pools: BTreeMap<PoolId, Pool>,
@@ -73,7 +73,7 @@
 }
 
 impl Directory {
-    /// At the start of the program, with names of zones and kinds that are numbered from 0. The boxes of
+    /// At the start of the program, with names of zones and kinds that are numbered from 0. The backends of
     /// static pools are as old as the configuration says.
     pub fn new(zones: &[String], kinds: &[String], pools: Vec<PoolSpec>) -> (Directory, DirectoryUpdate) {
         let names = NameTables {
@@ -85,9 +85,9 @@
         (directory, told)
     }
 
-    /// The configuration was read again. Pools keep their numbers by name. In static pools a box whose
+    /// The configuration was read again. Pools keep their numbers by name. In static pools a backend whose
     /// address is new counts as started now, one taken out is gone, and one that went to another static pool
-    /// keeps its number and its age. A pool that was static and is listed now keeps its boxes until its list
+    /// keeps its number and its age. A pool that was static and is listed now keeps its backends until its list
     /// comes.
     pub fn reload(&mut self, now: Time, pools: Vec<PoolSpec>) -> DirectoryUpdate {
         self.set(Some(now), pools)
@@ -181,7 +181,7 @@
         Some(told)
     }
 
-    /// The box is gone: the row that says so, where it was not said before.
+    /// The backend is gone: the row that says so, where it was not said before.
     fn bury(&mut self, id: BackendId) -> Option<BackendEntry> {
         let known = self.boxes.get_mut(&id).filter(|known| known.told.state != BackendState::Gone)?;
         known.told.state = BackendState::Gone;
@@ -189,7 +189,7 @@
         Some(known.told.clone())
     }
 
-    /// Takes the box of that entry over into another pool. Returns it with the row for the pool that it left.
+    /// Takes the backend of that entry over into another pool. Returns it with the row for the pool that it left.
     pub(crate) fn shift(
         &mut self, key: &Key, from: PoolId, to: PoolId,
     ) -> Option<(BackendMove, BackendEntry)> {
@@ -200,13 +200,13 @@
         Some((BackendMove { id, from, to }, row))
     }
 
-    /// What a box's balancer was last told of it.
+    /// What a backend's balancer was last told of it.
     pub(crate) fn last_told(&self, pool: PoolId, key: &Key) -> Option<&BackendEntry> {
         let id = self.pools.get(&pool)?.numbers.get(key)?;
         self.boxes.get(id).map(|known| &known.told)
     }
 
-    /// The host holds nothing of that box any more, no attempt above all. Does nothing unless the box is
+    /// The host holds nothing of that backend any more, no attempt above all. Does nothing unless the backend is
     /// gone; returns whether it was.
     pub fn forget(&mut self, id: BackendId) -> bool {
         if !self.gone.remove(&id) {
@@ -221,13 +221,13 @@
         true
     }
 
-    /// The boxes gone that are not forgotten.
+    /// The backends gone that are not forgotten.
     pub fn gone(&self) -> impl Iterator<Item = BackendId> + '_ {
         self.gone.iter().copied()
     }
 
-    /// Forgets all boxes gone that the host does not hold. To be called after all news; costs a step for each
-    /// box gone.
+    /// Forgets all backends gone that the host does not hold. To be called after all news; costs a step for each
+    /// backend gone.
     pub fn retain(&mut self, holds: impl Fn(BackendId) -> bool) {
         let free: Vec<BackendId> = self.gone.iter().copied().filter(|id| !holds(*id)).collect();
         free.into_iter().for_each(|id| {
@@ -235,27 +235,27 @@
         });
     }
 
-    /// Where the box listens; also of one gone, until it is forgotten.
+    /// Where the backend listens; also of one gone, until it is forgotten.
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
         self.boxes.get(&id).map(|known| known.address)
     }
 
-    /// What the box may be sent; gone where it is not known.
+    /// What the backend may be sent; gone where it is not known.
     pub fn state(&self, id: BackendId) -> BackendState {
         self.boxes.get(&id).map_or(BackendState::Gone, |known| known.told.state)
     }
 
-    /// The pool that the box belongs to, or did.
+    /// The pool that the backend belongs to, or did.
     pub fn pool(&self, id: BackendId) -> Option<PoolId> {
         self.boxes.get(&id).map(|known| known.pool)
     }
 
-    /// The box's name, for logs.
+    /// The backend's name, for logs.
     pub fn name(&self, id: BackendId) -> Option<&str> {
         self.boxes.get(&id).map(|known| &*known.name)
     }
 
-    /// The pool's boxes as its balancer was last told, but for those gone.
+    /// The pool's backends as its balancer was last told, but for those gone.
     pub fn backends(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
         let numbers = self.pools.get(&pool).into_iter().flat_map(|p| p.numbers.values());
         let rows = numbers.filter_map(|id| self.boxes.get(id)).map(|known| &known.told);
@@ -272,7 +272,7 @@
         self.pools.iter().find(|(_, pool)| pool.name == name).map(|(id, _)| *id)
     }
 
-    /// The pool's repeat group. Boxes of different realms never drop each other's repeats.
+    /// The pool's repeat group. Backends of different realms never drop each other's repeats.
     pub fn deduplication_domain(&self, pool: PoolId) -> Option<u32> {
         self.pools.get(&pool).map(|pool| pool.realm)
     }
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -25,7 +25,7 @@
     pub endpoints: Vec<Value>,
 }
 
-/// Entries that made no sense, or none but that nothing new may go to a box.
+/// Entries that made no sense, or none but that nothing new may go to a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Skipped {
     /// How many.
@@ -127,7 +127,7 @@
         })
     }
 
-    /// Of an entry that makes no sense otherwise: that nothing new may go to the box of that name. It counts as gone,
+    /// Of an entry that makes no sense otherwise: that nothing new may go to the backend of that name. It counts as gone,
     /// as it is not known where it is.
     fn unwanted(value: &Value) -> Option<Endpoint> {
         let Said { name, status } = Said::deserialize(value).ok()?;
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -12,19 +12,19 @@
 pub struct PoolSpec {
     /// Its name; no two have the same.
     pub name: String,
-    /// The pools that name the same group drop each other's repeats. `None`: no other pool's boxes do.
+    /// The pools that name the same group drop each other's repeats. `None`: no other pool's backends do.
     pub repeat_group: Option<String>,
-    /// Where its boxes come from.
+    /// Where its backends come from.
     pub source: Source,
 }
 
-/// Where a pool's boxes come from.
+/// Where a pool's backends come from.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// The configuration. A box is known by its address here, whatever its name; its `booted` holds only at
+    /// The configuration. A backend is known by its address here, whatever its name; its `booted` holds only at
     /// the start of the program.
     Static(Vec<Endpoint>),
-    /// A list of which there is news. A box is known by its name.
+    /// A list of which there is news. A backend is known by its name.
     Discovered,
 }
 
@@ -111,7 +111,7 @@
 pub struct Pool {
     pub name: String,
     pub realm: u32,
-    /// Its boxes come from the configuration.
+    /// Its backends come from the configuration.
     pub fixed: bool,
     pub listed: BTreeMap<Key, ListedBackend>,
     /// The entries' numbers, also of those gone that may not be forgotten yet.
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -82,7 +82,7 @@
         id
     }
 
-    /// What a static pool's boxes are now, each with when it last started where that is not as it says.
+    /// What a static pool's backends are now, each with when it last started where that is not as it says.
     fn fixed_changes(
         &mut self, id: PoolId, boxes: Vec<Endpoint>, ages: Vec<Option<Option<Time>>>,
     ) -> (Changes, usize) {
@@ -95,7 +95,7 @@
         self.pools.get(&id).map_or_else(Default::default, |pool| pool.changes(true, entries))
     }
 
-    /// When a box that stands at that address since before the reload last started, as this pool has it or
+    /// When a backend that stands at that address since before the reload last started, as this pool has it or
     /// else one that was static; `None` where it is new.
     fn age(&self, id: PoolId, at: SocketAddr, earlier: &BTreeMap<PoolId, bool>) -> Option<Option<Time>> {
         let booted = |pool: &PoolId| {
@@ -113,7 +113,7 @@
         each.filter(|(address, id)| self.claims.owner(*address) == Some(*id)).collect()
     }
 
-    /// Boxes that went from one static pool to another: the same process, so the same number. Returns what
+    /// Backends that went from one static pool to another: the same process, so the same number. Returns what
     /// the pools that they left are told.
     fn carry_over(
         &mut self, owners: &BTreeMap<SocketAddr, PoolId>, fixed: &BTreeSet<PoolId>,
@@ -131,7 +131,7 @@
         gone
     }
 
-    /// All rows that are not as they were last told; those of boxes that are gone are added to `gone`.
+    /// All rows that are not as they were last told; those of backends that are gone are added to `gone`.
     fn differences(&mut self, gone: &mut Rows) -> Rows {
         let mut rest = Rows::new();
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
@@ -151,7 +151,7 @@
     }
 }
 
-/// What a static pool's box is known by.
+/// What a static pool's backend is known by.
 fn key(address: SocketAddr) -> Key {
     address.to_string().into()
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -32,7 +32,7 @@
     PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }
 }
 
-/// A static pool of boxes at these addresses.
+/// A static pool of backends at these addresses.
 pub fn fixed(name: &str, addresses: &[u8]) -> PoolSpec {
     let boxes = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
     PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(boxes) }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The pool's boxes: number, last part of the address, state.
+    /// The pool's backends: number, last part of the address, state.
     pub fn boxes(&self, pool: PoolId) -> Vec<(u32, u8, BackendState)> {
         let last = |address: &SocketAddr| match address {
             SocketAddr::V4(v4) => v4.ip().octets()[3],
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -84,7 +84,7 @@
         let Some((owner, mut told)) = got.pop_first() else { continue };
         let fixed = owner.0 > 1;
         told.sort_by(|a, b| a.0.cmp(&b.0));
-        // The age of a static box is the directory's to say.
+        // The age of a static backend is the directory's to say.
         let age = |e: &Endpoint, at: usize| if fixed { told[at].2 } else { e.started_at };
         let listed = wanted[&owner].iter().enumerate().map(|(at, e)| (e.name.clone(), e.state, age(e, at)));
         assert_eq!(listed.collect::<Vec<_>>(), told, "{address} in {owner:?}");
@@ -143,10 +143,10 @@
             let after = numbers(&m);
             for (key, id) in &after {
                 prop_assert!(!forgotten.contains(id), "a number is used once");
-                // A box told of before and after under one name has one number.
+                // A backend told of before and after under one name has one number.
                 prop_assert!(before.get(key).is_none_or(|old| old == id));
             }
-            // Between static pools the box goes along.
+            // Between static pools the backend goes along.
             for (address, owner) in &owners {
                 let Some(from) = held.get(address).filter(|from| from.0 > 1 && owner.0 > 1 && *from != owner)
                 else { continue };
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -1,7 +1,7 @@
 //! The canonical form: what two states that differ in nothing that can ever be seen have in common.
 //!
 //! Left out or merged, each with its reason in `docs/design/engine-exploration.md`: the time itself, names of
-//! connections, numbers of attempts, the order of like requests and of like boxes, ages beyond the last bound that
+//! connections, numbers of attempts, the order of like requests and of like backends, ages beyond the last bound that
 //! reads them, what is kept of an attempt that is known not to have run, and of several that have the oldest.
 
 use crate::node::Node;
@@ -15,7 +15,7 @@
 /// Writes canonical forms; keeps its buffers.
 #[derive(Debug)]
 pub struct Canon {
-    /// The orders of requests and boxes that are tried.
+    /// The orders of requests and backends that are tried.
     alike: Vec<(Vec<u8>, Vec<u8>)>,
     best: Vec<u8>,
     now: Vec<u8>,
@@ -298,7 +298,7 @@
                 };
                 let stopping = matches!(t.state, AttemptState::Cancelling(..));
                 let whole = matches!(t.state, AttemptState::Written(_)) || stopping;
-                // Of what is written whole the box is asked only to use its connection again.
+                // Of what is written whole the backend is asked only to use its connection again.
                 let to = if whole && !world.reuses() { 14 } else { place_of(boxes, t.backend) };
                 let heard = world.reuses()
                     && !stopping
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -75,7 +75,7 @@
     Written,
     /// A served answer.
     Served,
-    /// An answer that it never ran.
+    /// An answer that it was not executed.
     NotExecuted,
     /// An error answer.
     Error,
@@ -91,9 +91,9 @@
     ClosedBefore,
     /// The time of the request was up.
     TimeUp,
-    /// A list took its box away or let it drain.
+    /// A list took its backend away or let it drain.
     Drained,
-    /// Its box was listed elsewhere.
+    /// Its backend was listed elsewhere.
     Elsewhere,
 }
 
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,7 +1,7 @@
 //! Exhaustive exploration of the engine in small worlds.
 //!
 //! In place of the decision module stands a [`Chooser`] that may ask for anything at any step, and in place of
-//! shell, boxes, lists and clock a [`World`] in which whatever may happen next happens, each in turn. After every
+//! shell, backends, lists and clock a [`World`] in which whatever may happen next happens, each in turn. After every
 //! move the rules' monitors are asked. What is found holds for whatever the module does, in worlds of that size.
 #![forbid(unsafe_code)]
 
--- a/crates/model-checker/src/moves.rs
+++ b/crates/model-checker/src/moves.rs
@@ -17,7 +17,7 @@
     Close,
 }
 
-/// One step of the world. Requests, boxes and pools go by number, connections and permits by their place among
+/// One step of the world. Requests, backends and pools go by number, connections and permits by their place among
 /// those that there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Move {
@@ -41,11 +41,11 @@
     Permit(u8, bool),
     /// A connection is up.
     Up(u8),
-    /// It did not come up; whether the box is to blame.
+    /// It did not come up; whether the backend is to blame.
     ConnectFailed(u8, bool),
     /// The last byte has gone.
     Written(u8),
-    /// An answer: 0 served, 1 never ran, 2 error.
+    /// An answer: 0 served, 1 was not executed, 2 error.
     Answered(u8, u8, After),
     /// What came is no answer.
     InvalidResponse(u8),
@@ -55,23 +55,23 @@
     Unfit(u8),
     /// It is closed as asked; whether the last byte had gone.
     Closed(u8, bool),
-    /// A box drains.
+    /// A backend drains.
     Drain(u8),
-    /// A box is off the list.
+    /// A backend is off the list.
     Gone(u8),
     /// It is ready again.
     Return(u8),
-    /// The whole list of a pool, without that box.
+    /// The whole list of a pool, without that backend.
     WholeBut(u8),
     /// The whole list of a pool.
     Whole(u8),
     /// The list of a pool is lost.
     Lose(u8),
-    /// A box listens elsewhere.
+    /// A backend listens elsewhere.
     Readdress(u8),
-    /// A box is in another cell.
+    /// A backend is in another cell.
     Regroup(u8),
-    /// A box goes to another pool.
+    /// A backend goes to another pool.
     Shift(u8, u8),
     /// A pool is closed.
     ClosePool(u8),
--- a/crates/model-checker/src/restarts.rs
+++ b/crates/model-checker/src/restarts.rs
@@ -24,7 +24,7 @@
 /// The bounds of such a world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Restarts {
-    /// Boxes.
+    /// Backends.
     pub boxes: u8,
     /// How often the key is asked for, in all runs together.
     pub asks: u8,
@@ -77,7 +77,7 @@
     Ask,
     /// The client of that request leaves.
     Leave(RequestId),
-    /// The chooser asks for an attempt at a box.
+    /// The chooser asks for an attempt at a backend.
     Dispatch(RequestId, u8),
     /// The chooser gives up.
     Fail(RequestId),
@@ -97,7 +97,7 @@
     ConnectFailed(u8),
     /// The last byte has gone.
     Written(u8),
-    /// An answer: 0 served, 1 never ran, 2 error.
+    /// An answer: 0 served, 1 was not executed, 2 error.
     Answered(u8, u8),
     /// The connection ended.
     Ended(u8),
@@ -115,14 +115,14 @@
     Kill,
 }
 
-/// What a box did with what it was sent.
+/// What a backend did with what it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     /// It may have run, or may yet.
     Maybe,
     /// It ran.
     Ran,
-    /// It never ran and never will.
+    /// It was not executed and never will.
     Never,
 }
 
@@ -580,7 +580,7 @@
             out.extend((0..=self.queue.len() as u8).map(Happens::StoreFails));
         }
         self.lines(out);
-        // An operator asks the boxes first, and only of a key of which nothing is under way here.
+        // An operator asks the backends first, and only of a key of which nothing is under way here.
         let busy = !self.shell.lines.is_empty() || !self.engine.requests().is_empty();
         let ran = self.sent.iter().any(|s| s.fate == Fate::Ran);
         if self.left.resolves > 0 && !busy && !self.down && self.recorder.unsettled() > 0 {
@@ -628,7 +628,7 @@
         }
     }
 
-    /// What must hold when nothing is under way: a key that never ran is free, unless a kill came between.
+    /// What must hold when nothing is under way: a key that was not executed is free, unless a kill came between.
     fn at_rest(&self, bounds: &Restarts) -> Option<&'static str> {
         let idle = self.engine.requests().is_empty() && self.queue.is_empty() && self.told.is_empty();
         if !idle || self.down || bounds.mutant.is_some() {
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -1,4 +1,4 @@
-//! The world outside the engine: what a shell, boxes, lists and the store have under way.
+//! The world outside the engine: what a shell, backends, lists and the store have under way.
 
 use crate::world::World;
 use shaletide_engine::Action;
@@ -35,7 +35,7 @@
     pub withdrawn: bool,
 }
 
-/// A box as discovery has it.
+/// A backend as discovery has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Listed {
     /// Its pool.
@@ -55,7 +55,7 @@
     pub lines: Vec<(ConnectionId, Doing)>,
     /// The permits that are asked for.
     pub permits: Vec<Pending>,
-    /// The boxes by number.
+    /// The backends by number.
     pub boxes: Vec<Listed>,
     /// The list is lost, and only a whole one is news.
     pub lost: bool,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The row of a box, as its list has it.
+    /// The row of a backend, as its list has it.
     pub fn row(&self, id: usize) -> BackendEntry {
         let b = self.boxes[id];
         // Pools are realms of their own, as they are for the daemon unless it is told otherwise.
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -12,7 +12,7 @@
     Micros(count * TICK.0)
 }
 
-/// A box, as it is listed in the beginning.
+/// A backend, as it is listed in the beginning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoxSpec {
     /// Its pool.
@@ -39,21 +39,21 @@
 /// How often each sort of news may come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct News {
-    /// A box drains.
+    /// A backend drains.
     pub drains: u8,
     /// An entry is taken off the list.
     pub gone: u8,
-    /// A box that drains or is gone is ready again under its name.
+    /// A backend that drains or is gone is ready again under its name.
     pub returns: u8,
-    /// A whole list that lacks a box, or lacks none.
+    /// A whole list that lacks a backend, or lacks none.
     pub wholes: u8,
     /// The list is lost; nothing but a whole list comes after that.
     pub losses: u8,
-    /// A box listens at another address under its name.
+    /// A backend listens at another address under its name.
     pub readdressed: u8,
-    /// A box is listed in another cell.
+    /// A backend is listed in another cell.
     pub regrouped: u8,
-    /// A box goes to the other pool.
+    /// A backend goes to the other pool.
     pub moves: u8,
     /// A pool is closed.
     pub closes: u8,
@@ -84,7 +84,7 @@
 pub struct World {
     /// Its name on the command line.
     pub name: String,
-    /// The boxes.
+    /// The backends.
     pub boxes: Vec<BoxSpec>,
     /// The requests; each may come at any time.
     pub requests: Vec<Kind>,
@@ -94,7 +94,7 @@
     pub keeping: ConnectionLimits,
     /// Attempts may be called back.
     pub cancel: bool,
-    /// All boxes are of one realm: a keyed request of scope `all` may be refused though it ran.
+    /// All backends are of one realm: a keyed request of scope `all` may be refused though it ran.
     pub one_realm: bool,
     /// Attempts of one request that may be out at once; any number may follow one another.
     pub out_each: usize,
@@ -184,8 +184,8 @@
         each.join(", ")
     }
 
-    /// The orders in which its requests and boxes may be named without making another world: all orders that
-    /// put a request in the place of one like it, and a box in the place of one of its pool.
+    /// The orders in which its requests and backends may be named without making another world: all orders that
+    /// put a request in the place of one like it, and a backend in the place of one of its pool.
     pub fn alike(&self) -> Vec<(Vec<u8>, Vec<u8>)> {
         let requests = orders(self.requests.len(), |a, b| self.requests[a] == self.requests[b]);
         let boxes = orders(self.boxes.len(), |a, b| {
--- a/crates/model-checker/src/worlds.rs
+++ b/crates/model-checker/src/worlds.rs
@@ -26,7 +26,7 @@
 const KEEPING: ConnectionLimits =
     ConnectionLimits { max_connections: 2, idle_timeout: ticks(3), reuse_delay: ticks(1) };
 
-/// So many boxes, each in a cell of its own, in so many pools, and requests of one effect after the other.
+/// So many backends, each in a cell of its own, in so many pools, and requests of one effect after the other.
 /// Connections are used once.
 pub fn base(boxes: usize, requests: usize, drains: u8, pools: u32) -> World {
     let spec = |b: usize| BoxSpec { pool: b as u32 % pools.max(1), cell: b as u64, listed: true };
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -174,7 +174,7 @@
     assert!(asked > 3_000, "the walks are no idle ones: {asked}");
 }
 
-/// A box that starts while there is load, each request half of what it can do in a moment: it is not pushed over.
+/// A backend that starts while there is load, each request half of what it can do in a moment: it is not pushed over.
 #[test]
 fn the_real_module_keeps_the_budget_of_a_cold_box() {
     let cfg = Config { slow_start_window: Micros(4_000_000), overload_window: Micros(500_000), ..config() };
--- a/crates/model-checker/tests/worlds.rs
+++ b/crates/model-checker/tests/worlds.rs
@@ -114,7 +114,7 @@
     assert_eq!(exhausted("three-out"), (41_170, 21));
 }
 
-/// Two boxes, three requests and a drain: `cargo test --release -p shaletide-model-checker --test worlds -- --ignored`.
+/// Two backends, three requests and a drain: `cargo test --release -p shaletide-model-checker --test worlds -- --ignored`.
 #[test]
 #[ignore = "minutes"]
 fn two_boxes_three_requests_one_of_each_effect_and_one_drain() {
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -30,7 +30,7 @@
 /// Part of the backends' idle limit after which a connection is no longer used: well inside it, as their
 /// clock may have started earlier than ours.
 const IDLE_PART: f64 = 0.6;
-/// A connection is not used again so soon after an answer. A second copy of that, or noise, may come some
+/// A connection is not used again so soon after an answer. A hedged attempt of that, or noise, may come some
 /// milliseconds behind it, and on a connection that carries the next request already nothing would tell it from the
 /// answer to that one. It costs as many further connections as there are answers in this time.
 const QUIET: Micros = Micros(10_000);
@@ -87,7 +87,7 @@
 /// A pool as it is to be.
 #[derive(Clone, Debug)]
 pub struct PoolSetup {
-    /// Its name and where its boxes come from.
+    /// Its name and where its backends come from.
     pub spec: PoolSpec,
     /// Its module's configuration; zone and realms are filled in here.
     pub config: Config,
@@ -232,7 +232,7 @@
     }
 
     /// Sets the pools up, at the start (with names of zones and kinds that are numbered first) or anew: those that
-    /// there are keep what they learned, boxes that go from one to another keep theirs, a pool that is named no
+    /// there are keep what they learned, backends that go from one to another keep theirs, a pool that is named no
     /// more lets go of what it holds. Returns the pools' numbers in the order given.
     ///
     /// # Errors
@@ -411,7 +411,7 @@
         self.state.borrow().open.get(&request).and_then(|open| open.recorded)
     }
 
-    /// What is known of a box at this moment.
+    /// What is known of a backend at this moment.
     fn seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
         let s = self.state.borrow();
         let tries = s.engine.requests().get(&request).map(|r| &r.attempts);
--- a/crates/net/src/driver/lists.rs
+++ b/crates/net/src/driver/lists.rs
@@ -67,7 +67,7 @@
         s.directory.retain(|id| holds.contains(&id));
     }
 
-    /// A pool's news on record, so that what was known of a box can be read in its setting.
+    /// A pool's news on record, so that what was known of a backend can be read in its setting.
     fn note_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
         let fact = {
             let s = self.state.borrow();
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -112,7 +112,7 @@
         .await;
 }
 
-/// Many connections lead to where a box was: its new address is one piece of news all the same, and what was
+/// Many connections lead to where a backend was: its new address is one piece of news all the same, and what was
 /// coming up to the old one goes to the new one once.
 #[tokio::test]
 async fn a_new_address_is_told_once_however_many_connections_lead_to_the_old_one() {
@@ -187,7 +187,7 @@
 }
 
 /// Connections are kept for what may be sent requests, whichever news told of it; and news of one pool costs
-/// nothing for the boxes of the others.
+/// nothing for the backends of the others.
 #[tokio::test]
 async fn connections_follow_the_lists_and_news_costs_what_it_brings() {
     let (driver, pools) = driver(&["p", "q"]);
--- a/crates/net/src/driver/tests/client_gone.rs
+++ b/crates/net/src/driver/tests/client_gone.rs
@@ -254,7 +254,7 @@
     .await;
 }
 
-/// The first attempt is turned away unprocessed, and the client closes in that moment. One that stays gets another.
+/// The first attempt is rejected unprocessed, and the client closes in that moment. One that stays gets another.
 #[tokio::test]
 async fn further_attempt_does_not_begin_after_its_client_closed() {
     run(async |end| {
--- a/crates/net/src/stream/tests.rs
+++ b/crates/net/src/stream/tests.rs
@@ -38,7 +38,7 @@
     assert!(stream.request_written());
 }
 
-/// The box reads half of it, and the rest only when its time is over: the last byte never comes.
+/// The backend reads half of it, and the rest only when its time is over: the last byte never comes.
 #[tokio::test]
 async fn a_request_that_is_not_whole_when_its_time_is_over_never_gets_its_last_byte() {
     for late in [false, true] {
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -116,7 +116,7 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// What was known of its box.
+        /// What was known of its backend.
         seen: Seen,
     },
     /// An attempt of a recorded class that needs no permit goes out.
@@ -125,7 +125,7 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// What was known of its box.
+        /// What was known of its backend.
         seen: Seen,
     },
     /// An attempt for which a permit was asked was not sent and never will be.
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use shaletide_types::Time;
 
-/// What the proxy knew of a box when it chose it.
+/// What the proxy knew of a backend when it chose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
-    /// The box, by name; kept in the row's own column.
+    /// The backend, by name; kept in the row's own column.
     #[serde(skip)]
     pub backend: String,
     /// The pool whose list brought it.
@@ -67,7 +67,7 @@
         /// Microseconds until its time is up.
         time_left: u64,
     },
-    /// A request was turned away unsent, because of its key.
+    /// A request was rejected unsent, because of its key.
     Turned {
         /// `in_flight`, `doubt` or `served`.
         why: String,
@@ -76,7 +76,7 @@
     Intent {
         /// Its number.
         attempt: u32,
-        /// What was known of its box.
+        /// What was known of its backend.
         seen: Seen,
     },
     /// An attempt was not sent and never will be.
@@ -159,7 +159,7 @@
     pub request: Option<u64>,
     /// The key.
     pub key: Option<KeyId>,
-    /// The box, by name.
+    /// The backend, by name.
     pub backend: Option<String>,
 }
 
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -14,7 +14,7 @@
     Late,
     /// Its permit was given: it may have run.
     Given,
-    /// It never ran and never will.
+    /// It was not executed and never will.
     NotExecuted,
     /// It is over and may have run.
     MayHaveRun,
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -39,7 +39,7 @@
     pub request: Option<u64>,
     /// The key that it is about.
     pub key: Option<KeyId>,
-    /// The box that it is about, by name.
+    /// The backend that it is about, by name.
     pub backend: Option<String>,
     /// All that it says, as JSON.
     pub body: String,
--- a/crates/record/src/served.rs
+++ b/crates/record/src/served.rs
@@ -1,7 +1,7 @@
 //! Served keys, by the million.
 //!
 //! Of each only a fingerprint of 128 bits is kept: SHA-256 over a secret and the key. Two keys that share one would
-//! make the recorder call a key served that was not, and it would be turned away unsent: the mistake that costs an
+//! make the recorder call a key served that was not, and it would be rejected unsent: the mistake that costs an
 //! operator a look, and never a second run. With a million keys it befalls one new key in 10^32. Whatever is not
 //! settled is kept as it is, elsewhere: what frees a key never goes by a fingerprint.
 
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A world around the recorder: a store that commits late, fails or refuses, boxes that count runs by key, a stand-in
+//! A world around the recorder: a store that commits late, fails or refuses, backends that count runs by key, a stand-in
 //! for the engine, restarts that keep what is durable and nothing else.
 #![allow(dead_code, reason = "each test file uses its part")]
 
@@ -51,7 +51,7 @@
     pub recorder: Recorder,
     pub store: Store,
     pub orders: BTreeMap<RequestId, Order>,
-    /// What has gone to a box and may run yet; boxes live through our restarts.
+    /// What has gone to a backend and may run yet; backends live through our restarts.
     pub at_boxes: BTreeSet<(u64, RequestId, AttemptNumber, KeyId)>,
     pub runs: BTreeMap<KeyId, u32>,
     pub replies: Vec<ResolveResult>,
@@ -151,7 +151,7 @@
         self.orders[&request].tries[&AttemptNumber(no)]
     }
 
-    /// The first byte goes out; the box runs it now, later or never.
+    /// The first byte goes out; the backend runs it now, later or never.
     pub fn send(&mut self, request: RequestId, no: u32) {
         let order = self.orders.get_mut(&request).unwrap();
         assert_eq!(
@@ -163,7 +163,7 @@
         self.at_boxes.insert((self.run, request, AttemptNumber(no), key));
     }
 
-    /// What lies at a box runs, or never will.
+    /// What lies at a backend runs, or never will.
     pub fn box_runs(&mut self, which: (u64, RequestId, AttemptNumber, KeyId), ran: bool) {
         self.at_boxes.remove(&which);
         if ran {
@@ -171,7 +171,7 @@
         }
     }
 
-    /// An attempt's end is told; what it did at its box is decided by then, if the outcome says so.
+    /// An attempt's end is told; what it did at its backend is decided by then, if the outcome says so.
     pub fn end(&mut self, request: RequestId, no: u32, outcome: Outcome) {
         let at = (
             self.run,
--- a/crates/record/tests/windows.rs
+++ b/crates/record/tests/windows.rs
@@ -341,7 +341,7 @@
     }
 }
 
-/// Classes whose boxes drop repeats may have several attempts out; the key stands by all of them.
+/// Classes whose backends drop repeats may have several attempts out; the key stands by all of them.
 #[test]
 fn of_several_attempts_the_worst_counts_and_the_best_ends_it() {
     let mut w = World::new();
--- a/crates/record/tests/world.rs
+++ b/crates/record/tests/world.rs
@@ -1,4 +1,4 @@
-//! Whatever happens, in whatever order: no key runs twice, every key that never ran can be freed, and every request
+//! Whatever happens, in whatever order: no key runs twice, every key that was not executed can be freed, and every request
 //! for a permit is answered in time.
 
 mod common;
@@ -114,7 +114,7 @@
     }
 }
 
-/// The outcome is one that can be: a box that has run it does not turn it away, one that never will serves nothing.
+/// The outcome is one that can be: a backend that has run it does not turn it away, one that never will serves nothing.
 fn end(w: &mut World, id: RequestId, no: u32, outcome: Outcome) {
     let key = w.orders[&id].key.clone().unwrap();
     let there = w.at_boxes.contains(&(w.run, id, AttemptNumber(no), key));
@@ -140,7 +140,7 @@
     w.over(id, RequestEnding::TimedOut);
 }
 
-/// A truthful operator: says nothing while the box may yet run it.
+/// A truthful operator: says nothing while the backend may yet run it.
 fn resolve(w: &mut World, name: &str) {
     let key = common::key(name);
     if !w.at_boxes.iter().any(|at| at.3 == key) {
--- a/crates/routing/src/answers.rs
+++ b/crates/routing/src/answers.rs
@@ -1,4 +1,4 @@
-//! What a backend's answer means: served, proof that the request never ran, or an error; and what of it the
+//! What a backend's answer means: served, proof that the request was not executed, or an error; and what of it the
 //! client gets.
 
 /// Statuses from 100 to 599.
@@ -37,7 +37,7 @@
     }
 }
 
-/// A status and a header that together prove that the request never ran.
+/// A status and a header that together prove that the request was not executed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NotExecutedProof {
     /// The answer's status.
@@ -73,7 +73,7 @@
 pub struct ResponseRules {
     /// These count as served.
     pub served: StatusSet,
-    /// These prove that the request never ran, whatever `served` says.
+    /// These prove that the request was not executed, whatever `served` says.
     pub not_executed: Vec<NotExecutedProof>,
     /// What the client gets of an error.
     pub error_responses: ErrorResponses,
@@ -82,7 +82,7 @@
 }
 
 impl ResponseRules {
-    /// Every final status is served but 429, 500, 502, 503 and 504; nothing proves that a request never ran.
+    /// Every final status is served but 429, 500, 502, 503 and 504; nothing proves that a request was not executed.
     pub fn plain() -> ResponseRules {
         let mut served = StatusSet::none();
         served.add(200, 599);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The platform's table: 200 is served, 503 and 504 with `X-Unprocessed: 1` never ran.
+    /// The platform's table: 200 is served, 503 and 504 with `X-Unprocessed: 1` was not executed.
     pub fn platform() -> ResponseRules {
         let mut served = StatusSet::none();
         served.add(200, 200);
--- a/crates/routing/src/last.rs
+++ b/crates/routing/src/last.rs
@@ -22,7 +22,7 @@
 pub struct LastResponse {
     /// Its status.
     pub status: u16,
-    /// It proves that this attempt never ran; else it is an error.
+    /// It proves that this attempt was not executed; else it is an error.
     pub not_executed: bool,
 }
 
@@ -48,14 +48,14 @@
 ///
 /// | last answer                | refused, safe | refused, other | failed, safe | failed, other |
 /// |----------------------------|---------------|----------------|--------------|---------------|
-/// | 429 or 503, never ran      | passes        | passes         | passes       | 502           |
+/// | 429 or 503, was not executed      | passes        | passes         | passes       | 502           |
 /// | 429 or 503, error          | passes        | 502            | passes       | 502           |
-/// | other from 400, never ran  | passes        | own 503        | passes       | passes        |
-/// | below 400, never ran       | own 503       | own 503        | 502          | 502           |
+/// | other from 400, was not executed  | passes        | own 503        | passes       | passes        |
+/// | below 400, was not executed       | own 503       | own 503        | 502          | 502           |
 /// | any other, error           | passes        | passes         | passes       | passes        |
 ///
 /// So a client sees 429 or 503 only where coming again does no harm (a safe class, or proof), and nothing that reads like success for
-/// what never ran.
+/// what was not executed.
 pub fn client_response(
     decision: Decision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
 ) -> ClientResponse {
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -169,7 +169,7 @@
     /// Requests that its module owes an answer, and attempts at its backends.
     owes: u32,
     holds: u32,
-    /// A box has moved in while nothing could be sent to any other, and its list has not been told since.
+    /// A backend has moved in while nothing could be sent to any other, and its list has not been told since.
     gained: bool,
 }
 
@@ -372,7 +372,7 @@
         }
     }
 
-    /// Whether a box that moved in has made it able; what waits elsewhere goes there when its list is told.
+    /// Whether a backend that moved in has made it able; what waits elsewhere goes there when its list is told.
     fn gained(&mut self, pool: PoolId) -> bool {
         self.pools.get_mut(&pool).is_some_and(|p| std::mem::take(&mut p.gained))
     }
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -377,7 +377,7 @@
     }
 }
 
-/// A reload that puts thousands of boxes into another pool is carried out between two requests.
+/// A reload that puts thousands of backends into another pool is carried out between two requests.
 #[test]
 fn thousands_of_boxes_move_at_once() {
     let many: Vec<BackendEntry> = (0..6_000).map(|id| backend(id, u64::from(id), 0)).collect();
@@ -394,7 +394,7 @@
     assert_eq!(world.sent_to(id).len(), 1);
 }
 
-/// An operator may well name a kind for each box.
+/// An operator may well name a kind for each backend.
 #[test]
 fn as_many_kinds_as_boxes_cost_little() {
     let one = |id| BackendEntry { server_type: ServerTypeId(id), ..backend(id, u64::from(id), 0) };
@@ -405,7 +405,7 @@
     assert!(sent == 200 && start.elapsed().as_secs() < 4, "{sent} in {:?}", start.elapsed());
 }
 
-/// A box that moves out takes the attempt along, which is as good as it was: the request waits for it, though it is
+/// A backend that moves out takes the attempt along, which is as good as it was: the request waits for it, though it is
 /// held for another one meanwhile and its pools close.
 #[test]
 fn an_attempt_that_is_out_is_waited_for_when_its_pools_close() {
--- a/crates/shaletide/benches/front/main.rs
+++ b/crates/shaletide/benches/front/main.rs
@@ -80,7 +80,7 @@
     BackendServer::start(|_| ok("x")).address
 }
 
-/// An operators' file with one class and one box.
+/// An operators' file with one class and one backend.
 fn plain_file(at: std::net::SocketAddr, to: std::net::SocketAddr) -> String {
     format!(
         "[[listener]]\naddress = \"{at}\"\n[[class]]\nname = \"read\"\n\
--- a/crates/shaletide/benches/front/stock.rs
+++ b/crates/shaletide/benches/front/stock.rs
@@ -1,4 +1,4 @@
-//! What stands behind the program here: the project's own boxes, and folders for what a part writes.
+//! What stands behind the program here: the project's own backends, and folders for what a part writes.
 
 use super::{BoxSpec, Fault, Fleet, Power, Sending};
 use std::net::SocketAddr;
--- a/crates/shaletide/src/cli.rs
+++ b/crates/shaletide/src/cli.rs
@@ -42,7 +42,7 @@
         /// The operators' file.
         file: PathBuf,
     },
-    /// Stand-in boxes, load and trouble in this one process: status 0 where all rules held, 1 where one did not.
+    /// Stand-in backends, load and trouble in this one process: status 0 where all rules held, 1 where one did not.
     Demo(Demo),
     /// What the proxy knew and did: read, check, copy and keep the store of record.
     Record(crate::record::args::Record),
@@ -59,7 +59,7 @@
     /// A world by name, or "all"; an unknown name lists them. Without it the sizes below make one.
     #[arg(long, value_name = "NAME", conflicts_with_all = ["boxes", "requests", "drains", "pools"])]
     pub world: Option<String>,
-    /// Boxes, each in a cell of its own.
+    /// Backends, each in a cell of its own.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=4))]
     pub boxes: u8,
     /// Requests: free, keyed, unsafe, and from the beginning.
@@ -68,7 +68,7 @@
     /// Drains.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(0..=4))]
     pub drains: u8,
-    /// Pools; the boxes are dealt out to them.
+    /// Pools; the backends are dealt out to them.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=4))]
     pub pools: u8,
     /// The store of record with the engine, killed so often: two requests of one key, a store that fails once.
--- a/crates/shaletide/src/demo/mod.rs
+++ b/crates/shaletide/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! `shaletide demo`: boxes, discovery, clients and the proxy in one process on loopback, some trouble, and a report.
+//! `shaletide demo`: backends, discovery, clients and the proxy in one process on loopback, some trouble, and a report.
 //!
 //! The proxy is the daemon that `serve` runs, by an operators' file made here. It has the main thread; the
 //! stand-ins have theirs, and one more tells them what to do when.
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -29,11 +29,11 @@
     Report { text, holds }
 }
 
-/// The boxes of a kind and what came to them in a part of the run.
+/// The backends of a kind and what came to them in a part of the run.
 #[derive(Default)]
 struct Kind {
     boxes: usize,
-    /// Of one of its boxes when warm, standard cores.
+    /// Of one of its backends when warm, standard cores.
     power: f64,
     requests: usize,
     served: usize,
@@ -42,12 +42,12 @@
 }
 
 impl Kind {
-    /// Requests a second that one of its boxes can serve, by what a request's work is.
+    /// Requests a second that one of its backends can serve, by what a request's work is.
     fn by_work(&self, work_ms: f64) -> f64 {
         1e3 * self.power / work_ms
     }
 
-    /// The same as it shows in latencies: one over the mean, and what comes to one box.
+    /// The same as it shows in latencies: one over the mean, and what comes to one backend.
     fn by_latency(&self, span_s: f64) -> f64 {
         if self.served == 0 {
             return 0.0;
@@ -217,7 +217,7 @@
 
     const SECOND: Micros = Micros(1_000_000);
 
-    /// Two boxes in two bays, the second started at 10 s, the first drains at 10 s; and a request of each class.
+    /// Two backends in two bays, the second started at 10 s, the first drains at 10 s; and a request of each class.
     fn sound() -> Played {
         let info = |name: &str, bay, at| {
             let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.3, ramp: RAMP };
--- a/crates/shaletide/src/demo/script.rs
+++ b/crates/shaletide/src/demo/script.rs
@@ -12,18 +12,18 @@
 /// Requests that are open at a time, at most: many times as many as usually are, and well below half of the proxy's
 /// places, from where answers end their connections. On a machine that is behind it bounds what waits.
 const OPEN: usize = 64;
-/// The box that died is back after so long.
+/// The backend that died is back after so long.
 const DEAD: Duration = Duration::from_millis(500);
 
 /// By this part of the load's time the proxy has learned the speeds.
 const CALM: f64 = 0.2;
-/// Trouble begins: a box drains.
+/// Trouble begins: a backend drains.
 const TROUBLE: f64 = 0.5;
-/// A box fails from here ...
+/// A backend fails from here ...
 const FAILS: f64 = 0.55;
 /// ... to here.
 const WELL: f64 = 0.7;
-/// A box dies.
+/// A backend dies.
 const DIES: f64 = 0.72;
 
 /// What was written down.
@@ -31,7 +31,7 @@
     pub ledger: Ledger,
     pub result: LoadResult,
     pub drained: Vec<Drained>,
-    /// The kind of each box, in the ledger's order.
+    /// The kind of each backend, in the ledger's order.
     pub kinds: Vec<String>,
     /// When the load began.
     pub begun: Time,
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -11,19 +11,19 @@
 pub const RATE: f64 = 350.0;
 /// The mean work of a request, ms of a standard core.
 const WORK_MS: f64 = 16.0;
-/// Each kind: its name, how many boxes, and the speed of their one core.
+/// Each kind: its name, how many backends, and the speed of their one core.
 const KINDS: [(&str, u32, f64); 2] = [("fast", 4, 2.0), ("slow", 4, 1.0)];
 /// How long a client waits.
 pub const DEADLINE: Duration = Duration::from_secs(5);
-/// A draining box takes new requests for so long.
+/// A draining backend takes new requests for so long.
 pub const GRACE: Micros = Micros(2_000_000);
 /// A key is known to its bay for so long.
 pub const WINDOW: Micros = Micros(8_000_000);
-/// The part of its speed that a box has when it starts ...
+/// The part of its speed that a backend has when it starts ...
 pub const COLD_FROM: f64 = 0.3;
 /// ... and when it has all of it.
 pub const RAMP: Micros = Micros(3_000_000);
-/// What a cold box may be sent.
+/// What a cold backend may be sent.
 pub const PUSH: checks::Push = checks::Push { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
 
 /// The stand-ins at work.
@@ -53,7 +53,7 @@
         Ok(Stage { fleet, discovery, proxy, config, _port: port })
     }
 
-    /// The box of that name.
+    /// The backend of that name.
     pub fn named(&self, name: &str) -> io::Result<&BoxHandle> {
         let found = self.fleet.boxes().iter().find(|b| b.spec.name == name);
         found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("no box {name}")))
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -109,7 +109,7 @@
 }
 
 /// The list from before only bridges the time until discovery is heard: one that cannot be read is passed over, as
-/// a proxy that does not start is worse than one that knows no box for that long.
+/// a proxy that does not start is worse than one that knows no backend for that long.
 fn known(said: serde_json::Value) -> List {
     if said.is_null() {
         return List::default();
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -181,7 +181,7 @@
     /// About keys of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// About this box.
+    /// About this backend.
     #[arg(long = "box", value_name = "BOX")]
     pub backend: Option<String>,
 }
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// The box to which its last attempt went.
+/// The backend to which its last attempt went.
 fn last_box(store: &dyn StoreReader, held: &StoredKey) -> Result<Option<String>, StoreError> {
     let id = &held.key;
     let mut query = Query {
--- a/crates/shaletide/src/record/words.rs
+++ b/crates/shaletide/src/record/words.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// A fact in a line. `to`: the box of an attempt, where that is known; `durable`: intents were so before the first byte.
+/// A fact in a line. `to`: the backend of an attempt, where that is known; `durable`: intents were so before the first byte.
 pub fn fact(row: &Row, to: impl Fn(u32) -> Option<String>, durable: bool) -> String {
     let of = |attempt: u32| match to(attempt) {
         Some(backend) => format!("attempt {attempt} at {}", one_line(&backend)),
--- a/crates/shaletide/tests/answers.rs
+++ b/crates/shaletide/tests/answers.rs
@@ -1,5 +1,5 @@
-//! What a client gets of what boxes answer, by the class of its request and its route, over sockets; and how often
-//! the boxes saw it.
+//! What a client gets of what backends answer, by the class of its request and its route, over sockets; and how often
+//! the backends saw it.
 
 mod rig;
 
@@ -31,11 +31,11 @@
     (404, true),
 ];
 
-/// Effect, class, what a box answers, and whether that proves that the request never ran.
+/// Effect, class, what a backend answers, and whether that proves that the request was not executed.
 type Case = (&'static str, &'static str, u16, bool);
 
-/// What a client has to get and how often the boxes may see its request, in words of its own and not of the
-/// program's: two boxes of one bay, which both answer like that, and three attempts.
+/// What a client has to get and how often the backends may see its request, in words of its own and not of the
+/// program's: two backends of one bay, which both answer like that, and three attempts.
 fn expected(effect: &str, status: u16, proof: bool, own_words: bool) -> (String, usize) {
     let served = !proof && ![429, 500, 502, 503, 504].contains(&status);
     if served {
@@ -55,7 +55,7 @@
     (got, attempts)
 }
 
-/// All cases by one program: a pool of two boxes for each, so that none finds boxes that another has made ill.
+/// All cases by one program: a pool of two backends for each, so that none finds backends that another has made ill.
 fn outcomes(cases: &[Case], own_words: bool) -> Vec<(String, usize)> {
     let power = Power::warm(4, 1.0);
     let specs = (0..=cases.len()).flat_map(|n| [0, 1].map(|b| BoxSpec::new(&format!("b{n}-{b}"), power)));
@@ -130,10 +130,10 @@
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
 
-/// What the boxes do with the first two requests that come to either.
+/// What the backends do with the first two requests that come to either.
 type Turns = [fn() -> Reply; 2];
 
-/// Two boxes of one bay whose answers go by how often the two together were asked since the switch was thrown.
+/// Two backends of one bay whose answers go by how often the two together were asked since the switch was thrown.
 fn in_turn(replies: Turns) -> ([BackendServer; 2], Arc<AtomicU32>) {
     let turn = Arc::new(AtomicU32::new(u32::MAX / 2));
     let one = || {
@@ -155,7 +155,7 @@
     let cases: [(&str, Turns, &str, u32); 6] = [
         ("/read/k", [no, || Reply::Reset], "503 refused\n", 2),
         ("/settle/k", [no, || Reply::Reset], "502 failed\n", 2),
-        // The second attempt never ran, but the first may have.
+        // The second attempt was not executed, but the first may have.
         ("/settle/k", [no, full], "502 failed\n", 2),
         ("/read/k", [no, full], "503 full", 2),
         ("/settle/k", [full, no], "500 first", 2),
--- a/crates/shaletide/tests/book/mod.rs
+++ b/crates/shaletide/tests/book/mod.rs
@@ -150,7 +150,7 @@
         self.tell(Event::RequestEnded { request, ending });
     }
 
-    /// One that is served at box-2.
+    /// One that is served at backend-2.
     pub fn served(&mut self, tenant: &str, key: &[u8]) {
         let request = self.settle(tenant, key);
         self.intent(request, 0, "box-2");
@@ -159,7 +159,7 @@
         self.over(request, RequestEnding::Served(AttemptNumber(0)));
     }
 
-    /// One whose connection breaks at box-7.
+    /// One whose connection breaks at backend-7.
     pub fn doubt(&mut self, tenant: &str, key: &[u8]) {
         let request = self.settle(tenant, key);
         self.pass(1);
--- a/crates/shaletide/tests/habits.rs
+++ b/crates/shaletide/tests/habits.rs
@@ -1,4 +1,4 @@
-//! Odd habits of servers, as modes of the stand-in boxes behind `shaletide serve`: what they answer passes unchanged,
+//! Odd habits of servers, as modes of the stand-in backends behind `shaletide serve`: what they answer passes unchanged,
 //! and no request comes to them twice.
 
 mod rig;
@@ -29,7 +29,7 @@
     answer.unwrap_or_else(|| panic!("no whole answer to {what}"))
 }
 
-/// So many GETs in turn, each served with the box's own body and come there once.
+/// So many GETs in turn, each served with the backend's own body and come there once.
 fn served_in_turn(fleet: &Fleet, proxy: &Running) {
     let mut client = proxy.client();
     for id in 0..IN_TURN {
@@ -79,7 +79,7 @@
     assert_eq!(fleet.boxes()[0].stats().requests, 8, "none came twice");
 }
 
-/// Where `idle_timeout` says what the box's time is, no connection is used that may be about to end.
+/// Where `idle_timeout` says what the backend's time is, no connection is used that may be about to end.
 #[test]
 fn connections_about_to_end_are_not_used_where_the_file_says_when() {
     let fleet = fleet(Duration::from_millis(200));
--- a/crates/shaletide/tests/hostile.rs
+++ b/crates/shaletide/tests/hostile.rs
@@ -1,4 +1,4 @@
-//! Careless operators, hostile clients and broken boxes against the program that serves by a file.
+//! Careless operators, hostile clients and broken backends against the program that serves by a file.
 
 mod rig;
 
@@ -23,7 +23,7 @@
 static NUMBER: AtomicU32 = AtomicU32::new(0);
 const CLASSES: &str = "[[class]]\nname = \"read\"\n[[class]]\nname = \"pay\"\neffect = \"unsafe\"\n";
 
-/// A file with a listener and one pool of these boxes.
+/// A file with a listener and one pool of these backends.
 fn file(more: &str, boxes: &[&BackendServer]) -> String {
     let boxes: Vec<String> = boxes.iter().map(|b| format!("\"{}\"", b.address)).collect();
     let boxes = boxes.join(", ");
@@ -85,7 +85,7 @@
     }
 }
 
-/// Where attempts are not withdrawn they end with their client's time all the same: no connection is held by a box
+/// Where attempts are not withdrawn they end with their client's time all the same: no connection is held by a backend
 /// that never answers.
 #[test]
 fn an_attempt_that_may_not_be_withdrawn_ends_with_its_time() {
--- a/crates/shaletide/tests/kills.rs
+++ b/crates/shaletide/tests/kills.rs
@@ -1,4 +1,4 @@
-//! Killed under load and started again, over and over: no key runs twice, and none that never ran stays taken.
+//! Killed under load and started again, over and over: no key runs twice, and none that was not executed stays taken.
 //!
 //! The long run: `cargo test --locked --release -p shaletide --test kills -- --ignored --nocapture`.
 
@@ -18,20 +18,20 @@
 
 const CLIENTS: usize = 8;
 
-/// Where an attempt stood as the program was killed, by the store, the box and the client.
+/// Where an attempt stood as the program was killed, by the store, the backend and the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Window {
     /// Nothing of its intent is on record.
     NotOnRecord,
-    /// Its intent is, and the box has not seen the whole of it.
+    /// Its intent is, and the backend has not seen the whole of it.
     DurableNotSent,
-    /// The box has it whole, and no end is on record.
+    /// The backend has it whole, and no end is on record.
     SentNotRecorded,
     /// Its end is on record, and the client has no answer.
     RecordedNotAnswered,
 }
 
-/// What the boxes ran, by key: their own record.
+/// What the backends ran, by key: their own record.
 type Runs = Arc<Mutex<BTreeMap<String, u32>>>;
 
 fn paid(key: &str) -> String {
@@ -102,7 +102,7 @@
         pool("p", &[(address, "a")])
     );
     let ran = |key: &str| runs.lock().unwrap().get(key).copied().unwrap_or_default();
-    // A box tells of a request before it answers; whoever counts may be a little behind.
+    // A backend tells of a request before it answers; whoever counts may be a little behind.
     let has_run = |key: &str| {
         let begun = Instant::now();
         while ran(key) == 0 && begun.elapsed() < PATIENCE {
--- a/crates/shaletide/tests/late.rs
+++ b/crates/shaletide/tests/late.rs
@@ -1,4 +1,4 @@
-//! What a box sends some milliseconds after its answer is never the answer to the next request.
+//! What a backend sends some milliseconds after its answer is never the answer to the next request.
 
 mod rig;
 
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A box whose answers carry the id of their request and come twice, the second copy so much later. It holds the copy
+/// A backend whose answers carry the id of their request and come twice, the hedged attempt so much later. It holds the copy
 /// back until a request is on its way: one that is there before the copy was due finds it in front of its own answer,
 /// which is the worst moment for it to come. Its count is of such requests.
 fn answers_twice(late: Duration) -> (SocketAddr, Arc<AtomicU32>) {
--- a/crates/shaletide/tests/left.rs
+++ b/crates/shaletide/tests/left.rs
@@ -41,12 +41,12 @@
     }
 }
 
-/// The id of a request, as a box sees it.
+/// The id of a request, as a backend sees it.
 fn id(request: &str) -> String {
     id_of(request).into()
 }
 
-/// Of these requests, by id, the ones that came to the box before one that has that last id, each with the time since
+/// Of these requests, by id, the ones that came to the backend before one that has that last id, each with the time since
 /// its client left.
 fn sent(backend: &BackendServer, left: &HashMap<String, Instant>, last: &str) -> Vec<Duration> {
     let mut late = Vec::new();
@@ -67,7 +67,7 @@
     assert!(late.is_empty(), "{what}: {} of {cases} were sent, the last after {longest:?}", late.len());
 }
 
-/// The proxy is told that there is no box: what it takes is held until the answer to the call that is out brings one.
+/// The proxy is told that there is no backend: what it takes is held until the answer to the call that is out brings one.
 fn without_boxes(proxy: &Proxy) -> mpsc::Sender<(u16, String)> {
     let (_, first) = proxy.discovery.call();
     first.send((200, list(5, true, &[]))).unwrap();
@@ -91,7 +91,7 @@
     clients.into_iter().map(leaves).collect()
 }
 
-/// Held until there is a box, and the box comes 0.3 s after they left.
+/// Held until there is a backend, and the backend comes 0.3 s after they left.
 fn held(stopping: bool) {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
@@ -103,7 +103,7 @@
             for n in 0..BURST {
                 clients.push(asks(&proxy, n));
             }
-            // One stays: what comes after it at the box has come after all of them.
+            // One stays: what comes after it at the backend has come after all of them.
             let (mut stays, last) = (proxy.client(), read(3.0));
             stays.send(&last);
             come_round(&proxy);
@@ -146,7 +146,7 @@
 }
 
 /// Several hundred leave at once: from places that are all taken, and from the kernel's queue behind them, where their
-/// requests lie and were not read yet. The box comes 0.3 s later, and the queue moves on only then.
+/// requests lie and were not read yet. The backend comes 0.3 s later, and the queue moves on only then.
 #[test]
 fn a_burst_that_leaves_from_its_places_and_from_the_queue_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
@@ -198,7 +198,7 @@
     none("left as it was read", cases, &late);
 }
 
-/// Its first attempt is out, and is turned away 0.3 s after the client left: it is given up before, and there is no
+/// Its first attempt is out, and is rejected 0.3 s after the client left: it is given up before, and there is no
 /// second one.
 #[test]
 fn a_request_is_not_tried_again_once_its_client_has_left() {
--- a/crates/shaletide/tests/load.rs
+++ b/crates/shaletide/tests/load.rs
@@ -1,5 +1,5 @@
-//! The program under load, between load clients and a fleet whose boxes drain, die and come back meanwhile: what
-//! the boxes wrote down keeps every rule.
+//! The program under load, between load clients and a fleet whose backends drain, die and come back meanwhile: what
+//! the backends wrote down keeps every rule.
 
 mod rig;
 
@@ -71,12 +71,12 @@
     let push = checks::Push { multiple: 2.5, window: Micros(2_000_000), slack: 0.1 };
     assert_eq!(checks::cold_not_pushed_over(&ledger, push), []);
     assert_eq!((result.mixed_up, result.overfull), (0, 0));
-    // What died with its box may fail, and votes may fail where one bay errs; nearly all is served.
+    // What died with its backend may fail, and votes may fail where one bay errs; nearly all is served.
     assert!(total.served_in_time as f64 > 0.98 * total.count as f64, "{total}");
     assert!(total.count > 900, "{total}");
 }
 
-/// Pools of these boxes, by their numbers, and one that discovery tells of; without `grouped` no pool drops what
+/// Pools of these backends, by their numbers, and one that discovery tells of; without `grouped` no pool drops what
 /// another has seen.
 fn file(fleet: &Fleet, told: SocketAddr, pools: &[&[usize]], grouped: bool) -> String {
     let bays: Vec<String> = fleet.boxes().iter().map(|b| b.spec.bay.to_string()).collect();
@@ -99,7 +99,7 @@
     text + &route("reads", "", &order)
 }
 
-/// Pools that come, go and change their boxes, files that make no sense, two signals at once, and news of a list in
+/// Pools that come, go and change their backends, files that make no sense, two signals at once, and news of a list in
 /// the same instant: each request has one answer, and no rule is broken.
 #[test]
 fn the_rules_hold_while_the_file_is_read_again_and_again() {
--- a/crates/shaletide/tests/operator.rs
+++ b/crates/shaletide/tests/operator.rs
@@ -139,7 +139,7 @@
     assert!(!line.contains('\r'), "{line:?}");
 }
 
-/// 5,000 boxes in 50 pools and 200 routes: a request goes where its route says, and while the file is read again
+/// 5,000 backends in 50 pools and 200 routes: a request goes where its route says, and while the file is read again
 /// all goes on.
 #[test]
 fn a_large_file_is_served_and_read_again() {
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Pools: what one cannot take goes on to the next, and no rule ends at a pool's edge; which pool has a box, and what
+//! Pools: what one cannot take goes on to the next, and no rule ends at a pool's edge; which pool has a backend, and what
 //! it may hold there.
 
 mod rig;
@@ -16,7 +16,7 @@
     (BackendServer::start(move |_| if thrown.load(SeqCst) { to() } else { ok(name) }), switch)
 }
 
-/// How often a box saw each request that came to it so far.
+/// How often a backend saw each request that came to it so far.
 fn seen(backend: &BackendServer) -> HashMap<String, u32> {
     let mut seen = HashMap::new();
     for message in backend.seen.try_iter() {
@@ -92,7 +92,7 @@
 #[test]
 fn a_settle_that_may_have_run_goes_on_inside_its_repeat_group_alone() {
     let (bay, all, zone) = ("\"bay\"", "\"all\"", "\"zone\"");
-    // The key's scope, the groups of the two pools, bay and zone of the box in the second, and whether it goes on.
+    // The key's scope, the groups of the two pools, bay and zone of the backend in the second, and whether it goes on.
     let cases = [
         (bay, "g", "g", "1", "east", true),
         (bay, "g", "g", "2", "east", false),
@@ -143,7 +143,7 @@
     assert_eq!(b.count(), 0);
 }
 
-/// With 8 cores a box may hold eight times as many as with one.
+/// With 8 cores a backend may hold eight times as many as with one.
 #[test]
 fn a_box_holds_as_many_as_its_cores_allow() {
     for (cores, holds) in [(1, 4), (2, 8), (8, 32)] {
@@ -192,7 +192,7 @@
     }
 }
 
-/// A box that a file brings anew is cold: here it gets one request in an hour. One that was there, in whichever
+/// A backend that a file brings anew is cold: here it gets one request in an hour. One that was there, in whichever
 /// pool, is as warm as it was.
 #[test]
 fn a_box_that_is_new_in_a_file_is_cold_and_one_that_moves_is_not() {
@@ -228,7 +228,7 @@
     assert_eq!(pays(100), [100, 0, 0], "it has had its one request in the hour");
 }
 
-/// What a box holds goes along to another pool, and so does its drain.
+/// What a backend holds goes along to another pool, and so does its drain.
 #[test]
 fn a_box_that_moves_keeps_what_it_holds() {
     let gate = Arc::new(Gate::default());
@@ -306,7 +306,7 @@
     );
 }
 
-/// Where a pool's boxes come from may change while it serves: it keeps those that it has until others are told.
+/// Where a pool's backends come from may change while it serves: it keeps those that it has until others are told.
 #[test]
 fn a_pool_may_go_from_a_file_to_a_list_to_another_and_back() {
     let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
@@ -315,7 +315,7 @@
         ListServer::start(Clock::start(), &["n0"], vec![entry]).expect("a discovery")
     };
     let (first, second) = (list(&b), list(&c));
-    // A box that is new may be sent as much as any other.
+    // A backend that is new may be sent as much as any other.
     let warm = format!("[rules]\ncold_from = 1.0\n{CLASSES}");
     let in_file = warm.clone() + &pool("p", &[(a.address, "1")]);
     let told = |by: &ListServer, mode: &str| {
--- a/crates/shaletide/tests/proxy.rs
+++ b/crates/shaletide/tests/proxy.rs
@@ -77,7 +77,7 @@
     }
 }
 
-/// Each outcome that proves that it never ran: even an unsafe request goes on to another backend.
+/// Each outcome that proves that it was not executed: even an unsafe request goes on to another backend.
 #[test]
 fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
     for status in [503, 504] {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A refused connection never ran either. Nobody sees it, so the draw gets many chances to meet it.
+/// A refused connection was not executed either. Nobody sees it, so the draw gets many chances to meet it.
 #[test]
 fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
     let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
@@ -224,7 +224,7 @@
 }
 
 /// A call that was out as the agent fell silent is never answered: the next one asks soon, and for what is there now.
-/// How soon follows from the time within which nothing new may go to a box that drains.
+/// How soon follows from the time within which nothing new may go to a backend that drains.
 #[test]
 fn an_agent_that_answers_new_calls_only_is_heard_again_soon() {
     let graces = [
@@ -269,7 +269,7 @@
     assert_eq!(proxy.ask(&pay(3.0)).body, b"new");
 }
 
-/// A request whose connection is still coming up as its box begins to drain goes to another at once; so does one that
+/// A request whose connection is still coming up as its backend begins to drain goes to another at once; so does one that
 /// comes later.
 #[test]
 fn a_drain_takes_back_what_waits_for_a_connection() {
@@ -291,7 +291,7 @@
     assert_eq!(good.count(), 2);
 }
 
-/// What is wrong with an entry hides neither what it says of its own box nor what others say.
+/// What is wrong with an entry hides neither what it says of its own backend nor what others say.
 #[test]
 fn a_spoilt_entry_of_the_list_hides_no_drain() {
     let spoilt = [
@@ -341,7 +341,7 @@
 }
 
 /// What an agent has counts from the first moment of a process: the list of before a restart is gone by only as long
-/// as the grace allows, and its boxes are back in use as soon as the agent says so.
+/// as the grace allows, and its backends are back in use as soon as the agent says so.
 #[test]
 fn a_list_from_before_the_start_is_too_old_once_the_grace_is_over() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
@@ -539,7 +539,7 @@
     }
 }
 
-/// More clients than descriptors allow: the idle make way, and nobody is turned away or crashes it.
+/// More clients than descriptors allow: the idle make way, and nobody is rejected or crashes it.
 #[test]
 fn at_the_bound_idle_connections_make_way() {
     let backend = BackendServer::start(|_| ok("x"));
@@ -600,7 +600,7 @@
     assert!(idle[0].ended());
 }
 
-/// And there what was taken is answered, though connections to boxes cannot be had at times either; so is each request
+/// And there what was taken is answered, though connections to backends cannot be had at times either; so is each request
 /// that waits in the queue until there is a descriptor for its client.
 #[test]
 fn what_was_taken_is_answered_where_descriptors_run_out() {
--- a/crates/shaletide/tests/record.rs
+++ b/crates/shaletide/tests/record.rs
@@ -14,7 +14,7 @@
     let mut book = Book::open(&folder.db(), MORNING);
     book.served("milford", b"good");
     book.pass(100);
-    // Refused: the box turned it away, and no other was tried.
+    // Refused: the backend turned it away, and no other was tried.
     let refused = book.settle("milford", b"refused");
     book.intent(refused, 0, "box-3");
     book.ended(refused, 0, Outcome::Rejected);
--- a/crates/shaletide/tests/recorded.rs
+++ b/crates/shaletide/tests/recorded.rs
@@ -21,7 +21,7 @@
     fn store(&self) -> PathBuf {
         self.0.join("record.db")
     }
-    /// A file with a store and a control socket in the folder, and one box. A permit waits as long as the disk and
+    /// A file with a store and a control socket in the folder, and one backend. A permit waits as long as the disk and
     /// the store's thread may take on a busy machine, and no attempt comes too late for its class's aim.
     fn file(&self, backend: &BackendServer) -> String {
         let classes = CLASSES.replace("\"3s\"", "\"15s\"").replace("\"900ms\"", "\"15s\"");
@@ -345,7 +345,7 @@
     folder.verified();
 }
 
-/// What a box may be sent is asked again after the permit: a drain that was told meanwhile holds.
+/// What a backend may be sent is asked again after the permit: a drain that was told meanwhile holds.
 #[test]
 fn a_drain_that_comes_while_permits_are_waited_for_holds() {
     let came_about = (0..20).any(|_| drained_while_permits_are_waited_for());
@@ -353,7 +353,7 @@
 }
 
 /// Whether the permits were waited for all the while. A lock of 250 ms is trouble of the store's, and refused: on a
-/// busy machine the drain may come too late for that. Nothing goes to the box that has gone in either case.
+/// busy machine the drain may come too late for that. Nothing goes to the backend that has gone in either case.
 fn drained_while_permits_are_waited_for() -> bool {
     let folder = Folder::new("drain");
     let [goes, stays] = [0; 2].map(|_| BackendServer::start(|_| ok("done")));
@@ -367,7 +367,7 @@
     proxy.rewrite(0, proxy.whole(&file.replace(&pool("p", &[(stays.address, "a")]), &alone)));
     let from = proxy.log.len();
     let lock = locked(&folder.store());
-    // Fewer than the boxes hold, so that the read behind them does not wait for room.
+    // Fewer than the backends hold, so that the read behind them does not wait for room.
     let mut clients: Vec<Client> = (0..6).map(|_| proxy.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&paid(&format!("k{n}")));
--- a/crates/shaletide/tests/reload.rs
+++ b/crates/shaletide/tests/reload.rs
@@ -27,7 +27,7 @@
     CLASSES.replace("3s", "30s").replace("900ms", "10s")
 }
 
-/// A file of one pool for each backend, and these routes; a box that is new may be sent as much as any other.
+/// A file of one pool for each backend, and these routes; a backend that is new may be sent as much as any other.
 fn file(pools: &[(&str, &BackendServer)], routes: &str) -> String {
     let pools: String = pools.iter().map(|(name, b)| pool(name, &[(b.address, "1")])).collect();
     format!("[rules]\ncold_from = 1.0\n{PROOF}{}{pools}{routes}", patient())
@@ -86,13 +86,13 @@
     assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"x");
 }
 
-/// What is out at a box of a pool that goes ends as ever; where it ends badly the rules hold as before.
+/// What is out at a backend of a pool that goes ends as ever; where it ends badly the rules hold as before.
 #[test]
 fn a_pool_may_go_while_it_holds_a_request() {
     let reset = || Reply::Reset;
     let served = || ok("held");
     let full = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
-    // What the box does at last, whether the pools are one group, the answer, and whether the other box sees it.
+    // What the backend does at last, whether the pools are one group, the answer, and whether the other backend sees it.
     type Case = (&'static str, fn() -> Reply, bool, (u16, &'static str), u32);
     let cases: [Case; 9] = [
         ("/settle/k", served, false, (200, "held"), 0),
@@ -215,14 +215,14 @@
     }
 }
 
-/// A box that was found ill stays out of use, and connections stay up, where the pool is the same.
+/// A backend that was found ill stays out of use, and connections stay up, where the pool is the same.
 #[test]
 fn what_a_pool_has_learned_outlives_a_reload() {
     let ill = Arc::new(AtomicBool::new(false));
     let switch = ill.clone();
     let bad = BackendServer::start(move |_| if switch.load(SeqCst) { Reply::Reset } else { ok("x") });
     let good = BackendServer::start(|_| ok("x"));
-    // One that may do harm never tries out a box that was ill, as others could.
+    // One that may do harm never tries out a backend that was ill, as others could.
     let pay = CLASSES.find("[[class]]\nname = \"pay\"").unwrap();
     let classes = format!("{}{}", &CLASSES[pay..], &CLASSES[..pay]);
     let p = pool("p", &[(bad.address, "1"), (good.address, "2")]);
--- a/crates/shaletide/tests/requests.rs
+++ b/crates/shaletide/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as an operators' file reads them, and boxes that answer as stock servers do.
+//! Requests as an operators' file reads them, and backends that answer as stock servers do.
 
 mod rig;
 
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A program with one box in one pool, by this head of a file.
+/// A program with one backend in one pool, by this head of a file.
 fn serving(head: &str, backend: &BackendServer) -> Serving {
     program().serve(&(head.to_string() + &pool("p", &[(backend.address, "1")])))
 }
@@ -259,7 +259,7 @@
     (fleet, text)
 }
 
-/// Head and body one after the other, the second held back by the box's kernel until the first is acknowledged;
+/// Head and body one after the other, the second held back by the backend's kernel until the first is acknowledged;
 /// or bit by bit with a pause in it: all are served, and in one attempt.
 #[test]
 fn answers_in_parts_are_served_in_one_attempt() {
@@ -295,7 +295,7 @@
     assert_eq!(fleet.ledger().records.len(), 2, "neither was sent twice");
 }
 
-/// Where many answers stall for good a safe request is copied to another box while there is time; an unsafe one
+/// Where many answers stall for good a safe request is copied to another backend while there is time; an unsafe one
 /// waits for its own.
 #[test]
 fn where_answers_stall_safe_requests_are_copied_and_unsafe_ones_are_not() {
--- a/crates/shaletide/tests/rig/mod.rs
+++ b/crates/shaletide/tests/rig/mod.rs
@@ -54,7 +54,7 @@
 deadline = "3s"
 "#;
 
-/// A pool of boxes, each with its bay.
+/// A pool of backends, each with its bay.
 pub fn pool(name: &str, boxes: &[(std::net::SocketAddr, &str)]) -> String {
     let one =
         |(at, bay): &(std::net::SocketAddr, &str)| format!("{{ address = \"{at}\", bay = \"{bay}\" }}, ");
--- a/crates/shaletide/tests/settings.rs
+++ b/crates/shaletide/tests/settings.rs
@@ -135,7 +135,7 @@
 }
 
 /// The list from before and the bound on descriptors help a proxy; what makes no sense there does not keep it from
-/// starting, and its boxes are those that discovery names.
+/// starting, and its backends are those that discovery names.
 #[test]
 fn a_list_from_before_that_cannot_be_read_or_an_odd_bound_keeps_no_proxy_from_starting() {
     let backend = BackendServer::start(|_| ok("x"));
--- a/crates/shaletide/tests/slow.rs
+++ b/crates/shaletide/tests/slow.rs
@@ -17,7 +17,7 @@
     format!("{head}Content-Length: {length}\r\n\r\n")
 }
 
-/// A proxy before one box, with these limits; time enough for a body that nothing else ends.
+/// A proxy before one backend, with these limits; time enough for a body that nothing else ends.
 fn proxy(limits: &str) -> (BackendServer, Serving) {
     let backend = BackendServer::start(|_| ok("done"));
     let classes = CLASSES.replace("deadline = \"3s\"", "deadline = \"20s\"");
--- a/crates/shaletide/tests/stop.rs
+++ b/crates/shaletide/tests/stop.rs
@@ -226,7 +226,7 @@
 }
 
 /// Clients go on on every connection that stays open, and open new ones while that works; a third of the requests find
-/// a box that hangs. Whatever was taken is answered whole; only a connection that was answered before may end instead.
+/// a backend that hangs. Whatever was taken is answered whole; only a connection that was answered before may end instead.
 #[test]
 fn clients_that_go_on_to_the_end_get_every_answer() {
     let backend = BackendServer::start(|n| if n % 3 == 2 { Reply::Silence } else { ok("x") });
--- a/crates/shaletide/tests/windows.rs
+++ b/crates/shaletide/tests/windows.rs
@@ -1,4 +1,4 @@
-//! Killed in each window of a settle, under load: the window is brought about and shown, by what store, box and client
+//! Killed in each window of a settle, under load: the window is brought about and shown, by what store, backend and client
 //! have of it, and what the same key gets at the program that is started again.
 //!
 //! The long run: `cargo test --locked --release -p shaletide --test windows -- --ignored --nocapture`.
@@ -23,11 +23,11 @@
     BeforeIntent,
     /// Its intent waits for the disk.
     IntentQueued,
-    /// Its intent is on record, and no connection to a box is up.
+    /// Its intent is on record, and no connection to a backend is up.
     DurableNotSent,
-    /// A box has a part of it.
+    /// A backend has a part of it.
     HalfSent,
-    /// A box has it whole.
+    /// A backend has it whole.
     Sent,
     /// Its answer was read, and its outcome is not on record.
     ReadNotRecorded,
@@ -53,11 +53,11 @@
 /// The body of a settle and of an answer that must not fit into what the system holds on the way.
 const LARGE: usize = 60_000;
 
-/// A box that keeps its own record of what it ran, by key, and does what a key's name says of its first request.
+/// A backend that keeps its own record of what it ran, by key, and does what a key's name says of its first request.
 struct Till {
     address: SocketAddr,
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
-    /// Keys as far as the box has come with them: all of it, or a part.
+    /// Keys as far as the backend has come with them: all of it, or a part.
     seen: mpsc::Receiver<(String, bool)>,
     gate: Arc<Mutex<Arc<Gate>>>,
 }
@@ -95,7 +95,7 @@
         self.runs.lock().unwrap().get(key).copied().unwrap_or_default()
     }
 
-    /// Until the box has so much of that key.
+    /// Until the backend has so much of that key.
     fn has(&self, key: &str, whole: bool) {
         let end = Instant::now() + PATIENCE;
         while self.seen.recv_timeout(end - Instant::now()).expect("at the box") != (key.to_string(), whole) {}
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -78,7 +78,7 @@
     pub since: Option<Time>,
     /// Earlier than this time.
     pub until: Option<Time>,
-    /// About this box.
+    /// About this backend.
     pub backend: Option<String>,
     /// Of this sort.
     pub kind: Option<String>,
--- a/crates/testkit/examples/boxes.rs
+++ b/crates/testkit/examples/boxes.rs
@@ -1,4 +1,4 @@
-//! Stand-in boxes on the ports given, for trying the program by hand: `/read/greeting` is `hello`, all else 404.
+//! Stand-in backends on the ports given, for trying the program by hand: `/read/greeting` is `hello`, all else 404.
 //! `cargo run -p shaletide-testkit --example boxes -- 9001 9002`; ends by a signal.
 
 use std::io::{BufRead, BufReader, Write};
--- a/crates/testkit/examples/fleet.rs
+++ b/crates/testkit/examples/fleet.rs
@@ -1,4 +1,4 @@
-//! Two kinds of boxes under an open load, without a proxy between: what they take, at which latency, and what it
+//! Two kinds of backends under an open load, without a proxy between: what they take, at which latency, and what it
 //! costs to stand in for them. Arguments: requests a second, seconds.
 
 use shaletide_testkit::*;
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -16,7 +16,7 @@
 /// A change of the list that was told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Drained {
-    /// Which box wants nothing new.
+    /// Which backend wants nothing new.
     pub name: String,
     /// When all who send had been told.
     pub told: Time,
@@ -35,7 +35,7 @@
     runs
 }
 
-/// No request that is unsafe to repeat runs twice, over all boxes together.
+/// No request that is unsafe to repeat runs twice, over all backends together.
 pub fn unsafe_ran_once(ledger: &Ledger) -> Vec<Violation> {
     let runs = runs(ledger, Repeat::Unsafe, |r| &r.id);
     let twice = runs.into_iter().filter(|(_, places)| places.len() > 1);
@@ -68,8 +68,8 @@
     broken
 }
 
-/// Nothing comes to a box later than `grace` after all were told that it drains, until it starts anew. A request
-/// counts from its first byte, and what the box turned away counts too.
+/// Nothing comes to a backend later than `grace` after all were told that it drains, until it starts anew. A request
+/// counts from its first byte, and what the backend rejected counts too.
 pub fn nothing_after_drain(ledger: &Ledger, drained: &[Drained], grace: Micros) -> Vec<Violation> {
     let mut broken = Vec::new();
     for drain in drained {
@@ -90,7 +90,7 @@
     broken
 }
 
-/// What a client was given with status 200 was served by a box under that request's id. Says nothing where the
+/// What a client was given with status 200 was served by a backend under that request's id. Says nothing where the
 /// ledger missed records.
 pub fn answers_come_from_boxes(ledger: &Ledger, result: &LoadResult) -> Vec<Violation> {
     let served = |r: &&Record| r.ended.is_some_and(|(_, how)| how == Ended::Served);
@@ -103,7 +103,7 @@
         .collect()
 }
 
-/// How much may be sent to a box that is not warm yet.
+/// How much may be sent to a backend that is not warm yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Push {
     /// Of the work that it can do ...
@@ -114,7 +114,7 @@
     pub slack: f64,
 }
 
-/// No box that is still cold is sent more work, within a window that begins while it is, than `multiple` times
+/// No backend that is still cold is sent more work, within a window that begins while it is, than `multiple` times
 /// what it could do in that window. All that comes counts, also what it turns away. One violation a start.
 pub fn cold_not_pushed_over(ledger: &Ledger, push: Push) -> Vec<Violation> {
     let mut by_boot: BTreeMap<(usize, usize), Vec<usize>> = BTreeMap::new();
@@ -133,7 +133,7 @@
                 sent -= ledger.records[places[from]].work_ms;
                 from += 1;
             }
-            // A window may reach back before the start: the box counts as cold as it starts there.
+            // A window may reach back before the start: the backend counts as cold as it starts there.
             let begin = Time(end.0.saturating_sub(push.window.0));
             let can = info.power.work_between(Some(booted), begin, end);
             if begin < booted + info.power.ramp && sent > push.multiple * can * (1.0 + push.slack) {
--- a/crates/testkit/src/crowd.rs
+++ b/crates/testkit/src/crowd.rs
@@ -1,4 +1,4 @@
-//! What too many requests at a time do to a box: it is slower until it was mostly idle for some seconds. Pure.
+//! What too many requests at a time do to a backend: it is slower until it was mostly idle for some seconds. Pure.
 
 use shaletide_types::{Micros, Time};
 
@@ -9,7 +9,7 @@
 const REST_S: f64 = 3.0;
 const MOST_S: f64 = 24.0;
 
-/// When a box is crowded, and what that does.
+/// When a backend is crowded, and what that does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crowd {
     /// More requests than this in the mean over about 2 s are too many.
@@ -18,7 +18,7 @@
     pub slower: f64,
 }
 
-/// One box's memory of how crowded it was.
+/// One backend's memory of how crowded it was.
 #[derive(Clone, Debug)]
 pub struct Crowding {
     crowd: Crowd,
--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -1,8 +1,8 @@
-//! What a box may be told to do instead of its work, while it runs.
+//! What a backend may be told to do instead of its work, while it runs.
 
 use std::time::Duration;
 
-/// A change in a box's behaviour. Each kind holds until it is told otherwise; kinds add up.
+/// A change in a backend's behaviour. Each kind holds until it is told otherwise; kinds add up.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// This part of the requests gets 500 at once, without work.
@@ -27,7 +27,7 @@
     Refuse,
     /// New connections are taken again.
     Accept,
-    /// Everything is as usual again, connections are taken, and the box does not drain.
+    /// Everything is as usual again, connections are taken, and the backend does not drain.
     Cleared,
 }
 
@@ -38,7 +38,7 @@
     pub status: u16,
     /// Further headers.
     pub headers: Vec<(String, String)>,
-    /// The body; none is the box's own: its name and the request's id, see [`own_body`].
+    /// The body; none is the backend's own: its name and the request's id, see [`own_body`].
     pub body: Option<Vec<u8>>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Answer {
-    /// That status with the box's own body.
+    /// That status with the backend's own body.
     pub fn status(status: u16) -> Answer {
         Answer { status, ..Answer::default() }
     }
@@ -100,7 +100,7 @@
     Raw(Vec<Vec<u8>>),
 }
 
-/// The body of a box's own answer: its name, a space, the request's id, and stops up to `size` bytes.
+/// The body of a backend's own answer: its name, a space, the request's id, and stops up to `size` bytes.
 pub fn own_body(name: &str, id: &str, size: usize) -> Vec<u8> {
     let mut body = format!("{name} {id}\n").into_bytes();
     if body.len() < size {
@@ -109,7 +109,7 @@
     body
 }
 
-/// What a box does at present.
+/// What a backend does at present.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Behaviour {
     pub fail: f64,
--- a/crates/testkit/src/fleet/connection.rs
+++ b/crates/testkit/src/fleet/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a box: requests in turn, each answered as the box decides.
+//! A connection to a backend: requests in turn, each answered as the backend decides.
 
 use super::stand::{Decision, Open, Stand};
 use crate::fault::Behaviour;
@@ -17,7 +17,7 @@
     Ends,
 }
 
-/// Serves a connection until either side ends it or the box dies; then it is reset.
+/// Serves a connection until either side ends it or the backend dies; then it is reset.
 pub async fn serve(stand: Rc<Stand>, tcp: TcpStream, mut deaths: watch::Receiver<usize>) {
     let mut wire = Wire::new(tcp);
     tokio::select! {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Sees a request to its end. Dropped midway it ends as cancelled, or with the box.
+/// Sees a request to its end. Dropped midway it ends as cancelled, or with the backend.
 async fn answer(
     stand: &Rc<Stand>, wire: &mut Wire, request: &Message, decision: Decision, mut open: Open,
 ) -> Then {
@@ -100,7 +100,7 @@
     request.first.split(' ').next().unwrap_or("")
 }
 
-/// Sends the answer to a request that was served, as the box does at present.
+/// Sends the answer to a request that was served, as the backend does at present.
 async fn send(stand: &Stand, wire: &mut Wire, request: &Message, behaviour: &Behaviour) -> (Then, Ended) {
     let says_close = behaviour.close == Some(true);
     let (head, body) = behaviour.answer.render(stand.body(request), method(request), says_close);
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Boxes that serve by a model of their cores, all on one thread and one more that keeps time, with faults on command and a record of every
+//! Backends that serve by a model of their cores, all on one thread and one more that keeps time, with faults on command and a record of every
 //! request. An answer comes some 0.1 ms later than the model says; the model does not drift by it.
 
 mod connection;
@@ -16,7 +16,7 @@
 use std::sync::{mpsc, Arc, Condvar, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a box has counted.
+/// What a backend has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BoxStats {
     /// Connections that came up.
@@ -49,7 +49,7 @@
     }
 }
 
-/// An address that is the box's own whether it listens or not: a second socket holds it.
+/// An address that is the backend's own whether it listens or not: a second socket holds it.
 struct Door {
     _hold: socket2::Socket,
     address: SocketAddr,
@@ -78,7 +78,7 @@
     Ok(socket)
 }
 
-/// A box of a running fleet, told from outside. Once the fleet is dropped nothing happens any more.
+/// A backend of a running fleet, told from outside. Once the fleet is dropped nothing happens any more.
 #[derive(Clone)]
 pub struct BoxHandle {
     /// What it was made as.
@@ -160,7 +160,7 @@
 }
 
 impl Fleet {
-    /// Starts these boxes, where each request is 1 ms of work.
+    /// Starts these backends, where each request is 1 ms of work.
     ///
     /// # Errors
     /// No port, no thread, or no descriptors.
@@ -168,7 +168,7 @@
         Fleet::with(FleetSpec::new(boxes))
     }
 
-    /// Starts a fleet. All boxes listen when this returns.
+    /// Starts a fleet. All backends listen when this returns.
     ///
     /// # Errors
     /// No port, no thread, or no descriptors.
@@ -209,7 +209,7 @@
         Ok(fleet)
     }
 
-    /// The boxes, in the order in which they were given.
+    /// The backends, in the order in which they were given.
     pub fn boxes(&self) -> &[BoxHandle] {
         &self.boxes
     }
--- a/crates/testkit/src/fleet/shell.rs
+++ b/crates/testkit/src/fleet/shell.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, JoinHandle};
 
-/// What a box is told from outside.
+/// What a backend is told from outside.
 #[derive(Clone, Debug)]
 pub enum Order {
     Set(Fault),
@@ -26,7 +26,7 @@
     Sync,
 }
 
-/// An order, the place of its box, and where to say when it was carried out.
+/// An order, the place of its backend, and where to say when it was carried out.
 pub struct Command {
     pub place: usize,
     pub order: Order,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Runs the boxes until no more commands can come. Tells first whether all listen.
+/// Runs the backends until no more commands can come. Tells first whether all listen.
 pub async fn run(
     fleet: FleetSpec, doors: Vec<Door>, shared: Arc<Shared>, mut commands: UnboundedReceiver<Command>,
     ready: mpsc::SyncSender<std::io::Result<()>>,
--- a/crates/testkit/src/fleet/spec.rs
+++ b/crates/testkit/src/fleet/spec.rs
@@ -4,7 +4,7 @@
 use shaletide_types::Micros;
 use std::time::Duration;
 
-/// One box.
+/// One backend.
 #[derive(Clone, Debug)]
 pub struct BoxSpec {
     /// The same at every proxy.
@@ -13,7 +13,7 @@
     pub kind: String,
     /// Its zone, as discovery tells it.
     pub zone: String,
-    /// Boxes of one bay share the keys that they have seen.
+    /// Backends of one bay share the keys that they have seen.
     pub bay: u64,
     /// What it can do.
     pub power: Power,
@@ -36,7 +36,7 @@
 }
 
 impl BoxSpec {
-    /// A warm box in zone `east`, kind `big`, bay 1, with 64 slots and a queue of 64.
+    /// A warm backend in zone `east`, kind `big`, bay 1, with 64 slots and a queue of 64.
     pub fn new(name: &str, power: Power) -> BoxSpec {
         BoxSpec {
             name: name.into(),
@@ -65,7 +65,7 @@
     pub work_ms: Law,
     /// Waiting after the work that needs no core, ms.
     pub io_ms: Law,
-    /// Bytes of the answer's body, where that is the box's own.
+    /// Bytes of the answer's body, where that is the backend's own.
     pub body: usize,
 }
 
@@ -75,7 +75,7 @@
         Service { class: class.into(), work_ms, io_ms: Law::Fixed(0.0), body: 0 }
     }
 
-    /// What the request of that id needs: the same at every box.
+    /// What the request of that id needs: the same at every backend.
     pub(crate) fn demand(&self, seed: u64, id: &str) -> Demand {
         let mut dice = Dice::of(seed, id);
         let work_ms = self.work_ms.draw(&mut dice);
@@ -86,7 +86,7 @@
 /// A fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Its boxes; handles come in the same order.
+    /// Its backends; handles come in the same order.
     pub boxes: Vec<BoxSpec>,
     /// What classes need. One of an empty name, or else 1 ms of work, is for all others.
     pub services: Vec<Service>,
@@ -99,7 +99,7 @@
 }
 
 impl FleetSpec {
-    /// These boxes, where each request is 1 ms of work.
+    /// These backends, where each request is 1 ms of work.
     pub fn new(boxes: Vec<BoxSpec>) -> FleetSpec {
         FleetSpec { boxes, services: Vec::new(), seed: 1, clock: Clock::start(), max_records: MAX_RECORDS }
     }
--- a/crates/testkit/src/fleet/stand.rs
+++ b/crates/testkit/src/fleet/stand.rs
@@ -1,4 +1,4 @@
-//! One box of a running fleet: its station, its faults, what it writes down. Used on the fleet's thread alone.
+//! One backend of a running fleet: its station, its faults, what it writes down. Used on the fleet's thread alone.
 
 use super::spec::{BoxSpec, FleetSpec};
 use super::Shared;
@@ -13,7 +13,7 @@
 use std::time::Instant;
 use tokio::sync::{oneshot, watch, Notify};
 
-/// What a box does with a request.
+/// What a backend does with a request.
 pub enum Decision {
     /// Serves it; told when the answer may be sent.
     Serve(oneshot::Receiver<()>),
@@ -36,13 +36,13 @@
     classes: BTreeMap<String, Arc<str>>,
     next_ticket: u64,
     dice: Dice,
-    /// So many times as long work takes, as the box was told.
+    /// So many times as long work takes, as the backend was told.
     slowed: f64,
     crowding: Option<Crowding>,
     next_look: Time,
 }
 
-/// A box.
+/// A backend.
 pub struct Stand {
     pub spec: BoxSpec,
     fleet: Rc<FleetSpec>,
@@ -51,7 +51,7 @@
     state: RefCell<State>,
     /// Something changed that moves the station's next step.
     changed: Arc<Notify>,
-    /// Counts the box's deaths; connections end with each.
+    /// Counts the backend's deaths; connections end with each.
     pub deaths: watch::Sender<usize>,
     pub open: Cell<usize>,
 }
@@ -249,7 +249,7 @@
         }
     }
 
-    /// The work that a new connection brings. Where the box is full there is no room for it.
+    /// The work that a new connection brings. Where the backend is full there is no room for it.
     fn shake_hands(&self) {
         self.pump();
         let now = self.now();
@@ -321,7 +321,7 @@
     }
 }
 
-/// A request that is open at a box. Dropped, it is ended as it was last said, or else as cancelled.
+/// A request that is open at a backend. Dropped, it is ended as it was last said, or else as cancelled.
 pub struct Open {
     stand: Rc<Stand>,
     boot: usize,
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What all boxes of a run have seen: a record of every request, and of every start of a box. Plain data; the
+//! What all backends of a run have seen: a record of every request, and of every start of a backend. Plain data; the
 //! rules over it are in [`crate::checks`].
 
 use crate::Power;
@@ -19,31 +19,31 @@
     Unsafe,
 }
 
-/// How a request ended at a box.
+/// How a request ended at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// Its answer was written whole.
     Served,
-    /// Not taken: full, draining or over already. The one end that proves that it never ran.
+    /// Not taken: full, draining or over already. The one end that proves that it was not executed.
     TurnedAway,
     /// Answered 500 at once.
     Failed,
     /// Its sender closed the connection, or stopped sending on it, before the answer was written.
     Cancelled,
-    /// Never answered, as the box was told.
+    /// Never answered, as the backend was told.
     Hung,
-    /// Its connection was reset, as the box was told.
+    /// Its connection was reset, as the backend was told.
     Reset,
-    /// Other bytes than an answer were sent, as the box was told.
+    /// Other bytes than an answer were sent, as the backend was told.
     InvalidResponse,
-    /// The box died over it.
+    /// The backend died over it.
     BoxDied,
 }
 
-/// A request at a box.
+/// A request at a backend.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Which box: its place in [`Ledger::boxes`].
+    /// Which backend: its place in [`Ledger::boxes`].
     pub at_box: usize,
     /// Which of its starts, from 0.
     pub boot: usize,
@@ -61,7 +61,7 @@
     pub began: Time,
     /// When and how it ended; none while it is open.
     pub ended: Option<(Time, Ended)>,
-    /// Since when the box drained, if it did.
+    /// Since when the backend drained, if it did.
     pub draining: Option<Time>,
     /// Work that it brought, ms of a standard core.
     pub work_ms: f64,
@@ -76,7 +76,7 @@
     }
 }
 
-/// A start of a box.
+/// A start of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Boot {
     /// When; `None` is before the run, long enough ago to be warm.
@@ -85,12 +85,12 @@
     pub died: Option<Time>,
 }
 
-/// What the rules need to know of a box.
+/// What the rules need to know of a backend.
 #[derive(Clone, Debug)]
 pub struct BoxInfo {
     /// Its name, the same everywhere.
     pub name: String,
-    /// Boxes of one bay share the keys that they have seen.
+    /// Backends of one bay share the keys that they have seen.
     pub bay: u64,
     /// What it can do.
     pub power: Power,
@@ -101,7 +101,7 @@
 /// The records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// The boxes, in the order in which they were given.
+    /// The backends, in the order in which they were given.
     pub boxes: Vec<BoxInfo>,
     /// The requests, in the order in which they came whole.
     pub records: Vec<Record>,
@@ -134,12 +134,12 @@
         }
     }
 
-    /// The box of that name.
+    /// The backend of that name.
     pub fn place(&self, name: &str) -> Option<usize> {
         self.boxes.iter().position(|b| b.name == name)
     }
 
-    /// Requests that ended like that, at one box or at all.
+    /// Requests that ended like that, at one backend or at all.
     pub fn count(&self, at_box: Option<usize>, how: Ended) -> usize {
         let here = |r: &&Record| at_box.is_none_or(|b| b == r.at_box);
         self.records.iter().filter(here).filter(|r| r.ended.is_some_and(|(_, end)| end == how)).count()
--- a/crates/testkit/src/listing/book.rs
+++ b/crates/testkit/src/listing/book.rs
@@ -10,7 +10,7 @@
 /// Tellings that are kept; the oldest go first. One takes about 100 bytes.
 pub const MAX_TOLD: usize = 100_000;
 
-/// What a box may be sent, as the list says.
+/// What a backend may be sent, as the list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Requests.
--- a/crates/testkit/src/listing/mod.rs
+++ b/crates/testkit/src/listing/mod.rs
@@ -164,7 +164,7 @@
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
-    /// The boxes that drain or are deleted, with the moment by which every watcher had been told; those of which
+    /// The backends that drain or are deleted, with the moment by which every watcher had been told; those of which
     /// one has not been told are left out.
     pub fn drained(&self) -> Vec<Drained> {
         self.shared.book().drained()
--- a/crates/testkit/src/load/result.rs
+++ b/crates/testkit/src/load/result.rs
@@ -92,7 +92,7 @@
     /// Connections opened.
     pub connections: u64,
     /// Answers of status 200 whose body does not name their request: they are another's. Counted where bodies
-    /// are the boxes' own, that is where they hold a space.
+    /// are the backends' own, that is where they hold a space.
     pub mixed_up: u64,
     /// Connections on which more came than the answer.
     pub overfull: u64,
--- a/crates/testkit/src/load/run.rs
+++ b/crates/testkit/src/load/run.rs
@@ -240,7 +240,7 @@
     advice.map_or(retry.usual, |s| Duration::from_secs_f64(s.min(retry.longest.as_secs_f64())))
 }
 
-/// Whether a box's own body names another request.
+/// Whether a backend's own body names another request.
 fn is_anothers(answer: &Message, id: &str) -> bool {
     let text = String::from_utf8_lossy(&answer.body);
     let named = text.lines().next().and_then(|line| line.split_once(' ')).map(|(_, named)| named.trim());
--- a/crates/testkit/src/power.rs
+++ b/crates/testkit/src/power.rs
@@ -1,21 +1,21 @@
-//! What a box can do: its cores, their speed, and how it warms up after a start. Pure.
+//! What a backend can do: its cores, their speed, and how it warms up after a start. Pure.
 
 use shaletide_types::{Micros, Time};
 
-/// A box's machine. Its capacity is in standard cores: work done in a second, in seconds of a standard core.
+/// A backend's machine. Its capacity is in standard cores: work done in a second, in seconds of a standard core.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Power {
     /// How many jobs have a core each.
     pub cores: u32,
     /// Of one core when warm, as a multiple of a standard core.
     pub speed: f64,
-    /// The part of its speed that a box has when it has just started, from 0 to 1.
+    /// The part of its speed that a backend has when it has just started, from 0 to 1.
     pub initial_capacity_fraction: f64,
     /// The rest comes evenly over so long.
     pub ramp: Micros,
 }
 
-/// The least warmth: a box that does nothing at all would never end a job.
+/// The least warmth: a backend that does nothing at all would never end a job.
 const LEAST: f64 = 1e-3;
 
 impl Power {
@@ -28,7 +28,7 @@
         self.initial_capacity_fraction.clamp(LEAST, 1.0)
     }
 
-    /// The part of its speed that a box has; one that started long ago (`None`) is warm.
+    /// The part of its speed that a backend has; one that started long ago (`None`) is warm.
     pub fn warmth(&self, booted: Option<Time>, now: Time) -> f64 {
         match booted {
             Some(at) if now < at + self.ramp => {
@@ -44,7 +44,7 @@
         f64::from(self.cores) * self.speed * self.warmth(booted, now)
     }
 
-    /// Work that the whole box can do between two moments, ms of a standard core. Before its start it counts as
+    /// Work that the whole backend can do between two moments, ms of a standard core. Before its start it counts as
     /// cold as it starts.
     pub fn work_between(&self, booted: Option<Time>, from: Time, to: Time) -> f64 {
         let span = self.warm_us(booted, from.0 as f64, to.0 as f64);
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -14,7 +14,7 @@
     pub at: Time,
 }
 
-/// The cores of one box and the jobs on them. As all jobs get the same, one running sum says how far each is:
+/// The cores of one backend and the jobs on them. As all jobs get the same, one running sum says how far each is:
 /// a job ends when that sum has grown by its work. Each operation costs the logarithm of the jobs in service.
 #[derive(Clone, Debug)]
 pub struct Processor {
--- a/crates/testkit/src/station.rs
+++ b/crates/testkit/src/station.rs
@@ -1,4 +1,4 @@
-//! A box's whole service: so many slots, a queue before them, cores that are shared, and waits that need none.
+//! A backend's whole service: so many slots, a queue before them, cores that are shared, and waits that need none.
 //! Pure: time is an argument.
 
 use crate::{Finished, Power, Processor};
@@ -34,7 +34,7 @@
     Served(Finished),
 }
 
-/// One box's slots, queue and cores.
+/// One backend's slots, queue and cores.
 #[derive(Clone, Debug)]
 pub struct Station {
     cores: Processor,
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Boxes of a fleet, asked over sockets: what they serve, how they fail, what they write down.
+//! Backends of a fleet, asked over sockets: what they serve, how they fail, what they write down.
 
 use shaletide_testkit::*;
 use shaletide_types::Micros;
@@ -19,7 +19,7 @@
     BoxSpec::new("b0", Power::warm(2, 1.0))
 }
 
-/// A fleet of one box whose requests take that much work.
+/// A fleet of one backend whose requests take that much work.
 fn working(spec: BoxSpec, work_ms: f64) -> (Fleet, BoxHandle) {
     let services = vec![Service::new("", Law::Fixed(work_ms))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(vec![spec]) }).expect("a fleet");
@@ -304,7 +304,7 @@
     assert_eq!(clients[0].ask(&read(3.0)).status(), 200);
 }
 
-/// The same request needs the same everywhere, so that boxes differ by their speed alone.
+/// The same request needs the same everywhere, so that backends differ by their speed alone.
 #[test]
 fn a_request_brings_the_same_work_to_every_box() {
     let boxes = ["b0", "b1"].map(|name| BoxSpec::new(name, Power::warm(1, 1.0))).to_vec();
--- a/crates/testkit/tests/load.rs
+++ b/crates/testkit/tests/load.rs
@@ -1,4 +1,4 @@
-//! Load clients on boxes without a proxy between: rates, counts, latencies, what they make of bad answers.
+//! Load clients on backends without a proxy between: rates, counts, latencies, what they make of bad answers.
 
 use shaletide_testkit::*;
 use shaletide_types::{DeduplicationScope, Idempotency, Micros};
@@ -26,7 +26,7 @@
     Load::new(rate_per_s, classes, Duration::from_millis(500))
 }
 
-/// What clients saw and what the box wrote down are the same requests.
+/// What clients saw and what the backend wrote down are the same requests.
 #[test]
 fn two_thousand_a_second_are_carried_and_counted_on_both_sides() {
     let (fleet, handle) = box_of(64, Law::Fixed(1.0));
@@ -72,7 +72,7 @@
     assert_ne!(drawn(3), drawn(4));
 }
 
-/// Clients do not wait for each other: a box that says nothing gets the same number of requests.
+/// Clients do not wait for each other: a backend that says nothing gets the same number of requests.
 #[test]
 fn arrivals_do_not_wait_for_answers() {
     let (_fleet, handle) = box_of(4, Law::Fixed(1.0));
@@ -193,7 +193,7 @@
     assert!(sum <= begun.elapsed(), "{sum:?}");
 }
 
-/// What stands in for boxes must not be what is measured: no work, no wait.
+/// What stands in for backends must not be what is measured: no work, no wait.
 #[test]
 fn a_box_without_work_answers_at_once() {
     let (_fleet, handle) = box_of(1, Law::Fixed(0.0));
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -13,7 +13,7 @@
     pub zone: ZoneId,
     /// Its cell.
     pub deduplication_group: DeduplicationGroupId,
-    /// Boxes of different realms never drop each other's repeats, whatever their zones and cells.
+    /// Backends of different realms never drop each other's repeats, whatever their zones and cells.
     pub deduplication_domain: u32,
     /// Its kind.
     pub server_type: ServerTypeId,
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -22,7 +22,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt was not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
