--- a/crates/control/src/place.rs
+++ b/crates/control/src/place.rs
@@ -8,6 +8,7 @@
 use std::os::unix::fs::{FileTypeExt, MetadataExt, OpenOptionsExt};
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
+use std::sync::{Mutex, PoisonError};
 
 /// A place that this process holds. Dropped, the socket is taken away; the lock file stays, as whoever waits for it
 /// may have it open.
@@ -23,16 +24,23 @@
     pub fn take(path: &Path) -> Result<(Place, UnixListener), ControlError> {
         let lock = lock(path)?;
         clear(path)?;
-        // Nobody else may connect from the first moment on; a later chmod would leave one between.
-        let before = rustix::process::umask(Mode::from_raw_mode(0o177));
-        let bound = UnixListener::bind(path);
-        rustix::process::umask(before);
-        let listener = bound.map_err(|error| failed(path, "bind", error))?;
+        let listener = bind_private(path).map_err(|error| failed(path, "bind", error))?;
         listener.set_nonblocking(true).map_err(|error| failed(path, "listen at", error))?;
         Ok((Place { path: path.into(), inode: inode(path), lock }, listener))
     }
 }
 
+/// Binds a socket of mode 0600 from its first moment on; a later chmod would leave a moment in which others may connect.
+fn bind_private(path: &Path) -> std::io::Result<UnixListener> {
+    // The umask is the process's: of two threads, one would bind by the other's.
+    static UMASK: Mutex<()> = Mutex::new(());
+    let _guard = UMASK.lock().unwrap_or_else(PoisonError::into_inner);
+    let before = rustix::process::umask(Mode::from_raw_mode(0o177));
+    let bound = UnixListener::bind(path);
+    rustix::process::umask(before);
+    bound
+}
+
 impl Drop for Place {
     fn drop(&mut self) {
         // Only its own: another may lie there by now.
