--- a/crates/control/tests/socket.rs
+++ b/crates/control/tests/socket.rs
@@ -113,6 +113,7 @@
     // As seen by whoever looks at the folder all the time.
     let folder = Folder::new();
     let (stop, stopped) = mpsc::channel::<()>();
+    let (first_sight, sighted) = mpsc::channel::<()>();
     let path = folder.socket();
     let looker = std::thread::spawn(move || {
         let mut seen = 0;
@@ -120,6 +121,9 @@
             let Ok(found) = path.symlink_metadata() else { continue };
             assert_eq!(found.permissions().mode() & 0o077, 0);
             seen += 1;
+            if seen == 1 {
+                first_sight.send(()).unwrap();
+            }
         }
         seen
     });
@@ -127,6 +131,8 @@
         within(async { drop(Control::bind(&folder.socket()).unwrap()) });
     }
     let _held = Served::at(&folder.socket());
+    // On a busy machine the looker may not have run at all until now.
+    sighted.recv_timeout(Duration::from_secs(20)).unwrap();
     std::thread::sleep(Duration::from_millis(5));
     drop(stop);
     assert!(looker.join().unwrap() > 0);
