--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/backend.rs
@@ -1,8 +1,8 @@
 //! A backend of the emulated fleet: the station of `testkit`, and around it what a crowd does to it, the connections that
 //! it takes, and what it says of its load.
 
-use crate::day::{Boxes, Reports};
-use shaletide_testkit::{Admitted, Demand, Dice, Power, Station, Step};
+use crate::scenario::{BackendLimits, LoadReporting};
+use shaletide_testkit::{Admitted, Demand, Power, SeededRng, Station, Step};
 use shaletide_types::*;
 use std::collections::VecDeque;
 
@@ -27,7 +27,7 @@
     held: f64,
 }
 
-pub struct Site {
+pub struct SimulatedBackend {
     pub station: Station,
     pub power: Power,
     pub booted: Option<Time>,
@@ -35,9 +35,9 @@
     pub life: u32,
     /// Down: nothing listens.
     pub dead: bool,
-    common: Boxes,
-    reports: Option<Reports>,
-    dice: Dice,
+    common: BackendLimits,
+    reports: Option<LoadReporting>,
+    rng: SeededRng,
     lies: bool,
     mute: bool,
     crowd: f64,
@@ -54,14 +54,15 @@
     pub crowdings: u32,
 }
 
-impl Site {
+impl SimulatedBackend {
     pub fn new(
-        number: u32, seed: u64, power: Power, booted: Option<Time>, common: &Boxes, reports: &Option<Reports>,
-    ) -> Site {
-        let mut dice = Dice::of(seed, &format!("site {number}"));
-        let (lies, mute) = (dice.part(), dice.part());
-        let first = Micros((dice.part() * reports.as_ref().map_or(1.0, |r| r.period.0 as f64)) as u64);
-        Site {
+        number: u32, seed: u64, power: Power, booted: Option<Time>, common: &BackendLimits,
+        reports: &Option<LoadReporting>,
+    ) -> SimulatedBackend {
+        let mut rng = SeededRng::of(seed, &format!("site {number}"));
+        let (lies, mute) = (rng.part(), rng.part());
+        let first = Micros((rng.part() * reports.as_ref().map_or(1.0, |r| r.period.0 as f64)) as u64);
+        SimulatedBackend {
             station: Station::new(power, booted, common.slots.0, common.slots.1),
             power,
             booted,
@@ -71,7 +72,7 @@
             lies: reports.as_ref().is_some_and(|r| lies < r.liars),
             mute: reports.as_ref().is_some_and(|r| mute < r.silent),
             reports: reports.clone(),
-            dice,
+            rng,
             crowd: 0.0,
             busy: 0.0,
             crowded_since: None,
@@ -158,14 +159,14 @@
             None => {}
         }
         let Some(reports) = self.reports.as_ref().filter(|_| now >= self.next_report) else { return };
-        let noise = 1.0 + (self.dice.part() * 2.0 - 1.0) * reports.noise;
+        let noise = 1.0 + (self.rng.part() * 2.0 - 1.0) * reports.noise;
         let latency = if self.served.1 > 0.0 { self.served.0 / self.served.1 * 1e3 } else { 0.0 };
         let honest = LoadReport {
             in_flight: Some(held * noise),
             errors_per_s: Some(0.0),
             latency_ms: Some(latency * noise),
         };
-        let lie = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.dice.word() % 6) as usize];
+        let lie = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.rng.word() % 6) as usize];
         let report = match () {
             () if self.lies => {
                 LoadReport { in_flight: Some(lie), errors_per_s: Some(lie), latency_ms: Some(lie) }
--- a/crates/emulator/src/rules.rs
+++ b/crates/emulator/src/invariants.rs
@@ -1,11 +1,11 @@
-//! The four rules, watched from outside the modules: by what the emulated hosts sent and answered.
+//! The four invariants, watched from outside the modules: by what the emulated hosts sent and answered.
 
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A rule that broke.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// A request was answered twice, or not before its time was up.
     Answer(RequestId),
     /// An effect may have happened twice.
@@ -25,9 +25,9 @@
 
 /// The watch.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct InvariantObserver {
     /// The first that broke.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// How many broke.
     pub count: u64,
     cold: BTreeMap<BackendId, VecDeque<(Time, f64)>>,
@@ -36,13 +36,13 @@
     /// The same as a part of what makes it fall: where that bears N requests of mean work, N + 3 x root of N + 3 of them, so
     /// that chance alone is no fault where N is small.
     pub nearest_fall: f64,
-    /// The same as a part of N + 2 x root of N + 2, beyond which a backend falls on the operators' days.
+    /// The same as a part of N + 2 x root of N + 2, beyond which a backend falls on the operators' scenarios.
     pub nearest_operators_fall: f64,
 }
 
-impl Watch {
+impl InvariantObserver {
     /// Notes it.
-    pub fn broke(&mut self, what: Broken) {
+    pub fn broke(&mut self, what: Violation) {
         self.count += 1;
         if self.broken.len() < KEPT {
             self.broken.push(what);
@@ -60,14 +60,14 @@
             Idempotency::Keyed(_, window) => ran.iter().all(|(cell, at)| *cell == to && now < *at + window),
         };
         if !fine {
-            self.broke(Broken::Twice(id));
+            self.broke(Violation::Twice(id));
         }
     }
 
-    /// It was refused while these may have run.
-    pub fn refused(&mut self, id: RequestId, effect: Idempotency, ran: &[(DeduplicationGroupId, Time)]) {
+    /// It was rejected while these may have run.
+    pub fn rejected(&mut self, id: RequestId, effect: Idempotency, ran: &[(DeduplicationGroupId, Time)]) {
         if !ran.is_empty() && effect != Idempotency::Safe {
-            self.broke(Broken::Refusal(id));
+            self.broke(Violation::Refusal(id));
         }
     }
 
@@ -93,7 +93,7 @@
         self.fullest = self.fullest.max(part);
         if part > SLACK {
             sums.clear();
-            self.broke(Broken::PushedOver(to, (part * 1e3) as u64));
+            self.broke(Violation::PushedOver(to, (part * 1e3) as u64));
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,16 +4,16 @@
 //!
 //! The backends are those of `testkit` ([`shaletide_testkit::Station`]), here with a crowd that makes them slow for long,
 //! connections that are bounded and cost work, and reports of their load that lag. Nothing here decides anything: the
-//! modules do, and what they are compared with is in [`play::Who`].
+//! modules do, and what they are compared with is in [`simulation::Policy`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod account;
-pub mod day;
-pub mod play;
-pub mod rules;
-mod site;
+mod backend;
+pub mod invariants;
+pub mod scenario;
+pub mod simulation;
+pub mod statistics;
 
-pub use account::Account;
-pub use day::Day;
-pub use play::{play, Who};
+pub use scenario::Scenario;
+pub use simulation::{simulation, Policy};
+pub use statistics::Statistics;
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,9 +1,9 @@
-//! `shaletide-emulator`: a day played by several deciders, side by side.
+//! `shaletide-emulator`: a scenario played by several deciders, side by side.
 
 use clap::Parser;
-use shaletide_emulator::account::ENDS;
-use shaletide_emulator::day::Planned;
-use shaletide_emulator::{play, Day, Who};
+use shaletide_emulator::scenario::PlannedFault;
+use shaletide_emulator::statistics::ENDS;
+use shaletide_emulator::{simulation, Policy, Scenario};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -17,35 +17,35 @@
 #[derive(Debug, Parser)]
 #[command(name = "shaletide-emulator", version)]
 struct Cli {
-    /// The day: calm, herd, join, split, slow, silent, zone or none; or all.
-    #[arg(long, default_value = "calm")]
-    day: String,
+    /// The scenario: calm, herd, join, split, slow, silent, zone or none; or all.
+    #[arg(long = "day", default_value = "calm")]
+    scenario: String,
     /// Proxies.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=MAX_PROXIES))]
     proxies: u32,
     /// Backends.
-    #[arg(long, default_value_t = 190, value_parser = clap::value_parser!(u32).range(1..=MAX_BACKENDS))]
-    boxes: u32,
-    /// The seed of all dice.
+    #[arg(long = "boxes", default_value_t = 190, value_parser = clap::value_parser!(u32).range(1..=MAX_BACKENDS))]
+    backends: u32,
+    /// The seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long the day lasts.
+    /// How long the scenario lasts.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// Traffic as a part of what all backends can do, in place of the day's own.
+    /// Traffic as a part of what all backends can do, in place of the scenario's own.
     #[arg(long, value_parser = parse_load)]
     load: Option<f64>,
     /// How uneven the zones' traffic is: from 1 less this to 1 and this times an even part, by the zones' numbers.
     #[arg(long, value_parser = parse_skew)]
     zone_skew: Option<f64>,
-    /// A further trouble, as NAME or NAME=NUMBER, @, and from which second to which, as `lists-stop@6-12` or
+    /// A further fault, as NAME or NAME=NUMBER, @, and from which second to which, as `lists-stop@6-12` or
     /// `burst=1.5@3-9`; may be given several times. With --day none there is no other.
-    #[arg(long)]
-    trouble: Vec<Planned>,
-    /// Who decides: random, without, program or one; all of them else.
-    #[arg(long)]
-    who: Option<Who>,
-    /// Show second by second what was served, what was refused and why, and how the backends are.
+    #[arg(long = "trouble")]
+    fault: Vec<PlannedFault>,
+    /// Which policy decides: random, without, program or one; by default each of them, one after the other.
+    #[arg(long = "who")]
+    policy: Option<Policy>,
+    /// Show second by second what was served, what was rejected and why, and how the backends are.
     #[arg(long)]
     by_second: bool,
 }
@@ -70,32 +70,32 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let names: Vec<&str> = if cli.day == "all" { Day::NAMES.to_vec() } else { vec![&cli.day] };
+    let names: Vec<&str> = if cli.scenario == "all" { Scenario::NAMES.to_vec() } else { vec![&cli.scenario] };
     let mut sound = true;
     for name in names {
-        let Some(mut day) = Day::named(name, cli.proxies, cli.boxes, cli.seed) else {
-            eprintln!("shaletide-emulator: no day {name:?}; there are {}", Day::NAMES.join(", "));
+        let Some(mut scenario) = Scenario::named(name, cli.proxies, cli.backends, cli.seed) else {
+            eprintln!("shaletide-emulator: no day {name:?}; there are {}", Scenario::NAMES.join(", "));
             return ExitCode::from(2);
         };
-        day.zone_skew = cli.zone_skew.unwrap_or(day.zone_skew);
-        day.load = cli.load.unwrap_or(day.load);
-        day.troubles.extend(cli.trouble.iter().map(|t| (t.from, t.to, t.trouble.clone())));
-        day.length = shaletide_types::Micros(cli.seconds * 1_000_000);
+        scenario.zone_skew = cli.zone_skew.unwrap_or(scenario.zone_skew);
+        scenario.load = cli.load.unwrap_or(scenario.load);
+        scenario.faults.extend(cli.fault.iter().map(|t| (t.from, t.to, t.fault.clone())));
+        scenario.length = shaletide_types::Micros(cli.seconds * 1_000_000);
         println!(
             "{name}: {} proxies, {} boxes, seed {}, {} s",
-            cli.proxies, cli.boxes, cli.seed, cli.seconds
+            cli.proxies, cli.backends, cli.seed, cli.seconds
         );
-        for who in Who::ALL.into_iter().filter(|who| cli.who.is_none_or(|only| only == *who)) {
+        for policy in Policy::ALL.into_iter().filter(|policy| cli.policy.is_none_or(|only| only == *policy)) {
             let begun = Instant::now();
-            let played = play(&day, who);
-            let a = &played.account;
+            let played = simulation(&scenario, policy);
+            let a = &played.statistics;
             let tries = a.ends.iter().sum::<u64>().max(1) as f64;
             let ends =
                 ENDS.iter().map(|(end, text)| format!("{text} {:.3}", a.ends[*end as usize] as f64 / tries));
             println!(
                 "  {:<18} worth {:.3}, worst class {:.3}, refused {:.3}, p50 {} ms, p99 {} ms, handshakes {:.2} a try, \
                  crowded {}, rules broken {}, coldest at {:.2}, {:.1} s",
-                who.name(),
+                policy.name(),
                 a.served_worth(),
                 a.worst_class(),
                 a.refused_part(),
@@ -112,16 +112,16 @@
                 let parts: Vec<String> = a.by_second().iter().map(|p| format!("{:.0}", p * 100.0)).collect();
                 println!("    served by second, %: {}", parts.join(" "));
                 for (at, why) in ["at once", "held", "sent"].iter().enumerate() {
-                    let all: Vec<String> = a.refused.iter().map(|r| r[at].to_string()).collect();
+                    let all: Vec<String> = a.rejected.iter().map(|r| r[at].to_string()).collect();
                     println!("    refused {why}, by second: {}", all.join(" "));
                 }
-                let slow: Vec<String> = a.boxes.iter().map(|b| b.0.to_string()).collect();
+                let slow: Vec<String> = a.backends.iter().map(|b| b.0.to_string()).collect();
                 println!("    boxes slow from crowding as each second ends: {}", slow.join(" "));
-                let held: Vec<String> = a.boxes.iter().map(|b| format!("{:.1}", b.1)).collect();
+                let held: Vec<String> = a.backends.iter().map(|b| format!("{:.1}", b.1)).collect();
                 println!("    requests that a box holds then: {}", held.join(" "));
             }
             // Random choice keeps no rule but by luck.
-            if who != Who::Random && played.watch.count > 0 {
+            if policy != Policy::Random && played.watch.count > 0 {
                 println!("    broken: {:?}", played.watch.broken);
                 sound = false;
             }
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,17 +1,17 @@
-//! What a day is made of.
+//! What a scenario is made of.
 
 use shaletide_balancer::{Class, Config, DiscoveryMode, Tenant};
-use shaletide_testkit::{Dice, Law, Power};
+use shaletide_testkit::{Law, Power, SeededRng};
 use shaletide_types::*;
 
 /// A sort of request.
 #[derive(Clone, Debug)]
-pub struct Sort {
+pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
     /// Its part of all.
     pub share: f64,
-    /// What the module is told of it.
+    /// What the module is listed_proxies of it.
     pub class: Class,
     /// A client waits so long at most.
     pub deadline: Micros,
@@ -36,7 +36,7 @@
 
 /// What backends have in common.
 #[derive(Clone, Debug)]
-pub struct Boxes {
+pub struct BackendLimits {
     /// Requests in service and waiting, at most.
     pub slots: (u32, u32),
     /// Connections, at most.
@@ -53,7 +53,7 @@
 
 /// What the backends say of their load.
 #[derive(Clone, Debug)]
-pub struct Reports {
+pub struct LoadReporting {
     /// It is renewed so often.
     pub period: Micros,
     /// It is so old when it can first be read.
@@ -70,7 +70,7 @@
 
 /// Something that goes wrong.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// So many times the usual traffic.
     Burst(f64),
     /// This part of the proxies dies and is back, with nothing, a second later.
@@ -98,44 +98,44 @@
     Quiet(f64),
 }
 
-impl Trouble {
+impl Fault {
     /// By its name and how much of it there is.
-    fn named(name: &str, much: Option<f64>) -> Option<Trouble> {
+    fn named(name: &str, much: Option<f64>) -> Option<Fault> {
         let part = much.filter(|m| (0.0..=1.0).contains(m));
         let factor = much.filter(|m| (0.01..=100.0).contains(m));
         Some(match name {
-            "burst" => Trouble::Burst(factor?),
-            "herd" => Trouble::Herd(part?),
-            "replace" => Trouble::Replace(part?),
-            "slow" => Trouble::Slow(factor?),
-            "silent" => Trouble::Silent(part?),
-            "lost" => Trouble::Lost(part?),
-            "reset" => Trouble::Reset(part?),
-            "quiet" => Trouble::Quiet(part?),
-            "lists-late" => Trouble::ListsLate(factor?),
-            "cut" if much.is_none() => Trouble::Cut,
-            "zone-dies" if much.is_none() => Trouble::ZoneDies,
-            "lists-stop" if much.is_none() => Trouble::ListsStop,
+            "burst" => Fault::Burst(factor?),
+            "herd" => Fault::Herd(part?),
+            "replace" => Fault::Replace(part?),
+            "slow" => Fault::Slow(factor?),
+            "silent" => Fault::Silent(part?),
+            "lost" => Fault::Lost(part?),
+            "reset" => Fault::Reset(part?),
+            "quiet" => Fault::Quiet(part?),
+            "lists-late" => Fault::ListsLate(factor?),
+            "cut" if much.is_none() => Fault::Cut,
+            "zone-dies" if much.is_none() => Fault::ZoneDies,
+            "lists-stop" if much.is_none() => Fault::ListsStop,
             _ => return None,
         })
     }
 }
 
-/// A trouble and its time, from the start of the day.
+/// A fault and its time, from the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// It begins then ...
     pub from: Micros,
     /// ... and ends then.
     pub to: Micros,
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub fault: Fault,
 }
 
-impl std::str::FromStr for Planned {
+impl std::str::FromStr for PlannedFault {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Planned, String> {
+    fn from_str(text: &str) -> Result<PlannedFault, String> {
         let second = |text: &str| text.parse::<u32>().ok().map(|s| ms(u64::from(s) * 1_000));
         let read = || {
             let (what, when) = text.split_once('@')?;
@@ -145,8 +145,8 @@
                 Some((name, much)) => (name, Some(much.parse().ok()?)),
                 None => (what, None),
             };
-            let trouble = Trouble::named(name, much)?;
-            (from < to).then_some(Planned { from, to, trouble })
+            let fault = Fault::named(name, much)?;
+            (from < to).then_some(PlannedFault { from, to, fault })
         };
         read().ok_or_else(|| {
             "not NAME@FROM-TO or NAME=NUMBER@FROM-TO with cut, zone-dies, lists-stop, lists-late, lost, reset, burst, \
@@ -156,19 +156,19 @@
     }
 }
 
-/// A day.
+/// A scenario.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct Scenario {
     /// Its name.
     pub name: &'static str,
-    /// Of all its dice.
+    /// Of all its random numbers.
     pub seed: u64,
     /// How long it lasts.
     pub length: Micros,
-    /// Proxies, and what they are told that there are.
+    /// Proxies, and what they are listed_proxies that there are.
     pub proxies: u32,
-    /// The count that they are told; as many as there are, else.
-    pub told: u32,
+    /// The count that they are listed_proxies; as many as there are, else.
+    pub listed_proxies: u32,
     /// How unevenly the front deals: 0 is even, 1 gives some several times the mean. One proxy may be given so many
     /// times the mean by `hot`.
     pub uneven: f64,
@@ -177,19 +177,19 @@
     /// The zones' traffic, by their numbers, from 1 less this to 1 and this times an even part.
     pub zone_skew: f64,
     /// Backends.
-    pub boxes: u32,
+    pub backends: u32,
     /// Zones.
     pub zones: u32,
     /// Traffic as a part of what all backends can do.
     pub load: f64,
     /// The sorts of requests.
-    pub sorts: Vec<Sort>,
+    pub sorts: Vec<RequestClass>,
     /// The kinds of backends.
     pub kinds: Vec<Kind>,
     /// What backends have in common.
-    pub common: Boxes,
-    /// Reports, in answers and as the list's weights; none where backends say nothing.
-    pub reports: Option<Reports>,
+    pub common: BackendLimits,
+    /// LoadReporting, in answers and as the list's weights; none where backends say nothing.
+    pub reports: Option<LoadReporting>,
     /// News of the list comes so late.
     pub list_lag: Micros,
     /// One way between proxy and backend, and more between zones.
@@ -199,27 +199,27 @@
     pub front_notices: (Micros, Micros),
     /// Tenants' quotas, as parts of what all backends can do; what they ask for as parts of the traffic.
     pub tenants: Vec<(f64, f64)>,
-    /// A client that is refused comes again so often.
+    /// A client that is rejected comes again so often.
     pub retries: u32,
     /// What goes wrong, from when to when. Of two of one sort at once the last to begin counts.
-    pub troubles: Vec<(Micros, Micros, Trouble)>,
+    pub faults: Vec<(Micros, Micros, Fault)>,
 }
 
 const fn ms(ms: u64) -> Micros {
     Micros(ms * 1_000)
 }
 
-impl Day {
-    /// A day without troubles.
-    pub fn calm(proxies: u32, boxes: u32, load: f64, seed: u64) -> Day {
-        let sort = |name, share, worth, aim: u64, deadline: u64, effect, work: f64| Sort {
+impl Scenario {
+    /// A scenario without faults.
+    pub fn calm(proxies: u32, backends: u32, load: f64, seed: u64) -> Scenario {
+        let sort = |name, share, priority_weight, aim: u64, deadline: u64, effect, work: f64| RequestClass {
             name,
             share,
             class: Class {
                 latency_objective: ms(aim),
                 latency_objective_per_work_hint: 0.0,
                 idempotency: effect,
-                priority_weight: worth,
+                priority_weight: priority_weight,
                 late_weight_fraction: 0.25,
             },
             deadline: ms(deadline),
@@ -227,16 +227,16 @@
             io_ms: Law::Even(20.0, 36.0),
         };
         let keyed = Idempotency::Keyed(DeduplicationScope::Group, ms(1_800));
-        Day {
+        Scenario {
             name: "calm",
             seed,
             length: ms(20_000),
             proxies,
-            told: proxies,
+            listed_proxies: proxies,
             uneven: 0.5,
             hot: 1.0,
             zone_skew: 0.0,
-            boxes,
+            backends,
             zones: 5,
             load,
             sorts: vec![
@@ -249,7 +249,7 @@
                 Kind { share: 0.6, speed: Law::LogNormal(1.8, 0.17), size: 2.0, cold: (0.25, ms(16_000)) },
                 Kind { share: 0.4, speed: Law::LogNormal(0.88, 0.12), size: 1.0, cold: (0.25, ms(14_000)) },
             ],
-            common: Boxes {
+            common: BackendLimits {
                 slots: (7, 16),
                 connections: 120,
                 handshake: (ms(4), 1.6),
@@ -257,7 +257,7 @@
                 crowded: 6.5,
                 slower: 2.8,
             },
-            reports: Some(Reports {
+            reports: Some(LoadReporting {
                 period: ms(1_000),
                 lag: ms(300),
                 noise: 0.04,
@@ -270,45 +270,43 @@
             front_notices: (ms(1_000), ms(3_000)),
             tenants: vec![(0.50, 0.62), (0.21, 0.26), (0.10, 0.12)],
             retries: 1,
-            troubles: Vec::new(),
+            faults: Vec::new(),
         }
     }
 
-    /// The same with a trouble from one second to another.
-    pub fn with(mut self, name: &'static str, from_s: u64, to_s: u64, trouble: Trouble) -> Day {
+    /// The same with a fault from one second to another.
+    pub fn with(mut self, name: &'static str, from_s: u64, to_s: u64, fault: Fault) -> Scenario {
         self.name = name;
-        self.troubles.push((ms(from_s * 1_000), ms(to_s * 1_000), trouble));
+        self.faults.push((ms(from_s * 1_000), ms(to_s * 1_000), fault));
         self
     }
 
-    /// A day by its name: `calm` has a burst, `herd` loses seven in ten proxies, `join` gets six in ten backends anew,
+    /// A scenario by its name: `calm` has a burst, `herd` loses seven in ten proxies, `join` gets six in ten backends anew,
     /// `split` cuts a zone off while lists come late and links lose, `slow` has all backends slow, `silent` a fifth of
-    /// them silent, and on `zone` those of one zone die; `none` has no trouble.
-    pub fn named(name: &str, proxies: u32, boxes: u32, seed: u64) -> Option<Day> {
-        let calm = |load| Day::calm(proxies, boxes, load, seed);
+    /// them silent, and on `zone` those of one zone die; `none` has no fault.
+    pub fn named(name: &str, proxies: u32, backends: u32, seed: u64) -> Option<Scenario> {
+        let calm = |load| Scenario::calm(proxies, backends, load, seed);
         Some(match name {
-            "calm" => calm(0.8).with("calm", 9, 13, Trouble::Burst(1.5)),
-            "herd" => {
-                calm(0.7).with("herd", 8, 9, Trouble::Herd(0.7)).with("herd", 7, 13, Trouble::Replace(0.3))
-            }
-            "join" => calm(0.6).with("join", 6, 13, Trouble::Replace(0.6)),
+            "calm" => calm(0.8).with("calm", 9, 13, Fault::Burst(1.5)),
+            "herd" => calm(0.7).with("herd", 8, 9, Fault::Herd(0.7)).with("herd", 7, 13, Fault::Replace(0.3)),
+            "join" => calm(0.6).with("join", 6, 13, Fault::Replace(0.6)),
             "split" => calm(0.7)
-                .with("split", 6, 12, Trouble::Cut)
-                .with("split", 5, 14, Trouble::ListsLate(3.0))
-                .with("split", 4, 16, Trouble::Lost(0.02))
-                .with("split", 4, 16, Trouble::Reset(0.01)),
-            "slow" => calm(0.55).with("slow", 7, 11, Trouble::Slow(2.0)),
-            "silent" => calm(0.7).with("silent", 6, 12, Trouble::Silent(0.2)),
-            "zone" => calm(0.6).with("zone", 6, 11, Trouble::ZoneDies),
+                .with("split", 6, 12, Fault::Cut)
+                .with("split", 5, 14, Fault::ListsLate(3.0))
+                .with("split", 4, 16, Fault::Lost(0.02))
+                .with("split", 4, 16, Fault::Reset(0.01)),
+            "slow" => calm(0.55).with("slow", 7, 11, Fault::Slow(2.0)),
+            "silent" => calm(0.7).with("silent", 6, 12, Fault::Silent(0.2)),
+            "zone" => calm(0.6).with("zone", 6, 11, Fault::ZoneDies),
             "none" => calm(0.7),
             _ => return None,
         })
     }
 
-    /// The names that [`Day::named`] knows.
+    /// The names that [`Scenario::named`] knows.
     pub const NAMES: [&'static str; 7] = ["calm", "herd", "join", "split", "slow", "silent", "zone"];
 
-    /// What the module of one proxy is told; `proxies` is 1 for one that sees all.
+    /// What the module of one proxy is listed_proxies; `proxies` is 1 for one that sees all.
     pub(crate) fn config(&self, proxies: u32, position: u32, zone: ZoneId, live: bool) -> Config {
         let capacity = self.capacity();
         Config {
@@ -342,14 +340,14 @@
     /// Requests a second that all backends together could serve.
     pub fn capacity(&self) -> f64 {
         let speed: f64 = self.kinds.iter().map(|k| k.share * k.speed.mean()).sum();
-        f64::from(self.boxes) * speed * 1e3 / self.work_ms()
+        f64::from(self.backends) * speed * 1e3 / self.work_ms()
     }
 
     /// Each proxy's part of the traffic.
     pub(crate) fn parts(&self) -> Vec<f64> {
-        let mut dice = Dice::of(self.seed, "front");
+        let mut rng = SeededRng::of(self.seed, "front");
         let law = Law::LogNormal(1.0, self.uneven.max(1e-9));
-        let mut parts: Vec<f64> = (0..self.proxies).map(|_| law.draw(&mut dice)).collect();
+        let mut parts: Vec<f64> = (0..self.proxies).map(|_| law.draw(&mut rng)).collect();
         let last = f64::from(self.zones.saturating_sub(1).max(1));
         for (position, part) in (0u32..).zip(&mut parts) {
             let zone = f64::from(position % self.zones);
@@ -365,8 +363,8 @@
 
     /// The kind, power and warm-up of the backend of that number.
     pub(crate) fn draw_box(&self, number: u32) -> (usize, Power) {
-        let mut dice = Dice::of(self.seed, &format!("box {number}"));
-        let mut left = dice.part();
+        let mut rng = SeededRng::of(self.seed, &format!("box {number}"));
+        let mut left = rng.part();
         let last = self.kinds.len() - 1;
         let kind = self.kinds.iter().position(|k| {
             left -= k.share;
@@ -375,7 +373,7 @@
         let kind = kind.unwrap_or(last);
         let k = &self.kinds[kind];
         let (initial_capacity_fraction, ramp) = k.cold;
-        (kind, Power { cores: 1, speed: k.speed.draw(&mut dice).max(0.1), initial_capacity_fraction, ramp })
+        (kind, Power { cores: 1, speed: k.speed.draw(&mut rng).max(0.1), initial_capacity_fraction, ramp })
     }
 }
 
@@ -385,9 +383,9 @@
 
     #[test]
     fn a_trouble_is_read_with_its_time_and_what_makes_no_sense_is_not() {
-        let read = |text: &str| text.parse::<Planned>().ok().map(|p| (p.from, p.to, p.trouble));
-        assert_eq!(read("cut@6-12"), Some((ms(6_000), ms(12_000), Trouble::Cut)));
-        assert_eq!(read("lists-late=3@0-1"), Some((ms(0), ms(1_000), Trouble::ListsLate(3.0))));
+        let read = |text: &str| text.parse::<PlannedFault>().ok().map(|p| (p.from, p.to, p.fault));
+        assert_eq!(read("cut@6-12"), Some((ms(6_000), ms(12_000), Fault::Cut)));
+        assert_eq!(read("lists-late=3@0-1"), Some((ms(0), ms(1_000), Fault::ListsLate(3.0))));
         let wrong = [
             "",
             "cut",
@@ -404,13 +402,15 @@
 
     #[test]
     fn every_named_day_is_there_and_no_other() {
-        assert!(Day::NAMES.iter().all(|name| Day::named(name, 3, 5, 1).is_some_and(|d| d.name == *name)));
-        assert!(Day::named("noon", 3, 5, 1).is_none());
+        assert!(Scenario::NAMES
+            .iter()
+            .all(|name| Scenario::named(name, 3, 5, 1).is_some_and(|d| d.name == *name)));
+        assert!(Scenario::named("noon", 3, 5, 1).is_none());
     }
 
     #[test]
     fn a_skew_of_zones_gives_the_last_so_much_more_and_the_first_so_much_less() {
-        let parts = Day { zone_skew: 0.5, uneven: 0.0, ..Day::calm(10, 5, 0.7, 1) }.parts();
+        let parts = Scenario { zone_skew: 0.5, uneven: 0.0, ..Scenario::calm(10, 5, 0.7, 1) }.parts();
         let zone = |z: usize| (parts[z] + parts[z + 5]) * 5.0;
         assert!((parts.iter().sum::<f64>() - 1.0).abs() < 1e-9);
         assert!((zone(0) - 0.5).abs() < 1e-6 && (zone(2) - 1.0).abs() < 1e-6 && (zone(4) - 1.5).abs() < 1e-6);
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,25 +1,25 @@
-//! A day played: events in the order of a virtual clock, hosts around the modules, clients.
+//! A scenario played: events in the order of a virtual clock, hosts around the modules, clients.
 
 mod attempts;
 mod clients;
+mod faults;
 mod lists;
-mod troubles;
 mod world;
 
-use crate::account::{Account, End};
-use crate::day::Day;
-use crate::rules::Watch;
-use crate::site::{Site, LOOK};
+use crate::backend::{SimulatedBackend, LOOK};
+use crate::invariants::InvariantObserver;
+use crate::scenario::Scenario;
+use crate::statistics::{End, Statistics};
 use shaletide_routing::pools::{Action, Event};
 use shaletide_routing::Pools;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use world::*;
 
-/// Who decides.
+/// Policy decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum Policy {
     /// Any backend that the list has, once, whatever happens.
     Random,
     /// The program as it is where backends say nothing of their load.
@@ -30,30 +30,30 @@
     One,
 }
 
-impl Who {
+impl Policy {
     /// All, in the order in which they are shown.
-    pub const ALL: [Who; 4] = [Who::Random, Who::Earlier, Who::Program, Who::One];
+    pub const ALL: [Policy; 4] = [Policy::Random, Policy::Earlier, Policy::Program, Policy::One];
 
     /// Its name.
     pub fn name(self) -> &'static str {
         match self {
-            Who::Random => "random choice",
-            Who::Earlier => "without reports",
-            Who::Program => "the program",
-            Who::One => "one that sees all",
+            Policy::Random => "random choice",
+            Policy::Earlier => "without reports",
+            Policy::Program => "the program",
+            Policy::One => "one that sees all",
         }
     }
 }
 
-impl std::str::FromStr for Who {
+impl std::str::FromStr for Policy {
     type Err = &'static str;
 
-    fn from_str(text: &str) -> Result<Who, Self::Err> {
+    fn from_str(text: &str) -> Result<Policy, Self::Err> {
         match text {
-            "random" => Ok(Who::Random),
-            "without" => Ok(Who::Earlier),
-            "program" => Ok(Who::Program),
-            "one" => Ok(Who::One),
+            "random" => Ok(Policy::Random),
+            "without" => Ok(Policy::Earlier),
+            "program" => Ok(Policy::Program),
+            "one" => Ok(Policy::One),
             _ => Err("not random, without, program or one"),
         }
     }
@@ -61,16 +61,16 @@
 
 /// What came of it.
 #[derive(Debug)]
-pub struct Played {
+pub struct SimulationResult {
     /// What clients got.
-    pub account: Account,
-    /// The rules.
-    pub watch: Watch,
+    pub statistics: Statistics,
+    /// The invariants.
+    pub watch: InvariantObserver,
 }
 
-/// Plays a day.
-pub fn play(day: &Day, who: Who) -> Played {
-    let mut world = World::new(day, who);
+/// Plays a scenario.
+pub fn simulation(scenario: &Scenario, policy: Policy) -> SimulationResult {
+    let mut world = World::new(scenario, policy);
     while let Some(((at, _), event)) = world.queue.pop_first() {
         // Modules set timers for ever.
         if at > world.end + AFTER {
@@ -80,21 +80,21 @@
         world.happens(event);
         world.work();
     }
-    world.account.crowdings = world.sites.iter().map(|s| s.crowdings).sum();
-    Played { account: world.account, watch: world.watch }
+    world.statistics.crowdings = world.backends.iter().map(|s| s.crowdings).sum();
+    SimulationResult { statistics: world.statistics, watch: world.watch }
 }
 
 impl<'a> World<'a> {
-    fn new(day: &'a Day, who: Who) -> World<'a> {
-        let proxies = if who == Who::One { 1 } else { day.proxies };
+    fn new(scenario: &'a Scenario, policy: Policy) -> World<'a> {
+        let proxies = if policy == Policy::One { 1 } else { scenario.proxies };
         let mut world = World {
-            day,
-            who,
+            scenario,
+            policy,
             now: START,
-            end: START + day.length,
+            end: START + scenario.length,
             queue: BTreeMap::new(),
             count: 0,
-            sites: Vec::new(),
+            backends: Vec::new(),
             wakes: Vec::new(),
             rows: Vec::new(),
             sizes: Vec::new(),
@@ -106,19 +106,19 @@
             attempts: Vec::new(),
             out: BTreeMap::new(),
             todo: VecDeque::new(),
-            dice: Dice::of(day.seed, "day"),
+            rng: SeededRng::of(scenario.seed, "day"),
             burst: 1.0,
-            faults: Faults::new(day.seed),
-            account: Account::new(day.sorts.len()),
-            watch: Watch::default(),
+            faults: Faults::new(scenario.seed),
+            statistics: Statistics::new(scenario.sorts.len()),
+            watch: InvariantObserver::default(),
             last: 0,
         };
         world.parts = world.deal();
-        (0..day.boxes).for_each(|_| {
+        (0..scenario.backends).for_each(|_| {
             world.add_box(None);
         });
         for position in 0..proxies {
-            let zone = ZoneId(position % day.zones);
+            let zone = ZoneId(position % scenario.zones);
             world.proxies.push(Proxy {
                 pools: None,
                 life: 0,
@@ -135,9 +135,9 @@
         }
         world.at(START, Ev::Comes);
         world.at(START + LOOK, Ev::Look);
-        for (trouble, (from, to, _)) in day.troubles.iter().enumerate() {
-            world.at(START + *from, Ev::Begins { trouble });
-            world.at(START + *to, Ev::Ends { trouble });
+        for (fault, (from, to, _)) in scenario.faults.iter().enumerate() {
+            world.at(START + *from, Ev::Begins { fault });
+            world.at(START + *to, Ev::Ends { fault });
         }
         world
     }
@@ -148,42 +148,54 @@
     }
 
     fn add_box(&mut self, booted: Option<Time>) -> usize {
-        let number = self.sites.len() as u32;
-        let (kind, power) = self.day.draw_box(number);
-        let zone = number % self.day.zones;
-        self.sites.push(Site::new(number, self.day.seed, power, booted, &self.day.common, &self.day.reports));
+        let number = self.backends.len() as u32;
+        let (kind, power) = self.scenario.draw_box(number);
+        let zone = number % self.scenario.zones;
+        self.backends.push(SimulatedBackend::new(
+            number,
+            self.scenario.seed,
+            power,
+            booted,
+            &self.scenario.common,
+            &self.scenario.reports,
+        ));
         self.wakes.push(None);
         self.rows.push(BackendEntry {
             id: BackendId(number),
             stable_hash: u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20,
             zone: ZoneId(zone),
             deduplication_group: DeduplicationGroupId(
-                u64::from(zone) * 8 + u64::from(number / self.day.zones % 8),
+                u64::from(zone) * 8 + u64::from(number / self.scenario.zones % 8),
             ),
             server_type: ServerTypeId(kind as u32),
             state: BackendState::Ready,
             started_at: booted,
             ..BackendEntry::default()
         });
-        self.sizes.push(self.day.kinds[kind].size);
+        self.sizes.push(self.scenario.kinds[kind].size);
         self.logs(number as usize, BackendState::Ready);
-        self.account.by_box.push(0);
+        self.statistics.by_backend.push(0);
         number as usize
     }
 
     /// A proxy starts, with the list as it is and nothing else.
     fn revive(&mut self, proxy: usize) {
-        let one = self.who == Who::One;
-        let live = self.day.reports.is_some() && self.who == Who::Program;
+        let one = self.policy == Policy::One;
+        let live = self.scenario.reports.is_some() && self.policy == Policy::Program;
         let zone = self.proxies[proxy].zone;
-        let mut config = self.day.config(if one { 1 } else { self.day.told }, proxy as u32, zone, live);
+        let mut config = self.scenario.config(
+            if one { 1 } else { self.scenario.listed_proxies },
+            proxy as u32,
+            zone,
+            live,
+        );
         if one {
             config.cross_zone_cost = 0.0;
         }
         config.position %= config.proxies;
         let mut pools = Pools::new();
         let life = u64::from(self.proxies[proxy].life);
-        let seed = Dice::of(self.day.seed ^ life << 32, &format!("proxy {proxy}")).word();
+        let seed = SeededRng::of(self.scenario.seed ^ life << 32, &format!("proxy {proxy}")).word();
         // The configuration is the emulator's own.
         pools.configure(POOL, config, seed).expect("a sound configuration");
         let p = &mut self.proxies[proxy];
@@ -195,7 +207,7 @@
         let as_of = self.faults.stopped.unwrap_or(self.now);
         self.tell_list(proxy, EndpointUpdate::Snapshot, as_of);
         let period = self.period();
-        let first = Micros((self.dice.part() * period.0 as f64) as u64);
+        let first = Micros((self.rng.part() * period.0 as f64) as u64);
         self.at(self.now + first, Ev::List { proxy });
     }
 
@@ -209,11 +221,11 @@
                 }
             }
             Ev::AtBox { attempt } => self.at_box(attempt),
-            Ev::Wake { site } => {
-                if self.wakes[site] == Some(self.now) {
-                    self.wakes[site] = None;
-                    self.wake(site);
-                    self.set_wake(site);
+            Ev::Wake { backend } => {
+                if self.wakes[backend] == Some(self.now) {
+                    self.wakes[backend] = None;
+                    self.wake(backend);
+                    self.set_wake(backend);
                 }
             }
             Ev::Look => self.look(),
@@ -226,23 +238,23 @@
                 }
             }
             Ev::Hears { proxy, life, as_of } => self.hears(proxy, life, as_of),
-            Ev::Missed { site } => {
-                if self.sites[site].dead {
-                    self.rows[site].state = BackendState::Gone;
-                    self.logs(site, BackendState::Gone);
+            Ev::Missed { backend } => {
+                if self.backends[backend].dead {
+                    self.rows[backend].state = BackendState::Gone;
+                    self.logs(backend, BackendState::Gone);
                 }
             }
-            Ev::Begins { trouble } => self.begins(trouble),
-            Ev::Ends { trouble } => self.ends(trouble),
-            Ev::Drains { site } => {
-                self.rows[site].state = BackendState::Draining;
-                self.logs(site, BackendState::Draining);
+            Ev::Begins { fault } => self.begins(fault),
+            Ev::Ends { fault } => self.ends(fault),
+            Ev::Drains { backend } => {
+                self.rows[backend].state = BackendState::Draining;
+                self.logs(backend, BackendState::Draining);
                 self.add_box(Some(self.now));
-                self.at(self.now + DRAINS, Ev::Goes { site });
+                self.at(self.now + DRAINS, Ev::Goes { backend });
             }
-            Ev::Goes { site } => {
-                self.rows[site].state = BackendState::Gone;
-                self.logs(site, BackendState::Gone);
+            Ev::Goes { backend } => {
+                self.rows[backend].state = BackendState::Gone;
+                self.logs(backend, BackendState::Gone);
             }
             Ev::Revives { proxy } => self.revive(proxy),
         }
@@ -265,7 +277,7 @@
             Action::Dispatch { request, attempt, backend, .. } => {
                 self.dispatch(proxy, request, attempt, backend.0 as usize)
             }
-            Action::Reject { request, retry_after } => self.refused(request, retry_after),
+            Action::Reject { request, retry_after } => self.rejected(request, retry_after),
             Action::Fail { request, .. } => {
                 if let Some(open) = self.forget(request) {
                     self.closed(open.client, open.came, End::Failed, Micros(0));
--- a/crates/emulator/src/play/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -1,18 +1,18 @@
 //! Clients, the front that deals them out, and what they get.
 
 use super::world::*;
-use super::Who;
-use crate::account::End;
-use crate::rules::Broken;
+use super::Policy;
+use crate::invariants::Violation;
+use crate::statistics::End;
 use shaletide_balancer::Arrival;
 use shaletide_routing::pools::Event;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::*;
 use std::rc::Rc;
 
 /// One of them, by their shares.
-fn pick(dice: &mut Dice, shares: &[f64]) -> usize {
-    let mut left = dice.part() * shares.iter().sum::<f64>();
+fn pick(rng: &mut SeededRng, shares: &[f64]) -> usize {
+    let mut left = rng.part() * shares.iter().sum::<f64>();
     let hit = shares.iter().position(|s| {
         left -= s;
         left < 0.0
@@ -25,24 +25,24 @@
         if self.now >= self.end {
             return;
         }
-        let rate = self.day.load * self.day.capacity() * self.burst;
-        let gap = -self.dice.part().ln() / rate;
+        let rate = self.scenario.load * self.scenario.capacity() * self.burst;
+        let gap = -self.rng.part().ln() / rate;
         self.at(self.now + Micros::from_secs(gap), Ev::Comes);
-        let sort = pick(&mut self.dice, &self.day.sorts.iter().map(|s| s.share).collect::<Vec<_>>());
-        let tenant = pick(&mut self.dice, &self.day.tenants.iter().map(|t| t.1).collect::<Vec<_>>());
-        let proxy = pick(&mut self.dice, &self.parts);
+        let sort = pick(&mut self.rng, &self.scenario.sorts.iter().map(|s| s.share).collect::<Vec<_>>());
+        let tenant = pick(&mut self.rng, &self.scenario.tenants.iter().map(|t| t.1).collect::<Vec<_>>());
+        let proxy = pick(&mut self.rng, &self.parts);
         let client = self.clients.len();
         self.clients.push(Client { came: self.now, sort, tenant, tries: 0, proxy, served: false });
-        self.account.asked[sort] += 1;
-        self.account.worth.0 += self.day.sorts[sort].class.priority_weight;
-        let second = self.account.second(self.now - START);
-        self.account.seconds[second].0 += 1;
+        self.statistics.requests[sort] += 1;
+        self.statistics.priority_weight.0 += self.scenario.sorts[sort].class.priority_weight;
+        let second = self.statistics.second(self.now - START);
+        self.statistics.seconds[second].0 += 1;
         self.asks(client, false);
     }
 
     pub(super) fn asks(&mut self, client: usize, repeat: bool) {
         let c = &mut self.clients[client];
-        let sort = &self.day.sorts[c.sort];
+        let sort = &self.scenario.sorts[c.sort];
         let left = sort.deadline.0.saturating_sub((self.now - c.came).0);
         if left < 10_000 {
             return;
@@ -59,7 +59,7 @@
         self.requests.insert(id, Open { proxy, client, came: self.now, tries: Vec::new() });
         self.proxies[proxy].open.insert(id);
         self.at(deadline, Ev::Deadline { id });
-        if self.who == Who::Random {
+        if self.policy == Policy::Random {
             return self.draws(proxy, id);
         }
         let arrival = Arrival {
@@ -76,10 +76,10 @@
 
     /// Each proxy's part of the clients.
     pub(super) fn deal(&self) -> Vec<f64> {
-        if self.who == Who::One {
+        if self.policy == Policy::One {
             vec![1.0]
         } else {
-            self.day.parts()
+            self.scenario.parts()
         }
     }
 
@@ -93,29 +93,29 @@
     /// Random choice.
     pub(super) fn draws(&mut self, proxy: usize, id: RequestId) {
         let ready = &self.proxies[proxy].ready;
-        let at = (self.dice.part() * ready.len() as f64) as usize;
+        let at = (self.rng.part() * ready.len() as f64) as usize;
         match ready.keys().nth(at).copied() {
-            Some(site) => self.dispatch(proxy, id, AttemptNumber(0), site),
-            None => self.refused(id, Micros(0)),
+            Some(backend) => self.dispatch(proxy, id, AttemptNumber(0), backend),
+            None => self.rejected(id, Micros(0)),
         }
     }
 
     /// A try is over.
     pub(super) fn closed(&mut self, client: usize, came: Time, end: End, advice: Micros) {
-        self.account.ends[end as usize] += 1;
-        let refused = matches!(end, End::RefusedAtOnce | End::RefusedHeld | End::RefusedSent);
-        if refused {
-            let second = self.account.second(came - START);
-            self.account.refused[second][end as usize - End::RefusedAtOnce as usize] += 1;
+        self.statistics.ends[end as usize] += 1;
+        let rejected = matches!(end, End::RefusedAtOnce | End::RefusedHeld | End::RefusedSent);
+        if rejected {
+            let second = self.statistics.second(came - START);
+            self.statistics.rejected[second][end as usize - End::RefusedAtOnce as usize] += 1;
         }
         let lost = matches!(end, End::Died | End::Unreached);
         if lost {
             // Its next connection is dealt anew.
-            self.clients[client].proxy = pick(&mut self.faults.dice, &self.parts);
+            self.clients[client].proxy = pick(&mut self.faults.rng, &self.parts);
         }
         let c = &mut self.clients[client];
-        if (refused || lost) && c.tries <= self.day.retries {
-            let wait = Micros((self.dice.part() * 70_000.0) as u64 + 10_000).max(advice.min(MOST_ADVICE));
+        if (rejected || lost) && c.tries <= self.scenario.retries {
+            let wait = Micros((self.rng.part() * 70_000.0) as u64 + 10_000).max(advice.min(MOST_ADVICE));
             self.at(self.now + wait, Ev::Again { client });
         }
     }
@@ -123,20 +123,21 @@
     pub(super) fn served(&mut self, id: RequestId) {
         let Some(open) = self.forget(id) else { return };
         let c = &mut self.clients[open.client];
-        let sort = &self.day.sorts[c.sort];
+        let sort = &self.scenario.sorts[c.sort];
         let took = self.now - c.came;
         let in_time = took <= sort.class.latency_objective;
-        let worth = sort.class.priority_weight * if in_time { 1.0 } else { sort.class.late_weight_fraction };
+        let priority_weight =
+            sort.class.priority_weight * if in_time { 1.0 } else { sort.class.late_weight_fraction };
         if !std::mem::replace(&mut c.served, true) {
-            self.account.worth.1 += worth;
+            self.statistics.priority_weight.1 += priority_weight;
             if in_time {
-                self.account.served[c.sort] += 1;
-                let second = self.account.second(c.came - START);
-                self.account.seconds[second].1 += 1;
+                self.statistics.served[c.sort] += 1;
+                let second = self.statistics.second(c.came - START);
+                self.statistics.seconds[second].1 += 1;
             }
         }
         // The bounds of the histogram are wider than any deadline.
-        let _ = self.account.latency.record(took.0.max(1));
+        let _ = self.statistics.latency.record(took.0.max(1));
         self.closed(open.client, open.came, if in_time { End::InTime } else { End::Late }, Micros(0));
     }
 
@@ -149,17 +150,17 @@
     /// The attempts of it that may have run or may run yet.
     pub(super) fn ran(&self, open: &Open) -> Vec<(DeduplicationGroupId, Time)> {
         let all = open.tries.iter().map(|t| &self.attempts[*t]);
-        all.filter(|a| !a.not_executed).map(|a| (self.rows[a.site].deduplication_group, a.sent)).collect()
+        all.filter(|a| !a.not_executed).map(|a| (self.rows[a.backend].deduplication_group, a.sent)).collect()
     }
 
     pub(super) fn effect(&self, open: &Open) -> Idempotency {
-        self.day.sorts[self.clients[open.client].sort].class.idempotency
+        self.scenario.sorts[self.clients[open.client].sort].class.idempotency
     }
 
-    pub(super) fn refused(&mut self, id: RequestId, advice: Micros) {
-        let Some(open) = self.forget(id) else { return self.watch.broke(Broken::Answer(id)) };
+    pub(super) fn rejected(&mut self, id: RequestId, advice: Micros) {
+        let Some(open) = self.forget(id) else { return self.watch.broke(Violation::Answer(id)) };
         let (ran, effect) = (self.ran(&open), self.effect(&open));
-        self.watch.refused(id, effect, &ran);
+        self.watch.rejected(id, effect, &ran);
         let end = match () {
             () if !open.tries.is_empty() => End::RefusedSent,
             () if self.now - open.came > Micros(1_000) => End::RefusedHeld,
--- a/crates/emulator/src/play/lists.rs
+++ b/crates/emulator/src/simulation/lists.rs
@@ -1,19 +1,19 @@
 //! What proxies hear of the list, and when.
 
 use super::world::*;
-use super::Who;
+use super::Policy;
 use shaletide_routing::pools::Event;
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
 impl World<'_> {
     pub(super) fn period(&self) -> Micros {
-        self.day.reports.as_ref().map_or(Micros(1_000_000), |r| r.period)
+        self.scenario.reports.as_ref().map_or(Micros(1_000_000), |r| r.period)
     }
 
     /// The list has that to say of a backend from now on.
-    pub(super) fn logs(&mut self, site: usize, state: BackendState) {
-        self.log.push(Line { at: self.now, site, state, booted: self.sites[site].booted });
+    pub(super) fn logs(&mut self, backend: usize, state: BackendState) {
+        self.log.push(Line { at: self.now, backend, state, booted: self.backends[backend].booted });
     }
 
     /// The list as it is goes out to a proxy.
@@ -42,41 +42,44 @@
 
     /// What was new in the list as one read it then, and all weights.
     pub(super) fn tell_list(&mut self, proxy: usize, update: EndpointUpdate, as_of: Time) {
-        let lag = if self.who == Who::One { Micros(0) } else { self.day.list_lag };
+        let lag = if self.policy == Policy::One { Micros(0) } else { self.scenario.list_lag };
         let told = self.log.partition_point(|l| l.at + lag <= as_of || l.at <= START);
         let p = &mut self.proxies[proxy];
         // One that began while the list was ahead of what it hears now keeps to what it knows.
         let seen = self.log.get(p.told..told).unwrap_or_default();
         (p.told, p.told_as_of) = (p.told.max(told), as_of);
-        let news: BTreeMap<usize, &Line> = seen.iter().map(|l| (l.site, l)).collect();
-        for (site, line) in &news {
+        let news: BTreeMap<usize, &Line> = seen.iter().map(|l| (l.backend, l)).collect();
+        for (backend, line) in &news {
             match line.state {
                 BackendState::Ready => {
-                    p.ready.insert(*site, line.booted);
-                    p.drains.remove(site);
+                    p.ready.insert(*backend, line.booted);
+                    p.drains.remove(backend);
                 }
                 _ => {
-                    p.ready.remove(site);
-                    p.drains.entry(*site).or_insert(self.now);
+                    p.ready.remove(backend);
+                    p.drains.entry(*backend).or_insert(self.now);
                 }
             }
         }
-        let weighs = self.who == Who::Program && self.day.reports.is_some();
+        let weighs = self.policy == Policy::Program && self.scenario.reports.is_some();
         let mut rows: BTreeMap<usize, BackendEntry> = BTreeMap::new();
         if weighs {
-            let row = |(site, booted): (&usize, &Option<Time>)| {
+            let row = |(backend, booted): (&usize, &Option<Time>)| {
                 let state = BackendState::Ready;
-                (*site, BackendEntry { state, started_at: *booted, ..self.rows[*site].clone() })
+                (*backend, BackendEntry { state, started_at: *booted, ..self.rows[*backend].clone() })
             };
             rows.extend(p.ready.iter().map(row));
         }
         // As it was when this became known: it may have gone on since.
-        rows.extend(news.iter().map(|(site, line)| {
-            (*site, BackendEntry { state: line.state, started_at: line.booted, ..self.rows[*site].clone() })
+        rows.extend(news.iter().map(|(backend, line)| {
+            (
+                *backend,
+                BackendEntry { state: line.state, started_at: line.booted, ..self.rows[*backend].clone() },
+            )
         }));
         if weighs {
-            for (site, row) in &mut rows {
-                row.weight = self.sites[*site].weight(as_of, self.sizes[*site]);
+            for (backend, row) in &mut rows {
+                row.weight = self.backends[*backend].weight(as_of, self.sizes[*backend]);
             }
         }
         let backends: Vec<BackendEntry> = rows.into_values().collect();
--- a/crates/emulator/src/play/world.rs
+++ b/crates/emulator/src/simulation/world.rs
@@ -1,13 +1,13 @@
-//! What the emulated fleet is made of while a day is played.
+//! What the emulated fleet is made of while a scenario is played.
 
-use super::Who;
-use crate::account::Account;
-use crate::day::Day;
-use crate::rules::Watch;
-use crate::site::Site;
+use super::Policy;
+use crate::backend::SimulatedBackend;
+use crate::invariants::InvariantObserver;
+use crate::scenario::Scenario;
+use crate::statistics::Statistics;
 use shaletide_routing::pools::Event;
 use shaletide_routing::Pools;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -48,7 +48,7 @@
         attempt: usize,
     },
     Wake {
-        site: usize,
+        backend: usize,
     },
     Look,
     Back {
@@ -70,19 +70,19 @@
     },
     /// The list says that a dead backend is gone, if it still is.
     Missed {
-        site: usize,
+        backend: usize,
     },
     Begins {
-        trouble: usize,
+        fault: usize,
     },
     Ends {
-        trouble: usize,
+        fault: usize,
     },
     Drains {
-        site: usize,
+        backend: usize,
     },
     Goes {
-        site: usize,
+        backend: usize,
     },
     Revives {
         proxy: usize,
@@ -110,7 +110,7 @@
     pub(super) no: AttemptNumber,
     pub(super) proxy: usize,
     pub(super) life: u32,
-    pub(super) site: usize,
+    pub(super) backend: usize,
     /// Its connection belongs to that life of the backend; none where none comes up.
     pub(super) connected: Option<u32>,
     pub(super) sent: Time,
@@ -140,7 +140,7 @@
 
 /// What is wrong with links and lists now.
 pub(super) struct Faults {
-    pub(super) dice: Dice,
+    pub(super) rng: SeededRng,
     /// The zone that is cut off.
     pub(super) cut: Option<ZoneId>,
     /// Attempts that wait for the end of the cut.
@@ -160,26 +160,35 @@
     pub(super) fn new(seed: u64) -> Faults {
         let (cut, stopped, late) = (None, None, Micros(0));
         let (stalled, dead) = (Vec::new(), Vec::new());
-        Faults { dice: Dice::of(seed, "faults"), cut, stalled, stopped, late, lost: 0.0, reset: 0.0, dead }
+        Faults {
+            rng: SeededRng::of(seed, "faults"),
+            cut,
+            stalled,
+            stopped,
+            late,
+            lost: 0.0,
+            reset: 0.0,
+            dead,
+        }
     }
 }
 
 /// A line of the list's log.
 pub(super) struct Line {
     pub(super) at: Time,
-    pub(super) site: usize,
+    pub(super) backend: usize,
     pub(super) state: BackendState,
     pub(super) booted: Option<Time>,
 }
 
 pub(super) struct World<'a> {
-    pub(super) day: &'a Day,
-    pub(super) who: Who,
+    pub(super) scenario: &'a Scenario,
+    pub(super) policy: Policy,
     pub(super) now: Time,
     pub(super) end: Time,
     pub(super) queue: BTreeMap<(Time, u64), Ev>,
     pub(super) count: u64,
-    pub(super) sites: Vec<Site>,
+    pub(super) backends: Vec<SimulatedBackend>,
     /// When each is woken next.
     pub(super) wakes: Vec<Option<Time>>,
     pub(super) rows: Vec<BackendEntry>,
@@ -193,10 +202,10 @@
     /// Those that are not over.
     pub(super) out: BTreeMap<(RequestId, AttemptNumber), usize>,
     pub(super) todo: VecDeque<(usize, Event)>,
-    pub(super) dice: Dice,
+    pub(super) rng: SeededRng,
     pub(super) burst: f64,
     pub(super) faults: Faults,
-    pub(super) account: Account,
-    pub(super) watch: Watch,
+    pub(super) statistics: Statistics,
+    pub(super) watch: InvariantObserver,
     pub(super) last: u64,
 }
--- a/crates/emulator/src/account.rs
+++ b/crates/emulator/src/statistics.rs
@@ -36,23 +36,23 @@
     (End::Unreached, "unreached"),
 ];
 
-/// The account of a run.
+/// The statistics of a run.
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct Statistics {
     /// First tries, by class.
-    pub asked: Vec<u64>,
+    pub requests: Vec<u64>,
     /// First tries that were served within their aim in the end, by class.
     pub served: Vec<u64>,
-    /// Worth asked for, and served; late answers count for their part.
-    pub worth: (f64, f64),
+    /// Priority weight requested and served; late answers count for their late weight fraction.
+    pub priority_weight: (f64, f64),
     /// Ends of all tries.
     pub ends: [u64; 8],
     /// First tries and those served, by second.
     pub seconds: Vec<(u64, u64)>,
-    /// Tries refused at once, after they were held, and after attempts that was not executed, by second.
-    pub refused: Vec<[u64; 3]>,
+    /// Requests rejected at once, after queueing, and after attempts that were not executed, by second.
+    pub rejected: Vec<[u64; 3]>,
     /// Backends that are slow from crowding as a second begins, and requests that a backend holds in the mean.
-    pub boxes: Vec<(u32, f64)>,
+    pub backends: Vec<(u32, f64)>,
     /// Time to the answer of what was served, µs.
     pub latency: Histogram<u64>,
     /// Attempts, connections opened, attempts that crossed zones.
@@ -64,26 +64,26 @@
     /// Times that a backend was crowded.
     pub crowdings: u32,
     /// Attempts sent to each backend.
-    pub by_box: Vec<u64>,
+    pub by_backend: Vec<u64>,
 }
 
-impl Account {
-    pub(crate) fn new(classes: usize) -> Account {
-        Account {
-            asked: vec![0; classes],
+impl Statistics {
+    pub(crate) fn new(classes: usize) -> Statistics {
+        Statistics {
+            requests: vec![0; classes],
             served: vec![0; classes],
-            worth: (0.0, 0.0),
+            priority_weight: (0.0, 0.0),
             ends: [0; 8],
             seconds: Vec::new(),
-            refused: Vec::new(),
-            boxes: Vec::new(),
+            rejected: Vec::new(),
+            backends: Vec::new(),
             // From 1 µs to 100 s with two figures: the bounds are constants and sound.
             latency: Histogram::new_with_bounds(1, 100_000_000, 2).expect("sound bounds"),
             attempts: 0,
             handshakes: 0,
             crossed: 0,
             crowdings: 0,
-            by_box: Vec::new(),
+            by_backend: Vec::new(),
         }
     }
 
@@ -91,30 +91,30 @@
         let second = (at.0 / 1_000_000) as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, (0, 0));
-            self.refused.resize(second + 1, [0; 3]);
+            self.rejected.resize(second + 1, [0; 3]);
         }
         second
     }
 
-    /// The part of the worth that was served.
+    /// The part of the priority_weight that was served.
     pub fn served_worth(&self) -> f64 {
-        self.worth.1 / self.worth.0.max(1e-9)
+        self.priority_weight.1 / self.priority_weight.0.max(1e-9)
     }
 
     /// The part of the first tries of the worst class that was served in time.
     pub fn worst_class(&self) -> f64 {
-        let parts = self.asked.iter().zip(&self.served).map(|(a, s)| *s as f64 / (*a).max(1) as f64);
+        let parts = self.requests.iter().zip(&self.served).map(|(a, s)| *s as f64 / (*a).max(1) as f64);
         parts.fold(1.0, f64::min)
     }
 
-    /// The part of all tries that was refused.
+    /// The fraction of all requests that was rejected.
     pub fn refused_part(&self) -> f64 {
-        let refused: u64 = self.ends[2..5].iter().sum();
-        refused as f64 / self.ends.iter().sum::<u64>().max(1) as f64
+        let rejected: u64 = self.ends[2..5].iter().sum();
+        rejected as f64 / self.ends.iter().sum::<u64>().max(1) as f64
     }
 
     /// The part of the first tries that was served in each second.
     pub fn by_second(&self) -> Vec<f64> {
-        self.seconds.iter().map(|(asked, served)| *served as f64 / (*asked).max(1) as f64).collect()
+        self.seconds.iter().map(|(requests, served)| *served as f64 / (*requests).max(1) as f64).collect()
     }
 }
--- a/crates/lab/src/clients/mod.rs
+++ b/crates/lab/src/clients/mod.rs
@@ -8,7 +8,7 @@
 use crate::experiment::Experiment;
 use crate::front::Dealer;
 use crate::samples::{Sample, TryEnd};
-use shaletide_testkit::{Clock, Dice, Exchange, Kept, Law, Message, Pacer};
+use shaletide_testkit::{Clock, Exchange, Kept, Law, Message, Pacer, SeededRng};
 use shaletide_types::{Micros, Time};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -66,7 +66,7 @@
 pub struct Start {
     /// What they ask for.
     pub experiment: Arc<Experiment>,
-    /// Of all their dice.
+    /// Of all their random numbers.
     pub seed: u64,
     /// The run's clock.
     pub clock: Clock,
@@ -162,7 +162,7 @@
     start: Start,
     controls: Arc<Controls>,
     dealer: RefCell<Dealer>,
-    dice: RefCell<Dice>,
+    rng: RefCell<SeededRng>,
     idle: Vec<RefCell<Vec<Rest>>>,
     open: Cell<usize>,
 }
@@ -184,8 +184,8 @@
         let notices = Micros(front.notices_after.as_micros() as u64);
         let dealer = Dealer::new(&zones, front.uneven, front.own_zone, notices, seed);
         let idle = experiment.fleet.zones.iter().map(|_| RefCell::default()).collect();
-        let dice = RefCell::new(Dice::of(seed, "clients"));
-        Crowd { controls, dealer: RefCell::new(dealer), dice, idle, open: Cell::new(0), start }
+        let rng = RefCell::new(SeededRng::of(seed, "clients"));
+        Crowd { controls, dealer: RefCell::new(dealer), rng, idle, open: Cell::new(0), start }
     }
 
     async fn run(self: Rc<Self>, pacer: &Pacer, due_now: &Notify) {
@@ -204,7 +204,7 @@
     async fn arrivals(self: Rc<Self>, pacer: &Pacer, due_now: &Notify) {
         let experiment = &self.start.experiment;
         let (begun, mut after) = (Instant::now(), 0.0);
-        let (mut number, mut gaps) = (0, Dice::of(self.start.seed, "arrivals"));
+        let (mut number, mut gaps) = (0, SeededRng::of(self.start.seed, "arrivals"));
         let usual = Law::Exponential(1.0 / experiment.load.requests_per_s);
         while !self.controls.stop.load(Ordering::Relaxed) {
             let times = f64::from_bits(self.controls.times.load(Ordering::Relaxed));
@@ -351,7 +351,7 @@
         loop {
             let kept = {
                 let mut idle = self.idle[zone].borrow_mut();
-                let place = (self.dice.borrow_mut().part() * idle.len() as f64) as usize;
+                let place = (self.rng.borrow_mut().part() * idle.len() as f64) as usize;
                 (place < idle.len()).then(|| idle.swap_remove(place))
             };
             match kept {
@@ -363,8 +363,7 @@
         let Some(proxy) = self.dealer.borrow_mut().deal(zone) else { return Err(()) };
         let line = Kept::open(self.start.proxies[proxy], deadline.into()).await.map_err(drop)?;
         let mean = self.start.experiment.load.requests_per_connection;
-        let left =
-            Law::Even(mean * 0.5, mean * 1.5).draw(&mut self.dice.borrow_mut()).round().max(1.0) as u32;
+        let left = Law::Even(mean * 0.5, mean * 1.5).draw(&mut self.rng.borrow_mut()).round().max(1.0) as u32;
         Ok(Rest { line, proxy, left })
     }
 }
--- a/crates/lab/src/clients/request.rs
+++ b/crates/lab/src/clients/request.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{ClassPart, Experiment, LoadPart};
 use crate::samples::{Effect, TryEnd};
-use shaletide_testkit::{Dice, Message};
+use shaletide_testkit::{Message, SeededRng};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -27,12 +27,12 @@
 /// Draws a wish in the parts that the experiment says; zones have even parts. The same number has the same wish under
 /// the same seed, whatever became of those before.
 pub fn wish(experiment: &Experiment, seed: u64, request: u64) -> Wish {
-    let mut dice = Dice::of(seed, &format!("wish {request}"));
-    let class = pick(dice.part(), experiment.classes.iter().map(|c| c.share));
-    let tenant = pick(dice.part(), experiment.tenants.iter().map(|t| t.share));
+    let mut rng = SeededRng::of(seed, &format!("wish {request}"));
+    let class = pick(rng.part(), experiment.classes.iter().map(|c| c.share));
+    let tenant = pick(rng.part(), experiment.tenants.iter().map(|t| t.share));
     let zones = experiment.fleet.zones.len();
-    let zone = ((dice.part() * zones as f64) as usize).min(zones - 1);
-    Wish { request, class: class.unwrap_or(0), tenant, zone, subject: dice.word() }
+    let zone = ((rng.part() * zones as f64) as usize).min(zones - 1);
+    Wish { request, class: class.unwrap_or(0), tenant, zone, subject: rng.word() }
 }
 
 /// Which of these shares a number from 0 to 1 falls to.
--- a/crates/lab/src/experiment/groups.rs
+++ b/crates/lab/src/experiment/groups.rs
@@ -2,7 +2,7 @@
 
 use super::reader::Table;
 use super::{BoxesPart, FleetPart};
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -108,7 +108,7 @@
         if table.has("share") && table.has("first") {
             table.wrong_key("first", "it stands beside `share`", "expected one of the two");
         }
-        let mut dice = Dice::of(seed, &name);
+        let mut rng = SeededRng::of(seed, &name);
         for list in [&mut members.proxies, &mut members.boxes] {
             if let Some(first) = first {
                 list.truncate(first as usize);
@@ -116,7 +116,7 @@
             if let Some(share) = share {
                 let wanted = (list.len() as f64 * share).round() as usize;
                 while list.len() > wanted {
-                    list.remove((dice.part() * list.len() as f64) as usize);
+                    list.remove((rng.part() * list.len() as f64) as usize);
                 }
             }
         }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -34,7 +34,7 @@
     pub about: String,
     /// How long clients ask.
     pub length: Duration,
-    /// Of all its dice, unless told otherwise.
+    /// Of all its random numbers, unless another is given.
     pub seed: u64,
     /// The proxies.
     pub fleet: FleetPart,
--- a/crates/lab/src/fleet/files.rs
+++ b/crates/lab/src/fleet/files.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::{ClassPart, Experiment};
 use crate::samples::Effect;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 /// The text of a proxy's file, with `more` behind it. Sections that `more` has itself are left to it.
 pub fn operator(experiment: &Experiment, own: Own, more: &str) -> String {
     let mut text = String::new();
-    let seed = Dice::of(own.seed, &format!("p{}", own.proxy)).word();
+    let seed = SeededRng::of(own.seed, &format!("p{}", own.proxy)).word();
     let zone = &experiment.fleet.zones[experiment.zone_of_proxy(own.proxy)];
     let _ = write!(
         text,
--- a/crates/lab/src/links/core.rs
+++ b/crates/lab/src/links/core.rs
@@ -3,7 +3,7 @@
 use super::fault::{Cut, Direction, Fault, FaultError};
 use super::gate::Gate;
 use super::line::{Line, Tally};
-use shaletide_testkit::{Clock, Dice};
+use shaletide_testkit::{Clock, SeededRng};
 use shaletide_types::Time;
 use socket2::SockRef;
 use std::net::Shutdown;
@@ -118,9 +118,9 @@
         self.changes.subscribe()
     }
 
-    /// Dice of a flow in one direction.
-    pub fn dice(&self, flow: &str, way: Way) -> Dice {
-        Dice::of(self.seed, &format!("{}/{flow}/{way:?}", self.name))
+    /// SeededRng of a flow in one direction.
+    pub fn rng(&self, flow: &str, way: Way) -> SeededRng {
+        SeededRng::of(self.seed, &format!("{}/{flow}/{way:?}", self.name))
     }
 
     pub fn tallies(&self) -> [Tally; 2] {
--- a/crates/lab/src/links/gate.rs
+++ b/crates/lab/src/links/gate.rs
@@ -3,7 +3,7 @@
 
 use super::line::Line;
 use super::replay::Replays;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug)]
 pub struct Gate {
     kind: Kind,
-    dice: Dice,
+    rng: SeededRng,
     held: BTreeMap<(Time, u64), Held>,
     held_bytes: usize,
     aside: VecDeque<Aside>,
@@ -79,19 +79,19 @@
 
 impl Gate {
     /// For one direction of a connection.
-    pub fn stream(dice: Dice) -> Gate {
-        Gate::new(Kind::Stream, dice)
+    pub fn stream(rng: SeededRng) -> Gate {
+        Gate::new(Kind::Stream, rng)
     }
 
     /// For the datagrams from one address to another.
-    pub fn datagrams(dice: Dice) -> Gate {
-        Gate::new(Kind::Datagrams, dice)
+    pub fn datagrams(rng: SeededRng) -> Gate {
+        Gate::new(Kind::Datagrams, rng)
     }
 
-    fn new(kind: Kind, dice: Dice) -> Gate {
+    fn new(kind: Kind, rng: SeededRng) -> Gate {
         Gate {
             kind,
-            dice,
+            rng,
             held: BTreeMap::new(),
             held_bytes: 0,
             aside: VecDeque::new(),
@@ -192,17 +192,17 @@
     }
 
     fn delay(&mut self, line: &Line) -> Micros {
-        let ms = line.fault().delay_ms.draw(&mut self.dice);
+        let ms = line.fault().delay_ms.draw(&mut self.rng);
         Micros((ms.min(super::fault::MAX_DELAY_MS) * 1000.0).ceil() as u64)
     }
 
-    /// Draws only for what may happen, so that one fault's dice do not depend on another's being set to nothing.
+    /// Draws only for what may happen, so that one fault's random numbers do not depend on another's being set to nothing.
     fn happens(&mut self, chance: f64) -> bool {
-        chance > 0.0 && self.dice.chance(chance)
+        chance > 0.0 && self.rng.chance(chance)
     }
 
     fn below(&mut self, bound: u64) -> u64 {
-        self.dice.word() % bound
+        self.rng.word() % bound
     }
 
     fn insert(&mut self, due: Time, line: &mut Line, leaves: Leaves) {
@@ -256,7 +256,7 @@
             line.tally.lost += 1;
             return;
         }
-        let replay = if self.happens(fault.replay) { self.replays.draw(now, &mut self.dice) } else { None };
+        let replay = if self.happens(fault.replay) { self.replays.draw(now, &mut self.rng) } else { None };
         self.replays.keep(now, &bytes);
         let copy = self.happens(fault.duplicate).then(|| bytes.clone());
         let aside = self.happens(fault.reorder);
--- a/crates/lab/src/links/mesh.rs
+++ b/crates/lab/src/links/mesh.rs
@@ -7,7 +7,7 @@
 use super::line::Tally;
 use super::pump::wake;
 use super::udp::{send_due, MAX_DATAGRAM};
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::Time;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -63,9 +63,9 @@
         (&self.cores[high * (high - 1) / 2 + low], way)
     }
 
-    fn dice(&self, from: usize, to: usize) -> Dice {
+    fn rng(&self, from: usize, to: usize) -> SeededRng {
         let (core, way) = self.pair(from, to);
-        core.dice("mesh", way)
+        core.rng("mesh", way)
     }
 
     fn index(&self, name: &str) -> Option<usize> {
@@ -144,8 +144,8 @@
 impl Host {
     pub fn new(pairs: Arc<Pairs>, sockets: Arc<Vec<UdpSocket>>, to: usize) -> Host {
         let gate = |from| {
-            let dice = if from == to { Dice::new(0) } else { pairs.dice(from, to) };
-            Gate::datagrams(dice)
+            let rng = if from == to { SeededRng::new(0) } else { pairs.rng(from, to) };
+            Gate::datagrams(rng)
         };
         let gates = (0..sockets.len()).map(gate).collect();
         Host { pairs, sockets, to, gates }
--- a/crates/lab/src/links/pump.rs
+++ b/crates/lab/src/links/pump.rs
@@ -108,7 +108,7 @@
 pub(super) fn flows<'a>(core: &'a Core, nth: u64) -> [Flow<'a>; 2] {
     let flow = format!("connection {nth}");
     [Way::Forth, Way::Back].map(|way| {
-        let gate = super::gate::Gate::stream(core.dice(&flow, way));
+        let gate = super::gate::Gate::stream(core.rng(&flow, way));
         Flow { core, way, gate }
     })
 }
--- a/crates/lab/src/links/replay.rs
+++ b/crates/lab/src/links/replay.rs
@@ -1,6 +1,6 @@
 //! What passed of a flow of datagrams in the last minute: a sample of it, to be sent again.
 
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use shaletide_types::{Micros, Time};
 use std::collections::VecDeque;
 
@@ -34,10 +34,10 @@
     }
 
     /// One of those kept, each as likely as the others.
-    pub fn draw(&mut self, now: Time, dice: &mut Dice) -> Option<Vec<u8>> {
+    pub fn draw(&mut self, now: Time, rng: &mut SeededRng) -> Option<Vec<u8>> {
         self.forget_old(now);
         let count = self.kept.len() as u64;
-        let at = dice.word().checked_rem(count)?;
+        let at = rng.word().checked_rem(count)?;
         Some(self.kept[at as usize].1.clone())
     }
 
@@ -60,18 +60,18 @@
 
     #[test]
     fn the_store_reaches_back_a_minute_within_its_bytes() {
-        let (mut replays, mut dice) = (Replays::default(), Dice::new(1));
+        let (mut replays, mut rng) = (Replays::default(), SeededRng::new(1));
         for second in 0..100u8 {
             replays.keep(Time(u64::from(second) * 1_000_000), &[second; 100]);
         }
         let now = Time(99_000_000);
-        let drawn: Vec<u8> = (0..2000).map(|_| replays.draw(now, &mut dice).unwrap()[0]).collect();
+        let drawn: Vec<u8> = (0..2000).map(|_| replays.draw(now, &mut rng).unwrap()[0]).collect();
         assert_eq!((drawn.iter().min(), drawn.iter().max()), (Some(&39), Some(&99)));
         for second in 100..200 {
             replays.keep(Time(second * 1_000_000), &[0; 1000]);
             assert!(replays.bytes <= MAX_REPLAY_BYTES);
         }
         assert_eq!(replays.kept.len(), 32);
-        assert_eq!(replays.draw(Time(300_000_000), &mut dice), None);
+        assert_eq!(replays.draw(Time(300_000_000), &mut rng), None);
     }
 }
--- a/crates/lab/src/links/udp.rs
+++ b/crates/lab/src/links/udp.rs
@@ -97,7 +97,7 @@
     let _open = Opened::new(&shared.counts);
     let core = &shared.core;
     let [mut forth, mut back] = [Way::Forth, Way::Back].map(|way| {
-        let gate = Gate::datagrams(core.dice(&format!("sender {nth}"), way));
+        let gate = Gate::datagrams(core.rng(&format!("sender {nth}"), way));
         Flow { core, way, gate }
     });
     let mut buffer = vec![0; MAX_DATAGRAM];
--- a/crates/lab/tests/gate.rs
+++ b/crates/lab/tests/gate.rs
@@ -5,7 +5,7 @@
     Cut, End, Fault, Gate, Leaves, Line, MAX_CHUNK, MAX_HELD_DATAGRAMS, MAX_HELD_DATAGRAM_BYTES,
     MAX_HELD_STREAM_BYTES, STALL,
 };
-use shaletide_testkit::{Dice, Law};
+use shaletide_testkit::{Law, SeededRng};
 use shaletide_types::{Micros, Time};
 
 const SECOND: u64 = 1_000_000;
@@ -25,11 +25,11 @@
     }
 
     fn datagrams(fault: Fault) -> World {
-        World::new(Gate::datagrams(Dice::new(5)), fault)
+        World::new(Gate::datagrams(SeededRng::new(5)), fault)
     }
 
     fn stream(fault: Fault) -> World {
-        World::new(Gate::stream(Dice::new(5)), fault)
+        World::new(Gate::stream(SeededRng::new(5)), fault)
     }
 
     fn offer(&mut self, bytes: &[u8]) {
@@ -102,7 +102,7 @@
     for gates in [1, 3] {
         let mut line = Line::default();
         line.set(Time(0), Fault { rate: Some(100_000), ..Fault::default() });
-        let mut flows: Vec<Gate> = (0..gates).map(|seed| Gate::stream(Dice::new(seed))).collect();
+        let mut flows: Vec<Gate> = (0..gates).map(|seed| Gate::stream(SeededRng::new(seed))).collect();
         let mut through = 0;
         for ms in 0..10_000 {
             for gate in &mut flows {
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients beside the ordinary load: such that leave before their answer, and such that misbehave.
 
-use shaletide_testkit::{Clock, Dice};
+use shaletide_testkit::{Clock, SeededRng};
 use shaletide_types::Time;
 use std::io;
 use std::net::SocketAddr;
@@ -58,16 +58,16 @@
 pub async fn leave(
     to: SocketAddr, clock: Clock, run: u32, pause_ms: f64, mut stop: watch::Receiver<bool>,
 ) -> Vec<Departure> {
-    let mut dice = Dice::new(u64::from(run));
+    let mut rng = SeededRng::new(u64::from(run));
     let mut clients = JoinSet::new();
     let mut number = 0;
     while !*stop.borrow() {
-        let pause = Duration::from_secs_f64(pause_ms / 1e3 * 2.0 * dice.part());
+        let pause = Duration::from_secs_f64(pause_ms / 1e3 * 2.0 * rng.part());
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = stop.changed() => break,
         }
-        let stay = Duration::from_secs_f64(dice.part() * LONGEST_STAY_MS / 1e3);
+        let stay = Duration::from_secs_f64(rng.part() * LONGEST_STAY_MS / 1e3);
         clients.spawn(leave_once(to, clock, request_id(run, number), number, stay));
         number += 1;
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::call_faults::CallFault;
 use crate::settings::RunSettings;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use std::time::Duration;
 
 /// The size of a run.
@@ -264,12 +264,12 @@
 impl Plan {
     /// The plan of a seed. `only`: kinds that it is to have, in place of drawn ones.
     pub fn draw(seed: u64, scale: &Scale, only: &[FaultKind]) -> Plan {
-        let mut drawing = Drawing { dice: Dice::of(seed, "plan"), scale: *scale, steps: Vec::new() };
+        let mut drawing = Drawing { rng: SeededRng::of(seed, "plan"), scale: *scale, steps: Vec::new() };
         let kinds = if only.is_empty() { drawing.kinds() } else { only.to_vec() };
         let steps_clock = kinds.contains(&FaultKind::WallClock);
         let wall_clock_at_start = if steps_clock { HOUR_S * (drawing.below(3) as i64 - 1) } else { 0 };
         kinds.iter().for_each(|kind| drawing.fault(*kind));
-        let asks_discovery = drawing.dice.chance(0.3);
+        let asks_discovery = drawing.rng.chance(0.3);
         let mut steps = drawing.steps;
         steps.sort_by_key(|timed| timed.at);
         Plan { kinds, wall_clock_at_start, asks_discovery, settings: RunSettings::draw(seed), steps }
@@ -277,18 +277,18 @@
 }
 
 struct Drawing {
-    dice: Dice,
+    rng: SeededRng,
     scale: Scale,
     steps: Vec<Timed>,
 }
 
 impl Drawing {
     fn below(&mut self, bound: usize) -> usize {
-        (self.dice.word() % bound.max(1) as u64) as usize
+        (self.rng.word() % bound.max(1) as u64) as usize
     }
 
     fn between(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * self.dice.part()
+        from + (to - from) * self.rng.part()
     }
 
     /// A time in the middle of the run: faults meet there.
@@ -304,7 +304,7 @@
     fn kinds(&mut self) -> Vec<FaultKind> {
         let count = self.scale.faults.min(FaultKind::ALL.len());
         let mut drawn = Vec::new();
-        if self.dice.chance(0.7) {
+        if self.rng.chance(0.7) {
             let mut related = FaultKind::STARTS_AND_ENDS.to_vec();
             drawn.extend((0..count.min(2)).map(|_| related.swap_remove(self.below(related.len()))));
         }
@@ -326,14 +326,14 @@
 
     /// A number of milliseconds below a bound, short ones as likely as long ones.
     fn millis(&mut self, least: f64, most: f64) -> u64 {
-        (least * (most / least).powf(self.dice.part())) as u64
+        (least * (most / least).powf(self.rng.part())) as u64
     }
 
     /// Ends single proxies, one soon after the other, by a kill or a stop, and starts the next ones in that way.
     fn ends(&mut self, part: f64, next: impl Fn(&mut Drawing) -> NextStart) {
         let mut at = self.time();
         for proxy in self.some(self.scale.proxies, part) {
-            let manner = if self.dice.chance(0.5) { Manner::Kill } else { Manner::Stop(self.signals()) };
+            let manner = if self.rng.chance(0.5) { Manner::Kill } else { Manner::Stop(self.signals()) };
             let next = next(self);
             self.end(at, proxy, manner, next);
             at += self.between(0.0, 0.4);
@@ -376,7 +376,7 @@
                 }
             }
             FaultKind::Discovery => {
-                let (at, is_silent) = (self.time(), self.dice.chance(0.7));
+                let (at, is_silent) = (self.time(), self.rng.chance(0.7));
                 self.add(at, if is_silent { Step::DiscoverySilent } else { Step::DiscoveryBroken });
                 let over = self.between(0.5, 0.3 * length);
                 self.add(at + over, Step::DiscoveryUp);
@@ -466,7 +466,7 @@
                 let most = 0.25 * length * 1e3;
                 self.ends(0.4, |drawing| {
                     let millis = drawing.millis(100.0, most.max(200.0));
-                    if drawing.dice.chance(0.3) {
+                    if drawing.rng.chance(0.3) {
                         NextStart::StopWhileHeld(millis)
                     } else {
                         NextStart::HeldAddress(millis)
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a run: what the platform tells its proxies, drawn from the seed within what the platform allows.
 
 use serde_json::json;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 
 /// A backend that gets more in this time than it is allowed falls over, µs.
 pub const FALL_WINDOW_US: u64 = 2_000_000;
@@ -47,8 +47,8 @@
 
     /// Those of a seed.
     pub fn draw(seed: u64) -> RunSettings {
-        let mut dice = Dice::of(seed, "settings");
-        let mut between = |from: f64, to: f64| from + (to - from) * dice.part();
+        let mut rng = SeededRng::of(seed, "settings");
+        let mut between = |from: f64, to: f64| from + (to - from) * rng.part();
         // Half of the runs have short deadlines, where the kill comes soonest.
         let longest = if between(0.0, 1.0) < 0.5 { 0.8 } else { 3.0 };
         let deadlines_us = [(); 3].map(|()| micros(between(0.2, longest)));
--- a/crates/soak/tests/record_faults.rs
+++ b/crates/soak/tests/record_faults.rs
@@ -7,7 +7,7 @@
 
 use rig::*;
 use shaletide_soak::call_faults::CallFault;
-use shaletide_testkit::Dice;
+use shaletide_testkit::SeededRng;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -121,7 +121,7 @@
     let mut proxy = Some(program.serve(&text));
     let to = Mutex::new(proxy.as_ref().expect("a proxy").address);
     let (over, answers) = (AtomicBool::new(false), Answers::default());
-    let (mut dice, mut kills, mut reloads) = (Dice::new(seed), 0, 0);
+    let (mut rng, mut kills, mut reloads) = (SeededRng::new(seed), 0, 0);
     std::thread::scope(|scope| {
         let _ends = EndsClients(&over); // also where a check fails
         for number in 0..CLIENTS {
@@ -130,11 +130,11 @@
         }
         let begun = Instant::now();
         while begun.elapsed() < length {
-            std::thread::sleep(Duration::from_millis(100 + dice.word() % 300));
-            let fault = FAULTS[dice.word() as usize % FAULTS.len()];
-            let chance = [0.0, 0.0, 0.02, 0.3, 1.0][dice.word() as usize % 5];
+            std::thread::sleep(Duration::from_millis(100 + rng.word() % 300));
+            let fault = FAULTS[rng.word() as usize % FAULTS.len()];
+            let chance = [0.0, 0.0, 0.02, 0.3, 1.0][rng.word() as usize % 5];
             control.set(fault, chance).expect("the control file");
-            match dice.word() % 8 {
+            match rng.word() % 8 {
                 0 => {
                     drop(proxy.take()); // SIGKILL
                     kills += 1;
--- a/crates/testkit/src/fleet/spec.rs
+++ b/crates/testkit/src/fleet/spec.rs
@@ -1,6 +1,6 @@
 //! What a fleet is made of.
 
-use crate::{Clock, Crowd, Demand, Dice, Law, Power, MAX_RECORDS};
+use crate::{Clock, Crowd, Demand, Law, Power, SeededRng, MAX_RECORDS};
 use shaletide_types::Micros;
 use std::time::Duration;
 
@@ -77,9 +77,9 @@
 
     /// What the request of that id needs: the same at every backend.
     pub(crate) fn demand(&self, seed: u64, id: &str) -> Demand {
-        let mut dice = Dice::of(seed, id);
-        let work_ms = self.work_ms.draw(&mut dice);
-        Demand { work_ms, io: Micros::from_secs(self.io_ms.draw(&mut dice) / 1e3) }
+        let mut rng = SeededRng::of(seed, id);
+        let work_ms = self.work_ms.draw(&mut rng);
+        Demand { work_ms, io: Micros::from_secs(self.io_ms.draw(&mut rng) / 1e3) }
     }
 }
 
@@ -90,7 +90,7 @@
     pub boxes: Vec<BoxSpec>,
     /// What classes need. One of an empty name, or else 1 ms of work, is for all others.
     pub services: Vec<Service>,
-    /// Of all its dice.
+    /// Of all its random numbers.
     pub seed: u64,
     /// The run's clock.
     pub clock: Clock,
--- a/crates/testkit/src/fleet/stand.rs
+++ b/crates/testkit/src/fleet/stand.rs
@@ -4,7 +4,9 @@
 use super::Shared;
 use crate::fault::{own_body, Behaviour};
 use crate::pacer::Pacer;
-use crate::{Admitted, Boot, Crowding, Demand, Dice, Ended, Fault, Message, Record, Repeat, Station, Step};
+use crate::{
+    Admitted, Boot, Crowding, Demand, Ended, Fault, Message, Record, Repeat, SeededRng, Station, Step,
+};
 use shaletide_types::{Micros, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -35,7 +37,7 @@
     waiters: BTreeMap<u64, oneshot::Sender<()>>,
     classes: BTreeMap<String, Arc<str>>,
     next_ticket: u64,
-    dice: Dice,
+    rng: SeededRng,
     /// So many times as long work takes, as the backend was told.
     slowed: f64,
     crowding: Option<Crowding>,
@@ -73,7 +75,7 @@
             waiters: BTreeMap::new(),
             classes: BTreeMap::new(),
             next_ticket: 0,
-            dice: Dice::of(fleet.seed, &spec.name),
+            rng: SeededRng::of(fleet.seed, &spec.name),
             slowed: 1.0,
             crowding: spec.crowd.map(Crowding::new),
             next_look: fleet.clock.now(),
@@ -297,11 +299,11 @@
             return Some(Decision::TurnAway(504));
         }
         let failing = self.behaviour.failing(class_of(request));
-        if self.dice.chance(self.behaviour.hang) {
+        if self.rng.chance(self.behaviour.hang) {
             Some(Decision::Hang)
-        } else if self.dice.chance(self.behaviour.reset) {
+        } else if self.rng.chance(self.behaviour.reset) {
             Some(Decision::Reset)
-        } else if self.dice.chance(failing) {
+        } else if self.rng.chance(failing) {
             Some(Decision::Fail)
         } else {
             None
--- a/crates/testkit/src/load/run.rs
+++ b/crates/testkit/src/load/run.rs
@@ -3,7 +3,7 @@
 use super::http::{Exchange, Link};
 use super::{micros, End, Load, LoadResult, Retry, Sent};
 use crate::pacer::Pacer;
-use crate::{Dice, Message};
+use crate::{Message, SeededRng};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -53,9 +53,9 @@
     /// The same, but arrivals end early once `stop` is over.
     pub async fn run_until(self, to: SocketAddr, stop: impl Future<Output = ()>) -> LoadResult {
         let mut stop = std::pin::pin!(stop);
-        let mut dice = Dice::new(self.seed);
+        let mut rng = SeededRng::new(self.seed);
         let classes = self.classes.iter().map(|c| c.name.clone()).collect();
-        let result = LoadResult { classes, run: dice.word() as u32, ..LoadResult::default() };
+        let result = LoadResult { classes, run: rng.word() as u32, ..LoadResult::default() };
         let (gap, duration, begun) = (self.gap(), self.duration, Instant::now());
         let due_now = Arc::new(Notify::new());
         let pacer = Pacer::start(vec![due_now.clone()]).ok();
@@ -69,11 +69,11 @@
         });
         let (mut tasks, mut after, mut behind) = (JoinSet::new(), 0.0, Duration::ZERO);
         while !run.load.classes.is_empty() {
-            after += gap.draw(&mut dice);
+            after += gap.draw(&mut rng);
             if after >= duration.as_secs_f64() {
                 break;
             }
-            let (class, subject) = (run.load.class(dice.part()), dice.word());
+            let (class, subject) = (run.load.class(rng.part()), rng.word());
             let due = begun + Duration::from_secs_f64(after);
             tokio::select! {
                 () = &mut stop => break,
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -231,11 +231,11 @@
     #[test]
     fn at_half_load_the_mean_time_is_twice_the_work() {
         use rand_core::{RngCore, SeedableRng};
-        let mut dice = rand_pcg::Pcg32::seed_from_u64(5);
+        let mut rng = rand_pcg::Pcg32::seed_from_u64(5);
         let mut processor = Processor::new(Power::warm(1, 1.0), None);
         let (mut now, mut came, mut total) = (0.0, Vec::new(), 0.0);
         for id in 0..200_000 {
-            let part = (f64::from(dice.next_u32()) + 0.5) / 4_294_967_296.0;
+            let part = (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0;
             now -= part.ln() * 20_000.0;
             came.push(now);
             processor.arrive(Time(now as u64), id, 10.0);
--- a/crates/testkit/src/dice.rs
+++ b/crates/testkit/src/seeded_rng.rs
@@ -3,20 +3,20 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Dice that fall the same for the same seed.
+/// SeededRng that fall the same for the same seed.
 #[derive(Clone, Debug)]
-pub struct Dice(Pcg32);
+pub struct SeededRng(Pcg32);
 
-impl Dice {
-    /// Dice of that seed.
-    pub fn new(seed: u64) -> Dice {
-        Dice(Pcg32::seed_from_u64(seed))
+impl SeededRng {
+    /// SeededRng of that seed.
+    pub fn new(seed: u64) -> SeededRng {
+        SeededRng(Pcg32::seed_from_u64(seed))
     }
 
-    /// Dice that belong to a name: the same under the same seed wherever and whenever it is met.
-    pub fn of(seed: u64, name: &str) -> Dice {
+    /// SeededRng that belong to a name: the same under the same seed wherever and whenever it is met.
+    pub fn of(seed: u64, name: &str) -> SeededRng {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
-        Dice::new(name.bytes().fold(0xcbf2_9ce4_8422_2325 ^ seed, fold))
+        SeededRng::new(name.bytes().fold(0xcbf2_9ce4_8422_2325 ^ seed, fold))
     }
 
     /// Even over (0, 1), neither end included.
@@ -55,14 +55,14 @@
 
 impl Law {
     /// A value of this law.
-    pub fn draw(&self, dice: &mut Dice) -> f64 {
+    pub fn draw(&self, rng: &mut SeededRng) -> f64 {
         let value = match *self {
             Law::Fixed(value) => value,
-            Law::Even(from, to) => from + (to - from) * dice.part(),
-            Law::Exponential(mean) => -dice.part().ln() * mean,
+            Law::Even(from, to) => from + (to - from) * rng.part(),
+            Law::Exponential(mean) => -rng.part().ln() * mean,
             Law::LogNormal(mean, cv) => {
                 let variance = (1.0 + cv * cv).ln();
-                mean * (variance.sqrt() * dice.normal() - variance / 2.0).exp()
+                mean * (variance.sqrt() * rng.normal() - variance / 2.0).exp()
             }
         };
         value.max(0.0)
@@ -84,15 +84,15 @@
     #[test]
     fn each_law_keeps_its_mean() {
         for law in [Law::Fixed(8.0), Law::Even(2.0, 14.0), Law::Exponential(8.0), Law::LogNormal(8.0, 1.0)] {
-            let mut dice = Dice::new(3);
-            let mean = (0..100_000).map(|_| law.draw(&mut dice)).sum::<f64>() / 1e5;
+            let mut rng = SeededRng::new(3);
+            let mean = (0..100_000).map(|_| law.draw(&mut rng)).sum::<f64>() / 1e5;
             assert!((mean - 8.0).abs() < 0.15 && law.mean() == 8.0, "{law:?}: {mean}");
         }
     }
 
     #[test]
     fn a_name_draws_the_same_everywhere_and_names_differ() {
-        let word = |seed, name| Dice::of(seed, name).word();
+        let word = |seed, name| SeededRng::of(seed, name).word();
         assert_eq!(word(1, "00aa"), word(1, "00aa"));
         assert_ne!(word(1, "00aa"), word(1, "00ab"));
         assert_ne!(word(1, "00aa"), word(2, "00aa"));
