--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -5,7 +5,7 @@
 //! reads them, what is kept of an attempt that is known not to have run, and of several that have the oldest.
 
 use crate::node::Node;
-use crate::shell::{Doing, Pending};
+use crate::shell::{ConnectionActivity, Pending};
 use crate::world::{World, TICK};
 use shaletide_engine::monitor::{LineStep, Permit, Watched, Where};
 use shaletide_engine::{AttemptState, ConnectionState, Policy, Request, RequestState};
@@ -127,12 +127,14 @@
                 4 + u8::from(used) + 2 * age
             }
         };
-        let doing = node.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1);
-        let shell = match doing {
+        let activity = node.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1);
+        let shell = match activity {
             None => 0,
-            Some(Doing::Opening) => 1,
-            Some(Doing::Idle) => 2,
-            Some(Doing::Busy { written, closing, .. }) => 3 + u8::from(written) + 2 * u8::from(closing),
+            Some(ConnectionActivity::Opening) => 1,
+            Some(ConnectionActivity::Idle) => 2,
+            Some(ConnectionActivity::Busy { written, closing, .. }) => {
+                3 + u8::from(written) + 2 * u8::from(closing)
+            }
         };
         let line = node.monitor.record().lines.get(&connection);
         let monitor = match line.map(|l| l.step) {
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod canon;
 mod cover;
+mod enabled;
 mod merges;
 mod moves;
 mod node;
@@ -21,13 +22,14 @@
 
 pub use canon::Canon;
 pub use cover::{why_not, At, Cover, Owed, Situation, What};
+pub use enabled::enabled;
 pub use merges::{merges, Unlike};
-pub use moves::{enabled, After, Move};
+pub use moves::{After, Move};
 pub use node::{Chooser, Input, Node};
 pub use report::{row, HEAD};
-pub use restarts::{restarts, Careless, FoundRestarts, Happens, Restarts};
+pub use restarts::{restarts, FoundRestarts, Restarts, ShellMutant, Step};
 pub use search::{explore, explore_from, Counterexample, Found, Limits, Start};
-pub use shell::{Doing, Listed, Pending, Shell};
+pub use shell::{ConnectionActivity, Listed, Pending, Shell};
 pub use timeline::timeline;
 pub use world::{ticks, BoxSpec, Kind, News, Traffic, World, TICK};
 pub use worlds::{base, named, FREE, KEYED, UNSAFE, WORLDS};
--- a/crates/model-checker/src/merges.rs
+++ b/crates/model-checker/src/merges.rs
@@ -2,7 +2,8 @@
 //! is expanded, and must lead to the same forms as the first.
 
 use crate::canon::Canon;
-use crate::moves::{enabled, Move};
+use crate::enabled::enabled;
+use crate::moves::Move;
 use crate::node::{Chooser, Node};
 use crate::world::World;
 use std::collections::{BTreeSet, HashMap, VecDeque};
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -1,7 +1,7 @@
 //! A state of a world, and what a move makes of it.
 
 use crate::moves::{After, Move};
-use crate::shell::{Doing, Shell};
+use crate::shell::{ConnectionActivity, Shell};
 use crate::world::{World, TICK};
 use shaletide_balancer::Arrival;
 use shaletide_engine::monitor::{Monitor, Rule, Verdict, Violation};
@@ -138,7 +138,7 @@
                 &mut |_, _| {},
             )?;
         }
-        while let Some((connection, _)) = self.shell.lines.iter().find(|l| l.1 == Doing::Idle) {
+        while let Some((connection, _)) = self.shell.lines.iter().find(|l| l.1 == ConnectionActivity::Idle) {
             let unfit = Event::ConnectionUnusable { connection: *connection };
             self.put(Input::Event(unfit), &mut |_, _| {})?;
         }
@@ -153,28 +153,30 @@
     /// What the world knows of an event before the engine does.
     fn before(&mut self, event: &Event) {
         match event {
-            Event::Connected { connection } => self.shell.set(*connection, Doing::Idle),
+            Event::Connected { connection } => self.shell.set(*connection, ConnectionActivity::Idle),
             Event::RequestWritten { connection } => {
-                if let Some((_, Doing::Busy { written, .. })) =
+                if let Some((_, ConnectionActivity::Busy { written, .. })) =
                     self.shell.lines.iter_mut().find(|l| l.0 == *connection)
                 {
                     *written = true;
                 }
             }
-            Event::ResponseReceived { connection, .. } => match self.doing(*connection) {
-                Some(Doing::Busy { closing: true, .. }) => self.shell.drop_line(*connection),
-                _ => self.shell.set(*connection, Doing::Idle),
+            Event::ResponseReceived { connection, .. } => match self.activity(*connection) {
+                Some(ConnectionActivity::Busy { closing: true, .. }) => {
+                    self.shell.drop_connection(*connection)
+                }
+                _ => self.shell.set(*connection, ConnectionActivity::Idle),
             },
             Event::ConnectFailed { connection, .. }
             | Event::InvalidResponse { connection }
             | Event::ConnectionClosed { connection }
             | Event::ConnectionUnusable { connection }
-            | Event::CloseCompleted { connection, .. } => self.shell.drop_line(*connection),
+            | Event::CloseCompleted { connection, .. } => self.shell.drop_connection(*connection),
             _ => {}
         }
     }
 
-    fn doing(&self, connection: ConnectionId) -> Option<Doing> {
+    fn activity(&self, connection: ConnectionId) -> Option<ConnectionActivity> {
         self.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1)
     }
 
@@ -306,7 +308,8 @@
             Move::Unfit(place) => Event::ConnectionUnusable { connection: connection(place) },
             Move::Closed(place, written) => {
                 let connection = connection(place);
-                let gone = matches!(self.doing(connection), Some(Doing::Busy { written: true, .. }));
+                let gone =
+                    matches!(self.activity(connection), Some(ConnectionActivity::Busy { written: true, .. }));
                 Event::CloseCompleted { connection, written: written || gone }
             }
             other => unreachable!("{other:?} is on no connection"),
--- /dev/null
+++ b/crates/model-checker/src/restarts/fingerprint.rs
@@ -0,0 +1,98 @@
+//! A state's fingerprint: equal for states that no later step can tell apart.
+
+use super::state::{Execution, Node, SentAttempt};
+use crate::world::TICK;
+use shaletide_types::Time;
+use std::collections::hash_map::DefaultHasher;
+use std::fmt::Write as _;
+use std::hash::Hasher;
+
+impl Node {
+    /// 128 bits of all in it that anything can ever depend on.
+    pub(super) fn fingerprint(&self, text: &mut String, plain: &mut String) -> u128 {
+        text.clear();
+        let (maybe, ran) = (self.dead(Execution::Unknown), self.dead(Execution::Executed));
+        let live: Vec<&SentAttempt> = self.sent.iter().filter(|s| self.is_live(s)).collect();
+        let (lines, states) = (&self.shell.lines, self.engine.requests());
+        let connections: Vec<_> = self.engine.connections().collect();
+        let key = self.store.key.map(|(state, run, request, _)| (state, run, request));
+        write!(
+            text,
+            "{maybe} {ran} {live:?} {lines:?} {states:?} {connections:?} {key:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {}",
+            self.engine.wake_at(),
+            self.now,
+            self.recorder,
+            self.queue,
+            self.undelivered,
+            self.down,
+            self.remaining,
+            self.run,
+            self.request_count,
+        )
+        .expect("a string takes all");
+        canonical(text, self.now, plain);
+        let half = |seed: u8| {
+            let mut hasher = DefaultHasher::new();
+            hasher.write_u8(seed);
+            hasher.write(plain.as_bytes());
+            hasher.finish()
+        };
+        u128::from(half(0)) << 64 | u128::from(half(1))
+    }
+
+    /// Whether it was sent in this run, on a connection that is still there.
+    fn is_live(&self, sent: &SentAttempt) -> bool {
+        sent.run == self.run && self.shell.lines.iter().any(|l| l.0 == sent.connection)
+    }
+
+    fn dead(&self, execution: Execution) -> bool {
+        self.sent.iter().any(|s| s.execution == execution && !self.is_live(s))
+    }
+}
+
+/// The words of a state without what nothing depends on: names of writes and connections by the order in which they
+/// are met, times as they lie from now and one beyond a day, no numbers of rows, no texts of facts, no times at which
+/// an attempt was dispatched or ended, which count for keyed classes only.
+fn canonical(text: &str, now: Time, plain: &mut String) {
+    const LEFT_OUT: [&str; 3] = ["seq: ", "through: ", "body: "];
+    plain.clear();
+    let (mut tickets, mut connections): (Vec<&str>, Vec<&str>) = Default::default();
+    let mut rest = text;
+    while let Some(at) = rest.find([':', '(']) {
+        let end = at + if rest.as_bytes()[at] == b':' { 2 } else { 1 };
+        let word_end = rest.len().min(end);
+        let head = &rest[..word_end];
+        plain.push_str(head);
+        rest = &rest[word_end..];
+        let number = || rest.split(|c: char| !c.is_ascii_digit()).next().unwrap_or_default();
+        if let Some(field) = LEFT_OUT.iter().find(|f| head.ends_with(**f)) {
+            rest = match *field {
+                "body: " => rest.find("\", sum: ").map_or(rest, |end| &rest[end..]),
+                _ => &rest[number().len()..],
+            };
+        } else if head.ends_with("sum: ") {
+            rest = rest.find(']').map_or(rest, |end| &rest[end..]);
+        } else if head.ends_with("Time(") {
+            let value = number();
+            let field =
+                plain.strip_suffix(": Time(").and_then(|before| before.rsplit([' ', '{', '(']).next());
+            let skip = field.is_some_and(|field| ["at", "dispatched_at", "ended_at"].contains(&field));
+            let far = value.parse::<u64>().unwrap_or_default() as i64 - now.0 as i64;
+            if !skip {
+                let near = far.clamp(-10 * TICK.0 as i64, 10 * TICK.0 as i64);
+                let _ = write!(plain, "{near}");
+            }
+            rest = &rest[value.len()..];
+        } else if head.ends_with("Ticket(") || head.ends_with("ConnectionId(") {
+            let value = number();
+            let names = if head.ends_with("Ticket(") { &mut tickets } else { &mut connections };
+            let place = names.iter().position(|n| *n == value).unwrap_or_else(|| {
+                names.push(value);
+                names.len() - 1
+            });
+            let _ = write!(plain, "{place}");
+            rest = &rest[value.len()..];
+        }
+    }
+    plain.push_str(rest);
+}
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -6,7 +6,8 @@
 
 use crate::canon::Canon;
 use crate::cover::Cover;
-use crate::moves::{enabled, Move};
+use crate::enabled::enabled;
+use crate::moves::Move;
 use crate::node::{Chooser, Node};
 use crate::visited::Visited;
 use crate::world::World;
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -6,7 +6,7 @@
 
 /// What goes on on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Doing {
+pub enum ConnectionActivity {
     /// It comes up.
     Opening,
     /// It is up, and nothing of ours is on it.
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shell {
     /// The connections, the oldest first.
-    pub lines: Vec<(ConnectionId, Doing)>,
+    pub lines: Vec<(ConnectionId, ConnectionActivity)>,
     /// The permits that are asked for.
     pub permits: Vec<Pending>,
     /// The backends by number.
@@ -107,35 +107,39 @@
 
     /// Something is on its way that will bring an event.
     pub fn is_busy(&self) -> bool {
-        self.permits.iter().any(|p| !p.withdrawn) || self.lines.iter().any(|(_, d)| *d != Doing::Idle)
+        self.permits.iter().any(|p| !p.withdrawn)
+            || self.lines.iter().any(|(_, d)| *d != ConnectionActivity::Idle)
     }
 
     /// A connection is being closed.
     pub fn is_closing(&self) -> bool {
-        self.lines.iter().any(|(_, d)| matches!(d, Doing::Busy { closing: true, .. }))
+        self.lines.iter().any(|(_, d)| matches!(d, ConnectionActivity::Busy { closing: true, .. }))
     }
 
-    pub(crate) fn set(&mut self, connection: ConnectionId, doing: Doing) {
+    pub(crate) fn set(&mut self, connection: ConnectionId, activity: ConnectionActivity) {
         if let Some(line) = self.lines.iter_mut().find(|l| l.0 == connection) {
-            line.1 = doing;
+            line.1 = activity;
         }
     }
 
-    pub(crate) fn drop_line(&mut self, connection: ConnectionId) {
+    pub(crate) fn drop_connection(&mut self, connection: ConnectionId) {
         self.lines.retain(|l| l.0 != connection);
     }
 
     /// Carries out what the engine asks.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Connect { connection, .. } => self.lines.push((*connection, Doing::Opening)),
+            Action::Connect { connection, .. } => self.lines.push((*connection, ConnectionActivity::Opening)),
             Action::Send { connection, request, attempt, .. } => {
                 let (request, attempt) = (*request, *attempt);
-                self.set(*connection, Doing::Busy { request, attempt, written: false, closing: false });
+                self.set(
+                    *connection,
+                    ConnectionActivity::Busy { request, attempt, written: false, closing: false },
+                );
             }
             Action::Close { connection } => match self.lines.iter_mut().find(|l| l.0 == *connection) {
-                Some((_, Doing::Busy { closing, .. })) => *closing = true,
-                _ => self.drop_line(*connection),
+                Some((_, ConnectionActivity::Busy { closing, .. })) => *closing = true,
+                _ => self.drop_connection(*connection),
             },
             Action::PersistIntent { request, attempt } => {
                 self.permits.push(Pending { request: *request, attempt: *attempt, withdrawn: false });
--- a/crates/model-checker/tests/restarts.rs
+++ b/crates/model-checker/tests/restarts.rs
@@ -2,7 +2,7 @@
 //!
 //! With two kills: `cargo test --locked --release -p shaletide-model-checker --test restarts -- --ignored --nocapture`.
 
-use shaletide_model_checker::{restarts, Careless, Happens, Restarts};
+use shaletide_model_checker::{restarts, Restarts, ShellMutant, Step};
 use std::time::Duration;
 
 const LONG: Duration = Duration::from_secs(1_200);
@@ -26,7 +26,7 @@
     assert_eq!((found.states, found.transitions), (states, transitions), "a branch was lost or has come");
 }
 
-fn breaks(mutant: Careless) -> (Vec<Happens>, &'static str) {
+fn breaks(mutant: ShellMutant) -> (Vec<Step>, &'static str) {
     let found = restarts(&Restarts { mutant: Some(mutant), resolves: 0, ..SMALL }, LONG);
     found.counterexample.unwrap_or_else(|| panic!("{mutant:?} is not found: {} states", found.states))
 }
@@ -58,17 +58,17 @@
 #[test]
 fn an_intent_behind_the_send_a_commit_told_early_and_a_start_that_frees_are_found() {
     let mutants =
-        [(Careless::IntentAfterSend, 7), (Careless::EarlyCommit, 11), (Careless::FreesInFlight, 11)];
+        [(ShellMutant::IntentAfterSend, 7), (ShellMutant::EarlyCommit, 11), (ShellMutant::FreesInFlight, 11)];
     for (mutant, steps) in mutants {
         let (way, rule) = breaks(mutant);
         println!("{mutant:?}: {rule}, {} steps: {way:?}", way.len());
         assert_eq!(rule, "a key that may have run is sent again");
-        assert!(way.contains(&Happens::Kill) && way.len() == steps, "{way:?}");
+        assert!(way.contains(&Step::Kill) && way.len() == steps, "{way:?}");
     }
 }
 
 /// Memory answers what it knows; the store's constraint has the last word.
 #[test]
 fn a_recorder_that_is_not_told_of_what_was_in_flight_sends_nothing_twice() {
-    holds(Restarts { mutant: Some(Careless::ForgetsInFlight), resolves: 0, ..SMALL }, 23_453, 70_754);
+    holds(Restarts { mutant: Some(ShellMutant::ForgetsInFlight), resolves: 0, ..SMALL }, 23_453, 70_754);
 }
