--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -9,9 +9,11 @@
 mod admission;
 mod draw;
 mod ejection;
+mod endpoints;
 mod retry;
 mod shares;
 mod slow_start;
+mod timers;
 
 pub use shares::halb_shares;
 
@@ -224,81 +226,6 @@
         f64::from(self.cfg.proxies) > HOLD
     }
 
-    fn members(&mut self, now: Time, update: EndpointUpdate, list: Vec<BackendEntry>) {
-        match (update, self.cfg.discovery) {
-            // A lost subscription is asked for again, later each time and not in step with others.
-            (EndpointUpdate::SubscriptionLost, DiscoveryMode::Subscribe(within)) => {
-                let wait = (self.ask.1 * 2.0).clamp(0.1, (within.secs() / 8.0).max(0.1));
-                self.ask = (Some(now + Micros::from_secs(wait * (0.5 + self.dice.unit()))), wait);
-                self.log(now, "discovery lost, asking again".into());
-            }
-            (EndpointUpdate::Delta | EndpointUpdate::Snapshot, _) => self.ask = (None, 0.0),
-            _ => {}
-        }
-        if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-            let listed: BTreeSet<BackendId> = list.iter().map(|b| b.id).collect();
-            let absent = |p: &&mut Peer| !listed.contains(&p.entry.id);
-            self.peers.values_mut().filter(absent).for_each(|p| p.entry.state = BackendState::Gone);
-        }
-        let weighs = self.cfg.weights_report_load && self.many();
-        for entry in list {
-            let p = self.peers.entry(entry.id).or_default();
-            if p.entry.started_at != entry.started_at {
-                // A restarted process has nothing in common with the old one but its address.
-                *p = Peer { out: p.out, spent: std::mem::take(&mut p.spent), ..Peer::default() };
-            }
-            p.entry = entry;
-            if weighs {
-                self.loads.weighed(now, p);
-            }
-            let sized = self
-                .cfg
-                .weights_report_cores
-                .then(|| self.kinds.entry(p.entry.server_type).or_default().sized(&p.entry));
-            p.entry.cores = p.entry.cores.max(sized.unwrap_or(1)); // which the list itself may not know
-        }
-        self.peers.retain(|_, p| p.entry.state != BackendState::Gone || p.out > 0);
-        self.order = self.peers.keys().copied().collect();
-        self.order.sort_by_key(|id| self.peers[id].entry.stable_hash);
-        self.recount();
-        (self.solve_at, self.look_at) = (now, now);
-    }
-
-    /// Gives a backend away to the module of another pool, with the attempts that it holds. The news of the
-    /// list has to follow, as with `put_in`: by that the order is made anew, once for all that move.
-    pub fn migrate_out(&mut self, id: BackendId) -> Option<MigratedBackend> {
-        let peer = self.peers.remove(&id)?;
-        let mut attempts = Vec::new();
-        if peer.out > 0 {
-            attempts.extend(self.attempts.iter().filter(|(_, a)| a.to == id).map(|(key, a)| (*key, *a)));
-            self.attempts.retain(|_, a| a.to != id);
-        }
-        self.recount_moved(&peer, -1);
-        self.solve_at = Time(0);
-        Some(MigratedBackend { peer, attempts })
-    }
-
-    /// Takes in a backend that the module of another pool gave away.
-    pub fn migrate_in(&mut self, moved: MigratedBackend) {
-        self.attempts.extend(moved.attempts);
-        self.recount_moved(&moved.peer, 1);
-        self.peers.insert(moved.peer.entry.id, moved.peer);
-        self.solve_at = Time(0);
-    }
-
-    /// As `recount`, for one more or less: thousands may move at once.
-    fn recount_moved(&mut self, peer: &Peer, by: i32) {
-        match (peer.entry.state, peer.ejected) {
-            (BackendState::Ready, None) => self.able = self.able.saturating_add_signed(by),
-            (BackendState::Ready, Some(_)) if by < 0 => self.recount(),
-            (BackendState::Ready, Some(until)) => {
-                let at = if peer.out > 0 { Time(u64::MAX) } else { until };
-                self.trial_at = Some(self.trial_at.map_or(at, |first| first.min(at)));
-            }
-            _ => {}
-        }
-    }
-
     /// Puts another configuration in place. Classes and tenants keep their numbers; new ones may follow them.
     ///
     /// # Errors
@@ -318,38 +245,12 @@
         Ok(())
     }
 
-    /// Whether anything can be sent anywhere here.
-    pub fn health(&self, now: Time) -> PoolHealth {
-        match self.trial_at {
-            _ if self.able > 0 => PoolHealth::Available,
-            Some(at) if now >= at => PoolHealth::Available,
-            Some(_) => PoolHealth::AllEjected,
-            None => PoolHealth::Empty,
-        }
-    }
-
     /// Gives up all requests that are held to the modules of other pools, one of which can take them now.
     pub fn release_queued(&mut self) -> Vec<(RequestId, TransferredRequest)> {
         let held = std::mem::take(&mut self.held).into_iter();
         held.filter_map(|id| Some((id, TransferredRequest { state: self.requests.remove(&id)? }))).collect()
     }
 
-    /// Counts anew what `standing` tells; called at each change to it.
-    fn recount(&mut self) {
-        let ready = self.peers.values().filter(|p| p.entry.state == BackendState::Ready);
-        (self.able, self.trial_at) = (0, None);
-        for p in ready {
-            match p.ejected {
-                None => self.able += 1,
-                // One on trial already is due for the next when that has ended.
-                Some(until) => {
-                    let at = if p.out > 0 { Time(u64::MAX) } else { until };
-                    self.trial_at = Some(self.trial_at.map_or(at, |first| first.min(at)));
-                }
-            }
-        }
-    }
-
     /// A request that another module gave up, as it stands.
     fn take_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
         if !self.requests.contains_key(&id) && handover.state.class < self.classes.len() {
@@ -413,93 +314,6 @@
         }
     }
 
-    /// What time alone brings about, and when to look again.
-    fn look_after(&mut self, now: Time, shared: &SharedLimits) {
-        let mut next = now + Micros::from_secs(CROWD_MEMORY); // nothing else may be due
-        if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.ask.0, self.cfg.discovery) {
-            if now >= at {
-                self.ask.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
-                self.actions.push(Action::Subscribe);
-            }
-        }
-        next = self.ask.0.map_or(next, |at| next.min(at));
-        for p in self.peers.values_mut() {
-            (p.lost, p.unheard) = (0, 0);
-            p.parts.iter_mut().for_each(|part| part.unheard = 0);
-        }
-        self.lost = 0;
-        for &Flight { to: backend, class, sent } in self.attempts.values() {
-            let (lost, silent) = (sent + self.quiet(class), sent + self.usual(class).times(SILENT_AFTER));
-            next = [lost, silent].into_iter().filter(|at| *at > now).fold(next, Time::min);
-            let Some(p) = self.peers.get_mut(&backend) else { continue };
-            self.lost += u32::from(now >= lost && self.reach.cut(now, p.entry.zone));
-            p.lost += u32::from(now >= lost);
-            p.unheard += u32::from(now >= silent && p.answered <= sent);
-            let part = p.part(class);
-            part.unheard += u32::from(now >= silent && part.answered <= sent);
-        }
-        let losing = self.losing().is_some();
-        let mut over = Vec::new();
-        for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
-            let usual = self.usual(r.class);
-            // A client whose request nobody has seen is told before half of its time is over.
-            let unseen = r.sent.iter().all(|s| s.not_executed);
-            let late_pays = self.cfg.classes[r.class].late_weight_fraction > 0.0 && !unseen;
-            let half = r.came + (r.deadline - r.came).times(0.5) + usual - self.cfg.min_timer_interval;
-            let last_start = if late_pays { r.deadline } else { r.aim.min(half) };
-            let old = |s: &Sent| losing && now >= s.at + self.quiet(r.class);
-            let ill = |s: &Sent| self.peers.get(&s.to.id).is_none_or(|p| p.ejected.is_some());
-            let lost = |s: &Sent| s.out && (ill(s) || old(s));
-            let lost = r.out() && r.sent.iter().all(|s| !s.out || lost(s));
-            // The deadline's own tick would be too late to answer; a request that was held so long
-            // that it cannot make it is refused while that is still harmless.
-            let last_start = if r.out() { r.deadline } else { last_start.min(r.deadline) };
-            let margin =
-                if r.out() { self.cfg.min_timer_interval } else { usual.max(self.cfg.min_timer_interval) };
-            if now + margin >= last_start {
-                over.push(id);
-            } else if lost
-                && (now + usual < r.aim || late_pays && now + usual < r.deadline)
-                && shared.extra >= 1.0
-            {
-                // Age alone is a reason only where answers are lost: copies of merely heavy requests crowd
-                // every backend.
-                if self.cfg.hedging {
-                    if self.may_send(now, r) && !self.held.contains(&id) {
-                        self.held.push(id);
-                    }
-                } else if self.cfg.may_cancel_attempts
-                    && self.cfg.classes[r.class].idempotency != Idempotency::NonIdempotent
-                {
-                    // Where no copy may run beside it, it is called back to make way for the next.
-                    self.actions.push(Action::Cancel {
-                        request: id,
-                        attempt: AttemptNumber(r.sent.len() as u32 - 1),
-                    });
-                }
-            }
-            next = next.min(last_start - margin);
-        }
-        self.look_at = next.max(now + self.cfg.min_timer_interval);
-        over.into_iter().for_each(|id| self.give_up(now, id, GiveUpReason::OutOfTime));
-    }
-
-    /// What a served request of the class usually takes; before any was served, a quarter of its aim.
-    fn usual(&self, class: usize) -> Micros {
-        let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].latency_objective.times(0.25), Micros::from_secs)
-    }
-
-    /// The age, in usual times, from which most attempts are never answered.
-    fn losing(&self) -> Option<f64> {
-        self.answered.iter().find(|(_, answered)| answered.value < 0.5).map(|(age, _)| *age)
-    }
-
-    /// An attempt older than this is taken for lost.
-    fn quiet(&self, class: usize) -> Micros {
-        self.usual(class).times(self.losing().unwrap_or(SILENT_AFTER))
-    }
-
     /// A class's work beside the mean, so far as latency tells it.
     fn work(&self, class: usize) -> f64 {
         self.classes[class].latency.get().map_or(1.0, |own| own / self.overall.value)
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -6,14 +6,16 @@
 /// Characters in a line.
 const MOST_WIDTH: usize = 120;
 /// What the operators' file lists as the decision module, under `crates/balancer/src`.
-const FILES: [&str; 10] = [
+const FILES: [&str; 12] = [
     "rules.rs",
     "rules/admission.rs",
     "rules/draw.rs",
     "rules/ejection.rs",
+    "rules/endpoints.rs",
     "rules/retry.rs",
     "rules/shares.rs",
     "rules/slow_start.rs",
+    "rules/timers.rs",
     "loads.rs",
     "reach.rs",
     "give_up.rs",
