--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -190,13 +190,13 @@
 /// by the module that takes it; attempts that are out go on and end as ever.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
-    pub(crate) state: crate::state::Request,
+    pub(crate) state: crate::state::RequestState,
 }
 
 impl TransferredRequest {
     /// Whether a further pool can be asked after the one that takes it.
     pub fn with_failover(mut self, more: bool) -> TransferredRequest {
-        self.state.elsewhere = more;
+        self.state.may_fail_over = more;
         self
     }
 }
@@ -204,8 +204,8 @@
 /// What one module knows of a backend, on its way to another with the attempts that it holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigratedBackend {
-    pub(crate) peer: crate::state::Peer,
-    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::state::Flight)>,
+    pub(crate) stats: crate::state::BackendStats,
+    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::state::InFlightAttempt)>,
 }
 
 /// Whether a pool can take a request at all.
--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/loads.rs
@@ -6,7 +6,7 @@
 //! A backend may say anything, late or never. What it says is held to what can be, counts for itself alone but for
 //! one part in the fleet's mean, and is worth nothing when it is old.
 
-use crate::state::{Mean, Peer, Said};
+use crate::state::{BackendStats, LoadSample, MovingAverage};
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
@@ -51,158 +51,160 @@
 
 /// What is made of it for the fleet.
 #[derive(Clone, Debug)]
-pub(crate) struct Loads {
+pub(crate) struct LoadReports {
     /// The largest weight of any backend of a kind, a core: that of one that holds nothing.
-    sizes: BTreeMap<ServerTypeId, f64>,
+    weight_per_core: BTreeMap<ServerTypeId, f64>,
     /// Requests a core that a backend in use holds in the mean; none where too few said anything.
-    pub mean: Option<f64>,
+    pub mean_in_flight_per_core: Option<f64>,
     /// The part of the requests that there is room for.
-    admit: f64,
+    admitted: f64,
     /// As many proxies like this one would make the fleet, and how long that was learned, s.
-    fleet: f64,
-    learned: f64,
-    at: Option<Time>,
-    heard: Option<Time>,
-    taken_stock: f64,
+    fleet_size: f64,
+    fleet_size_learned_s: f64,
+    aggregated_at: Option<Time>,
+    last_aggregate_at: Option<Time>,
+    interval_s: f64,
 }
 
-impl Loads {
-    pub fn new(proxies: u32) -> Loads {
-        Loads {
-            sizes: BTreeMap::new(),
-            mean: None,
-            admit: 1.0,
-            fleet: f64::from(proxies),
-            learned: 0.0,
-            at: None,
-            heard: None,
-            taken_stock: 0.0,
+impl LoadReports {
+    pub fn new(proxies: u32) -> LoadReports {
+        LoadReports {
+            weight_per_core: BTreeMap::new(),
+            mean_in_flight_per_core: None,
+            admitted: 1.0,
+            fleet_size: f64::from(proxies),
+            fleet_size_learned_s: 0.0,
+            aggregated_at: None,
+            last_aggregate_at: None,
+            interval_s: 0.0,
         }
     }
 
     /// As many proxies like this one as would make the fleet: those that are told of where reports tell nothing.
-    pub fn fleet(&self) -> f64 {
-        self.fleet
+    pub fn fleet_size(&self) -> f64 {
+        self.fleet_size
     }
 
     /// The list's word: the size over one and what is held a core, where weights are live.
-    pub fn weighed(&mut self, now: Time, p: &mut Peer) {
+    pub fn record_list_weight(&mut self, now: Time, p: &mut BackendStats) {
         let weight = f64::from(p.entry.weight) / f64::from(p.entry.cores.max(1));
         if weight > 0.0 {
-            let size = self.sizes.entry(p.entry.server_type).or_default();
+            let size = self.weight_per_core.entry(p.entry.server_type).or_default();
             *size = size.max(weight);
-            p.told.list.hear(now, *size / weight - 1.0);
+            p.reported_load.in_list.record(now, *size / weight - 1.0);
         }
     }
 
     /// The backend's own word.
-    pub fn reported(&mut self, now: Time, p: &mut Peer, report: &LoadReport) {
+    pub fn record_report(&mut self, now: Time, p: &mut BackendStats, report: &LoadReport) {
         // Nothing served lately reads as no time at all.
         if let Some(ms) = report.latency_ms.filter(|ms| *ms > 0.0 && *ms <= LATENCY_MOST_MS) {
-            p.told.latency = Some((ms / 1e3, now));
+            p.reported_load.latency_s = Some((ms / 1e3, now));
         }
         if let Some(held) = report.in_flight {
-            p.told.answers.hear(now, held / f64::from(p.entry.cores.max(1)));
+            p.reported_load.in_responses.record(now, held / f64::from(p.entry.cores.max(1)));
         }
     }
 
     /// Takes stock. `own` is what this proxy's served requests take up at them, `hold` the wanted load a core.
-    pub fn take_stock<'a>(
-        &mut self, now: Time, peers: impl Iterator<Item = &'a Peer>, proxies: u32, own: Option<f64>,
+    pub fn aggregate<'a>(
+        &mut self, now: Time, peers: impl Iterator<Item = &'a BackendStats>, proxies: u32, own: Option<f64>,
         hold: f64,
     ) {
         let (mut used, mut held) = (0.0, 0.0);
-        let (mut list, mut answers, mut both) = (Mean::default(), Mean::default(), (0.0, 0.0));
-        for p in peers.filter(|p| p.entry.state == BackendState::Ready && p.ejected.is_none()) {
+        let (mut list, mut answers, mut both) =
+            (MovingAverage::default(), MovingAverage::default(), (0.0, 0.0));
+        for p in peers.filter(|p| p.entry.state == BackendState::Ready && p.ejected_until.is_none()) {
             used += 1.0;
-            let cut = |said: Said| said.last.min(hold * MEAN_MOST);
-            let (l, a) = (p.told.list.fresh(now), p.told.answers.fresh(now));
+            let cut = |said: LoadSample| said.latest.min(hold * MEAN_MOST);
+            let (l, a) = (p.reported_load.in_list.if_fresh(now), p.reported_load.in_responses.if_fresh(now));
             if let Some(said) = l {
-                list.add(cut(said), f64::MAX);
-                held += said.held * f64::from(p.entry.cores);
+                list.record(cut(said), f64::MAX);
+                held += said.average * f64::from(p.entry.cores);
             }
             if let Some(said) = a {
-                answers.add(cut(said), f64::MAX);
+                answers.record(cut(said), f64::MAX);
             }
             if let (Some(l), Some(a)) = (l, a) {
                 both = (both.0 + cut(l), both.1 + cut(a));
             }
         }
-        let gap = self.at.map_or(0.0, |at| (now - at).secs().min(1.0));
-        self.at = Some(now);
+        let gap = self.aggregated_at.map_or(0.0, |at| (now - at).secs().min(1.0));
+        self.aggregated_at = Some(now);
         // A list that came late tells what is past: those that answered here show by how much it is off.
         let off = if answers.count < ANSWERS_FEW { 1.0 } else { (both.1 + hold) / (both.0 + hold) };
         let late = !(1.0 / LIST_OFF..LIST_OFF).contains(&off);
-        self.mean = if list.count >= TOLD_FEW && list.count * 2.0 >= used && !late {
+        self.mean_in_flight_per_core = if list.count >= TOLD_FEW && list.count * 2.0 >= used && !late {
             Some(list.value)
         } else if answers.count >= ANSWERS_FEW {
             Some(answers.value)
         } else {
             None
         };
-        let Some(mean) = self.mean else {
+        let Some(mean) = self.mean_in_flight_per_core else {
             // Nobody says anything: what was let in by old news is not held on to.
-            self.admit = (self.admit * (gap * ADMIT_BACK).exp()).min(1.0);
+            self.admitted = (self.admitted * (gap * ADMIT_BACK).exp()).min(1.0);
             return;
         };
-        (self.heard, self.taken_stock) = (Some(now), gap);
+        (self.last_aggregate_at, self.interval_s) = (Some(now), gap);
         if list.count >= TOLD_FEW && list.count * 2.0 >= used && !late {
-            self.learn_part(gap, held * used / list.count, own, f64::from(proxies));
+            self.learn_fleet_size(gap, held * used / list.count, own, f64::from(proxies));
         }
         let busy = |held: f64| held.max(0.1) / (1.0 + held.max(0.1));
         let step = (busy(hold) / busy(mean)).powf(ADMIT_GAIN * gap);
-        self.admit = (self.admit * step).clamp(ADMIT_LEAST, 1.0);
+        self.admitted = (self.admitted * step).clamp(ADMIT_LEAST, 1.0);
     }
 
     /// What all hold over what this one has there.
-    fn learn_part(&mut self, gap: f64, all: f64, own: Option<f64>, proxies: f64) {
+    fn learn_fleet_size(&mut self, gap: f64, all: f64, own: Option<f64>, proxies: f64) {
         let fleet = own.filter(|own| *own > 0.0).map_or(proxies, |own| all / own);
         let fleet = fleet.clamp(proxies / PART_MOST, proxies * PART_LEAST).max(1.0);
         // Own and all are counted over different seconds: a slow mean of the two, quicker at first.
-        self.learned += gap;
-        let step = 1.0 - (-gap / self.learned.clamp(PART_FIRST, PART_MEMORY)).exp();
-        self.fleet *= (fleet / self.fleet).powf(step);
+        self.fleet_size_learned_s += gap;
+        let step = 1.0 - (-gap / self.fleet_size_learned_s.clamp(PART_FIRST, PART_MEMORY)).exp();
+        self.fleet_size *= (fleet / self.fleet_size).powf(step);
     }
 
     /// Backends have spoken of their load not long ago, even if nothing new is heard just now.
-    pub fn spoken(&self, now: Time) -> bool {
-        self.heard.is_some_and(|at| (now - at).secs() < SPOKEN_FOR)
+    pub fn is_reporting(&self, now: Time) -> bool {
+        self.last_aggregate_at.is_some_and(|at| (now - at).secs() < SPOKEN_FOR)
     }
 
     /// The list says how fast a backend of some kind is.
-    pub fn sized(&self) -> bool {
-        !self.sizes.is_empty()
+    pub fn has_weights(&self) -> bool {
+        !self.weight_per_core.is_empty()
     }
 
     /// What the list says of how fast a backend of that kind is beside one of another; 1 where it says nothing.
-    pub fn size(&self, kind: ServerTypeId) -> f64 {
-        self.sizes.get(&kind).copied().unwrap_or(1.0)
+    pub fn relative_speed(&self, kind: ServerTypeId) -> f64 {
+        self.weight_per_core.get(&kind).copied().unwrap_or(1.0)
     }
 
     /// The part that is let in of requests that are worth much, or little.
-    pub fn admitted(&self, low: bool) -> f64 {
+    pub fn admitted_fraction(&self, low: bool) -> f64 {
         if low {
-            ((self.admit - (1.0 - ADMIT_LOW)) / ADMIT_LOW).max(0.0)
+            ((self.admitted - (1.0 - ADMIT_LOW)) / ADMIT_LOW).max(0.0)
         } else {
-            (self.admit / (1.0 - ADMIT_LOW)).min(1.0)
+            (self.admitted / (1.0 - ADMIT_LOW)).min(1.0)
         }
     }
 
     /// After stock was taken: how much of an even part each backend bears.
-    pub fn settle(&self, now: Time, peers: &mut BTreeMap<BackendId, Peer>, hold: f64) {
-        let Some(mean) = self.mean else { return };
+    pub fn rebalance(&self, now: Time, peers: &mut BTreeMap<BackendId, BackendStats>, hold: f64) {
+        let Some(mean) = self.mean_in_flight_per_core else { return };
         let wanted = mean.max(hold / 2.0);
         let mut sum = (0.0, 0.0);
         for p in peers.values_mut().filter(|p| p.entry.state == BackendState::Ready) {
-            let Some(held) = p.told.fresh(now) else { continue };
+            let Some(held) = p.reported_load.in_flight_per_core(now) else { continue };
             let off = ((held - wanted) / wanted).clamp(-1.0, 1.0);
-            let bears = p.told.bears.unwrap_or(1.0) * (-off * BEAR_PACE * self.taken_stock).exp();
+            let bears = p.reported_load.rebalancing_factor.unwrap_or(1.0)
+                * (-off * BEAR_PACE * self.interval_s).exp();
             let bears = bears.clamp(BEAR_LEAST, BEAR_MOST);
-            p.told.bears = Some(bears);
+            p.reported_load.rebalancing_factor = Some(bears);
             sum = (sum.0 + bears, sum.1 + 1.0);
         }
         // A part of what all bear: a kind that is fuller than the others gets less, however fast it is taken to be.
-        for bears in peers.values_mut().filter_map(|p| p.told.bears.as_mut()) {
+        for bears in peers.values_mut().filter_map(|p| p.reported_load.rebalancing_factor.as_mut()) {
             *bears = (*bears * sum.1 / f64::max(sum.0, 1e-9)).clamp(BEAR_LEAST, BEAR_MOST);
         }
     }
@@ -210,10 +212,12 @@
     /// How much of its part a backend gets, in reports' eyes: one that holds more than the others less, for long by
     /// what it was seen to bear and at once by what it holds. One that seems idle gets no more for that: it may be
     /// one that nothing comes to.
-    pub fn ease(&self, now: Time, p: &Peer) -> f64 {
-        let spoken = self.spoken(now);
-        let held = self.mean.and_then(|mean| Some((mean, p.told.fresh(now)?)));
+    pub fn load_factor(&self, now: Time, p: &BackendStats) -> f64 {
+        let spoken = self.is_reporting(now);
+        let held = self
+            .mean_in_flight_per_core
+            .and_then(|mean| Some((mean, p.reported_load.in_flight_per_core(now)?)));
         let now = held.map_or(1.0, |(mean, held)| ((1.0 + mean) / (1.0 + held)).clamp(EASE_LEAST, 1.0));
-        p.told.bears.filter(|_| spoken).unwrap_or(1.0) * now
+        p.reported_load.rebalancing_factor.filter(|_| spoken).unwrap_or(1.0) * now
     }
 }
--- a/crates/balancer/src/reach.rs
+++ b/crates/balancer/src/reach.rs
@@ -1,7 +1,7 @@
 //! Zones that nothing comes back from. Where a zone is cut off each of its backends looks dead, one after the other,
 //! and each costs four attempts before it is ejected: here they are known by their zone. Nothing here draws a backend.
 
-use crate::state::Mean;
+use crate::state::MovingAverage;
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
@@ -15,51 +15,57 @@
 const TERM: f64 = 1.0;
 
 #[derive(Clone, Debug, Default)]
-struct Way {
-    silent: Mean,
+struct ZoneHealth {
+    silent_fraction: MovingAverage,
     /// The first backend that was silent since the last word, and whether others were.
-    first: Option<BackendId>,
-    others: bool,
-    until: Option<Time>,
-    strikes: i32,
+    first_silent: Option<BackendId>,
+    several_silent: bool,
+    unreachable_until: Option<Time>,
+    consecutive_terms: i32,
 }
 
 /// What came back from each zone that was asked, as seen from this proxy's own.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Reach(BTreeMap<ZoneId, Way>);
+pub(crate) struct ZoneReachability(BTreeMap<ZoneId, ZoneHealth>);
 
-impl Reach {
+impl ZoneReachability {
     /// An attempt ended, in silence or with any word. Whether the zone is cut off by that, or is no longer.
-    pub fn ended(&mut self, now: Time, own: ZoneId, to: &BackendEntry, silent: bool) -> bool {
+    pub fn record_outcome(&mut self, now: Time, own: ZoneId, to: &BackendEntry, silent: bool) -> bool {
         // One's own zone is near: it counts as one that answers until it was asked.
-        let near = to.zone != own && self.0.get(&own).is_none_or(|way| way.silent.value < SILENT);
-        let answers = |way: &Way| way.silent.count > 0.0 && way.silent.value < ANSWERS;
+        let near = to.zone != own && self.0.get(&own).is_none_or(|way| way.silent_fraction.value < SILENT);
+        let answers =
+            |way: &ZoneHealth| way.silent_fraction.count > 0.0 && way.silent_fraction.value < ANSWERS;
         let other = near || self.0.iter().any(|(zone, way)| *zone != to.zone && answers(way));
         let way = self.0.entry(to.zone).or_default();
-        let was = way.until.is_some_and(|until| now < until);
-        way.silent.add(f64::from(silent), SAMPLES);
+        let was = way.unreachable_until.is_some_and(|until| now < until);
+        way.silent_fraction.record(f64::from(silent), SAMPLES);
         if !silent {
-            (way.first, way.others, way.until) = (None, false, None);
-            way.strikes = if way.silent.value < ANSWERS { 0 } else { way.strikes };
+            (way.first_silent, way.several_silent, way.unreachable_until) = (None, false, None);
+            way.consecutive_terms =
+                if way.silent_fraction.value < ANSWERS { 0 } else { way.consecutive_terms };
             return was;
         }
-        if to.zone == own && way.silent.value > SILENT && !other {
+        if to.zone == own && way.silent_fraction.value > SILENT && !other {
             // All are silent: none is cut off.
-            let cut = self.0.values_mut().filter_map(|way| way.until.take()).filter(|until| now < *until);
+            let cut = self
+                .0
+                .values_mut()
+                .filter_map(|way| way.unreachable_until.take())
+                .filter(|until| now < *until);
             return cut.count() > 0;
         }
-        way.others |= way.first.is_some_and(|first| first != to.id);
-        way.first = way.first.or(Some(to.id));
-        let cut = !was && other && way.others && way.silent.value > SILENT;
+        way.several_silent |= way.first_silent.is_some_and(|first| first != to.id);
+        way.first_silent = way.first_silent.or(Some(to.id));
+        let cut = !was && other && way.several_silent && way.silent_fraction.value > SILENT;
         if cut {
-            let term = Micros::from_secs(TERM * f64::from(way.strikes.min(2)).exp2());
-            (way.until, way.strikes) = (Some(now + term), way.strikes + 1);
+            let term = Micros::from_secs(TERM * f64::from(way.consecutive_terms.min(2)).exp2());
+            (way.unreachable_until, way.consecutive_terms) = (Some(now + term), way.consecutive_terms + 1);
         }
         cut
     }
 
     /// Nothing comes back from it.
-    pub fn cut(&self, now: Time, zone: ZoneId) -> bool {
-        self.0.get(&zone).and_then(|way| way.until).is_some_and(|until| now < until)
+    pub fn is_unreachable(&self, now: Time, zone: ZoneId) -> bool {
+        self.0.get(&zone).and_then(|way| way.unreachable_until).is_some_and(|until| now < until)
     }
 }
--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -19,8 +19,8 @@
 
 use crate::give_up::{GiveUpCounts, GiveUpReason};
 use crate::interface::*;
-use crate::loads::Loads;
-use crate::reach::Reach;
+use crate::loads::LoadReports;
+use crate::reach::ZoneReachability;
 use crate::state::*;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -70,7 +70,7 @@
 const TRIALS: u32 = 3;
 /// Ejected backends beyond half of the fleet are used after all: then it is not they who are ill.
 const PANIC: f64 = 0.5;
-/// Part of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
+/// BackendClassStats of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
 const FALL_MARGIN: f64 = 0.8;
 /// Extra attempts for each request: the usual tenth, doubled for the time until a failure is seen, and once
 /// more while answers are lost.
@@ -81,46 +81,46 @@
 /// The decisions of one pool. Give it every event in order; it answers with actions.
 #[derive(Clone, Debug)]
 pub struct Balancer {
-    cfg: Config,
-    dice: Dice,
-    peers: BTreeMap<BackendId, Peer>,
+    config: Config,
+    rng: Rng,
+    backends: BTreeMap<BackendId, BackendStats>,
     /// The peers by mark, an order that all proxies share.
-    order: Vec<BackendId>,
-    kinds: BTreeMap<ServerTypeId, Kind>,
-    classes: Vec<ClassState>,
-    overall: Mean,
-    requests: BTreeMap<RequestId, Request>,
-    held: Vec<RequestId>,
+    hash_order: Vec<BackendId>,
+    server_types: BTreeMap<ServerTypeId, ServerTypeStats>,
+    class_latencies: Vec<ClassLatency>,
+    overall_latency: MovingAverage,
+    requests: BTreeMap<RequestId, RequestState>,
+    queued: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
-    blocked: f64,
-    attempts: BTreeMap<(RequestId, AttemptNumber), Flight>,
-    rate: Rate,
+    blocked_below: f64,
+    in_flight_attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
+    arrival_rate: DecayingRate,
     /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
-    crowd: Rate,
+    in_flight_level: DecayingRate,
     /// Seconds that its served requests took, for each second: by Little's law its part of what backends hold.
-    served: Rate,
-    loads: Loads,
-    reach: Reach,
+    service_time_rate: DecayingRate,
+    load_reports: LoadReports,
+    zone_reachability: ZoneReachability,
     /// The part of the backends in use that it can reach: where a zone is cut off its proxies are too.
-    reached: f64,
+    reachable_fraction: f64,
     /// Attempts that are taken for lost where nothing comes back from.
-    lost: u32,
+    lost_to_unreachable_zones: u32,
     /// The part of the attempts older than so many usual times that were answered.
-    answered: [(f64, Mean); 2],
+    answered_fraction_by_age: [(f64, MovingAverage); 2],
     /// The error share of the middle one of the backends: what is common to all is no fault of any.
-    common: f64,
-    solve_at: Time,
+    median_error_rate: f64,
+    recompute_at: Time,
     /// When time alone may next call for something, and the timer set for that.
-    look_at: Time,
+    next_timer_at: Time,
     /// Backends in use; with none, when the first of the ejected is due for a trial, if any is ejected.
-    able: u32,
-    trial_at: Option<Time>,
+    eligible: u32,
+    next_probe_at: Option<Time>,
     timer: (u64, Time),
-    ask: (Option<Time>, f64),
+    discovery_poll: (Option<Time>, f64),
     /// Nothing is held any more.
-    closing: bool,
-    log_at: Time,
-    given_up: GiveUpCounts,
+    draining: bool,
+    next_log_at: Time,
+    give_up_counts: GiveUpCounts,
     actions: Vec<Action>,
 }
 
@@ -129,42 +129,43 @@
     pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
         cfg.validate()?;
         Ok(Balancer {
-            dice: Dice::new(seed),
-            peers: BTreeMap::new(),
-            order: Vec::new(),
-            kinds: BTreeMap::new(),
-            classes: cfg.classes.iter().map(|_| ClassState::default()).collect(),
-            overall: Mean::default(),
+            rng: Rng::new(seed),
+            backends: BTreeMap::new(),
+            hash_order: Vec::new(),
+            server_types: BTreeMap::new(),
+            class_latencies: cfg.classes.iter().map(|_| ClassLatency::default()).collect(),
+            overall_latency: MovingAverage::default(),
             requests: BTreeMap::new(),
-            held: Vec::new(),
-            blocked: 0.0,
-            attempts: BTreeMap::new(),
-            rate: Rate::new(RATE_MEMORY),
-            crowd: Rate::new(CROWD_MEMORY),
-            served: Rate::new(CROWD_MEMORY),
-            loads: Loads::new(cfg.proxies),
-            reach: Reach::default(),
-            reached: 1.0,
-            lost: 0,
-            answered: [LOST_AFTER, SILENT_AFTER].map(|age| (age, Mean { value: 1.0, count: FEW })),
-            common: 0.0,
-            solve_at: Time(0),
-            look_at: Time(0),
-            able: 0,
-            trial_at: None,
+            queued: Vec::new(),
+            blocked_below: 0.0,
+            in_flight_attempts: BTreeMap::new(),
+            arrival_rate: DecayingRate::new(RATE_MEMORY),
+            in_flight_level: DecayingRate::new(CROWD_MEMORY),
+            service_time_rate: DecayingRate::new(CROWD_MEMORY),
+            load_reports: LoadReports::new(cfg.proxies),
+            zone_reachability: ZoneReachability::default(),
+            reachable_fraction: 1.0,
+            lost_to_unreachable_zones: 0,
+            answered_fraction_by_age: [LOST_AFTER, SILENT_AFTER]
+                .map(|age| (age, MovingAverage { value: 1.0, count: FEW })),
+            median_error_rate: 0.0,
+            recompute_at: Time(0),
+            next_timer_at: Time(0),
+            eligible: 0,
+            next_probe_at: None,
             timer: (0, Time(u64::MAX)),
-            ask: ((cfg.discovery != DiscoveryMode::Push).then_some(Time(0)), 0.0),
-            closing: false,
-            log_at: Time(0),
-            given_up: GiveUpCounts::default(),
+            discovery_poll: ((cfg.discovery != DiscoveryMode::Push).then_some(Time(0)), 0.0),
+            draining: false,
+            next_log_at: Time(0),
+            give_up_counts: GiveUpCounts::default(),
             actions: Vec::new(),
-            cfg,
+            config: cfg,
         })
     }
 
     /// Requests given up since the last call, by reason.
     pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.give_up_counts)
     }
 
     /// Takes one event that happened at `now` and adds the actions it calls for. `shared` is one allowance
@@ -174,56 +175,57 @@
             event,
             Event::Request(_) | Event::FailedOver(..) | Event::Timer { .. } | Event::LoadReported(..)
         ) {
-            self.blocked = 0.0; // those make no room, and trying a long line in vain costs too much CPU
+            self.blocked_below = 0.0; // those make no room, and trying a long line in vain costs too much CPU
         }
-        let out = self.attempts.len().saturating_sub(self.lost as usize) as f64;
-        self.crowd.pass(now, out);
-        if now >= self.solve_at
-            && (matches!(event, Event::Request(_) | Event::FailedOver(..)) || !self.held.is_empty())
+        let out =
+            self.in_flight_attempts.len().saturating_sub(self.lost_to_unreachable_zones as usize) as f64;
+        self.in_flight_level.record_level(now, out);
+        if now >= self.recompute_at
+            && (matches!(event, Event::Request(_) | Event::FailedOver(..)) || !self.queued.is_empty())
         {
-            self.solve(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
+            self.recompute_weights(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
         }
         match event {
-            Event::EndpointsUpdated { update, backends } => self.members(now, update, backends),
-            Event::Request(arrival) => self.request(now, arrival, shared),
-            Event::FailedOver(id, handover) => self.take_over(now, id, *handover),
+            Event::EndpointsUpdated { update, backends } => self.update_endpoints(now, update, backends),
+            Event::Request(arrival) => self.accept(now, arrival, shared),
+            Event::FailedOver(id, handover) => self.accept_failed_over(now, id, *handover),
             Event::StreamStarted { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(&request) {
-                    r.streaming |= r.sent.get(attempt.0 as usize).is_some_and(|s| s.out);
+                    r.streaming |= r.attempts.get(attempt.0 as usize).is_some_and(|s| s.in_flight);
                 }
             }
             Event::LoadReported(backend, report) => {
-                let many = self.many();
-                if let Some(p) = self.peers.get_mut(&backend).filter(|_| many) {
-                    self.loads.reported(now, p, &report);
+                let many = self.is_large_fleet();
+                if let Some(p) = self.backends.get_mut(&backend).filter(|_| many) {
+                    self.load_reports.record_report(now, p, &report);
                 }
                 return;
             }
-            Event::AttemptEnded(end) => self.ended(now, end),
-            Event::ClientDisconnected { request } => self.close(request),
+            Event::AttemptEnded(end) => self.on_attempt_ended(now, end),
+            Event::ClientDisconnected { request } => self.remove_request(request),
             // Where its clients' next requests go is not known here.
-            Event::Drain => (self.closing, self.cfg.only_deduplication_domain) = (true, None),
+            Event::Drain => (self.draining, self.config.only_deduplication_domain) = (true, None),
             Event::Timer { token } if token != TimerToken(self.timer.0) => return,
             Event::Timer { .. } => self.timer.1 = Time(u64::MAX),
         }
-        if now >= self.look_at {
-            self.look_after(now, shared);
+        if now >= self.next_timer_at {
+            self.run_timers(now, shared);
         }
-        self.pump(now, shared);
-        if !self.held.is_empty() {
-            self.look_at = self.look_at.min(now + self.cfg.min_timer_interval);
+        self.dispatch_queued(now, shared);
+        if !self.queued.is_empty() {
+            self.next_timer_at = self.next_timer_at.min(now + self.config.min_timer_interval);
         }
-        if self.look_at < self.timer.1 {
-            self.timer = (self.timer.0 + 1, self.look_at);
-            let after = (self.look_at - now).max(self.cfg.min_timer_interval);
+        if self.next_timer_at < self.timer.1 {
+            self.timer = (self.timer.0 + 1, self.next_timer_at);
+            let after = (self.next_timer_at - now).max(self.config.min_timer_interval);
             self.actions.push(Action::SetTimer { token: TimerToken(self.timer.0), after });
         }
         actions.append(&mut self.actions);
     }
 
     /// So many proxies that one has no room to count at a backend: what the others hold there is to be heard.
-    fn many(&self) -> bool {
-        f64::from(self.cfg.proxies) > HOLD
+    fn is_large_fleet(&self) -> bool {
+        f64::from(self.config.proxies) > HOLD
     }
 
     /// Puts another configuration in place. Classes and tenants keep their numbers; new ones may follow them.
@@ -232,47 +234,49 @@
     /// The field at fault, where the configuration is unsound or has fewer classes; nothing is changed then.
     pub fn reconfigure(&mut self, cfg: Config) -> Result<(), ConfigError> {
         cfg.validate()?;
-        if cfg.classes.len() < self.cfg.classes.len() {
+        if cfg.classes.len() < self.config.classes.len() {
             return Err(ConfigError { field: "classes", expected: "no fewer than before" });
         }
-        self.classes.resize_with(cfg.classes.len(), ClassState::default);
-        if cfg.proxies != self.cfg.proxies {
+        self.class_latencies.resize_with(cfg.classes.len(), ClassLatency::default);
+        if cfg.proxies != self.config.proxies {
             // The part was learned against the other count.
-            (self.loads, self.reach) = (Loads::new(cfg.proxies), Reach::default());
+            (self.load_reports, self.zone_reachability) =
+                (LoadReports::new(cfg.proxies), ZoneReachability::default());
         }
-        self.cfg = cfg;
-        (self.solve_at, self.look_at) = (Time(0), Time(0));
+        self.config = cfg;
+        (self.recompute_at, self.next_timer_at) = (Time(0), Time(0));
         Ok(())
     }
 
     /// Gives up all requests that are held to the modules of other pools, one of which can take them now.
     pub fn release_queued(&mut self) -> Vec<(RequestId, TransferredRequest)> {
-        let held = std::mem::take(&mut self.held).into_iter();
+        let held = std::mem::take(&mut self.queued).into_iter();
         held.filter_map(|id| Some((id, TransferredRequest { state: self.requests.remove(&id)? }))).collect()
     }
 
     /// A request that another module gave up, as it stands.
-    fn take_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
-        if !self.requests.contains_key(&id) && handover.state.class < self.classes.len() {
-            self.rate.add(now, 1.0);
+    fn accept_failed_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
+        if !self.requests.contains_key(&id) && handover.state.class < self.class_latencies.len() {
+            self.arrival_rate.record(now, 1.0);
             self.requests.insert(id, handover.state);
-            self.held.push(id);
-            self.look_at = now;
+            self.queued.push(id);
+            self.next_timer_at = now;
         }
     }
 
-    fn request(&mut self, now: Time, new: Arrival, shared: &mut SharedLimits) {
-        let Some(c) = self.cfg.classes.get(new.class.0) else { return };
+    fn accept(&mut self, now: Time, new: Arrival, shared: &mut SharedLimits) {
+        let Some(c) = self.config.classes.get(new.class.0) else { return };
         if self.requests.contains_key(&new.request) {
             return;
         }
-        self.rate.add(now, 1.0);
-        let ratio = RETRY_RATIO * if self.losing().is_some() { 2.0 } else { 1.0 };
-        shared.earn(now, ratio, ratio * KIND_SAMPLES, self.cfg.proxies);
-        shared.buckets.resize(self.cfg.tenants.len(), Bucket::new(RATE_MEMORY, FEW));
-        let tenant = new.tenant.and_then(|t| self.cfg.tenants.get(t.0).zip(shared.buckets.get_mut(t.0)));
-        let part = |t: &Tenant| t.quota_per_s / self.loads.fleet();
-        let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.take(now, part(t)));
+        self.arrival_rate.record(now, 1.0);
+        let ratio = RETRY_RATIO * if self.loss_age_factor().is_some() { 2.0 } else { 1.0 };
+        shared.deposit(now, ratio, ratio * KIND_SAMPLES, self.config.proxies);
+        shared.tenant_quotas.resize(self.config.tenants.len(), TokenBucket::new(RATE_MEMORY, FEW));
+        let tenant =
+            new.tenant.and_then(|t| self.config.tenants.get(t.0).zip(shared.tenant_quotas.get_mut(t.0)));
+        let part = |t: &Tenant| t.quota_per_s / self.load_reports.fleet_size();
+        let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.try_take(now, part(t)));
         let aim = c
             .latency_objective
             .0
@@ -281,48 +285,62 @@
         // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
         // and serving it before a new request would make both late, all through a storm of repeats.
         let again = if new.is_client_retry { c.late_weight_fraction } else { 1.0 };
-        let value = again * if over_quota { self.cfg.over_quota_weight_fraction } else { 1.0 };
+        let value = again * if over_quota { self.config.over_quota_weight_fraction } else { 1.0 };
         let (class, came, streaming, sent) = (new.class.0, now, false, Vec::new());
         let elsewhere = new.may_fail_over;
-        // Drawn only where it may matter: without reports the dice fall as they always did.
-        let luck = if self.loads.mean.is_some() || self.many() && self.cfg.weights_report_load {
-            self.dice.unit()
+        // Selection only where it may matter: without reports the dice fall as they always did.
+        let luck = if self.load_reports.mean_in_flight_per_core.is_some()
+            || self.is_large_fleet() && self.config.weights_report_load
+        {
+            self.rng.next_unit()
         } else {
             0.0
         };
-        let request = Request { class, came, aim, deadline, value, luck, streaming, elsewhere, sent };
+        let request = RequestState {
+            class,
+            arrived_at: came,
+            objective_at: aim,
+            deadline,
+            priority: value,
+            admission_roll: luck,
+            streaming,
+            may_fail_over: elsewhere,
+            attempts: sent,
+        };
         self.requests.insert(new.request, request);
-        self.held.push(new.request);
+        self.queued.push(new.request);
     }
 
-    fn ended(&mut self, now: Time, end: AttemptEnd) {
+    fn on_attempt_ended(&mut self, now: Time, end: AttemptEnd) {
         let id = end.request;
         // The backend may be another pool's by now, or the request.
-        if let Some(Flight { to: backend, class, sent }) = self.attempts.remove(&(id, end.attempt)) {
-            self.learn(now, backend, class, sent, &end);
-            self.recount_trial(backend);
+        if let Some(InFlightAttempt { backend, class, sent_at: sent }) =
+            self.in_flight_attempts.remove(&(id, end.attempt))
+        {
+            self.record_outcome(now, backend, class, sent, &end);
+            self.recount_after_probe(backend);
         }
         let Some(r) = self.requests.get_mut(&id) else { return };
-        if let Some(s) = r.sent.get_mut(end.attempt.0 as usize) {
-            (s.out, s.not_executed) = (false, end.outcome.not_executed());
-            s.unsent = end.outcome == Outcome::NotSent;
+        if let Some(s) = r.attempts.get_mut(end.attempt.0 as usize) {
+            (s.in_flight, s.not_executed) = (false, end.outcome.not_executed());
+            s.not_sent = end.outcome == Outcome::NotSent;
         }
         if end.request_answered || end.outcome == Outcome::Ok {
-            self.close(id);
-        } else if !r.out() && !self.held.contains(&id) {
-            self.held.push(id); // `pump` sends it again or gives it up
+            self.remove_request(id);
+        } else if !r.has_attempt_in_flight() && !self.queued.contains(&id) {
+            self.queued.push(id); // `pump` sends it again or gives it up
         }
     }
 
     /// A class's work beside the mean, so far as latency tells it.
-    fn work(&self, class: usize) -> f64 {
-        self.classes[class].latency.get().map_or(1.0, |own| own / self.overall.value)
+    fn relative_work(&self, class: usize) -> f64 {
+        self.class_latencies[class].latency.mean().map_or(1.0, |own| own / self.overall_latency.value)
     }
 
     /// A line for the operators, two a second at most.
     fn log(&mut self, now: Time, text: String) {
-        if now >= self.log_at {
-            self.log_at = now + Micros(500_000);
+        if now >= self.next_log_at {
+            self.next_log_at = now + Micros(500_000);
             self.actions.push(Action::Log(text));
         }
     }
--- a/crates/balancer/src/rules/slow_start.rs
+++ b/crates/balancer/src/rules/slow_start.rs
@@ -12,18 +12,27 @@
 
 impl Balancer {
     /// Work that this proxy may still send to a cold backend inside the present fall window.
-    pub(super) fn budget(&self, now: Time, p: &Peer) -> f64 {
-        let warmth = warmth(&self.cfg, now - self.cfg.overload_window, &p.entry); // as the window began
+    pub(super) fn slow_start_budget(&self, now: Time, p: &BackendStats) -> f64 {
+        let warmth = warmth(&self.config, now - self.config.overload_window, &p.entry); // as the window began
         if warmth >= 1.0 {
             return f64::MAX;
         }
-        let proxies = f64::from(self.cfg.proxies);
-        let fair = self.rate.per_s().unwrap_or(1.0) * self.loads.fleet() / self.peers.len() as f64;
+        let proxies = f64::from(self.config.proxies);
+        let fair = self.arrival_rate.per_second().unwrap_or(1.0) * self.load_reports.fleet_size()
+            / self.backends.len() as f64;
         // Against few ready backends the speed formula overshoots; a bare 1/T a core and one more is sure.
-        let sure = |k: &Kind| k.latency.get().map(|t| k.speed.min((1.0 + f64::from(p.entry.cores)) / t));
-        let speed = self.kinds.get(&p.entry.server_type).and_then(sure).unwrap_or(fair);
-        let spent: f64 = p.spent.iter().filter(|s| now - s.0 < self.cfg.overload_window).map(|s| s.1).sum();
-        let all = self.cfg.overload_multiple * warmth * speed * self.cfg.overload_window.secs() / proxies;
+        let sure = |k: &ServerTypeStats| {
+            k.latency.mean().map(|t| k.service_rate.min((1.0 + f64::from(p.entry.cores)) / t))
+        };
+        let speed = self.server_types.get(&p.entry.server_type).and_then(sure).unwrap_or(fair);
+        let spent: f64 = p
+            .sent_during_window
+            .iter()
+            .filter(|s| now - s.0 < self.config.overload_window)
+            .map(|s| s.1)
+            .sum();
+        let all =
+            self.config.overload_multiple * warmth * speed * self.config.overload_window.secs() / proxies;
         (all * FALL_MARGIN).max(1.0) - spent
     }
 }
--- a/crates/balancer/src/rules/timers.rs
+++ b/crates/balancer/src/rules/timers.rs
@@ -4,89 +4,96 @@
 
 impl Balancer {
     /// What time alone brings about, and when to look again.
-    pub(super) fn look_after(&mut self, now: Time, shared: &SharedLimits) {
+    pub(super) fn run_timers(&mut self, now: Time, shared: &SharedLimits) {
         let mut next = now + Micros::from_secs(CROWD_MEMORY); // nothing else may be due
-        if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.ask.0, self.cfg.discovery) {
+        if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.discovery_poll.0, self.config.discovery) {
             if now >= at {
-                self.ask.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
+                self.discovery_poll.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
                 self.actions.push(Action::Subscribe);
             }
         }
-        next = self.ask.0.map_or(next, |at| next.min(at));
-        for p in self.peers.values_mut() {
-            (p.lost, p.unheard) = (0, 0);
-            p.parts.iter_mut().for_each(|part| part.unheard = 0);
+        next = self.discovery_poll.0.map_or(next, |at| next.min(at));
+        for p in self.backends.values_mut() {
+            (p.suspected_lost, p.overdue_without_response) = (0, 0);
+            p.by_class.iter_mut().for_each(|part| part.overdue_without_response = 0);
         }
-        self.lost = 0;
-        for &Flight { to: backend, class, sent } in self.attempts.values() {
-            let (lost, silent) = (sent + self.quiet(class), sent + self.usual(class).times(SILENT_AFTER));
+        self.lost_to_unreachable_zones = 0;
+        for &InFlightAttempt { backend, class, sent_at: sent } in self.in_flight_attempts.values() {
+            let (lost, silent) =
+                (sent + self.lost_after(class), sent + self.expected_latency(class).times(SILENT_AFTER));
             next = [lost, silent].into_iter().filter(|at| *at > now).fold(next, Time::min);
-            let Some(p) = self.peers.get_mut(&backend) else { continue };
-            self.lost += u32::from(now >= lost && self.reach.cut(now, p.entry.zone));
-            p.lost += u32::from(now >= lost);
-            p.unheard += u32::from(now >= silent && p.answered <= sent);
-            let part = p.part(class);
-            part.unheard += u32::from(now >= silent && part.answered <= sent);
+            let Some(p) = self.backends.get_mut(&backend) else { continue };
+            self.lost_to_unreachable_zones +=
+                u32::from(now >= lost && self.zone_reachability.is_unreachable(now, p.entry.zone));
+            p.suspected_lost += u32::from(now >= lost);
+            p.overdue_without_response += u32::from(now >= silent && p.last_response_at <= sent);
+            let part = p.class_mut(class);
+            part.overdue_without_response += u32::from(now >= silent && part.last_response_at <= sent);
         }
-        let losing = self.losing().is_some();
+        let losing = self.loss_age_factor().is_some();
         let mut over = Vec::new();
         for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
-            let usual = self.usual(r.class);
+            let usual = self.expected_latency(r.class);
             // A client whose request nobody has seen is told before half of its time is over.
-            let unseen = r.sent.iter().all(|s| s.not_executed);
-            let late_pays = self.cfg.classes[r.class].late_weight_fraction > 0.0 && !unseen;
-            let half = r.came + (r.deadline - r.came).times(0.5) + usual - self.cfg.min_timer_interval;
-            let last_start = if late_pays { r.deadline } else { r.aim.min(half) };
-            let old = |s: &Sent| losing && now >= s.at + self.quiet(r.class);
-            let ill = |s: &Sent| self.peers.get(&s.to.id).is_none_or(|p| p.ejected.is_some());
-            let lost = |s: &Sent| s.out && (ill(s) || old(s));
-            let lost = r.out() && r.sent.iter().all(|s| !s.out || lost(s));
+            let unseen = r.attempts.iter().all(|s| s.not_executed);
+            let late_pays = self.config.classes[r.class].late_weight_fraction > 0.0 && !unseen;
+            let half = r.arrived_at + (r.deadline - r.arrived_at).times(0.5) + usual
+                - self.config.min_timer_interval;
+            let last_start = if late_pays { r.deadline } else { r.objective_at.min(half) };
+            let old = |s: &Attempt| losing && now >= s.sent_at + self.lost_after(r.class);
+            let ill =
+                |s: &Attempt| self.backends.get(&s.backend.id).is_none_or(|p| p.ejected_until.is_some());
+            let lost = |s: &Attempt| s.in_flight && (ill(s) || old(s));
+            let lost = r.has_attempt_in_flight() && r.attempts.iter().all(|s| !s.in_flight || lost(s));
             // The deadline's own tick would be too late to answer; a request that was held so long
             // that it cannot make it is refused while that is still harmless.
-            let last_start = if r.out() { r.deadline } else { last_start.min(r.deadline) };
-            let margin =
-                if r.out() { self.cfg.min_timer_interval } else { usual.max(self.cfg.min_timer_interval) };
+            let last_start = if r.has_attempt_in_flight() { r.deadline } else { last_start.min(r.deadline) };
+            let margin = if r.has_attempt_in_flight() {
+                self.config.min_timer_interval
+            } else {
+                usual.max(self.config.min_timer_interval)
+            };
             if now + margin >= last_start {
                 over.push(id);
             } else if lost
-                && (now + usual < r.aim || late_pays && now + usual < r.deadline)
-                && shared.extra >= 1.0
+                && (now + usual < r.objective_at || late_pays && now + usual < r.deadline)
+                && shared.saved_retries >= 1.0
             {
                 // Age alone is a reason only where answers are lost: copies of merely heavy requests crowd
                 // every backend.
-                if self.cfg.hedging {
-                    if self.may_send(now, r) && !self.held.contains(&id) {
-                        self.held.push(id);
+                if self.config.hedging {
+                    if self.may_send_attempt(now, r) && !self.queued.contains(&id) {
+                        self.queued.push(id);
                     }
-                } else if self.cfg.may_cancel_attempts
-                    && self.cfg.classes[r.class].idempotency != Idempotency::NonIdempotent
+                } else if self.config.may_cancel_attempts
+                    && self.config.classes[r.class].idempotency != Idempotency::NonIdempotent
                 {
                     // Where no copy may run beside it, it is called back to make way for the next.
                     self.actions.push(Action::Cancel {
                         request: id,
-                        attempt: AttemptNumber(r.sent.len() as u32 - 1),
+                        attempt: AttemptNumber(r.attempts.len() as u32 - 1),
                     });
                 }
             }
             next = next.min(last_start - margin);
         }
-        self.look_at = next.max(now + self.cfg.min_timer_interval);
+        self.next_timer_at = next.max(now + self.config.min_timer_interval);
         over.into_iter().for_each(|id| self.give_up(now, id, GiveUpReason::OutOfTime));
     }
 
     /// What a served request of the class usually takes; before any was served, a quarter of its aim.
-    pub(super) fn usual(&self, class: usize) -> Micros {
-        let known = self.classes[class].latency.get();
-        known.map_or(self.cfg.classes[class].latency_objective.times(0.25), Micros::from_secs)
+    pub(super) fn expected_latency(&self, class: usize) -> Micros {
+        let known = self.class_latencies[class].latency.mean();
+        known.map_or(self.config.classes[class].latency_objective.times(0.25), Micros::from_secs)
     }
 
     /// The age, in usual times, from which most attempts are never answered.
-    pub(super) fn losing(&self) -> Option<f64> {
-        self.answered.iter().find(|(_, answered)| answered.value < 0.5).map(|(age, _)| *age)
+    pub(super) fn loss_age_factor(&self) -> Option<f64> {
+        self.answered_fraction_by_age.iter().find(|(_, answered)| answered.value < 0.5).map(|(age, _)| *age)
     }
 
     /// An attempt older than this is taken for lost.
-    pub(super) fn quiet(&self, class: usize) -> Micros {
-        self.usual(class).times(self.losing().unwrap_or(SILENT_AFTER))
+    pub(super) fn lost_after(&self, class: usize) -> Micros {
+        self.expected_latency(class).times(self.loss_age_factor().unwrap_or(SILENT_AFTER))
     }
 }
