--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/loads.rs
@@ -11,43 +11,43 @@
 use std::collections::BTreeMap;
 
 /// A longer latency is not believed, ms.
-const LATENCY_MOST_MS: f64 = 60_000.0;
+const MAX_REPORTED_LATENCY_MS: f64 = 60_000.0;
 /// The fleet's mean counts a backend with so many times the hold at most: one that lies or is choked moves it by
 /// its part of that.
-const MEAN_MOST: f64 = 2.0;
+const MAX_SAMPLE_OVER_TARGET: f64 = 2.0;
 /// So many backends have to have said something, and half of those in use.
-const TOLD_FEW: f64 = 12.0;
+const MIN_LIST_SAMPLES: f64 = 12.0;
 /// ... or so many in answers to this proxy: those that it uses.
-const ANSWERS_FEW: f64 = 3.0;
+const MIN_RESPONSE_SAMPLES: f64 = 3.0;
 /// By such a factor list and answers differ by chance.
-const LIST_OFF: f64 = 1.6;
+const MAX_LIST_DEVIATION: f64 = 1.6;
 /// So long after the last word, s, pools are still taken for ones whose backends speak.
-const SPOKEN_FOR: f64 = 30.0;
+const REPORTING_TIMEOUT_S: f64 = 30.0;
 /// A shared processor that holds m is busy m / (1 + m) of the time. What is let in moves towards the part at which
 /// that would be as wanted, by so many times the step a second: news is a second or two old.
-const ADMIT_GAIN: f64 = 4.0;
+const ADMISSION_GAIN_PER_S: f64 = 4.0;
 /// It comes back by itself so fast where nothing is heard any more, a second.
-const ADMIT_BACK: f64 = 0.5;
+const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
 /// However full all say they are, this part is let in: they may be wrong.
-const ADMIT_LEAST: f64 = 0.4;
+const MIN_ADMITTED_FRACTION: f64 = 0.4;
 /// This part of the range turns away only what is worth little.
-const ADMIT_LOW: f64 = 0.25;
+const LOW_PRIORITY_RANGE: f64 = 0.25;
 /// A backend's part changes so fast when it holds twice what the others do, a second.
-const BEAR_PACE: f64 = 0.5;
+const REBALANCING_RATE_PER_S: f64 = 0.5;
 /// ... between these parts.
-const BEAR_LEAST: f64 = 0.1;
-const BEAR_MOST: f64 = 1.2;
+const MIN_REBALANCING_FACTOR: f64 = 0.1;
+const MAX_REBALANCING_FACTOR: f64 = 1.2;
 /// However much it holds, so much of that is left at once.
-const EASE_LEAST: f64 = 0.2;
+const MIN_LOAD_FACTOR: f64 = 0.2;
 /// This proxy's part of all traffic is learned over so long, s: what goes unanswered here for a while says nothing
 /// of it ...
-const PART_MEMORY: f64 = 15.0;
+const FLEET_SIZE_WINDOW_S: f64 = 15.0;
 /// ... at first over this, s: what was told is a guess.
-const PART_FIRST: f64 = 2.0;
+const INITIAL_FLEET_SIZE_WINDOW_S: f64 = 2.0;
 /// ... and is so many times an even one at most, ...
-const PART_MOST: f64 = 4.0;
+const MAX_FLEET_SHRINK_FACTOR: f64 = 4.0;
 /// ... or one part in so many at least.
-const PART_LEAST: f64 = 2.0;
+const MAX_FLEET_GROWTH_FACTOR: f64 = 2.0;
 
 /// What is made of it for the fleet.
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
     /// The backend's own word.
     pub fn record_report(&mut self, now: Time, p: &mut BackendStats, report: &LoadReport) {
         // Nothing served lately reads as no time at all.
-        if let Some(ms) = report.latency_ms.filter(|ms| *ms > 0.0 && *ms <= LATENCY_MOST_MS) {
+        if let Some(ms) = report.latency_ms.filter(|ms| *ms > 0.0 && *ms <= MAX_REPORTED_LATENCY_MS) {
             p.reported_load.latency_s = Some((ms / 1e3, now));
         }
         if let Some(held) = report.in_flight {
@@ -116,7 +116,7 @@
             (MovingAverage::default(), MovingAverage::default(), (0.0, 0.0));
         for p in peers.filter(|p| p.entry.state == BackendState::Ready && p.ejected_until.is_none()) {
             used += 1.0;
-            let cut = |said: LoadSample| said.latest.min(hold * MEAN_MOST);
+            let cut = |said: LoadSample| said.latest.min(hold * MAX_SAMPLE_OVER_TARGET);
             let (l, a) = (p.reported_load.in_list.if_fresh(now), p.reported_load.in_responses.if_fresh(now));
             if let Some(said) = l {
                 list.record(cut(said), f64::MAX);
@@ -132,42 +132,46 @@
         let gap = self.aggregated_at.map_or(0.0, |at| (now - at).secs().min(1.0));
         self.aggregated_at = Some(now);
         // A list that came late tells what is past: those that answered here show by how much it is off.
-        let off = if answers.count < ANSWERS_FEW { 1.0 } else { (both.1 + hold) / (both.0 + hold) };
-        let late = !(1.0 / LIST_OFF..LIST_OFF).contains(&off);
-        self.mean_in_flight_per_core = if list.count >= TOLD_FEW && list.count * 2.0 >= used && !late {
+        let off = if answers.count < MIN_RESPONSE_SAMPLES { 1.0 } else { (both.1 + hold) / (both.0 + hold) };
+        let late = !(1.0 / MAX_LIST_DEVIATION..MAX_LIST_DEVIATION).contains(&off);
+        self.mean_in_flight_per_core = if list.count >= MIN_LIST_SAMPLES && list.count * 2.0 >= used && !late
+        {
             Some(list.value)
-        } else if answers.count >= ANSWERS_FEW {
+        } else if answers.count >= MIN_RESPONSE_SAMPLES {
             Some(answers.value)
         } else {
             None
         };
         let Some(mean) = self.mean_in_flight_per_core else {
             // Nobody says anything: what was let in by old news is not held on to.
-            self.admitted = (self.admitted * (gap * ADMIT_BACK).exp()).min(1.0);
+            self.admitted = (self.admitted * (gap * ADMISSION_RECOVERY_PER_S).exp()).min(1.0);
             return;
         };
         (self.last_aggregate_at, self.interval_s) = (Some(now), gap);
-        if list.count >= TOLD_FEW && list.count * 2.0 >= used && !late {
+        if list.count >= MIN_LIST_SAMPLES && list.count * 2.0 >= used && !late {
             self.learn_fleet_size(gap, held * used / list.count, own, f64::from(proxies));
         }
         let busy = |held: f64| held.max(0.1) / (1.0 + held.max(0.1));
-        let step = (busy(hold) / busy(mean)).powf(ADMIT_GAIN * gap);
-        self.admitted = (self.admitted * step).clamp(ADMIT_LEAST, 1.0);
+        let step = (busy(hold) / busy(mean)).powf(ADMISSION_GAIN_PER_S * gap);
+        self.admitted = (self.admitted * step).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
     /// What all hold over what this one has there.
     fn learn_fleet_size(&mut self, gap: f64, all: f64, own: Option<f64>, proxies: f64) {
         let fleet = own.filter(|own| *own > 0.0).map_or(proxies, |own| all / own);
-        let fleet = fleet.clamp(proxies / PART_MOST, proxies * PART_LEAST).max(1.0);
+        let fleet =
+            fleet.clamp(proxies / MAX_FLEET_SHRINK_FACTOR, proxies * MAX_FLEET_GROWTH_FACTOR).max(1.0);
         // Own and all are counted over different seconds: a slow mean of the two, quicker at first.
         self.fleet_size_learned_s += gap;
-        let step = 1.0 - (-gap / self.fleet_size_learned_s.clamp(PART_FIRST, PART_MEMORY)).exp();
+        let step = 1.0
+            - (-gap / self.fleet_size_learned_s.clamp(INITIAL_FLEET_SIZE_WINDOW_S, FLEET_SIZE_WINDOW_S))
+                .exp();
         self.fleet_size *= (fleet / self.fleet_size).powf(step);
     }
 
     /// Backends have spoken of their load not long ago, even if nothing new is heard just now.
     pub fn is_reporting(&self, now: Time) -> bool {
-        self.last_aggregate_at.is_some_and(|at| (now - at).secs() < SPOKEN_FOR)
+        self.last_aggregate_at.is_some_and(|at| (now - at).secs() < REPORTING_TIMEOUT_S)
     }
 
     /// The list says how fast a backend of some kind is.
@@ -183,9 +187,9 @@
     /// The part that is let in of requests that are worth much, or little.
     pub fn admitted_fraction(&self, low: bool) -> f64 {
         if low {
-            ((self.admitted - (1.0 - ADMIT_LOW)) / ADMIT_LOW).max(0.0)
+            ((self.admitted - (1.0 - LOW_PRIORITY_RANGE)) / LOW_PRIORITY_RANGE).max(0.0)
         } else {
-            (self.admitted / (1.0 - ADMIT_LOW)).min(1.0)
+            (self.admitted / (1.0 - LOW_PRIORITY_RANGE)).min(1.0)
         }
     }
 
@@ -198,14 +202,15 @@
             let Some(held) = p.reported_load.in_flight_per_core(now) else { continue };
             let off = ((held - wanted) / wanted).clamp(-1.0, 1.0);
             let bears = p.reported_load.rebalancing_factor.unwrap_or(1.0)
-                * (-off * BEAR_PACE * self.interval_s).exp();
-            let bears = bears.clamp(BEAR_LEAST, BEAR_MOST);
+                * (-off * REBALANCING_RATE_PER_S * self.interval_s).exp();
+            let bears = bears.clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
             p.reported_load.rebalancing_factor = Some(bears);
             sum = (sum.0 + bears, sum.1 + 1.0);
         }
         // A part of what all bear: a kind that is fuller than the others gets less, however fast it is taken to be.
         for bears in peers.values_mut().filter_map(|p| p.reported_load.rebalancing_factor.as_mut()) {
-            *bears = (*bears * sum.1 / f64::max(sum.0, 1e-9)).clamp(BEAR_LEAST, BEAR_MOST);
+            *bears = (*bears * sum.1 / f64::max(sum.0, 1e-9))
+                .clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
         }
     }
 
@@ -217,7 +222,7 @@
         let held = self
             .mean_in_flight_per_core
             .and_then(|mean| Some((mean, p.reported_load.in_flight_per_core(now)?)));
-        let now = held.map_or(1.0, |(mean, held)| ((1.0 + mean) / (1.0 + held)).clamp(EASE_LEAST, 1.0));
+        let now = held.map_or(1.0, |(mean, held)| ((1.0 + mean) / (1.0 + held)).clamp(MIN_LOAD_FACTOR, 1.0));
         p.reported_load.rebalancing_factor.filter(|_| spoken).unwrap_or(1.0) * now
     }
 }
--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/rules.rs
@@ -26,57 +26,57 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shares are solved this often, s: far faster than the rate's memory.
-const SOLVE_EVERY: f64 = 0.1;
+const RECOMPUTE_INTERVAL_S: f64 = 0.1;
 /// ... but not before so many requests have come, and a quota holds as many: fewer are chance alone.
-const FEW: f64 = 5.0;
+const MIN_RATE_SAMPLES: f64 = 5.0;
 /// Where a proxy alone has no room to count, memory of what it holds, s: at most, and in its own requests,
 /// where no backend speaks. What hung in a cut is forgotten as soon as others come back.
-const CROWD_MEMORY: f64 = 5.0;
-const CROWD_SAMPLES: f64 = 150.0;
+const IN_FLIGHT_WINDOW_S: f64 = 5.0;
+const IN_FLIGHT_WINDOW_REQUESTS: f64 = 150.0;
 /// Memory of the arrival rate and of a tenant's quota, s: short beside a ramp or a failure.
-const RATE_MEMORY: f64 = 2.0;
+const RATE_WINDOW_S: f64 = 2.0;
 /// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
-const KIND_SAMPLES: f64 = 100.0;
+const LATENCY_SAMPLES: f64 = 100.0;
 /// ... and where backends say themselves how long they take: each speaks of many requests.
-const TOLD_SAMPLES: f64 = 30.0;
+const REPORTED_LATENCY_SAMPLES: f64 = 30.0;
 /// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
 /// only, as a backend takes few and each costs it. The load of so many still evens out, to a fifth of one's.
-const SHARED_BY: f64 = 20.0;
+const PROXIES_PER_BACKEND: f64 = 20.0;
 /// ... and where backends say what they hold: each proxy has one request there, so the number is a bound
 /// on what one holds, kept without a word between proxies and below what makes one slow.
-const SHARED_TOLD: f64 = 6.0;
+const PROXIES_PER_REPORTING_BACKEND: f64 = 6.0;
 /// Requests that all proxies together hold on one backend: a shared processor at four fifths of its
 /// capacity holds four on average; more only makes every one of them later.
-const HOLD: f64 = 4.0;
+const TARGET_IN_FLIGHT_PER_CORE: f64 = 4.0;
 /// ... and this in the mean of all, where they say what they hold: the fullest hold far more than the mean.
-const HOLD_ALL: f64 = 2.2;
+const TARGET_MEAN_IN_FLIGHT_PER_CORE: f64 = 2.2;
 /// Where they say that they hold little, the own view may be so many times over its limit.
-const SLACK: f64 = 4.0;
+const MAX_OVERLOAD_SLACK: f64 = 4.0;
 /// Error share from which a backend is ejected: four errors close together reach it. InvalidResponse answers and
 /// broken connections come from all alike, a few in a hundred: two are chance.
-const ERROR_LIMIT: f64 = 0.3;
+const MAX_ERROR_RATE: f64 = 0.3;
 /// Weight of the newest outcome in a backend's error share.
-const ERROR_STEP: f64 = 0.1;
+const ERROR_RATE_STEP: f64 = 0.1;
 /// An attempt this many times older than usual is taken for lost: it holds no room any more. Two of them,
 /// with no later answer, mark silence; one may be an answer that never comes.
-const SILENT_AFTER: f64 = 8.0;
+const SILENCE_AGE_FACTOR: f64 = 8.0;
 /// ... or so many times, while most that are as old as this are never answered.
-const LOST_AFTER: f64 = 2.5;
+const LOSS_AGE_FACTOR: f64 = 2.5;
 /// Attempts of that age that tell whether most are answered.
-const OLD_SAMPLES: f64 = 30.0;
+const OVERDUE_SAMPLES: f64 = 30.0;
 /// First term of an ejection, s; it doubles with each failed return, twice at most.
-const EJECT_TERM: f64 = 1.0;
+const BASE_EJECTION_S: f64 = 1.0;
 /// Good trials before an ejected backend is trusted again.
-const TRIALS: u32 = 3;
+const PROBES_TO_RECOVER: u32 = 3;
 /// Ejected backends beyond half of the fleet are used after all: then it is not they who are ill.
-const PANIC: f64 = 0.5;
+const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// BackendClassStats of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
-const FALL_MARGIN: f64 = 0.8;
+const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
 /// Extra attempts for each request: the usual tenth, doubled for the time until a failure is seen, and once
 /// more while answers are lost.
-const RETRY_RATIO: f64 = 0.2;
+const RETRY_BUDGET_RATIO: f64 = 0.2;
 /// A request worth less than this part of a first try within quota finds half of the room: the rest is kept.
-const LOW: f64 = 0.5;
+const LOW_PRIORITY: f64 = 0.5;
 
 /// The decisions of one pool. Give it every event in order; it answers with actions.
 #[derive(Clone, Debug)]
@@ -139,15 +139,15 @@
             queued: Vec::new(),
             blocked_below: 0.0,
             in_flight_attempts: BTreeMap::new(),
-            arrival_rate: DecayingRate::new(RATE_MEMORY),
-            in_flight_level: DecayingRate::new(CROWD_MEMORY),
-            service_time_rate: DecayingRate::new(CROWD_MEMORY),
+            arrival_rate: DecayingRate::new(RATE_WINDOW_S),
+            in_flight_level: DecayingRate::new(IN_FLIGHT_WINDOW_S),
+            service_time_rate: DecayingRate::new(IN_FLIGHT_WINDOW_S),
             load_reports: LoadReports::new(cfg.proxies),
             zone_reachability: ZoneReachability::default(),
             reachable_fraction: 1.0,
             lost_to_unreachable_zones: 0,
-            answered_fraction_by_age: [LOST_AFTER, SILENT_AFTER]
-                .map(|age| (age, MovingAverage { value: 1.0, count: FEW })),
+            answered_fraction_by_age: [LOSS_AGE_FACTOR, SILENCE_AGE_FACTOR]
+                .map(|age| (age, MovingAverage { value: 1.0, count: MIN_RATE_SAMPLES })),
             median_error_rate: 0.0,
             recompute_at: Time(0),
             next_timer_at: Time(0),
@@ -225,7 +225,7 @@
 
     /// So many proxies that one has no room to count at a backend: what the others hold there is to be heard.
     fn is_large_fleet(&self) -> bool {
-        f64::from(self.config.proxies) > HOLD
+        f64::from(self.config.proxies) > TARGET_IN_FLIGHT_PER_CORE
     }
 
     /// Puts another configuration in place. Classes and tenants keep their numbers; new ones may follow them.
@@ -270,9 +270,11 @@
             return;
         }
         self.arrival_rate.record(now, 1.0);
-        let ratio = RETRY_RATIO * if self.loss_age_factor().is_some() { 2.0 } else { 1.0 };
-        shared.deposit(now, ratio, ratio * KIND_SAMPLES, self.config.proxies);
-        shared.tenant_quotas.resize(self.config.tenants.len(), TokenBucket::new(RATE_MEMORY, FEW));
+        let ratio = RETRY_BUDGET_RATIO * if self.loss_age_factor().is_some() { 2.0 } else { 1.0 };
+        shared.deposit(now, ratio, ratio * LATENCY_SAMPLES, self.config.proxies);
+        shared
+            .tenant_quotas
+            .resize(self.config.tenants.len(), TokenBucket::new(RATE_WINDOW_S, MIN_RATE_SAMPLES));
         let tenant =
             new.tenant.and_then(|t| self.config.tenants.get(t.0).zip(shared.tenant_quotas.get_mut(t.0)));
         let part = |t: &Tenant| t.quota_per_s / self.load_reports.fleet_size();
--- a/crates/balancer/src/rules/admission.rs
+++ b/crates/balancer/src/rules/admission.rs
@@ -8,21 +8,24 @@
     /// the others to be like itself. With load / (1 - load) held, twice the hold is a load of eight ninths,
     /// half of it two thirds. Turned away at once does no harm; waiting here would make no room.
     pub(super) fn is_overloaded(&self, value: f64, luck: f64) -> bool {
-        if luck > self.load_reports.admitted_fraction(value < LOW) {
+        if luck > self.load_reports.admitted_fraction(value < LOW_PRIORITY) {
             return true;
         }
-        let limit = if value < LOW { HOLD / 2.0 } else { HOLD * 2.0 };
+        let limit = if value < LOW_PRIORITY {
+            TARGET_IN_FLIGHT_PER_CORE / 2.0
+        } else {
+            TARGET_IN_FLIGHT_PER_CORE * 2.0
+        };
         // What all say they hold goes before the guess that they are like this one. Where none does, answers
         // speak for low worth: with m held one takes 1 + m times its least, by `usual` a quarter of the aim.
         let each = self.config.classes.iter().zip(&self.class_latencies);
         let slow =
             each.filter_map(|(c, s)| Some(s.latency.mean()? / (c.latency_objective.secs() * 0.25) - 1.0));
-        let slow = slow.reduce(f64::max).filter(|_| value < LOW && !self.config.weights_report_load);
-        let slack = self
-            .load_reports
-            .mean_in_flight_per_core
-            .or(slow)
-            .map_or(1.0, |m| (HOLD_ALL / m.max(0.1)).clamp(1.0, SLACK));
+        let slow = slow.reduce(f64::max).filter(|_| value < LOW_PRIORITY && !self.config.weights_report_load);
+        let slack =
+            self.load_reports.mean_in_flight_per_core.or(slow).map_or(1.0, |m| {
+                (TARGET_MEAN_IN_FLIGHT_PER_CORE / m.max(0.1)).clamp(1.0, MAX_OVERLOAD_SLACK)
+            });
         let held = self.in_flight_level.per_second().unwrap_or(0.0)
             * self.load_reports.fleet_size()
             * self.reachable_fraction;
@@ -78,8 +81,11 @@
                 Some(_) if self.draining => !r.has_attempt_in_flight(),
                 Some(_) => {
                     if !again {
-                        self.blocked_below =
-                            self.blocked_below.max(if r.priority < LOW { LOW } else { f64::MAX });
+                        self.blocked_below = self.blocked_below.max(if r.priority < LOW_PRIORITY {
+                            LOW_PRIORITY
+                        } else {
+                            f64::MAX
+                        });
                     }
                     self.queued.push(id);
                     false
--- a/crates/balancer/src/rules/draw.rs
+++ b/crates/balancer/src/rules/draw.rs
@@ -24,7 +24,7 @@
         for p in self.backends.values().filter(|p| p.health > 0.0) {
             (all, shunned) = (all + 1.0, shunned + f64::from(p.is_ejected_for_class(now, r.class)));
         }
-        let heed = shunned <= all * PANIC;
+        let heed = shunned <= all * MAX_EJECTED_FRACTION;
         let mut open: Vec<(BackendId, ServerTypeId, f64)> = Vec::new();
         let (mut listed, mut able) = (false, false);
         for (&b, p) in &self.backends {
@@ -54,8 +54,11 @@
                 }
             } else if p.health > 0.0 {
                 // Never overfill: a crowded backend slows for long, so a full one is drawn again.
-                let room =
-                    if r.priority < LOW { (p.concurrency_limit / 2.0).ceil() } else { p.concurrency_limit };
+                let room = if r.priority < LOW_PRIORITY {
+                    (p.concurrency_limit / 2.0).ceil()
+                } else {
+                    p.concurrency_limit
+                };
                 if f64::from(p.in_flight.saturating_sub(p.suspected_lost)) < room {
                     open.push((b, p.entry.server_type, p.subset_weight + p.selection_weight * 1e-6));
                     // the rest: a last resort
--- a/crates/balancer/src/rules/ejection.rs
+++ b/crates/balancer/src/rules/ejection.rs
@@ -15,12 +15,12 @@
         &mut self, now: Time, id: BackendId, class: usize, sent: Time, end: &AttemptEnd,
     ) {
         let (usual, quiet) = (self.expected_latency(class), self.lost_after(class));
-        let silent = usual.times(SILENT_AFTER);
+        let silent = usual.times(SILENCE_AGE_FACTOR);
         for (age, answered) in &mut self.answered_fraction_by_age {
             match end.outcome {
                 _ if now < sent + usual.times(*age) => {}
-                Outcome::Ok | Outcome::Error => answered.record(1.0, OLD_SAMPLES),
-                Outcome::TimedOut | Outcome::Cancelled => answered.record(0.0, OLD_SAMPLES),
+                Outcome::Ok | Outcome::Error => answered.record(1.0, OVERDUE_SAMPLES),
+                Outcome::TimedOut | Outcome::Cancelled => answered.record(0.0, OVERDUE_SAMPLES),
                 _ => {}
             }
         }
@@ -45,26 +45,26 @@
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
                 let secs = end.latency.secs().max(1e-6);
                 self.service_time_rate.record(now, secs);
-                self.class_latencies[class].latency.record(secs, KIND_SAMPLES);
-                self.overall_latency.record(secs, KIND_SAMPLES);
+                self.class_latencies[class].latency.record(secs, LATENCY_SAMPLES);
+                self.overall_latency.record(secs, LATENCY_SAMPLES);
                 let plain = secs * self.overall_latency.value / self.class_latencies[class].latency.value;
                 let kind = self.server_types.entry(p.entry.server_type).or_default();
                 // A backend's own mean is over many more than this proxy's.
                 let (secs, cap) = p
                     .reported_load
                     .fresh_latency_s(now)
-                    .map_or((plain, KIND_SAMPLES), |own| (own, TOLD_SAMPLES));
+                    .map_or((plain, LATENCY_SAMPLES), |own| (own, REPORTED_LATENCY_SAMPLES));
                 kind.latency.record(secs, cap);
                 // Of the same answers: a kind that gets less is not taken for as slow as it was before.
                 kind.arrival_rate_when_served.record(kind.arrival_rate, cap);
-                (p.last_response_at, p.error_rate) = (now, p.error_rate * (1.0 - ERROR_STEP));
+                (p.last_response_at, p.error_rate) = (now, p.error_rate * (1.0 - ERROR_RATE_STEP));
                 let part = p.class_mut(class);
-                (part.last_response_at, part.error_rate) = (now, part.error_rate * (1.0 - ERROR_STEP));
+                (part.last_response_at, part.error_rate) = (now, part.error_rate * (1.0 - ERROR_RATE_STEP));
                 (part.consecutive_rejections, part.consecutive_ejections) = (0, 0);
                 p.successful_probes += 1;
                 if p.ejected_until.is_none() {
                     p.consecutive_ejections = 0;
-                } else if p.successful_probes >= TRIALS {
+                } else if p.successful_probes >= PROBES_TO_RECOVER {
                     (p.ejected_until, p.error_rate) = (None, 0.0);
                     p.by_class.clear();
                     self.recount_eligible();
@@ -78,7 +78,7 @@
                 let wait = usual
                     .times(f64::from(part.consecutive_rejections.min(4)).exp2())
                     .secs()
-                    .min(EJECT_TERM / 2.0);
+                    .min(BASE_EJECTION_S / 2.0);
                 (part.backoff_until, part.consecutive_rejections) =
                     (now + Micros::from_secs(wait), part.consecutive_rejections + 1);
             }
@@ -93,17 +93,17 @@
             Outcome::TimedOut if p.class_mut(class).last_response_at >= sent => {}
             Outcome::TimedOut if p.last_response_at < sent => self.eject(now, id, end.outcome),
             Outcome::Error | Outcome::Reset | Outcome::ConnectFailed | Outcome::TimedOut => {
-                let bump = |errors: &mut f64| *errors += (1.0 - *errors) * ERROR_STEP;
+                let bump = |errors: &mut f64| *errors += (1.0 - *errors) * ERROR_RATE_STEP;
                 bump(&mut p.error_rate);
                 bump(&mut p.class_mut(class).error_rate);
                 if end.outcome == Outcome::Error {
                     (p.last_response_at, p.class_mut(class).last_response_at) = (now, now);
                 }
-                let limit = ERROR_LIMIT + 2.0 * self.median_error_rate;
+                let limit = MAX_ERROR_RATE + 2.0 * self.median_error_rate;
                 // Where another class was served just now, it is this one only.
                 let good = |p: &BackendClassStats| {
-                    p.error_rate < ERROR_STEP / 2.0
-                        && now < p.last_response_at + Micros::from_secs(EJECT_TERM)
+                    p.error_rate < ERROR_RATE_STEP / 2.0
+                        && now < p.last_response_at + Micros::from_secs(BASE_EJECTION_S)
                 };
                 let all_ill = p.error_rate > limit && !p.by_class.iter().any(good);
                 if p.ejected_until.is_some() || all_ill {
@@ -120,7 +120,7 @@
         let Some(p) = self.backends.get_mut(&id) else { return };
         let part = p.class_mut(class);
         if now >= part.ejected_until {
-            let term = EJECT_TERM * f64::from(part.consecutive_ejections.min(2)).exp2();
+            let term = BASE_EJECTION_S * f64::from(part.consecutive_ejections.min(2)).exp2();
             (part.ejected_until, part.consecutive_ejections) =
                 (now + Micros::from_secs(term), part.consecutive_ejections + 1);
             self.log(now, format!("backend {} gets none of class {class}", id.0));
@@ -128,7 +128,7 @@
     }
 
     pub(super) fn eject(&mut self, now: Time, id: BackendId, why: Outcome) {
-        let term = EJECT_TERM * (0.75 + 0.5 * self.rng.next_unit());
+        let term = BASE_EJECTION_S * (0.75 + 0.5 * self.rng.next_unit());
         let Some(p) = self.backends.get_mut(&id) else { return };
         if p.ejected_until.is_none_or(|until| now >= until) {
             p.ejected_until =
--- a/crates/balancer/src/rules/retry.rs
+++ b/crates/balancer/src/rules/retry.rs
@@ -51,8 +51,11 @@
         self.give_up_counts.add(reason);
         // By then what is out now has made room, or an ejected backend is tried again.
         let ready = self.server_types.values().any(|k| k.total_health > 0.0);
-        let retry_after =
-            if ready { self.expected_latency(r.class).times(2.0) } else { Micros::from_secs(EJECT_TERM) };
+        let retry_after = if ready {
+            self.expected_latency(r.class).times(2.0)
+        } else {
+            Micros::from_secs(BASE_EJECTION_S)
+        };
         // A client that is told in whole seconds comes back that much later.
         let back = now + Micros::from_secs(retry_after.secs().ceil());
         let dropped = |s: &Attempt| match self.config.classes[r.class].idempotency {
--- a/crates/balancer/src/rules/shares.rs
+++ b/crates/balancer/src/rules/shares.rs
@@ -30,8 +30,9 @@
 impl Balancer {
     /// Readiness of every backend, speed and share of every kind.
     pub(super) fn recompute_weights(&mut self, now: Time) {
-        let few = FEW / self.arrival_rate.per_second().unwrap_or(FEW / SOLVE_EVERY).max(1.0);
-        self.recompute_at = now + Micros::from_secs(SOLVE_EVERY.max(few));
+        let few = MIN_RATE_SAMPLES
+            / self.arrival_rate.per_second().unwrap_or(MIN_RATE_SAMPLES / RECOMPUTE_INTERVAL_S).max(1.0);
+        self.recompute_at = now + Micros::from_secs(RECOMPUTE_INTERVAL_S.max(few));
         self.blocked_below = 0.0;
         let listed = || self.backends.values().filter(|p| p.entry.state == BackendState::Ready);
         let reached =
@@ -56,16 +57,16 @@
                 self.backends.values(),
                 self.config.proxies,
                 self.service_time_rate.per_second(),
-                HOLD_ALL,
+                TARGET_MEAN_IN_FLIGHT_PER_CORE,
             );
-            self.load_reports.rebalance(now, &mut self.backends, HOLD_ALL);
+            self.load_reports.rebalance(now, &mut self.backends, TARGET_MEAN_IN_FLIGHT_PER_CORE);
         }
         self.server_types.values_mut().for_each(|k| (k.total_health, k.healthy_cores) = (0.0, 0.0));
         for p in self.backends.values_mut() {
             let k = self.server_types.entry(p.entry.server_type).or_default();
             let health = match p.ejected_until {
                 _ if p.entry.state != BackendState::Ready || cut(p.entry.zone) => 0.0,
-                Some(_) => f64::from(out > all * PANIC),
+                Some(_) => f64::from(out > all * MAX_EJECTED_FRACTION),
                 None => 1.0 - p.error_rate,
             };
             p.health = health * warmth(&self.config, now, &p.entry) * self.load_reports.load_factor(now, p);
@@ -79,8 +80,8 @@
             * self.load_reports.admitted_fraction(false);
         let rate = self.arrival_rate.per_second().map(|r| r * carried);
         let told = self.load_reports.is_reporting(now);
-        let own = CROWD_SAMPLES / self.arrival_rate.per_second().unwrap_or(1.0).max(1e-3);
-        self.in_flight_level.set_memory(if told { CROWD_MEMORY } else { own }, CROWD_MEMORY);
+        let own = IN_FLIGHT_WINDOW_REQUESTS / self.arrival_rate.per_second().unwrap_or(1.0).max(1e-3);
+        self.in_flight_level.set_memory(if told { IN_FLIGHT_WINDOW_S } else { own }, IN_FLIGHT_WINDOW_S);
         for k in self.server_types.values_mut() {
             let flow = if k.total_health > 0.0 {
                 rate.unwrap_or(0.0) * k.traffic_share / k.total_health
@@ -145,7 +146,7 @@
             let turn = p.entry.stable_hash.wrapping_add(u64::from(self.config.position));
             let coin =
                 ((turn % u64::from(self.config.proxies)) as f64 + 0.5) / f64::from(self.config.proxies);
-            let fair = HOLD / fleet * p.health * f64::from(p.entry.cores);
+            let fair = TARGET_IN_FLIGHT_PER_CORE / fleet * p.health * f64::from(p.entry.cores);
             p.concurrency_limit = (fair * (0.5 + 0.5 * bias) + coin).floor().max(1.0);
             // The trace takes the overflow where all that have a part are full.
             let drawn = part(&self.server_types, p) * bias;
@@ -157,7 +158,7 @@
         }
         // This proxy's slice of each kind: the same width for all, begun at evenly spread places, so that all
         // slices together cover every backend by its pull.
-        let shared = if told { SHARED_TOLD } else { SHARED_BY };
+        let shared = if told { PROXIES_PER_REPORTING_BACKEND } else { PROXIES_PER_BACKEND };
         let width = (shared / fleet * self.backends.len() as f64 / reached.max(1.0)).min(1.0);
         let start = (f64::from(self.config.position) * 0.618_033_988_749_895).fract();
         for id in &self.hash_order {
--- a/crates/balancer/src/rules/slow_start.rs
+++ b/crates/balancer/src/rules/slow_start.rs
@@ -33,6 +33,6 @@
             .sum();
         let all =
             self.config.overload_multiple * warmth * speed * self.config.overload_window.secs() / proxies;
-        (all * FALL_MARGIN).max(1.0) - spent
+        (all * SLOW_START_SAFETY_FACTOR).max(1.0) - spent
     }
 }
--- a/crates/balancer/src/rules/timers.rs
+++ b/crates/balancer/src/rules/timers.rs
@@ -5,7 +5,7 @@
 impl Balancer {
     /// What time alone brings about, and when to look again.
     pub(super) fn run_timers(&mut self, now: Time, shared: &SharedLimits) {
-        let mut next = now + Micros::from_secs(CROWD_MEMORY); // nothing else may be due
+        let mut next = now + Micros::from_secs(IN_FLIGHT_WINDOW_S); // nothing else may be due
         if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.discovery_poll.0, self.config.discovery) {
             if now >= at {
                 self.discovery_poll.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
@@ -19,8 +19,10 @@
         }
         self.lost_to_unreachable_zones = 0;
         for &InFlightAttempt { backend, class, sent_at: sent } in self.in_flight_attempts.values() {
-            let (lost, silent) =
-                (sent + self.lost_after(class), sent + self.expected_latency(class).times(SILENT_AFTER));
+            let (lost, silent) = (
+                sent + self.lost_after(class),
+                sent + self.expected_latency(class).times(SILENCE_AGE_FACTOR),
+            );
             next = [lost, silent].into_iter().filter(|at| *at > now).fold(next, Time::min);
             let Some(p) = self.backends.get_mut(&backend) else { continue };
             self.lost_to_unreachable_zones +=
@@ -94,6 +96,6 @@
 
     /// An attempt older than this is taken for lost.
     pub(super) fn lost_after(&self, class: usize) -> Micros {
-        self.expected_latency(class).times(self.loss_age_factor().unwrap_or(SILENT_AFTER))
+        self.expected_latency(class).times(self.loss_age_factor().unwrap_or(SILENCE_AGE_FACTOR))
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -5,11 +5,11 @@
 use shaletide_types::*;
 
 /// Memory of what a backend says it holds, s: about as long as one that is too full takes to turn slow.
-const TOLD_MEMORY: f64 = 1.0;
+const LOAD_AVERAGE_WINDOW_S: f64 = 1.0;
 /// What was said so long ago is worth nothing any more, s: a list did not come. Whoever is cut off hears of nothing.
-const TOLD_WORTH: f64 = 2.2;
+const LOAD_SAMPLE_MAX_AGE_S: f64 = 2.2;
 /// More than this is not believed, requests a core: backends hold some tens at most.
-const TOLD_MOST: f64 = 64.0;
+const MAX_IN_FLIGHT_PER_CORE: f64 = 64.0;
 
 /// The proxy's own random numbers, the same on every machine for the same seed.
 #[derive(Clone, Debug)]
@@ -107,7 +107,7 @@
 
 /// So many further attempts a second are allowed over all proxies however few requests come, and at the start: where
 /// one request comes in a second, a fifth of a further one for each leaves most that meet a dead backend without.
-const EXTRA_LEAST: f64 = 2.0;
+const MIN_RETRIES_PER_S: f64 = 2.0;
 
 impl SharedLimits {
     /// Nothing saved up yet.
@@ -117,7 +117,7 @@
 
     /// A request came to one of so many proxies: it brings so much of a further attempt, up to `most` saved up.
     pub(crate) fn deposit(&mut self, now: Time, ratio: f64, most: f64, proxies: u32) {
-        let least = EXTRA_LEAST / f64::from(proxies);
+        let least = MIN_RETRIES_PER_S / f64::from(proxies);
         let gap = self.deposited_at.replace(now).map_or(1.0, |at| (now - at).secs());
         let floor = (self.saved_retries + gap * least).min(least.max(1.0));
         self.saved_retries = (self.saved_retries + ratio).min(most).max(floor);
@@ -160,7 +160,7 @@
 }
 
 /// A core's size at the most, in thousandths of a standard one's: more is more cores.
-const CORE_MOST: u32 = 2_000;
+const MAX_WEIGHT_PER_CORE: u32 = 2_000;
 
 /// What is learned of a kind of machine.
 #[derive(Clone, Debug, Default)]
@@ -192,7 +192,7 @@
     /// up to twice a standard one. Live weights are sizes of those that hold nothing, and smaller of others.
     pub fn core_count_from_weight(&mut self, backend: &BackendEntry) -> u32 {
         self.largest_weight = self.largest_weight.max(backend.weight);
-        (self.largest_weight / CORE_MOST).max(1)
+        (self.largest_weight / MAX_WEIGHT_PER_CORE).max(1)
     }
 }
 
@@ -216,14 +216,15 @@
         if held == 0.0 && self.recorded_at.is_none() {
             return;
         }
-        let step = self.recorded_at.map_or(1.0, |at| 1.0 - (-(now - at).secs() / TOLD_MEMORY).exp());
-        self.latest = held.min(TOLD_MOST);
-        self.average += (held.min(TOLD_MOST) - self.average) * step;
+        let step =
+            self.recorded_at.map_or(1.0, |at| 1.0 - (-(now - at).secs() / LOAD_AVERAGE_WINDOW_S).exp());
+        self.latest = held.min(MAX_IN_FLIGHT_PER_CORE);
+        self.average += (held.min(MAX_IN_FLIGHT_PER_CORE) - self.average) * step;
         self.recorded_at = Some(now);
     }
 
     pub fn if_fresh(&self, now: Time) -> Option<LoadSample> {
-        self.recorded_at.filter(|at| (now - *at).secs() < TOLD_WORTH).map(|_| *self)
+        self.recorded_at.filter(|at| (now - *at).secs() < LOAD_SAMPLE_MAX_AGE_S).map(|_| *self)
     }
 }
 
@@ -242,7 +243,7 @@
 impl ReportedLoad {
     /// How long serving one took there lately, s, in the mean over all that it served.
     pub fn fresh_latency_s(&self, now: Time) -> Option<f64> {
-        self.latency_s.filter(|(_, at)| (now - *at).secs() < TOLD_MEMORY).map(|(secs, _)| secs)
+        self.latency_s.filter(|(_, at)| (now - *at).secs() < LOAD_AVERAGE_WINDOW_S).map(|(secs, _)| secs)
     }
 
     /// What it holds, if that is known and not old: its own word before the list's.
