--- a/crates/balancer/src/rules.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,27 +1,31 @@
 //! Every decision of the proxy. Its whole interface (events, actions, settings) is
-//! `crates/balancer/src/interface.rs`; what it remembers of backends, kinds, classes and requests is laid out
-//! in `crates/balancer/src/state.rs`.
+//! `crates/balancer/src/interface.rs`; what it remembers of backends, server types and requests is laid out
+//! in `backend_stats.rs`, `server_type.rs` and `request.rs`.
 //!
 //! Ordinary path: `solve` (shares) turns the arrival rate and the learned speeds into a share per kind (HALB),
 //! `draw` picks a kind by share and a backend inside it at random. All else is a departure for trouble, by concern:
 //! admission, ejection, retry, slow start. Here are the state, the events and what time alone calls for.
 
 mod admission;
-mod draw;
 mod ejection;
 mod endpoints;
 mod retry;
-mod shares;
+mod selection;
 mod slow_start;
 mod timers;
+mod weights;
 
-pub use shares::halb_shares;
-
+use crate::backend_stats::{BackendClassStats, BackendStats};
 use crate::give_up::{GiveUpCounts, GiveUpReason};
+use crate::halb::halb_shares;
 use crate::interface::*;
-use crate::loads::LoadReports;
-use crate::reach::ZoneReachability;
-use crate::state::*;
+use crate::limits::{SharedLimits, TokenBucket};
+use crate::load_reports::LoadReports;
+use crate::request::{Attempt, InFlightAttempt, RequestState};
+use crate::rng::Rng;
+use crate::server_type::ServerTypeStats;
+use crate::statistics::{DecayingRate, MovingAverage};
+use crate::zone_reachability::ZoneReachability;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -78,6 +82,12 @@
 /// A request worth less than this part of a first try within quota finds half of the room: the rest is kept.
 const LOW_PRIORITY: f64 = 0.5;
 
+/// What is learned of a class.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ClassLatency {
+    pub latency: MovingAverage,
+}
+
 /// The decisions of one pool. Give it every event in order; it answers with actions.
 #[derive(Clone, Debug)]
 pub struct Balancer {
--- a/crates/balancer/src/rules/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: which of the held requests are sent now, and which are rejected.
 
-use super::draw::Selection;
+use super::selection::Selection;
 use super::*;
 
 impl Balancer {
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -190,7 +190,7 @@
 /// by the module that takes it; attempts that are out go on and end as ever.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
-    pub(crate) state: crate::state::RequestState,
+    pub(crate) state: crate::request::RequestState,
 }
 
 impl TransferredRequest {
@@ -204,8 +204,8 @@
 /// What one module knows of a backend, on its way to another with the attempts that it holds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigratedBackend {
-    pub(crate) stats: crate::state::BackendStats,
-    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::state::InFlightAttempt)>,
+    pub(crate) stats: crate::backend_stats::BackendStats,
+    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::request::InFlightAttempt)>,
 }
 
 /// Whether a pool can take a request at all.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,18 +5,26 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod backend_stats;
+mod balancer;
 mod give_up;
+mod halb;
 mod interface;
-mod loads;
-mod reach;
-mod rules;
-mod state;
+mod limits;
+mod load_reports;
+mod reported_load;
+mod request;
+mod rng;
+mod server_type;
+mod statistics;
+mod zone_reachability;
 
+pub use balancer::Balancer;
 pub use give_up::{GiveUpCounts, GiveUpReason};
+pub use halb::halb_shares;
 pub use interface::*;
-pub use rules::{halb_shares, Balancer};
+pub use limits::SharedLimits;
 pub use shaletide_types::*;
-pub use state::SharedLimits;
 
 /// The README's example, kept true by the documentation tests.
 #[cfg(doctest)]
--- a/crates/balancer/src/loads.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -6,7 +6,9 @@
 //! A backend may say anything, late or never. What it says is held to what can be, counts for itself alone but for
 //! one part in the fleet's mean, and is worth nothing when it is old.
 
-use crate::state::{BackendStats, LoadSample, MovingAverage};
+use crate::backend_stats::BackendStats;
+use crate::reported_load::LoadSample;
+use crate::statistics::MovingAverage;
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
--- a/crates/balancer/src/reach.rs
+++ b/crates/balancer/src/zone_reachability.rs
@@ -1,7 +1,7 @@
 //! Zones that nothing comes back from. Where a zone is cut off each of its backends looks dead, one after the other,
 //! and each costs four attempts before it is ejected: here they are known by their zone. Nothing here draws a backend.
 
-use crate::state::MovingAverage;
+use crate::statistics::MovingAverage;
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
