--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -19,12 +19,13 @@
 use crate::give_up::{GiveUpCounts, GiveUpReason};
 use crate::halb::halb_shares;
 use crate::interface::*;
-use crate::limits::{SharedLimits, TokenBucket};
+use crate::latency::{LatencyModel, LATENCY_SAMPLES};
+use crate::limits::SharedLimits;
 use crate::load_reports::LoadReports;
 use crate::request::{Attempt, InFlightAttempt, RequestState};
 use crate::rng::Rng;
 use crate::server_type::ServerTypeStats;
-use crate::statistics::{DecayingRate, MovingAverage};
+use crate::statistics::DecayingRate;
 use crate::zone_reachability::ZoneReachability;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -39,8 +40,6 @@
 const IN_FLIGHT_WINDOW_REQUESTS: f64 = 150.0;
 /// Memory of the arrival rate and of a tenant's quota, s: short beside a ramp or a failure.
 const RATE_WINDOW_S: f64 = 2.0;
-/// Samples in a kind's or class's mean: its error is then about a tenth of the spread.
-const LATENCY_SAMPLES: f64 = 100.0;
 /// ... and where backends say themselves how long they take: each speaks of many requests.
 const REPORTED_LATENCY_SAMPLES: f64 = 30.0;
 /// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
@@ -61,13 +60,6 @@
 const MAX_ERROR_RATE: f64 = 0.3;
 /// Weight of the newest outcome in a backend's error share.
 const ERROR_RATE_STEP: f64 = 0.1;
-/// An attempt this many times older than usual is taken for lost: it holds no room any more. Two of them,
-/// with no later answer, mark silence; one may be an answer that never comes.
-const SILENCE_AGE_FACTOR: f64 = 8.0;
-/// ... or so many times, while most that are as old as this are never answered.
-const LOSS_AGE_FACTOR: f64 = 2.5;
-/// Attempts of that age that tell whether most are answered.
-const OVERDUE_SAMPLES: f64 = 30.0;
 /// First term of an ejection, s; it doubles with each failed return, twice at most.
 const BASE_EJECTION_S: f64 = 1.0;
 /// Good trials before an ejected backend is trusted again.
@@ -76,18 +68,9 @@
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// BackendClassStats of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
 const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
-/// Extra attempts for each request: the usual tenth, doubled for the time until a failure is seen, and once
-/// more while answers are lost.
-const RETRY_BUDGET_RATIO: f64 = 0.2;
 /// A request worth less than this part of a first try within quota finds half of the room: the rest is kept.
 const LOW_PRIORITY: f64 = 0.5;
 
-/// What is learned of a class.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct ClassLatency {
-    pub latency: MovingAverage,
-}
-
 /// The decisions of one pool. Give it every event in order; it answers with actions.
 #[derive(Clone, Debug)]
 pub struct Balancer {
@@ -97,8 +80,7 @@
     /// The peers by mark, an order that all proxies share.
     hash_order: Vec<BackendId>,
     server_types: BTreeMap<ServerTypeId, ServerTypeStats>,
-    class_latencies: Vec<ClassLatency>,
-    overall_latency: MovingAverage,
+    latencies: LatencyModel,
     requests: BTreeMap<RequestId, RequestState>,
     queued: Vec<RequestId>,
     /// First tries worth less than this have found no room since the last event that could make some.
@@ -115,8 +97,6 @@
     reachable_fraction: f64,
     /// Attempts that are taken for lost where nothing comes back from.
     lost_to_unreachable_zones: u32,
-    /// The part of the attempts older than so many usual times that were answered.
-    answered_fraction_by_age: [(f64, MovingAverage); 2],
     /// The error share of the middle one of the backends: what is common to all is no fault of any.
     median_error_rate: f64,
     recompute_at: Time,
@@ -143,8 +123,7 @@
             backends: BTreeMap::new(),
             hash_order: Vec::new(),
             server_types: BTreeMap::new(),
-            class_latencies: cfg.classes.iter().map(|_| ClassLatency::default()).collect(),
-            overall_latency: MovingAverage::default(),
+            latencies: LatencyModel::new(&cfg.classes),
             requests: BTreeMap::new(),
             queued: Vec::new(),
             blocked_below: 0.0,
@@ -156,8 +135,6 @@
             zone_reachability: ZoneReachability::default(),
             reachable_fraction: 1.0,
             lost_to_unreachable_zones: 0,
-            answered_fraction_by_age: [LOSS_AGE_FACTOR, SILENCE_AGE_FACTOR]
-                .map(|age| (age, MovingAverage { value: 1.0, count: MIN_RATE_SAMPLES })),
             median_error_rate: 0.0,
             recompute_at: Time(0),
             next_timer_at: Time(0),
@@ -247,7 +224,7 @@
         if cfg.classes.len() < self.config.classes.len() {
             return Err(ConfigError { field: "classes", expected: "no fewer than before" });
         }
-        self.class_latencies.resize_with(cfg.classes.len(), ClassLatency::default);
+        self.latencies.set_classes(&cfg.classes);
         if cfg.proxies != self.config.proxies {
             // The part was learned against the other count.
             (self.load_reports, self.zone_reachability) =
@@ -266,7 +243,7 @@
 
     /// A request that another module gave up, as it stands.
     fn accept_failed_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
-        if !self.requests.contains_key(&id) && handover.state.class < self.class_latencies.len() {
+        if !self.requests.contains_key(&id) && handover.state.class < self.config.classes.len() {
             self.arrival_rate.record(now, 1.0);
             self.requests.insert(id, handover.state);
             self.queued.push(id);
@@ -280,15 +257,13 @@
             return;
         }
         self.arrival_rate.record(now, 1.0);
-        let ratio = RETRY_BUDGET_RATIO * if self.loss_age_factor().is_some() { 2.0 } else { 1.0 };
-        shared.deposit(now, ratio, ratio * LATENCY_SAMPLES, self.config.proxies);
-        shared
-            .tenant_quotas
-            .resize(self.config.tenants.len(), TokenBucket::new(RATE_WINDOW_S, MIN_RATE_SAMPLES));
-        let tenant =
-            new.tenant.and_then(|t| self.config.tenants.get(t.0).zip(shared.tenant_quotas.get_mut(t.0)));
-        let part = |t: &Tenant| t.quota_per_s / self.load_reports.fleet_size();
-        let over_quota = tenant.is_some_and(|(t, bucket)| !bucket.try_take(now, part(t)));
+        shared.retry_budget.deposit(now, self.latencies.attempts_are_lost(), self.config.proxies);
+        shared.set_tenant_count(self.config.tenants.len());
+        let tenant = new.tenant.and_then(|id| Some((id, self.config.tenants.get(id.0)?)));
+        let over_quota = tenant.is_some_and(|(id, tenant)| {
+            let rate_per_s = tenant.quota_per_s / self.load_reports.fleet_size();
+            !shared.take_from_quota(now, id, rate_per_s)
+        });
         let aim = c
             .latency_objective
             .0
@@ -344,11 +319,6 @@
         }
     }
 
-    /// A class's work beside the mean, so far as latency tells it.
-    fn relative_work(&self, class: usize) -> f64 {
-        self.class_latencies[class].latency.mean().map_or(1.0, |own| own / self.overall_latency.value)
-    }
-
     /// A line for the operators, two a second at most.
     fn log(&mut self, now: Time, text: String) {
         if now >= self.next_log_at {
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -18,10 +18,10 @@
         };
         // What all say they hold goes before the guess that they are like this one. Where none does, answers
         // speak for low worth: with m held one takes 1 + m times its least, by `usual` a quarter of the aim.
-        let each = self.config.classes.iter().zip(&self.class_latencies);
-        let slow =
-            each.filter_map(|(c, s)| Some(s.latency.mean()? / (c.latency_objective.secs() * 0.25) - 1.0));
-        let slow = slow.reduce(f64::max).filter(|_| value < LOW_PRIORITY && !self.config.weights_report_load);
+        let slow = self
+            .latencies
+            .estimated_in_flight_per_core()
+            .filter(|_| value < LOW_PRIORITY && !self.config.weights_report_load);
         let slack =
             self.load_reports.mean_in_flight_per_core.or(slow).map_or(1.0, |m| {
                 (TARGET_MEAN_IN_FLIGHT_PER_CORE / m.max(0.1)).clamp(1.0, MAX_OVERLOAD_SLACK)
@@ -42,7 +42,8 @@
         for id in std::mem::take(&mut self.queued) {
             if let Some(r) = self.requests.get(&id) {
                 let value = if r.attempts.is_empty() { r.priority } else { f64::MAX };
-                let density = self.config.classes[r.class].priority_weight / self.relative_work(r.class);
+                let density =
+                    self.config.classes[r.class].priority_weight / self.latencies.relative_work(r.class);
                 line.push((density * r.priority, r.arrived_at, id, value));
             }
         }
@@ -53,10 +54,11 @@
                 continue;
             }
             let Some(mut r) = self.requests.remove(&id) else { continue };
-            let (again, work) = (r.attempts.iter().any(|s| !s.not_sent), self.relative_work(r.class));
+            let (again, work) =
+                (r.attempts.iter().any(|s| !s.not_sent), self.latencies.relative_work(r.class));
             let refused = !again && self.is_overloaded(r.priority, r.admission_roll);
             let repeatable = self.may_send_attempt(now, &r);
-            let sendable = repeatable && (!again || shared.saved_retries >= 1.0) && !refused;
+            let sendable = repeatable && (!again || shared.retry_budget.has_retry()) && !refused;
             let drawn = if sendable { Some(self.select_backend(now, &r)) } else { None };
             let reason = match drawn {
                 Some(Selection::NoneEligible) => GiveUpReason::NoBackendLeft,
@@ -67,7 +69,9 @@
             };
             let over = match drawn {
                 Some(Selection::Backend(backend)) => {
-                    shared.saved_retries -= f64::from(again);
+                    if again {
+                        shared.retry_budget.withdraw();
+                    }
                     self.send_attempt(now, id, &mut r, backend, work);
                     false
                 }
--- a/crates/balancer/src/balancer/ejection.rs
+++ b/crates/balancer/src/balancer/ejection.rs
@@ -14,16 +14,9 @@
     pub(super) fn record_outcome(
         &mut self, now: Time, id: BackendId, class: usize, sent: Time, end: &AttemptEnd,
     ) {
-        let (usual, quiet) = (self.expected_latency(class), self.lost_after(class));
-        let silent = usual.times(SILENCE_AGE_FACTOR);
-        for (age, answered) in &mut self.answered_fraction_by_age {
-            match end.outcome {
-                _ if now < sent + usual.times(*age) => {}
-                Outcome::Ok | Outcome::Error => answered.record(1.0, OVERDUE_SAMPLES),
-                Outcome::TimedOut | Outcome::Cancelled => answered.record(0.0, OVERDUE_SAMPLES),
-                _ => {}
-            }
-        }
+        let (usual, quiet) = (self.latencies.expected(class), self.latencies.lost_after(class));
+        let silent = self.latencies.silent_after(class);
+        self.latencies.record_overdue(now, class, sent, end.outcome);
         let many = self.is_large_fleet();
         let Some(p) = self.backends.get_mut(&id) else { return };
         let word = matches!(end.outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected);
@@ -45,9 +38,8 @@
                 // Served requests only: errors, time-outs and refusals stay out of the speeds.
                 let secs = end.latency.secs().max(1e-6);
                 self.service_time_rate.record(now, secs);
-                self.class_latencies[class].latency.record(secs, LATENCY_SAMPLES);
-                self.overall_latency.record(secs, LATENCY_SAMPLES);
-                let plain = secs * self.overall_latency.value / self.class_latencies[class].latency.value;
+                self.latencies.record_served(class, secs);
+                let plain = self.latencies.normalize(class, secs);
                 let kind = self.server_types.entry(p.entry.server_type).or_default();
                 // A backend's own mean is over many more than this proxy's.
                 let (secs, cap) = p
--- a/crates/balancer/src/balancer/retry.rs
+++ b/crates/balancer/src/balancer/retry.rs
@@ -41,7 +41,7 @@
         if trial {
             self.recount_eligible();
         }
-        let quiet = now + self.lost_after(r.class);
+        let quiet = now + self.latencies.lost_after(r.class);
         self.next_timer_at = self.next_timer_at.min(quiet).min(r.deadline - self.config.min_timer_interval);
     }
 
@@ -52,7 +52,7 @@
         // By then what is out now has made room, or an ejected backend is tried again.
         let ready = self.server_types.values().any(|k| k.total_health > 0.0);
         let retry_after = if ready {
-            self.expected_latency(r.class).times(2.0)
+            self.latencies.expected(r.class).times(2.0)
         } else {
             Micros::from_secs(BASE_EJECTION_S)
         };
--- a/crates/balancer/src/balancer/selection.rs
+++ b/crates/balancer/src/balancer/selection.rs
@@ -17,7 +17,7 @@
     /// A backend for the request: kind by share, backend inside it by readiness, both at random.
     pub(super) fn select_backend(&mut self, now: Time, r: &RequestState) -> Selection {
         let effect = self.config.classes[r.class].idempotency;
-        let work = self.relative_work(r.class);
+        let work = self.latencies.relative_work(r.class);
         let any_free = self.config.classes.iter().any(|c| c.idempotency == Idempotency::Safe);
         let may_try = r.attempts.is_empty() && (effect == Idempotency::Safe || !any_free);
         let (mut all, mut shunned) = (0.0, 0.0);
--- a/crates/balancer/src/balancer/timers.rs
+++ b/crates/balancer/src/balancer/timers.rs
@@ -19,10 +19,8 @@
         }
         self.lost_to_unreachable_zones = 0;
         for &InFlightAttempt { backend, class, sent_at: sent } in self.in_flight_attempts.values() {
-            let (lost, silent) = (
-                sent + self.lost_after(class),
-                sent + self.expected_latency(class).times(SILENCE_AGE_FACTOR),
-            );
+            let lost = sent + self.latencies.lost_after(class);
+            let silent = sent + self.latencies.silent_after(class);
             next = [lost, silent].into_iter().filter(|at| *at > now).fold(next, Time::min);
             let Some(p) = self.backends.get_mut(&backend) else { continue };
             self.lost_to_unreachable_zones +=
@@ -32,17 +30,17 @@
             let part = p.class_mut(class);
             part.overdue_without_response += u32::from(now >= silent && part.last_response_at <= sent);
         }
-        let losing = self.loss_age_factor().is_some();
+        let losing = self.latencies.attempts_are_lost();
         let mut over = Vec::new();
         for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
-            let usual = self.expected_latency(r.class);
+            let usual = self.latencies.expected(r.class);
             // A client whose request nobody has seen is told before half of its time is over.
             let unseen = r.attempts.iter().all(|s| s.not_executed);
             let late_pays = self.config.classes[r.class].late_weight_fraction > 0.0 && !unseen;
             let half = r.arrived_at + (r.deadline - r.arrived_at).times(0.5) + usual
                 - self.config.min_timer_interval;
             let last_start = if late_pays { r.deadline } else { r.objective_at.min(half) };
-            let old = |s: &Attempt| losing && now >= s.sent_at + self.lost_after(r.class);
+            let old = |s: &Attempt| losing && now >= s.sent_at + self.latencies.lost_after(r.class);
             let ill =
                 |s: &Attempt| self.backends.get(&s.backend.id).is_none_or(|p| p.ejected_until.is_some());
             let lost = |s: &Attempt| s.in_flight && (ill(s) || old(s));
@@ -59,7 +57,7 @@
                 over.push(id);
             } else if lost
                 && (now + usual < r.objective_at || late_pays && now + usual < r.deadline)
-                && shared.saved_retries >= 1.0
+                && shared.retry_budget.has_retry()
             {
                 // Age alone is a reason only where answers are lost: copies of merely heavy requests crowd
                 // every backend.
@@ -82,20 +80,4 @@
         self.next_timer_at = next.max(now + self.config.min_timer_interval);
         over.into_iter().for_each(|id| self.give_up(now, id, GiveUpReason::OutOfTime));
     }
-
-    /// What a served request of the class usually takes; before any was served, a quarter of its aim.
-    pub(super) fn expected_latency(&self, class: usize) -> Micros {
-        let known = self.class_latencies[class].latency.mean();
-        known.map_or(self.config.classes[class].latency_objective.times(0.25), Micros::from_secs)
-    }
-
-    /// The age, in usual times, from which most attempts are never answered.
-    pub(super) fn loss_age_factor(&self) -> Option<f64> {
-        self.answered_fraction_by_age.iter().find(|(_, answered)| answered.value < 0.5).map(|(age, _)| *age)
-    }
-
-    /// An attempt older than this is taken for lost.
-    pub(super) fn lost_after(&self, class: usize) -> Micros {
-        self.expected_latency(class).times(self.loss_age_factor().unwrap_or(SILENCE_AGE_FACTOR))
-    }
 }
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -57,7 +57,7 @@
         let rate = self.arrival_rate.per_second().map(|r| r * carried);
         let told = self.load_reports.is_reporting(now);
         let own = IN_FLIGHT_WINDOW_REQUESTS / self.arrival_rate.per_second().unwrap_or(1.0).max(1e-3);
-        self.in_flight_level.set_memory(if told { IN_FLIGHT_WINDOW_S } else { own }, IN_FLIGHT_WINDOW_S);
+        self.in_flight_level.set_window(if told { IN_FLIGHT_WINDOW_S } else { own }, IN_FLIGHT_WINDOW_S);
         for k in self.server_types.values_mut() {
             let flow = if k.total_health > 0.0 {
                 rate.unwrap_or(0.0) * k.traffic_share / k.total_health
--- /dev/null
+++ b/crates/balancer/src/latency.rs
@@ -0,0 +1,140 @@
+//! How long attempts take: by class, over all classes, and from which age on an attempt is taken for lost.
+
+use crate::interface::Class;
+use crate::statistics::MovingAverage;
+use shaletide_types::*;
+
+/// Samples in a mean of latencies: its error is about a tenth of their spread.
+pub(crate) const LATENCY_SAMPLES: f64 = 100.0;
+/// Part of the latency objective that an answer is taken to need before any is known.
+const UNLOADED_OBJECTIVE_FRACTION: f64 = 0.25;
+/// An attempt this many times older than expected is taken for lost: it occupies no capacity any more.
+const SILENCE_AGE_FACTOR: f64 = 8.0;
+/// ... or this many times, while most that are as old are never answered.
+const LOSS_AGE_FACTOR: f64 = 2.5;
+/// Overdue attempts in the part of them that was answered.
+const OVERDUE_SAMPLES: f64 = 30.0;
+/// So many overdue attempts are taken to have been answered before any is known.
+const ANSWERED_PRIOR_SAMPLES: f64 = 5.0;
+
+/// Latencies of served attempts, and what became of overdue ones.
+#[derive(Clone, Debug)]
+pub(crate) struct LatencyModel {
+    by_class: Vec<ClassLatency>,
+    /// Seconds, over all classes.
+    overall: MovingAverage,
+    /// By age factor, the smallest first.
+    overdue: [OverdueAttempts; 2],
+}
+
+#[derive(Clone, Debug)]
+struct ClassLatency {
+    objective: Micros,
+    /// Seconds from dispatch to response, of served attempts.
+    served: MovingAverage,
+}
+
+/// Attempts that ended when they were older than a multiple of the expected latency.
+#[derive(Clone, Debug)]
+struct OverdueAttempts {
+    /// Multiple of the expected latency.
+    age_factor: f64,
+    /// The part of them that got a response.
+    answered: MovingAverage,
+}
+
+impl LatencyModel {
+    pub fn new(classes: &[Class]) -> LatencyModel {
+        let overdue = |age_factor| OverdueAttempts {
+            age_factor,
+            answered: MovingAverage::with_prior(1.0, ANSWERED_PRIOR_SAMPLES),
+        };
+        let mut model = LatencyModel {
+            by_class: Vec::new(),
+            overall: MovingAverage::default(),
+            overdue: [overdue(LOSS_AGE_FACTOR), overdue(SILENCE_AGE_FACTOR)],
+        };
+        model.set_classes(classes);
+        model
+    }
+
+    /// Takes over the classes of another configuration; what is known of a class stays.
+    pub fn set_classes(&mut self, classes: &[Class]) {
+        self.by_class.resize_with(classes.len(), || ClassLatency {
+            objective: Micros(0),
+            served: MovingAverage::default(),
+        });
+        for (latency, class) in self.by_class.iter_mut().zip(classes) {
+            latency.objective = class.latency_objective;
+        }
+    }
+
+    /// Records a served attempt's time from dispatch to response.
+    pub fn record_served(&mut self, class: usize, latency_s: f64) {
+        self.by_class[class].served.record(latency_s, LATENCY_SAMPLES);
+        self.overall.record(latency_s, LATENCY_SAMPLES);
+    }
+
+    /// A latency as a request of average work would have had it. The class has a served attempt.
+    pub fn normalize(&self, class: usize, latency_s: f64) -> f64 {
+        latency_s * self.overall.value / self.by_class[class].served.value
+    }
+
+    /// A class's work beside the mean of all requests, as far as latency shows it; 1 while nothing is known.
+    pub fn relative_work(&self, class: usize) -> f64 {
+        self.by_class[class].served.mean().map_or(1.0, |latency_s| latency_s / self.overall.value)
+    }
+
+    /// How long a served request of the class takes.
+    pub fn expected(&self, class: usize) -> Micros {
+        let class = &self.by_class[class];
+        let unloaded = class.objective.times(UNLOADED_OBJECTIVE_FRACTION);
+        class.served.mean().map_or(unloaded, Micros::from_secs)
+    }
+
+    /// The age from which an attempt of the class is suspected of being lost.
+    pub fn lost_after(&self, class: usize) -> Micros {
+        self.expected(class).times(self.loss_age_factor().unwrap_or(SILENCE_AGE_FACTOR))
+    }
+
+    /// The age from which an unanswered attempt of the class speaks against its backend.
+    pub fn silent_after(&self, class: usize) -> Micros {
+        self.expected(class).times(SILENCE_AGE_FACTOR)
+    }
+
+    /// Whether most attempts of some age are never answered.
+    pub fn attempts_are_lost(&self) -> bool {
+        self.loss_age_factor().is_some()
+    }
+
+    /// The smallest multiple of the expected latency from which on most attempts are never answered.
+    fn loss_age_factor(&self) -> Option<f64> {
+        let mostly_lost = self.overdue.iter().find(|overdue| overdue.answered.value < 0.5);
+        mostly_lost.map(|overdue| overdue.age_factor)
+    }
+
+    /// Records how an attempt ended, where it was overdue by then.
+    pub fn record_overdue(&mut self, now: Time, class: usize, sent_at: Time, outcome: Outcome) {
+        let answered = match outcome {
+            Outcome::Ok | Outcome::Error => 1.0,
+            Outcome::TimedOut | Outcome::Cancelled => 0.0,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::Reset | Outcome::NotSent => return,
+        };
+        let expected = self.expected(class);
+        for overdue in &mut self.overdue {
+            if now >= sent_at + expected.times(overdue.age_factor) {
+                overdue.answered.record(answered, OVERDUE_SAMPLES);
+            }
+        }
+    }
+
+    /// Requests in flight on a core, as latency shows them, by the class that looks worst: a shared processor with m
+    /// in flight takes 1 + m times as long as an unloaded one.
+    pub fn estimated_in_flight_per_core(&self) -> Option<f64> {
+        let estimates = self.by_class.iter().filter_map(|class| {
+            let unloaded_s = class.objective.secs() * UNLOADED_OBJECTIVE_FRACTION;
+            Some(class.served.mean()? / unloaded_s - 1.0)
+        });
+        estimates.reduce(f64::max)
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -10,6 +10,7 @@
 mod give_up;
 mod halb;
 mod interface;
+mod latency;
 mod limits;
 mod load_reports;
 mod reported_load;
--- a/crates/balancer/src/limits.rs
+++ b/crates/balancer/src/limits.rs
@@ -2,33 +2,43 @@
 
 use shaletide_types::*;
 
-/// What the modules of all pools share: further attempts and tenants' quotas hold over them together.
+/// Retries that each request adds to the budget.
+const RETRY_BUDGET_RATIO: f64 = 0.2;
+/// ... times this while attempts are being lost, as each of them needs another one.
+const LOSS_RATIO_FACTOR: f64 = 2.0;
+/// The budget holds what this many requests add to it.
+const MAX_SAVED_REQUESTS: f64 = 100.0;
+/// Retries a second that all proxies together may make however few requests come, and at the start: with one request a
+/// second the ratio alone would leave most that meet a dead backend without a retry.
+const MIN_RETRIES_PER_S: f64 = 2.0;
+/// A quota's bucket holds what the tenant is due over this span, s.
+const QUOTA_WINDOW_S: f64 = 2.0;
+/// Requests that a bucket holds at least, as a few come at once by chance.
+const MIN_QUOTA_BURST: f64 = 5.0;
+
+/// What the balancers of all pools share: the retry budget and the tenants' quotas hold for them together.
 #[derive(Clone, Debug)]
 pub struct SharedLimits {
-    /// Further attempts saved up.
-    pub(crate) saved_retries: f64,
-    /// When it was last seen to.
-    pub(crate) deposited_at: Option<Time>,
+    pub(crate) retry_budget: RetryBudget,
     /// By tenant.
-    pub(crate) tenant_quotas: Vec<TokenBucket>,
+    tenant_quotas: Vec<TokenBucket>,
 }
 
-/// So many further attempts a second are allowed over all proxies however few requests come, and at the start: where
-/// one request comes in a second, a fifth of a further one for each leaves most that meet a dead backend without.
-const MIN_RETRIES_PER_S: f64 = 2.0;
-
 impl SharedLimits {
-    /// Nothing saved up yet.
+    /// An empty retry budget, and no tenants yet.
     pub fn new() -> SharedLimits {
-        SharedLimits { saved_retries: 0.0, deposited_at: None, tenant_quotas: Vec::new() }
+        SharedLimits { retry_budget: RetryBudget::new(), tenant_quotas: Vec::new() }
     }
 
-    /// A request came to one of so many proxies: it brings so much of a further attempt, up to `most` saved up.
-    pub(crate) fn deposit(&mut self, now: Time, ratio: f64, most: f64, proxies: u32) {
-        let least = MIN_RETRIES_PER_S / f64::from(proxies);
-        let gap = self.deposited_at.replace(now).map_or(1.0, |at| (now - at).secs());
-        let floor = (self.saved_retries + gap * least).min(least.max(1.0));
-        self.saved_retries = (self.saved_retries + ratio).min(most).max(floor);
+    /// Sets the number of tenants; those that there were keep their tokens.
+    pub(crate) fn set_tenant_count(&mut self, tenants: usize) {
+        self.tenant_quotas.resize(tenants, TokenBucket::new());
+    }
+
+    /// Takes a request from a tenant's quota of `rate_per_s`. Whether it was within the quota.
+    pub(crate) fn take_from_quota(&mut self, now: Time, tenant: TenantId, rate_per_s: f64) -> bool {
+        let bucket = self.tenant_quotas.get_mut(tenant.0);
+        bucket.is_none_or(|bucket| bucket.try_take(now, rate_per_s))
     }
 }
 
@@ -38,31 +48,68 @@
     }
 }
 
-/// A tenant's quota: it holds what it is due over `memory` seconds, and starts with that; where that is
-/// less than `least` it may gather so much, as chance alone brings a few at once.
+/// Bounds retries and hedges: each request adds a part of a retry, each retry takes a whole one, so that retries
+/// cannot multiply the load of backends that fail.
+#[derive(Clone, Debug)]
+pub(crate) struct RetryBudget {
+    /// Retries saved up.
+    saved: f64,
+    deposited_at: Option<Time>,
+}
+
+impl RetryBudget {
+    fn new() -> RetryBudget {
+        RetryBudget { saved: 0.0, deposited_at: None }
+    }
+
+    /// Adds what a new request is due at one of `proxies` proxies. `attempts_are_lost`: most attempts of some age are
+    /// never answered.
+    pub fn deposit(&mut self, now: Time, attempts_are_lost: bool, proxies: u32) {
+        let ratio =
+            if attempts_are_lost { RETRY_BUDGET_RATIO * LOSS_RATIO_FACTOR } else { RETRY_BUDGET_RATIO };
+        let capacity = ratio * MAX_SAVED_REQUESTS;
+        let min_per_s = MIN_RETRIES_PER_S / f64::from(proxies);
+        let elapsed_s = self.deposited_at.map_or(1.0, |at| (now - at).secs());
+        let floor = (self.saved + elapsed_s * min_per_s).min(min_per_s.max(1.0));
+        self.saved = (self.saved + ratio).min(capacity).max(floor);
+        self.deposited_at = Some(now);
+    }
+
+    /// Whether a retry may go out.
+    pub fn has_retry(&self) -> bool {
+        self.saved >= 1.0
+    }
+
+    /// Takes one retry from the budget.
+    pub fn withdraw(&mut self) {
+        self.saved -= 1.0;
+    }
+}
+
+/// A tenant's quota at this proxy. It starts with what is due over the window.
 #[derive(Clone, Debug)]
-pub(crate) struct TokenBucket {
-    window_s: f64,
-    least_capacity: f64,
+struct TokenBucket {
     tokens: f64,
     refilled_at: Option<Time>,
 }
 
 impl TokenBucket {
-    pub fn new(memory: f64, least: f64) -> TokenBucket {
-        TokenBucket { window_s: memory, least_capacity: least, tokens: 0.0, refilled_at: None }
+    fn new() -> TokenBucket {
+        TokenBucket { tokens: 0.0, refilled_at: None }
     }
 
-    /// Takes a token if there is one, at so many a second.
-    pub fn try_take(&mut self, now: Time, rate: f64) -> bool {
-        let due = rate * self.window_s;
+    /// Refills the bucket at `rate_per_s` and takes a token, if there is a whole one.
+    fn try_take(&mut self, now: Time, rate_per_s: f64) -> bool {
+        let due = rate_per_s * QUOTA_WINDOW_S;
         self.tokens = match self.refilled_at {
             None => due.max(1.0),
-            Some(at) => (self.tokens + rate * (now - at).secs()).min(due.max(self.least_capacity)),
+            Some(at) => (self.tokens + rate_per_s * (now - at).secs()).min(due.max(MIN_QUOTA_BURST)),
         };
         self.refilled_at = Some(now);
-        let within = self.tokens >= 1.0;
-        self.tokens -= f64::from(within);
-        within
+        if self.tokens < 1.0 {
+            return false;
+        }
+        self.tokens -= 1.0;
+        true
     }
 }
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -3,7 +3,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// The proxy's own random numbers, the same on every machine for the same seed.
+/// A generator that gives the same numbers on every machine for the same seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Rng(Pcg32);
 
@@ -12,18 +12,23 @@
         Rng(Pcg32::seed_from_u64(seed))
     }
 
-    /// Even from 0 up to 1.
+    /// A number from 0 up to, but not including, 1.
     pub fn next_unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, each with its weight.
+    /// One of the items, each with a probability in proportion to its weight. One number is drawn, even where there is
+    /// no item.
     pub fn pick_weighted<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
-        let mut left = self.next_unit() * weighted.iter().map(|w| w.1).sum::<f64>();
-        let mut hit = |w: &&(T, f64)| {
-            left -= w.1;
-            left < 0.0
-        };
-        weighted.iter().find(&mut hit).or(weighted.last()).map(|w| w.0)
+        let total: f64 = weighted.iter().map(|(_, weight)| weight).sum();
+        let mut remaining = self.next_unit() * total;
+        for (item, weight) in weighted {
+            remaining -= weight;
+            if remaining < 0.0 {
+                return Some(*item);
+            }
+        }
+        // All weights are 0, or the sum was rounded.
+        weighted.last().map(|(item, _)| *item)
     }
 }
