--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Connection {
     pub backend: BackendId,
-    pub step: ConnectionState,
+    pub state: ConnectionState,
     /// It leads to where its backend listened before.
-    pub old: bool,
+    pub address_outdated: bool,
 }
 
 /// All of them.
@@ -41,30 +41,34 @@
     /// The idle ones of each backend, the most recently used last.
     pub idle: BTreeMap<BackendId, Vec<ConnectionId>>,
     /// When something was last heard of each backend that has or had one.
-    pub heard: BTreeMap<BackendId, Time>,
-    pub next: u64,
+    pub last_response_at: BTreeMap<BackendId, Time>,
+    pub next_id: u64,
 }
 
 impl ConnectionPool {
     /// A new one, coming up for that attempt.
     pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNumber) -> ConnectionId {
-        let connection = ConnectionId(self.next);
-        self.next += 1;
+        let connection = ConnectionId(self.next_id);
+        self.next_id += 1;
         self.all.insert(
             connection,
-            Connection { backend, step: ConnectionState::Connecting(Some((request, attempt))), old: false },
+            Connection {
+                backend,
+                state: ConnectionState::Connecting(Some((request, attempt))),
+                address_outdated: false,
+            },
         );
         connection
     }
 
     /// Takes one out of those that there are.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<Connection> {
-        let gone = self.all.remove(&connection)?;
-        self.unlist(gone.backend, connection);
-        Some(gone)
+        let removed = self.all.remove(&connection)?;
+        self.remove_from_idle(removed.backend, connection);
+        Some(removed)
     }
 
-    fn unlist(&mut self, backend: BackendId, connection: ConnectionId) {
+    fn remove_from_idle(&mut self, backend: BackendId, connection: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&backend) {
             idle.retain(|c| *c != connection);
             if idle.is_empty() {
@@ -74,45 +78,45 @@
     }
 
     /// Nothing is on it from now on.
-    pub fn rest(&mut self, now: Time, connection: ConnectionId, used: bool) {
+    pub fn make_idle(&mut self, now: Time, connection: ConnectionId, used: bool) {
         if let Some(c) = self.all.get_mut(&connection) {
-            c.step = ConnectionState::Idle(now, used);
+            c.state = ConnectionState::Idle(now, used);
             self.idle.entry(c.backend).or_default().push(connection);
         }
     }
 
     /// The attempt is on it from now on.
-    pub fn busy(&mut self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
+    pub fn make_busy(&mut self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         if let Some(c) = self.all.get_mut(&connection) {
-            c.step = ConnectionState::Busy(request, attempt);
+            c.state = ConnectionState::Busy(request, attempt);
             let backend = c.backend;
-            self.unlist(backend, connection);
+            self.remove_from_idle(backend, connection);
         }
     }
 
     /// The most recently used idle one of a backend that is quiet and not too old.
-    pub fn fit(&self, now: Time, backend: BackendId, keeping: &ConnectionLimits) -> Option<ConnectionId> {
+    pub fn usable(&self, now: Time, backend: BackendId, limits: &ConnectionLimits) -> Option<ConnectionId> {
         let idle = self.idle.get(&backend)?;
-        let fit = |connection: &&ConnectionId| match self.all.get(connection).map(|c| c.step) {
+        let usable = |connection: &&ConnectionId| match self.all.get(connection).map(|c| c.state) {
             Some(ConnectionState::Idle(since, used)) => {
-                now - since < keeping.idle_timeout && (!used || now - since >= keeping.reuse_delay)
+                now - since < limits.idle_timeout && (!used || now - since >= limits.reuse_delay)
             }
             _ => false,
         };
-        idle.iter().rev().find(fit).copied()
+        idle.iter().rev().find(usable).copied()
     }
 
     /// The one that makes way where there is no room for another: that which was idle longest, of all backends, and
     /// where none is idle that which has been coming up longest for nobody any more.
-    pub fn spare(&self) -> Option<ConnectionId> {
+    pub fn oldest_idle(&self) -> Option<ConnectionId> {
         let first = self.idle.values().filter_map(|idle| idle.first());
         let idle = first
-            .filter_map(|connection| Some((self.since(*connection)?, *connection)))
+            .filter_map(|connection| Some((self.idle_since(*connection)?, *connection)))
             .min()
             .map(|(_, connection)| connection);
-        let nobodys =
-            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.step == ConnectionState::Connecting(None));
-        idle.or_else(|| self.all.keys().find(nobodys).copied())
+        let unclaimed =
+            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.state == ConnectionState::Connecting(None));
+        idle.or_else(|| self.all.keys().find(unclaimed).copied())
     }
 
     /// The idle ones of a backend.
@@ -121,16 +125,16 @@
     }
 
     /// Those idle for too long.
-    pub fn stale(&self, now: Time, keeping: &ConnectionLimits) -> Vec<ConnectionId> {
+    pub fn idle_too_long(&self, now: Time, limits: &ConnectionLimits) -> Vec<ConnectionId> {
         let idle = self.idle.values().flatten().copied();
         idle.filter(|connection| {
-            self.since(*connection).is_some_and(|since| now - since >= keeping.idle_timeout)
+            self.idle_since(*connection).is_some_and(|since| now - since >= limits.idle_timeout)
         })
         .collect()
     }
 
-    fn since(&self, connection: ConnectionId) -> Option<Time> {
-        match self.all.get(&connection)?.step {
+    fn idle_since(&self, connection: ConnectionId) -> Option<Time> {
+        match self.all.get(&connection)?.state {
             ConnectionState::Idle(since, _) => Some(since),
             _ => None,
         }
--- a/crates/engine/src/engine/look.rs
+++ b/crates/engine/src/engine/inspect.rs
@@ -21,21 +21,21 @@
 
     /// A connection leads to where its backend listened before.
     pub fn is_address_outdated(&self, connection: ConnectionId) -> bool {
-        self.connection_pool.all.get(&connection).is_some_and(|c| c.old)
+        self.connection_pool.all.get(&connection).is_some_and(|c| c.address_outdated)
     }
 
     /// When something was last heard of each backend.
     pub fn heard(&self) -> impl Iterator<Item = (BackendId, Time)> + '_ {
-        self.connection_pool.heard.iter().map(|(backend, at)| (*backend, *at))
+        self.connection_pool.last_response_at.iter().map(|(backend, at)| (*backend, *at))
     }
 
     /// When idle connections are looked through next.
     pub fn sweep_at(&self) -> Option<Time> {
-        self.sweep_at
+        self.idle_sweep_at
     }
 
     /// Nothing waits inside: every event has been told to the policy and everything that it asked is done.
     pub fn has_no_pending_events(&self) -> bool {
-        self.tell.is_empty() && self.asks.is_empty()
+        self.policy_events.is_empty() && self.policy_actions.is_empty()
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,10 +14,10 @@
 //! - [`Engine::wake_at`] is asked after each call, and [`Event::Wake`] told then.
 #![forbid(unsafe_code)]
 
+mod attempt_rules;
 mod connection_pool;
 mod engine;
 mod event;
-mod guard;
 pub mod monitor;
 mod mutant;
 mod request;
