--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -1,28 +1,35 @@
-//! The connections: which is idle, which may be used again, and how many there are.
+//! The connections: which one is idle, which may be used again, and how many there are.
+//!
+//! Owned by [`crate::Engine`], which decides when one is opened or closed.
 
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// How connections are kept.
+/// The shortest span between two searches for connections that were idle for too long.
+const MIN_IDLE_SWEEP_INTERVAL: Micros = Micros(1_000);
+/// The span between two such searches, as a part of the idle timeout.
+const IDLE_SWEEP_FRACTION: f64 = 0.25;
+
+/// How many connections are kept, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionLimits {
-    /// At most so many, all backends together.
+    /// At most so many, to all backends together.
     pub max_connections: usize,
-    /// One that was idle for so long is not used again.
+    /// A connection that was idle for so long is not used again.
     pub idle_timeout: Micros,
-    /// One is not used again so soon after an answer: what a backend sends behind one in a segment of its own
-    /// would pass for the answer to the next request.
+    /// A connection is not used again so soon after a response: bytes that a backend sends after one, in a
+    /// segment of their own, would be taken for the response to the next request.
     pub reuse_delay: Micros,
 }
 
-/// How far a connection has got.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
-    /// It comes up, for an attempt or for nobody any more.
+    /// It is being opened, for this attempt; none: the attempt that it was opened for has ended.
     Connecting(Option<(RequestId, AttemptNumber)>),
-    /// Nothing is on it, since then; one that was never used is quiet at once.
+    /// No attempt is on it, since then; and whether one ever was: an unused connection may be used at once.
     Idle(Time, bool),
-    /// An attempt is on it.
+    /// This attempt is on it.
     Busy(RequestId, AttemptNumber),
 }
 
@@ -30,113 +37,200 @@
 pub(crate) struct Connection {
     pub backend: BackendId,
     pub state: ConnectionState,
-    /// It leads to where its backend listened before.
+    /// It leads to an address at which its backend no longer listens.
     pub address_outdated: bool,
 }
 
-/// All of them.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+/// All connections.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ConnectionPool {
-    pub all: BTreeMap<ConnectionId, Connection>,
+    limits: ConnectionLimits,
+    connections: BTreeMap<ConnectionId, Connection>,
     /// The idle ones of each backend, the most recently used last.
-    pub idle: BTreeMap<BackendId, Vec<ConnectionId>>,
-    /// When something was last heard of each backend that has or had one.
-    pub last_response_at: BTreeMap<BackendId, Time>,
-    pub next_id: u64,
+    idle: BTreeMap<BackendId, Vec<ConnectionId>>,
+    /// When the last response came from each backend that is listed.
+    last_response_at: BTreeMap<BackendId, Time>,
+    next_id: u64,
+    idle_sweep_at: Option<Time>,
 }
 
 impl ConnectionPool {
-    /// A new one, coming up for that attempt.
+    pub fn new(limits: ConnectionLimits) -> ConnectionPool {
+        ConnectionPool {
+            limits,
+            connections: BTreeMap::new(),
+            idle: BTreeMap::new(),
+            last_response_at: BTreeMap::new(),
+            next_id: 0,
+            idle_sweep_at: None,
+        }
+    }
+
+    pub fn set_limits(&mut self, limits: ConnectionLimits) {
+        self.limits = limits;
+    }
+
+    pub fn all(&self) -> &BTreeMap<ConnectionId, Connection> {
+        &self.connections
+    }
+
+    pub fn get(&self, connection: ConnectionId) -> Option<&Connection> {
+        self.connections.get(&connection)
+    }
+
+    /// As many are open as there may be.
+    pub fn is_full(&self) -> bool {
+        self.connections.len() >= self.limits.max_connections
+    }
+
+    /// The attempt that is on a connection or waits for it.
+    pub fn attempt_on(&self, connection: ConnectionId) -> Option<(RequestId, AttemptNumber)> {
+        match self.get(connection)?.state {
+            ConnectionState::Busy(request, attempt) => Some((request, attempt)),
+            ConnectionState::Connecting(waiting) => waiting,
+            ConnectionState::Idle(..) => None,
+        }
+    }
+
+    /// Adds a connection that is being opened for that attempt.
     pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNumber) -> ConnectionId {
         let connection = ConnectionId(self.next_id);
         self.next_id += 1;
-        self.all.insert(
-            connection,
-            Connection {
-                backend,
-                state: ConnectionState::Connecting(Some((request, attempt))),
-                address_outdated: false,
-            },
-        );
+        let state = ConnectionState::Connecting(Some((request, attempt)));
+        self.connections.insert(connection, Connection { backend, state, address_outdated: false });
         connection
     }
 
-    /// Takes one out of those that there are.
     pub fn remove(&mut self, connection: ConnectionId) -> Option<Connection> {
-        let removed = self.all.remove(&connection)?;
+        let removed = self.connections.remove(&connection)?;
         self.remove_from_idle(removed.backend, connection);
         Some(removed)
     }
 
     fn remove_from_idle(&mut self, backend: BackendId, connection: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&backend) {
-            idle.retain(|c| *c != connection);
+            idle.retain(|other| *other != connection);
             if idle.is_empty() {
                 self.idle.remove(&backend);
             }
         }
     }
 
-    /// Nothing is on it from now on.
+    /// The attempt that a connection is being opened for has ended.
+    pub fn detach_attempt(&mut self, connection: ConnectionId) {
+        if let Some(connecting) = self.connections.get_mut(&connection) {
+            connecting.state = ConnectionState::Connecting(None);
+        }
+    }
+
+    /// No attempt is on it from now on; `used`: one was.
     pub fn make_idle(&mut self, now: Time, connection: ConnectionId, used: bool) {
-        if let Some(c) = self.all.get_mut(&connection) {
-            c.state = ConnectionState::Idle(now, used);
-            self.idle.entry(c.backend).or_default().push(connection);
+        if let Some(known) = self.connections.get_mut(&connection) {
+            known.state = ConnectionState::Idle(now, used);
+            self.idle.entry(known.backend).or_default().push(connection);
         }
+        self.idle_sweep_at.get_or_insert(now + self.limits.idle_timeout);
     }
 
     /// The attempt is on it from now on.
     pub fn make_busy(&mut self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        if let Some(c) = self.all.get_mut(&connection) {
-            c.state = ConnectionState::Busy(request, attempt);
-            let backend = c.backend;
+        if let Some(known) = self.connections.get_mut(&connection) {
+            known.state = ConnectionState::Busy(request, attempt);
+            let backend = known.backend;
             self.remove_from_idle(backend, connection);
         }
     }
 
-    /// The most recently used idle one of a backend that is quiet and not too old.
-    pub fn usable(&self, now: Time, backend: BackendId, limits: &ConnectionLimits) -> Option<ConnectionId> {
-        let idle = self.idle.get(&backend)?;
-        let usable = |connection: &&ConnectionId| match self.all.get(connection).map(|c| c.state) {
-            Some(ConnectionState::Idle(since, used)) => {
-                now - since < limits.idle_timeout && (!used || now - since >= limits.reuse_delay)
+    /// All connections that a backend has now lead to an address at which it no longer listens.
+    pub fn mark_address_outdated(&mut self, backend: BackendId) {
+        for connection in self.connections.values_mut() {
+            if connection.backend == backend {
+                connection.address_outdated = true;
             }
-            _ => false,
+        }
+    }
+
+    /// The most recently used idle connection of a backend that has passed the reuse delay and not the idle
+    /// timeout.
+    pub fn usable(&self, now: Time, backend: BackendId) -> Option<ConnectionId> {
+        let idle = self.idle.get(&backend)?;
+        idle.iter().rev().find(|connection| self.is_usable(now, **connection)).copied()
+    }
+
+    fn is_usable(&self, now: Time, connection: ConnectionId) -> bool {
+        let Some(ConnectionState::Idle(since, used)) = self.get(connection).map(|known| known.state) else {
+            return false;
         };
-        idle.iter().rev().find(usable).copied()
+        let idle_for = now - since;
+        idle_for < self.limits.idle_timeout && (!used || idle_for >= self.limits.reuse_delay)
     }
 
-    /// The one that makes way where there is no room for another: that which was idle longest, of all backends, and
-    /// where none is idle that which has been coming up longest for nobody any more.
+    /// The connection to close where there may be no further one: of all backends the one that is idle for
+    /// longest; where none is idle, the oldest that is being opened for an attempt that has ended.
     pub fn oldest_idle(&self) -> Option<ConnectionId> {
-        let first = self.idle.values().filter_map(|idle| idle.first());
-        let idle = first
-            .filter_map(|connection| Some((self.idle_since(*connection)?, *connection)))
-            .min()
-            .map(|(_, connection)| connection);
-        let unclaimed =
-            |c: &&ConnectionId| self.all.get(c).is_some_and(|c| c.state == ConnectionState::Connecting(None));
-        idle.or_else(|| self.all.keys().find(unclaimed).copied())
+        let first_of_each = self.idle.values().filter_map(|idle| idle.first());
+        let by_time =
+            first_of_each.filter_map(|connection| Some((self.idle_since(*connection)?, *connection)));
+        if let Some((_, connection)) = by_time.min() {
+            return Some(connection);
+        }
+        let unclaimed = |known: &Connection| known.state == ConnectionState::Connecting(None);
+        self.connections.iter().find(|(_, known)| unclaimed(known)).map(|(connection, _)| *connection)
     }
 
-    /// The idle ones of a backend.
+    /// The idle connections of a backend, the most recently used last.
     pub fn idle_of(&self, backend: BackendId) -> Vec<ConnectionId> {
         self.idle.get(&backend).cloned().unwrap_or_default()
     }
 
-    /// Those idle for too long.
-    pub fn idle_too_long(&self, now: Time, limits: &ConnectionLimits) -> Vec<ConnectionId> {
-        let idle = self.idle.values().flatten().copied();
-        idle.filter(|connection| {
-            self.idle_since(*connection).is_some_and(|since| now - since >= limits.idle_timeout)
-        })
-        .collect()
+    /// When [`Self::sweep_idle`] is due.
+    pub fn idle_sweep_at(&self) -> Option<Time> {
+        self.idle_sweep_at
+    }
+
+    /// If the sweep is due, removes the connections that have passed the idle timeout and returns them.
+    pub fn sweep_idle(&mut self, now: Time) -> Vec<ConnectionId> {
+        if self.idle_sweep_at.is_none_or(|at| at > now) {
+            return Vec::new();
+        }
+        let mut expired = Vec::new();
+        for connection in self.idle.values().flatten() {
+            if self.idle_since(*connection).is_some_and(|since| now - since >= self.limits.idle_timeout) {
+                expired.push(*connection);
+            }
+        }
+        for connection in &expired {
+            self.remove(*connection);
+        }
+        let interval = self.limits.idle_timeout.times(IDLE_SWEEP_FRACTION).max(MIN_IDLE_SWEEP_INTERVAL);
+        self.idle_sweep_at = (!self.idle.is_empty()).then(|| now + interval);
+        expired
     }
 
     fn idle_since(&self, connection: ConnectionId) -> Option<Time> {
-        match self.all.get(&connection)?.state {
+        match self.get(connection)?.state {
             ConnectionState::Idle(since, _) => Some(since),
-            _ => None,
+            ConnectionState::Connecting(_) | ConnectionState::Busy(..) => None,
         }
     }
+
+    /// A response came from a backend.
+    pub fn record_response(&mut self, now: Time, backend: BackendId) {
+        self.last_response_at.insert(backend, now);
+    }
+
+    /// Whether a response came from a backend at `since` or later.
+    pub fn has_responded_since(&self, backend: BackendId, since: Time) -> bool {
+        self.last_response_at.get(&backend).is_some_and(|at| *at >= since)
+    }
+
+    /// When the last response came from each backend that is listed.
+    pub fn last_responses(&self) -> &BTreeMap<BackendId, Time> {
+        &self.last_response_at
+    }
+
+    /// No list has the backend any more.
+    pub fn remove_last_response(&mut self, backend: BackendId) {
+        self.last_response_at.remove(&backend);
+    }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -18,12 +18,16 @@
 mod connection_pool;
 mod engine;
 mod event;
+mod known_backends;
 pub mod monitor;
 mod mutant;
+mod policy;
 mod request;
+mod request_table;
 
 pub use connection_pool::{ConnectionLimits, ConnectionState};
-pub use engine::{Engine, Policy};
+pub use engine::Engine;
 pub use event::{Action, Event, FinalOutcome, RequestSpec};
 pub use mutant::Mutant;
+pub use policy::Policy;
 pub use request::{Attempt, AttemptState, Request, RequestState};
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -98,7 +98,32 @@
     pub attempts: Vec<Attempt>,
 }
 
+/// What ending an attempt calls for.
+pub(crate) struct EndedAttempt {
+    /// Its intent was requested and no byte of it has been written.
+    pub withdraw_intent: bool,
+    /// From its dispatch to its end.
+    pub latency: Micros,
+}
+
 impl Request {
+    /// Ends an attempt; `has_response`: by a complete response. None: there is no such attempt, or it has ended.
+    pub(crate) fn end_attempt(
+        &mut self, now: Time, number: AttemptNumber, outcome: Outcome, has_response: bool,
+    ) -> Option<EndedAttempt> {
+        let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.out())?;
+        let not_begun = matches!(attempt.state, AttemptState::AwaitingIntent | AttemptState::Connecting(_));
+        let withdraw_intent = not_begun && attempt.intent_requested;
+        let latency = now - attempt.dispatched_at;
+        attempt.state = AttemptState::Ended(outcome);
+        attempt.ended_at = now;
+        match outcome {
+            Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // says nothing of the attempt before
+            _ => self.last_answered = has_response.then_some(number),
+        }
+        Some(EndedAttempt { withdraw_intent, latency })
+    }
+
     /// Some attempt has not ended.
     pub fn out(&self) -> bool {
         self.attempts.iter().any(Attempt::out)
--- /dev/null
+++ b/crates/engine/src/request_table.rs
@@ -0,0 +1,102 @@
+//! The requests that are open or whose attempts have not all ended, and the deadlines that are awaited for them.
+//!
+//! Owned by [`crate::Engine`]. Bound: what the front has open, and requests that have ended until their last
+//! attempt has.
+
+use crate::mutant::{mutant, ActiveMutant};
+use crate::request::{Attempt, Request, RequestState};
+use shaletide_types::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// All requests with their deadlines.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct RequestTable {
+    requests: BTreeMap<RequestId, Request>,
+    deadlines: BTreeSet<(Time, RequestId)>,
+}
+
+impl RequestTable {
+    pub fn all(&self) -> &BTreeMap<RequestId, Request> {
+        &self.requests
+    }
+
+    pub fn deadlines(&self) -> &BTreeSet<(Time, RequestId)> {
+        &self.deadlines
+    }
+
+    pub fn contains(&self, id: RequestId) -> bool {
+        self.requests.contains_key(&id)
+    }
+
+    pub fn get(&self, id: RequestId) -> Option<&Request> {
+        self.requests.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.requests.get_mut(&id)
+    }
+
+    /// The request, if no decision on its answer has been made yet.
+    pub fn open_mut(&mut self, id: RequestId) -> Option<&mut Request> {
+        self.get_mut(id).filter(|request| request.state == RequestState::Open)
+    }
+
+    pub fn is_open(&self, id: RequestId) -> bool {
+        self.get(id).is_some_and(|request| request.state == RequestState::Open)
+    }
+
+    pub fn attempt(&self, id: RequestId, number: AttemptNumber) -> Option<&Attempt> {
+        self.get(id)?.attempts.get(number.0 as usize)
+    }
+
+    pub fn attempt_mut(&mut self, id: RequestId, number: AttemptNumber) -> Option<&mut Attempt> {
+        self.get_mut(id)?.attempts.get_mut(number.0 as usize)
+    }
+
+    /// Adds a request and awaits its deadline.
+    pub fn insert(&mut self, id: RequestId, request: Request) {
+        self.deadlines.insert((request.deadline, id));
+        self.requests.insert(id, request);
+    }
+
+    /// No answer is due any more. `cancellation`: its attempts are cancelled; else they go on, and still end
+    /// with the request's deadline.
+    pub fn finish(&mut self, id: RequestId, cancellation: bool, active: ActiveMutant) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.state = RequestState::Finished;
+        let deadline = (request.deadline, id);
+        if (cancellation || !request.out()) && !mutant!(active, TimerOutlivesRequest) {
+            self.deadlines.remove(&deadline);
+        }
+    }
+
+    /// Removes a request that is finished and whose attempts have ended.
+    pub fn remove_if_ended(&mut self, id: RequestId, active: ActiveMutant) {
+        let Some(request) = self.get(id) else { return };
+        if request.state != RequestState::Finished || request.out() {
+            return;
+        }
+        let deadline = (request.deadline, id);
+        if !mutant!(active, TimerOutlivesRequest) {
+            self.deadlines.remove(&deadline);
+        }
+        self.requests.remove(&id);
+    }
+
+    /// The request's deadline is not awaited any more.
+    pub fn remove_deadline(&mut self, id: RequestId) {
+        if let Some(request) = self.requests.get(&id) {
+            self.deadlines.remove(&(request.deadline, id));
+        }
+    }
+
+    /// Takes the request whose deadline passed first, if any has by `now`.
+    pub fn take_expired(&mut self, now: Time) -> Option<RequestId> {
+        let &(deadline, id) = self.deadlines.first()?;
+        if deadline > now {
+            return None;
+        }
+        self.deadlines.remove(&(deadline, id));
+        Some(id)
+    }
+}
