--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,16 +14,20 @@
 //! - [`Engine::wake_at`] is asked after each call, and [`Event::Wake`] told then.
 #![forbid(unsafe_code)]
 
+mod attempt_rules;
 mod connection_pool;
 mod engine;
 mod event;
-mod guard;
+mod known_backends;
 pub mod monitor;
 mod mutant;
+mod policy;
 mod request;
+mod request_table;
 
 pub use connection_pool::{ConnectionLimits, ConnectionState};
-pub use engine::{Engine, Policy};
+pub use engine::Engine;
 pub use event::{Action, Event, FinalOutcome, RequestSpec};
 pub use mutant::Mutant;
+pub use policy::Policy;
 pub use request::{Attempt, AttemptState, Request, RequestState};
