--- a/crates/net/src/connection_table.rs
+++ b/crates/net/src/connection_table.rs
@@ -17,7 +17,7 @@
     /// A request is on it.
     pub busy: bool,
     /// It came up at this very moment, and nobody was offered it yet.
-    pub fresh: bool,
+    pub never_used: bool,
 }
 
 impl Drop for UpstreamConnection {
@@ -31,7 +31,7 @@
 /// All of them, by the engine's names.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
-    pub all: HashMap<ConnectionId, UpstreamConnection>,
+    pub by_id: HashMap<ConnectionId, UpstreamConnection>,
     /// Opened since the last report.
     pub opened: u64,
 }
@@ -39,8 +39,10 @@
 impl ConnectionTable {
     /// Idle ones on which something has come, or that the other side has closed.
     pub fn with_pending_input(&self) -> Vec<ConnectionId> {
-        let idle = self.all.iter().filter(|(_, line)| !line.busy);
-        let pending = |line: &UpstreamConnection| line.stream.as_ref().is_some_and(Stream::has_pending_input);
-        idle.filter(|(_, line)| pending(line)).map(|(connection, _)| *connection).collect()
+        let idle = self.by_id.iter().filter(|(_, connection)| !connection.busy);
+        let pending = |connection: &UpstreamConnection| {
+            connection.stream.as_ref().is_some_and(Stream::has_pending_input)
+        };
+        idle.filter(|(_, connection)| pending(connection)).map(|(connection, _)| *connection).collect()
     }
 }
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -25,29 +25,29 @@
 use tracing::{error, info, warn};
 
 /// Kept of the client's time for the answer's way back, on top of how late timers were seen to fire.
-const MARGIN: Micros = Micros(3_000);
-const MOST_MARGIN: Micros = Micros(20_000);
+const MIN_DEADLINE_MARGIN: Micros = Micros(3_000);
+const MAX_DEADLINE_MARGIN: Micros = Micros(20_000);
 /// Part of the backends' idle limit after which a connection is no longer used: well inside it, as their
 /// clock may have started earlier than ours.
-const IDLE_PART: f64 = 0.6;
+const USABLE_IDLE_FRACTION: f64 = 0.6;
 /// A connection is not used again so soon after an answer. A hedged attempt of that, or noise, may come some
 /// milliseconds behind it, and on a connection that carries the next request already nothing would tell it from the
 /// answer to that one. It costs as many further connections as there are answers in this time.
-const QUIET: Micros = Micros(10_000);
+const REUSE_DELAY: Micros = Micros(10_000);
 /// How often idle connections are looked over.
-const SWEEP: Duration = Duration::from_millis(500);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// A timer that fires so late finds the process held up, or busy.
-const LATE_WAKE: Micros = Micros(5_000);
+const LATE_TIMER: Micros = Micros(5_000);
 /// A connect that lacks something of the system's is tried again after this time.
-const CONNECT_PAUSE: Duration = Duration::from_millis(5);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// An answer may be so late in the eyes of the monitors: as late as a busy machine wakes.
-const SLACK: Micros = Micros(100_000);
+const ANSWER_SLACK: Micros = Micros(100_000);
 /// A list on record is cut behind so many bytes: 1,024 backends fit whose names are of 248 bytes.
-const LIST_BYTES: usize = 256 << 10;
+const MAX_RECORDED_LIST_BYTES: usize = 256 << 10;
 /// So many broken rules are kept for a report, and have a line each.
-const BROKEN: usize = 50;
+const MAX_RECORDED_VIOLATIONS: usize = 50;
 /// So many conflicts between lists are named in a line.
-const NAMED: usize = 5;
+const MAX_LOGGED_CONFLICTS: usize = 5;
 
 /// How connections to backends are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -94,7 +94,7 @@
 }
 
 /// What is kept for a front while its request is open.
-struct Open {
+struct OpenRequest {
     upstream_request: Rc<dyn UpstreamRequest>,
     answer: oneshot::Sender<FinalResponse>,
     /// It is on record, and its attempts want permits.
@@ -103,7 +103,7 @@
     conflict: Option<KeyConflict>,
 }
 
-impl Open {
+impl OpenRequest {
     /// The trace of an attempt, where requests are traced.
     fn trace(&self, attempt: AttemptNumber, backend: BackendId) -> Option<AttemptTrace> {
         let request = self.upstream_request.trace()?.clone();
@@ -113,34 +113,34 @@
 
 /// What happened since the last line about it.
 #[derive(Default)]
-struct Counts {
+struct Counters {
     requests: u64,
     served: u64,
-    refused: u64,
+    rejected: u64,
     failed: u64,
     timed_out: u64,
-    gone: u64,
+    client_disconnected: u64,
     sent: u64,
-    spoilt: u64,
-    ended: u64,
-    unfit: u64,
-    unconnected: u64,
+    invalid_responses: u64,
+    connections_closed: u64,
+    connections_unusable: u64,
+    connects_failed: u64,
 }
 
 /// The rules as seen from outside the engine.
-struct Check {
+struct InvariantChecker {
     monitor: Monitor,
-    broken: Vec<String>,
-    count: u64,
+    violations: Vec<String>,
+    violation_count: u64,
 }
 
-impl Check {
-    fn note(&mut self, verdict: shaletide_engine::monitor::Verdict) {
+impl InvariantChecker {
+    fn record(&mut self, verdict: shaletide_engine::monitor::Verdict) {
         let Err(violation) = verdict else { return };
-        self.count += 1;
-        if self.broken.len() < BROKEN {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
             error!("self-check: {violation}");
-            self.broken.push(violation.to_string());
+            self.violations.push(violation.to_string());
         }
     }
 }
@@ -148,25 +148,25 @@
 struct State {
     engine: Engine<Pools>,
     directory: Directory,
-    starts: StartTimes,
+    start_times: StartTimes,
     /// Backends numbered so far; a line names each new one, as the module's lines speak of numbers.
-    named: u32,
-    open: HashMap<RequestId, Open>,
-    lines: ConnectionTable,
-    events: VecDeque<Event>,
+    backends_logged: u32,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    connections: ConnectionTable,
+    pending_events: VecDeque<Event>,
     /// Events are being told; what is added meanwhile is told after them.
-    telling: bool,
+    dispatching: bool,
     actions: Vec<Action>,
-    follow: HashMap<PoolId, Rc<Notify>>,
+    subscriptions: HashMap<PoolId, Rc<Notify>>,
     /// The rules' monitors, where they are wanted.
-    check: Option<Check>,
+    checker: Option<InvariantChecker>,
     /// The record, where there is one, and the version of each pool's list.
     record: Option<Rc<dyn RequestRecorder>>,
-    versions: HashMap<PoolId, u64>,
+    list_versions: HashMap<PoolId, u64>,
     /// When the timer is set to fire.
-    armed: Option<Time>,
-    last: u64,
-    counts: Counts,
+    timer_at: Option<Time>,
+    last_request_id: u64,
+    counters: Counters,
 }
 
 /// Owner of the engine and the directory, and of what is out for them.
@@ -175,28 +175,28 @@
     /// The time by which all is done.
     pub clock: Clock,
     network: Cell<UpstreamConfig>,
-    sooner: Notify,
+    timer_changed: Notify,
     /// How late timers fire: the largest of late, fading.
-    lag: Cell<u64>,
+    timer_lateness: Cell<u64>,
     /// Errors of system calls.
     pub system_errors: SystemErrors,
 }
 
 /// Not a byte of a request has gone out on it. Another is looked for, but not where it has only just come up: a backend
 /// that ends each new connection, or is the first to speak, would be connected to for as long as the request has time.
-fn unusable(connection: ConnectionId, fresh: bool) -> Event {
-    if fresh {
+fn unusable_event(connection: ConnectionId, never_used: bool) -> Event {
+    if never_used {
         Event::ConnectionClosed { connection }
     } else {
         Event::ConnectionUnusable { connection }
     }
 }
 
-fn keeping(network: &UpstreamConfig) -> ConnectionLimits {
+fn connection_limits(network: &UpstreamConfig) -> ConnectionLimits {
     ConnectionLimits {
         max_connections: network.max_connections,
-        idle_timeout: network.idle_timeout.times(IDLE_PART),
-        reuse_delay: QUIET,
+        idle_timeout: network.idle_timeout.times(USABLE_IDLE_FRACTION),
+        reuse_delay: REUSE_DELAY,
     }
 }
 
@@ -204,29 +204,29 @@
     /// A driver of no pools; [`Driver::setup`] gives it some.
     pub fn new(clock: Clock, network: UpstreamConfig) -> Rc<Driver> {
         let state = State {
-            engine: Engine::new(Pools::new(), keeping(&network)),
+            engine: Engine::new(Pools::new(), connection_limits(&network)),
             directory: Directory::default(),
-            starts: StartTimes::default(),
-            named: 0,
-            open: HashMap::new(),
-            lines: ConnectionTable::default(),
-            events: VecDeque::new(),
-            telling: false,
+            start_times: StartTimes::default(),
+            backends_logged: 0,
+            open_requests: HashMap::new(),
+            connections: ConnectionTable::default(),
+            pending_events: VecDeque::new(),
+            dispatching: false,
             actions: Vec::new(),
-            follow: HashMap::new(),
-            check: None,
+            subscriptions: HashMap::new(),
+            checker: None,
             record: None,
-            versions: HashMap::new(),
-            armed: None,
-            last: 0,
-            counts: Counts::default(),
+            list_versions: HashMap::new(),
+            timer_at: None,
+            last_request_id: 0,
+            counters: Counters::default(),
         };
         Rc::new(Driver {
             state: RefCell::new(state),
             clock,
             network: Cell::new(network),
-            sooner: Notify::new(),
-            lag: Cell::new(0),
+            timer_changed: Notify::new(),
+            timer_lateness: Cell::new(0),
             system_errors: SystemErrors::default(),
         })
     }
@@ -244,14 +244,14 @@
         let now = self.clock.now();
         self.network.set(network);
         let specs = setups.iter().map(|s| s.spec.clone()).collect();
-        let (told, ids, closed) = {
+        let (changes, ids, closed) = {
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
-            let told = match first {
+            let changes = match first {
                 Some((zones, kinds)) => {
-                    let (directory, told) = Directory::new(zones, kinds, specs);
+                    let (directory, changes) = Directory::new(zones, kinds, specs);
                     s.directory = directory;
-                    told
+                    changes
                 }
                 None => s.directory.reload(now, specs),
             };
@@ -263,7 +263,7 @@
             let only_deduplication_domain =
                 realms.iter().next().copied().flatten().filter(|_| realms.len() == 1);
             let cancel = setups.iter().all(|s| s.config.may_cancel_attempts);
-            s.starts.set_slow_start_window(
+            s.start_times.set_slow_start_window(
                 setups.iter().map(|s| s.config.slow_start_window).max().unwrap_or_default(),
             );
             for (id, setup) in ids.iter().zip(setups) {
@@ -273,41 +273,51 @@
                     seed,
                 )?;
             }
-            s.engine.configure(keeping(&network), cancel, only_deduplication_domain);
-            if let Some(check) = &mut s.check {
+            s.engine.configure(connection_limits(&network), cancel, only_deduplication_domain);
+            if let Some(checker) = &mut s.checker {
                 let rules = Rules {
                     cancel,
                     one_realm: only_deduplication_domain.is_some(),
-                    ..*check.monitor.rules()
+                    ..*checker.monitor.rules()
                 };
-                check.monitor.configure(rules);
+                checker.monitor.configure(rules);
             }
             let closed: Vec<PoolId> = s.engine.policy().open().filter(|id| !ids.contains(id)).collect();
-            (told, ids, closed)
+            (changes, ids, closed)
         };
-        self.take_in(told);
+        self.apply_endpoint_changes(changes);
         for pool in closed {
-            self.state.borrow_mut().follow.remove(&pool);
-            self.tell(Event::PoolClosed { pool });
+            self.state.borrow_mut().subscriptions.remove(&pool);
+            self.handle_event(Event::PoolClosed { pool });
         }
         Ok(ids)
     }
 
     /// Holds all that happens from now on against the rules, by observers that share no code with the engine. A rule
-    /// that breaks has a line in the log; [`Driver::broken`] tells of all.
+    /// that breaks has a line in the log; [`Driver::violations`] tells of all.
     pub fn self_check(&self, drain_grace: Micros) {
         let mut s = self.state.borrow_mut();
-        let rules = Rules { drain_grace, answer_slack: SLACK, quiet: QUIET, cancel: true, one_realm: false };
-        s.check = Some(Check { monitor: Monitor::new(rules), broken: Vec::new(), count: 0 });
+        let rules = Rules {
+            drain_grace,
+            answer_slack: ANSWER_SLACK,
+            quiet: REUSE_DELAY,
+            cancel: true,
+            one_realm: false,
+        };
+        s.checker = Some(InvariantChecker {
+            monitor: Monitor::new(rules),
+            violations: Vec::new(),
+            violation_count: 0,
+        });
     }
 
     /// A rule that the caller watches over was broken: it counts and has a line, like those of the self-check.
     pub fn report_violation(&self, text: &str) {
         error!("self-check: {text}");
-        if let Some(check) = &mut self.state.borrow_mut().check {
-            check.count += 1;
-            if check.broken.len() < BROKEN {
-                check.broken.push(text.into());
+        if let Some(checker) = &mut self.state.borrow_mut().checker {
+            checker.violation_count += 1;
+            if checker.violations.len() < MAX_RECORDED_VIOLATIONS {
+                checker.violations.push(text.into());
             }
         }
     }
@@ -315,50 +325,53 @@
     /// How many rules were broken since the self-check began, and the first of them.
     pub fn violations(&self) -> (u64, Vec<String>) {
         let s = self.state.borrow();
-        s.check.as_ref().map_or((0, Vec::new()), |check| (check.count, check.broken.clone()))
+        s.checker
+            .as_ref()
+            .map_or((0, Vec::new()), |checker| (checker.violation_count, checker.violations.clone()))
     }
 
     /// What is held back of a client's time.
     pub fn deadline_margin(&self) -> Micros {
-        Micros((MARGIN.0 + self.lag.get()).min(MOST_MARGIN.0))
+        Micros((MIN_DEADLINE_MARGIN.0 + self.timer_lateness.get()).min(MAX_DEADLINE_MARGIN.0))
     }
 
-    /// Takes a request; `order.arrival.request`, `permit` and `recorded` are given here.
+    /// Takes a request; `spec.arrival.request`, `spec.requires_intent` and `spec.recorded` are given here.
     ///
     /// # Errors
     /// Why it is not taken. Nothing is owed then.
     pub fn submit(
-        self: &Rc<Self>, mut order: RequestSpec, named: RequestIdentity<'_>,
+        self: &Rc<Self>, mut spec: RequestSpec, identity: RequestIdentity<'_>,
         upstream_request: Rc<dyn UpstreamRequest>,
     ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
         // Each attempt asks again: a request that need not be taken costs no decision and no connection.
         if upstream_request.client().is_some_and(PeerWatch::closed) {
-            self.state.borrow_mut().counts.gone += 1;
+            self.state.borrow_mut().counters.client_disconnected += 1;
             upstream_request.trace().inspect(|trace| trace.event(RequestEvent::ClientClosed));
             return Err(SubmitError::ClientClosed);
         }
         let now = self.clock.now();
         let (id, record) = {
             let mut s = self.state.borrow_mut();
-            s.last += 1;
-            s.counts.requests += 1;
-            (RequestId(s.last), s.record.clone())
+            s.last_request_id += 1;
+            s.counters.requests += 1;
+            (RequestId(s.last_request_id), s.record.clone())
         };
-        let RequestIdentity { tenant, class, key } = named;
-        let asked = KeyRequest { request: id, tenant, class, key, deadline: now + order.arrival.time_left };
+        let RequestIdentity { tenant, class, key } = identity;
+        let key_request =
+            KeyRequest { request: id, tenant, class, key, deadline: now + spec.arrival.time_left };
         let recorded =
-            match record.filter(|record| record.records(class)).map(|record| record.ask(now, &asked)) {
+            match record.filter(|record| record.records(class)).map(|record| record.ask(now, &key_request)) {
                 None => None,
                 Some(KeyDecision::Proceed { requires_intent: permit }) => Some(permit),
                 Some(verdict) => return Err(SubmitError::Record(verdict)),
             };
         upstream_request.trace().inspect(|trace| trace.taken(id));
         let (answer, wait) = oneshot::channel();
-        let open = Open { upstream_request, answer, recorded, conflict: None };
-        self.state.borrow_mut().open.insert(id, open);
-        order.arrival.request = id;
-        (order.requires_intent, order.recorded) = (recorded == Some(true), recorded.is_some());
-        self.tell(Event::Request(order));
+        let open = OpenRequest { upstream_request, answer, recorded, conflict: None };
+        self.state.borrow_mut().open_requests.insert(id, open);
+        spec.arrival.request = id;
+        (spec.requires_intent, spec.recorded) = (recorded == Some(true), recorded.is_some());
+        self.handle_event(Event::Request(spec));
         Ok((id, wait))
     }
 
@@ -369,7 +382,7 @@
 
     /// The record's word on an attempt.
     pub fn on_intent_persisted(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, given: bool) {
-        self.tell(Event::IntentPersisted { request, attempt, persisted: given });
+        self.handle_event(Event::IntentPersisted { request, attempt, persisted: given });
     }
 
     /// The record has seen that a request must not be sent: it ends now.
@@ -377,29 +390,30 @@
         let advice = match verdict {
             KeyDecision::Reject(advice) => advice,
             KeyDecision::Conflict(conflict) => {
-                if let Some(open) = self.state.borrow_mut().open.get_mut(&request) {
+                if let Some(open) = self.state.borrow_mut().open_requests.get_mut(&request) {
                     open.conflict = Some(conflict);
                 }
                 Micros(0)
             }
             _ => Micros(0),
         };
-        self.tell(Event::GiveUp { request, retry_after: advice });
+        self.handle_event(Event::GiveUp { request, retry_after: advice });
     }
 
     /// All that is open is given up: nothing of it goes out any more, and it is answered by what is known of it.
     pub fn give_up_all(self: &Rc<Self>, advice: Micros) {
-        let open: Vec<RequestId> = self.state.borrow().open.keys().copied().collect();
-        open.into_iter().for_each(|request| self.tell(Event::GiveUp { request, retry_after: advice }));
+        let open: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
+        open.into_iter()
+            .for_each(|request| self.handle_event(Event::GiveUp { request, retry_after: advice }));
     }
 
     /// The version of a pool's list, of which news follows.
     pub fn set_list_version(&self, pool: PoolId, version: u64) {
-        self.state.borrow_mut().versions.insert(pool, version);
+        self.state.borrow_mut().list_versions.insert(pool, version);
     }
 
     /// Tells the record, where there is one.
-    fn note(&self, event: shaletide_record::Event) {
+    fn record_event(&self, event: shaletide_record::Event) {
         let record = self.state.borrow().record.clone();
         if let Some(record) = record {
             record.tell(self.clock.now(), event);
@@ -407,15 +421,17 @@
     }
 
     /// Whether a request is on record, and if so whether its attempts want permits.
-    fn recorded(&self, request: RequestId) -> Option<bool> {
-        self.state.borrow().open.get(&request).and_then(|open| open.recorded)
+    fn requires_intent(&self, request: RequestId) -> Option<bool> {
+        self.state.borrow().open_requests.get(&request).and_then(|open| open.recorded)
     }
 
     /// What is known of a backend at this moment.
-    fn seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
+    fn backend_seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
         let s = self.state.borrow();
-        let tries = s.engine.requests().get(&request).map(|r| &r.attempts);
-        let Some(backend) = tries.and_then(|t| t.get(attempt.0 as usize)).map(|t| t.backend) else {
+        let attempts = s.engine.requests().get(&request).map(|r| &r.attempts);
+        let Some(backend) =
+            attempts.and_then(|attempts| attempts.get(attempt.0 as usize)).map(|attempt| attempt.backend)
+        else {
             return Seen::default();
         };
         let pool = s.directory.pool(backend);
@@ -425,7 +441,7 @@
         Seen {
             backend: s.directory.name(backend).unwrap_or_default().into(),
             pool: pool.and_then(|pool| s.directory.pool_name(pool)).unwrap_or_default().into(),
-            list: pool.and_then(|pool| s.versions.get(&pool)).copied().unwrap_or_default(),
+            list: pool.and_then(|pool| s.list_versions.get(&pool)).copied().unwrap_or_default(),
             state: format!("{state:?}").to_lowercase(),
             ready: state == BackendState::Ready,
             out: out as u32,
@@ -434,21 +450,21 @@
 
     /// Its answer is still awaited.
     fn is_open(&self, request: RequestId) -> bool {
-        self.state.borrow().open.contains_key(&request)
+        self.state.borrow().open_requests.contains_key(&request)
     }
 
     /// The client left before its answer.
     pub fn client_gone(self: &Rc<Self>, id: RequestId) {
         let recorded = {
             let mut s = self.state.borrow_mut();
-            let Some(open) = s.open.remove(&id) else { return };
-            s.counts.gone += 1;
+            let Some(open) = s.open_requests.remove(&id) else { return };
+            s.counters.client_disconnected += 1;
             open.upstream_request.trace().inspect(|trace| trace.event(RequestEvent::ClientClosed));
             open.recorded.is_some()
         };
-        self.tell(Event::ClientDisconnected { request: id });
+        self.handle_event(Event::ClientDisconnected { request: id });
         if recorded {
-            self.note(shaletide_record::Event::RequestEnded {
+            self.record_event(shaletide_record::Event::RequestEnded {
                 request: id,
                 ending: RequestEnding::ClientDisconnected,
             });
@@ -459,26 +475,26 @@
     pub fn update_endpoints(
         self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>,
     ) {
-        let told = {
+        let changes = {
             let mut s = self.state.borrow_mut();
-            s.starts.to_local_clock(self.clock.now(), pool, update, &mut entries);
+            s.start_times.to_local_clock(self.clock.now(), pool, update, &mut entries);
             s.directory.apply_update(pool, update, entries)
         };
-        self.take_in(told);
+        self.apply_endpoint_changes(changes);
     }
 
     /// Until a pool's module asks its discovery for changes.
     pub async fn subscribe_requested(&self, pool: PoolId) {
-        let follow = self.state.borrow_mut().follow.entry(pool).or_default().clone();
+        let follow = self.state.borrow_mut().subscriptions.entry(pool).or_default().clone();
         follow.notified().await;
     }
 
     /// Tells an event, and carries out all that follows from it.
-    fn tell(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         {
             let mut s = self.state.borrow_mut();
-            s.events.push_back(event);
-            if std::mem::replace(&mut s.telling, true) {
+            s.pending_events.push_back(event);
+            if std::mem::replace(&mut s.dispatching, true) {
                 return; // by whoever is telling already
             }
         }
@@ -486,27 +502,27 @@
             let mut actions = {
                 let mut s = self.state.borrow_mut();
                 let s = &mut *s;
-                let Some(event) = s.events.pop_front() else {
-                    s.telling = false;
+                let Some(event) = s.pending_events.pop_front() else {
+                    s.dispatching = false;
                     let wake = s.engine.wake_at();
-                    if wake.is_some_and(|at| s.armed.is_none_or(|armed| at < armed)) {
-                        self.sooner.notify_one();
+                    if wake.is_some_and(|at| s.timer_at.is_none_or(|timer_at| at < timer_at)) {
+                        self.timer_changed.notify_one();
                     }
                     return;
                 };
                 let (now, mut actions) = (self.clock.now(), std::mem::take(&mut s.actions));
-                match &mut s.check {
+                match &mut s.checker {
                     None => s.engine.handle(now, event, &mut actions),
-                    Some(check) => {
-                        let seen = check.monitor.see(now, &event);
-                        check.note(seen);
+                    Some(checker) => {
+                        let seen = checker.monitor.see(now, &event);
+                        checker.record(seen);
                         s.engine.handle(now, event, &mut actions);
                         for action in &actions {
-                            let acted = check.monitor.act(now, action);
-                            check.note(acted);
+                            let acted = checker.monitor.act(now, action);
+                            checker.record(acted);
                         }
-                        let done = check.monitor.done(now);
-                        check.note(done);
+                        let done = checker.monitor.done(now);
+                        checker.record(done);
                     }
                 }
                 actions
@@ -518,80 +534,80 @@
 
     fn carry_out(self: &Rc<Self>, action: Action) {
         match action {
-            Action::Connect { connection, backend } => self.open(connection, backend),
+            Action::Connect { connection, backend } => self.connect(connection, backend),
             Action::Send { connection, request, attempt, deadline, write_deadline: by } => {
-                if self.recorded(request) == Some(false) {
-                    let seen = self.seen(request, attempt);
-                    self.note(shaletide_record::Event::AttemptStarted { request, attempt, seen });
+                if self.requires_intent(request) == Some(false) {
+                    let seen = self.backend_seen(request, attempt);
+                    self.record_event(shaletide_record::Event::AttemptStarted { request, attempt, seen });
                 }
-                self.send(connection, request, attempt, deadline, by);
+                self.dispatch(connection, request, attempt, deadline, by);
             }
             Action::Close { connection } => {
                 let mut s = self.state.borrow_mut();
-                let line = s.lines.all.remove(&connection);
-                if let Some(line) = line.filter(|line| line.busy) {
+                let upstream = s.connections.by_id.remove(&connection);
+                if let Some(upstream) = upstream.filter(|upstream| upstream.busy) {
                     // Dropped, it writes nothing more: how far it has got is certain now.
-                    let written = line.stream.as_ref().is_some_and(Stream::request_written);
-                    line.stream.as_ref().inspect(|stream| stream.end_trace(|| AttemptOutcome::Cancelled));
-                    s.events.push_back(Event::CloseCompleted { connection, written });
+                    let written = upstream.stream.as_ref().is_some_and(Stream::request_written);
+                    upstream.stream.as_ref().inspect(|stream| stream.end_trace(|| AttemptOutcome::Cancelled));
+                    s.pending_events.push_back(Event::CloseCompleted { connection, written });
                 }
             }
             Action::Answer { request, answer, last_attempt: last } => self.answer(request, answer, last),
             Action::PersistIntent { request, attempt } => {
-                let seen = self.seen(request, attempt);
-                self.note(shaletide_record::Event::IntentRequested { request, attempt, seen });
+                let seen = self.backend_seen(request, attempt);
+                self.record_event(shaletide_record::Event::IntentRequested { request, attempt, seen });
             }
             Action::WithdrawIntent { request, attempt } => {
-                self.note(shaletide_record::Event::IntentWithdrawn { request, attempt });
+                self.record_event(shaletide_record::Event::IntentWithdrawn { request, attempt });
             }
             Action::AttemptEnded { request, attempt, outcome } => {
-                self.note(shaletide_record::Event::AttemptEnded { request, attempt, outcome });
+                self.record_event(shaletide_record::Event::AttemptEnded { request, attempt, outcome });
             }
             Action::Subscribe { pool } => {
-                self.state.borrow_mut().follow.entry(pool).or_default().notify_one();
+                self.state.borrow_mut().subscriptions.entry(pool).or_default().notify_one();
             }
             Action::Log { pool, text } => info!("pool {}: {text}", pool.0),
         }
     }
 
-    fn open(self: &Rc<Self>, connection: ConnectionId, backend: BackendId) {
+    fn connect(self: &Rc<Self>, connection: ConnectionId, backend: BackendId) {
         let mut s = self.state.borrow_mut();
         let Some(to) = s.directory.address(backend) else {
-            s.events.push_back(Event::ConnectFailed { connection, backend_at_fault: false });
+            s.pending_events.push_back(Event::ConnectFailed { connection, backend_at_fault: false });
             return;
         };
-        s.lines.opened += 1;
-        s.trace_opening(connection, AttemptEvent::Connecting);
+        s.connections.opened += 1;
+        s.trace_connecting(connection, AttemptEvent::Connecting);
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
             let within = span(driver.network.get().connect_timeout);
-            let event = match driver.connected(to, within).await {
+            let event = match driver.connect_within(to, within).await {
                 Ok(tcp) => {
-                    driver.state.borrow_mut().came_up(connection, Stream::new(tcp));
+                    driver.state.borrow_mut().on_connected(connection, Stream::new(tcp));
                     Event::Connected { connection }
                 }
                 Err(failure) => {
                     let mut s = driver.state.borrow_mut();
-                    s.trace_opening(connection, AttemptEvent::ConnectFailed);
-                    s.lines.all.remove(&connection);
-                    s.counts.unconnected += 1;
+                    s.trace_connecting(connection, AttemptEvent::ConnectFailed);
+                    s.connections.by_id.remove(&connection);
+                    s.counters.connects_failed += 1;
                     Event::ConnectFailed { connection, backend_at_fault: failure == ConnectFailure::Peer }
                 }
             };
-            driver.tell(event);
-            if let Some(line) = driver.state.borrow_mut().lines.all.get_mut(&connection) {
-                line.fresh = false;
+            driver.handle_event(event);
+            if let Some(upstream) = driver.state.borrow_mut().connections.by_id.get_mut(&connection) {
+                upstream.never_used = false;
             }
         });
         let task = Some(task.abort_handle());
-        s.lines.all.insert(
+        s.connections.by_id.insert(
             connection,
-            UpstreamConnection { backend, to, stream: None, task, busy: false, fresh: false },
+            UpstreamConnection { backend, to, stream: None, task, busy: false, never_used: false },
         );
     }
 
     /// Connects within that time. A shortage of the system's is waited for, as the backend may be sound.
-    async fn connected(&self, to: SocketAddr, within: Duration) -> Result<TcpStream, ConnectFailure> {
+    async fn connect_within(&self, to: SocketAddr, within: Duration) -> Result<TcpStream, ConnectFailure> {
         let mut last = ConnectFailure::Peer;
         let attempts = async {
             loop {
@@ -606,7 +622,7 @@
                 if last != ConnectFailure::SystemShortage {
                     return Err(last);
                 }
-                tokio::time::sleep(CONNECT_PAUSE).await;
+                tokio::time::sleep(CONNECT_RETRY_DELAY).await;
             }
         };
         match timeout::timeout(within, attempts).await {
@@ -615,31 +631,32 @@
         }
     }
 
-    fn send(
+    fn dispatch(
         self: &Rc<Self>, connection: ConnectionId, request: RequestId, attempt: AttemptNumber,
         deadline: Time, by: Option<Time>,
     ) {
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
-        let line = s.lines.all.get_mut(&connection);
-        let fresh = line.as_ref().is_some_and(|line| line.fresh);
+        let upstream = s.connections.by_id.get_mut(&connection);
+        let never_used = upstream.as_ref().is_some_and(|upstream| upstream.never_used);
         // The kernel itself is asked before the first byte goes out: till then the loop may do other things.
-        let fit = line
-            .filter(|line| line.stream.as_ref().is_some_and(|stream| !stream.has_pending_input_as_polled()));
-        let (Some(line), Some(open)) = (fit, s.open.get(&request)) else {
-            s.counts.unfit += 1;
+        let usable = upstream.filter(|upstream| {
+            upstream.stream.as_ref().is_some_and(|stream| !stream.has_pending_input_as_polled())
+        });
+        let (Some(upstream), Some(open)) = (usable, s.open_requests.get(&request)) else {
+            s.counters.connections_unusable += 1;
             s.trace_unusable(connection, request, attempt);
-            s.events.push_back(unusable(connection, fresh));
+            s.pending_events.push_back(unusable_event(connection, never_used));
             return;
         };
-        let Some(stream) = line.stream.clone() else { return };
-        s.counts.sent += 1;
+        let Some(stream) = upstream.stream.clone() else { return };
+        s.counters.sent += 1;
         let network = self.network.get();
         let (stall, max_body) = (network.answer_stall.map(span), network.max_body);
         let exchange = ExchangeSpec {
             attempt,
             stream: stream.clone(),
-            to: line.to,
+            to: upstream.to,
             deadline: self.clock.instant(deadline).into_std(),
             stall,
             max_body,
@@ -647,18 +664,18 @@
         stream.prepare_request(); // until the request says what it writes, nothing is written
         stream.set_write_deadline(by.map(|by| self.clock.instant(by).into_std()));
         stream.set_client(open.upstream_request.client().cloned());
-        stream.begin_trace(open.trace(attempt, line.backend));
+        stream.begin_trace(open.trace(attempt, upstream.backend));
         let (driver, run) = (self.clone(), open.upstream_request.clone().run(exchange));
         let task = tokio::task::spawn_local(async move {
             let outcome = run.await;
-            driver.exchange_ended(connection, request, outcome, &stream, fresh);
+            driver.exchange_ended(connection, request, outcome, &stream, never_used);
         });
-        (line.task, line.busy) = (Some(task.abort_handle()), true);
+        (upstream.task, upstream.busy) = (Some(task.abort_handle()), true);
     }
 
     fn exchange_ended(
         self: &Rc<Self>, connection: ConnectionId, request: RequestId, outcome: ExchangeOutcome,
-        stream: &Stream, fresh: bool,
+        stream: &Stream, never_used: bool,
     ) {
         stream.end_trace(|| AttemptOutcome::of(&outcome, !stream.is_unwritten()));
         let ended = matches!(outcome, ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionClosed);
@@ -668,39 +685,39 @@
         let written = stream.request_written();
         let event = {
             let mut s = self.state.borrow_mut();
-            let Some(line) = s.lines.all.get_mut(&connection) else { return };
-            (line.busy, line.task) = (false, None);
+            let Some(upstream) = s.connections.by_id.get_mut(&connection) else { return };
+            (upstream.busy, upstream.task) = (false, None);
             match outcome {
                 ExchangeOutcome::Response { class: verdict, reusable: keep, excess, report } => {
-                    s.events.extend(report.map(|report| Event::LoadReported { connection, report }));
+                    s.pending_events.extend(report.map(|report| Event::LoadReported { connection, report }));
                     Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: excess }
                 }
                 // What ended or came before the first byte went out is about an earlier request, if any.
                 ExchangeOutcome::InvalidResponse | ExchangeOutcome::ConnectionClosed
                     if stream.is_unwritten() =>
                 {
-                    s.counts.unfit += 1;
-                    unusable(connection, fresh && !stream.write_deadline_passed())
+                    s.counters.connections_unusable += 1;
+                    unusable_event(connection, never_used && !stream.write_deadline_passed())
                 }
                 ExchangeOutcome::InvalidResponse => {
-                    s.counts.spoilt += 1;
+                    s.counters.invalid_responses += 1;
                     Event::InvalidResponse { connection }
                 }
                 ExchangeOutcome::ConnectionClosed => {
-                    s.counts.ended += 1;
+                    s.counters.connections_closed += 1;
                     Event::ConnectionClosed { connection }
                 }
             }
         };
         if written {
-            self.tell(Event::RequestWritten { connection });
+            self.handle_event(Event::RequestWritten { connection });
         }
-        self.tell(event);
+        self.handle_event(event);
     }
 
     fn answer(&self, request: RequestId, answer: FinalOutcome, last: Option<AttemptNumber>) {
         let mut s = self.state.borrow_mut();
-        let Some(open) = s.open.remove(&request) else { return };
+        let Some(open) = s.open_requests.remove(&request) else { return };
         let ending = match answer {
             FinalOutcome::Served(attempt) => RequestEnding::Served(attempt),
             FinalOutcome::Rejected(_) => RequestEnding::Rejected,
@@ -709,19 +726,19 @@
         };
         let (decision, attempt) = match answer {
             FinalOutcome::Served(attempt) => {
-                s.counts.served += 1;
+                s.counters.served += 1;
                 (Decision::Served, Some(attempt))
             }
             FinalOutcome::Rejected(after) => {
-                s.counts.refused += 1;
+                s.counters.rejected += 1;
                 (Decision::Rejected(after), last)
             }
             FinalOutcome::Failed => {
-                s.counts.failed += 1;
+                s.counters.failed += 1;
                 (Decision::Failed, last)
             }
             FinalOutcome::TimedOut => {
-                s.counts.timed_out += 1;
+                s.counters.timed_out += 1;
                 (Decision::TimedOut, None)
             }
         };
@@ -729,7 +746,7 @@
         // A client may have left in this very moment.
         let _ = open.answer.send(FinalResponse { decision, attempt, conflict: open.conflict });
         if open.recorded.is_some() {
-            self.note(shaletide_record::Event::RequestEnded { request, ending });
+            self.record_event(shaletide_record::Event::RequestEnded { request, ending });
         }
     }
 
@@ -738,24 +755,24 @@
         loop {
             let at = {
                 let mut s = self.state.borrow_mut();
-                s.armed = s.engine.wake_at();
-                s.armed
+                s.timer_at = s.engine.wake_at();
+                s.timer_at
             };
             match at {
-                None => self.sooner.notified().await,
+                None => self.timer_changed.notified().await,
                 Some(at) => {
                     let due = tokio::time::sleep_until(self.clock.instant(at));
                     tokio::select! {
                         _ = due => {
                             // What has come meanwhile is heard first: an answer is no silence.
-                            if self.clock.now() - at > LATE_WAKE {
+                            if self.clock.now() - at > LATE_TIMER {
                                 timeout::poll_sockets().await;
                             }
                             let late = (self.clock.now() - at).0;
-                            self.lag.set(late.max(self.lag.get() * 15 / 16));
-                            self.tell(Event::Wake);
+                            self.timer_lateness.set(late.max(self.timer_lateness.get() * 15 / 16));
+                            self.handle_event(Event::Wake);
                         }
-                        _ = self.sooner.notified() => {}
+                        _ = self.timer_changed.notified() => {}
                     }
                     // A round of decisions over large pools may last longer than its tick.
                     tokio::task::yield_now().await;
@@ -767,14 +784,16 @@
     /// Looks idle connections over, for as long as the program runs: those that the other side has closed go.
     pub async fn sweep_idle_connections(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(SWEEP).await;
-            let unfit = self.state.borrow().lines.with_pending_input();
-            unfit.into_iter().for_each(|connection| self.tell(Event::ConnectionUnusable { connection }));
+            tokio::time::sleep(SWEEP_INTERVAL).await;
+            let unusable = self.state.borrow().connections.with_pending_input();
+            unusable
+                .into_iter()
+                .for_each(|connection| self.handle_event(Event::ConnectionUnusable { connection }));
             let mut s = self.state.borrow_mut();
             let s = &mut *s;
-            if let Some(check) = &mut s.check {
-                let kept = check.monitor.kept(self.clock.now(), &s.engine);
-                check.note(kept);
+            if let Some(checker) = &mut s.checker {
+                let kept = checker.monitor.kept(self.clock.now(), &s.engine);
+                checker.record(kept);
             }
         }
     }
@@ -786,43 +805,43 @@
 
     /// Closes a connection that nobody uses to make room for a client; false where there is none.
     pub fn close_idle_connection(self: &Rc<Self>) -> bool {
-        let spare = self.state.borrow().engine.idle_connection();
-        spare.into_iter().for_each(|connection| self.tell(Event::ConnectionUnusable { connection }));
-        spare.is_some()
+        let idle = self.state.borrow().engine.idle_connection();
+        idle.into_iter().for_each(|connection| self.handle_event(Event::ConnectionUnusable { connection }));
+        idle.is_some()
     }
 
     /// One line on what went on since the last, and one on addresses that several lists bring.
     pub fn report(&self, clients: &str) {
         let mut s = self.state.borrow_mut();
-        let c = std::mem::take(&mut s.counts);
-        let opened = std::mem::take(&mut s.lines.opened);
+        let c = std::mem::take(&mut s.counters);
+        let opened = std::mem::take(&mut s.connections.opened);
         let given_up = s.engine.policy_mut().take_give_up_counts();
         info!(
             "requests {} served {} refused {} failed {} overdue {} gone {}; sent {} spoilt {} ended {} unfit {} \
              unconnected {}; given up: {}; open requests {} {} upstreams {} connects {} lag {} us; failed system calls: {}",
             c.requests,
             c.served,
-            c.refused,
+            c.rejected,
             c.failed,
             c.timed_out,
-            c.gone,
+            c.client_disconnected,
             c.sent,
-            c.spoilt,
-            c.ended,
-            c.unfit,
-            c.unconnected,
+            c.invalid_responses,
+            c.connections_closed,
+            c.connections_unusable,
+            c.connects_failed,
             given_up,
-            s.open.len(),
+            s.open_requests.len(),
             clients,
             s.engine.connection_count(),
             opened,
-            self.lag.get(),
+            self.timer_lateness.get(),
             self.system_errors,
         );
         let conflicts = s.directory.conflicts();
         drop(s);
         if let Some(first) = conflicts.first() {
-            let first = self.described(first);
+            let first = self.describe_conflict(first);
             warn!("{} addresses are brought by several lists, among them: {first}", conflicts.len());
         }
     }
@@ -830,28 +849,31 @@
 
 impl State {
     /// An event of the attempt for which a connection is being established.
-    fn trace_opening(&self, connection: ConnectionId, event: AttemptEvent) {
+    fn trace_connecting(&self, connection: ConnectionId, event: AttemptEvent) {
         if !request_trace_enabled() {
             return;
         }
         let opening = self.engine.connections().find(|(id, ..)| *id == connection);
         if let Some((_, backend, ConnectionState::Connecting(Some((request, attempt))))) = opening {
-            let open = self.open.get(&request);
+            let open = self.open_requests.get(&request);
             open.and_then(|open| open.trace(attempt, backend)).inspect(|trace| trace.event(event));
         }
     }
 
     /// An attempt was given a connection that cannot be used.
     fn trace_unusable(&self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        let backend = self.lines.all.get(&connection).map(|line| line.backend);
-        let trace =
-            self.open.get(&request).zip(backend).and_then(|(open, backend)| open.trace(attempt, backend));
+        let backend = self.connections.by_id.get(&connection).map(|upstream| upstream.backend);
+        let trace = self
+            .open_requests
+            .get(&request)
+            .zip(backend)
+            .and_then(|(open, backend)| open.trace(attempt, backend));
         trace.inspect(|trace| trace.event(AttemptEvent::ConnectionUnusable));
     }
 
-    fn came_up(&mut self, connection: ConnectionId, stream: Stream) {
-        if let Some(line) = self.lines.all.get_mut(&connection) {
-            (line.stream, line.task, line.fresh) = (Some(stream), None, true);
+    fn on_connected(&mut self, connection: ConnectionId, stream: Stream) {
+        if let Some(upstream) = self.connections.by_id.get_mut(&connection) {
+            (upstream.stream, upstream.task, upstream.never_used) = (Some(stream), None, true);
         }
     }
 }
--- a/crates/net/src/driver/lists.rs
+++ b/crates/net/src/driver/lists.rs
@@ -1,6 +1,6 @@
 //! Lists of backends as the directory has them: passed on to the engine, put on record and logged.
 
-use super::{Driver, LIST_BYTES, NAMED};
+use super::{Driver, MAX_LOGGED_CONFLICTS, MAX_RECORDED_LIST_BYTES};
 use shaletide_balancer::*;
 use shaletide_engine::Event;
 use shaletide_membership::{Conflict, DirectoryUpdate};
@@ -45,21 +45,23 @@
 
 impl Driver {
     /// Passes on what the directory says.
-    pub(super) fn take_in(self: &Rc<Self>, told: DirectoryUpdate) {
-        if told.skipped > 0 {
-            warn!("{} backends skipped: a pool's list is too long", told.skipped);
+    pub(super) fn apply_endpoint_changes(self: &Rc<Self>, changes: DirectoryUpdate) {
+        if changes.skipped > 0 {
+            warn!("{} backends skipped: a pool's list is too long", changes.skipped);
         }
-        for conflict in told.conflicts.iter().take(NAMED) {
-            warn!("{}", self.described(conflict));
+        for conflict in changes.conflicts.iter().take(MAX_LOGGED_CONFLICTS) {
+            warn!("{}", self.describe_conflict(conflict));
         }
-        for moved in &told.moved {
-            self.tell(Event::BackendMoved { backend: moved.id, from: moved.from, to: moved.to });
+        for moved in &changes.moved {
+            self.handle_event(Event::BackendMoved { backend: moved.id, from: moved.from, to: moved.to });
         }
-        for (pool, update, backends) in told.notifications {
-            self.note_list(pool, update, &backends);
-            let readdressed = self.log_list(pool, update, &backends);
-            readdressed.into_iter().for_each(|backend| self.tell(Event::AddressChanged { backend }));
-            self.tell(Event::EndpointsUpdated { pool, update, backends });
+        for (pool, update, backends) in changes.notifications {
+            self.record_list(pool, update, &backends);
+            let address_changed = self.log_list(pool, update, &backends);
+            address_changed
+                .into_iter()
+                .for_each(|backend| self.handle_event(Event::AddressChanged { backend }));
+            self.handle_event(Event::EndpointsUpdated { pool, update, backends });
         }
         let mut s = self.state.borrow_mut();
         let s = &mut *s;
@@ -68,30 +70,30 @@
     }
 
     /// A pool's news on record, so that what was known of a backend can be read in its setting.
-    fn note_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
+    fn record_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
         let fact = {
             let s = self.state.borrow();
             if s.record.is_none() {
                 return;
             }
-            let mut news = format!("{update:?}:");
+            let mut text = format!("{update:?}:");
             for b in backends {
-                if news.len() > LIST_BYTES {
-                    news += " and more";
+                if text.len() > MAX_RECORDED_LIST_BYTES {
+                    text += " and more";
                     break;
                 }
                 let name = s.directory.name(b.id).unwrap_or_default();
-                news += &format!(" {name}={}", format!("{:?}", b.state).to_lowercase());
+                text += &format!(" {name}={}", format!("{:?}", b.state).to_lowercase());
             }
             let pool_name = s.directory.pool_name(pool).unwrap_or_default().into();
-            let version = s.versions.get(&pool).copied().unwrap_or_default();
-            Fact::List { pool: pool_name, version, news }
+            let version = s.list_versions.get(&pool).copied().unwrap_or_default();
+            Fact::List { pool: pool_name, version, news: text }
         };
-        self.note(shaletide_record::Event::RecordFact(fact));
+        self.record_event(shaletide_record::Event::RecordFact(fact));
     }
 
     /// Which list has the address, and which has to wait for it.
-    pub(super) fn described(&self, conflict: &Conflict) -> String {
+    pub(super) fn describe_conflict(&self, conflict: &Conflict) -> String {
         let s = self.state.borrow();
         let name = |pool| s.directory.pool_name(pool).unwrap_or("one that is gone").to_string();
         let (owner, waiting) = (name(conflict.owner), name(conflict.waiting));
@@ -110,8 +112,8 @@
         let s = &mut *s;
         let mut counts = ListCounts::default();
         for b in backends {
-            counts.add(b.state, b.id.0 >= s.named);
-            s.named = s.named.max(b.id.0 + 1);
+            counts.add(b.state, b.id.0 >= s.backends_logged);
+            s.backends_logged = s.backends_logged.max(b.id.0 + 1);
             let address = s.directory.address(b.id).filter(|_| tracing::enabled!(tracing::Level::DEBUG));
             if let Some(address) = address {
                 let name = s.directory.name(b.id).unwrap_or_default();
@@ -120,15 +122,16 @@
         }
         if counts.has_changes() {
             let pool_name = s.directory.pool_name(pool).unwrap_or_default();
-            let version = s.versions.get(&pool).copied().unwrap_or_default();
+            let version = s.list_versions.get(&pool).copied().unwrap_or_default();
             let others = if update == EndpointUpdate::Snapshot { ", all others gone" } else { "" };
             info!("pool {pool_name}: list {version} ({update:?}): {counts}{others}");
         }
         let ids: HashSet<BackendId> = backends.iter().map(|b| b.id).collect();
-        let led = s.engine.connections().filter(|(_, backend, _)| ids.contains(backend));
-        let led =
-            led.filter_map(|(connection, backend, _)| Some((backend, s.lines.all.get(&connection)?.to)));
-        let moved = led.filter(|(backend, to)| s.directory.address(*backend).is_some_and(|at| at != *to));
+        let connected_to = s.engine.connections().filter(|(_, backend, _)| ids.contains(backend));
+        let connected_to = connected_to
+            .filter_map(|(connection, backend, _)| Some((backend, s.connections.by_id.get(&connection)?.to)));
+        let moved =
+            connected_to.filter(|(backend, to)| s.directory.address(*backend).is_some_and(|at| at != *to));
         moved.map(|(backend, _)| backend).collect()
     }
 }
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -104,7 +104,7 @@
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
             let (left, _) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
             driver.client_gone(left);
-            assert_eq!(driver.state.borrow().counts.sent, 0);
+            assert_eq!(driver.state.borrow().counters.sent, 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
             assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "forgotten");
             drop(answer);
@@ -128,9 +128,15 @@
             }
             let (_, answer) =
                 driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
-            assert_eq!((driver.upstream_connection_count(), driver.state.borrow().lines.opened), (4, 4));
+            assert_eq!(
+                (driver.upstream_connection_count(), driver.state.borrow().connections.opened),
+                (4, 4)
+            );
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.2:9"));
-            assert_eq!((driver.upstream_connection_count(), driver.state.borrow().lines.opened), (1, 5));
+            assert_eq!(
+                (driver.upstream_connection_count(), driver.state.borrow().connections.opened),
+                (1, 5)
+            );
             assert!(answer.is_empty(), "it is on its way to the new address");
         })
         .await;
@@ -152,11 +158,11 @@
             tokio::task::yield_now().await; // the kernel is asked to connect
             drop(listener.accept().unwrap());
             let begun = std::time::Instant::now();
-            while driver.state.borrow().counts.unfit == 0 {
+            while driver.state.borrow().counters.connections_unusable == 0 {
                 assert!(begun.elapsed().as_secs() < 20, "it is not found out");
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let opened = driver.state.borrow().lines.opened;
+            let opened = driver.state.borrow().connections.opened;
             assert_eq!((opened, driver.upstream_connection_count()), (1, 0), "none is opened in its place");
             assert!(matches!(answer.await.unwrap().decision, Decision::Rejected(_)));
         })
@@ -225,7 +231,7 @@
             assert!(matches!(held.await.unwrap().decision, Decision::Rejected(_)));
             driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
-            while driver.state.borrow().lines.opened == 0 {
+            while driver.state.borrow().connections.opened == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             timers.abort();
--- a/crates/net/src/driver/tests/client_gone.rs
+++ b/crates/net/src/driver/tests/client_gone.rs
@@ -162,7 +162,7 @@
 fn assert_forgotten(driver: &Driver, backend: &TcpListener, case: &str) {
     assert_eq!(received(backend), 0, "{case}: written to the backend");
     let state = driver.state.borrow();
-    assert!(state.open.is_empty(), "{case}: still awaited");
+    assert!(state.open_requests.is_empty(), "{case}: still awaited");
     assert!(state.engine.requests().is_empty(), "{case}: still in the engine");
 }
 
@@ -222,7 +222,7 @@
         drop(answer);
         settle().await;
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.driver.state.borrow().counts.sent, 1, "decided on");
+        assert_eq!(setup.driver.state.borrow().counters.sent, 1, "decided on");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
