--- a/crates/net/src/connection_table.rs
+++ b/crates/net/src/connection_table.rs
@@ -6,20 +6,43 @@
 use std::net::SocketAddr;
 use tokio::task::AbortHandle;
 
-/// A connection's socket and what is done on it.
+/// A connection to a backend, and the task on it. Dropping it aborts the task.
 pub(crate) struct UpstreamConnection {
     pub backend: BackendId,
     pub to: SocketAddr,
-    /// None while it comes up.
+    /// `None` while it is being established.
     pub stream: Option<Stream>,
-    /// What is under way: the connect, or a request.
+    /// The connect or the exchange in progress.
     pub task: Option<AbortHandle>,
-    /// A request is on it.
+    /// An attempt is on it.
     pub busy: bool,
-    /// It came up at this very moment, and nobody was offered it yet.
+    /// It was established just now, and the engine has not had a chance to use it.
     pub never_used: bool,
 }
 
+impl UpstreamConnection {
+    /// One that `task` is establishing.
+    pub fn connecting(backend: BackendId, to: SocketAddr, task: AbortHandle) -> UpstreamConnection {
+        UpstreamConnection { backend, to, stream: None, task: Some(task), busy: false, never_used: false }
+    }
+
+    /// It has been established.
+    pub fn established(&mut self, stream: Stream) {
+        self.stream = Some(stream);
+        self.task = None;
+        self.never_used = true;
+    }
+
+    /// Its stream, unless it is not established yet, has input pending or was closed, as far as the event loop knows.
+    pub fn usable_stream(&self) -> Option<Stream> {
+        self.stream.as_ref().filter(|stream| !stream.has_pending_input_as_polled()).cloned()
+    }
+
+    fn has_pending_input(&self) -> bool {
+        self.stream.as_ref().is_some_and(Stream::has_pending_input)
+    }
+}
+
 impl Drop for UpstreamConnection {
     fn drop(&mut self) {
         if let Some(task) = &self.task {
@@ -28,21 +51,19 @@
     }
 }
 
-/// All of them, by the engine's names.
+/// All connections to backends, by the engine's numbers.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     pub by_id: HashMap<ConnectionId, UpstreamConnection>,
-    /// Opened since the last report.
+    /// Connects begun since the last report.
     pub opened: u64,
 }
 
 impl ConnectionTable {
-    /// Idle ones on which something has come, or that the other side has closed.
+    /// The idle connections on which bytes have come or that the backend has closed, by what the kernel says now.
     pub fn with_pending_input(&self) -> Vec<ConnectionId> {
-        let idle = self.by_id.iter().filter(|(_, connection)| !connection.busy);
-        let pending = |connection: &UpstreamConnection| {
-            connection.stream.as_ref().is_some_and(Stream::has_pending_input)
-        };
-        idle.filter(|(_, connection)| pending(connection)).map(|(connection, _)| *connection).collect()
+        let unusable =
+            self.by_id.iter().filter(|(_, upstream)| !upstream.busy && upstream.has_pending_input());
+        unusable.map(|(connection, _)| *connection).collect()
     }
 }
--- /dev/null
+++ b/crates/net/src/driver/counters.rs
@@ -0,0 +1,74 @@
+//! What happened since the last periodic report, and that report.
+
+use super::Driver;
+use std::fmt;
+use tracing::{info, warn};
+
+/// Events since the last report.
+#[derive(Debug, Default)]
+pub(super) struct Counters {
+    /// Requests submitted.
+    pub requests: u64,
+    pub served: u64,
+    pub rejected: u64,
+    pub failed: u64,
+    pub timed_out: u64,
+    /// Requests whose client closed its connection before the final response.
+    pub client_disconnected: u64,
+    /// Attempts given to an established connection.
+    pub sent: u64,
+    /// Attempts ended by an invalid response.
+    pub invalid_responses: u64,
+    /// Attempts ended by the end of the connection.
+    pub connections_closed: u64,
+    /// Connections found unusable before the first byte of an attempt.
+    pub connections_unusable: u64,
+    /// Connections that could not be established.
+    pub connects_failed: u64,
+}
+
+impl fmt::Display for Counters {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "requests {} served {} refused {} failed {} overdue {} gone {}; \
+             sent {} spoilt {} ended {} unfit {} unconnected {}",
+            self.requests,
+            self.served,
+            self.rejected,
+            self.failed,
+            self.timed_out,
+            self.client_disconnected,
+            self.sent,
+            self.invalid_responses,
+            self.connections_closed,
+            self.connections_unusable,
+            self.connects_failed,
+        )
+    }
+}
+
+impl Driver {
+    /// Logs one line of what happened since the last call, with `clients`, the front's own counters, in it; and one of
+    /// addresses that several lists claim, if there are any.
+    pub fn report(&self, clients: &str) {
+        let mut state = self.state.borrow_mut();
+        let counters = std::mem::take(&mut state.counters);
+        let connects = std::mem::take(&mut state.connections.opened);
+        let given_up = state.engine.policy_mut().take_give_up_counts();
+        info!(
+            "{counters}; given up: {given_up}; open requests {} {clients} upstreams {} connects {connects} lag {} us; \
+             failed system calls: {}",
+            state.open_requests.len(),
+            state.engine.connection_count(),
+            self.timer.lateness().0,
+            self.system_errors,
+        );
+        let conflicts = state.directory.conflicts();
+        drop(state);
+        if let Some(first) = conflicts.first() {
+            let first = self.describe_conflict(first);
+            warn!("{} addresses are brought by several lists, among them: {first}", conflicts.len());
+        }
+    }
+}
--- /dev/null
+++ b/crates/net/src/driver/endpoints.rs
@@ -0,0 +1,225 @@
+//! Endpoint lists: what the directory makes of them is passed on to the engine, recorded and logged.
+
+use super::{Driver, State};
+use shaletide_engine::Event;
+use shaletide_membership::{Conflict, DirectoryUpdate, Endpoint, StartTimes};
+use shaletide_record::Fact;
+use shaletide_types::{BackendEntry, BackendId, BackendState, EndpointUpdate, Micros, PoolId};
+use std::collections::{HashMap, HashSet};
+use std::fmt;
+use std::rc::Rc;
+use tokio::sync::Notify;
+use tracing::{debug, info, warn};
+
+/// A recorded list is cut after this many bytes: 1,024 backends with names of 248 bytes fit.
+const MAX_RECORDED_LIST_BYTES: usize = 256 << 10;
+/// Conflicts between lists that are logged for one update.
+const MAX_LOGGED_CONFLICTS: usize = 5;
+
+/// What is kept of endpoint lists beside the directory.
+#[derive(Default)]
+pub(super) struct EndpointLists {
+    start_times: StartTimes,
+    /// The version of each pool's list.
+    versions: HashMap<PoolId, u64>,
+    /// Signalled when a pool's balancer asks its discovery for changes.
+    polls: HashMap<PoolId, Rc<Notify>>,
+    /// Backends with lower numbers have been logged.
+    first_unlogged: u32,
+}
+
+impl EndpointLists {
+    /// The longest time that a backend of any pool takes to warm up.
+    pub fn set_slow_start_window(&mut self, window: Micros) {
+        self.start_times.set_slow_start_window(window);
+    }
+
+    /// The version of a pool's list; 0 where none is known.
+    pub fn version(&self, pool: PoolId) -> u64 {
+        self.versions.get(&pool).copied().unwrap_or_default()
+    }
+
+    /// A pool's balancer wants its discovery to be polled.
+    pub fn request_poll(&mut self, pool: PoolId) {
+        self.polls.entry(pool).or_default().notify_one();
+    }
+
+    /// A pool is no more.
+    pub fn close_pool(&mut self, pool: PoolId) {
+        self.polls.remove(&pool);
+    }
+
+    /// Whether a backend has not been logged before. From now on it has.
+    fn is_new(&mut self, backend: BackendId) -> bool {
+        let is_new = backend.0 >= self.first_unlogged;
+        self.first_unlogged = self.first_unlogged.max(backend.0 + 1);
+        is_new
+    }
+}
+
+/// The backends of one update, counted for the log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct ListCounts {
+    /// Not seen before, in whatever state.
+    new: usize,
+    ready: usize,
+    draining: usize,
+    gone: usize,
+}
+
+impl ListCounts {
+    fn add(&mut self, state: BackendState, is_new: bool) {
+        if is_new {
+            self.new += 1;
+        }
+        match state {
+            BackendState::Ready => self.ready += 1,
+            BackendState::Draining => self.draining += 1,
+            BackendState::Gone => self.gone += 1,
+        }
+    }
+
+    /// Whether it says more than that known backends are ready.
+    fn has_changes(self) -> bool {
+        self.new + self.draining + self.gone > 0
+    }
+}
+
+impl fmt::Display for ListCounts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ListCounts { new, ready, draining, gone } = self;
+        write!(f, "{new} new, {ready} ready, {draining} draining, {gone} gone")
+    }
+}
+
+impl Driver {
+    /// Sets the version of a pool's list, before the update that brings it.
+    pub fn set_list_version(&self, pool: PoolId, version: u64) {
+        self.state.borrow_mut().endpoint_lists.versions.insert(pool, version);
+    }
+
+    /// Takes an update of a pool's endpoint list. Called by the pool's subscription.
+    pub fn update_endpoints(
+        self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>,
+    ) {
+        let changes = {
+            let mut state = self.state.borrow_mut();
+            let now = self.clock.now();
+            state.endpoint_lists.start_times.to_local_clock(now, pool, update, &mut entries);
+            state.directory.apply_update(pool, update, entries)
+        };
+        self.apply_endpoint_changes(changes);
+    }
+
+    /// Waits until a pool's balancer asks its discovery for changes. Dropped midway, it leaves the request for the next
+    /// call.
+    pub async fn subscribe_requested(&self, pool: PoolId) {
+        let poll = self.state.borrow_mut().endpoint_lists.polls.entry(pool).or_default().clone();
+        poll.notified().await;
+    }
+
+    /// Passes on what the directory has changed, and forgets backends that are gone and have no connection.
+    pub(super) fn apply_endpoint_changes(self: &Rc<Self>, changes: DirectoryUpdate) {
+        if changes.skipped > 0 {
+            warn!("{} backends skipped: a pool's list is too long", changes.skipped);
+        }
+        for conflict in changes.conflicts.iter().take(MAX_LOGGED_CONFLICTS) {
+            warn!("{}", self.describe_conflict(conflict));
+        }
+        for moved in &changes.moved {
+            self.handle_event(Event::BackendMoved { backend: moved.id, from: moved.from, to: moved.to });
+        }
+        for (pool, update, backends) in changes.notifications {
+            self.record_list(pool, update, &backends);
+            let address_changed = self.state.borrow_mut().log_list(pool, update, &backends);
+            for backend in address_changed {
+                self.handle_event(Event::AddressChanged { backend });
+            }
+            self.handle_event(Event::EndpointsUpdated { pool, update, backends });
+        }
+        let mut state = self.state.borrow_mut();
+        let state = &mut *state;
+        let connected: HashSet<BackendId> =
+            state.engine.connections().map(|(_, backend, _)| backend).collect();
+        state.directory.retain(|backend| connected.contains(&backend));
+    }
+
+    /// Records an update, so that what was known of the backends at an attempt can be read from the record.
+    fn record_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
+        let fact = {
+            let state = self.state.borrow();
+            if state.recorder.is_none() {
+                return;
+            }
+            let mut text = format!("{update:?}:");
+            for backend in backends {
+                if text.len() > MAX_RECORDED_LIST_BYTES {
+                    text += " and more";
+                    break;
+                }
+                let name = state.directory.name(backend.id).unwrap_or_default();
+                text += &format!(" {name}={}", format!("{:?}", backend.state).to_lowercase());
+            }
+            let pool_name = state.directory.pool_name(pool).unwrap_or_default().into();
+            Fact::List { pool: pool_name, version: state.endpoint_lists.version(pool), news: text }
+        };
+        self.record_event(shaletide_record::Event::RecordFact(fact));
+    }
+
+    /// Which list has the address, and which waits for it.
+    pub(super) fn describe_conflict(&self, conflict: &Conflict) -> String {
+        let state = self.state.borrow();
+        let name = |pool| state.directory.pool_name(pool).unwrap_or("one that is gone").to_string();
+        let owner = name(conflict.owner);
+        let waiting = name(conflict.waiting);
+        format!("{} is in the lists of pools {owner} and {waiting}, and stays with {owner}", conflict.address)
+    }
+}
+
+impl State {
+    /// Logs an update; returns the backends that have connections to an earlier address, each once, as a second event
+    /// would close what the first has opened to the new address.
+    fn log_list(
+        &mut self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry],
+    ) -> HashSet<BackendId> {
+        if backends.is_empty() {
+            return HashSet::new();
+        }
+        let mut counts = ListCounts::default();
+        for backend in backends {
+            counts.add(backend.state, self.endpoint_lists.is_new(backend.id));
+            self.log_backend(backend);
+        }
+        if counts.has_changes() {
+            let pool_name = self.directory.pool_name(pool).unwrap_or_default();
+            let version = self.endpoint_lists.version(pool);
+            let others = if update == EndpointUpdate::Snapshot { ", all others gone" } else { "" };
+            info!("pool {pool_name}: list {version} ({update:?}): {counts}{others}");
+        }
+        self.with_changed_address(backends)
+    }
+
+    /// Logs a backend's number, name and address at level DEBUG: other lines have its number only.
+    fn log_backend(&self, backend: &BackendEntry) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
+        }
+        if let Some(address) = self.directory.address(backend.id) {
+            let name = self.directory.name(backend.id).unwrap_or_default();
+            debug!("backend {} is {name} at {address}, {:?}", backend.id.0, backend.state);
+        }
+    }
+
+    /// Those of the backends that have connections to another address than their present one.
+    fn with_changed_address(&self, backends: &[BackendEntry]) -> HashSet<BackendId> {
+        let updated: HashSet<BackendId> = backends.iter().map(|backend| backend.id).collect();
+        let is_changed = |connection, backend| {
+            let connected_to = self.connections.by_id.get(&connection).map(|upstream| upstream.to);
+            let address = self.directory.address(backend);
+            connected_to.is_some() && address.is_some() && connected_to != address
+        };
+        let connections = self.engine.connections().filter(|(_, backend, _)| updated.contains(backend));
+        let changed = connections.filter(|(connection, backend, _)| is_changed(*connection, *backend));
+        changed.map(|(_, backend, _)| backend).collect()
+    }
+}
--- /dev/null
+++ b/crates/net/src/driver/invariants.rs
@@ -0,0 +1,104 @@
+//! The self-check: the invariants of routing, checked on all that the engine is told and asks for.
+
+use super::attempts::REUSE_DELAY;
+use super::Driver;
+use shaletide_engine::monitor::{Monitor, Rules, Verdict};
+use shaletide_engine::{Action, Engine, Event};
+use shaletide_routing::Pools;
+use shaletide_types::{Micros, Time};
+use tracing::error;
+
+/// A final response may be this late in the eyes of the monitors: as late as a busy machine wakes the process.
+const ANSWER_SLACK: Micros = Micros(100_000);
+/// Violations of which the text is kept.
+const MAX_RECORDED_VIOLATIONS: usize = 50;
+
+/// Observes the engine by monitors that share no code with it, and keeps what they find.
+pub(super) struct InvariantChecker {
+    monitor: Monitor,
+    violations: Vec<String>,
+    /// All of them, also those whose text is not kept.
+    violation_count: u64,
+}
+
+impl InvariantChecker {
+    fn new(rules: Rules) -> InvariantChecker {
+        InvariantChecker { monitor: Monitor::new(rules), violations: Vec::new(), violation_count: 0 }
+    }
+
+    /// The pools were set up anew.
+    pub fn configure(&mut self, may_cancel_attempts: bool, has_one_deduplication_domain: bool) {
+        let rules = Rules {
+            cancel: may_cancel_attempts,
+            one_realm: has_one_deduplication_domain,
+            ..*self.monitor.rules()
+        };
+        self.monitor.configure(rules);
+    }
+
+    /// Lets the engine handle an event, and checks the event and the actions that it returns.
+    pub fn handle(&mut self, now: Time, event: Event, engine: &mut Engine<Pools>, actions: &mut Vec<Action>) {
+        let verdict = self.monitor.see(now, &event);
+        self.record(verdict);
+        engine.handle(now, event, actions);
+        for action in actions.iter() {
+            let verdict = self.monitor.act(now, action);
+            self.record(verdict);
+        }
+        let verdict = self.monitor.done(now);
+        self.record(verdict);
+    }
+
+    /// Checks that the engine keeps nothing of what is over.
+    pub fn check_kept(&mut self, now: Time, engine: &Engine<Pools>) {
+        let verdict = self.monitor.kept(now, engine);
+        self.record(verdict);
+    }
+
+    /// Logs a violation, unless the log has enough of them.
+    fn record(&mut self, verdict: Verdict) {
+        let Err(violation) = verdict else { return };
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
+            error!("self-check: {violation}");
+        }
+        self.add(violation.to_string());
+    }
+
+    fn add(&mut self, violation: String) {
+        self.violation_count += 1;
+        if self.violations.len() < MAX_RECORDED_VIOLATIONS {
+            self.violations.push(violation);
+        }
+    }
+}
+
+impl Driver {
+    /// Begins the self-check: from now on each event and action is checked. A violation is logged, and kept for
+    /// [`Driver::violations`]. `drain_grace`: for so long after its drain was told a backend may still get something new.
+    pub fn self_check(&self, drain_grace: Micros) {
+        let rules = Rules {
+            drain_grace,
+            answer_slack: ANSWER_SLACK,
+            quiet: REUSE_DELAY,
+            cancel: true,
+            one_realm: false,
+        };
+        self.state.borrow_mut().checker = Some(InvariantChecker::new(rules));
+    }
+
+    /// Logs a violation that the caller has found itself, and keeps it where there is a self-check.
+    pub fn report_violation(&self, text: &str) {
+        error!("self-check: {text}");
+        if let Some(checker) = &mut self.state.borrow_mut().checker {
+            checker.add(text.into());
+        }
+    }
+
+    /// How many violations there were since the self-check began, and the first 50 of them.
+    pub fn violations(&self) -> (u64, Vec<String>) {
+        match &self.state.borrow().checker {
+            Some(checker) => (checker.violation_count, checker.violations.clone()),
+            None => (0, Vec::new()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/net/src/driver/requests.rs
@@ -0,0 +1,174 @@
+//! Open requests: submitted by a front, answered once, or withdrawn.
+
+use super::Driver;
+use crate::exchange::UpstreamRequest;
+use crate::recording::RequestIdentity;
+use crate::stream::PeerWatch;
+use crate::trace::{AttemptTrace, RequestEvent};
+use shaletide_engine::{Event, FinalOutcome, RequestSpec};
+use shaletide_record::{KeyConflict, KeyDecision, KeyRequest, RequestEnding};
+use shaletide_routing::Decision;
+use shaletide_types::{AttemptNumber, BackendId, Micros, RequestId, Time};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+
+/// The final response to a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FinalResponse {
+    /// What was decided on it.
+    pub decision: Decision,
+    /// The attempt whose response is forwarded, or else the last that was answered.
+    pub attempt: Option<AttemptNumber>,
+    /// Why its key is not sent, where that is so.
+    pub conflict: Option<KeyConflict>,
+}
+
+/// Why a request is not accepted.
+#[derive(Clone, Debug, PartialEq)]
+pub enum SubmitError {
+    /// The record does not let its key be sent.
+    Record(KeyDecision),
+    /// Its client has closed its connection.
+    ClientClosed,
+}
+
+/// What is kept of a request until its final response.
+pub(super) struct OpenRequest {
+    pub upstream_request: Rc<dyn UpstreamRequest>,
+    response: oneshot::Sender<FinalResponse>,
+    /// `None`: it is not recorded; else whether each attempt needs a persisted intent.
+    pub requires_intent: Option<bool>,
+    /// Set where the record has ended it.
+    pub conflict: Option<KeyConflict>,
+}
+
+impl OpenRequest {
+    /// The trace of one of its attempts, where requests are traced.
+    pub fn attempt_trace(&self, attempt: AttemptNumber, backend: BackendId) -> Option<AttemptTrace> {
+        let request = self.upstream_request.trace()?.clone();
+        Some(AttemptTrace { request, attempt, backend })
+    }
+}
+
+impl Driver {
+    /// Accepts a request. `spec.arrival.request`, `spec.requires_intent` and `spec.recorded` are set here. Returns its
+    /// number and the receiver of its final response, which comes by its deadline. A caller that drops the receiver says
+    /// so by [`Driver::client_gone`].
+    ///
+    /// # Errors
+    /// Why it is not accepted. Nothing is kept of it then.
+    pub fn submit(
+        self: &Rc<Self>, mut spec: RequestSpec, identity: RequestIdentity<'_>,
+        upstream_request: Rc<dyn UpstreamRequest>,
+    ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
+        // Checked again before each attempt; here it saves a decision and a connection.
+        if upstream_request.client().is_some_and(PeerWatch::closed) {
+            self.state.borrow_mut().counters.client_disconnected += 1;
+            if let Some(trace) = upstream_request.trace() {
+                trace.event(RequestEvent::ClientClosed);
+            }
+            return Err(SubmitError::ClientClosed);
+        }
+        let now = self.clock.now();
+        let id = {
+            let mut state = self.state.borrow_mut();
+            state.last_request_id += 1;
+            state.counters.requests += 1;
+            RequestId(state.last_request_id)
+        };
+        let deadline = now + spec.arrival.time_left;
+        let requires_intent = self.ask_recorder(now, id, identity, deadline).map_err(SubmitError::Record)?;
+        if let Some(trace) = upstream_request.trace() {
+            trace.taken(id);
+        }
+        let (response, receiver) = oneshot::channel();
+        let open = OpenRequest { upstream_request, response, requires_intent, conflict: None };
+        self.state.borrow_mut().open_requests.insert(id, open);
+        spec.arrival.request = id;
+        spec.requires_intent = requires_intent == Some(true);
+        spec.recorded = requires_intent.is_some();
+        self.handle_event(Event::Request(spec));
+        Ok((id, receiver))
+    }
+
+    /// Asks the record about a request, where its class is recorded. `Ok(None)`: it is not; else whether each attempt
+    /// needs a persisted intent.
+    fn ask_recorder(
+        &self, now: Time, id: RequestId, identity: RequestIdentity<'_>, deadline: Time,
+    ) -> Result<Option<bool>, KeyDecision> {
+        let recorder = self.state.borrow().recorder.clone();
+        let RequestIdentity { tenant, class, key } = identity;
+        let Some(recorder) = recorder.filter(|recorder| recorder.records(class)) else {
+            return Ok(None);
+        };
+        match recorder.ask(now, &KeyRequest { request: id, tenant, class, key, deadline }) {
+            KeyDecision::Proceed { requires_intent } => Ok(Some(requires_intent)),
+            decision => Err(decision),
+        }
+    }
+
+    /// Whether its final response is still awaited.
+    pub(super) fn is_open(&self, request: RequestId) -> bool {
+        self.state.borrow().open_requests.contains_key(&request)
+    }
+
+    /// Withdraws a request whose client closed its connection before the final response. Its attempts are cancelled.
+    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+        let is_recorded = {
+            let mut state = self.state.borrow_mut();
+            let Some(open) = state.open_requests.remove(&id) else { return };
+            state.counters.client_disconnected += 1;
+            if let Some(trace) = open.upstream_request.trace() {
+                trace.event(RequestEvent::ClientClosed);
+            }
+            open.requires_intent.is_some()
+        };
+        self.handle_event(Event::ClientDisconnected { request: id });
+        if is_recorded {
+            let ending = RequestEnding::ClientDisconnected;
+            self.record_event(shaletide_record::Event::RequestEnded { request: id, ending });
+        }
+    }
+
+    /// Gives up all open requests: nothing of them is sent any more, and each gets a final response by what is known of
+    /// its attempts. Called at the end of the shutdown.
+    pub fn give_up_all(self: &Rc<Self>, retry_after: Micros) {
+        let open: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
+        for request in open {
+            self.handle_event(Event::GiveUp { request, retry_after });
+        }
+    }
+
+    /// Passes the engine's final response on to the front that awaits it.
+    pub(super) fn answer(
+        &self, request: RequestId, outcome: FinalOutcome, last_attempt: Option<AttemptNumber>,
+    ) {
+        let mut state = self.state.borrow_mut();
+        let Some(open) = state.open_requests.remove(&request) else { return };
+        let counters = &mut state.counters;
+        let (decision, attempt, ending) = match outcome {
+            FinalOutcome::Served(attempt) => {
+                counters.served += 1;
+                (Decision::Served, Some(attempt), RequestEnding::Served(attempt))
+            }
+            FinalOutcome::Rejected(retry_after) => {
+                counters.rejected += 1;
+                (Decision::Rejected(retry_after), last_attempt, RequestEnding::Rejected)
+            }
+            FinalOutcome::Failed => {
+                counters.failed += 1;
+                (Decision::Failed, last_attempt, RequestEnding::Failed)
+            }
+            FinalOutcome::TimedOut => {
+                counters.timed_out += 1;
+                (Decision::TimedOut, None, RequestEnding::TimedOut)
+            }
+        };
+        drop(state);
+        // Fails where the client has closed its connection at this moment.
+        let _ = open.response.send(FinalResponse { decision, attempt, conflict: open.conflict });
+        if open.requires_intent.is_some() {
+            self.record_event(shaletide_record::Event::RequestEnded { request, ending });
+        }
+    }
+}
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -3,9 +3,16 @@
 mod client_gone;
 
 use super::*;
-use crate::exchange::ExchangeFuture;
+use crate::exchange::{ExchangeFuture, ExchangeOutcome, ExchangeSpec, UpstreamRequest};
+use crate::recording::RequestIdentity;
+use crate::stream::{PeerWatch, Stream};
 use hyper::rt::Write as _;
-use shaletide_membership::{List, Source};
+use shaletide_balancer::{Arrival, Config};
+use shaletide_engine::RequestSpec;
+use shaletide_membership::{Endpoint, List, PoolSpec, Source};
+use shaletide_routing::Decision;
+use shaletide_types::*;
+use std::time::Duration;
 
 /// Answers nothing.
 struct Mute;
--- a/crates/net/src/driver/tests/client_gone.rs
+++ b/crates/net/src/driver/tests/client_gone.rs
@@ -5,6 +5,8 @@
 use shaletide_routing::ResponseClass;
 use std::io::{Read as _, Write as _};
 use std::net::{TcpListener, TcpStream as StdStream};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
 
 /// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
