--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -73,6 +73,16 @@
     }
 }
 
+/// How an attempt ended, for its trace.
+fn traced_outcome(outcome: &ExchangeOutcome, stream: &Stream) -> AttemptOutcome {
+    match outcome {
+        ExchangeOutcome::Response { class, .. } => AttemptOutcome::Answered(*class),
+        _ if stream.is_unwritten() => AttemptOutcome::NotWritten,
+        ExchangeOutcome::InvalidResponse => AttemptOutcome::InvalidResponse,
+        ExchangeOutcome::ConnectionClosed => AttemptOutcome::ConnectionClosed,
+    }
+}
+
 impl Driver {
     /// Begins to establish a connection. The task is aborted where the connection is closed before.
     pub(super) fn connect(self: &Rc<Self>, connection: ConnectionId, backend: BackendId) {
@@ -192,7 +202,7 @@
         self: &Rc<Self>, connection: ConnectionId, request: RequestId, outcome: ExchangeOutcome,
         stream: &Stream, never_used: bool,
     ) {
-        stream.end_trace(|| AttemptOutcome::of(&outcome, !stream.is_unwritten()));
+        stream.end_trace(|| traced_outcome(&outcome, stream));
         let is_failed = !matches!(outcome, ExchangeOutcome::Response { .. });
         if is_failed && stream.is_unwritten() && stream.client_closed() && self.is_open(request) {
             // The engine closes the connection for it, and does not blame the backend.
--- a/crates/net/src/stream/tests.rs
+++ b/crates/net/src/stream/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of `stream` that need its private items.
 
+use super::head::{count_behind_head, Head};
 use super::*;
 use std::io::{Read as _, Write as _};
 use std::task::Waker;
@@ -84,22 +85,22 @@
     for head in heads {
         for behind in ["", "b", "\n", "\r\n\r\n", "body\n\nGET / HTTP/1.1\n\n"] {
             let all = format!("{head}{behind}");
-            let (one, end) = (Cell::new(Head::Before), head.len());
+            let (one, end) = (Cell::new(Head::NotBegun), head.len());
             for (at, byte) in all.bytes().enumerate() {
-                assert_eq!(behind_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
-                assert_eq!(one.get() == Head::Whole, at + 1 >= end, "{at} of {all:?}");
+                assert_eq!(count_behind_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
+                assert_eq!(one.get() == Head::Complete, at + 1 >= end, "{at} of {all:?}");
             }
             for cut in 0..=all.len() {
-                let (state, (a, b)) = (Cell::new(Head::Before), all.as_bytes().split_at(cut));
-                let counted = [a, b].map(|part| behind_head(&state, part));
+                let (state, (a, b)) = (Cell::new(Head::NotBegun), all.as_bytes().split_at(cut));
+                let counted = [a, b].map(|part| count_behind_head(&state, part));
                 assert_eq!(counted.iter().sum::<usize>(), behind.len(), "cut at {cut} of {all:?}");
             }
         }
     }
     for open in ["\r\n\r\n", "\n\n", "GET / HTTP/1.1\r\nA: 1\r\n\r", "A\r\r\n", "A\n\r\r", "A\n \n"] {
-        let state = Cell::new(Head::Before);
-        assert_eq!(behind_head(&state, open.as_bytes()), 0, "{open:?}");
-        assert_ne!(state.get(), Head::Whole, "{open:?}");
+        let state = Cell::new(Head::NotBegun);
+        assert_eq!(count_behind_head(&state, open.as_bytes()), 0, "{open:?}");
+        assert_ne!(state.get(), Head::Complete, "{open:?}");
     }
 }
 
@@ -113,16 +114,16 @@
         let heads = head.matches(" 1").count() as u64;
         for cut in 0..=all.len() {
             let (stream, _peer) = pair().await;
-            stream.read(&all.as_bytes()[..cut]);
+            stream.on_read(&all.as_bytes()[..cut]);
             assert_eq!(stream.interim_responses() == heads, cut >= head.len(), "{cut} of {all:?}");
             assert_eq!(
                 stream.final_response_begun() && stream.interim_responses() == heads,
                 cut > head.len(),
                 "{cut} of {all:?}"
             );
-            stream.read(&all.as_bytes()[cut..]);
+            stream.on_read(&all.as_bytes()[cut..]);
             assert_eq!(
-                (stream.interim_responses(), stream.0.bytes_after_head.get()),
+                (stream.interim_responses(), stream.0.received.bytes_after_head.get()),
                 (heads, 4),
                 "{cut} of {all:?}"
             );
@@ -132,7 +133,7 @@
     }
     for other in ["HTTP/1.1 200 OK\r\n\r\n", "POST /1.1 100 HTTP/1.1\r\n\r\n", "HTTP/1.1  100 X\r\n\r\n"] {
         let (stream, _peer) = pair().await;
-        stream.read(other.as_bytes());
+        stream.on_read(other.as_bytes());
         assert_eq!((stream.interim_responses(), stream.final_response_begun()), (0, true), "{other:?}");
     }
 }
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -3,7 +3,6 @@
 //! All have the target [`REQUEST_TARGET`] and level TRACE. A [`RequestTrace`] exists only where these are logged, so that
 //! elsewhere a request costs one check of the level.
 
-use crate::exchange::ExchangeOutcome;
 use crate::Clock;
 use shaletide_routing::ResponseClass;
 use shaletide_types::{AttemptNumber, BackendId, RequestId, Time};
@@ -158,16 +157,6 @@
 }
 
 impl AttemptOutcome {
-    /// What an exchange of which a byte was `written` or not means.
-    pub fn of(outcome: &ExchangeOutcome, written: bool) -> AttemptOutcome {
-        match outcome {
-            ExchangeOutcome::Response { class: verdict, .. } => AttemptOutcome::Answered(*verdict),
-            _ if !written => AttemptOutcome::NotWritten,
-            ExchangeOutcome::InvalidResponse => AttemptOutcome::InvalidResponse,
-            ExchangeOutcome::ConnectionClosed => AttemptOutcome::ConnectionClosed,
-        }
-    }
-
     fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Answered(ResponseClass::Served) => "served",
