--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -1,7 +1,7 @@
 //! Reads request bodies: a thin shell over `admission::Bodies`, which decides which body is read and which is evicted.
 
 use crate::connection::Client;
-use crate::request::Fault;
+use crate::request_error::RequestError;
 use crate::server::Server;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -18,7 +18,7 @@
 /// Why a body was not read completely.
 pub(crate) enum BodyError {
     /// The client's fault, or evicted.
-    Fault(Fault),
+    Invalid(RequestError),
     /// Nothing of it was read, as there was no room in time: a retry is harmless.
     NoRoom,
 }
@@ -37,7 +37,8 @@
     /// # Errors
     /// Where it gives none; heads are checked for that before.
     pub fn new(server: &Rc<Server>, client: &Rc<Client>, body: &Incoming) -> Result<IncomingBody, BodyError> {
-        let length = body.size_hint().exact().ok_or(BodyError::Fault(Fault::Length))? as usize;
+        let length =
+            body.size_hint().exact().ok_or(BodyError::Invalid(RequestError::LengthMismatch))? as usize;
         let id = server.bodies.borrow_mut().begin(server.driver.clock.now(), length);
         server.body_senders.borrow_mut().insert(id, client.clone());
         Ok(IncomingBody { server: server.clone(), client: client.clone(), id, length })
@@ -47,12 +48,12 @@
     ///
     /// # Errors
     /// Why it was not read completely.
-    pub async fn whole(&self, until: Time, mut body: Incoming) -> Result<Bytes, BodyError> {
+    pub async fn read_all(&self, until: Time, mut body: Incoming) -> Result<Bytes, BodyError> {
         self.enter(until).await?;
         self.client.body_since.set(Some(self.now()));
         let read = self.read(until, &mut body).await;
         self.client.body_since.set(None);
-        let whole = read.map_err(BodyError::Fault)?;
+        let whole = read.map_err(BodyError::Invalid)?;
         self.server.bodies.borrow_mut().on_complete(self.id);
         Ok(whole)
     }
@@ -67,7 +68,7 @@
             let now = self.now();
             match self.server.bodies.borrow().state(self.id) {
                 BodyState::Admitted => return Ok(()),
-                BodyState::Evicted => return Err(BodyError::Fault(Fault::Slow)),
+                BodyState::Evicted => return Err(BodyError::Invalid(RequestError::BodyTooSlow)),
                 BodyState::Queued if now >= until => return Err(BodyError::NoRoom),
                 BodyState::Queued => {}
             }
@@ -77,7 +78,7 @@
         }
     }
 
-    async fn read(&self, until: Time, body: &mut Incoming) -> Result<Bytes, Fault> {
+    async fn read(&self, until: Time, body: &mut Incoming) -> Result<Bytes, RequestError> {
         let mut parts = BytesMut::new();
         loop {
             let due = self.server.bodies.borrow().due(self.id).map_or(until, |due| due.min(until));
@@ -87,14 +88,15 @@
                 () = self.client.body_changed.notified() => {
                     let is_in = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
                     if self.client.is_evicted() || !is_in {
-                        return Err(Fault::Slow);
+                        return Err(RequestError::BodyTooSlow);
                     }
                     continue;
                 }
-                () = sleep_until(self.server.driver.clock.instant(due)) => return Err(Fault::Slow),
+                () = sleep_until(self.server.driver.clock.instant(due)) => return Err(RequestError::BodyTooSlow),
             };
-            let Some(part) = frame else { return Err(Fault::Body) };
-            let part = part.ok().and_then(|frame| frame.into_data().ok()).ok_or(Fault::Body)?;
+            let Some(part) = frame else { return Err(RequestError::MalformedBody) };
+            let part =
+                part.ok().and_then(|frame| frame.into_data().ok()).ok_or(RequestError::MalformedBody)?;
             self.server.bodies.borrow_mut().on_bytes(self.now(), self.id, part.len());
             if parts.is_empty() && part.len() == self.length {
                 return Ok(part);
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -11,6 +11,7 @@
 mod listener;
 mod proxy;
 mod request;
+mod request_error;
 mod request_id;
 mod response;
 mod rules;
@@ -25,6 +26,5 @@
 
 pub use limits::CLIENT_OVERFLOW;
 pub use listener::{listen, BoundSocket, ListenCall, ListenError};
-pub use request::Fault;
 pub use rules::{ClassRule, Rules, RulesDef};
 pub use server::Server;
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -2,9 +2,10 @@
 
 use crate::bodies::{BodyError, IncomingBody};
 use crate::connection::Client;
-use crate::request::{check_probe, check_target, number, read_head, Fault, ParsedHead};
-use crate::request_id::IdGuard;
-use crate::response::{final_response, plain, record_refusal, refused};
+use crate::request::{check_probe, check_target, number, read_head, ParsedHead};
+use crate::request_error::RequestError;
+use crate::request_id::OpenIdGuard;
+use crate::response::{final_response, plain, record_rejection, rejection};
 use crate::rules::Rules;
 use crate::server::Server;
 use crate::upstream::ForwardedRequest;
@@ -32,13 +33,13 @@
         let (head, body) = request.into_parts();
         client.trace_request(self.driver.clock, &rules, &head);
         let result = match (check_target(&head), head.uri.path()) {
-            (Err(fault), _) => Err(fault),
+            (Err(error), _) => Err(error),
             (Ok(()), "/-/ready") => ready(client, &rules, &head, &body),
             (Ok(()), _) => self.proxy(client, &rules, head, body).await,
         };
         // What follows an invalid request on its connection may be no request at all.
         let is_invalid = result.is_err();
-        let mut response = result.unwrap_or_else(|fault| self.reject(client, &rules, fault));
+        let mut response = result.unwrap_or_else(|error| self.reject(client, &rules, error));
         // A request may be complete, and is served, just as its connection is evicted.
         if is_invalid || client.is_evicted() || self.stop_deadline.get().is_some() || self.is_crowded() {
             end_connection(&mut response);
@@ -47,12 +48,12 @@
         response
     }
 
-    fn reject(&self, client: &Client, rules: &Rules, fault: Fault) -> Response<Full<Bytes>> {
-        client.trace(|trace| trace.rejected(fault));
+    fn reject(&self, client: &Client, rules: &Rules, error: RequestError) -> Response<Full<Bytes>> {
+        client.trace(|trace| trace.rejected(error));
         self.rejected.set(self.rejected.get() + 1);
-        let (status, text) = fault.answer(rules);
+        let (status, text) = error.answer(rules);
         let mut response = plain(status, text);
-        if let Some(Ok(methods)) = fault.allow(rules).map(HeaderValue::try_from) {
+        if let Some(Ok(methods)) = error.allowed_methods(rules).map(HeaderValue::try_from) {
             response.headers_mut().insert(ALLOW, methods);
         }
         response
@@ -71,10 +72,10 @@
             return Ok((Bytes::new(), None));
         }
         let incoming = IncomingBody::new(self, client, &body)?;
-        let read = incoming.whole(until, body).await;
+        let read = incoming.read_all(until, body).await;
         let count = match &read {
             Err(BodyError::NoRoom) => Some(&self.bodies_without_room),
-            Err(BodyError::Fault(Fault::Slow)) => Some(&self.slow_bodies),
+            Err(BodyError::Invalid(RequestError::BodyTooSlow)) => Some(&self.slow_bodies),
             _ => None,
         };
         if let Some(count) = count {
@@ -86,18 +87,18 @@
     /// Checks a request, reads its body and forwards it.
     async fn proxy(
         self: &Rc<Self>, client: &Rc<Client>, rules: &Rules, head: Parts, body: Incoming,
-    ) -> Result<Response<Full<Bytes>>, Fault> {
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
         // What stood in the accept queue or waited for the event loop has used up that much of its time.
         let waited = Micros(client.stream.since_last_received().as_micros() as u64);
         let received = self.driver.clock.now() - waited;
         let parsed = read_head(rules, &head, &body)?;
-        let deadline = received + Micros(parsed.left.0.saturating_sub(self.driver.deadline_margin().0));
-        let body_deadline = self.before_stop(received + parsed.left.min(rules.body_timeout));
+        let deadline = received + Micros(parsed.time_left.0.saturating_sub(self.driver.deadline_margin().0));
+        let body_deadline = self.before_stop(received + parsed.time_left.min(rules.body_timeout));
         let (body, _reserved) = match self.body(client, body_deadline, body).await {
             Ok(body) => body,
-            Err(BodyError::Fault(fault)) => return Err(fault),
+            Err(BodyError::Invalid(error)) => return Err(error),
             Err(BodyError::NoRoom) => {
-                let mut response = refused(rules, NO_ROOM_RETRY_AFTER);
+                let mut response = rejection(rules, NO_ROOM_RETRY_AFTER);
                 end_connection(&mut response);
                 return Ok(response);
             }
@@ -105,7 +106,7 @@
         client.trace(|trace| trace.event(RequestEvent::BodyRead));
         // A client sends nothing before it has its response: the length is wrong, or a request is hidden in the body.
         if client.stream.has_excess_bytes(body.len()) {
-            return Err(Fault::Length);
+            return Err(RequestError::LengthMismatch);
         }
         // Shutdown may have begun while the body was read.
         let outgoing = self.outgoing(client, rules, head, parsed, body, self.before_stop(deadline))?;
@@ -120,7 +121,7 @@
     /// The request as the driver is given it.
     fn outgoing(
         &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
-    ) -> Result<Outgoing, Fault> {
+    ) -> Result<Outgoing, RequestError> {
         let mut headers = head.headers;
         let arrival = Arrival {
             request: RequestId(0),
@@ -135,17 +136,17 @@
         let id = match parsed.id {
             Some(id) => id,
             None => {
-                let id = self.give_id().ok_or(Fault::Id)?;
+                let id = self.generate_id().ok_or(RequestError::InvalidId)?;
                 client.trace(|trace| trace.set_id(id.as_bytes()));
-                headers.insert(rules.id.clone(), id.clone());
+                headers.insert(rules.id_header.clone(), id.clone());
                 id
             }
         };
         let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
-        let uri = origin.and_then(Result::ok).ok_or(Fault::Target)?;
-        let directions = rules.directions.get(parsed.route.0).ok_or(Fault::NoRoute)?;
-        let effect = rules.classes[parsed.class.0].effect;
-        let pools = directions.pools.clone();
+        let uri = origin.and_then(Result::ok).ok_or(RequestError::InvalidTarget)?;
+        let target = rules.route_targets.get(parsed.route.0).ok_or(RequestError::NoRoute)?;
+        let idempotency = rules.classes[parsed.class.0].effect;
+        let pools = target.pools.clone();
         let forwarded = Rc::new(ForwardedRequest {
             method: head.method,
             uri,
@@ -153,33 +154,32 @@
             body,
             client: Some(client.stream.watch()),
             trace: client.trace.borrow().clone(),
-            time_left: rules.time_left.clone(),
-            answers: directions.answers.clone(),
-            got: RefCell::default(),
+            time_left_header: rules.time_left_header.clone(),
+            response_rules: target.response_rules.clone(),
+            responses: RefCell::default(),
         });
-        let order =
-            RequestSpec { arrival, idempotency: effect, pools, requires_intent: false, recorded: false };
-        Ok(Outgoing { id, deadline, order, tenant: parsed.tenant_name, key: parsed.key, forwarded })
+        let spec = RequestSpec { arrival, idempotency, pools, requires_intent: false, recorded: false };
+        Ok(Outgoing { id, deadline, spec, tenant: parsed.tenant_name, key: parsed.key, forwarded })
     }
 
     /// Hands a request to the driver and waits for its answer.
     async fn forward(
         self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: Outgoing,
-    ) -> Result<Response<Full<Bytes>>, Fault> {
-        let Outgoing { id, deadline, order, tenant, key, forwarded } = outgoing;
-        let _id_guard = IdGuard::new(&self.open_ids, id).ok_or(Fault::IdInUse)?;
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
+        let Outgoing { id, deadline, spec, tenant, key, forwarded } = outgoing;
+        let _id_guard = OpenIdGuard::new(&self.open_ids, id).ok_or(RequestError::IdInUse)?;
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
-        let is_safe = order.idempotency == Idempotency::Safe;
-        let named = RequestIdentity {
+        let is_safe = spec.idempotency == Idempotency::Safe;
+        let identity = RequestIdentity {
             tenant: tenant.as_deref().unwrap_or_default(),
-            class: &rules.classes[order.arrival.class.0].name,
+            class: &rules.classes[spec.arrival.class.0].name,
             key: key.as_deref().map(str::as_bytes),
         };
-        let (request, answer) = match self.driver.submit(order, named, forwarded.clone()) {
+        let (request, answer) = match self.driver.submit(spec, identity, forwarded.clone()) {
             Ok(accepted) => accepted,
-            Err(SubmitError::Record(verdict)) => return record_refusal(rules, verdict),
-            Err(SubmitError::ClientClosed) => return Err(Fault::ClientClosed),
+            Err(SubmitError::Record(decision)) => return record_rejection(rules, decision),
+            Err(SubmitError::ClientClosed) => return Err(RequestError::ClientClosed),
         };
         let body_length = forwarded.body.len();
         let mut guard = RequestGuard { driver: &self.driver, id: request, open: true };
@@ -187,7 +187,7 @@
             biased;
             answer = answer => answer,
             // Dropping the guard withdraws the request.
-            () = client.stream.closed_after_excess(body_length) => return Err(Fault::Length),
+            () = client.stream.closed_after_excess(body_length) => return Err(RequestError::LengthMismatch),
         };
         guard.open = false;
         let mut response = match answer {
@@ -206,7 +206,7 @@
 struct Outgoing {
     id: HeaderValue,
     deadline: Time,
-    order: RequestSpec,
+    spec: RequestSpec,
     tenant: Option<String>,
     key: Option<String>,
     forwarded: Rc<ForwardedRequest>,
@@ -220,10 +220,10 @@
 /// Answers the probe whether the proxy is ready.
 fn ready(
     client: &Client, rules: &Rules, head: &Parts, body: &Incoming,
-) -> Result<Response<Full<Bytes>>, Fault> {
+) -> Result<Response<Full<Bytes>>, RequestError> {
     check_probe(rules, head, body)?;
     if client.stream.has_excess_bytes(0) {
-        return Err(Fault::Length);
+        return Err(RequestError::LengthMismatch);
     }
     Ok(plain(StatusCode::OK, "ready\n"))
 }
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -53,9 +53,13 @@
 /// Whatever `Connection` may take out without harm it may name; nothing that counts.
 #[test]
 fn connection_header_may_not_name_required_headers() {
-    let to_keep = &rules().to_keep;
+    let required_headers = &rules().required_headers;
     for line in ["close", "keep-alive, x-private", "", " , ,", "te", "x-account-2", "idempotency key"] {
-        assert_eq!(goes_on_whole(&headers(&[("connection", line)]), to_keep), Ok(()), "{line:?}");
+        assert_eq!(
+            check_connection_header(&headers(&[("connection", line)]), required_headers),
+            Ok(()),
+            "{line:?}"
+        );
     }
     for name in [
         "content-length",
@@ -72,15 +76,19 @@
         for line in [name, &odd] {
             let mut two = headers(&[("connection", "close")]);
             two.append("connection", HeaderValue::from_str(line).unwrap());
-            assert_eq!(goes_on_whole(&two, to_keep), Err(Fault::Connection), "{line:?}");
+            assert_eq!(
+                check_connection_header(&two, required_headers),
+                Err(RequestError::RequiredHeaderDropped),
+                "{line:?}"
+            );
         }
     }
 }
 
 #[test]
 fn repeated_routing_header_is_rejected() {
-    let key = Place::Header(HeaderName::from_static("idempotency-key"));
-    let at = |lines: &[(&'static str, &'static str)], place: &Place| {
+    let key = AttributeLocation::Header(HeaderName::from_static("idempotency-key"));
+    let at = |lines: &[(&'static str, &'static str)], place: &AttributeLocation| {
         let mut parts = hyper::Request::builder().uri("/read//k9").body(()).unwrap().into_parts().0;
         parts.headers = headers(lines);
         text(place, &parts).map(|text| text.map(String::from))
@@ -88,19 +96,19 @@
     let name = "idempotency-key";
     assert_eq!(at(&[(name, "k")], &key), Ok(Some("k".into())));
     assert_eq!(at(&[], &key), Ok(None));
-    assert_eq!(at(&[(name, "k"), (name, "k")], &key), Err(Fault::Form));
+    assert_eq!(at(&[(name, "k"), (name, "k")], &key), Err(RequestError::InvalidAttribute));
     assert_eq!(at(&[(name, "")], &key), Ok(Some(String::new())));
     for (part, found) in [(1, Some("read")), (2, None), (3, Some("k9")), (4, None)] {
-        assert_eq!(at(&[], &Place::Path(part)), Ok(found.map(String::from)));
+        assert_eq!(at(&[], &AttributeLocation::Path(part)), Ok(found.map(String::from)));
     }
 }
 
 #[test]
 fn retry_after_is_never_rounded_down() {
     let rules = rules();
-    assert_eq!(rules.advice(Micros(1)), "1");
-    assert_eq!(rules.advice(Micros(1_200_000)), "2");
-    assert_eq!(rules.advice(Micros(9_000_000)), "2", "the longest advice given");
+    assert_eq!(rules.retry_after(Micros(1)), "1");
+    assert_eq!(rules.retry_after(Micros(1_200_000)), "2");
+    assert_eq!(rules.retry_after(Micros(9_000_000)), "2", "the longest advice given");
 }
 
 /// Names of classes may have a slash; the longest that a path begins with is meant.
@@ -141,9 +149,13 @@
         "/read/al%6c/k",
         "/read/all/%2570ay",
     ] {
-        assert!(matches!(class(path), Err(Fault::Path | Fault::NoSuchClass)), "{path}: {:?}", class(path));
+        assert!(
+            matches!(class(path), Err(RequestError::AmbiguousPath | RequestError::UnknownClass)),
+            "{path}: {:?}",
+            class(path)
+        );
     }
-    assert_eq!(class("/all/read"), Err(Fault::NoSuchClass));
+    assert_eq!(class("/all/read"), Err(RequestError::UnknownClass));
 }
 
 #[test]
@@ -194,7 +206,7 @@
 #[test]
 fn host_header_is_a_name_or_address_with_optional_port() {
     for host in ["s", "service.internal", "S-1.a_b.", "10.1.0.18:8443", "s:0", "[::1]", "[fd00::1]:80"] {
-        assert!(is_host(host), "{host}");
+        assert!(is_valid_host(host), "{host}");
     }
     for host in [
         "",
@@ -233,9 +245,9 @@
         "[[::1]]",
         "[::1%25eth0]",
     ] {
-        assert!(!is_host(host), "{host}");
+        assert!(!is_valid_host(host), "{host}");
     }
-    assert!(is_host(&"a.".repeat(127)) && !is_host(&"a.".repeat(128)));
+    assert!(is_valid_host(&"a.".repeat(127)) && !is_valid_host(&"a.".repeat(128)));
 }
 
 #[test]
@@ -252,17 +264,17 @@
         ("http://s/read/k", Some("s"), Ok(())),
         ("http://S:80/read/k", Some("s"), Ok(())),
         ("http://s", Some("s:80"), Ok(())),
-        ("http://s:8080/read/k", Some("s"), Err(Fault::Host)),
-        ("http://other/read/k", Some("s"), Err(Fault::Host)),
-        ("http://u@s/read/k", Some("s"), Err(Fault::Host)),
-        ("http://s/read/../pay", Some("s"), Err(Fault::Path)),
-        ("/read/k", None, Err(Fault::Host)),
-        ("http://s/read/k", None, Err(Fault::Host)),
-        ("*", Some("s"), Err(Fault::Target)),
-        ("s:80", Some("s:80"), Err(Fault::Target)),
+        ("http://s:8080/read/k", Some("s"), Err(RequestError::InvalidHost)),
+        ("http://other/read/k", Some("s"), Err(RequestError::InvalidHost)),
+        ("http://u@s/read/k", Some("s"), Err(RequestError::InvalidHost)),
+        ("http://s/read/../pay", Some("s"), Err(RequestError::AmbiguousPath)),
+        ("/read/k", None, Err(RequestError::InvalidHost)),
+        ("http://s/read/k", None, Err(RequestError::InvalidHost)),
+        ("*", Some("s"), Err(RequestError::InvalidTarget)),
+        ("s:80", Some("s:80"), Err(RequestError::InvalidTarget)),
     ] {
         assert_eq!(check(target, host, Version::HTTP_11), expected, "{target} {host:?}");
     }
     assert_eq!(check("/read/k", None, Version::HTTP_10), Ok(()));
-    assert_eq!(check("/read/k", Some(""), Version::HTTP_10), Err(Fault::Host));
+    assert_eq!(check("/read/k", Some(""), Version::HTTP_10), Err(RequestError::InvalidHost));
 }
--- a/crates/http/src/request_id.rs
+++ b/crates/http/src/request_id.rs
@@ -7,7 +7,7 @@
 
 impl Server {
     /// Generates an id for a request without one, different from all generated before.
-    pub(crate) fn give_id(&self) -> Option<HeaderValue> {
+    pub(crate) fn generate_id(&self) -> Option<HeaderValue> {
         // SplitMix64 is a bijection of its state: no value repeats.
         let next = self.id_state.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.id_state.set(next);
@@ -18,20 +18,20 @@
 }
 
 /// Keeps the id of an open request from being used twice.
-pub(crate) struct IdGuard<'a> {
+pub(crate) struct OpenIdGuard<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
-impl<'a> IdGuard<'a> {
+impl<'a> OpenIdGuard<'a> {
     /// `None` where a request of that id is open.
-    pub(crate) fn new(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<IdGuard<'a>> {
+    pub(crate) fn new(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<OpenIdGuard<'a>> {
         let fresh = ids.borrow_mut().insert(id.clone());
-        fresh.then_some(IdGuard { ids, id })
+        fresh.then_some(OpenIdGuard { ids, id })
     }
 }
 
-impl Drop for IdGuard<'_> {
+impl Drop for OpenIdGuard<'_> {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -61,48 +61,48 @@
 
 /// Where in a head something stands.
 #[derive(Clone, Debug)]
-pub(crate) enum Place {
+pub(crate) enum AttributeLocation {
     Path(usize),
     Header(HeaderName),
 }
 
 /// Where a request may go and how its answers are read.
 #[derive(Clone, Debug)]
-pub(crate) struct Directions {
+pub(crate) struct RouteTarget {
     /// Pools, the preferred first.
     pub pools: Rc<[PoolId]>,
     /// What an answer means.
-    pub answers: Rc<ResponseRules>,
+    pub response_rules: Rc<ResponseRules>,
 }
 
 /// All that requests are read and checked by.
 pub struct Rules {
-    pub(crate) class: Place,
-    pub(crate) otherwise: Option<ClassId>,
-    pub(crate) tenant: Option<Place>,
-    pub(crate) key: Place,
-    pub(crate) bay: Option<Place>,
-    pub(crate) from: Option<Place>,
-    pub(crate) id: HeaderName,
+    pub(crate) class: AttributeLocation,
+    pub(crate) default_class: Option<ClassId>,
+    pub(crate) tenant: Option<AttributeLocation>,
+    pub(crate) key: AttributeLocation,
+    pub(crate) deduplication_group: Option<AttributeLocation>,
+    pub(crate) client_zone: Option<AttributeLocation>,
+    pub(crate) id_header: HeaderName,
     pub(crate) id_required: bool,
-    pub(crate) time_left: HeaderName,
+    pub(crate) time_left_header: HeaderName,
     /// What the proxy or a backend goes by. A `Connection` line that names one would take it out of the request on
     /// its way, after it was checked: a keyed request would lose its key and be repeated all the same.
-    pub(crate) to_keep: HashSet<HeaderName>,
-    pub(crate) by_name: HashMap<String, ClassId>,
+    pub(crate) required_headers: HashSet<HeaderName>,
+    pub(crate) class_by_name: HashMap<String, ClassId>,
     /// The classes whose names have several parts, as paths do: the longest first.
-    pub(crate) in_parts: Vec<(Vec<String>, ClassId)>,
+    pub(crate) multi_segment_classes: Vec<(Vec<String>, ClassId)>,
     pub(crate) classes: Vec<ClassRule>,
     pub(crate) tenants: HashMap<String, TenantId>,
-    pub(crate) table: RouteTable,
-    pub(crate) directions: Vec<Directions>,
+    pub(crate) routes: RouteTable,
+    pub(crate) route_targets: Vec<RouteTarget>,
     pub(crate) zone: String,
     pub(crate) max_retry_after: Micros,
     pub(crate) whole_seconds: bool,
     pub(crate) head_timeout: Micros,
     pub(crate) body_timeout: Micros,
     pub(crate) bodies: BodyLimits,
-    pub(crate) record: bool,
+    pub(crate) is_recorded: bool,
     pub(crate) max_body: usize,
     pub(crate) longest_stop: Option<Micros>,
 }
@@ -120,8 +120,8 @@
     pub fn new(def: RulesDef) -> Rules {
         let header = |name: &str| name.parse().unwrap_or(HeaderName::from_static("x-unnamed"));
         let place = |source: &AttributeSource| match source {
-            AttributeSource::Path(part) => Place::Path(*part),
-            AttributeSource::Header(name) => Place::Header(header(name)),
+            AttributeSource::Path(part) => AttributeLocation::Path(*part),
+            AttributeSource::Header(name) => AttributeLocation::Header(header(name)),
         };
         let form = &def.form;
         let places = [
@@ -136,10 +136,10 @@
             AttributeSource::Path(_) => None,
         });
         let matched = def.routes.iter().flat_map(|route| &route.when.headers).map(|h| header(&h.name));
-        let to_keep = [HOST, CONTENT_LENGTH, header(&form.id), header(&form.time_left)];
-        let directions = |route: &Route| Directions {
+        let required_headers = [HOST, CONTENT_LENGTH, header(&form.id), header(&form.time_left)];
+        let directions = |route: &Route| RouteTarget {
             pools: route.pools.as_slice().into(),
-            answers: Rc::new(route.answers.clone()),
+            response_rules: Rc::new(route.answers.clone()),
         };
         let numbered = |names: Vec<&String>| -> Vec<(String, usize)> {
             names.into_iter().enumerate().map(|(at, name)| (name.clone(), at)).collect()
@@ -149,25 +149,30 @@
             let parts = class.name.split('/').map(String::from).collect::<Vec<_>>();
             (parts.len() > 1).then_some((parts, ClassId(at)))
         };
-        let mut in_parts: Vec<_> = def.classes.iter().enumerate().filter_map(parts).collect();
-        in_parts.sort_by_key(|(parts, _)| std::cmp::Reverse(parts.len()));
+        let mut multi_segment_classes: Vec<_> = def.classes.iter().enumerate().filter_map(parts).collect();
+        multi_segment_classes.sort_by_key(|(parts, _)| std::cmp::Reverse(parts.len()));
         let tenants = numbered(def.tenants.iter().collect()).into_iter();
         Rules {
             class: place(&form.class),
-            otherwise: form.default_class,
+            default_class: form.default_class,
             tenant: form.tenant.as_ref().map(place),
             key: place(&form.key),
-            bay: form.deduplication_group.as_ref().map(place),
-            from: form.zone.as_ref().map(place),
-            id: header(&form.id),
+            deduplication_group: form.deduplication_group.as_ref().map(place),
+            client_zone: form.zone.as_ref().map(place),
+            id_header: header(&form.id),
             id_required: form.id_required,
-            time_left: header(&form.time_left),
-            to_keep: to_keep.into_iter().chain(places).chain(matched).chain(ALSO_READ).collect(),
-            by_name: by_name.map(|(name, at)| (name, ClassId(at))).collect(),
-            in_parts,
+            time_left_header: header(&form.time_left),
+            required_headers: required_headers
+                .into_iter()
+                .chain(places)
+                .chain(matched)
+                .chain(ALSO_READ)
+                .collect(),
+            class_by_name: by_name.map(|(name, at)| (name, ClassId(at))).collect(),
+            multi_segment_classes,
             tenants: tenants.map(|(name, at)| (name, TenantId(at))).collect(),
-            directions: def.routes.iter().map(directions).collect(),
-            table: RouteTable::new(def.routes),
+            route_targets: def.routes.iter().map(directions).collect(),
+            routes: RouteTable::new(def.routes),
             classes: def.classes,
             zone: def.zone,
             max_retry_after: def.max_retry_after,
@@ -180,25 +185,25 @@
                 patience: FIRST_REQUEST_PATIENCE,
             },
             max_body: def.max_body,
-            record: def.record,
+            is_recorded: def.record,
             longest_stop: def.longest_stop,
         }
     }
 
     /// The longest time that any request may be open.
-    pub(crate) fn longest(&self) -> Micros {
+    pub(crate) fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
     /// `Allow` for a class.
-    pub(crate) fn allow(&self, class: ClassId) -> String {
+    pub(crate) fn allowed_methods(&self, class: ClassId) -> String {
         let methods =
             self.classes.get(class.0).map(|c| c.methods.iter().map(Method::as_str).collect::<Vec<_>>());
         methods.unwrap_or_default().join(", ")
     }
 
     /// `Retry-After` for advice of that length: never less than it.
-    pub(crate) fn advice(&self, after: Micros) -> String {
+    pub(crate) fn retry_after(&self, after: Micros) -> String {
         let secs = after.min(self.max_retry_after).secs();
         match self.whole_seconds {
             true => format!("{}", secs.ceil().max(1.0)),
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -56,7 +56,7 @@
         let rules = self.rules();
         // Requests accepted by earlier rules may have later deadlines; where the time to stop is limited, they are
         // answered before it ends.
-        let longest = rules.longest().max(self.latest_deadline.get() - begun);
+        let longest = rules.longest_deadline().max(self.latest_deadline.get() - begun);
         let end = begun + longest.min(rules.longest_stop.unwrap_or(longest)) + STOP_MARGIN;
         let last = end - FLUSH_TIME;
         self.stop_deadline.set(Some(last));
--- a/crates/http/src/trace.rs
+++ b/crates/http/src/trace.rs
@@ -35,7 +35,7 @@
         if !request_trace_enabled() {
             return;
         }
-        let id = head.headers.get(&rules.id).map_or(&[][..], |id| id.as_bytes());
+        let id = head.headers.get(&rules.id_header).map_or(&[][..], |id| id.as_bytes());
         let trace = RequestTrace::new(clock, id, self.number, self.accepted_at);
         trace.event(RequestEvent::HeadRead);
         self.trace.replace(Some(Rc::new(trace)));
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -36,11 +36,11 @@
     /// Its trace, where requests are traced.
     pub trace: Option<Rc<RequestTrace>>,
     /// The header that tells a backend how long the proxy waits, in seconds.
-    pub time_left: HeaderName,
+    pub time_left_header: HeaderName,
     /// How the request's route judges responses.
-    pub answers: Rc<ResponseRules>,
+    pub response_rules: Rc<ResponseRules>,
     /// The responses that may be passed on, by attempt.
-    pub got: RefCell<Vec<(AttemptNumber, ResponseClass, BackendResponse)>>,
+    pub responses: RefCell<Vec<(AttemptNumber, ResponseClass, BackendResponse)>>,
 }
 
 /// A backend's complete response.
@@ -57,7 +57,7 @@
 impl ForwardedRequest {
     /// Takes the response to an attempt, and what it is as the last one.
     pub fn take(&self, attempt: AttemptNumber) -> Option<(LastResponse, BackendResponse)> {
-        let mut all = self.got.borrow_mut();
+        let mut all = self.responses.borrow_mut();
         let at = all.iter().position(|(no, ..)| *no == attempt)?;
         let (_, verdict, got) = all.swap_remove(at);
         Some((
@@ -83,14 +83,18 @@
             spec.stream.begin_request(self.body.len());
             match exchange(&spec.stream, request, (spec.stall, spec.max_body)).await {
                 Ok(Answered { got, keep, excess }) => {
-                    let header = |name: &str| said_once(&got.headers, name);
-                    let verdict = self.answers.classify(got.status.as_u16(), header);
-                    let report =
-                        self.answers.load_report_header.as_deref().and_then(header).map(LoadReport::parse);
+                    let header = |name: &str| single_value(&got.headers, name);
+                    let verdict = self.response_rules.classify(got.status.as_u16(), header);
+                    let report = self
+                        .response_rules
+                        .load_report_header
+                        .as_deref()
+                        .and_then(header)
+                        .map(LoadReport::parse);
                     if verdict == ResponseClass::Served
-                        || self.answers.error_responses == ErrorResponses::Forward
+                        || self.response_rules.error_responses == ErrorResponses::Forward
                     {
-                        self.got.borrow_mut().push((spec.attempt, verdict, got));
+                        self.responses.borrow_mut().push((spec.attempt, verdict, got));
                     }
                     ExchangeOutcome::Response { class: verdict, reusable: keep, excess, report }
                 }
@@ -102,7 +106,7 @@
 }
 
 /// A header's value, or `None` where several differ: it may be the proof that a request was not executed.
-fn said_once<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name).iter();
     let first = all.next()?;
     all.all(|other| other == first).then(|| first.to_str().ok()).flatten()
@@ -115,7 +119,7 @@
     *request.uri_mut() = forwarded.uri.clone();
     *request.headers_mut() = forwarded.headers.clone();
     if let Ok(text) = format!("{:.3}", left.as_secs_f64()).parse() {
-        request.headers_mut().insert(forwarded.time_left.clone(), text);
+        request.headers_mut().insert(forwarded.time_left_header.clone(), text);
     }
     // HTTP/1.1 requires a Host header, which an HTTP/1.0 client need not send.
     if !forwarded.headers.contains_key(HOST) {
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -24,9 +24,9 @@
             body: Bytes::from_static(b"cash"),
             client: None,
             trace: None,
-            time_left: HeaderName::from_static("x-time-left"),
-            answers: Rc::new(ResponseRules::plain()),
-            got: RefCell::default(),
+            time_left_header: HeaderName::from_static("x-time-left"),
+            response_rules: Rc::new(ResponseRules::plain()),
+            responses: RefCell::default(),
         });
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
         let (attempt, deadline, max_body) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20), 64);
@@ -57,9 +57,9 @@
         body: body.into(),
         client: None,
         trace: None,
-        time_left: HeaderName::from_static("x-time-left"),
-        answers: Rc::new(ResponseRules::plain()),
-        got: RefCell::default(),
+        time_left_header: HeaderName::from_static("x-time-left"),
+        response_rules: Rc::new(ResponseRules::plain()),
+        responses: RefCell::default(),
     }
 }
 
@@ -216,7 +216,7 @@
             peer
         });
         let asked =
-            Rc::new(ForwardedRequest { answers: Rc::new(ResponseRules::platform()), ..plain("cash") });
+            Rc::new(ForwardedRequest { response_rules: Rc::new(ResponseRules::platform()), ..plain("cash") });
         let outcome = asked.run(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::Response { class: v, .. } if v == verdict),
