--- a/crates/body-limits/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -1,183 +1,185 @@
-//! The bodies of requests: those that are coming, and those of requests that were taken and have no answer yet.
+//! Request bodies: those being read, those that wait to be read, and those of requests without a response yet.
 //!
-//! The room is given before the first byte is read, for the length that a head names, so that whatever was let in can
-//! come whole: nobody holds a part and waits for the rest of the room. What does not fit is not read; it stands in line.
+//! Room is reserved before the first byte is read, for the length that the head gives, so that whatever was admitted can
+//! be read completely: no body holds a part and waits for the rest. A body that does not fit is queued and not read.
 
 use crate::rate::{MinimumRate, RateTracker};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A body, by the order of coming.
+/// A body's number, in the order in which bodies began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BodyId(pub u64);
 
-/// The measures.
+/// The limits on bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// How fast a body has to come.
+    /// How fast a body has to be sent.
     pub rate: MinimumRate,
-    /// Bytes that all bodies may hold together. One that is longer than that is let in when it is alone.
+    /// Bytes that all bodies may reserve together. A longer one is admitted when there is no other.
     pub max_buffered_bytes: usize,
-    /// A body that has been coming for less is not pushed out.
+    /// A body is not evicted before it has been read for this long.
     pub patience: Micros,
 }
 
 /// Whether a body may be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyState {
-    /// It may.
+    /// It may be read.
     Admitted,
-    /// It stands in line.
+    /// It waits for room.
     Queued,
-    /// It was pushed out, or is over.
+    /// It was evicted, or was removed.
     Evicted,
 }
 
 #[derive(Clone, Debug)]
 struct Body {
     length: usize,
-    came: usize,
-    begun: Time,
-    pace: RateTracker,
-    /// Its request was taken: it is owed an answer, and keeps its room until it has it.
-    taken: bool,
+    received: usize,
+    admitted_at: Time,
+    rate: RateTracker,
+    /// It was read completely: it keeps its room until its request has a response.
+    complete: bool,
 }
 
-/// All of them. Bounds: a row for each body that its front reads or has in line.
+/// Admits, queues and evicts bodies. Bound: an entry for each body that the front reads or has waiting.
 #[derive(Clone, Debug)]
 pub struct BodyAdmission {
-    measures: BodyLimits,
-    inside: BTreeMap<BodyId, Body>,
-    line: VecDeque<(BodyId, usize)>,
-    held: usize,
-    next: u64,
-    /// Let in out of the line, and not told of yet.
-    let_in: Vec<BodyId>,
+    limits: BodyLimits,
+    admitted: BTreeMap<BodyId, Body>,
+    /// Waiting bodies with their lengths, in the order in which they came.
+    queue: VecDeque<(BodyId, usize)>,
+    reserved_bytes: usize,
+    next_id: u64,
+    /// Admitted from the queue since [`BodyAdmission::take_admitted`] was called last.
+    newly_admitted: Vec<BodyId>,
 }
 
 impl BodyAdmission {
-    /// None yet.
-    pub fn new(measures: BodyLimits) -> BodyAdmission {
+    /// Without bodies.
+    pub fn new(limits: BodyLimits) -> BodyAdmission {
         BodyAdmission {
-            measures,
-            inside: BTreeMap::new(),
-            line: VecDeque::new(),
-            held: 0,
-            next: 0,
-            let_in: Vec::new(),
+            limits,
+            admitted: BTreeMap::new(),
+            queue: VecDeque::new(),
+            reserved_bytes: 0,
+            next_id: 0,
+            newly_admitted: Vec::new(),
         }
     }
 
-    /// Other measures from now on; what has begun goes on by its rate.
-    pub fn configure(&mut self, measures: BodyLimits) {
-        self.measures = measures;
+    /// Replaces the limits. Bodies being read keep their minimum rate.
+    pub fn configure(&mut self, limits: BodyLimits) {
+        self.limits = limits;
     }
 
-    /// A body of that length is to be read: in at once, or last in line.
+    /// A body of that many bytes is to be read: admits it, or queues it behind all others.
     pub fn begin(&mut self, now: Time, length: usize) -> BodyId {
-        let id = BodyId(self.next);
-        self.next += 1;
-        if self.line.is_empty() && self.fits(length) {
-            self.enter(now, id, length);
+        let id = BodyId(self.next_id);
+        self.next_id += 1;
+        if self.queue.is_empty() && self.fits(length) {
+            self.admit(now, id, length);
         } else {
-            self.line.push_back((id, length));
+            self.queue.push_back((id, length));
         }
         id
     }
 
-    /// Those that were let in out of the line since this was asked last.
+    /// The bodies admitted from the queue since the last call.
     pub fn take_admitted(&mut self) -> Vec<BodyId> {
-        std::mem::take(&mut self.let_in)
+        std::mem::take(&mut self.newly_admitted)
     }
 
-    /// How it stands with that one.
+    /// Whether a body may be read.
     pub fn state(&self, id: BodyId) -> BodyState {
-        if self.inside.contains_key(&id) {
+        if self.admitted.contains_key(&id) {
             BodyState::Admitted
-        } else if self.line.iter().any(|(waiting, _)| *waiting == id) {
+        } else if self.queue.iter().any(|(queued, _)| *queued == id) {
             BodyState::Queued
         } else {
             BodyState::Evicted
         }
     }
 
-    /// So many bytes of it have come.
+    /// That many bytes of a body have come.
     pub fn on_bytes(&mut self, now: Time, id: BodyId, bytes: usize) {
-        if let Some(body) = self.inside.get_mut(&id) {
-            body.came += bytes;
-            body.pace.moved(now, bytes);
+        if let Some(body) = self.admitted.get_mut(&id) {
+            body.received += bytes;
+            body.rate.on_bytes(now, bytes);
         }
     }
 
-    /// When it is too slow, if nothing more of it comes until then.
+    /// When a body is too slow if nothing more of it comes until then; `None`: never.
     pub fn due(&self, id: BodyId) -> Option<Time> {
-        self.inside.get(&id).filter(|body| !body.taken).and_then(|body| body.pace.due())
+        self.admitted.get(&id).filter(|body| !body.complete).and_then(|body| body.rate.due())
     }
 
-    /// It is whole, and its request was taken.
+    /// A body was read completely: it is not evicted any more.
     pub fn on_complete(&mut self, id: BodyId) {
-        if let Some(body) = self.inside.get_mut(&id) {
-            body.taken = true;
+        if let Some(body) = self.admitted.get_mut(&id) {
+            body.complete = true;
         }
     }
 
-    /// It is not held any more, nor waited for.
+    /// Forgets a body, whatever its state, and admits queued ones in its place.
     pub fn remove(&mut self, now: Time, id: BodyId) {
-        if let Some(body) = self.inside.remove(&id) {
-            self.held -= body.length;
+        if let Some(body) = self.admitted.remove(&id) {
+            self.reserved_bytes -= body.length;
         }
-        self.line.retain(|(waiting, _)| *waiting != id);
-        self.move_up(now);
+        self.queue.retain(|(queued, _)| *queued != id);
+        self.admit_queued(now);
     }
 
-    /// Makes room for the first in line: of those that are owed nothing and had time to come, the one goes that moves
-    /// least, and of several the one that holds most. None where nobody waits or nobody may go.
+    /// Evicts a body to make room for the first of the queue; `None`: none waits, or none may be evicted.
     pub fn evict_slowest(&mut self, now: Time) -> Option<BodyId> {
-        self.move_up(now);
-        self.line.front()?;
+        self.admit_queued(now);
+        self.queue.front()?;
         let slowest = self.slowest(now)?;
         self.remove(now, slowest);
         Some(slowest)
     }
 
-    /// The one that would have to go first.
+    /// The body that would be evicted first: of those that are not complete and had `patience`, the one with the fewest
+    /// bytes per second, and of several the longest.
     pub fn slowest(&self, now: Time) -> Option<BodyId> {
-        let patience = self.measures.patience;
-        let may_go = self.inside.iter().filter(|(_, body)| !body.taken && now - body.begun >= patience);
-        let key = |body: &Body| (per_second(body, now), std::cmp::Reverse(body.length));
-        may_go.min_by_key(|(_, body)| key(body)).map(|(id, _)| *id)
+        let patience = self.limits.patience;
+        let evictable =
+            self.admitted.iter().filter(|(_, body)| !body.complete && now - body.admitted_at >= patience);
+        let key = |body: &Body| (bytes_per_second(body, now), std::cmp::Reverse(body.length));
+        evictable.min_by_key(|(_, body)| key(body)).map(|(id, _)| *id)
     }
 
-    /// Bytes that are spoken for.
-    pub fn held(&self) -> usize {
-        self.held
+    /// Bytes that admitted bodies reserve.
+    pub fn reserved_bytes(&self) -> usize {
+        self.reserved_bytes
     }
 
-    /// How many stand in line.
-    pub fn waiting(&self) -> usize {
-        self.line.len()
+    /// How many bodies wait for room.
+    pub fn queued(&self) -> usize {
+        self.queue.len()
     }
 
     fn fits(&self, length: usize) -> bool {
-        self.held == 0 || self.held + length <= self.measures.max_buffered_bytes
+        self.reserved_bytes == 0 || self.reserved_bytes + length <= self.limits.max_buffered_bytes
     }
 
-    fn enter(&mut self, now: Time, id: BodyId, length: usize) {
-        self.held += length;
-        let pace = RateTracker::new(self.measures.rate, now);
-        self.inside.insert(id, Body { length, came: 0, begun: now, pace, taken: false });
+    fn admit(&mut self, now: Time, id: BodyId, length: usize) {
+        self.reserved_bytes += length;
+        let rate = RateTracker::new(self.limits.rate, now);
+        self.admitted.insert(id, Body { length, received: 0, admitted_at: now, rate, complete: false });
     }
 
-    fn move_up(&mut self, now: Time) {
-        while let Some((id, length)) = self.line.front().copied().filter(|(_, length)| self.fits(*length)) {
-            self.line.pop_front();
-            self.enter(now, id, length);
-            self.let_in.push(id);
+    fn admit_queued(&mut self, now: Time) {
+        while let Some((id, length)) = self.queue.front().copied().filter(|(_, length)| self.fits(*length)) {
+            self.queue.pop_front();
+            self.admit(now, id, length);
+            self.newly_admitted.push(id);
         }
     }
 }
 
-/// What came of it, spread over the time since it was let in.
-fn per_second(body: &Body, now: Time) -> u64 {
-    (body.came as u64).saturating_mul(1_000_000) / (now - body.begun).0.max(1)
+/// The average rate since the body was admitted.
+fn bytes_per_second(body: &Body, now: Time) -> u64 {
+    (body.received as u64).saturating_mul(1_000_000) / (now - body.admitted_at).0.max(1)
 }
--- a/crates/body-limits/src/lib.rs
+++ b/crates/body-limits/src/lib.rs
@@ -1,6 +1,8 @@
-//! What may come in at the door, and who has to make room: events and a clock in, words out. No socket, no timer.
+//! Admission of request bodies: which body may be read, which is too slow, and which is evicted to make room for others.
+//! Pure: events and times in, decisions out.
 //!
-//! Who calls it: a front, once for each body that it begins to read, with each part that comes, and when it is over.
+//! Called by a front: once for each body that it begins to read, with each part that comes, and when the request has its
+//! response.
 #![forbid(unsafe_code)]
 
 mod bodies;
--- a/crates/body-limits/src/rate.rs
+++ b/crates/body-limits/src/rate.rs
@@ -1,41 +1,41 @@
-//! Whether a peer moves as fast as it has to.
+//! Whether a peer sends as fast as it has to.
 
 use shaletide_types::{Micros, Time};
 
-/// A least rate, and how far a peer may fall behind it.
+/// A minimum rate, and how far a peer may fall behind it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumRate {
-    /// Bytes a second; none is asked for where this is 0.
+    /// In bytes per second; 0: none is required.
     pub bytes_per_s: u64,
-    /// So long a peer may send nothing in the beginning, or after it has kept to the rate: one stall is no crime.
+    /// How long a peer may send nothing at the beginning, or after it has kept to the rate.
     pub grace: Micros,
 }
 
-/// A peer under such a rate.
+/// Tracks one peer against a minimum rate.
 ///
-/// A token bucket with time in place of tokens: each byte is worth `1 / least` seconds, and at most `grace` of that is
-/// saved up. The peer is too slow when all of it is spent, which one number tells: the moment.
+/// A token bucket with time for tokens: each byte is worth `1 / bytes_per_s` seconds, and at most `grace` is saved up.
+/// The peer is too slow when nothing is left, which is a single moment: [`RateTracker::due`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RateTracker {
     rate: MinimumRate,
-    /// Nothing is left then.
+    /// When nothing is left.
     due: Time,
 }
 
 impl RateTracker {
-    /// One that begins now.
+    /// A peer that begins to send now.
     pub fn new(rate: MinimumRate, now: Time) -> RateTracker {
         RateTracker { rate, due: now + rate.grace }
     }
 
-    /// So many bytes have come.
-    pub fn moved(&mut self, now: Time, bytes: usize) {
-        if let Some(worth) = (bytes as u64).saturating_mul(1_000_000).checked_div(self.rate.bytes_per_s) {
-            self.due = (self.due + Micros(worth)).min(now + self.rate.grace);
+    /// That many bytes have come.
+    pub fn on_bytes(&mut self, now: Time, bytes: usize) {
+        if let Some(earned_us) = (bytes as u64).saturating_mul(1_000_000).checked_div(self.rate.bytes_per_s) {
+            self.due = (self.due + Micros(earned_us)).min(now + self.rate.grace);
         }
     }
 
-    /// When it is too slow, if nothing comes until then; never where no rate is asked for.
+    /// When the peer is too slow if nothing comes until then; `None`: no rate is required.
     pub fn due(&self) -> Option<Time> {
         (self.rate.bytes_per_s > 0).then_some(self.due)
     }
--- a/crates/body-limits/tests/bodies.rs
+++ b/crates/body-limits/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Peers that trickle, stall, stop and fill the house.
+//! Bodies that are slow, stall, stop and fill the buffer.
 
 use proptest::prelude::*;
 use shaletide_body_limits::{BodyAdmission, BodyId, BodyLimits, BodyState, MinimumRate, RateTracker};
@@ -6,20 +6,19 @@
 
 const MS: u64 = 1_000;
 const RATE: MinimumRate = MinimumRate { bytes_per_s: 1_000, grace: Micros(500 * MS) };
-const MEASURES: BodyLimits =
-    BodyLimits { rate: RATE, max_buffered_bytes: 10_000, patience: Micros(100 * MS) };
+const LIMITS: BodyLimits = BodyLimits { rate: RATE, max_buffered_bytes: 10_000, patience: Micros(100 * MS) };
 
 fn at(ms: u64) -> Time {
     Time(1_000_000 + ms * MS)
 }
 
 #[test]
-fn a_peer_at_exactly_the_least_rate_is_never_too_slow_and_one_below_it_is() {
+fn peer_at_the_minimum_rate_is_never_too_slow_and_one_below_it_is() {
     for (bytes, slow) in [(100, false), (99, true)] {
-        let mut pace = RateTracker::new(RATE, at(0));
+        let mut rate = RateTracker::new(RATE, at(0));
         let late = (1..1_000).map(|n| at(n * 100)).any(|now| {
-            let late = pace.due().is_some_and(|due| due <= now);
-            pace.moved(now, bytes);
+            let late = rate.due().is_some_and(|due| due <= now);
+            rate.on_bytes(now, bytes);
             late
         });
         assert_eq!(late, slow, "{bytes} bytes each 100 ms");
@@ -27,20 +26,20 @@
 }
 
 #[test]
-fn one_stall_is_no_crime_and_nothing_is_saved_up_beyond_the_grace() {
-    let mut pace = RateTracker::new(RATE, at(0));
-    pace.moved(at(10), 60_000);
-    assert_eq!(pace.due(), Some(at(510)), "a minute's worth of bytes buys no minute");
-    pace.moved(at(500), 250);
-    assert_eq!(pace.due(), Some(at(760)));
+fn peer_may_stall_for_the_grace_and_saves_up_no_more() {
+    let mut rate = RateTracker::new(RATE, at(0));
+    rate.on_bytes(at(10), 60_000);
+    assert_eq!(rate.due(), Some(at(510)), "a minute's worth of bytes buys no minute");
+    rate.on_bytes(at(500), 250);
+    assert_eq!(rate.due(), Some(at(760)));
     let mut free = RateTracker::new(MinimumRate { bytes_per_s: 0, ..RATE }, at(0));
-    free.moved(at(1), 1);
+    free.on_bytes(at(1), 1);
     assert_eq!(free.due(), None);
 }
 
 #[test]
-fn what_does_not_fit_stands_in_line_and_comes_in_by_its_order() {
-    let mut bodies = BodyAdmission::new(MEASURES);
+fn bodies_without_room_are_queued_and_admitted_in_order() {
+    let mut bodies = BodyAdmission::new(LIMITS);
     let [a, b, c, d] = [6_000, 4_000, 5_000, 1].map(|length| bodies.begin(at(0), length));
     assert_eq!(
         [a, b, c, d].map(|id| bodies.state(id)),
@@ -53,12 +52,12 @@
     assert_eq!([c, d].map(|id| bodies.state(id)), [BodyState::Admitted, BodyState::Admitted]);
     bodies.remove(at(3), c);
     bodies.remove(at(3), d);
-    assert_eq!((bodies.held(), bodies.waiting()), (0, 0));
+    assert_eq!((bodies.reserved_bytes(), bodies.queued()), (0, 0));
 }
 
 #[test]
-fn the_slowest_makes_room_after_its_patience_and_what_was_taken_never_does() {
-    let mut bodies = BodyAdmission::new(MEASURES);
+fn slowest_body_is_evicted_after_its_patience_and_a_complete_one_never() {
+    let mut bodies = BodyAdmission::new(LIMITS);
     let [taken, fast, small, slow] = [2_000, 3_000, 2_000, 3_000].map(|length| bodies.begin(at(0), length));
     bodies.on_bytes(at(10), taken, 2_000);
     bodies.on_complete(taken);
@@ -84,10 +83,10 @@
 }
 
 proptest! {
-    /// Whatever comes, the bound holds but for one that is alone, and nothing is kept of what is over.
+    /// Whatever happens, the limit holds but for a body that is alone, and nothing is kept of removed bodies.
     #[test]
-    fn the_bound_holds(steps in proptest::collection::vec((0u8..5, 0usize..12_000, 0u64..200), 1..200)) {
-        let mut bodies = BodyAdmission::new(MEASURES);
+    fn reserved_bytes_stay_within_the_limit(steps in proptest::collection::vec((0u8..5, 0usize..12_000, 0u64..200), 1..200)) {
+        let mut bodies = BodyAdmission::new(LIMITS);
         let (mut now, mut known) = (0, Vec::<BodyId>::new());
         let mut empty = Vec::<BodyId>::new();
         for (what, size, later) in steps {
@@ -107,9 +106,9 @@
             }
             // One without a byte takes no room: whoever comes beside it is alone still.
             let inside = known.iter().filter(|id| bodies.state(**id) == BodyState::Admitted && !empty.contains(id)).count();
-            prop_assert!(bodies.held() <= MEASURES.max_buffered_bytes || inside == 1);
+            prop_assert!(bodies.reserved_bytes() <= LIMITS.max_buffered_bytes || inside == 1);
         }
         known.into_iter().for_each(|id| bodies.remove(at(now), id));
-        prop_assert_eq!((bodies.held(), bodies.waiting()), (0, 0));
+        prop_assert_eq!((bodies.reserved_bytes(), bodies.queued()), (0, 0));
     }
 }
