--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -1,7 +1,11 @@
 //! Tests of `request` that need its private items.
 
+use super::path::is_plain;
+use super::target::is_valid_host;
 use super::*;
-use crate::rules::{ClassRule, RulesDef};
+use crate::rules::RulesDef;
+use hyper::header::HOST;
+use hyper::Version;
 use shaletide_balancer::DeduplicationScope;
 use shaletide_routing::{AttributeSource, RequestFormat};
 
@@ -91,7 +95,7 @@
     let at = |lines: &[(&'static str, &'static str)], place: &AttributeLocation| {
         let mut parts = hyper::Request::builder().uri("/read//k9").body(()).unwrap().into_parts().0;
         parts.headers = headers(lines);
-        text(place, &parts).map(|text| text.map(String::from))
+        attribute(place, &parts).map(|text| text.map(String::from))
     };
     let name = "idempotency-key";
     assert_eq!(at(&[(name, "k")], &key), Ok(Some("k".into())));
