--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -1,4 +1,4 @@
-//! What requests are read and checked by, made of a configuration once and replaced whole by the next.
+//! The rules by which requests are read and checked: made of a configuration once, and replaced as a whole at a reload.
 
 use hyper::header::{HeaderName, CONTENT_LENGTH, HOST};
 use hyper::Method;
@@ -8,15 +8,15 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// A new connection's first request, or a body, is given this time before the connection may be evicted for it.
+/// How long a new connection may take for its first request, and a body to be read, before it may be evicted for it.
 pub(crate) const FIRST_REQUEST_PATIENCE: Micros = Micros(100_000);
 
-/// What is checked of a class's requests.
+/// What is checked of the requests of a class.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
     /// Its name.
     pub name: String,
-    /// What a second run would do.
+    /// What a second execution of a request would do.
     pub effect: Idempotency,
     /// The methods that its requests may have.
     pub methods: Vec<Method>,
@@ -24,58 +24,59 @@
     pub deadline: Micros,
 }
 
-/// What [`Rules`] are made of.
+/// The configuration of [`Rules`].
 #[derive(Clone, Debug)]
 pub struct RulesDef {
-    /// Where in a request things stand.
+    /// Where a request has its attributes.
     pub form: RequestFormat,
     /// The classes in the order of their numbers.
     pub classes: Vec<ClassRule>,
     /// The tenants in the order of their numbers.
     pub tenants: Vec<String>,
-    /// The routes.
+    /// The routes, of which the first that matches is taken.
     pub routes: Vec<Route>,
-    /// The proxy's own zone.
+    /// The proxy's own zone, for requests that name none.
     pub zone: String,
-    /// The longest advice given.
+    /// The longest `Retry-After`.
     pub max_retry_after: Micros,
-    /// Advice in whole seconds, as HTTP has it; else with decimals.
+    /// `Retry-After` in whole seconds, as HTTP has it; otherwise with three decimals.
     pub whole_seconds: bool,
-    /// The head of a request is whole after this time.
+    /// How long reading a request's head may take.
     pub head_timeout: Micros,
-    /// And its body.
+    /// How long reading its body may take.
     pub body_timeout: Micros,
-    /// A body comes at this rate at least, in bytes a second.
+    /// The minimum rate of a body, in bytes per second; 0: none.
     pub body_rate: u64,
-    /// But for so long.
+    /// How far a body may fall behind that rate.
     pub body_grace: Micros,
-    /// What bodies may hold together, in bytes.
+    /// What all bodies being read and those of open requests may reserve together, in bytes.
     pub held_bodies: usize,
-    /// Which is no longer than this, in bytes.
+    /// The longest body, in bytes.
     pub max_body: usize,
-    /// Requests are on record: their tenants' names and keys are wanted.
+    /// Requests are recorded: their tenants' names and their keys are needed.
     pub record: bool,
-    /// Whoever ends the program waits for the longest deadline, though no longer than this; `None`: for any.
+    /// The longest that a shutdown waits for open requests; `None`: as long as the longest deadline.
     pub longest_stop: Option<Micros>,
 }
 
-/// Where in a head something stands.
+/// Where in a head an attribute is.
 #[derive(Clone, Debug)]
 pub(crate) enum AttributeLocation {
+    /// The segment of that number of the path; the first has the number 1.
     Path(usize),
     Header(HeaderName),
 }
 
-/// Where a request may go and how its answers are read.
+/// Where the requests of a route go, and how the responses are judged.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteTarget {
-    /// Pools, the preferred first.
+    /// Its pools, the preferred first.
     pub pools: Rc<[PoolId]>,
-    /// What an answer means.
+    /// What a response means.
     pub response_rules: Rc<ResponseRules>,
 }
 
-/// All that requests are read and checked by.
+/// See the module. Open requests keep the rules by which they were accepted.
 pub struct Rules {
     pub(crate) class: AttributeLocation,
     pub(crate) default_class: Option<ClassId>,
@@ -86,15 +87,16 @@
     pub(crate) id_header: HeaderName,
     pub(crate) id_required: bool,
     pub(crate) time_left_header: HeaderName,
-    /// What the proxy or a backend goes by. A `Connection` line that names one would take it out of the request on
-    /// its way, after it was checked: a keyed request would lose its key and be repeated all the same.
+    /// Headers that the proxy or a backend goes by. A `Connection` header that names one would remove it on the way,
+    /// after it was checked: a keyed request would lose its key and be retried all the same.
     pub(crate) required_headers: HashSet<HeaderName>,
     pub(crate) class_by_name: HashMap<String, ClassId>,
-    /// The classes whose names have several parts, as paths do: the longest first.
+    /// The classes whose names have several path segments, the longest first.
     pub(crate) multi_segment_classes: Vec<(Vec<String>, ClassId)>,
     pub(crate) classes: Vec<ClassRule>,
     pub(crate) tenants: HashMap<String, TenantId>,
     pub(crate) routes: RouteTable,
+    /// By the routes' numbers.
     pub(crate) route_targets: Vec<RouteTarget>,
     pub(crate) zone: String,
     pub(crate) max_retry_after: Micros,
@@ -107,71 +109,32 @@
     pub(crate) longest_stop: Option<Micros>,
 }
 
-/// Headers by which a request is read on the platform, beside those of its form.
-const ALSO_READ: [HeaderName; 3] = [
+/// Headers that the platform's backends go by, beside those of the format.
+const PLATFORM_HEADERS: [HeaderName; 3] = [
     HeaderName::from_static("x-facts"),
     HeaderName::from_static("x-repeat"),
     HeaderName::from_static("x-weight-hint"),
 ];
 
 impl Rules {
-    /// The rules that follow from a configuration. A header's name that is no name at all is never found in a
-    /// request; the configuration has been checked for such.
+    /// The rules of a configuration, which has been checked: a header's name that is not valid is found in no request.
     pub fn new(def: RulesDef) -> Rules {
-        let header = |name: &str| name.parse().unwrap_or(HeaderName::from_static("x-unnamed"));
-        let place = |source: &AttributeSource| match source {
-            AttributeSource::Path(part) => AttributeLocation::Path(*part),
-            AttributeSource::Header(name) => AttributeLocation::Header(header(name)),
-        };
-        let form = &def.form;
-        let places = [
-            Some(&form.class),
-            form.tenant.as_ref(),
-            Some(&form.key),
-            form.deduplication_group.as_ref(),
-            form.zone.as_ref(),
-        ];
-        let places = places.into_iter().flatten().filter_map(|source| match source {
-            AttributeSource::Header(name) => Some(header(name)),
-            AttributeSource::Path(_) => None,
-        });
-        let matched = def.routes.iter().flat_map(|route| &route.when.headers).map(|h| header(&h.name));
-        let required_headers = [HOST, CONTENT_LENGTH, header(&form.id), header(&form.time_left)];
-        let directions = |route: &Route| RouteTarget {
-            pools: route.pools.as_slice().into(),
-            response_rules: Rc::new(route.answers.clone()),
-        };
-        let numbered = |names: Vec<&String>| -> Vec<(String, usize)> {
-            names.into_iter().enumerate().map(|(at, name)| (name.clone(), at)).collect()
-        };
-        let by_name = numbered(def.classes.iter().map(|c| &c.name).collect()).into_iter();
-        let parts = |(at, class): (usize, &ClassRule)| {
-            let parts = class.name.split('/').map(String::from).collect::<Vec<_>>();
-            (parts.len() > 1).then_some((parts, ClassId(at)))
-        };
-        let mut multi_segment_classes: Vec<_> = def.classes.iter().enumerate().filter_map(parts).collect();
-        multi_segment_classes.sort_by_key(|(parts, _)| std::cmp::Reverse(parts.len()));
-        let tenants = numbered(def.tenants.iter().collect()).into_iter();
+        let format = &def.form;
         Rules {
-            class: place(&form.class),
-            default_class: form.default_class,
-            tenant: form.tenant.as_ref().map(place),
-            key: place(&form.key),
-            deduplication_group: form.deduplication_group.as_ref().map(place),
-            client_zone: form.zone.as_ref().map(place),
-            id_header: header(&form.id),
-            id_required: form.id_required,
-            time_left_header: header(&form.time_left),
-            required_headers: required_headers
-                .into_iter()
-                .chain(places)
-                .chain(matched)
-                .chain(ALSO_READ)
-                .collect(),
-            class_by_name: by_name.map(|(name, at)| (name, ClassId(at))).collect(),
-            multi_segment_classes,
-            tenants: tenants.map(|(name, at)| (name, TenantId(at))).collect(),
-            route_targets: def.routes.iter().map(directions).collect(),
+            class: location(&format.class),
+            default_class: format.default_class,
+            tenant: format.tenant.as_ref().map(location),
+            key: location(&format.key),
+            deduplication_group: format.deduplication_group.as_ref().map(location),
+            client_zone: format.zone.as_ref().map(location),
+            id_header: header_name(&format.id),
+            id_required: format.id_required,
+            time_left_header: header_name(&format.time_left),
+            required_headers: required_headers(format, &def.routes),
+            class_by_name: numbered(def.classes.iter().map(|class| &class.name), ClassId),
+            multi_segment_classes: multi_segment_classes(&def.classes),
+            tenants: numbered(def.tenants.iter(), TenantId),
+            route_targets: def.routes.iter().map(RouteTarget::new).collect(),
             routes: RouteTable::new(def.routes),
             classes: def.classes,
             zone: def.zone,
@@ -190,24 +153,75 @@
         }
     }
 
-    /// The longest time that any request may be open.
+    /// The longest time that a request may be open.
     pub(crate) fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
-    /// `Allow` for a class.
+    /// The `Allow` header of a class.
     pub(crate) fn allowed_methods(&self, class: ClassId) -> String {
-        let methods =
-            self.classes.get(class.0).map(|c| c.methods.iter().map(Method::as_str).collect::<Vec<_>>());
-        methods.unwrap_or_default().join(", ")
+        let Some(class) = self.classes.get(class.0) else { return String::new() };
+        let methods: Vec<&str> = class.methods.iter().map(Method::as_str).collect();
+        methods.join(", ")
     }
 
-    /// `Retry-After` for advice of that length: never less than it.
+    /// The `Retry-After` header for that span, rounded up, at most `max_retry_after`.
     pub(crate) fn retry_after(&self, after: Micros) -> String {
-        let secs = after.min(self.max_retry_after).secs();
-        match self.whole_seconds {
-            true => format!("{}", secs.ceil().max(1.0)),
-            false => format!("{secs:.3}"),
+        let seconds = after.min(self.max_retry_after).secs();
+        if self.whole_seconds {
+            format!("{}", seconds.ceil().max(1.0))
+        } else {
+            format!("{seconds:.3}")
         }
     }
 }
+
+impl RouteTarget {
+    fn new(route: &Route) -> RouteTarget {
+        RouteTarget { pools: route.pools.as_slice().into(), response_rules: Rc::new(route.answers.clone()) }
+    }
+}
+
+fn header_name(name: &str) -> HeaderName {
+    name.parse().unwrap_or(HeaderName::from_static("x-unnamed"))
+}
+
+fn location(source: &AttributeSource) -> AttributeLocation {
+    match source {
+        AttributeSource::Path(segment) => AttributeLocation::Path(*segment),
+        AttributeSource::Header(name) => AttributeLocation::Header(header_name(name)),
+    }
+}
+
+/// The headers that a request is read, routed or deduplicated by.
+fn required_headers(format: &RequestFormat, routes: &[Route]) -> HashSet<HeaderName> {
+    let always = [HOST, CONTENT_LENGTH, header_name(&format.id), header_name(&format.time_left)];
+    let sources = [
+        Some(&format.class),
+        format.tenant.as_ref(),
+        Some(&format.key),
+        format.deduplication_group.as_ref(),
+        format.zone.as_ref(),
+    ];
+    let attributes = sources.into_iter().flatten().filter_map(|source| match source {
+        AttributeSource::Header(name) => Some(header_name(name)),
+        AttributeSource::Path(_) => None,
+    });
+    let matched = routes.iter().flat_map(|route| &route.when.headers).map(|header| header_name(&header.name));
+    always.into_iter().chain(attributes).chain(matched).chain(PLATFORM_HEADERS).collect()
+}
+
+/// Numbers by name, in the order of the names.
+fn numbered<'a, T>(
+    names: impl Iterator<Item = &'a String>, number: impl Fn(usize) -> T,
+) -> HashMap<String, T> {
+    names.enumerate().map(|(at, name)| (name.clone(), number(at))).collect()
+}
+
+fn multi_segment_classes(classes: &[ClassRule]) -> Vec<(Vec<String>, ClassId)> {
+    let segments = |name: &str| -> Vec<String> { name.split('/').map(String::from).collect() };
+    let all = classes.iter().enumerate().map(|(at, class)| (segments(&class.name), ClassId(at)));
+    let mut multi: Vec<_> = all.filter(|(segments, _)| segments.len() > 1).collect();
+    multi.sort_by_key(|(segments, _)| std::cmp::Reverse(segments.len()));
+    multi
+}
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -1,10 +1,11 @@
-//! The exchange with a backend: writes a client's request on a connection and reads and judges the response.
+//! The exchange with a backend: writes a client's request on a connection, reads the response and classifies it.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Body;
-use hyper::client::conn::http1;
+use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::{HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, TRANSFER_ENCODING};
+use hyper::http::response::Parts;
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri, Version};
 use shaletide_balancer::{AttemptNumber, LoadReport};
 use shaletide_net::timeout::timeout;
@@ -18,10 +19,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The largest head, to which hyper holds a connection's buffer.
+/// The longest head of a response in bytes; hyper's read buffer is limited to it.
 const MAX_HEAD: usize = 32 * 1024;
 
-/// A client's request as it is forwarded to backends.
+/// A client's request as it is forwarded to backends, and their responses.
 pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
@@ -39,8 +40,15 @@
     pub time_left_header: HeaderName,
     /// How the request's route judges responses.
     pub response_rules: Rc<ResponseRules>,
-    /// The responses that may be passed on, by attempt.
-    pub responses: RefCell<Vec<(AttemptNumber, ResponseClass, BackendResponse)>>,
+    /// The responses that may be forwarded, one an attempt at most.
+    pub responses: RefCell<Vec<AttemptResponse>>,
+}
+
+/// The response to an attempt.
+pub struct AttemptResponse {
+    attempt: AttemptNumber,
+    class: ResponseClass,
+    response: BackendResponse,
 }
 
 /// A backend's complete response.
@@ -55,15 +63,26 @@
 }
 
 impl ForwardedRequest {
-    /// Takes the response to an attempt, and what it is as the last one.
+    /// Takes the response to an attempt, and what it counts as if it is the last.
     pub fn take(&self, attempt: AttemptNumber) -> Option<(LastResponse, BackendResponse)> {
-        let mut all = self.responses.borrow_mut();
-        let at = all.iter().position(|(no, ..)| *no == attempt)?;
-        let (_, verdict, got) = all.swap_remove(at);
-        Some((
-            LastResponse { status: got.status.as_u16(), not_executed: verdict == ResponseClass::NotExecuted },
-            got,
-        ))
+        let mut responses = self.responses.borrow_mut();
+        let at = responses.iter().position(|response| response.attempt == attempt)?;
+        let AttemptResponse { class, response, .. } = responses.swap_remove(at);
+        let status = response.status.as_u16();
+        Some((LastResponse { status, not_executed: class == ResponseClass::NotExecuted }, response))
+    }
+
+    /// Classifies a response, and keeps it where it may be forwarded.
+    fn on_response(&self, attempt: AttemptNumber, answered: Answered) -> ExchangeOutcome {
+        let Answered { response, reusable, excess } = answered;
+        let rules = &self.response_rules;
+        let header = |name: &str| single_value(&response.headers, name);
+        let class = rules.classify(response.status.as_u16(), header);
+        let report = rules.load_report_header.as_deref().and_then(header).map(LoadReport::parse);
+        if class == ResponseClass::Served || rules.error_responses == ErrorResponses::Forward {
+            self.responses.borrow_mut().push(AttemptResponse { attempt, class, response });
+        }
+        ExchangeOutcome::Response { class, reusable, excess, report }
     }
 }
 
@@ -81,44 +100,32 @@
             let time_left = spec.deadline.saturating_duration_since(Instant::now());
             let request = outgoing(&self, spec.to, time_left);
             spec.stream.begin_request(self.body.len());
-            match exchange(&spec.stream, request, (spec.stall, spec.max_body)).await {
-                Ok(Answered { got, keep, excess }) => {
-                    let header = |name: &str| single_value(&got.headers, name);
-                    let verdict = self.response_rules.classify(got.status.as_u16(), header);
-                    let report = self
-                        .response_rules
-                        .load_report_header
-                        .as_deref()
-                        .and_then(header)
-                        .map(LoadReport::parse);
-                    if verdict == ResponseClass::Served
-                        || self.response_rules.error_responses == ErrorResponses::Forward
-                    {
-                        self.responses.borrow_mut().push((spec.attempt, verdict, got));
-                    }
-                    ExchangeOutcome::Response { class: verdict, reusable: keep, excess, report }
-                }
+            match exchange(&spec.stream, request, spec.stall, spec.max_body).await {
+                Ok(answered) => self.on_response(spec.attempt, answered),
                 Err(ExchangeError::InvalidResponse) => ExchangeOutcome::InvalidResponse,
-                Err(ExchangeError::Ended) => ExchangeOutcome::ConnectionClosed,
+                Err(ExchangeError::Closed) => ExchangeOutcome::ConnectionClosed,
             }
         })
     }
 }
 
-/// A header's value, or `None` where several differ: it may be the proof that a request was not executed.
+/// A header's value; `None` where several differ, as one of them may be the proof that a request was not executed.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    let mut all = headers.get_all(name).iter();
-    let first = all.next()?;
-    all.all(|other| other == first).then(|| first.to_str().ok()).flatten()
+    let mut values = headers.get_all(name).iter();
+    let first = values.next()?;
+    if values.any(|other| other != first) {
+        return None;
+    }
+    first.to_str().ok()
 }
 
-/// The request as it is written on a connection.
-fn outgoing(forwarded: &ForwardedRequest, to: SocketAddr, left: Duration) -> Request<Full<Bytes>> {
+/// The request as it is written on a connection to the backend at `to`.
+fn outgoing(forwarded: &ForwardedRequest, to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.uri.clone();
     *request.headers_mut() = forwarded.headers.clone();
-    if let Ok(text) = format!("{:.3}", left.as_secs_f64()).parse() {
+    if let Ok(text) = format!("{:.3}", time_left.as_secs_f64()).parse() {
         request.headers_mut().insert(forwarded.time_left_header.clone(), text);
     }
     // HTTP/1.1 requires a Host header, which an HTTP/1.0 client need not send.
@@ -132,77 +139,106 @@
 
 /// A complete response, and the state of its connection.
 struct Answered {
-    got: BackendResponse,
-    keep: bool,
+    response: BackendResponse,
+    /// The response allows the connection to be reused.
+    reusable: bool,
+    /// Bytes followed the response.
     excess: bool,
 }
 
-/// Why there is no complete response: the request may have run all the same.
+/// Why there is no complete response. The request may have been executed all the same.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExchangeError {
-    /// What was received is no valid response.
+    /// What was received is no valid response, or took too long.
     InvalidResponse,
     /// The connection was closed.
-    Ended,
+    Closed,
+}
+
+impl From<hyper::Error> for ExchangeError {
+    fn from(error: hyper::Error) -> ExchangeError {
+        if error.is_parse() {
+            ExchangeError::InvalidResponse
+        } else {
+            ExchangeError::Closed
+        }
+    }
+}
+
+/// A response as hyper has read it.
+struct ReceivedResponse {
+    head: Parts,
+    body: Bytes,
+    /// A response of this kind has no body, whatever its headers say.
+    is_bodiless: bool,
 }
 
 /// Writes one request and reads its response. Each exchange uses a new hyper connection on the stream, which returns
-/// excess bytes, so that they cannot pass for the next response.
+/// excess bytes, so that they cannot pass for the next response. Dropped midway, it leaves a part of either on the
+/// connection, which has to be closed.
 async fn exchange(
-    stream: &Stream, request: Request<Full<Bytes>>, (stall, max_body): (Option<Duration>, usize),
+    stream: &Stream, request: Request<Full<Bytes>>, stall: Option<Duration>, max_body: usize,
 ) -> Result<Answered, ExchangeError> {
-    let head_only = request.method() == Method::HEAD;
-    let shaken = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream.clone()).await;
-    let (mut sender, mut conn) = shaken.map_err(|_| ExchangeError::Ended)?;
-    let work = async {
-        let broken = |e: hyper::Error| {
-            if e.is_parse() {
-                ExchangeError::InvalidResponse
-            } else {
-                ExchangeError::Ended
-            }
-        };
-        let (head, body) = sender.send_request(request).await.map_err(broken)?.into_parts();
-        // An unrequested upgrade, and the end of HTTP on this connection: no response to the request.
-        if head.status.is_informational() {
-            return Err(ExchangeError::InvalidResponse);
-        }
-        let bodiless = head_only || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-        let given = [CONTENT_LENGTH, TRANSFER_ENCODING].map(|name| head.headers.contains_key(name));
-        // Only a length tells a complete body from a truncated one, and two indications may differ.
-        if !bodiless && (given[0] == given[1] || body.size_hint().lower() > max_body as u64) {
-            return Err(ExchangeError::InvalidResponse);
-        }
-        let body = Limited::new(body, max_body).collect().await;
-        let body = body.map_err(|e| {
-            if e.is::<hyper::Error>() {
-                ExchangeError::Ended
-            } else {
-                ExchangeError::InvalidResponse
-            }
-        })?;
-        Ok((head, body.to_bytes(), bodiless))
-    };
-    let (head, body, bodiless) = tokio::select! {
+    let handshake = http1::Builder::new().max_buf_size(MAX_HEAD).handshake(stream.clone()).await;
+    let (mut sender, mut connection) = handshake.map_err(|_| ExchangeError::Closed)?;
+    let work = send_and_receive(&mut sender, request, max_body);
+    let received = tokio::select! {
         biased;
-        done = drive_connection(&mut conn, work) => done.unwrap_or(Err(ExchangeError::Ended))?,
+        done = drive_connection(&mut connection, work) => done.unwrap_or(Err(ExchangeError::Closed))?,
         _ = watch_response(stream, stall) => return Err(ExchangeError::InvalidResponse),
     };
     if stream.may_answer_previous_request() {
         return Err(ExchangeError::InvalidResponse);
     }
-    let close =
-        head.headers.get_all(CONNECTION).iter().any(|v| !v.as_bytes().eq_ignore_ascii_case(b"keep-alive"));
-    let keep = head.version == Version::HTTP_11 && !close;
+    let reusable = is_reusable(&received.head);
     stream.mark_idle();
-    let excess = !conn.into_parts().read_buf.is_empty();
-    let mut headers = head.headers;
-    // Without a body the length is that of the response to GET, and is passed on.
-    let length = headers.get(CONTENT_LENGTH).filter(|_| bodiless).cloned();
+    let excess = !connection.into_parts().read_buf.is_empty();
+    Ok(Answered { response: forwardable(received), reusable, excess })
+}
+
+/// Sends a request and reads the whole response.
+async fn send_and_receive(
+    sender: &mut SendRequest<Full<Bytes>>, request: Request<Full<Bytes>>, max_body: usize,
+) -> Result<ReceivedResponse, ExchangeError> {
+    let is_head_request = request.method() == Method::HEAD;
+    let (head, body) = sender.send_request(request).await?.into_parts();
+    // An unrequested upgrade, and the end of HTTP on this connection: no response to the request.
+    if head.status.is_informational() {
+        return Err(ExchangeError::InvalidResponse);
+    }
+    let is_bodiless =
+        is_head_request || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
+    // Only a length tells a complete body from a truncated one, and two indications may differ.
+    let has_length = head.headers.contains_key(CONTENT_LENGTH);
+    let has_encoding = head.headers.contains_key(TRANSFER_ENCODING);
+    if !is_bodiless && (has_length == has_encoding || body.size_hint().lower() > max_body as u64) {
+        return Err(ExchangeError::InvalidResponse);
+    }
+    match Limited::new(body, max_body).collect().await {
+        Ok(body) => Ok(ReceivedResponse { head, body: body.to_bytes(), is_bodiless }),
+        Err(error) if error.is::<hyper::Error>() => Err(ExchangeError::Closed),
+        Err(_) => Err(ExchangeError::InvalidResponse), // the body is too long
+    }
+}
+
+/// Whether the backend keeps the connection open after this response.
+fn is_reusable(head: &Parts) -> bool {
+    let mut options = head.headers.get_all(CONNECTION).iter();
+    let closes = options.any(|value| !value.as_bytes().eq_ignore_ascii_case(b"keep-alive"));
+    head.version == Version::HTTP_11 && !closes
+}
+
+/// The response without hop-by-hop headers.
+fn forwardable(received: ReceivedResponse) -> BackendResponse {
+    let status = received.head.status;
+    let mut headers = received.head.headers;
+    // Without a body the length is that of the response to GET, and is forwarded.
+    let length = headers.get(CONTENT_LENGTH).filter(|_| received.is_bodiless).cloned();
     strip_hop_by_hop(&mut headers);
-    if let Some(length) = length.filter(|_| head.status != StatusCode::NO_CONTENT) {
+    if let Some(length) = length.filter(|_| status != StatusCode::NO_CONTENT) {
         headers.insert(CONTENT_LENGTH, length);
     }
-    Ok(Answered { got: BackendResponse { status: head.status, headers, body }, keep, excess })
+    BackendResponse { status, headers, body: received.body }
 }
 
 /// Acknowledges the parts of a response as they arrive, and returns when a response that has begun is not complete
