--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -65,11 +65,11 @@
         if self.active() >= self.max_clients {
             self.evict_one();
         }
-        self.accepted.set(self.accepted.get() + 1);
+        self.counters.accepted.increment();
         let key = self.next_connection.get();
         self.next_connection.set(key + 1);
         let now = self.driver.clock.now();
-        let client = Rc::new(Client::new(key, Stream::new(tcp), now, self.counters.clone()));
+        let client = Rc::new(Client::new(key, Stream::new(tcp), now, self.slots.clone()));
         client.trace_accepted();
         self.clients.borrow_mut().insert(key, client.clone());
         let server = self.clone();
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Counts of the connections that hold a slot.
+/// How many connections hold a slot.
 #[derive(Default)]
-pub(crate) struct ConnectionCounters {
+pub(crate) struct SlotCounters {
     /// All of them.
     pub(crate) active: Cell<usize>,
     /// Those that have sent a complete and valid request.
@@ -23,7 +23,7 @@
     pub(crate) stream: Stream,
     /// The trace of its present request, where requests are traced.
     pub(crate) trace: RefCell<Option<Rc<RequestTrace>>>,
-    counters: Rc<ConnectionCounters>,
+    slots: Rc<SlotCounters>,
     /// A request of it is being answered.
     pub(crate) busy: Cell<bool>,
     /// It has sent a complete and valid request.
@@ -46,10 +46,8 @@
 
 impl Client {
     /// A connection that takes a slot.
-    pub(crate) fn new(
-        number: u64, stream: Stream, accepted_at: Time, counters: Rc<ConnectionCounters>,
-    ) -> Client {
-        counters.active.set(counters.active.get() + 1);
+    pub(crate) fn new(number: u64, stream: Stream, accepted_at: Time, slots: Rc<SlotCounters>) -> Client {
+        slots.active.set(slots.active.get() + 1);
         let (busy, proven, evicted) = (Cell::new(false), Cell::new(false), Cell::new(false));
         let (answered, announced_close) = (Cell::new(false), Cell::new(false));
         let (close_requested, body_since, body_changed) = (Notify::new(), Cell::new(None), Notify::new());
@@ -58,7 +56,7 @@
             accepted_at,
             stream,
             trace: RefCell::new(None),
-            counters,
+            slots,
             busy,
             proven,
             answered,
@@ -74,7 +72,7 @@
     /// Notes that it has sent a complete and valid request.
     pub(crate) fn prove(&self) {
         if !self.proven.replace(true) && !self.evicted.get() {
-            self.counters.proven.set(self.counters.proven.get() + 1);
+            self.slots.proven.set(self.slots.proven.get() + 1);
         }
     }
 
@@ -86,9 +84,9 @@
     /// Frees its slot, once, while it may still be open.
     pub(crate) fn release_slot(&self) {
         if !self.evicted.replace(true) {
-            self.counters.active.set(self.counters.active.get() - 1);
+            self.slots.active.set(self.slots.active.get() - 1);
             if self.proven.get() {
-                self.counters.proven.set(self.counters.proven.get() - 1);
+                self.slots.proven.set(self.slots.proven.get() - 1);
             }
         }
     }
--- a/crates/http/src/eviction.rs
+++ b/crates/http/src/eviction.rs
@@ -77,7 +77,7 @@
             return false;
         };
         let client = chosen.key;
-        self.evicted.set(self.evicted.get() + 1);
+        self.counters.evicted.increment();
         client.release_slot(); // another call at the same moment chooses another
         match client.body_since.get() {
             Some(_) => client.body_changed.notify_one(), // it is told why
--- /dev/null
+++ b/crates/http/src/outgoing.rs
@@ -0,0 +1,96 @@
+//! A checked request as it is handed to the driver.
+
+use crate::connection::Client;
+use crate::request::{number, ParsedHead};
+use crate::request_error::RequestError;
+use crate::rules::Rules;
+use crate::server::Server;
+use crate::upstream::ForwardedRequest;
+use bytes::Bytes;
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use hyper::{HeaderMap, Uri};
+use shaletide_balancer::{Arrival, Micros, RequestId, Time};
+use shaletide_engine::RequestSpec;
+use shaletide_net::strip_hop_by_hop;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// A request that is ready for the driver.
+pub(crate) struct OutgoingRequest {
+    pub id: HeaderValue,
+    pub deadline: Time,
+    pub spec: RequestSpec,
+    pub tenant: Option<String>,
+    pub key: Option<String>,
+    pub forwarded: Rc<ForwardedRequest>,
+}
+
+impl Server {
+    /// Prepares a request for the driver, by its head, its body and the time by which it has to be answered.
+    ///
+    /// # Errors
+    /// Its target or its route cannot be used, though the head has been checked.
+    pub(crate) fn outgoing(
+        &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
+    ) -> Result<OutgoingRequest, RequestError> {
+        let mut headers = head.headers;
+        let arrival = arrival(&headers, &parsed, deadline - self.driver.clock.now());
+        strip_hop_by_hop(&mut headers);
+        let id = match parsed.id {
+            Some(id) => id,
+            None => self.add_id(client, rules, &mut headers)?,
+        };
+        let uri = origin_form(&head.uri)?;
+        let target = rules.route_targets.get(parsed.route.0).ok_or(RequestError::NoRoute)?;
+        let spec = RequestSpec {
+            arrival,
+            idempotency: rules.classes[parsed.class.0].effect,
+            pools: target.pools.clone(),
+            requires_intent: false,
+            recorded: false,
+        };
+        let forwarded = Rc::new(ForwardedRequest {
+            method: head.method,
+            uri,
+            headers,
+            body,
+            client: Some(client.stream.watch()),
+            trace: client.trace.borrow().clone(),
+            time_left_header: rules.time_left_header.clone(),
+            response_rules: target.response_rules.clone(),
+            responses: RefCell::default(),
+        });
+        Ok(OutgoingRequest { id, deadline, spec, tenant: parsed.tenant_name, key: parsed.key, forwarded })
+    }
+
+    /// Gives an id to a request that came without one.
+    fn add_id(
+        &self, client: &Client, rules: &Rules, headers: &mut HeaderMap,
+    ) -> Result<HeaderValue, RequestError> {
+        let id = self.generate_id().ok_or(RequestError::InvalidId)?;
+        client.trace(|trace| trace.set_id(id.as_bytes()));
+        headers.insert(rules.id_header.clone(), id.clone());
+        Ok(id)
+    }
+}
+
+/// What the balancer decides by. The driver sets the number, the engine whether the request may fail over.
+fn arrival(headers: &HeaderMap, parsed: &ParsedHead, time_left: Micros) -> Arrival {
+    let work_hint_us = headers.get("x-weight-hint").and_then(number);
+    Arrival {
+        request: RequestId(0),
+        class: parsed.class,
+        tenant: parsed.tenant,
+        time_left,
+        work_hint: work_hint_us.map(|us| Micros(us as u64)),
+        is_client_retry: headers.get("x-repeat").is_some_and(|value| value == "1"),
+        may_fail_over: false,
+    }
+}
+
+/// Path and query of a target.
+fn origin_form(target: &Uri) -> Result<Uri, RequestError> {
+    let origin = target.path_and_query().ok_or(RequestError::InvalidTarget)?;
+    origin.as_str().parse().map_err(|_| RequestError::InvalidTarget)
+}
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -1,27 +1,25 @@
-//! From a request to its response: check the head, read the body, hand it to the driver and render the answer.
+//! From a request to its response: checks the head, reads the body, hands the request to the driver and renders the answer.
 
 use crate::bodies::{BodyError, IncomingBody};
 use crate::connection::Client;
-use crate::request::{check_probe, check_target, number, read_head, ParsedHead};
+use crate::outgoing::OutgoingRequest;
+use crate::request::{check_probe, check_target, read_head};
 use crate::request_error::RequestError;
 use crate::request_id::OpenIdGuard;
 use crate::response::{final_response, plain, record_rejection, rejection};
 use crate::rules::Rules;
 use crate::server::Server;
-use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use shaletide_balancer::*;
-use shaletide_engine::RequestSpec;
-use shaletide_net::{strip_hop_by_hop, Driver, RequestEvent, RequestIdentity, SubmitError};
-use std::cell::RefCell;
+use shaletide_balancer::{Idempotency, Micros, RequestId, Time};
+use shaletide_net::{Driver, RequestEvent, RequestIdentity, SubmitError};
 use std::rc::Rc;
 
-/// Retry advice for a request for whose body there was no room: slow bodies have ended by then.
+/// `Retry-After` where there was no room for a request's body: slow bodies have ended by then.
 const NO_ROOM_RETRY_AFTER: Micros = Micros(1_000_000);
 
 impl Server {
@@ -40,7 +38,7 @@
         // What follows an invalid request on its connection may be no request at all.
         let is_invalid = result.is_err();
         let mut response = result.unwrap_or_else(|error| self.reject(client, &rules, error));
-        // A request may be complete, and is served, just as its connection is evicted.
+        // A request whose connection is evicted just as it is complete is served all the same.
         if is_invalid || client.is_evicted() || self.stop_deadline.get().is_some() || self.is_crowded() {
             end_connection(&mut response);
         }
@@ -50,7 +48,7 @@
 
     fn reject(&self, client: &Client, rules: &Rules, error: RequestError) -> Response<Full<Bytes>> {
         client.trace(|trace| trace.rejected(error));
-        self.rejected.set(self.rejected.get() + 1);
+        self.counters.rejected.increment();
         let (status, text) = error.answer(rules);
         let mut response = plain(status, text);
         if let Some(Ok(methods)) = error.allowed_methods(rules).map(HeaderValue::try_from) {
@@ -61,7 +59,7 @@
 
     /// So many connections are in use that each ends after its response, to free slots for other clients.
     fn is_crowded(&self) -> bool {
-        self.counters.proven.get() > self.max_clients / 2 || self.active() > self.max_clients
+        self.slots.proven.get() > self.max_clients / 2 || self.active() > self.max_clients
     }
 
     /// Reads the whole body of a request. The memory that it reserves is freed with the second value.
@@ -73,22 +71,20 @@
         }
         let incoming = IncomingBody::new(self, client, &body)?;
         let read = incoming.read_all(until, body).await;
-        let count = match &read {
-            Err(BodyError::NoRoom) => Some(&self.bodies_without_room),
-            Err(BodyError::Invalid(RequestError::BodyTooSlow)) => Some(&self.slow_bodies),
-            _ => None,
-        };
-        if let Some(count) = count {
-            count.set(count.get() + 1);
+        match &read {
+            Err(BodyError::NoRoom) => self.counters.bodies_without_room.increment(),
+            Err(BodyError::Invalid(RequestError::BodyTooSlow)) => self.counters.slow_bodies.increment(),
+            Ok(_) | Err(BodyError::Invalid(_)) => {}
         }
         read.map(|bytes| (bytes, Some(incoming)))
     }
 
-    /// Checks a request, reads its body and forwards it.
+    /// Checks a request, reads its body and forwards it. Dropped midway, as its client has closed the connection, it frees
+    /// the body's room and withdraws the request from the driver.
     async fn proxy(
         self: &Rc<Self>, client: &Rc<Client>, rules: &Rules, head: Parts, body: Incoming,
     ) -> Result<Response<Full<Bytes>>, RequestError> {
-        // What stood in the accept queue or waited for the event loop has used up that much of its time.
+        // A request that was in the accept queue, or waited for the event loop, has used up that much of its time.
         let waited = Micros(client.stream.since_last_received().as_micros() as u64);
         let received = self.driver.clock.now() - waited;
         let parsed = read_head(rules, &head, &body)?;
@@ -118,55 +114,11 @@
         self.stop_deadline.get().map_or(deadline, |stop| deadline.min(stop))
     }
 
-    /// The request as the driver is given it.
-    fn outgoing(
-        &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
-    ) -> Result<Outgoing, RequestError> {
-        let mut headers = head.headers;
-        let arrival = Arrival {
-            request: RequestId(0),
-            class: parsed.class,
-            tenant: parsed.tenant,
-            time_left: deadline - self.driver.clock.now(),
-            work_hint: headers.get("x-weight-hint").and_then(number).map(|us| Micros(us as u64)),
-            is_client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
-            may_fail_over: false,
-        };
-        strip_hop_by_hop(&mut headers);
-        let id = match parsed.id {
-            Some(id) => id,
-            None => {
-                let id = self.generate_id().ok_or(RequestError::InvalidId)?;
-                client.trace(|trace| trace.set_id(id.as_bytes()));
-                headers.insert(rules.id_header.clone(), id.clone());
-                id
-            }
-        };
-        let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
-        let uri = origin.and_then(Result::ok).ok_or(RequestError::InvalidTarget)?;
-        let target = rules.route_targets.get(parsed.route.0).ok_or(RequestError::NoRoute)?;
-        let idempotency = rules.classes[parsed.class.0].effect;
-        let pools = target.pools.clone();
-        let forwarded = Rc::new(ForwardedRequest {
-            method: head.method,
-            uri,
-            headers,
-            body,
-            client: Some(client.stream.watch()),
-            trace: client.trace.borrow().clone(),
-            time_left_header: rules.time_left_header.clone(),
-            response_rules: target.response_rules.clone(),
-            responses: RefCell::default(),
-        });
-        let spec = RequestSpec { arrival, idempotency, pools, requires_intent: false, recorded: false };
-        Ok(Outgoing { id, deadline, spec, tenant: parsed.tenant_name, key: parsed.key, forwarded })
-    }
-
     /// Hands a request to the driver and waits for its answer.
     async fn forward(
-        self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: Outgoing,
+        self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: OutgoingRequest,
     ) -> Result<Response<Full<Bytes>>, RequestError> {
-        let Outgoing { id, deadline, spec, tenant, key, forwarded } = outgoing;
+        let OutgoingRequest { id, deadline, spec, tenant, key, forwarded } = outgoing;
         let _id_guard = OpenIdGuard::new(&self.open_ids, id).ok_or(RequestError::IdInUse)?;
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
@@ -202,16 +154,6 @@
     }
 }
 
-/// A request that is ready for the driver.
-struct Outgoing {
-    id: HeaderValue,
-    deadline: Time,
-    spec: RequestSpec,
-    tenant: Option<String>,
-    key: Option<String>,
-    forwarded: Rc<ForwardedRequest>,
-}
-
 /// The connection ends after this response.
 fn end_connection(response: &mut Response<Full<Bytes>>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -36,7 +36,7 @@
     /// Counts a connection that has ended, and checks that no request on it was left without an answer by the proxy's
     /// doing.
     pub(crate) fn note_closed(&self, client: &Client, reason: CloseReason) {
-        self.closed.add(reason);
+        self.counters.closed.add(reason);
         client.trace_closed(self.driver.clock, reason);
         if client.busy.get() && reason != CloseReason::Client {
             let (number, reason) = (client.number, reason.name());
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,8 +1,8 @@
 //! The server's state: connections, request bodies, request ids and counters. The modules beside this one implement
 //! what it does: accept, serve, proxy, evict, shut down.
 
-use crate::close_reason::CloseCounts;
-use crate::connection::{Client, ConnectionCounters};
+use crate::connection::{Client, SlotCounters};
+use crate::counters::Counters;
 use crate::rules::Rules;
 use hyper::header::HeaderValue;
 use shaletide_balancer::Time;
@@ -16,7 +16,7 @@
 /// The HTTP server in front of the driver.
 pub struct Server {
     pub(crate) driver: Rc<Driver>,
-    pub(crate) counters: Rc<ConnectionCounters>,
+    pub(crate) slots: Rc<SlotCounters>,
     pub(crate) rules: RefCell<Rc<Rules>>,
     pub(crate) max_clients: usize,
     pub(crate) clients: RefCell<HashMap<u64, Rc<Client>>>,
@@ -38,15 +38,8 @@
     pub(crate) lingering: Cell<usize>,
     /// Accepts that failed since the last that did not.
     pub(crate) accept_failures: Cell<u32>,
-    /// Connections accepted, connections evicted and requests rejected since the last report.
-    pub(crate) accepted: Cell<u64>,
-    pub(crate) evicted: Cell<u64>,
-    pub(crate) rejected: Cell<u64>,
-    /// Connections that have ended, by reason, since the last report.
-    pub(crate) closed: CloseCounts,
-    /// Bodies given up as too slow, and requests refused for want of room for theirs, since the last report.
-    pub(crate) slow_bodies: Cell<u64>,
-    pub(crate) bodies_without_room: Cell<u64>,
+    /// Events since the last report.
+    pub(crate) counters: Counters,
 }
 
 impl Server {
@@ -54,7 +47,7 @@
     pub fn new(driver: Rc<Driver>, rules: Rules, max_clients: usize, seed: u64) -> Rc<Server> {
         Rc::new(Server {
             driver,
-            counters: Rc::default(),
+            slots: Rc::default(),
             bodies: RefCell::new(BodyAdmission::new(rules.bodies)),
             body_senders: RefCell::default(),
             rules: RefCell::new(Rc::new(rules)),
@@ -68,12 +61,7 @@
             connection_ended: Notify::new(),
             lingering: Cell::default(),
             accept_failures: Cell::default(),
-            accepted: Cell::default(),
-            evicted: Cell::default(),
-            rejected: Cell::default(),
-            closed: CloseCounts::default(),
-            slow_bodies: Cell::default(),
-            bodies_without_room: Cell::default(),
+            counters: Counters::default(),
         })
     }
 
@@ -94,24 +82,16 @@
 
     /// How many of them hold a slot.
     pub(crate) fn active(&self) -> usize {
-        self.counters.active.get()
+        self.slots.active.get()
     }
 
     /// How many of those have never sent a complete request.
     pub(crate) fn unproven(&self) -> usize {
-        self.counters.active.get() - self.counters.proven.get()
+        self.slots.active.get() - self.slots.proven.get()
     }
 
-    /// The counters for the periodic log line; those of events start anew.
+    /// The part of the periodic log line that is about clients; the counters of events start anew.
     pub fn report(&self) -> String {
-        let (accepted, evicted, faults) = (self.accepted.take(), self.evicted.take(), self.rejected.take());
-        let unproven = self.unproven();
-        let clients = self.clients();
-        let (slow, crowded) = (self.slow_bodies.take(), self.bodies_without_room.take());
-        let closed = self.closed.take();
-        format!(
-            "clients {clients} unproven {unproven} accepted {accepted} evicted {evicted} turned away {faults} \
-             slow bodies {slow} without room {crowded} closed: {closed};"
-        )
+        self.counters.take_report(self.clients(), self.unproven())
     }
 }
