--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -3,21 +3,24 @@
 use crate::connection::Client;
 use crate::limits::EXTRA_CONNECTIONS;
 use crate::listener::accept_any;
+use crate::serve::ServeEnd;
 use crate::server::Server;
 use shaletide_net::{accept_failure, AcceptFailure, Stream, SystemCall};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Turns of the event loop after which the first request on a new connection has been read, if it was there.
+/// Turns of the event loop after which the first request on a new connection has been read, if it had come.
 pub(crate) const READ_TURNS: usize = 4;
-/// After so many failures in a row accepts are tried with pauses, whatever the error.
+/// After this many failures in a row accepts are tried with pauses, whatever the error.
 const MAX_IMMEDIATE_ACCEPTS: u32 = 64;
-/// The pause after an accept that failed for want of something.
+/// How long evicted connections have to end before others are evicted.
+const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
+/// The pause after an accept that failed for want of system resources.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Accepts one connection, after evicting others where the limit is reached.
+    /// Accepts one connection, after evicting others where the limit is reached. Dropped midway, it has accepted none.
     pub(crate) async fn accept(self: &Rc<Self>, listeners: &[TcpListener]) {
         while self.clients() >= self.max_clients + EXTRA_CONNECTIONS {
             // They may all have been accepted in one turn, unread: each may have sent a request.
@@ -29,7 +32,7 @@
                 tokio::task::yield_now().await;
             }
             // Evicted connections need time to end; evicting more would not free a slot sooner.
-            let _ = tokio::time::timeout(Duration::from_millis(20), self.connection_ended.notified()).await;
+            let _ = tokio::time::timeout(EVICTION_INTERVAL, self.connection_ended.notified()).await;
         }
         match accept_any(listeners, self.next_connection.get()).await {
             Ok((tcp, _)) => {
@@ -60,7 +63,7 @@
         }
     }
 
-    /// Takes a connection in and serves it in a task of its own.
+    /// Admits a connection and serves it in a task of its own, which ends with the connection.
     pub(crate) fn admit(self: &Rc<Self>, tcp: TcpStream) {
         if self.active() >= self.max_clients {
             self.evict_one();
@@ -74,12 +77,12 @@
         self.clients.borrow_mut().insert(key, client.clone());
         let server = self.clone();
         tokio::task::spawn_local(async move {
-            let (reason, whole) = server.serve(&client).await;
+            let ServeEnd { reason, is_response_written } = server.serve(&client).await;
             server.note_closed(&client, reason);
             client.release_slot();
             server.clients.borrow_mut().remove(&key);
             server.connection_ended.notify_one();
-            if whole && client.announced_close.get() {
+            if is_response_written && client.announced_close.get() {
                 server.linger(&client).await;
             }
         });
--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -1,4 +1,5 @@
-//! Reads request bodies: a thin shell over `admission::Bodies`, which decides which body is read and which is evicted.
+//! Reads request bodies: a thin shell over [`shaletide_body_limits::BodyAdmission`], which decides which body is read and
+//! which is evicted.
 
 use crate::connection::Client;
 use crate::request_error::RequestError;
@@ -17,13 +18,14 @@
 
 /// Why a body was not read completely.
 pub(crate) enum BodyError {
-    /// The client's fault, or evicted.
+    /// It is invalid or too slow, or was evicted.
     Invalid(RequestError),
-    /// Nothing of it was read, as there was no room in time: a retry is harmless.
+    /// No byte of it was read, as there was no room in time: a retry is harmless.
     NoRoom,
 }
 
-/// A body being read, and the memory it reserves until its request is answered. Dropping it frees that at any time.
+/// A body being read, and the memory that it reserves until its request is answered. Dropping it frees that memory, whatever
+/// state it is in, and admits others.
 pub(crate) struct IncomingBody {
     server: Rc<Server>,
     client: Rc<Client>,
@@ -44,18 +46,18 @@
         Ok(IncomingBody { server: server.clone(), client: client.clone(), id, length })
     }
 
-    /// Reads it completely by `until`. May be dropped midway.
+    /// Reads it completely by `until`. Dropped midway, it leaves the rest on the connection, which has to be closed.
     ///
     /// # Errors
     /// Why it was not read completely.
     pub async fn read_all(&self, until: Time, mut body: Incoming) -> Result<Bytes, BodyError> {
-        self.enter(until).await?;
+        self.wait_for_admission(until).await?;
         self.client.body_since.set(Some(self.now()));
         let read = self.read(until, &mut body).await;
         self.client.body_since.set(None);
-        let whole = read.map_err(BodyError::Invalid)?;
+        let bytes = read.map_err(BodyError::Invalid)?;
         self.server.bodies.borrow_mut().on_complete(self.id);
-        Ok(whole)
+        Ok(bytes)
     }
 
     fn now(&self) -> Time {
@@ -63,7 +65,7 @@
     }
 
     /// Waits until it may be read.
-    async fn enter(&self, until: Time) -> Result<(), BodyError> {
+    async fn wait_for_admission(&self, until: Time) -> Result<(), BodyError> {
         loop {
             let now = self.now();
             match self.server.bodies.borrow().state(self.id) {
@@ -72,12 +74,13 @@
                 BodyState::Queued if now >= until => return Err(BodyError::NoRoom),
                 BodyState::Queued => {}
             }
-            let pushed = self.server.bodies.borrow_mut().evict_slowest(now);
-            self.server.notify_senders(pushed);
+            let evicted = self.server.bodies.borrow_mut().evict_slowest(now);
+            self.server.notify_senders(evicted);
             let _ = tokio::time::timeout(EVICTION_CHECK_INTERVAL, self.client.body_changed.notified()).await;
         }
     }
 
+    /// Reads it as long as it is admitted and keeps to the minimum rate.
     async fn read(&self, until: Time, body: &mut Incoming) -> Result<Bytes, RequestError> {
         let mut parts = BytesMut::new();
         loop {
@@ -86,17 +89,16 @@
                 biased; // bytes that are there are read before the time is checked, and set no timer
                 frame = body.frame() => frame,
                 () = self.client.body_changed.notified() => {
-                    let is_in = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
-                    if self.client.is_evicted() || !is_in {
+                    let is_admitted = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
+                    if self.client.is_evicted() || !is_admitted {
                         return Err(RequestError::BodyTooSlow);
                     }
                     continue;
                 }
                 () = sleep_until(self.server.driver.clock.instant(due)) => return Err(RequestError::BodyTooSlow),
             };
-            let Some(part) = frame else { return Err(RequestError::MalformedBody) };
-            let part =
-                part.ok().and_then(|frame| frame.into_data().ok()).ok_or(RequestError::MalformedBody)?;
+            let Some(Ok(frame)) = frame else { return Err(RequestError::MalformedBody) };
+            let part = frame.into_data().map_err(|_| RequestError::MalformedBody)?;
             self.server.bodies.borrow_mut().on_bytes(self.now(), self.id, part.len());
             if parts.is_empty() && part.len() == self.length {
                 return Ok(part);
@@ -122,10 +124,13 @@
 
 impl Server {
     /// Wakes the readers of the bodies that were admitted, and of the one that was evicted.
-    fn notify_senders(&self, pushed: Option<BodyId>) {
-        let let_in = self.bodies.borrow_mut().take_admitted();
+    fn notify_senders(&self, evicted: Option<BodyId>) {
+        let admitted = self.bodies.borrow_mut().take_admitted();
         let body_senders = self.body_senders.borrow();
-        let concerned = let_in.into_iter().chain(pushed).filter_map(|id| body_senders.get(&id));
-        concerned.for_each(|client| client.body_changed.notify_one());
+        for id in admitted.into_iter().chain(evicted) {
+            if let Some(client) = body_senders.get(&id) {
+                client.body_changed.notify_one();
+            }
+        }
     }
 }
--- a/crates/http/src/close_reason.rs
+++ b/crates/http/src/close_reason.rs
@@ -1,5 +1,4 @@
-//! Why clients' connections end, counted for the operators; and the run-time check that none ends by the proxy's doing
-//! while a request that was read on it has no answer.
+//! Why clients' connections end, counted for the operators.
 
 use std::cell::Cell;
 
@@ -10,13 +9,13 @@
     Client,
     /// Its last response said so.
     Announced,
-    /// It was idle, and the program stops.
+    /// It was idle, and the program shuts down.
     Stopping,
-    /// It was idle, and made room for another.
+    /// It was idle, and was evicted to make room for another.
     Evicted,
-    /// The head of a request did not come whole in time.
+    /// The head of a request was not complete in time.
     HeadTimeout,
-    /// What came is no request.
+    /// What came is no valid request.
     Malformed,
     /// An evicted client did not read its response.
     NotRead,
@@ -33,7 +32,7 @@
         CloseReason::NotRead,
     ];
 
-    /// In logs.
+    /// Its name in logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             CloseReason::Client => "client",
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Of an error of hyper's.
+    /// The reason of a connection that ended with an error of hyper's.
     pub(crate) fn of_error(error: &hyper::Error) -> CloseReason {
         if error.is_timeout() {
             CloseReason::HeadTimeout
@@ -68,11 +67,15 @@
         count.set(count.get() + 1);
     }
 
-    /// The reasons that there were, such as `client 3 announced 1`, and begins anew.
+    /// The reasons that there were, such as `client 3 announced 1`; `none` where there were none. Begins anew.
     pub(crate) fn take(&self) -> String {
-        let counts = CloseReason::ALL.map(|reason| (reason.name(), self.0[reason as usize].take()));
-        let some = counts.iter().filter(|(_, count)| *count > 0);
-        let texts: Vec<String> = some.map(|(name, count)| format!("{name} {count}")).collect();
+        let mut texts = Vec::new();
+        for reason in CloseReason::ALL {
+            let count = self.0[reason as usize].take();
+            if count > 0 {
+                texts.push(format!("{} {count}", reason.name()));
+            }
+        }
         if texts.is_empty() {
             "none".into()
         } else {
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -48,24 +48,21 @@
     /// A connection that takes a slot.
     pub(crate) fn new(number: u64, stream: Stream, accepted_at: Time, slots: Rc<SlotCounters>) -> Client {
         slots.active.set(slots.active.get() + 1);
-        let (busy, proven, evicted) = (Cell::new(false), Cell::new(false), Cell::new(false));
-        let (answered, announced_close) = (Cell::new(false), Cell::new(false));
-        let (close_requested, body_since, body_changed) = (Notify::new(), Cell::new(None), Notify::new());
         Client {
             number,
             accepted_at,
             stream,
             trace: RefCell::new(None),
             slots,
-            busy,
-            proven,
-            answered,
-            announced_close,
+            busy: Cell::new(false),
+            proven: Cell::new(false),
+            answered: Cell::new(false),
+            announced_close: Cell::new(false),
             idle_since: Cell::new(accepted_at),
-            evicted,
-            close_requested,
-            body_since,
-            body_changed,
+            evicted: Cell::new(false),
+            close_requested: Notify::new(),
+            body_since: Cell::new(None),
+            body_changed: Notify::new(),
         }
     }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! The HTTP front: clients' connections, their requests read, checked and handed to the driver, and the answers
-//! that come back. It holds no pool, no address and no decision.
+//! The HTTP front: accepts clients' connections, reads and checks their requests, hands them to the driver and writes the
+//! responses; and carries out the exchange with a backend for the driver. It holds no pool and decides nothing on one.
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -12,27 +12,27 @@
 /// The call in which listening failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenCall {
-    /// A socket was to be made and set up.
+    /// Making the socket and setting its options.
     Socket,
-    /// It was to be bound to its address.
+    /// Binding it to its address.
     Bind,
-    /// It was to listen.
+    /// Listening on it.
     Listen,
 }
 
 /// Why an address is not listened on.
 #[derive(Debug)]
 pub struct ListenError {
-    /// Which address.
+    /// The address.
     pub address: SocketAddr,
-    /// Which call failed.
+    /// The call that failed.
     pub call: ListenCall,
-    /// What the system says.
+    /// The error of that call.
     pub source: io::Error,
 }
 
 impl ListenError {
-    /// Whether the same may succeed later.
+    /// Whether the same call may succeed later.
     pub fn may_pass(&self) -> bool {
         listen_failure(&self.source).may_pass()
     }
@@ -93,7 +93,7 @@
         Ok(BoundSocket { socket, address })
     }
 
-    /// Listens from now on.
+    /// Begins to listen.
     ///
     /// # Errors
     /// Those of the system call: another socket may have begun to listen meanwhile.
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -21,6 +21,19 @@
 /// An evicted connection that is still open after this time is closed: its client does not read its response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// How a connection ended.
+pub(crate) struct ServeEnd {
+    pub reason: CloseReason,
+    /// Its last response was written completely.
+    pub is_response_written: bool,
+}
+
+impl ServeEnd {
+    fn cut(reason: CloseReason) -> ServeEnd {
+        ServeEnd { reason, is_response_written: false }
+    }
+}
+
 impl Server {
     /// Keeps a connection open for some time after its last response. Closing a socket with unread input resets it,
     /// which could discard the response before the client has read it.
@@ -61,8 +74,8 @@
         }
     }
 
-    /// Serves requests until the connection ends. Why it ended, and whether its last response was written completely.
-    pub(crate) async fn serve(self: &Rc<Self>, client: &Rc<Client>) -> (CloseReason, bool) {
+    /// Serves requests until the connection ends.
+    pub(crate) async fn serve(self: &Rc<Self>, client: &Rc<Client>) -> ServeEnd {
         let service = service_fn(|request| async {
             client.busy.set(true);
             let answer = self.answer(client, request).await;
@@ -76,28 +89,28 @@
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD).timer(Timer).header_read_timeout(span(self.rules().head_timeout));
         let mut conn = pin!(builder.serve_connection(client.stream.clone(), service));
-        let mut cut = pin!(tokio::time::sleep(Duration::MAX));
+        let mut close_timeout = pin!(tokio::time::sleep(Duration::MAX));
         loop {
             tokio::select! {
                 ended = conn.as_mut() => return match ended {
-                    Ok(()) => (self.reason_of_end(client), true),
-                    Err(error) => (CloseReason::of_error(&error), false),
+                    Ok(()) => ServeEnd { reason: self.reason_of_end(client), is_response_written: true },
+                    Err(error) => ServeEnd::cut(CloseReason::of_error(&error)),
                 },
                 // Checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout starts anew.
-                _ = cut.as_mut(), if client.evicted.get() => {
+                _ = close_timeout.as_mut(), if client.evicted.get() => {
                     let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
                     if is_late && !client.busy.get() && !client.stream.has_unread_bytes() {
-                        return (CloseReason::NotRead, false);
+                        return ServeEnd::cut(CloseReason::NotRead);
                     }
-                    cut.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
+                    close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                 }
                 _ = client.close_requested.notified() => {
                     if client.evicted.get() {
-                        cut.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
+                        close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                     }
                     let idle = !client.busy.get() && !client.stream.has_unread_bytes();
                     if client.evicted.get() && !client.proven.get() && idle {
-                        return (CloseReason::Evicted, false); // no request of it is unanswered
+                        return ServeEnd::cut(CloseReason::Evicted); // no request of it is unanswered
                     }
                     // A request that has just arrived is answered first; `answer` then ends the connection.
                     if client.busy.get() || !client.stream.has_pending_input() {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Replaces the rules. Open requests keep the ones by which they were accepted.
+    /// Replaces the rules at a reload. Open requests keep the ones by which they were accepted.
     pub fn reload(&self, rules: Rules) {
         self.bodies.borrow_mut().configure(rules.bodies);
         self.rules.replace(Rc::new(rules));
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules share.
+//! Helpers of the tests of several modules.
 
 use crate::{listen, ClassRule, Rules, RulesDef, Server};
 use hyper::Method;
@@ -11,8 +11,8 @@
 
 pub(crate) const DEADLINE: Micros = Micros(6_000_000);
 
-/// A front with so many connection slots, whose one class has a pool with no backend in it: requests wait for one until their
-/// time is up.
+/// A front with `max` connection slots, whose one class has a pool without backends: requests wait for one until they time
+/// out.
 pub(crate) fn server_without_backends(max: usize) -> Rc<Server> {
     let network = UpstreamConfig {
         connect_timeout: DEADLINE,
--- a/crates/http/src/timer.rs
+++ b/crates/http/src/timer.rs
@@ -1,5 +1,5 @@
-//! hyper's timer on tokio's clock. It fires hyper's timeout for reading request heads, which closes the connection: so it
-//! fires only after the sockets were looked at, and hyper reads what has come before it asks for the time.
+//! hyper's timer on tokio's clock. It fires hyper's timeout for reading request heads, which closes the connection: it
+//! fires only after the sockets were polled, so that hyper reads what has come before it checks the time.
 
 use shaletide_net::timeout;
 use std::future::Future;
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Timer;
 
-/// hyper wants its sleeps to be fit for any thread.
+/// hyper requires sleeps that are `Send` and `Sync`.
 struct Sleep(Pin<Box<dyn Future<Output = ()> + Send + Sync>>);
 
 impl Future for Sleep {
--- a/crates/http/src/trace.rs
+++ b/crates/http/src/trace.rs
@@ -30,7 +30,7 @@
         );
     }
 
-    /// The head of a request was read: from now on its events are emitted, where they are logged.
+    /// The head of a request was read: from now on its events are emitted, where events of requests are logged.
     pub(crate) fn trace_request(&self, clock: Clock, rules: &Rules, head: &Parts) {
         if !request_trace_enabled() {
             return;
