--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -5,9 +5,13 @@
 use crate::limits::MAX_LINGERING;
 use crate::server::Server;
 use crate::timer::Timer;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
 use hyper::header::CONNECTION;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
+use hyper::{Request, Response};
 use shaletide_net::span;
 use std::convert::Infallible;
 use std::pin::pin;
@@ -74,32 +78,23 @@
         }
     }
 
-    /// Serves requests until the connection ends.
+    /// Serves requests until the connection ends. Not to be dropped midway: requests that are being answered would be
+    /// withdrawn.
     pub(crate) async fn serve(self: &Rc<Self>, client: &Rc<Client>) -> ServeEnd {
-        let service = service_fn(|request| async {
-            client.busy.set(true);
-            let answer = self.answer(client, request).await;
-            client.answered.set(true);
-            client.announced_close.set(answer.headers().contains_key(CONNECTION));
-            client.idle_since.set(self.driver.clock.now());
-            client.stream.mark_idle();
-            client.busy.set(false);
-            Ok::<_, Infallible>(answer)
-        });
+        let service = service_fn(|request| self.respond(client, request));
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD).timer(Timer).header_read_timeout(span(self.rules().head_timeout));
-        let mut conn = pin!(builder.serve_connection(client.stream.clone(), service));
+        let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
         let mut close_timeout = pin!(tokio::time::sleep(Duration::MAX));
         loop {
             tokio::select! {
-                ended = conn.as_mut() => return match ended {
+                ended = connection.as_mut() => return match ended {
                     Ok(()) => ServeEnd { reason: self.reason_of_end(client), is_response_written: true },
                     Err(error) => ServeEnd::cut(CloseReason::of_error(&error)),
                 },
                 // Checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout starts anew.
                 _ = close_timeout.as_mut(), if client.evicted.get() => {
-                    let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
-                    if is_late && !client.busy.get() && !client.stream.has_unread_bytes() {
+                    if self.is_response_unread(client) {
                         return ServeEnd::cut(CloseReason::NotRead);
                     }
                     close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
@@ -108,18 +103,45 @@
                     if client.evicted.get() {
                         close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                     }
-                    let idle = !client.busy.get() && !client.stream.has_unread_bytes();
-                    if client.evicted.get() && !client.proven.get() && idle {
+                    let is_idle = client.is_idle();
+                    if client.evicted.get() && !client.proven.get() && is_idle {
                         return ServeEnd::cut(CloseReason::Evicted); // no request of it is unanswered
                     }
                     // A request that has just arrived is answered first; `answer` then ends the connection.
                     if client.busy.get() || !client.stream.has_pending_input() {
-                        conn.as_mut().graceful_shutdown();
+                        connection.as_mut().graceful_shutdown();
                     }
                 }
             }
         }
     }
+
+    /// Answers a request and notes that its connection is idle again.
+    async fn respond(
+        self: &Rc<Self>, client: &Rc<Client>, request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
+        client.busy.set(true);
+        let response = self.answer(client, request).await;
+        client.answered.set(true);
+        client.announced_close.set(response.headers().contains_key(CONNECTION));
+        client.idle_since.set(self.driver.clock.now());
+        client.stream.mark_idle();
+        client.busy.set(false);
+        Ok(response)
+    }
+
+    /// Whether the client of an evicted connection has not read its last response for [`CLOSE_TIMEOUT`].
+    fn is_response_unread(&self, client: &Client) -> bool {
+        let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
+        is_late && client.is_idle()
+    }
+}
+
+impl Client {
+    /// No request of it is being answered or waits to be read, by what the kernel says now.
+    fn is_idle(&self) -> bool {
+        !self.busy.get() && !self.stream.has_unread_bytes()
+    }
 }
 
 #[cfg(test)]
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -15,12 +15,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// How long connections are still accepted after SIGTERM: clients are told of it up to 0.4 s later.
+/// How long connections are still accepted after SIGTERM: clients may hear of it up to 0.4 s later.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
 /// The program ends at most this long after SIGTERM plus the longest deadline. SIGKILL follows 0.2 s later at the
 /// soonest, a reserve for a loaded machine.
 const STOP_MARGIN: Micros = Micros(500_000);
-/// The part of it that is kept for writing the last responses.
+/// The part of that margin that is kept for writing the last responses.
 const FLUSH_TIME: Micros = Micros(100_000);
 /// Accepts of a listener's queue in one turn of the event loop.
 const MAX_BACKLOG_ACCEPTS: usize = 4096;
@@ -58,34 +58,45 @@
         // answered before it ends.
         let longest = rules.longest_deadline().max(self.latest_deadline.get() - begun);
         let end = begun + longest.min(rules.longest_stop.unwrap_or(longest)) + STOP_MARGIN;
-        let last = end - FLUSH_TIME;
-        self.stop_deadline.set(Some(last));
-        let mut look = tokio::time::interval(IDLE_CHECK_INTERVAL);
-        let mut linger = pin!(tokio::time::sleep(ACCEPT_AFTER_STOP));
+        let deadline = end - FLUSH_TIME;
+        self.stop_deadline.set(Some(deadline));
+        self.accept_after_stop(&listeners).await;
+        self.answer_open_requests(&mut listeners, deadline, rules.max_retry_after).await;
+    }
+
+    /// Accepts for [`ACCEPT_AFTER_STOP`], and closes idle connections meanwhile.
+    async fn accept_after_stop(self: &Rc<Self>, listeners: &[TcpListener]) {
+        let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
+        let mut accept_end = pin!(tokio::time::sleep(ACCEPT_AFTER_STOP));
         while !listeners.is_empty() {
             tokio::select! {
-                _ = self.accept(&listeners) => {}
-                _ = look.tick() => self.close_idle(),
-                _ = &mut linger => break,
+                _ = self.accept(listeners) => {}
+                _ = idle_check.tick() => self.close_idle(),
+                _ = &mut accept_end => break,
             }
         }
-        // Connections in the accept queue are served too: a listener is closed only once its queue is empty.
-        // A client that sends half of a request, or does not read its response, does not delay the end. At the deadline
-        // open requests are given up once; then their responses have FLUSH_TIME, and at least some turns of the event
-        // loop, as a process that was not scheduled for long may find both times over.
-        let mut over: Option<Time> = None;
+    }
+
+    /// Serves the connections in the accept queues, and returns when all requests have their responses. A client that
+    /// sends half of a request, or does not read its response, does not delay that: at the deadline open requests are given
+    /// up once; then their responses have [`FLUSH_TIME`], and at least some turns of the event loop, as a process that was
+    /// not scheduled for long may find both times over. A listener is closed only once its queue is empty.
+    async fn answer_open_requests(
+        self: &Rc<Self>, listeners: &mut Vec<TcpListener>, deadline: Time, retry_after: Micros,
+    ) {
+        let mut flush_until: Option<Time> = None;
         loop {
             let now = self.driver.clock.now();
-            if over.is_none() && now >= last {
-                over = Some(now + FLUSH_TIME); // later requests had no later deadline
-                self.driver.give_up_all(rules.max_retry_after);
+            if flush_until.is_none() && now >= deadline {
+                flush_until = Some(now + FLUSH_TIME); // requests that come later have no later deadline
+                self.driver.give_up_all(retry_after);
             }
             self.close_idle();
             listeners.retain(|listener| !self.drain_backlog(listener));
             if self.clients() + self.lingering.get() == 0 && listeners.is_empty() {
                 return;
             }
-            if over.is_some_and(|over| now >= over) {
+            if flush_until.is_some_and(|until| now >= until) {
                 for _ in 0..READ_TURNS {
                     tokio::task::yield_now().await;
                 }
@@ -95,11 +106,11 @@
         }
     }
 
-    /// The program ends: no request that was read may be left without an answer.
+    /// Reports a violation if a request that was read has no response as the program ends.
     fn check_all_answered(&self) {
         let clients = self.clients.borrow();
-        let open =
-            clients.values().filter(|client| client.busy.get() && !client.stream.peer_closed()).count();
+        let is_unanswered = |client: &&Rc<Client>| client.busy.get() && !client.stream.peer_closed();
+        let open = clients.values().filter(is_unanswered).count();
         if open > 0 {
             self.driver.report_violation(&format!("the program ends while {open} requests have no answer"));
         }
@@ -144,9 +155,11 @@
     /// Closes the connections that have no request open, except new ones. The others end with their response.
     fn close_idle(&self) {
         let now = self.driver.clock.now();
-        let idle = |c: &&Rc<Client>| {
-            !c.busy.get() && (c.answered.get() || now - c.idle_since.get() >= NEW_CONNECTION_GRACE)
-        };
-        self.clients.borrow().values().filter(idle).for_each(|c| c.close_requested.notify_one());
+        for client in self.clients.borrow().values() {
+            let is_new = !client.answered.get() && now - client.idle_since.get() < NEW_CONNECTION_GRACE;
+            if !client.busy.get() && !is_new {
+                client.close_requested.notify_one();
+            }
+        }
     }
 }
