--- a/crates/net/src/drive_connection.rs
+++ b/crates/net/src/drive_connection.rs
@@ -1,4 +1,4 @@
-//! hyper's connections, drive_connection by whoever waits for something on them.
+//! Drives hyper's client connections: whoever waits for something on one polls it meanwhile.
 
 use crate::stream::Stream;
 use bytes::Bytes;
@@ -7,9 +7,9 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// Runs `work` to its end while driving the connection that it is on. `None`: the connection ended first.
-/// hyper does not tell `work` of that end by itself as long as the connection's future is kept: a wait for
-/// the sender to be ready again would last for ever after an answer with which the backend closed.
+/// Runs `work` to its end while driving the connection that it uses. `None`: the connection ended first. As long as the
+/// connection's future is kept, hyper does not tell `work` of that end: waiting for the sender to be ready again would never
+/// end after a response with which the backend closes. Dropped midway, it has driven the connection as far as it got.
 pub async fn drive_connection<T>(
     connection: &mut http1::Connection<
         Stream,
@@ -18,22 +18,22 @@
     work: impl Future<Output = T>,
 ) -> Option<T> {
     let mut work = pin!(work);
-    let mut over = false;
+    let mut connection_ended = false;
     poll_fn(|cx| {
-        if let Poll::Ready(done) = work.as_mut().poll(cx) {
-            return Poll::Ready(Some(done));
+        if let Poll::Ready(output) = work.as_mut().poll(cx) {
+            return Poll::Ready(Some(output));
         }
-        if over {
+        if connection_ended {
             return Poll::Ready(None);
         }
         if std::pin::Pin::new(&mut *connection).poll(cx).is_ready() {
-            over = true;
-            cx.waker().wake_by_ref(); // once more for what it brought before it ended
+            connection_ended = true;
+            cx.waker().wake_by_ref(); // `work` is polled once more, for what came before the end
         }
         work.as_mut().poll(cx).map(Some)
     })
     .await
 }
 
-/// Any error of a body.
+/// The error of any body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -30,10 +30,10 @@
 pub use requests::{FinalResponse, SubmitError};
 pub use setup::PoolSetup;
 
+use crate::clock::Clock;
 use crate::connection_table::ConnectionTable;
 use crate::io_error::SystemErrors;
 use crate::recording::RequestRecorder;
-use crate::Clock;
 use attempts::Dispatch;
 use counters::Counters;
 use endpoints::EndpointLists;
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -1,10 +1,10 @@
 //! Connections to backends and the attempts on them: established, written to and closed as the engine says.
 
 use super::{Driver, State};
+use crate::clock::span;
 use crate::connection_table::UpstreamConnection;
 use crate::exchange::{ExchangeOutcome, ExchangeSpec};
 use crate::io_error::{connect_failure, ConnectFailure, SystemCall};
-use crate::span;
 use crate::stream::Stream;
 use crate::timeout::{self, TimedOut};
 use crate::trace::{request_trace_enabled, AttemptEvent, AttemptOutcome};
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -31,7 +31,7 @@
 pub enum ExchangeOutcome {
     /// A complete response.
     Response {
-        /// What it means.
+        /// What it means by the request's route.
         class: ResponseClass,
         /// The response allows the connection to be reused.
         reusable: bool,
@@ -46,7 +46,7 @@
     ConnectionClosed,
 }
 
-/// An attempt in progress. Where it is dropped midway the driver closes the connection.
+/// An attempt in progress. Where it is dropped midway, the driver closes the connection.
 pub type ExchangeFuture = Pin<Box<dyn Future<Output = ExchangeOutcome>>>;
 
 /// A request that the driver sends to backends.
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -8,7 +8,7 @@
 //! - A bind or listen: [`listen_failure`].
 //! - A call at the start: [`retry_shortage`].
 
-use crate::span;
+use crate::clock::span;
 use rustix::io::Errno;
 use shaletide_balancer::{Micros, Time};
 use std::cell::RefCell;
@@ -19,10 +19,10 @@
 
 /// An error is logged at most this often, for each call and error number.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
-/// A call at the start that lacks something of the system's is tried again after this time.
-const START_PAUSE: Duration = Duration::from_millis(20);
-/// So many pairs of call and error number are told apart; further ones are counted together.
-const MAX_KINDS: usize = 64;
+/// A call at the start that failed for want of system resources is repeated after this time.
+const START_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Pairs of call and error number that are counted apart; further ones are counted together by call.
+const MAX_ERRORS: usize = 64;
 
 /// The call was interrupted by a signal before it did anything.
 pub fn is_interrupted(error: &io::Error) -> bool {
@@ -50,7 +50,7 @@
     Connection,
     /// The system lacks memory or files for now: closing connections of this process frees neither.
     SystemShortage,
-    /// This process holds as many descriptors as it may: one has to be closed.
+    /// This process has as many descriptors open as it may: one has to be closed.
     OutOfDescriptors,
 }
 
@@ -60,7 +60,7 @@
         Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
         Some(Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::SystemShortage,
         // ECONNABORTED, EINTR, ENETDOWN, EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH
-        // and EPERM (a firewall's word), and what a later kernel may add.
+        // and EPERM (from a firewall), and what a later kernel may add.
         _ => AcceptFailure::Connection,
     }
 }
@@ -68,10 +68,10 @@
 /// What a failed connect says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// It was interrupted, or the system lacks memory, files or ports for now: it is tried again on a new socket, and
-    /// says nothing of the backend.
+    /// It was interrupted, or the system lacks memory, files or ports for now: it is repeated on a new socket, and says
+    /// nothing of the backend.
     SystemShortage,
-    /// This process holds as many descriptors as it may, which says nothing of the backend either.
+    /// This process has as many descriptors open as it may, which says nothing of the backend either.
     OutOfDescriptors,
     /// The backend, or the way to it, does not work.
     Peer,
@@ -91,7 +91,7 @@
 /// What a failure to listen on an address says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenFailure {
-    /// Another socket holds the address. Both bind and listen say so: two sockets may be bound to it, and the first to
+    /// Another socket has the address. Both bind and listen say so: two sockets may be bound to it, and the first to
     /// listen wins.
     AddressInUse,
     /// This machine does not have the address, yet or any more.
@@ -128,48 +128,51 @@
     )
 }
 
-/// Repeats a call at the start, with pauses, for as long as it fails for want of memory, files, buffers or threads, though
-/// no longer than `patience`; `None`: for as long as it takes. Blocks: nothing is served yet.
+/// Repeats a call at the start every 20 ms while it fails for want of memory, files, buffers or threads, for `patience` at
+/// most; `None`: without limit. Blocks the thread: nothing is served yet.
 ///
 /// # Errors
-/// Any other error of the call, or the last one where the time is over.
+/// Any other error of the call, or the last one after `patience`.
 pub fn retry_shortage<T>(
     patience: Option<Duration>, mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut logged_at: Option<Instant> = None;
     loop {
         let error = match call() {
             Err(error) if is_shortage(&error) => error,
             done => return done,
         };
-        if patience.is_some_and(|patience| begun.elapsed() >= patience) {
+        if patience.is_some_and(|patience| started_at.elapsed() >= patience) {
             return Err(error);
         }
         if logged_at.is_none_or(|at| at.elapsed() >= span(LOG_INTERVAL)) {
-            warn!("the start waits for the system, {:.1} s so far: {error}", begun.elapsed().as_secs_f64());
+            warn!(
+                "the start waits for the system, {:.1} s so far: {error}",
+                started_at.elapsed().as_secs_f64()
+            );
             logged_at = Some(Instant::now());
         }
-        std::thread::sleep(START_PAUSE);
+        std::thread::sleep(START_RETRY_DELAY);
     }
 }
 
 /// A system call whose failures are logged and counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SystemCall {
-    /// A connection of a client's was to be accepted.
+    /// Accepting a client's connection.
     Accept,
-    /// An accepted connection was to be set up for the event loop.
+    /// Registering an accepted connection with the event loop.
     Register,
-    /// A backend was to be connected to.
+    /// Connecting to a backend.
     Connect,
-    /// An address was to be listened on.
+    /// Listening on an address.
     Listen,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ErrorCount {
-    all: u64,
+    total: u64,
     since_logged: u64,
     logged_at: Option<Time>,
 }
@@ -179,36 +182,37 @@
 pub struct SystemErrors(RefCell<BTreeMap<(SystemCall, i32), ErrorCount>>);
 
 impl SystemErrors {
-    /// Counts an error, and logs it with the number of those since the last line.
+    /// Counts an error, and logs it with the number of those since it was logged last, at most once a second.
     pub fn note(&self, now: Time, call: SystemCall, error: &io::Error) {
         let mut counts = self.0.borrow_mut();
         let count = entry(&mut counts, call, error);
-        count.all += 1;
+        count.total += 1;
         count.since_logged += 1;
         if count.logged_at.is_none_or(|at| now - at >= LOG_INTERVAL) {
-            warn!("{call:?}: {error}, {} times, {} in all", count.since_logged, count.all);
-            (count.since_logged, count.logged_at) = (0, Some(now));
+            warn!("{call:?}: {error}, {} times, {} in all", count.since_logged, count.total);
+            count.since_logged = 0;
+            count.logged_at = Some(now);
         }
     }
 
     /// Counts an error that the caller logs itself.
     pub fn add(&self, call: SystemCall, error: &io::Error) {
-        entry(&mut self.0.borrow_mut(), call, error).all += 1;
+        entry(&mut self.0.borrow_mut(), call, error).total += 1;
     }
 
     /// How often a call failed.
     pub fn count(&self, call: SystemCall) -> u64 {
-        self.0.borrow().iter().filter(|((of, _), _)| *of == call).map(|(_, count)| count.all).sum()
+        self.0.borrow().iter().filter(|((of, _), _)| *of == call).map(|(_, count)| count.total).sum()
     }
 }
 
-/// The count of an error; beyond [`MAX_KINDS`] the one of all errors of the call.
+/// The count of an error; beyond [`MAX_ERRORS`] the one of all errors of the call.
 fn entry<'a>(
     counts: &'a mut BTreeMap<(SystemCall, i32), ErrorCount>, call: SystemCall, error: &io::Error,
 ) -> &'a mut ErrorCount {
     let key = (call, error.raw_os_error().unwrap_or_default());
-    let has_room = counts.len() < MAX_KINDS || counts.contains_key(&key);
-    counts.entry(if has_room { key } else { (call, 0) }).or_default()
+    let is_counted_apart = counts.len() < MAX_ERRORS || counts.contains_key(&key);
+    counts.entry(if is_counted_apart { key } else { (call, 0) }).or_default()
 }
 
 /// The counts since the start, by call; calls that never failed are left out.
@@ -216,13 +220,13 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut by_call: BTreeMap<SystemCall, u64> = BTreeMap::new();
         for ((call, _), count) in self.0.borrow().iter() {
-            *by_call.entry(*call).or_default() += count.all;
+            *by_call.entry(*call).or_default() += count.total;
         }
         if by_call.is_empty() {
             return f.write_str("none");
         }
-        for (place, (call, count)) in by_call.iter().enumerate() {
-            let separator = if place > 0 { " " } else { "" };
+        for (at, (call, count)) in by_call.iter().enumerate() {
+            let separator = if at > 0 { " " } else { "" };
             write!(f, "{separator}{call:?} {count}")?;
         }
         Ok(())
--- a/crates/net/src/recording.rs
+++ b/crates/net/src/recording.rs
@@ -1,27 +1,28 @@
-//! Where the driver tells what it does of requests that are on record, and asks whether one may be sent.
+//! The interface between the driver and the record: whether a request's key may be sent, and what happened to requests of
+//! recorded classes.
 
 use shaletide_record::{Event, KeyDecision, KeyRequest};
 use shaletide_types::Time;
 
-/// Whoever keeps the record. Called after the engine's borrow has ended; may call the driver back.
+/// The record as the driver sees it. Called with no borrow of the driver's state; may call the driver back.
 pub trait RequestRecorder {
-    /// Anything of that class goes on record; else the record hears nothing of its requests.
+    /// Whether requests of that class are recorded. Of others the recorder is told nothing.
     fn records(&self, class: &str) -> bool;
 
-    /// What becomes of a request, before the engine hears of it.
+    /// Decides whether a request's key may be sent, before the engine gets the request.
     fn ask(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision;
 
-    /// What happened to one that may go.
+    /// What happened to a request that may be sent, or to an endpoint list.
     fn tell(&self, now: Time, event: Event);
 }
 
-/// How a request names itself to the record.
+/// How the record identifies a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestIdentity<'a> {
     /// Its tenant; empty where there is none.
     pub tenant: &'a str,
     /// Its class.
     pub class: &'a str,
-    /// Its key, if it has one.
+    /// Its idempotency key, if it has one.
     pub key: Option<&'a [u8]>,
 }
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -3,7 +3,7 @@
 //! All have the target [`REQUEST_TARGET`] and level TRACE. A [`RequestTrace`] exists only where these are logged, so that
 //! elsewhere a request costs one check of the level.
 
-use crate::Clock;
+use crate::clock::Clock;
 use shaletide_routing::ResponseClass;
 use shaletide_types::{AttemptNumber, BackendId, RequestId, Time};
 use std::cell::{Cell, RefCell};
@@ -54,7 +54,7 @@
     request: Cell<Option<u64>>,
 }
 
-/// What some events have in addition.
+/// The fields that only some events have.
 #[derive(Default)]
 struct Details<'a> {
     attempt: Option<u32>,
@@ -65,13 +65,19 @@
 }
 
 impl RequestTrace {
-    /// For the request with that id, whose head has just been read from the connection of that number.
+    /// The trace of a request whose head has just been read from a connection; `id` is empty where it has none.
     pub fn new(clock: Clock, id: &[u8], connection: u64, accepted_at: Time) -> RequestTrace {
-        let (head_read_at, request) = (clock.now(), Cell::new(None));
-        RequestTrace { clock, id: RefCell::new(text(id)), connection, accepted_at, head_read_at, request }
+        RequestTrace {
+            clock,
+            id: RefCell::new(text(id)),
+            connection,
+            accepted_at,
+            head_read_at: clock.now(),
+            request: Cell::new(None),
+        }
     }
 
-    /// The request came without an id and was given this one.
+    /// The request came without an id and was given this one, which its further events have.
     pub fn set_id(&self, id: &[u8]) {
         self.id.replace(text(id));
     }
@@ -133,11 +139,11 @@
     Dispatched,
     /// Its first byte was handed to the kernel.
     FirstByteWritten,
-    /// Its last byte was.
+    /// Its last byte was handed to the kernel.
     Written,
     /// The connection turned out to be unusable before its first byte: it needs another.
     ConnectionUnusable,
-    /// It has ended.
+    /// It has ended, in this way.
     Ended(AttemptOutcome),
 }
 
@@ -157,6 +163,7 @@
 }
 
 impl AttemptOutcome {
+    /// Its name in the log, which the pages list.
     fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Answered(ResponseClass::Served) => "served",
@@ -189,7 +196,12 @@
             AttemptEvent::ConnectionUnusable => ("connection_unusable", None),
             AttemptEvent::Ended(outcome) => ("attempt_ended", Some(outcome.name())),
         };
-        let (attempt, backend) = (Some(self.attempt.0), Some(self.backend.0));
-        self.request.emit(name, Details { attempt, backend, outcome, ..Details::default() });
+        let details = Details {
+            attempt: Some(self.attempt.0),
+            backend: Some(self.backend.0),
+            outcome,
+            ..Details::default()
+        };
+        self.request.emit(name, details);
     }
 }
