--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -180,7 +180,7 @@
 impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.driver.client_gone(self.id);
+            self.driver.client_disconnected(self.id);
         }
     }
 }
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -206,7 +206,7 @@
         let is_failed = !matches!(outcome, ExchangeOutcome::Response { .. });
         if is_failed && stream.is_unwritten() && stream.client_closed() && self.is_open(request) {
             // The engine closes the connection for it, and does not blame the backend.
-            return self.client_gone(request);
+            return self.client_disconnected(request);
         }
         let is_written = stream.request_written();
         let event = {
--- a/crates/net/src/driver/requests.rs
+++ b/crates/net/src/driver/requests.rs
@@ -53,7 +53,7 @@
 impl Driver {
     /// Accepts a request. `spec.arrival.request`, `spec.requires_intent` and `spec.recorded` are set here. Returns its
     /// number and the receiver of its final response, which comes by its deadline. A caller that drops the receiver says
-    /// so by [`Driver::client_gone`].
+    /// so by [`Driver::client_disconnected`].
     ///
     /// # Errors
     /// Why it is not accepted. Nothing is kept of it then.
@@ -113,7 +113,7 @@
     }
 
     /// Withdraws a request whose client closed its connection before the final response. Its attempts are cancelled.
-    pub fn client_gone(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         let is_recorded = {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.open_requests.remove(&id) else { return };
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `driver` that need its private items.
 
-mod client_gone;
+mod client_disconnected;
 
 use super::*;
 use crate::exchange::{ExchangeFuture, ExchangeOutcome, ExchangeSpec, UpstreamRequest};
@@ -14,10 +14,10 @@
 use shaletide_types::*;
 use std::time::Duration;
 
-/// Answers nothing.
-struct Mute;
+/// A request that is never written and never answered.
+struct NeverWritten;
 
-impl UpstreamRequest for Mute {
+impl UpstreamRequest for NeverWritten {
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
@@ -33,16 +33,16 @@
     std::future::poll_fn(|cx| stream.as_mut().poll_write(cx, b"GET / HTTP/1.1\r\n\r\n")).await
 }
 
-/// Writes a request and waits for ever; what cannot be written has ended.
-struct Says;
+/// A request that is written and never answered. Where it cannot be written, its connection was closed.
+struct NeverAnswered;
 
-impl UpstreamRequest for Says {
+impl UpstreamRequest for NeverAnswered {
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
-    fn run(self: Rc<Self>, mut leg: ExchangeSpec) -> ExchangeFuture {
+    fn run(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
-            match write_request(&mut leg.stream).await {
+            match write_request(&mut spec.stream).await {
                 Ok(_) => std::future::pending().await,
                 Err(_) => ExchangeOutcome::ConnectionClosed,
             }
@@ -74,7 +74,7 @@
     List { index: 1, snapshot: false, endpoints: vec![entry] }.entries().0
 }
 
-fn order(pools: &[PoolId]) -> RequestSpec {
+fn request_spec(pools: &[PoolId]) -> RequestSpec {
     let arrival = Arrival {
         request: RequestId(0),
         class: ClassId(0),
@@ -93,9 +93,9 @@
     }
 }
 
-/// A backend that drains while its connection comes up is sent nothing, and one that is gone is forgotten.
+/// The backend drains, or the client leaves, while the connection is being established. A backend that is gone is forgotten.
 #[tokio::test]
-async fn what_drains_or_is_over_before_the_first_byte_is_sent_nothing() {
+async fn draining_or_gone_backend_is_sent_nothing_before_the_first_byte() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -103,14 +103,17 @@
             let at = listener.local_addr().unwrap().to_string();
             let (driver, pools) = driver(&["p"]);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (_, answer) =
-                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let (_, answer) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
             assert_eq!(driver.upstream_connection_count(), 1, "it comes up");
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DRAINING", &at));
             assert_eq!(driver.upstream_connection_count(), 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (left, _) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
-            driver.client_gone(left);
+            let (left, _) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
+            driver.client_disconnected(left);
             assert_eq!(driver.state.borrow().counters.sent, 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
             assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "forgotten");
@@ -119,22 +122,24 @@
         .await;
 }
 
-/// Many connections lead to where a backend was: its new address is one piece of news all the same, and what was
-/// coming up to the old one goes to the new one once.
+/// The address is one event to the engine, whatever the number of connections to the old one: the attempt that waited for a
+/// connection gets one to the new address.
 #[tokio::test]
-async fn a_new_address_is_told_once_however_many_connections_lead_to_the_old_one() {
+async fn address_change_is_told_once_for_all_connections_to_the_old_address() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p"]);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.1:9"));
             for _ in 0..3 {
-                let (left, _) =
-                    driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
-                driver.client_gone(left); // its connection comes up for others
+                let (left, _) = driver
+                    .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                    .unwrap();
+                driver.client_disconnected(left); // its connection comes up for others
             }
-            let (_, answer) =
-                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let (_, answer) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
             assert_eq!(
                 (driver.upstream_connection_count(), driver.state.borrow().connections.opened),
                 (4, 4)
@@ -149,10 +154,10 @@
         .await;
 }
 
-/// A backend that ends each connection as it comes up is one that cannot be reached: connecting again and again would
-/// last for as long as the request has time. Here the first has ended before the event loop hears that it is up.
+/// A backend that closes each connection when it is established counts as unreachable: connecting again and again would last
+/// as long as the request has time. Here the first is closed before the event loop hears that it is established.
 #[tokio::test]
-async fn a_connection_that_ends_as_it_comes_up_is_not_opened_again_for_the_same_attempt() {
+async fn connection_closed_when_established_is_not_replaced_for_the_same_attempt() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -160,8 +165,9 @@
             let at = listener.local_addr().unwrap().to_string();
             let (driver, pools) = driver(&["p"]);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (_, answer) =
-                driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Says)).unwrap();
+            let (_, answer) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverAnswered))
+                .unwrap();
             tokio::task::yield_now().await; // the kernel is asked to connect
             drop(listener.accept().unwrap());
             let begun = std::time::Instant::now();
@@ -176,33 +182,34 @@
         .await;
 }
 
-/// Rounds of decisions that take longer than their tick leave room for all else.
+/// Rounds of decisions that take longer than the interval between them leave time for everything else.
 #[tokio::test]
-async fn timers_that_are_always_due_do_not_hold_the_event_loop() {
+async fn timers_that_are_always_due_do_not_block_the_event_loop() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p"]);
-            let hasty = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
-            driver.setup(None, "", 1, NETWORK, vec![hasty]).unwrap();
-            let (id, held) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let short_interval = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
+            driver.setup(None, "", 1, NETWORK, vec![short_interval]).unwrap();
+            let (id, held) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
             let start = std::time::Instant::now();
             for _ in 0..20 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             assert!(start.elapsed().as_millis() < 300, "{:?}", start.elapsed());
-            driver.client_gone(id);
+            driver.client_disconnected(id);
             drop(held);
             timers.abort();
         })
         .await;
 }
 
-/// Connections are kept for what may be sent requests, whichever news told of it; and news of one pool costs
-/// nothing for the backends of the others.
+/// By snapshots and deltas alike; and an update of one pool costs nothing for the backends of the others.
 #[tokio::test]
-async fn connections_follow_the_lists_and_news_costs_what_it_brings() {
+async fn endpoint_update_sets_backend_states_at_the_cost_of_its_own_entries() {
     let (driver, pools) = driver(&["p", "q"]);
     let many = |from: u32, to: u32| -> Vec<Endpoint> {
         let entry = |n: u32| serde_json::json!({"name": format!("{n:05}"), "address": "127.0.0.1:9", "status": "SERVING"});
@@ -223,16 +230,19 @@
     assert_eq!(served([0, 1, 2]), [false, false, true]);
 }
 
-/// A request whose pool is taken away while it is held gets its answer at once, or goes where a pool is left.
+/// At once, by whether its route has another pool.
 #[tokio::test]
-async fn what_a_pool_holds_is_answered_when_it_closes() {
+async fn queued_request_is_answered_or_failed_over_when_its_pool_closes() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p", "q"]);
-            let (_, held) =
-                driver.submit(order(&pools[..1]), RequestIdentity::default(), Rc::new(Mute)).unwrap();
-            let (_, moves) = driver.submit(order(&pools), RequestIdentity::default(), Rc::new(Mute)).unwrap();
+            let (_, held) = driver
+                .submit(request_spec(&pools[..1]), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
+            let (_, moves) = driver
+                .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
+                .unwrap();
             let q = pool("q", Config::example());
             assert_eq!(driver.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
             assert!(matches!(held.await.unwrap().decision, Decision::Rejected(_)));
--- a/crates/net/src/driver/tests/client_gone.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -36,7 +36,7 @@
         Client { accepted: Stream::new(TcpStream::from_std(accepted).unwrap()), socket }
     }
 
-    /// Returns what must stay open for as long as the end is to look like this one.
+    /// Returns the socket that has to stay open for this kind of end.
     fn end(mut self, end: End) -> Option<StdStream> {
         match end {
             End::Close => None,
@@ -59,16 +59,16 @@
 /// A request that gets the same answer at each attempt.
 struct Request {
     client: PeerWatch,
-    verdict: ResponseClass,
+    class: ResponseClass,
     /// The client that ends its connection in this way in the moment in which the first attempt is answered.
     ends: RefCell<Option<(Client, End)>>,
     written: Cell<u32>,
 }
 
 impl Request {
-    fn new(client: &Client, verdict: ResponseClass) -> Request {
+    fn new(client: &Client, class: ResponseClass) -> Request {
         let client = client.accepted.watch();
-        Request { client, verdict, ends: RefCell::default(), written: Cell::default() }
+        Request { client, class, ends: RefCell::default(), written: Cell::default() }
     }
 }
 
@@ -77,15 +77,15 @@
         Some(&self.client)
     }
 
-    fn run(self: Rc<Self>, mut leg: ExchangeSpec) -> ExchangeFuture {
+    fn run(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
-            match write_request(&mut leg.stream).await {
+            match write_request(&mut spec.stream).await {
                 Ok(_) => {
                     self.written.set(self.written.get() + 1);
                     let ends = self.ends.take();
                     std::mem::forget(ends.and_then(|(client, end)| client.end(end)));
                     ExchangeOutcome::Response {
-                        class: self.verdict,
+                        class: self.class,
                         reusable: true,
                         excess: false,
                         report: None,
@@ -108,7 +108,7 @@
 impl Setup {
     fn new() -> Setup {
         let (driver, pools) = driver(&["p"]);
-        // The only proxy has the whole budget of retries to itself.
+        // The only proxy has the whole retry budget.
         let only = pool("p", Config { proxies: 1, ..Config::example() });
         driver.setup(None, "", 1, NETWORK, vec![only]).unwrap();
         let backend = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -116,7 +116,7 @@
         Setup { driver, pools, client: Client::connect(), backend }
     }
 
-    /// Under each of these names.
+    /// Lists the backend under each of these names.
     fn list_backends(&self, names: &[&str]) {
         let at = self.backend.local_addr().unwrap().to_string();
         let entry = |name: &&str| serde_json::json!({"name": name, "address": at, "status": "SERVING"});
@@ -124,19 +124,19 @@
         self.driver.update_endpoints(self.pools[0], EndpointUpdate::Delta, list.entries().0);
     }
 
-    /// Requests that are served pay for retries.
-    async fn earn_retries(&self) {
+    /// Served requests fill the retry budget.
+    async fn fill_retry_budget(&self) {
         for _ in 0..30 {
             let request = Rc::new(Request::new(&self.client, ResponseClass::Served));
             let (_, answer) =
-                self.driver.submit(order(&self.pools), RequestIdentity::default(), request).unwrap();
+                self.driver.submit(request_spec(&self.pools), RequestIdentity::default(), request).unwrap();
             assert_eq!(answer.await.unwrap().decision, Decision::Served);
         }
     }
 
     fn request(&self) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
         let request = Request::new(&self.client, ResponseClass::NotExecuted);
-        self.driver.submit(order(&self.pools), RequestIdentity::default(), Rc::new(request))
+        self.driver.submit(request_spec(&self.pools), RequestIdentity::default(), Rc::new(request))
     }
 }
 
@@ -181,13 +181,14 @@
 
 /// Request and end were both in the accept queue, or the end came after the head was read.
 #[tokio::test]
-async fn request_is_not_taken_after_its_client_closed() {
+async fn request_is_not_accepted_after_its_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let request = Request::new(&setup.client, ResponseClass::NotExecuted);
         let _open = setup.client.end(end);
-        let taken = setup.driver.submit(order(&setup.pools), RequestIdentity::default(), Rc::new(request));
+        let taken =
+            setup.driver.submit(request_spec(&setup.pools), RequestIdentity::default(), Rc::new(request));
         assert_eq!(taken.map(|_| ()), Err(SubmitError::ClientClosed), "{end:?}");
         settle().await;
         assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
@@ -195,7 +196,7 @@
     .await;
 }
 
-/// The connection to the backend is coming up when the client closes; the loop hears of both in the same turn.
+/// The connection to the backend is being established when the client closes; the event loop hears of both in one turn.
 #[tokio::test]
 async fn attempt_does_not_begin_on_a_late_connection_after_its_client_closed() {
     run(async |end| {
@@ -219,8 +220,8 @@
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
-        let (warms_up, answer) = setup.request().unwrap();
-        setup.driver.client_gone(warms_up); // the connection comes up for others
+        let (first, answer) = setup.request().unwrap();
+        setup.driver.client_disconnected(first); // the connection comes up for others
         drop(answer);
         settle().await;
         let (_, answer) = setup.request().unwrap();
@@ -234,9 +235,9 @@
     .await;
 }
 
-/// Held while there is no backend; the list that brings one is handled before the loop hears of the close.
+/// Queued while there is no backend; the update that brings one is handled before the event loop hears of the close.
 #[tokio::test]
-async fn held_request_is_not_sent_after_its_client_closed() {
+async fn queued_request_is_not_sent_after_its_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         let (_, answer) = setup.request().unwrap();
@@ -258,13 +259,13 @@
 
 /// The first attempt is rejected unprocessed, and the client closes in that moment. One that stays gets another.
 #[tokio::test]
-async fn further_attempt_does_not_begin_after_its_client_closed() {
+async fn retry_does_not_begin_after_its_client_closed() {
     run(async |end| {
         for closes in [false, true] {
             let setup = Setup::new();
             setup.list_backends(&["b", "c"]); // a further attempt goes to another one
             let timers = tokio::task::spawn_local(setup.driver.clone().run_timers());
-            setup.earn_retries().await;
+            setup.fill_retry_budget().await;
             let request = Rc::new(Request::new(&setup.client, ResponseClass::NotExecuted));
             let accepted = setup.client.accepted.clone();
             let stays = match closes {
@@ -276,14 +277,14 @@
             };
             let (id, answer) = setup
                 .driver
-                .submit(order(&setup.pools), RequestIdentity::default(), request.clone())
+                .submit(request_spec(&setup.pools), RequestIdentity::default(), request.clone())
                 .unwrap();
             while request.written.get() < if closes { 1 } else { 2 } {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             settle().await;
             assert!(!closes || request.written.get() == 1, "{end:?}: sent {} times", request.written.get());
-            setup.driver.client_gone(id);
+            setup.driver.client_disconnected(id);
             assert!(setup.driver.state.borrow().engine.requests().is_empty(), "{end:?}: still in the engine");
             timers.abort();
             drop((accepted, answer, stays));
--- a/crates/net/src/io_error/tests.rs
+++ b/crates/net/src/io_error/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn only_a_full_descriptor_table_of_this_process_calls_for_an_eviction() {
+fn accept_failure_is_out_of_descriptors_only_for_emfile() {
     let connection = [
         Errno::CONNABORTED,
         Errno::INTR,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_backend_is_blamed_for_its_own_failures_only() {
+fn connect_failure_is_the_peers_unless_system_resources_are_short() {
     for errno in [Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL] {
         assert_eq!(connect_failure(&error(errno)), ConnectFailure::SystemShortage, "{errno:?}");
     }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn interrupted_calls_are_repeated_and_other_errors_are_passed_on() {
+fn interrupted_call_is_repeated_and_other_errors_are_returned() {
     let mut left = 3;
     let done = uninterrupted(|| {
         left -= 1;
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_shortage_at_the_start_is_waited_for_and_no_longer_than_allowed() {
+fn shortage_at_the_start_is_retried_within_the_patience() {
     let mut calls = 0;
     let done = retry_shortage(Some(Duration::from_secs(20)), || {
         calls += 1;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn errors_are_counted_by_call() {
+fn system_errors_are_counted_by_call() {
     let errors = SystemErrors::default();
     for n in 0..3 {
         errors.note(Time(n), SystemCall::Accept, &error(Errno::NOBUFS));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn held_and_missing_addresses_and_shortages_may_pass_and_nothing_else() {
+fn listen_failure_may_pass_for_addresses_in_use_or_missing_and_shortages() {
     assert_eq!(listen_failure(&error(Errno::ADDRINUSE)), ListenFailure::AddressInUse);
     assert_eq!(listen_failure(&error(Errno::ADDRNOTAVAIL)), ListenFailure::AddressMissing);
     for errno in [Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
--- a/crates/net/src/socket_table.rs
+++ b/crates/net/src/socket_table.rs
@@ -1,5 +1,5 @@
-//! Who holds a TCP address, as far as the kernel tells a process without rights: the table of sockets in `/proc/net/tcp`
-//! and `/proc/net/tcp6`, and the descriptors of those processes that may be looked at.
+//! Which sockets are at a TCP address, as far as the kernel tells an unprivileged process: the socket table in
+//! `/proc/net/tcp` and `/proc/net/tcp6`, and the descriptors of those processes that may be read.
 //!
 //! A socket that is bound and neither listens nor is connected has no entry in the table.
 
@@ -11,12 +11,13 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Longer tables are not read to their end.
+/// Lines of a table; a longer one is an error.
 const MAX_LINES: usize = 1 << 18;
-/// So many holders of one address are kept.
+/// Sockets kept of one address.
 const MAX_HOLDERS: usize = 64;
-/// So many processes are looked at for a name, and for so long.
+/// Processes whose descriptors are read.
 const MAX_PROCESSES: usize = 4_096;
+/// How long reading them may take.
 const SEARCH_TIME: Duration = Duration::from_millis(100);
 
 /// The state of a socket, by the kernel's number in the table.
@@ -65,21 +66,22 @@
     pub local: SocketAddr,
     /// The address of the other side; unspecified for a listener.
     pub remote: SocketAddr,
-    /// What it does.
+    /// Its state.
     pub state: TcpState,
-    /// Whose it is.
+    /// The id of the user that owns it.
     pub user: u32,
-    /// Its number; 0 where no process has it open any more.
+    /// Its inode; 0 where no process has it open any more.
     pub inode: u64,
-    /// Who has it open, where that could be seen.
+    /// A process that has it open, once [`Holders::find_processes`] has found one.
     pub process: Option<Process>,
 }
 
 impl SocketEntry {
-    /// A line of the table; `None` for its head, and for a form that is not known.
+    /// Parses a line of the table; `None` for its head, and for an unknown form.
     fn parse(line: &str) -> Option<SocketEntry> {
         let mut fields = line.split_ascii_whitespace().skip(1);
-        let (local, remote) = (address(fields.next()?)?, address(fields.next()?)?);
+        let local = parse_address(fields.next()?)?;
+        let remote = parse_address(fields.next()?)?;
         let state = TcpState(u8::from_str_radix(fields.next()?, 16).ok()?);
         // Queues, timer and retransmits stand between.
         let user = fields.nth(3)?.parse().ok()?;
@@ -110,12 +112,12 @@
     }
 }
 
-/// The sockets at an address.
+/// The sockets at an address, 64 at most.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holders(pub Vec<SocketEntry>);
 
 impl Holders {
-    /// Looks through the kernel's table.
+    /// Reads the kernel's table. Takes as long as the table is; not for the event loop's thread.
     ///
     /// # Errors
     /// The table cannot be read, or is longer than 262,144 lines.
@@ -131,7 +133,7 @@
     }
 
     fn add_from(&mut self, mut table: impl BufRead, at: SocketAddr) -> io::Result<()> {
-        // Most lines are of other ports, and are passed over as they are.
+        // Most lines are of other ports, and are skipped unparsed.
         let port = format!(":{:04X} ", at.port());
         let mut line = String::new();
         for _ in 0..MAX_LINES {
@@ -146,12 +148,7 @@
         Err(io::Error::other("the table of sockets is too long"))
     }
 
-    /// Whether a socket listens there.
-    pub fn has_listener(&self) -> bool {
-        self.0.iter().any(|entry| entry.state == TcpState::LISTEN)
-    }
-
-    /// Adds the processes that have the sockets open, where their descriptors can be seen.
+    /// Adds the processes that have the sockets open, where their descriptors may be read. Takes 100 ms at most.
     pub fn find_processes(&mut self) {
         let wanted: Vec<u64> = self.0.iter().map(|entry| entry.inode).filter(|inode| *inode != 0).collect();
         if wanted.is_empty() {
@@ -164,35 +161,35 @@
     }
 }
 
-/// The holders in a sentence, the first few of many.
+/// The first three sockets, and how many more there are.
 impl fmt::Display for Holders {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        const NAMED: usize = 3;
+        const MAX_SHOWN: usize = 3;
         if self.0.is_empty() {
             return f.write_str("held by a socket that is bound and neither listens nor is connected");
         }
-        for (place, entry) in self.0.iter().take(NAMED).enumerate() {
-            let separator = if place > 0 { "; " } else { "" };
+        for (at, entry) in self.0.iter().take(MAX_SHOWN).enumerate() {
+            let separator = if at > 0 { "; " } else { "" };
             write!(f, "{separator}{entry}")?;
         }
-        match self.0.len().saturating_sub(NAMED) {
+        match self.0.len().saturating_sub(MAX_SHOWN) {
             0 => Ok(()),
             more => write!(f, "; and {more} more"),
         }
     }
 }
 
-/// An address in the table: hexadecimal words in the machine's byte order, and a port. IPv4 within IPv6 is IPv4.
-fn address(field: &str) -> Option<SocketAddr> {
+/// Parses an address of the table: hexadecimal words in the machine's byte order, and a port. IPv4 within IPv6 is IPv4.
+fn parse_address(field: &str) -> Option<SocketAddr> {
     let (ip, port) = field.split_once(':')?;
     let port = u16::from_str_radix(port, 16).ok()?;
-    let word = |place: usize| u32::from_str_radix(ip.get(8 * place..8 * place + 8)?, 16).ok();
+    let word = |at: usize| u32::from_str_radix(ip.get(8 * at..8 * at + 8)?, 16).ok();
     let ip = match ip.len() {
         8 => IpAddr::V4(Ipv4Addr::from(word(0)?.to_ne_bytes())),
         32 => {
             let mut bytes = [0; 16];
-            for (place, chunk) in bytes.chunks_exact_mut(4).enumerate() {
-                chunk.copy_from_slice(&word(place)?.to_ne_bytes());
+            for (at, chunk) in bytes.chunks_exact_mut(4).enumerate() {
+                chunk.copy_from_slice(&word(at)?.to_ne_bytes());
             }
             IpAddr::V6(Ipv6Addr::from(bytes)).to_canonical()
         }
@@ -204,18 +201,18 @@
 /// The processes that have these sockets open, by inode; the first of several.
 fn processes_with(inodes: &[u64]) -> BTreeMap<u64, Process> {
     let mut found = BTreeMap::new();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let Ok(folders) = Path::new("/proc").read_dir() else { return found };
     let ids = folders.flatten().filter_map(|folder| folder.file_name().to_str()?.parse::<u32>().ok());
     for id in ids.take(MAX_PROCESSES) {
         let Ok(open) = Path::new("/proc").join(id.to_string()).join("fd").read_dir() else { continue };
         for descriptor in open.flatten() {
-            if found.len() == inodes.len() || begun.elapsed() > SEARCH_TIME {
+            if found.len() == inodes.len() || started_at.elapsed() > SEARCH_TIME {
                 return found;
             }
             let inode = socket_inode(&descriptor.path());
             if let Some(inode) = inode.filter(|inode| inodes.contains(inode)) {
-                found.entry(inode).or_insert_with(|| Process { id, name: name_of(id) });
+                found.entry(inode).or_insert_with(|| Process { id, name: process_name(id) });
             }
         }
     }
@@ -228,7 +225,7 @@
     target.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.parse().ok()
 }
 
-fn name_of(process: u32) -> String {
+fn process_name(process: u32) -> String {
     let name = std::fs::read_to_string(format!("/proc/{process}/comm")).unwrap_or_default();
     name.trim_end().to_string()
 }
--- a/crates/net/src/socket_table/tests.rs
+++ b/crates/net/src/socket_table/tests.rs
@@ -1,6 +1,12 @@
 use super::*;
 use std::net::{TcpListener, TcpStream};
 
+impl Holders {
+    fn has_listener(&self) -> bool {
+        self.0.iter().any(|entry| entry.state == TcpState::LISTEN)
+    }
+}
+
 const TABLE: &str = "  sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt   uid  timeout inode
    0: 0100007F:20FB 00000000:0000 0A 00000000:00000000 00:00000000 00000000  1000        0 34567 1 0 100 0 0 10 0
    1: 00000000:20FB 00000000:0000 0A 00000000:00000000 00:00000000 00000000     0        0 34568 1 0 100 0 0 10 0
--- a/crates/net/src/stream/tests.rs
+++ b/crates/net/src/stream/tests.rs
@@ -21,7 +21,7 @@
 
 /// Before the last byte a request has not run, from it on it may have: one byte decides.
 #[tokio::test]
-async fn a_request_counts_as_written_with_its_last_byte() {
+async fn request_is_written_with_its_last_byte() {
     let (mut stream, mut peer) = pair().await;
     for parts in [["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"], ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"]] {
         stream.begin_request(4);
@@ -41,7 +41,7 @@
 
 /// The backend reads half of it, and the rest only when its time is over: the last byte never comes.
 #[tokio::test]
-async fn a_request_that_is_not_whole_when_its_time_is_over_never_gets_its_last_byte() {
+async fn request_incomplete_at_its_write_deadline_never_gets_its_last_byte() {
     for late in [false, true] {
         let (mut stream, mut peer) = pair().await;
         let whole = vec![b'x'; 64 << 20]; // more than the kernel holds
@@ -73,7 +73,7 @@
 
 /// Wherever the reads fall, the bytes behind the head are counted, and no other.
 #[test]
-fn a_head_ends_with_its_first_empty_line_whatever_ends_lines() {
+fn head_ends_with_its_first_empty_line_for_crlf_and_lf() {
     let heads = [
         "GET / HTTP/1.1\r\nA: 1\r\n\r\n",
         "GET / HTTP/1.1\nA: 1\n\n",
@@ -106,7 +106,7 @@
 
 /// However the reads fall, and however many there are of them.
 #[tokio::test]
-async fn answers_of_status_1xx_are_no_beginning_of_the_one_that_follows() {
+async fn interim_response_does_not_begin_the_final_response() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncash";
     for head in ["", early, "HTTP/1.0 100 X\n\n", "\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 199\r\n\r\n"] {
@@ -140,7 +140,7 @@
 
 /// The kernel is asked, not the event loop, which has had no chance to hear of it here.
 #[tokio::test]
-async fn what_the_other_side_does_is_seen_at_once() {
+async fn pending_input_is_seen_before_the_event_loop_polls() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.has_pending_input());
     peer.write_all(b"x").unwrap();
