--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,16 +1,19 @@
-//! The HTTP front: clients' connections, their requests read, checked and handed to the driver, and the answers
-//! that come back. It holds no pool, no address and no decision.
+//! The HTTP front: accepts clients' connections, reads and checks their requests, hands them to the driver and writes the
+//! responses; and carries out the exchange with a backend for the driver. It holds no pool and decides nothing on one.
 #![forbid(unsafe_code)]
 
 mod accept;
 mod bodies;
 mod close_reason;
 mod connection;
+mod counters;
 mod eviction;
 mod limits;
 mod listener;
+mod outgoing;
 mod proxy;
 mod request;
+mod request_error;
 mod request_id;
 mod response;
 mod rules;
@@ -25,6 +28,5 @@
 
 pub use limits::CLIENT_OVERFLOW;
 pub use listener::{listen, BoundSocket, ListenCall, ListenError};
-pub use request::Fault;
 pub use rules::{ClassRule, Rules, RulesDef};
 pub use server::Server;
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -1,26 +1,25 @@
-//! From a request to its response: check the head, read the body, hand it to the driver and render the answer.
+//! From a request to its response: checks the head, reads the body, hands the request to the driver and renders the answer.
 
 use crate::bodies::{BodyError, IncomingBody};
 use crate::connection::Client;
-use crate::request::{check_probe, check_target, number, read_head, Fault, ParsedHead};
-use crate::request_id::IdGuard;
-use crate::response::{final_response, plain, record_refusal, refused};
+use crate::outgoing::OutgoingRequest;
+use crate::request::{check_probe, check_target, read_head};
+use crate::request_error::RequestError;
+use crate::request_id::OpenIdGuard;
+use crate::response::{final_response, plain, record_rejection, rejection};
 use crate::rules::Rules;
 use crate::server::Server;
-use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, ALLOW, CONNECTION};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode};
-use shaletide_balancer::*;
-use shaletide_engine::RequestSpec;
-use shaletide_net::{strip_hop_by_hop, Driver, RequestEvent, RequestIdentity, SubmitError};
-use std::cell::RefCell;
+use shaletide_balancer::{Idempotency, Micros, RequestId, Time};
+use shaletide_net::{Driver, RequestEvent, RequestIdentity, SubmitError};
 use std::rc::Rc;
 
-/// Retry advice for a request for whose body there was no room: slow bodies have ended by then.
+/// `Retry-After` where there was no room for a request's body: slow bodies have ended by then.
 const NO_ROOM_RETRY_AFTER: Micros = Micros(1_000_000);
 
 impl Server {
@@ -32,14 +31,14 @@
         let (head, body) = request.into_parts();
         client.trace_request(self.driver.clock, &rules, &head);
         let result = match (check_target(&head), head.uri.path()) {
-            (Err(fault), _) => Err(fault),
+            (Err(error), _) => Err(error),
             (Ok(()), "/-/ready") => ready(client, &rules, &head, &body),
             (Ok(()), _) => self.proxy(client, &rules, head, body).await,
         };
         // What follows an invalid request on its connection may be no request at all.
         let is_invalid = result.is_err();
-        let mut response = result.unwrap_or_else(|fault| self.reject(client, &rules, fault));
-        // A request may be complete, and is served, just as its connection is evicted.
+        let mut response = result.unwrap_or_else(|error| self.reject(client, &rules, error));
+        // A request whose connection is evicted just as it is complete is served all the same.
         if is_invalid || client.is_evicted() || self.stop_deadline.get().is_some() || self.is_crowded() {
             end_connection(&mut response);
         }
@@ -47,12 +46,12 @@
         response
     }
 
-    fn reject(&self, client: &Client, rules: &Rules, fault: Fault) -> Response<Full<Bytes>> {
-        client.trace(|trace| trace.rejected(fault));
-        self.rejected.set(self.rejected.get() + 1);
-        let (status, text) = fault.answer(rules);
+    fn reject(&self, client: &Client, rules: &Rules, error: RequestError) -> Response<Full<Bytes>> {
+        client.trace(|trace| trace.rejected(error));
+        self.counters.rejected.increment();
+        let (status, text) = error.answer(rules);
         let mut response = plain(status, text);
-        if let Some(Ok(methods)) = fault.allow(rules).map(HeaderValue::try_from) {
+        if let Some(Ok(methods)) = error.allowed_methods(rules).map(HeaderValue::try_from) {
             response.headers_mut().insert(ALLOW, methods);
         }
         response
@@ -60,7 +59,7 @@
 
     /// So many connections are in use that each ends after its response, to free slots for other clients.
     fn is_crowded(&self) -> bool {
-        self.counters.proven.get() > self.max_clients / 2 || self.active() > self.max_clients
+        self.slots.proven.get() > self.max_clients / 2 || self.active() > self.max_clients
     }
 
     /// Reads the whole body of a request. The memory that it reserves is freed with the second value.
@@ -71,33 +70,31 @@
             return Ok((Bytes::new(), None));
         }
         let incoming = IncomingBody::new(self, client, &body)?;
-        let read = incoming.whole(until, body).await;
-        let count = match &read {
-            Err(BodyError::NoRoom) => Some(&self.bodies_without_room),
-            Err(BodyError::Fault(Fault::Slow)) => Some(&self.slow_bodies),
-            _ => None,
-        };
-        if let Some(count) = count {
-            count.set(count.get() + 1);
+        let read = incoming.read_all(until, body).await;
+        match &read {
+            Err(BodyError::NoRoom) => self.counters.bodies_without_room.increment(),
+            Err(BodyError::Invalid(RequestError::BodyTooSlow)) => self.counters.slow_bodies.increment(),
+            Ok(_) | Err(BodyError::Invalid(_)) => {}
         }
         read.map(|bytes| (bytes, Some(incoming)))
     }
 
-    /// Checks a request, reads its body and forwards it.
+    /// Checks a request, reads its body and forwards it. Dropped midway, as its client has closed the connection, it frees
+    /// the body's room and withdraws the request from the driver.
     async fn proxy(
         self: &Rc<Self>, client: &Rc<Client>, rules: &Rules, head: Parts, body: Incoming,
-    ) -> Result<Response<Full<Bytes>>, Fault> {
-        // What stood in the accept queue or waited for the event loop has used up that much of its time.
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
+        // A request that was in the accept queue, or waited for the event loop, has used up that much of its time.
         let waited = Micros(client.stream.since_last_received().as_micros() as u64);
         let received = self.driver.clock.now() - waited;
         let parsed = read_head(rules, &head, &body)?;
-        let deadline = received + Micros(parsed.left.0.saturating_sub(self.driver.deadline_margin().0));
-        let body_deadline = self.before_stop(received + parsed.left.min(rules.body_timeout));
+        let deadline = received + Micros(parsed.time_left.0.saturating_sub(self.driver.deadline_margin().0));
+        let body_deadline = self.before_stop(received + parsed.time_left.min(rules.body_timeout));
         let (body, _reserved) = match self.body(client, body_deadline, body).await {
             Ok(body) => body,
-            Err(BodyError::Fault(fault)) => return Err(fault),
+            Err(BodyError::Invalid(error)) => return Err(error),
             Err(BodyError::NoRoom) => {
-                let mut response = refused(rules, NO_ROOM_RETRY_AFTER);
+                let mut response = rejection(rules, NO_ROOM_RETRY_AFTER);
                 end_connection(&mut response);
                 return Ok(response);
             }
@@ -105,7 +102,7 @@
         client.trace(|trace| trace.event(RequestEvent::BodyRead));
         // A client sends nothing before it has its response: the length is wrong, or a request is hidden in the body.
         if client.stream.has_excess_bytes(body.len()) {
-            return Err(Fault::Length);
+            return Err(RequestError::LengthMismatch);
         }
         // Shutdown may have begun while the body was read.
         let outgoing = self.outgoing(client, rules, head, parsed, body, self.before_stop(deadline))?;
@@ -117,69 +114,24 @@
         self.stop_deadline.get().map_or(deadline, |stop| deadline.min(stop))
     }
 
-    /// The request as the driver is given it.
-    fn outgoing(
-        &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
-    ) -> Result<Outgoing, Fault> {
-        let mut headers = head.headers;
-        let arrival = Arrival {
-            request: RequestId(0),
-            class: parsed.class,
-            tenant: parsed.tenant,
-            time_left: deadline - self.driver.clock.now(),
-            work_hint: headers.get("x-weight-hint").and_then(number).map(|us| Micros(us as u64)),
-            is_client_retry: headers.get("x-repeat").is_some_and(|v| v == "1"),
-            may_fail_over: false,
-        };
-        strip_hop_by_hop(&mut headers);
-        let id = match parsed.id {
-            Some(id) => id,
-            None => {
-                let id = self.give_id().ok_or(Fault::Id)?;
-                client.trace(|trace| trace.set_id(id.as_bytes()));
-                headers.insert(rules.id.clone(), id.clone());
-                id
-            }
-        };
-        let origin = head.uri.path_and_query().map(|p| p.as_str().parse());
-        let uri = origin.and_then(Result::ok).ok_or(Fault::Target)?;
-        let directions = rules.directions.get(parsed.route.0).ok_or(Fault::NoRoute)?;
-        let effect = rules.classes[parsed.class.0].effect;
-        let pools = directions.pools.clone();
-        let forwarded = Rc::new(ForwardedRequest {
-            method: head.method,
-            uri,
-            headers,
-            body,
-            client: Some(client.stream.watch()),
-            trace: client.trace.borrow().clone(),
-            time_left: rules.time_left.clone(),
-            answers: directions.answers.clone(),
-            got: RefCell::default(),
-        });
-        let order =
-            RequestSpec { arrival, idempotency: effect, pools, requires_intent: false, recorded: false };
-        Ok(Outgoing { id, deadline, order, tenant: parsed.tenant_name, key: parsed.key, forwarded })
-    }
-
     /// Hands a request to the driver and waits for its answer.
     async fn forward(
-        self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: Outgoing,
-    ) -> Result<Response<Full<Bytes>>, Fault> {
-        let Outgoing { id, deadline, order, tenant, key, forwarded } = outgoing;
-        let _id_guard = IdGuard::new(&self.open_ids, id).ok_or(Fault::IdInUse)?;
+        self: &Rc<Self>, client: &Client, rules: &Rules, outgoing: OutgoingRequest,
+    ) -> Result<Response<Full<Bytes>>, RequestError> {
+        let OutgoingRequest { id, deadline, spec, tenant, key, forwarded } = outgoing;
+        let _id_guard = OpenIdGuard::new(&self.open_ids, id).ok_or(RequestError::IdInUse)?;
         client.prove();
         self.latest_deadline.set(self.latest_deadline.get().max(deadline));
-        let is_safe = order.idempotency == Idempotency::Safe;
-        let named = RequestIdentity {
+        let is_safe = spec.idempotency == Idempotency::Safe;
+        let identity = RequestIdentity {
             tenant: tenant.as_deref().unwrap_or_default(),
-            class: &rules.classes[order.arrival.class.0].name,
+            class: &rules.classes[spec.arrival.class.0].name,
             key: key.as_deref().map(str::as_bytes),
         };
-        let (request, answer) = match self.driver.submit(order, named, forwarded.clone()) {
+        let (request, answer) = match self.driver.submit(spec, identity, forwarded.clone()) {
             Ok(accepted) => accepted,
-            Err(SubmitError::Record(verdict)) => return record_refusal(rules, verdict),
-            Err(SubmitError::ClientClosed) => return Err(Fault::ClientClosed),
+            Err(SubmitError::Record(decision)) => return record_rejection(rules, decision),
+            Err(SubmitError::ClientClosed) => return Err(RequestError::ClientClosed),
         };
         let body_length = forwarded.body.len();
         let mut guard = RequestGuard { driver: &self.driver, id: request, open: true };
@@ -187,7 +139,7 @@
             biased;
             answer = answer => answer,
             // Dropping the guard withdraws the request.
-            () = client.stream.closed_after_excess(body_length) => return Err(Fault::Length),
+            () = client.stream.closed_after_excess(body_length) => return Err(RequestError::LengthMismatch),
         };
         guard.open = false;
         let mut response = match answer {
@@ -202,16 +154,6 @@
     }
 }
 
-/// A request that is ready for the driver.
-struct Outgoing {
-    id: HeaderValue,
-    deadline: Time,
-    order: RequestSpec,
-    tenant: Option<String>,
-    key: Option<String>,
-    forwarded: Rc<ForwardedRequest>,
-}
-
 /// The connection ends after this response.
 fn end_connection(response: &mut Response<Full<Bytes>>) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -220,10 +162,10 @@
 /// Answers the probe whether the proxy is ready.
 fn ready(
     client: &Client, rules: &Rules, head: &Parts, body: &Incoming,
-) -> Result<Response<Full<Bytes>>, Fault> {
+) -> Result<Response<Full<Bytes>>, RequestError> {
     check_probe(rules, head, body)?;
     if client.stream.has_excess_bytes(0) {
-        return Err(Fault::Length);
+        return Err(RequestError::LengthMismatch);
     }
     Ok(plain(StatusCode::OK, "ready\n"))
 }
@@ -238,7 +180,7 @@
 impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         if self.open {
-            self.driver.client_gone(self.id);
+            self.driver.client_disconnected(self.id);
         }
     }
 }
--- a/crates/http/src/trace.rs
+++ b/crates/http/src/trace.rs
@@ -30,12 +30,12 @@
         );
     }
 
-    /// The head of a request was read: from now on its events are emitted, where they are logged.
+    /// The head of a request was read: from now on its events are emitted, where events of requests are logged.
     pub(crate) fn trace_request(&self, clock: Clock, rules: &Rules, head: &Parts) {
         if !request_trace_enabled() {
             return;
         }
-        let id = head.headers.get(&rules.id).map_or(&[][..], |id| id.as_bytes());
+        let id = head.headers.get(&rules.id_header).map_or(&[][..], |id| id.as_bytes());
         let trace = RequestTrace::new(clock, id, self.number, self.accepted_at);
         trace.event(RequestEvent::HeadRead);
         self.trace.replace(Some(Rc::new(trace)));
--- a/crates/net/src/stream/tests.rs
+++ b/crates/net/src/stream/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of `stream` that need its private items.
 
+use super::head::{count_behind_head, Head};
 use super::*;
 use std::io::{Read as _, Write as _};
 use std::task::Waker;
@@ -20,7 +21,7 @@
 
 /// Before the last byte a request has not run, from it on it may have: one byte decides.
 #[tokio::test]
-async fn a_request_counts_as_written_with_its_last_byte() {
+async fn request_is_written_with_its_last_byte() {
     let (mut stream, mut peer) = pair().await;
     for parts in [["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"], ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"]] {
         stream.begin_request(4);
@@ -40,7 +41,7 @@
 
 /// The backend reads half of it, and the rest only when its time is over: the last byte never comes.
 #[tokio::test]
-async fn a_request_that_is_not_whole_when_its_time_is_over_never_gets_its_last_byte() {
+async fn request_incomplete_at_its_write_deadline_never_gets_its_last_byte() {
     for late in [false, true] {
         let (mut stream, mut peer) = pair().await;
         let whole = vec![b'x'; 64 << 20]; // more than the kernel holds
@@ -72,7 +73,7 @@
 
 /// Wherever the reads fall, the bytes behind the head are counted, and no other.
 #[test]
-fn a_head_ends_with_its_first_empty_line_whatever_ends_lines() {
+fn head_ends_with_its_first_empty_line_for_crlf_and_lf() {
     let heads = [
         "GET / HTTP/1.1\r\nA: 1\r\n\r\n",
         "GET / HTTP/1.1\nA: 1\n\n",
@@ -84,28 +85,28 @@
     for head in heads {
         for behind in ["", "b", "\n", "\r\n\r\n", "body\n\nGET / HTTP/1.1\n\n"] {
             let all = format!("{head}{behind}");
-            let (one, end) = (Cell::new(Head::Before), head.len());
+            let (one, end) = (Cell::new(Head::NotBegun), head.len());
             for (at, byte) in all.bytes().enumerate() {
-                assert_eq!(behind_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
-                assert_eq!(one.get() == Head::Whole, at + 1 >= end, "{at} of {all:?}");
+                assert_eq!(count_behind_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
+                assert_eq!(one.get() == Head::Complete, at + 1 >= end, "{at} of {all:?}");
             }
             for cut in 0..=all.len() {
-                let (state, (a, b)) = (Cell::new(Head::Before), all.as_bytes().split_at(cut));
-                let counted = [a, b].map(|part| behind_head(&state, part));
+                let (state, (a, b)) = (Cell::new(Head::NotBegun), all.as_bytes().split_at(cut));
+                let counted = [a, b].map(|part| count_behind_head(&state, part));
                 assert_eq!(counted.iter().sum::<usize>(), behind.len(), "cut at {cut} of {all:?}");
             }
         }
     }
     for open in ["\r\n\r\n", "\n\n", "GET / HTTP/1.1\r\nA: 1\r\n\r", "A\r\r\n", "A\n\r\r", "A\n \n"] {
-        let state = Cell::new(Head::Before);
-        assert_eq!(behind_head(&state, open.as_bytes()), 0, "{open:?}");
-        assert_ne!(state.get(), Head::Whole, "{open:?}");
+        let state = Cell::new(Head::NotBegun);
+        assert_eq!(count_behind_head(&state, open.as_bytes()), 0, "{open:?}");
+        assert_ne!(state.get(), Head::Complete, "{open:?}");
     }
 }
 
 /// However the reads fall, and however many there are of them.
 #[tokio::test]
-async fn answers_of_status_1xx_are_no_beginning_of_the_one_that_follows() {
+async fn interim_response_does_not_begin_the_final_response() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
     let whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncash";
     for head in ["", early, "HTTP/1.0 100 X\n\n", "\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 199\r\n\r\n"] {
@@ -113,16 +114,16 @@
         let heads = head.matches(" 1").count() as u64;
         for cut in 0..=all.len() {
             let (stream, _peer) = pair().await;
-            stream.read(&all.as_bytes()[..cut]);
+            stream.on_read(&all.as_bytes()[..cut]);
             assert_eq!(stream.interim_responses() == heads, cut >= head.len(), "{cut} of {all:?}");
             assert_eq!(
                 stream.final_response_begun() && stream.interim_responses() == heads,
                 cut > head.len(),
                 "{cut} of {all:?}"
             );
-            stream.read(&all.as_bytes()[cut..]);
+            stream.on_read(&all.as_bytes()[cut..]);
             assert_eq!(
-                (stream.interim_responses(), stream.0.bytes_after_head.get()),
+                (stream.interim_responses(), stream.0.received.bytes_after_head.get()),
                 (heads, 4),
                 "{cut} of {all:?}"
             );
@@ -132,14 +133,14 @@
     }
     for other in ["HTTP/1.1 200 OK\r\n\r\n", "POST /1.1 100 HTTP/1.1\r\n\r\n", "HTTP/1.1  100 X\r\n\r\n"] {
         let (stream, _peer) = pair().await;
-        stream.read(other.as_bytes());
+        stream.on_read(other.as_bytes());
         assert_eq!((stream.interim_responses(), stream.final_response_begun()), (0, true), "{other:?}");
     }
 }
 
 /// The kernel is asked, not the event loop, which has had no chance to hear of it here.
 #[tokio::test]
-async fn what_the_other_side_does_is_seen_at_once() {
+async fn pending_input_is_seen_before_the_event_loop_polls() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.has_pending_input());
     peer.write_all(b"x").unwrap();
