--- a/crates/membership/src/address_owners.rs
+++ b/crates/membership/src/address_owners.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 /// What an entry is known by within its pool.
-pub type Key = Arc<str>;
+pub type EntryKey = Arc<str>;
 
 /// An address that two lists bring at once. It stays with the pool that had it first until that pool's list
 /// has no entry there.
@@ -23,33 +23,33 @@
 /// The pools in line for each address. Several entries of one pool at one address are one claim.
 #[derive(Clone, Debug, Default)]
 pub struct AddressOwners {
-    lines: BTreeMap<SocketAddr, Vec<PoolId>>,
-    entries: BTreeSet<(SocketAddr, PoolId, Key)>,
+    claimants: BTreeMap<SocketAddr, Vec<PoolId>>,
+    entries: BTreeSet<(SocketAddr, PoolId, EntryKey)>,
     contested: BTreeSet<SocketAddr>,
 }
 
 impl AddressOwners {
     /// The pool that has the address.
     pub fn owner(&self, address: SocketAddr) -> Option<PoolId> {
-        self.line(address).first().copied()
+        self.claimants(address).first().copied()
     }
 
     /// The pools whose lists bring the address, the owner first.
-    pub fn line(&self, address: SocketAddr) -> &[PoolId] {
-        self.lines.get(&address).map_or(&[], Vec::as_slice)
+    pub fn claimants(&self, address: SocketAddr) -> &[PoolId] {
+        self.claimants.get(&address).map_or(&[], Vec::as_slice)
     }
 
     /// The pool's entries at the address.
-    pub fn entries(&self, address: SocketAddr, pool: PoolId) -> impl Iterator<Item = &Key> {
-        let from = (address, pool, Key::from(""));
+    pub fn entries(&self, address: SocketAddr, pool: PoolId) -> impl Iterator<Item = &EntryKey> {
+        let from = (address, pool, EntryKey::from(""));
         let here = self.entries.range(from..).take_while(move |(at, by, _)| (*at, *by) == (address, pool));
         here.map(|(_, _, key)| key)
     }
 
     /// The pool's list has an entry there. Its pool goes to the end of the line if it does not stand in it.
-    pub fn add(&mut self, address: SocketAddr, pool: PoolId, key: &Key) {
+    pub fn add(&mut self, address: SocketAddr, pool: PoolId, key: &EntryKey) {
         self.entries.insert((address, pool, key.clone()));
-        let line = self.lines.entry(address).or_default();
+        let line = self.claimants.entry(address).or_default();
         if !line.contains(&pool) {
             line.push(pool);
         }
@@ -59,19 +59,19 @@
     }
 
     /// The pool's list has that entry there no longer. After its last one it leaves the line; of those
-    /// behind, the first that is an heir takes its place, before any that came earlier. Returns the new owner
+    /// behind, the first that has precedence takes its place, before any that came earlier. Returns the new owner
     /// where it is another.
     pub fn remove(
-        &mut self, address: SocketAddr, pool: PoolId, key: &Key, heir: impl Fn(PoolId) -> bool,
+        &mut self, address: SocketAddr, pool: PoolId, key: &EntryKey, has_precedence: impl Fn(PoolId) -> bool,
     ) -> Option<PoolId> {
         self.entries.remove(&(address, pool, key.clone()));
         if self.entries(address, pool).next().is_some() {
             return None;
         }
-        let line = self.lines.get_mut(&address)?;
+        let line = self.claimants.get_mut(&address)?;
         let at = line.iter().position(|p| *p == pool)?;
         line.remove(at);
-        if let Some(behind) = line[at..].iter().position(|p| heir(*p)) {
+        if let Some(behind) = line[at..].iter().position(|p| has_precedence(*p)) {
             line[at..=at + behind].rotate_right(1);
         }
         let next = line.first().copied();
@@ -79,7 +79,7 @@
             self.contested.remove(&address);
         }
         if line.is_empty() {
-            self.lines.remove(&address);
+            self.claimants.remove(&address);
         }
         next.filter(|_| at == 0)
     }
@@ -87,7 +87,7 @@
     /// All that stand in line now.
     pub fn conflicts(&self) -> BTreeSet<Conflict> {
         let each = self.contested.iter().filter_map(|address| {
-            let (owner, waiting) = self.line(*address).split_first()?;
+            let (owner, waiting) = self.claimants(*address).split_first()?;
             Some(waiting.iter().map(|w| Conflict { address: *address, owner: *owner, waiting: *w }))
         });
         each.flatten().collect()
@@ -101,20 +101,27 @@
     #[test]
     fn an_address_goes_down_the_line_and_an_heir_steps_into_his_place() {
         let at: SocketAddr = "10.0.0.1:80".parse().unwrap();
-        let (key, other) = (Key::from("k"), Key::from("l"));
-        let mut claims = AddressOwners::default();
+        let (key, other) = (EntryKey::from("k"), EntryKey::from("l"));
+        let mut address_owners = AddressOwners::default();
         for pool in [1, 2, 3, 4] {
-            claims.add(at, PoolId(pool), &key);
+            address_owners.add(at, PoolId(pool), &key);
         }
-        claims.add(at, PoolId(1), &other);
-        assert_eq!(claims.conflicts().len(), 3);
-        assert_eq!(claims.remove(at, PoolId(1), &key, |_| false), None, "its other entry is still there");
-        assert_eq!(claims.remove(at, PoolId(1), &other, |p| p == PoolId(3)), Some(PoolId(3)));
-        assert_eq!(claims.line(at), [PoolId(3), PoolId(2), PoolId(4)]);
-        assert_eq!(claims.remove(at, PoolId(2), &key, |_| false), None, "it only waited");
-        assert_eq!(claims.remove(at, PoolId(3), &key, |_| false), Some(PoolId(4)));
-        assert!(claims.conflicts().is_empty());
-        assert_eq!(claims.remove(at, PoolId(4), &key, |_| true), None);
-        assert_eq!((claims.owner(at), claims.lines.len(), claims.entries.len()), (None, 0, 0));
+        address_owners.add(at, PoolId(1), &other);
+        assert_eq!(address_owners.conflicts().len(), 3);
+        assert_eq!(
+            address_owners.remove(at, PoolId(1), &key, |_| false),
+            None,
+            "its other entry is still there"
+        );
+        assert_eq!(address_owners.remove(at, PoolId(1), &other, |p| p == PoolId(3)), Some(PoolId(3)));
+        assert_eq!(address_owners.claimants(at), [PoolId(3), PoolId(2), PoolId(4)]);
+        assert_eq!(address_owners.remove(at, PoolId(2), &key, |_| false), None, "it only waited");
+        assert_eq!(address_owners.remove(at, PoolId(3), &key, |_| false), Some(PoolId(4)));
+        assert!(address_owners.conflicts().is_empty());
+        assert_eq!(address_owners.remove(at, PoolId(4), &key, |_| true), None);
+        assert_eq!(
+            (address_owners.owner(at), address_owners.claimants.len(), address_owners.entries.len()),
+            (None, 0, 0)
+        );
     }
 }
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,8 +1,8 @@
 //! All pools: which backend belongs to which, under which number, and what the balancers are told.
 
-use crate::address_owners::{AddressOwners, Conflict, Key};
+use crate::address_owners::{AddressOwners, Conflict, EntryKey};
 use crate::list::Endpoint;
-use crate::pool::{Changes, ListedBackend, NameTables, Pool, PoolSpec};
+use crate::pool::{ListChanges, ListedBackend, NameTables, Pool, PoolSpec};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -33,10 +33,10 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct TrackedBackend {
     pool: PoolId,
-    key: Key,
-    name: Key,
+    key: EntryKey,
+    name: EntryKey,
     address: SocketAddr,
     /// The row that the pool's balancer was last told.
     told: BackendEntry,
@@ -55,33 +55,35 @@
 /// old one is forgotten, see [`Directory::forget`].
 ///
 /// Bounds: [`crate::MAX_ENTRIES`] entries a pool, some 650 bytes each, the backends gone that the
-/// host has not let be forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of kinds. Interner of
+/// host has not let be forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of server_types. Interner of
 /// backends and pools are used once: 2^32 of them.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     pub(crate) pools: BTreeMap<PoolId, Pool>,
-    pub(crate) claims: AddressOwners,
+    pub(crate) address_owners: AddressOwners,
     pub(crate) names: NameTables,
     /// By group, or by pool where it has none.
-    pub(crate) realms: BTreeMap<(bool, String), u32>,
-    pub(crate) realms_met: u32,
-    pub(crate) pools_met: u32,
-    boxes_met: u32,
-    boxes: BTreeMap<BackendId, Known>,
+    pub(crate) domains: BTreeMap<(bool, String), u32>,
+    pub(crate) next_domain: u32,
+    pub(crate) next_pool_id: u32,
+    next_backend_id: u32,
+    backends: BTreeMap<BackendId, TrackedBackend>,
     /// Those that may be forgotten.
     gone: BTreeSet<BackendId>,
 }
 
 impl Directory {
-    /// At the start of the program, with names of zones and kinds that are numbered from 0. The backends of
+    /// At the start of the program, with names of zones and server_types that are numbered from 0. The backends of
     /// static pools are as old as the configuration says.
-    pub fn new(zones: &[String], kinds: &[String], pools: Vec<PoolSpec>) -> (Directory, DirectoryUpdate) {
+    pub fn new(
+        zones: &[String], server_types: &[String], pools: Vec<PoolSpec>,
+    ) -> (Directory, DirectoryUpdate) {
         let names = NameTables {
             zones: crate::interner::Interner::new(zones),
-            kinds: crate::interner::Interner::new(kinds),
+            server_types: crate::interner::Interner::new(server_types),
         };
         let mut directory = Directory { names, ..Directory::default() };
-        let told = directory.set(None, pools);
+        let told = directory.configure(None, pools);
         (directory, told)
     }
 
@@ -90,7 +92,7 @@
     /// keeps its number and its age. A pool that was static and is listed now keeps its backends until its list
     /// comes.
     pub fn reload(&mut self, now: Time, pools: Vec<PoolSpec>) -> DirectoryUpdate {
-        self.set(Some(now), pools)
+        self.configure(Some(now), pools)
     }
 
     /// News of a listed pool's list; of other pools it is ignored. Other pools than that one are told
@@ -99,43 +101,43 @@
         &mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>,
     ) -> DirectoryUpdate {
         let mut told = DirectoryUpdate::default();
-        let Some(to) = self.pools.get(&pool).filter(|to| !to.fixed) else { return told };
+        let Some(to) = self.pools.get(&pool).filter(|to| !to.is_static) else { return told };
         if update == EndpointUpdate::SubscriptionLost {
             told.notifications.push((pool, update, Vec::new()));
             return told;
         }
         let names = &mut self.names;
         let entries = entries.into_iter().map(|e| {
-            let key = Key::from(e.name.as_str());
+            let key = EntryKey::from(e.name.as_str());
             (key, (e.state != BackendState::Gone).then(|| ListedBackend::new(e, names)))
         });
         let whole = matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached);
         let (changes, skipped) = to.changes(whole, entries);
         told.skipped = skipped;
-        let before = self.claims.conflicts();
-        let keys: Vec<Key> = changes.keys().cloned().collect();
+        let before = self.address_owners.conflicts();
+        let keys: Vec<EntryKey> = changes.keys().cloned().collect();
         let passed_on = self.apply(vec![(pool, changes)], |_| false);
-        let mut rows: Vec<BackendEntry> = keys.iter().filter_map(|key| self.tell(pool, key)).collect();
+        let mut rows: Vec<BackendEntry> = keys.iter().filter_map(|key| self.refresh(pool, key)).collect();
         if whole {
             rows.retain(|row| row.state != BackendState::Gone); // they are by being absent
         }
         told.notifications.push((pool, update, rows));
         let mut gains: BTreeMap<PoolId, Vec<BackendEntry>> = BTreeMap::new();
         for (address, owner) in passed_on {
-            let keys: Vec<Key> = self.claims.entries(address, owner).cloned().collect();
-            gains.entry(owner).or_default().extend(keys.iter().filter_map(|key| self.tell(owner, key)));
+            let keys: Vec<EntryKey> = self.address_owners.entries(address, owner).cloned().collect();
+            gains.entry(owner).or_default().extend(keys.iter().filter_map(|key| self.refresh(owner, key)));
         }
         told.notifications
             .extend(gains.into_iter().map(|(owner, rows)| (owner, EndpointUpdate::Delta, rows)));
-        told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
+        told.conflicts = self.address_owners.conflicts().difference(&before).copied().collect();
         told
     }
 
     /// Takes over what the lists say. All entries that came are claimed before any that went is given up, so
     /// that a pool keeps its place in line when one name follows another, in whatever order they are told.
-    /// Returns the addresses that went to another pool; `heir` as with [`AddressOwners::remove`].
+    /// Returns the addresses that went to another pool; `has_precedence` as with [`AddressOwners::remove`].
     pub(crate) fn apply(
-        &mut self, news: Vec<(PoolId, Changes)>, heir: impl Fn(PoolId) -> bool,
+        &mut self, news: Vec<(PoolId, ListChanges)>, has_precedence: impl Fn(PoolId) -> bool,
     ) -> BTreeMap<SocketAddr, PoolId> {
         let mut left = Vec::new();
         for (id, changes) in news {
@@ -150,60 +152,63 @@
                 if from == to {
                     continue;
                 }
-                to.into_iter().for_each(|address| self.claims.add(address, id, &key));
+                to.into_iter().for_each(|address| self.address_owners.add(address, id, &key));
                 left.extend(from.map(|address| (address, id, key)));
             }
         }
         let mut passed_on = BTreeMap::new();
         for (address, id, key) in left {
-            passed_on.extend(self.claims.remove(address, id, &key, &heir).map(|owner| (address, owner)));
+            passed_on.extend(
+                self.address_owners.remove(address, id, &key, &has_precedence).map(|owner| (address, owner)),
+            );
         }
         passed_on
     }
 
     /// The row of an entry that its pool is to be told now: as its list has it where the address is the
     /// pool's, else gone if it was not told so before.
-    pub(crate) fn tell(&mut self, pool: PoolId, key: &Key) -> Option<BackendEntry> {
+    pub(crate) fn refresh(&mut self, pool: PoolId, key: &EntryKey) -> Option<BackendEntry> {
         let to = self.pools.get_mut(&pool)?;
-        let listed = to.listed.get(key).filter(|listed| self.claims.owner(listed.address) == Some(pool));
+        let listed =
+            to.listed.get(key).filter(|listed| self.address_owners.owner(listed.address) == Some(pool));
         let Some(listed) = listed else {
-            let id = *to.numbers.get(key)?;
-            return self.bury(id);
+            let id = *to.backend_ids.get(key)?;
+            return self.mark_gone(id);
         };
-        let id = *to.numbers.entry(key.clone()).or_insert_with(|| {
-            self.boxes_met += 1;
-            BackendId(self.boxes_met - 1)
+        let id = *to.backend_ids.entry(key.clone()).or_insert_with(|| {
+            self.next_backend_id += 1;
+            BackendId(self.next_backend_id - 1)
         });
-        let told = listed.row(id, to.realm);
+        let told = listed.entry(id, to.domain);
         let (key, name, address) = (key.clone(), listed.name.clone(), listed.address);
-        self.boxes.insert(id, Known { pool, key, name, address, told: told.clone() });
+        self.backends.insert(id, TrackedBackend { pool, key, name, address, told: told.clone() });
         self.gone.remove(&id);
         Some(told)
     }
 
     /// The backend is gone: the row that says so, where it was not said before.
-    fn bury(&mut self, id: BackendId) -> Option<BackendEntry> {
-        let known = self.boxes.get_mut(&id).filter(|known| known.told.state != BackendState::Gone)?;
+    fn mark_gone(&mut self, id: BackendId) -> Option<BackendEntry> {
+        let known = self.backends.get_mut(&id).filter(|known| known.told.state != BackendState::Gone)?;
         known.told.state = BackendState::Gone;
         self.gone.insert(id);
         Some(known.told.clone())
     }
 
     /// Takes the backend of that entry over into another pool. Returns it with the row for the pool that it left.
-    pub(crate) fn shift(
-        &mut self, key: &Key, from: PoolId, to: PoolId,
+    pub(crate) fn move_backend(
+        &mut self, key: &EntryKey, from: PoolId, to: PoolId,
     ) -> Option<(BackendMove, BackendEntry)> {
-        let id = self.pools.get_mut(&from)?.numbers.remove(key)?;
-        let row = self.bury(id)?;
-        self.boxes.get_mut(&id)?.pool = to;
-        self.pools.get_mut(&to)?.numbers.insert(key.clone(), id);
+        let id = self.pools.get_mut(&from)?.backend_ids.remove(key)?;
+        let row = self.mark_gone(id)?;
+        self.backends.get_mut(&id)?.pool = to;
+        self.pools.get_mut(&to)?.backend_ids.insert(key.clone(), id);
         Some((BackendMove { id, from, to }, row))
     }
 
     /// What a backend's balancer was last told of it.
-    pub(crate) fn last_told(&self, pool: PoolId, key: &Key) -> Option<&BackendEntry> {
-        let id = self.pools.get(&pool)?.numbers.get(key)?;
-        self.boxes.get(id).map(|known| &known.told)
+    pub(crate) fn last_notified(&self, pool: PoolId, key: &EntryKey) -> Option<&BackendEntry> {
+        let id = self.pools.get(&pool)?.backend_ids.get(key)?;
+        self.backends.get(id).map(|known| &known.told)
     }
 
     /// The host holds nothing of that backend any more, no attempt above all. Does nothing unless the backend is
@@ -212,10 +217,10 @@
         if !self.gone.remove(&id) {
             return false;
         }
-        let Some(known) = self.boxes.remove(&id) else { return false };
+        let Some(known) = self.backends.remove(&id) else { return false };
         if let Some(pool) = self.pools.get_mut(&known.pool) {
-            if pool.numbers.get(&known.key) == Some(&id) {
-                pool.numbers.remove(&known.key);
+            if pool.backend_ids.get(&known.key) == Some(&id) {
+                pool.backend_ids.remove(&known.key);
             }
         }
         true
@@ -237,28 +242,28 @@
 
     /// Where the backend listens; also of one gone, until it is forgotten.
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
-        self.boxes.get(&id).map(|known| known.address)
+        self.backends.get(&id).map(|known| known.address)
     }
 
     /// What the backend may be sent; gone where it is not known.
     pub fn state(&self, id: BackendId) -> BackendState {
-        self.boxes.get(&id).map_or(BackendState::Gone, |known| known.told.state)
+        self.backends.get(&id).map_or(BackendState::Gone, |known| known.told.state)
     }
 
     /// The pool that the backend belongs to, or did.
     pub fn pool(&self, id: BackendId) -> Option<PoolId> {
-        self.boxes.get(&id).map(|known| known.pool)
+        self.backends.get(&id).map(|known| known.pool)
     }
 
     /// The backend's name, for logs.
     pub fn name(&self, id: BackendId) -> Option<&str> {
-        self.boxes.get(&id).map(|known| &*known.name)
+        self.backends.get(&id).map(|known| &*known.name)
     }
 
     /// The pool's backends as its balancer was last told, but for those gone.
     pub fn backends(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
-        let numbers = self.pools.get(&pool).into_iter().flat_map(|p| p.numbers.values());
-        let rows = numbers.filter_map(|id| self.boxes.get(id)).map(|known| &known.told);
+        let numbers = self.pools.get(&pool).into_iter().flat_map(|p| p.backend_ids.values());
+        let rows = numbers.filter_map(|id| self.backends.get(id)).map(|known| &known.told);
         rows.filter(|row| row.state != BackendState::Gone)
     }
 
@@ -272,18 +277,18 @@
         self.pools.iter().find(|(_, pool)| pool.name == name).map(|(id, _)| *id)
     }
 
-    /// The pool's repeat group. Backends of different realms never drop each other's repeats.
+    /// The pool's repeat group. Backends of different domains never drop each other's repeats.
     pub fn deduplication_domain(&self, pool: PoolId) -> Option<u32> {
-        self.pools.get(&pool).map(|pool| pool.realm)
+        self.pools.get(&pool).map(|pool| pool.domain)
     }
 
     /// The number of a zone's name, over all pools.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(self.names.zones.of(name))
+        ZoneId(self.names.zones.intern(name))
     }
 
     /// The addresses that several lists bring now.
     pub fn conflicts(&self) -> BTreeSet<Conflict> {
-        self.claims.conflicts()
+        self.address_owners.conflicts()
     }
 }
--- a/crates/membership/src/interner.rs
+++ b/crates/membership/src/interner.rs
@@ -1,9 +1,9 @@
 //! Interner for names that are met in lists.
 
-use crate::list::fold;
+use crate::list::fnv1a;
 use std::collections::BTreeMap;
 
-/// So many names of zones, and as many of kinds, keep their numbers. Each has [`crate::MAX_NAME`] bytes at
+/// So many names of zones, and as many of server_types, keep their numbers. Each has [`crate::MAX_NAME`] bytes at
 /// most.
 pub const MAX_NUMBERED: usize = 10_000;
 
@@ -17,19 +17,19 @@
     pub fn new(names: &[String]) -> Interner {
         let mut numbers = Interner::default();
         names.iter().for_each(|name| {
-            numbers.of(name);
+            numbers.intern(name);
         });
         numbers
     }
 
     /// The name's number. Past the bound it is drawn from the name, from the upper half of all numbers: still
     /// the same each time, and hardly ever that of another name.
-    pub fn of(&mut self, name: &str) -> u32 {
+    pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.by_name.get(name) {
             return *number;
         }
         if self.by_name.len() == MAX_NUMBERED {
-            return 1 << 31 | (fold(name) >> 33) as u32;
+            return 1 << 31 | (fnv1a(name) >> 33) as u32;
         }
         let number = self.by_name.len() as u32;
         self.by_name.insert(name.to_string(), number);
@@ -44,12 +44,15 @@
     #[test]
     fn a_name_keeps_its_number_also_past_the_bound() {
         let mut numbers = Interner::new(&["a".into(), "b".into(), "a".into()]);
-        assert_eq!((numbers.of("b"), numbers.of("c"), numbers.of("a")), (1, 2, 0));
+        assert_eq!((numbers.intern("b"), numbers.intern("c"), numbers.intern("a")), (1, 2, 0));
         (0..MAX_NUMBERED).for_each(|n| {
-            numbers.of(&format!("n{n}"));
+            numbers.intern(&format!("n{n}"));
         });
-        let (late, later) = (numbers.of("late"), numbers.of("later"));
+        let (late, later) = (numbers.intern("late"), numbers.intern("later"));
         assert!(late != later && late.min(later) >= 1 << 31);
-        assert_eq!((numbers.of("late"), numbers.by_name.len(), numbers.of("c")), (late, MAX_NUMBERED, 2));
+        assert_eq!(
+            (numbers.intern("late"), numbers.by_name.len(), numbers.intern("c")),
+            (late, MAX_NUMBERED, 2)
+        );
     }
 }
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -60,7 +60,7 @@
 
 /// A list of which each entry is still text.
 #[derive(Deserialize)]
-struct Texts<'a> {
+struct RawList<'a> {
     index: u64,
     snapshot: bool,
     #[serde(borrow)]
@@ -69,13 +69,13 @@
 
 /// The least that an entry says.
 #[derive(Deserialize)]
-struct Said {
+struct NameAndStatus {
     name: String,
     status: String,
 }
 
 #[derive(Deserialize)]
-struct Entry {
+struct WireEntry {
     name: String,
     address: String,
     zone: Option<String>,
@@ -94,7 +94,7 @@
 
 impl Endpoint {
     fn read(value: &Value) -> Result<Endpoint, String> {
-        let e = Entry::deserialize(value).map_err(|e| e.to_string())?;
+        let e = WireEntry::deserialize(value).map_err(|e| e.to_string())?;
         let state = match e.status.as_str() {
             "SERVING" => BackendState::Ready,
             "DRAINING" => BackendState::Draining,
@@ -110,7 +110,7 @@
         let cores = e.cores.as_u64().and_then(|n| u32::try_from(n).ok()).unwrap_or(1).max(1);
         let weight = e.weight.as_f64().filter(|w| (0.0..=MAX_WEIGHT).contains(w)).unwrap_or(0.0);
         let weight = (weight * 1e3).round() as u32;
-        let booted = (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64));
+        let started_at = (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64));
         let own = || deduplication_group_hash(&e.name);
         let group = e.group.unwrap_or_else(own);
         let (name, bay) = (e.name, group);
@@ -123,14 +123,14 @@
             cores,
             weight,
             state,
-            started_at: booted,
+            started_at,
         })
     }
 
     /// Of an entry that makes no sense otherwise: that nothing new may go to the backend of that name. It counts as gone,
     /// as it is not known where it is.
-    fn unwanted(value: &Value) -> Option<Endpoint> {
-        let Said { name, status } = Said::deserialize(value).ok()?;
+    fn gone_backend(value: &Value) -> Option<Endpoint> {
+        let NameAndStatus { name, status } = NameAndStatus::deserialize(value).ok()?;
         let nothing_new = matches!(status.as_str(), "DRAINING" | "DELETED") && name.len() <= MAX_NAME;
         nothing_new.then(|| Endpoint {
             deduplication_group: deduplication_group_hash(&name),
@@ -155,7 +155,7 @@
     pub fn read(bytes: &[u8]) -> Result<List, serde_json::Error> {
         serde_json::from_slice(bytes).or_else(|_| {
             let text = String::from_utf8_lossy(bytes);
-            let Texts { index, snapshot, endpoints } = serde_json::from_str(&text)?;
+            let RawList { index, snapshot, endpoints } = serde_json::from_str(&text)?;
             let endpoints = endpoints.into_iter().map(|entry| value(entry.get())).collect();
             Ok(List { index, snapshot, endpoints })
         })
@@ -173,7 +173,7 @@
                 }
                 Ok(_) => format!("more than {MAX_ENTRIES} entries"),
                 Err(why) => {
-                    entries.extend(Endpoint::unwanted(value).filter(|_| entries.len() < MAX_ENTRIES));
+                    entries.extend(Endpoint::gone_backend(value).filter(|_| entries.len() < MAX_ENTRIES));
                     why
                 }
             };
@@ -187,25 +187,25 @@
 /// An entry by itself, or of one that cannot be read as a whole what it says at the least.
 fn value(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_else(|_| match serde_json::from_str(text) {
-        Ok(Said { name, status }) => json!({ "name": name, "status": status }),
+        Ok(NameAndStatus { name, status }) => json!({ "name": name, "status": status }),
         Err(_) => Value::Null,
     })
 }
 
 /// A number drawn from a text.
-pub(crate) fn fold(text: &str) -> u64 {
+pub(crate) fn fnv1a(text: &str) -> u64 {
     let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
 /// What the order that all proxies share is drawn from: a number out of a name that is the same at each.
 pub fn stable_hash(name: &str) -> u64 {
-    fold(name) >> 20
+    fnv1a(name) >> 20
 }
 
 /// The number of a bay that has a name.
 pub fn deduplication_group_hash(name: &str) -> u64 {
-    fold(name)
+    fnv1a(name)
 }
 
 #[cfg(test)]
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -1,6 +1,6 @@
 //! One pool: what its list says.
 
-use crate::address_owners::Key;
+use crate::address_owners::EntryKey;
 use crate::interner::Interner;
 use crate::list::{stable_hash, Endpoint, MAX_ENTRIES};
 use shaletide_types::*;
@@ -21,7 +21,7 @@
 /// Where a pool's backends come from.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// The configuration. A backend is known by its address here, whatever its name; its `booted` holds only at
+    /// The configuration. A backend is known by its address here, whatever its name; its `started_at` holds only at
     /// the start of the program.
     Static(Vec<Endpoint>),
     /// A list of which there is news. A backend is known by its name.
@@ -31,9 +31,9 @@
 /// An entry that is not gone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedBackend {
-    pub name: Key,
+    pub name: EntryKey,
     pub address: SocketAddr,
-    pub booted: Option<Time>,
+    pub started_at: Option<Time>,
     zone: ZoneId,
     kind: ServerTypeId,
     bay: u64,
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct NameTables {
     pub zones: Interner,
-    pub kinds: Interner,
+    pub server_types: Interner,
 }
 
 impl ListedBackend {
     pub fn new(e: Endpoint, names: &mut NameTables) -> ListedBackend {
-        let kind = ServerTypeId(names.kinds.of(&speed_kind(&e)));
+        let kind = ServerTypeId(names.server_types.intern(&speed_class(&e)));
         ListedBackend {
             name: e.name.into(),
             address: e.address,
-            booted: e.started_at,
-            zone: ZoneId(names.zones.of(&e.zone)),
+            started_at: e.started_at,
+            zone: ZoneId(names.zones.intern(&e.zone)),
             kind,
             bay: e.deduplication_group,
             cores: e.cores.max(1),
@@ -66,65 +66,65 @@
     }
 
     /// The row that a balancer is told.
-    pub fn row(&self, id: BackendId, realm: u32) -> BackendEntry {
+    pub fn entry(&self, id: BackendId, domain: u32) -> BackendEntry {
         BackendEntry {
             id,
             stable_hash: stable_hash(&self.name),
             zone: self.zone,
-            deduplication_group: cell(self.bay, realm),
-            deduplication_domain: realm,
+            deduplication_group: cell(self.bay, domain),
+            deduplication_domain: domain,
             server_type: self.kind,
             cores: self.cores,
             weight: self.weight,
             state: self.state,
-            started_at: self.booted,
+            started_at: self.started_at,
         }
     }
 }
 
 /// Machines of one kind are taken as equally fast: with more cores it is another kind, whatever its name.
-fn speed_kind(e: &Endpoint) -> std::borrow::Cow<'_, str> {
+fn speed_class(e: &Endpoint) -> std::borrow::Cow<'_, str> {
     match e.cores {
         0 | 1 => e.server_type.as_str().into(),
         cores => format!("{} of {cores} cores", e.server_type).into(),
     }
 }
 
-/// The bay's number among those of all realms: two bays of one realm never share one, and those of two realms
-/// hardly ever. The first realm's bays keep their own numbers.
-fn cell(bay: u64, realm: u32) -> DeduplicationGroupId {
-    if realm == 0 {
+/// The bay's number among those of all domains: two bays of one domain never share one, and those of two domains
+/// hardly ever. The first domain's bays keep their own numbers.
+fn cell(bay: u64, domain: u32) -> DeduplicationGroupId {
+    if domain == 0 {
         return DeduplicationGroupId(bay);
     }
-    // One to one for a given realm: each step can be undone.
-    let spread = bay ^ u64::from(realm).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    // One to one for a given domain: each step can be undone.
+    let spread = bay ^ u64::from(domain).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (spread ^ (spread >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     DeduplicationGroupId(mixed ^ (mixed >> 31))
 }
 
 /// What becomes of the entries named; `None`: gone.
-pub type Changes = BTreeMap<Key, Option<ListedBackend>>;
+pub type ListChanges = BTreeMap<EntryKey, Option<ListedBackend>>;
 
 /// A pool and what its list says now.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
-    pub realm: u32,
+    pub domain: u32,
     /// Its backends come from the configuration.
-    pub fixed: bool,
-    pub listed: BTreeMap<Key, ListedBackend>,
+    pub is_static: bool,
+    pub listed: BTreeMap<EntryKey, ListedBackend>,
     /// The entries' numbers, also of those gone that may not be forgotten yet.
-    pub numbers: BTreeMap<Key, BackendId>,
+    pub backend_ids: BTreeMap<EntryKey, BackendId>,
 }
 
 impl Pool {
     /// What the entries change; `whole`: what is absent is gone. A name that stands twice counts as it stands
     /// last. Returns how many had no room, too.
     pub fn changes(
-        &self, whole: bool, entries: impl Iterator<Item = (Key, Option<ListedBackend>)>,
-    ) -> (Changes, usize) {
-        let (mut changes, mut size) = (Changes::new(), self.listed.len());
+        &self, whole: bool, entries: impl Iterator<Item = (EntryKey, Option<ListedBackend>)>,
+    ) -> (ListChanges, usize) {
+        let (mut changes, mut size) = (ListChanges::new(), self.listed.len());
         if whole {
             changes.extend(self.listed.keys().map(|key| (key.clone(), None)));
             size = 0;
@@ -155,7 +155,7 @@
     #[test]
     fn bays_of_one_realm_stay_apart_and_so_do_realms() {
         let cells: BTreeSet<DeduplicationGroupId> =
-            (0..50).flat_map(|realm| (0..200).map(move |bay| cell(bay, realm))).collect();
+            (0..50).flat_map(|domain| (0..200).map(move |bay| cell(bay, domain))).collect();
         assert_eq!(cells.len(), 50 * 200);
         assert_eq!(cell(7, 0), DeduplicationGroupId(7));
     }
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,157 +1,171 @@
 //! The pools as the configuration has them, at the start and whenever it is read again.
 
-use crate::address_owners::Key;
+use crate::address_owners::EntryKey;
 use crate::directory::{Directory, DirectoryUpdate};
 use crate::list::Endpoint;
-use crate::pool::{Changes, ListedBackend, Pool, PoolSpec, Source};
+use crate::pool::{ListChanges, ListedBackend, Pool, PoolSpec, Source};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
 /// The rows that go to each pool.
-type Rows = BTreeMap<PoolId, Vec<BackendEntry>>;
+type EntriesByPool = BTreeMap<PoolId, Vec<BackendEntry>>;
 
 impl Directory {
     /// `now` is none at the start of the program.
-    pub(crate) fn set(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
-        let before = self.claims.conflicts();
-        let fixed_owners = self.fixed_owners();
-        let earlier: BTreeMap<PoolId, bool> = self.pools.iter().map(|(id, pool)| (*id, pool.fixed)).collect();
-        let mut told = DirectoryUpdate::default();
-        let mut news = Vec::new();
-        let mut kept = BTreeSet::new();
+    pub(crate) fn configure(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
+        let before = self.address_owners.conflicts();
+        let static_owners = self.static_owners();
+        let was_static: BTreeMap<PoolId, bool> =
+            self.pools.iter().map(|(id, pool)| (*id, pool.is_static)).collect();
+        let mut result = DirectoryUpdate::default();
+        let mut changes_by_pool = Vec::new();
+        let mut configured = BTreeSet::new();
         for spec in specs {
-            let id = self.place(&spec);
-            kept.insert(id);
-            if let Source::Static(boxes) = spec.source {
-                let age = |at: SocketAddr| now.map(|now| self.age(id, at, &earlier).unwrap_or(Some(now)));
-                let ages: Vec<_> = boxes.iter().map(|e| age(e.address)).collect();
-                let (changes, skipped) = self.fixed_changes(id, boxes, ages);
-                told.skipped += skipped;
-                news.push((id, changes));
+            let id = self.ensure_pool(&spec);
+            configured.insert(id);
+            if let Source::Static(endpoints) = spec.source {
+                let started_at = |address: SocketAddr| {
+                    now.map(|now| self.started_at(id, address, &was_static).unwrap_or(Some(now)))
+                };
+                let started_at: Vec<_> = endpoints.iter().map(|e| started_at(e.address)).collect();
+                let (changes, skipped) = self.static_changes(id, endpoints, started_at);
+                result.skipped += skipped;
+                changes_by_pool.push((id, changes));
             }
         }
-        for (id, pool) in self.pools.iter().filter(|(id, _)| !kept.contains(id)) {
-            news.push((*id, pool.listed.keys().map(|key| (key.clone(), None)).collect()));
+        for (id, pool) in self.pools.iter().filter(|(id, _)| !configured.contains(id)) {
+            changes_by_pool.push((*id, pool.listed.keys().map(|key| (key.clone(), None)).collect()));
         }
         // The configuration's word: what a pool gives up here, a static one takes before any list in line.
-        let fixed: BTreeSet<PoolId> = self.pools.iter().filter(|(_, p)| p.fixed).map(|(id, _)| *id).collect();
-        self.apply(news, |id| fixed.contains(&id) && kept.contains(&id));
-        let mut gone = self.carry_over(&fixed_owners, &fixed, &mut told);
-        let mut rest = self.differences(&mut gone);
-        self.pools.retain(|id, _| kept.contains(id));
-        let realms: BTreeSet<u32> = self.pools.values().map(|pool| pool.realm).collect();
-        self.realms.retain(|_, realm| realms.contains(realm));
-        told.notifications.extend(gone.into_iter().map(|(id, rows)| (id, EndpointUpdate::Delta, rows)));
+        let static_pools: BTreeSet<PoolId> =
+            self.pools.iter().filter(|(_, p)| p.is_static).map(|(id, _)| *id).collect();
+        self.apply(changes_by_pool, |id| static_pools.contains(&id) && configured.contains(&id));
+        let mut removed = self.move_between_static_pools(&static_owners, &static_pools, &mut result);
+        let mut others = self.differences(&mut removed);
+        self.pools.retain(|id, _| configured.contains(id));
+        let domains: BTreeSet<u32> = self.pools.values().map(|pool| pool.domain).collect();
+        self.domains.retain(|_, domain| domains.contains(domain));
+        result
+            .notifications
+            .extend(removed.into_iter().map(|(id, entries)| (id, EndpointUpdate::Delta, entries)));
         // A new static pool has its whole list; of a new listed one nothing is known yet.
-        kept.iter().filter(|id| fixed.contains(id) && !earlier.contains_key(id)).for_each(|id| {
-            rest.entry(*id).or_default();
-        });
-        told.notifications.extend(rest.into_iter().map(|(id, rows)| {
+        configured.iter().filter(|id| static_pools.contains(id) && !was_static.contains_key(id)).for_each(
+            |id| {
+                others.entry(*id).or_default();
+            },
+        );
+        result.notifications.extend(others.into_iter().map(|(id, entries)| {
             (
                 id,
-                if earlier.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
-                rows,
+                if was_static.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
+                entries,
             )
         }));
-        told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
-        told
+        result.conflicts = self.address_owners.conflicts().difference(&before).copied().collect();
+        result
     }
 
     /// The pool of that name, made if there is none, as the configuration has it; its list is left as it is.
-    fn place(&mut self, spec: &PoolSpec) -> PoolId {
+    fn ensure_pool(&mut self, spec: &PoolSpec) -> PoolId {
         let group = spec.repeat_group.clone();
         let group = (group.is_some(), group.unwrap_or_else(|| spec.name.clone()));
-        let realm = *self.realms.entry(group).or_insert_with(|| {
-            self.realms_met += 1;
-            self.realms_met - 1
+        let domain = *self.domains.entry(group).or_insert_with(|| {
+            self.next_domain += 1;
+            self.next_domain - 1
         });
-        let fixed = matches!(spec.source, Source::Static(_));
+        let is_static = matches!(spec.source, Source::Static(_));
         let id = self.pool_named(&spec.name).unwrap_or_else(|| {
-            self.pools_met += 1;
-            PoolId(self.pools_met - 1)
+            self.next_pool_id += 1;
+            PoolId(self.next_pool_id - 1)
         });
         let pool = self.pools.entry(id).or_insert_with(|| Pool {
             name: spec.name.clone(),
-            realm,
-            fixed,
+            domain,
+            is_static,
             listed: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            backend_ids: BTreeMap::new(),
         });
-        (pool.realm, pool.fixed) = (realm, fixed);
+        (pool.domain, pool.is_static) = (domain, is_static);
         id
     }
 
     /// What a static pool's backends are now, each with when it last started where that is not as it says.
-    fn fixed_changes(
-        &mut self, id: PoolId, boxes: Vec<Endpoint>, ages: Vec<Option<Option<Time>>>,
-    ) -> (Changes, usize) {
+    fn static_changes(
+        &mut self, id: PoolId, endpoints: Vec<Endpoint>, started_at: Vec<Option<Option<Time>>>,
+    ) -> (ListChanges, usize) {
         let names = &mut self.names;
-        let present = boxes.into_iter().zip(ages).filter(|(e, _)| e.state != BackendState::Gone);
-        let entries = present.map(|(e, age)| {
-            let booted = age.unwrap_or(e.started_at);
-            (key(e.address), Some(ListedBackend::new(Endpoint { started_at: booted, ..e }, names)))
+        let present = endpoints.into_iter().zip(started_at).filter(|(e, _)| e.state != BackendState::Gone);
+        let entries = present.map(|(e, started_at)| {
+            let started_at = started_at.unwrap_or(e.started_at);
+            (key(e.address), Some(ListedBackend::new(Endpoint { started_at, ..e }, names)))
         });
         self.pools.get(&id).map_or_else(Default::default, |pool| pool.changes(true, entries))
     }
 
     /// When a backend that stands at that address since before the reload last started, as this pool has it or
     /// else one that was static; `None` where it is new.
-    fn age(&self, id: PoolId, at: SocketAddr, earlier: &BTreeMap<PoolId, bool>) -> Option<Option<Time>> {
-        let booted = |pool: &PoolId| {
-            let key = self.claims.entries(at, *pool).next()?;
-            Some(self.pools.get(pool)?.listed.get(key)?.booted)
+    fn started_at(
+        &self, id: PoolId, address: SocketAddr, was_static: &BTreeMap<PoolId, bool>,
+    ) -> Option<Option<Time>> {
+        let started_at = |pool: &PoolId| {
+            let key = self.address_owners.entries(address, *pool).next()?;
+            Some(self.pools.get(pool)?.listed.get(key)?.started_at)
         };
-        let fixed = |pool: &&PoolId| earlier.get(pool) == Some(&true);
-        booted(&id).or_else(|| self.claims.line(at).iter().filter(fixed).find_map(booted))
+        let is_static = |pool: &&PoolId| was_static.get(pool) == Some(&true);
+        started_at(&id)
+            .or_else(|| self.address_owners.claimants(address).iter().filter(is_static).find_map(started_at))
     }
 
     /// The addresses that belong to static pools.
-    fn fixed_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
-        let fixed = self.pools.iter().filter(|(_, pool)| pool.fixed);
-        let each = fixed.flat_map(|(id, pool)| pool.listed.values().map(|listed| (listed.address, *id)));
-        each.filter(|(address, id)| self.claims.owner(*address) == Some(*id)).collect()
+    fn static_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
+        let static_pools = self.pools.iter().filter(|(_, pool)| pool.is_static);
+        let each =
+            static_pools.flat_map(|(id, pool)| pool.listed.values().map(|listed| (listed.address, *id)));
+        each.filter(|(address, id)| self.address_owners.owner(*address) == Some(*id)).collect()
     }
 
     /// Backends that went from one static pool to another: the same process, so the same number. Returns what
-    /// the pools that they left are told.
-    fn carry_over(
-        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, fixed: &BTreeSet<PoolId>,
-        told: &mut DirectoryUpdate,
-    ) -> Rows {
-        let mut gone = Rows::new();
+    /// the pools that they left are notified of.
+    fn move_between_static_pools(
+        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, static_pools: &BTreeSet<PoolId>,
+        result: &mut DirectoryUpdate,
+    ) -> EntriesByPool {
+        let mut removed = EntriesByPool::new();
         for (address, from) in owners {
-            let to = self.claims.owner(*address).filter(|to| to != from && fixed.contains(to));
-            let Some((moved, row)) = to.and_then(|to| self.shift(&key(*address), *from, to)) else {
+            let to = self.address_owners.owner(*address).filter(|to| to != from && static_pools.contains(to));
+            let Some((moved, entry)) = to.and_then(|to| self.move_backend(&key(*address), *from, to)) else {
                 continue;
             };
-            told.moved.push(moved);
-            gone.entry(*from).or_default().push(row);
+            result.moved.push(moved);
+            removed.entry(*from).or_default().push(entry);
         }
-        gone
+        removed
     }
 
-    /// All rows that are not as they were last told; those of backends that are gone are added to `gone`.
-    fn differences(&mut self, gone: &mut Rows) -> Rows {
-        let mut rest = Rows::new();
+    /// All rows that are not as they were last notified; those of backends that are gone are added to `removed`.
+    fn differences(&mut self, removed: &mut EntriesByPool) -> EntriesByPool {
+        let mut others = EntriesByPool::new();
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for id in pools {
             let pool = &self.pools[&id];
-            let keys: BTreeSet<Key> = pool.listed.keys().chain(pool.numbers.keys()).cloned().collect();
+            let keys: BTreeSet<EntryKey> =
+                pool.listed.keys().chain(pool.backend_ids.keys()).cloned().collect();
             for key in keys {
-                let before = self.last_told(id, &key).cloned();
-                let Some(row) = self.tell(id, &key).filter(|row| before.as_ref() != Some(row)) else {
+                let before = self.last_notified(id, &key).cloned();
+                let Some(entry) = self.refresh(id, &key).filter(|entry| before.as_ref() != Some(entry))
+                else {
                     continue;
                 };
-                let to = if row.state == BackendState::Gone { &mut *gone } else { &mut rest };
-                to.entry(id).or_default().push(row);
+                let to = if entry.state == BackendState::Gone { &mut *removed } else { &mut others };
+                to.entry(id).or_default().push(entry);
             }
         }
-        rest
+        others
     }
 }
 
 /// What a static pool's backend is known by.
-fn key(address: SocketAddr) -> Key {
+fn key(address: SocketAddr) -> EntryKey {
     address.to_string().into()
 }
--- a/crates/membership/src/start_times.rs
+++ b/crates/membership/src/start_times.rs
@@ -21,7 +21,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A backend in the list of a pool.
-type Name = (PoolId, String);
+type BackendName = (PoolId, String);
 
 /// A start as it was listed, and as this process has it.
 #[derive(Clone, Copy, Debug)]
@@ -32,14 +32,14 @@
 
 /// By how much the local clock is ahead of the lists' clock at most, by the two backends that say least.
 #[derive(Clone, Debug, Default)]
-struct Lead {
-    least: Option<(Name, i64)>,
+struct ClockLead {
+    least: Option<(BackendName, i64)>,
     /// Of another backend.
-    second: Option<(Name, i64)>,
+    second: Option<(BackendName, i64)>,
 }
 
-impl Lead {
-    fn observe(&mut self, name: &Name, lead: i64) {
+impl ClockLead {
+    fn observe(&mut self, name: &BackendName, lead: i64) {
         match &mut self.least {
             Some((least, bound)) if least == name => *bound = lead.min(*bound),
             Some((_, bound)) if lead >= *bound => match &mut self.second {
@@ -54,16 +54,16 @@
 /// The starts of all listed backends.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
-    starts: BTreeMap<Name, Start>,
-    lead: Lead,
+    starts: BTreeMap<BackendName, Start>,
+    lead: ClockLead,
     /// The longest ramp of all pools.
-    ramp: Micros,
+    slow_start_window: Micros,
 }
 
 impl StartTimes {
     /// The longest time that a backend of any pool takes to be warm.
-    pub fn set_slow_start_window(&mut self, ramp: Micros) {
-        self.ramp = ramp;
+    pub fn set_slow_start_window(&mut self, slow_start_window: Micros) {
+        self.slow_start_window = slow_start_window;
     }
 
     /// Puts the local clock's times in the place of the listed ones. Cost: a look-up for each entry.
@@ -72,7 +72,7 @@
     ) {
         for entry in entries.iter() {
             if let (Some(listed), true) = (entry.started_at, entry.state != BackendState::Gone) {
-                self.lead.observe(&(pool, entry.name.clone()), lead(now, listed));
+                self.lead.observe(&(pool, entry.name.clone()), clock_lead(now, listed));
             }
         }
         for entry in entries.iter_mut() {
@@ -80,15 +80,15 @@
                 entry.started_at = self.local(now, (pool, entry.name.clone()), listed);
             }
         }
-        self.forget(pool, update, entries);
+        self.retain_listed(pool, update, entries);
     }
 
-    fn local(&mut self, now: Time, name: Name, listed: Time) -> Option<Time> {
+    fn local(&mut self, now: Time, name: BackendName, listed: Time) -> Option<Time> {
         if let Some(start) = self.starts.get(&name).filter(|start| start.listed == listed) {
             return start.local;
         }
-        let ahead = lead(now, listed);
-        let is_surely_warm = ahead > (self.ramp.0.saturating_add(MAX_WALL_CLOCK_ERROR.0)) as i64;
+        let ahead = clock_lead(now, listed);
+        let is_surely_warm = ahead > (self.slow_start_window.0.saturating_add(MAX_WALL_CLOCK_ERROR.0)) as i64;
         let least_age = self.lead.second.as_ref().map_or(0, |(_, bound)| ahead.saturating_sub(*bound));
         let local = (!is_surely_warm).then(|| now - Micros(least_age.max(0) as u64));
         self.starts.insert(name, Start { listed, local });
@@ -96,7 +96,7 @@
     }
 
     /// Keeps what is listed only.
-    fn forget(&mut self, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
+    fn retain_listed(&mut self, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
         let is_gone = |entry: &&Endpoint| entry.state == BackendState::Gone;
         match update {
             EndpointUpdate::Snapshot | EndpointUpdate::Cached => {
@@ -113,6 +113,6 @@
 }
 
 /// The local time less a listed one, µs.
-fn lead(now: Time, listed: Time) -> i64 {
+fn clock_lead(now: Time, listed: Time) -> i64 {
     (now.0 as i64).saturating_sub(listed.0 as i64)
 }
