--- a/crates/membership/benches/news.rs
+++ b/crates/membership/benches/list_updates.rs
@@ -8,7 +8,7 @@
 
 fn endpoint(n: usize, generation: usize) -> Endpoint {
     Endpoint {
-        name: format!("box-{n}-{generation}"),
+        name: format!("backend-{n}-{generation}"),
         address: SocketAddr::from((Ipv4Addr::from(n as u32 + 0x0a00_0000), 80)),
         zone: format!("z{}", n % 8),
         server_type: format!("k{}", n % 4),
@@ -21,11 +21,11 @@
 }
 
 fn main() {
-    for boxes in [100, 10_000, 100_000] {
+    for backends in [100, 10_000, 100_000] {
         let pools = vec![PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered }];
         let (mut directory, _) = Directory::new(&[], &[], pools);
-        let list = |generation| (0..boxes).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
-        let (first, second, one) = (list(0), list(1), vec![endpoint(boxes / 2, 1)]);
+        let list = |generation| (0..backends).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
+        let (first, second, one) = (list(0), list(1), vec![endpoint(backends / 2, 1)]);
         let began = Instant::now();
         let held = allocation_counter::measure(|| {
             drop(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, first))
@@ -38,7 +38,9 @@
         drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, second)));
         directory.retain(|_| false);
         let renewed = began.elapsed();
-        let each = held.bytes_current / boxes as i64;
-        println!("{boxes:6} boxes: whole {whole:?}, one {single:?}, all renewed {renewed:?}, ~{each} B each");
+        let each = held.bytes_current / backends as i64;
+        println!(
+            "{backends:6} backends: whole {whole:?}, one {single:?}, all renewed {renewed:?}, ~{each} B each"
+        );
     }
 }
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -148,15 +148,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::collections::BTreeSet;
-
-    #[test]
-    fn bays_of_one_realm_stay_apart_and_so_do_realms() {
-        let cells: BTreeSet<DeduplicationGroupId> =
-            (0..50).flat_map(|domain| (0..200).map(move |bay| cell(bay, domain))).collect();
-        assert_eq!(cells.len(), 50 * 200);
-        assert_eq!(cell(7, 0), DeduplicationGroupId(7));
-    }
-}
+mod tests;
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -34,8 +34,8 @@
 
 /// A static pool of backends at these addresses.
 pub fn fixed(name: &str, addresses: &[u8]) -> PoolSpec {
-    let boxes = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-    PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(boxes) }
+    let backends = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
+    PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(backends) }
 }
 
 /// What each pool's balancer makes of what it was told.
@@ -47,69 +47,69 @@
 
 impl Mirror {
     pub fn new(pools: Vec<PoolSpec>) -> Mirror {
-        let (directory, told) = Directory::new(&[], &[], pools);
+        let (directory, update) = Directory::new(&[], &[], pools);
         let mut mirror = Mirror { directory, pools: BTreeMap::new(), last: DirectoryUpdate::default() };
-        mirror.hear(told);
+        mirror.apply(update);
         mirror
     }
 
-    pub fn news(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) {
-        let told = self.directory.apply_update(pool, update, entries);
-        self.hear(told);
+    pub fn update(&mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>) {
+        let update = self.directory.apply_update(pool, update, entries);
+        self.apply(update);
     }
 
     pub fn changes(&mut self, pool: PoolId, entries: Vec<Endpoint>) {
-        self.news(pool, EndpointUpdate::Delta, entries);
+        self.update(pool, EndpointUpdate::Delta, entries);
     }
 
     pub fn reload(&mut self, now: u64, pools: Vec<PoolSpec>) {
-        let told = self.directory.reload(Time(now), pools);
-        self.hear(told);
+        let update = self.directory.reload(Time(now), pools);
+        self.apply(update);
     }
 
-    fn hear(&mut self, told: DirectoryUpdate) {
-        for (pool, update, rows) in &told.notifications {
+    fn apply(&mut self, update: DirectoryUpdate) {
+        for (pool, kind, rows) in &update.notifications {
             let known = self.pools.entry(*pool).or_default();
-            if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
+            if matches!(kind, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
                 known.clear();
             }
             for row in rows {
                 if row.state == GONE {
                     known.remove(&row.id);
                 } else {
-                    let address = self.directory.address(row.id).expect("a box told of has an address");
+                    let address = self.directory.address(row.id).expect("a backend told of has an address");
                     known.insert(row.id, (row.clone(), address));
                 }
             }
             self.no_address_is_in_two_pools();
         }
-        for moved in &told.moved {
+        for moved in &update.moved {
             assert_eq!(self.directory.pool(moved.id), Some(moved.to));
             assert!(!self.pools[&moved.from].contains_key(&moved.id), "its old pool hears that it is gone");
             assert!(self.pools[&moved.to].contains_key(&moved.id), "its new pool hears of it");
         }
-        self.last = told;
-        self.look_ups_say_what_was_told();
+        self.last = update;
+        self.look_ups_match_the_notifications();
     }
 
     fn no_address_is_in_two_pools(&self) {
         let mut owners: BTreeMap<SocketAddr, PoolId> = BTreeMap::new();
-        for (pool, boxes) in &self.pools {
-            for (row, address) in boxes.values() {
+        for (pool, backends) in &self.pools {
+            for (row, address) in backends.values() {
                 let owner = *owners.entry(*address).or_insert(*pool);
                 assert_eq!(owner, *pool, "{address} of {row:?} is in two pools");
             }
         }
     }
 
-    fn look_ups_say_what_was_told(&self) {
+    fn look_ups_match_the_notifications(&self) {
         let mut ids = BTreeSet::new();
-        for (pool, boxes) in &self.pools {
+        for (pool, backends) in &self.pools {
             let mut rows: Vec<BackendEntry> = self.directory.backends(*pool).cloned().collect();
             rows.sort_by_key(|row| row.id);
-            assert_eq!(rows, boxes.values().map(|(row, _)| row.clone()).collect::<Vec<_>>());
-            for (id, (row, address)) in boxes {
-                assert!(ids.insert(*id), "one number, one box");
+            assert_eq!(rows, backends.values().map(|(row, _)| row.clone()).collect::<Vec<_>>());
+            for (id, (row, address)) in backends {
+                assert!(ids.insert(*id), "one number, one backend");
                 assert_eq!(row.id, *id);
                 assert_eq!(self.directory.address(*id), Some(*address));
                 assert_eq!(self.directory.state(*id), row.state);
@@ -120,7 +120,7 @@
     }
 
     /// The pool's backends: number, last part of the address, state.
-    pub fn boxes(&self, pool: PoolId) -> Vec<(u32, u8, BackendState)> {
+    pub fn backends(&self, pool: PoolId) -> Vec<(u32, u8, BackendState)> {
         let last = |address: &SocketAddr| match address {
             SocketAddr::V4(v4) => v4.ip().octets()[3],
             SocketAddr::V6(_) => panic!("tests use v4"),
--- a/crates/membership/tests/large_list.rs
+++ b/crates/membership/tests/large_list.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_list_of_1024_backends_is_taken_whole_changed_and_replaced() {
+fn list_of_1024_backends_is_applied_changed_and_replaced() {
     let started = Instant::now();
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
     for update in [EndpointUpdate::Cached, EndpointUpdate::Snapshot] {
@@ -70,7 +70,7 @@
 
 /// Some 2 KiB each at most, of the 32 MB that a process has.
 #[test]
-fn a_directory_of_1024_backends_holds_less_than_2_mib() {
+fn directory_of_1024_backends_uses_less_than_2_mib() {
     let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
     let entries = listed_entries(0..BACKENDS, "SERVING");
     let held =
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -13,47 +13,47 @@
 }
 
 #[test]
-fn a_name_keeps_its_number_through_states_addresses_and_whole_lists() {
+fn name_keeps_its_id_through_states_addresses_and_snapshots() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY), entry("y", 2, READY)]);
-    assert_eq!(m.boxes(A), [(0, 1, READY), (1, 2, READY)]);
+    assert_eq!(m.backends(A), [(0, 1, READY), (1, 2, READY)]);
     m.changes(A, vec![entry("x", 1, DRAINING)]);
-    m.news(A, EndpointUpdate::Snapshot, vec![entry("y", 3, READY), entry("x", 1, READY)]);
-    assert_eq!(m.boxes(A), [(0, 1, READY), (1, 3, READY)]);
-    m.news(A, EndpointUpdate::Cached, vec![entry("x", 1, READY)]);
-    assert_eq!(m.boxes(A), [(0, 1, READY)]);
+    m.update(A, EndpointUpdate::Snapshot, vec![entry("y", 3, READY), entry("x", 1, READY)]);
+    assert_eq!(m.backends(A), [(0, 1, READY), (1, 3, READY)]);
+    m.update(A, EndpointUpdate::Cached, vec![entry("x", 1, READY)]);
+    assert_eq!(m.backends(A), [(0, 1, READY)]);
     assert_eq!((m.directory.state(BackendId(1)), m.directory.name(BackendId(1))), (GONE, Some("y")));
 }
 
 #[test]
-fn one_that_returns_has_a_new_number_unless_the_old_one_is_held() {
+fn returning_backend_gets_a_new_id_unless_the_old_one_is_in_use() {
     let mut m = two();
     for (held, number) in [(true, 0), (false, 1)] {
         m.changes(A, vec![entry("x", 1, READY)]);
         m.changes(A, vec![entry("x", 1, GONE)]);
-        assert_eq!(m.boxes(A), []);
+        assert_eq!(m.backends(A), []);
         m.directory.retain(|_| held);
         m.changes(A, vec![entry("x", 1, READY)]);
-        assert_eq!(m.boxes(A), [(number, 1, READY)]);
+        assert_eq!(m.backends(A), [(number, 1, READY)]);
     }
     assert!(!m.directory.forget(BackendId(1)), "it is not gone");
     assert_eq!((m.directory.address(BackendId(0)), m.directory.state(BackendId(0))), (None, GONE));
 }
 
 #[test]
-fn a_name_that_goes_and_comes_in_one_update_counts_as_it_stands_last() {
+fn name_listed_twice_in_one_update_counts_as_its_last_entry() {
     let mut m = two();
     let reborn = Endpoint { started_at: Some(Time(9)), ..entry("x", 1, READY) };
     m.changes(A, vec![entry("x", 1, READY)]);
     m.changes(A, vec![entry("x", 1, GONE), reborn]);
-    assert_eq!(m.boxes(A), [(0, 1, READY)]);
+    assert_eq!(m.backends(A), [(0, 1, READY)]);
     assert_eq!(m.row(A, 0).started_at, Some(Time(9)));
     m.changes(A, vec![entry("x", 2, READY), entry("x", 1, GONE)]);
-    assert_eq!(m.boxes(A), []);
+    assert_eq!(m.backends(A), []);
 }
 
 #[test]
-fn a_successor_at_the_same_address_works_in_whatever_order_it_is_told() {
+fn successor_at_the_same_address_is_a_backend_of_its_own_in_any_order() {
     let (old, new) = (|state| entry("old", 1, state), || entry("new", 1, READY));
     let orders: [&[&[Endpoint]]; 3] =
         [&[&[old(GONE), new()]], &[&[new(), old(GONE)]], &[&[new()], &[old(GONE)]]];
@@ -62,39 +62,39 @@
         m.changes(A, vec![old(READY)]);
         m.changes(B, vec![entry("other", 1, READY)]);
         order.iter().for_each(|entries| m.changes(A, entries.to_vec()));
-        assert_eq!(m.boxes(A), [(1, 1, READY)], "the successor is a box of its own");
-        assert_eq!(m.boxes(B), [], "the pool kept its place in line");
+        assert_eq!(m.backends(A), [(1, 1, READY)], "the successor is a backend of its own");
+        assert_eq!(m.backends(B), [], "the pool kept its place in line");
     }
 }
 
 #[test]
-fn an_address_that_is_free_for_a_moment_goes_to_the_pool_that_waits() {
+fn released_address_goes_to_the_waiting_pool() {
     let mut m = two();
     m.changes(A, vec![entry("old", 1, READY)]);
     m.changes(B, vec![entry("other", 1, READY)]);
     m.changes(A, vec![entry("old", 1, GONE)]);
     m.changes(A, vec![entry("new", 1, READY)]);
-    assert_eq!((m.boxes(A), m.boxes(B)), (vec![], vec![(1, 1, READY)]));
+    assert_eq!((m.backends(A), m.backends(B)), (vec![], vec![(1, 1, READY)]));
 }
 
 #[test]
-fn two_names_at_one_address_of_a_pool_both_work() {
+fn two_names_at_one_address_of_a_pool_are_two_backends() {
     let mut m = two();
     m.changes(A, vec![entry("old", 1, DRAINING), entry("new", 1, READY)]);
     let ids = [m.directory.name(BackendId(0)), m.directory.name(BackendId(1))];
     assert_eq!(ids, [Some("new"), Some("old")]);
-    assert_eq!(m.boxes(A), [(0, 1, READY), (1, 1, DRAINING)]);
+    assert_eq!(m.backends(A), [(0, 1, READY), (1, 1, DRAINING)]);
     assert!(m.directory.conflicts().is_empty());
 }
 
 #[test]
-fn an_address_stays_with_the_pool_that_had_it_first_until_its_list_drops_it() {
+fn address_stays_with_its_first_pool_until_its_list_drops_it() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY)]);
     m.changes(B, vec![entry("x", 1, READY), entry("y", 2, READY)]);
     let conflict = Conflict { address: at(1), owner: A, waiting: B };
     assert_eq!(m.last.conflicts, [conflict]);
-    assert_eq!((m.boxes(A), m.boxes(B)), (vec![(0, 1, READY)], vec![(1, 2, READY)]));
+    assert_eq!((m.backends(A), m.backends(B)), (vec![(0, 1, READY)], vec![(1, 2, READY)]));
     m.changes(A, vec![entry("x", 1, DRAINING)]);
     m.changes(B, vec![entry("x", 1, READY)]);
     assert_eq!(m.last.conflicts, [], "it is reported once");
@@ -109,46 +109,46 @@
         [A, B],
         "the loser hears first"
     );
-    assert_eq!((m.boxes(A), m.boxes(B)), (vec![], vec![(1, 2, READY), (2, 1, READY)]));
+    assert_eq!((m.backends(A), m.backends(B)), (vec![], vec![(1, 2, READY), (2, 1, READY)]));
     assert!(m.directory.conflicts().is_empty());
     m.changes(A, vec![entry("x", 1, READY)]);
     assert_eq!(m.last.conflicts, [Conflict { address: at(1), owner: B, waiting: A }]);
-    assert_eq!(m.boxes(A), []);
+    assert_eq!(m.backends(A), []);
 }
 
 #[test]
-fn an_address_passes_on_also_by_a_whole_list_or_a_move_of_its_owner() {
+fn address_is_released_by_a_snapshot_or_an_address_change() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY), entry("y", 2, READY)]);
     m.changes(B, vec![entry("p", 1, READY), entry("q", 2, DRAINING)]);
-    m.news(A, EndpointUpdate::Snapshot, vec![entry("x", 1, READY)]);
-    assert_eq!((m.boxes(A), m.boxes(B)), (vec![(0, 1, READY)], vec![(2, 2, DRAINING)]));
+    m.update(A, EndpointUpdate::Snapshot, vec![entry("x", 1, READY)]);
+    assert_eq!((m.backends(A), m.backends(B)), (vec![(0, 1, READY)], vec![(2, 2, DRAINING)]));
     m.changes(A, vec![entry("x", 3, READY)]);
-    assert_eq!((m.boxes(A), m.boxes(B)), (vec![(0, 3, READY)], vec![(2, 2, DRAINING), (3, 1, READY)]));
+    assert_eq!((m.backends(A), m.backends(B)), (vec![(0, 3, READY)], vec![(2, 2, DRAINING), (3, 1, READY)]));
     m.changes(B, vec![entry("p", 3, READY)]);
-    assert_eq!(m.boxes(B), [(2, 2, DRAINING)], "it moved to an address that is not its pool's");
+    assert_eq!(m.backends(B), [(2, 2, DRAINING)], "it moved to an address that is not its pool's");
 }
 
 #[test]
-fn a_lost_list_changes_nothing_and_is_told_on() {
+fn lost_subscription_changes_nothing_and_is_notified() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, READY)]);
-    m.news(A, EndpointUpdate::SubscriptionLost, vec![entry("y", 2, READY)]);
+    m.update(A, EndpointUpdate::SubscriptionLost, vec![entry("y", 2, READY)]);
     assert_eq!(m.last.notifications, [(A, EndpointUpdate::SubscriptionLost, vec![])]);
-    assert_eq!(m.boxes(A), [(0, 1, READY)]);
+    assert_eq!(m.backends(A), [(0, 1, READY)]);
     m.changes(PoolId(9), vec![entry("y", 2, READY)]);
     assert_eq!(m.last, DirectoryUpdate::default(), "news for no pool is no news");
 }
 
 #[test]
-fn an_entry_that_was_never_known_does_not_go() {
+fn removal_of_an_unknown_entry_notifies_nothing() {
     let mut m = two();
     m.changes(A, vec![entry("x", 1, GONE)]);
     assert_eq!(m.last.notifications, [(A, EndpointUpdate::Delta, vec![])]);
 }
 
 #[test]
-fn rows_carry_plain_zones_their_realm_and_cells_of_its_own() {
+fn entries_have_zone_domain_and_group_ids_of_that_domain() {
     let shared = |name: &str| PoolSpec { repeat_group: Some("g".into()), ..listed(name) };
     let pools = vec![listed("a"), listed("b"), shared("c"), shared("d")];
     let (mut directory, _) = Directory::new(&["z0".into(), "z".into()], &["k".into()], pools);
@@ -164,7 +164,7 @@
     assert_eq!(
         rows[0].deduplication_group,
         DeduplicationGroupId(7),
-        "the first realm's cells are as the list has them"
+        "the first domain's cells are as the list has them"
     );
     assert_eq!(
         (rows[2].deduplication_group, rows[2].deduplication_domain),
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_pool_holds_no_more_entries_than_its_bound() {
+fn entries_beyond_the_pool_bound_are_skipped() {
     let mut m = two();
     let many =
         |from: usize, to: usize| (from..to).map(|n| entry(&n.to_string(), 1, READY)).collect::<Vec<_>>();
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    News(u32, EndpointUpdate, Vec<Endpoint>),
+    Update(u32, EndpointUpdate, Vec<Endpoint>),
     Reload(Vec<u8>, Vec<u8>),
     Forget(u32),
 }
@@ -20,8 +20,8 @@
     let state = prop_oneof![3 => Just(READY), 1 => Just(DRAINING), 2 => Just(GONE)];
     let one = (0..4u8, 1..5u8, state, 0..3u64);
     vec(one, 0..5).prop_map(|all| {
-        let one = |(name, address, state, booted): (u8, u8, BackendState, u64)| Endpoint {
-            started_at: (booted > 0).then_some(Time(booted)),
+        let one = |(name, address, state, started_at): (u8, u8, BackendState, u64)| Endpoint {
+            started_at: (started_at > 0).then_some(Time(started_at)),
             ..entry(&format!("n{name}"), address, state)
         };
         all.into_iter().map(one).collect()
@@ -35,7 +35,7 @@
     ];
     let addresses = || proptest::collection::btree_set(1..5u8, 0..4).prop_map(|s| s.into_iter().collect());
     prop_oneof![
-        8 => (0..2u32, update, entries()).prop_map(|(pool, update, entries)| Step::News(pool, update, entries)),
+        8 => (0..2u32, update, entries()).prop_map(|(pool, update, entries)| Step::Update(pool, update, entries)),
         2 => (addresses(), addresses()).prop_map(|(p, q)| Step::Reload(p, q)),
         1 => any::<u32>().prop_map(Step::Forget),
     ]
@@ -74,8 +74,8 @@
     for address in (1..5).map(at) {
         let wanted = at_address(lists, address);
         let mut got: BTreeMap<PoolId, Vec<(String, BackendState, Option<Time>)>> = BTreeMap::new();
-        for (pool, boxes) in &m.pools {
-            for (row, _) in boxes.values().filter(|(_, at)| *at == address) {
+        for (pool, backends) in &m.pools {
+            for (row, _) in backends.values().filter(|(_, at)| *at == address) {
                 let name = m.directory.name(row.id).expect("known").to_string();
                 got.entry(*pool).or_default().push((name, row.state, row.started_at));
             }
@@ -100,7 +100,7 @@
 
 /// The numbers by pool and name.
 fn numbers(m: &Mirror) -> BTreeMap<(PoolId, String), BackendId> {
-    let each = m.pools.iter().flat_map(|(pool, boxes)| boxes.keys().map(move |id| (*pool, *id)));
+    let each = m.pools.iter().flat_map(|(pool, backends)| backends.keys().map(move |id| (*pool, *id)));
     each.map(|(pool, id)| ((pool, m.directory.name(id).expect("known").to_string()), id)).collect()
 }
 
@@ -108,7 +108,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn no_box_is_lost_and_none_is_in_two_pools(steps in vec(step(), 1..40)) {
+    fn every_listed_backend_is_in_exactly_one_pool(steps in vec(step(), 1..40)) {
         let pools = |p: &[u8], q: &[u8]| vec![listed("a"), listed("b"), fixed("p", p), fixed("q", q)];
         let mut m = Mirror::new(pools(&[], &[]));
         let (mut lists, mut owners) = (Lists::new(), Owners::new());
@@ -116,16 +116,16 @@
         for (clock, step) in steps.into_iter().enumerate() {
             let (before, held) = (numbers(&m), owners.clone());
             match step {
-                Step::News(pool, update, entries) => {
+                Step::Update(pool, update, entries) => {
                     take(&mut lists, PoolId(pool), update, &entries);
-                    m.news(PoolId(pool), update, entries);
+                    m.update(PoolId(pool), update, entries);
                     prop_assert!(m.last.moved.is_empty());
                 }
                 Step::Reload(p, q) => {
                     for (pool, addresses) in [(2, &p), (3, &q)] {
-                        let boxes: Vec<Endpoint> =
+                        let backends: Vec<Endpoint> =
                             addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-                        take(&mut lists, PoolId(pool), EndpointUpdate::Snapshot, &boxes);
+                        take(&mut lists, PoolId(pool), EndpointUpdate::Snapshot, &backends);
                     }
                     m.reload(100 + clock as u64, pools(&p, &q));
                 }
--- a/crates/membership/tests/starts.rs
+++ b/crates/membership/tests/start_times.rs
@@ -9,7 +9,7 @@
 /// The true time as the process starts.
 const BEGUN: u64 = 1_000_000 * SECOND;
 
-fn entry(name: &str, booted: u64) -> Endpoint {
+fn entry(name: &str, started_at: u64) -> Endpoint {
     Endpoint {
         name: name.into(),
         address: "127.0.0.1:1".parse().unwrap(),
@@ -19,7 +19,7 @@
         cores: 1,
         weight: 0,
         state: BackendState::Ready,
-        started_at: (booted > 0).then_some(Time(booted)),
+        started_at: (started_at > 0).then_some(Time(started_at)),
     }
 }
 
@@ -28,7 +28,8 @@
     starts: &mut StartTimes, now: u64, ahead: i64, update: EndpointUpdate, listed: &[(&str, u64)],
 ) -> Vec<Option<f64>> {
     let now = Time((now as i64 + ahead) as u64);
-    let mut entries: Vec<Endpoint> = listed.iter().map(|(name, booted)| entry(name, *booted)).collect();
+    let mut entries: Vec<Endpoint> =
+        listed.iter().map(|(name, started_at)| entry(name, *started_at)).collect();
     starts.to_local_clock(now, POOL, update, &mut entries);
     entries.iter().map(|e| e.started_at.map(|at| (now - at).secs())).collect()
 }
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn backend_that_starts_while_the_process_runs_is_new_whatever_the_clock_says() {
+fn backend_started_while_running_has_age_zero_for_any_clock_error() {
     for ahead in CLOCKS {
         let mut starts = starts();
         let known = [("a", 0), ("b", 0)];
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn backends_of_the_first_list_are_as_old_as_the_last_start_says_at_least() {
+fn backends_of_the_first_list_have_the_least_age_the_latest_starts_prove() {
     for ahead in CLOCKS {
         let mut starts = starts();
         let listed =
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn one_stamp_in_the_future_makes_no_other_backend_look_warm() {
+fn single_start_time_in_the_future_does_not_age_other_backends() {
     let mut starts = starts();
     let listed = [("wrong", BEGUN + HOUR), ("a", BEGUN - 30 * SECOND)];
     assert_eq!(ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed), [Some(0.0), Some(0.0)]);
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn backend_heard_of_late_is_as_old_as_those_heard_of_in_time_show() {
+fn backend_listed_late_gets_the_age_proved_by_others() {
     let mut starts = starts();
     let first = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
     ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &first);
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn backend_that_started_hours_ago_is_warm_at_the_start() {
+fn backend_started_hours_ago_has_no_start_time() {
     for ahead in CLOCKS {
         let mut starts = starts();
         let listed = [("a", BEGUN - 4 * HOUR), ("b", BEGUN - 5 * HOUR)];
@@ -110,7 +111,7 @@
 }
 
 #[test]
-fn backend_that_went_and_came_back_is_not_taken_for_older_than_it_is() {
+fn returning_backend_is_not_taken_for_older_than_it_is() {
     let mut starts = starts();
     let listed = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
     ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed);
