--- a/crates/membership/src/interner.rs
+++ b/crates/membership/src/interner.rs
@@ -1,6 +1,6 @@
 //! Interner for names that are met in lists.
 
-use crate::list::fnv1a;
+use crate::hash::fnv1a;
 use std::collections::BTreeMap;
 
 /// So many names of zones, and as many of server_types, keep their numbers. Each has [`crate::MAX_NAME`] bytes at
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,6 +8,7 @@
 
 mod address_owners;
 mod directory;
+mod hash;
 mod interner;
 mod list;
 mod pool;
@@ -16,7 +17,8 @@
 
 pub use address_owners::Conflict;
 pub use directory::{BackendMove, Directory, DirectoryUpdate};
+pub use hash::{deduplication_group_hash, stable_hash};
 pub use interner::MAX_NUMBERED;
-pub use list::{deduplication_group_hash, stable_hash, Endpoint, List, Skipped, MAX_ENTRIES, MAX_NAME};
+pub use list::{Endpoint, List, Skipped, MAX_ENTRIES, MAX_NAME};
 pub use pool::{PoolSpec, Source};
 pub use start_times::StartTimes;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,5 +1,6 @@
 //! A list in the platform's JSON form, and the entries of any list.
 
+use crate::hash::deduplication_group_hash;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
@@ -192,21 +193,5 @@
     })
 }
 
-/// A number drawn from a text.
-pub(crate) fn fnv1a(text: &str) -> u64 {
-    let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
-}
-
-/// What the order that all proxies share is drawn from: a number out of a name that is the same at each.
-pub fn stable_hash(name: &str) -> u64 {
-    fnv1a(name) >> 20
-}
-
-/// The number of a bay that has a name.
-pub fn deduplication_group_hash(name: &str) -> u64 {
-    fnv1a(name)
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -1,8 +1,9 @@
 //! One pool: what its list says.
 
 use crate::address_owners::EntryKey;
+use crate::hash::stable_hash;
 use crate::interner::Interner;
-use crate::list::{stable_hash, Endpoint, MAX_ENTRIES};
+use crate::list::{Endpoint, MAX_ENTRIES};
 use shaletide_types::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
