--- a/crates/membership/src/address_owners.rs
+++ b/crates/membership/src/address_owners.rs
@@ -1,40 +1,41 @@
-//! Which pools' lists bring an address, and in which order: the first has it.
+//! Which pools' lists have an address, and in which order: the first owns it.
 
 use shaletide_types::PoolId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What an entry is known by within its pool.
+/// What identifies an entry within its pool.
 pub type EntryKey = Arc<str>;
 
-/// An address that two lists bring at once. It stays with the pool that had it first until that pool's list
-/// has no entry there.
+/// An address that two pools' lists have at once. It stays with the pool that had it first until that pool's list has
+/// no entry there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Conflict {
     /// The address.
     pub address: SocketAddr,
-    /// The pool that has it.
+    /// The pool that owns it.
     pub owner: PoolId,
-    /// The pool that gets it only when the others in front have dropped it.
+    /// The pool that gets it only when those that claimed it earlier have released it.
     pub waiting: PoolId,
 }
 
-/// The pools in line for each address. Several entries of one pool at one address are one claim.
+/// The pools that claim each address. Several entries of one pool at one address are one claim.
 #[derive(Clone, Debug, Default)]
 pub struct AddressOwners {
     claimants: BTreeMap<SocketAddr, Vec<PoolId>>,
     entries: BTreeSet<(SocketAddr, PoolId, EntryKey)>,
+    /// Addresses with more than one claimant.
     contested: BTreeSet<SocketAddr>,
 }
 
 impl AddressOwners {
-    /// The pool that has the address.
+    /// The pool that owns the address.
     pub fn owner(&self, address: SocketAddr) -> Option<PoolId> {
         self.claimants(address).first().copied()
     }
 
-    /// The pools whose lists bring the address, the owner first.
+    /// The pools whose lists have the address, the owner first.
     pub fn claimants(&self, address: SocketAddr) -> &[PoolId] {
         self.claimants.get(&address).map_or(&[], Vec::as_slice)
     }
@@ -46,21 +47,21 @@
         here.map(|(_, _, key)| key)
     }
 
-    /// The pool's list has an entry there. Its pool goes to the end of the line if it does not stand in it.
+    /// The pool's list has an entry there. The pool becomes the last claimant if it is not one already.
     pub fn add(&mut self, address: SocketAddr, pool: PoolId, key: &EntryKey) {
         self.entries.insert((address, pool, key.clone()));
-        let line = self.claimants.entry(address).or_default();
-        if !line.contains(&pool) {
-            line.push(pool);
+        let claimants = self.claimants.entry(address).or_default();
+        if !claimants.contains(&pool) {
+            claimants.push(pool);
         }
-        if line.len() > 1 {
+        if claimants.len() > 1 {
             self.contested.insert(address);
         }
     }
 
-    /// The pool's list has that entry there no longer. After its last one it leaves the line; of those
-    /// behind, the first that has precedence takes its place, before any that came earlier. Returns the new owner
-    /// where it is another.
+    /// The pool's list has that entry there no longer. After its last one the pool is no claimant any more; of those
+    /// behind it, the first that has precedence takes its place, before any that claimed earlier. Returns the new owner
+    /// if there is one.
     pub fn remove(
         &mut self, address: SocketAddr, pool: PoolId, key: &EntryKey, has_precedence: impl Fn(PoolId) -> bool,
     ) -> Option<PoolId> {
@@ -68,29 +69,33 @@
         if self.entries(address, pool).next().is_some() {
             return None;
         }
-        let line = self.claimants.get_mut(&address)?;
-        let at = line.iter().position(|p| *p == pool)?;
-        line.remove(at);
-        if let Some(behind) = line[at..].iter().position(|p| has_precedence(*p)) {
-            line[at..=at + behind].rotate_right(1);
+        let claimants = self.claimants.get_mut(&address)?;
+        let position = claimants.iter().position(|claimant| *claimant == pool)?;
+        claimants.remove(position);
+        let behind = &mut claimants[position..];
+        if let Some(preferred) = behind.iter().position(|claimant| has_precedence(*claimant)) {
+            behind[..=preferred].rotate_right(1);
         }
-        let next = line.first().copied();
-        if line.len() < 2 {
+        let owner = claimants.first().copied();
+        if claimants.len() < 2 {
             self.contested.remove(&address);
         }
-        if line.is_empty() {
+        if claimants.is_empty() {
             self.claimants.remove(&address);
         }
-        next.filter(|_| at == 0)
+        owner.filter(|_| position == 0)
     }
 
-    /// All that stand in line now.
+    /// All claimants that do not own their address now.
     pub fn conflicts(&self) -> BTreeSet<Conflict> {
-        let each = self.contested.iter().filter_map(|address| {
-            let (owner, waiting) = self.claimants(*address).split_first()?;
-            Some(waiting.iter().map(|w| Conflict { address: *address, owner: *owner, waiting: *w }))
-        });
-        each.flatten().collect()
+        let mut conflicts = BTreeSet::new();
+        for address in &self.contested {
+            let Some((owner, others)) = self.claimants(*address).split_first() else { continue };
+            for waiting in others {
+                conflicts.insert(Conflict { address: *address, owner: *owner, waiting: *waiting });
+            }
+        }
+        conflicts
     }
 }
 
--- a/crates/membership/src/interner.rs
+++ b/crates/membership/src/interner.rs
@@ -1,13 +1,13 @@
-//! Interner for names that are met in lists.
+//! Numbers for names that lists use.
 
 use crate::hash::fnv1a;
 use std::collections::BTreeMap;
 
-/// So many names of zones, and as many of server_types, keep their numbers. Each has [`crate::MAX_NAME`] bytes at
-/// most.
+/// So many names of zones, and as many of server types, keep numbers of their own. Each has [`crate::MAX_NAME`] bytes
+/// at most.
 pub const MAX_NUMBERED: usize = 10_000;
 
-/// Names in the order in which they were met; a name keeps its number for the life of the program.
+/// Numbers in the order in which names were first seen; a name keeps its number for the life of the process.
 #[derive(Clone, Debug, Default)]
 pub struct Interner {
     by_name: BTreeMap<String, u32>,
@@ -15,15 +15,15 @@
 
 impl Interner {
     pub fn new(names: &[String]) -> Interner {
-        let mut numbers = Interner::default();
-        names.iter().for_each(|name| {
-            numbers.intern(name);
-        });
-        numbers
+        let mut interner = Interner::default();
+        for name in names {
+            interner.intern(name);
+        }
+        interner
     }
 
-    /// The name's number. Past the bound it is drawn from the name, from the upper half of all numbers: still
-    /// the same each time, and hardly ever that of another name.
+    /// The name's number. Beyond [`MAX_NUMBERED`] it is a hash of the name, in the upper half of all numbers: the same
+    /// each time, and hardly ever that of another name.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.by_name.get(name) {
             return *number;
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,79 +1,102 @@
 //! The pools as the configuration has them, at the start and whenever it is read again.
 
 use crate::address_owners::EntryKey;
-use crate::directory::{Directory, DirectoryUpdate};
+use crate::directory::{ChangesByPool, Directory, DirectoryUpdate};
 use crate::list::Endpoint;
-use crate::pool::{ListChanges, ListedBackend, Pool, PoolSpec, Source};
+use crate::pool::{ListedBackend, Pool, PoolChanges, PoolSpec, Source};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The rows that go to each pool.
+/// The entries that each pool's balancer is notified of.
 type EntriesByPool = BTreeMap<PoolId, Vec<BackendEntry>>;
 
+/// Each pool from before the configuration was read, and whether it was static.
+type EarlierPools = BTreeMap<PoolId, bool>;
+
+/// The pools that a configuration names, before anything of it is applied.
+#[derive(Default)]
+struct ConfiguredPools {
+    ids: BTreeSet<PoolId>,
+    changes: ChangesByPool,
+    skipped: usize,
+}
+
+/// Entries that differ from what was last notified.
+#[derive(Default)]
+struct Differences {
+    gone: EntriesByPool,
+    listed: EntriesByPool,
+}
+
 impl Directory {
-    /// `now` is none at the start of the program.
+    /// Takes over a configuration. `now`: none at the start of the program.
     pub(crate) fn configure(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
-        let before = self.address_owners.conflicts();
+        let conflicts_before = self.address_owners.conflicts();
         let static_owners = self.static_owners();
-        let was_static: BTreeMap<PoolId, bool> =
-            self.pools.iter().map(|(id, pool)| (*id, pool.is_static)).collect();
-        let mut result = DirectoryUpdate::default();
-        let mut changes_by_pool = Vec::new();
-        let mut configured = BTreeSet::new();
+        let earlier: EarlierPools = self.pools.iter().map(|(id, pool)| (*id, pool.is_static)).collect();
+        let mut configured = self.configured_pools(now, specs, &earlier);
+        self.empty_unconfigured(&mut configured);
+        let static_pools = self.static_pools();
+        // The configuration comes first: a static pool takes what another gives up here before any list that waits.
+        let new_static = |id: PoolId| static_pools.contains(&id) && configured.ids.contains(&id);
+        self.apply(std::mem::take(&mut configured.changes), new_static);
+
+        let mut result = DirectoryUpdate { skipped: configured.skipped, ..DirectoryUpdate::default() };
+        let mut differences = Differences::default();
+        self.move_between_static_pools(&static_owners, &static_pools, &mut result, &mut differences);
+        self.find_differences(&mut differences);
+        self.drop_unconfigured(&configured.ids);
+        // A new static pool has its whole list; of a new discovered one nothing is known yet.
+        for id in configured.ids.iter().filter(|id| static_pools.contains(id) && !earlier.contains_key(id)) {
+            differences.listed.entry(*id).or_default();
+        }
+        for (id, entries) in differences.gone {
+            result.notifications.push((id, EndpointUpdate::Delta, entries));
+        }
+        for (id, entries) in differences.listed {
+            let is_new = !earlier.contains_key(&id);
+            let update = if is_new { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+            result.notifications.push((id, update, entries));
+        }
+        result.conflicts = self.conflicts_since(&conflicts_before);
+        result
+    }
+
+    fn configured_pools(
+        &mut self, now: Option<Time>, specs: Vec<PoolSpec>, earlier: &EarlierPools,
+    ) -> ConfiguredPools {
+        let mut configured = ConfiguredPools::default();
         for spec in specs {
             let id = self.ensure_pool(&spec);
-            configured.insert(id);
+            configured.ids.insert(id);
             if let Source::Static(endpoints) = spec.source {
-                let started_at = |address: SocketAddr| {
-                    now.map(|now| self.started_at(id, address, &was_static).unwrap_or(Some(now)))
-                };
-                let started_at: Vec<_> = endpoints.iter().map(|e| started_at(e.address)).collect();
-                let (changes, skipped) = self.static_changes(id, endpoints, started_at);
-                result.skipped += skipped;
-                changes_by_pool.push((id, changes));
+                let endpoints = self.with_start_times(now, id, endpoints, earlier);
+                let PoolChanges { changes, skipped } = self.static_changes(id, endpoints);
+                configured.skipped += skipped;
+                configured.changes.push((id, changes));
             }
         }
-        for (id, pool) in self.pools.iter().filter(|(id, _)| !configured.contains(id)) {
-            changes_by_pool.push((*id, pool.listed.keys().map(|key| (key.clone(), None)).collect()));
+        configured
+    }
+
+    /// Pools that the configuration does not name any more lose all their backends.
+    fn empty_unconfigured(&self, configured: &mut ConfiguredPools) {
+        for (id, pool) in self.pools.iter().filter(|(id, _)| !configured.ids.contains(id)) {
+            let all_gone = pool.listed.keys().map(|key| (key.clone(), None)).collect();
+            configured.changes.push((*id, all_gone));
         }
-        // The configuration's word: what a pool gives up here, a static one takes before any list in line.
-        let static_pools: BTreeSet<PoolId> =
-            self.pools.iter().filter(|(_, p)| p.is_static).map(|(id, _)| *id).collect();
-        self.apply(changes_by_pool, |id| static_pools.contains(&id) && configured.contains(&id));
-        let mut removed = self.move_between_static_pools(&static_owners, &static_pools, &mut result);
-        let mut others = self.differences(&mut removed);
+    }
+
+    fn drop_unconfigured(&mut self, configured: &BTreeSet<PoolId>) {
         self.pools.retain(|id, _| configured.contains(id));
         let domains: BTreeSet<u32> = self.pools.values().map(|pool| pool.domain).collect();
         self.domains.retain(|_, domain| domains.contains(domain));
-        result
-            .notifications
-            .extend(removed.into_iter().map(|(id, entries)| (id, EndpointUpdate::Delta, entries)));
-        // A new static pool has its whole list; of a new listed one nothing is known yet.
-        configured.iter().filter(|id| static_pools.contains(id) && !was_static.contains_key(id)).for_each(
-            |id| {
-                others.entry(*id).or_default();
-            },
-        );
-        result.notifications.extend(others.into_iter().map(|(id, entries)| {
-            (
-                id,
-                if was_static.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
-                entries,
-            )
-        }));
-        result.conflicts = self.address_owners.conflicts().difference(&before).copied().collect();
-        result
     }
 
     /// The pool of that name, made if there is none, as the configuration has it; its list is left as it is.
     fn ensure_pool(&mut self, spec: &PoolSpec) -> PoolId {
-        let group = spec.repeat_group.clone();
-        let group = (group.is_some(), group.unwrap_or_else(|| spec.name.clone()));
-        let domain = *self.domains.entry(group).or_insert_with(|| {
-            self.next_domain += 1;
-            self.next_domain - 1
-        });
+        let domain = self.domain_of(spec);
         let is_static = matches!(spec.source, Source::Static(_));
         let id = self.pool_named(&spec.name).unwrap_or_else(|| {
             self.next_pool_id += 1;
@@ -86,66 +109,94 @@
             listed: BTreeMap::new(),
             backend_ids: BTreeMap::new(),
         });
-        (pool.domain, pool.is_static) = (domain, is_static);
+        pool.domain = domain;
+        pool.is_static = is_static;
         id
     }
 
-    /// What a static pool's backends are now, each with when it last started where that is not as it says.
-    fn static_changes(
-        &mut self, id: PoolId, endpoints: Vec<Endpoint>, started_at: Vec<Option<Option<Time>>>,
-    ) -> (ListChanges, usize) {
-        let names = &mut self.names;
-        let present = endpoints.into_iter().zip(started_at).filter(|(e, _)| e.state != BackendState::Gone);
-        let entries = present.map(|(e, started_at)| {
-            let started_at = started_at.unwrap_or(e.started_at);
-            (key(e.address), Some(ListedBackend::new(Endpoint { started_at, ..e }, names)))
-        });
-        self.pools.get(&id).map_or_else(Default::default, |pool| pool.changes(true, entries))
+    /// The deduplication domain of the pool's repeat group; without one it is the pool's alone.
+    fn domain_of(&mut self, spec: &PoolSpec) -> u32 {
+        let key = match &spec.repeat_group {
+            Some(group) => (true, group.clone()),
+            None => (false, spec.name.clone()),
+        };
+        *self.domains.entry(key).or_insert_with(|| {
+            self.next_domain += 1;
+            self.next_domain - 1
+        })
+    }
+
+    /// The endpoints, each with the time at which it last started. At the start of the program that is what the
+    /// configuration says; later it is what is known of a backend at that address, or now.
+    fn with_start_times(
+        &self, now: Option<Time>, id: PoolId, endpoints: Vec<Endpoint>, earlier: &EarlierPools,
+    ) -> Vec<Endpoint> {
+        let Some(now) = now else { return endpoints };
+        let with_start_time = |endpoint: Endpoint| {
+            let known = self.known_backend(id, endpoint.address, earlier);
+            let started_at = known.map_or(Some(now), |listed| listed.started_at);
+            Endpoint { started_at, ..endpoint }
+        };
+        endpoints.into_iter().map(with_start_time).collect()
     }
 
-    /// When a backend that stands at that address since before the reload last started, as this pool has it or
-    /// else one that was static; `None` where it is new.
-    fn started_at(
-        &self, id: PoolId, address: SocketAddr, was_static: &BTreeMap<PoolId, bool>,
-    ) -> Option<Option<Time>> {
-        let started_at = |pool: &PoolId| {
+    /// The backend that this pool, or else one that was static before the reload, has at that address.
+    fn known_backend(
+        &self, id: PoolId, address: SocketAddr, earlier: &EarlierPools,
+    ) -> Option<&ListedBackend> {
+        let in_pool = |pool: &PoolId| {
             let key = self.address_owners.entries(address, *pool).next()?;
-            Some(self.pools.get(pool)?.listed.get(key)?.started_at)
+            self.pools.get(pool)?.listed.get(key)
         };
-        let is_static = |pool: &&PoolId| was_static.get(pool) == Some(&true);
-        started_at(&id)
-            .or_else(|| self.address_owners.claimants(address).iter().filter(is_static).find_map(started_at))
+        let was_static = |pool: &&PoolId| earlier.get(pool) == Some(&true);
+        let in_static_pool =
+            || self.address_owners.claimants(address).iter().filter(was_static).find_map(in_pool);
+        in_pool(&id).or_else(in_static_pool)
+    }
+
+    /// What changes of a static pool's backends.
+    fn static_changes(&mut self, id: PoolId, endpoints: Vec<Endpoint>) -> PoolChanges {
+        let Some(pool) = self.pools.get(&id) else { return PoolChanges::default() };
+        let names = &mut self.names;
+        let listed = endpoints.into_iter().filter(|endpoint| endpoint.state != BackendState::Gone);
+        let entries = listed.map(|endpoint| {
+            let key = static_key(endpoint.address);
+            (key, Some(ListedBackend::new(endpoint, names)))
+        });
+        pool.changes(true, entries)
+    }
+
+    fn static_pools(&self) -> BTreeSet<PoolId> {
+        self.pools.iter().filter(|(_, pool)| pool.is_static).map(|(id, _)| *id).collect()
     }
 
     /// The addresses that belong to static pools.
     fn static_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
         let static_pools = self.pools.iter().filter(|(_, pool)| pool.is_static);
-        let each =
+        let claims =
             static_pools.flat_map(|(id, pool)| pool.listed.values().map(|listed| (listed.address, *id)));
-        each.filter(|(address, id)| self.address_owners.owner(*address) == Some(*id)).collect()
+        claims.filter(|(address, id)| self.address_owners.owner(*address) == Some(*id)).collect()
     }
 
-    /// Backends that went from one static pool to another: the same process, so the same number. Returns what
-    /// the pools that they left are notified of.
+    /// Backends that went from one static pool to another: the same process, so the same number.
     fn move_between_static_pools(
-        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, static_pools: &BTreeSet<PoolId>,
-        result: &mut DirectoryUpdate,
-    ) -> EntriesByPool {
-        let mut removed = EntriesByPool::new();
-        for (address, from) in owners {
-            let to = self.address_owners.owner(*address).filter(|to| to != from && static_pools.contains(to));
-            let Some((moved, entry)) = to.and_then(|to| self.move_backend(&key(*address), *from, to)) else {
+        &mut self, owners_before: &BTreeMap<SocketAddr, PoolId>, static_pools: &BTreeSet<PoolId>,
+        result: &mut DirectoryUpdate, differences: &mut Differences,
+    ) {
+        for (address, from) in owners_before {
+            let Some(to) = self.address_owners.owner(*address) else { continue };
+            if to == *from || !static_pools.contains(&to) {
                 continue;
-            };
-            result.moved.push(moved);
-            removed.entry(*from).or_default().push(entry);
+            }
+            if let Some((moved, entry)) = self.move_backend(&static_key(*address), *from, to) {
+                result.moved.push(moved);
+                differences.gone.entry(*from).or_default().push(entry);
+            }
         }
-        removed
     }
 
-    /// All rows that are not as they were last notified; those of backends that are gone are added to `removed`.
-    fn differences(&mut self, removed: &mut EntriesByPool) -> EntriesByPool {
-        let mut others = EntriesByPool::new();
+    /// Adds all entries that are not as they were last notified.
+    fn find_differences(&mut self, differences: &mut Differences) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for id in pools {
             let pool = &self.pools[&id];
@@ -153,19 +204,19 @@
                 pool.listed.keys().chain(pool.backend_ids.keys()).cloned().collect();
             for key in keys {
                 let before = self.last_notified(id, &key).cloned();
-                let Some(entry) = self.refresh(id, &key).filter(|entry| before.as_ref() != Some(entry))
-                else {
+                let Some(entry) = self.refresh(id, &key) else { continue };
+                if before.as_ref() == Some(&entry) {
                     continue;
-                };
-                let to = if entry.state == BackendState::Gone { &mut *removed } else { &mut others };
+                }
+                let is_gone = entry.state == BackendState::Gone;
+                let to = if is_gone { &mut differences.gone } else { &mut differences.listed };
                 to.entry(id).or_default().push(entry);
             }
         }
-        others
     }
 }
 
-/// What a static pool's backend is known by.
-fn key(address: SocketAddr) -> EntryKey {
+/// What identifies a backend of a static pool.
+fn static_key(address: SocketAddr) -> EntryKey {
     address.to_string().into()
 }
