--- a/crates/model-checker/src/restarts.rs
+++ b/crates/model-checker/src/restarts.rs
@@ -712,15 +712,16 @@
             rest = rest.find(']').map_or(rest, |end| &rest[end..]);
         } else if head.ends_with("Time(") {
             let value = number();
-            let skip =
-                ["at: ", "asked: ", "ended: "].iter().any(|field| plain.ends_with(&format!("{field}Time(")));
+            let field =
+                plain.strip_suffix(": Time(").and_then(|before| before.rsplit([' ', '{', '(']).next());
+            let skip = field.is_some_and(|field| ["at", "dispatched_at", "ended_at"].contains(&field));
             let far = value.parse::<u64>().unwrap_or_default() as i64 - now.0 as i64;
             if !skip {
                 let near = far.clamp(-10 * TICK.0 as i64, 10 * TICK.0 as i64);
                 let _ = write!(plain, "{near}");
             }
             rest = &rest[value.len()..];
-        } else if head.ends_with("Ticket(") || head.ends_with("ConnId(") {
+        } else if head.ends_with("Ticket(") || head.ends_with("ConnectionId(") {
             let value = number();
             let names = if head.ends_with("Ticket(") { &mut tickets } else { &mut conns };
             let place = names.iter().position(|n| *n == value).unwrap_or_else(|| {
