--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the lists of backends say, and which pool each backend belongs to. No sockets, no clock, no logging:
-//! the shell reads the lists and tells the time, hands on what comes out and logs what is worth a line.
+//! What the endpoint lists say of backends, and which pool each backend belongs to. No sockets, no clock, no logging:
+//! the driver reads the lists and passes the time, hands on what comes out and logs it.
 //!
-//! [`List`] reads a list in the platform's form. [`Directory`] holds what the list of each pool says, numbers
-//! the backends, gives an address that several lists bring to one of them, and says what each pool's balancer
-//! is to be told. [`StartTimes`] says when backends started, by the own clock.
+//! [`List`] reads a list in the platform's form. [`Directory`] holds what the list of each pool says, numbers the
+//! backends, gives an address that several lists have to one of them, and says what each pool's balancer is notified of.
+//! [`StartTimes`] turns listed start times into those of the local clock.
 #![forbid(unsafe_code)]
 
 mod address_owners;
