--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: its connection, its answer, and why there is none.
+//! One call to discovery: its connection, its response, and why there is none.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -15,122 +15,130 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest body of an answer, in bytes: 4 KiB for each of 1,024 backends, ten times what an indented entry takes.
-/// A longer one is an answer that cannot be read, and the list stays as it is.
-const MAX_LIST: usize = 4 * 1024 * 1024;
+/// The longest body of a response, in bytes: 4 KiB for each of 1,024 backends, ten times what an indented entry takes.
+/// With a longer one the call fails, and the list stays as it is.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
 /// Why a call brought no list.
 #[derive(Debug)]
-pub(crate) enum WatchError {
+pub(crate) enum PollError {
     Connect(std::io::Error),
     Http(BoxError),
     Status(u16),
-    Json(serde_json::Error),
-    /// Changes, in answer to a call for the whole list.
-    NotWhole,
-    Ended,
-    Silent,
+    InvalidBody(serde_json::Error),
+    /// A delta, in response to a call for a snapshot.
+    NotASnapshot,
+    ConnectionClosed,
+    TimedOut,
 }
 
-impl std::fmt::Display for WatchError {
+impl std::fmt::Display for PollError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            WatchError::Connect(e) => write!(f, "no connection: {e}"),
-            WatchError::Http(e) => write!(f, "call broken: {e}"),
-            WatchError::Status(code) => write!(f, "answered {code}"),
-            WatchError::Json(e) => write!(f, "answer not understood: {e}"),
-            WatchError::NotWhole => write!(f, "answered a call for the whole list with changes"),
-            WatchError::Ended => write!(f, "connection ended"),
-            WatchError::Silent => write!(f, "silent"),
+            PollError::Connect(error) => write!(f, "cannot connect: {error}"),
+            PollError::Http(error) => write!(f, "HTTP error: {error}"),
+            PollError::Status(status) => write!(f, "response status {status}"),
+            PollError::InvalidBody(error) => write!(f, "invalid response body: {error}"),
+            PollError::NotASnapshot => write!(f, "a delta in response to a call for a snapshot"),
+            PollError::ConnectionClosed => write!(f, "connection closed before the response"),
+            PollError::TimedOut => write!(f, "no response in time"),
         }
     }
 }
 
-impl std::error::Error for WatchError {}
+impl std::error::Error for PollError {}
 
-/// A connection to discovery that is kept between calls.
-pub(crate) struct Link {
+/// A connection to discovery that is reused between calls.
+pub(crate) struct Connection {
     sender: http1::SendRequest<Empty<Bytes>>,
     conn: http1::Connection<Stream, Empty<Bytes>>,
 }
 
-/// A call for the whole list wants the whole list.
-pub(crate) fn fit(list: List, whole: bool) -> Result<List, WatchError> {
-    if whole && !list.snapshot {
-        return Err(WatchError::NotWhole);
+impl Connection {
+    async fn open(address: SocketAddr, connect_timeout: Duration) -> Result<Connection, PollError> {
+        let connected = timeout(connect_timeout, TcpStream::connect(address)).await;
+        let tcp = connected.map_err(Into::into).and_then(|tcp| tcp).map_err(PollError::Connect)?;
+        let (sender, conn) = http1::handshake(Stream::new(tcp)).await.map_err(http_error)?;
+        Ok(Connection { sender, conn })
+    }
+
+    /// Whether it can take a call: a response may have closed it, and that shows when it is driven.
+    async fn is_open(&mut self) -> bool {
+        let is_done = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.conn).poll(cx).is_ready())).await;
+        !is_done && !self.sender.is_closed()
     }
-    Ok(list)
 }
 
 /// What one call may take.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CallTimes {
-    /// From the call to the whole head of its answer.
+pub(crate) struct CallTimeouts {
+    /// From the call to the whole head of its response.
     pub(crate) head: Duration,
-    /// For a connection to come up, as until then no call waits anywhere; and between two pieces of an answer's body.
-    pub(crate) piece: Duration,
+    /// For a connection to be established, as until then no call is queued anywhere; and between two pieces of a
+    /// response's body.
+    pub(crate) body_piece: Duration,
     /// For the whole body.
-    pub(crate) transfer: Duration,
+    pub(crate) body: Duration,
 }
 
-/// One call.
+/// Makes one call, on the connection of the call before if that is still open. Leaves the connection in `reusable` if
+/// there was a complete response; dropped midway, it leaves none.
+///
+/// # Errors
+/// There is no valid list in the response, or no response.
 pub(crate) async fn fetch(
-    link: &mut Option<Link>, at: SocketAddr, uri: &str, times: CallTimes,
-) -> Result<List, WatchError> {
-    let head_by = tokio::time::Instant::now() + times.head;
-    let mut live = match kept(link).await {
-        Some(live) => live,
-        None => {
-            let connected = timeout(times.piece, TcpStream::connect(at)).await;
-            let tcp = connected.map_err(Into::into).and_then(|tcp| tcp).map_err(WatchError::Connect)?;
-            let (sender, conn) = http1::handshake(Stream::new(tcp)).await.map_err(boxed)?;
-            Link { sender, conn }
-        }
+    reusable: &mut Option<Connection>, address: SocketAddr, uri: &str, timeouts: CallTimeouts,
+) -> Result<List, PollError> {
+    let head_deadline = tokio::time::Instant::now() + timeouts.head;
+    let mut connection = match take_open(reusable).await {
+        Some(connection) => connection,
+        None => Connection::open(address, timeouts.body_piece).await?,
     };
-    let request = Request::get(uri).header("host", at.to_string()).body(Empty::new()).map_err(boxed)?;
-    let Link { sender, conn } = &mut live;
+    let request =
+        Request::get(uri).header("host", address.to_string()).body(Empty::new()).map_err(http_error)?;
+    let Connection { sender, conn } = &mut connection;
     let head = async {
-        sender.ready().await.map_err(boxed)?;
-        sender.send_request(request).await.map_err(boxed)
+        sender.ready().await.map_err(http_error)?;
+        sender.send_request(request).await.map_err(http_error)
     };
-    let answer = async {
-        let answer = timeout_at(head_by, head).await.map_err(silent)??;
-        let status = answer.status().as_u16();
-        let body = timeout(times.transfer, collected(answer.into_body(), times.piece));
-        Ok((status, body.await.map_err(silent)??))
+    let response = async {
+        let response = timeout_at(head_deadline, head).await.map_err(timed_out)??;
+        let status = response.status().as_u16();
+        let body = timeout(timeouts.body, read_body(response.into_body(), timeouts.body_piece));
+        Ok((status, body.await.map_err(timed_out)??))
     };
-    let (status, body) = drive_connection(conn, answer).await.unwrap_or(Err(WatchError::Ended))?;
-    *link = Some(live);
+    let driven = drive_connection(conn, response).await;
+    let (status, body) = driven.unwrap_or(Err(PollError::ConnectionClosed))?;
+    *reusable = Some(connection);
     if status != 200 {
-        return Err(WatchError::Status(status));
+        return Err(PollError::Status(status));
     }
-    List::read(&body).map_err(WatchError::Json)
+    List::read(&body).map_err(PollError::InvalidBody)
 }
 
 /// The whole body, no two pieces of which may lie further apart.
-async fn collected(body: Incoming, apart: Duration) -> Result<Vec<u8>, WatchError> {
-    let mut body = Limited::new(body, MAX_LIST);
+async fn read_body(body: Incoming, max_gap: Duration) -> Result<Vec<u8>, PollError> {
+    let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut bytes = Vec::new();
-    while let Some(frame) = timeout(apart, body.frame()).await.map_err(silent)? {
-        let frame = frame.map_err(WatchError::Http)?;
+    while let Some(frame) = timeout(max_gap, body.frame()).await.map_err(timed_out)? {
+        let frame = frame.map_err(PollError::Http)?;
         bytes.extend_from_slice(frame.data_ref().map_or(&[], |piece| piece));
     }
     Ok(bytes)
 }
 
-/// The connection of the call before, unless it has ended: an answer may end it, and that shows when it is driven.
-async fn kept(link: &mut Option<Link>) -> Option<Link> {
-    let mut live = link.take()?;
-    let over = poll_fn(|cx| Poll::Ready(Pin::new(&mut live.conn).poll(cx).is_ready())).await;
-    (!over && !live.sender.is_closed()).then_some(live)
+/// The connection of the call before, unless it has been closed.
+async fn take_open(reusable: &mut Option<Connection>) -> Option<Connection> {
+    let mut connection = reusable.take()?;
+    connection.is_open().await.then_some(connection)
 }
 
-fn silent(_: TimedOut) -> WatchError {
-    WatchError::Silent
+fn timed_out(_: TimedOut) -> PollError {
+    PollError::TimedOut
 }
 
-fn boxed(e: impl Into<BoxError>) -> WatchError {
-    WatchError::Http(e.into())
+fn http_error(error: impl Into<BoxError>) -> PollError {
+    PollError::Http(error.into())
 }
 
 #[cfg(test)]
--- a/crates/discovery/src/call/tests.rs
+++ b/crates/discovery/src/call/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `call` that need its private items.
 
 use super::*;
-use crate::poll_schedule::{PollSchedule, MAX_TRANSFER};
+use crate::poll_schedule::{PollSchedule, MAX_BODY_TIMEOUT};
 use shaletide_testkit::NeverUp;
 use std::io::{BufRead, BufReader, Write};
 use std::time::Instant;
@@ -13,20 +13,20 @@
     runtime.block_on(async { tokio::time::timeout(PATIENCE, work).await }).expect("an end")
 }
 
-fn times(piece: Duration) -> CallTimes {
-    CallTimes { head: PATIENCE, piece, transfer: MAX_TRANSFER }
+fn timeouts(piece: Duration) -> CallTimeouts {
+    CallTimeouts { head: PATIENCE, body_piece: piece, body: MAX_BODY_TIMEOUT }
 }
 
 #[test]
-fn a_connection_that_does_not_come_up_fails_its_call_whatever_that_waits_for() {
+fn connect_timeout_fails_a_long_poll() {
     let nobody = NeverUp::new();
     let uri = "/api/targets?after=1&wait_ms=60000";
-    let failed = with_runtime(fetch(&mut None, nobody.address(), uri, times(Duration::from_millis(50))));
-    assert!(matches!(failed, Err(WatchError::Connect(_))), "{failed:?}");
+    let failed = with_runtime(fetch(&mut None, nobody.address(), uri, timeouts(Duration::from_millis(50))));
+    assert!(matches!(failed, Err(PollError::Connect(_))), "{failed:?}");
 }
 
 #[test]
-fn an_answer_that_ends_its_connection_fails_no_call_after_it() {
+fn response_that_closes_its_connection_does_not_fail_the_next_call() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let served = std::thread::spawn(move || {
@@ -40,9 +40,9 @@
         }
     });
     with_runtime(async {
-        let mut link = None;
+        let mut connection = None;
         for call in 0..5 {
-            let answer = fetch(&mut link, at, "/api/targets", times(PATIENCE)).await;
+            let answer = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
             assert_eq!(answer.map(|list| list.index).map_err(|e| e.to_string()), Ok(7), "call {call}");
         }
     });
@@ -51,7 +51,7 @@
 
 /// Whatever form an answer has: it is read, and so is the next, on the same connection or another.
 #[test]
-fn answers_of_any_form_are_read_and_spoil_no_call_after_them() {
+fn response_of_any_form_does_not_fail_the_next_call() {
     let list = r#"{"index":7,"snapshot":true,"endpoints":[]}"#.to_string();
     let entry = |n| {
         format!("\n    {{\n      \"name\": \"b{n}\",\n      \"address\": \"10.0.0.1:80\",\n      \"status\": \"SERVING\"\n    }}")
@@ -108,11 +108,11 @@
             }
         });
         with_runtime(async {
-            let mut link = None;
-            let got = fetch(&mut link, at, "/api/targets", times(PATIENCE)).await;
+            let mut connection = None;
+            let got = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
             assert_eq!(got.is_ok(), sound, "{first:.200}: {:?}", got.map(|list| list.index));
-            link = link.filter(|_| sound); // as whoever follows does
-            let got = fetch(&mut link, at, "/api/targets", times(PATIENCE)).await;
+            connection = connection.filter(|_| sound); // as whoever follows does
+            let got = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
             assert_eq!(got.map(|list| list.index).map_err(|e| e.to_string()), Ok(7), "{first:.200}");
         });
         served.join().unwrap();
@@ -165,17 +165,17 @@
 }
 
 #[test]
-fn indented_lists_of_1024_backends_are_read_whole_and_as_changes() {
+fn indented_snapshot_and_delta_of_1024_backends_are_read() {
     let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let changes = indented(8, false, ["DRAINING", "DELETED"].into_iter().cycle().take(MANY_BACKENDS));
     assert!(whole.len() > 200_000, "{}", whole.len());
     let at = in_pieces(vec![whole, changes], usize::MAX, Duration::ZERO);
     with_runtime(async {
-        let (mut link, begun) = (None, Instant::now());
-        let list = fetch(&mut link, at, "/api/targets", times(PATIENCE)).await.unwrap();
+        let (mut connection, begun) = (None, Instant::now());
+        let list = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await.unwrap();
         let (entries, skipped) = list.entries();
         assert_eq!((list.index, list.snapshot, entries.len(), skipped), (7, true, MANY_BACKENDS, None));
-        let list = fetch(&mut link, at, "/api/targets?after=7", times(PATIENCE)).await.unwrap();
+        let list = fetch(&mut connection, at, "/api/targets?after=7", timeouts(PATIENCE)).await.unwrap();
         let (entries, skipped) = list.entries();
         assert_eq!((list.index, list.snapshot, entries.len(), skipped), (8, false, MANY_BACKENDS, None));
         let serving = shaletide_balancer::BackendState::Ready;
@@ -187,53 +187,61 @@
 /// A discovery of 1,024 backends on a loaded machine writes its list in pieces, and all of them together take longer
 /// than it may take to begin. It is not silent.
 #[test]
-fn a_long_list_that_comes_in_pieces_is_waited_for_while_it_comes() {
-    let pace = PollSchedule::pushed(Duration::from_secs(2));
-    let (size, pause) = (16 << 10, pace.prompt / 5);
+fn list_in_pieces_is_awaited_while_pieces_arrive() {
+    let schedule = PollSchedule::pushing(Duration::from_secs(2));
+    let (size, pause) = (16 << 10, schedule.response_timeout / 5);
     let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let pieces = whole.len().div_ceil(size) as u32;
-    assert!(pause * pieces > pace.prompt * 2, "{pieces} pieces");
+    assert!(pause * pieces > schedule.response_timeout * 2, "{pieces} pieces");
     let at = in_pieces(vec![whole], size, pause);
     with_runtime(async {
-        let times = CallTimes { head: pace.patience(false), piece: pace.prompt, transfer: pace.transfer(1) };
-        let list = fetch(&mut None, at, "/api/targets", times).await;
+        let timeouts = CallTimeouts {
+            head: schedule.immediate_timeout(false),
+            body_piece: schedule.response_timeout,
+            body: schedule.body_timeout(1),
+        };
+        let list = fetch(&mut None, at, "/api/targets", timeouts).await;
         assert_eq!(list.map(|list| list.endpoints.len()).map_err(|e| e.to_string()), Ok(MANY_BACKENDS));
     });
 }
 
 #[test]
-fn a_list_that_stops_midway_is_given_up_as_soon_as_one_that_does_not_begin() {
-    let pace = PollSchedule::pushed(Duration::from_secs(2));
+fn list_that_stops_midway_times_out_like_one_that_never_begins() {
+    let schedule = PollSchedule::pushing(Duration::from_secs(2));
     let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let at = in_pieces(vec![whole], 16 << 10, PATIENCE);
     with_runtime(async {
-        let times = CallTimes { head: pace.patience(false), piece: pace.prompt, transfer: pace.transfer(1) };
+        let timeouts = CallTimeouts {
+            head: schedule.immediate_timeout(false),
+            body_piece: schedule.response_timeout,
+            body: schedule.body_timeout(1),
+        };
         let begun = Instant::now();
-        let list = fetch(&mut None, at, "/api/targets", times).await;
-        assert!(matches!(list, Err(WatchError::Silent)));
-        assert!(begun.elapsed() < MAX_TRANSFER, "{:?}", begun.elapsed());
+        let list = fetch(&mut None, at, "/api/targets", timeouts).await;
+        assert!(matches!(list, Err(PollError::TimedOut)));
+        assert!(begun.elapsed() < MAX_BODY_TIMEOUT, "{:?}", begun.elapsed());
     });
 }
 
 /// Whoever sends a byte now and then for ever holds no call for ever.
 #[test]
-fn a_list_that_never_ends_is_given_up_after_the_longest_transfer() {
+fn endless_list_times_out_after_the_longest_transfer() {
     let at = in_pieces(vec!["[".repeat(1 << 20)], 1, Duration::from_millis(20));
     with_runtime(async {
         let begun = Instant::now();
-        let list = fetch(&mut None, at, "/api/targets", times(Duration::from_millis(500))).await;
-        assert!(matches!(list, Err(WatchError::Silent)));
-        assert!(begun.elapsed() >= MAX_TRANSFER, "{:?}", begun.elapsed());
+        let list = fetch(&mut None, at, "/api/targets", timeouts(Duration::from_millis(500))).await;
+        assert!(matches!(list, Err(PollError::TimedOut)));
+        assert!(begun.elapsed() >= MAX_BODY_TIMEOUT, "{:?}", begun.elapsed());
     });
 }
 
 #[test]
-fn a_list_longer_than_the_bound_fails_its_call_and_one_of_the_bound_does_not() {
+fn list_beyond_the_size_bound_fails_its_call() {
     let list = r#"{"index":7,"snapshot":true,"endpoints":[]}"#;
     for (over, sound) in [(0, true), (1, false)] {
-        let padded = format!("{list}{}", " ".repeat(MAX_LIST + over - list.len()));
+        let padded = format!("{list}{}", " ".repeat(MAX_BODY_BYTES + over - list.len()));
         let at = in_pieces(vec![padded], usize::MAX, Duration::ZERO);
-        let got = with_runtime(fetch(&mut None, at, "/api/targets", times(PATIENCE)));
+        let got = with_runtime(fetch(&mut None, at, "/api/targets", timeouts(PATIENCE)));
         assert_eq!(got.is_ok(), sound, "{over}");
     }
 }
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -5,7 +5,7 @@
 mod call;
 mod poll_schedule;
 
-use call::{fetch, fit, CallTimes, WatchError};
+use call::{fetch, CallTimeouts, PollError};
 use poll_schedule::PollSchedule;
 use shaletide_balancer::{DiscoveryMode, EndpointUpdate, PoolId};
 use shaletide_membership::List;
@@ -97,26 +97,35 @@
     let WatchConfig { mode, position, grace, .. } = terms;
     let asked = mode != DiscoveryMode::Push;
     let (mut whole, mut index) = (from.is_none(), from.unwrap_or(0));
-    let (mut link, mut failures, mut waits, mut in_vain) = (None, 0u32, 0u32, false);
-    let own = if asked { PollSchedule::asked(grace) } else { PollSchedule::pushed(grace) };
+    let (mut connection, mut failures, mut waits, mut previous_timed_out) = (None, 0u32, 0u32, false);
+    let own = if asked { PollSchedule::polling(grace) } else { PollSchedule::pushing(grace) };
     // A call of the module's is answered once, by what it missed; only what follows waits for news.
     let mut catches_up = asked && !whole;
     if catches_up {
         driver.subscribe_requested(pool).await;
     }
     loop {
-        let wait = if catches_up { Duration::ZERO } else { own.wait(position, waits) };
+        let wait = if catches_up { Duration::ZERO } else { own.long_poll_wait(position, waits) };
         let uri = match whole {
             true => "/api/targets".to_string(),
             false => format!("/api/targets?after={index}&wait_ms={}", wait.as_millis()),
         };
         let waits_for_news = !whole && !catches_up;
         waits = waits.wrapping_add(u32::from(waits_for_news));
-        let patience = if waits_for_news { wait + own.prompt } else { own.patience(in_vain) };
+        let call_timeout = if waits_for_news {
+            wait + own.response_timeout
+        } else {
+            own.immediate_timeout(previous_timed_out)
+        };
         let asked_at = Instant::now();
-        let times = CallTimes { head: patience, piece: own.prompt, transfer: own.transfer(failures) };
-        let answer = fetch(&mut link, at, &uri, times).await.and_then(|list| fit(list, whole));
-        in_vain = !waits_for_news && matches!(answer, Err(WatchError::Silent));
+        let timeouts = CallTimeouts {
+            head: call_timeout,
+            body_piece: own.response_timeout,
+            body: own.body_timeout(failures),
+        };
+        let answer =
+            fetch(&mut connection, at, &uri, timeouts).await.and_then(|list| require_snapshot(list, whole));
+        previous_timed_out = !waits_for_news && matches!(answer, Err(PollError::TimedOut));
         match answer {
             Ok(list) => {
                 if failures > 0 {
@@ -135,17 +144,17 @@
                 whole = gap;
                 // One that does not wait for news, or goes back each time, is not asked as fast as it answers.
                 if nothing_new || gap {
-                    tokio::time::sleep(own.pause.saturating_sub(asked_at.elapsed())).await;
+                    tokio::time::sleep(own.min_pause.saturating_sub(asked_at.elapsed())).await;
                 }
             }
             Err(e) => {
-                link = None;
+                connection = None;
                 failures += 1;
                 if failures.is_power_of_two() {
                     warn!("discovery failed: {e}");
                 }
                 // It may not know that version any more, nor ever again.
-                whole |= matches!(e, WatchError::Status(..500));
+                whole |= matches!(e, PollError::Status(..500));
                 if asked {
                     forget(driver.subscribe_requested(pool)).await;
                     driver.update_endpoints(pool, EndpointUpdate::SubscriptionLost, Vec::new());
@@ -153,7 +162,7 @@
                     let latest = own.latest_retry(asked_at, Instant::now(), position, failures);
                     let _ = tokio::time::timeout_at(latest.into(), driver.subscribe_requested(pool)).await;
                 } else {
-                    tokio::time::sleep(own.pause_after(failures)).await;
+                    tokio::time::sleep(own.backoff(failures)).await;
                 }
                 // Whether it is back shows at once.
                 catches_up = true;
@@ -162,6 +171,14 @@
     }
 }
 
+/// A call for a snapshot wants a snapshot.
+fn require_snapshot(list: List, wanted: bool) -> Result<List, PollError> {
+    if wanted && !list.snapshot {
+        return Err(PollError::NotASnapshot);
+    }
+    Ok(list)
+}
+
 /// The module may have asked for a call while one was out, or before the first: that one is made, and calls for no other
 /// at once when it fails.
 async fn forget(asked: impl Future<Output = ()>) {
--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -1,110 +1,138 @@
-//! How often and how long discovery is asked, so that a change is known in time.
+//! How often discovery is polled and how long its responses may take, so that a change is known in time.
 
 use std::time::{Duration, Instant};
 
-/// Once a call has failed the body of an answer may take so long, however steadily its pieces come.
-pub(crate) const MAX_TRANSFER: Duration = Duration::from_secs(3);
+/// Once a call has failed the body of a response may take so long, however steadily its pieces come.
+pub(crate) const MAX_BODY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Its multiples, modulo 1, are spread evenly over the range from 0 to 1, however many they are.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// The pause after a failed call doubles so often at most.
+/// The backoff after a failed call doubles so often at most.
 const MAX_DOUBLINGS: u32 = 3;
 
-/// How calls are made: what an outage leaves the proxy blind to is told once they are over.
+/// A span of time that differs from proxy to proxy and from call to call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Spread {
+    shortest: Duration,
+    longest: Duration,
+}
+
+impl Spread {
+    fn new(shortest: Duration, longest: Duration) -> Spread {
+        Spread { shortest, longest }
+    }
+
+    fn none(span: Duration) -> Spread {
+        Spread::new(span, span)
+    }
+
+    /// The span for the so many-th call of a proxy. Multiples of the golden ratio lie evenly whatever their number: so
+    /// do the times of proxies that poll in step.
+    fn of(self, position: u32, call: u32) -> Duration {
+        let multiple = (f64::from(position) + f64::from(call)) * GOLDEN_RATIO;
+        self.shortest + (self.longest - self.shortest).mul_f64(multiple.fract())
+    }
+}
+
+/// The times of calls to one discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PollSchedule {
-    /// One call waits so long for news, from the shortest to the longest of all proxies.
-    wait: [Duration; 2],
-    /// What an answer's head may take beyond that before discovery counts as silent, and each further piece of it.
-    pub(crate) prompt: Duration,
-    /// And what one to a call that waits for nothing may take: as long as others' calls may be worked on before it, and
-    /// longer once that was not enough.
-    turn: [Duration; 2],
-    /// After a failed call the next is made no later than so long after that one was made, from the shortest to the
-    /// longest of all proxies.
-    retry: [Duration; 2],
-    /// The body of an answer is whole after so long, unless a call has just failed.
-    transfer: Duration,
-    /// Pause after the first failed call in a row, and at the least between two that brought nothing new; it
-    /// doubles, three times at most.
-    pub(crate) pause: Duration,
+    /// A long poll waits so long for changes.
+    long_poll_wait: Spread,
+    /// What the head of a response may take beyond that before discovery counts as silent, and each further piece of it.
+    pub(crate) response_timeout: Duration,
+    /// The same for a call that waits for no changes: as long as other proxies' calls may be worked on before it.
+    immediate_timeout: Duration,
+    /// The same once that was not enough.
+    long_immediate_timeout: Duration,
+    /// After a failed call the next is made no later than so long after that one was made.
+    retry_interval: Spread,
+    /// The body of a response is complete after so long, unless a call has just failed.
+    body_timeout: Duration,
+    /// Backoff after the first failed call in a row, and the least time between two that brought nothing new; it
+    /// doubles, [`MAX_DOUBLINGS`] times at most.
+    pub(crate) min_pause: Duration,
 }
 
 impl PollSchedule {
-    /// Calls of a discovery that all proxies ask are dear to it, and it works through them in turn. A watch that fell
-    /// silent is opened anew before what it missed counts as told: 2 s after its wait is over, and the grace. Watches
-    /// fall silent together, and calls made in one moment would wait for each other for longer than that: so no two
-    /// proxies wait alike. A call in that line is not given up: it is worked on all the same, and one made in its
-    /// place stands behind it. Discovery itself fails what has waited too long.
+    /// For a discovery that all proxies poll, whose calls are expensive to it and which works through them in turn. A
+    /// subscription that fell silent is opened anew before the changes it missed count as known: 2 s after its wait is
+    /// over, and the grace. Subscriptions fall silent together, and calls made in one moment would wait for each other
+    /// for longer than that: so no two proxies wait alike. A call that is queued there is not abandoned: it is worked on
+    /// all the same, and one made in its place is queued behind it. Discovery itself fails what has waited too long.
     ///
     /// Whatever failed before, a change is known 6 s after discovery had it and could be reached, and after a move 4 s
-    /// after the signal: that moment may come just after a call was given up or failed, so neither the time after
-    /// which one is given up nor that from one call to the next may be longer than that, less an answer's time.
-    pub(crate) fn asked(grace: Duration) -> PollSchedule {
-        let prompt = (grace / 2 + Duration::from_millis(400)).min(Duration::from_millis(1500));
-        let (wait, turn) = ([6, 14].map(Duration::from_secs), [3, 5].map(Duration::from_secs));
-        let retry = [1500, 2500].map(Duration::from_millis);
-        PollSchedule { wait, prompt, turn, retry, transfer: prompt, pause: Duration::from_millis(50) }
+    /// after the signal: that moment may come just after a call timed out or failed, so neither a call's timeout nor the
+    /// time from one call to the next may be longer than that, less the time of a response.
+    pub(crate) fn polling(grace: Duration) -> PollSchedule {
+        let response_timeout = (grace / 2 + Duration::from_millis(400)).min(Duration::from_millis(1500));
+        PollSchedule {
+            long_poll_wait: Spread::new(Duration::from_secs(6), Duration::from_secs(14)),
+            response_timeout,
+            immediate_timeout: Duration::from_secs(3),
+            long_immediate_timeout: Duration::from_secs(5),
+            retry_interval: Spread::new(Duration::from_millis(1500), Duration::from_millis(2500)),
+            body_timeout: response_timeout,
+            min_pause: Duration::from_millis(50),
+        }
     }
 
-    /// An agent on the own machine answers at once and at no cost. A call that was out as it fell silent is never
-    /// answered, not even when it is back, and what it has counts as told meanwhile: so a wait, its answer's time
-    /// and a pause last no longer than two thirds of the grace, and so do an answer's time and the longest pause.
-    /// Below 170 ms of grace calls do not get any faster: they would cost more than they tell.
-    pub(crate) fn pushed(grace: Duration) -> PollSchedule {
-        let part = |hundredths: u32, least: u64, most: u64| {
-            (grace * hundredths / 100).clamp(Duration::from_millis(least), Duration::from_millis(most))
+    /// For an agent on this machine, which responds at once and at no cost. A call that was in flight as it fell silent
+    /// is never answered, not even when it is back, and what it has counts as known meanwhile: so a wait, the time of a
+    /// response and a pause last no longer than two thirds of the grace, and so do the time of a response and the
+    /// longest backoff. Below 170 ms of grace calls do not get any faster: they would cost more than they tell.
+    pub(crate) fn pushing(grace: Duration) -> PollSchedule {
+        let part = |hundredths: u32, least_ms: u64, most_ms: u64| {
+            (grace * hundredths / 100).clamp(Duration::from_millis(least_ms), Duration::from_millis(most_ms))
         };
-        let (wait, prompt, pause) = (part(35, 50, 1000), part(25, 40, 500), part(2, 5, 50));
-        let retry = pause * (1 << MAX_DOUBLINGS);
+        let response_timeout = part(25, 40, 500);
+        let min_pause = part(2, 5, 50);
         PollSchedule {
-            wait: [wait; 2],
-            prompt,
-            turn: [prompt; 2],
-            retry: [retry; 2],
-            transfer: prompt,
-            pause,
+            long_poll_wait: Spread::none(part(35, 50, 1000)),
+            response_timeout,
+            immediate_timeout: response_timeout,
+            long_immediate_timeout: response_timeout,
+            retry_interval: Spread::none(min_pause * (1 << MAX_DOUBLINGS)),
+            body_timeout: response_timeout,
+            min_pause,
         }
     }
 
-    /// How long the so many-th call of a proxy waits.
-    pub(crate) fn wait(&self, position: u32, call: u32) -> Duration {
-        spread(self.wait, position, call)
+    /// How long the so many-th long poll of a proxy waits for changes.
+    pub(crate) fn long_poll_wait(&self, position: u32, call: u32) -> Duration {
+        self.long_poll_wait.of(position, call)
     }
 
-    /// When the next call is made at the latest, after one that was made at that time and has failed by now, as so many
-    /// have in a row: not at once, as it may have failed late and at many proxies.
+    /// When the next call is made at the latest, after one that was made at `made` and has failed by now, the
+    /// `failures`-th in a row: not at once, as it may have failed late and at many proxies.
     pub(crate) fn latest_retry(&self, made: Instant, now: Instant, position: u32, failures: u32) -> Instant {
-        let rest = spread([self.pause, self.pause * 3], position, failures);
-        (made + spread(self.retry, position, failures)).max(now + rest)
+        let least_pause = Spread::new(self.min_pause, self.min_pause * 3).of(position, failures);
+        (made + self.retry_interval.of(position, failures)).max(now + least_pause)
     }
 
-    /// What the body of an answer may take, as so many calls in a row have failed. One that comes slowly is given up
-    /// at first, as another may come in time; a long list on a busy machine is waited for then.
-    pub(crate) fn transfer(&self, failures: u32) -> Duration {
+    /// What the body of a response may take, after so many failed calls in a row. One that comes slowly times out at
+    /// first, as another may come in time; a long list on a busy machine is awaited then.
+    pub(crate) fn body_timeout(&self, failures: u32) -> Duration {
         if failures == 0 {
-            self.transfer
+            self.body_timeout
         } else {
-            MAX_TRANSFER
+            MAX_BODY_TIMEOUT
         }
     }
 
     /// The pause after so many failed calls in a row, before the next to an agent.
-    pub(crate) fn pause_after(&self, failures: u32) -> Duration {
-        self.pause * (1 << failures.saturating_sub(1).min(MAX_DOUBLINGS))
+    pub(crate) fn backoff(&self, failures: u32) -> Duration {
+        self.min_pause * (1 << failures.saturating_sub(1).min(MAX_DOUBLINGS))
     }
 
-    /// What the answer to a call may take that waits for nothing, the last of which was given up unanswered or not.
-    pub(crate) fn patience(&self, in_vain: bool) -> Duration {
-        self.turn[usize::from(in_vain)]
+    /// What the head of the response may take to a call that waits for no changes; whether the last such one timed out.
+    pub(crate) fn immediate_timeout(&self, previous_timed_out: bool) -> Duration {
+        if previous_timed_out {
+            self.long_immediate_timeout
+        } else {
+            self.immediate_timeout
+        }
     }
 }
 
-/// A time between these two for the so many-th call of a proxy. Multiples of the golden ratio lie evenly whatever their
-/// number: so do the times of proxies that watch in step.
-fn spread([least, most]: [Duration; 2], position: u32, call: u32) -> Duration {
-    let part = (f64::from(position) + f64::from(call)) * GOLDEN_RATIO;
-    least + (most - least).mul_f64(part.fract())
-}
-
 #[cfg(test)]
 mod tests;
