--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -106,7 +106,7 @@
 /// [`Event::Withdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each [`Action::Write`] ends in one [`Event::Committed`], [`Event::Refused`] or
 /// [`Event::WriteFailed`], in the order of tickets; once one has failed, all that were sent behind it fail too,
 /// and all of that is told before an [`Event::StoreUp`], which follows each failure. A write that failed may be on
-/// record all the same; it comes once more then, and its fact stands there twice.
+/// record all the same; it comes once more on_commit, and its fact stands there twice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The engine asks whether an attempt may be sent; answered by one [`Action::Permit`] within the time that a
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -6,11 +6,11 @@
 mod config;
 mod event;
 mod fact;
-mod journal;
+mod pending_writes;
 mod recorder;
 mod request;
 mod row;
-mod served;
+mod served_keys;
 
 pub use config::{Bounds, ClassRule, RecordConfig, WithoutKey};
 pub use event::{
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -3,235 +3,249 @@
 use super::Recorder;
 use crate::event::{Action, KeyDecision, RequestEnding};
 use crate::fact::{About, Fact, Seen};
-use crate::journal::Then;
-use crate::request::{Held, Live, Standing, Tried};
+use crate::pending_writes::OnCommit;
+use crate::request::{AttemptState, IntentRequest, RequestState, UnsettledKey};
 use crate::row::{Claim, KeyState};
 use shaletide_types::{AttemptNumber, Outcome, RequestId, Time};
 
 impl Recorder {
-    pub(super) fn permit_wanted(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen, out: &mut Vec<Action>,
+    pub(super) fn intent_requested(
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen,
+        actions: &mut Vec<Action>,
     ) {
-        if !self.may_wait(now, request, attempt) {
-            return out.push(Action::IntentPersisted { request, attempt, persisted: false });
+        if !self.may_request_intent(now, request, attempt) {
+            return actions.push(Action::IntentPersisted { request, attempt, persisted: false });
         }
-        if self.is_unready_for(now) {
-            return self.deny(request, attempt, KeyDecision::Reject(self.advice(now)), out);
+        if self.cannot_take_intent(now) {
+            return self.deny_attempt(request, attempt, KeyDecision::Reject(self.retry_after(now)), actions);
         }
         let until_at_most = now + self.config.intent_timeout;
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        let until = held.deadline.min(until_at_most);
-        let (claim, key) = (held.claim_of_intent(), held.key.clone());
-        held.attempts.insert(attempt, Tried::Waiting(until));
-        self.waits.insert((until, request, attempt));
+        let Some(tracked) = self.requests.get_mut(&request) else { return };
+        let until = tracked.deadline.min(until_at_most);
+        let (claim, key) = (tracked.claim_of_intent(), tracked.key.clone());
+        tracked.attempts.insert(attempt, AttemptState::AwaitingIntent(until));
+        self.intent_deadlines.insert((until, request, attempt));
         let about = About { request: Some(request.0), key, backend: Some(seen.backend.clone()) };
         let fact = Fact::Intent { attempt: attempt.0, seen };
-        self.write(now, fact, about, claim, Then::Permit(request, attempt), out);
+        self.write(now, fact, about, claim, OnCommit::IntentPersisted(request, attempt), actions);
     }
 
     /// It may be asked for at all: the request goes on, and its key is its own or not even asked for. Behind an
     /// intent that may yet be refused nothing can be said of the key.
-    fn may_wait(&self, now: Time, request: RequestId, attempt: AttemptNumber) -> bool {
+    fn may_request_intent(&self, now: Time, request: RequestId, attempt: AttemptNumber) -> bool {
         self.requests.get(&request).is_some_and(|r| {
-            !r.over
-                && r.barred.is_none()
+            !r.ended
+                && r.rejected_with.is_none()
                 && now < r.deadline
                 && !r.attempts.contains_key(&attempt)
-                && (r.taken || !r.waits())
+                && (r.key_claimed || !r.awaits_intent())
         })
     }
 
     /// The store does not write, or too many wait for it already.
-    fn is_unready_for(&self, now: Time) -> bool {
-        self.journal.down().is_some()
-            || self.journal.is_stalled(now, self.config.intent_timeout)
-            || self.waits.len() >= self.config.bounds.waiting
+    fn cannot_take_intent(&self, now: Time) -> bool {
+        self.pending_writes.is_store_down()
+            || self.pending_writes.is_stalled(now, self.config.intent_timeout)
+            || self.intent_deadlines.len() >= self.config.bounds.waiting
     }
 
     /// An attempt is not sent. Where nothing of its request may have run, that ends it at once.
-    pub(super) fn deny(
-        &mut self, request: RequestId, attempt: AttemptNumber, verdict: KeyDecision, out: &mut Vec<Action>,
+    pub(super) fn deny_attempt(
+        &mut self, request: RequestId, attempt: AttemptNumber, verdict: KeyDecision,
+        actions: &mut Vec<Action>,
     ) {
         // The verdict first: the end of its only attempt would have the engine answer without it.
-        self.bar(request, verdict, out);
-        out.push(Action::IntentPersisted { request, attempt, persisted: false });
+        self.reject_request(request, verdict, actions);
+        actions.push(Action::IntentPersisted { request, attempt, persisted: false });
     }
 
     /// No attempt of a request goes any more, if nothing of it may have run.
-    pub(super) fn bar(&mut self, request: RequestId, verdict: KeyDecision, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        if !held.over && held.barred.is_none() && !held.may_have_run() {
-            held.barred = Some(verdict);
-            out.push(Action::EndRequest { request, verdict });
+    pub(super) fn reject_request(
+        &mut self, request: RequestId, verdict: KeyDecision, actions: &mut Vec<Action>,
+    ) {
+        let Some(tracked) = self.requests.get_mut(&request) else { return };
+        if !tracked.ended && tracked.rejected_with.is_none() && !tracked.may_have_run() {
+            tracked.rejected_with = Some(verdict);
+            actions.push(Action::EndRequest { request, verdict });
         }
     }
 
     /// Attempts whose intents took too long are not sent.
-    pub(super) fn end_waits(&mut self, now: Time, out: &mut Vec<Action>) {
-        while let Some(&(until, request, attempt)) = self.waits.first().filter(|w| w.0 <= now) {
-            self.waits.remove(&(until, request, attempt));
-            self.set(request, attempt, Tried::Late);
-            self.deny(request, attempt, KeyDecision::Reject(self.advice(now)), out);
+    pub(super) fn expire_intent_waits(&mut self, now: Time, actions: &mut Vec<Action>) {
+        while let Some(&(until, request, attempt)) = self.intent_deadlines.first().filter(|w| w.0 <= now) {
+            self.intent_deadlines.remove(&(until, request, attempt));
+            self.set_attempt_state(request, attempt, AttemptState::IntentTooLate);
+            self.deny_attempt(request, attempt, KeyDecision::Reject(self.retry_after(now)), actions);
         }
     }
 
-    pub(super) fn set(&mut self, request: RequestId, attempt: AttemptNumber, tried: Tried) {
-        if let Some(held) = self.requests.get_mut(&request) {
-            held.attempts.insert(attempt, tried);
+    pub(super) fn set_attempt_state(
+        &mut self, request: RequestId, attempt: AttemptNumber, state: AttemptState,
+    ) {
+        if let Some(tracked) = self.requests.get_mut(&request) {
+            tracked.attempts.insert(attempt, state);
         }
     }
 
-    pub(super) fn tried(&self, request: RequestId, attempt: AttemptNumber) -> Option<Tried> {
+    pub(super) fn attempt_state(&self, request: RequestId, attempt: AttemptNumber) -> Option<AttemptState> {
         self.requests.get(&request)?.attempts.get(&attempt).copied()
     }
 
-    pub(super) fn withdrawn(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>,
+    pub(super) fn intent_withdrawn(
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>,
     ) {
-        match self.tried(request, attempt) {
+        match self.attempt_state(request, attempt) {
             // Whether its intent takes the key is not known: what frees it waits for that, or it would free
             // what another holds.
-            Some(Tried::Waiting(until)) => {
-                self.waits.remove(&(until, request, attempt));
-                self.set(request, attempt, Tried::Late);
+            Some(AttemptState::AwaitingIntent(until)) => {
+                self.intent_deadlines.remove(&(until, request, attempt));
+                self.set_attempt_state(request, attempt, AttemptState::IntentTooLate);
             }
-            Some(Tried::Given) => self.not_executed(now, request, attempt, out),
+            Some(AttemptState::IntentPersisted) => self.not_executed(now, request, attempt, actions),
             _ => {}
         }
     }
 
     /// Its intent is on record, or may be, and it was not sent.
     pub(super) fn not_executed(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, out: &mut Vec<Action>,
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>,
     ) {
-        self.set(request, attempt, Tried::NotExecuted);
-        self.ended(now, request, Fact::Withdrawn { attempt: attempt.0 }, out);
+        self.set_attempt_state(request, attempt, AttemptState::NotExecuted);
+        self.record_end(now, request, Fact::Withdrawn { attempt: attempt.0 }, actions);
     }
 
     pub(super) fn attempt_ended(
         &mut self, now: Time, request: RequestId, attempt: AttemptNumber, outcome: Outcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let may_have_run = !outcome.not_executed();
-        let fact = Fact::Outcome { attempt: attempt.0, outcome: word(outcome).into(), may_have_run };
-        match self.tried(request, attempt) {
-            Some(Tried::Given) => {
-                self.set(request, attempt, Tried::ended(outcome));
-                self.ended(now, request, fact, out);
+        let fact = Fact::Outcome { attempt: attempt.0, outcome: outcome_word(outcome).into(), may_have_run };
+        match self.attempt_state(request, attempt) {
+            Some(AttemptState::IntentPersisted) => {
+                self.set_attempt_state(request, attempt, AttemptState::ended(outcome));
+                self.record_end(now, request, fact, actions);
             }
-            Some(Tried::Waiting(_)) => self.withdrawn(now, request, attempt, out),
+            Some(AttemptState::AwaitingIntent(_)) => self.intent_withdrawn(now, request, attempt, actions),
             Some(_) => {}
-            None => self.followed_ended(now, request, attempt, fact, out),
+            None => self.recorded_attempt_ended(now, request, attempt, fact, actions),
         }
     }
 
-    pub(super) fn over(
-        &mut self, now: Time, request: RequestId, ending: RequestEnding, out: &mut Vec<Action>,
+    pub(super) fn request_ended(
+        &mut self, now: Time, request: RequestId, ending: RequestEnding, actions: &mut Vec<Action>,
     ) {
         let attempt = match ending {
             RequestEnding::Served(no) => Some(no.0),
             _ => None,
         };
         let fact = Fact::Answer { ending: ending_word(ending).into(), attempt };
-        let Some(held) = self.requests.get_mut(&request).filter(|r| !r.over) else {
-            return self.followed_over(now, request, fact, out);
+        let Some(tracked) = self.requests.get_mut(&request).filter(|r| !r.ended) else {
+            return self.recorded_request_ended(now, request, fact, actions);
         };
-        held.over = true;
-        let waiting: Vec<AttemptNumber> =
-            held.attempts.iter().filter(|(_, t)| matches!(t, Tried::Waiting(_))).map(|(no, _)| *no).collect();
-        waiting.into_iter().for_each(|no| self.withdrawn(now, request, no, out));
-        self.ended(now, request, fact, out);
+        tracked.ended = true;
+        let waiting: Vec<AttemptNumber> = tracked
+            .attempts
+            .iter()
+            .filter(|(_, t)| matches!(t, AttemptState::AwaitingIntent(_)))
+            .map(|(no, _)| *no)
+            .collect();
+        waiting.into_iter().for_each(|no| self.intent_withdrawn(now, request, no, actions));
+        self.record_end(now, request, fact, actions);
     }
 
     /// A fact about the end of an attempt or a request, with what that makes of the key.
-    fn ended(&mut self, now: Time, request: RequestId, fact: Fact, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        let claim = held.claim();
-        let about = About { request: Some(request.0), key: held.key.clone(), backend: None };
-        let then = match &claim {
-            Claim::FreeOwn(key) => Then::Free(key.clone()),
-            Claim::Set(key, KeyState::Served) => Then::Serve(key.clone()),
-            _ => Then::Owed,
+    fn record_end(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
+        let Some(tracked) = self.requests.get_mut(&request) else { return };
+        let claim = tracked.claim();
+        let about = About { request: Some(request.0), key: tracked.key.clone(), backend: None };
+        let on_commit = match &claim {
+            Claim::FreeOwn(key) => OnCommit::KeyFree(key.clone()),
+            Claim::Set(key, KeyState::Served) => OnCommit::KeyServed(key.clone()),
+            _ => OnCommit::Nothing,
         };
-        let live = settles(held);
-        if let (Some(key), Some(live)) = (held.key.clone().filter(|_| held.owns), live) {
-            held.owns = false;
+        let live = settled_key(tracked);
+        if let (Some(key), Some(live)) = (tracked.key.clone().filter(|_| tracked.owns_key), live) {
+            tracked.owns_key = false;
             match live {
-                Some(live) => drop(self.live.insert(key, live)),
-                None => drop(self.live.remove(&key)),
+                Some(live) => drop(self.unsettled_keys.insert(key, live)),
+                None => drop(self.unsettled_keys.remove(&key)),
             }
         }
-        self.write(now, fact, about, claim, then, out);
+        self.write(now, fact, about, claim, on_commit, actions);
         self.forget(request);
     }
 
     /// Nothing is kept of a request of which nothing more is to be heard.
     pub(super) fn forget(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(Held::is_done) {
+        if self.requests.get(&request).is_some_and(IntentRequest::is_done) {
             self.requests.remove(&request);
         }
     }
 
     /// An attempt of a request that is only recorded goes out.
-    pub(super) fn followed_sent(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen, out: &mut Vec<Action>,
+    pub(super) fn recorded_attempt_started(
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen,
+        actions: &mut Vec<Action>,
     ) {
-        if let Some(followed) = self.followed.get_mut(&request) {
-            followed.out.insert(attempt);
+        if let Some(recorded) = self.recorded.get_mut(&request) {
+            recorded.out.insert(attempt);
         }
-        self.follow(now, request, Fact::Intent { attempt: attempt.0, seen }, out);
+        self.write_recorded(now, request, Fact::Intent { attempt: attempt.0, seen }, actions);
     }
 
     /// One of them is over; it may be that its request was before.
-    fn followed_ended(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, fact: Fact, out: &mut Vec<Action>,
+    fn recorded_attempt_ended(
+        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, fact: Fact,
+        actions: &mut Vec<Action>,
     ) {
-        self.follow(now, request, fact, out);
-        if let Some(followed) = self.followed.get_mut(&request) {
-            followed.out.remove(&attempt);
+        self.write_recorded(now, request, fact, actions);
+        if let Some(recorded) = self.recorded.get_mut(&request) {
+            recorded.out.remove(&attempt);
         }
-        self.forget_followed(request);
+        self.forget_recorded(request);
     }
 
-    fn followed_over(&mut self, now: Time, request: RequestId, fact: Fact, out: &mut Vec<Action>) {
-        self.follow(now, request, fact, out);
-        if let Some(followed) = self.followed.get_mut(&request) {
-            followed.over = true;
+    fn recorded_request_ended(
+        &mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>,
+    ) {
+        self.write_recorded(now, request, fact, actions);
+        if let Some(recorded) = self.recorded.get_mut(&request) {
+            recorded.ended = true;
         }
-        self.forget_followed(request);
+        self.forget_recorded(request);
     }
 
-    fn forget_followed(&mut self, request: RequestId) {
-        if self.followed.get(&request).is_some_and(|f| f.over && f.out.is_empty()) {
-            self.followed.remove(&request);
+    fn forget_recorded(&mut self, request: RequestId) {
+        if self.recorded.get(&request).is_some_and(|f| f.ended && f.out.is_empty()) {
+            self.recorded.remove(&request);
         }
     }
 
     /// A fact about a request that is only recorded.
-    fn follow(&mut self, now: Time, request: RequestId, fact: Fact, out: &mut Vec<Action>) {
-        let Some(followed) = self.followed.get(&request) else { return };
-        let key = followed.key.clone();
+    fn write_recorded(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
+        let Some(recorded) = self.recorded.get(&request) else { return };
+        let key = recorded.key.clone();
         let backend = match &fact {
             Fact::Intent { seen, .. } => Some(seen.backend.clone()),
             _ => None,
         };
-        self.spare(now, fact, About { request: Some(request.0), key, backend }, out);
+        self.write_droppable(now, fact, About { request: Some(request.0), key, backend }, actions);
     }
 }
 
 /// Where its key is no longer up to the request, how it stands from now on; as none it is free.
-fn settles(held: &Held) -> Option<Option<Live>> {
-    match held.standing() {
-        Standing::Waiting | Standing::InFlight => None,
-        Standing::Doubt if !held.is_done() => None,
-        Standing::Doubt => Some(Some(Live::Doubt { resolving: false })),
-        Standing::Served => Some(Some(Live::Served)),
-        Standing::Free if held.taken => Some(Some(Live::Freeing)),
-        Standing::Free => Some(None),
+fn settled_key(tracked: &IntentRequest) -> Option<Option<UnsettledKey>> {
+    match tracked.state() {
+        RequestState::Pending | RequestState::InFlight => None,
+        RequestState::InDoubt if !tracked.is_done() => None,
+        RequestState::InDoubt => Some(Some(UnsettledKey::InDoubt { resolving: false })),
+        RequestState::Served => Some(Some(UnsettledKey::Served)),
+        RequestState::NotExecuted if tracked.key_claimed => Some(Some(UnsettledKey::Freeing)),
+        RequestState::NotExecuted => Some(None),
     }
 }
 
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
         Outcome::Error => "error",
--- a/crates/record/src/recorder/asks.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -4,8 +4,8 @@
 use crate::config::WithoutKey;
 use crate::event::{Action, KeyConflict, KeyDecision, KeyRequest, ReplyId, ResolveResult};
 use crate::fact::{About, Fact};
-use crate::journal::Then;
-use crate::request::{Followed, Held, Live, Standing};
+use crate::pending_writes::OnCommit;
+use crate::request::{IntentRequest, RecordedRequest, RequestState, UnsettledKey};
 use crate::row::{Claim, KeyId, KeyState};
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
@@ -20,9 +20,9 @@
     }
 
     /// Says what a front does with a request, before the engine hears of it.
-    pub fn ask(&mut self, now: Time, asked: KeyRequest, out: &mut Vec<Action>) -> KeyDecision {
-        self.end_waits(now, out);
-        self.expire(now, out);
+    pub fn ask(&mut self, now: Time, asked: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
+        self.expire_intent_waits(now, actions);
+        self.expire(now, actions);
         let Some(rule) = self.config.classes.get(asked.class).copied() else {
             return KeyDecision::Proceed { requires_intent: false };
         };
@@ -32,7 +32,7 @@
             return KeyDecision::KeyTooLong;
         }
         if !rule.requires_intent {
-            self.ask_followed(now, &asked, key, out);
+            self.ask_recorded(now, &asked, key, actions);
             return KeyDecision::Proceed { requires_intent: false };
         }
         if key.is_some_and(|k| k.len() > self.config.bounds.key) {
@@ -42,76 +42,91 @@
             return KeyDecision::KeyRequired;
         }
         let key = key.map(|key| key_id(&asked, key));
-        if let Some(verdict) = key.as_ref().and_then(|key| self.stands_against(now, key)) {
-            self.turned(now, &asked, key, verdict, out);
+        if let Some(verdict) = key.as_ref().and_then(|key| self.key_decision(now, key)) {
+            self.record_conflict(now, &asked, key, verdict, actions);
             return verdict;
         }
-        if self.is_unready(now) || self.requests.contains_key(&asked.request) {
-            return KeyDecision::Reject(self.advice(now));
+        if self.cannot_take_request(now) || self.requests.contains_key(&asked.request) {
+            return KeyDecision::Reject(self.retry_after(now));
         }
-        self.take_in(now, &asked, key, out);
+        self.accept(now, &asked, key, actions);
         KeyDecision::Proceed { requires_intent: true }
     }
 
     /// Why a request of this key is not sent now.
-    fn stands_against(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
-        let conflict = match self.live.get(key) {
-            Some(Live::Held(request)) => self.requests.get(request).and_then(Held::conflict),
-            Some(Live::Freeing) => None,
-            Some(Live::Doubt { .. }) => Some(KeyConflict::Doubt),
-            Some(Live::Served) => Some(KeyConflict::Served),
+    fn key_decision(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
+        let conflict = match self.unsettled_keys.get(key) {
+            Some(UnsettledKey::Requested(request)) => {
+                self.requests.get(request).and_then(IntentRequest::conflict)
+            }
+            Some(UnsettledKey::Freeing) => None,
+            Some(UnsettledKey::InDoubt { .. }) => Some(KeyConflict::Doubt),
+            Some(UnsettledKey::Served) => Some(KeyConflict::Served),
             None if self.served.has(key) => Some(KeyConflict::Served),
             None => return None,
         };
         // Nothing of it has run, but its fate is not known yet: harmless, a little later.
-        Some(conflict.map_or(KeyDecision::Reject(self.advice(now)), KeyDecision::Conflict))
+        Some(conflict.map_or(KeyDecision::Reject(self.retry_after(now)), KeyDecision::Conflict))
     }
 
     /// Nothing new is taken: the store does not write, or a bound is reached.
-    pub(super) fn is_unready(&self, now: Time) -> bool {
+    pub(super) fn cannot_take_request(&self, now: Time) -> bool {
         let bounds = &self.config.bounds;
-        self.journal.down().is_some()
-            || self.journal.is_stalled(now, self.config.intent_timeout)
-            || self.journal.owed() >= bounds.owed_facts
-            || self.waits.len() >= bounds.waiting
+        self.pending_writes.is_store_down()
+            || self.pending_writes.is_stalled(now, self.config.intent_timeout)
+            || self.pending_writes.required_count() >= bounds.owed_facts
+            || self.intent_deadlines.len() >= bounds.waiting
             || self.requests.len() >= bounds.unsettled
-            || self.live.len() >= bounds.unsettled
+            || self.unsettled_keys.len() >= bounds.unsettled
     }
 
     /// When it is worth coming again: not before the store is tried again.
-    pub(super) fn advice(&self, now: Time) -> Micros {
-        let again = self.journal.down().map_or(Micros(0), |at| at - now);
+    pub(super) fn retry_after(&self, now: Time) -> Micros {
+        let again = self.pending_writes.store_retry_at().map_or(Micros(0), |at| at - now);
         again.max(self.config.retry_after)
     }
 
-    fn take_in(&mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, out: &mut Vec<Action>) {
+    fn accept(&mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, actions: &mut Vec<Action>) {
         if let Some(key) = &key {
-            self.live.insert(key.clone(), Live::Held(asked.request));
+            self.unsettled_keys.insert(key.clone(), UnsettledKey::Requested(asked.request));
         }
-        let owns = key.is_some();
+        let owns_key = key.is_some();
         let (attempts, deadline) = (BTreeMap::new(), asked.deadline);
         let about = About { request: Some(asked.request.0), key: key.clone(), backend: None };
-        let held = Held { key, deadline, attempts, over: false, barred: None, taken: false, owns };
-        self.requests.insert(asked.request, held);
-        self.write(now, fact(now, asked, owns), about, Claim::None, Then::Owed, out);
+        let tracked = IntentRequest {
+            key,
+            deadline,
+            attempts,
+            ended: false,
+            rejected_with: None,
+            key_claimed: false,
+            owns_key,
+        };
+        self.requests.insert(asked.request, tracked);
+        self.write(now, fact(now, asked, owns_key), about, Claim::None, OnCommit::Nothing, actions);
     }
 
-    fn ask_followed(&mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, out: &mut Vec<Action>) {
+    fn ask_recorded(&mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, actions: &mut Vec<Action>) {
         let key = key.filter(|k| k.len() <= self.config.bounds.key).map(|key| key_id(asked, key));
-        if self.followed.len() >= self.config.bounds.unsettled {
+        if self.recorded.len() >= self.config.bounds.unsettled {
             self.dropped += 1;
-            self.dropped_unsaid += 1;
+            self.dropped_unrecorded += 1;
             return;
         }
-        let followed = Followed { key: key.clone(), ..Followed::default() };
-        self.followed.insert(asked.request, followed);
+        let recorded = RecordedRequest { key: key.clone(), ..RecordedRequest::default() };
+        self.recorded.insert(asked.request, recorded);
         let fact = fact(now, asked, key.is_some());
-        self.spare(now, fact, About { request: Some(asked.request.0), key, backend: None }, out);
+        self.write_droppable(
+            now,
+            fact,
+            About { request: Some(asked.request.0), key, backend: None },
+            actions,
+        );
     }
 
-    fn turned(
+    fn record_conflict(
         &mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, verdict: KeyDecision,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let KeyDecision::Conflict(conflict) = verdict else { return };
         let why = match conflict {
@@ -120,36 +135,38 @@
             KeyConflict::Served => "served",
         };
         let about = About { request: Some(asked.request.0), key, backend: None };
-        self.spare(now, Fact::Turned { why: why.into() }, about, out);
+        self.write_droppable(now, Fact::Turned { why: why.into() }, about, actions);
     }
 
     /// An operator ends a doubt. In memory it lasts until that is durable.
     pub(super) fn resolve(
-        &mut self, now: Time, reply: ReplyId, key: KeyId, fact: Fact, ran: bool, out: &mut Vec<Action>,
+        &mut self, now: Time, reply: ReplyId, key: KeyId, fact: Fact, ran: bool, actions: &mut Vec<Action>,
     ) {
-        let why_not = match self.live.get(&key) {
-            Some(Live::Doubt { resolving: false }) if self.journal.down().is_some() => {
+        let why_not = match self.unsettled_keys.get(&key) {
+            Some(UnsettledKey::InDoubt { resolving: false }) if self.pending_writes.is_store_down() => {
                 ResolveResult::StoreDown
             }
-            Some(Live::Doubt { resolving: false }) => {
-                self.live.insert(key.clone(), Live::Doubt { resolving: true });
+            Some(UnsettledKey::InDoubt { resolving: false }) => {
+                self.unsettled_keys.insert(key.clone(), UnsettledKey::InDoubt { resolving: true });
                 let claim = match ran {
                     true => Claim::Set(key.clone(), KeyState::Served),
                     false => Claim::Free(key.clone()),
                 };
                 let about = About { key: Some(key.clone()), ..About::default() };
-                return self.write(now, fact, about, claim, Then::Resolve(key, ran, reply), out);
+                return self.write(now, fact, about, claim, OnCommit::Resolved { key, ran, reply }, actions);
+            }
+            Some(UnsettledKey::Requested(request)) => {
+                match self.requests.get(request).map(IntentRequest::state) {
+                    Some(RequestState::Served) => ResolveResult::Served,
+                    _ => ResolveResult::InFlight,
+                }
             }
-            Some(Live::Held(request)) => match self.requests.get(request).map(Held::standing) {
-                Some(Standing::Served) => ResolveResult::Served,
-                _ => ResolveResult::InFlight,
-            },
-            Some(Live::Served) => ResolveResult::Served,
-            Some(Live::Doubt { .. } | Live::Freeing) => ResolveResult::NotYet,
+            Some(UnsettledKey::Served) => ResolveResult::Served,
+            Some(UnsettledKey::InDoubt { .. } | UnsettledKey::Freeing) => ResolveResult::NotYet,
             None if self.served.has(&key) => ResolveResult::Served,
             None => ResolveResult::Unknown,
         };
-        out.push(Action::Reply { reply, result: why_not });
+        actions.push(Action::Reply { reply, result: why_not });
     }
 }
 
--- a/crates/record/src/served.rs
+++ b/crates/record/src/served_keys.rs
@@ -14,11 +14,11 @@
 /// Stretches into which the time that keys are kept is cut: the store is told of the end of one, not of each key.
 const SLICES: u64 = 256;
 
-type Print = [u8; 16];
+type Fingerprint = [u8; 16];
 
 /// Keys whose time is up together.
 #[derive(Clone, Debug)]
-struct Slice {
+struct ExpirySlice {
     /// When the time of its first key is up.
     from: Time,
     /// When that of its last is.
@@ -26,47 +26,47 @@
     /// The highest row that one of them has.
     through: u64,
     /// The keys, but for those that were left to the store.
-    prints: VecDeque<Print>,
+    fingerprints: VecDeque<Fingerprint>,
 }
 
 /// The keys that were served and whose time is not up.
 #[derive(Clone, Debug)]
-pub(crate) struct Served {
+pub(crate) struct ServedKeys {
     secret: [u8; 16],
-    prints: BTreeSet<Print>,
-    slices: VecDeque<Slice>,
+    fingerprints: BTreeSet<Fingerprint>,
+    slices: VecDeque<ExpirySlice>,
 }
 
-impl Served {
-    pub fn new(secret: [u8; 16]) -> Served {
-        Served { secret, prints: BTreeSet::new(), slices: VecDeque::new() }
+impl ServedKeys {
+    pub fn new(secret: [u8; 16]) -> ServedKeys {
+        ServedKeys { secret, fingerprints: BTreeSet::new(), slices: VecDeque::new() }
     }
 
     pub fn has(&self, key: &KeyId) -> bool {
-        self.prints.contains(&self.print(key))
+        self.fingerprints.contains(&self.fingerprint(key))
     }
 
     pub fn len(&self) -> usize {
-        self.prints.len()
+        self.fingerprints.len()
     }
 
     /// A key whose row `seq` is durable. Rows come in their order; `until` never goes back by more than a slice
     /// gains by it, as the store knows rows and no time.
     pub fn add(&mut self, key: &KeyId, seq: u64, until: Time, keep: Micros, most: usize) {
-        let print = self.print(key);
+        let fingerprint = self.fingerprint(key);
         let until = self.slices.back().map_or(until, |s| s.until.max(until));
-        let fits = |s: &&mut Slice| until - s.from <= Micros(keep.0 / SLICES);
+        let fits = |s: &&mut ExpirySlice| until - s.from <= Micros(keep.0 / SLICES);
         match self.slices.back_mut().filter(fits) {
             Some(slice) => {
                 (slice.until, slice.through) = (until, slice.through.max(seq));
-                slice.prints.push_back(print);
+                slice.fingerprints.push_back(fingerprint);
             }
             None => {
-                let prints = VecDeque::from([print]);
-                self.slices.push_back(Slice { from: until, until, through: seq, prints });
+                let fingerprints = VecDeque::from([fingerprint]);
+                self.slices.push_back(ExpirySlice { from: until, until, through: seq, fingerprints });
             }
         }
-        self.prints.insert(print);
+        self.fingerprints.insert(fingerprint);
         self.forget_beyond(most);
     }
 
@@ -80,8 +80,8 @@
         let mut through = None;
         while self.slices.front().is_some_and(|s| s.until <= now) {
             let Some(slice) = self.slices.pop_front() else { break };
-            for print in &slice.prints {
-                self.prints.remove(print);
+            for fingerprint in &slice.fingerprints {
+                self.fingerprints.remove(fingerprint);
             }
             through = through.max(Some(slice.through));
         }
@@ -90,21 +90,21 @@
 
     /// The oldest are left to the store; their slices stay, as it is told when their time is up.
     fn forget_beyond(&mut self, most: usize) {
-        while self.prints.len() > most {
-            let oldest = self.slices.iter_mut().find_map(|s| s.prints.pop_front());
-            let Some(print) = oldest else { return };
-            self.prints.remove(&print);
+        while self.fingerprints.len() > most {
+            let oldest = self.slices.iter_mut().find_map(|s| s.fingerprints.pop_front());
+            let Some(fingerprint) = oldest else { return };
+            self.fingerprints.remove(&fingerprint);
         }
     }
 
-    fn print(&self, key: &KeyId) -> Print {
+    fn fingerprint(&self, key: &KeyId) -> Fingerprint {
         let mut bytes = Vec::with_capacity(64 + key.key.len());
         bytes.extend(self.secret);
         put(&mut bytes, key.tenant.as_bytes());
         put(&mut bytes, key.class.as_bytes());
         put(&mut bytes, &key.key);
-        let mut print = Print::default();
-        print.copy_from_slice(&Sha256::digest(bytes)[..16]);
-        print
+        let mut fingerprint = Fingerprint::default();
+        fingerprint.copy_from_slice(&Sha256::digest(bytes)[..16]);
+        fingerprint
     }
 }
