--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,23 +1,26 @@
-//! A list in the platform's JSON form, and the entries of any list.
+//! An endpoint list in the platform's JSON form, and the entries of any list. The only place that spells the form's
+//! field names and states.
 
+use crate::hash::deduplication_group_hash;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::{json, Value};
 use shaletide_types::{BackendState, Time};
+use std::fmt;
 use std::net::SocketAddr;
 
 /// A pool's list may hold so many entries; more are skipped.
 pub const MAX_ENTRIES: usize = 100_000;
-/// An entry with a longer name, zone or kind, in bytes, is a bad one.
+/// An entry with a longer name, zone or server type, in bytes, is invalid.
 pub const MAX_NAME: usize = 1_024;
 
-/// A larger weight is none.
+/// A larger weight counts as none.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// A list, or the changes to one. Entries are read one by one, so that a bad one spoils no other.
+/// A list, or the changes to one. Entries are read one by one, so that an invalid one does not hide others.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
-    /// What to ask for changes after.
+    /// The version after which to poll for changes.
     pub index: u64,
     /// Whether it is the whole list.
     pub snapshot: bool,
@@ -25,7 +28,7 @@
     pub endpoints: Vec<Value>,
 }
 
-/// Entries that made no sense, or none but that nothing new may go to a backend.
+/// Entries that were invalid, or of which no more could be read than that their backend takes no new requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Skipped {
     /// How many.
@@ -34,7 +37,7 @@
     pub first: String,
 }
 
-/// An entry that made sense.
+/// A valid entry of a list, with its names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// Its name, the same at every proxy.
@@ -43,47 +46,48 @@
     pub address: SocketAddr,
     /// Its zone's name.
     pub zone: String,
-    /// What sort of machine it is.
+    /// Its server type's name.
     pub server_type: String,
-    /// Its bay: backends of one bay share which keys they have seen. For bays with names see [`bay`].
+    /// Its deduplication group; for groups with names see [`crate::deduplication_group_hash`].
     pub deduplication_group: u64,
     /// How many cores it has.
     pub cores: u32,
-    /// Its weight in thousandths; 0 where the list says none, or nothing that is one.
+    /// Its weight in thousandths; 0 where the list has none, or none that is valid.
     pub weight: u32,
     /// What it may be sent.
     pub state: BackendState,
-    /// When it last started, by the clock of whoever made the list, until [`crate::StartTimes`] has put the own clock's
-    /// time there; `None` means long ago.
+    /// When it last started, by the clock of whoever made the list, until [`crate::StartTimes`] has put the local
+    /// clock's time there; `None` means long ago.
     pub started_at: Option<Time>,
 }
 
 /// A list of which each entry is still text.
 #[derive(Deserialize)]
-struct Texts<'a> {
+struct RawList<'a> {
     index: u64,
     snapshot: bool,
     #[serde(borrow)]
     endpoints: Vec<&'a RawValue>,
 }
 
-/// The least that an entry says.
+/// The least that an entry has to say.
 #[derive(Deserialize)]
-struct Said {
+struct NameAndStatus {
     name: String,
     status: String,
 }
 
+/// An entry by the platform's field names.
 #[derive(Deserialize)]
-struct Entry {
+struct WireEntry {
     name: String,
     address: String,
     zone: Option<String>,
     #[serde(rename = "type")]
-    kind: Option<String>,
-    /// Without one it shares what it has seen with nobody.
+    server_type: Option<String>,
+    /// Without one it shares the keys it has seen with no other backend.
     group: Option<u64>,
-    /// Read leniently: an entry without it is as good.
+    /// Read leniently: an entry without it is valid.
     #[serde(default)]
     cores: Value,
     #[serde(default)]
@@ -92,47 +96,94 @@
     since_ms: Option<f64>,
 }
 
+/// Why an entry is skipped.
+#[derive(Debug)]
+enum EntryError {
+    /// It does not have the form of an entry.
+    Form(serde_json::Error),
+    UnknownStatus(String),
+    BadAddress(String),
+    NameTooLong,
+    /// The list holds [`MAX_ENTRIES`] before it.
+    ListFull,
+}
+
+impl fmt::Display for EntryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EntryError::Form(error) => write!(f, "{error}"),
+            EntryError::UnknownStatus(status) => write!(f, "unknown status {status:?}"),
+            EntryError::BadAddress(address) => write!(f, "bad address {address:?}"),
+            EntryError::NameTooLong => write!(f, "a name of more than {MAX_NAME} bytes"),
+            EntryError::ListFull => write!(f, "more than {MAX_ENTRIES} entries"),
+        }
+    }
+}
+
+impl WireEntry {
+    fn state(&self) -> Result<BackendState, EntryError> {
+        match self.status.as_str() {
+            "SERVING" => Ok(BackendState::Ready),
+            "DRAINING" => Ok(BackendState::Draining),
+            "DELETED" => Ok(BackendState::Gone),
+            other => Err(EntryError::UnknownStatus(other.to_string())),
+        }
+    }
+
+    /// How many cores it has; 1 where that is absent or invalid.
+    fn cores(&self) -> u32 {
+        self.cores.as_u64().and_then(|cores| u32::try_from(cores).ok()).unwrap_or(1).max(1)
+    }
+
+    /// Its weight in thousandths; 0 where that is absent or invalid.
+    fn weight(&self) -> u32 {
+        let weight = self.weight.as_f64().filter(|weight| (0.0..=MAX_WEIGHT).contains(weight));
+        (weight.unwrap_or(0.0) * 1e3).round() as u32
+    }
+
+    /// When it last started, by the list's clock.
+    fn started_at(&self) -> Option<Time> {
+        let since_ms = self.since_ms.unwrap_or_default();
+        (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64))
+    }
+}
+
 impl Endpoint {
-    fn read(value: &Value) -> Result<Endpoint, String> {
-        let e = Entry::deserialize(value).map_err(|e| e.to_string())?;
-        let state = match e.status.as_str() {
-            "SERVING" => BackendState::Ready,
-            "DRAINING" => BackendState::Draining,
-            "DELETED" => BackendState::Gone,
-            other => return Err(format!("unknown status {other:?}")),
-        };
-        let address = e.address.parse().map_err(|_| format!("bad address {:?}", e.address))?;
-        let (zone, kind) = (e.zone.unwrap_or_default(), e.kind.unwrap_or_default());
-        let since_ms = e.since_ms.unwrap_or_default();
-        if [&e.name, &zone, &kind].iter().any(|text| text.len() > MAX_NAME) {
-            return Err(format!("a name of more than {MAX_NAME} bytes"));
+    fn read(value: &Value) -> Result<Endpoint, EntryError> {
+        let entry = WireEntry::deserialize(value).map_err(EntryError::Form)?;
+        let state = entry.state()?;
+        let address = entry.address.parse().map_err(|_| EntryError::BadAddress(entry.address.clone()))?;
+        let cores = entry.cores();
+        let weight = entry.weight();
+        let started_at = entry.started_at();
+        let zone = entry.zone.unwrap_or_default();
+        let server_type = entry.server_type.unwrap_or_default();
+        if [&entry.name, &zone, &server_type].iter().any(|text| text.len() > MAX_NAME) {
+            return Err(EntryError::NameTooLong);
         }
-        let cores = e.cores.as_u64().and_then(|n| u32::try_from(n).ok()).unwrap_or(1).max(1);
-        let weight = e.weight.as_f64().filter(|w| (0.0..=MAX_WEIGHT).contains(w)).unwrap_or(0.0);
-        let weight = (weight * 1e3).round() as u32;
-        let booted = (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64));
-        let own = || deduplication_group_hash(&e.name);
-        let group = e.group.unwrap_or_else(own);
-        let (name, bay) = (e.name, group);
+        let deduplication_group = entry.group.unwrap_or_else(|| deduplication_group_hash(&entry.name));
         Ok(Endpoint {
-            name,
+            name: entry.name,
             address,
             zone,
-            server_type: kind,
-            deduplication_group: bay,
+            server_type,
+            deduplication_group,
             cores,
             weight,
             state,
-            started_at: booted,
+            started_at,
         })
     }
 
-    /// Of an entry that makes no sense otherwise: that nothing new may go to the backend of that name. It counts as gone,
-    /// as it is not known where it is.
-    fn unwanted(value: &Value) -> Option<Endpoint> {
-        let Said { name, status } = Said::deserialize(value).ok()?;
-        let nothing_new = matches!(status.as_str(), "DRAINING" | "DELETED") && name.len() <= MAX_NAME;
-        nothing_new.then(|| Endpoint {
+    /// Of an invalid entry: that its backend takes no new requests, if it says so. The backend counts as gone, as its
+    /// address is not known.
+    fn gone_backend(value: &Value) -> Option<Endpoint> {
+        let NameAndStatus { name, status } = NameAndStatus::deserialize(value).ok()?;
+        let takes_nothing_new = matches!(status.as_str(), "DRAINING" | "DELETED");
+        if !takes_nothing_new || name.len() > MAX_NAME {
+            return None;
+        }
+        Some(Endpoint {
             deduplication_group: deduplication_group_hash(&name),
             name,
             address: SocketAddr::from(([0, 0, 0, 0], 0)),
@@ -147,198 +198,50 @@
 }
 
 impl List {
-    /// Reads a list. One that is not text, or has a number that is none, is read entry by entry: what is wrong with
-    /// one hides no other.
+    /// Reads a list. One that is not UTF-8, or has a number that JSON's numbers cannot hold, is read entry by entry:
+    /// what is wrong with one hides no other.
     ///
     /// # Errors
-    /// It is no list.
+    /// It does not have the form of a list.
     pub fn read(bytes: &[u8]) -> Result<List, serde_json::Error> {
         serde_json::from_slice(bytes).or_else(|_| {
             let text = String::from_utf8_lossy(bytes);
-            let Texts { index, snapshot, endpoints } = serde_json::from_str(&text)?;
-            let endpoints = endpoints.into_iter().map(|entry| value(entry.get())).collect();
+            let RawList { index, snapshot, endpoints } = serde_json::from_str(&text)?;
+            let endpoints = endpoints.into_iter().map(|entry| entry_value(entry.get())).collect();
             Ok(List { index, snapshot, endpoints })
         })
     }
 
-    /// The entries that make sense, [`MAX_ENTRIES`] at most, and what is to be said of the others.
+    /// The valid entries, [`MAX_ENTRIES`] at most, and what was skipped.
     pub fn entries(&self) -> (Vec<Endpoint>, Option<Skipped>) {
         let mut entries = Vec::with_capacity(self.endpoints.len().min(MAX_ENTRIES));
         let mut skipped: Option<Skipped> = None;
         for value in &self.endpoints {
-            let why = match Endpoint::read(value) {
+            let error = match Endpoint::read(value) {
                 Ok(entry) if entries.len() < MAX_ENTRIES => {
                     entries.push(entry);
                     continue;
                 }
-                Ok(_) => format!("more than {MAX_ENTRIES} entries"),
-                Err(why) => {
-                    entries.extend(Endpoint::unwanted(value).filter(|_| entries.len() < MAX_ENTRIES));
-                    why
+                Ok(_) => EntryError::ListFull,
+                Err(error) => {
+                    entries.extend(Endpoint::gone_backend(value).filter(|_| entries.len() < MAX_ENTRIES));
+                    error
                 }
             };
-            let sample = || format!("{why:.200}: {:.200}", value.to_string());
-            skipped.get_or_insert_with(|| Skipped { count: 0, first: sample() }).count += 1;
+            let first = || format!("{:.200}: {:.200}", error.to_string(), value.to_string());
+            skipped.get_or_insert_with(|| Skipped { count: 0, first: first() }).count += 1;
         }
         (entries, skipped)
     }
 }
 
-/// An entry by itself, or of one that cannot be read as a whole what it says at the least.
-fn value(text: &str) -> Value {
+/// One entry from its text; of one that cannot be read, what it says at the least.
+fn entry_value(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_else(|_| match serde_json::from_str(text) {
-        Ok(Said { name, status }) => json!({ "name": name, "status": status }),
+        Ok(NameAndStatus { name, status }) => json!({ "name": name, "status": status }),
         Err(_) => Value::Null,
     })
 }
 
-/// A number drawn from a text.
-pub(crate) fn fold(text: &str) -> u64 {
-    let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
-}
-
-/// What the order that all proxies share is drawn from: a number out of a name that is the same at each.
-pub fn stable_hash(name: &str) -> u64 {
-    fold(name) >> 20
-}
-
-/// The number of a bay that has a name.
-pub fn deduplication_group_hash(name: &str) -> u64 {
-    fold(name)
-}
-
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::json;
-
-    fn list(endpoints: Vec<Value>) -> List {
-        List { index: 1, snapshot: true, endpoints }
-    }
-
-    #[test]
-    fn an_entry_is_read_with_all_that_it_says() {
-        let full = json!({"name": "b7", "address": "10.0.0.7:80", "zone": "a", "type": "big", "group": 9,
-            "cores": 4, "weight": 1.5, "status": "DRAINING", "since_ms": 12.5, "more": []});
-        let bare = json!({"name": "b8", "address": "[::1]:80", "status": "SERVING"});
-        let (entries, skipped) = list(vec![full, bare]).entries();
-        assert_eq!(skipped, None);
-        let first = Endpoint {
-            name: "b7".into(),
-            address: "10.0.0.7:80".parse().unwrap(),
-            zone: "a".into(),
-            server_type: "big".into(),
-            deduplication_group: 9,
-            cores: 4,
-            weight: 1_500,
-            state: BackendState::Draining,
-            started_at: Some(Time(12_500)),
-        };
-        let plain = ("b8".to_string(), "[::1]:80".parse().unwrap(), String::new());
-        let second = Endpoint {
-            name: plain.0,
-            address: plain.1,
-            zone: plain.2.clone(),
-            server_type: plain.2,
-            deduplication_group: deduplication_group_hash("b8"),
-            cores: 1,
-            weight: 0,
-            state: BackendState::Ready,
-            started_at: None,
-        };
-        assert_eq!(entries, [first, second]);
-    }
-
-    #[test]
-    fn a_bad_entry_spoils_no_other_and_the_first_is_named_with_their_number() {
-        let good = |name: &str| json!({"name": name, "address": "10.0.0.7:80", "status": "DELETED"});
-        let bad = [
-            json!({"name": "x", "address": "10.0.0.7:80", "status": "UNSURE"}),
-            json!({"name": "x", "address": "here", "status": "SERVING"}),
-            json!({"name": "x", "status": "SERVING"}),
-            json!(["x"]),
-            good(&"n".repeat(MAX_NAME + 1)),
-        ];
-        let mut all = vec![good("a")];
-        all.extend(bad);
-        all.push(good("b"));
-        let (entries, skipped) = list(all).entries();
-        assert_eq!(entries.iter().map(|e| e.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
-        assert!(entries.iter().all(|e| e.state == BackendState::Gone));
-        let skipped = skipped.unwrap();
-        assert_eq!(skipped.count, 5);
-        assert!(skipped.first.contains("UNSURE") && skipped.first.len() <= 500, "{}", skipped.first);
-    }
-
-    #[test]
-    fn an_entry_that_makes_no_sense_otherwise_still_takes_a_box_out_of_use() {
-        let bad = |status: &str, more: Value| {
-            let mut entry = json!({"name": "x", "address": "10.0.0.7:80", "status": status});
-            entry.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
-            entry
-        };
-        let odd = [
-            json!({"address": "here"}),
-            json!({"address": null}),
-            json!({"zone": 7}),
-            json!({"zone": "z".repeat(MAX_NAME + 1)}),
-            json!({"since_ms": "soon"}),
-            json!({"group": -1}),
-        ];
-        for more in odd {
-            for status in ["DRAINING", "DELETED"] {
-                let (entries, skipped) = list(vec![bad(status, more.clone())]).entries();
-                let told: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.state)).collect();
-                assert_eq!(told, [("x", BackendState::Gone)], "{status} {more}");
-                assert_eq!(skipped.unwrap().count, 1, "and it is said");
-            }
-            assert_eq!(list(vec![bad("SERVING", more)]).entries().0, []);
-        }
-        let absent = json!({"zone": null, "type": null, "group": null, "weight": null, "since_ms": null});
-        let (entries, skipped) = list(vec![bad("SERVING", absent)]).entries();
-        assert_eq!((entries.len(), skipped), (1, None), "what is null is absent");
-    }
-
-    #[test]
-    fn bytes_that_are_no_text_and_numbers_that_are_none_hide_no_other_entry() {
-        let drain = |more: &[u8]| {
-            let head = br#"{"index":9,"snapshot":false,"endpoints":[{"name":"a","address":"10.0.0.7:80","#;
-            let tail = br#""status":"DRAINING"},{"name":"b","address":"10.0.0.8:80","status":"DRAINING"}]}"#;
-            [&head[..], more, &tail[..]].concat()
-        };
-        for more in [&b"\"zone\":\"\xff\xfe\","[..], b"\"since_ms\":1e999,", b"\"weight\":-1e999,\n\t"] {
-            let list = List::read(&drain(more)).unwrap();
-            let told: Vec<_> = list.entries().0.into_iter().map(|e| (e.name, e.state)).collect();
-            let left = told.iter().all(|(_, state)| *state != BackendState::Ready);
-            assert_eq!((list.index, list.snapshot, told.len(), left), (9, false, 2, true), "{told:?}");
-        }
-        let whole = drain(b"");
-        for cut in 0..whole.len() {
-            assert!(List::read(&whole[..cut]).is_err(), "cut after {cut} bytes");
-        }
-    }
-
-    #[test]
-    fn cores_that_make_no_sense_count_as_one() {
-        for cores in [json!(0), json!(-3), json!("8"), json!(1e99), json!(null), json!(2.5)] {
-            let entry = json!({"name": "b", "address": "10.0.0.7:80", "status": "SERVING", "cores": cores});
-            assert_eq!(list(vec![entry]).entries().0[0].cores, 1);
-        }
-    }
-
-    #[test]
-    fn a_list_is_bounded() {
-        let entry = |n: usize| json!({"name": n.to_string(), "address": "10.0.0.7:80", "status": "SERVING"});
-        let (entries, skipped) = list((0..MAX_ENTRIES + 3).map(entry).collect()).entries();
-        assert_eq!((entries.len(), skipped.unwrap().count), (MAX_ENTRIES, 3));
-    }
-
-    /// Other proxies and earlier releases draw the same order.
-    #[test]
-    fn the_mark_of_a_name_never_changes() {
-        assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325 >> 20);
-        assert_eq!(stable_hash("a"), 0xaf63_dc4c_8601_ec8c >> 20);
-        assert_eq!(stable_hash("foobar"), 0x8594_4171_f739_67e8 >> 20);
-    }
-}
+mod tests;
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,157 +1,222 @@
 //! The pools as the configuration has them, at the start and whenever it is read again.
 
-use crate::address_owners::Key;
-use crate::directory::{Directory, DirectoryUpdate};
+use crate::address_owners::EntryKey;
+use crate::directory::{ChangesByPool, Directory, DirectoryUpdate};
 use crate::list::Endpoint;
-use crate::pool::{Changes, ListedBackend, Pool, PoolSpec, Source};
+use crate::pool::{ListedBackend, Pool, PoolChanges, PoolSpec, Source};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The rows that go to each pool.
-type Rows = BTreeMap<PoolId, Vec<BackendEntry>>;
+/// The entries that each pool's balancer is notified of.
+type EntriesByPool = BTreeMap<PoolId, Vec<BackendEntry>>;
+
+/// Each pool from before the configuration was read, and whether it was static.
+type EarlierPools = BTreeMap<PoolId, bool>;
+
+/// The pools that a configuration names, before anything of it is applied.
+#[derive(Default)]
+struct ConfiguredPools {
+    ids: BTreeSet<PoolId>,
+    changes: ChangesByPool,
+    skipped: usize,
+}
+
+/// Entries that differ from what was last notified.
+#[derive(Default)]
+struct Differences {
+    gone: EntriesByPool,
+    listed: EntriesByPool,
+}
 
 impl Directory {
-    /// `now` is none at the start of the program.
-    pub(crate) fn set(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
-        let before = self.claims.conflicts();
-        let fixed_owners = self.fixed_owners();
-        let earlier: BTreeMap<PoolId, bool> = self.pools.iter().map(|(id, pool)| (*id, pool.fixed)).collect();
-        let mut told = DirectoryUpdate::default();
-        let mut news = Vec::new();
-        let mut kept = BTreeSet::new();
+    /// Takes over a configuration. `now`: none at the start of the program.
+    pub(crate) fn configure(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
+        let conflicts_before = self.address_owners.conflicts();
+        let static_owners = self.static_owners();
+        let earlier: EarlierPools = self.pools.iter().map(|(id, pool)| (*id, pool.is_static)).collect();
+        let mut configured = self.configured_pools(now, specs, &earlier);
+        self.empty_unconfigured(&mut configured);
+        let static_pools = self.static_pools();
+        // The configuration comes first: a static pool takes what another gives up here before any list that waits.
+        let new_static = |id: PoolId| static_pools.contains(&id) && configured.ids.contains(&id);
+        self.apply(std::mem::take(&mut configured.changes), new_static);
+
+        let mut result = DirectoryUpdate { skipped: configured.skipped, ..DirectoryUpdate::default() };
+        let mut differences = Differences::default();
+        self.move_between_static_pools(&static_owners, &static_pools, &mut result, &mut differences);
+        self.find_differences(&mut differences);
+        self.drop_unconfigured(&configured.ids);
+        // A new static pool has its whole list; of a new discovered one nothing is known yet.
+        for id in configured.ids.iter().filter(|id| static_pools.contains(id) && !earlier.contains_key(id)) {
+            differences.listed.entry(*id).or_default();
+        }
+        for (id, entries) in differences.gone {
+            result.notifications.push((id, EndpointUpdate::Delta, entries));
+        }
+        for (id, entries) in differences.listed {
+            let is_new = !earlier.contains_key(&id);
+            let update = if is_new { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
+            result.notifications.push((id, update, entries));
+        }
+        result.conflicts = self.conflicts_since(&conflicts_before);
+        result
+    }
+
+    fn configured_pools(
+        &mut self, now: Option<Time>, specs: Vec<PoolSpec>, earlier: &EarlierPools,
+    ) -> ConfiguredPools {
+        let mut configured = ConfiguredPools::default();
         for spec in specs {
-            let id = self.place(&spec);
-            kept.insert(id);
-            if let Source::Static(boxes) = spec.source {
-                let age = |at: SocketAddr| now.map(|now| self.age(id, at, &earlier).unwrap_or(Some(now)));
-                let ages: Vec<_> = boxes.iter().map(|e| age(e.address)).collect();
-                let (changes, skipped) = self.fixed_changes(id, boxes, ages);
-                told.skipped += skipped;
-                news.push((id, changes));
+            let id = self.ensure_pool(&spec);
+            configured.ids.insert(id);
+            if let Source::Static(endpoints) = spec.source {
+                let endpoints = self.with_start_times(now, id, endpoints, earlier);
+                let PoolChanges { changes, skipped } = self.static_changes(id, endpoints);
+                configured.skipped += skipped;
+                configured.changes.push((id, changes));
             }
         }
-        for (id, pool) in self.pools.iter().filter(|(id, _)| !kept.contains(id)) {
-            news.push((*id, pool.listed.keys().map(|key| (key.clone(), None)).collect()));
+        configured
+    }
+
+    /// Pools that the configuration does not name any more lose all their backends.
+    fn empty_unconfigured(&self, configured: &mut ConfiguredPools) {
+        for (id, pool) in self.pools.iter().filter(|(id, _)| !configured.ids.contains(id)) {
+            let all_gone = pool.listed.keys().map(|key| (key.clone(), None)).collect();
+            configured.changes.push((*id, all_gone));
         }
-        // The configuration's word: what a pool gives up here, a static one takes before any list in line.
-        let fixed: BTreeSet<PoolId> = self.pools.iter().filter(|(_, p)| p.fixed).map(|(id, _)| *id).collect();
-        self.apply(news, |id| fixed.contains(&id) && kept.contains(&id));
-        let mut gone = self.carry_over(&fixed_owners, &fixed, &mut told);
-        let mut rest = self.differences(&mut gone);
-        self.pools.retain(|id, _| kept.contains(id));
-        let realms: BTreeSet<u32> = self.pools.values().map(|pool| pool.realm).collect();
-        self.realms.retain(|_, realm| realms.contains(realm));
-        told.notifications.extend(gone.into_iter().map(|(id, rows)| (id, EndpointUpdate::Delta, rows)));
-        // A new static pool has its whole list; of a new listed one nothing is known yet.
-        kept.iter().filter(|id| fixed.contains(id) && !earlier.contains_key(id)).for_each(|id| {
-            rest.entry(*id).or_default();
-        });
-        told.notifications.extend(rest.into_iter().map(|(id, rows)| {
-            (
-                id,
-                if earlier.contains_key(&id) { EndpointUpdate::Delta } else { EndpointUpdate::Snapshot },
-                rows,
-            )
-        }));
-        told.conflicts = self.claims.conflicts().difference(&before).copied().collect();
-        told
+    }
+
+    fn drop_unconfigured(&mut self, configured: &BTreeSet<PoolId>) {
+        self.pools.retain(|id, _| configured.contains(id));
+        let domains: BTreeSet<u32> = self.pools.values().map(|pool| pool.domain).collect();
+        self.domains.retain(|_, domain| domains.contains(domain));
     }
 
     /// The pool of that name, made if there is none, as the configuration has it; its list is left as it is.
-    fn place(&mut self, spec: &PoolSpec) -> PoolId {
-        let group = spec.repeat_group.clone();
-        let group = (group.is_some(), group.unwrap_or_else(|| spec.name.clone()));
-        let realm = *self.realms.entry(group).or_insert_with(|| {
-            self.realms_met += 1;
-            self.realms_met - 1
-        });
-        let fixed = matches!(spec.source, Source::Static(_));
+    fn ensure_pool(&mut self, spec: &PoolSpec) -> PoolId {
+        let domain = self.domain_of(spec);
+        let is_static = matches!(spec.source, Source::Static(_));
         let id = self.pool_named(&spec.name).unwrap_or_else(|| {
-            self.pools_met += 1;
-            PoolId(self.pools_met - 1)
+            self.next_pool_id += 1;
+            PoolId(self.next_pool_id - 1)
         });
         let pool = self.pools.entry(id).or_insert_with(|| Pool {
             name: spec.name.clone(),
-            realm,
-            fixed,
+            domain,
+            is_static,
             listed: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            backend_ids: BTreeMap::new(),
         });
-        (pool.realm, pool.fixed) = (realm, fixed);
+        pool.domain = domain;
+        pool.is_static = is_static;
         id
     }
 
-    /// What a static pool's backends are now, each with when it last started where that is not as it says.
-    fn fixed_changes(
-        &mut self, id: PoolId, boxes: Vec<Endpoint>, ages: Vec<Option<Option<Time>>>,
-    ) -> (Changes, usize) {
+    /// The deduplication domain of the pool's repeat group; without one it is the pool's alone.
+    fn domain_of(&mut self, spec: &PoolSpec) -> u32 {
+        let key = match &spec.repeat_group {
+            Some(group) => (true, group.clone()),
+            None => (false, spec.name.clone()),
+        };
+        *self.domains.entry(key).or_insert_with(|| {
+            self.next_domain += 1;
+            self.next_domain - 1
+        })
+    }
+
+    /// The endpoints, each with the time at which it last started. At the start of the program that is what the
+    /// configuration says; later it is what is known of a backend at that address, or now.
+    fn with_start_times(
+        &self, now: Option<Time>, id: PoolId, endpoints: Vec<Endpoint>, earlier: &EarlierPools,
+    ) -> Vec<Endpoint> {
+        let Some(now) = now else { return endpoints };
+        let with_start_time = |endpoint: Endpoint| {
+            let known = self.known_backend(id, endpoint.address, earlier);
+            let started_at = known.map_or(Some(now), |listed| listed.started_at);
+            Endpoint { started_at, ..endpoint }
+        };
+        endpoints.into_iter().map(with_start_time).collect()
+    }
+
+    /// The backend that this pool, or else one that was static before the reload, has at that address.
+    fn known_backend(
+        &self, id: PoolId, address: SocketAddr, earlier: &EarlierPools,
+    ) -> Option<&ListedBackend> {
+        let in_pool = |pool: &PoolId| {
+            let key = self.address_owners.entries(address, *pool).next()?;
+            self.pools.get(pool)?.listed.get(key)
+        };
+        let was_static = |pool: &&PoolId| earlier.get(pool) == Some(&true);
+        let in_static_pool =
+            || self.address_owners.claimants(address).iter().filter(was_static).find_map(in_pool);
+        in_pool(&id).or_else(in_static_pool)
+    }
+
+    /// What changes of a static pool's backends.
+    fn static_changes(&mut self, id: PoolId, endpoints: Vec<Endpoint>) -> PoolChanges {
+        let Some(pool) = self.pools.get(&id) else { return PoolChanges::default() };
         let names = &mut self.names;
-        let present = boxes.into_iter().zip(ages).filter(|(e, _)| e.state != BackendState::Gone);
-        let entries = present.map(|(e, age)| {
-            let booted = age.unwrap_or(e.started_at);
-            (key(e.address), Some(ListedBackend::new(Endpoint { started_at: booted, ..e }, names)))
+        let listed = endpoints.into_iter().filter(|endpoint| endpoint.state != BackendState::Gone);
+        let entries = listed.map(|endpoint| {
+            let key = static_key(endpoint.address);
+            (key, Some(ListedBackend::new(endpoint, names)))
         });
-        self.pools.get(&id).map_or_else(Default::default, |pool| pool.changes(true, entries))
+        pool.changes(true, entries)
     }
 
-    /// When a backend that stands at that address since before the reload last started, as this pool has it or
-    /// else one that was static; `None` where it is new.
-    fn age(&self, id: PoolId, at: SocketAddr, earlier: &BTreeMap<PoolId, bool>) -> Option<Option<Time>> {
-        let booted = |pool: &PoolId| {
-            let key = self.claims.entries(at, *pool).next()?;
-            Some(self.pools.get(pool)?.listed.get(key)?.booted)
-        };
-        let fixed = |pool: &&PoolId| earlier.get(pool) == Some(&true);
-        booted(&id).or_else(|| self.claims.line(at).iter().filter(fixed).find_map(booted))
+    fn static_pools(&self) -> BTreeSet<PoolId> {
+        self.pools.iter().filter(|(_, pool)| pool.is_static).map(|(id, _)| *id).collect()
     }
 
     /// The addresses that belong to static pools.
-    fn fixed_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
-        let fixed = self.pools.iter().filter(|(_, pool)| pool.fixed);
-        let each = fixed.flat_map(|(id, pool)| pool.listed.values().map(|listed| (listed.address, *id)));
-        each.filter(|(address, id)| self.claims.owner(*address) == Some(*id)).collect()
+    fn static_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
+        let static_pools = self.pools.iter().filter(|(_, pool)| pool.is_static);
+        let claims =
+            static_pools.flat_map(|(id, pool)| pool.listed.values().map(|listed| (listed.address, *id)));
+        claims.filter(|(address, id)| self.address_owners.owner(*address) == Some(*id)).collect()
     }
 
-    /// Backends that went from one static pool to another: the same process, so the same number. Returns what
-    /// the pools that they left are told.
-    fn carry_over(
-        &mut self, owners: &BTreeMap<SocketAddr, PoolId>, fixed: &BTreeSet<PoolId>,
-        told: &mut DirectoryUpdate,
-    ) -> Rows {
-        let mut gone = Rows::new();
-        for (address, from) in owners {
-            let to = self.claims.owner(*address).filter(|to| to != from && fixed.contains(to));
-            let Some((moved, row)) = to.and_then(|to| self.shift(&key(*address), *from, to)) else {
+    /// Backends that went from one static pool to another: the same process, so the same number.
+    fn move_between_static_pools(
+        &mut self, owners_before: &BTreeMap<SocketAddr, PoolId>, static_pools: &BTreeSet<PoolId>,
+        result: &mut DirectoryUpdate, differences: &mut Differences,
+    ) {
+        for (address, from) in owners_before {
+            let Some(to) = self.address_owners.owner(*address) else { continue };
+            if to == *from || !static_pools.contains(&to) {
                 continue;
-            };
-            told.moved.push(moved);
-            gone.entry(*from).or_default().push(row);
+            }
+            if let Some((moved, entry)) = self.move_backend(&static_key(*address), *from, to) {
+                result.moved.push(moved);
+                differences.gone.entry(*from).or_default().push(entry);
+            }
         }
-        gone
     }
 
-    /// All rows that are not as they were last told; those of backends that are gone are added to `gone`.
-    fn differences(&mut self, gone: &mut Rows) -> Rows {
-        let mut rest = Rows::new();
+    /// Adds all entries that are not as they were last notified.
+    fn find_differences(&mut self, differences: &mut Differences) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for id in pools {
             let pool = &self.pools[&id];
-            let keys: BTreeSet<Key> = pool.listed.keys().chain(pool.numbers.keys()).cloned().collect();
+            let keys: BTreeSet<EntryKey> =
+                pool.listed.keys().chain(pool.backend_ids.keys()).cloned().collect();
             for key in keys {
-                let before = self.last_told(id, &key).cloned();
-                let Some(row) = self.tell(id, &key).filter(|row| before.as_ref() != Some(row)) else {
+                let before = self.last_notified(id, &key).cloned();
+                let Some(entry) = self.refresh(id, &key) else { continue };
+                if before.as_ref() == Some(&entry) {
                     continue;
-                };
-                let to = if row.state == BackendState::Gone { &mut *gone } else { &mut rest };
-                to.entry(id).or_default().push(row);
+                }
+                let is_gone = entry.state == BackendState::Gone;
+                let to = if is_gone { &mut differences.gone } else { &mut differences.listed };
+                to.entry(id).or_default().push(entry);
             }
         }
-        rest
     }
 }
 
-/// What a static pool's backend is known by.
-fn key(address: SocketAddr) -> Key {
+/// What identifies a backend of a static pool.
+fn static_key(address: SocketAddr) -> EntryKey {
     address.to_string().into()
 }
