--- a/crates/config/src/schema/tables.rs
+++ b/crates/config/src/schema/tables.rs
@@ -81,7 +81,7 @@
 pub static PLACE: Section =
     inline("place", "Where in a request something stands: one of the two.", PLACE_KEYS);
 /// What proves that a request was not executed.
-pub static PROOF: Section = inline("answers.not_executed", "An answer that proves this.", PROOF_KEYS);
+pub static PROOF: Section = inline("answers.never_ran", "An answer that proves this.", PROOF_KEYS);
 /// A header that a route asks for.
 pub static HEADER: Section = inline("route.header", "A header that a request must carry.", HEADER_KEYS);
 /// The answers of one route.
@@ -364,7 +364,7 @@
         "What it costs when every request crosses from one zone to another once.",
     ),
     key(
-        "over_quota_weight_fraction",
+        "over_quota_worth",
         Kind::Number(0.0, 1.0),
         Is("0.1"),
         Reload,
--- a/crates/config/src/schema/traffic.rs
+++ b/crates/config/src/schema/traffic.rs
@@ -200,7 +200,7 @@
          errors. 429 and 503 are never among them: they tell a client that coming again does no harm.",
     ),
     key(
-        "not_executed",
+        "never_ran",
         Kind::Proofs,
         Is("[]"),
         Reload,
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -143,7 +143,7 @@
         .into_iter()
         .map(|name| {
             json!({"name": name, "aim_us": 1_000, "deadline_us": 2_000, "effect": "free", "gain": 1.0,
-                "late_weight_fraction": 0.5})
+                "late_worth": 0.5})
         })
         .collect();
     let customers: Vec<_> =
@@ -155,7 +155,7 @@
         "limits": {"cancel": true, "max_attempts": 3, "parallel_tries": true, "dial_timeout_us": 300_000,
             "conn_idle_us": 60_000_000, "max_retry_after_us": 2_000_000},
         "over_share_worth": 0.1, "profiles": profiles,
-        "rules": {"initial_capacity_fraction": 0.3, "overload_multiple": 2.5, "must_ask_in_us": 9_000_000,
+        "rules": {"cold_from": 0.3, "fall_multiple": 2.5, "must_ask_in_us": 9_000_000,
             "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000}
     });
     let started = Instant::now();
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -90,7 +90,7 @@
     );
     assert_eq!(route.when.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
     assert_eq!(route.pools, [PoolId(0), PoolId(1)]);
-    // Its own `served` and `errors`, and `not_executed` of [answers].
+    // Its own `served` and `errors`, and `never_ran` of [answers].
     assert!(route.answers.served.has(299) && !route.answers.served.has(300));
     assert_eq!(route.answers.error_responses, ErrorResponses::Replace);
     let proof = NotExecutedProof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
@@ -120,7 +120,7 @@
         [limits]
         descriptors = 128
         max_attempts = 16
-        hedging = false
+        second_copies = false
         cancel = false
         connect_timeout = "1ms"
         idle_timeout = "1h"
@@ -134,16 +134,16 @@
         held_bodies = "1MiB"
         max_body = "1.5KiB"
         [rules]
-        initial_capacity_fraction = 1
+        cold_from = 1
         ramp = "3s"
-        overload_multiple = 2
-        overload_window = "4s"
+        fall_multiple = 2
+        fall_window = "4s"
         drain_grace = "0s"
         [goal]
         whole = 0.5
         worst_class = 0.25
         cross_zone_cost = 2
-        over_quota_weight_fraction = 0
+        over_quota_worth = 0
     "#;
     let Operator { proxy, limits, config, .. } = with(text);
     assert_eq!((proxy.name.as_str(), proxy.zone.as_str(), proxy.seed), ("q.1_a-B", "z", Some(255)));
--- a/crates/shaletide/tests/answers.rs
+++ b/crates/shaletide/tests/answers.rs
@@ -68,7 +68,7 @@
         let errors = if own_words { "errors = \"own_words\"" } else { "errors = \"as_they_are\"" };
         let proof = match cases.get(n) {
             Some((_, _, status, true)) => {
-                format!(", not_executed = [{{ status = {status}, header = \"{PROOF}\", value = \"1\" }}]")
+                format!(", never_ran = [{{ status = {status}, header = \"{PROOF}\", value = \"1\" }}]")
             }
             _ => String::new(),
         };
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -130,7 +130,7 @@
         ("\"free\"", "\"odd\"", "profiles[0].effect"),
         ("\"key_scope\":\"zone\",", "", "profiles[2].key_scope"),
         ("\"max_attempts\":3", "\"max_attempts\":\"3\"", "limits.max_attempts"),
-        ("\"initial_capacity_fraction\":0.3", "\"initial_capacity_fraction\":1.3", "cold_from"),
+        ("\"cold_from\":0.3", "\"cold_from\":1.3", "cold_from"),
         ("\"aim_us\":300000", "\"aim_us\":1300000", "aim_us"),
         ("\"name\":\"pay\"", "\"name\":\"read\"", "profiles[1].name"),
     ];
