--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -2,7 +2,8 @@
 //! that go with them. Text in, values or all that is wrong with it out; no files, no environment, no clock.
 #![forbid(unsafe_code)]
 
-mod desk;
+mod diagnostic;
+mod diagnostics;
 pub mod operator;
 pub mod platform;
 mod report;
--- a/crates/config/src/operator/additions.rs
+++ b/crates/config/src/operator/additions.rs
@@ -2,9 +2,10 @@
 
 use super::names::Index;
 use super::{basics, checked, pools, request, routes, PoolDef};
-use crate::desk::Desk;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::Diagnostics;
 use crate::platform::Names;
-use crate::report::{Finding, Report};
+use crate::report::Report;
 use crate::section::File;
 use shaletide_balancer::Micros;
 use shaletide_routing::{AttributeSource, ResponseRules, Route};
@@ -66,31 +67,31 @@
 ///
 /// All that is wrong with the text; among that each key that NODE_CONFIG has a word for.
 pub fn read_additions(file_name: &str, text: &str, names: &PlatformNames) -> Result<Additions, Report> {
-    checked(file_name, text, |desk, tree| Some(additions(desk, tree, names)))
+    checked(file_name, text, |diagnostics, tree| Some(additions(diagnostics, tree, names)))
 }
 
-fn additions(desk: &mut Desk<'_>, tree: &DeTable<'_>, names: &PlatformNames) -> Additions {
-    let file = File::open_additions(desk, tree);
-    let (limits, request) = (file.table(desk, "limits"), file.table(desk, "request"));
+fn additions(diagnostics: &mut Diagnostics<'_>, tree: &DeTable<'_>, names: &PlatformNames) -> Additions {
+    let file = File::open_extension(diagnostics, tree);
+    let (limits, request) = (file.table(diagnostics, "limits"), file.table(diagnostics, "request"));
     let mut taken = pools::Addresses::new(Vec::new());
-    let (pools, added) = pools::pools(desk, &file, &mut taken);
+    let (pools, added) = pools::pools(diagnostics, &file, &mut taken);
     for (number, _) in added.in_order().enumerate().filter(|(_, name)| *name == PLATFORM_POOL) {
         let what = "pool.name: the pool `platform` is there without being named";
-        desk.add(Finding::at(added.place(number), what, "expected another name"));
+        diagnostics.push(Diagnostic::at(added.place(number), what, "expected another name"));
     }
-    let answers = file.table(desk, "answers");
-    let answers = request::answers(desk, &answers, &ResponseRules::platform());
+    let answers = file.table(diagnostics, "answers");
+    let answers = request::answers(diagnostics, &answers, &ResponseRules::platform());
     let known = routes::Known {
         classes: &Index::given("class", names.classes.iter().cloned()),
         tenants: &Index::given("tenant", names.tenants.iter().cloned()),
         pools: &added.behind(PLATFORM_POOL),
         answers: &answers,
     };
-    let routes = routes::routes(desk, &file, &known);
+    let routes = routes::routes(diagnostics, &file, &known);
     Additions {
-        limits: basics::added_limits(desk, &limits),
-        bay: request::place(desk, &request, "bay"),
-        zone: request::place(desk, &request, "zone"),
+        limits: basics::added_limits(diagnostics, &limits),
+        bay: request::place(diagnostics, &request, "bay"),
+        zone: request::place(diagnostics, &request, "zone"),
         pools,
         routes,
     }
--- a/crates/config/src/operator/classes.rs
+++ b/crates/config/src/operator/classes.rs
@@ -3,8 +3,8 @@
 use super::names::Index;
 use super::record::{self, Record};
 use super::ClassDef;
-use crate::desk::Desk;
-use crate::report::Finding;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::Diagnostics;
 use crate::section::{File, Section};
 use crate::values;
 use shaletide_balancer::{Class, DeduplicationScope, Idempotency, Micros, Tenant};
@@ -21,77 +21,79 @@
     pub names: Index,
 }
 
-pub(super) fn classes(desk: &mut Desk<'_>, file: &File<'_, '_>, record: &Record) -> Classes {
-    let (sections, all) = file.list(desk, "class", MAX_CLASSES);
-    let names = Index::read(desk, "class", &sections, all);
+pub(super) fn classes(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>, record: &Record) -> Classes {
+    let (sections, all) = file.list(diagnostics, "class", MAX_CLASSES);
+    let names = Index::read(diagnostics, "class", &sections, all);
     let (mut defs, mut rules) = (Vec::new(), Vec::new());
     for (section, name) in sections.iter().zip(names.in_order()) {
-        let (class, methods, deadline) = class(desk, section);
-        let recording = record::recording(desk, section, record, class.idempotency);
+        let (class, methods, deadline) = class(diagnostics, section);
+        let recording = record::recording(diagnostics, section, record, class.idempotency);
         let def = ClassDef { name: name.to_string(), methods, deadline, record: recording };
-        record.waits_less(desk, section, &def);
+        record.check_wait(diagnostics, section, &def);
         defs.push(def);
         rules.push(class);
     }
     Classes { defs, rules, names }
 }
 
-fn class(desk: &mut Desk<'_>, section: &Section<'_, '_>) -> (Class, Vec<String>, Micros) {
-    let word = section.word(desk, "effect");
-    let effect = effect(desk, section, word.value);
-    let listed = section.listed(desk, "methods", values::method);
+fn class(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> (Class, Vec<String>, Micros) {
+    let word = section.word(diagnostics, "effect");
+    let effect = effect(diagnostics, section, word.value);
+    let listed = section.listed(diagnostics, "methods", values::method);
     let methods: Vec<String> = match (listed.at, effect) {
         (Some(_), _) => listed.items.into_iter().map(|(m, _)| m).collect(),
         (None, Idempotency::Safe) => ["GET", "HEAD"].map(String::from).into(),
         (None, _) => ["POST", "PUT", "PATCH", "DELETE"].map(String::from).into(),
     };
-    let (aim, deadline) = (section.span(desk, "aim"), section.span(desk, "deadline"));
+    let (aim, deadline) = (section.span(diagnostics, "aim"), section.span(diagnostics, "deadline"));
     if let (Some(soon), Some(late)) = (aim.value, deadline.value) {
         if soon > late {
             let at = aim.at.clone().or(deadline.at.clone()).unwrap_or(section.at.clone());
             let late = crate::schema::span(late.0);
-            let finding = Finding::at(at.clone(), "class.aim: it is over the deadline", {
+            let diagnostic = Diagnostic::at(at.clone(), "class.aim: it is over the deadline", {
                 format!("expected an aim of at most {late}")
             });
             let other = deadline.at.clone().filter(|other| *other != at);
-            let finding = match other {
-                Some(other) => finding.also(other, "the deadline"),
+            let diagnostic = match other {
+                Some(other) => diagnostic.with_related(other, "the deadline"),
                 None if aim.at.is_none() => {
-                    finding.help(format!("without `aim` it is {}", crate::schema::span(soon.0)))
+                    diagnostic.with_help(format!("without `aim` it is {}", crate::schema::span(soon.0)))
                 }
-                None => finding.help(format!("without `deadline` it is {late}")),
+                None => diagnostic.with_help(format!("without `deadline` it is {late}")),
             };
-            desk.add(finding);
+            diagnostics.push(diagnostic);
         }
     }
-    let number = |desk: &mut Desk<'_>, key| section.number(desk, key).or(0.0);
+    let number = |diagnostics: &mut Diagnostics<'_>, key| section.number(diagnostics, key).or(0.0);
     let class = Class {
         latency_objective: aim.or(Micros(1)),
-        latency_objective_per_work_hint: number(desk, "aim_stretch"),
+        latency_objective_per_work_hint: number(diagnostics, "aim_stretch"),
         idempotency: effect,
-        priority_weight: number(desk, "worth"),
-        late_weight_fraction: number(desk, "late_worth"),
+        priority_weight: number(diagnostics, "worth"),
+        late_weight_fraction: number(diagnostics, "late_worth"),
     };
     (class, methods, deadline.or(Micros(1)))
 }
 
 /// What a second run does; `key_scope` and `key_window` stand where the class is keyed, and only there.
-fn effect(desk: &mut Desk<'_>, section: &Section<'_, '_>, word: Option<&str>) -> Idempotency {
-    let (scope, window) = (section.word(desk, "key_scope"), section.span(desk, "key_window"));
+fn effect(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, word: Option<&str>) -> Idempotency {
+    let (scope, window) = (section.word(diagnostics, "key_scope"), section.span(diagnostics, "key_window"));
     let keys = [("key_scope", &scope.at), ("key_window", &window.at)];
     if word == Some("keyed") {
-        keys.iter().filter(|(_, at)| at.is_none()).for_each(|(key, _)| section.missing(desk, key));
+        keys.iter()
+            .filter(|(_, at)| at.is_none())
+            .for_each(|(key, _)| section.push_missing(diagnostics, key));
     } else if let Some(word) = word {
         for (key, at) in keys.into_iter().filter_map(|(key, at)| Some((key, at.clone()?))) {
             let what = format!("class.{key}: the class is not keyed but {word}");
-            let finding = Finding::at(at, what, "expected in classes of effect = \"keyed\" only");
+            let diagnostic = Diagnostic::at(at, what, "expected in classes of effect = \"keyed\" only");
             let other = section.raw("effect").map(|(_, at)| at);
             // A misspelt key's neighbour may have been lost to a syntax error in the same table.
-            desk.missing(
+            diagnostics.push_missing(
                 &section.at,
                 match other {
-                    Some(other) => finding.also(other, "its effect"),
-                    None => finding.help("without `effect` a class is safe"),
+                    Some(other) => diagnostic.with_related(other, "its effect"),
+                    None => diagnostic.with_help("without `effect` a class is safe"),
                 },
             );
         }
@@ -109,9 +111,10 @@
 }
 
 /// The tenants and their names.
-pub(super) fn tenants(desk: &mut Desk<'_>, file: &File<'_, '_>) -> (Vec<Tenant>, Index) {
-    let (sections, all) = file.list(desk, "tenant", MAX_TENANTS);
-    let names = Index::read(desk, "tenant", &sections, all);
-    let tenants = sections.iter().map(|s| Tenant { quota_per_s: s.number(desk, "quota").or(0.0) }).collect();
+pub(super) fn tenants(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> (Vec<Tenant>, Index) {
+    let (sections, all) = file.list(diagnostics, "tenant", MAX_TENANTS);
+    let names = Index::read(diagnostics, "tenant", &sections, all);
+    let tenants =
+        sections.iter().map(|s| Tenant { quota_per_s: s.number(diagnostics, "quota").or(0.0) }).collect();
     (tenants, names)
 }
--- a/crates/config/src/operator/mod.rs
+++ b/crates/config/src/operator/mod.rs
@@ -15,8 +15,9 @@
 pub use additions::{read_additions, AddedLimits, Additions, PlatformNames, PLATFORM_POOL};
 pub use types::*;
 
-use crate::desk::Desk;
-use crate::report::{Finding, Report};
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::Diagnostics;
+use crate::report::Report;
 use crate::section::{File, Section};
 use crate::source::Source as Text;
 use crate::syntax;
@@ -63,7 +64,7 @@
             (good.len() - skip.min(good.len()))..(good.len() - skip.min(good.len()) + '\u{fffd}'.len_utf8());
         let byte = bad.first().copied().unwrap_or_default();
         let what = format!("the byte 0x{byte:02x} is not UTF-8");
-        Report::new(file_name, &source, vec![Finding::at(at, what, "expected a text file in UTF-8")], 0)
+        Report::new(file_name, &source, vec![Diagnostic::at(at, what, "expected a text file in UTF-8")], 0)
     })
 }
 
@@ -71,56 +72,58 @@
     if length <= MAX_FILE {
         return Ok(());
     }
-    let finding = Finding::whole("the file is too long", format!("expected at most {} MiB", MAX_FILE >> 20));
-    Err(Report::new(file_name, &Text::new(""), vec![finding], 0))
+    let diagnostic =
+        Diagnostic::for_file("the file is too long", format!("expected at most {} MiB", MAX_FILE >> 20));
+    Err(Report::new(file_name, &Text::new(""), vec![diagnostic], 0))
 }
 
 /// What every reading shares: the bound, the tree, and that values come out only where nothing is wrong.
 fn checked<T>(
-    file_name: &str, text: &str, read: impl FnOnce(&mut Desk<'_>, &DeTable<'_>) -> Option<T>,
+    file_name: &str, text: &str, read: impl FnOnce(&mut Diagnostics<'_>, &DeTable<'_>) -> Option<T>,
 ) -> Result<T, Report> {
     bounded(file_name, text.len())?;
     let source = Text::new(text.strip_prefix('\u{feff}').unwrap_or(text));
-    let mut desk = Desk::new(&source);
-    let mended = syntax::mend(&mut desk);
-    let tree = mended.as_deref().and_then(|text| syntax::parse(&mut desk, text));
-    let values = tree.and_then(|tree| read(&mut desk, tree.get_ref()));
-    desk.report(file_name)?;
+    let mut diagnostics = Diagnostics::new(&source);
+    let mended = syntax::mend(&mut diagnostics);
+    let tree = mended.as_deref().and_then(|text| syntax::parse(&mut diagnostics, text));
+    let values = tree.and_then(|tree| read(&mut diagnostics, tree.get_ref()));
+    diagnostics.into_report(file_name)?;
     // Without a tree something lies on the desk.
-    values
-        .ok_or_else(|| Report::new(file_name, &source, vec![Finding::whole("not read", "expected TOML")], 0))
+    values.ok_or_else(|| {
+        Report::new(file_name, &source, vec![Diagnostic::for_file("not read", "expected TOML")], 0)
+    })
 }
 
-fn whole(desk: &mut Desk<'_>, tree: &DeTable<'_>) -> Option<Operator> {
-    if tree.is_empty() && desk.is_clear() {
+fn whole(diagnostics: &mut Diagnostics<'_>, tree: &DeTable<'_>) -> Option<Operator> {
+    if tree.is_empty() && diagnostics.is_empty() {
         let expected = "expected at least one [[listener]], one [[class]] and one [[pool]]";
-        desk.add(Finding::whole("the file is empty", expected));
+        diagnostics.push(Diagnostic::for_file("the file is empty", expected));
         return None;
     }
-    let file = File::open(desk, tree);
-    let (limits, rules) = (file.table(desk, "limits"), file.table(desk, "rules"));
-    let proxy = file.table(desk, "proxy");
-    let proxy = basics::proxy(desk, &proxy);
-    let listeners = basics::listeners(desk, &file);
-    let record = record::record(desk, &file);
-    let classes = classes::classes(desk, &file, &record);
-    let (tenants, tenant_names) = classes::tenants(desk, &file);
-    let request = file.table(desk, "request");
-    let form = request::form(desk, &request, &classes.names);
+    let file = File::open(diagnostics, tree);
+    let (limits, rules) = (file.table(diagnostics, "limits"), file.table(diagnostics, "rules"));
+    let proxy = file.table(diagnostics, "proxy");
+    let proxy = basics::proxy(diagnostics, &proxy);
+    let listeners = basics::listeners(diagnostics, &file);
+    let record = record::record(diagnostics, &file);
+    let classes = classes::classes(diagnostics, &file, &record);
+    let (tenants, tenant_names) = classes::tenants(diagnostics, &file);
+    let request = file.table(diagnostics, "request");
+    let form = request::form(diagnostics, &request, &classes.names);
     let mut taken = pools::Addresses::new(listeners.clone());
-    let (pools, pool_names) = pools::pools(desk, &file, &mut taken);
-    let answers: Section<'_, '_> = file.table(desk, "answers");
-    let answers = request::answers(desk, &answers, &ResponseRules::plain());
+    let (pools, pool_names) = pools::pools(diagnostics, &file, &mut taken);
+    let answers: Section<'_, '_> = file.table(diagnostics, "answers");
+    let answers = request::answers(diagnostics, &answers, &ResponseRules::plain());
     let known = routes::Known {
         classes: &classes.names,
         tenants: &tenant_names,
         pools: &pool_names,
         answers: &answers,
     };
-    let routes = routes::routes(desk, &file, &known);
-    let config = basics::config(desk, &file, &proxy, &limits, &rules, classes.rules, tenants);
-    let limits = basics::limits(desk, &limits, &rules);
-    agrees(desk, &config);
+    let routes = routes::routes(diagnostics, &file, &known);
+    let config = basics::config(diagnostics, &file, &proxy, &limits, &rules, classes.rules, tenants);
+    let limits = basics::limits(diagnostics, &limits, &rules);
+    agrees(diagnostics, &config);
     Some(Operator {
         proxy,
         listeners: listeners.into_iter().map(|(address, _)| address).collect(),
@@ -132,14 +135,15 @@
         pools,
         routes,
         record: record.def,
-        control: record::control(desk, &file),
+        control: record::control(diagnostics, &file),
     })
 }
 
 /// The decision module has the last word on its configuration. The schema's ranges lie within its own, so that
 /// this finds nothing; should it, better a message that points nowhere than a file that is half taken.
-fn agrees(desk: &mut Desk<'_>, config: &shaletide_balancer::Config) {
-    if let (true, Err(e)) = (desk.is_clear(), config.validate()) {
-        desk.add(Finding::whole(format!("the decision module refuses {}", e.field), e.to_string()));
+fn agrees(diagnostics: &mut Diagnostics<'_>, config: &shaletide_balancer::Config) {
+    if let (true, Err(e)) = (diagnostics.is_empty(), config.validate()) {
+        diagnostics
+            .push(Diagnostic::for_file(format!("the decision module refuses {}", e.field), e.to_string()));
     }
 }
--- a/crates/config/src/operator/names.rs
+++ b/crates/config/src/operator/names.rs
@@ -1,7 +1,7 @@
 //! The names of classes, tenants and pools, and what refers to them.
 
-use crate::desk::{quoted, Desk};
-use crate::report::Finding;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::{quoted, Diagnostics};
 use crate::section::Section;
 use std::collections::HashMap;
 use std::ops::Range;
@@ -26,13 +26,15 @@
 
     /// The `name` of each section; puts down those that stand twice. A name that is wrong still counts as one,
     /// so that what refers to it is no second problem.
-    pub fn read(desk: &mut Desk<'_>, what: &'static str, sections: &[Section<'_, '_>], all: bool) -> Index {
+    pub fn read(
+        diagnostics: &mut Diagnostics<'_>, what: &'static str, sections: &[Section<'_, '_>], all: bool,
+    ) -> Index {
         let mut index = Index { what, names: Vec::new(), numbers: HashMap::new(), complete: all };
         for (number, section) in sections.iter().enumerate() {
-            let field = section.name(desk, "name");
+            let field = section.name(diagnostics, "name");
             let raw = section.raw("name").and_then(|(value, _)| Some(value.as_str()?.trim().to_string()));
             let (name, at) = (field.value.or(raw), field.at.unwrap_or(section.at.clone()));
-            index.complete &= name.is_some() && !desk.damage.is_lost(at.start);
+            index.complete &= name.is_some() && !diagnostics.damage.is_unreadable(at.start);
             index.names.push((name.clone().unwrap_or_default(), at));
             if let Some(name) = name {
                 index.numbers.entry(name).or_insert(number);
@@ -40,7 +42,7 @@
         }
         let named = index.names.iter().filter(|(name, _)| !name.is_empty()).cloned();
         let twice = |name: &String| format!("the {what} {} stands twice", quoted(name));
-        desk.twice(named, twice, "expected another name");
+        diagnostics.push_duplicates(named, twice, "expected another name");
         index
     }
 
@@ -70,11 +72,13 @@
     }
 
     /// The number of a name; puts down a name that nothing has.
-    pub fn find(&self, desk: &mut Desk<'_>, path: &str, name: &str, at: Range<usize>) -> Option<usize> {
+    pub fn find(
+        &self, diagnostics: &mut Diagnostics<'_>, path: &str, name: &str, at: Range<usize>,
+    ) -> Option<usize> {
         let found = self.numbers.get(name).copied();
         if found.is_none() && self.complete {
             let what = format!("{path}: there is no {} {}", self.what, quoted(name));
-            let near = desk.nearest(name, self.in_order());
+            let near = diagnostics.suggest(name, self.in_order());
             let expected = match (near, self.names.as_slice()) {
                 (Some(near), _) => format!("did you mean \"{near}\"?"),
                 (None, []) => format!("the file has no {} at all", self.what),
@@ -84,7 +88,7 @@
                 }
                 (None, _) => format!("expected the name of a {}", self.what),
             };
-            desk.add(Finding::at(at, what, expected));
+            diagnostics.push(Diagnostic::at(at, what, expected));
         }
         found
     }
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -2,8 +2,8 @@
 
 use super::names::Index;
 use super::{BackendDef, PoolDef, Source};
-use crate::desk::Desk;
-use crate::report::Finding;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::Diagnostics;
 use crate::schema::BOX;
 use crate::section::{File, Section};
 use crate::values::{self, describe};
@@ -32,34 +32,35 @@
         Addresses { listeners, boxes: HashMap::new(), discoveries: HashMap::new(), left: BOXES }
     }
 
-    fn take_box(&mut self, desk: &mut Desk<'_>, address: SocketAddr, at: &Range<usize>) {
+    fn take_box(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, at: &Range<usize>) {
         let expected = "expected each box once in the file";
         let again = format!("pool.boxes: the address {address} stands twice");
-        take(&mut self.boxes, desk, address, at, again, expected);
+        take(&mut self.boxes, diagnostics, address, at, again, expected);
         let own = self.listeners.iter().find(|(listener, _)| {
             let any = listener.ip().is_unspecified() && address.ip().is_loopback();
             listener.port() == address.port() && (any || listener.ip() == address.ip())
         });
         if let Some((_, listener)) = own {
             let what = format!("pool.boxes: {address} is this proxy itself");
-            let finding = Finding::at(at.clone(), what, "expected another address than the listeners'");
-            desk.add(finding.also(listener.clone(), "it listens here"));
+            let diagnostic = Diagnostic::at(at.clone(), what, "expected another address than the listeners'");
+            diagnostics.push(diagnostic.with_related(listener.clone(), "it listens here"));
         }
     }
 
-    fn take_discovery(&mut self, desk: &mut Desk<'_>, address: SocketAddr, at: &Range<usize>) {
+    fn take_discovery(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, at: &Range<usize>) {
         let again = format!("pool.discovery: the address {address} stands twice");
         let expected = "expected each discovery in one pool, as its boxes may be in one only";
-        take(&mut self.discoveries, desk, address, at, again, expected);
+        take(&mut self.discoveries, diagnostics, address, at, again, expected);
     }
 }
 
 fn take(
-    taken: &mut HashMap<SocketAddr, Range<usize>>, desk: &mut Desk<'_>, address: SocketAddr,
+    taken: &mut HashMap<SocketAddr, Range<usize>>, diagnostics: &mut Diagnostics<'_>, address: SocketAddr,
     at: &Range<usize>, again: String, expected: &str,
 ) {
     match taken.get(&address) {
-        Some(first) => desk.add(Finding::at(at.clone(), again, expected).also(first.clone(), "first here")),
+        Some(first) => diagnostics
+            .push(Diagnostic::at(at.clone(), again, expected).with_related(first.clone(), "first here")),
         None => {
             taken.insert(address, at.clone());
         }
@@ -68,30 +69,32 @@
 
 /// The pools and their names.
 pub(super) fn pools(
-    desk: &mut Desk<'_>, file: &File<'_, '_>, taken: &mut Addresses,
+    diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>, taken: &mut Addresses,
 ) -> (Vec<PoolDef>, Index) {
-    let (sections, all) = file.list(desk, "pool", POOLS);
-    let names = Index::read(desk, "pool", &sections, all);
+    let (sections, all) = file.list(diagnostics, "pool", POOLS);
+    let names = Index::read(diagnostics, "pool", &sections, all);
     let each = sections.iter().zip(names.in_order());
-    let pools = each.map(|(section, name)| pool(desk, section, name, taken)).collect();
+    let pools = each.map(|(section, name)| pool(diagnostics, section, name, taken)).collect();
     (pools, names)
 }
 
-fn pool(desk: &mut Desk<'_>, section: &Section<'_, '_>, name: &str, taken: &mut Addresses) -> PoolDef {
-    let group = section.name(desk, "repeat_group").value;
-    let discovery = section.read(desk, "discovery", values::address);
-    let mode = mode(desk, section, discovery.at.is_some());
+fn pool(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, name: &str, taken: &mut Addresses,
+) -> PoolDef {
+    let group = section.name(diagnostics, "repeat_group").value;
+    let discovery = section.read(diagnostics, "discovery", values::address);
+    let mode = mode(diagnostics, section, discovery.at.is_some());
     let boxes = section.raw("boxes");
     if let (Some(address), Some(at)) = (discovery.value, &discovery.at) {
-        taken.take_discovery(desk, address, at);
+        taken.take_discovery(diagnostics, address, at);
     }
-    let list = boxes.map(|(value, at)| (boxes_of(desk, section, value, at.clone(), taken), at));
+    let list = boxes.map(|(value, at)| (boxes_of(diagnostics, section, value, at.clone(), taken), at));
     let source = match (list, discovery.at) {
         (Some((boxes, at)), Some(other)) => {
-            let finding = Finding::at(other, "pool.discovery: the pool has a list of boxes too", {
+            let diagnostic = Diagnostic::at(other, "pool.discovery: the pool has a list of boxes too", {
                 "expected exactly one of `boxes` and `discovery`"
             });
-            desk.add(finding.also(at, "the list"));
+            diagnostics.push(diagnostic.with_related(at, "the list"));
             Source::Static(boxes)
         }
         (Some((boxes, _)), None) => Source::Static(boxes),
@@ -100,32 +103,34 @@
             Source::Discovery { address: discovery.value.unwrap_or(nowhere), mode }
         }
         // Its list stands there under a wrong name.
-        (None, None) if section.misnamed("boxes").is_some() => Source::Static(Vec::new()),
+        (None, None) if section.misspelled("boxes").is_some() => Source::Static(Vec::new()),
         (None, None) => {
             let what = "a pool without boxes";
             let expected = "expected exactly one of `boxes` and `discovery`";
-            desk.missing(&section.at, Finding::at(section.at.clone(), what, expected));
+            diagnostics.push_missing(&section.at, Diagnostic::at(section.at.clone(), what, expected));
             Source::Static(Vec::new())
         }
     };
     PoolDef { name: name.to_string(), repeat_group: group.unwrap_or_else(|| name.to_string()), source }
 }
 
-fn mode(desk: &mut Desk<'_>, section: &Section<'_, '_>, discovered: bool) -> DiscoveryMode {
-    let (word, within) = (section.word(desk, "discovery_mode"), section.span(desk, "must_ask_within"));
+fn mode(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, discovered: bool) -> DiscoveryMode {
+    let (word, within) =
+        (section.word(diagnostics, "discovery_mode"), section.span(diagnostics, "must_ask_within"));
     let push = word.value == Some("push");
     if !discovered {
         let keys = [("discovery_mode", &word.at), ("must_ask_within", &within.at)];
         for (key, at) in keys.into_iter().filter_map(|(key, at)| Some((key, at.clone()?))) {
             let what = format!("pool.{key}: the pool has no discovery");
-            desk.missing(&section.at, Finding::at(at, what, "expected beside `discovery` only"));
+            diagnostics
+                .push_missing(&section.at, Diagnostic::at(at, what, "expected beside `discovery` only"));
         }
     } else if let (true, Some(at)) = (push, within.at.clone()) {
         let what = "pool.must_ask_within: changes come unasked here";
-        let finding = Finding::at(at, what, "expected with discovery_mode = \"subscribe\" only");
-        desk.add(match word.at.clone() {
-            Some(mode) => finding.also(mode, "the mode"),
-            None => finding,
+        let diagnostic = Diagnostic::at(at, what, "expected with discovery_mode = \"subscribe\" only");
+        diagnostics.push(match word.at.clone() {
+            Some(mode) => diagnostic.with_related(mode, "the mode"),
+            None => diagnostic,
         });
     }
     match push {
@@ -135,38 +140,38 @@
 }
 
 fn boxes_of(
-    desk: &mut Desk<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
     taken: &mut Addresses,
 ) -> Vec<BackendDef> {
     let DeValue::Array(items) = value else {
-        section.wrong(desk, "boxes", at, &format!("{} does not fit here", describe(value)));
+        section.push_invalid(diagnostics, "boxes", at, &format!("{} does not fit here", describe(value)));
         return Vec::new();
     };
-    if items.is_empty() && !desk.broken(&at) {
-        section.wrong(desk, "boxes", at, "this list is empty");
+    if items.is_empty() && !diagnostics.has_syntax_error_in(&at) {
+        section.push_invalid(diagnostics, "boxes", at, "this list is empty");
     }
     let fits = taken.left;
     taken.left = fits.saturating_sub(items.len());
     // Once for all: the other values of a backend in its short form.
-    let plain = long_box(&mut Desk::new(desk.source), &Section::absent(&BOX));
+    let plain = long_box(&mut Diagnostics::new(diagnostics.source), &Section::absent(&BOX));
     let mut boxes = Vec::new();
     for item in items.iter().take(fits) {
         let (def, at) = match item.get_ref() {
             DeValue::Table(table) => {
-                let long = Section::open(desk, &BOX, table, item.span());
+                let long = Section::open(diagnostics, &BOX, table, item.span());
                 let at = long.raw("address").map(|(_, at)| at);
-                (long_box(desk, &long), at)
+                (long_box(diagnostics, &long), at)
             }
-            short => (short_box(desk, section, short, item.span(), &plain), Some(item.span())),
+            short => (short_box(diagnostics, section, short, item.span(), &plain), Some(item.span())),
         };
         if let (Some(def), Some(at)) = (def, at) {
-            taken.take_box(desk, def.address, &at);
+            taken.take_box(diagnostics, def.address, &at);
             boxes.push(def);
         }
     }
     if let Some(over) = items.get(fits).filter(|_| fits > 0 || taken.left == 0) {
         let what = format!("more than {BOXES} boxes");
-        desk.add(Finding::at(over.span(), what, format!("expected at most {BOXES} in the file")));
+        diagnostics.push(Diagnostic::at(over.span(), what, format!("expected at most {BOXES} in the file")));
     }
     boxes
 }
@@ -179,21 +184,22 @@
 }
 
 fn short_box(
-    desk: &mut Desk<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
     plain: &Option<BackendDef>,
 ) -> Option<BackendDef> {
     let address = values::address(&crate::schema::Kind::Address, value).and_then(reachable);
-    let address = address.map_err(|found| section.wrong(desk, "boxes", at, &found)).ok()?;
+    let address = address.map_err(|found| section.push_invalid(diagnostics, "boxes", at, &found)).ok()?;
     plain.clone().map(|plain| BackendDef { address, bay: address.to_string(), ..plain })
 }
 
-fn long_box(desk: &mut Desk<'_>, table: &Section<'_, '_>) -> Option<BackendDef> {
-    let address = table.read(desk, "address", |kind, value| values::address(kind, value).and_then(reachable));
-    let kind = table.name(desk, "kind");
-    let zone = table.name(desk, "zone");
-    let bay = table.read(desk, "bay", values::bay);
-    let cores = table.count(desk, "cores");
-    let state = table.word(desk, "state");
+fn long_box(diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>) -> Option<BackendDef> {
+    let address =
+        table.read(diagnostics, "address", |kind, value| values::address(kind, value).and_then(reachable));
+    let kind = table.name(diagnostics, "kind");
+    let zone = table.name(diagnostics, "zone");
+    let bay = table.read(diagnostics, "bay", values::bay);
+    let cores = table.count(diagnostics, "cores");
+    let state = table.word(diagnostics, "state");
     let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
     let address = match address.at {
         Some(_) => address.value?,
--- a/crates/config/src/operator/record.rs
+++ b/crates/config/src/operator/record.rs
@@ -1,8 +1,8 @@
 //! The store of record, what of each class goes there, and the control socket.
 
 use super::{ClassDef, RecordDef, Recording, WithoutKey};
-use crate::desk::{quoted, Desk};
-use crate::report::Finding;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::{quoted, Diagnostics};
 use crate::schema::span;
 use crate::section::{File, Section};
 use crate::values;
@@ -21,31 +21,31 @@
     wait: Option<(Micros, Option<Range<usize>>)>,
 }
 
-pub(super) fn record(desk: &mut Desk<'_>, file: &File<'_, '_>) -> Record {
-    let absent = !file.may_hold(desk, "record");
-    let Some(section) = file.optional(desk, "record") else {
+pub(super) fn record(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> Record {
+    let absent = !file.may_contain(diagnostics, "record");
+    let Some(section) = file.optional(diagnostics, "record") else {
         return Record { def: None, absent, wait: None };
     };
-    let wait = section.span(desk, "wait");
+    let wait = section.span(diagnostics, "wait");
     let def = RecordDef {
-        path: section.read(desk, "path", values::file).or(PathBuf::new()),
-        keep: section.span(desk, "keep").or(Micros(0)),
+        path: section.read(diagnostics, "path", values::file).or(PathBuf::new()),
+        keep: section.span(diagnostics, "keep").or(Micros(0)),
         wait: wait.value.unwrap_or(Micros(0)),
-        retry_after: section.span(desk, "retry_after").or(Micros(0)),
+        retry_after: section.span(diagnostics, "retry_after").or(Micros(0)),
     };
     Record { def: Some(def), absent, wait: wait.value.map(|value| (value, wait.at)) }
 }
 
-pub(super) fn control(desk: &mut Desk<'_>, file: &File<'_, '_>) -> Option<PathBuf> {
-    let section = file.optional(desk, "control")?;
-    section.read(desk, "socket", values::file).value
+pub(super) fn control(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> Option<PathBuf> {
+    let section = file.optional(diagnostics, "control")?;
+    section.read(diagnostics, "socket", values::file).value
 }
 
 /// What goes on record of a class.
 pub(super) fn recording(
-    desk: &mut Desk<'_>, section: &Section<'_, '_>, record: &Record, effect: Idempotency,
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &Record, effect: Idempotency,
 ) -> Recording {
-    let (word, key) = (section.word(desk, "record"), section.word(desk, "without_key"));
+    let (word, key) = (section.word(diagnostics, "record"), section.word(diagnostics, "without_key"));
     let without_key = match key.value {
         Some("record") => WithoutKey::Record,
         _ => WithoutKey::Refuse,
@@ -62,34 +62,38 @@
     if let (Some(at), Some(word)) = (word.at.clone(), word.value.filter(|_| recording != Recording::None)) {
         if record.absent {
             let what = format!("class.record: {} without a store to record in", quoted(word));
-            desk.add(Finding::at(at.clone(), what, "expected [record] with a `path`, or \"none\" here"));
+            diagnostics.push(Diagnostic::at(
+                at.clone(),
+                what,
+                "expected [record] with a `path`, or \"none\" here",
+            ));
         }
         if matches!(recording, Recording::Permit { .. }) && effect != Idempotency::NonIdempotent {
-            let finding =
-                Finding::at(at, "class.record: the class is not unsafe", "expected \"none\" or \"facts\"");
-            let finding = match section.raw("effect") {
-                Some((_, effect)) => finding.also(effect, "its effect"),
-                None => finding.help("without `effect` a class is safe"),
+            let diagnostic =
+                Diagnostic::at(at, "class.record: the class is not unsafe", "expected \"none\" or \"facts\"");
+            let diagnostic = match section.raw("effect") {
+                Some((_, effect)) => diagnostic.with_related(effect, "its effect"),
+                None => diagnostic.with_help("without `effect` a class is safe"),
             };
-            desk.missing(&section.at, finding);
+            diagnostics.push_missing(&section.at, diagnostic);
         }
     }
     // What `record` would have been is not known where it is wrong, or where [record] may be lost.
     let known = !word.is_wrong() && (word.at.is_some() || record.def.is_some() || record.absent);
     if let Some(at) = key.at.filter(|_| known && !matches!(recording, Recording::Permit { .. })) {
         let what = "class.without_key: the class asks for no permit";
-        let finding = Finding::at(at, what, "expected in classes of record = \"permit\" only");
-        desk.missing(&section.at, finding);
+        let diagnostic = Diagnostic::at(at, what, "expected in classes of record = \"permit\" only");
+        diagnostics.push_missing(&section.at, diagnostic);
     }
     recording
 }
 
 impl Record {
     /// Puts down a wait that would use up a class's deadline.
-    pub fn waits_less(&self, desk: &mut Desk<'_>, section: &Section<'_, '_>, class: &ClassDef) {
+    pub fn check_wait(&self, diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, class: &ClassDef) {
         let Some((wait, place)) = &self.wait else { return };
         // The stand-in for a deadline that is wrong.
-        let unknown = class.deadline == Micros(1) || desk.broken(&section.at);
+        let unknown = class.deadline == Micros(1) || diagnostics.has_syntax_error_in(&section.at);
         if unknown || *wait < class.deadline || !matches!(class.record, Recording::Permit { .. }) {
             return;
         }
@@ -100,12 +104,12 @@
             "record.wait: {wait} is not under {limit}, the deadline of the class {}",
             quoted(&class.name)
         );
-        let finding =
-            Finding::at(at.clone(), what, "expected a wait under the deadline of each class with permits");
-        desk.add(match deadline.filter(|other| *other != at) {
-            Some(other) => finding.also(other, "the deadline"),
-            None if place.is_none() => finding.help(format!("without `wait` it is {wait}")),
-            None => finding.help(format!("without `deadline` it is {limit}")),
+        let diagnostic =
+            Diagnostic::at(at.clone(), what, "expected a wait under the deadline of each class with permits");
+        diagnostics.push(match deadline.filter(|other| *other != at) {
+            Some(other) => diagnostic.with_related(other, "the deadline"),
+            None if place.is_none() => diagnostic.with_help(format!("without `wait` it is {wait}")),
+            None => diagnostic.with_help(format!("without `deadline` it is {limit}")),
         });
     }
 }
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -1,7 +1,8 @@
 //! All that is wrong with a file, in the order of its lines, each with the line itself and what was expected.
 
+use crate::diagnostic::Diagnostic;
 use crate::source::{harmless, Extract, Source};
-use codespan_reporting::diagnostic::{Diagnostic, Label};
+use codespan_reporting::diagnostic::{Diagnostic as Rendered, Label};
 use codespan_reporting::term;
 use std::fmt;
 use std::ops::Range;
@@ -9,52 +10,6 @@
 /// So many problems are shown; of the rest only the count.
 pub const SHOWN: usize = 200;
 
-/// A place and what is to be said of it.
-#[derive(Clone, Debug)]
-pub(crate) struct Mark {
-    pub at: Range<usize>,
-    pub text: String,
-}
-
-/// Something wrong, before it is put into words for the reader.
-#[derive(Clone, Debug)]
-pub(crate) struct Finding {
-    /// Where; none: the file as a whole.
-    pub at: Option<Range<usize>>,
-    /// What is wrong.
-    pub what: String,
-    /// What was expected.
-    pub expected: String,
-    /// Other places that belong to it.
-    pub also: Vec<Mark>,
-    /// What may help.
-    pub help: Option<String>,
-}
-
-impl Finding {
-    /// Something wrong at that place.
-    pub fn at(at: Range<usize>, what: impl Into<String>, expected: impl Into<String>) -> Finding {
-        Finding { at: Some(at), ..Finding::whole(what, expected) }
-    }
-
-    /// Something wrong with the whole file.
-    pub fn whole(what: impl Into<String>, expected: impl Into<String>) -> Finding {
-        Finding { at: None, what: what.into(), expected: expected.into(), also: Vec::new(), help: None }
-    }
-
-    /// With another place that belongs to it.
-    pub fn also(mut self, at: Range<usize>, text: impl Into<String>) -> Finding {
-        self.also.push(Mark { at, text: text.into() });
-        self
-    }
-
-    /// With a word of help.
-    pub fn help(mut self, text: impl Into<String>) -> Finding {
-        self.help = Some(text.into());
-        self
-    }
-}
-
 /// Something wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
@@ -79,11 +34,13 @@
 }
 
 impl Report {
-    /// Puts the findings into the order of their lines and into words; `over` more are only counted.
-    pub(crate) fn new(file: &str, source: &Source<'_>, mut findings: Vec<Finding>, over: usize) -> Report {
-        findings.sort_by_key(|f| f.at.as_ref().map(|at| at.start));
-        let (file, total) = (harmless(file), findings.len() + over);
-        let shown = findings.into_iter().take(SHOWN);
+    /// Sorts the diagnostics by line and renders them; `dropped` more are only counted.
+    pub(crate) fn new(
+        file: &str, source: &Source<'_>, mut diagnostics: Vec<Diagnostic>, dropped: usize,
+    ) -> Report {
+        diagnostics.sort_by_key(|diagnostic| diagnostic.span.as_ref().map(|span| span.start));
+        let (file, total) = (harmless(file), diagnostics.len() + dropped);
+        let shown = diagnostics.into_iter().take(SHOWN);
         let problems = shown.map(|f| problem(&file, source, f)).collect();
         Report { file, problems, total }
     }
@@ -120,51 +77,57 @@
 
 impl std::error::Error for Report {}
 
-fn problem(file: &str, source: &Source<'_>, finding: Finding) -> Problem {
-    let (what, expected) = (harmless(&finding.what), harmless(&finding.expected));
-    let (line, column) = finding.at.as_ref().map_or((0, 0), |at| source.position(at.start));
-    let block = block(file, source, &finding, &what, &expected);
+fn problem(file: &str, source: &Source<'_>, diagnostic: Diagnostic) -> Problem {
+    let what = harmless(&diagnostic.message);
+    let expected = harmless(&diagnostic.expected);
+    let (line, column) = diagnostic.span.as_ref().map_or((0, 0), |span| source.position(span.start));
+    let block = render(file, source, &diagnostic, &what, &expected);
     Problem { line, column, what, expected, block }
 }
 
-fn block(file: &str, source: &Source<'_>, finding: &Finding, what: &str, expected: &str) -> String {
-    let mut diagnostic = Diagnostic::error().with_message(what);
+/// The diagnostic as it is printed, without blanks at the ends of lines.
+fn render(file: &str, source: &Source<'_>, diagnostic: &Diagnostic, what: &str, expected: &str) -> String {
+    let mut rendered = Rendered::error().with_message(what);
     let mut extract = Extract::new(file);
-    match &finding.at {
-        Some(at) => {
-            let places: Vec<_> =
-                std::iter::once(at).chain(finding.also.iter().map(|m| &m.at)).cloned().collect();
-            let shown = extract.show(source, &places);
-            let labels = shown.into_iter().enumerate();
-            for (n, place) in labels {
-                let mark = n.checked_sub(1).and_then(|n| finding.also.get(n));
-                match (place, mark) {
-                    (Some(place), None) => {
-                        diagnostic.labels.push(Label::primary((), place).with_message(expected));
-                    }
-                    (Some(place), Some(mark)) => {
-                        diagnostic
-                            .labels
-                            .push(Label::secondary((), place).with_message(harmless(&mark.text)));
-                    }
-                    (None, Some(mark)) => {
-                        let (line, column) = source.position(mark.at.start);
-                        diagnostic.notes.push(format!("{} at {line}:{column}", harmless(&mark.text)));
-                    }
-                    (None, None) => diagnostic.notes.push(expected.into()),
-                }
-            }
-        }
-        None => diagnostic.notes.push(format!("in {file}: {expected}")),
+    match &diagnostic.span {
+        Some(span) => add_labels(&mut rendered, &mut extract, source, span, diagnostic, expected),
+        None => rendered.notes.push(format!("in {file}: {expected}")),
     }
-    diagnostic.notes.extend(finding.help.as_deref().map(harmless));
+    rendered.notes.extend(diagnostic.help.as_deref().map(harmless));
     let mut text = String::new();
     let config = term::Config { chars: term::Chars::ascii(), ..term::Config::default() };
     // It fails only where a place lies outside the extract; the message itself is never lost.
-    if term::emit_to_string(&mut text, &config, &extract, &diagnostic).is_err() {
-        let (line, column) = finding.at.as_ref().map_or((0, 0), |at| source.position(at.start));
+    if term::emit_to_string(&mut text, &config, &extract, &rendered).is_err() {
+        let (line, column) = diagnostic.span.as_ref().map_or((0, 0), |span| source.position(span.start));
         text = format!("error: {what}\n  --> {file}:{line}:{column}\n  = {expected}");
     }
     let lines: Vec<&str> = text.trim_end().lines().map(str::trim_end).collect();
     lines.join("\n")
 }
+
+/// Labels the place itself and those related to it; what the extract has cut away becomes a note.
+fn add_labels(
+    rendered: &mut Rendered<()>, extract: &mut Extract<'_>, source: &Source<'_>, span: &Range<usize>,
+    diagnostic: &Diagnostic, expected: &str,
+) {
+    let mut spans = vec![span.clone()];
+    spans.extend(diagnostic.related.iter().map(|related| related.span.clone()));
+    let shown = extract.show(source, &spans);
+    for (number, place) in shown.into_iter().enumerate() {
+        let related = number.checked_sub(1).and_then(|number| diagnostic.related.get(number));
+        match (place, related) {
+            (Some(place), None) => {
+                rendered.labels.push(Label::primary((), place).with_message(expected));
+            }
+            (Some(place), Some(related)) => {
+                let label = Label::secondary((), place).with_message(harmless(&related.label));
+                rendered.labels.push(label);
+            }
+            (None, Some(related)) => {
+                let (line, column) = source.position(related.span.start);
+                rendered.notes.push(format!("{} at {line}:{column}", harmless(&related.label)));
+            }
+            (None, None) => rendered.notes.push(expected.into()),
+        }
+    }
+}
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,8 +1,8 @@
 //! One table of the file under its schema: unknown keys are found when it is opened, and each value is read by
 //! the kind, range and default that the schema has for it.
 
-use crate::desk::{quoted, Desk};
-use crate::report::Finding;
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::{quoted, Diagnostics};
 use crate::schema::{self, Default, Key, Kind, Platform, Shape, SECTIONS};
 use crate::values::{self, describe, Found};
 use shaletide_balancer::Micros;
@@ -53,7 +53,7 @@
     path: String,
     table: Option<&'v DeTable<'t>>,
     /// Keys that stand under a name near to theirs: they are neither missing nor at their defaults.
-    misnamed: Vec<(&'static str, Range<usize>)>,
+    misspelled: Vec<(&'static str, Range<usize>)>,
     /// Where its header stands, or the whole of an inline table.
     pub at: Range<usize>,
 }
@@ -61,32 +61,33 @@
 impl<'v, 't> Section<'v, 't> {
     /// The table; puts down each key that the schema does not know.
     pub fn open(
-        desk: &mut Desk<'_>, schema: &'static schema::Section, table: &'v DeTable<'t>, at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, table: &'v DeTable<'t>,
+        at: Range<usize>,
     ) -> Section<'v, 't> {
-        Section::open_at(desk, schema, schema.name.into(), table, at)
+        Section::open_at(diagnostics, schema, schema.name.into(), table, at)
     }
 
     /// The same for a table that stands in more than one place: with the path to its keys.
     pub fn open_at(
-        desk: &mut Desk<'_>, schema: &'static schema::Section, path: String, table: &'v DeTable<'t>,
-        at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, path: String,
+        table: &'v DeTable<'t>, at: Range<usize>,
     ) -> Section<'v, 't> {
-        let mut misnamed = Vec::new();
+        let mut misspelled = Vec::new();
         for key in table.keys().filter(|key| schema.key(key.get_ref()).is_none()) {
-            let near = unknown_key(desk, schema, &path, key);
-            misnamed.extend(near.map(|near| (near, key.span())));
+            let near = push_unknown_key(diagnostics, schema, &path, key);
+            misspelled.extend(near.map(|near| (near, key.span())));
         }
-        Section { schema, path, table: Some(table), misnamed, at }
+        Section { schema, path, table: Some(table), misspelled, at }
     }
 
     /// A table that is absent: all its keys have their defaults.
     pub fn absent(schema: &'static schema::Section) -> Section<'v, 't> {
-        Section { schema, path: schema.name.into(), table: None, misnamed: Vec::new(), at: 0..0 }
+        Section { schema, path: schema.name.into(), table: None, misspelled: Vec::new(), at: 0..0 }
     }
 
     /// Where a key stands under a wrong name.
-    pub fn misnamed(&self, key: &str) -> Option<Range<usize>> {
-        self.misnamed.iter().find(|(name, _)| *name == key).map(|(_, at)| at.clone())
+    pub fn misspelled(&self, key: &str) -> Option<Range<usize>> {
+        self.misspelled.iter().find(|(name, _)| *name == key).map(|(_, at)| at.clone())
     }
 
     /// The name of a key with the path to it.
@@ -106,15 +107,15 @@
     }
 
     /// Puts down that a value is not what was expected.
-    pub fn wrong(&self, desk: &mut Desk<'_>, key: &str, at: Range<usize>, found: &str) {
+    pub fn push_invalid(&self, diagnostics: &mut Diagnostics<'_>, key: &str, at: Range<usize>, found: &str) {
         let known = self.known(key);
-        let finding = Finding::at(at.clone(), format!("{}: {found}", self.path(key)), {
+        let diagnostic = Diagnostic::at(at.clone(), format!("{}: {found}", self.path(key)), {
             format!("expected {}", known.kind.expected())
         });
-        let word = desk.source.text.get(at).unwrap_or("").trim_matches(['"', '\'']);
+        let word = diagnostics.source.text.get(at).unwrap_or("").trim_matches(['"', '\'']);
         let help = match known.kind {
             Kind::Word(words) => {
-                desk.nearest(word, words.iter().copied()).map(|w| format!("did you mean \"{w}\"?"))
+                diagnostics.suggest(word, words.iter().copied()).map(|w| format!("did you mean \"{w}\"?"))
             }
             Kind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
             Kind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
@@ -122,56 +123,56 @@
             }
             _ => None,
         };
-        desk.add(Finding { help, ..finding });
+        diagnostics.push(Diagnostic { help, ..diagnostic });
     }
 
     /// Puts down that a key is missing.
-    pub fn missing(&self, desk: &mut Desk<'_>, key: &str) {
+    pub fn push_missing(&self, diagnostics: &mut Diagnostics<'_>, key: &str) {
         let expected = format!("expected `{key}`: {}", self.known(key).kind.expected());
         let what = format!("{} is missing", self.path(key));
-        desk.missing(&self.at, Finding::at(self.at.clone(), what, expected));
+        diagnostics.push_missing(&self.at, Diagnostic::at(self.at.clone(), what, expected));
     }
 
     /// Reads a key.
-    pub fn read<T>(&self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>) -> Field<T> {
+    pub fn read<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Field<T> {
         let known = self.known(key);
         let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misnamed(key) {
+            if let Some(at) = self.misspelled(key) {
                 return Field { value: None, at: Some(at) };
             }
             if known.default == Default::Must {
-                self.missing(desk, key);
+                self.push_missing(diagnostics, key);
             }
             return Field { value: default(known, parse), at: None };
         };
         let found = parse(&known.kind, value);
-        let value = found.map_err(|found| self.wrong(desk, key, at.clone(), &found)).ok();
+        let value = found.map_err(|found| self.push_invalid(diagnostics, key, at.clone(), &found)).ok();
         Field { value, at: Some(at) }
     }
 
-    pub fn span(&self, desk: &mut Desk<'_>, key: &str) -> Field<Micros> {
-        self.read(desk, key, values::span)
+    pub fn span(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<Micros> {
+        self.read(diagnostics, key, values::span)
     }
 
-    pub fn number(&self, desk: &mut Desk<'_>, key: &str) -> Field<f64> {
-        self.read(desk, key, values::number)
+    pub fn number(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<f64> {
+        self.read(diagnostics, key, values::number)
     }
 
-    pub fn flag(&self, desk: &mut Desk<'_>, key: &str) -> Field<bool> {
-        self.read(desk, key, values::flag)
+    pub fn flag(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<bool> {
+        self.read(diagnostics, key, values::flag)
     }
 
-    pub fn name(&self, desk: &mut Desk<'_>, key: &str) -> Field<String> {
-        self.read(desk, key, values::name)
+    pub fn name(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<String> {
+        self.read(diagnostics, key, values::name)
     }
 
-    pub fn word(&self, desk: &mut Desk<'_>, key: &str) -> Field<&'static str> {
-        self.read(desk, key, values::word)
+    pub fn word(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<&'static str> {
+        self.read(diagnostics, key, values::word)
     }
 
     /// A whole number in a range that fits.
-    pub fn count(&self, desk: &mut Desk<'_>, key: &str) -> Field<u32> {
-        let field = self.read(desk, key, values::count);
+    pub fn count(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<u32> {
+        let field = self.read(diagnostics, key, values::count);
         let small =
             |n| u32::try_from(n).unwrap_or_else(|_| unreachable!("the schema's range of {key} is too wide"));
         Field { value: field.value.map(small), at: field.at }
@@ -179,30 +180,30 @@
 
     /// One thing or a list of them; not an empty list, and nothing twice.
     pub fn listed<T: Clone + Eq + std::hash::Hash>(
-        &self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>,
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>,
     ) -> Listed<T> {
-        let listed = self.items(desk, key, parse);
+        let listed = self.items(diagnostics, key, parse);
         if listed.sound && listed.items.is_empty() {
             if let Some(at) = listed.at.clone() {
-                self.wrong(desk, key, at, "this list is empty");
+                self.push_invalid(diagnostics, key, at, "this list is empty");
                 return Listed { sound: false, ..listed };
             }
         }
         let path = self.path(key);
         let again = listed.items.iter().cloned();
-        desk.twice(again, |_| format!("{path}: this stands twice"), "expected each once");
+        diagnostics.push_duplicates(again, |_| format!("{path}: this stands twice"), "expected each once");
         listed
     }
 
     /// One thing or a list of them.
-    pub fn items<T>(&self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>) -> Listed<T> {
+    pub fn items<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Listed<T> {
         let known = self.known(key);
         let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misnamed(key) {
+            if let Some(at) = self.misspelled(key) {
                 return Listed { items: Vec::new(), sound: false, at: Some(at) };
             }
             if known.default == Default::Must {
-                self.missing(desk, key);
+                self.push_missing(diagnostics, key);
             }
             return Listed { items: Vec::new(), sound: known.default != Default::Must, at: None };
         };
@@ -216,7 +217,7 @@
             match parse(&known.kind, value) {
                 Ok(item) => listed.items.push((item, at)),
                 Err(found) => {
-                    self.wrong(desk, key, at, &found);
+                    self.push_invalid(diagnostics, key, at, &found);
                     listed.sound = false;
                 }
             }
@@ -226,7 +227,7 @@
 
     /// The tables of a key that takes one or a list of them, each under that schema.
     pub fn tables(
-        &self, desk: &mut Desk<'_>, key: &str, schema: &'static schema::Section,
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, schema: &'static schema::Section,
     ) -> (Vec<Section<'v, 't>>, bool) {
         let mut sound = true;
         let mut tables = Vec::new();
@@ -236,9 +237,14 @@
         };
         for (value, at) in each {
             match value {
-                DeValue::Table(table) => tables.push(Section::open(desk, schema, table, at)),
+                DeValue::Table(table) => tables.push(Section::open(diagnostics, schema, table, at)),
                 _ => {
-                    self.wrong(desk, key, at, &format!("{} does not fit here", describe(value)));
+                    self.push_invalid(
+                        diagnostics,
+                        key,
+                        at,
+                        &format!("{} does not fit here", describe(value)),
+                    );
                     sound = false;
                 }
             }
@@ -255,12 +261,13 @@
 }
 
 /// Puts down a key that the schema does not know; gives the one that was most likely meant.
-fn unknown_key(
-    desk: &mut Desk<'_>, schema: &'static schema::Section, path: &str, key: &Spanned<DeString<'_>>,
+fn push_unknown_key(
+    diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, path: &str,
+    key: &Spanned<DeString<'_>>,
 ) -> Option<&'static str> {
     let (name, at) = (key.get_ref().as_ref(), key.span());
     let known: Vec<&'static str> = schema.keys.iter().map(|k| k.name).collect();
-    let near = desk.nearest(name, known.iter().copied());
+    let near = diagnostics.suggest(name, known.iter().copied());
     let elsewhere = SECTIONS.iter().find(|s| s.key(name).is_some());
     let expected = match (near, elsewhere) {
         (Some(near), _) => format!("did you mean `{near}`?"),
@@ -268,7 +275,7 @@
         (None, None) => format!("expected one of {}", known.join(", ")),
     };
     let place = if schema.shape == Shape::Inline { path.to_string() } else { schema.header() };
-    desk.add(Finding::at(at, format!("unknown key {} in {place}", quoted(name)), expected));
+    diagnostics.push(Diagnostic::at(at, format!("unknown key {} in {place}", quoted(name)), expected));
     near
 }
 
@@ -276,21 +283,21 @@
 pub(crate) struct File<'v, 't> {
     table: &'v DeTable<'t>,
     /// Sections that stand under a name near to theirs.
-    misnamed: Vec<&'static str>,
+    misspelled: Vec<&'static str>,
     /// It adds to NODE_CONFIG, so that no section must be there.
     adds: bool,
 }
 
 impl<'v, 't> File<'v, 't> {
     /// The file's tree; puts down each section that no schema knows, and keys outside of all sections.
-    pub fn open(desk: &mut Desk<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
-        let mut misnamed = Vec::new();
+    pub fn open(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
+        let mut misspelled = Vec::new();
         for (key, value) in table.iter().filter(|(key, _)| schema::section(key.get_ref()).is_none()) {
             let name = key.get_ref().as_ref();
             let is_key = !matches!(value.get_ref(), DeValue::Table(_) | DeValue::Array(_));
             let home = SECTIONS.iter().find(|s| s.key(name).is_some()).filter(|_| is_key);
-            let near = desk.nearest(name, SECTIONS.iter().map(|s| s.name));
-            misnamed.extend(near.filter(|_| !is_key));
+            let near = diagnostics.suggest(name, SECTIONS.iter().map(|s| s.name));
+            misspelled.extend(near.filter(|_| !is_key));
             let expected = match (home, near.and_then(schema::section)) {
                 (Some(section), _) => format!("it belongs to {}", section.header()),
                 (None, Some(section)) => format!("did you mean {}?", section.header()),
@@ -300,46 +307,55 @@
                 true => format!("key {} outside of all sections", quoted(name)),
                 false => format!("unknown section {}", quoted(name)),
             };
-            desk.add(Finding::at(key.span(), what, expected));
+            diagnostics.push(Diagnostic::at(key.span(), what, expected));
         }
-        File { table, misnamed, adds: false }
+        File { table, misspelled, adds: false }
     }
 
     /// Whether a section of that name is there, or may have been meant to be.
-    pub fn may_hold(&self, desk: &Desk<'_>, name: &str) -> bool {
-        self.table.contains_key(name) || self.misnamed.contains(&name) || desk.damage.hides(name)
+    pub fn may_contain(&self, diagnostics: &Diagnostics<'_>, name: &str) -> bool {
+        self.table.contains_key(name)
+            || self.misspelled.contains(&name)
+            || diagnostics.damage.may_hide_section(name)
     }
 
     /// A section that stands once, if it is there.
-    pub fn optional(&self, desk: &mut Desk<'_>, name: &str) -> Option<Section<'v, 't>> {
+    pub fn optional(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Option<Section<'v, 't>> {
         self.table
             .contains_key(name)
-            .then(|| self.table(desk, name))
+            .then(|| self.table(diagnostics, name))
             .filter(|section| section.table.is_some())
     }
 
     /// A section that stands once; all defaults where it is absent.
-    pub fn table(&self, desk: &mut Desk<'_>, name: &str) -> Section<'v, 't> {
+    pub fn table(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Section<'v, 't> {
         let schema = known(name);
         let Some(value) = self.table.get(name) else { return Section::absent(schema) };
         match value.get_ref() {
-            DeValue::Table(table) => Section::open(desk, schema, table, value.span()),
+            DeValue::Table(table) => Section::open(diagnostics, schema, table, value.span()),
             other => {
                 let what = format!("{}: {} does not fit here", schema.header(), describe(other));
-                desk.add(Finding::at(value.span(), what, format!("expected {} once", schema.header())));
+                diagnostics.push(Diagnostic::at(
+                    value.span(),
+                    what,
+                    format!("expected {} once", schema.header()),
+                ));
                 Section::absent(schema)
             }
         }
     }
 
     /// A section that stands any number of times, at most `most`. The flag says whether all of them are here.
-    pub fn list(&self, desk: &mut Desk<'_>, name: &str, most: usize) -> (Vec<Section<'v, 't>>, bool) {
+    pub fn list(
+        &self, diagnostics: &mut Diagnostics<'_>, name: &str, most: usize,
+    ) -> (Vec<Section<'v, 't>>, bool) {
         let schema = known(name);
-        let mut all = !desk.damage.hides(name) && !self.misnamed.contains(&name);
+        let mut all = !diagnostics.damage.may_hide_section(name) && !self.misspelled.contains(&name);
         let Some(value) = self.table.get(name) else {
             if schema.required && all && !self.adds {
                 let what = format!("{} is missing", schema.header());
-                desk.add(Finding::whole(what, format!("expected at least one: {}", schema.meaning)));
+                diagnostics
+                    .push(Diagnostic::for_file(what, format!("expected at least one: {}", schema.meaning)));
             }
             return (Vec::new(), all);
         };
@@ -352,23 +368,23 @@
                 for item in items.iter().take(most) {
                     match item.get_ref() {
                         DeValue::Table(table) => {
-                            sections.push(Section::open(desk, schema, table, item.span()));
+                            sections.push(Section::open(diagnostics, schema, table, item.span()));
                         }
                         other => {
                             all = false;
-                            desk.add(Finding::at(item.span(), wrong(other), &expected));
+                            diagnostics.push(Diagnostic::at(item.span(), wrong(other), &expected));
                         }
                     }
                 }
                 if let Some(over) = items.get(most) {
                     all = false;
                     let what = format!("{} of {}", items.len(), schema.header());
-                    desk.add(Finding::at(over.span(), what, format!("expected at most {most}")));
+                    diagnostics.push(Diagnostic::at(over.span(), what, format!("expected at most {most}")));
                 }
             }
             other => {
                 all = false;
-                desk.add(Finding::at(value.span(), wrong(other), &expected));
+                diagnostics.push(Diagnostic::at(value.span(), wrong(other), &expected));
             }
         }
         (sections, all)
@@ -376,18 +392,22 @@
 
     /// The tree of a file that adds to NODE_CONFIG; puts down also each key that NODE_CONFIG has a word for, or
     /// for which the platform leaves no choice.
-    pub fn open_additions(desk: &mut Desk<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
-        let file = File { adds: true, ..File::open(desk, table) };
-        file.refuse_platform(desk);
+    pub fn open_extension(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
+        let file = File { adds: true, ..File::open(diagnostics, table) };
+        file.reject_platform_keys(diagnostics);
         file
     }
 
-    fn refuse_platform(&self, desk: &mut Desk<'_>) {
+    fn reject_platform_keys(&self, diagnostics: &mut Diagnostics<'_>) {
         for (name, value) in self.table {
             let Some(schema) = schema::section(name.get_ref()) else { continue };
             if let Some(word) = schema.platform {
                 let what = format!("{} has no place in a file that adds to NODE_CONFIG", schema.header());
-                desk.add(Finding::at(name.span(), what, format!("NODE_CONFIG says this as {word}")));
+                diagnostics.push(Diagnostic::at(
+                    name.span(),
+                    what,
+                    format!("NODE_CONFIG says this as {word}"),
+                ));
                 continue;
             }
             let DeValue::Table(table) = value.get_ref() else { continue };
@@ -400,7 +420,7 @@
                 };
                 let what =
                     format!("{}.{} has no place in a file that adds to NODE_CONFIG", schema.name, known.name);
-                desk.add(Finding::at(key.span(), what, expected));
+                diagnostics.push(Diagnostic::at(key.span(), what, expected));
             }
         }
     }
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,7 +1,8 @@
 //! From text to TOML's tree, with several syntax errors at once, and what they have spoilt.
 
-use crate::desk::{quoted, Desk};
-use crate::report::{Finding, SHOWN};
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::{quoted, Diagnostics};
+use crate::report::SHOWN;
 use crate::schema::{section, Section};
 use crate::source::Source;
 use std::borrow::Cow;
@@ -42,10 +43,10 @@
 /// The text without what would hide the rest of it from the library: a key without a value loses all that follows,
 /// a broken header its section, a list that is never closed the sections behind it. Each is put down and replaced
 /// by spaces, so that all places stay. None: this is not TOML at all.
-pub(crate) fn mend<'t>(desk: &mut Desk<'t>) -> Option<Cow<'t, str>> {
-    let source = desk.source;
+pub(crate) fn mend<'t>(diagnostics: &mut Diagnostics<'t>) -> Option<Cow<'t, str>> {
+    let source = diagnostics.source;
     if let Some(faults) = early_noise(source) {
-        noise(desk, faults);
+        noise(diagnostics, faults);
         return None;
     }
     let mut faults = first_pass(source.text);
@@ -56,15 +57,15 @@
     }
     faults.sort_by_key(|f| f.0.start);
     if faults.len() > NOISE {
-        noise(desk, faults);
+        noise(diagnostics, faults);
         return None;
     }
-    find_headers(desk);
+    find_headers(diagnostics);
     let mut text = source.text.to_string();
     for fault in faults {
-        take_out(desk, &mut text, fault);
+        take_out(diagnostics, &mut text, fault);
     }
-    close(desk, &mut text);
+    close(diagnostics, &mut text);
     Some(Cow::Owned(text))
 }
 
@@ -78,23 +79,23 @@
 }
 
 /// Puts down a fault that would lose what follows it, and replaces its line.
-fn take_out(desk: &mut Desk<'_>, text: &mut String, fault: Fault) {
-    let source = desk.source;
+fn take_out(diagnostics: &mut Diagnostics<'_>, text: &mut String, fault: Fault) {
+    let source = diagnostics.source;
     let line = source.line_range(source.line(fault.0.start));
     if fault.1.starts_with("unclosed table") || fault.1.starts_with("unclosed array table") {
         // Its keys must not fall to the section before it.
         let instead = if line.len() >= NAMELESS.len() { NAMELESS } else { "" };
         blank(text, line.clone(), instead);
-        let next = desk.damage.headers.partition_point(|h| *h <= fault.0.start);
-        let next = desk.damage.headers.get(next).copied().unwrap_or(source.text.len() + 1);
+        let next = diagnostics.damage.header_offsets.partition_point(|h| *h <= fault.0.start);
+        let next = diagnostics.damage.header_offsets.get(next).copied().unwrap_or(source.text.len() + 1);
         match header_of(source, source.line(line.start)) {
-            Some(section) => desk.damage.kinds.push(section.name),
-            None => desk.damage.any_kind = true,
+            Some(section) => diagnostics.damage.missing_sections.push(section.name),
+            None => diagnostics.damage.any_section_missing = true,
         }
-        lose(desk, fault, line.start..next);
+        lose(diagnostics, fault, line.start..next);
     } else if fault.1.starts_with("key with no value") {
         blank(text, line.clone(), "");
-        lose(desk, fault, line.start..line.end + 1);
+        lose(diagnostics, fault, line.start..line.end + 1);
     }
 }
 
@@ -108,35 +109,35 @@
 }
 
 /// The tree of a text that was mended; what else is wrong with its syntax lies on the desk.
-pub(crate) fn parse<'m>(desk: &mut Desk<'_>, mended: &'m str) -> Option<Spanned<DeTable<'m>>> {
-    let source = desk.source;
+pub(crate) fn parse<'m>(diagnostics: &mut Diagnostics<'_>, mended: &'m str) -> Option<Spanned<DeTable<'m>>> {
+    let source = diagnostics.source;
     let (tree, mut faults) = faults(mended);
     if faults.len() > NOISE {
-        noise(desk, faults);
+        noise(diagnostics, faults);
         return None;
     }
     // Of several in a line the first says most.
-    faults.retain(|f| !desk.damage.is_lost(f.0.start));
+    faults.retain(|f| !diagnostics.damage.is_unreadable(f.0.start));
     faults.dedup_by_key(|f| source.line(f.0.start));
     if !faults.is_empty() {
-        find_headers(desk);
+        find_headers(diagnostics);
         let errors: Vec<usize> = faults.iter().map(|f| f.0.start).collect();
-        spoilt(tree.get_ref().values(), &errors, &mut desk.damage.lost);
+        spoilt(tree.get_ref().values(), &errors, &mut diagnostics.damage.unreadable);
     }
     for fault in faults {
         let line = source.line_range(source.line(fault.0.start));
-        lose(desk, fault, line.start..line.end + 1);
+        lose(diagnostics, fault, line.start..line.end + 1);
     }
     Some(tree)
 }
 
 /// Puts down where sections begin.
-fn find_headers(desk: &mut Desk<'_>) {
-    let source = desk.source;
+fn find_headers(diagnostics: &mut Diagnostics<'_>) {
+    let source = diagnostics.source;
     let headers = (0..source.lines()).filter(|l| is_header(source, *l));
     let indent = |line: &str| line.len() - line.trim_start().len();
     let bracket = |l| source.line_range(l).start + indent(source.line_text(l));
-    desk.damage.headers = headers.map(bracket).collect();
+    diagnostics.damage.header_offsets = headers.map(bracket).collect();
 }
 
 /// The tree, and its faults in the order of the text.
@@ -149,10 +150,10 @@
 }
 
 /// Puts down a fault and what it spoils.
-fn lose(desk: &mut Desk<'_>, fault: Fault, lost: Range<usize>) {
-    desk.damage.errors.push(fault.0.start);
-    desk.damage.lost.push(lost);
-    report(desk, fault);
+fn lose(diagnostics: &mut Diagnostics<'_>, fault: Fault, lost: Range<usize>) {
+    diagnostics.damage.error_offsets.push(fault.0.start);
+    diagnostics.damage.unreadable.push(lost);
+    report(diagnostics, fault);
 }
 
 /// Replaces what lies there by spaces and, at its beginning, by that. Line ends stay.
@@ -165,8 +166,8 @@
 }
 
 /// Takes out the values that are never closed and so run over sections, and puts each down at its beginning.
-fn close(desk: &mut Desk<'_>, text: &mut String) {
-    let source = desk.source;
+fn close(diagnostics: &mut Diagnostics<'_>, text: &mut String) {
+    let source = diagnostics.source;
     for _ in 0..UNCLOSED {
         let (tree, faults) = faults(text);
         let errors: Vec<usize> = faults.into_iter().map(|f| f.0.start).collect();
@@ -177,23 +178,23 @@
         let Some((start, header)) = open.into_iter().min() else { return };
         let line = source.line(header) + 1;
         let expected = format!("expected its end before the section that begins in line {line}");
-        let finding = Finding::at(start..start + 1, "this begins here and is not closed", expected);
-        desk.add_syntax(finding.also(source.line_range(line - 1), "a new section"));
+        let diagnostic = Diagnostic::at(start..start + 1, "this begins here and is not closed", expected);
+        diagnostics.push_syntax_error(diagnostic.with_related(source.line_range(line - 1), "a new section"));
         let begin = source.line_range(source.line(start)).start;
         blank(text, begin..header, "");
-        desk.damage.errors.push(start);
-        desk.damage.lost.push(begin..header);
+        diagnostics.damage.error_offsets.push(start);
+        diagnostics.damage.unreadable.push(begin..header);
     }
 }
 
 /// The first errors of a text that is not TOML at all.
-fn noise(desk: &mut Desk<'_>, mut faults: Vec<Fault>) {
-    let source = desk.source;
+fn noise(diagnostics: &mut Diagnostics<'_>, mut faults: Vec<Fault>) {
+    let source = diagnostics.source;
     faults.dedup_by_key(|f| source.line(f.0.start));
     faults.truncate(SHOWN - 1);
-    faults.into_iter().for_each(|f| report(desk, f));
+    faults.into_iter().for_each(|f| report(diagnostics, f));
     let what = format!("more than {NOISE} syntax errors: this is not TOML");
-    desk.add_syntax(Finding::whole(what, "nothing else was looked at"));
+    diagnostics.push_syntax_error(Diagnostic::for_file(what, "nothing else was looked at"));
 }
 
 /// The section that a line seems to be the header of.
@@ -251,41 +252,41 @@
 }
 
 /// Puts a syntax error down in words of our own where those of the library are too near to its grammar.
-fn report(desk: &mut Desk<'_>, (at, message): Fault) {
-    let source = desk.source;
+fn report(diagnostics: &mut Diagnostics<'_>, (at, message): Fault) {
+    let source = diagnostics.source;
     let found = source.text.get(at.clone()).unwrap_or("");
     let (what, expected) = match message.split_once(", expected ") {
         Some((what, expected)) => (what.to_string(), format!("expected {expected}")),
         None => (message.clone(), String::new()),
     };
-    let finding = match what.as_str() {
+    let diagnostic = match what.as_str() {
         "string values must be quoted" if found.is_empty() => {
-            Finding::at(at, "there is no value here", "expected a value")
+            Diagnostic::at(at, "there is no value here", "expected a value")
         }
         "string values must be quoted" => {
-            Finding::at(at, format!("{} is not quoted", quoted(found)), "expected text in double quotes")
+            Diagnostic::at(at, format!("{} is not quoted", quoted(found)), "expected text in double quotes")
         }
         "invalid basic string" | "invalid literal string" if found.is_empty() => {
-            Finding::at(at, "this text is not closed", expected)
+            Diagnostic::at(at, "this text is not closed", expected)
         }
         "invalid basic string" | "invalid literal string" => {
-            Finding::at(at, "this character may not stand in text", "expected an escape such as \\u001b")
+            Diagnostic::at(at, "this character may not stand in text", "expected an escape such as \\u001b")
         }
         "unclosed table" | "unclosed array table" => {
-            Finding::at(at, "this header is not closed", "expected `]`")
+            Diagnostic::at(at, "this header is not closed", "expected `]`")
         }
-        "key with no value" => Finding::at(at, "this key has no value", "expected `=` and a value"),
+        "key with no value" => Diagnostic::at(at, "this key has no value", "expected `=` and a value"),
         "duplicate key" => duplicate(source, at, found),
         "cannot recurse further; max recursion depth met" | "recursion limit" => {
-            Finding::at(at, "too deeply nested", format!("expected at most {DEPTH} levels"))
+            Diagnostic::at(at, "too deeply nested", format!("expected at most {DEPTH} levels"))
         }
-        _ => Finding::at(at, what, expected),
+        _ => Diagnostic::at(at, what, expected),
     };
-    desk.add_syntax(finding);
+    diagnostics.push_syntax_error(diagnostic);
 }
 
 /// A key or table that stands a second time. The tree no longer knows the first: it is looked for in the text.
-fn duplicate(source: &Source<'_>, at: Range<usize>, name: &str) -> Finding {
+fn duplicate(source: &Source<'_>, at: Range<usize>, name: &str) -> Diagnostic {
     let line = source.line(at.start);
     let header = source.line_text(line).trim_start().starts_with('[');
     let is_it = |l: &usize| {
@@ -301,13 +302,13 @@
     };
     let same_table = |l: &usize| header || !is_header(source, *l);
     let first = (0..line).rev().take_while(same_table).find(is_it);
-    let finding = Finding::at(at, format!("{} stands twice", quoted(name)), "expected it once");
+    let diagnostic = Diagnostic::at(at, format!("{} stands twice", quoted(name)), "expected it once");
     match first {
         Some(first) => {
             let range = source.line_range(first);
             let start = range.end - source.line_text(first).trim_start().len();
-            finding.also(start..range.end, "first here")
+            diagnostic.with_related(start..range.end, "first here")
         }
-        None => finding,
+        None => diagnostic,
     }
 }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,7 +1,7 @@
 //! One value of the file at a time: its type, its form and its range. What was found instead is said in a few
 //! words; what was expected stands in the schema.
 
-use crate::desk::quoted;
+use crate::diagnostics::quoted;
 use crate::schema::Kind;
 use shaletide_balancer::Micros;
 use std::net::SocketAddr;
