--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,6 +4,7 @@
 
 mod diagnostic;
 mod diagnostics;
+mod document;
 pub mod operator;
 pub mod platform;
 mod report;
--- a/crates/config/src/operator/additions.rs
+++ b/crates/config/src/operator/additions.rs
@@ -1,13 +1,13 @@
 //! The file that adds to NODE_CONFIG what the platform has no word for: pools, routes, answers and a few times.
 
 use super::names::Index;
-use super::{basics, checked, pools, request, routes, PoolDef};
+use super::text::checked;
+use super::types::{AddedLimits, PoolDef};
+use super::{basics, pools, request, routes};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::platform::Names;
+use crate::document::File;
 use crate::report::Report;
-use crate::section::File;
-use shaletide_balancer::Micros;
 use shaletide_routing::{AttributeSource, ResponseRules, Route};
 use toml::de::DeTable;
 
@@ -23,12 +23,6 @@
     pub tenants: Vec<String>,
 }
 
-impl From<&Names> for PlatformNames {
-    fn from(names: &Names) -> PlatformNames {
-        PlatformNames { classes: names.classes().to_vec(), tenants: names.tenants().to_vec() }
-    }
-}
-
 /// What such a file adds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Additions {
@@ -44,23 +38,6 @@
     pub routes: Vec<Route>,
 }
 
-/// The times that the platform has no word for.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AddedLimits {
-    /// An answer that has begun and is not whole after so long is spoilt; none: as without the file.
-    pub answer_stall: Option<Micros>,
-    /// A request's head is whole after this.
-    pub head_timeout: Micros,
-    /// A request's body is whole after this.
-    pub body_timeout: Micros,
-    /// A body comes at this rate at least, in bytes a second.
-    pub body_rate: usize,
-    /// But for so long, at its beginning or after it has kept to the rate.
-    pub body_grace: Micros,
-    /// What bodies that are coming and those of open requests may hold together, in bytes.
-    pub held_bodies: usize,
-}
-
 /// Reads a file that adds to NODE_CONFIG. Answers are read as on the platform where it does not say otherwise.
 ///
 /// # Errors
--- a/crates/config/src/operator/basics.rs
+++ b/crates/config/src/operator/basics.rs
@@ -1,9 +1,10 @@
 //! The sections that stand once: the proxy, its limits, the rules of cold backends, the goal; and the listeners.
 
-use super::{AddedLimits, Limits, ProxyDef};
+use super::types::{AddedLimits, Limits, ProxyDef};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::section::{File, Section};
+use crate::document::File;
+use crate::section::Section;
 use crate::values;
 use shaletide_balancer::{Class, Config, DiscoveryMode, Micros, Tenant, ZoneId};
 use std::net::SocketAddr;
--- a/crates/config/src/operator/classes.rs
+++ b/crates/config/src/operator/classes.rs
@@ -2,10 +2,11 @@
 
 use super::names::Index;
 use super::record::{self, Record};
-use super::ClassDef;
+use super::types::ClassDef;
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::section::{File, Section};
+use crate::document::File;
+use crate::section::Section;
 use crate::values;
 use shaletide_balancer::{Class, DeduplicationScope, Idempotency, Micros, Tenant};
 
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -1,11 +1,12 @@
 //! Pools and their backends.
 
 use super::names::Index;
-use super::{BackendDef, PoolDef, Source};
+use super::types::{BackendDef, PoolDef, Source};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
+use crate::document::File;
 use crate::schema::BOX;
-use crate::section::{File, Section};
+use crate::section::Section;
 use crate::values::{self, describe};
 use shaletide_balancer::{BackendState, DiscoveryMode, Micros};
 use std::collections::HashMap;
--- a/crates/config/src/operator/record.rs
+++ b/crates/config/src/operator/record.rs
@@ -1,10 +1,11 @@
 //! The store of record, what of each class goes there, and the control socket.
 
-use super::{ClassDef, RecordDef, Recording, WithoutKey};
+use super::types::{ClassDef, RecordDef, Recording, WithoutKey};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
+use crate::document::File;
 use crate::schema::span;
-use crate::section::{File, Section};
+use crate::section::Section;
 use crate::values;
 use shaletide_balancer::{Idempotency, Micros};
 use std::ops::Range;
--- a/crates/config/src/operator/reload.rs
+++ b/crates/config/src/operator/reload.rs
@@ -1,6 +1,6 @@
 //! What of a changed file takes effect only at a restart.
 
-use super::Operator;
+use super::types::Operator;
 use shaletide_balancer::Idempotency;
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -169,3 +169,20 @@
     /// Ready or draining.
     pub state: BackendState,
 }
+
+/// The times that the platform has no word for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AddedLimits {
+    /// An answer that has begun and is not whole after so long is spoilt; none: as without the file.
+    pub answer_stall: Option<Micros>,
+    /// A request's head is whole after this.
+    pub head_timeout: Micros,
+    /// A request's body is whole after this.
+    pub body_timeout: Micros,
+    /// A body comes at this rate at least, in bytes a second.
+    pub body_rate: usize,
+    /// But for so long, at its beginning or after it has kept to the rate.
+    pub body_grace: Micros,
+    /// What bodies that are coming and those of open requests may hold together, in bytes.
+    pub held_bodies: usize,
+}
--- a/crates/config/src/schema/page.rs
+++ b/crates/config/src/schema/page.rs
@@ -1,6 +1,7 @@
 //! The operators' page, made of the table.
 
-use super::{Default, Key, Platform, Section, Shape, ANSWERS, BOX, HEADER, PLACE, PROOF, SECTIONS};
+use super::sections::{ANSWERS, BOX, HEADER, PLACE, PROOF, SECTIONS};
+use super::types::{Default, Key, Platform, Section, Shape};
 
 const HEAD: &str = include_str!("page_head.md");
 
--- a/crates/config/src/schema/tables.rs
+++ b/crates/config/src/schema/process_keys.rs
@@ -1,94 +1,17 @@
-//! The table itself; its second half is in `traffic`. A key's meaning, range and default stand here and nowhere else.
+//! Keys of the process: its place among the proxies, listeners, limits, the objective, the store of record, the control
+//! socket.
 
-use super::traffic::*;
-use super::Default::{Else, Is, Must};
-use super::Platform::{Adds, Fixed, Says};
-use super::When::{Reload, Restart};
-use super::{Default, Key, Kind, Platform, Section, Shape, When};
+use super::define::*;
+use super::types::Default::{Else, Is, Must};
+use super::types::Platform::{Adds, Fixed, Says};
+use super::types::When::{Reload, Restart};
+use super::types::{Key, Kind};
 
-pub(super) const MS: u64 = 1_000;
-const S: u64 = 1_000_000;
-pub(super) const HOUR: u64 = 3_600 * S;
-const KIB: u64 = 1 << 10;
-const MIB: u64 = 1 << 20;
-const GIB: u64 = 1 << 30;
 /// Proxies that may share the work. Nothing is kept for each, as the number is a divisor only: the bound catches a slip
 /// of the pen.
 const MAX_PROXIES: u64 = 100_000;
 
-pub(super) const fn key(
-    name: &'static str, kind: Kind, default: Default, when: When, platform: Platform, meaning: &'static str,
-) -> Key {
-    Key { name, kind, default, when, platform, meaning }
-}
-
-const fn table(name: &'static str, meaning: &'static str, keys: &'static [Key]) -> Section {
-    Section { name, shape: Shape::Table, required: false, meaning, platform: None, keys }
-}
-
-const fn list(
-    name: &'static str, required: bool, platform: Option<&'static str>, meaning: &'static str,
-    keys: &'static [Key],
-) -> Section {
-    Section { name, shape: Shape::List, required, meaning, platform, keys }
-}
-
-const fn inline(name: &'static str, meaning: &'static str, keys: &'static [Key]) -> Section {
-    Section { name, shape: Shape::Inline, required: false, meaning, platform: None, keys }
-}
-
-/// The sections of the file, in the order of the page.
-pub static SECTIONS: &[Section] = &[
-    table("proxy", "This proxy among those that share the work.", PROXY_KEYS),
-    list("listener", true, Some("listen"), "An address where clients are taken.", LISTENER_KEYS),
-    table("limits", "What the proxy may use and how long it waits.", LIMITS_KEYS),
-    table("rules", "Boxes that have just booted, and boxes that leave.", RULES_KEYS),
-    table("goal", "What counts as serving well.", GOAL_KEYS),
-    table(
-        "request",
-        "How a request is read. Without this section: as the platform's requests.",
-        REQUEST_KEYS,
-    ),
-    list("class", true, Some("settings.profiles"), "A sort of request.", CLASS_KEYS),
-    list("tenant", false, Some("settings.customers"), "A customer.", TENANT_KEYS),
-    list("pool", true, None, "Boxes that a route may lead to. At most 64.", POOL_KEYS),
-    table("answers", "What a box's answer means, for routes that say nothing else.", ANSWERS_KEYS),
-    table(
-        "record",
-        "The store of record: what the proxy knew and did, in a file, and the keys that it does not send twice. \
-         Without this section: none. `docs/record.md` says what it promises.",
-        RECORD_KEYS,
-    ),
-    table(
-        "control",
-        "Where operators' commands reach the running program. Without this section: nowhere.",
-        CONTROL_KEYS,
-    ),
-    list(
-        "route",
-        false,
-        None,
-        "Which requests go to which pools: the first route that takes a request has it. Without any: one \
-         named `default` that leads all requests to all pools in the file's order. At most 1000.",
-        ROUTE_KEYS,
-    ),
-];
-
-/// A backend in a pool's list, in its long form.
-pub static BOX: Section =
-    inline("pool.boxes", "A box. The short form is the address alone, in quotes. At most 10000.", BOX_KEYS);
-/// A place in a request.
-pub static PLACE: Section =
-    inline("place", "Where in a request something stands: one of the two.", PLACE_KEYS);
-/// What proves that a request was not executed.
-pub static PROOF: Section = inline("answers.never_ran", "An answer that proves this.", PROOF_KEYS);
-/// A header that a route asks for.
-pub static HEADER: Section = inline("route.header", "A header that a request must carry.", HEADER_KEYS);
-/// The answers of one route.
-pub static ANSWERS: Section =
-    inline("route.answers", "As `[answers]`, for one route. A key that is absent is as there.", ANSWERS_KEYS);
-
-const PROXY_KEYS: &[Key] = &[
+pub(super) const PROXY_KEYS: &[Key] = &[
     key("name", Kind::Name, Is("\"shaletide\""), Restart, Says("name"), "Its name, for logs."),
     key("zone", Kind::NameOrEmpty, Is("\"\""), Restart, Says("settings.my_zone"), "Its own zone."),
     key(
@@ -117,7 +40,7 @@
     ),
 ];
 
-const LISTENER_KEYS: &[Key] = &[key(
+pub(super) const LISTENER_KEYS: &[Key] = &[key(
     "address",
     Kind::Address,
     Must,
@@ -126,52 +49,7 @@
     "Where it listens. `0.0.0.0` stands for all of the machine's addresses. One that is in use is waited for, 10 s at most.",
 )];
 
-const RECORD_KEYS: &[Key] = &[
-    key(
-        "path",
-        Kind::File(4_096),
-        Must,
-        Restart,
-        Fixed,
-        "The file; its folder must be there, and hold others beside it that begin with the same name.",
-    ),
-    key(
-        "keep",
-        Kind::Span(HOUR, 3_650 * 24 * HOUR),
-        Is("\"30d\""),
-        Reload,
-        Fixed,
-        "How long the key of a request that was served is remembered. One in flight or in doubt always is.",
-    ),
-    key(
-        "wait",
-        Kind::Span(MS, 10 * S),
-        Is("\"50ms\""),
-        Reload,
-        Fixed,
-        "How long a request waits until it is durable that it is about to be sent; it is refused after that. \
-         Less than the deadline of each class that has `record` \"permit\".",
-    ),
-    key(
-        "retry_after",
-        Kind::Span(MS, HOUR),
-        Is("\"1s\""),
-        Reload,
-        Fixed,
-        "The advice (`Retry-After`) to a client that is refused, where nothing better is known.",
-    ),
-];
-
-const CONTROL_KEYS: &[Key] = &[key(
-    "socket",
-    Kind::File(107),
-    Must,
-    Restart,
-    Fixed,
-    "The Unix socket; it is made at the start with mode 0600.",
-)];
-
-const LIMITS_KEYS: &[Key] = &[
+pub(super) const LIMITS_KEYS: &[Key] = &[
     key(
         "descriptors",
         Kind::Count(128, 1_000_000),
@@ -294,7 +172,7 @@
     ),
 ];
 
-const RULES_KEYS: &[Key] = &[
+pub(super) const RULES_KEYS: &[Key] = &[
     key(
         "cold_from",
         Kind::Number(0.0, 1.0),
@@ -338,7 +216,7 @@
     ),
 ];
 
-const GOAL_KEYS: &[Key] = &[
+pub(super) const GOAL_KEYS: &[Key] = &[
     key(
         "whole",
         Kind::Number(0.0, 1.0),
@@ -373,85 +251,47 @@
     ),
 ];
 
-const REQUEST_KEYS: &[Key] = &[
-    key("class", Kind::Place, Is("{ path = 1 }"), Reload, Fixed, "Where the class's name stands."),
+pub(super) const RECORD_KEYS: &[Key] = &[
     key(
-        "otherwise",
-        Kind::Name,
-        Else("refused"),
-        Reload,
-        Fixed,
-        "The class of a request in which that place is empty or names no class.",
-    ),
-    key(
-        "tenant",
-        Kind::Place,
-        Is("{ header = \"X-Account\" }"),
-        Reload,
+        "path",
+        Kind::File(4_096),
+        Must,
+        Restart,
         Fixed,
-        "Where the tenant's name stands. A request that names none has none.",
+        "The file; its folder must be there, and hold others beside it that begin with the same name.",
     ),
     key(
-        "key",
-        Kind::Place,
-        Is("{ header = \"Idempotency-Key\" }"),
+        "keep",
+        Kind::Span(HOUR, 3_650 * 24 * HOUR),
+        Is("\"30d\""),
         Reload,
         Fixed,
-        "Where the key stands that keeps a keyed request from running twice.",
-    ),
-    key(
-        "bay",
-        Kind::Place,
-        Else("none: no request is about a bay"),
-        Reload,
-        Adds,
-        "Where the bay stands that the request is about, for routes.",
-    ),
-    key(
-        "zone",
-        Kind::Place,
-        Else("the proxy's own zone"),
-        Reload,
-        Adds,
-        "Where the zone stands that the request comes from, for routes.",
+        "How long the key of a request that was served is remembered. One in flight or in doubt always is.",
     ),
-    key("id", Kind::Header, Is("\"X-Correlation-Id\""), Reload, Fixed, "The header that names the request."),
     key(
-        "id_required",
-        Kind::Flag,
-        Is("false"),
+        "wait",
+        Kind::Span(MS, 10 * S),
+        Is("\"50ms\""),
         Reload,
         Fixed,
-        "Whether a request without that header is refused; else it is given an id.",
+        "How long a request waits until it is durable that it is about to be sent; it is refused after that. \
+         Less than the deadline of each class that has `record` \"permit\".",
     ),
     key(
-        "time_left",
-        Kind::Header,
-        Is("\"X-Time-Left\""),
+        "retry_after",
+        Kind::Span(MS, HOUR),
+        Is("\"1s\""),
         Reload,
         Fixed,
-        "The header with the seconds that the client will wait, at most the class's deadline.",
+        "The advice (`Retry-After`) to a client that is refused, where nothing better is known.",
     ),
 ];
 
-/// Parts of a path among which a class, a tenant or a key may stand.
-pub(crate) const MAX_PATH_PART: u64 = 64;
-
-const PLACE_KEYS: &[Key] = &[
-    key(
-        "path",
-        Kind::Count(1, MAX_PATH_PART),
-        Else("`header` must be given"),
-        Reload,
-        Adds,
-        "The part of the path of that number: in `/read/k7` part 1 is `read`. Read as it stands, not decoded.",
-    ),
-    key(
-        "header",
-        Kind::Header,
-        Else("`path` must be given"),
-        Reload,
-        Adds,
-        "The header of that name. A request in which it stands twice is refused.",
-    ),
-];
+pub(super) const CONTROL_KEYS: &[Key] = &[key(
+    "socket",
+    Kind::File(107),
+    Must,
+    Restart,
+    Fixed,
+    "The Unix socket; it is made at the start with mode 0600.",
+)];
--- a/crates/config/src/schema/traffic.rs
+++ b/crates/config/src/schema/traffic_keys.rs
@@ -1,10 +1,93 @@
-//! The second half of the table: what requests are, where they go and what comes back.
+//! Keys of the traffic: how a request is read, classes and tenants, pools and their backends, what responses mean, routes.
 
-use super::tables::{key, HOUR, MS};
-use super::Default::{Else, Is, Must};
-use super::Platform::{Adds, Fixed, Says};
-use super::When::{Added, Reload, Restart};
-use super::{Key, Kind};
+use super::define::{key, HOUR, MS};
+use super::types::Default::{Else, Is, Must};
+use super::types::Platform::{Adds, Fixed, Says};
+use super::types::When::{Added, Reload, Restart};
+use super::types::{Key, Kind};
+
+pub(super) const REQUEST_KEYS: &[Key] = &[
+    key("class", Kind::Place, Is("{ path = 1 }"), Reload, Fixed, "Where the class's name stands."),
+    key(
+        "otherwise",
+        Kind::Name,
+        Else("refused"),
+        Reload,
+        Fixed,
+        "The class of a request in which that place is empty or names no class.",
+    ),
+    key(
+        "tenant",
+        Kind::Place,
+        Is("{ header = \"X-Account\" }"),
+        Reload,
+        Fixed,
+        "Where the tenant's name stands. A request that names none has none.",
+    ),
+    key(
+        "key",
+        Kind::Place,
+        Is("{ header = \"Idempotency-Key\" }"),
+        Reload,
+        Fixed,
+        "Where the key stands that keeps a keyed request from running twice.",
+    ),
+    key(
+        "bay",
+        Kind::Place,
+        Else("none: no request is about a bay"),
+        Reload,
+        Adds,
+        "Where the bay stands that the request is about, for routes.",
+    ),
+    key(
+        "zone",
+        Kind::Place,
+        Else("the proxy's own zone"),
+        Reload,
+        Adds,
+        "Where the zone stands that the request comes from, for routes.",
+    ),
+    key("id", Kind::Header, Is("\"X-Correlation-Id\""), Reload, Fixed, "The header that names the request."),
+    key(
+        "id_required",
+        Kind::Flag,
+        Is("false"),
+        Reload,
+        Fixed,
+        "Whether a request without that header is refused; else it is given an id.",
+    ),
+    key(
+        "time_left",
+        Kind::Header,
+        Is("\"X-Time-Left\""),
+        Reload,
+        Fixed,
+        "The header with the seconds that the client will wait, at most the class's deadline.",
+    ),
+];
+
+/// Parts of a path among which a class, a tenant or a key may stand.
+pub(crate) const MAX_PATH_PART: u64 = 64;
+
+pub(super) const PLACE_KEYS: &[Key] = &[
+    key(
+        "path",
+        Kind::Count(1, MAX_PATH_PART),
+        Else("`header` must be given"),
+        Reload,
+        Adds,
+        "The part of the path of that number: in `/read/k7` part 1 is `read`. Read as it stands, not decoded.",
+    ),
+    key(
+        "header",
+        Kind::Header,
+        Else("`path` must be given"),
+        Reload,
+        Adds,
+        "The header of that name. A request in which it stands twice is refused.",
+    ),
+];
 
 pub(super) const CLASS_KEYS: &[Key] = &[
     key("name", Kind::Name, Must, Added, Says("settings.profiles[].name"), "Its name, as requests give it."),
