--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -161,7 +161,7 @@
     let started = Instant::now();
     let (config, names) = platform::read(&settings).unwrap();
     assert_eq!((config.proxies, config.position, config.validate()), (350, 349, Ok(())));
-    let counts = [names.zones(), names.kinds(), names.classes(), names.tenants()].map(<[String]>::len);
+    let counts = [names.zones(), names.server_types(), names.classes(), names.tenants()].map(<[String]>::len);
     assert_eq!((counts, config.zone.0), ([1_024; 4], 1_023));
     assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
 }
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use shaletide_balancer::Micros;
 use shaletide_config::operator::{self, read_additions, utf8, PlatformNames, Source};
-use shaletide_config::platform::{self, Node};
+use shaletide_config::platform::{self, NodeIdentity, SettingsError};
 use shaletide_config::Report;
 use shaletide_membership::List;
 use shaletide_net::is_shortage;
@@ -26,7 +26,9 @@
 pub enum NodeError {
     Unreadable(PathBuf, std::io::Error),
     Malformed(PathBuf, serde_json::Error),
-    Settings(String),
+    /// The seed is no number.
+    Seed,
+    Settings(SettingsError),
     Additions(Report),
 }
 
@@ -35,7 +37,8 @@
         match self {
             NodeError::Unreadable(path, e) => write!(f, "cannot read {}: {e}", path.display()),
             NodeError::Malformed(path, e) => write!(f, "NODE_CONFIG {}: {e}", path.display()),
-            NodeError::Settings(text) => write!(f, "settings: {text}"),
+            NodeError::Seed => f.write_str("settings: seed: expected a number or up to 16 hex digits"),
+            NodeError::Settings(error) => write!(f, "settings: {error}"),
             NodeError::Additions(report) => write!(f, "{report}"),
         }
     }
@@ -47,7 +50,8 @@
             NodeError::Unreadable(_, e) => Some(e),
             NodeError::Malformed(_, e) => Some(e),
             NodeError::Additions(report) => Some(report),
-            NodeError::Settings(_) => None,
+            NodeError::Settings(error) => Some(error),
+            NodeError::Seed => None,
         }
     }
 }
@@ -62,7 +66,7 @@
                 is_missing || is_shortage(error) || is_failing_disk(error)
             }
             NodeError::Malformed(_, error) => error.is_eof() || error.is_syntax(),
-            NodeError::Settings(_) | NodeError::Additions(_) => false,
+            NodeError::Seed | NodeError::Settings(_) | NodeError::Additions(_) => false,
         }
     }
 }
@@ -125,18 +129,17 @@
     let file: File = file(path, Reading::First)?;
     let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = hex.or(file.seed.as_u64());
-    let node = Node {
+    let node = NodeIdentity {
         name: file.name,
         listen: file.listen,
         discovery: file.discovery,
-        seed: seed
-            .ok_or_else(|| NodeError::Settings("seed: expected a number or up to 16 hex digits".into()))?,
-        sockets: sockets(&file.limits).max(LEAST_SOCKETS),
+        seed: seed.ok_or(NodeError::Seed)?,
+        descriptors: sockets(&file.limits).max(LEAST_SOCKETS),
     };
     let (operator, names) = platform::operator(node, &file.settings).map_err(NodeError::Settings)?;
-    let (zones, kinds) = (names.zones().to_vec(), names.kinds().to_vec());
+    let (zones, kinds) = (names.zones().to_vec(), names.server_types().to_vec());
     let longest_stop = Some(LONGEST_STOP);
-    let strict = file.settings.pointer("/rules/stop_sending_within_us").is_some();
+    let strict = platform::has_drain_grace(&file.settings);
     Ok(Setup {
         operator,
         zones,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 
 use serde_json::Value;
 use shaletide_balancer::*;
-use shaletide_config::platform::{Names, Row};
+use shaletide_config::platform::{NamedEntry, Names};
 use std::collections::HashMap;
 use std::io::Write;
 
@@ -32,7 +32,7 @@
 pub struct Host {
     /// `None`: its settings were refused and a fault was sent.
     instances: HashMap<String, Option<Instance>>,
-    rosters: HashMap<u64, Vec<Row>>,
+    rosters: HashMap<u64, Vec<NamedEntry>>,
     now: Option<Time>,
     actions: Vec<Action>,
 }
@@ -115,7 +115,7 @@
                     return Err(f.bad(0, "a roster number from 0 to 15"));
                 }
                 let rows = f.values[1].as_array().ok_or_else(|| f.bad(1, "an array of entries"))?;
-                let rows: Result<Vec<Row>, String> = rows.iter().map(row).collect();
+                let rows: Result<Vec<NamedEntry>, String> = rows.iter().map(row).collect();
                 self.rosters.insert(id, rows?);
                 return Ok(false);
             }
@@ -147,9 +147,9 @@
             return Err(f.bad(0, "an instance such as proxy-3"));
         }
         let seed = f.whole(1, "a seed")?;
-        let made = shaletide_config::platform::read(&f.values[2]).and_then(|(config, names)| {
-            Balancer::new(config, seed).map(|b| (b, names)).map_err(|e| e.to_string())
-        });
+        let made = shaletide_config::platform::read(&f.values[2]).map_err(|e| e.to_string()).and_then(
+            |(config, names)| Balancer::new(config, seed).map(|b| (b, names)).map_err(|e| e.to_string()),
+        );
         let instance = match made {
             Ok((balancer, names)) => Some(Instance {
                 balancer,
@@ -169,7 +169,9 @@
     }
 }
 
-fn event(f: &Fields, to: &mut Instance, rosters: &HashMap<u64, Vec<Row>>) -> Result<Option<Event>, String> {
+fn event(
+    f: &Fields, to: &mut Instance, rosters: &HashMap<u64, Vec<NamedEntry>>,
+) -> Result<Option<Event>, String> {
     Ok(Some(match f.name {
         "VIEW" => {
             let update = match f.text(3, "a list kind")? {
@@ -184,7 +186,7 @@
                 let id = f.whole(1, "a roster number")?;
                 for row in rosters.get(&id).ok_or_else(|| f.bad(1, "a known roster number"))? {
                     let id = to.backend(&row.address);
-                    backends.push(to.names.entry(row, id));
+                    backends.push(to.names.numbered(row, id));
                 }
             }
             Event::EndpointsUpdated { update, backends }
@@ -228,7 +230,7 @@
 }
 
 /// One entry of a list: an array in the order of the wire's page.
-fn row(row: &Value) -> Result<Row, String> {
+fn row(row: &Value) -> Result<NamedEntry, String> {
     let bad = |what: &str| format!("list entry {row}: expected {what}");
     let row = row.as_array().filter(|r| r.len() == 7).ok_or_else(|| bad("an array of 7 values"))?;
     let text = |at: usize, what| row[at].as_str().ok_or_else(|| bad(what));
@@ -254,7 +256,7 @@
         started_at: booted.filter(|t| *t > 0).map(Time),
         ..BackendEntry::default()
     };
-    Ok(Row::new(address, address, text(0, "a zone")?, text(2, "a kind")?, entry))
+    Ok(NamedEntry::new(address, address, text(0, "a zone")?, text(2, "a kind")?, entry))
 }
 
 fn put(reply: &mut Vec<u8>, value: &Value) {
