--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -2,159 +2,161 @@
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::schema::{self, Platform, Shape, SECTIONS};
+use crate::schema::{self, NodeConfigKey, SectionSchema, Shape, SECTIONS};
 use crate::section::Section;
 use crate::values::describe;
 use toml::de::{DeTable, DeValue};
 
 /// The sections of the file.
-pub(crate) struct File<'v, 't> {
+pub(crate) struct Document<'v, 't> {
     table: &'v DeTable<'t>,
     /// Sections that stand under a name near to theirs.
     misspelled: Vec<&'static str>,
-    /// It adds to NODE_CONFIG, so that no section must be there.
-    adds: bool,
+    /// It adds to `NODE_CONFIG`, so that no section is required.
+    extends_node_config: bool,
 }
 
-impl<'v, 't> File<'v, 't> {
-    /// The file's tree; puts down each section that no schema knows, and keys outside of all sections.
-    pub fn open(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
+/// The sections of one name.
+pub(crate) struct Sections<'v, 't> {
+    pub items: Vec<Section<'v, 't>>,
+    /// Whether all of them are here: none was lost to an error.
+    pub is_complete: bool,
+}
+
+impl<'v, 't> Document<'v, 't> {
+    /// Opens the file's tree; reports each section that no schema has, and keys outside of all sections.
+    pub fn open(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> Document<'v, 't> {
         let mut misspelled = Vec::new();
         for (key, value) in table.iter().filter(|(key, _)| schema::section(key.get_ref()).is_none()) {
             let name = key.get_ref().as_ref();
             let is_key = !matches!(value.get_ref(), DeValue::Table(_) | DeValue::Array(_));
-            let home = SECTIONS.iter().find(|s| s.key(name).is_some()).filter(|_| is_key);
-            let near = diagnostics.suggest(name, SECTIONS.iter().map(|s| s.name));
-            misspelled.extend(near.filter(|_| !is_key));
-            let expected = match (home, near.and_then(schema::section)) {
+            let home = SECTIONS.iter().find(|section| section.key(name).is_some()).filter(|_| is_key);
+            let meant = diagnostics.suggest(name, SECTIONS.iter().map(|section| section.name));
+            misspelled.extend(meant.filter(|_| !is_key));
+            let expected = match (home, meant.and_then(schema::section)) {
                 (Some(section), _) => format!("it belongs to {}", section.header()),
                 (None, Some(section)) => format!("did you mean {}?", section.header()),
                 (None, None) => format!("expected one of {}", headers().join(", ")),
             };
-            let what = match is_key {
-                true => format!("key {} outside of all sections", quoted(name)),
-                false => format!("unknown section {}", quoted(name)),
+            let message = if is_key {
+                format!("key {} outside of all sections", quoted(name))
+            } else {
+                format!("unknown section {}", quoted(name))
             };
-            diagnostics.push(Diagnostic::at(key.span(), what, expected));
+            diagnostics.push(Diagnostic::at(key.span(), message, expected));
         }
-        File { table, misspelled, adds: false }
+        Document { table, misspelled, extends_node_config: false }
+    }
+
+    /// Opens the tree of a file that adds to `NODE_CONFIG`; reports also each key that `NODE_CONFIG` has a name for, or
+    /// for which the platform leaves no choice.
+    pub fn open_extension(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> Document<'v, 't> {
+        let document = Document { extends_node_config: true, ..Document::open(diagnostics, table) };
+        document.reject_node_config_keys(diagnostics);
+        document
     }
 
     /// Whether a section of that name is there, or may have been meant to be.
     pub fn may_contain(&self, diagnostics: &Diagnostics<'_>, name: &str) -> bool {
-        self.table.contains_key(name)
-            || self.misspelled.contains(&name)
-            || diagnostics.damage.may_hide_section(name)
+        let is_misspelled = self.misspelled.contains(&name);
+        self.table.contains_key(name) || is_misspelled || diagnostics.damage.may_hide_section(name)
     }
 
     /// A section that stands once, if it is there.
     pub fn optional(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Option<Section<'v, 't>> {
-        self.table.contains_key(name).then(|| self.table(diagnostics, name)).filter(Section::is_present)
+        if !self.table.contains_key(name) {
+            return None;
+        }
+        Some(self.table(diagnostics, name)).filter(Section::is_present)
     }
 
     /// A section that stands once; all defaults where it is absent.
     pub fn table(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Section<'v, 't> {
-        let schema = known(name);
+        let schema = section_schema(name);
         let Some(value) = self.table.get(name) else { return Section::absent(schema) };
         match value.get_ref() {
             DeValue::Table(table) => Section::open(diagnostics, schema, table, value.span()),
             other => {
-                let what = format!("{}: {} does not fit here", schema.header(), describe(other));
-                diagnostics.push(Diagnostic::at(
-                    value.span(),
-                    what,
-                    format!("expected {} once", schema.header()),
-                ));
+                let expected = format!("expected {} once", schema.header());
+                diagnostics.push(Diagnostic::at(value.span(), wrong_type(schema, other), expected));
                 Section::absent(schema)
             }
         }
     }
 
-    /// A section that stands any number of times, at most `most`. The flag says whether all of them are here.
-    pub fn list(
-        &self, diagnostics: &mut Diagnostics<'_>, name: &str, most: usize,
-    ) -> (Vec<Section<'v, 't>>, bool) {
-        let schema = known(name);
-        let mut all = !diagnostics.damage.may_hide_section(name) && !self.misspelled.contains(&name);
+    /// A section that stands any number of times, at most `max`.
+    pub fn list(&self, diagnostics: &mut Diagnostics<'_>, name: &str, max: usize) -> Sections<'v, 't> {
+        let schema = section_schema(name);
+        let mut list = Sections {
+            items: Vec::new(),
+            is_complete: !diagnostics.damage.may_hide_section(name) && !self.misspelled.contains(&name),
+        };
         let Some(value) = self.table.get(name) else {
-            if schema.required && all && !self.adds {
-                let what = format!("{} is missing", schema.header());
-                diagnostics
-                    .push(Diagnostic::for_file(what, format!("expected at least one: {}", schema.meaning)));
+            if schema.required && list.is_complete && !self.extends_node_config {
+                let message = format!("{} is missing", schema.header());
+                let expected = format!("expected at least one: {}", schema.meaning);
+                diagnostics.push(Diagnostic::for_file(message, expected));
             }
-            return (Vec::new(), all);
+            return list;
         };
-        let mut sections = Vec::new();
         let expected = format!("expected {} before each", schema.header());
-        let wrong =
-            |value: &DeValue<'_>| format!("{}: {} does not fit here", schema.header(), describe(value));
-        match value.get_ref() {
-            DeValue::Array(items) => {
-                for item in items.iter().take(most) {
-                    match item.get_ref() {
-                        DeValue::Table(table) => {
-                            sections.push(Section::open(diagnostics, schema, table, item.span()));
-                        }
-                        other => {
-                            all = false;
-                            diagnostics.push(Diagnostic::at(item.span(), wrong(other), &expected));
-                        }
-                    }
+        let DeValue::Array(items) = value.get_ref() else {
+            list.is_complete = false;
+            diagnostics.push(Diagnostic::at(value.span(), wrong_type(schema, value.get_ref()), expected));
+            return list;
+        };
+        for item in items.iter().take(max) {
+            match item.get_ref() {
+                DeValue::Table(table) => {
+                    list.items.push(Section::open(diagnostics, schema, table, item.span()));
                 }
-                if let Some(over) = items.get(most) {
-                    all = false;
-                    let what = format!("{} of {}", items.len(), schema.header());
-                    diagnostics.push(Diagnostic::at(over.span(), what, format!("expected at most {most}")));
+                other => {
+                    list.is_complete = false;
+                    diagnostics.push(Diagnostic::at(item.span(), wrong_type(schema, other), &expected));
                 }
             }
-            other => {
-                all = false;
-                diagnostics.push(Diagnostic::at(value.span(), wrong(other), &expected));
-            }
         }
-        (sections, all)
-    }
-
-    /// The tree of a file that adds to NODE_CONFIG; puts down also each key that NODE_CONFIG has a word for, or
-    /// for which the platform leaves no choice.
-    pub fn open_extension(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
-        let file = File { adds: true, ..File::open(diagnostics, table) };
-        file.reject_platform_keys(diagnostics);
-        file
+        if let Some(excess) = items.get(max) {
+            list.is_complete = false;
+            let message = format!("{} of {}", items.len(), schema.header());
+            diagnostics.push(Diagnostic::at(excess.span(), message, format!("expected at most {max}")));
+        }
+        list
     }
 
-    fn reject_platform_keys(&self, diagnostics: &mut Diagnostics<'_>) {
+    fn reject_node_config_keys(&self, diagnostics: &mut Diagnostics<'_>) {
         for (name, value) in self.table {
             let Some(schema) = schema::section(name.get_ref()) else { continue };
-            if let Some(word) = schema.platform {
-                let what = format!("{} has no place in a file that adds to NODE_CONFIG", schema.header());
-                diagnostics.push(Diagnostic::at(
-                    name.span(),
-                    what,
-                    format!("NODE_CONFIG says this as {word}"),
-                ));
+            if let Some(node_config_name) = schema.node_config_name {
+                let message = format!("{} has no place in a file that adds to NODE_CONFIG", schema.header());
+                let expected = format!("NODE_CONFIG says this as {node_config_name}");
+                diagnostics.push(Diagnostic::at(name.span(), message, expected));
                 continue;
             }
             let DeValue::Table(table) = value.get_ref() else { continue };
             for (key, _) in table.iter().filter(|_| schema.shape == Shape::Table) {
-                let Some(known) = schema.key(key.get_ref()) else { continue };
-                let expected = match known.platform {
-                    Platform::Adds => continue,
-                    Platform::Says(word) => format!("NODE_CONFIG says this as {word}"),
-                    Platform::Fixed => "the platform leaves no choice here".into(),
+                let Some(key_schema) = schema.key(key.get_ref()) else { continue };
+                let expected = match key_schema.node_config {
+                    NodeConfigKey::Extends => continue,
+                    NodeConfigKey::Named(name) => format!("NODE_CONFIG says this as {name}"),
+                    NodeConfigKey::Fixed => "the platform leaves no choice here".into(),
                 };
-                let what =
-                    format!("{}.{} has no place in a file that adds to NODE_CONFIG", schema.name, known.name);
-                diagnostics.push(Diagnostic::at(key.span(), what, expected));
+                let path = format!("{}.{}", schema.name, key_schema.name);
+                let message = format!("{path} has no place in a file that adds to NODE_CONFIG");
+                diagnostics.push(Diagnostic::at(key.span(), message, expected));
             }
         }
     }
 }
 
-fn known(name: &str) -> &'static schema::Section {
+fn wrong_type(schema: &SectionSchema, value: &DeValue<'_>) -> String {
+    format!("{}: {} does not fit here", schema.header(), describe(value))
+}
+
+fn section_schema(name: &str) -> &'static SectionSchema {
     schema::section(name).unwrap_or_else(|| unreachable!("the schema lacks [{name}]"))
 }
 
 fn headers() -> Vec<String> {
-    SECTIONS.iter().map(schema::Section::header).collect()
+    SECTIONS.iter().map(SectionSchema::header).collect()
 }
--- a/crates/config/src/operator/classes.rs
+++ b/crates/config/src/operator/classes.rs
@@ -1,12 +1,13 @@
 //! Classes and tenants.
 
-use super::names::Index;
-use super::record::{self, Record};
-use super::types::ClassDef;
+use super::names::NameIndex;
+use super::record::{self, RecordContext};
+use super::types::ClassConfig;
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::document::File;
-use crate::section::Section;
+use crate::document::Document;
+use crate::schema::duration_text;
+use crate::section::{Field, Section};
 use crate::values;
 use shaletide_balancer::{Class, DeduplicationScope, Idempotency, Micros, Tenant};
 
@@ -15,107 +16,137 @@
 /// Tenants that a file may name: each has a token bucket.
 const MAX_TENANTS: usize = 10_000;
 
-/// The classes as the daemon and as the decision module want them, and their names.
+/// The classes as the daemon and as the balancer need them, in one order, and their names.
 pub(super) struct Classes {
-    pub defs: Vec<ClassDef>,
-    pub rules: Vec<Class>,
-    pub names: Index,
+    pub configs: Vec<ClassConfig>,
+    pub balancer_classes: Vec<Class>,
+    pub names: NameIndex,
 }
 
-pub(super) fn classes(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>, record: &Record) -> Classes {
-    let (sections, all) = file.list(diagnostics, "class", MAX_CLASSES);
-    let names = Index::read(diagnostics, "class", &sections, all);
-    let (mut defs, mut rules) = (Vec::new(), Vec::new());
-    for (section, name) in sections.iter().zip(names.in_order()) {
-        let (class, methods, deadline) = class(diagnostics, section);
-        let recording = record::recording(diagnostics, section, record, class.idempotency);
-        let def = ClassDef { name: name.to_string(), methods, deadline, record: recording };
-        record.check_wait(diagnostics, section, &def);
-        defs.push(def);
-        rules.push(class);
+/// What a class's own section says.
+struct ClassSection {
+    class: Class,
+    methods: Vec<String>,
+    deadline: Micros,
+}
+
+pub(super) fn classes(
+    diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>, record: &RecordContext,
+) -> Classes {
+    let sections = document.list(diagnostics, "class", MAX_CLASSES);
+    let names = NameIndex::of_sections(diagnostics, "class", &sections);
+    let mut configs = Vec::new();
+    let mut balancer_classes = Vec::new();
+    for (section, name) in sections.items.iter().zip(names.in_order()) {
+        let ClassSection { class, methods, deadline } = read_class(diagnostics, section);
+        let record_mode = record::record_mode(diagnostics, section, record, class.idempotency);
+        let config = ClassConfig { name: name.to_string(), methods, deadline, record: record_mode };
+        record.check_intent_timeout(diagnostics, section, &config);
+        configs.push(config);
+        balancer_classes.push(class);
     }
-    Classes { defs, rules, names }
+    Classes { configs, balancer_classes, names }
 }
 
-fn class(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> (Class, Vec<String>, Micros) {
-    let word = section.word(diagnostics, "effect");
-    let effect = effect(diagnostics, section, word.value);
-    let listed = section.listed(diagnostics, "methods", values::method);
-    let methods: Vec<String> = match (listed.at, effect) {
-        (Some(_), _) => listed.items.into_iter().map(|(m, _)| m).collect(),
+fn read_class(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> ClassSection {
+    let effect = section.choice(diagnostics, "effect");
+    let idempotency = read_idempotency(diagnostics, section, effect.value);
+    let listed = section.distinct_items(diagnostics, "methods", values::method);
+    let methods = match (&listed.span, idempotency) {
+        (Some(_), _) => listed.into_values(),
         (None, Idempotency::Safe) => ["GET", "HEAD"].map(String::from).into(),
         (None, _) => ["POST", "PUT", "PATCH", "DELETE"].map(String::from).into(),
     };
-    let (aim, deadline) = (section.span(diagnostics, "aim"), section.span(diagnostics, "deadline"));
-    if let (Some(soon), Some(late)) = (aim.value, deadline.value) {
-        if soon > late {
-            let at = aim.at.clone().or(deadline.at.clone()).unwrap_or(section.at.clone());
-            let late = crate::schema::span(late.0);
-            let diagnostic = Diagnostic::at(at.clone(), "class.aim: it is over the deadline", {
-                format!("expected an aim of at most {late}")
-            });
-            let other = deadline.at.clone().filter(|other| *other != at);
-            let diagnostic = match other {
-                Some(other) => diagnostic.with_related(other, "the deadline"),
-                None if aim.at.is_none() => {
-                    diagnostic.with_help(format!("without `aim` it is {}", crate::schema::span(soon.0)))
-                }
-                None => diagnostic.with_help(format!("without `deadline` it is {late}")),
-            };
-            diagnostics.push(diagnostic);
-        }
-    }
-    let number = |diagnostics: &mut Diagnostics<'_>, key| section.number(diagnostics, key).or(0.0);
+    let objective = section.duration(diagnostics, "aim");
+    let deadline = section.duration(diagnostics, "deadline");
+    check_objective(diagnostics, section, &objective, &deadline);
     let class = Class {
-        latency_objective: aim.or(Micros(1)),
-        latency_objective_per_work_hint: number(diagnostics, "aim_stretch"),
-        idempotency: effect,
-        priority_weight: number(diagnostics, "worth"),
-        late_weight_fraction: number(diagnostics, "late_worth"),
+        latency_objective: objective.or_placeholder(Micros(1)),
+        latency_objective_per_work_hint: section.number(diagnostics, "aim_stretch").or_placeholder(0.0),
+        idempotency,
+        priority_weight: section.number(diagnostics, "worth").or_placeholder(0.0),
+        late_weight_fraction: section.number(diagnostics, "late_worth").or_placeholder(0.0),
     };
-    (class, methods, deadline.or(Micros(1)))
+    ClassSection { class, methods, deadline: deadline.or_placeholder(Micros(1)) }
 }
 
-/// What a second run does; `key_scope` and `key_window` stand where the class is keyed, and only there.
-fn effect(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, word: Option<&str>) -> Idempotency {
-    let (scope, window) = (section.word(diagnostics, "key_scope"), section.span(diagnostics, "key_window"));
-    let keys = [("key_scope", &scope.at), ("key_window", &window.at)];
-    if word == Some("keyed") {
-        keys.iter()
-            .filter(|(_, at)| at.is_none())
-            .for_each(|(key, _)| section.push_missing(diagnostics, key));
-    } else if let Some(word) = word {
-        for (key, at) in keys.into_iter().filter_map(|(key, at)| Some((key, at.clone()?))) {
-            let what = format!("class.{key}: the class is not keyed but {word}");
-            let diagnostic = Diagnostic::at(at, what, "expected in classes of effect = \"keyed\" only");
-            let other = section.raw("effect").map(|(_, at)| at);
-            // A misspelt key's neighbour may have been lost to a syntax error in the same table.
-            diagnostics.push_missing(
-                &section.at,
-                match other {
-                    Some(other) => diagnostic.with_related(other, "its effect"),
+/// Reports a latency objective above the deadline.
+fn check_objective(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, objective: &Field<Micros>,
+    deadline: &Field<Micros>,
+) {
+    let (Some(objective_time), Some(deadline_time)) = (objective.value, deadline.value) else { return };
+    if objective_time <= deadline_time {
+        return;
+    }
+    let span = objective.span.clone().or(deadline.span.clone()).unwrap_or(section.span.clone());
+    let limit = duration_text(deadline_time.0);
+    let expected = format!("expected an aim of at most {limit}");
+    let diagnostic = Diagnostic::at(span.clone(), "class.aim: it is over the deadline", expected);
+    let deadline_span = deadline.span.clone().filter(|other| *other != span);
+    diagnostics.push(match deadline_span {
+        Some(deadline_span) => diagnostic.with_related(deadline_span, "the deadline"),
+        None if objective.span.is_none() => {
+            diagnostic.with_help(format!("without `aim` it is {}", duration_text(objective_time.0)))
+        }
+        None => diagnostic.with_help(format!("without `deadline` it is {limit}")),
+    });
+}
+
+/// What a second execution does. `key_scope` and `key_window` stand where the class is keyed, and only there.
+fn read_idempotency(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, effect: Option<&str>,
+) -> Idempotency {
+    let scope = section.choice(diagnostics, "key_scope");
+    let window = section.duration(diagnostics, "key_window");
+    let keyed_only = [("key_scope", scope.span.clone()), ("key_window", window.span.clone())];
+    for (key, span) in keyed_only {
+        match (effect, span) {
+            (Some("keyed"), None) => section.push_missing(diagnostics, key),
+            (Some("keyed"), Some(_)) | (Some(_), None) | (None, _) => {}
+            (Some(other), Some(span)) => {
+                let message = format!("class.{key}: the class is not keyed but {other}");
+                let expected = "expected in classes of effect = \"keyed\" only";
+                let diagnostic = Diagnostic::at(span, message, expected);
+                let diagnostic = match section.span_of("effect") {
+                    Some(effect) => diagnostic.with_related(effect, "its effect"),
                     None => diagnostic.with_help("without `effect` a class is safe"),
-                },
-            );
+                };
+                // `effect` itself may have been lost to a syntax error in the same table.
+                diagnostics.push_missing(&section.span, diagnostic);
+            }
         }
     }
-    let scope = match scope.value {
+    match effect {
+        Some("keyed") => {
+            Idempotency::Keyed(deduplication_scope(scope.value), window.or_placeholder(Micros(0)))
+        }
+        Some("unsafe") => Idempotency::NonIdempotent,
+        _ => Idempotency::Safe,
+    }
+}
+
+fn deduplication_scope(word: Option<&str>) -> DeduplicationScope {
+    match word {
         Some("zone") => DeduplicationScope::Zone,
         Some("bay") => DeduplicationScope::Group,
         _ => DeduplicationScope::All,
-    };
-    match word {
-        Some("keyed") => Idempotency::Keyed(scope, window.or(Micros(0))),
-        Some("unsafe") => Idempotency::NonIdempotent,
-        _ => Idempotency::Safe,
     }
 }
 
-/// The tenants and their names.
-pub(super) fn tenants(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> (Vec<Tenant>, Index) {
-    let (sections, all) = file.list(diagnostics, "tenant", MAX_TENANTS);
-    let names = Index::read(diagnostics, "tenant", &sections, all);
-    let tenants =
-        sections.iter().map(|s| Tenant { quota_per_s: s.number(diagnostics, "quota").or(0.0) }).collect();
-    (tenants, names)
+/// The tenants and their names, in one order.
+pub(super) struct Tenants {
+    pub balancer_tenants: Vec<Tenant>,
+    pub names: NameIndex,
+}
+
+pub(super) fn tenants(diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>) -> Tenants {
+    let sections = document.list(diagnostics, "tenant", MAX_TENANTS);
+    let names = NameIndex::of_sections(diagnostics, "tenant", &sections);
+    let mut balancer_tenants = Vec::new();
+    for section in &sections.items {
+        let quota_per_s = section.number(diagnostics, "quota").or_placeholder(0.0);
+        balancer_tenants.push(Tenant { quota_per_s });
+    }
+    Tenants { balancer_tenants, names }
 }
--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator/file.rs
@@ -1,13 +1,16 @@
 //! The operators' file as a whole.
 
+use super::basics::{self, BalancerSections};
+use super::pools::{self, UsedAddresses};
+use super::routes::{self, RouteContext};
 use super::text::{checked, utf8};
-use super::types::Operator;
-use super::{basics, classes, pools, record, request, routes};
+use super::types::OperatorConfig;
+use super::{classes, record, request};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::document::File;
+use crate::document::Document;
 use crate::report::Report;
-use crate::section::Section;
+use shaletide_balancer::Config;
 use shaletide_routing::ResponseRules;
 use toml::de::DeTable;
 
@@ -16,8 +19,8 @@
 /// # Errors
 ///
 /// All that is wrong with the text, in the order of its lines.
-pub fn read(file_name: &str, text: &str) -> Result<Operator, Report> {
-    checked(file_name, text, whole)
+pub fn read(file_name: &str, text: &str) -> Result<OperatorConfig, Report> {
+    checked(file_name, text, read_document)
 }
 
 /// Reads the operators' file as it came from the disk.
@@ -25,60 +28,67 @@
 /// # Errors
 ///
 /// Bytes that are not UTF-8; else as [`read`].
-pub fn read_bytes(file_name: &str, bytes: &[u8]) -> Result<Operator, Report> {
+pub fn read_bytes(file_name: &str, bytes: &[u8]) -> Result<OperatorConfig, Report> {
     read(file_name, utf8(file_name, bytes)?)
 }
 
-fn whole(diagnostics: &mut Diagnostics<'_>, tree: &DeTable<'_>) -> Option<Operator> {
+fn read_document(diagnostics: &mut Diagnostics<'_>, tree: &DeTable<'_>) -> Option<OperatorConfig> {
     if tree.is_empty() && diagnostics.is_empty() {
         let expected = "expected at least one [[listener]], one [[class]] and one [[pool]]";
         diagnostics.push(Diagnostic::for_file("the file is empty", expected));
         return None;
     }
-    let file = File::open(diagnostics, tree);
-    let (limits, rules) = (file.table(diagnostics, "limits"), file.table(diagnostics, "rules"));
-    let proxy = file.table(diagnostics, "proxy");
+    let document = Document::open(diagnostics, tree);
+    let limits = document.table(diagnostics, "limits");
+    let rules = document.table(diagnostics, "rules");
+    let proxy = document.table(diagnostics, "proxy");
     let proxy = basics::proxy(diagnostics, &proxy);
-    let listeners = basics::listeners(diagnostics, &file);
-    let record = record::record(diagnostics, &file);
-    let classes = classes::classes(diagnostics, &file, &record);
-    let (tenants, tenant_names) = classes::tenants(diagnostics, &file);
-    let request = file.table(diagnostics, "request");
-    let form = request::form(diagnostics, &request, &classes.names);
-    let mut taken = pools::Addresses::new(listeners.clone());
-    let (pools, pool_names) = pools::pools(diagnostics, &file, &mut taken);
-    let answers: Section<'_, '_> = file.table(diagnostics, "answers");
-    let answers = request::answers(diagnostics, &answers, &ResponseRules::plain());
-    let known = routes::Known {
+    let listeners = basics::listeners(diagnostics, &document);
+    let record = record::record(diagnostics, &document);
+    let classes = classes::classes(diagnostics, &document, &record);
+    let tenants = classes::tenants(diagnostics, &document);
+    let request = document.table(diagnostics, "request");
+    let request_format = request::request_format(diagnostics, &request, &classes.names);
+    let mut addresses = UsedAddresses::new(listeners.clone());
+    let pools = pools::pools(diagnostics, &document, &mut addresses);
+    let responses = document.table(diagnostics, "answers");
+    let responses = request::response_rules(diagnostics, &responses, &ResponseRules::plain());
+    let context = RouteContext {
         classes: &classes.names,
-        tenants: &tenant_names,
-        pools: &pool_names,
-        answers: &answers,
+        tenants: &tenants.names,
+        pools: &pools.names,
+        responses: &responses,
     };
-    let routes = routes::routes(diagnostics, &file, &known);
-    let config = basics::config(diagnostics, &file, &proxy, &limits, &rules, classes.rules, tenants);
+    let routes = routes::routes(diagnostics, &document, &context);
+    let goal = document.table(diagnostics, "goal");
+    let sections = BalancerSections { proxy: &proxy, limits: &limits, rules: &rules, goal: &goal };
+    let balancer =
+        basics::balancer_config(diagnostics, &sections, classes.balancer_classes, tenants.balancer_tenants);
     let limits = basics::limits(diagnostics, &limits, &rules);
-    agrees(diagnostics, &config);
-    Some(Operator {
+    check_balancer_config(diagnostics, &balancer);
+    Some(OperatorConfig {
         proxy,
         listeners: listeners.into_iter().map(|(address, _)| address).collect(),
         limits,
-        config,
-        classes: classes.defs,
-        tenants: tenant_names.in_order().map(String::from).collect(),
-        form,
-        pools,
+        balancer,
+        classes: classes.configs,
+        tenants: tenants.names.in_order().map(String::from).collect(),
+        request_format,
+        pools: pools.configs,
         routes,
-        record: record.def,
-        control: record::control(diagnostics, &file),
+        record: record.store,
+        control: record::control(diagnostics, &document),
     })
 }
 
-/// The decision module has the last word on its configuration. The schema's ranges lie within its own, so that
-/// this finds nothing; should it, better a message that points nowhere than a file that is half taken.
-fn agrees(diagnostics: &mut Diagnostics<'_>, config: &shaletide_balancer::Config) {
-    if let (true, Err(e)) = (diagnostics.is_empty(), config.validate()) {
-        diagnostics
-            .push(Diagnostic::for_file(format!("the decision module refuses {}", e.field), e.to_string()));
+/// The balancer has the last word on its configuration. The schema's ranges lie within its own, so that this finds
+/// nothing; should it, the whole file is rejected.
+fn check_balancer_config(diagnostics: &mut Diagnostics<'_>, config: &Config) {
+    if !diagnostics.is_empty() {
+        return;
+    }
+    if let Err(error) = config.validate() {
+        let message = format!("the decision module refuses {}", error.field);
+        diagnostics.push(Diagnostic::for_file(message, error.to_string()));
     }
 }
--- a/crates/config/src/operator/names.rs
+++ b/crates/config/src/operator/names.rs
@@ -2,58 +2,65 @@
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::section::Section;
+use crate::document::Sections;
+use crate::schema::one_of;
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Names in their order.
+/// Up to so many names are listed where a name is not found.
+const MAX_LISTED_NAMES: usize = 8;
+
+/// Names in their order, and the number of each.
 #[derive(Debug)]
-pub(crate) struct Index {
-    what: &'static str,
+pub(crate) struct NameIndex {
+    /// What has these names, for messages.
+    noun: &'static str,
     names: Vec<(String, Range<usize>)>,
     numbers: HashMap<String, usize>,
     /// Whether every name is known: if not, one that is not found may be among the lost.
-    complete: bool,
+    is_complete: bool,
 }
 
-impl Index {
-    /// The names of things that come from elsewhere.
-    pub fn given(what: &'static str, names: impl IntoIterator<Item = String>) -> Index {
-        let names: Vec<_> = names.into_iter().map(|n| (n, 0..0)).collect();
-        let numbers = names.iter().enumerate().map(|(n, (name, _))| (name.clone(), n)).collect();
-        Index { what, names, numbers, complete: true }
+impl NameIndex {
+    /// Names that do not come from this file.
+    pub fn of_names(noun: &'static str, names: impl IntoIterator<Item = String>) -> NameIndex {
+        let names: Vec<_> = names.into_iter().map(|name| (name, 0..0)).collect();
+        let numbers = names.iter().enumerate().map(|(number, (name, _))| (name.clone(), number)).collect();
+        NameIndex { noun, names, numbers, is_complete: true }
     }
 
-    /// The `name` of each section; puts down those that stand twice. A name that is wrong still counts as one,
-    /// so that what refers to it is no second problem.
-    pub fn read(
-        diagnostics: &mut Diagnostics<'_>, what: &'static str, sections: &[Section<'_, '_>], all: bool,
-    ) -> Index {
-        let mut index = Index { what, names: Vec::new(), numbers: HashMap::new(), complete: all };
-        for (number, section) in sections.iter().enumerate() {
+    /// The `name` of each section; duplicates are reported. An invalid name still counts as one, so that what refers to
+    /// it is not reported too.
+    pub fn of_sections(
+        diagnostics: &mut Diagnostics<'_>, noun: &'static str, sections: &Sections<'_, '_>,
+    ) -> NameIndex {
+        let mut index =
+            NameIndex { noun, names: Vec::new(), numbers: HashMap::new(), is_complete: sections.is_complete };
+        for (number, section) in sections.items.iter().enumerate() {
             let field = section.name(diagnostics, "name");
             let raw = section.raw("name").and_then(|(value, _)| Some(value.as_str()?.trim().to_string()));
-            let (name, at) = (field.value.or(raw), field.at.unwrap_or(section.at.clone()));
-            index.complete &= name.is_some() && !diagnostics.damage.is_unreadable(at.start);
-            index.names.push((name.clone().unwrap_or_default(), at));
+            let name = field.value.or(raw);
+            let span = field.span.unwrap_or(section.span.clone());
+            index.is_complete &= name.is_some() && !diagnostics.damage.is_unreadable(span.start);
+            index.names.push((name.clone().unwrap_or_default(), span));
             if let Some(name) = name {
                 index.numbers.entry(name).or_insert(number);
             }
         }
-        let named = index.names.iter().filter(|(name, _)| !name.is_empty()).cloned();
-        let twice = |name: &String| format!("the {what} {} stands twice", quoted(name));
-        diagnostics.push_duplicates(named, twice, "expected another name");
+        let known = index.names.iter().filter(|(name, _)| !name.is_empty()).cloned();
+        let message = |name: &String| format!("the {noun} {} stands twice", quoted(name));
+        diagnostics.push_duplicates(known, message, "expected another name");
         index
     }
 
-    /// The same names, each with the next number, behind one more.
-    pub fn behind(&self, first: &str) -> Index {
+    /// The same names behind one more: each has the next number.
+    pub fn behind(&self, first: &str) -> NameIndex {
         let mut names = vec![(first.to_string(), 0..0)];
         names.extend(self.names.iter().cloned());
         let mut numbers: HashMap<String, usize> =
-            self.numbers.iter().map(|(k, n)| (k.clone(), n + 1)).collect();
+            self.numbers.iter().map(|(name, number)| (name.clone(), number + 1)).collect();
         numbers.insert(first.into(), 0);
-        Index { what: self.what, names, numbers, complete: self.complete }
+        NameIndex { noun: self.noun, names, numbers, is_complete: self.is_complete }
     }
 
     /// The names in their order; those that are lost are empty.
@@ -61,9 +68,9 @@
         self.names.iter().map(|(name, _)| name.as_str())
     }
 
-    /// Where that name stands.
-    pub fn place(&self, number: usize) -> Range<usize> {
-        self.names.get(number).map_or(0..0, |(_, at)| at.clone())
+    /// Where the name of that number stands.
+    pub fn span(&self, number: usize) -> Range<usize> {
+        self.names.get(number).map_or(0..0, |(_, span)| span.clone())
     }
 
     /// How many there are.
@@ -71,25 +78,25 @@
         self.names.len()
     }
 
-    /// The number of a name; puts down a name that nothing has.
+    /// The number of a name; reports a name that nothing has. `path` is the key that refers to it.
     pub fn find(
-        &self, diagnostics: &mut Diagnostics<'_>, path: &str, name: &str, at: Range<usize>,
+        &self, diagnostics: &mut Diagnostics<'_>, path: &str, name: &str, span: Range<usize>,
     ) -> Option<usize> {
-        let found = self.numbers.get(name).copied();
-        if found.is_none() && self.complete {
-            let what = format!("{path}: there is no {} {}", self.what, quoted(name));
-            let near = diagnostics.suggest(name, self.in_order());
-            let expected = match (near, self.names.as_slice()) {
-                (Some(near), _) => format!("did you mean \"{near}\"?"),
-                (None, []) => format!("the file has no {} at all", self.what),
-                (None, names) if names.len() <= 8 => {
+        let number = self.numbers.get(name).copied();
+        if number.is_none() && self.is_complete {
+            let message = format!("{path}: there is no {} {}", self.noun, quoted(name));
+            let meant = diagnostics.suggest(name, self.in_order());
+            let expected = match (meant, self.names.as_slice()) {
+                (Some(meant), _) => format!("did you mean \"{meant}\"?"),
+                (None, []) => format!("the file has no {} at all", self.noun),
+                (None, names) if names.len() <= MAX_LISTED_NAMES => {
                     let known: Vec<&str> = self.in_order().collect();
-                    format!("expected {}", crate::schema::one_of(&known))
+                    format!("expected {}", one_of(&known))
                 }
-                (None, _) => format!("expected the name of a {}", self.what),
+                (None, _) => format!("expected the name of a {}", self.noun),
             };
-            diagnostics.push(Diagnostic::at(at, what, expected));
+            diagnostics.push(Diagnostic::at(span, message, expected));
         }
-        found
+        number
     }
 }
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -1,11 +1,11 @@
 //! Pools and their backends.
 
-use super::names::Index;
-use super::types::{BackendDef, PoolDef, Source};
+use super::names::NameIndex;
+use super::types::{PoolConfig, PoolSource, StaticBackend};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::document::File;
-use crate::schema::BOX;
+use crate::document::Document;
+use crate::schema::{ValueKind, BACKEND};
 use crate::section::Section;
 use crate::values::{self, describe};
 use shaletide_balancer::{BackendState, DiscoveryMode, Micros};
@@ -14,204 +14,246 @@
 use std::ops::Range;
 use toml::de::DeValue;
 
-/// So many pools may stand in a file.
-const POOLS: usize = 64;
-/// So many backends may stand in a file.
-const BOXES: usize = 10_000;
+/// Pools that a file may have.
+const MAX_POOLS: usize = 64;
+/// Backends that a file may have.
+const MAX_BACKENDS: usize = 10_000;
 
-/// What pools share: no address stands twice.
-pub(super) struct Addresses {
+/// Stands for an address that is missing or invalid, in a file that is rejected for it.
+const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+
+/// The addresses that stand in the file so far; none may stand twice, in any pool.
+pub(super) struct UsedAddresses {
     listeners: Vec<(SocketAddr, Range<usize>)>,
-    boxes: HashMap<SocketAddr, Range<usize>>,
+    backends: HashMap<SocketAddr, Range<usize>>,
     discoveries: HashMap<SocketAddr, Range<usize>>,
-    left: usize,
+    /// Further backends that the file may have.
+    backends_left: usize,
 }
 
-impl Addresses {
-    /// None but the proxy's own.
-    pub fn new(listeners: Vec<(SocketAddr, Range<usize>)>) -> Addresses {
-        Addresses { listeners, boxes: HashMap::new(), discoveries: HashMap::new(), left: BOXES }
+impl UsedAddresses {
+    /// Only the proxy's own.
+    pub fn new(listeners: Vec<(SocketAddr, Range<usize>)>) -> UsedAddresses {
+        UsedAddresses {
+            listeners,
+            backends: HashMap::new(),
+            discoveries: HashMap::new(),
+            backends_left: MAX_BACKENDS,
+        }
     }
 
-    fn take_box(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, at: &Range<usize>) {
-        let expected = "expected each box once in the file";
-        let again = format!("pool.boxes: the address {address} stands twice");
-        take(&mut self.boxes, diagnostics, address, at, again, expected);
-        let own = self.listeners.iter().find(|(listener, _)| {
-            let any = listener.ip().is_unspecified() && address.ip().is_loopback();
-            listener.port() == address.port() && (any || listener.ip() == address.ip())
-        });
-        if let Some((_, listener)) = own {
-            let what = format!("pool.boxes: {address} is this proxy itself");
-            let diagnostic = Diagnostic::at(at.clone(), what, "expected another address than the listeners'");
+    /// Adds a backend; reports one that stood before, and the proxy's own address.
+    fn add_backend(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, span: &Range<usize>) {
+        if let Some(first) = insert_or_first(&mut self.backends, address, span) {
+            let message = format!("pool.boxes: the address {address} stands twice");
+            let diagnostic = Diagnostic::at(span.clone(), message, "expected each box once in the file");
+            diagnostics.push(diagnostic.with_related(first, "first here"));
+        }
+        let listener = self.listeners.iter().find(|(listener, _)| is_reached_at(listener, &address));
+        if let Some((_, listener)) = listener {
+            let message = format!("pool.boxes: {address} is this proxy itself");
+            let expected = "expected another address than the listeners'";
+            let diagnostic = Diagnostic::at(span.clone(), message, expected);
             diagnostics.push(diagnostic.with_related(listener.clone(), "it listens here"));
         }
     }
 
-    fn take_discovery(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, at: &Range<usize>) {
-        let again = format!("pool.discovery: the address {address} stands twice");
-        let expected = "expected each discovery in one pool, as its boxes may be in one only";
-        take(&mut self.discoveries, diagnostics, address, at, again, expected);
+    /// Adds a discovery; reports one that stood before.
+    fn add_discovery(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, span: &Range<usize>) {
+        if let Some(first) = insert_or_first(&mut self.discoveries, address, span) {
+            let message = format!("pool.discovery: the address {address} stands twice");
+            let expected = "expected each discovery in one pool, as its boxes may be in one only";
+            let diagnostic = Diagnostic::at(span.clone(), message, expected);
+            diagnostics.push(diagnostic.with_related(first, "first here"));
+        }
     }
 }
 
-fn take(
-    taken: &mut HashMap<SocketAddr, Range<usize>>, diagnostics: &mut Diagnostics<'_>, address: SocketAddr,
-    at: &Range<usize>, again: String, expected: &str,
-) {
-    match taken.get(&address) {
-        Some(first) => diagnostics
-            .push(Diagnostic::at(at.clone(), again, expected).with_related(first.clone(), "first here")),
-        None => {
-            taken.insert(address, at.clone());
-        }
+/// Adds an address; returns where it stands already, if it does.
+fn insert_or_first(
+    known: &mut HashMap<SocketAddr, Range<usize>>, address: SocketAddr, span: &Range<usize>,
+) -> Option<Range<usize>> {
+    let first = known.get(&address).cloned();
+    if first.is_none() {
+        known.insert(address, span.clone());
     }
+    first
+}
+
+/// Whether a connection to that address would reach the listener.
+fn is_reached_at(listener: &SocketAddr, address: &SocketAddr) -> bool {
+    let any_loopback = listener.ip().is_unspecified() && address.ip().is_loopback();
+    listener.port() == address.port() && (any_loopback || listener.ip() == address.ip())
+}
+
+/// The pools and their names, in one order.
+pub(super) struct Pools {
+    pub configs: Vec<PoolConfig>,
+    pub names: NameIndex,
 }
 
-/// The pools and their names.
 pub(super) fn pools(
-    diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>, taken: &mut Addresses,
-) -> (Vec<PoolDef>, Index) {
-    let (sections, all) = file.list(diagnostics, "pool", POOLS);
-    let names = Index::read(diagnostics, "pool", &sections, all);
-    let each = sections.iter().zip(names.in_order());
-    let pools = each.map(|(section, name)| pool(diagnostics, section, name, taken)).collect();
-    (pools, names)
+    diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>, addresses: &mut UsedAddresses,
+) -> Pools {
+    let sections = document.list(diagnostics, "pool", MAX_POOLS);
+    let names = NameIndex::of_sections(diagnostics, "pool", &sections);
+    let mut configs = Vec::new();
+    for (section, name) in sections.items.iter().zip(names.in_order()) {
+        configs.push(read_pool(diagnostics, section, name, addresses));
+    }
+    Pools { configs, names }
+}
+
+fn read_pool(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, name: &str, addresses: &mut UsedAddresses,
+) -> PoolConfig {
+    let domain = section.name(diagnostics, "repeat_group").value;
+    let source = read_source(diagnostics, section, addresses);
+    let deduplication_domain = domain.unwrap_or_else(|| name.to_string());
+    PoolConfig { name: name.to_string(), deduplication_domain, source }
 }
 
-fn pool(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, name: &str, taken: &mut Addresses,
-) -> PoolDef {
-    let group = section.name(diagnostics, "repeat_group").value;
+/// Where the backends come from: exactly one of a list and a discovery.
+fn read_source(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, addresses: &mut UsedAddresses,
+) -> PoolSource {
     let discovery = section.read(diagnostics, "discovery", values::address);
-    let mode = mode(diagnostics, section, discovery.at.is_some());
-    let boxes = section.raw("boxes");
-    if let (Some(address), Some(at)) = (discovery.value, &discovery.at) {
-        taken.take_discovery(diagnostics, address, at);
-    }
-    let list = boxes.map(|(value, at)| (boxes_of(diagnostics, section, value, at.clone(), taken), at));
-    let source = match (list, discovery.at) {
-        (Some((boxes, at)), Some(other)) => {
-            let diagnostic = Diagnostic::at(other, "pool.discovery: the pool has a list of boxes too", {
-                "expected exactly one of `boxes` and `discovery`"
-            });
-            diagnostics.push(diagnostic.with_related(at, "the list"));
-            Source::Static(boxes)
-        }
-        (Some((boxes, _)), None) => Source::Static(boxes),
-        (None, Some(_)) => {
-            let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-            Source::Discovery { address: discovery.value.unwrap_or(nowhere), mode }
-        }
-        // Its list stands there under a wrong name.
-        (None, None) if section.misspelled("boxes").is_some() => Source::Static(Vec::new()),
-        (None, None) => {
-            let what = "a pool without boxes";
-            let expected = "expected exactly one of `boxes` and `discovery`";
-            diagnostics.push_missing(&section.at, Diagnostic::at(section.at.clone(), what, expected));
-            Source::Static(Vec::new())
+    let mode = read_mode(diagnostics, section, discovery.span.is_some());
+    if let (Some(address), Some(span)) = (discovery.value, &discovery.span) {
+        addresses.add_discovery(diagnostics, address, span);
+    }
+    let expected = "expected exactly one of `boxes` and `discovery`";
+    if let Some((value, span)) = section.raw("boxes") {
+        let backends = read_backends(diagnostics, section, value, span.clone(), addresses);
+        if let Some(discovery) = discovery.span {
+            let message = "pool.discovery: the pool has a list of boxes too";
+            let diagnostic = Diagnostic::at(discovery, message, expected);
+            diagnostics.push(diagnostic.with_related(span, "the list"));
         }
-    };
-    PoolDef { name: name.to_string(), repeat_group: group.unwrap_or_else(|| name.to_string()), source }
+        return PoolSource::Static(backends);
+    }
+    if discovery.span.is_some() {
+        return PoolSource::Discovery { address: discovery.value.unwrap_or(NO_ADDRESS), mode };
+    }
+    if section.misspelled("boxes").is_none() {
+        let diagnostic = Diagnostic::at(section.span.clone(), "a pool without boxes", expected);
+        diagnostics.push_missing(&section.span, diagnostic);
+    }
+    PoolSource::Static(Vec::new())
 }
 
-fn mode(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, discovered: bool) -> DiscoveryMode {
-    let (word, within) =
-        (section.word(diagnostics, "discovery_mode"), section.span(diagnostics, "must_ask_within"));
-    let push = word.value == Some("push");
-    if !discovered {
-        let keys = [("discovery_mode", &word.at), ("must_ask_within", &within.at)];
-        for (key, at) in keys.into_iter().filter_map(|(key, at)| Some((key, at.clone()?))) {
-            let what = format!("pool.{key}: the pool has no discovery");
-            diagnostics
-                .push_missing(&section.at, Diagnostic::at(at, what, "expected beside `discovery` only"));
+fn read_mode(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, has_discovery: bool,
+) -> DiscoveryMode {
+    let word = section.choice(diagnostics, "discovery_mode");
+    let poll_within = section.duration(diagnostics, "must_ask_within");
+    let is_push = word.value == Some("push");
+    if !has_discovery {
+        let keys = [("discovery_mode", word.span), ("must_ask_within", poll_within.span.clone())];
+        for (key, span) in keys {
+            let Some(span) = span else { continue };
+            let message = format!("pool.{key}: the pool has no discovery");
+            let diagnostic = Diagnostic::at(span, message, "expected beside `discovery` only");
+            diagnostics.push_missing(&section.span, diagnostic);
         }
-    } else if let (true, Some(at)) = (push, within.at.clone()) {
-        let what = "pool.must_ask_within: changes come unasked here";
-        let diagnostic = Diagnostic::at(at, what, "expected with discovery_mode = \"subscribe\" only");
-        diagnostics.push(match word.at.clone() {
+    } else if let (true, Some(span)) = (is_push, poll_within.span.clone()) {
+        let message = "pool.must_ask_within: changes come unasked here";
+        let expected = "expected with discovery_mode = \"subscribe\" only";
+        let diagnostic = Diagnostic::at(span, message, expected);
+        diagnostics.push(match word.span {
             Some(mode) => diagnostic.with_related(mode, "the mode"),
             None => diagnostic,
         });
     }
-    match push {
-        true => DiscoveryMode::Push,
-        false => DiscoveryMode::Subscribe(within.or(Micros(0))),
+    if is_push {
+        DiscoveryMode::Push
+    } else {
+        DiscoveryMode::Subscribe(poll_within.or_placeholder(Micros(0)))
     }
 }
 
-fn boxes_of(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
-    taken: &mut Addresses,
-) -> Vec<BackendDef> {
+fn read_backends(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, span: Range<usize>,
+    addresses: &mut UsedAddresses,
+) -> Vec<StaticBackend> {
     let DeValue::Array(items) = value else {
-        section.push_invalid(diagnostics, "boxes", at, &format!("{} does not fit here", describe(value)));
+        let found = format!("{} does not fit here", describe(value));
+        section.push_invalid(diagnostics, "boxes", span, &found);
         return Vec::new();
     };
-    if items.is_empty() && !diagnostics.has_syntax_error_in(&at) {
-        section.push_invalid(diagnostics, "boxes", at, "this list is empty");
-    }
-    let fits = taken.left;
-    taken.left = fits.saturating_sub(items.len());
-    // Once for all: the other values of a backend in its short form.
-    let plain = long_box(&mut Diagnostics::new(diagnostics.source), &Section::absent(&BOX));
-    let mut boxes = Vec::new();
-    for item in items.iter().take(fits) {
-        let (def, at) = match item.get_ref() {
+    if items.is_empty() && !diagnostics.has_syntax_error_in(&span) {
+        section.push_invalid(diagnostics, "boxes", span, "this list is empty");
+    }
+    let max = addresses.backends_left;
+    addresses.backends_left = max.saturating_sub(items.len());
+    // Read once for all: the defaults of a backend that is an address alone.
+    let defaults = read_long_form(&mut Diagnostics::new(diagnostics.source), &Section::absent(&BACKEND));
+    let mut backends = Vec::new();
+    for item in items.iter().take(max) {
+        let (backend, address_span) = match item.get_ref() {
             DeValue::Table(table) => {
-                let long = Section::open(diagnostics, &BOX, table, item.span());
-                let at = long.raw("address").map(|(_, at)| at);
-                (long_box(diagnostics, &long), at)
+                let table = Section::open(diagnostics, &BACKEND, table, item.span());
+                let address_span = table.span_of("address");
+                (read_long_form(diagnostics, &table), address_span)
+            }
+            address => {
+                let backend = read_short_form(diagnostics, section, address, item.span(), &defaults);
+                (backend, Some(item.span()))
             }
-            short => (short_box(diagnostics, section, short, item.span(), &plain), Some(item.span())),
         };
-        if let (Some(def), Some(at)) = (def, at) {
-            taken.take_box(diagnostics, def.address, &at);
-            boxes.push(def);
+        if let (Some(backend), Some(address_span)) = (backend, address_span) {
+            addresses.add_backend(diagnostics, backend.address, &address_span);
+            backends.push(backend);
         }
     }
-    if let Some(over) = items.get(fits).filter(|_| fits > 0 || taken.left == 0) {
-        let what = format!("more than {BOXES} boxes");
-        diagnostics.push(Diagnostic::at(over.span(), what, format!("expected at most {BOXES} in the file")));
+    if let Some(excess) = items.get(max).filter(|_| max > 0 || addresses.backends_left == 0) {
+        let expected = format!("expected at most {MAX_BACKENDS} in the file");
+        diagnostics.push(Diagnostic::at(excess.span(), format!("more than {MAX_BACKENDS} boxes"), expected));
     }
-    boxes
+    backends
 }
 
-fn reachable(address: SocketAddr) -> Result<SocketAddr, String> {
-    match address.ip().is_unspecified() || address.ip().is_multicast() {
-        true => Err(format!("one cannot connect to {}", address.ip())),
-        false => Ok(address),
+/// An address that can be connected to.
+fn connectable(address: SocketAddr) -> Result<SocketAddr, String> {
+    if address.ip().is_unspecified() || address.ip().is_multicast() {
+        return Err(format!("one cannot connect to {}", address.ip()));
     }
+    Ok(address)
 }
 
-fn short_box(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, at: Range<usize>,
-    plain: &Option<BackendDef>,
-) -> Option<BackendDef> {
-    let address = values::address(&crate::schema::Kind::Address, value).and_then(reachable);
-    let address = address.map_err(|found| section.push_invalid(diagnostics, "boxes", at, &found)).ok()?;
-    plain.clone().map(|plain| BackendDef { address, bay: address.to_string(), ..plain })
+/// A backend that is its address alone.
+fn read_short_form(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, span: Range<usize>,
+    defaults: &Option<StaticBackend>,
+) -> Option<StaticBackend> {
+    match values::address(&ValueKind::Address, value).and_then(connectable) {
+        Ok(address) => {
+            let defaults = defaults.clone()?;
+            Some(StaticBackend { address, deduplication_group: address.to_string(), ..defaults })
+        }
+        Err(found) => {
+            section.push_invalid(diagnostics, "boxes", span, &found);
+            None
+        }
+    }
 }
 
-fn long_box(diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>) -> Option<BackendDef> {
+/// A backend that is a table.
+fn read_long_form(diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>) -> Option<StaticBackend> {
     let address =
-        table.read(diagnostics, "address", |kind, value| values::address(kind, value).and_then(reachable));
-    let kind = table.name(diagnostics, "kind");
+        table.read(diagnostics, "address", |kind, value| values::address(kind, value).and_then(connectable));
+    let server_type = table.name(diagnostics, "kind");
     let zone = table.name(diagnostics, "zone");
-    let bay = table.read(diagnostics, "bay", values::bay);
+    let group = table.read(diagnostics, "bay", values::deduplication_group);
     let cores = table.count(diagnostics, "cores");
-    let state = table.word(diagnostics, "state");
-    let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-    let address = match address.at {
-        Some(_) => address.value?,
-        None => nowhere,
-    };
-    Some(BackendDef {
+    let state = table.choice(diagnostics, "state");
+    let address = if address.span.is_some() { address.value? } else { NO_ADDRESS };
+    Some(StaticBackend {
         address,
-        kind: kind.or(String::new()),
-        zone: zone.or(String::new()),
-        bay: bay.value.unwrap_or_else(|| address.to_string()),
-        cores: cores.or(1),
+        server_type: server_type.or_placeholder(String::new()),
+        zone: zone.or_placeholder(String::new()),
+        deduplication_group: group.value.unwrap_or_else(|| address.to_string()),
+        cores: cores.or_placeholder(1),
         state: match state.value {
             Some("draining") => BackendState::Draining,
             _ => BackendState::Ready,
--- a/crates/config/src/operator/record.rs
+++ b/crates/config/src/operator/record.rs
@@ -1,116 +1,131 @@
-//! The store of record, what of each class goes there, and the control socket.
+//! The store of record, what of each class is recorded, and the control socket.
 
-use super::types::{ClassDef, RecordDef, Recording, WithoutKey};
+use super::types::{ClassConfig, RecordMode, RecordStoreConfig, WithoutKey};
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::document::File;
-use crate::schema::span;
-use crate::section::Section;
+use crate::document::Document;
+use crate::schema::duration_text;
+use crate::section::{Field, Section};
 use crate::values;
 use shaletide_balancer::{Idempotency, Micros};
 use std::ops::Range;
 use std::path::PathBuf;
 
-/// The store, as far as the classes want to know of it.
+/// The store, as far as the classes are checked against it.
 #[derive(Clone, Debug)]
-pub(super) struct Record {
-    /// What the file says; where something in it is wrong, a stand-in.
-    pub def: Option<RecordDef>,
-    /// There is none, for certain.
-    absent: bool,
-    /// How long a request waits, and where that stands.
-    wait: Option<(Micros, Option<Range<usize>>)>,
+pub(super) struct RecordContext {
+    /// What the file says; with placeholders where something in it is invalid.
+    pub store: Option<RecordStoreConfig>,
+    /// There is certainly none.
+    is_absent: bool,
+    /// How long a request waits for its intent, and where that stands.
+    intent_timeout: Option<(Micros, Option<Range<usize>>)>,
 }
 
-pub(super) fn record(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> Record {
-    let absent = !file.may_contain(diagnostics, "record");
-    let Some(section) = file.optional(diagnostics, "record") else {
-        return Record { def: None, absent, wait: None };
+pub(super) fn record(diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>) -> RecordContext {
+    let is_absent = !document.may_contain(diagnostics, "record");
+    let Some(section) = document.optional(diagnostics, "record") else {
+        return RecordContext { store: None, is_absent, intent_timeout: None };
     };
-    let wait = section.span(diagnostics, "wait");
-    let def = RecordDef {
-        path: section.read(diagnostics, "path", values::file).or(PathBuf::new()),
-        keep: section.span(diagnostics, "keep").or(Micros(0)),
-        wait: wait.value.unwrap_or(Micros(0)),
-        retry_after: section.span(diagnostics, "retry_after").or(Micros(0)),
+    let timeout = section.duration(diagnostics, "wait");
+    let store = RecordStoreConfig {
+        path: section.read(diagnostics, "path", values::file_path).or_placeholder(PathBuf::new()),
+        retention: section.duration(diagnostics, "keep").or_placeholder(Micros(0)),
+        intent_timeout: timeout.value.unwrap_or(Micros(0)),
+        retry_after: section.duration(diagnostics, "retry_after").or_placeholder(Micros(0)),
     };
-    Record { def: Some(def), absent, wait: wait.value.map(|value| (value, wait.at)) }
+    let intent_timeout = timeout.value.map(|value| (value, timeout.span));
+    RecordContext { store: Some(store), is_absent, intent_timeout }
 }
 
-pub(super) fn control(diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>) -> Option<PathBuf> {
-    let section = file.optional(diagnostics, "control")?;
-    section.read(diagnostics, "socket", values::file).value
+pub(super) fn control(diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>) -> Option<PathBuf> {
+    let section = document.optional(diagnostics, "control")?;
+    section.read(diagnostics, "socket", values::file_path).value
 }
 
-/// What goes on record of a class.
-pub(super) fn recording(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &Record, effect: Idempotency,
-) -> Recording {
-    let (word, key) = (section.word(diagnostics, "record"), section.word(diagnostics, "without_key"));
-    let without_key = match key.value {
+/// What is recorded of a class.
+pub(super) fn record_mode(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &RecordContext,
+    idempotency: Idempotency,
+) -> RecordMode {
+    let word = section.choice(diagnostics, "record");
+    let keyless = section.choice(diagnostics, "without_key");
+    let without_key = match keyless.value {
         Some("record") => WithoutKey::Record,
-        _ => WithoutKey::Refuse,
+        _ => WithoutKey::Reject,
     };
-    let recording = match word.value {
-        Some("none") => Recording::None,
-        Some("facts") => Recording::Facts,
-        Some(_) => Recording::Permit { without_key },
-        None if effect == Idempotency::NonIdempotent && record.def.is_some() => {
-            Recording::Permit { without_key }
+    let mode = match word.value {
+        Some("none") => RecordMode::None,
+        Some("facts") => RecordMode::Facts,
+        Some(_) => RecordMode::Intent { without_key },
+        None if idempotency == Idempotency::NonIdempotent && record.store.is_some() => {
+            RecordMode::Intent { without_key }
         }
-        None => Recording::None,
+        None => RecordMode::None,
     };
-    if let (Some(at), Some(word)) = (word.at.clone(), word.value.filter(|_| recording != Recording::None)) {
-        if record.absent {
-            let what = format!("class.record: {} without a store to record in", quoted(word));
-            diagnostics.push(Diagnostic::at(
-                at.clone(),
-                what,
-                "expected [record] with a `path`, or \"none\" here",
-            ));
-        }
-        if matches!(recording, Recording::Permit { .. }) && effect != Idempotency::NonIdempotent {
-            let diagnostic =
-                Diagnostic::at(at, "class.record: the class is not unsafe", "expected \"none\" or \"facts\"");
-            let diagnostic = match section.raw("effect") {
-                Some((_, effect)) => diagnostic.with_related(effect, "its effect"),
-                None => diagnostic.with_help("without `effect` a class is safe"),
-            };
-            diagnostics.push_missing(&section.at, diagnostic);
-        }
+    check_mode(diagnostics, section, record, idempotency, &word, mode);
+    // Which mode was meant is not known where the word is invalid, or where [record] may be lost.
+    let is_mode_known =
+        !word.is_invalid() && (word.span.is_some() || record.store.is_some() || record.is_absent);
+    if let (Some(span), true, RecordMode::None | RecordMode::Facts) = (keyless.span, is_mode_known, mode) {
+        let message = "class.without_key: the class asks for no permit";
+        let expected = "expected in classes of record = \"permit\" only";
+        diagnostics.push_missing(&section.span, Diagnostic::at(span, message, expected));
+    }
+    mode
+}
+
+/// Reports a mode that wants a store where there is none, and intents of a class that is not unsafe.
+fn check_mode(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &RecordContext,
+    idempotency: Idempotency, word: &Field<&'static str>, mode: RecordMode,
+) {
+    let (Some(span), Some(value)) = (word.span.clone(), word.value) else { return };
+    if mode == RecordMode::None {
+        return;
+    }
+    if record.is_absent {
+        let message = format!("class.record: {} without a store to record in", quoted(value));
+        let expected = "expected [record] with a `path`, or \"none\" here";
+        diagnostics.push(Diagnostic::at(span.clone(), message, expected));
     }
-    // What `record` would have been is not known where it is wrong, or where [record] may be lost.
-    let known = !word.is_wrong() && (word.at.is_some() || record.def.is_some() || record.absent);
-    if let Some(at) = key.at.filter(|_| known && !matches!(recording, Recording::Permit { .. })) {
-        let what = "class.without_key: the class asks for no permit";
-        let diagnostic = Diagnostic::at(at, what, "expected in classes of record = \"permit\" only");
-        diagnostics.push_missing(&section.at, diagnostic);
+    if matches!(mode, RecordMode::Intent { .. }) && idempotency != Idempotency::NonIdempotent {
+        let expected = "expected \"none\" or \"facts\"";
+        let diagnostic = Diagnostic::at(span, "class.record: the class is not unsafe", expected);
+        let diagnostic = match section.span_of("effect") {
+            Some(effect) => diagnostic.with_related(effect, "its effect"),
+            None => diagnostic.with_help("without `effect` a class is safe"),
+        };
+        diagnostics.push_missing(&section.span, diagnostic);
     }
-    recording
 }
 
-impl Record {
-    /// Puts down a wait that would use up a class's deadline.
-    pub fn check_wait(&self, diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, class: &ClassDef) {
-        let Some((wait, place)) = &self.wait else { return };
-        // The stand-in for a deadline that is wrong.
-        let unknown = class.deadline == Micros(1) || diagnostics.has_syntax_error_in(&section.at);
-        if unknown || *wait < class.deadline || !matches!(class.record, Recording::Permit { .. }) {
+impl RecordContext {
+    /// Reports a timeout of intents that would use up a class's deadline.
+    pub fn check_intent_timeout(
+        &self, diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, class: &ClassConfig,
+    ) {
+        let Some((timeout, timeout_span)) = &self.intent_timeout else { return };
+        let is_placeholder = class.deadline == Micros(1);
+        let is_deadline_unknown = is_placeholder || diagnostics.has_syntax_error_in(&section.span);
+        let has_intents = matches!(class.record, RecordMode::Intent { .. });
+        if is_deadline_unknown || *timeout < class.deadline || !has_intents {
             return;
         }
-        let deadline = section.raw("deadline").map(|(_, at)| at);
-        let at = place.clone().or(deadline.clone()).unwrap_or(section.at.clone());
-        let (wait, limit) = (span(wait.0), span(class.deadline.0));
-        let what = format!(
-            "record.wait: {wait} is not under {limit}, the deadline of the class {}",
+        let deadline_span = section.span_of("deadline");
+        let span = timeout_span.clone().or(deadline_span.clone()).unwrap_or(section.span.clone());
+        let timeout = duration_text(timeout.0);
+        let deadline = duration_text(class.deadline.0);
+        let message = format!(
+            "record.wait: {timeout} is not under {deadline}, the deadline of the class {}",
             quoted(&class.name)
         );
-        let diagnostic =
-            Diagnostic::at(at.clone(), what, "expected a wait under the deadline of each class with permits");
-        diagnostics.push(match deadline.filter(|other| *other != at) {
+        let expected = "expected a wait under the deadline of each class with permits";
+        let diagnostic = Diagnostic::at(span.clone(), message, expected);
+        diagnostics.push(match deadline_span.filter(|other| *other != span) {
             Some(other) => diagnostic.with_related(other, "the deadline"),
-            None if place.is_none() => diagnostic.with_help(format!("without `wait` it is {wait}")),
-            None => diagnostic.with_help(format!("without `deadline` it is {limit}")),
+            None if timeout_span.is_none() => diagnostic.with_help(format!("without `wait` it is {timeout}")),
+            None => diagnostic.with_help(format!("without `deadline` it is {deadline}")),
         });
     }
 }
--- a/crates/config/src/operator/reload.rs
+++ b/crates/config/src/operator/reload.rs
@@ -1,15 +1,26 @@
 //! What of a changed file takes effect only at a restart.
 
-use super::types::Operator;
+use super::types::{OperatorConfig, RecordMode};
 use shaletide_balancer::Idempotency;
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
 
-impl Operator {
-    /// What the file `next` says otherwise than this one and cannot be had without a restart, in words for a log:
-    /// each begins with the key. All else of `next` takes effect at once.
-    pub fn needs_restart(&self, next: &Operator) -> Vec<String> {
-        let mut changes = Vec::new();
+impl OperatorConfig {
+    /// The differences of `next` that need a restart, in words for a log, sorted; each begins with its key. All other
+    /// differences take effect at once.
+    pub fn needs_restart(&self, next: &OperatorConfig) -> Vec<String> {
+        let mut changes = self.changed_keys(next);
+        self.push_listener_changes(next, &mut changes);
+        self.push_class_changes(next, &mut changes);
+        let tenants: HashSet<&String> = next.tenants.iter().collect();
+        for name in self.tenants.iter().filter(|name| !tenants.contains(name)) {
+            changes.push(format!("tenant.name: {name} is gone"));
+        }
+        changes.sort();
+        changes
+    }
+
+    fn changed_keys(&self, next: &OperatorConfig) -> Vec<String> {
         let (old, new) = (&self.proxy, &next.proxy);
         let keys = [
             ("proxy.name", old.name != new.name),
@@ -21,42 +32,45 @@
             ("control.socket", self.control != next.control),
             ("limits.descriptors", self.limits.descriptors != next.limits.descriptors),
         ];
-        changes
-            .extend(keys.into_iter().filter(|(_, other)| *other).map(|(key, _)| format!("{key}: changed")));
-        for address in self.listeners.iter().filter(|a| !next.listeners.contains(a)) {
+        let changed = keys.into_iter().filter(|(_, is_changed)| *is_changed);
+        changed.map(|(key, _)| format!("{key}: changed")).collect()
+    }
+
+    fn push_listener_changes(&self, next: &OperatorConfig, changes: &mut Vec<String>) {
+        for address in self.listeners.iter().filter(|address| !next.listeners.contains(address)) {
             changes.push(format!("listener.address: {address} is gone"));
         }
-        for address in next.listeners.iter().filter(|a| !self.listeners.contains(a)) {
+        for address in next.listeners.iter().filter(|address| !self.listeners.contains(address)) {
             changes.push(format!("listener.address: {address} is new"));
         }
-        let effects = next.effects();
-        for (name, effect) in self.effects() {
-            match effects.get(name) {
+    }
+
+    fn push_class_changes(&self, next: &OperatorConfig, changes: &mut Vec<String>) {
+        let next_idempotency = next.idempotency_by_name();
+        for (name, idempotency) in self.idempotency_by_name() {
+            match next_idempotency.get(name) {
                 None => changes.push(format!("class.name: {name} is gone")),
-                Some(other) if *other != effect => changes.push(format!("class.effect: changed of {name}")),
+                Some(other) if *other != idempotency => {
+                    changes.push(format!("class.effect: changed of {name}"));
+                }
                 Some(_) => {}
             }
         }
-        let records: HashMap<&str, _> = next.classes.iter().map(|c| (c.name.as_str(), c.record)).collect();
+        let next_record: HashMap<&str, RecordMode> =
+            next.classes.iter().map(|class| (class.name.as_str(), class.record)).collect();
         for class in &self.classes {
-            if records.get(class.name.as_str()).is_some_and(|record| *record != class.record) {
+            if next_record.get(class.name.as_str()).is_some_and(|record| *record != class.record) {
                 changes.push(format!("class.record: changed of {}", class.name));
             }
         }
-        let tenants: HashSet<&String> = next.tenants.iter().collect();
-        let gone = self.tenants.iter().filter(|name| !tenants.contains(name));
-        changes.extend(gone.map(|name| format!("tenant.name: {name} is gone")));
-        changes.sort();
-        changes
     }
 
     fn record_path(&self) -> Option<&Path> {
         self.record.as_ref().map(|record| record.path.as_path())
     }
 
-    /// The effect of each class by its name.
-    fn effects(&self) -> HashMap<&str, Idempotency> {
-        let names = self.classes.iter().map(|c| c.name.as_str());
-        names.zip(self.config.classes.iter().map(|c| c.idempotency)).collect()
+    fn idempotency_by_name(&self) -> HashMap<&str, Idempotency> {
+        let names = self.classes.iter().map(|class| class.name.as_str());
+        names.zip(self.balancer.classes.iter().map(|class| class.idempotency)).collect()
     }
 }
--- a/crates/config/src/operator/request.rs
+++ b/crates/config/src/operator/request.rs
@@ -1,9 +1,9 @@
-//! How a request is read, and what an answer means.
+//! How a request is read, and what a response means.
 
-use super::names::Index;
+use super::names::NameIndex;
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
-use crate::schema::{Kind, MAX_PATH_PART, PLACE, PROOF};
+use crate::schema::{ValueKind, ATTRIBUTE_SOURCE, MAX_PATH_PART, NOT_EXECUTED_PROOF};
 use crate::section::Section;
 use crate::values;
 use shaletide_balancer::ClassId;
@@ -12,109 +12,128 @@
 };
 use toml::de::{DeTable, DeValue};
 
-/// The whole form of a request.
-pub(super) fn form(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, classes: &Index,
+/// Stands for a source that is invalid, in a file that is rejected for it.
+const PLACEHOLDER: AttributeSource = AttributeSource::Path(1);
+
+/// Statuses that promise a client that a retry does no harm.
+const RETRYABLE_STATUSES: [u16; 2] = [429, 503];
+
+/// The whole format of a request.
+pub(super) fn request_format(
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, classes: &NameIndex,
 ) -> RequestFormat {
-    let otherwise = section.name(diagnostics, "otherwise");
-    let otherwise = otherwise.value.zip(otherwise.at);
-    let otherwise =
-        otherwise.and_then(|(name, at)| classes.find(diagnostics, "request.otherwise", &name, at));
-    let stand_in = || AttributeSource::Path(1);
+    let default_class = section.name(diagnostics, "otherwise");
+    let default_class = match (default_class.value, default_class.span) {
+        (Some(name), Some(span)) => classes.find(diagnostics, "request.otherwise", &name, span),
+        _ => None,
+    };
     RequestFormat {
-        class: place(diagnostics, section, "class").unwrap_or_else(stand_in),
-        default_class: otherwise.map(ClassId),
-        tenant: place(diagnostics, section, "tenant"),
-        key: place(diagnostics, section, "key").unwrap_or_else(stand_in),
-        deduplication_group: place(diagnostics, section, "bay"),
-        zone: place(diagnostics, section, "zone"),
-        id: section.read(diagnostics, "id", values::header).or(String::new()),
-        id_required: section.flag(diagnostics, "id_required").or(false),
-        time_left: section.read(diagnostics, "time_left", values::header).or(String::new()),
+        class: attribute_source(diagnostics, section, "class").unwrap_or(PLACEHOLDER),
+        default_class: default_class.map(ClassId),
+        tenant: attribute_source(diagnostics, section, "tenant"),
+        key: attribute_source(diagnostics, section, "key").unwrap_or(PLACEHOLDER),
+        deduplication_group: attribute_source(diagnostics, section, "bay"),
+        zone: attribute_source(diagnostics, section, "zone"),
+        id: section.read(diagnostics, "id", values::header).or_placeholder(String::new()),
+        id_required: section.flag(diagnostics, "id_required").or_placeholder(false),
+        time_left: section.read(diagnostics, "time_left", values::header).or_placeholder(String::new()),
     }
 }
 
-/// A place in a request, or the schema's default for it.
-pub(super) fn place(
+/// Where in a request an attribute stands, or the schema's default for it.
+pub(super) fn attribute_source(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str,
 ) -> Option<AttributeSource> {
-    let Some((value, at)) = section.raw(key) else {
-        return section.read(diagnostics, key, default_place).value;
+    let Some((value, span)) = section.raw(key) else {
+        return section.read(diagnostics, key, default_attribute_source).value;
     };
     let DeValue::Table(table) = value else {
-        section.push_invalid(diagnostics, key, at, &format!("{} does not fit here", values::describe(value)));
+        let found = format!("{} does not fit here", values::describe(value));
+        section.push_invalid(diagnostics, key, span, &found);
         return None;
     };
-    let place = Section::open_at(diagnostics, &PLACE, section.path(key), table, at.clone());
-    let (path, header) = (place.raw("path").is_some(), place.raw("header").is_some());
-    match (path, header) {
-        (true, false) => place.count(diagnostics, "path").value.map(|n| AttributeSource::Path(n as usize)),
-        (false, true) => place.read(diagnostics, "header", values::header).value.map(AttributeSource::Header),
+    let source = Section::open_at(diagnostics, &ATTRIBUTE_SOURCE, section.path(key), table, span.clone());
+    match (source.raw("path").is_some(), source.raw("header").is_some()) {
+        (true, false) => {
+            source.count(diagnostics, "path").value.map(|part| AttributeSource::Path(part as usize))
+        }
+        (false, true) => {
+            source.read(diagnostics, "header", values::header).value.map(AttributeSource::Header)
+        }
         (true, true) => {
-            section.push_invalid(diagnostics, key, at, "it says two places");
+            section.push_invalid(diagnostics, key, span, "it says two places");
             None
         }
         (false, false) => {
-            // An unknown key in it has been put down already.
+            // An unknown key in it has been reported already.
             if table.is_empty() {
-                section.push_invalid(diagnostics, key, at, "it says no place");
+                section.push_invalid(diagnostics, key, span, "it says no place");
             }
             None
         }
     }
 }
 
-/// A place in the plain form that the schema's defaults have.
-fn default_place(_: &crate::schema::Kind, value: &DeValue<'_>) -> values::Found<AttributeSource> {
+/// A source as the schema's defaults have it.
+fn default_attribute_source(_: &ValueKind, value: &DeValue<'_>) -> values::Parsed<AttributeSource> {
     let table: Option<&DeTable<'_>> = value.as_table();
-    let get = |key: &str| table.and_then(|t| t.get(key)).map(|v| v.get_ref());
+    let get = |key: &str| table.and_then(|table| table.get(key)).map(|value| value.get_ref());
     match (get("path"), get("header")) {
-        (Some(part), None) => {
-            values::count(&Kind::Count(1, MAX_PATH_PART), part).map(|n| AttributeSource::Path(n as usize))
-        }
-        (None, Some(name)) => values::header(&crate::schema::Kind::Header, name).map(AttributeSource::Header),
+        (Some(part), None) => values::integer(&ValueKind::Integer(1, MAX_PATH_PART), part)
+            .map(|part| AttributeSource::Path(part as usize)),
+        (None, Some(name)) => values::header(&ValueKind::Header, name).map(AttributeSource::Header),
         _ => Err("no place".into()),
     }
 }
 
-/// What an answer means. A key that is absent is as in `base`.
-pub(super) fn answers(
+/// What a response means. A key that is absent is as in `base`.
+pub(super) fn response_rules(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, base: &ResponseRules,
 ) -> ResponseRules {
-    let mut answers = base.clone();
+    let mut rules = base.clone();
     if section.raw("served").is_some() {
-        let listed = section.listed(diagnostics, "served", values::statuses);
-        answers.served = StatusSet::none();
-        for ((first, last), at) in &listed.items {
-            answers.served.add(*first, *last);
-            // Whoever gets one comes again, and takes it that this does no harm.
-            if let Some(status) = [429, 503].into_iter().find(|status| (first..=last).contains(&status)) {
-                let what = format!(
-                    "{}: {status} tells a client that coming again does no harm",
-                    section.path("served")
-                );
-                let expected = "expected it under never_ran, with the header that proves it, or not at all";
-                diagnostics.push(Diagnostic::at(at.clone(), what, expected));
-            }
-        }
+        rules.served = served(diagnostics, section);
     }
     if section.raw("never_ran").is_some() {
-        let (tables, _) = section.tables(diagnostics, "never_ran", &PROOF);
-        answers.not_executed = tables.iter().filter_map(|table| proof(diagnostics, table)).collect();
+        let (tables, _) = section.tables(diagnostics, "never_ran", &NOT_EXECUTED_PROOF);
+        rules.not_executed =
+            tables.iter().filter_map(|table| not_executed_proof(diagnostics, table)).collect();
     }
     if section.raw("errors").is_some() {
-        answers.error_responses = match section.word(diagnostics, "errors").value {
+        rules.error_responses = match section.choice(diagnostics, "errors").value {
             Some("own_words") => ErrorResponses::Replace,
             _ => ErrorResponses::Forward,
         };
     }
-    answers
+    rules
 }
 
-fn proof(diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>) -> Option<NotExecutedProof> {
+/// The statuses that are final; reports those among them that promise that a retry does no harm.
+fn served(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> StatusSet {
+    let ranges = section.distinct_items(diagnostics, "served", values::statuses);
+    let mut served = StatusSet::none();
+    for ((first, last), span) in &ranges.items {
+        served.add(*first, *last);
+        let retryable = RETRYABLE_STATUSES.into_iter().find(|status| (first..=last).contains(&status));
+        if let Some(status) = retryable {
+            let path = section.path("served");
+            let message = format!("{path}: {status} tells a client that coming again does no harm");
+            let expected = "expected it under never_ran, with the header that proves it, or not at all";
+            diagnostics.push(Diagnostic::at(span.clone(), message, expected));
+        }
+    }
+    served
+}
+
+fn not_executed_proof(
+    diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>,
+) -> Option<NotExecutedProof> {
     let status = table.count(diagnostics, "status");
     let header = table.read(diagnostics, "header", values::header);
     let value = table.read(diagnostics, "value", values::header_value);
     let status = u16::try_from(status.value?).ok()?;
-    (!value.is_wrong()).then_some(NotExecutedProof { status, header: header.value?, value: value.value })
+    if value.is_invalid() {
+        return None;
+    }
+    Some(NotExecutedProof { status, header: header.value?, value: value.value })
 }
--- a/crates/config/src/operator/routes.rs
+++ b/crates/config/src/operator/routes.rs
@@ -1,11 +1,11 @@
 //! Routes, and what must hold between them and the pools.
 
-use super::names::Index;
+use super::names::NameIndex;
 use super::request;
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::document::File;
-use crate::schema::{ANSWERS, HEADER};
+use crate::document::Document;
+use crate::schema::{HEADER_MATCH, ROUTE_RESPONSES};
 use crate::section::Section;
 use crate::values;
 use shaletide_balancer::{ClassId, PoolId, TenantId};
@@ -13,168 +13,179 @@
 use std::hash::Hash;
 use toml::de::DeValue;
 
-/// So many routes may stand in a file.
-const ROUTES: usize = 1_000;
-/// So many names may stand in the conditions of all routes together: looking for hidden ones compares them all.
-const CONDITIONS: usize = 20_000;
+/// Routes that a file may have.
+const MAX_ROUTES: usize = 1_000;
+/// Names that the conditions of all routes may have together: the search for shadowed routes compares them all.
+const MAX_CONDITIONS: usize = 20_000;
 
 /// What routes refer to.
-pub(super) struct Known<'k> {
-    pub classes: &'k Index,
-    pub tenants: &'k Index,
-    pub pools: &'k Index,
-    /// How answers are read where a route does not say.
-    pub answers: &'k ResponseRules,
+pub(super) struct RouteContext<'k> {
+    pub classes: &'k NameIndex,
+    pub tenants: &'k NameIndex,
+    pub pools: &'k NameIndex,
+    /// How responses are read where a route does not say.
+    pub responses: &'k ResponseRules,
+}
+
+/// A value, and whether everything that it was read from was valid.
+struct Checked<T> {
+    value: T,
+    is_valid: bool,
 }
 
 /// The routes; where there are none, one that leads all requests to all pools.
 pub(super) fn routes(
-    diagnostics: &mut Diagnostics<'_>, file: &File<'_, '_>, known: &Known<'_>,
+    diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>, context: &RouteContext<'_>,
 ) -> Vec<Route> {
-    let (sections, all) = file.list(diagnostics, "route", ROUTES);
-    let names = Index::read(diagnostics, "route", &sections, all);
-    if sections.is_empty() {
-        let pools = (0..known.pools.len()).map(|n| PoolId(n as u32)).collect();
-        let (when, answers) = (Match::default(), known.answers.clone());
-        return vec![Route { name: "default".into(), when, pools, answers }];
+    let sections = document.list(diagnostics, "route", MAX_ROUTES);
+    let names = NameIndex::of_sections(diagnostics, "route", &sections);
+    if sections.items.is_empty() {
+        return vec![default_route(context)];
     }
-    let mut sound = Vec::new();
     let mut routes = Vec::new();
-    let mut left = CONDITIONS;
-    for (section, name) in sections.iter().zip(names.in_order()) {
-        let (when, good) = conditions(diagnostics, section, known);
-        let asked =
-            when.classes.len() + when.tenants.len() + when.zones.len() + when.deduplication_groups.len();
-        if asked > left {
-            let expected = format!("expected at most {CONDITIONS} names in the conditions of all routes");
-            diagnostics.push(Diagnostic::at(
-                section.at.clone(),
-                "too many names in the conditions of routes",
-                expected,
-            ));
+    let mut valid = Vec::new();
+    let mut conditions_left = MAX_CONDITIONS;
+    for (section, name) in sections.items.iter().zip(names.in_order()) {
+        let when = conditions(diagnostics, section, context);
+        let Some(left) = conditions_left.checked_sub(condition_count(&when.value)) else {
+            let expected = format!("expected at most {MAX_CONDITIONS} names in the conditions of all routes");
+            let message = "too many names in the conditions of routes";
+            diagnostics.push(Diagnostic::at(section.span.clone(), message, expected));
             return Vec::new();
-        }
-        left -= asked;
-        let (pools, whole) = numbers(diagnostics, section, "pools", known.pools, |n| PoolId(n as u32));
-        let answers = own_answers(diagnostics, section, known.answers);
-        routes.push(Route { name: name.to_string(), when, pools, answers });
-        sound.push(good && whole);
+        };
+        conditions_left = left;
+        let pools = numbers(diagnostics, section, "pools", context.pools, |n| PoolId(n as u32));
+        let answers = route_responses(diagnostics, section, context.responses);
+        routes.push(Route { name: name.to_string(), when: when.value, pools: pools.value, answers });
+        valid.push(when.is_valid && pools.is_valid);
     }
-    hidden(diagnostics, &routes, &sound, &names);
-    if all && sound.iter().all(|s| *s) {
-        unreached(diagnostics, &routes, known.pools);
+    report_shadowed_routes(diagnostics, &routes, &valid, &names);
+    if sections.is_complete && valid.iter().all(|valid| *valid) {
+        report_unreachable_pools(diagnostics, &routes, context.pools);
     }
     routes
 }
 
-/// What it takes, and whether all of it was right.
+/// The route of a file that has none.
+fn default_route(context: &RouteContext<'_>) -> Route {
+    Route {
+        name: "default".into(),
+        when: Match::default(),
+        pools: (0..context.pools.len()).map(|number| PoolId(number as u32)).collect(),
+        answers: context.responses.clone(),
+    }
+}
+
+fn condition_count(when: &Match) -> usize {
+    when.classes.len() + when.tenants.len() + when.zones.len() + when.deduplication_groups.len()
+}
+
+/// Which requests a route takes.
 fn conditions(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, known: &Known<'_>,
-) -> (Match, bool) {
-    let (classes, c) = numbers(diagnostics, section, "class", known.classes, ClassId);
-    let (tenants, t) = numbers(diagnostics, section, "tenant", known.tenants, TenantId);
-    let zones = section.listed(diagnostics, "zone", values::name);
-    let bays = section.listed(diagnostics, "bay", values::bay);
-    let methods = section.listed(diagnostics, "method", values::method);
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, context: &RouteContext<'_>,
+) -> Checked<Match> {
+    let classes = numbers(diagnostics, section, "class", context.classes, ClassId);
+    let tenants = numbers(diagnostics, section, "tenant", context.tenants, TenantId);
+    let zones = section.distinct_items(diagnostics, "zone", values::name);
+    let groups = section.distinct_items(diagnostics, "bay", values::deduplication_group);
+    let methods = section.distinct_items(diagnostics, "method", values::method);
     let path = section.read(diagnostics, "path", values::path);
-    let (headers, h) = headers(diagnostics, section);
-    let sound = c && t && h && zones.sound && bays.sound && methods.sound && !path.is_wrong();
-    let when = Match {
-        classes,
-        tenants,
-        zones: zones.items.into_iter().map(|(z, _)| z).collect(),
-        deduplication_groups: bays.items.into_iter().map(|(b, _)| b).collect(),
+    let headers = headers(diagnostics, section);
+    let are_lists_valid = zones.is_valid && groups.is_valid && methods.is_valid;
+    let is_valid =
+        classes.is_valid && tenants.is_valid && headers.is_valid && are_lists_valid && !path.is_invalid();
+    let value = Match {
+        classes: classes.value,
+        tenants: tenants.value,
+        zones: zones.into_values(),
+        deduplication_groups: groups.into_values(),
         path_prefix: path.value,
-        methods: methods.items.into_iter().map(|(m, _)| m).collect(),
-        headers,
+        methods: methods.into_values(),
+        headers: headers.value,
     };
-    (when, sound)
+    Checked { value, is_valid }
 }
 
-/// The numbers behind the names of a key, and whether all were right.
+/// The numbers behind the names of a key.
 fn numbers<T: Hash + Eq>(
-    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str, index: &Index,
+    diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str, index: &NameIndex,
     number: fn(usize) -> T,
-) -> (Vec<T>, bool) {
+) -> Checked<Vec<T>> {
     let path = section.path(key);
-    // Any text: what is no name at all is not found either.
-    let listed = section.listed(diagnostics, key, |_, value| values::text(value).map(String::from));
-    let asked = listed.items.len();
-    let found = listed.items.into_iter().filter_map(|(name, at)| index.find(diagnostics, &path, &name, at));
-    let found: Vec<T> = found.map(number).collect();
-    let sound = listed.sound && found.len() == asked;
-    (found, sound)
+    // Any text: what cannot be a name is not found either.
+    let names = section.distinct_items(diagnostics, key, |_, value| values::text(value).map(String::from));
+    let name_count = names.items.len();
+    let mut found = Vec::new();
+    for (name, span) in names.items {
+        found.extend(index.find(diagnostics, &path, &name, span).map(number));
+    }
+    let is_valid = names.is_valid && found.len() == name_count;
+    Checked { value: found, is_valid }
 }
 
-fn headers(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> (Vec<HeaderMatch>, bool) {
-    let (tables, mut sound) = section.tables(diagnostics, "header", &HEADER);
-    let (mut found, mut names) = (Vec::new(), Vec::new());
+fn headers(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> Checked<Vec<HeaderMatch>> {
+    let (tables, mut is_valid) = section.tables(diagnostics, "header", &HEADER_MATCH);
+    let mut headers = Vec::new();
+    let mut names = Vec::new();
     for table in &tables {
-        let (name, value) = (
-            table.read(diagnostics, "name", values::header),
-            table.read(diagnostics, "value", values::header_value),
-        );
-        sound &= name.value.is_some() && !value.is_wrong();
+        let name = table.read(diagnostics, "name", values::header);
+        let value = table.read(diagnostics, "value", values::header_value);
+        is_valid &= name.value.is_some() && !value.is_invalid();
         if let Some(name) = name.value {
-            names.push((name.clone(), name_place(table)));
-            found.push(HeaderMatch { name, value: value.value });
+            names.push((name.clone(), table.span_of("name").unwrap_or(table.span.clone())));
+            headers.push(HeaderMatch { name, value: value.value });
         }
     }
-    let what = |name: &String| format!("route.header: the header {} stands twice", quoted(name));
-    diagnostics.push_duplicates(names, what, "expected each header once");
-    (found, sound)
-}
-
-fn name_place(table: &Section<'_, '_>) -> std::ops::Range<usize> {
-    table.raw("name").map_or(table.at.clone(), |(_, at)| at)
+    let message = |name: &String| format!("route.header: the header {} stands twice", quoted(name));
+    diagnostics.push_duplicates(names, message, "expected each header once");
+    Checked { value: headers, is_valid }
 }
 
-fn own_answers(
+fn route_responses(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, base: &ResponseRules,
 ) -> ResponseRules {
     match section.raw("answers") {
-        Some((DeValue::Table(table), at)) => {
-            let own = Section::open(diagnostics, &ANSWERS, table, at);
-            request::answers(diagnostics, &own, base)
+        Some((DeValue::Table(table), span)) => {
+            let section = Section::open(diagnostics, &ROUTE_RESPONSES, table, span);
+            request::response_rules(diagnostics, &section, base)
         }
-        Some((other, at)) => {
-            section.push_invalid(
-                diagnostics,
-                "answers",
-                at,
-                &format!("{} does not fit here", values::describe(other)),
-            );
+        Some((other, span)) => {
+            let found = format!("{} does not fit here", values::describe(other));
+            section.push_invalid(diagnostics, "answers", span, &found);
             base.clone()
         }
         None => base.clone(),
     }
 }
 
-/// Routes that no request can reach; those with something wrong are left out, as nobody knows what they take.
-fn hidden(diagnostics: &mut Diagnostics<'_>, routes: &[Route], sound: &[bool], names: &Index) {
-    let known: Vec<usize> = (0..routes.len()).filter(|n| sound[*n]).collect();
-    let table = RouteTable::new(known.iter().map(|n| routes[*n].clone()).collect());
-    for (late, early) in table.shadowed() {
-        let (late, early) = (known[late.0], known[early.0]);
-        let (name, before) = (quoted(&routes[late].name), quoted(&routes[early].name));
-        let what = format!("the route {name} takes no request");
-        let expected = format!("{before} stands before it and takes all of its requests");
-        diagnostics.push(
-            Diagnostic::at(names.place(late), what, expected).with_related(names.place(early), "this one"),
-        );
+/// Reports routes that no request can reach. Invalid ones are left out, as what they take is not known.
+fn report_shadowed_routes(
+    diagnostics: &mut Diagnostics<'_>, routes: &[Route], valid: &[bool], names: &NameIndex,
+) {
+    let compared: Vec<usize> = (0..routes.len()).filter(|number| valid[*number]).collect();
+    let table = RouteTable::new(compared.iter().map(|number| routes[*number].clone()).collect());
+    for (later, earlier) in table.shadowed() {
+        let later = compared[later.0];
+        let earlier = compared[earlier.0];
+        let message = format!("the route {} takes no request", quoted(&routes[later].name));
+        let expected =
+            format!("{} stands before it and takes all of its requests", quoted(&routes[earlier].name));
+        let diagnostic = Diagnostic::at(names.span(later), message, expected);
+        diagnostics.push(diagnostic.with_related(names.span(earlier), "this one"));
     }
 }
 
-/// Pools that no route leads to.
-fn unreached(diagnostics: &mut Diagnostics<'_>, routes: &[Route], pools: &Index) {
-    let mut reached = vec![false; pools.len()];
-    for pool in routes.iter().flat_map(|r| &r.pools) {
-        if let Some(reached) = reached.get_mut(pool.0 as usize) {
-            *reached = true;
+/// Reports pools that no route leads to.
+fn report_unreachable_pools(diagnostics: &mut Diagnostics<'_>, routes: &[Route], pools: &NameIndex) {
+    let mut is_reached = vec![false; pools.len()];
+    for pool in routes.iter().flat_map(|route| &route.pools) {
+        if let Some(is_reached) = is_reached.get_mut(pool.0 as usize) {
+            *is_reached = true;
         }
     }
-    for (number, name) in pools.in_order().enumerate().filter(|(n, _)| !reached[*n]) {
-        let what = format!("no route leads to the pool {}", quoted(name));
-        diagnostics.push(Diagnostic::at(pools.place(number), what, "expected it in the `pools` of a route"));
+    for (number, name) in pools.in_order().enumerate().filter(|(number, _)| !is_reached[*number]) {
+        let message = format!("no route leads to the pool {}", quoted(name));
+        let expected = "expected it in the `pools` of a route";
+        diagnostics.push(Diagnostic::at(pools.span(number), message, expected));
     }
 }
--- a/crates/config/src/operator/text.rs
+++ b/crates/config/src/operator/text.rs
@@ -7,8 +7,10 @@
 use crate::syntax;
 use toml::de::DeTable;
 
-/// A file may be so long, in bytes.
+/// The longest file, in bytes.
 pub const MAX_FILE: usize = 4 << 20;
+/// Bytes behind an invalid one that are read for the line in which it stands.
+const MAX_CONTEXT_BYTES: usize = 200;
 
 /// The text of a file.
 ///
@@ -17,20 +19,23 @@
 /// A file that is too long, and bytes that are not UTF-8.
 pub fn utf8<'b>(file_name: &str, bytes: &'b [u8]) -> Result<&'b str, Report> {
     bounded(file_name, bytes.len())?;
-    std::str::from_utf8(bytes).map_err(|e| {
-        // The good part and a stand-in for the byte: that is enough to show the line.
-        let (good, bad) = bytes.split_at(e.valid_up_to());
-        let good = std::str::from_utf8(good).unwrap_or_default();
-        let after: String = String::from_utf8_lossy(&bad[..bad.len().min(200)]).into_owned();
-        let text = format!("{good}{}", after.lines().next().unwrap_or_default());
-        let skip = text.len() - text.strip_prefix('\u{feff}').unwrap_or(&text).len();
-        let source = Source::new(&text[skip..]);
-        let at =
-            (good.len() - skip.min(good.len()))..(good.len() - skip.min(good.len()) + '\u{fffd}'.len_utf8());
-        let byte = bad.first().copied().unwrap_or_default();
-        let what = format!("the byte 0x{byte:02x} is not UTF-8");
-        Report::new(file_name, &source, vec![Diagnostic::at(at, what, "expected a text file in UTF-8")], 0)
-    })
+    std::str::from_utf8(bytes).map_err(|error| not_utf8(file_name, bytes, error.valid_up_to()))
+}
+
+/// The report on the first byte that is not UTF-8, with the line in which it stands.
+fn not_utf8(file_name: &str, bytes: &[u8], valid_up_to: usize) -> Report {
+    let (valid, invalid) = bytes.split_at(valid_up_to);
+    let valid = std::str::from_utf8(valid).unwrap_or_default();
+    let after = String::from_utf8_lossy(&invalid[..invalid.len().min(MAX_CONTEXT_BYTES)]).into_owned();
+    let text = format!("{valid}{}", after.lines().next().unwrap_or_default());
+    let byte_order_mark = text.len() - text.strip_prefix('\u{feff}').unwrap_or(&text).len();
+    let source = Source::new(&text[byte_order_mark..]);
+    let start = valid.len().saturating_sub(byte_order_mark);
+    let span = start..start + '\u{fffd}'.len_utf8();
+    let byte = invalid.first().copied().unwrap_or_default();
+    let message = format!("the byte 0x{byte:02x} is not UTF-8");
+    let diagnostic = Diagnostic::at(span, message, "expected a text file in UTF-8");
+    Report::new(file_name, &source, vec![diagnostic], 0)
 }
 
 fn bounded(file_name: &str, length: usize) -> Result<(), Report> {
@@ -49,11 +54,11 @@
     bounded(file_name, text.len())?;
     let source = Source::new(text.strip_prefix('\u{feff}').unwrap_or(text));
     let mut diagnostics = Diagnostics::new(&source);
-    let mended = syntax::mend(&mut diagnostics);
-    let tree = mended.as_deref().and_then(|text| syntax::parse(&mut diagnostics, text));
+    let recovered = syntax::recover(&mut diagnostics);
+    let tree = recovered.as_deref().and_then(|text| syntax::parse(&mut diagnostics, text));
     let values = tree.and_then(|tree| read(&mut diagnostics, tree.get_ref()));
     diagnostics.into_report(file_name)?;
-    // Without a tree something lies on the desk.
+    // Without a tree there is a diagnostic.
     values.ok_or_else(|| {
         Report::new(file_name, &source, vec![Diagnostic::for_file("not read", "expected TOML")], 0)
     })
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -7,35 +7,35 @@
 
 /// All that the file says.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Operator {
+pub struct OperatorConfig {
     /// This proxy.
-    pub proxy: ProxyDef,
+    pub proxy: ProxyConfig,
     /// Where it listens; at least one address, none twice.
     pub listeners: Vec<SocketAddr>,
     /// What it may use and how long it waits.
     pub limits: Limits,
     /// All that the decision module wants. Two fields are stand-ins: `zone` is 0, as the caller numbers
     /// zones, and `discovery` is [`Discovery::Push`], as it differs by pool.
-    pub config: Config,
-    /// The classes, in the order of `config.classes`.
-    pub classes: Vec<ClassDef>,
-    /// The tenants' names, in the order of `config.tenants`.
+    pub balancer: Config,
+    /// The classes, in the order of `balancer.classes`.
+    pub classes: Vec<ClassConfig>,
+    /// The tenants' names, in the order of `balancer.tenants`.
     pub tenants: Vec<String>,
     /// How a request is read.
-    pub form: RequestFormat,
+    pub request_format: RequestFormat,
     /// The pools; a [`PoolId`](shaletide_balancer::PoolId) in `routes` is an index into them.
-    pub pools: Vec<PoolDef>,
+    pub pools: Vec<PoolConfig>,
     /// The routes in their order; at least one. None is hidden by an earlier one, and each pool is in one.
     pub routes: Vec<Route>,
     /// The store of record; none: nothing is recorded.
-    pub record: Option<RecordDef>,
+    pub record: Option<RecordStoreConfig>,
     /// The Unix socket for operators' commands.
     pub control: Option<PathBuf>,
 }
 
 /// This proxy among the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ProxyDef {
+pub struct ProxyConfig {
     /// Its name, for logs.
     pub name: String,
     /// Its zone; may be empty.
@@ -80,26 +80,26 @@
 /// What the daemon wants to know of a class beside the decision module's
 /// [`Class`](shaletide_balancer::Class).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClassDef {
+pub struct ClassConfig {
     /// Its name.
     pub name: String,
     /// The methods that its requests may have; at least one, in capitals.
     pub methods: Vec<String>,
     /// How long a client waits at most; no less than the aim.
     pub deadline: Micros,
-    /// What goes on record of its requests; [`Recording::None`] where there is no [`Operator::record`].
-    pub record: Recording,
+    /// What goes on record of its requests; [`RecordMode::None`] where there is no [`OperatorConfig::record`].
+    pub record: RecordMode,
 }
 
 /// What goes on record of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recording {
+pub enum RecordMode {
     /// Nothing.
     None,
     /// What was known and done, as far as the store keeps up.
     Facts,
     /// That too, and no attempt is sent before its intent is durable. Only of unsafe classes.
-    Permit {
+    Intent {
         /// What becomes of a request without a key.
         without_key: WithoutKey,
     },
@@ -109,41 +109,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
     /// It is refused.
-    Refuse,
+    Reject,
     /// It is sent, and recorded as one without a key.
     Record,
 }
 
 /// The store of record.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RecordDef {
+pub struct RecordStoreConfig {
     /// The file. Whether its folder is there is for whoever opens it.
     pub path: PathBuf,
     /// How long a served key is remembered.
-    pub keep: Micros,
+    pub retention: Micros,
     /// How long a request waits for its intent to be durable; less than the deadline of each class with
-    /// [`Recording::Permit`].
-    pub wait: Micros,
+    /// [`RecordMode::Permit`].
+    pub intent_timeout: Micros,
     /// What a client is advised that is refused, where nothing better is known.
     pub retry_after: Micros,
 }
 
 /// A pool of backends.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PoolDef {
+pub struct PoolConfig {
     /// Its name.
     pub name: String,
     /// Pools of one group share bays.
-    pub repeat_group: String,
+    pub deduplication_domain: String,
     /// Where its backends come from.
-    pub source: Source,
+    pub source: PoolSource,
 }
 
 /// Where a pool's backends come from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum PoolSource {
     /// They stand in the file; at least one. No address stands in two pools.
-    Static(Vec<BackendDef>),
+    Static(Vec<StaticBackend>),
     /// A discovery service tells.
     Discovery {
         /// Where it listens.
@@ -155,15 +155,15 @@
 
 /// A backend in a static list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BackendDef {
+pub struct StaticBackend {
     /// Where it listens.
     pub address: SocketAddr,
     /// Backends of one kind are taken as equally fast.
-    pub kind: String,
+    pub server_type: String,
     /// Its zone; may be empty.
     pub zone: String,
     /// Its bay. A backend that names none is a bay of its own, under its address.
-    pub bay: String,
+    pub deduplication_group: String,
     /// Its cores.
     pub cores: u32,
     /// Ready or draining.
@@ -172,7 +172,7 @@
 
 /// The times that the platform has no word for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AddedLimits {
+pub struct ExtensionLimits {
     /// An answer that has begun and is not whole after so long is spoilt; none: as without the file.
     pub answer_stall: Option<Micros>,
     /// A request's head is whole after this.
--- a/crates/config/src/platform/node.rs
+++ b/crates/config/src/platform/node.rs
@@ -5,7 +5,9 @@
 use super::setting::Setting;
 use super::settings::{deadlines, read};
 use super::wire_names::{limits, rules, settings};
-use crate::operator::{ClassDef, Limits, Operator, PoolDef, ProxyDef, Recording, Source, PLATFORM_POOL};
+use crate::operator::{
+    ClassConfig, Limits, OperatorConfig, PoolConfig, PoolSource, ProxyConfig, RecordMode, PLATFORM_POOL,
+};
 use serde_json::Value;
 use shaletide_balancer::{Config, Idempotency, Micros, PoolId};
 use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
@@ -57,15 +59,15 @@
 /// # Errors
 ///
 /// The first key that is missing, of the wrong type or out of its range, by its path in the settings.
-pub fn operator(node: NodeIdentity, settings: &Value) -> Result<(Operator, Names), SettingsError> {
+pub fn operator(node: NodeIdentity, settings: &Value) -> Result<(OperatorConfig, Names), SettingsError> {
     let (config, names) = read(settings)?;
     let root = Setting::root(settings);
     let drain_grace = root.get(settings::RULES).get(rules::DRAIN_GRACE);
     let drain_grace = if drain_grace.is_present() { drain_grace.micros()? } else { DRAIN_GRACE };
     let classes = class_defs(&root, &config, &names)?;
     let limits = limits_of(&root.get(settings::LIMITS), node.descriptors, drain_grace)?;
-    let operator = Operator {
-        proxy: ProxyDef {
+    let operator = OperatorConfig {
+        proxy: ProxyConfig {
             name: node.name,
             zone: names.zones.get(config.zone.0 as usize).cloned().unwrap_or_default(),
             proxies: config.proxies,
@@ -76,11 +78,11 @@
         limits,
         classes,
         tenants: names.tenants.clone(),
-        form: RequestFormat::platform(),
-        pools: vec![PoolDef {
+        request_format: RequestFormat::platform(),
+        pools: vec![PoolConfig {
             name: PLATFORM_POOL.into(),
-            repeat_group: PLATFORM_POOL.into(),
-            source: Source::Discovery { address: node.discovery, mode: config.discovery },
+            deduplication_domain: PLATFORM_POOL.into(),
+            source: PoolSource::Discovery { address: node.discovery, mode: config.discovery },
         }],
         routes: vec![Route {
             name: "default".into(),
@@ -90,20 +92,20 @@
         }],
         record: None,
         control: None,
-        config,
+        balancer: config,
     };
     Ok((operator, names))
 }
 
-fn class_defs(root: &Setting<'_>, config: &Config, names: &Names) -> Result<Vec<ClassDef>, SettingsError> {
+fn class_defs(root: &Setting<'_>, config: &Config, names: &Names) -> Result<Vec<ClassConfig>, SettingsError> {
     let mut defs = Vec::new();
     for ((deadline, name), class) in deadlines(root)?.into_iter().zip(&names.classes).zip(&config.classes) {
         let method = if class.idempotency == Idempotency::Safe { "GET" } else { "POST" };
-        defs.push(ClassDef {
+        defs.push(ClassConfig {
             name: name.clone(),
             methods: vec![method.into()],
             deadline,
-            record: Recording::None,
+            record: RecordMode::None,
         });
     }
     Ok(defs)
--- a/crates/config/src/schema/define.rs
+++ b/crates/config/src/schema/define.rs
@@ -1,6 +1,6 @@
 //! Units, and constructors that keep the tables short.
 
-use super::types::{Default, Key, Kind, Platform, Section, Shape, When};
+use super::types::{DefaultValue, KeySchema, NodeConfigKey, SectionSchema, Shape, TakesEffect, ValueKind};
 
 pub(super) const MS: u64 = 1_000;
 pub(super) const S: u64 = 1_000_000;
@@ -10,22 +10,27 @@
 pub(super) const GIB: u64 = 1 << 30;
 
 pub(super) const fn key(
-    name: &'static str, kind: Kind, default: Default, when: When, platform: Platform, meaning: &'static str,
-) -> Key {
-    Key { name, kind, default, when, platform, meaning }
+    name: &'static str, kind: ValueKind, default: DefaultValue, takes_effect: TakesEffect,
+    node_config: NodeConfigKey, meaning: &'static str,
+) -> KeySchema {
+    KeySchema { name, kind, default, takes_effect, node_config, meaning }
 }
 
-pub(super) const fn table(name: &'static str, meaning: &'static str, keys: &'static [Key]) -> Section {
-    Section { name, shape: Shape::Table, required: false, meaning, platform: None, keys }
+pub(super) const fn table(
+    name: &'static str, meaning: &'static str, keys: &'static [KeySchema],
+) -> SectionSchema {
+    SectionSchema { name, shape: Shape::Table, required: false, meaning, node_config_name: None, keys }
 }
 
 pub(super) const fn list(
-    name: &'static str, required: bool, platform: Option<&'static str>, meaning: &'static str,
-    keys: &'static [Key],
-) -> Section {
-    Section { name, shape: Shape::List, required, meaning, platform, keys }
+    name: &'static str, required: bool, node_config_name: Option<&'static str>, meaning: &'static str,
+    keys: &'static [KeySchema],
+) -> SectionSchema {
+    SectionSchema { name, shape: Shape::List, required, meaning, node_config_name, keys }
 }
 
-pub(super) const fn inline(name: &'static str, meaning: &'static str, keys: &'static [Key]) -> Section {
-    Section { name, shape: Shape::Inline, required: false, meaning, platform: None, keys }
+pub(super) const fn inline(
+    name: &'static str, meaning: &'static str, keys: &'static [KeySchema],
+) -> SectionSchema {
+    SectionSchema { name, shape: Shape::Inline, required: false, meaning, node_config_name: None, keys }
 }
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -10,6 +10,11 @@
 mod types;
 
 pub use page::page;
-pub use sections::{section, ANSWERS, BOX, HEADER, PLACE, PROOF, SECTIONS};
+pub use sections::{
+    section, ATTRIBUTE_SOURCE, BACKEND, HEADER_MATCH, NOT_EXECUTED_PROOF, ROUTE_RESPONSES, SECTIONS,
+};
 pub(crate) use traffic_keys::MAX_PATH_PART;
-pub use types::{one_of, size, span, Default, Key, Kind, Platform, Section, Shape, When};
+pub use types::{
+    duration_text, one_of, size_text, DefaultValue, KeySchema, NodeConfigKey, SectionSchema, Shape,
+    TakesEffect, ValueKind,
+};
--- a/crates/config/src/schema/page.rs
+++ b/crates/config/src/schema/page.rs
@@ -1,7 +1,9 @@
 //! The operators' page, made of the table.
 
-use super::sections::{ANSWERS, BOX, HEADER, PLACE, PROOF, SECTIONS};
-use super::types::{Default, Key, Platform, Section, Shape};
+use super::sections::{
+    ATTRIBUTE_SOURCE, BACKEND, HEADER_MATCH, NOT_EXECUTED_PROOF, ROUTE_RESPONSES, SECTIONS,
+};
+use super::types::{DefaultValue, KeySchema, NodeConfigKey, SectionSchema, Shape};
 
 const HEAD: &str = include_str!("page_head.md");
 
@@ -10,11 +12,11 @@
     let mut page = String::from(HEAD);
     for section in SECTIONS {
         page += &chapter(section, "##");
-        let parts: &[&Section] = match section.name {
-            "request" => &[&PLACE],
-            "pool" => &[&BOX],
-            "answers" => &[&PROOF],
-            "route" => &[&HEADER, &ANSWERS],
+        let parts: &[&SectionSchema] = match section.name {
+            "request" => &[&ATTRIBUTE_SOURCE],
+            "pool" => &[&BACKEND],
+            "answers" => &[&NOT_EXECUTED_PROOF],
+            "route" => &[&HEADER_MATCH, &ROUTE_RESPONSES],
             _ => &[],
         };
         for part in parts {
@@ -24,14 +26,14 @@
     page + &beside_node_config()
 }
 
-fn chapter(section: &Section, mark: &str) -> String {
+fn chapter(section: &SectionSchema, mark: &str) -> String {
     let title = match (section.shape, section.name) {
         (Shape::Inline, "place") => "A place".to_string(),
         _ => format!("`{}`", section.header()),
     };
     let must = if section.required { " At least one must be there." } else { "" };
     let mut chapter = format!("\n{mark} {title}\n\n{}{must}\n\n", section.meaning);
-    if section.name == ANSWERS.name {
+    if section.name == ROUTE_RESPONSES.name {
         return chapter;
     }
     chapter += "| Key | Value | Default | A change takes effect at | Meaning |\n|---|---|---|---|---|\n";
@@ -39,14 +41,19 @@
     chapter
 }
 
-fn row(key: &Key) -> String {
+fn row(key: &KeySchema) -> String {
     let default = match key.default {
-        Default::Must => "must be given".into(),
-        Default::Is(text) => format!("`{text}`"),
-        Default::Else(text) => text.to_string(),
+        DefaultValue::Required => "must be given".into(),
+        DefaultValue::Value(text) => format!("`{text}`"),
+        DefaultValue::Described(text) => text.to_string(),
     };
-    let cells =
-        [format!("`{}`", key.name), key.kind.short(), default, key.when.text().into(), key.meaning.into()];
+    let cells = [
+        format!("`{}`", key.name),
+        key.kind.short(),
+        default,
+        key.takes_effect.text().into(),
+        key.meaning.into(),
+    ];
     let safe = cells.map(|cell| cell.replace('|', "\\|"));
     format!("| {} |\n", safe.join(" | "))
 }
@@ -58,7 +65,7 @@
     );
     let tables = || SECTIONS.iter().filter(|s| s.shape == Shape::Table && s.name != "answers");
     let keys = || tables().flat_map(|s| s.keys.iter().map(move |k| (s.name, k)));
-    for (section, key) in keys().filter(|(_, k)| k.platform == Platform::Adds) {
+    for (section, key) in keys().filter(|(_, k)| k.node_config == NodeConfigKey::Extends) {
         text += &format!("- `{section}.{}`\n", key.name);
     }
     text += "\nThe pool `platform` is there without being named: the boxes that NODE_CONFIG's discovery tells of. \
@@ -67,15 +74,15 @@
              of errors clients get the proxy's own words. All other keys are refused:\n\n\
              | Key | NODE_CONFIG's word |\n|---|---|\n";
     for section in SECTIONS {
-        if let Some(word) = section.platform {
+        if let Some(word) = section.node_config_name {
             text += &format!("| `{}` | `{word}` |\n", section.header());
         }
     }
     for (section, key) in keys() {
-        match key.platform {
-            Platform::Adds => {}
-            Platform::Says(word) => text += &format!("| `{section}.{}` | `{word}` |\n", key.name),
-            Platform::Fixed => {
+        match key.node_config {
+            NodeConfigKey::Extends => {}
+            NodeConfigKey::Named(word) => text += &format!("| `{section}.{}` | `{word}` |\n", key.name),
+            NodeConfigKey::Fixed => {
                 text += &format!("| `{section}.{}` | none: the platform leaves no choice |\n", key.name)
             }
         }
--- a/crates/config/src/schema/sections.rs
+++ b/crates/config/src/schema/sections.rs
@@ -3,10 +3,10 @@
 use super::define::{inline, list, table};
 use super::process_keys::*;
 use super::traffic_keys::*;
-use super::types::Section;
+use super::types::SectionSchema;
 
 /// The sections of the file, in the order of the page.
-pub static SECTIONS: &[Section] = &[
+pub static SECTIONS: &[SectionSchema] = &[
     table("proxy", "This proxy among those that share the work.", PROXY_KEYS),
     list("listener", true, Some("listen"), "An address where clients are taken.", LISTENER_KEYS),
     table("limits", "What the proxy may use and how long it waits.", LIMITS_KEYS),
@@ -20,7 +20,7 @@
     list("class", true, Some("settings.profiles"), "A sort of request.", CLASS_KEYS),
     list("tenant", false, Some("settings.customers"), "A customer.", TENANT_KEYS),
     list("pool", true, None, "Boxes that a route may lead to. At most 64.", POOL_KEYS),
-    table("answers", "What a box's answer means, for routes that say nothing else.", ANSWERS_KEYS),
+    table("answers", "What a box's answer means, for routes that say nothing else.", RESPONSES_KEYS),
     table(
         "record",
         "The store of record: what the proxy knew and did, in a file, and the keys that it does not send twice. \
@@ -43,20 +43,28 @@
 ];
 
 /// A backend in a pool's list, in its long form.
-pub static BOX: Section =
-    inline("pool.boxes", "A box. The short form is the address alone, in quotes. At most 10000.", BOX_KEYS);
+pub static BACKEND: SectionSchema = inline(
+    "pool.boxes",
+    "A box. The short form is the address alone, in quotes. At most 10000.",
+    BACKEND_KEYS,
+);
 /// A place in a request.
-pub static PLACE: Section =
-    inline("place", "Where in a request something stands: one of the two.", PLACE_KEYS);
+pub static ATTRIBUTE_SOURCE: SectionSchema =
+    inline("place", "Where in a request something stands: one of the two.", ATTRIBUTE_SOURCE_KEYS);
 /// What proves that a request was not executed.
-pub static PROOF: Section = inline("answers.never_ran", "An answer that proves this.", PROOF_KEYS);
+pub static NOT_EXECUTED_PROOF: SectionSchema =
+    inline("answers.never_ran", "An answer that proves this.", NOT_EXECUTED_PROOF_KEYS);
 /// A header that a route asks for.
-pub static HEADER: Section = inline("route.header", "A header that a request must carry.", HEADER_KEYS);
+pub static HEADER_MATCH: SectionSchema =
+    inline("route.header", "A header that a request must carry.", HEADER_MATCH_KEYS);
 /// The answers of one route.
-pub static ANSWERS: Section =
-    inline("route.answers", "As `[answers]`, for one route. A key that is absent is as there.", ANSWERS_KEYS);
+pub static ROUTE_RESPONSES: SectionSchema = inline(
+    "route.answers",
+    "As `[answers]`, for one route. A key that is absent is as there.",
+    RESPONSES_KEYS,
+);
 
 /// The section of that name.
-pub fn section(name: &str) -> Option<&'static Section> {
+pub fn section(name: &str) -> Option<&'static SectionSchema> {
     SECTIONS.iter().find(|s| s.name == name)
 }
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,10 +1,10 @@
-//! One table of the file under its schema: unknown keys are found when it is opened, and each value is read by
-//! the kind, range and default that the schema has for it.
+//! One table of the file under its schema: unknown keys are reported when it is opened, and each value is read by the
+//! kind, range and default that the schema has for it.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::schema::{self, Default, Key, Kind, Shape, SECTIONS};
-use crate::values::{self, describe, Found};
+use crate::schema::{DefaultValue, KeySchema, SectionSchema, Shape, ValueKind, SECTIONS};
+use crate::values::{self, describe, Parsed};
 use shaletide_balancer::Micros;
 use std::ops::Range;
 use toml::de::{DeString, DeTable, DeValue};
@@ -13,76 +13,85 @@
 /// What a key holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Field<T> {
-    /// The value or its default; none where it is absent without a default, and where it was wrong.
+    /// The value or its default; none where it is absent without a default, and where it is invalid.
     pub value: Option<T>,
     /// Where it stands; none: it is absent.
-    pub at: Option<Range<usize>>,
+    pub span: Option<Range<usize>>,
 }
 
 impl<T> Field<T> {
-    /// The value; where something was wrong, and so the whole file is refused, a stand-in.
-    pub fn or(self, stand_in: T) -> T {
-        self.value.unwrap_or(stand_in)
+    /// The value; the placeholder where it is invalid, and the whole file is therefore rejected.
+    pub fn or_placeholder(self, placeholder: T) -> T {
+        self.value.unwrap_or(placeholder)
     }
 
-    /// Whether it stands in the file and is wrong.
-    pub fn is_wrong(&self) -> bool {
-        self.at.is_some() && self.value.is_none()
+    /// Whether it stands in the file and is invalid.
+    pub fn is_invalid(&self) -> bool {
+        self.span.is_some() && self.value.is_none()
     }
 }
 
-/// What a key holds that takes one thing or a list of them.
+/// What a key holds that takes one item or a list of them.
 #[derive(Clone, Debug)]
-pub(crate) struct Listed<T> {
-    /// Those that were right.
+pub(crate) struct ListField<T> {
+    /// The valid items, each with its place.
     pub items: Vec<(T, Range<usize>)>,
-    /// Whether none was wrong.
-    pub sound: bool,
+    /// Whether no item was invalid, and none is missing.
+    pub is_valid: bool,
     /// Where the whole stands; none: it is absent.
-    pub at: Option<Range<usize>>,
+    pub span: Option<Range<usize>>,
 }
 
-/// How a kind of value is read.
-type Parse<T> = fn(&Kind, &DeValue<'_>) -> Found<T>;
+impl<T> ListField<T> {
+    /// The items without their places.
+    pub fn into_values(self) -> Vec<T> {
+        self.items.into_iter().map(|(item, _)| item).collect()
+    }
+}
+
+/// How a kind of value is parsed.
+type Parse<T> = fn(&ValueKind, &DeValue<'_>) -> Parsed<T>;
 
 /// A table under its schema.
 #[derive(Clone, Debug)]
 pub(crate) struct Section<'v, 't> {
-    schema: &'static schema::Section,
+    schema: &'static SectionSchema,
     /// The path to its keys.
     path: String,
+    /// None: it is absent, and all its keys have their defaults.
     table: Option<&'v DeTable<'t>>,
     /// Keys that stand under a name near to theirs: they are neither missing nor at their defaults.
     misspelled: Vec<(&'static str, Range<usize>)>,
     /// Where its header stands, or the whole of an inline table.
-    pub at: Range<usize>,
+    pub span: Range<usize>,
 }
 
 impl<'v, 't> Section<'v, 't> {
-    /// The table; puts down each key that the schema does not know.
+    /// Opens a table; reports each key that the schema does not have.
     pub fn open(
-        diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, table: &'v DeTable<'t>,
-        at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, table: &'v DeTable<'t>,
+        span: Range<usize>,
     ) -> Section<'v, 't> {
-        Section::open_at(diagnostics, schema, schema.name.into(), table, at)
+        Section::open_at(diagnostics, schema, schema.name.into(), table, span)
     }
 
     /// The same for a table that stands in more than one place: with the path to its keys.
     pub fn open_at(
-        diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, path: String,
-        table: &'v DeTable<'t>, at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: String,
+        table: &'v DeTable<'t>, span: Range<usize>,
     ) -> Section<'v, 't> {
         let mut misspelled = Vec::new();
         for key in table.keys().filter(|key| schema.key(key.get_ref()).is_none()) {
-            let near = push_unknown_key(diagnostics, schema, &path, key);
-            misspelled.extend(near.map(|near| (near, key.span())));
+            if let Some(meant) = push_unknown_key(diagnostics, schema, &path, key) {
+                misspelled.push((meant, key.span()));
+            }
         }
-        Section { schema, path, table: Some(table), misspelled, at }
+        Section { schema, path, table: Some(table), misspelled, span }
     }
 
     /// A table that is absent: all its keys have their defaults.
-    pub fn absent(schema: &'static schema::Section) -> Section<'v, 't> {
-        Section { schema, path: schema.name.into(), table: None, misspelled: Vec::new(), at: 0..0 }
+    pub fn absent(schema: &'static SectionSchema) -> Section<'v, 't> {
+        Section { schema, path: schema.name.into(), table: None, misspelled: Vec::new(), span: 0..0 }
     }
 
     /// Whether the file has it.
@@ -92,7 +101,7 @@
 
     /// Where a key stands under a wrong name.
     pub fn misspelled(&self, key: &str) -> Option<Range<usize>> {
-        self.misspelled.iter().find(|(name, _)| *name == key).map(|(_, at)| at.clone())
+        self.misspelled.iter().find(|(meant, _)| *meant == key).map(|(_, span)| span.clone())
     }
 
     /// The name of a key with the path to it.
@@ -100,9 +109,9 @@
         format!("{}.{key}", self.path)
     }
 
-    fn known(&self, key: &str) -> &'static Key {
-        let known = self.schema.key(key);
-        known.unwrap_or_else(|| unreachable!("the schema lacks {}.{key}", self.schema.name))
+    fn key_schema(&self, key: &str) -> &'static KeySchema {
+        let schema = self.schema.key(key);
+        schema.unwrap_or_else(|| unreachable!("the schema lacks {}.{key}", self.schema.name))
     }
 
     /// The value of a key as it stands, and where.
@@ -111,19 +120,26 @@
         Some((value.get_ref(), value.span()))
     }
 
-    /// Puts down that a value is not what was expected.
-    pub fn push_invalid(&self, diagnostics: &mut Diagnostics<'_>, key: &str, at: Range<usize>, found: &str) {
-        let known = self.known(key);
-        let diagnostic = Diagnostic::at(at.clone(), format!("{}: {found}", self.path(key)), {
-            format!("expected {}", known.kind.expected())
-        });
-        let word = diagnostics.source.text.get(at).unwrap_or("").trim_matches(['"', '\'']);
-        let help = match known.kind {
-            Kind::Word(words) => {
-                diagnostics.suggest(word, words.iter().copied()).map(|w| format!("did you mean \"{w}\"?"))
+    /// Where a key stands, if it does.
+    pub fn span_of(&self, key: &str) -> Option<Range<usize>> {
+        self.raw(key).map(|(_, span)| span)
+    }
+
+    /// Reports that a value is not what the schema expects; `found` says what it is instead.
+    pub fn push_invalid(
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, span: Range<usize>, found: &str,
+    ) {
+        let schema = self.key_schema(key);
+        let expected = format!("expected {}", schema.kind.expected());
+        let diagnostic = Diagnostic::at(span.clone(), format!("{}: {found}", self.path(key)), expected);
+        let word = diagnostics.source.text.get(span).unwrap_or("").trim_matches(['"', '\'']);
+        let help = match schema.kind {
+            ValueKind::Choice(words) => {
+                let meant = diagnostics.suggest(word, words.iter().copied());
+                meant.map(|meant| format!("did you mean \"{meant}\"?"))
             }
-            Kind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
-            Kind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
+            ValueKind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
+            ValueKind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
                 Some("methods stand in capitals".into())
             }
             _ => None,
@@ -131,32 +147,37 @@
         diagnostics.push(Diagnostic { help, ..diagnostic });
     }
 
-    /// Puts down that a key is missing.
+    /// Reports that a key is missing.
     pub fn push_missing(&self, diagnostics: &mut Diagnostics<'_>, key: &str) {
-        let expected = format!("expected `{key}`: {}", self.known(key).kind.expected());
-        let what = format!("{} is missing", self.path(key));
-        diagnostics.push_missing(&self.at, Diagnostic::at(self.at.clone(), what, expected));
+        let expected = format!("expected `{key}`: {}", self.key_schema(key).kind.expected());
+        let message = format!("{} is missing", self.path(key));
+        diagnostics.push_missing(&self.span, Diagnostic::at(self.span.clone(), message, expected));
     }
 
     /// Reads a key.
     pub fn read<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Field<T> {
-        let known = self.known(key);
-        let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misspelled(key) {
-                return Field { value: None, at: Some(at) };
+        let schema = self.key_schema(key);
+        let Some((value, span)) = self.raw(key) else {
+            if let Some(span) = self.misspelled(key) {
+                return Field { value: None, span: Some(span) };
             }
-            if known.default == Default::Must {
+            if schema.default == DefaultValue::Required {
                 self.push_missing(diagnostics, key);
             }
-            return Field { value: default(known, parse), at: None };
+            return Field { value: default(schema, parse), span: None };
         };
-        let found = parse(&known.kind, value);
-        let value = found.map_err(|found| self.push_invalid(diagnostics, key, at.clone(), &found)).ok();
-        Field { value, at: Some(at) }
+        let value = match parse(&schema.kind, value) {
+            Ok(value) => Some(value),
+            Err(found) => {
+                self.push_invalid(diagnostics, key, span.clone(), &found);
+                None
+            }
+        };
+        Field { value, span: Some(span) }
     }
 
-    pub fn span(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<Micros> {
-        self.read(diagnostics, key, values::span)
+    pub fn duration(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<Micros> {
+        self.read(diagnostics, key, values::duration)
     }
 
     pub fn number(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<f64> {
@@ -171,115 +192,113 @@
         self.read(diagnostics, key, values::name)
     }
 
-    pub fn word(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<&'static str> {
-        self.read(diagnostics, key, values::word)
+    pub fn choice(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<&'static str> {
+        self.read(diagnostics, key, values::choice)
     }
 
-    /// A whole number in a range that fits.
+    /// A whole number whose range in the schema fits.
     pub fn count(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<u32> {
-        let field = self.read(diagnostics, key, values::count);
-        let small =
+        let field = self.read(diagnostics, key, values::integer);
+        let narrow =
             |n| u32::try_from(n).unwrap_or_else(|_| unreachable!("the schema's range of {key} is too wide"));
-        Field { value: field.value.map(small), at: field.at }
+        Field { value: field.value.map(narrow), span: field.span }
     }
 
-    /// One thing or a list of them; not an empty list, and nothing twice.
-    pub fn listed<T: Clone + Eq + std::hash::Hash>(
+    /// One item or a list of them; an empty list and duplicates are reported.
+    pub fn distinct_items<T: Clone + Eq + std::hash::Hash>(
         &self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>,
-    ) -> Listed<T> {
-        let listed = self.items(diagnostics, key, parse);
-        if listed.sound && listed.items.is_empty() {
-            if let Some(at) = listed.at.clone() {
-                self.push_invalid(diagnostics, key, at, "this list is empty");
-                return Listed { sound: false, ..listed };
+    ) -> ListField<T> {
+        let list = self.items(diagnostics, key, parse);
+        if list.is_valid && list.items.is_empty() {
+            if let Some(span) = list.span.clone() {
+                self.push_invalid(diagnostics, key, span, "this list is empty");
+                return ListField { is_valid: false, ..list };
             }
         }
         let path = self.path(key);
-        let again = listed.items.iter().cloned();
-        diagnostics.push_duplicates(again, |_| format!("{path}: this stands twice"), "expected each once");
-        listed
+        let items = list.items.iter().cloned();
+        diagnostics.push_duplicates(items, |_| format!("{path}: this stands twice"), "expected each once");
+        list
     }
 
-    /// One thing or a list of them.
-    pub fn items<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Listed<T> {
-        let known = self.known(key);
-        let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misspelled(key) {
-                return Listed { items: Vec::new(), sound: false, at: Some(at) };
+    /// One item or a list of them.
+    pub fn items<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> ListField<T> {
+        let schema = self.key_schema(key);
+        let Some((value, span)) = self.raw(key) else {
+            if let Some(span) = self.misspelled(key) {
+                return ListField { items: Vec::new(), is_valid: false, span: Some(span) };
             }
-            if known.default == Default::Must {
+            let is_required = schema.default == DefaultValue::Required;
+            if is_required {
                 self.push_missing(diagnostics, key);
             }
-            return Listed { items: Vec::new(), sound: known.default != Default::Must, at: None };
-        };
-        let mut listed = Listed { items: Vec::new(), sound: true, at: Some(at.clone()) };
-        let one = [(value, at)];
-        let each: Vec<_> = match value {
-            DeValue::Array(items) => items.iter().map(|i| (i.get_ref(), i.span())).collect(),
-            _ => one.to_vec(),
+            return ListField { items: Vec::new(), is_valid: !is_required, span: None };
         };
-        for (value, at) in each {
-            match parse(&known.kind, value) {
-                Ok(item) => listed.items.push((item, at)),
+        let mut list = ListField { items: Vec::new(), is_valid: true, span: Some(span.clone()) };
+        for (value, span) in one_or_many(value, span) {
+            match parse(&schema.kind, value) {
+                Ok(item) => list.items.push((item, span)),
                 Err(found) => {
-                    self.push_invalid(diagnostics, key, at, &found);
-                    listed.sound = false;
+                    self.push_invalid(diagnostics, key, span, &found);
+                    list.is_valid = false;
                 }
             }
         }
-        listed
+        list
     }
 
-    /// The tables of a key that takes one or a list of them, each under that schema.
+    /// The tables of a key that takes one or a list of them, each under that schema, and whether all were tables.
     pub fn tables(
-        &self, diagnostics: &mut Diagnostics<'_>, key: &str, schema: &'static schema::Section,
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, schema: &'static SectionSchema,
     ) -> (Vec<Section<'v, 't>>, bool) {
-        let mut sound = true;
+        let mut all_tables = true;
         let mut tables = Vec::new();
-        let each: Vec<_> = match self.raw(key) {
-            Some((DeValue::Array(items), _)) => items.iter().map(|i| (i.get_ref(), i.span())).collect(),
-            one => one.into_iter().collect(),
-        };
-        for (value, at) in each {
+        let items = self.raw(key).map(|(value, span)| one_or_many(value, span)).unwrap_or_default();
+        for (value, span) in items {
             match value {
-                DeValue::Table(table) => tables.push(Section::open(diagnostics, schema, table, at)),
+                DeValue::Table(table) => tables.push(Section::open(diagnostics, schema, table, span)),
                 _ => {
-                    self.push_invalid(
-                        diagnostics,
-                        key,
-                        at,
-                        &format!("{} does not fit here", describe(value)),
-                    );
-                    sound = false;
+                    let found = format!("{} does not fit here", describe(value));
+                    self.push_invalid(diagnostics, key, span, &found);
+                    all_tables = false;
                 }
             }
         }
-        (tables, sound)
+        (tables, all_tables)
+    }
+}
+
+/// The items of a list, or the value itself.
+fn one_or_many<'v, 't>(value: &'v DeValue<'t>, span: Range<usize>) -> Vec<(&'v DeValue<'t>, Range<usize>)> {
+    match value {
+        DeValue::Array(items) => items.iter().map(|item| (item.get_ref(), item.span())).collect(),
+        _ => vec![(value, span)],
     }
 }
 
 /// The schema's default, read as the file's own text would be.
-fn default<T>(key: &Key, parse: Parse<T>) -> Option<T> {
-    let Default::Is(text) = key.default else { return None };
-    let value = DeValue::parse(text).ok().and_then(|v| parse(&key.kind, v.get_ref()).ok());
-    Some(value.unwrap_or_else(|| unreachable!("the schema's default of {} is {text}", key.name)))
+fn default<T>(schema: &KeySchema, parse: Parse<T>) -> Option<T> {
+    let DefaultValue::Value(text) = schema.default else { return None };
+    let value = DeValue::parse(text).ok().and_then(|v| parse(&schema.kind, v.get_ref()).ok());
+    Some(value.unwrap_or_else(|| unreachable!("the schema's default of {} is {text}", schema.name)))
 }
 
-/// Puts down a key that the schema does not know; gives the one that was most likely meant.
+/// Reports a key that the schema does not have; returns the one that was most likely meant.
 fn push_unknown_key(
-    diagnostics: &mut Diagnostics<'_>, schema: &'static schema::Section, path: &str,
+    diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: &str,
     key: &Spanned<DeString<'_>>,
 ) -> Option<&'static str> {
-    let (name, at) = (key.get_ref().as_ref(), key.span());
-    let known: Vec<&'static str> = schema.keys.iter().map(|k| k.name).collect();
-    let near = diagnostics.suggest(name, known.iter().copied());
-    let elsewhere = SECTIONS.iter().find(|s| s.key(name).is_some());
-    let expected = match (near, elsewhere) {
-        (Some(near), _) => format!("did you mean `{near}`?"),
+    let name = key.get_ref().as_ref();
+    let known: Vec<&'static str> = schema.keys.iter().map(|key| key.name).collect();
+    let meant = diagnostics.suggest(name, known.iter().copied());
+    let elsewhere = SECTIONS.iter().find(|section| section.key(name).is_some());
+    let expected = match (meant, elsewhere) {
+        (Some(meant), _) => format!("did you mean `{meant}`?"),
         (None, Some(section)) => format!("it belongs to {}", section.header()),
         (None, None) => format!("expected one of {}", known.join(", ")),
     };
     let place = if schema.shape == Shape::Inline { path.to_string() } else { schema.header() };
-    diagnostics.push(Diagnostic::at(at, format!("unknown key {} in {place}", quoted(name)), expected));
-    near
+    let message = format!("unknown key {} in {place}", quoted(name));
+    diagnostics.push(Diagnostic::at(key.span(), message, expected));
+    meant
 }
--- /dev/null
+++ b/crates/config/src/source/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+
+#[test]
+fn columns_count_characters_and_lines_end_in_either_way() {
+    let source = Source::new("a\r\nß√x\n\tq");
+    assert_eq!(source.lines(), 3);
+    assert_eq!(source.line_text(0), "a");
+    assert_eq!(source.position(8), (2, 3));
+    assert_eq!(source.position(11), (3, 2));
+    assert_eq!(source.position(6), (2, 2), "inside a character");
+    assert_eq!(source.position(99), (3, 3), "behind the end");
+}
+
+#[test]
+fn what_could_steer_a_terminal_is_shown_as_a_picture() {
+    assert_eq!(harmless("a\x1b[31m\u{9b}\u{202e}\0\t\x7f"), "a␛[31m\u{fffd}\u{fffd}␀ ␡");
+}
+
+#[test]
+fn a_long_line_is_cut_around_the_place_and_keeps_its_columns() {
+    let text = format!("{}X{}", "a".repeat(1000), "b".repeat(1000));
+    let source = Source::new(&text);
+    let mut extract = Extract::new("f");
+    let places = extract.show(&source, &[1000..1001, 0..1]);
+    assert_eq!(&extract.text[places[0].clone().unwrap()], "X");
+    assert_eq!(places[1], None, "cut away");
+    assert!(extract.text.chars().count() < 170);
+    assert_eq!(extract.column_number((), 0, places[0].clone().unwrap().start).unwrap(), 1001);
+}
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,9 +1,9 @@
-//! From text to TOML's tree, with several syntax errors at once, and what they have spoilt.
+//! From text to TOML's tree, with several syntax errors at once, and what they have made unreadable.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
 use crate::report::SHOWN;
-use crate::schema::{section, Section};
+use crate::schema::{section, SectionSchema};
 use crate::source::Source;
 use std::borrow::Cow;
 use std::ops::Range;
@@ -13,192 +13,216 @@
 use toml_parser::{ErrorSink, ParseError};
 
 /// A text with more syntax errors than this is not TOML, and none of it is read.
-const NOISE: usize = 1_000;
-/// Of a long text so much is looked at for noise before the whole.
-const PART: usize = 256 << 10;
-/// As in `toml` itself.
-const DEPTH: u32 = 80;
+const MAX_SYNTAX_ERRORS: usize = 1_000;
+/// So much of a long text is checked for [`MAX_SYNTAX_ERRORS`] before the whole.
+const EARLY_CHECK_BYTES: usize = 256 << 10;
+/// Levels of nesting, as in `toml` itself.
+const MAX_DEPTH: u32 = 80;
+/// Values without an end that are removed; each costs a parse.
+const MAX_UNCLOSED_VALUES: usize = 16;
+/// A header that no schema has, in the place of a broken one.
+const UNKNOWN_SECTION_HEADER: &str = "[[_]]";
 
-/// So many values that are never closed are taken out; each costs a parse.
-const UNCLOSED: usize = 16;
-/// A header that no schema knows, in the place of a broken one.
-const NAMELESS: &str = "[[_]]";
-
-/// Where something stands, and what the library says of it.
-type Fault = (Range<usize>, String);
+/// A syntax error as the library has it.
+struct SyntaxError {
+    span: Range<usize>,
+    message: String,
+}
 
-/// Keeps the first errors and counts no further: each takes some hundred bytes, and noise has one in each.
+/// Keeps the first errors: each takes some hundred bytes, and a text that is not TOML has one in each word.
 #[derive(Default)]
-struct FewErrors(Vec<Fault>);
+struct BoundedErrors(Vec<SyntaxError>);
 
-impl ErrorSink for FewErrors {
+impl ErrorSink for BoundedErrors {
     fn report_error(&mut self, error: ParseError) {
-        if self.0.len() <= NOISE {
-            let at = error.unexpected().map_or(0..0, |s| s.start()..s.end());
-            self.0.push((at, error.description().into()));
+        if self.0.len() <= MAX_SYNTAX_ERRORS {
+            let span = error.unexpected().map_or(0..0, |span| span.start()..span.end());
+            self.0.push(SyntaxError { span, message: error.description().into() });
         }
     }
 }
 
-/// The text without what would hide the rest of it from the library: a key without a value loses all that follows,
-/// a broken header its section, a list that is never closed the sections behind it. Each is put down and replaced
-/// by spaces, so that all places stay. None: this is not TOML at all.
-pub(crate) fn mend<'t>(diagnostics: &mut Diagnostics<'t>) -> Option<Cow<'t, str>> {
+/// The text without what would hide the rest of it from the library: a key without a value hides all that follows, a
+/// broken header its section, a list without an end the sections behind it. Each is reported and replaced by spaces, so
+/// that all places stay. None: this is not TOML at all.
+pub(crate) fn recover<'t>(diagnostics: &mut Diagnostics<'t>) -> Option<Cow<'t, str>> {
     let source = diagnostics.source;
-    if let Some(faults) = early_noise(source) {
-        noise(diagnostics, faults);
+    if let Some(errors) = check_early(source) {
+        report_not_toml(diagnostics, errors);
         return None;
     }
-    let mut faults = first_pass(source.text);
-    // Text that is never closed is found only when it is decoded, and only that of several lines is long.
-    let long_text = source.text.contains("\"\"\"") || source.text.contains("'''");
-    if faults.is_empty() && !long_text {
+    let mut errors = parse_errors(source.text);
+    // Text without an end is found only when it is decoded, and only that of several lines is long.
+    let has_long_text = source.text.contains("\"\"\"") || source.text.contains("'''");
+    if errors.is_empty() && !has_long_text {
         return Some(Cow::Borrowed(source.text));
     }
-    faults.sort_by_key(|f| f.0.start);
-    if faults.len() > NOISE {
-        noise(diagnostics, faults);
+    errors.sort_by_key(|error| error.span.start);
+    if errors.len() > MAX_SYNTAX_ERRORS {
+        report_not_toml(diagnostics, errors);
         return None;
     }
     find_headers(diagnostics);
     let mut text = source.text.to_string();
-    for fault in faults {
-        take_out(diagnostics, &mut text, fault);
+    for error in errors {
+        blank_error(diagnostics, &mut text, error);
     }
-    close(diagnostics, &mut text);
+    blank_unclosed_values(diagnostics, &mut text);
     Some(Cow::Owned(text))
 }
 
-/// The faults of a long text that is noise: it shows at once, and a small part of it costs little.
-fn early_noise(source: &Source<'_>) -> Option<Vec<Fault>> {
-    let part = source.line_range(source.line(PART)).start;
-    let part = source.text.get(..part).filter(|_| source.text.len() > PART)?;
-    let few = first_pass(part);
-    let faults = if few.len() > NOISE { few } else { faults(part).1 };
-    (faults.len() > NOISE).then_some(faults)
+/// The errors of a long text that is not TOML: it shows in a small part, which costs little.
+fn check_early(source: &Source<'_>) -> Option<Vec<SyntaxError>> {
+    if source.text.len() <= EARLY_CHECK_BYTES {
+        return None;
+    }
+    let end = source.line_range(source.line(EARLY_CHECK_BYTES)).start;
+    let part = source.text.get(..end)?;
+    let parse_errors = parse_errors(part);
+    let errors = if parse_errors.len() > MAX_SYNTAX_ERRORS { parse_errors } else { decode(part).errors };
+    (errors.len() > MAX_SYNTAX_ERRORS).then_some(errors)
 }
 
-/// Puts down a fault that would lose what follows it, and replaces its line.
-fn take_out(diagnostics: &mut Diagnostics<'_>, text: &mut String, fault: Fault) {
+/// Reports an error that would hide what follows it, and replaces its line by spaces.
+fn blank_error(diagnostics: &mut Diagnostics<'_>, text: &mut String, error: SyntaxError) {
     let source = diagnostics.source;
-    let line = source.line_range(source.line(fault.0.start));
-    if fault.1.starts_with("unclosed table") || fault.1.starts_with("unclosed array table") {
+    let line = source.line_range(source.line(error.span.start));
+    let is_header =
+        error.message.starts_with("unclosed table") || error.message.starts_with("unclosed array table");
+    if is_header {
         // Its keys must not fall to the section before it.
-        let instead = if line.len() >= NAMELESS.len() { NAMELESS } else { "" };
-        blank(text, line.clone(), instead);
-        let next = diagnostics.damage.header_offsets.partition_point(|h| *h <= fault.0.start);
-        let next = diagnostics.damage.header_offsets.get(next).copied().unwrap_or(source.text.len() + 1);
+        let is_long_enough = line.len() >= UNKNOWN_SECTION_HEADER.len();
+        blank(text, line.clone(), if is_long_enough { UNKNOWN_SECTION_HEADER } else { "" });
+        let headers = &diagnostics.damage.header_offsets;
+        let next = headers.partition_point(|header| *header <= error.span.start);
+        let section_end = headers.get(next).copied().unwrap_or(source.text.len() + 1);
         match header_of(source, source.line(line.start)) {
             Some(section) => diagnostics.damage.missing_sections.push(section.name),
             None => diagnostics.damage.any_section_missing = true,
         }
-        lose(diagnostics, fault, line.start..next);
-    } else if fault.1.starts_with("key with no value") {
+        report_unreadable(diagnostics, error, line.start..section_end);
+    } else if error.message.starts_with("key with no value") {
         blank(text, line.clone(), "");
-        lose(diagnostics, fault, line.start..line.end + 1);
+        report_unreadable(diagnostics, error, line.start..line.end + 1);
     }
 }
 
-/// The errors that show before anything is decoded; no more than a few.
-fn first_pass(text: &str) -> Vec<Fault> {
-    let mut few = FewErrors::default();
+/// The errors that show before anything is decoded, bounded.
+fn parse_errors(text: &str) -> Vec<SyntaxError> {
+    let mut errors = BoundedErrors::default();
     let tokens = toml_parser::Source::new(text).lex().into_vec();
-    let mut nowhere = ();
-    parse_document(&tokens, &mut RecursionGuard::new(&mut nowhere, DEPTH), &mut few);
-    few.0
+    let mut no_events = ();
+    parse_document(&tokens, &mut RecursionGuard::new(&mut no_events, MAX_DEPTH), &mut errors);
+    errors.0
 }
 
-/// The tree of a text that was mended; what else is wrong with its syntax lies on the desk.
-pub(crate) fn parse<'m>(diagnostics: &mut Diagnostics<'_>, mended: &'m str) -> Option<Spanned<DeTable<'m>>> {
+/// The tree of a text from [`recover`]; its other syntax errors are reported. None: this is not TOML at all.
+pub(crate) fn parse<'m>(
+    diagnostics: &mut Diagnostics<'_>, recovered: &'m str,
+) -> Option<Spanned<DeTable<'m>>> {
     let source = diagnostics.source;
-    let (tree, mut faults) = faults(mended);
-    if faults.len() > NOISE {
-        noise(diagnostics, faults);
+    let Decoded { tree, mut errors } = decode(recovered);
+    if errors.len() > MAX_SYNTAX_ERRORS {
+        report_not_toml(diagnostics, errors);
         return None;
     }
+    errors.retain(|error| !diagnostics.damage.is_unreadable(error.span.start));
     // Of several in a line the first says most.
-    faults.retain(|f| !diagnostics.damage.is_unreadable(f.0.start));
-    faults.dedup_by_key(|f| source.line(f.0.start));
-    if !faults.is_empty() {
+    errors.dedup_by_key(|error| source.line(error.span.start));
+    if !errors.is_empty() {
         find_headers(diagnostics);
-        let errors: Vec<usize> = faults.iter().map(|f| f.0.start).collect();
-        spoilt(tree.get_ref().values(), &errors, &mut diagnostics.damage.unreadable);
+        let offsets: Vec<usize> = errors.iter().map(|error| error.span.start).collect();
+        mark_damaged_values(tree.get_ref().values(), &offsets, &mut diagnostics.damage.unreadable);
     }
-    for fault in faults {
-        let line = source.line_range(source.line(fault.0.start));
-        lose(diagnostics, fault, line.start..line.end + 1);
+    for error in errors {
+        let line = source.line_range(source.line(error.span.start));
+        report_unreadable(diagnostics, error, line.start..line.end + 1);
     }
     Some(tree)
 }
 
-/// Puts down where sections begin.
+/// Finds where sections begin.
 fn find_headers(diagnostics: &mut Diagnostics<'_>) {
     let source = diagnostics.source;
-    let headers = (0..source.lines()).filter(|l| is_header(source, *l));
-    let indent = |line: &str| line.len() - line.trim_start().len();
-    let bracket = |l| source.line_range(l).start + indent(source.line_text(l));
-    diagnostics.damage.header_offsets = headers.map(bracket).collect();
+    let mut offsets = Vec::new();
+    for line in (0..source.lines()).filter(|line| is_header(source, *line)) {
+        let text = source.line_text(line);
+        let indent = text.len() - text.trim_start().len();
+        offsets.push(source.line_range(line).start + indent);
+    }
+    diagnostics.damage.header_offsets = offsets;
 }
 
-/// The tree, and its faults in the order of the text.
-fn faults(text: &str) -> (Spanned<DeTable<'_>>, Vec<Fault>) {
+/// A text as the library decodes it.
+struct Decoded<'t> {
+    tree: Spanned<DeTable<'t>>,
+    /// In the order of the text, bounded.
+    errors: Vec<SyntaxError>,
+}
+
+fn decode(text: &str) -> Decoded<'_> {
     let (tree, errors) = DeTable::parse_recoverable(text);
-    let fault = |e: &toml::de::Error| (e.span().unwrap_or(0..0), e.message().to_string());
-    let mut faults: Vec<Fault> = errors.iter().take(NOISE + 1).map(fault).collect();
-    faults.sort_by_key(|f| f.0.start);
-    (tree, faults)
+    let syntax_error = |error: &toml::de::Error| SyntaxError {
+        span: error.span().unwrap_or(0..0),
+        message: error.message().to_string(),
+    };
+    let mut errors: Vec<SyntaxError> = errors.iter().take(MAX_SYNTAX_ERRORS + 1).map(syntax_error).collect();
+    errors.sort_by_key(|error| error.span.start);
+    Decoded { tree, errors }
 }
 
-/// Puts down a fault and what it spoils.
-fn lose(diagnostics: &mut Diagnostics<'_>, fault: Fault, lost: Range<usize>) {
-    diagnostics.damage.error_offsets.push(fault.0.start);
-    diagnostics.damage.unreadable.push(lost);
-    report(diagnostics, fault);
+/// Reports an error and marks what it makes unreadable.
+fn report_unreadable(diagnostics: &mut Diagnostics<'_>, error: SyntaxError, unreadable: Range<usize>) {
+    diagnostics.damage.error_offsets.push(error.span.start);
+    diagnostics.damage.unreadable.push(unreadable);
+    report_error(diagnostics, error);
 }
 
-/// Replaces what lies there by spaces and, at its beginning, by that. Line ends stay.
+/// Replaces a range by spaces and, at its beginning, by `instead`. Line ends stay.
 fn blank(text: &mut String, range: Range<usize>, instead: &str) {
     let Some(old) = text.get(range.clone()) else { return };
-    let behind = old.bytes().skip(instead.len());
-    let spaces: String =
-        behind.map(|b| if matches!(b, b'\n' | b'\r') { char::from(b) } else { ' ' }).collect();
+    let rest = old.bytes().skip(instead.len());
+    let spaces: String = rest.map(|b| if matches!(b, b'\n' | b'\r') { char::from(b) } else { ' ' }).collect();
     text.replace_range(range, &format!("{instead}{spaces}"));
 }
 
-/// Takes out the values that are never closed and so run over sections, and puts each down at its beginning.
-fn close(diagnostics: &mut Diagnostics<'_>, text: &mut String) {
+/// Replaces values without an end, which therefore run over sections, and reports each at its beginning.
+fn blank_unclosed_values(diagnostics: &mut Diagnostics<'_>, text: &mut String) {
     let source = diagnostics.source;
-    for _ in 0..UNCLOSED {
-        let (tree, faults) = faults(text);
-        let errors: Vec<usize> = faults.into_iter().map(|f| f.0.start).collect();
-        let mut open = Vec::new();
-        unclosed(source, tree.get_ref().values(), &errors, &mut open);
+    for _ in 0..MAX_UNCLOSED_VALUES {
+        let Decoded { tree, errors } = decode(text);
+        let offsets: Vec<usize> = errors.into_iter().map(|error| error.span.start).collect();
+        let mut unclosed = Vec::new();
+        find_unclosed_values(source, tree.get_ref().values(), &offsets, &mut unclosed);
         drop(tree);
-        // Whatever seems open behind the first may be so because of it.
-        let Some((start, header)) = open.into_iter().min() else { return };
-        let line = source.line(header) + 1;
+        // Whatever seems unclosed behind the first may be so because of it.
+        let Some(first) = unclosed.into_iter().min() else { return };
+        let line = source.line(first.header) + 1;
         let expected = format!("expected its end before the section that begins in line {line}");
-        let diagnostic = Diagnostic::at(start..start + 1, "this begins here and is not closed", expected);
+        let span = first.start..first.start + 1;
+        let diagnostic = Diagnostic::at(span, "this begins here and is not closed", expected);
         diagnostics.push_syntax_error(diagnostic.with_related(source.line_range(line - 1), "a new section"));
-        let begin = source.line_range(source.line(start)).start;
-        blank(text, begin..header, "");
-        diagnostics.damage.error_offsets.push(start);
-        diagnostics.damage.unreadable.push(begin..header);
+        let begin = source.line_range(source.line(first.start)).start;
+        blank(text, begin..first.header, "");
+        diagnostics.damage.error_offsets.push(first.start);
+        diagnostics.damage.unreadable.push(begin..first.header);
     }
 }
 
-/// The first errors of a text that is not TOML at all.
-fn noise(diagnostics: &mut Diagnostics<'_>, mut faults: Vec<Fault>) {
+/// Reports the first errors of a text that is not TOML at all.
+fn report_not_toml(diagnostics: &mut Diagnostics<'_>, mut errors: Vec<SyntaxError>) {
     let source = diagnostics.source;
-    faults.dedup_by_key(|f| source.line(f.0.start));
-    faults.truncate(SHOWN - 1);
-    faults.into_iter().for_each(|f| report(diagnostics, f));
-    let what = format!("more than {NOISE} syntax errors: this is not TOML");
-    diagnostics.push_syntax_error(Diagnostic::for_file(what, "nothing else was looked at"));
+    errors.dedup_by_key(|error| source.line(error.span.start));
+    errors.truncate(SHOWN - 1);
+    for error in errors {
+        report_error(diagnostics, error);
+    }
+    let message = format!("more than {MAX_SYNTAX_ERRORS} syntax errors: this is not TOML");
+    diagnostics.push_syntax_error(Diagnostic::for_file(message, "nothing else was looked at"));
 }
 
 /// The section that a line seems to be the header of.
-fn header_of(source: &Source<'_>, line: usize) -> Option<&'static Section> {
+fn header_of(source: &Source<'_>, line: usize) -> Option<&'static SectionSchema> {
     let text = source.line_text(line).trim_start().strip_prefix('[')?;
     let text = text.strip_prefix('[').unwrap_or(text).trim_start();
     let end = text.find(|c: char| !c.is_ascii_alphanumeric() && c != '_' && c != '-').unwrap_or(text.len());
@@ -209,106 +233,120 @@
     header_of(source, line).is_some()
 }
 
-/// Values that run over the header of a section, with that header, where a syntax error shows that they should
-/// not.
-fn unclosed<'v, 't: 'v>(
+/// A value that runs over the header of a section.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct UnclosedValue {
+    start: usize,
+    /// Where the header begins.
+    header: usize,
+}
+
+/// Finds values that run over the header of a section, where a syntax error shows that they should not.
+fn find_unclosed_values<'v, 't: 'v>(
     source: &Source<'_>, values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize],
-    open: &mut Vec<(usize, usize)>,
+    unclosed: &mut Vec<UnclosedValue>,
 ) {
     for value in values {
         let span = value.span();
         // A section's own span is that of its header.
-        let sections = is_header(source, source.line(span.start));
-        let first = errors.partition_point(|e| *e < span.start);
-        let spoilt = errors.get(first).is_some_and(|e| *e <= span.end);
-        let lines = source.line(span.start) + 1..=source.line(span.end);
-        let header = lines.into_iter().find(|l| spoilt && is_header(source, *l));
+        let is_section = is_header(source, source.line(span.start));
+        let has_error = has_error_in(errors, &span);
+        let mut lines = source.line(span.start) + 1..=source.line(span.end);
+        let header = lines.find(|line| has_error && is_header(source, *line));
         match (header, value.get_ref()) {
-            (Some(line), _) if !sections => open.push((span.start, source.line_range(line).start)),
-            (_, DeValue::Array(items)) => unclosed(source, items.iter(), errors, open),
-            (_, DeValue::Table(table)) => unclosed(source, table.values(), errors, open),
+            (Some(line), _) if !is_section => {
+                let header = source.line_range(line).start;
+                unclosed.push(UnclosedValue { start: span.start, header });
+            }
+            (_, DeValue::Array(items)) => find_unclosed_values(source, items.iter(), errors, unclosed),
+            (_, DeValue::Table(table)) => find_unclosed_values(source, table.values(), errors, unclosed),
             _ => {}
         }
     }
 }
 
-/// Where values begin that have a syntax error in them: of these as a whole nothing can be said.
-fn spoilt<'v, 't: 'v>(
-    values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize], lost: &mut Vec<Range<usize>>,
+/// Marks where values begin that have a syntax error in them: of these as a whole nothing can be said.
+fn mark_damaged_values<'v, 't: 'v>(
+    values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize],
+    unreadable: &mut Vec<Range<usize>>,
 ) {
     for value in values {
         let span = value.span();
-        let first = errors.partition_point(|e| *e < span.start);
-        let inside = errors.get(first).is_some_and(|e| *e <= span.end);
         match value.get_ref() {
-            DeValue::Array(items) => spoilt(items.iter(), errors, lost),
-            DeValue::Table(table) => spoilt(table.values(), errors, lost),
+            DeValue::Array(items) => mark_damaged_values(items.iter(), errors, unreadable),
+            DeValue::Table(table) => mark_damaged_values(table.values(), errors, unreadable),
             _ => {}
         }
-        if inside {
-            lost.push(span.start..span.start + 1);
+        if has_error_in(errors, &span) {
+            unreadable.push(span.start..span.start + 1);
         }
     }
 }
 
-/// Puts a syntax error down in words of our own where those of the library are too near to its grammar.
-fn report(diagnostics: &mut Diagnostics<'_>, (at, message): Fault) {
+/// Whether one of the errors, ascending, lies in that span or at its end.
+fn has_error_in(errors: &[usize], span: &Range<usize>) -> bool {
+    let first = errors.partition_point(|error| *error < span.start);
+    errors.get(first).is_some_and(|error| *error <= span.end)
+}
+
+/// Reports a syntax error, in words of our own where those of the library are too near to its grammar.
+fn report_error(diagnostics: &mut Diagnostics<'_>, error: SyntaxError) {
     let source = diagnostics.source;
-    let found = source.text.get(at.clone()).unwrap_or("");
+    let SyntaxError { span, message } = error;
+    let found = source.text.get(span.clone()).unwrap_or("");
     let (what, expected) = match message.split_once(", expected ") {
-        Some((what, expected)) => (what.to_string(), format!("expected {expected}")),
-        None => (message.clone(), String::new()),
+        Some((what, expected)) => (what, format!("expected {expected}")),
+        None => (message.as_str(), String::new()),
     };
-    let diagnostic = match what.as_str() {
+    let diagnostic = match what {
         "string values must be quoted" if found.is_empty() => {
-            Diagnostic::at(at, "there is no value here", "expected a value")
+            Diagnostic::at(span, "there is no value here", "expected a value")
         }
         "string values must be quoted" => {
-            Diagnostic::at(at, format!("{} is not quoted", quoted(found)), "expected text in double quotes")
+            Diagnostic::at(span, format!("{} is not quoted", quoted(found)), "expected text in double quotes")
         }
         "invalid basic string" | "invalid literal string" if found.is_empty() => {
-            Diagnostic::at(at, "this text is not closed", expected)
+            Diagnostic::at(span, "this text is not closed", expected)
         }
         "invalid basic string" | "invalid literal string" => {
-            Diagnostic::at(at, "this character may not stand in text", "expected an escape such as \\u001b")
+            Diagnostic::at(span, "this character may not stand in text", "expected an escape such as \\u001b")
         }
         "unclosed table" | "unclosed array table" => {
-            Diagnostic::at(at, "this header is not closed", "expected `]`")
+            Diagnostic::at(span, "this header is not closed", "expected `]`")
         }
-        "key with no value" => Diagnostic::at(at, "this key has no value", "expected `=` and a value"),
-        "duplicate key" => duplicate(source, at, found),
+        "key with no value" => Diagnostic::at(span, "this key has no value", "expected `=` and a value"),
+        "duplicate key" => duplicate_key(source, span, found),
         "cannot recurse further; max recursion depth met" | "recursion limit" => {
-            Diagnostic::at(at, "too deeply nested", format!("expected at most {DEPTH} levels"))
+            Diagnostic::at(span, "too deeply nested", format!("expected at most {MAX_DEPTH} levels"))
         }
-        _ => Diagnostic::at(at, what, expected),
+        _ => Diagnostic::at(span, what, expected),
     };
     diagnostics.push_syntax_error(diagnostic);
 }
 
-/// A key or table that stands a second time. The tree no longer knows the first: it is looked for in the text.
-fn duplicate(source: &Source<'_>, at: Range<usize>, name: &str) -> Diagnostic {
-    let line = source.line(at.start);
-    let header = source.line_text(line).trim_start().starts_with('[');
-    let is_it = |l: &usize| {
-        let text = source.line_text(*l).trim_start();
-        match header {
-            true => text
-                .trim_start_matches('[')
-                .trim_start()
-                .strip_prefix(name)
-                .is_some_and(|r| text.starts_with('[') && r.trim_start().starts_with(']')),
-            false => text.strip_prefix(name).is_some_and(|r| r.trim_start().starts_with('=')),
+/// A key or table that stands a second time. The tree no longer has the first: it is searched in the text.
+fn duplicate_key(source: &Source<'_>, span: Range<usize>, name: &str) -> Diagnostic {
+    let line = source.line(span.start);
+    let is_table = source.line_text(line).trim_start().starts_with('[');
+    let mut earlier = (0..line).rev().take_while(|line| is_table || !is_header(source, *line));
+    let first = earlier.find(|line| {
+        let text = source.line_text(*line).trim_start();
+        if is_table {
+            is_header_of(text, name)
+        } else {
+            text.strip_prefix(name).is_some_and(|rest| rest.trim_start().starts_with('='))
         }
-    };
-    let same_table = |l: &usize| header || !is_header(source, *l);
-    let first = (0..line).rev().take_while(same_table).find(is_it);
-    let diagnostic = Diagnostic::at(at, format!("{} stands twice", quoted(name)), "expected it once");
-    match first {
-        Some(first) => {
-            let range = source.line_range(first);
-            let start = range.end - source.line_text(first).trim_start().len();
-            diagnostic.with_related(start..range.end, "first here")
-        }
-        None => diagnostic,
-    }
+    });
+    let diagnostic = Diagnostic::at(span, format!("{} stands twice", quoted(name)), "expected it once");
+    let Some(first) = first else { return diagnostic };
+    let range = source.line_range(first);
+    let start = range.end - source.line_text(first).trim_start().len();
+    diagnostic.with_related(start..range.end, "first here")
+}
+
+/// Whether a line is the header of a table of that name.
+fn is_header_of(line: &str, name: &str) -> bool {
+    let header = line.trim_start_matches('[').trim_start();
+    let rest = header.strip_prefix(name);
+    line.starts_with('[') && rest.is_some_and(|rest| rest.trim_start().starts_with(']'))
 }
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -2,7 +2,7 @@
 //! words; what was expected stands in the schema.
 
 use crate::diagnostics::quoted;
-use crate::schema::Kind;
+use crate::schema::ValueKind;
 use shaletide_balancer::Micros;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 use toml::de::DeValue;
 
 /// A value, or what was found instead.
-pub(crate) type Found<T> = Result<T, String>;
+pub(crate) type Parsed<T> = Result<T, String>;
 
 /// The type of a value in words.
 pub(crate) fn describe(value: &DeValue<'_>) -> &'static str {
@@ -25,31 +25,33 @@
     }
 }
 
-fn wrong_type<T>(value: &DeValue<'_>) -> Found<T> {
+fn wrong_type<T>(value: &DeValue<'_>) -> Parsed<T> {
     Err(format!("{} does not fit here", describe(value)))
 }
 
-fn out_of_range<T>(shown: &str) -> Found<T> {
+fn out_of_range<T>(shown: &str) -> Parsed<T> {
     Err(format!("{} is out of range", quoted(shown)))
 }
 
-pub(crate) fn text<'v>(value: &'v DeValue<'_>) -> Found<&'v str> {
+pub(crate) fn text<'v>(value: &'v DeValue<'_>) -> Parsed<&'v str> {
     value.as_str().map_or_else(|| wrong_type(value), Ok)
 }
 
-pub(crate) fn flag(_: &Kind, value: &DeValue<'_>) -> Found<bool> {
+pub(crate) fn flag(_: &ValueKind, value: &DeValue<'_>) -> Parsed<bool> {
     value.as_bool().map_or_else(|| wrong_type(value), Ok)
 }
 
-pub(crate) fn count(kind: &Kind, value: &DeValue<'_>) -> Found<u64> {
-    let Kind::Count(least, most) = kind else { unreachable!("the schema has {kind:?} for a whole number") };
+pub(crate) fn integer(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<u64> {
+    let ValueKind::Integer(least, most) = kind else {
+        unreachable!("the schema has {kind:?} for a whole number")
+    };
     let Some(whole) = value.as_integer() else { return wrong_type(value) };
     let number = u64::from_str_radix(whole.as_str(), whole.radix()).ok();
     let number = number.filter(|n| (least..=most).contains(&n));
     number.map_or_else(|| out_of_range(&whole.to_string()), Ok)
 }
 
-pub(crate) fn number(kind: &Kind, value: &DeValue<'_>) -> Found<f64> {
+pub(crate) fn number(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<f64> {
     let (shown, number) = match value {
         DeValue::Float(float) => (float.to_string(), float.as_str().parse::<f64>().ok()),
         DeValue::Integer(whole) => {
@@ -59,15 +61,15 @@
         _ => return wrong_type(value),
     };
     let fits = |n: &f64| match kind {
-        Kind::Number(least, most) => (*least..=*most).contains(n),
-        Kind::Positive(most) => *n > 0.0 && n <= most,
+        ValueKind::Number(least, most) => (*least..=*most).contains(n),
+        ValueKind::Positive(most) => *n > 0.0 && n <= most,
         _ => unreachable!("the schema has {kind:?} for a number"),
     };
     number.filter(fits).map_or_else(|| out_of_range(&shown), Ok)
 }
 
-pub(crate) fn span(kind: &Kind, value: &DeValue<'_>) -> Found<Micros> {
-    let Kind::Span(least, most) = kind else { unreachable!("the schema has {kind:?} for a time") };
+pub(crate) fn duration(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<Micros> {
+    let ValueKind::Duration(least, most) = kind else { unreachable!("the schema has {kind:?} for a time") };
     let text = match value {
         DeValue::Integer(_) | DeValue::Float(_) => {
             return Err("a time has a unit and stands in quotes".into())
@@ -85,8 +87,8 @@
     }
 }
 
-pub(crate) fn size(kind: &Kind, value: &DeValue<'_>) -> Found<usize> {
-    let Kind::Size(least, most) = kind else { unreachable!("the schema has {kind:?} for a size") };
+pub(crate) fn size(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<usize> {
+    let ValueKind::Size(least, most) = kind else { unreachable!("the schema has {kind:?} for a size") };
     if value.is_integer() {
         return Err("a size has a unit and stands in quotes".into());
     }
@@ -121,7 +123,7 @@
     (1..=MAX_NAME).contains(&text.len()) && text.bytes().all(plain)
 }
 
-fn named(text: &str) -> Found<String> {
+fn named(text: &str) -> Parsed<String> {
     match text {
         "" => Err("a name may not be empty".into()),
         text if is_name(text) => Ok(text.into()),
@@ -130,14 +132,14 @@
     }
 }
 
-pub(crate) fn name(kind: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn name(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     match text(value)? {
-        "" if *kind == Kind::NameOrEmpty => Ok(String::new()),
+        "" if *kind == ValueKind::NameOrEmpty => Ok(String::new()),
         text => named(text),
     }
 }
 
-pub(crate) fn bay(_: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn deduplication_group(_: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     match value.as_integer() {
         Some(whole) => match u64::from_str_radix(whole.as_str(), whole.radix()) {
             Ok(number) => Ok(number.to_string()),
@@ -147,13 +149,13 @@
     }
 }
 
-pub(crate) fn word(kind: &Kind, value: &DeValue<'_>) -> Found<&'static str> {
-    let Kind::Word(words) = kind else { unreachable!("the schema has {kind:?} for a word") };
+pub(crate) fn choice(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<&'static str> {
+    let ValueKind::Choice(words) = kind else { unreachable!("the schema has {kind:?} for a word") };
     let text = text(value)?;
     words.iter().find(|w| **w == text).copied().ok_or_else(|| format!("{} is not known here", quoted(text)))
 }
 
-pub(crate) fn address(_: &Kind, value: &DeValue<'_>) -> Found<SocketAddr> {
+pub(crate) fn address(_: &ValueKind, value: &DeValue<'_>) -> Parsed<SocketAddr> {
     let text = text(value)?;
     let Ok(mut address) = text.parse::<SocketAddr>() else {
         return Err(format!("{} is no IP address with a port", quoted(text)));
@@ -166,7 +168,7 @@
     }
 }
 
-pub(crate) fn hex(_: &Kind, value: &DeValue<'_>) -> Found<u64> {
+pub(crate) fn hex(_: &ValueKind, value: &DeValue<'_>) -> Parsed<u64> {
     let text = text(value)?;
     let plain = (1..=MAX_HEX).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_hexdigit());
     let number = plain.then(|| u64::from_str_radix(text, 16).ok()).flatten();
@@ -179,7 +181,7 @@
 }
 
 /// A header's name, in lower case.
-pub(crate) fn header(_: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn header(_: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     let text = text(value)?;
     match is_token(text) && text.len() <= MAX_HEADER_NAME {
         true => Ok(text.to_ascii_lowercase()),
@@ -187,7 +189,7 @@
     }
 }
 
-pub(crate) fn header_value(_: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn header_value(_: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     let text = text(value)?;
     let plain = text.bytes().all(|b| (b' '..=b'~').contains(&b)) && text.trim() == text && !text.is_empty();
     match plain && text.len() <= MAX_HEADER_VALUE {
@@ -196,7 +198,7 @@
     }
 }
 
-pub(crate) fn method(_: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn method(_: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     let text = text(value)?;
     match is_token(text) && text.len() <= MAX_METHOD && !text.bytes().any(|b| b.is_ascii_lowercase()) {
         true => Ok(text.into()),
@@ -204,7 +206,7 @@
     }
 }
 
-pub(crate) fn path(_: &Kind, value: &DeValue<'_>) -> Found<String> {
+pub(crate) fn path(_: &ValueKind, value: &DeValue<'_>) -> Parsed<String> {
     let text = text(value)?;
     let plain = text.bytes().all(|b| (b'!'..=b'~').contains(&b) && b != b'?' && b != b'#');
     match text.starts_with('/') && plain && !text.contains("//") && text.len() <= MAX_PATH {
@@ -214,8 +216,8 @@
 }
 
 /// The path of a file.
-pub(crate) fn file(kind: &Kind, value: &DeValue<'_>) -> Found<PathBuf> {
-    let Kind::File(most) = kind else { unreachable!("the schema has {kind:?} for a file") };
+pub(crate) fn file_path(kind: &ValueKind, value: &DeValue<'_>) -> Parsed<PathBuf> {
+    let ValueKind::FilePath(most) = kind else { unreachable!("the schema has {kind:?} for a file") };
     match text(value)? {
         "" => Err("a path may not be empty".into()),
         text if text.len() > *most => Err(format!("the path {} is too long", quoted(text))),
@@ -225,7 +227,7 @@
 }
 
 /// A status, or a range of them as `"200-299"`.
-pub(crate) fn statuses(_: &Kind, value: &DeValue<'_>) -> Found<(u16, u16)> {
+pub(crate) fn statuses(_: &ValueKind, value: &DeValue<'_>) -> Parsed<(u16, u16)> {
     let (shown, range) = match value {
         DeValue::Integer(whole) => {
             let status = u16::from_str_radix(whole.as_str(), whole.radix()).ok();
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{read, read_additions, read_bytes, PlatformNames, Source, MAX_FILE};
+use shaletide_config::operator::{read, read_bytes, read_extension, PlatformNames, PoolSource, MAX_FILE};
 use shaletide_config::{platform, Report};
 use std::time::{Duration, Instant};
 
@@ -129,9 +129,9 @@
         let proxy = format!("[proxy]\nproxies = 1024\nposition = {position}\n");
         let operator = read("f.toml", &(proxy + &head() + &pool("p", 0..1_024))).unwrap();
         assert_eq!((operator.proxy.proxies, operator.proxy.position), (1_024, position));
-        let Source::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
+        let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
         assert_eq!(backends.len(), 1_024);
-        assert_eq!(operator.config.validate(), Ok(()));
+        assert_eq!(operator.balancer.validate(), Ok(()));
     }
 }
 
@@ -186,7 +186,7 @@
 fn holds(bytes: &[u8]) {
     match read_bytes("f.toml", bytes) {
         Ok(operator) => {
-            assert_eq!(operator.config.validate(), Ok(()));
+            assert_eq!(operator.balancer.validate(), Ok(()));
             assert!(
                 !operator.listeners.is_empty() && !operator.pools.is_empty() && !operator.routes.is_empty()
             );
@@ -204,7 +204,7 @@
     }
     if let Ok(text) = std::str::from_utf8(bytes) {
         let names = PlatformNames { classes: vec!["read".into()], tenants: vec!["milford".into()] };
-        let _ = read_additions("f.toml", text, &names).map_err(|report| report.to_string());
+        let _ = read_extension("f.toml", text, &names).map_err(|report| report.to_string());
     }
 }
 
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,13 +1,16 @@
 //! The page and the sample hold what the schema holds.
 
 use shaletide_config::operator::read;
-use shaletide_config::schema::{page, Section, ANSWERS, BOX, HEADER, PLACE, PROOF, SECTIONS};
+use shaletide_config::schema::{
+    page, SectionSchema, ATTRIBUTE_SOURCE, BACKEND, HEADER_MATCH, NOT_EXECUTED_PROOF, ROUTE_RESPONSES,
+    SECTIONS,
+};
 
 const PAGE: &str = include_str!("../../../docs/operator-file.md");
 const SAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
 
-fn sections() -> impl Iterator<Item = &'static Section> {
-    SECTIONS.iter().chain([&BOX, &PLACE, &PROOF, &HEADER, &ANSWERS])
+fn sections() -> impl Iterator<Item = &'static SectionSchema> {
+    SECTIONS.iter().chain([&BACKEND, &ATTRIBUTE_SOURCE, &NOT_EXECUTED_PROOF, &HEADER_MATCH, &ROUTE_RESPONSES])
 }
 
 /// `cargo run -q -p shaletide-config --example operator_page > docs/operator-file.md` makes it true again.
--- a/crates/config/tests/additions.rs
+++ b/crates/config/tests/extension.rs
@@ -1,17 +1,17 @@
 //! The file that adds to NODE_CONFIG: what it may hold, and that all else is refused by NODE_CONFIG's own word.
 
 use shaletide_balancer::{ClassId, Micros, PoolId, TenantId};
-use shaletide_config::operator::{read_additions, Additions, PlatformNames};
-use shaletide_config::schema::{Platform, Shape, SECTIONS};
+use shaletide_config::operator::{read_extension, NodeConfigExtension, PlatformNames};
+use shaletide_config::schema::{NodeConfigKey, Shape, SECTIONS};
 use shaletide_config::Report;
 use shaletide_routing::{AttributeSource, ResponseRules};
 
-fn read(text: &str) -> Result<Additions, Report> {
+fn read(text: &str) -> Result<NodeConfigExtension, Report> {
     let names = PlatformNames { classes: vec!["read".into(), "pay".into()], tenants: vec!["north".into()] };
-    read_additions("with.toml", text, &names)
+    read_extension("with.toml", text, &names)
 }
 
-fn good(text: &str) -> Additions {
+fn good(text: &str) -> NodeConfigExtension {
     read(text).unwrap_or_else(|report| panic!("{report}"))
 }
 
@@ -19,7 +19,7 @@
 fn an_empty_file_adds_nothing() {
     let added = good("# nothing\n");
     assert_eq!((added.limits.answer_stall, added.limits.head_timeout), (None, Micros(2_100_000)));
-    assert_eq!((added.bay, added.zone, added.pools.len()), (None, None, 0));
+    assert_eq!((added.deduplication_group, added.zone, added.pools.len()), (None, None, 0));
     assert_eq!(added.routes.len(), 1);
     assert_eq!(added.routes[0].pools, [PoolId(0)]);
     assert_eq!(added.routes[0].answers, ResponseRules::platform());
@@ -34,7 +34,7 @@
          [[route]]\nname = \"b\"\npools = \"platform\"\n",
     );
     assert_eq!(
-        (added.limits.answer_stall, added.bay),
+        (added.limits.answer_stall, added.deduplication_group),
         (Some(Micros(40_000)), Some(AttributeSource::Path(3)))
     );
     assert_eq!(added.pools[0].name, "far");
@@ -73,7 +73,7 @@
     for section in SECTIONS.iter().filter(|s| s.shape == Shape::Table) {
         for key in section.keys {
             let value = match key.default {
-                shaletide_config::schema::Default::Is(text) => text,
+                shaletide_config::schema::DefaultValue::Value(text) => text,
                 _ if key.name == "answer_stall" => "\"40ms\"",
                 _ if key.name == "seed" => "\"1\"",
                 _ if key.name == "otherwise" => "\"read\"",
@@ -81,10 +81,10 @@
             };
             let report = read(&format!("[{}]\n{} = {value}\n", section.name, key.name));
             let said = report.map_or_else(|r| r.problems()[0].expected.clone(), |_| String::new());
-            match key.platform {
-                Platform::Adds => assert_eq!(said, "", "{}.{}", section.name, key.name),
-                Platform::Says(word) => assert_eq!(said, format!("NODE_CONFIG says this as {word}")),
-                Platform::Fixed => assert_eq!(said, "the platform leaves no choice here"),
+            match key.node_config {
+                NodeConfigKey::Extends => assert_eq!(said, "", "{}.{}", section.name, key.name),
+                NodeConfigKey::Named(word) => assert_eq!(said, format!("NODE_CONFIG says this as {word}")),
+                NodeConfigKey::Fixed => assert_eq!(said, "the platform leaves no choice here"),
             }
         }
     }
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -3,7 +3,9 @@
 use shaletide_balancer::{
     BackendState, ClassId, DeduplicationScope, DiscoveryMode, Idempotency, Micros, PoolId, TenantId,
 };
-use shaletide_config::operator::{read, read_bytes, Operator, RecordDef, Recording, Source, WithoutKey};
+use shaletide_config::operator::{
+    read, read_bytes, OperatorConfig, PoolSource, RecordMode, RecordStoreConfig, WithoutKey,
+};
 use shaletide_routing::{
     AttributeSource, ErrorResponses, HeaderMatch, Match, NotExecutedProof, RequestFormat, ResponseRules,
 };
@@ -19,29 +21,29 @@
 "#;
 const SAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
 
-fn good(text: &str) -> Operator {
+fn good(text: &str) -> OperatorConfig {
     read("f.toml", text).unwrap_or_else(|report| panic!("{report}"))
 }
 
 /// The smallest file with more behind it.
-fn with(more: &str) -> Operator {
+fn with(more: &str) -> OperatorConfig {
     good(&format!("{SMALLEST}\n{more}"))
 }
 
 #[test]
 fn the_smallest_file_has_every_default() {
     let operator = good(SMALLEST);
-    assert_eq!(operator.config.validate(), Ok(()));
+    assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!((operator.proxy.name.as_str(), operator.proxy.seed), ("shaletide", None));
     assert_eq!((operator.proxy.proxies, operator.proxy.position), (1, 0));
     assert_eq!(operator.listeners, ["127.0.0.1:8080".parse().unwrap()]);
     assert_eq!(operator.limits.connect_timeout, Micros(300_000));
     assert_eq!((operator.limits.descriptors, operator.limits.max_body), (1024, 65536));
     assert_eq!(operator.limits.answer_stall, None);
-    assert_eq!(operator.form, RequestFormat { id_required: false, ..RequestFormat::platform() });
+    assert_eq!(operator.request_format, RequestFormat { id_required: false, ..RequestFormat::platform() });
     assert_eq!(operator.classes[0].methods, ["GET", "HEAD"]);
     assert_eq!(operator.classes[0].deadline, Micros(2_000_000));
-    assert_eq!(operator.config.classes[0].idempotency, Idempotency::Safe);
+    assert_eq!(operator.balancer.classes[0].idempotency, Idempotency::Safe);
     assert_eq!(operator.tenants, [""; 0]);
     assert_eq!(operator.routes.len(), 1);
     assert_eq!((operator.routes[0].name.as_str(), &operator.routes[0].when), ("default", &Match::default()));
@@ -58,30 +60,30 @@
 #[test]
 fn a_box_in_short_form_is_a_bay_of_its_own() {
     let operator = good(SMALLEST);
-    let Source::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
+    let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
     assert_eq!(boxes.len(), 2);
-    assert_eq!((boxes[1].bay.as_str(), boxes[1].zone.as_str()), ("127.0.0.1:9002", ""));
-    assert_eq!((boxes[1].kind.as_str(), boxes[1].cores), ("box", 1));
+    assert_eq!((boxes[1].deduplication_group.as_str(), boxes[1].zone.as_str()), ("127.0.0.1:9002", ""));
+    assert_eq!((boxes[1].server_type.as_str(), boxes[1].cores), ("box", 1));
     assert_eq!(boxes[1].state, BackendState::Ready);
-    assert_eq!(operator.pools[0].repeat_group, "all");
+    assert_eq!(operator.pools[0].deduplication_domain, "all");
 }
 
 #[test]
 fn the_sample_reads_as_it_stands() {
     let operator = good(SAMPLE);
-    assert_eq!(operator.config.validate(), Ok(()));
+    assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!(operator.proxy.seed, Some(0x8c1f_30d2_7a5b_e964));
     assert_eq!(
-        operator.config.classes[1].idempotency,
+        operator.balancer.classes[1].idempotency,
         Idempotency::Keyed(DeduplicationScope::Group, Micros(1_200_000))
     );
     assert_eq!(operator.classes[1].methods, ["POST", "PUT", "PATCH", "DELETE"]);
-    assert_eq!(operator.config.classes[2].idempotency, Idempotency::NonIdempotent);
-    assert_eq!(operator.form.default_class, Some(ClassId(0)));
-    assert_eq!(operator.form.deduplication_group, Some(AttributeSource::Path(3)));
-    assert_eq!(operator.form.zone, Some(AttributeSource::Header("x-zone".into())));
-    let Source::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
-    assert_eq!((boxes[2].bay.as_str(), boxes[2].state), ("1", BackendState::Draining));
+    assert_eq!(operator.balancer.classes[2].idempotency, Idempotency::NonIdempotent);
+    assert_eq!(operator.request_format.default_class, Some(ClassId(0)));
+    assert_eq!(operator.request_format.deduplication_group, Some(AttributeSource::Path(3)));
+    assert_eq!(operator.request_format.zone, Some(AttributeSource::Header("x-zone".into())));
+    let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
+    assert_eq!((boxes[2].deduplication_group.as_str(), boxes[2].state), ("1", BackendState::Draining));
     let route = &operator.routes[0];
     assert_eq!((&route.when.classes[..], &route.when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
     assert_eq!(
@@ -104,7 +106,7 @@
     let text =
         SAMPLE.replace(boxes, "").replace("# discovery", "discovery").replace("# must_ask", "must_ask");
     assert_ne!(text, SAMPLE);
-    let Source::Discovery { address, mode } = good(&text).pools[1].source else { panic!("a discovery") };
+    let PoolSource::Discovery { address, mode } = good(&text).pools[1].source else { panic!("a discovery") };
     assert_eq!((address.port(), mode), (8500, DiscoveryMode::Subscribe(Micros(9_000_000))));
 }
 
@@ -145,7 +147,7 @@
         cross_zone_cost = 2
         over_quota_worth = 0
     "#;
-    let Operator { proxy, limits, config, .. } = with(text);
+    let OperatorConfig { proxy, limits, balancer: config, .. } = with(text);
     assert_eq!((proxy.name.as_str(), proxy.zone.as_str(), proxy.seed), ("q.1_a-B", "z", Some(255)));
     assert_eq!((config.proxies, config.position), (7, 6));
     assert_eq!((limits.descriptors, config.max_attempts), (128, 16));
@@ -170,28 +172,28 @@
     let pay = "[[class]]\nname = \"pay\"\neffect = \"unsafe\"\n";
     let off = with(&format!("{pay}record = \"none\"\n"));
     assert_eq!((off.record, off.control), (None, None));
-    assert!(off.classes.iter().all(|class| class.record == Recording::None));
+    assert!(off.classes.iter().all(|class| class.record == RecordMode::None));
     let on = with(&format!("{pay}[record]\npath = \"/var/lib/r.db\"\n[control]\nsocket = \"c\"\n"));
-    let expected = RecordDef {
+    let expected = RecordStoreConfig {
         path: "/var/lib/r.db".into(),
-        keep: Micros(30 * 86_400_000_000),
-        wait: Micros(50_000),
+        retention: Micros(30 * 86_400_000_000),
+        intent_timeout: Micros(50_000),
         retry_after: Micros(1_000_000),
     };
     assert_eq!((on.record, on.control), (Some(expected), Some("c".into())));
-    let refuse = Recording::Permit { without_key: WithoutKey::Refuse };
-    assert_eq!([on.classes[0].record, on.classes[1].record], [Recording::None, refuse]);
+    let refuse = RecordMode::Intent { without_key: WithoutKey::Reject };
+    assert_eq!([on.classes[0].record, on.classes[1].record], [RecordMode::None, refuse]);
     let record = "[record]\npath = \"r\"\nkeep = \"1h\"\nwait = \"1s\"\nretry_after = \"3s\"\n";
     let chosen = with(&format!(
         "{pay}without_key = \"record\"\n[[class]]\nname = \"b\"\nrecord = \"facts\"\n[[class]]\nname = \"c\"\n\
          effect = \"unsafe\"\nrecord = \"none\"\n{record}"
     ));
-    let records: Vec<Recording> = chosen.classes.iter().skip(1).map(|class| class.record).collect();
-    let record = Recording::Permit { without_key: WithoutKey::Record };
-    assert_eq!(records, [record, Recording::Facts, Recording::None]);
+    let records: Vec<RecordMode> = chosen.classes.iter().skip(1).map(|class| class.record).collect();
+    let record = RecordMode::Intent { without_key: WithoutKey::Record };
+    assert_eq!(records, [record, RecordMode::Facts, RecordMode::None]);
     let def = chosen.record.unwrap();
     assert_eq!(
-        (def.keep, def.wait, def.retry_after),
+        (def.retention, def.intent_timeout, def.retry_after),
         (Micros(3_600_000_000), Micros(1_000_000), Micros(3_000_000))
     );
 }
@@ -222,7 +224,7 @@
 fn discovery_may_push() {
     let pool = "[[pool]]\nname = \"d\"\ndiscovery = \"[::1]:8500\"\ndiscovery_mode = \"push\"";
     let operator = with(pool);
-    let Source::Discovery { address, mode } = operator.pools[1].source else { panic!("a discovery") };
+    let PoolSource::Discovery { address, mode } = operator.pools[1].source else { panic!("a discovery") };
     assert_eq!((address.to_string().as_str(), mode), ("[::1]:8500", DiscoveryMode::Push));
     assert_eq!(operator.routes[0].pools, [PoolId(0), PoolId(1)]);
 }
--- a/crates/config/tests/record.rs
+++ b/crates/config/tests/record.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{check, problems, BASE};
-use shaletide_config::operator::{read_additions, PlatformNames};
+use shaletide_config::operator::{read_extension, PlatformNames};
 
 /// A file that is right, with a store and an unsafe class in front of the last section.
 fn with(class: &str, record: &str) -> String {
@@ -130,7 +130,7 @@
 #[test]
 fn the_platform_has_no_disk() {
     let names = PlatformNames { classes: vec!["read".into()], tenants: vec![] };
-    let report = read_additions("w.toml", "[record]\npath = \"r.db\"\n[control]\nsocket = \"c\"\n", &names);
+    let report = read_extension("w.toml", "[record]\npath = \"r.db\"\n[control]\nsocket = \"c\"\n", &names);
     let said: Vec<_> = report.unwrap_err().problems().iter().map(|p| (p.line, p.expected.clone())).collect();
     let expected = "the platform leaves no choice here".to_string();
     assert_eq!(said, [(2, expected.clone()), (4, expected)]);
--- a/crates/shaletide/src/cli.rs
+++ b/crates/shaletide/src/cli.rs
@@ -1,7 +1,7 @@
 //! The arguments.
 
 use clap::{Args, Parser, Subcommand};
-use shaletide_config::operator::{Operator, Source};
+use shaletide_config::operator::{OperatorConfig, PoolSource};
 use std::path::PathBuf;
 
 /// What is said where nothing says how to run.
@@ -126,9 +126,9 @@
 }
 
 /// One line about a sound file.
-pub fn summary(operator: &Operator) -> String {
+pub fn summary(operator: &OperatorConfig) -> String {
     let boxes: usize =
-        operator.pools.iter().map(|p| if let Source::Static(b) = &p.source { b.len() } else { 0 }).sum();
+        operator.pools.iter().map(|p| if let PoolSource::Static(b) = &p.source { b.len() } else { 0 }).sum();
     let many =
         |count: usize, one: &str, more: &str| format!("{count} {}", if count == 1 { one } else { more });
     format!(
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -151,12 +151,12 @@
         let named: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
         let asked = classes();
         assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
-        for (def, class) in operator.config.classes.iter().zip(asked) {
+        for (def, class) in operator.balancer.classes.iter().zip(asked) {
             assert_eq!(def.idempotency, class.effect);
         }
-        assert_eq!(operator.config.slow_start_window, RAMP);
+        assert_eq!(operator.balancer.slow_start_window, RAMP);
         assert_eq!(
-            (operator.config.overload_multiple, operator.config.overload_window),
+            (operator.balancer.overload_multiple, operator.balancer.overload_window),
             (PUSH.multiple, PUSH.window)
         );
     }
