--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -3,18 +3,18 @@
 use crate::cli::Explain;
 use crate::setup::errors_of;
 use shaletide_balancer::{ClassId, TenantId};
-use shaletide_config::operator::{Operator, PoolDef, Source};
+use shaletide_config::operator::{OperatorConfig, PoolConfig, PoolSource};
 use shaletide_routing::{Mismatch, RequestAttributes, Route, RouteTable};
 use std::fmt::Write;
 
 /// The explanation, or what of the question makes no sense.
-pub fn explain(operator: &Operator, asked: &Explain) -> Result<String, String> {
+pub fn explain(operator: &OperatorConfig, asked: &Explain) -> Result<String, String> {
     let part = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
     let named = asked.class.clone().or_else(|| asked.path.as_deref().map(part));
     let known = |name: &String| operator.classes.iter().position(|c| c.name == *name);
     let class = match named.as_ref().and_then(known) {
         Some(at) => ClassId(at),
-        None => match (asked.class.as_ref(), operator.form.default_class) {
+        None => match (asked.class.as_ref(), operator.request_format.default_class) {
             (None, Some(class)) => class,
             (name, _) => return Err(no_class(operator, name.or(named.as_ref()))),
         },
@@ -69,7 +69,7 @@
     Ok(text)
 }
 
-fn no_class(operator: &Operator, name: Option<&String>) -> String {
+fn no_class(operator: &OperatorConfig, name: Option<&String>) -> String {
     let names: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
     match name {
         Some(name) => format!("the file has no class {name}; it has {}", names.join(", ")),
@@ -77,7 +77,9 @@
     }
 }
 
-fn because(operator: &Operator, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>) -> String {
+fn because(
+    operator: &OperatorConfig, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>,
+) -> String {
     let when = &route.when;
     match reason {
         Mismatch::Class => {
@@ -112,9 +114,9 @@
     }
 }
 
-fn described(pool: &PoolDef) -> String {
+fn described(pool: &PoolConfig) -> String {
     match &pool.source {
-        Source::Static(boxes) => format!("{} boxes in the file", boxes.len()),
-        Source::Discovery { address, .. } => format!("boxes told by {address}"),
+        PoolSource::Static(boxes) => format!("{} boxes in the file", boxes.len()),
+        PoolSource::Discovery { address, .. } => format!("boxes told by {address}"),
     }
 }
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -86,7 +86,7 @@
     Start { shortage_patience: None, again, self_check }.run(first)
 }
 
-fn read(path: &Path, reading: Reading) -> Result<operator::Operator, String> {
+fn read(path: &Path, reading: Reading) -> Result<operator::OperatorConfig, String> {
     let bytes = files::read(path, operator::MAX_FILE, reading)
         .map_err(|e| format!("cannot read {}: {e}", path.display()))?;
     operator::read_bytes(&path.display().to_string(), &bytes).map_err(|report| report.to_string())
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{self, read_additions, utf8, PlatformNames, Source};
+use shaletide_config::operator::{self, read_extension, utf8, PlatformNames, PoolSource};
 use shaletide_config::platform::{self, NodeIdentity, SettingsError};
 use shaletide_config::Report;
 use shaletide_membership::List;
@@ -29,7 +29,7 @@
     /// The seed is no number.
     Seed,
     Settings(SettingsError),
-    Additions(Report),
+    NodeConfigExtension(Report),
 }
 
 impl fmt::Display for NodeError {
@@ -39,7 +39,7 @@
             NodeError::Malformed(path, e) => write!(f, "NODE_CONFIG {}: {e}", path.display()),
             NodeError::Seed => f.write_str("settings: seed: expected a number or up to 16 hex digits"),
             NodeError::Settings(error) => write!(f, "settings: {error}"),
-            NodeError::Additions(report) => write!(f, "{report}"),
+            NodeError::NodeConfigExtension(report) => write!(f, "{report}"),
         }
     }
 }
@@ -49,7 +49,7 @@
         match self {
             NodeError::Unreadable(_, e) => Some(e),
             NodeError::Malformed(_, e) => Some(e),
-            NodeError::Additions(report) => Some(report),
+            NodeError::NodeConfigExtension(report) => Some(report),
             NodeError::Settings(error) => Some(error),
             NodeError::Seed => None,
         }
@@ -66,7 +66,7 @@
                 is_missing || is_shortage(error) || is_failing_disk(error)
             }
             NodeError::Malformed(_, error) => error.is_eof() || error.is_syntax(),
-            NodeError::Seed | NodeError::Settings(_) | NodeError::Additions(_) => false,
+            NodeError::Seed | NodeError::Settings(_) | NodeError::NodeConfigExtension(_) => false,
         }
     }
 }
@@ -169,7 +169,9 @@
     if let Some(with) = with {
         add(&mut next, with, Reading::Again)?;
     }
-    if let Some(Source::Discovery { address, .. }) = next.operator.pools.first_mut().map(|p| &mut p.source) {
+    if let Some(PoolSource::Discovery { address, .. }) =
+        next.operator.pools.first_mut().map(|p| &mut p.source)
+    {
         *address = changed.discovery;
     }
     Ok(next)
@@ -183,7 +185,7 @@
         classes: setup.operator.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: setup.operator.tenants.clone(),
     };
-    let text = utf8(&name, &bytes).map_err(NodeError::Additions)?;
-    setup.add(read_additions(&name, text, &names).map_err(NodeError::Additions)?);
+    let text = utf8(&name, &bytes).map_err(NodeError::NodeConfigExtension)?;
+    setup.add(read_extension(&name, text, &names).map_err(NodeError::NodeConfigExtension)?);
     Ok(())
 }
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -9,7 +9,7 @@
 pub mod words;
 
 use args::{Command, Place, Which};
-use shaletide_config::operator::Operator;
+use shaletide_config::operator::OperatorConfig;
 use shaletide_record::{chain, Fact, Row};
 use shaletide_store::{verify, Broken, Head, Query, SqliteReader, StoreError, StoreReader};
 use shaletide_types::causes;
@@ -55,7 +55,7 @@
 }
 
 /// What a command is told of an operators' file.
-type ReadConfig = fn(&Path) -> Result<Operator, String>;
+type ReadConfig = fn(&Path) -> Result<OperatorConfig, String>;
 
 /// Does as asked; `read` reads an operators' file.
 pub fn run(asked: &args::Record, read: ReadConfig) -> ExitCode {
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -2,7 +2,7 @@
 
 use shaletide_balancer::{ClassId, DiscoveryMode, Micros, PoolId, TenantId};
 use shaletide_config::operator::{
-    self, Additions, BackendDef, ClassDef, Operator, Recording, Source as Boxes,
+    self, ClassConfig, NodeConfigExtension, OperatorConfig, PoolSource, RecordMode, StaticBackend,
 };
 use shaletide_http::{ClassRule as FrontRule, RulesDef};
 use shaletide_membership::{deduplication_group_hash, Endpoint, List, PoolSpec, Source};
@@ -19,7 +19,7 @@
 /// All that the program runs by.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    pub operator: Operator,
+    pub operator: OperatorConfig,
     /// Names that are numbered first, in this order.
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
@@ -50,7 +50,7 @@
 
 impl Setup {
     /// By the operators' file alone, of which this is the digest.
-    pub fn of_file(operator: Operator, digest: String) -> Setup {
+    pub fn of_file(operator: OperatorConfig, digest: String) -> Setup {
         let (zones, kinds, known) = (Vec::new(), Vec::new(), List::default());
         let record = recorded(&operator, digest);
         Setup {
@@ -67,7 +67,7 @@
     }
 
     /// What a file adds to the platform's configuration.
-    pub fn add(&mut self, more: Additions) {
+    pub fn add(&mut self, more: NodeConfigExtension) {
         let operator = &mut self.operator;
         operator.limits.answer_stall = more.limits.answer_stall.or(operator.limits.answer_stall);
         operator.limits.head_timeout = more.limits.head_timeout;
@@ -75,7 +75,8 @@
         operator.limits.body_rate = more.limits.body_rate;
         operator.limits.body_grace = more.limits.body_grace;
         operator.limits.held_bodies = more.limits.held_bodies;
-        (operator.form.deduplication_group, operator.form.zone) = (more.bay, more.zone);
+        (operator.request_format.deduplication_group, operator.request_format.zone) =
+            (more.deduplication_group, more.zone);
         operator.pools.extend(more.pools);
         operator.routes = more.routes;
     }
@@ -95,24 +96,25 @@
     /// The pools, each with its module's configuration.
     pub fn pools(&self) -> Vec<PoolSetup> {
         let operator = &self.operator;
-        let setup = |(number, def): (usize, &shaletide_config::operator::PoolDef)| {
+        let setup = |(number, def): (usize, &shaletide_config::operator::PoolConfig)| {
             let id = PoolId(number as u32);
-            let mut config = operator.config.clone();
+            let mut config = operator.balancer.clone();
             config.has_failover_pool =
                 operator.routes.iter().any(|r| r.pools.len() > 1 && r.pools.contains(&id));
             let source = match &def.source {
-                Boxes::Static(boxes) => {
+                PoolSource::Static(boxes) => {
                     config.discovery = DiscoveryMode::Push;
                     Source::Static(boxes.iter().map(endpoint).collect())
                 }
-                Boxes::Discovery { mode, .. } => {
+                PoolSource::Discovery { mode, .. } => {
                     config.discovery = *mode;
                     Source::Discovered
                 }
             };
-            let repeats = (def.repeat_group != def.name).then(|| def.repeat_group.clone());
+            let repeats = (def.deduplication_domain != def.name).then(|| def.deduplication_domain.clone());
             // A pool may be named as the group of others: then it is of that group, too.
-            let shared = operator.pools.iter().any(|p| p.name != def.name && p.repeat_group == def.name);
+            let shared =
+                operator.pools.iter().any(|p| p.name != def.name && p.deduplication_domain == def.name);
             let repeats = repeats.or(shared.then(|| def.name.clone()));
             PoolSetup { spec: PoolSpec { name: def.name.clone(), repeat_group: repeats, source }, config }
         };
@@ -123,8 +125,8 @@
     pub fn discoveries(&self) -> Vec<(usize, SocketAddr, DiscoveryMode)> {
         let each = self.operator.pools.iter().enumerate();
         let listed = each.filter_map(|(at, def)| match def.source {
-            Boxes::Discovery { address, mode } => Some((at, address, mode)),
-            Boxes::Static(_) => None,
+            PoolSource::Discovery { address, mode } => Some((at, address, mode)),
+            PoolSource::Static(_) => None,
         });
         listed.collect()
     }
@@ -136,14 +138,14 @@
             let pools = route.pools.iter().filter_map(|pool| ids.get(pool.0 as usize)).copied().collect();
             Route { pools, ..route.clone() }
         });
-        let classes = operator.classes.iter().zip(&operator.config.classes).map(|(def, class)| FrontRule {
+        let classes = operator.classes.iter().zip(&operator.balancer.classes).map(|(def, class)| FrontRule {
             name: def.name.clone(),
             effect: class.idempotency,
             methods: def.methods.iter().filter_map(|m| m.parse().ok()).collect(),
             deadline: def.deadline,
         });
         RulesDef {
-            form: operator.form.clone(),
+            form: operator.request_format.clone(),
             classes: classes.collect(),
             tenants: operator.tenants.clone(),
             routes: routes.collect(),
@@ -179,11 +181,11 @@
         let tenants = places(&old, &new);
         let operator = &mut next.operator;
         reorder(&mut operator.classes, &classes);
-        reorder(&mut operator.config.classes, &classes);
+        reorder(&mut operator.balancer.classes, &classes);
         reorder(&mut operator.tenants, &tenants);
-        reorder(&mut operator.config.tenants, &tenants);
+        reorder(&mut operator.balancer.tenants, &tenants);
         let class = |id: ClassId| ClassId(classes.get(id.0).copied().unwrap_or(id.0));
-        operator.form.default_class = operator.form.default_class.map(class);
+        operator.request_format.default_class = operator.request_format.default_class.map(class);
         for route in &mut operator.routes {
             route.when.classes.iter_mut().for_each(|id| *id = class(*id));
             let tenant = |id: TenantId| TenantId(tenants.get(id.0).copied().unwrap_or(id.0));
@@ -200,22 +202,22 @@
 }
 
 /// What the file says of the record.
-fn recorded(operator: &Operator, digest: String) -> Option<RecordSetup> {
+fn recorded(operator: &OperatorConfig, digest: String) -> Option<RecordSetup> {
     let def = operator.record.as_ref()?;
-    let rule = |class: &ClassDef| match class.record {
-        Recording::None => None,
-        Recording::Facts => Some(ClassRule { requires_intent: false, without_key: WithoutKey::Record }),
-        Recording::Permit { without_key: operator::WithoutKey::Refuse } => {
+    let rule = |class: &ClassConfig| match class.record {
+        RecordMode::None => None,
+        RecordMode::Facts => Some(ClassRule { requires_intent: false, without_key: WithoutKey::Record }),
+        RecordMode::Intent { without_key: operator::WithoutKey::Reject } => {
             Some(ClassRule { requires_intent: true, without_key: WithoutKey::Refuse })
         }
-        Recording::Permit { without_key: operator::WithoutKey::Record } => {
+        RecordMode::Intent { without_key: operator::WithoutKey::Record } => {
             Some(ClassRule { requires_intent: true, without_key: WithoutKey::Record })
         }
     };
     let classes = operator.classes.iter().filter_map(|c| Some((c.name.clone(), rule(c)?)));
     let config = RecordConfig {
-        keep: def.keep,
-        intent_timeout: def.wait,
+        keep: def.retention,
+        intent_timeout: def.intent_timeout,
         retry_after: def.retry_after,
         classes: classes.collect(),
         ..RecordConfig::default()
@@ -243,13 +245,13 @@
     items.extend(placed.into_iter().map(|(_, item)| item));
 }
 
-fn endpoint(def: &BackendDef) -> Endpoint {
+fn endpoint(def: &StaticBackend) -> Endpoint {
     Endpoint {
         name: def.address.to_string(),
         address: def.address,
         zone: def.zone.clone(),
-        server_type: def.kind.clone(),
-        deduplication_group: deduplication_group_hash(&def.bay),
+        server_type: def.server_type.clone(),
+        deduplication_group: deduplication_group_hash(&def.deduplication_group),
         cores: def.cores,
         weight: 0,
         state: def.state,
@@ -291,7 +293,7 @@
         let names: Vec<&str> = next.operator.classes.iter().map(|c| c.name.as_str()).collect();
         assert_eq!(names, ["a", "b", "c"]);
         assert_eq!(next.operator.tenants, ["x", "y", "z"]);
-        assert_eq!(next.operator.form.default_class, Some(ClassId(0)));
+        assert_eq!(next.operator.request_format.default_class, Some(ClassId(0)));
         let when = &next.operator.routes[0].when;
         assert_eq!((&when.classes[..], &when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
         let fewer = old.follow(setup("a b", "x")).unwrap_err();
