--- /dev/null
+++ b/crates/config/src/operator/text.rs
@@ -0,0 +1,65 @@
+//! From the bytes of a file to its tree: what every reading shares.
+
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::Diagnostics;
+use crate::report::Report;
+use crate::source::Source;
+use crate::syntax;
+use toml::de::DeTable;
+
+/// The longest file, in bytes.
+pub const MAX_FILE: usize = 4 << 20;
+/// Bytes behind an invalid one that are read for the line in which it stands.
+const MAX_CONTEXT_BYTES: usize = 200;
+
+/// The text of a file.
+///
+/// # Errors
+///
+/// A file that is too long, and bytes that are not UTF-8.
+pub fn utf8<'b>(file_name: &str, bytes: &'b [u8]) -> Result<&'b str, Report> {
+    bounded(file_name, bytes.len())?;
+    std::str::from_utf8(bytes).map_err(|error| not_utf8(file_name, bytes, error.valid_up_to()))
+}
+
+/// The report on the first byte that is not UTF-8, with the line in which it stands.
+fn not_utf8(file_name: &str, bytes: &[u8], valid_up_to: usize) -> Report {
+    let (valid, invalid) = bytes.split_at(valid_up_to);
+    let valid = std::str::from_utf8(valid).unwrap_or_default();
+    let after = String::from_utf8_lossy(&invalid[..invalid.len().min(MAX_CONTEXT_BYTES)]).into_owned();
+    let text = format!("{valid}{}", after.lines().next().unwrap_or_default());
+    let byte_order_mark = text.len() - text.strip_prefix('\u{feff}').unwrap_or(&text).len();
+    let source = Source::new(&text[byte_order_mark..]);
+    let start = valid.len().saturating_sub(byte_order_mark);
+    let span = start..start + '\u{fffd}'.len_utf8();
+    let byte = invalid.first().copied().unwrap_or_default();
+    let message = format!("the byte 0x{byte:02x} is not UTF-8");
+    let diagnostic = Diagnostic::at(span, message, "expected a text file in UTF-8");
+    Report::new(file_name, &source, vec![diagnostic], 0)
+}
+
+fn bounded(file_name: &str, length: usize) -> Result<(), Report> {
+    if length <= MAX_FILE {
+        return Ok(());
+    }
+    let diagnostic =
+        Diagnostic::for_file("the file is too long", format!("expected at most {} MiB", MAX_FILE >> 20));
+    Err(Report::new(file_name, &Source::new(""), vec![diagnostic], 0))
+}
+
+/// What every reading shares: the bound, the tree, and that values come out only where nothing is wrong.
+pub(super) fn checked<T>(
+    file_name: &str, text: &str, read: impl FnOnce(&mut Diagnostics<'_>, &DeTable<'_>) -> Option<T>,
+) -> Result<T, Report> {
+    bounded(file_name, text.len())?;
+    let source = Source::new(text.strip_prefix('\u{feff}').unwrap_or(text));
+    let mut diagnostics = Diagnostics::new(&source);
+    let recovered = syntax::recover(&mut diagnostics);
+    let tree = recovered.as_deref().and_then(|text| syntax::parse(&mut diagnostics, text));
+    let values = tree.and_then(|tree| read(&mut diagnostics, tree.get_ref()));
+    diagnostics.into_report(file_name)?;
+    // Without a tree there is a diagnostic.
+    values.ok_or_else(|| {
+        Report::new(file_name, &source, vec![Diagnostic::for_file("not read", "expected TOML")], 0)
+    })
+}
--- /dev/null
+++ b/crates/config/src/schema/traffic_keys.rs
@@ -0,0 +1,426 @@
+//! Keys of the traffic: how a request is read, classes and tenants, pools and their backends, what responses mean, routes.
+
+use super::define::{key, HOUR, MS};
+use super::types::DefaultValue::{Described, Required, Value};
+use super::types::NodeConfigKey::{Extends, Fixed, Named};
+use super::types::TakesEffect::{Reload, Restart, RestartToRemove};
+use super::types::{KeySchema, ValueKind};
+
+pub(super) const REQUEST_KEYS: &[KeySchema] = &[
+    key(
+        "class",
+        ValueKind::AttributeSource,
+        Value("{ path = 1 }"),
+        Reload,
+        Fixed,
+        "Where the class's name stands.",
+    ),
+    key(
+        "otherwise",
+        ValueKind::Name,
+        Described("refused"),
+        Reload,
+        Fixed,
+        "The class of a request in which that place is empty or names no class.",
+    ),
+    key(
+        "tenant",
+        ValueKind::AttributeSource,
+        Value("{ header = \"X-Account\" }"),
+        Reload,
+        Fixed,
+        "Where the tenant's name stands. A request that names none has none.",
+    ),
+    key(
+        "key",
+        ValueKind::AttributeSource,
+        Value("{ header = \"Idempotency-Key\" }"),
+        Reload,
+        Fixed,
+        "Where the key stands that keeps a keyed request from running twice.",
+    ),
+    key(
+        "bay",
+        ValueKind::AttributeSource,
+        Described("none: no request is about a bay"),
+        Reload,
+        Extends,
+        "Where the bay stands that the request is about, for routes.",
+    ),
+    key(
+        "zone",
+        ValueKind::AttributeSource,
+        Described("the proxy's own zone"),
+        Reload,
+        Extends,
+        "Where the zone stands that the request comes from, for routes.",
+    ),
+    key(
+        "id",
+        ValueKind::Header,
+        Value("\"X-Correlation-Id\""),
+        Reload,
+        Fixed,
+        "The header that names the request.",
+    ),
+    key(
+        "id_required",
+        ValueKind::Flag,
+        Value("false"),
+        Reload,
+        Fixed,
+        "Whether a request without that header is refused; else it is given an id.",
+    ),
+    key(
+        "time_left",
+        ValueKind::Header,
+        Value("\"X-Time-Left\""),
+        Reload,
+        Fixed,
+        "The header with the seconds that the client will wait, at most the class's deadline.",
+    ),
+];
+
+/// Parts of a path among which a class, a tenant or a key may stand.
+pub(crate) const MAX_PATH_PART: u64 = 64;
+
+pub(super) const ATTRIBUTE_SOURCE_KEYS: &[KeySchema] = &[
+    key(
+        "path",
+        ValueKind::Integer(1, MAX_PATH_PART),
+        Described("`header` must be given"),
+        Reload,
+        Extends,
+        "The part of the path of that number: in `/read/k7` part 1 is `read`. Read as it stands, not decoded.",
+    ),
+    key(
+        "header",
+        ValueKind::Header,
+        Described("`path` must be given"),
+        Reload,
+        Extends,
+        "The header of that name. A request in which it stands twice is refused.",
+    ),
+];
+
+pub(super) const CLASS_KEYS: &[KeySchema] = &[
+    key("name", ValueKind::Name, Required, RestartToRemove, Named("settings.profiles[].name"), "Its name, as requests give it."),
+    key(
+        "effect",
+        ValueKind::Choice(&["safe", "keyed", "unsafe"]),
+        Value("\"safe\""),
+        Restart,
+        Named("settings.profiles[].effect"),
+        "What a second run of a request would do. `safe`: nothing. `keyed`: nothing where the boxes drop \
+         repeats of its key. `unsafe`: harm; it is sent again only when it is certain that it never ran.",
+    ),
+    key(
+        "methods",
+        ValueKind::Methods,
+        Described("safe: GET and HEAD; keyed and unsafe: POST, PUT, PATCH and DELETE"),
+        Reload,
+        Fixed,
+        "The methods that its requests may have; others are refused.",
+    ),
+    key(
+        "aim",
+        ValueKind::Duration(MS, HOUR),
+        Value("\"500ms\""),
+        Reload,
+        Named("settings.profiles[].aim_us"),
+        "An answer within this time earns the full worth; at most `deadline`.",
+    ),
+    key(
+        "deadline",
+        ValueKind::Duration(MS, HOUR),
+        Value("\"2s\""),
+        Reload,
+        Named("settings.profiles[].deadline_us"),
+        "How long a client waits at most.",
+    ),
+    key(
+        "worth",
+        ValueKind::Positive(1e6),
+        Value("1.0"),
+        Reload,
+        Named("settings.profiles[].gain"),
+        "What a request is worth against those of other classes.",
+    ),
+    key(
+        "late_worth",
+        ValueKind::Number(0.0, 1.0),
+        Value("0.25"),
+        Reload,
+        Named("settings.profiles[].late_worth"),
+        "The part of the worth left after the aim.",
+    ),
+    key(
+        "aim_stretch",
+        ValueKind::Number(0.0, 1000.0),
+        Value("0.0"),
+        Reload,
+        Named("settings.profiles[].aim_stretch"),
+        "The aim grows by this multiple of the request's work hint.",
+    ),
+    key(
+        "key_scope",
+        ValueKind::Choice(&["all", "zone", "bay"]),
+        Described("keyed: must be given; others: may not be"),
+        Restart,
+        Named("settings.profiles[].key_scope"),
+        "Which boxes drop a key that one of them has seen: all of the pool, those of one zone, or those of one \
+         bay.",
+    ),
+    key(
+        "key_window",
+        ValueKind::Duration(MS, 24 * HOUR),
+        Described("keyed: must be given; others: may not be"),
+        Restart,
+        Named("settings.profiles[].window_us"),
+        "For how long after a key was first sent they drop it.",
+    ),
+    key(
+        "record",
+        ValueKind::Choice(&["none", "facts", "permit"]),
+        Described("unsafe, and `[record]` is there: \"permit\"; else \"none\""),
+        Restart,
+        Fixed,
+        "What goes on record of its requests. `facts`: what was known and done, as far as the store keeps up. \
+         `permit`: that too, and no attempt is sent before it is durable that it will be, and no key twice; \
+         only for unsafe classes.",
+    ),
+    key(
+        "without_key",
+        ValueKind::Choice(&["refuse", "record"]),
+        Value("\"refuse\""),
+        Restart,
+        Fixed,
+        "What becomes of a request that has no key: it is refused, or sent and recorded as one without. Only \
+         with `record` \"permit\".",
+    ),
+];
+
+pub(super) const TENANT_KEYS: &[KeySchema] = &[
+    key(
+        "name",
+        ValueKind::Name,
+        Required,
+        RestartToRemove,
+        Named("settings.customers[].name"),
+        "Its name, as requests give it.",
+    ),
+    key(
+        "quota",
+        ValueKind::Positive(1e9),
+        Required,
+        Reload,
+        Named("settings.customers[].quota_rps"),
+        "Requests a second, over all proxies, that earn their full worth.",
+    ),
+];
+
+pub(super) const POOL_KEYS: &[KeySchema] = &[
+    key("name", ValueKind::Name, Required, Reload, Extends, "Its name, for routes and logs."),
+    key(
+        "boxes",
+        ValueKind::Backends,
+        Described("`discovery` must be given"),
+        Reload,
+        Extends,
+        "Its boxes; at least one. Exactly one of `boxes` and `discovery` stands.",
+    ),
+    key(
+        "discovery",
+        ValueKind::Address,
+        Described("`boxes` must be given"),
+        Reload,
+        Extends,
+        "Where the service listens that knows its boxes.",
+    ),
+    key(
+        "discovery_mode",
+        ValueKind::Choice(&["push", "subscribe"]),
+        Value("\"subscribe\""),
+        Reload,
+        Extends,
+        "Whether changes come unasked, or only after each time the proxy asks. Only with `discovery`.",
+    ),
+    key(
+        "must_ask_within",
+        ValueKind::Duration(100 * MS, HOUR),
+        Value("\"9s\""),
+        Reload,
+        Extends,
+        "A proxy that has not asked for so long counts as told. Only with `discovery_mode` \"subscribe\".",
+    ),
+    key(
+        "repeat_group",
+        ValueKind::Name,
+        Described("the pool's own name"),
+        Reload,
+        Extends,
+        "Pools of one repeat group share bays: a key repeated in the same bay of either is dropped.",
+    ),
+];
+
+pub(super) const BACKEND_KEYS: &[KeySchema] = &[
+    key(
+        "address",
+        ValueKind::Address,
+        Required,
+        Reload,
+        Extends,
+        "Where it listens. No address stands in a file twice.",
+    ),
+    key(
+        "kind",
+        ValueKind::Name,
+        Value("\"box\""),
+        Reload,
+        Extends,
+        "Its sort of machine: boxes of one kind are taken as equally fast.",
+    ),
+    key("zone", ValueKind::NameOrEmpty, Value("\"\""), Reload, Extends, "Its zone."),
+    key(
+        "bay",
+        ValueKind::DeduplicationGroup,
+        Described("a bay of its own"),
+        Reload,
+        Extends,
+        "Boxes of one bay drop each other's repeated keys. `1` and \"1\" are the same bay.",
+    ),
+    key("cores", ValueKind::Integer(1, 4096), Value("1"), Reload, Extends, "Its cores."),
+    key(
+        "state",
+        ValueKind::Choice(&["serving", "draining"]),
+        Value("\"serving\""),
+        Reload,
+        Extends,
+        "A draining box finishes what it has and gets nothing new.",
+    ),
+];
+
+pub(super) const RESPONSES_KEYS: &[KeySchema] = &[
+    key(
+        "served",
+        ValueKind::Statuses,
+        Value("[\"200-428\", 430, \"431-499\", 501, \"505-599\"]"),
+        Reload,
+        Extends,
+        "The statuses that are the answer to the request and go to the client unchanged. All others are \
+         errors. 429 and 503 are never among them: they tell a client that coming again does no harm.",
+    ),
+    key(
+        "never_ran",
+        ValueKind::NotExecutedProofs,
+        Value("[]"),
+        Reload,
+        Extends,
+        "The answers that prove that the request has not run and never will, whatever `served` says. Such a \
+         request may be sent again whatever its class.",
+    ),
+    key(
+        "errors",
+        ValueKind::Choice(&["as_they_are", "own_words"]),
+        Value("\"as_they_are\""),
+        Reload,
+        Extends,
+        "What a client gets where the last attempt ended in an error: the box's answer, or the proxy's own \
+         words. A 429 or 503 that proves nothing goes to a client of a safe class only: others get a 502.",
+    ),
+];
+
+pub(super) const NOT_EXECUTED_PROOF_KEYS: &[KeySchema] = &[
+    key("status", ValueKind::Integer(200, 599), Required, Reload, Extends, "The answer's status ..."),
+    key("header", ValueKind::Header, Required, Reload, Extends, "... and a header that it carries ..."),
+    key("value", ValueKind::HeaderValue, Described("any value"), Reload, Extends, "... with this value."),
+];
+
+pub(super) const ROUTE_KEYS: &[KeySchema] = &[
+    key("name", ValueKind::Name, Required, Reload, Extends, "Its name, for logs."),
+    key(
+        "class",
+        ValueKind::Names,
+        Described("any class"),
+        Reload,
+        Extends,
+        "It takes requests of these classes.",
+    ),
+    key(
+        "tenant",
+        ValueKind::Names,
+        Described("any tenant, or none"),
+        Reload,
+        Extends,
+        "It takes requests of these tenants.",
+    ),
+    key(
+        "zone",
+        ValueKind::Names,
+        Described("any zone"),
+        Reload,
+        Extends,
+        "It takes requests from these zones.",
+    ),
+    key(
+        "bay",
+        ValueKind::DeduplicationGroups,
+        Described("any bay, or none"),
+        Reload,
+        Extends,
+        "It takes requests about these bays.",
+    ),
+    key(
+        "path",
+        ValueKind::Path,
+        Described("any path"),
+        Reload,
+        Extends,
+        "It takes requests for this path and all under it, by whole parts: `/read` takes `/read/k` and not \
+         `/reader`.",
+    ),
+    key(
+        "method",
+        ValueKind::Methods,
+        Described("any method"),
+        Reload,
+        Extends,
+        "It takes requests with these methods.",
+    ),
+    key(
+        "header",
+        ValueKind::HeaderMatches,
+        Described("any headers"),
+        Reload,
+        Extends,
+        "It takes requests that carry all of these headers.",
+    ),
+    key(
+        "pools",
+        ValueKind::Names,
+        Required,
+        Reload,
+        Extends,
+        "Where to: the pools in order of preference; at least one. Each pool is in some route.",
+    ),
+    key(
+        "answers",
+        ValueKind::ResponseRules,
+        Described("as `[answers]`"),
+        Reload,
+        Extends,
+        "What its boxes' answers mean.",
+    ),
+];
+
+pub(super) const HEADER_MATCH_KEYS: &[KeySchema] = &[
+    key("name", ValueKind::Header, Required, Reload, Extends, "Its name."),
+    key(
+        "value",
+        ValueKind::HeaderValue,
+        Described("any value"),
+        Reload,
+        Extends,
+        "Its value, letter for letter.",
+    ),
+];
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{read, read_additions, read_bytes, PlatformNames, Source, MAX_FILE};
+use shaletide_config::operator::{read, read_bytes, read_extension, PlatformNames, PoolSource, MAX_FILE};
 use shaletide_config::{platform, Report};
 use std::time::{Duration, Instant};
 
@@ -129,9 +129,9 @@
         let proxy = format!("[proxy]\nproxies = 1024\nposition = {position}\n");
         let operator = read("f.toml", &(proxy + &head() + &pool("p", 0..1_024))).unwrap();
         assert_eq!((operator.proxy.proxies, operator.proxy.position), (1_024, position));
-        let Source::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
+        let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
         assert_eq!(backends.len(), 1_024);
-        assert_eq!(operator.config.validate(), Ok(()));
+        assert_eq!(operator.balancer.validate(), Ok(()));
     }
 }
 
@@ -161,7 +161,7 @@
     let started = Instant::now();
     let (config, names) = platform::read(&settings).unwrap();
     assert_eq!((config.proxies, config.position, config.validate()), (350, 349, Ok(())));
-    let counts = [names.zones(), names.kinds(), names.classes(), names.tenants()].map(<[String]>::len);
+    let counts = [names.zones(), names.server_types(), names.classes(), names.tenants()].map(<[String]>::len);
     assert_eq!((counts, config.zone.0), ([1_024; 4], 1_023));
     assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
 }
@@ -186,7 +186,7 @@
 fn holds(bytes: &[u8]) {
     match read_bytes("f.toml", bytes) {
         Ok(operator) => {
-            assert_eq!(operator.config.validate(), Ok(()));
+            assert_eq!(operator.balancer.validate(), Ok(()));
             assert!(
                 !operator.listeners.is_empty() && !operator.pools.is_empty() && !operator.routes.is_empty()
             );
@@ -204,7 +204,7 @@
     }
     if let Ok(text) = std::str::from_utf8(bytes) {
         let names = PlatformNames { classes: vec!["read".into()], tenants: vec!["milford".into()] };
-        let _ = read_additions("f.toml", text, &names).map_err(|report| report.to_string());
+        let _ = read_extension("f.toml", text, &names).map_err(|report| report.to_string());
     }
 }
 
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -5,8 +5,8 @@
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{self, read_additions, utf8, PlatformNames, Source};
-use shaletide_config::platform::{self, Node};
+use shaletide_config::operator::{self, read_extension, utf8, PlatformNames, PoolSource};
+use shaletide_config::platform::{self, NodeIdentity, SettingsError};
 use shaletide_config::Report;
 use shaletide_membership::List;
 use shaletide_net::is_shortage;
@@ -26,8 +26,10 @@
 pub enum NodeError {
     Unreadable(PathBuf, std::io::Error),
     Malformed(PathBuf, serde_json::Error),
-    Settings(String),
-    Additions(Report),
+    /// The seed is no number.
+    Seed,
+    Settings(SettingsError),
+    NodeConfigExtension(Report),
 }
 
 impl fmt::Display for NodeError {
@@ -35,8 +37,9 @@
         match self {
             NodeError::Unreadable(path, e) => write!(f, "cannot read {}: {e}", path.display()),
             NodeError::Malformed(path, e) => write!(f, "NODE_CONFIG {}: {e}", path.display()),
-            NodeError::Settings(text) => write!(f, "settings: {text}"),
-            NodeError::Additions(report) => write!(f, "{report}"),
+            NodeError::Seed => f.write_str("settings: seed: expected a number or up to 16 hex digits"),
+            NodeError::Settings(error) => write!(f, "settings: {error}"),
+            NodeError::NodeConfigExtension(report) => write!(f, "{report}"),
         }
     }
 }
@@ -46,8 +49,9 @@
         match self {
             NodeError::Unreadable(_, e) => Some(e),
             NodeError::Malformed(_, e) => Some(e),
-            NodeError::Additions(report) => Some(report),
-            NodeError::Settings(_) => None,
+            NodeError::NodeConfigExtension(report) => Some(report),
+            NodeError::Settings(error) => Some(error),
+            NodeError::Seed => None,
         }
     }
 }
@@ -62,7 +66,7 @@
                 is_missing || is_shortage(error) || is_failing_disk(error)
             }
             NodeError::Malformed(_, error) => error.is_eof() || error.is_syntax(),
-            NodeError::Settings(_) | NodeError::Additions(_) => false,
+            NodeError::Seed | NodeError::Settings(_) | NodeError::NodeConfigExtension(_) => false,
         }
     }
 }
@@ -125,18 +129,17 @@
     let file: File = file(path, Reading::First)?;
     let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = hex.or(file.seed.as_u64());
-    let node = Node {
+    let node = NodeIdentity {
         name: file.name,
         listen: file.listen,
         discovery: file.discovery,
-        seed: seed
-            .ok_or_else(|| NodeError::Settings("seed: expected a number or up to 16 hex digits".into()))?,
-        sockets: sockets(&file.limits).max(LEAST_SOCKETS),
+        seed: seed.ok_or(NodeError::Seed)?,
+        descriptors: sockets(&file.limits).max(LEAST_SOCKETS),
     };
     let (operator, names) = platform::operator(node, &file.settings).map_err(NodeError::Settings)?;
-    let (zones, kinds) = (names.zones().to_vec(), names.kinds().to_vec());
+    let (zones, kinds) = (names.zones().to_vec(), names.server_types().to_vec());
     let longest_stop = Some(LONGEST_STOP);
-    let strict = file.settings.pointer("/rules/stop_sending_within_us").is_some();
+    let strict = platform::has_drain_grace(&file.settings);
     Ok(Setup {
         operator,
         zones,
@@ -166,7 +169,9 @@
     if let Some(with) = with {
         add(&mut next, with, Reading::Again)?;
     }
-    if let Some(Source::Discovery { address, .. }) = next.operator.pools.first_mut().map(|p| &mut p.source) {
+    if let Some(PoolSource::Discovery { address, .. }) =
+        next.operator.pools.first_mut().map(|p| &mut p.source)
+    {
         *address = changed.discovery;
     }
     Ok(next)
@@ -180,7 +185,7 @@
         classes: setup.operator.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: setup.operator.tenants.clone(),
     };
-    let text = utf8(&name, &bytes).map_err(NodeError::Additions)?;
-    setup.add(read_additions(&name, text, &names).map_err(NodeError::Additions)?);
+    let text = utf8(&name, &bytes).map_err(NodeError::NodeConfigExtension)?;
+    setup.add(read_extension(&name, text, &names).map_err(NodeError::NodeConfigExtension)?);
     Ok(())
 }
