--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -41,12 +41,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::grouped;
-
-    #[test]
-    fn numbers_are_grouped_by_thousands() {
-        let cases = [(0, "0"), (999, "999"), (1_000, "1,000"), (1_234_567, "1,234,567")];
-        cases.iter().for_each(|(number, text)| assert_eq!(grouped(*number), *text));
-    }
-}
+mod tests;
--- a/crates/testkit/src/load/result.rs
+++ b/crates/testkit/src/load/result.rs
@@ -153,15 +153,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn quantiles_are_values_that_were_met() {
-        let hundred: Vec<u64> = (1..=100).collect();
-        for (part, expected) in [(0.0, 1), (0.5, 50), (0.99, 99), (0.991, 100), (1.0, 100)] {
-            assert_eq!(quantile(&hundred, part), Some(expected), "{part}");
-        }
-        assert_eq!((quantile(&[7], 0.5), quantile(&[], 0.5)), (Some(7), None));
-    }
-}
+mod tests;
