--- a/crates/http/src/counters.rs
+++ b/crates/http/src/counters.rs
@@ -39,7 +39,7 @@
     /// anew.
     pub(crate) fn take_report(&self, clients: usize, unproven: usize) -> String {
         format!(
-            "clients {clients} unproven {unproven} accepted {} evicted {} turned away {} \
+            "clients {clients} unproven {unproven} accepted {} evicted {} rejected {} \
              slow bodies {} without room {} closed: {};",
             self.accepted.take(),
             self.evicted.take(),
--- a/crates/net/src/driver/counters.rs
+++ b/crates/net/src/driver/counters.rs
@@ -31,8 +31,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "requests {} served {} refused {} failed {} overdue {} gone {}; \
-             sent {} spoilt {} ended {} unfit {} unconnected {}",
+            "requests {} served {} rejected {} failed {} timed out {} client disconnected {}; \
+             attempts {} invalid responses {} connections closed {} unusable {} connects failed {}",
             self.requests,
             self.served,
             self.rejected,
@@ -57,7 +57,8 @@
         let connects = std::mem::take(&mut state.connections.opened);
         let given_up = state.engine.policy_mut().take_give_up_counts();
         info!(
-            "{counters}; given up: {given_up}; open requests {} {clients} upstreams {} connects {connects} lag {} us; \
+            "{counters}; given up: {given_up}; open requests {} {clients} backend connections {} connects {connects} \
+             timer lateness {} us; \
              failed system calls: {}",
             state.open_requests.len(),
             state.engine.connection_count(),
--- a/crates/net/src/driver/endpoints.rs
+++ b/crates/net/src/driver/endpoints.rs
@@ -121,7 +121,7 @@
     /// Passes on what the directory has changed, and forgets backends that are gone and have no connection.
     pub(super) fn apply_endpoint_changes(self: &Rc<Self>, changes: DirectoryUpdate) {
         if changes.skipped > 0 {
-            warn!("{} backends skipped: a pool's list is too long", changes.skipped);
+            warn!("directory skipped {} backends: a pool's list is too long", changes.skipped);
         }
         for conflict in changes.conflicts.iter().take(MAX_LOGGED_CONFLICTS) {
             warn!("{}", self.describe_conflict(conflict));
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -148,7 +148,7 @@
         }
         if logged_at.is_none_or(|at| at.elapsed() >= span(LOG_INTERVAL)) {
             warn!(
-                "the start waits for the system, {:.1} s so far: {error}",
+                "a system call at the start failed for {:.1} s so far, and is repeated: {error}",
                 started_at.elapsed().as_secs_f64()
             );
             logged_at = Some(Instant::now());
@@ -189,7 +189,10 @@
         count.total += 1;
         count.since_logged += 1;
         if count.logged_at.is_none_or(|at| now - at >= LOG_INTERVAL) {
-            warn!("{call:?}: {error}, {} times, {} in all", count.since_logged, count.total);
+            warn!(
+                "{call:?} failed {} times since the last line, {} times since the start: {error}",
+                count.since_logged, count.total
+            );
             count.since_logged = 0;
             count.logged_at = Some(now);
         }
