--- a/crates/http/src/eviction/tests.rs
+++ b/crates/http/src/eviction/tests.rs
@@ -4,8 +4,8 @@
 use crate::testing::{connect_client, read_to_end, server_without_backends, PAY};
 use std::io::Write;
 
-/// Its request comes after it was chosen to make room and before it was told: it is answered, however long that
-/// takes, and the connection ends then.
+/// Its request comes after it was chosen for eviction and before its task was woken: it is answered, however long that takes,
+/// and the connection ends then.
 #[tokio::test]
 async fn request_that_arrives_during_eviction_is_answered() {
     let run = async {
--- a/crates/http/src/proxy/tests.rs
+++ b/crates/http/src/proxy/tests.rs
@@ -5,8 +5,8 @@
 use shaletide_net::span;
 use std::io::Write;
 
-/// Its body waits for room, which another holds, as the program stops: it is answered by the time at which all is, and
-/// not only once its body would have been late.
+/// Its body waits for room that another reserves as the program shuts down: it is answered by the end of the shutdown, and
+/// not only at its body's deadline.
 #[tokio::test]
 async fn request_waiting_for_body_space_is_answered_before_shutdown_ends() {
     let run = async {
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whatever `Connection` may take out without harm it may name; nothing that counts.
+/// `Connection` may name headers that nobody goes by.
 #[test]
 fn connection_header_may_not_name_required_headers() {
     let required_headers = &rules().required_headers;
@@ -115,7 +115,7 @@
     assert_eq!(rules.retry_after(Micros(9_000_000)), "2", "the longest advice given");
 }
 
-/// Names of classes may have a slash; the longest that a path begins with is meant.
+/// The longest class name that a path begins with is taken.
 #[test]
 fn class_name_may_span_several_path_segments() {
     let mut def = def();
--- a/crates/http/src/serve/tests.rs
+++ b/crates/http/src/serve/tests.rs
@@ -10,8 +10,8 @@
 use std::io::Write;
 use std::task::Poll;
 
-/// A connection at rest is closed by what `serve` does about it. What comes between that and the close is not read any
-/// more, on a new connection or on one that was answered, and whether or not the event loop has heard of it.
+/// An idle connection is closed as `serve` does it. What comes between that and the close is not read any more, on a new
+/// connection or on one that was answered, and whether or not the event loop has heard of it.
 #[tokio::test]
 async fn request_that_arrives_during_close_of_an_idle_connection_is_not_read() {
     for (asked, heard) in [(0, false), (0, true), (1, false), (1, true)] {
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -2,7 +2,7 @@
 
 use crate::{listen, ClassRule, Rules, RulesDef, Server};
 use hyper::Method;
-use shaletide_balancer::{Config, Idempotency, Micros};
+use shaletide_balancer::{Config, Idempotency, Micros, PoolId};
 use shaletide_membership::{PoolSpec, Source};
 use shaletide_net::{Clock, Driver, PoolSetup, UpstreamConfig};
 use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
@@ -24,19 +24,23 @@
     let driver = Driver::new(Clock::new(), network);
     let spec = PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered };
     let mut config = Config::example();
-    config.classes[0].latency_objective = Micros(2_000_000); // whoever finds no backend is refused well before that, and after 1 s
+    config.classes[0].latency_objective = Micros(2_000_000); // without a backend it is rejected well before that, and after 1 s
     let setup = PoolSetup { spec, config };
     let pools = driver.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
     tokio::task::spawn_local(driver.clone().run_timers());
-    let (form, answers) = (RequestFormat::platform(), ResponseRules::platform());
+    Server::new(driver, Rules::new(rules_of_one_class(pools)), max, 1)
+}
+
+fn rules_of_one_class(pools: Vec<PoolId>) -> RulesDef {
     let class = ClassRule {
         name: "pay".into(),
         effect: Idempotency::NonIdempotent,
         methods: vec![Method::POST],
         deadline: DEADLINE,
     };
-    let rules = RulesDef {
-        form,
+    let answers = ResponseRules::platform();
+    RulesDef {
+        form: RequestFormat::platform(),
         classes: vec![class],
         tenants: Vec::new(),
         routes: vec![Route { name: "r".into(), when: Match::default(), pools, answers }],
@@ -51,8 +55,7 @@
         max_body: 64,
         record: false,
         longest_stop: None,
-    };
-    Server::new(driver, Rules::new(rules), max, 1)
+    }
 }
 
 /// A connection that was just accepted, and its client's end.
@@ -62,7 +65,7 @@
     (listener.accept().await.unwrap().0, client)
 }
 
-/// A client's end of a connection that the front has taken in.
+/// A client's end of a connection that the front has admitted.
 pub(crate) async fn connect_client(server: &Rc<Server>) -> std::net::TcpStream {
     let (tcp, client) = accepted().await;
     server.admit(tcp);
--- a/crates/http/src/timer/tests.rs
+++ b/crates/http/src/timer/tests.rs
@@ -12,7 +12,7 @@
 use std::io::Write;
 use std::pin::pin;
 
-/// The loop comes round late, to a request and to the time-out of its head at once: the request is taken.
+/// The event loop is late, and hears of a request and of the timeout of its head at once: the request is served.
 #[tokio::test]
 async fn received_request_is_served_although_its_head_timeout_has_passed() {
     for asked in [0, 1] {
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::io::{Read, Write};
 
-/// An answer that stalls has begun all the same: only where the configuration says so is it given up.
+/// A response that stalls is given up only where there is a stall timeout.
 #[tokio::test]
 async fn stalled_response_is_invalid_only_when_a_stall_timeout_is_set() {
     for stall in [None, Some(Duration::from_millis(40))] {
@@ -17,7 +17,7 @@
             let _ = peer.write_all(b"sh");
             peer
         });
-        let call = Rc::new(ForwardedRequest {
+        let forwarded = Rc::new(ForwardedRequest {
             method: Method::POST,
             uri: Uri::from_static("/pay/k"),
             headers: HeaderMap::new(),
@@ -31,13 +31,13 @@
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
         let (attempt, deadline, max_body) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20), 64);
         let spec = ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall, max_body };
-        let outcome = call.clone().run(spec).await;
+        let outcome = forwarded.clone().run(spec).await;
         assert!(stream.request_written());
         match stall {
             None => {
                 assert!(matches!(outcome, ExchangeOutcome::Response { class: ResponseClass::Served, .. }));
-                assert_eq!(&call.take(attempt).unwrap().1.body[..], b"cash");
-                assert!(call.take(attempt).is_none());
+                assert_eq!(&forwarded.take(attempt).unwrap().1.body[..], b"cash");
+                assert!(forwarded.take(attempt).is_none());
             }
             Some(_) => assert!(matches!(outcome, ExchangeOutcome::InvalidResponse)),
         }
@@ -45,7 +45,7 @@
     }
 }
 
-fn call(body: impl Into<Bytes>) -> Rc<ForwardedRequest> {
+fn request(body: impl Into<Bytes>) -> Rc<ForwardedRequest> {
     Rc::new(plain(body))
 }
 
@@ -77,7 +77,7 @@
 
 const WHOLE: &[u8] = b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ncash";
 
-/// The event loop has had no chance to hear of it: the kernel has it all the same, and not a byte goes out.
+/// The event loop has not heard of them yet: the kernel has them, and no byte is written.
 #[tokio::test]
 async fn bytes_received_before_the_request_is_written_are_not_its_response() {
     for closes in [false, true] {
@@ -86,7 +86,7 @@
             false => peer.write_all(WHOLE).unwrap(),
             true => peer.shutdown(std::net::Shutdown::Write).unwrap(),
         }
-        let outcome = call("cash").run(spec(&stream, to, None)).await;
+        let outcome = request("cash").run(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::ConnectionClosed | ExchangeOutcome::InvalidResponse),
             "{outcome:?}"
@@ -98,8 +98,8 @@
     }
 }
 
-/// A body that is too long for the kernel, so that its last byte is not out when the answer comes. On a connection
-/// that has carried another request that may be about the other one; on a new one it cannot.
+/// The body is longer than the kernel takes, so that its last byte is not written when the response comes. On a connection
+/// that has carried another request the response may be to that one; on a new one it cannot.
 #[tokio::test]
 async fn response_begun_before_the_request_is_written_is_invalid_on_a_reused_connection() {
     for used in [false, true] {
@@ -112,18 +112,18 @@
             peer
         });
         if used {
-            let first = call("cash").run(spec(&stream, to, None)).await;
+            let first = request("cash").run(spec(&stream, to, None)).await;
             assert!(matches!(first, ExchangeOutcome::Response { reusable: true, .. }), "{first:?}");
         }
-        let outcome = call(vec![0; 64 << 20]).run(spec(&stream, to, None)).await;
+        let outcome = request(vec![0; 64 << 20]).run(spec(&stream, to, None)).await;
         assert!(!stream.request_written());
         assert_eq!(matches!(outcome, ExchangeOutcome::InvalidResponse), used, "{outcome:?}");
         drop(backend.join().unwrap());
     }
 }
 
-/// The loop does other things while the rest of an answer comes: what the kernel has by then is read before the
-/// time is looked at. A drip gets no more than the time from its first byte on.
+/// The event loop does other things while the rest of a response comes: what the kernel has by then is read before the time
+/// is checked. A response that comes byte by byte gets no more than the timeout from its first byte on.
 #[tokio::test]
 async fn stall_timeout_is_checked_after_reading_what_the_kernel_has() {
     let stall = Some(Duration::from_millis(40));
@@ -131,7 +131,7 @@
     let run = tokio::task::LocalSet::new();
     let mut outcome = run
         .run_until(async {
-            let task = tokio::task::spawn_local(call("cash").run(spec(&stream, to, stall)));
+            let task = tokio::task::spawn_local(request("cash").run(spec(&stream, to, stall)));
             tokio::task::yield_now().await; // it is written
             let _ = peer.read(&mut [0; 1024]);
             peer.write_all(&WHOLE[..WHOLE.len() - 2]).unwrap();
@@ -154,12 +154,12 @@
             let _ = peer.write_all(byte);
         }
     });
-    outcome = call("cash").run(spec(&stream, to, stall)).await;
+    outcome = request("cash").run(spec(&stream, to, stall)).await;
     assert!(matches!(outcome, ExchangeOutcome::InvalidResponse), "{outcome:?}");
 }
 
-/// However they come: of what is only announced the time is the backend's own, and what has begun gets no more than its
-/// time. That ran from the announcement, and the rest of the answer was not seen any more.
+/// In whatever parts they come: an interim response starts no timeout, and a final response that has begun gets no more than
+/// the timeout. That once ran from the interim response, and the rest of the final one was not read any more.
 #[tokio::test]
 async fn stall_timeout_covers_a_response_after_interim_responses() {
     const EARLY: &str = "HTTP/1.1 103 X\r\n\r\n";
@@ -177,13 +177,13 @@
             }
             let _ = peer.read(&mut [0; 1]); // until the proxy gives it up
         });
-        let mut outcome = call("cash").run(spec(&stream, to, stall));
+        let mut outcome = request("cash").run(spec(&stream, to, stall));
         let found = tokio::time::timeout(Duration::from_secs(20), &mut outcome).await;
         assert!(matches!(found, Ok(ExchangeOutcome::InvalidResponse)), "{found:?}");
         drop((outcome, stream));
         backend.join().unwrap();
     }
-    // What is announced alone has no such bound.
+    // An interim response alone starts no timeout.
     let (stream, to, mut peer) = connected().await;
     let backend = std::thread::spawn(move || {
         let _ = peer.read(&mut [0; 1024]);
@@ -192,15 +192,15 @@
         peer.write_all(WHOLE).unwrap();
         peer
     });
-    let outcome = call("cash").run(spec(&stream, to, stall)).await;
+    let outcome = request("cash").run(spec(&stream, to, stall)).await;
     assert!(matches!(outcome, ExchangeOutcome::Response { class: ResponseClass::Served, .. }), "{outcome:?}");
     drop(backend.join().unwrap());
 }
 
-/// Of two that differ the first was believed: an unsafe request went out again that may have run.
+/// The first of two was once believed: a non-idempotent request that may have been executed was sent again.
 #[tokio::test]
 async fn contradicting_unprocessed_headers_are_ignored() {
-    for (said, verdict) in [
+    for (header, class) in [
         ("X-Unprocessed: 1\r\n", ResponseClass::NotExecuted),
         ("X-Unprocessed: 1\r\nX-Unprocessed: 1\r\n", ResponseClass::NotExecuted),
         ("X-Unprocessed: 1\r\nx-unprocessed: 0\r\n", ResponseClass::Error),
@@ -212,25 +212,25 @@
         let (stream, to, mut peer) = connected().await;
         let backend = std::thread::spawn(move || {
             let _ = peer.read(&mut [0; 1024]);
-            write!(peer, "HTTP/1.1 503 X\r\n{said}Content-Length: 0\r\n\r\n").unwrap();
+            write!(peer, "HTTP/1.1 503 X\r\n{header}Content-Length: 0\r\n\r\n").unwrap();
             peer
         });
-        let asked =
+        let forwarded =
             Rc::new(ForwardedRequest { response_rules: Rc::new(ResponseRules::platform()), ..plain("cash") });
-        let outcome = asked.run(spec(&stream, to, None)).await;
+        let outcome = forwarded.run(spec(&stream, to, None)).await;
         assert!(
-            matches!(outcome, ExchangeOutcome::Response { class: v, .. } if v == verdict),
-            "{said:?}: {outcome:?}"
+            matches!(outcome, ExchangeOutcome::Response { class: c, .. } if c == class),
+            "{header:?}: {outcome:?}"
         );
         drop(backend.join().unwrap());
     }
 }
 
-/// The event loop may be late between the decision to send and the write: the backend is told what is left by then.
+/// The event loop may be late between the decision to send and the write: the backend gets the time left at the write.
 #[tokio::test]
-async fn time_told_is_what_is_left_as_the_request_is_written() {
+async fn time_left_header_is_computed_when_the_request_is_written() {
     let (stream, to, mut peer) = connected().await;
-    let run = call("cash").run(spec(&stream, to, None)); // of 20 s
+    let run = request("cash").run(spec(&stream, to, None)); // of 20 s
     std::thread::sleep(Duration::from_millis(300));
     let served = std::thread::spawn(move || {
         let mut head = Vec::new();
