--- a/crates/body-limits/tests/bodies.rs
+++ b/crates/body-limits/tests/bodies.rs
@@ -104,7 +104,7 @@
                     }
                 }
             }
-            // One without a byte takes no room: whoever comes beside it is alone still.
+            // An empty body reserves nothing: one beside it is still alone.
             let inside = known.iter().filter(|id| bodies.state(**id) == BodyState::Admitted && !empty.contains(id)).count();
             prop_assert!(bodies.reserved_bytes() <= LIMITS.max_buffered_bytes || inside == 1);
         }
--- a/crates/http/src/eviction.rs
+++ b/crates/http/src/eviction.rs
@@ -1,19 +1,19 @@
-//! Which connection is closed to make room for another: [`eviction_order`] decides over plain data, and the sockets
-//! of its candidates are asked one after the other.
+//! Which connection is closed to make room for another: [`eviction_order`] decides by plain data, and the sockets of its
+//! candidates are asked one after the other.
 
 use crate::connection::Client;
 use crate::rules::FIRST_REQUEST_PATIENCE;
 use crate::server::Server;
 use shaletide_balancer::Time;
 
-/// Connections that never sent a complete request may hold this part of the connection limit; while they hold more,
+/// Connections that never sent a complete request may take one part in so many of the connection limit; while they take more,
 /// they are evicted first at any age.
 const UNPROVEN_DIVISOR: usize = 4;
 
-/// What the choice depends on, apart from the socket.
+/// A connection, as far as the choice depends on it without its socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate<K> {
-    /// The connection it stands for.
+    /// The connection.
     pub key: K,
     /// One of its requests is being answered.
     pub busy: bool,
@@ -33,30 +33,48 @@
         now - self.idle_since < FIRST_REQUEST_PATIENCE
     }
 
-    /// The body that it is sending has taken long enough to be given up.
+    /// The body that it is sending has taken long enough to be evicted.
     fn sends_slowly(&self, now: Time, crowded_by_unproven: bool) -> bool {
         let at_once = crowded_by_unproven && !self.proven;
         self.body_since.is_some_and(|since| at_once || now - since >= FIRST_REQUEST_PATIENCE)
     }
 
-    /// Bytes that it has sent protect it even when nobody has read them yet, as they may be a whole request.
+    /// Its rank, and since when it has been idle or sending a body.
+    fn rank(&self, now: Time, crowded_by_unproven: bool) -> (EvictionRank, Time) {
+        if let Some(since) = self.body_since {
+            return (EvictionRank::Unproductive, since);
+        }
+        let is_protected_by_age = !crowded_by_unproven && self.is_new(now);
+        let rank =
+            if self.proven || is_protected_by_age { EvictionRank::Idle } else { EvictionRank::Unproductive };
+        (rank, self.idle_since)
+    }
+
+    /// Bytes that were read protect it, as they may be part of a request.
     fn is_protected_by_input(&self, now: Time) -> bool {
         self.proven || self.is_new(now)
     }
 }
 
-/// The connections that may be closed, first choice first: those whose bodies come slowly and those that never sent a
-/// complete request, then those that were idle longest. `crowded_by_unproven`: connections that never sent one hold
-/// too many slots, so that their age protects none of them.
+/// In which order connections are evicted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// Their bodies come slowly, or they never sent a complete request though they had the time.
+    Unproductive,
+    /// All others.
+    Idle,
+}
+
+/// The connections that may be evicted, first choice first, by their rank and how long they have been idle or sending a
+/// body. `crowded_by_unproven`: connections that never sent a complete request take too many slots, so that their age
+/// protects none of them.
 fn eviction_order<K>(
     now: Time, crowded_by_unproven: bool, candidates: impl Iterator<Item = Candidate<K>>,
 ) -> Vec<Candidate<K>> {
-    let may_go = |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, crowded_by_unproven)) && !c.evicted;
-    let mut order: Vec<_> = candidates.filter(may_go).collect();
-    order.sort_by_key(|c| match c.body_since {
-        Some(since) => (false, since),
-        None => (c.proven || !crowded_by_unproven && c.is_new(now), c.idle_since),
-    });
+    let may_be_evicted =
+        |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, crowded_by_unproven)) && !c.evicted;
+    let mut order: Vec<_> = candidates.filter(may_be_evicted).collect();
+    order.sort_by_key(|c| c.rank(now, crowded_by_unproven));
     order
 }
 
@@ -80,7 +98,7 @@
         self.counters.evicted.increment();
         client.release_slot(); // another call at the same moment chooses another
         match client.body_since.get() {
-            Some(_) => client.body_changed.notify_one(), // it is told why
+            Some(_) => client.body_changed.notify_one(), // its request is answered: too slow
             None => client.close_requested.notify_one(),
         }
         true
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -74,7 +74,7 @@
 
     /// Classifies a response, and keeps it where it may be forwarded.
     fn on_response(&self, attempt: AttemptNumber, answered: Answered) -> ExchangeOutcome {
-        let Answered { response, reusable, excess } = answered;
+        let Answered { response, reusable, has_excess_bytes } = answered;
         let rules = &self.response_rules;
         let header = |name: &str| single_value(&response.headers, name);
         let class = rules.classify(response.status.as_u16(), header);
@@ -82,7 +82,7 @@
         if class == ResponseClass::Served || rules.error_responses == ErrorResponses::Forward {
             self.responses.borrow_mut().push(AttemptResponse { attempt, class, response });
         }
-        ExchangeOutcome::Response { class, reusable, excess, report }
+        ExchangeOutcome::Response { class, reusable, has_excess_bytes, report }
     }
 }
 
@@ -100,7 +100,7 @@
             let time_left = spec.deadline.saturating_duration_since(Instant::now());
             let request = outgoing(&self, spec.to, time_left);
             spec.stream.begin_request(self.body.len());
-            match exchange(&spec.stream, request, spec.stall, spec.max_body).await {
+            match exchange(&spec.stream, request, spec.stall_timeout, spec.max_body).await {
                 Ok(answered) => self.on_response(spec.attempt, answered),
                 Err(ExchangeError::InvalidResponse) => ExchangeOutcome::InvalidResponse,
                 Err(ExchangeError::Closed) => ExchangeOutcome::ConnectionClosed,
@@ -143,7 +143,7 @@
     /// The response allows the connection to be reused.
     reusable: bool,
     /// Bytes followed the response.
-    excess: bool,
+    has_excess_bytes: bool,
 }
 
 /// Why there is no complete response. The request may have been executed all the same.
@@ -192,8 +192,8 @@
     }
     let reusable = is_reusable(&received.head);
     stream.mark_idle();
-    let excess = !connection.into_parts().read_buf.is_empty();
-    Ok(Answered { response: forwardable(received), reusable, excess })
+    let has_excess_bytes = !connection.into_parts().read_buf.is_empty();
+    Ok(Answered { response: forwardable(received), reusable, has_excess_bytes })
 }
 
 /// Sends a request and reads the whole response.
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -30,7 +30,8 @@
         });
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
         let (attempt, deadline, max_body) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20), 64);
-        let spec = ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall, max_body };
+        let spec =
+            ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall_timeout: stall, max_body };
         let outcome = forwarded.clone().run(spec).await;
         assert!(stream.request_written());
         match stall {
@@ -72,7 +73,7 @@
 
 fn spec(stream: &Stream, to: SocketAddr, stall: Option<Duration>) -> ExchangeSpec {
     let (attempt, deadline) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20));
-    ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall, max_body: 64 }
+    ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall_timeout: stall, max_body: 64 }
 }
 
 const WHOLE: &[u8] = b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ncash";
@@ -244,6 +245,6 @@
     });
     assert!(matches!(run.await, ExchangeOutcome::Response { class: ResponseClass::Served, .. }));
     let head = served.join().unwrap().to_ascii_lowercase();
-    let told = head.split("x-time-left: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
-    assert!(told.parse::<f64>().unwrap() <= 19.7, "{told}");
+    let time_left = head.split("x-time-left: ").nth(1).and_then(|rest| rest.split('\r').next()).unwrap();
+    assert!(time_left.parse::<f64>().unwrap() <= 19.7, "{time_left}");
 }
--- a/crates/net/src/drive_connection.rs
+++ b/crates/net/src/drive_connection.rs
@@ -1,4 +1,4 @@
-//! Drives hyper's client connections: whoever waits for something on one polls it meanwhile.
+//! Drives hyper's client connections: the future that waits for something on one polls it meanwhile.
 
 use crate::stream::Stream;
 use bytes::Bytes;
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -180,7 +180,7 @@
             stream: stream.clone(),
             to: upstream.to,
             deadline: self.clock.instant(deadline).into_std(),
-            stall: config.answer_stall.map(span),
+            stall_timeout: config.answer_stall.map(span),
             max_body: config.max_body,
         };
         stream.prepare_request(); // nothing is written until the exchange says what it writes
@@ -228,8 +228,8 @@
         self.handle_event(event);
     }
 
-    /// Closes a connection. An attempt on it is cancelled: dropped, it writes nothing more, so that how far it has got
-    /// is certain and told to the engine.
+    /// Closes a connection. An attempt on it is cancelled: dropped, it writes nothing more, so that the engine can be told
+    /// for certain whether it was written.
     pub(super) fn close(&self, connection: ConnectionId) {
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.connections.by_id.remove(&connection) else { return };
@@ -262,11 +262,11 @@
     /// The event for an exchange of which at least a byte was written, or that got a response.
     fn outcome_event(&mut self, connection: ConnectionId, outcome: ExchangeOutcome) -> Event {
         match outcome {
-            ExchangeOutcome::Response { class, reusable, excess, report } => {
+            ExchangeOutcome::Response { class, reusable, has_excess_bytes, report } => {
                 if let Some(report) = report {
                     self.pending_events.push_back(Event::LoadReported { connection, report });
                 }
-                Event::ResponseReceived { connection, verdict: class, reusable, has_excess_bytes: excess }
+                Event::ResponseReceived { connection, verdict: class, reusable, has_excess_bytes }
             }
             ExchangeOutcome::InvalidResponse => {
                 self.counters.invalid_responses += 1;
--- a/crates/net/src/driver/invariants.rs
+++ b/crates/net/src/driver/invariants.rs
@@ -1,4 +1,4 @@
-//! The self-check: the invariants of routing, checked on all that the engine is told and asks for.
+//! The self-check: the invariants of routing, checked on all events and actions of the engine.
 
 use super::attempts::REUSE_DELAY;
 use super::Driver;
@@ -74,7 +74,8 @@
 
 impl Driver {
     /// Begins the self-check: from now on each event and action is checked. A violation is logged, and kept for
-    /// [`Driver::violations`]. `drain_grace`: for so long after its drain was told a backend may still get something new.
+    /// [`Driver::violations`]. `drain_grace`: how long a backend may
+    /// still get new attempts after the event that it drains.
     pub fn self_check(&self, drain_grace: Micros) {
         let rules = Rules {
             drain_grace,
--- a/crates/net/src/driver/recording.rs
+++ b/crates/net/src/driver/recording.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// From now on the recorder is told of requests of recorded classes.
+    /// Sets the recorder, which gets the events of requests of recorded classes from now on.
     pub fn set_recorder(&self, recorder: Rc<dyn RequestRecorder>) {
         self.state.borrow_mut().recorder = Some(recorder);
     }
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -191,7 +191,7 @@
             let (driver, pools) = driver(&["p"]);
             let short_interval = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
             driver.setup(None, "", 1, NETWORK, vec![short_interval]).unwrap();
-            let (id, held) = driver
+            let (id, queued) = driver
                 .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
                 .unwrap();
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
@@ -201,7 +201,7 @@
             }
             assert!(start.elapsed().as_millis() < 300, "{:?}", start.elapsed());
             driver.client_disconnected(id);
-            drop(held);
+            drop(queued);
             timers.abort();
         })
         .await;
@@ -237,7 +237,7 @@
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p", "q"]);
-            let (_, held) = driver
+            let (_, queued) = driver
                 .submit(request_spec(&pools[..1]), RequestIdentity::default(), Rc::new(NeverWritten))
                 .unwrap();
             let (_, moves) = driver
@@ -245,7 +245,7 @@
                 .unwrap();
             let q = pool("q", Config::example());
             assert_eq!(driver.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
-            assert!(matches!(held.await.unwrap().decision, Decision::Rejected(_)));
+            assert!(matches!(queued.await.unwrap().decision, Decision::Rejected(_)));
             driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
             while driver.state.borrow().connections.opened == 0 {
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -87,7 +87,7 @@
                     ExchangeOutcome::Response {
                         class: self.class,
                         reusable: true,
-                        excess: false,
+                        has_excess_bytes: false,
                         report: None,
                     }
                 }
--- a/crates/net/src/driver/timers.rs
+++ b/crates/net/src/driver/timers.rs
@@ -12,7 +12,7 @@
 /// Kept back of each client's time for the way of the response, on top of how late timers fire.
 const MIN_DEADLINE_MARGIN: Micros = Micros(3_000);
 const MAX_DEADLINE_MARGIN: Micros = Micros(20_000);
-/// A timer that fires this late finds the process held up, or busy.
+/// A timer that fires this late finds the process stopped for a time, or busy.
 const LATE_TIMER: Micros = Micros(5_000);
 /// How often idle connections are examined.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -21,7 +21,7 @@
     /// Until when the response is awaited; the front tells the backend what is left of it as it writes the request.
     pub deadline: Instant,
     /// A response that is not complete this long after its first byte is invalid.
-    pub stall: Option<Duration>,
+    pub stall_timeout: Option<Duration>,
     /// The longest valid body, in bytes.
     pub max_body: usize,
 }
@@ -36,7 +36,7 @@
         /// The response allows the connection to be reused.
         reusable: bool,
         /// Bytes followed the response.
-        excess: bool,
+        has_excess_bytes: bool,
         /// The load that the backend reports.
         report: Option<LoadReport>,
     },
--- a/crates/net/src/recording.rs
+++ b/crates/net/src/recording.rs
@@ -6,7 +6,7 @@
 
 /// The record as the driver sees it. Called with no borrow of the driver's state; may call the driver back.
 pub trait RequestRecorder {
-    /// Whether requests of that class are recorded. Of others the recorder is told nothing.
+    /// Whether requests of that class are recorded. The recorder gets no events of others.
     fn records(&self, class: &str) -> bool;
 
     /// Decides whether a request's key may be sent, before the engine gets the request.
--- a/crates/net/src/stream/received.rs
+++ b/crates/net/src/stream/received.rs
@@ -59,7 +59,7 @@
         self.before_request_end.set(false);
     }
 
-    /// Bytes were read, which is told to those that wait for them.
+    /// Bytes were read. Wakes those that wait for them.
     pub fn advance(&self, bytes: &[u8], request_is_written: bool) {
         self.advance_head(bytes);
         if bytes.is_empty() {
