--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -56,7 +56,8 @@
         self.counters.closed.add(reason);
         client.trace_closed(self.driver.clock, reason);
         if client.busy.get() && reason != CloseReason::Client {
-            let (number, reason) = (client.number, reason.name());
+            let number = client.number;
+            let reason = reason.name();
             self.driver.report_violation(&format!(
                 "connection {number} was closed ({reason}) while a request on it had no answer"
             ));
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -75,14 +75,16 @@
 /// All that comes on it until it ends.
 pub(crate) async fn read_to_end(client: std::net::TcpStream) -> String {
     client.set_nonblocking(true).unwrap();
-    let (client, mut got, mut chunk) = (TcpStream::from_std(client).unwrap(), Vec::new(), [0; 1024]);
+    let client = TcpStream::from_std(client).unwrap();
+    let mut received = Vec::new();
+    let mut chunk = [0; 1024];
     loop {
         client.readable().await.unwrap();
         match client.try_read(&mut chunk) {
-            Ok(0) => return String::from_utf8(got).unwrap(),
-            Ok(n) => got.extend_from_slice(&chunk[..n]),
+            Ok(0) => return String::from_utf8(received).unwrap(),
+            Ok(n) => received.extend_from_slice(&chunk[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {}
-            Err(e) => panic!("{e} after {}", String::from_utf8_lossy(&got)),
+            Err(e) => panic!("{e} after {}", String::from_utf8_lossy(&received)),
         }
     }
 }
--- a/crates/net/src/socket_table.rs
+++ b/crates/net/src/socket_table.rs
@@ -91,7 +91,8 @@
 
     /// Whether it is at that address: at the same port, and on the same address or on all of them.
     fn is_at(&self, at: SocketAddr) -> bool {
-        let (own, other) = (self.local.ip(), at.ip());
+        let own = self.local.ip();
+        let other = at.ip();
         self.local.port() == at.port() && (own == other || own.is_unspecified() || other.is_unspecified())
     }
 }
