--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,329 +1,288 @@
-//! Every decision of the proxy. Its whole interface (events, actions, settings) is
-//! `crates/balancer/src/interface.rs`; what it remembers of backends, server types and requests is laid out
-//! in `backend_stats.rs`, `server_type.rs` and `request.rs`.
+//! The balancer of one pool: it takes events and gives actions. Its interface is `crates/balancer/src/interface.rs`.
 //!
-//! Ordinary path: `solve` (shares) turns the arrival rate and the learned speeds into a share per kind (HALB),
-//! `draw` picks a kind by share and a backend inside it at random. All else is a departure for trouble, by concern:
-//! admission, ejection, retry, slow start. Here are the state, the events and what time alone calls for.
+//! In ordinary operation [`weights`](self::weights) turn the arrival rate and the learned speeds into a part of the
+//! traffic for each server type (HALB) and each backend, and an attempt goes to a server type and a backend of it at
+//! random by these weights. Everything else is for faults and overload. Each such rule stands in a module of the crate
+//! with a type that owns its state (outliers, slow start, admission control, retries and so on); the modules below this
+//! one call them:
+//!
+//! | Module | What it does |
+//! |---|---|
+//! | `endpoints` | takes in endpoint lists and backends that move between pools |
+//! | `requests` | accepts requests and ends them |
+//! | `dispatch` | decides for each queued request: send, wait, fail over or give up |
+//! | `outcomes` | learns from the end of an attempt |
+//! | `timers` | polls discovery, finds lost attempts, expires and hedges requests |
+//! | `weights` | recomputes the backends' parts of the traffic |
 
-mod admission;
-mod ejection;
+mod dispatch;
 mod endpoints;
-mod retry;
-mod selection;
-mod slow_start;
+mod outcomes;
+mod requests;
 mod timers;
 mod weights;
 
-use crate::backend_stats::{BackendClassStats, BackendStats};
-use crate::give_up::{GiveUpCounts, GiveUpReason};
-use crate::halb::halb_shares;
+pub use endpoints::MigratedBackend;
+
+use crate::admission::{is_large_fleet, AdmissionControl};
+use crate::availability::Availability;
+use crate::backend_stats::BackendStats;
+use crate::discovery::DiscoveryPoll;
+use crate::give_up::GiveUpCounts;
 use crate::interface::*;
-use crate::latency::{LatencyModel, LATENCY_SAMPLES};
+use crate::latency::LatencyModel;
 use crate::limits::SharedLimits;
 use crate::load_reports::LoadReports;
-use crate::request::{Attempt, InFlightAttempt, RequestState};
+use crate::request::{InFlightAttempt, RequestState};
+use crate::request_queue::RequestQueue;
 use crate::rng::Rng;
 use crate::server_type::ServerTypeStats;
 use crate::statistics::DecayingRate;
+use crate::timer::Timer;
 use crate::zone_reachability::ZoneReachability;
 use shaletide_types::*;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// The shares are solved this often, s: far faster than the rate's memory.
-const RECOMPUTE_INTERVAL_S: f64 = 0.1;
-/// ... but not before so many requests have come, and a quota holds as many: fewer are chance alone.
-const MIN_RATE_SAMPLES: f64 = 5.0;
-/// Where a proxy alone has no room to count, memory of what it holds, s: at most, and in its own requests,
-/// where no backend speaks. What hung in a cut is forgotten as soon as others come back.
-const IN_FLIGHT_WINDOW_S: f64 = 5.0;
-const IN_FLIGHT_WINDOW_REQUESTS: f64 = 150.0;
-/// Memory of the arrival rate and of a tenant's quota, s: short beside a ramp or a failure.
+/// Window of the arrival rate, s: short beside a slow start or a failure.
 const RATE_WINDOW_S: f64 = 2.0;
-/// ... and where backends say themselves how long they take: each speaks of many requests.
-const REPORTED_LATENCY_SAMPLES: f64 = 30.0;
-/// Proxies that share a backend, where there are more: each keeps connections to a slice of the fleet
-/// only, as a backend takes few and each costs it. The load of so many still evens out, to a fifth of one's.
-const PROXIES_PER_BACKEND: f64 = 20.0;
-/// ... and where backends say what they hold: each proxy has one request there, so the number is a bound
-/// on what one holds, kept without a word between proxies and below what makes one slow.
-const PROXIES_PER_REPORTING_BACKEND: f64 = 6.0;
-/// Requests that all proxies together hold on one backend: a shared processor at four fifths of its
-/// capacity holds four on average; more only makes every one of them later.
-const TARGET_IN_FLIGHT_PER_CORE: f64 = 4.0;
-/// ... and this in the mean of all, where they say what they hold: the fullest hold far more than the mean.
-const TARGET_MEAN_IN_FLIGHT_PER_CORE: f64 = 2.2;
-/// Where they say that they hold little, the own view may be so many times over its limit.
-const MAX_OVERLOAD_SLACK: f64 = 4.0;
-/// Error share from which a backend is ejected: four errors close together reach it. InvalidResponse answers and
-/// broken connections come from all alike, a few in a hundred: two are chance.
-const MAX_ERROR_RATE: f64 = 0.3;
-/// Weight of the newest outcome in a backend's error share.
-const ERROR_RATE_STEP: f64 = 0.1;
-/// First term of an ejection, s; it doubles with each failed return, twice at most.
-const BASE_EJECTION_S: f64 = 1.0;
-/// Good trials before an ejected backend is trusted again.
-const PROBES_TO_RECOVER: u32 = 3;
-/// Ejected backends beyond half of the fleet are used after all: then it is not they who are ill.
-const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// BackendClassStats of this proxy's fall budget that it uses: the rest is for skew between proxies and heavy work.
-const SLOW_START_SAFETY_FACTOR: f64 = 0.8;
-/// A request worth less than this part of a first try within quota finds half of the room: the rest is kept.
-const LOW_PRIORITY: f64 = 0.5;
+/// Longest window of what this proxy has in flight, s. Attempts that hung while a zone was unreachable are forgotten as
+/// soon as others come back.
+const IN_FLIGHT_WINDOW_S: f64 = 5.0;
+/// Shortest time between two log lines.
+const LOG_INTERVAL: Micros = Micros(500_000);
 
 /// The decisions of one pool. Give it every event in order; it answers with actions.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     config: Config,
     rng: Rng,
+
     backends: BTreeMap<BackendId, BackendStats>,
-    /// The peers by mark, an order that all proxies share.
+    /// The backends by stable hash, an order that all proxies share.
     hash_order: Vec<BackendId>,
     server_types: BTreeMap<ServerTypeId, ServerTypeStats>,
-    latencies: LatencyModel,
+    availability: Availability,
+
     requests: BTreeMap<RequestId, RequestState>,
-    queued: Vec<RequestId>,
-    /// First tries worth less than this have found no room since the last event that could make some.
-    blocked_below: f64,
+    queue: RequestQueue,
+    /// Attempts at this pool's backends, whoever has their requests now.
     in_flight_attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
+
+    latencies: LatencyModel,
+    /// Requests a second that came to this proxy.
     arrival_rate: DecayingRate,
-    /// Seconds that this proxy's attempts were out, for each second: its own part of all that is held.
+    /// Attempts that this proxy has in flight, on average.
     in_flight_level: DecayingRate,
-    /// Seconds that its served requests took, for each second: by Little's law its part of what backends hold.
+    /// Seconds that served attempts took, for each second: by Little's law what this proxy has in flight at backends.
     service_time_rate: DecayingRate,
     load_reports: LoadReports,
     zone_reachability: ZoneReachability,
-    /// The part of the backends in use that it can reach: where a zone is cut off its proxies are too.
+    /// The part of the ready backends that this proxy can reach: the proxies of an unreachable zone reach the others.
     reachable_fraction: f64,
-    /// Attempts that are taken for lost where nothing comes back from.
+    /// Attempts in flight that are taken for lost in unreachable zones.
     lost_to_unreachable_zones: u32,
-    /// The error share of the middle one of the backends: what is common to all is no fault of any.
+    /// The median of the backends' error rates: what is common to all is no fault of any.
     median_error_rate: f64,
+
     recompute_at: Time,
-    /// When time alone may next call for something, and the timer set for that.
-    next_timer_at: Time,
-    /// Backends in use; with none, when the first of the ejected is due for a trial, if any is ejected.
-    eligible: u32,
-    next_probe_at: Option<Time>,
-    timer: (u64, Time),
-    discovery_poll: (Option<Time>, f64),
-    /// Nothing is held any more.
+    timer: Timer,
+    discovery_poll: DiscoveryPoll,
+    /// The pool is no more: nothing is queued.
     draining: bool,
     next_log_at: Time,
     give_up_counts: GiveUpCounts,
+    /// Actions of the event at hand.
     actions: Vec<Action>,
 }
 
+/// What an event calls for beside its own effect.
+enum FollowUp {
+    /// Nothing.
+    None,
+    /// The timers that are due, and another look at the queue.
+    Dispatch,
+}
+
 impl Balancer {
-    /// A proxy that knows nothing yet but its configuration.
-    pub fn new(cfg: Config, seed: u64) -> Result<Balancer, ConfigError> {
-        cfg.validate()?;
+    /// A balancer that knows nothing yet but its configuration. All random choices follow from `seed`.
+    ///
+    /// # Errors
+    /// The first field of the configuration that is out of its range.
+    pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
+        config.validate()?;
         Ok(Balancer {
             rng: Rng::new(seed),
             backends: BTreeMap::new(),
             hash_order: Vec::new(),
             server_types: BTreeMap::new(),
-            latencies: LatencyModel::new(&cfg.classes),
+            availability: Availability::default(),
             requests: BTreeMap::new(),
-            queued: Vec::new(),
-            blocked_below: 0.0,
+            queue: RequestQueue::default(),
             in_flight_attempts: BTreeMap::new(),
+            latencies: LatencyModel::new(&config.classes),
             arrival_rate: DecayingRate::new(RATE_WINDOW_S),
             in_flight_level: DecayingRate::new(IN_FLIGHT_WINDOW_S),
             service_time_rate: DecayingRate::new(IN_FLIGHT_WINDOW_S),
-            load_reports: LoadReports::new(cfg.proxies),
+            load_reports: LoadReports::new(config.proxies),
             zone_reachability: ZoneReachability::default(),
             reachable_fraction: 1.0,
             lost_to_unreachable_zones: 0,
             median_error_rate: 0.0,
             recompute_at: Time(0),
-            next_timer_at: Time(0),
-            eligible: 0,
-            next_probe_at: None,
-            timer: (0, Time(u64::MAX)),
-            discovery_poll: ((cfg.discovery != DiscoveryMode::Push).then_some(Time(0)), 0.0),
+            timer: Timer::new(),
+            discovery_poll: DiscoveryPoll::new(config.discovery),
             draining: false,
             next_log_at: Time(0),
             give_up_counts: GiveUpCounts::default(),
             actions: Vec::new(),
-            config: cfg,
+            config,
         })
     }
 
+    /// Replaces the configuration. Classes and tenants keep their numbers; new ones may follow them.
+    ///
+    /// # Errors
+    /// The field at fault, where one is out of its range or there are fewer classes; nothing is changed then.
+    pub fn reconfigure(&mut self, config: Config) -> Result<(), ConfigError> {
+        config.validate()?;
+        if config.classes.len() < self.config.classes.len() {
+            return Err(ConfigError { field: "classes", expected: "no fewer than before" });
+        }
+        self.latencies.set_classes(&config.classes);
+        if config.proxies != self.config.proxies {
+            // The size of the fleet was learned beside the former number.
+            self.load_reports = LoadReports::new(config.proxies);
+            self.zone_reachability = ZoneReachability::default();
+        }
+        self.config = config;
+        self.recompute_at = Time(0);
+        self.timer.set_due(Time(0));
+        Ok(())
+    }
+
+    /// Whether the pool can take a request at all.
+    pub fn health(&self, now: Time) -> PoolHealth {
+        self.availability.health(now)
+    }
+
     /// Requests given up since the last call, by reason.
     pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
         std::mem::take(&mut self.give_up_counts)
     }
 
-    /// Takes one event that happened at `now` and adds the actions it calls for. `shared` is one allowance
-    /// of all pools.
+    /// Takes one event that happened at `now` and adds the actions that it calls for. `shared` is one value for all
+    /// pools of the process.
     pub fn handle(&mut self, now: Time, event: Event, shared: &mut SharedLimits, actions: &mut Vec<Action>) {
-        if !matches!(
-            event,
-            Event::Request(_) | Event::FailedOver(..) | Event::Timer { .. } | Event::LoadReported(..)
-        ) {
-            self.blocked_below = 0.0; // those make no room, and trying a long line in vain costs too much CPU
+        if may_free_capacity(&event) {
+            self.queue.unblock();
         }
-        let out =
-            self.in_flight_attempts.len().saturating_sub(self.lost_to_unreachable_zones as usize) as f64;
-        self.in_flight_level.record_level(now, out);
-        if now >= self.recompute_at
-            && (matches!(event, Event::Request(_) | Event::FailedOver(..)) || !self.queued.is_empty())
-        {
-            self.recompute_weights(now); // never for an idle proxy: a thousand of them would cost all the CPU there is
+        self.record_in_flight_level(now);
+        // Not for an idle proxy: a thousand of them would use up the processor.
+        let has_requests = brings_request(&event) || !self.queue.is_empty();
+        if has_requests && now >= self.recompute_at {
+            self.recompute_weights(now);
         }
+        match self.take_event(now, event, shared) {
+            FollowUp::None => return,
+            FollowUp::Dispatch => {}
+        }
+        if self.timer.is_due(now) {
+            self.run_timers(now, shared);
+        }
+        self.dispatch_queued(now, shared);
+        if !self.queue.is_empty() {
+            self.timer.due_by(now + self.config.min_timer_interval);
+        }
+        self.actions.extend(self.timer.set_if_needed(now, self.config.min_timer_interval));
+        actions.append(&mut self.actions);
+    }
+
+    fn take_event(&mut self, now: Time, event: Event, shared: &mut SharedLimits) -> FollowUp {
         match event {
             Event::EndpointsUpdated { update, backends } => self.update_endpoints(now, update, backends),
             Event::Request(arrival) => self.accept(now, arrival, shared),
-            Event::FailedOver(id, handover) => self.accept_failed_over(now, id, *handover),
-            Event::StreamStarted { request, attempt } => {
-                if let Some(r) = self.requests.get_mut(&request) {
-                    r.streaming |= r.attempts.get(attempt.0 as usize).is_some_and(|s| s.in_flight);
-                }
-            }
+            Event::FailedOver(id, request) => self.accept_failed_over(now, id, *request),
+            Event::StreamStarted { request, attempt } => self.on_stream_started(request, attempt),
             Event::LoadReported(backend, report) => {
-                let many = self.is_large_fleet();
-                if let Some(p) = self.backends.get_mut(&backend).filter(|_| many) {
-                    self.load_reports.record_report(now, p, &report);
-                }
-                return;
+                self.record_load_report(now, backend, &report);
+                return FollowUp::None;
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end),
             Event::ClientDisconnected { request } => self.remove_request(request),
-            // Where its clients' next requests go is not known here.
-            Event::Drain => (self.draining, self.config.only_deduplication_domain) = (true, None),
-            Event::Timer { token } if token != TimerToken(self.timer.0) => return,
-            Event::Timer { .. } => self.timer.1 = Time(u64::MAX),
-        }
-        if now >= self.next_timer_at {
-            self.run_timers(now, shared);
-        }
-        self.dispatch_queued(now, shared);
-        if !self.queued.is_empty() {
-            self.next_timer_at = self.next_timer_at.min(now + self.config.min_timer_interval);
-        }
-        if self.next_timer_at < self.timer.1 {
-            self.timer = (self.timer.0 + 1, self.next_timer_at);
-            let after = (self.next_timer_at - now).max(self.config.min_timer_interval);
-            self.actions.push(Action::SetTimer { token: TimerToken(self.timer.0), after });
+            Event::Drain => self.drain(),
+            Event::Timer { token } => {
+                if !self.timer.fire(token) {
+                    return FollowUp::None;
+                }
+            }
         }
-        actions.append(&mut self.actions);
+        FollowUp::Dispatch
     }
 
-    /// So many proxies that one has no room to count at a backend: what the others hold there is to be heard.
-    fn is_large_fleet(&self) -> bool {
-        f64::from(self.config.proxies) > TARGET_IN_FLIGHT_PER_CORE
+    fn record_in_flight_level(&mut self, now: Time) {
+        let in_flight = self.in_flight_attempts.len();
+        let level = in_flight.saturating_sub(self.lost_to_unreachable_zones as usize);
+        self.in_flight_level.record_level(now, level as f64);
     }
 
-    /// Puts another configuration in place. Classes and tenants keep their numbers; new ones may follow them.
-    ///
-    /// # Errors
-    /// The field at fault, where the configuration is unsound or has fewer classes; nothing is changed then.
-    pub fn reconfigure(&mut self, cfg: Config) -> Result<(), ConfigError> {
-        cfg.validate()?;
-        if cfg.classes.len() < self.config.classes.len() {
-            return Err(ConfigError { field: "classes", expected: "no fewer than before" });
+    fn record_load_report(&mut self, now: Time, backend: BackendId, report: &LoadReport) {
+        if !self.is_large_fleet() {
+            return;
         }
-        self.latencies.set_classes(&cfg.classes);
-        if cfg.proxies != self.config.proxies {
-            // The part was learned against the other count.
-            (self.load_reports, self.zone_reachability) =
-                (LoadReports::new(cfg.proxies), ZoneReachability::default());
+        if let Some(backend) = self.backends.get_mut(&backend) {
+            self.load_reports.record_report(now, backend, report);
         }
-        self.config = cfg;
-        (self.recompute_at, self.next_timer_at) = (Time(0), Time(0));
-        Ok(())
     }
 
-    /// Gives up all requests that are held to the modules of other pools, one of which can take them now.
-    pub fn release_queued(&mut self) -> Vec<(RequestId, TransferredRequest)> {
-        let held = std::mem::take(&mut self.queued).into_iter();
-        held.filter_map(|id| Some((id, TransferredRequest { state: self.requests.remove(&id)? }))).collect()
+    fn drain(&mut self) {
+        self.draining = true;
+        // Where clients' next requests go is not known here: no rejection relies on their being discarded.
+        self.config.only_deduplication_domain = None;
     }
 
-    /// A request that another module gave up, as it stands.
-    fn accept_failed_over(&mut self, now: Time, id: RequestId, handover: TransferredRequest) {
-        if !self.requests.contains_key(&id) && handover.state.class < self.config.classes.len() {
-            self.arrival_rate.record(now, 1.0);
-            self.requests.insert(id, handover.state);
-            self.queued.push(id);
-            self.next_timer_at = now;
-        }
+    fn is_large_fleet(&self) -> bool {
+        is_large_fleet(self.config.proxies)
     }
 
-    fn accept(&mut self, now: Time, new: Arrival, shared: &mut SharedLimits) {
-        let Some(c) = self.config.classes.get(new.class.0) else { return };
-        if self.requests.contains_key(&new.request) {
-            return;
-        }
-        self.arrival_rate.record(now, 1.0);
-        shared.retry_budget.deposit(now, self.latencies.attempts_are_lost(), self.config.proxies);
-        shared.set_tenant_count(self.config.tenants.len());
-        let tenant = new.tenant.and_then(|id| Some((id, self.config.tenants.get(id.0)?)));
-        let over_quota = tenant.is_some_and(|(id, tenant)| {
-            let rate_per_s = tenant.quota_per_s / self.load_reports.fleet_size();
-            !shared.take_from_quota(now, id, rate_per_s)
-        });
-        let aim = c
-            .latency_objective
-            .0
-            .saturating_add(new.work_hint.unwrap_or_default().times(c.latency_objective_per_work_hint).0);
-        let (aim, deadline) = (now + Micros(aim).min(new.time_left), now + new.time_left);
-        // A client that comes again waited for its first try: what is left to earn is mostly the late worth,
-        // and serving it before a new request would make both late, all through a storm of repeats.
-        let again = if new.is_client_retry { c.late_weight_fraction } else { 1.0 };
-        let value = again * if over_quota { self.config.over_quota_weight_fraction } else { 1.0 };
-        let (class, came, streaming, sent) = (new.class.0, now, false, Vec::new());
-        let elsewhere = new.may_fail_over;
-        // Selection only where it may matter: without reports the dice fall as they always did.
-        let luck = if self.load_reports.mean_in_flight_per_core.is_some()
-            || self.is_large_fleet() && self.config.weights_report_load
-        {
-            self.rng.next_unit()
+    /// Whether a new request is to be rejected because too much is in flight.
+    fn is_overloaded(&self, request: &RequestState) -> bool {
+        let own_in_flight = self.in_flight_level.per_second().unwrap_or(0.0);
+        let in_flight_per_core_by_latency = if self.config.weights_report_load {
+            None
         } else {
-            0.0
+            self.latencies.estimated_in_flight_per_core()
         };
-        let request = RequestState {
-            class,
-            arrived_at: came,
-            objective_at: aim,
-            deadline,
-            priority: value,
-            admission_roll: luck,
-            streaming,
-            may_fail_over: elsewhere,
-            attempts: sent,
+        let admission = AdmissionControl {
+            proxies: self.config.proxies,
+            load_reports: &self.load_reports,
+            estimated_in_flight: own_in_flight * self.load_reports.fleet_size() * self.reachable_fraction,
+            healthy_cores: self.server_types.values().map(|server_type| server_type.healthy_cores).sum(),
+            in_flight_per_core_by_latency,
         };
-        self.requests.insert(new.request, request);
-        self.queued.push(new.request);
+        admission.is_overloaded(request.priority_level(), request.admission_roll)
     }
 
-    fn on_attempt_ended(&mut self, now: Time, end: AttemptEnd) {
-        let id = end.request;
-        // The backend may be another pool's by now, or the request.
-        if let Some(InFlightAttempt { backend, class, sent_at: sent }) =
-            self.in_flight_attempts.remove(&(id, end.attempt))
-        {
-            self.record_outcome(now, backend, class, sent, &end);
-            self.recount_after_probe(backend);
-        }
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        if let Some(s) = r.attempts.get_mut(end.attempt.0 as usize) {
-            (s.in_flight, s.not_executed) = (false, end.outcome.not_executed());
-            s.not_sent = end.outcome == Outcome::NotSent;
-        }
-        if end.request_answered || end.outcome == Outcome::Ok {
-            self.remove_request(id);
-        } else if !r.has_attempt_in_flight() && !self.queued.contains(&id) {
-            self.queued.push(id); // `pump` sends it again or gives it up
-        }
-    }
-
-    /// A line for the operators, two a second at most.
+    /// Adds a line for the operators, two a second at most.
     fn log(&mut self, now: Time, text: String) {
         if now >= self.next_log_at {
-            self.next_log_at = now + Micros(500_000);
+            self.next_log_at = now + LOG_INTERVAL;
             self.actions.push(Action::Log(text));
         }
     }
 }
+
+/// Whether backends may have capacity after the event that they had not before.
+fn may_free_capacity(event: &Event) -> bool {
+    match event {
+        Event::Request(_) | Event::FailedOver(..) | Event::Timer { .. } | Event::LoadReported(..) => false,
+        Event::EndpointsUpdated { .. }
+        | Event::StreamStarted { .. }
+        | Event::AttemptEnded(_)
+        | Event::ClientDisconnected { .. }
+        | Event::Drain => true,
+    }
+}
+
+fn brings_request(event: &Event) -> bool {
+    matches!(event, Event::Request(_) | Event::FailedOver(..))
+}
--- a/crates/balancer/src/balancer/timers.rs
+++ b/crates/balancer/src/balancer/timers.rs
@@ -1,83 +1,170 @@
-//! Timers: what time alone calls for, and when an attempt is taken for lost.
+//! What time alone calls for: polls of discovery, attempts taken for lost, requests that expire, hedges.
 
-use super::*;
+use super::{Balancer, IN_FLIGHT_WINDOW_S};
+use crate::give_up::GiveUpReason;
+use crate::interface::Action;
+use crate::limits::SharedLimits;
+use crate::request::{Attempt, RequestState};
+use crate::retry::may_send_attempt;
+use shaletide_types::*;
+
+/// A request that no backend has seen is rejected when this part of its time is over, so that its client can still turn
+/// elsewhere.
+const UNSEEN_TIME_FRACTION: f64 = 0.5;
+
+/// What time calls for at a request.
+enum DueAction {
+    Nothing,
+    /// Another attempt, beside those in flight.
+    Hedge,
+    /// The attempt in flight makes way for the next.
+    Cancel(AttemptNumber),
+    /// The request is given up.
+    Expire,
+}
+
+/// How long a request may wait.
+struct RequestLimit {
+    /// An attempt that starts later is in vain.
+    last_start: Time,
+    /// The request is given up this long before.
+    margin: Micros,
+}
 
 impl Balancer {
-    /// What time alone brings about, and when to look again.
+    /// Does what time calls for, and finds out when it next may.
     pub(super) fn run_timers(&mut self, now: Time, shared: &SharedLimits) {
-        let mut next = now + Micros::from_secs(IN_FLIGHT_WINDOW_S); // nothing else may be due
-        if let (Some(at), DiscoveryMode::Subscribe(within)) = (self.discovery_poll.0, self.config.discovery) {
-            if now >= at {
-                self.discovery_poll.0 = Some(now + within.times(0.5)); // unanswered so long, the call itself was lost
-                self.actions.push(Action::Subscribe);
-            }
+        // Where nothing else is due.
+        let mut next_at = now + Micros::from_secs(IN_FLIGHT_WINDOW_S);
+        if self.discovery_poll.poll_if_due(now, self.config.discovery) {
+            self.actions.push(Action::Subscribe);
         }
-        next = self.discovery_poll.0.map_or(next, |at| next.min(at));
-        for p in self.backends.values_mut() {
-            (p.suspected_lost, p.overdue_without_response) = (0, 0);
-            p.by_class.iter_mut().for_each(|part| part.overdue_without_response = 0);
+        next_at = self.discovery_poll.due_at().map_or(next_at, |at| next_at.min(at));
+        next_at = next_at.min(self.mark_lost_attempts(now));
+        next_at = next_at.min(self.hedge_or_expire_requests(now, shared));
+        self.timer.set_due(next_at.max(now + self.config.min_timer_interval));
+    }
+
+    /// Counts anew which attempts in flight are taken for lost or speak of a silent backend. Gives the time at which
+    /// the next one will, or the end of time.
+    fn mark_lost_attempts(&mut self, now: Time) -> Time {
+        for backend in self.backends.values_mut() {
+            backend.suspected_lost = 0;
+            backend.outlier.clear_overdue();
         }
         self.lost_to_unreachable_zones = 0;
-        for &InFlightAttempt { backend, class, sent_at: sent } in self.in_flight_attempts.values() {
-            let lost = sent + self.latencies.lost_after(class);
-            let silent = sent + self.latencies.silent_after(class);
-            next = [lost, silent].into_iter().filter(|at| *at > now).fold(next, Time::min);
-            let Some(p) = self.backends.get_mut(&backend) else { continue };
-            self.lost_to_unreachable_zones +=
-                u32::from(now >= lost && self.zone_reachability.is_unreachable(now, p.entry.zone));
-            p.suspected_lost += u32::from(now >= lost);
-            p.overdue_without_response += u32::from(now >= silent && p.last_response_at <= sent);
-            let part = p.class_mut(class);
-            part.overdue_without_response += u32::from(now >= silent && part.last_response_at <= sent);
+        let mut next_at = Time(u64::MAX);
+        for attempt in self.in_flight_attempts.values() {
+            let lost_at = attempt.sent_at + self.latencies.lost_after(attempt.class);
+            let silent_after = self.latencies.silent_after(attempt.class);
+            for at in [lost_at, attempt.sent_at + silent_after] {
+                if at > now {
+                    next_at = next_at.min(at);
+                }
+            }
+            let Some(backend) = self.backends.get_mut(&attempt.backend) else { continue };
+            if now >= lost_at {
+                backend.suspected_lost += 1;
+                if self.zone_reachability.is_unreachable(now, backend.entry.zone) {
+                    self.lost_to_unreachable_zones += 1;
+                }
+            }
+            backend.outlier.count_if_overdue(now, attempt.class, attempt.sent_at, silent_after);
+        }
+        next_at
+    }
+
+    /// Gives the time at which a request next has to be looked at, or the end of time.
+    fn hedge_or_expire_requests(&mut self, now: Time, shared: &SharedLimits) -> Time {
+        let mut next_at = Time(u64::MAX);
+        let mut due = Vec::new();
+        for (&id, request) in self.requests.iter().filter(|(_, request)| !request.streaming) {
+            let limit = self.request_limit(request);
+            next_at = next_at.min(limit.last_start - limit.margin);
+            match self.due_action(now, request, &limit, shared) {
+                DueAction::Nothing => {}
+                action => due.push((id, action)),
+            }
+        }
+        let mut expired = Vec::new();
+        for (id, action) in due {
+            match action {
+                DueAction::Nothing => {}
+                DueAction::Hedge => self.queue.push_if_absent(id),
+                DueAction::Cancel(attempt) => self.actions.push(Action::Cancel { request: id, attempt }),
+                DueAction::Expire => expired.push(id),
+            }
         }
-        let losing = self.latencies.attempts_are_lost();
-        let mut over = Vec::new();
-        for (&id, r) in self.requests.iter().filter(|(_, r)| !r.streaming) {
-            let usual = self.latencies.expected(r.class);
-            // A client whose request nobody has seen is told before half of its time is over.
-            let unseen = r.attempts.iter().all(|s| s.not_executed);
-            let late_pays = self.config.classes[r.class].late_weight_fraction > 0.0 && !unseen;
-            let half = r.arrived_at + (r.deadline - r.arrived_at).times(0.5) + usual
-                - self.config.min_timer_interval;
-            let last_start = if late_pays { r.deadline } else { r.objective_at.min(half) };
-            let old = |s: &Attempt| losing && now >= s.sent_at + self.latencies.lost_after(r.class);
-            let ill =
-                |s: &Attempt| self.backends.get(&s.backend.id).is_none_or(|p| p.ejected_until.is_some());
-            let lost = |s: &Attempt| s.in_flight && (ill(s) || old(s));
-            let lost = r.has_attempt_in_flight() && r.attempts.iter().all(|s| !s.in_flight || lost(s));
-            // The deadline's own tick would be too late to answer; a request that was held so long
-            // that it cannot make it is refused while that is still harmless.
-            let last_start = if r.has_attempt_in_flight() { r.deadline } else { last_start.min(r.deadline) };
-            let margin = if r.has_attempt_in_flight() {
-                self.config.min_timer_interval
+        for id in expired {
+            self.give_up(now, id, GiveUpReason::OutOfTime);
+        }
+        next_at
+    }
+
+    fn request_limit(&self, request: &RequestState) -> RequestLimit {
+        let min_interval = self.config.min_timer_interval;
+        if request.has_attempt_in_flight() {
+            // A timer at the deadline itself would be too late to answer.
+            return RequestLimit { last_start: request.deadline, margin: min_interval };
+        }
+        let expected = self.latencies.expected(request.class);
+        let last_start = if self.may_be_late(request) {
+            request.deadline
+        } else {
+            let time = (request.deadline - request.arrived_at).times(UNSEEN_TIME_FRACTION);
+            let rejected_at = request.arrived_at + time + expected - min_interval;
+            request.objective_at.min(rejected_at).min(request.deadline)
+        };
+        // What waited so long that it cannot make it is rejected while that is harmless.
+        RequestLimit { last_start, margin: expected.max(min_interval) }
+    }
+
+    /// Whether an answer after the latency objective is worth waiting for.
+    fn may_be_late(&self, request: &RequestState) -> bool {
+        self.config.classes[request.class].late_weight_fraction > 0.0 && !request.is_not_executed()
+    }
+
+    fn due_action(
+        &self, now: Time, request: &RequestState, limit: &RequestLimit, shared: &SharedLimits,
+    ) -> DueAction {
+        if now + limit.margin >= limit.last_start {
+            return DueAction::Expire;
+        }
+        if !self.needs_another_attempt(now, request) || !shared.retry_budget.has_retry() {
+            return DueAction::Nothing;
+        }
+        if self.config.hedging {
+            return if may_send_attempt(&self.config, now, request) {
+                DueAction::Hedge
             } else {
-                usual.max(self.config.min_timer_interval)
+                DueAction::Nothing
             };
-            if now + margin >= last_start {
-                over.push(id);
-            } else if lost
-                && (now + usual < r.objective_at || late_pays && now + usual < r.deadline)
-                && shared.retry_budget.has_retry()
-            {
-                // Age alone is a reason only where answers are lost: copies of merely heavy requests crowd
-                // every backend.
-                if self.config.hedging {
-                    if self.may_send_attempt(now, r) && !self.queued.contains(&id) {
-                        self.queued.push(id);
-                    }
-                } else if self.config.may_cancel_attempts
-                    && self.config.classes[r.class].idempotency != Idempotency::NonIdempotent
-                {
-                    // Where no copy may run beside it, it is called back to make way for the next.
-                    self.actions.push(Action::Cancel {
-                        request: id,
-                        attempt: AttemptNumber(r.attempts.len() as u32 - 1),
-                    });
-                }
-            }
-            next = next.min(last_start - margin);
         }
-        self.next_timer_at = next.max(now + self.config.min_timer_interval);
-        over.into_iter().for_each(|id| self.give_up(now, id, GiveUpReason::OutOfTime));
+        let is_repeatable = self.config.classes[request.class].idempotency != Idempotency::NonIdempotent;
+        if self.config.may_cancel_attempts && is_repeatable {
+            DueAction::Cancel(AttemptNumber(request.attempts.len() as u32 - 1))
+        } else {
+            DueAction::Nothing
+        }
+    }
+
+    /// Whether all attempts in flight are taken for lost, and another one can still be in time.
+    fn needs_another_attempt(&self, now: Time, request: &RequestState) -> bool {
+        let mut in_flight = request.attempts.iter().filter(|attempt| attempt.in_flight);
+        let all_lost = in_flight.all(|attempt| self.is_lost(now, request.class, attempt));
+        if !request.has_attempt_in_flight() || !all_lost {
+            return false;
+        }
+        let answered_at = now + self.latencies.expected(request.class);
+        answered_at < request.objective_at || self.may_be_late(request) && answered_at < request.deadline
+    }
+
+    /// Age alone counts only where attempts are being lost: hedges of requests that are merely heavy would overload
+    /// every backend.
+    fn is_lost(&self, now: Time, class: usize, attempt: &Attempt) -> bool {
+        let backend = self.backends.get(&attempt.backend.id);
+        let is_backend_ejected = backend.is_none_or(|backend| backend.outlier.is_ejected());
+        let is_old = now >= attempt.sent_at + self.latencies.lost_after(class);
+        is_backend_ejected || is_old && self.latencies.attempts_are_lost()
     }
 }
--- /dev/null
+++ b/crates/balancer/src/discovery.rs
@@ -0,0 +1,60 @@
+//! When discovery is polled, where it does not push changes.
+
+use crate::interface::DiscoveryMode;
+use shaletide_types::*;
+
+/// Shortest backoff after a lost subscription, s.
+const MIN_BACKOFF_S: f64 = 0.1;
+/// The longest backoff is the time after which a proxy counts as told over this number.
+const MAX_BACKOFF_DIVISOR: f64 = 8.0;
+/// Part of that time after which an unanswered poll is repeated: the call itself was lost.
+const UNANSWERED_FRACTION: f64 = 0.5;
+
+/// The schedule of polls.
+#[derive(Clone, Debug)]
+pub(crate) struct DiscoveryPoll {
+    /// When the next poll is due; `None` where changes are pushed, or a subscription is in place.
+    due_at: Option<Time>,
+    /// The last backoff, s; 0 after a list has come.
+    backoff_s: f64,
+}
+
+impl DiscoveryPoll {
+    pub fn new(mode: DiscoveryMode) -> DiscoveryPoll {
+        let due_at = match mode {
+            DiscoveryMode::Push => None,
+            DiscoveryMode::Subscribe(_) => Some(Time(0)),
+        };
+        DiscoveryPoll { due_at, backoff_s: 0.0 }
+    }
+
+    pub fn due_at(&self) -> Option<Time> {
+        self.due_at
+    }
+
+    /// A list has come: the subscription is in place.
+    pub fn on_list(&mut self) {
+        self.due_at = None;
+        self.backoff_s = 0.0;
+    }
+
+    /// The subscription was lost: it is polled for again after a backoff that doubles each time. `roll` is a random
+    /// number from 0 to 1, so that proxies do not poll in step. Gives the wait, s.
+    pub fn on_subscription_lost(&mut self, now: Time, told_within: Micros, roll: f64) -> f64 {
+        let max_s = (told_within.secs() / MAX_BACKOFF_DIVISOR).max(MIN_BACKOFF_S);
+        self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_s);
+        let wait_s = self.backoff_s * (0.5 + roll);
+        self.due_at = Some(now + Micros::from_secs(wait_s));
+        wait_s
+    }
+
+    /// Whether to poll now; the next poll is then due when this one has gone unanswered for too long.
+    pub fn poll_if_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
+        let DiscoveryMode::Subscribe(told_within) = mode else { return false };
+        if self.due_at.is_none_or(|at| now < at) {
+            return false;
+        }
+        self.due_at = Some(now + told_within.times(UNANSWERED_FRACTION));
+        true
+    }
+}
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -1,25 +1,56 @@
 //! HALB: the optimal division of traffic between servers of different speeds.
+//!
+//! Source: heterogeneity-aware load balancing with each server as an M/G/1 queue with processor sharing. With service
+//! rates mu of n servers of each type and an arrival rate lambda, the mean latency is least where a type gets
+//! n mu - n sqrt(mu) (sum of n mu - lambda) / (sum of n sqrt(mu)); types for which this is negative get nothing, and
+//! the rest is solved again without them.
 
-/// HALB: the clamped M/G/1/PS optimum. For kinds of (ready count, speed of one backend) and the arrival
-/// rate, the part of the traffic for each kind; all zero when nothing is ready.
-pub fn halb_shares(kinds: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
-    let split = |on: &dyn Fn(&(f64, f64)) -> bool| -> Vec<f64> {
-        let total: f64 = kinds.iter().filter(|k| on(k)).map(|k| k.0).sum();
-        kinds.iter().map(|k| if on(k) && total > 0.0 { k.0 / total } else { 0.0 }).collect()
-    };
-    let Some(rate) = rate else { return split(&|_| true) }; // no rate yet: by ready counts
-    let mut live = kinds.to_vec();
+/// Below this part of the total capacity the arrival rate is taken for 0.
+const MIN_UTILIZATION: f64 = 1e-6;
+
+/// The part of the traffic, from 0 to 1, for each server type of (number of ready servers, requests a second that one
+/// serves). `rate` is the arrival rate, requests a second; without it traffic is divided by the number of servers. All
+/// parts are 0 where no server is ready.
+pub fn halb_shares(server_types: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
+    let Some(rate) = rate else { return shares_by_count(server_types, |_| true) };
+    let mut used = server_types.to_vec();
     loop {
-        let (roots, speeds) = live.iter().fold((0.0, 0.0), |s, k| (s.0 + k.0 * k.1.sqrt(), s.1 + k.0 * k.1));
-        if rate <= speeds * 1e-6 || speeds <= 0.0 {
-            let best = live.iter().filter(|k| k.0 > 0.0).map(|k| k.1).fold(0.0, f64::max);
-            return split(&|k| k.1 == best); // the limit: the fastest kind takes all
+        let mut total_root = 0.0;
+        let mut total_capacity = 0.0;
+        for (count, capacity) in &used {
+            total_root += count * capacity.sqrt();
+            total_capacity += count * capacity;
+        }
+        if rate <= total_capacity * MIN_UTILIZATION || total_capacity <= 0.0 {
+            let ready = used.iter().filter(|(count, _)| *count > 0.0);
+            let fastest = ready.map(|(_, capacity)| *capacity).fold(0.0, f64::max);
+            return shares_by_count(server_types, |capacity| capacity == fastest);
+        }
+        let spare = total_capacity - rate;
+        let flow =
+            |(count, capacity): &(f64, f64)| count * capacity - count * capacity.sqrt() * spare / total_root;
+        let flows: Vec<f64> = used.iter().map(flow).collect();
+        if flows.iter().all(|flow| *flow >= 0.0) {
+            return flows.iter().map(|flow| flow / rate).collect();
         }
-        let flow = |k: &(f64, f64)| k.0 * k.1 - k.0 * k.1.sqrt() * (speeds - rate) / roots;
-        let flows: Vec<f64> = live.iter().map(flow).collect();
-        if flows.iter().all(|f| *f >= 0.0) {
-            return flows.iter().map(|f| f / rate).collect();
+        for ((count, _), flow) in used.iter_mut().zip(&flows) {
+            if *flow <= 0.0 {
+                *count = 0.0;
+            }
         }
-        live.iter_mut().zip(&flows).filter(|(_, f)| **f <= 0.0).for_each(|(k, _)| k.0 = 0.0);
     }
 }
+
+/// Divides the traffic between the types whose capacity is selected, by their number of servers.
+fn shares_by_count(server_types: &[(f64, f64)], is_used: impl Fn(f64) -> bool) -> Vec<f64> {
+    let used = server_types.iter().filter(|(_, capacity)| is_used(*capacity));
+    let total: f64 = used.map(|(count, _)| count).sum();
+    let share = |(count, capacity): &(f64, f64)| {
+        if is_used(*capacity) && total > 0.0 {
+            count / total
+        } else {
+            0.0
+        }
+    };
+    server_types.iter().map(share).collect()
+}
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -201,13 +201,6 @@
     }
 }
 
-/// What one module knows of a backend, on its way to another with the attempts that it holds.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MigratedBackend {
-    pub(crate) stats: crate::backend_stats::BackendStats,
-    pub(crate) attempts: Vec<((RequestId, AttemptNumber), crate::request::InFlightAttempt)>,
-}
-
 /// Whether a pool can take a request at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PoolHealth {
@@ -328,19 +321,3 @@
     /// A line for the operators.
     Log(String),
 }
-
-/// So much of a key's window is kept for a repeat's way, which counts when its last byte has come: no more than a part of
-/// the window, as that may be short.
-const REPEAT_MARGIN: Micros = Micros(20_000);
-const REPEAT_PART: u64 = 8;
-
-/// Until when the last byte of a repeat may go out after an attempt that was sent at the earliest then.
-pub fn retry_deadline(window: Micros, sent: Time) -> Time {
-    sent + Micros(window.0 - (window.0 / REPEAT_PART).min(REPEAT_MARGIN.0))
-}
-
-/// The same after the first of the attempts that may have run or may run yet, each with the time at which it was sent
-/// at the earliest. `None` where there is no such attempt.
-pub fn first_retry_deadline(window: Micros, sent: impl Iterator<Item = Time>) -> Option<Time> {
-    sent.min().map(|first| retry_deadline(window, first))
-}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,26 +5,38 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod admission;
+mod availability;
 mod backend_stats;
 mod balancer;
+mod discovery;
 mod give_up;
 mod halb;
 mod interface;
 mod latency;
 mod limits;
 mod load_reports;
+mod outlier;
 mod reported_load;
 mod request;
+mod request_queue;
+mod retry;
 mod rng;
+mod selection;
 mod server_type;
+mod slow_start;
 mod statistics;
+mod subset;
+mod timer;
+mod zone_affinity;
 mod zone_reachability;
 
-pub use balancer::Balancer;
+pub use balancer::{Balancer, MigratedBackend};
 pub use give_up::{GiveUpCounts, GiveUpReason};
 pub use halb::halb_shares;
 pub use interface::*;
 pub use limits::SharedLimits;
+pub use retry::{first_retry_deadline, retry_deadline};
 pub use shaletide_types::*;
 
 /// The README's example, kept true by the documentation tests.
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -1,74 +1,161 @@
-//! What backends say of their own load, in the list and in their answers, and what follows of it: how large this
-//! proxy's part of all traffic is, which backends are too full to be drawn, and what part of the requests there
-//! is room for. Where so many proxies share the fleet that each alone sees next to nothing of it, this is how one
-//! learns what the others do there. Nothing here draws a backend.
+//! What follows from the load that backends report: the size of the fleet of proxies, which backends get less than an
+//! even part, and which part of the requests is admitted. Where so many proxies share the backends that each alone sees
+//! next to nothing of them, this is how one learns of the load that the others bring.
 //!
-//! A backend may say anything, late or never. What it says is held to what can be, counts for itself alone but for
-//! one part in the fleet's mean, and is worth nothing when it is old.
+//! A backend may report anything, late or never. Its report is held to what can be, counts as one among all in the
+//! fleet's mean, and is not used when it is old.
 
 use crate::backend_stats::BackendStats;
 use crate::reported_load::LoadSample;
+use crate::request::PriorityLevel;
 use crate::statistics::MovingAverage;
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// A longer latency is not believed, ms.
+/// Load that backends should have on average where they report it, requests in flight on a core: the fullest have far
+/// more than the average.
+pub(crate) const TARGET_MEAN_IN_FLIGHT_PER_CORE: f64 = 2.2;
+/// A longer reported latency is not used, ms.
 const MAX_REPORTED_LATENCY_MS: f64 = 60_000.0;
-/// The fleet's mean counts a backend with so many times the hold at most: one that lies or is choked moves it by
-/// its part of that.
+/// A report counts in the fleet's mean as this many times the target at most, so that one wrong or overloaded backend
+/// moves it little.
 const MAX_SAMPLE_OVER_TARGET: f64 = 2.0;
-/// So many backends have to have said something, and half of those in use.
+/// The list is used where it has reports of this many backends and of half of those in use, ...
 const MIN_LIST_SAMPLES: f64 = 12.0;
-/// ... or so many in answers to this proxy: those that it uses.
+/// ... and the responses where this many backends have sent reports.
 const MIN_RESPONSE_SAMPLES: f64 = 3.0;
-/// By such a factor list and answers differ by chance.
+/// Up to this factor the list and the responses differ by chance; beyond it the list is out of date.
 const MAX_LIST_DEVIATION: f64 = 1.6;
-/// So long after the last word, s, pools are still taken for ones whose backends speak.
+/// For this long after the last report, s, backends count as ones that report.
 const REPORTING_TIMEOUT_S: f64 = 30.0;
-/// A shared processor that holds m is busy m / (1 + m) of the time. What is let in moves towards the part at which
-/// that would be as wanted, by so many times the step a second: news is a second or two old.
+/// Exponent a second by which the admitted fraction follows the ratio of wanted and actual utilization: reports are a
+/// second or two old.
 const ADMISSION_GAIN_PER_S: f64 = 4.0;
-/// It comes back by itself so fast where nothing is heard any more, a second.
+/// Rate at which the admitted fraction grows where reports have ended, a second.
 const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
-/// However full all say they are, this part is let in: they may be wrong.
+/// At least this part is admitted, however full backends report to be: they may be wrong.
 const MIN_ADMITTED_FRACTION: f64 = 0.4;
-/// This part of the range turns away only what is worth little.
+/// The first part of the rejections falls on requests of low priority alone.
 const LOW_PRIORITY_RANGE: f64 = 0.25;
-/// A backend's part changes so fast when it holds twice what the others do, a second.
+/// Rate at which the part of a backend falls that has twice the mean load, a second.
 const REBALANCING_RATE_PER_S: f64 = 0.5;
-/// ... between these parts.
+/// Bounds of a backend's rebalancing factor.
 const MIN_REBALANCING_FACTOR: f64 = 0.1;
 const MAX_REBALANCING_FACTOR: f64 = 1.2;
-/// However much it holds, so much of that is left at once.
+/// The least that a report takes a backend's part to at once.
 const MIN_LOAD_FACTOR: f64 = 0.2;
-/// This proxy's part of all traffic is learned over so long, s: what goes unanswered here for a while says nothing
-/// of it ...
+/// Window over which the size of the fleet is learned, s: a while without responses here says nothing of it.
 const FLEET_SIZE_WINDOW_S: f64 = 15.0;
-/// ... at first over this, s: what was told is a guess.
+/// ... and at first, s, as the configured size is a guess.
 const INITIAL_FLEET_SIZE_WINDOW_S: f64 = 2.0;
-/// ... and is so many times an even one at most, ...
+/// The fleet is at least the configured size over this, and at most ...
 const MAX_FLEET_SHRINK_FACTOR: f64 = 4.0;
-/// ... or one part in so many at least.
+/// ... the configured size times this.
 const MAX_FLEET_GROWTH_FACTOR: f64 = 2.0;
+/// Aggregates are at most this far apart in their effect, s.
+const MAX_INTERVAL_S: f64 = 1.0;
+/// Utilization is not taken to be below that of this load, requests in flight on a core.
+const MIN_IN_FLIGHT_PER_CORE: f64 = 0.1;
 
-/// What is made of it for the fleet.
+/// What is known of the fleet by its load reports.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadReports {
-    /// The largest weight of any backend of a kind, a core: that of one that holds nothing.
+    /// The largest weight of any backend of a type, by core: that of one with nothing in flight.
     weight_per_core: BTreeMap<ServerTypeId, f64>,
-    /// Requests a core that a backend in use holds in the mean; none where too few said anything.
-    pub mean_in_flight_per_core: Option<f64>,
-    /// The part of the requests that there is room for.
+    /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
+    mean_in_flight_per_core: Option<f64>,
+    /// The part of all requests that there is capacity for.
     admitted: f64,
-    /// As many proxies like this one would make the fleet, and how long that was learned, s.
+    /// As many proxies like this one would bring all the traffic.
     fleet_size: f64,
     fleet_size_learned_s: f64,
     aggregated_at: Option<Time>,
-    last_aggregate_at: Option<Time>,
+    last_usable_at: Option<Time>,
+    /// Time between the last two usable aggregates, s.
     interval_s: f64,
 }
 
+/// Reports of the backends in use, added up.
+#[derive(Default)]
+struct Aggregate {
+    backends_in_use: f64,
+    /// Requests a core by the latest reports, by source.
+    list: MovingAverage,
+    responses: MovingAverage,
+    /// Requests in flight at all backends of the list's reports.
+    list_in_flight: f64,
+    /// Requests a core of backends with reports from both sources, added up by source.
+    list_where_both: f64,
+    responses_where_both: f64,
+}
+
+impl Aggregate {
+    fn of<'a>(now: Time, backends: impl Iterator<Item = &'a BackendStats>) -> Aggregate {
+        let mut total = Aggregate::default();
+        for backend in backends.filter(|backend| backend.is_in_use()) {
+            total.add(now, backend);
+        }
+        total
+    }
+
+    fn add(&mut self, now: Time, backend: &BackendStats) {
+        self.backends_in_use += 1.0;
+        let max_per_core = TARGET_MEAN_IN_FLIGHT_PER_CORE * MAX_SAMPLE_OVER_TARGET;
+        let bounded = |sample: LoadSample| sample.latest.min(max_per_core);
+        let list = backend.reported_load.in_list.if_fresh(now);
+        let responses = backend.reported_load.in_responses.if_fresh(now);
+        if let Some(sample) = list {
+            self.list.record(bounded(sample), f64::MAX);
+            self.list_in_flight += sample.average * f64::from(backend.entry.cores);
+        }
+        if let Some(sample) = responses {
+            self.responses.record(bounded(sample), f64::MAX);
+        }
+        if let (Some(list), Some(responses)) = (list, responses) {
+            self.list_where_both += bounded(list);
+            self.responses_where_both += bounded(responses);
+        }
+    }
+
+    fn has_enough_responses(&self) -> bool {
+        self.responses.count >= MIN_RESPONSE_SAMPLES
+    }
+
+    /// Whether the list has reports of enough backends, and those that responded do not show it to be out of date.
+    fn has_usable_list(&self) -> bool {
+        let is_complete =
+            self.list.count >= MIN_LIST_SAMPLES && self.list.count * 2.0 >= self.backends_in_use;
+        is_complete && !self.list_is_out_of_date()
+    }
+
+    fn list_is_out_of_date(&self) -> bool {
+        if !self.has_enough_responses() {
+            return false;
+        }
+        let deviation = (self.responses_where_both + TARGET_MEAN_IN_FLIGHT_PER_CORE)
+            / (self.list_where_both + TARGET_MEAN_IN_FLIGHT_PER_CORE);
+        !(1.0 / MAX_LIST_DEVIATION..MAX_LIST_DEVIATION).contains(&deviation)
+    }
+
+    fn mean_in_flight_per_core(&self) -> Option<f64> {
+        if self.has_usable_list() {
+            Some(self.list.value)
+        } else if self.has_enough_responses() {
+            Some(self.responses.value)
+        } else {
+            None
+        }
+    }
+}
+
+/// How busy a shared processor is with so many requests in flight on a core: m / (1 + m).
+fn utilization(in_flight_per_core: f64) -> f64 {
+    let in_flight = in_flight_per_core.max(MIN_IN_FLIGHT_PER_CORE);
+    in_flight / (1.0 + in_flight)
+}
+
 impl LoadReports {
+    /// Without reports: all requests are admitted, and `proxies` bring the traffic.
     pub fn new(proxies: u32) -> LoadReports {
         LoadReports {
             weight_per_core: BTreeMap::new(),
@@ -77,154 +164,148 @@
             fleet_size: f64::from(proxies),
             fleet_size_learned_s: 0.0,
             aggregated_at: None,
-            last_aggregate_at: None,
+            last_usable_at: None,
             interval_s: 0.0,
         }
     }
 
-    /// As many proxies like this one as would make the fleet: those that are told of where reports tell nothing.
+    /// As many proxies like this one would bring all the traffic: the configured number where reports say nothing.
     pub fn fleet_size(&self) -> f64 {
         self.fleet_size
     }
 
-    /// The list's word: the size over one and what is held a core, where weights are live.
-    pub fn record_list_weight(&mut self, now: Time, p: &mut BackendStats) {
-        let weight = f64::from(p.entry.weight) / f64::from(p.entry.cores.max(1));
+    /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
+    pub fn mean_in_flight_per_core(&self) -> Option<f64> {
+        self.mean_in_flight_per_core
+    }
+
+    /// Records a live weight of the endpoint list: a backend's size over one plus its requests in flight on a core.
+    pub fn record_list_weight(&mut self, now: Time, backend: &mut BackendStats) {
+        let weight = f64::from(backend.entry.weight) / f64::from(backend.entry.cores.max(1));
         if weight > 0.0 {
-            let size = self.weight_per_core.entry(p.entry.server_type).or_default();
-            *size = size.max(weight);
-            p.reported_load.in_list.record(now, *size / weight - 1.0);
+            let largest = self.weight_per_core.entry(backend.entry.server_type).or_default();
+            *largest = largest.max(weight);
+            backend.reported_load.in_list.record(now, *largest / weight - 1.0);
         }
     }
 
-    /// The backend's own word.
-    pub fn record_report(&mut self, now: Time, p: &mut BackendStats, report: &LoadReport) {
-        // Nothing served lately reads as no time at all.
+    /// Records a load report of a response.
+    pub fn record_report(&mut self, now: Time, backend: &mut BackendStats, report: &LoadReport) {
+        // A backend that served nothing lately reports a latency of 0.
         if let Some(ms) = report.latency_ms.filter(|ms| *ms > 0.0 && *ms <= MAX_REPORTED_LATENCY_MS) {
-            p.reported_load.latency_s = Some((ms / 1e3, now));
+            backend.reported_load.record_latency(now, ms / 1e3);
         }
-        if let Some(held) = report.in_flight {
-            p.reported_load.in_responses.record(now, held / f64::from(p.entry.cores.max(1)));
+        if let Some(in_flight) = report.in_flight {
+            let per_core = in_flight / f64::from(backend.entry.cores.max(1));
+            backend.reported_load.in_responses.record(now, per_core);
         }
     }
 
-    /// Takes stock. `own` is what this proxy's served requests take up at them, `hold` the wanted load a core.
+    /// Takes the reports together: the fleet's mean load, its size and the admitted fraction follow. `own_in_flight` is
+    /// what this proxy's served requests have in flight at all backends, if known.
     pub fn aggregate<'a>(
-        &mut self, now: Time, peers: impl Iterator<Item = &'a BackendStats>, proxies: u32, own: Option<f64>,
-        hold: f64,
+        &mut self, now: Time, backends: impl Iterator<Item = &'a BackendStats>, proxies: u32,
+        own_in_flight: Option<f64>,
     ) {
-        let (mut used, mut held) = (0.0, 0.0);
-        let (mut list, mut answers, mut both) =
-            (MovingAverage::default(), MovingAverage::default(), (0.0, 0.0));
-        for p in peers.filter(|p| p.entry.state == BackendState::Ready && p.ejected_until.is_none()) {
-            used += 1.0;
-            let cut = |said: LoadSample| said.latest.min(hold * MAX_SAMPLE_OVER_TARGET);
-            let (l, a) = (p.reported_load.in_list.if_fresh(now), p.reported_load.in_responses.if_fresh(now));
-            if let Some(said) = l {
-                list.record(cut(said), f64::MAX);
-                held += said.average * f64::from(p.entry.cores);
-            }
-            if let Some(said) = a {
-                answers.record(cut(said), f64::MAX);
-            }
-            if let (Some(l), Some(a)) = (l, a) {
-                both = (both.0 + cut(l), both.1 + cut(a));
-            }
-        }
-        let gap = self.aggregated_at.map_or(0.0, |at| (now - at).secs().min(1.0));
+        let total = Aggregate::of(now, backends);
+        let interval_s = self.aggregated_at.map_or(0.0, |at| (now - at).secs().min(MAX_INTERVAL_S));
         self.aggregated_at = Some(now);
-        // A list that came late tells what is past: those that answered here show by how much it is off.
-        let off = if answers.count < MIN_RESPONSE_SAMPLES { 1.0 } else { (both.1 + hold) / (both.0 + hold) };
-        let late = !(1.0 / MAX_LIST_DEVIATION..MAX_LIST_DEVIATION).contains(&off);
-        self.mean_in_flight_per_core = if list.count >= MIN_LIST_SAMPLES && list.count * 2.0 >= used && !late
-        {
-            Some(list.value)
-        } else if answers.count >= MIN_RESPONSE_SAMPLES {
-            Some(answers.value)
-        } else {
-            None
-        };
+        self.mean_in_flight_per_core = total.mean_in_flight_per_core();
         let Some(mean) = self.mean_in_flight_per_core else {
-            // Nobody says anything: what was let in by old news is not held on to.
-            self.admitted = (self.admitted * (gap * ADMISSION_RECOVERY_PER_S).exp()).min(1.0);
+            // What old reports made of it does not last.
+            let growth = (interval_s * ADMISSION_RECOVERY_PER_S).exp();
+            self.admitted = (self.admitted * growth).min(1.0);
             return;
         };
-        (self.last_aggregate_at, self.interval_s) = (Some(now), gap);
-        if list.count >= MIN_LIST_SAMPLES && list.count * 2.0 >= used && !late {
-            self.learn_fleet_size(gap, held * used / list.count, own, f64::from(proxies));
+        self.last_usable_at = Some(now);
+        self.interval_s = interval_s;
+        if total.has_usable_list() {
+            let all_in_flight = total.list_in_flight * total.backends_in_use / total.list.count;
+            self.learn_fleet_size(interval_s, all_in_flight, own_in_flight, f64::from(proxies));
         }
-        let busy = |held: f64| held.max(0.1) / (1.0 + held.max(0.1));
-        let step = (busy(hold) / busy(mean)).powf(ADMISSION_GAIN_PER_S * gap);
+        let ratio = utilization(TARGET_MEAN_IN_FLIGHT_PER_CORE) / utilization(mean);
+        let step = ratio.powf(ADMISSION_GAIN_PER_S * interval_s);
         self.admitted = (self.admitted * step).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
-    /// What all hold over what this one has there.
-    fn learn_fleet_size(&mut self, gap: f64, all: f64, own: Option<f64>, proxies: f64) {
-        let fleet = own.filter(|own| *own > 0.0).map_or(proxies, |own| all / own);
-        let fleet =
-            fleet.clamp(proxies / MAX_FLEET_SHRINK_FACTOR, proxies * MAX_FLEET_GROWTH_FACTOR).max(1.0);
-        // Own and all are counted over different seconds: a slow mean of the two, quicker at first.
-        self.fleet_size_learned_s += gap;
-        let step = 1.0
-            - (-gap / self.fleet_size_learned_s.clamp(INITIAL_FLEET_SIZE_WINDOW_S, FLEET_SIZE_WINDOW_S))
-                .exp();
-        self.fleet_size *= (fleet / self.fleet_size).powf(step);
+    /// The size of the fleet is what all proxies have in flight over what this one has.
+    fn learn_fleet_size(
+        &mut self, interval_s: f64, all_in_flight: f64, own_in_flight: Option<f64>, proxies: f64,
+    ) {
+        let observed = match own_in_flight {
+            Some(own) if own > 0.0 => all_in_flight / own,
+            _ => proxies,
+        };
+        let min = proxies / MAX_FLEET_SHRINK_FACTOR;
+        let max = proxies * MAX_FLEET_GROWTH_FACTOR;
+        let observed = observed.clamp(min, max).max(1.0);
+        // The two are counted over different seconds: a slow mean, which is quicker at first.
+        self.fleet_size_learned_s += interval_s;
+        let window_s = self.fleet_size_learned_s.clamp(INITIAL_FLEET_SIZE_WINDOW_S, FLEET_SIZE_WINDOW_S);
+        let step = 1.0 - (-interval_s / window_s).exp();
+        self.fleet_size *= (observed / self.fleet_size).powf(step);
     }
 
-    /// Backends have spoken of their load not long ago, even if nothing new is heard just now.
+    /// Whether backends have reported their load not long ago, even if nothing is fresh now.
     pub fn is_reporting(&self, now: Time) -> bool {
-        self.last_aggregate_at.is_some_and(|at| (now - at).secs() < REPORTING_TIMEOUT_S)
+        self.last_usable_at.is_some_and(|at| (now - at).secs() < REPORTING_TIMEOUT_S)
     }
 
-    /// The list says how fast a backend of some kind is.
+    /// Whether the list says how fast the backends of some type are.
     pub fn has_weights(&self) -> bool {
         !self.weight_per_core.is_empty()
     }
 
-    /// What the list says of how fast a backend of that kind is beside one of another; 1 where it says nothing.
-    pub fn relative_speed(&self, kind: ServerTypeId) -> f64 {
-        self.weight_per_core.get(&kind).copied().unwrap_or(1.0)
+    /// How fast the list says that a backend of the type is beside those of others; 1 where it says nothing.
+    pub fn relative_speed(&self, server_type: ServerTypeId) -> f64 {
+        self.weight_per_core.get(&server_type).copied().unwrap_or(1.0)
     }
 
-    /// The part that is let in of requests that are worth much, or little.
-    pub fn admitted_fraction(&self, low: bool) -> f64 {
-        if low {
-            ((self.admitted - (1.0 - LOW_PRIORITY_RANGE)) / LOW_PRIORITY_RANGE).max(0.0)
-        } else {
-            (self.admitted / (1.0 - LOW_PRIORITY_RANGE)).min(1.0)
+    /// The part of the requests of a priority that is admitted, from 0 to 1: those of low priority are rejected first.
+    pub fn admitted_fraction(&self, priority: PriorityLevel) -> f64 {
+        let normal_range = 1.0 - LOW_PRIORITY_RANGE;
+        match priority {
+            PriorityLevel::Low => ((self.admitted - normal_range) / LOW_PRIORITY_RANGE).max(0.0),
+            PriorityLevel::Normal => (self.admitted / normal_range).min(1.0),
         }
     }
 
-    /// After stock was taken: how much of an even part each backend bears.
-    pub fn rebalance(&self, now: Time, peers: &mut BTreeMap<BackendId, BackendStats>, hold: f64) {
+    /// After [`LoadReports::aggregate`]: moves each backend's rebalancing factor down where it has more in flight than
+    /// the mean, and up where it has less.
+    pub fn rebalance(&self, now: Time, backends: &mut BTreeMap<BackendId, BackendStats>) {
         let Some(mean) = self.mean_in_flight_per_core else { return };
-        let wanted = mean.max(hold / 2.0);
-        let mut sum = (0.0, 0.0);
-        for p in peers.values_mut().filter(|p| p.entry.state == BackendState::Ready) {
-            let Some(held) = p.reported_load.in_flight_per_core(now) else { continue };
-            let off = ((held - wanted) / wanted).clamp(-1.0, 1.0);
-            let bears = p.reported_load.rebalancing_factor.unwrap_or(1.0)
-                * (-off * REBALANCING_RATE_PER_S * self.interval_s).exp();
-            let bears = bears.clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
-            p.reported_load.rebalancing_factor = Some(bears);
-            sum = (sum.0 + bears, sum.1 + 1.0);
+        let wanted = mean.max(TARGET_MEAN_IN_FLIGHT_PER_CORE / 2.0);
+        let mut sum = 0.0;
+        let mut count = 0.0;
+        for backend in backends.values_mut().filter(|backend| backend.is_ready()) {
+            let Some(in_flight) = backend.reported_load.in_flight_per_core(now) else { continue };
+            let excess = ((in_flight - wanted) / wanted).clamp(-1.0, 1.0);
+            let step = (-excess * REBALANCING_RATE_PER_S * self.interval_s).exp();
+            let factor = backend.reported_load.rebalancing_factor.unwrap_or(1.0) * step;
+            let factor = factor.clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
+            backend.reported_load.rebalancing_factor = Some(factor);
+            sum += factor;
+            count += 1.0;
         }
-        // A part of what all bear: a kind that is fuller than the others gets less, however fast it is taken to be.
-        for bears in peers.values_mut().filter_map(|p| p.reported_load.rebalancing_factor.as_mut()) {
-            *bears = (*bears * sum.1 / f64::max(sum.0, 1e-9))
-                .clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
+        // Beside the mean of all: a server type that is fuller than others gets less, however fast it is taken to be.
+        for backend in backends.values_mut() {
+            if let Some(factor) = &mut backend.reported_load.rebalancing_factor {
+                let normalized = *factor * count / f64::max(sum, 1e-9);
+                *factor = normalized.clamp(MIN_REBALANCING_FACTOR, MAX_REBALANCING_FACTOR);
+            }
         }
     }
 
-    /// How much of its part a backend gets, in reports' eyes: one that holds more than the others less, for long by
-    /// what it was seen to bear and at once by what it holds. One that seems idle gets no more for that: it may be
-    /// one that nothing comes to.
-    pub fn load_factor(&self, now: Time, p: &BackendStats) -> f64 {
-        let spoken = self.is_reporting(now);
-        let held = self
-            .mean_in_flight_per_core
-            .and_then(|mean| Some((mean, p.reported_load.in_flight_per_core(now)?)));
-        let now = held.map_or(1.0, |(mean, held)| ((1.0 + mean) / (1.0 + held)).clamp(MIN_LOAD_FACTOR, 1.0));
-        p.reported_load.rebalancing_factor.filter(|_| spoken).unwrap_or(1.0) * now
+    /// The part of an even share that a backend gets by its reports: its rebalancing factor, and less at once where it
+    /// has more in flight than the mean. One that looks idle gets no more for that: nothing may reach it.
+    pub fn load_factor(&self, now: Time, backend: &BackendStats) -> f64 {
+        let in_flight = backend.reported_load.in_flight_per_core(now);
+        let immediate = match (self.mean_in_flight_per_core, in_flight) {
+            (Some(mean), Some(in_flight)) => ((1.0 + mean) / (1.0 + in_flight)).clamp(MIN_LOAD_FACTOR, 1.0),
+            _ => 1.0,
+        };
+        let rebalancing =
+            if self.is_reporting(now) { backend.reported_load.rebalancing_factor } else { None };
+        rebalancing.unwrap_or(1.0) * immediate
     }
 }
--- a/crates/balancer/src/reported_load.rs
+++ b/crates/balancer/src/reported_load.rs
@@ -1,66 +1,83 @@
-//! What a backend reports of its load.
+//! What one backend reports of its load, in its responses and in the endpoint list.
 
 use shaletide_types::*;
 
-/// Memory of what a backend says it holds, s: about as long as one that is too full takes to turn slow.
+/// Window of the average of what a backend reports, s: about as long as an overloaded one takes to become slow.
 const LOAD_AVERAGE_WINDOW_S: f64 = 1.0;
-/// What was said so long ago is worth nothing any more, s: a list did not come. Whoever is cut off hears of nothing.
+/// A sample older than this is not used, s: a list has not come.
 const LOAD_SAMPLE_MAX_AGE_S: f64 = 2.2;
-/// More than this is not believed, requests a core: backends hold some tens at most.
+/// A report of more counts as this, requests a core: backends have some tens in flight at most.
 const MAX_IN_FLIGHT_PER_CORE: f64 = 64.0;
 
-/// What one source last said that a backend holds.
+/// Requests in flight at a backend, by one source.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LoadSample {
-    /// Requests a core, over the last second or so.
+    /// Requests a core, on average over about a second.
     pub average: f64,
-    /// The same as it was last heard.
+    /// Requests a core by the latest report.
     pub latest: f64,
     recorded_at: Option<Time>,
 }
 
 impl LoadSample {
-    /// It says that it holds so many a core.
-    pub fn record(&mut self, now: Time, held: f64) {
-        if !held.is_finite() || held < 0.0 {
+    /// Records a report of so many requests a core. What cannot be is passed over.
+    pub fn record(&mut self, now: Time, in_flight_per_core: f64) {
+        if !in_flight_per_core.is_finite() || in_flight_per_core < 0.0 {
             return;
         }
-        // Nothing held, and never anything else said: an old list, or one from before the traffic.
-        if held == 0.0 && self.recorded_at.is_none() {
+        // A first report of an idle backend: an old list, or one from before the traffic.
+        if in_flight_per_core == 0.0 && self.recorded_at.is_none() {
             return;
         }
-        let step =
-            self.recorded_at.map_or(1.0, |at| 1.0 - (-(now - at).secs() / LOAD_AVERAGE_WINDOW_S).exp());
-        self.latest = held.min(MAX_IN_FLIGHT_PER_CORE);
-        self.average += (held.min(MAX_IN_FLIGHT_PER_CORE) - self.average) * step;
+        let weight = match self.recorded_at {
+            Some(at) => 1.0 - (-(now - at).secs() / LOAD_AVERAGE_WINDOW_S).exp(),
+            None => 1.0,
+        };
+        self.latest = in_flight_per_core.min(MAX_IN_FLIGHT_PER_CORE);
+        self.average += (self.latest - self.average) * weight;
         self.recorded_at = Some(now);
     }
 
+    /// The sample, unless there is none or it is too old.
     pub fn if_fresh(&self, now: Time) -> Option<LoadSample> {
-        self.recorded_at.filter(|at| (now - *at).secs() < LOAD_SAMPLE_MAX_AGE_S).map(|_| *self)
+        let recorded_at = self.recorded_at?;
+        ((now - recorded_at).secs() < LOAD_SAMPLE_MAX_AGE_S).then_some(*self)
     }
 }
 
-/// What a backend was last heard to hold.
+/// What a backend reports of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReportedLoad {
-    /// By its own answers, and by the list, which may come late with what is long past.
+    /// By the load reports in its responses.
     pub in_responses: LoadSample,
+    /// By its weight in the endpoint list, which may come late.
     pub in_list: LoadSample,
-    /// How long serving one took there lately, s, and when it said so.
-    pub latency_s: Option<(f64, Time)>,
-    /// What part of an even share it can bear, as far as what it holds has shown.
+    latency: Option<ReportedLatency>,
+    /// The part of an even share that the backend can take, as far as its reports have shown.
     pub rebalancing_factor: Option<f64>,
 }
 
+#[derive(Clone, Copy, Debug, PartialEq)]
+struct ReportedLatency {
+    seconds: f64,
+    reported_at: Time,
+}
+
 impl ReportedLoad {
-    /// How long serving one took there lately, s, in the mean over all that it served.
-    pub fn fresh_latency_s(&self, now: Time) -> Option<f64> {
-        self.latency_s.filter(|(_, at)| (now - *at).secs() < LOAD_AVERAGE_WINDOW_S).map(|(secs, _)| secs)
+    /// Records how long the backend took lately, on average over all that it served.
+    pub fn record_latency(&mut self, now: Time, seconds: f64) {
+        self.latency = Some(ReportedLatency { seconds, reported_at: now });
+    }
+
+    /// The latency that the backend reported last, s, unless that is too old.
+    pub fn latency_s(&self, now: Time) -> Option<f64> {
+        let latency = self.latency?;
+        ((now - latency.reported_at).secs() < LOAD_AVERAGE_WINDOW_S).then_some(latency.seconds)
     }
 
-    /// What it holds, if that is known and not old: its own word before the list's.
+    /// Requests in flight on each of its cores, by its responses or else by the list; `None` where neither is fresh.
     pub fn in_flight_per_core(&self, now: Time) -> Option<f64> {
-        self.in_responses.if_fresh(now).or(self.in_list.if_fresh(now)).map(|said| said.average)
+        let sample = self.in_responses.if_fresh(now).or(self.in_list.if_fresh(now))?;
+        Some(sample.average)
     }
 }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -2,7 +2,17 @@
 
 use shaletide_types::*;
 
-/// An attempt that has not ended: where, of which class, since when.
+/// A request of less priority than this is of [`PriorityLevel::Low`].
+const LOW_PRIORITY: f64 = 0.5;
+
+/// Requests of low priority are rejected first and find half of the capacity: the rest is kept for others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum PriorityLevel {
+    Low,
+    Normal,
+}
+
+/// An attempt that has not ended, by the balancer of its backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct InFlightAttempt {
     pub backend: BackendId,
@@ -10,16 +20,17 @@
     pub sent_at: Time,
 }
 
-/// An attempt of a request.
+/// An attempt of a request, ended or not.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Attempt {
+    /// The backend as it was listed when the attempt was sent.
     pub backend: BackendEntry,
     pub sent_at: Time,
     /// It has not ended yet.
     pub in_flight: bool,
-    /// Its outcome proves that it did not run.
+    /// Its outcome proves that it was not executed.
     pub not_executed: bool,
-    /// Nothing at all went out for it: it cost nobody anything.
+    /// No byte of it was sent: it cost no backend anything.
     pub not_sent: bool,
 }
 
@@ -28,21 +39,41 @@
 pub(crate) struct RequestState {
     pub class: usize,
     pub arrived_at: Time,
+    /// An answer until then earns the whole priority weight.
     pub objective_at: Time,
     pub deadline: Time,
-    /// Its worth beside a first try within quota.
+    /// Priority beside that of a new request within its tenant's quota, from 0 to 1.
     pub priority: f64,
-    /// Selection once, from 0 to 1: where only a part is let in, those below that part are.
+    /// Drawn once, from 0 to 1: where only a part of the requests is admitted, those with a roll within that part are.
     pub admission_roll: f64,
+    /// The answer has begun to stream: no deadline applies any more.
     pub streaming: bool,
-    /// Another pool can be asked where this one can take nothing.
+    /// Another pool can be asked where this one can do nothing for the request.
     pub may_fail_over: bool,
+    /// In the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
 impl RequestState {
-    /// Some attempt has not ended yet.
+    pub fn priority_level(&self) -> PriorityLevel {
+        if self.priority < LOW_PRIORITY {
+            PriorityLevel::Low
+        } else {
+            PriorityLevel::Normal
+        }
+    }
+
     pub fn has_attempt_in_flight(&self) -> bool {
-        self.attempts.iter().any(|s| s.in_flight)
+        self.attempts.iter().any(|attempt| attempt.in_flight)
+    }
+
+    /// Whether a further attempt is a retry or a hedge: bytes of an earlier one were sent.
+    pub fn was_sent(&self) -> bool {
+        self.attempts.iter().any(|attempt| !attempt.not_sent)
+    }
+
+    /// Whether every attempt so far is proved not to have been executed.
+    pub fn is_not_executed(&self) -> bool {
+        self.attempts.iter().all(|attempt| attempt.not_executed)
     }
 }
--- a/crates/balancer/src/zone_reachability.rs
+++ b/crates/balancer/src/zone_reachability.rs
@@ -1,77 +1,136 @@
 //! Zones that nothing comes back from. Where a zone is cut off each of its backends looks dead, one after the other,
-//! and each costs four attempts before it is ejected: here they are known by their zone. Nothing here draws a backend.
+//! and each costs four attempts before it is ejected: here they are known by their zone.
 
 use crate::statistics::MovingAverage;
 use shaletide_types::*;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Outcomes in a zone's mean.
+/// Attempts in a zone's silent fraction.
 const SILENCE_SAMPLES: f64 = 4.0;
-/// From this part of silence on a zone is cut off: four in a row, of two backends at least, ...
+/// From this silent fraction on a zone is unreachable: four silent attempts in a row reach it.
 const UNREACHABLE_SILENT_FRACTION: f64 = 0.6;
-/// ... while another one answers: its part is below this. Where all are silent it is this proxy, or the load.
+/// A zone below this silent fraction responds.
 const RESPONSIVE_SILENT_FRACTION: f64 = 0.3;
-/// It is asked again after so long, s; doubled each time in vain, twice at most.
+/// An unreachable zone is used again after this time, s; it doubles each time that the zone is still silent ...
 const BASE_TERM_S: f64 = 1.0;
+/// ... this many times at most.
+const MAX_TERM_DOUBLINGS: i32 = 2;
+
+/// Whether anything came back of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Response {
+    /// The backend answered, even if with an error.
+    Received,
+    /// No connection came up, or nothing came back in time.
+    Silence,
+}
+
+/// Whether an outcome changed which zones are unreachable.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ReachabilityChange {
+    None,
+    Changed,
+}
 
 #[derive(Clone, Debug, Default)]
 struct ZoneHealth {
+    /// The part of the last attempts that were silent.
     silent_fraction: MovingAverage,
-    /// The first backend that was silent since the last word, and whether others were.
+    /// The first backend that was silent since the zone's last response, ...
     first_silent: Option<BackendId>,
+    /// ... and whether others have been silent, too: one dead backend is no unreachable zone.
     several_silent: bool,
     unreachable_until: Option<Time>,
     consecutive_terms: i32,
 }
 
-/// What came back from each zone that was asked, as seen from this proxy's own.
+impl ZoneHealth {
+    fn is_unreachable(&self, now: Time) -> bool {
+        self.unreachable_until.is_some_and(|until| now < until)
+    }
+
+    fn is_responsive(&self) -> bool {
+        self.silent_fraction.count > 0.0 && self.silent_fraction.value < RESPONSIVE_SILENT_FRACTION
+    }
+
+    fn is_silent(&self) -> bool {
+        self.silent_fraction.value > UNREACHABLE_SILENT_FRACTION
+    }
+
+    fn record_response(&mut self) {
+        self.silent_fraction.record(0.0, SILENCE_SAMPLES);
+        self.first_silent = None;
+        self.several_silent = false;
+        self.unreachable_until = None;
+        if self.silent_fraction.value < RESPONSIVE_SILENT_FRACTION {
+            self.consecutive_terms = 0;
+        }
+    }
+
+    fn mark_unreachable(&mut self, now: Time) {
+        let doublings = self.consecutive_terms.min(MAX_TERM_DOUBLINGS);
+        let term_s = BASE_TERM_S * f64::from(doublings).exp2();
+        self.unreachable_until = Some(now + Micros::from_secs(term_s));
+        self.consecutive_terms += 1;
+    }
+}
+
+/// What came back from each zone that this proxy sent attempts to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneReachability(BTreeMap<ZoneId, ZoneHealth>);
 
 impl ZoneReachability {
-    /// An attempt ended, in silence or with any word. Whether the zone is cut off by that, or is no longer.
-    pub fn record_outcome(&mut self, now: Time, own: ZoneId, to: &BackendEntry, silent: bool) -> bool {
-        // One's own zone is near: it counts as one that answers until it was asked.
-        let near = to.zone != own
-            && self.0.get(&own).is_none_or(|way| way.silent_fraction.value < UNREACHABLE_SILENT_FRACTION);
-        let answers = |way: &ZoneHealth| {
-            way.silent_fraction.count > 0.0 && way.silent_fraction.value < RESPONSIVE_SILENT_FRACTION
-        };
-        let other = near || self.0.iter().any(|(zone, way)| *zone != to.zone && answers(way));
-        let way = self.0.entry(to.zone).or_default();
-        let was = way.unreachable_until.is_some_and(|until| now < until);
-        way.silent_fraction.record(f64::from(silent), SILENCE_SAMPLES);
-        if !silent {
-            (way.first_silent, way.several_silent, way.unreachable_until) = (None, false, None);
-            way.consecutive_terms = if way.silent_fraction.value < RESPONSIVE_SILENT_FRACTION {
-                0
-            } else {
-                way.consecutive_terms
-            };
-            return was;
+    /// Records an attempt at `backend`. `own` is this proxy's zone.
+    pub fn record(
+        &mut self, now: Time, own: ZoneId, backend: &BackendEntry, response: Response,
+    ) -> ReachabilityChange {
+        let another_responds = self.another_zone_responds(own, backend.zone);
+        let zone = self.0.entry(backend.zone).or_default();
+        let was_unreachable = zone.is_unreachable(now);
+        if response == Response::Received {
+            zone.record_response();
+            return if was_unreachable { ReachabilityChange::Changed } else { ReachabilityChange::None };
         }
-        if to.zone == own && way.silent_fraction.value > UNREACHABLE_SILENT_FRACTION && !other {
-            // All are silent: none is cut off.
-            let cut = self
-                .0
-                .values_mut()
-                .filter_map(|way| way.unreachable_until.take())
-                .filter(|until| now < *until);
-            return cut.count() > 0;
+        zone.silent_fraction.record(1.0, SILENCE_SAMPLES);
+        if backend.zone == own && zone.is_silent() && !another_responds {
+            return self.clear_unreachable(now);
         }
-        way.several_silent |= way.first_silent.is_some_and(|first| first != to.id);
-        way.first_silent = way.first_silent.or(Some(to.id));
-        let cut =
-            !was && other && way.several_silent && way.silent_fraction.value > UNREACHABLE_SILENT_FRACTION;
-        if cut {
-            let term = Micros::from_secs(BASE_TERM_S * f64::from(way.consecutive_terms.min(2)).exp2());
-            (way.unreachable_until, way.consecutive_terms) = (Some(now + term), way.consecutive_terms + 1);
+        zone.several_silent |= zone.first_silent.is_some_and(|first| first != backend.id);
+        zone.first_silent = zone.first_silent.or(Some(backend.id));
+        if !was_unreachable && another_responds && zone.several_silent && zone.is_silent() {
+            zone.mark_unreachable(now);
+            return ReachabilityChange::Changed;
         }
-        cut
+        ReachabilityChange::None
     }
 
-    /// Nothing comes back from it.
+    /// Whether nothing comes back from a zone.
     pub fn is_unreachable(&self, now: Time, zone: ZoneId) -> bool {
-        self.0.get(&zone).and_then(|way| way.unreachable_until).is_some_and(|until| now < until)
+        self.0.get(&zone).is_some_and(|zone| zone.is_unreachable(now))
+    }
+
+    /// The zones that nothing comes back from.
+    pub fn unreachable_zones(&self, now: Time) -> BTreeSet<ZoneId> {
+        self.0.iter().filter(|(_, zone)| zone.is_unreachable(now)).map(|(id, _)| *id).collect()
+    }
+
+    /// Whether a zone other than `zone` responds. This proxy's own zone is near: it counts as responding until it was
+    /// found silent.
+    fn another_zone_responds(&self, own: ZoneId, zone: ZoneId) -> bool {
+        let own_silence = self.0.get(&own).map_or(0.0, |health| health.silent_fraction.value);
+        let own_responds = zone != own && own_silence < UNREACHABLE_SILENT_FRACTION;
+        own_responds || self.0.iter().any(|(id, health)| *id != zone && health.is_responsive())
+    }
+
+    /// Where all zones are silent it is this proxy that is cut off, or the load: none counts as unreachable.
+    fn clear_unreachable(&mut self, now: Time) -> ReachabilityChange {
+        let mut change = ReachabilityChange::None;
+        for zone in self.0.values_mut() {
+            if zone.is_unreachable(now) {
+                change = ReachabilityChange::Changed;
+            }
+            zone.unreachable_until = None;
+        }
+        change
     }
 }
--- a/crates/balancer/tests/failures.rs
+++ b/crates/balancer/tests/failures.rs
@@ -417,7 +417,7 @@
     host.advance(2_000_000);
     assert!(!serve(&mut host, 40, 1, |_| 5_000).contains(&bad), "an unsafe request tried it");
     assert!(serve(&mut host, 40, 0, |_| 5_000).contains(&bad), "no free request tried it");
-    assert!(host.logs.iter().any(|l| l.contains("is back")));
+    assert!(host.logs.iter().any(|l| l.contains("restored")));
 }
 
 #[test]
