--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,47 +1,47 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! A harness for one balancer that carries out its actions and checks every rule as it goes.
 #![allow(dead_code)]
 
 use shaletide_balancer::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
-pub struct Try {
+pub struct SentAttempt {
     pub backend: BackendId,
     pub zone: ZoneId,
-    pub cell: DeduplicationGroupId,
+    pub deduplication_group: DeduplicationGroupId,
     pub at: Time,
     pub outcome: Option<Outcome>,
 }
 
-impl Try {
+impl SentAttempt {
     /// No outcome proves yet that it did not run.
-    pub fn may_have_run(&self) -> bool {
+    pub fn may_have_been_executed(&self) -> bool {
         self.outcome.is_none_or(|o| !o.not_executed())
     }
 }
 
-pub struct Open {
+pub struct OpenRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<SentAttempt>,
     pub streaming: bool,
     pub answer: Option<&'static str>,
 }
 
-pub struct Host {
+pub struct Harness {
     pub cfg: Config,
     pub balancer: Balancer,
     pub shared: SharedLimits,
     pub now: Time,
     pub list: BTreeMap<BackendId, BackendEntry>,
-    pub requests: BTreeMap<RequestId, Open>,
+    pub requests: BTreeMap<RequestId, OpenRequest>,
     pub timers: Vec<(Time, TimerToken)>,
-    pub follows: u32,
+    pub polls: u32,
     pub timers_set: usize,
     pub cancelled: Vec<(RequestId, usize)>,
     pub logs: Vec<String>,
     pub last: Vec<Action>,
-    pub repeat: bool,
+    pub is_client_retry: bool,
     next: u64,
 }
 
@@ -67,10 +67,10 @@
     }
 }
 
-impl Host {
-    pub fn new(cfg: Config, seed: u64) -> Host {
+impl Harness {
+    pub fn new(cfg: Config, seed: u64) -> Harness {
         let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
-        Host {
+        Harness {
             cfg,
             balancer,
             shared: SharedLimits::new(),
@@ -78,12 +78,12 @@
             list: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            follows: 0,
+            polls: 0,
             timers_set: 0,
             cancelled: Vec::new(),
             logs: Vec::new(),
             last: Vec::new(),
-            repeat: false,
+            is_client_retry: false,
             next: 0,
         }
     }
@@ -102,13 +102,13 @@
             Action::FailOver { .. } => panic!("passed on where there is no other pool"),
             Action::Dispatch { request, attempt, backend, .. } => {
                 let r = self.requests.get_mut(&request).expect("dispatch of a known request");
-                assert_eq!(attempt.0 as usize, r.tries.len(), "attempts are numbered in their order");
+                assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered in their order");
                 assert!(r.answer.is_none(), "sent after the final answer");
                 let b = self.list.get(&backend).expect("a listed backend");
                 assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
+                assert!(r.attempts.len() < self.cfg.max_attempts as usize, "too many attempts");
+                assert!(self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()), "two at once");
+                for t in r.attempts.iter().filter(|t| t.may_have_been_executed()) {
                     match self.cfg.classes[r.class].idempotency {
                         Idempotency::Safe => {}
                         Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
@@ -117,25 +117,30 @@
                             let same = match scope {
                                 DeduplicationScope::All => true,
                                 DeduplicationScope::Zone => t.zone == b.zone,
-                                DeduplicationScope::Group => t.cell == b.deduplication_group,
+                                DeduplicationScope::Group => t.deduplication_group == b.deduplication_group,
                             };
                             assert!(same, "a key was repeated outside its scope");
                         }
                     }
                 }
-                let (zone, cell, at) = (b.zone, b.deduplication_group, self.now);
-                r.tries.push(Try { backend, zone, cell, at, outcome: None });
+                r.attempts.push(SentAttempt {
+                    backend,
+                    zone: b.zone,
+                    deduplication_group: b.deduplication_group,
+                    at: self.now,
+                    outcome: None,
+                });
             }
             Action::Reject { request, retry_after } => {
                 assert!(retry_after > Micros(0), "refused without advice");
                 let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
-                let free = matches!(
+                let may_have_run = r.attempts.iter().any(SentAttempt::may_have_been_executed);
+                let is_safe = matches!(
                     self.cfg.classes[r.class].idempotency,
                     Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
                 );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
+                assert!(is_safe || !may_have_run, "refused what may have run");
+                assert!(r.answer.replace("rejected").is_none(), "answered twice");
             }
             Action::Fail { request, .. } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
@@ -144,7 +149,7 @@
             Action::Cancel { request, attempt } => {
                 assert!(self.cfg.may_cancel_attempts, "cancel is not allowed");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
+                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled what was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
@@ -153,13 +158,13 @@
             }
             Action::Subscribe => {
                 assert_ne!(self.cfg.discovery, DiscoveryMode::Push);
-                self.follows += 1;
+                self.polls += 1;
             }
             Action::Log(text) => self.logs.push(text),
         }
     }
 
-    pub fn members(&mut self, update: EndpointUpdate, backends: Vec<BackendEntry>) {
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, backends: Vec<BackendEntry>) {
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             self.list.values_mut().for_each(|b| b.state = BackendState::Gone);
         }
@@ -169,15 +174,15 @@
         self.event(Event::EndpointsUpdated { update, backends });
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
-        self.arrive_for(class, left, None)
+    pub fn send_request(&mut self, class: usize, left: u64) -> RequestId {
+        self.send_request_of(class, left, None)
     }
 
-    pub fn arrive_for(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
+    pub fn send_request_of(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let deadline = self.now + Micros(left);
-        let open = Open { class, deadline, tries: Vec::new(), streaming: false, answer: None };
+        let open = OpenRequest { class, deadline, attempts: Vec::new(), streaming: false, answer: None };
         self.requests.insert(id, open);
         self.event(Event::Request(Arrival {
             request: id,
@@ -185,19 +190,21 @@
             tenant,
             time_left: Micros(left),
             work_hint: None,
-            is_client_retry: self.repeat,
+            is_client_retry: self.is_client_retry,
             may_fail_over: false,
         }));
         id
     }
 
     /// So many requests at once.
-    pub fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.arrive(class, left)).collect()
+    pub fn send_requests(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
+        (0..count).map(|_| self.send_request(class, left)).collect()
     }
 
     /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
+    pub fn send_events_with_unknown_ids(
+        &mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken,
+    ) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
         self.event(Event::ClientDisconnected { request });
@@ -215,7 +222,7 @@
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(t) = r.attempts.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
         t.outcome = Some(outcome);
         let latency = now - t.at;
         if outcome == Outcome::Ok && r.answer.is_none() {
@@ -236,7 +243,7 @@
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
             return;
         };
-        if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
+        if r.attempts.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
             self.event(Event::StreamStarted { request: id, attempt: AttemptNumber(no as u32) });
         }
@@ -256,7 +263,7 @@
             for (id, no) in std::mem::take(&mut self.cancelled) {
                 self.end(id, no, Outcome::Cancelled);
             }
-            for (id, no) in self.out() {
+            for (id, no) in self.in_flight() {
                 let r = &self.requests[&id];
                 if r.deadline <= self.now && !r.streaming {
                     self.end(id, no, Outcome::TimedOut);
@@ -269,21 +276,21 @@
         }
     }
 
-    pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.backend.0).collect()
+    pub fn backends_tried(&self, id: RequestId) -> Vec<u32> {
+        self.requests[&id].attempts.iter().map(|t| t.backend.0).collect()
     }
 
     /// Serves everything that is out, each after `span`.
-    pub fn serve_all(&mut self, span: u64) {
+    pub fn serve_all_in_flight(&mut self, span: u64) {
         self.advance(span);
-        for (id, no) in self.out() {
+        for (id, no) in self.in_flight() {
             self.end(id, no, Outcome::Ok);
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
+    pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+            r.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
         });
         each.collect()
     }
--- a/crates/balancer/tests/halb.rs
+++ b/crates/balancer/tests/halb.rs
@@ -12,19 +12,19 @@
 const TWO: [(f64, f64); 2] = [(1.0, 4.0), (1.0, 1.0)];
 
 #[test]
-fn both_kinds_serve_above_the_clamp() {
+fn both_server_types_get_traffic_above_clamp() {
     // roots 3, speeds 5: flows 4 - 2 * 1.5 / 3 = 3 and 1 - 1.5 / 3 = 0.5.
     close(halb_shares(&TWO, Some(3.5)), &[6.0 / 7.0, 1.0 / 7.0]);
 }
 
 #[test]
-fn at_light_load_the_slow_kind_gets_nothing() {
+fn slow_server_type_gets_nothing_at_light_load() {
     close(halb_shares(&TWO, Some(2.0)), &[1.0, 0.0]);
     close(halb_shares(&TWO, Some(1.0)), &[1.0, 0.0]);
 }
 
 #[test]
-fn a_clamped_kind_leaves_and_the_rest_is_solved_anew() {
+fn clamped_server_type_is_excluded_and_rest_is_solved_again() {
     // Of all three: roots 6, speeds 14, the third flow 1 - 8.5 / 6 < 0.
     // Of the first two: roots 5, speeds 13: 9 - 3 * 1.5 = 4.5 and 4 - 2 * 1.5 = 1.
     let three = [(1.0, 9.0), (1.0, 4.0), (1.0, 1.0)];
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn counts_weigh_and_may_be_parts() {
+fn counts_are_weights_and_may_be_fractions() {
     // roots 2 * 2 + 0.5 = 4.5, speeds 8.5: at 4 a second (8.5 - 4) / 4.5 = 1: flows 8 - 4 and 0.5 - 0.5.
     close(halb_shares(&[(2.0, 4.0), (0.5, 1.0)], Some(4.0)), &[1.0, 0.0]);
     // At 6.25: (8.5 - 6.25) / 4.5 = 0.5: flows 8 - 2 and 0.5 - 0.25.
@@ -40,25 +40,25 @@
 }
 
 #[test]
-fn over_capacity_all_traffic_is_still_divided() {
+fn traffic_over_capacity_is_divided_completely() {
     // (5 - 8) / 3 = -1: flows 4 + 2 and 1 + 1.
     close(halb_shares(&TWO, Some(8.0)), &[0.75, 0.25]);
 }
 
 #[test]
-fn without_a_rate_ready_counts_decide() {
+fn shares_without_rate_follow_ready_counts() {
     close(halb_shares(&[(3.0, 4.0), (1.0, 1.0), (0.0, 9.0)], None), &[0.75, 0.25, 0.0]);
 }
 
 #[test]
-fn near_zero_rate_the_fastest_kind_takes_all() {
+fn fastest_server_type_gets_all_traffic_near_zero_rate() {
     close(halb_shares(&TWO, Some(0.0)), &[1.0, 0.0]);
     close(halb_shares(&[(1.0, 4.0), (3.0, 4.0)], Some(0.0)), &[0.25, 0.75]);
     close(halb_shares(&[(0.0, 9.0), (1.0, 4.0), (1.0, 1.0)], Some(1e-12)), &[0.0, 1.0, 0.0]);
 }
 
 #[test]
-fn one_kind_takes_all_and_none_ready_takes_nothing() {
+fn single_server_type_gets_all_traffic_and_none_ready_gets_nothing() {
     close(halb_shares(&[(2.0, 3.0)], Some(1.0)), &[1.0]);
     close(halb_shares(&[(0.0, 3.0), (0.0, 1.0)], Some(1.0)), &[0.0, 0.0]);
     close(halb_shares(&[(0.0, 3.0), (2.0, 1.0)], Some(1.0)), &[0.0, 1.0]);
--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -1,7 +1,7 @@
-//! The rules as invariants over generated sequences of events; `common::Host` checks each action.
+//! The rules as invariants over generated sequences of events; `common::Harness` checks each action.
 
 mod common;
-use common::{backend, class, Host};
+use common::{backend, class, Harness};
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use shaletide_balancer::*;
@@ -78,54 +78,58 @@
 
 /// Plays the steps and returns every action as text, for the test of repeatability.
 fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
-    let mut host = Host::new(config(bits), seed);
+    let mut harness = Harness::new(config(bits), seed);
     let mut trace = Vec::new();
     let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
-    host.members(EndpointUpdate::Cached, fleet(0b0111_1011));
+    harness.update_endpoints(EndpointUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
             Step::Arrive(c, left, t) => {
-                host.arrive_for(c, left, t.map(TenantId));
+                harness.send_request_of(c, left, t.map(TenantId));
             }
             Step::End(n, o) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.end(id, no, o);
+                if let Some((id, no)) = nth(&harness.in_flight(), n) {
+                    harness.end(id, no, o);
                 }
             }
             Step::Stream(n) => {
-                if let Some((id, no)) = nth(&host.out(), n) {
-                    host.start_stream(id, no);
+                if let Some((id, no)) = nth(&harness.in_flight(), n) {
+                    harness.start_stream(id, no);
                 }
             }
             Step::Gone(n) => {
                 let open: Vec<RequestId> =
-                    host.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
+                    harness.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&open, n) {
-                    host.requests.get_mut(&id).unwrap().answer = Some("left");
-                    host.event(Event::ClientDisconnected { request: id });
+                    harness.requests.get_mut(&id).unwrap().answer = Some("client disconnected");
+                    harness.event(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Pass(span) => host.advance(span),
+            Step::Pass(span) => harness.advance(span),
             Step::Member(b, state, restarted) => {
-                let booted = restarted.then_some(host.now);
-                host.members(
+                let booted = restarted.then_some(harness.now);
+                harness.update_endpoints(
                     EndpointUpdate::Delta,
                     vec![BackendEntry { state, started_at: booted, ..backend(b, b % 3, b % 2) }],
                 );
             }
             Step::Relist(_, EndpointUpdate::SubscriptionLost) => {
-                host.members(EndpointUpdate::SubscriptionLost, Vec::new())
+                harness.update_endpoints(EndpointUpdate::SubscriptionLost, Vec::new())
             }
-            Step::Relist(mask, update) => host.members(update, fleet(mask)),
+            Step::Relist(mask, update) => harness.update_endpoints(update, fleet(mask)),
             Step::Nonsense(r, a, t) => {
-                host.nonsense(RequestId(1_000_000 + r), AttemptNumber(a), TimerToken(t));
+                harness.send_events_with_unknown_ids(
+                    RequestId(1_000_000 + r),
+                    AttemptNumber(a),
+                    TimerToken(t),
+                );
             }
         }
-        trace.push(format!("{:?}", host.last));
+        trace.push(format!("{:?}", harness.last));
     }
-    host.advance(3_000_000);
-    let answered = |r: &common::Open| r.answer.is_some() || r.streaming;
-    assert!(host.requests.values().all(answered), "a request was left without an answer");
+    harness.advance(3_000_000);
+    let answered = |r: &common::OpenRequest| r.answer.is_some() || r.streaming;
+    assert!(harness.requests.values().all(answered), "a request was left without an answer");
     trace
 }
 
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn rules_hold_over_generated_events() {
+fn invariants_hold_for_generated_events() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
     let run = runner(300).run(&all, |(bits, seed, steps)| {
         play(bits, seed, &steps);
@@ -150,7 +154,7 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
     let run = runner(40).run(&all, |(bits, seed, steps)| {
         prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
--- a/crates/balancer/tests/large_fleet.rs
+++ b/crates/balancer/tests/large_fleet.rs
@@ -17,28 +17,28 @@
 }
 
 /// One of the proxies, which has the whole list.
-fn proxy(position: u32) -> Host {
+fn proxy(position: u32) -> Harness {
     let cfg = Config { proxies: PROXIES, position, cross_zone_cost: 0.0, ..Config::example() };
-    let mut host = Host::new(cfg, u64::from(position));
-    host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
-    host
+    let mut harness = Harness::new(cfg, u64::from(position));
+    harness.update_endpoints(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
+    harness
 }
 
 /// So many requests one after the other, all served; where they went.
-fn used(host: &mut Host, requests: usize) -> BTreeSet<u32> {
+fn used(harness: &mut Harness, requests: usize) -> BTreeSet<u32> {
     let mut used = BTreeSet::new();
     for _ in 0..requests {
-        let id = host.arrive(0, 900_000);
-        used.extend(host.sent_to(id));
-        host.serve_all(10_000);
-        assert_eq!(host.requests[&id].answer, Some("served"));
+        let id = harness.send_request(0, 900_000);
+        used.extend(harness.backends_tried(id));
+        harness.serve_all_in_flight(10_000);
+        assert_eq!(harness.requests[&id].answer, Some("served"));
     }
     used
 }
 
 /// Each proxy uses a slice, of which twenty share a backend, and all slices together cover all.
 #[test]
-fn every_backend_of_1024_is_used_by_some_of_350_proxies() {
+fn subsets_of_350_proxies_cover_1024_backends() {
     let started = Instant::now();
     let mut users = vec![0u32; BACKENDS as usize];
     for position in 0..PROXIES {
@@ -51,20 +51,20 @@
     assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
 }
 
-/// [`Host`] checks that nothing goes to one that drains or is gone.
+/// [`Harness`] checks that nothing goes to one that drains or is gone.
 #[test]
-fn changes_and_whole_lists_of_1024_backends_are_taken_whole() {
+fn deltas_and_snapshots_of_1024_backends_are_applied_completely() {
     for position in [0, 174, 349] {
-        let mut host = proxy(position);
-        used(&mut host, 20);
-        host.members(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Draining));
-        assert!(used(&mut host, 40).iter().all(|id| *id >= BACKENDS / 2));
-        host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS / 2, BackendState::Ready));
-        assert!(used(&mut host, 40).iter().all(|id| *id < BACKENDS / 2));
-        host.members(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Gone));
-        let id = host.arrive(0, 900_000);
-        assert!(host.sent_to(id).is_empty(), "none is left");
-        host.members(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
-        assert!(!used(&mut host, 40).is_empty());
+        let mut harness = proxy(position);
+        used(&mut harness, 20);
+        harness.update_endpoints(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Draining));
+        assert!(used(&mut harness, 40).iter().all(|id| *id >= BACKENDS / 2));
+        harness.update_endpoints(EndpointUpdate::Snapshot, backends(0..BACKENDS / 2, BackendState::Ready));
+        assert!(used(&mut harness, 40).iter().all(|id| *id < BACKENDS / 2));
+        harness.update_endpoints(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Gone));
+        let id = harness.send_request(0, 900_000);
+        assert!(harness.backends_tried(id).is_empty(), "none is left");
+        harness.update_endpoints(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
+        assert!(!used(&mut harness, 40).is_empty());
     }
 }
--- a/crates/balancer/tests/refusals.rs
+++ b/crates/balancer/tests/refusals.rs
@@ -1,7 +1,7 @@
 //! No proxy turns everything away for long: while its backends are listed it goes on trying them, whatever they did.
 
 mod common;
-use common::{backend, class, Host};
+use common::{backend, class, Harness};
 use shaletide_balancer::*;
 
 /// A proxy that made no attempt for so long while requests came has turned all of them away.
@@ -38,46 +38,46 @@
     cold: u32,
 }
 
-fn host(fleet: Fleet, effect: Idempotency) -> Host {
+fn harness(fleet: Fleet, effect: Idempotency) -> Harness {
     let cfg = Config { proxies: fleet.proxies, classes: vec![class(effect)], ..Config::example() };
-    let mut host = Host::new(cfg, 7);
-    let started = |id| (id + fleet.cold >= fleet.backends).then_some(host.now);
+    let mut harness = Harness::new(cfg, 7);
+    let started = |id| (id + fleet.cold >= fleet.backends).then_some(harness.now);
     let list =
         (0..fleet.backends).map(|id| BackendEntry { started_at: started(id), ..backend(id, 0, 0) }).collect();
-    host.members(EndpointUpdate::Snapshot, list);
-    host
+    harness.update_endpoints(EndpointUpdate::Snapshot, list);
+    harness
 }
 
 /// Ends the attempts that are out at backends which answer at once: good ones serve.
-fn answer(host: &mut Host, fleet: Fleet, bad: Option<Outcome>) {
+fn answer(harness: &mut Harness, fleet: Fleet, bad: Option<Outcome>) {
     loop {
-        let out = host.out();
-        let to = |(id, no): &(RequestId, usize)| host.requests[id].tries[*no].backend.0;
+        let out = harness.in_flight();
+        let to = |(id, no): &(RequestId, usize)| harness.requests[id].attempts[*no].backend.0;
         let ends = out.into_iter().map(|attempt| (attempt, to(&attempt) < fleet.bad));
         let ends: Vec<_> = ends.filter(|(_, is_bad)| !is_bad || bad.is_some()).collect();
         if ends.is_empty() {
             return;
         }
         for ((id, no), is_bad) in ends {
-            host.end(id, no, if is_bad { bad.unwrap_or(Outcome::TimedOut) } else { Outcome::Ok });
+            harness.end(id, no, if is_bad { bad.unwrap_or(Outcome::TimedOut) } else { Outcome::Ok });
         }
     }
 }
 
 /// The longest time without the start of an attempt.
 fn longest_gap(fleet: Fleet, effect: Idempotency, bad: Option<Outcome>) -> Micros {
-    let mut host = host(fleet, effect);
-    let (begun, mut last, mut longest) = (host.now, host.now, Micros(0));
-    while host.now < begun + Micros(SPAN) {
-        host.arrive(0, 900_000);
-        host.advance(ANSWER);
-        answer(&mut host, fleet, bad);
-        host.advance(EVERY - ANSWER);
-        answer(&mut host, fleet, bad);
-        let starts = host.requests.values().flat_map(|r| r.tries.iter().map(|attempt| attempt.at));
+    let mut harness = harness(fleet, effect);
+    let (begun, mut last, mut longest) = (harness.now, harness.now, Micros(0));
+    while harness.now < begun + Micros(SPAN) {
+        harness.send_request(0, 900_000);
+        harness.advance(ANSWER);
+        answer(&mut harness, fleet, bad);
+        harness.advance(EVERY - ANSWER);
+        answer(&mut harness, fleet, bad);
+        let starts = harness.requests.values().flat_map(|r| r.attempts.iter().map(|attempt| attempt.at));
         last = starts.max().map_or(last, |latest| latest.max(last));
-        longest = longest.max(host.now - last);
-        host.requests.retain(|_, r| r.answer.is_none() || r.tries.iter().any(|t| t.outcome.is_none()));
+        longest = longest.max(harness.now - last);
+        harness.requests.retain(|_, r| r.answer.is_none() || r.attempts.iter().any(|t| t.outcome.is_none()));
     }
     longest
 }
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn each_file_of_the_decision_module_stays_reviewable() {
+fn decision_module_files_stay_within_review_budget() {
     for file in files_of_the_decision_module() {
         let text = read(&format!("src/{file}"));
         assert!(text.starts_with("//! "), "{file} names its concern first");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn deploy_file_lists_the_whole_decision_module() {
+fn deploy_file_lists_whole_decision_module() {
     let deploy = read("../../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy = ")).unwrap();
     let listed: BTreeSet<String> = policy
