--- a/crates/balancer/src/give_up.rs
+++ b/crates/balancer/src/give_up.rs
@@ -1,20 +1,20 @@
 //! Why requests are given up, counted for the operators.
 
-/// Why a request will not be served. Whether its client is told that a retry is harmless depends on its attempts alone.
+/// Why a request will not be served. Whether it is rejected or failed depends on its attempts alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[non_exhaustive]
 pub enum GiveUpReason {
-    /// The backends hold too much for it to be let in.
+    /// Admission control rejected it.
     Overloaded,
-    /// Its time is up, or too little is left for an attempt.
+    /// Its deadline has passed, or too little time is left for an attempt.
     OutOfTime,
-    /// No backend is left that it may go to: it was at all of them, or none is listed.
+    /// No backend is left that it may go to: attempts were made at all of them, or none is listed.
     NoBackendLeft,
-    /// All that it may go to are ejected, or have no room, and nothing waits any more.
+    /// All that it may go to are ejected or at their concurrency limits, and the pool is draining.
     NoRoom,
-    /// A further attempt might run a second time, or is over its number.
+    /// A further attempt might be executed a second time, or is over the number allowed.
     NotRepeatable,
-    /// A further attempt is over the budget of retries.
+    /// A further attempt is over the retry budget.
     RetryBudget,
 }
 
@@ -29,7 +29,7 @@
         GiveUpReason::RetryBudget,
     ];
 
-    /// In a log line.
+    /// The reason in a log line.
     pub fn name(self) -> &'static str {
         match self {
             GiveUpReason::Overloaded => "overloaded",
@@ -47,19 +47,21 @@
 pub struct GiveUpCounts([u64; GiveUpReason::ALL.len()]);
 
 impl GiveUpCounts {
-    /// How many for that reason.
+    /// How many were given up for that reason.
     pub fn of(&self, reason: GiveUpReason) -> u64 {
         self.0[reason as usize]
     }
 
-    /// One more.
+    /// Counts one more.
     pub fn add(&mut self, reason: GiveUpReason) {
         self.0[reason as usize] += 1;
     }
 
-    /// Those of another count as well.
+    /// Adds those of another count.
     pub fn merge(&mut self, other: GiveUpCounts) {
-        self.0.iter_mut().zip(other.0).for_each(|(own, other)| *own += other);
+        for (own, other) in self.0.iter_mut().zip(other.0) {
+            *own += other;
+        }
     }
 }
 
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,58 +1,59 @@
-//! The whole interface of the decision module: configuration, events, actions. No decisions here.
+//! The whole interface of the balancer: configuration, events, actions. No decisions here.
 
 use shaletide_types::*;
 
-/// Everything told at start-up.
+/// Settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How many proxies share the traffic, this one included.
+    /// How many proxies share the traffic, this one included; at least 1.
     pub proxies: u32,
-    /// Which of them this one is, from 0.
+    /// Which of them this one is: from 0, less than `proxies`.
     pub position: u32,
     /// The proxy's own zone.
     pub zone: ZoneId,
-    /// The sorts of requests.
+    /// The classes of requests, at least one; a [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
-    /// The customers; may be empty.
+    /// The tenants, if any; a [`TenantId`] is an index into them.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request past its tenant's quota, as a part of its class's worth.
+    /// Priority weight of a request over its tenant's quota, as a part of its class's weight, from 0 to 1.
     pub over_quota_weight_fraction: f64,
-    /// What the operator's goal puts on the whole of the traffic.
+    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1.
     pub total_objective_weight: f64,
-    /// What the operator's goal puts on the worst-served class.
+    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1.
     pub worst_class_objective_weight: f64,
-    /// What it costs the goal when every request crosses zones once.
+    /// What it costs the objective when every request crosses zones once; at least 0.
     pub cross_zone_cost: f64,
-    /// Where the list of backends comes from.
+    /// How the endpoint list is had.
     pub discovery: DiscoveryMode,
-    /// The list's weights are live: a backend's size over one and the requests that it holds a core.
+    /// The list's weights report load: a backend's size over one plus its requests in flight on a core.
     pub weights_report_load: bool,
-    /// Weights, live or not, tell sizes in standard cores: how many it has times how fast one is.
+    /// Weights, live or not, are sizes in thousandths of a standard core: the number of cores times the speed of one.
     pub weights_report_cores: bool,
-    /// Attempts allowed for a request.
+    /// Attempts allowed for a request, the first included; at least 1.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel_attempts: bool,
-    /// Two attempts of one request may be out at once.
+    /// Requests may be hedged: two attempts of one request in flight at once.
     pub hedging: bool,
-    /// The least time between two rounds of events.
+    /// The shortest time for which a timer is set; above 0.
     pub min_timer_interval: Micros,
-    /// Part of its capacity that a backend has at least when it boots.
+    /// Part of its capacity that a backend has at least when it starts, from 0 to 1.
     pub initial_capacity_fraction: f64,
-    /// A booted backend is warm after this time at most.
+    /// A backend is warm after this time at most.
     pub slow_start_window: Micros,
-    /// Another pool can take what this one cannot: where all of its backends fail alike, all are ejected.
+    /// Another pool can take what this one cannot: where all backends fail alike, all are ejected.
     pub has_failover_pool: bool,
-    /// The realm of all backends that a request may ever reach, if it is one: what one of them has done, each drops.
+    /// The deduplication domain of all backends that a request may ever reach, if it is one: each of them discards
+    /// repeats of what another has executed.
     pub only_deduplication_domain: Option<u32>,
-    /// A cold backend sent more than this multiple of its present capacity ...
+    /// A warming backend that is sent more than this multiple of its present capacity ...
     pub overload_multiple: f64,
-    /// ... over this time falls over.
+    /// ... within this time is overloaded.
     pub overload_window: Micros,
 }
 
 impl Config {
-    /// A small sound configuration: one zone, three proxies, one class that is free to repeat.
+    /// A small valid configuration: one zone, three proxies, one class of safe requests.
     pub fn example() -> Config {
         Config {
             proxies: 3,
@@ -86,76 +87,82 @@
         }
     }
 
-    /// The first field that is out of its range, if any.
+    /// Checks that every field is in its range.
+    ///
+    /// # Errors
+    /// The first field that is not.
     pub fn validate(&self) -> Result<(), ConfigError> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        let above_zero = |x: f64| x > 0.0 && x.is_finite();
-        let amount = |x: f64| x >= 0.0 && x.is_finite();
+        let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
+        let is_positive = |x: f64| x > 0.0 && x.is_finite();
+        let is_amount = |x: f64| x >= 0.0 && x.is_finite();
         let classes = &self.classes;
-        let tests = [
+        // By the names that operators know the settings by.
+        let checks = [
             (self.proxies > 0, "proxies", "at least 1"),
             (self.position < self.proxies, "position", "less than proxies"),
             (!classes.is_empty(), "classes", "at least one class"),
             (classes.iter().all(|c| c.latency_objective.0 > 0), "aim", "a time above 0"),
             (classes.iter().all(|c| c.latency_objective_per_work_hint >= 0.0), "aim_stretch", "at least 0"),
-            (classes.iter().all(|c| amount(c.priority_weight)), "worth", "a finite number of at least 0"),
-            (classes.iter().all(|c| part(c.late_weight_fraction)), "late_worth", "a part from 0 to 1"),
+            (classes.iter().all(|c| is_amount(c.priority_weight)), "worth", "a finite number of at least 0"),
+            (classes.iter().all(|c| is_fraction(c.late_weight_fraction)), "late_worth", "a part from 0 to 1"),
             (
-                self.tenants.iter().all(|t| amount(t.quota_per_s)),
+                self.tenants.iter().all(|t| is_amount(t.quota_per_s)),
                 "quota_per_s",
                 "a finite rate of at least 0",
             ),
-            (part(self.over_quota_weight_fraction), "over_quota_worth", "a part from 0 to 1"),
-            (part(self.total_objective_weight), "goal_whole", "a part from 0 to 1"),
-            (part(self.worst_class_objective_weight), "goal_worst_class", "a part from 0 to 1"),
+            (is_fraction(self.over_quota_weight_fraction), "over_quota_worth", "a part from 0 to 1"),
+            (is_fraction(self.total_objective_weight), "goal_whole", "a part from 0 to 1"),
+            (is_fraction(self.worst_class_objective_weight), "goal_worst_class", "a part from 0 to 1"),
             (self.cross_zone_cost >= 0.0, "cross_zone_cost", "at least 0"),
             (self.max_attempts > 0, "max_attempts", "at least 1"),
             (self.min_timer_interval.0 > 0, "tick", "a time above 0"),
-            (part(self.initial_capacity_fraction), "cold_from", "a part from 0 to 1"),
-            (above_zero(self.overload_multiple), "fall_multiple", "a finite number above 0"),
+            (is_fraction(self.initial_capacity_fraction), "cold_from", "a part from 0 to 1"),
+            (is_positive(self.overload_multiple), "fall_multiple", "a finite number above 0"),
         ];
-        let failed = tests.into_iter().find(|t| !t.0);
-        failed.map_or(Ok(()), |(_, field, expected)| Err(ConfigError { field, expected }))
+        match checks.into_iter().find(|(is_valid, ..)| !is_valid) {
+            Some((_, field, expected)) => Err(ConfigError { field, expected }),
+            None => Ok(()),
+        }
     }
 }
 
-/// A sort of request.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time earns the whole priority weight; above 0.
     pub latency_objective: Micros,
-    /// The aim grows by this multiple of the request's work hint.
+    /// The latency objective grows by this multiple of the request's work hint; at least 0.
     pub latency_objective_per_work_hint: f64,
-    /// What a second run would do.
+    /// What a second execution would do.
     pub idempotency: Idempotency,
-    /// What a request is worth.
+    /// What a request counts in the operator's objective; finite, at least 0.
     pub priority_weight: f64,
-    /// The part of the worth left after the aim.
+    /// The part of the priority weight that is left after the latency objective, from 0 to 1.
     pub late_weight_fraction: f64,
 }
 
-/// A customer.
+/// A tenant: a customer with a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, that earn full worth.
+    /// Requests a second, over all proxies, at full priority; finite, at least 0.
     pub quota_per_s: f64,
 }
 
-/// Where the list of backends comes from.
+/// How the endpoint list is had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unasked.
+    /// Changes arrive without a poll.
     Push,
-    /// Changes arrive after [`Action::Follow`]; a proxy that does not ask counts as told after this time.
+    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll counts as told after this time.
     Subscribe(Micros),
 }
 
 /// Why a configuration was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The field at fault.
+    /// The setting at fault, by the name that operators know it by.
     pub field: &'static str,
-    /// What was expected of it.
+    /// Its range.
     pub expected: &'static str,
 }
 
@@ -174,29 +181,29 @@
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Its customer, if any.
+    /// Its tenant, if any.
     pub tenant: Option<TenantId>,
     /// When the client gives up, from now.
     pub time_left: Micros,
     /// The work expected, on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client says that it asked before.
+    /// The client says that it sent the request before.
     pub is_client_retry: bool,
-    /// Another pool can be asked where this one can take nothing: see [`Action::FailOver`].
+    /// Another pool can be asked where this one can do nothing: see [`Action::FailOver`].
     pub may_fail_over: bool,
 }
 
-/// A request that one pool gives up to the next, with all that was tried so far. It is owed its final answer
-/// by the module that takes it; attempts that are out go on and end as ever.
+/// A request that fails over from one pool to the next, with its attempts so far. It is owed its final answer by the
+/// balancer that takes it; attempts in flight go on and end as ever.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
     pub(crate) state: crate::request::RequestState,
 }
 
 impl TransferredRequest {
-    /// Whether a further pool can be asked after the one that takes it.
-    pub fn with_failover(mut self, more: bool) -> TransferredRequest {
-        self.state.may_fail_over = more;
+    /// Sets whether a further pool can be asked after the one that takes it.
+    pub fn with_failover(mut self, may_fail_over: bool) -> TransferredRequest {
+        self.state.may_fail_over = may_fail_over;
         self
     }
 }
@@ -204,11 +211,11 @@
 /// Whether a pool can take a request at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PoolHealth {
-    /// Nothing may be sent to any of its backends: there is none, or all drain.
+    /// There is no backend, or all are draining.
     Empty,
-    /// All that may be sent requests are ejected, and none is due for a trial.
+    /// All backends that are ready are ejected, and none is due for a probe.
     AllEjected,
-    /// Some backend is in use or due for a trial.
+    /// Some backend is in use or due for a probe.
     Available,
 }
 
@@ -219,57 +226,57 @@
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// Time since the dispatch.
+    /// Time since its dispatch.
     pub latency: Micros,
-    /// The request has had its final answer; the module owes none.
+    /// The request has had its final answer: none is owed any more.
     pub request_answered: bool,
 }
 
-/// What the host tells the module.
+/// What happened, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the backend list.
+    /// A message about the endpoint list.
     EndpointsUpdated {
-        /// What sort of news.
+        /// What kind of message.
         update: EndpointUpdate,
         /// The entries.
         backends: Vec<BackendEntry>,
     },
     /// A client's request: it is owed one final answer.
     Request(Arrival),
-    /// A request that another pool's module passed on: it is owed its final answer here.
+    /// A request that another pool's balancer gave up: it is owed its final answer here.
     FailedOver(RequestId, Box<TransferredRequest>),
-    /// The answer has begun to stream: the attempt is the client's now and no time-out runs.
+    /// The response of an attempt streams to the client from now on: no deadline applies to the request any more.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// What a backend says of its own load.
+    /// A load report of a backend.
     LoadReported(BackendId, LoadReport),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left; no answer is owed.
+    /// The client disconnected: no answer is owed.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// The pool is no more: whatever is held is passed on or given up at once, and so is all that comes.
+    /// The pool is no more: whatever is queued fails over or is given up at once, and so is all that comes.
     Drain,
-    /// A timer fell due.
+    /// A timer fired.
     Timer {
-        /// Which.
+        /// The token that it was set with.
         token: TimerToken,
     },
 }
 
-/// What the module asks of the host, in order.
+/// What is to be done, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the client gives up.
+    /// Send an attempt; it may last until the request's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
@@ -277,29 +284,29 @@
         attempt: AttemptNumber,
         /// Where to.
         backend: BackendId,
-        /// The last byte may go out only before then: a repeat would no longer be dropped.
+        /// The last byte may go out only before then: a repeat would no longer be discarded later.
         send_by: Option<Time>,
     },
-    /// No answer: this pool can take nothing, and the next is to be asked. The module forgets the request, but
-    /// still wants to hear how its attempts end.
+    /// No answer: this pool can do nothing for the request, and the next is to be asked. The balancer forgets the
+    /// request, but the ends of its attempts are still to be reported.
     FailOver {
         /// The request.
         request: RequestId,
-        /// What the next module has to know of it.
+        /// What the next balancer takes over.
         handover: Box<TransferredRequest>,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Final answer: rejected; a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client had better come again, from now.
+        /// When the client should come again, from now.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed; it may have been executed.
     Fail {
         /// The request.
         request: RequestId,
-        /// When the client had better come again, should it turn out that nothing has run.
+        /// When the client should come again, should it turn out that nothing was executed.
         retry_after: Micros,
     },
     /// Stop waiting for an attempt.
@@ -309,14 +316,14 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer that brings an [`Event::Timer`].
     SetTimer {
-        /// The token it is to carry.
+        /// The token that it is to carry.
         token: TimerToken,
         /// When, from now.
         after: Micros,
     },
-    /// Ask discovery for changes from now on.
+    /// Poll discovery for changes from now on.
     Subscribe,
     /// A line for the operators.
     Log(String),
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,7 +1,8 @@
 //! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: a host feeds it [`Event`]s
-//! with the time at which they happened and carries out the [`Action`]s it returns.
+//! [`Balancer`] is a state machine without clock, network or threads: its driver gives it [`Event`]s with the time at
+//! which they happened and carries out the [`Action`]s that it returns. The same seed, configuration and events give
+//! the same actions. A process has a balancer for each pool and one [`SharedLimits`] for all of them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
