--- a/crates/balancer/tests/admission.rs
+++ b/crates/balancer/tests/admission.rs
@@ -10,37 +10,37 @@
     let mut harness =
         harness(config(vec![class(Idempotency::Safe), class(Idempotency::NonIdempotent)]), Vec::new());
     let ids = [harness.send_request(0, 700_000), harness.send_request(1, 700_000)];
-    // Later days: a refusal after half of the time, with nothing sent, costs as much as a third of a request.
+    // Its client can still turn elsewhere.
     harness.advance(345_000);
     assert!(ids.iter().all(|id| harness.requests[id].answer == Some("rejected")));
 }
 
 #[test]
 fn tenant_with_few_requests_within_quota_is_not_rejected() {
-    // Full size: a proxy's part of a quota is below one a second; two at once by chance were beyond it.
+    // A proxy's part of a quota may be below one request a second, and two come at once by chance.
     let tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut harness = harness(Config { proxies: 100, tenants, ..Config::example() }, fleet(20));
-    let mut refused = 0;
+    let mut rejected = 0;
     for _ in 0..30 {
-        // Two at once each nine seconds, 0.22 a second of 0.5 due, on a fleet that holds about five each.
+        // Two at once each nine seconds, 0.22 a second of 0.5 due, with about five places for each.
         let ids: Vec<RequestId> =
             (0..2).map(|_| harness.send_request_of(0, 8_000_000, Some(TenantId(0)))).collect();
         harness.advance(7_000_000);
-        refused += ids.iter().filter(|id| harness.requests[id].answer == Some("rejected")).count();
+        rejected += ids.iter().filter(|id| harness.requests[id].answer == Some("rejected")).count();
         ids.iter().for_each(|id| harness.end(*id, 0, Outcome::Ok));
         harness.advance(2_000_000);
     }
-    assert!(refused <= 3, "{refused} of 60 were refused");
+    assert!(rejected <= 3, "{rejected} of 60 were rejected");
 }
 
 #[test]
 fn large_fleet_rejects_low_priority_first_and_at_once_when_overloaded() {
-    // Full size: without a room of its own a proxy sent all it had, and the machines tipped into the slow state.
+    // A proxy with less than one place at a backend goes by what it has in flight on average.
     let mut cfg = Config { proxies: 100, tenants: vec![Tenant { quota_per_s: 1e6 }], ..Config::example() };
     cfg.tenants.push(Tenant { quota_per_s: 1e-3 });
     let mut harness = harness(cfg, fleet(20));
     let mut answer = |proxied: u64, tenant: usize| {
-        // One attempt out for so long of every second: all hundred hold so many on twenty backends.
+        // One attempt in flight for so long of every second: all hundred have so many in flight on twenty backends.
         for _ in 0..20 {
             let id = harness.send_request_of(0, 990_000, Some(TenantId(0)));
             harness.advance(proxied);
@@ -52,40 +52,40 @@
         harness.end(id, 0, Outcome::Ok);
         answer
     };
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend: the quota's first token");
-    assert_eq!(answer(300_000, 1), None, "1.5 held on each backend");
-    assert_eq!(answer(600_000, 1), Some("rejected"), "3 held on each backend, beyond quota");
-    assert_eq!(answer(600_000, 0), None, "3 held on each backend, within quota");
+    assert_eq!(answer(300_000, 1), None, "1.5 in flight on each backend: the quota's first token");
+    assert_eq!(answer(300_000, 1), None, "1.5 in flight on each backend");
+    assert_eq!(answer(600_000, 1), Some("rejected"), "3 in flight on each backend, over quota");
+    assert_eq!(answer(600_000, 0), None, "3 in flight on each backend, within quota");
 }
 
 #[test]
 fn low_priority_is_admitted_while_latency_is_low_and_no_reports_are_expected() {
-    // Proxies with much traffic took all for like themselves, and refused a third while backends were idle.
+    // A proxy with more traffic than others takes all for like itself; latencies show that backends are idle.
     let tenants = vec![Tenant { quota_per_s: 1e-3 }];
     let cfg = Config { proxies: 100, tenants, classes: vec![class(Idempotency::Safe)], ..Config::example() };
-    let refused = |weights_report_load: bool, aim: u64, took: u64| {
+    let rejections = |weights_report_load: bool, latency_objective: u64, latency: u64| {
         let mut cfg = Config { weights_report_load, ..cfg.clone() };
-        cfg.classes[0].latency_objective = Micros(aim);
+        cfg.classes[0].latency_objective = Micros(latency_objective);
         let mut harness = harness(cfg, fleet(20));
-        let mut refused = 0;
+        let mut rejected = 0;
         for _ in 0..100 {
-            // Out for six tenths of the time: three on each backend, if all hundred held as much.
+            // In flight for six tenths of the time: three on each backend, if all hundred proxies have as much.
             let id = harness.send_request_of(0, 2_000_000, Some(TenantId(0)));
-            refused += u32::from(harness.requests[&id].answer == Some("rejected"));
-            harness.advance(took);
+            rejected += u32::from(harness.requests[&id].answer == Some("rejected"));
+            harness.advance(latency);
             harness.end(id, 0, Outcome::Ok);
-            harness.advance(took * 2 / 3);
+            harness.advance(latency * 2 / 3);
         }
-        refused
+        rejected
     };
-    assert_eq!(refused(false, 400_000, 60_000), 0, "60 ms of an aim of 400: backends that hold little");
-    assert!(refused(false, 400_000, 330_000) > 10, "330 ms of an aim of 400: they hold what they may");
-    assert!(refused(true, 400_000, 60_000) > 10, "where lists weigh, what they tell is waited for");
+    assert_eq!(rejections(false, 400_000, 60_000), 0, "60 ms of an objective of 400: little is in flight");
+    assert!(rejections(false, 400_000, 330_000) > 10, "330 ms of an objective of 400: at the target");
+    assert!(rejections(true, 400_000, 60_000) > 10, "where lists report load, reports are waited for");
 }
 
 #[test]
 fn client_retry_waits_behind_new_requests() {
-    // Incident ic9a8f4: repeats counted as new and, newest first, made everyone late.
+    // Served newest first, retries would make everyone late.
     let mut harness = harness(Config { proxies: 1, ..Config::example() }, fleet(1));
     let fill = harness.send_requests(8, 0, 900_000);
     harness.advance(5_000);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -14,7 +14,7 @@
 }
 
 impl SentAttempt {
-    /// No outcome proves yet that it did not run.
+    /// No outcome proves that it was not executed.
     pub fn may_have_been_executed(&self) -> bool {
         self.outcome.is_none_or(|o| !o.not_executed())
     }
@@ -45,23 +45,23 @@
     next: u64,
 }
 
-pub fn backend(id: u32, zone: u32, kind: u32) -> BackendEntry {
+pub fn backend(id: u32, zone: u32, server_type: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
         stable_hash: u64::from(id),
         zone: ZoneId(zone),
         deduplication_group: DeduplicationGroupId(u64::from(zone) * 2 + u64::from(id % 2)),
-        server_type: ServerTypeId(kind),
+        server_type: ServerTypeId(server_type),
         state: BackendState::Ready,
         ..BackendEntry::default()
     }
 }
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: Micros(400_000),
         latency_objective_per_work_hint: 0.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
     }
@@ -99,7 +99,7 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::FailOver { .. } => panic!("passed on where there is no other pool"),
+            Action::FailOver { .. } => panic!("failed over where there is no other pool"),
             Action::Dispatch { request, attempt, backend, .. } => {
                 let r = self.requests.get_mut(&request).expect("dispatch of a known request");
                 assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered in their order");
@@ -111,7 +111,7 @@
                 for t in r.attempts.iter().filter(|t| t.may_have_been_executed()) {
                     match self.cfg.classes[r.class].idempotency {
                         Idempotency::Safe => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::NonIdempotent => panic!("a non-idempotent request was sent twice"),
                         Idempotency::Keyed(scope, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             let same = match scope {
@@ -132,14 +132,14 @@
                 });
             }
             Action::Reject { request, retry_after } => {
-                assert!(retry_after > Micros(0), "refused without advice");
+                assert!(retry_after > Micros(0), "rejected without Retry-After");
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let may_have_run = r.attempts.iter().any(SentAttempt::may_have_been_executed);
                 let is_safe = matches!(
                     self.cfg.classes[r.class].idempotency,
                     Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
                 );
-                assert!(is_safe || !may_have_run, "refused what may have run");
+                assert!(is_safe || !may_have_run, "rejected what may have been executed");
                 assert!(r.answer.replace("rejected").is_none(), "answered twice");
             }
             Action::Fail { request, .. } => {
@@ -196,12 +196,12 @@
         id
     }
 
-    /// So many requests at once.
+    /// Sends so many requests at once.
     pub fn send_requests(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
         (0..count).map(|_| self.send_request(class, left)).collect()
     }
 
-    /// One event of each sort about things that were never heard of.
+    /// Sends one event of each kind with ids that no action had.
     pub fn send_events_with_unknown_ids(
         &mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken,
     ) {
@@ -218,7 +218,7 @@
         }));
     }
 
-    /// Ends an attempt that is out.
+    /// Ends an attempt that is in flight.
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -228,14 +228,14 @@
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some("served");
         }
-        let settled = r.answer.is_some();
+        let request_answered = r.answer.is_some();
         let attempt = AttemptNumber(no as u32);
         self.event(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             outcome,
             latency,
-            request_answered: settled,
+            request_answered,
         }));
     }
 
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
+    /// Lets time pass; timers fire and attempts time out when due, and every deadline is checked.
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
@@ -280,7 +280,7 @@
         self.requests[&id].attempts.iter().map(|t| t.backend.0).collect()
     }
 
-    /// Serves everything that is out, each after `span`.
+    /// Serves every attempt in flight after `span`.
     pub fn serve_all_in_flight(&mut self, span: u64) {
         self.advance(span);
         for (id, no) in self.in_flight() {
@@ -310,7 +310,7 @@
     harness
 }
 
-/// Requests one by one, each served after a time that may depend on its backend.
+/// Sends requests one by one, each served after a time that may depend on its backend. Gives the backends.
 pub fn serve(harness: &mut Harness, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -11,11 +11,11 @@
     Arrive(usize, u64, Option<usize>),
     End(usize, Outcome),
     Stream(usize),
-    Gone(usize),
-    Pass(u64),
-    Member(u32, BackendState, bool),
-    Relist(u32, EndpointUpdate),
-    Nonsense(u64, u32, u64),
+    Disconnect(usize),
+    Advance(u64),
+    UpdateOne(u32, BackendState, bool),
+    UpdateAll(u32, EndpointUpdate),
+    UnknownIds(u64, u32, u64),
 }
 
 fn outcome() -> impl Strategy<Value = Outcome> {
@@ -45,11 +45,11 @@
         10 => (0..6usize, 0..2_000_000u64, proptest::option::of(0..2usize)).prop_map(|(c, l, t)| Step::Arrive(c, l, t)),
         8 => (0..64usize, outcome()).prop_map(|(n, o)| Step::End(n, o)),
         1 => (0..64usize).prop_map(Step::Stream),
-        1 => (0..64usize).prop_map(Step::Gone),
-        8 => (0..150_000u64).prop_map(Step::Pass),
-        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::Member(b, s, r)),
-        1 => (0..256u32, update).prop_map(|(m, u)| Step::Relist(m, u)),
-        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::Nonsense(r, a, t)),
+        1 => (0..64usize).prop_map(Step::Disconnect),
+        8 => (0..150_000u64).prop_map(Step::Advance),
+        2 => (0..8u32, state, any::<bool>()).prop_map(|(b, s, r)| Step::UpdateOne(b, s, r)),
+        1 => (0..256u32, update).prop_map(|(m, u)| Step::UpdateAll(m, u)),
+        1 => (0..200u64, 0..9u32, any::<u64>()).prop_map(|(r, a, t)| Step::UnknownIds(r, a, t)),
     ]
 }
 
@@ -76,8 +76,8 @@
     cfg
 }
 
-/// Plays the steps and returns every action as text, for the test of repeatability.
-fn play(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
+/// Runs the steps and gives every action as text, for the test of determinism.
+fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut harness = Harness::new(config(bits), seed);
     let mut trace = Vec::new();
     let fleet = |mask: u32| (0..8).filter(|i| mask >> i & 1 == 1).map(|i| backend(i, i % 3, i % 2)).collect();
@@ -97,7 +97,7 @@
                     harness.start_stream(id, no);
                 }
             }
-            Step::Gone(n) => {
+            Step::Disconnect(n) => {
                 let open: Vec<RequestId> =
                     harness.requests.iter().filter(|(_, r)| r.answer.is_none()).map(|(id, _)| *id).collect();
                 if let Some(id) = nth(&open, n) {
@@ -105,19 +105,19 @@
                     harness.event(Event::ClientDisconnected { request: id });
                 }
             }
-            Step::Pass(span) => harness.advance(span),
-            Step::Member(b, state, restarted) => {
-                let booted = restarted.then_some(harness.now);
+            Step::Advance(span) => harness.advance(span),
+            Step::UpdateOne(b, state, restarted) => {
+                let started_at = restarted.then_some(harness.now);
                 harness.update_endpoints(
                     EndpointUpdate::Delta,
-                    vec![BackendEntry { state, started_at: booted, ..backend(b, b % 3, b % 2) }],
+                    vec![BackendEntry { state, started_at, ..backend(b, b % 3, b % 2) }],
                 );
             }
-            Step::Relist(_, EndpointUpdate::SubscriptionLost) => {
+            Step::UpdateAll(_, EndpointUpdate::SubscriptionLost) => {
                 harness.update_endpoints(EndpointUpdate::SubscriptionLost, Vec::new())
             }
-            Step::Relist(mask, update) => harness.update_endpoints(update, fleet(mask)),
-            Step::Nonsense(r, a, t) => {
+            Step::UpdateAll(mask, update) => harness.update_endpoints(update, fleet(mask)),
+            Step::UnknownIds(r, a, t) => {
                 harness.send_events_with_unknown_ids(
                     RequestId(1_000_000 + r),
                     AttemptNumber(a),
@@ -147,7 +147,7 @@
 fn invariants_hold_for_generated_events() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..250));
     let run = runner(300).run(&all, |(bits, seed, steps)| {
-        play(bits, seed, &steps);
+        run_steps(bits, seed, &steps);
         Ok(())
     });
     run.unwrap();
@@ -157,7 +157,7 @@
 fn same_events_give_same_actions() {
     let all = (0..32u32, any::<u64>(), proptest::collection::vec(step(), 1..120));
     let run = runner(40).run(&all, |(bits, seed, steps)| {
-        prop_assert_eq!(play(bits, seed, &steps), play(bits, seed, &steps));
+        prop_assert_eq!(run_steps(bits, seed, &steps), run_steps(bits, seed, &steps));
         Ok(())
     });
     run.unwrap();
--- a/crates/balancer/tests/large_fleet.rs
+++ b/crates/balancer/tests/large_fleet.rs
@@ -10,13 +10,13 @@
 const PROXIES: u32 = 350;
 const BACKENDS: u32 = 1_024;
 /// Far more than a build without optimisation takes, and far less than a cost that grows with the square would.
-const PATIENCE: Duration = Duration::from_secs(60);
+const MAX_DURATION: Duration = Duration::from_secs(60);
 
 fn backends(numbers: std::ops::Range<u32>, state: BackendState) -> Vec<BackendEntry> {
     numbers.map(|id| BackendEntry { state, ..backend(id, id % 4, id % 2) }).collect()
 }
 
-/// One of the proxies, which has the whole list.
+/// One of the proxies, with the whole list.
 fn proxy(position: u32) -> Harness {
     let cfg = Config { proxies: PROXIES, position, cross_zone_cost: 0.0, ..Config::example() };
     let mut harness = Harness::new(cfg, u64::from(position));
@@ -24,7 +24,7 @@
     harness
 }
 
-/// So many requests one after the other, all served; where they went.
+/// Sends requests one after the other, all of which are served. Gives the backends that they went to.
 fn used(harness: &mut Harness, requests: usize) -> BTreeSet<u32> {
     let mut used = BTreeSet::new();
     for _ in 0..requests {
@@ -36,22 +36,22 @@
     used
 }
 
-/// Each proxy uses a slice, of which twenty share a backend, and all slices together cover all.
+/// Each proxy uses a subset, twenty proxies share a backend, and all subsets together cover all backends.
 #[test]
 fn subsets_of_350_proxies_cover_1024_backends() {
     let started = Instant::now();
     let mut users = vec![0u32; BACKENDS as usize];
     for position in 0..PROXIES {
-        let slice = used(&mut proxy(position), 40);
-        assert!((20..=80).contains(&slice.len()), "{position} uses {} backends", slice.len());
-        slice.into_iter().for_each(|id| users[id as usize] += 1);
+        let subset = used(&mut proxy(position), 40);
+        assert!((20..=80).contains(&subset.len()), "{position} uses {} backends", subset.len());
+        subset.into_iter().for_each(|id| users[id as usize] += 1);
     }
     let unused = users.iter().filter(|n| **n == 0).count();
     assert_eq!(unused, 0, "{unused} backends are used by nobody: {users:?}");
-    assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_DURATION, "{:?}", started.elapsed());
 }
 
-/// [`Harness`] checks that nothing goes to one that drains or is gone.
+/// [`Harness`] checks that nothing goes to a backend that is draining or gone.
 #[test]
 fn deltas_and_snapshots_of_1024_backends_are_applied_completely() {
     for position in [0, 174, 349] {
--- a/crates/balancer/tests/outliers.rs
+++ b/crates/balancer/tests/outliers.rs
@@ -12,7 +12,7 @@
     let ids = harness.send_requests(6, 0, 900_000);
     let hung = harness.backends_tried(ids[0])[0];
     assert!(ids.iter().all(|id| harness.backends_tried(*id).len() == 1));
-    // Later days: one answer that never came kept its room, and a backend with room for one got nothing more.
+    // A lost attempt occupies no capacity: the backend gets another one.
     let mut unanswered = 0;
     for id in ids {
         let there = harness.backends_tried(id)[0] == hung;
@@ -27,11 +27,7 @@
         if harness.backends_tried(id)[0] == hung {
             unanswered += 1;
             harness.advance(100_000);
-            assert_eq!(
-                harness.backends_tried(id).len(),
-                1,
-                "age alone sent a copy: such copies crowd every backend"
-            );
+            assert_eq!(harness.backends_tried(id).len(), 1, "hedged for its age alone");
         } else {
             harness.advance(5_000);
             harness.end(id, 0, Outcome::Ok);
@@ -40,7 +36,7 @@
     assert_eq!(unanswered, 2, "one may be lost, two are silence");
 }
 
-/// Later days: a backend never answered one class and served the others; two in a row of each went there still.
+/// Silence is counted for each class: responses to others do not end it.
 #[test]
 fn backend_silent_for_one_class_gets_requests_of_others() {
     let mut harness = harness(config(vec![class(Idempotency::Safe), class(Idempotency::Safe)]), fleet(4));
@@ -65,7 +61,7 @@
 
 #[test]
 fn rejecting_backend_is_backed_off_and_not_ejected() {
-    // Full size: busy backends were ejected by the hundred, and the rest took their load and filled up too.
+    // An ejection would move its load to the others until they are overloaded, too.
     let mut harness = harness(config(vec![class(Idempotency::Safe)]), fleet(4));
     serve(&mut harness, 60, 0, |_| 10_000);
     let id = harness.send_request(0, 900_000);
@@ -76,7 +72,7 @@
     assert!(!serve(&mut harness, 2, 0, |_| 5_000).contains(&full), "used at once again");
     assert!(harness.logs.iter().all(|l| !l.contains("ejected")), "{:?}", harness.logs);
     assert!(serve(&mut harness, 60, 0, |_| 5_000).contains(&full), "not used after a service time");
-    // Churn: a pause of half a second after each took half of the fleet away that had room again.
+    // The backoff begins short, as the backend may have capacity again at once, and grows.
     let mut pauses = Vec::new();
     for _ in 0..6 {
         let mut waited = 0;
@@ -94,10 +90,10 @@
         }
         pauses.push(waited);
     }
-    assert!(pauses[5] >= 80_000 && pauses[1] < 80_000, "left alone longer each time: {pauses:?}");
+    assert!(pauses[5] >= 80_000 && pauses[1] < 80_000, "backed off longer each time: {pauses:?}");
 }
 
-/// Serves on all but the erring backend until that is ejected; gives its number.
+/// Serves on all but the failing backend until that is ejected; gives its number.
 fn eject_one(harness: &mut Harness) -> u32 {
     serve(harness, 60, 0, |_| 10_000);
     for _ in 0..200 {
@@ -121,8 +117,8 @@
     let bad = eject_one(&mut harness);
     assert!(!serve(&mut harness, 40, 0, |_| 5_000).contains(&bad), "used during its term");
     harness.advance(2_000_000);
-    assert!(!serve(&mut harness, 40, 1, |_| 5_000).contains(&bad), "an unsafe request tried it");
-    assert!(serve(&mut harness, 40, 0, |_| 5_000).contains(&bad), "no free request tried it");
+    assert!(!serve(&mut harness, 40, 1, |_| 5_000).contains(&bad), "a non-idempotent request probed it");
+    assert!(serve(&mut harness, 40, 0, |_| 5_000).contains(&bad), "no safe request probed it");
     assert!(harness.logs.iter().any(|l| l.contains("restored")));
 }
 
@@ -144,7 +140,7 @@
 
 #[test]
 fn dead_backend_fails_no_request_at_low_rate() {
-    // Seen in the lab: one of three dead and still listed, 1.5 requests a second, some answered 503 at once.
+    // One of three is dead and still listed, at 1.5 requests a second: the retry budget must not run out.
     let mut harness = harness(Config { proxies: 1, ..Config::example() }, fleet(3));
     for _ in 0..30 {
         let id = harness.send_request(0, 900_000);
--- a/crates/balancer/tests/rejections.rs
+++ b/crates/balancer/tests/rejections.rs
@@ -1,18 +1,18 @@
-//! No proxy turns everything away for long: while its backends are listed it goes on trying them, whatever they did.
+//! No proxy rejects everything for long: while its backends are listed it goes on sending attempts, whatever they did.
 
 mod common;
 use common::{backend, class, Harness};
 use shaletide_balancer::*;
 
-/// A proxy that made no attempt for so long while requests came has turned all of them away.
-const LONGEST: Micros = Micros(4_000_000);
+/// A proxy that made no attempt for so long while requests came has rejected all of them.
+const MAX_GAP: Micros = Micros(4_000_000);
 /// The time between two requests, and the time for which they come, in microseconds.
-const EVERY: u64 = 100_000;
+const INTERVAL: u64 = 100_000;
 const SPAN: u64 = 20_000_000;
-/// What a backend takes that answers.
-const ANSWER: u64 = 30_000;
+/// The latency of a backend that answers, in microseconds.
+const LATENCY: u64 = 30_000;
 
-const EFFECTS: [Idempotency; 4] = [
+const IDEMPOTENCIES: [Idempotency; 4] = [
     Idempotency::Safe,
     Idempotency::NonIdempotent,
     Idempotency::Keyed(DeduplicationScope::Group, Micros(1_000_000)),
@@ -35,20 +35,20 @@
     /// So many of the backends are bad.
     bad: u32,
     /// So many have just started, beginning with the good ones.
-    cold: u32,
+    warming: u32,
 }
 
-fn harness(fleet: Fleet, effect: Idempotency) -> Harness {
-    let cfg = Config { proxies: fleet.proxies, classes: vec![class(effect)], ..Config::example() };
+fn harness(fleet: Fleet, idempotency: Idempotency) -> Harness {
+    let cfg = Config { proxies: fleet.proxies, classes: vec![class(idempotency)], ..Config::example() };
     let mut harness = Harness::new(cfg, 7);
-    let started = |id| (id + fleet.cold >= fleet.backends).then_some(harness.now);
+    let started = |id| (id + fleet.warming >= fleet.backends).then_some(harness.now);
     let list =
         (0..fleet.backends).map(|id| BackendEntry { started_at: started(id), ..backend(id, 0, 0) }).collect();
     harness.update_endpoints(EndpointUpdate::Snapshot, list);
     harness
 }
 
-/// Ends the attempts that are out at backends which answer at once: good ones serve.
+/// Ends the attempts in flight at backends which answer at once: good ones serve.
 fn answer(harness: &mut Harness, fleet: Fleet, bad: Option<Outcome>) {
     loop {
         let out = harness.in_flight();
@@ -65,14 +65,14 @@
 }
 
 /// The longest time without the start of an attempt.
-fn longest_gap(fleet: Fleet, effect: Idempotency, bad: Option<Outcome>) -> Micros {
-    let mut harness = harness(fleet, effect);
+fn longest_gap(fleet: Fleet, idempotency: Idempotency, bad: Option<Outcome>) -> Micros {
+    let mut harness = harness(fleet, idempotency);
     let (begun, mut last, mut longest) = (harness.now, harness.now, Micros(0));
     while harness.now < begun + Micros(SPAN) {
         harness.send_request(0, 900_000);
-        harness.advance(ANSWER);
+        harness.advance(LATENCY);
         answer(&mut harness, fleet, bad);
-        harness.advance(EVERY - ANSWER);
+        harness.advance(INTERVAL - LATENCY);
         answer(&mut harness, fleet, bad);
         let starts = harness.requests.values().flat_map(|r| r.attempts.iter().map(|attempt| attempt.at));
         last = starts.max().map_or(last, |latest| latest.max(last));
@@ -83,15 +83,15 @@
 }
 
 fn assert_attempts(fleet: Fleet) {
-    for effect in EFFECTS {
+    for idempotency in IDEMPOTENCIES {
         for bad in BAD {
-            let gap = longest_gap(fleet, effect, bad);
-            assert!(gap < LONGEST, "{fleet:?}, {effect:?}, {bad:?}: no attempt for {gap:?}");
+            let gap = longest_gap(fleet, idempotency, bad);
+            assert!(gap < MAX_GAP, "{fleet:?}, {idempotency:?}, {bad:?}: no attempt for {gap:?}");
         }
     }
 }
 
-/// Some backends hang, fail or are full, and up to half of them have just been replaced. Fewer backends for as many
+/// Some backends hang, fail or reject, and up to half of them have just been replaced. Fewer backends for as many
 /// proxies are beyond this: a proxy's part of the good ones is too small there (docs/terms.md has the figures).
 #[test]
 fn proxy_with_some_good_backends_makes_an_attempt_within_four_seconds() {
@@ -109,20 +109,20 @@
 fn assert_attempts_up_to(proxies: u32, fleets: &[(u32, u32)]) {
     for (backends, most) in fleets {
         for bad in [0, most / 2, *most] {
-            for cold in [0, backends / 2] {
-                assert_attempts(Fleet { proxies, backends: *backends, bad, cold });
+            for warming in [0, backends / 2] {
+                assert_attempts(Fleet { proxies, backends: *backends, bad, warming });
             }
         }
     }
 }
 
-/// Where all of them are bad they are tried all the same, unless hundreds of proxies share a handful.
+/// Where all of them are bad they get attempts all the same, unless hundreds of proxies share a handful.
 #[test]
 fn proxy_whose_backends_are_all_bad_makes_an_attempt_within_four_seconds() {
     for (proxies, least) in [(1, 1), (20, 1), (300, 40)] {
         for backends in [1, 2, 3, 8, 40].into_iter().filter(|backends| *backends >= least) {
-            for cold in [0, backends] {
-                assert_attempts(Fleet { proxies, backends, bad: backends, cold });
+            for warming in [0, backends] {
+                assert_attempts(Fleet { proxies, backends, bad: backends, warming });
             }
         }
     }
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -5,18 +5,18 @@
 use common::{backend, class, config, fleet, harness, serve};
 use shaletide_balancer::*;
 
-/// Later days: at four times the load one answer in a hundred never came, and each waited out its deadline.
+/// Where responses are lost a request would otherwise wait until its deadline.
 #[test]
 fn old_attempt_is_hedged_only_where_most_of_its_age_are_lost() {
     for lost in [true, false] {
         let mut harness = harness(config(vec![class(Idempotency::Safe)]), fleet(6));
         serve(&mut harness, 100, 0, |_| 10_000);
-        let mut copied = Vec::new();
+        let mut hedged = Vec::new();
         for n in 0..150 {
             let id = harness.send_request(0, 700_000);
             harness.advance([300_000, 100_000, 100_000].get(n % 10).copied().unwrap_or(10_000));
             if n % 10 == 0 {
-                copied.push(harness.backends_tried(id).len() == 2);
+                hedged.push(harness.backends_tried(id).len() == 2);
             }
             if n % 10 == 0 && lost && harness.backends_tried(id).len() == 1 {
                 harness.advance(400_000);
@@ -24,16 +24,20 @@
                 harness.end(id, harness.backends_tried(id).len() - 1, Outcome::Ok);
             }
         }
-        assert!(!copied[..5].contains(&true), "not before it is known: {copied:?}");
-        assert_eq!(copied[10..].contains(&true), lost, "slow ones that are answered need none: {copied:?}");
-        assert_eq!(copied[10..].contains(&false), !lost, "{copied:?}");
+        assert!(!hedged[..5].contains(&true), "not before it is known: {hedged:?}");
+        assert_eq!(
+            hedged[10..].contains(&true),
+            lost,
+            "slow attempts that are answered are not hedged: {hedged:?}"
+        );
+        assert_eq!(hedged[10..].contains(&false), !lost, "{hedged:?}");
     }
 }
 
 #[test]
 fn ejection_hedges_or_cancels_other_attempts_at_backend() {
-    for copies in [true, false] {
-        let cfg = Config { hedging: copies, proxies: 1, ..config(vec![class(Idempotency::Safe)]) };
+    for hedging in [true, false] {
+        let cfg = Config { hedging, proxies: 1, ..config(vec![class(Idempotency::Safe)]) };
         let mut harness = harness(cfg, fleet(1));
         serve(&mut harness, 100, 0, |_| 10_000);
         harness.advance(5_000);
@@ -42,9 +46,9 @@
         harness.advance(20_000);
         harness.end(two[0], 0, Outcome::TimedOut);
         harness.advance(20_000);
-        assert_eq!(harness.backends_tried(two[1]).len(), 2, "copies {copies}");
-        let called_back = harness.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
-        assert_eq!(called_back, !copies, "where no copy may run beside it the first is called back");
+        assert_eq!(harness.backends_tried(two[1]).len(), 2, "hedging {hedging}");
+        let cancelled = harness.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
+        assert_eq!(cancelled, !hedging, "without hedging the first is cancelled");
     }
 }
 
@@ -80,7 +84,7 @@
         assert_eq!(
             harness.backends_tried(id).len(),
             1,
-            "repeated after {at}: that is too near the end of its window"
+            "retried after {at}: that is too near the end of its window"
         );
         assert_eq!(harness.requests[&id].answer, Some("failed"));
     }
@@ -96,7 +100,7 @@
     assert_eq!(harness.backends_tried(id).len(), 1);
 }
 
-/// Its address changed while a connection to it came up, say: it is where it was, and may be the only one.
+/// The address changed while the connection came up, say: the backend is still there, and may be the only one.
 #[test]
 fn attempt_not_sent_is_repeated_at_same_backend_up_to_max_attempts() {
     let mut harness = harness(config(vec![class(Idempotency::NonIdempotent)]), fleet(1));
--- a/crates/balancer/tests/selection.rs
+++ b/crates/balancer/tests/selection.rs
@@ -13,7 +13,7 @@
     serve(&mut harness, 150, 0, time);
     let chosen = serve(&mut harness, 100, 0, time);
     let fast = chosen.iter().filter(|b| *b % 2 == 0).count();
-    assert!(fast >= 95, "{fast} of 100 went to the fast kind");
+    assert!(fast >= 95, "{fast} of 100 went to the fast type");
 }
 
 #[test]
@@ -28,46 +28,46 @@
 
 #[test]
 fn concurrency_limits_of_all_proxies_add_up_to_target() {
-    // Incident i962b3c: when each rounded by its own coin, some backends were crowded and others idle.
-    let mut held = [0; 6];
+    // Limits that each proxy rounds by a random number of its own would overload some backends.
+    let mut in_flight = [0; 6];
     for position in 0..3 {
         let mut harness = harness(Config { proxies: 3, position, ..Config::example() }, fleet(6));
         harness.send_requests(40, 0, 900_000);
         let tries = harness.requests.values().flat_map(|r| &r.attempts);
-        tries.for_each(|t| held[t.backend.0 as usize] += 1);
+        tries.for_each(|t| in_flight[t.backend.0 as usize] += 1);
     }
-    assert_eq!(held, [4; 6]);
+    assert_eq!(in_flight, [4; 6]);
 }
 
-/// A list may tell a size and no cores: what a backend may hold goes by the size, by half of it as cores may be fast.
+/// A list may have weights and no cores: the limit goes by half of the weight, as cores may be fast.
 #[test]
 fn concurrency_limit_follows_weight_where_list_has_no_cores() {
-    let held = |weights: [u32; 2], sized: bool, weights_report_load: bool| {
+    let limit = |weights: [u32; 2], weights_report_cores: bool, weights_report_load: bool| {
         let list = weights.map(|weight| BackendEntry { weight, ..backend(0, 0, 0) });
         let mut harness = Harness::new(
-            Config { proxies: 1, weights_report_cores: sized, weights_report_load, ..Config::example() },
+            Config { proxies: 1, weights_report_cores, weights_report_load, ..Config::example() },
             11,
         );
         list.into_iter().for_each(|b| harness.update_endpoints(EndpointUpdate::Snapshot, vec![b]));
         let ids: Vec<RequestId> = (0..60).map(|_| harness.send_request(0, 900_000)).collect();
         ids.into_iter().filter(|id| !harness.backends_tried(*id).is_empty()).count()
     };
-    assert_eq!(held([8_000, 8_000], true, false), 16, "four a core, of which there are four at least");
-    assert_eq!(held([2_500, 3_900], true, false), 4, "this may be one fast core");
-    assert_eq!(held([8_000, 8_000], false, false), 4, "a weight that is no size");
-    assert_eq!(held([8_000, 2_000], true, true), 16, "live: it was seen to be larger with nothing on it");
+    assert_eq!(limit([8_000, 8_000], true, false), 16, "four a core, of which there are four at least");
+    assert_eq!(limit([2_500, 3_900], true, false), 4, "this may be one fast core");
+    assert_eq!(limit([8_000, 8_000], false, false), 4, "a weight that is not a size");
+    assert_eq!(limit([8_000, 2_000], true, true), 16, "live: it was larger when the backend was idle");
 }
 
 #[test]
 fn subsets_of_many_proxies_are_small_and_cover_all_backends_evenly() {
-    // Full size: with a connection from every proxy to every backend two attempts in three found none free.
+    // A backend takes few connections: not every proxy can keep one.
     let mut sent = [0; 30];
     for position in 0..300 {
         let mut harness = harness(Config { proxies: 300, position, ..Config::example() }, fleet(30));
-        let mine = serve(&mut harness, 20, 0, |_| 10_000);
-        let used: std::collections::BTreeSet<u32> = mine.iter().copied().collect();
+        let used_by_proxy = serve(&mut harness, 20, 0, |_| 10_000);
+        let used: std::collections::BTreeSet<u32> = used_by_proxy.iter().copied().collect();
         assert!(used.len() <= 3, "proxy {position} uses {} backends, two and an edge would do", used.len());
-        mine.iter().for_each(|b| sent[*b as usize] += 1);
+        used_by_proxy.iter().for_each(|b| sent[*b as usize] += 1);
     }
     assert!(sent.iter().all(|n| (140..=260).contains(n)), "200 each expected: {sent:?}");
 }
@@ -82,7 +82,7 @@
     harness.advance(20_000);
     let before = harness.in_flight().len();
     harness.end(id, no, Outcome::Ok);
-    assert_eq!(harness.in_flight().len(), before, "the room made is used at once");
+    assert_eq!(harness.in_flight().len(), before, "freed capacity is used at once");
 }
 
 fn zones(cost: f64) -> usize {
--- a/crates/balancer/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -11,12 +11,12 @@
         Config { proxies: 1, initial_capacity_fraction: 0.1, overload_multiple: 2.0, ..Config::example() };
     let mut harness = harness(cfg, fleet(3));
     serve(&mut harness, 200, 0, |_| 20_000);
-    let cold = BackendEntry { started_at: Some(harness.now), ..backend(9, 0, 0) };
-    harness.update_endpoints(EndpointUpdate::Delta, vec![cold]);
-    let chosen = serve(&mut harness, 100, 0, |_| 20_000); // two seconds, one fall window
+    let warming = BackendEntry { started_at: Some(harness.now), ..backend(9, 0, 0) };
+    harness.update_endpoints(EndpointUpdate::Delta, vec![warming]);
+    let chosen = serve(&mut harness, 100, 0, |_| 20_000); // two seconds, one overload window
     let sent = chosen.iter().filter(|b| **b == 9).count();
-    // One warm backend serves about 50 + 17 a second: at a tenth, two fold over two seconds, 27 at most.
-    assert!((1..=14).contains(&sent), "{sent} of 100 went to the cold backend");
+    // A warm backend serves about 50 + 17 a second: a tenth of it, doubled, over two seconds are 27 at most.
+    assert!((1..=14).contains(&sent), "{sent} of 100 went to the warming backend");
 }
 
 #[test]
@@ -25,8 +25,8 @@
         Config { proxies: 3, initial_capacity_fraction: 0.1, overload_multiple: 2.0, ..Config::example() };
     let mut harness = harness(cfg, fleet(12));
     serve(&mut harness, 100, 0, |_| 20_000);
-    let booted = Some(harness.now);
-    let list = (0..12).map(|i| BackendEntry { started_at: booted, ..backend(i, 0, 0) }).collect();
+    let started_at = Some(harness.now);
+    let list = (0..12).map(|i| BackendEntry { started_at, ..backend(i, 0, 0) }).collect();
     harness.update_endpoints(EndpointUpdate::Snapshot, list);
     let mut sent = 0;
     for _ in 0..25 {
@@ -36,14 +36,14 @@
         sent += out.len();
         out.into_iter().for_each(|(id, no)| harness.end(id, no, Outcome::Ok));
     }
-    // Served in 20 ms: 100 a second at most; at a tenth, doubled, two seconds, a third, by 0.8: 11 each.
-    let tries = || harness.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.at) >= booted);
+    // Served in 20 ms: 100 a second at most; a tenth of it, doubled, over two seconds, a third, times 0.8: 11 each.
+    let tries = || harness.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.at) >= started_at);
     let most = (0..12).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
-    assert!(sent >= 1 && most <= Some(11), "{sent} sent, {most:?} to one cold backend");
+    assert!(sent >= 1 && most <= Some(11), "{sent} sent, {most:?} to one warming backend");
 }
 
-/// Answers of a backend of many cores take their least until most of these are used: they tell its speed as it is, where
-/// those of one core that is shared tell half of it.
+/// Latency at a backend of many cores does not grow until most of them are in use: it shows the whole speed, where that
+/// of one shared core shows half of it.
 #[test]
 fn burst_does_not_overload_warming_backend_with_many_cores() {
     let cfg = Config {
@@ -53,10 +53,8 @@
         weights_report_cores: true,
         ..Config::example()
     };
-    let list = |first, booted| {
-        (first..first + 2)
-            .map(|i| BackendEntry { started_at: booted, weight: 16_000, ..backend(i, 0, 0) })
-            .collect()
+    let list = |first, started_at| {
+        (first..first + 2).map(|i| BackendEntry { started_at, weight: 16_000, ..backend(i, 0, 0) }).collect()
     };
     let mut harness = harness(cfg, list(0, None));
     let rounds = |harness: &mut Harness, count: usize| {
@@ -67,11 +65,11 @@
         }
     };
     rounds(&mut harness, 100);
-    let booted = Some(harness.now);
-    harness.update_endpoints(EndpointUpdate::Snapshot, list(2, booted));
+    let started_at = Some(harness.now);
+    harness.update_endpoints(EndpointUpdate::Snapshot, list(2, started_at));
     rounds(&mut harness, 50);
-    let tries = || harness.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.at) >= booted);
+    let tries = || harness.requests.values().flat_map(|r| &r.attempts).filter(|t| Some(t.at) >= started_at);
     let most = (2..4).map(|b| tries().filter(|t| t.backend == BackendId(b)).count()).max();
     // Eight cores and 20 ms: 400 a second at the most. At a tenth, doubled, over two seconds: 160.
-    assert!(most >= Some(1) && most <= Some(160), "{most:?} to one cold backend");
+    assert!(most >= Some(1) && most <= Some(160), "{most:?} to one warming backend");
 }
--- a/crates/balancer/tests/timers.rs
+++ b/crates/balancer/tests/timers.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn request_with_short_deadline_after_idle_period_is_answered_in_time() {
-    // Found by the invariants: the timer once ran ten ticks long while nothing was in hand.
+    // The timer of the idle period is far away.
     let mut harness = harness(Config::example(), Vec::new());
     harness.advance(1_000_000);
     let id = harness.send_request(0, 6_000);
@@ -17,7 +17,7 @@
 
 #[test]
 fn idle_proxy_sets_few_timers() {
-    // Standing days, ibb5992, ifde279, i0dce2b: a timer every tick at each of a thousand proxies used up the CPU.
+    // A timer at each interval, at each of a thousand proxies, would use up the processor.
     let mut harness = harness(config(vec![class(Idempotency::Safe)]), fleet(100));
     serve(&mut harness, 20, 0, |_| 10_000);
     harness.timers_set = 0;
@@ -33,10 +33,10 @@
     assert_eq!(harness.polls, 1);
     harness.update_endpoints(EndpointUpdate::Delta, fleet(3));
     harness.advance(8_000_000);
-    assert_eq!(harness.polls, 1, "a living subscription is not asked for again");
+    assert_eq!(harness.polls, 1, "a subscription in place is not polled for again");
     harness.event(Event::EndpointsUpdated { update: EndpointUpdate::SubscriptionLost, backends: Vec::new() });
     harness.advance(400_000);
     assert_eq!(harness.polls, 2);
     harness.advance(6_000_000);
-    assert_eq!(harness.polls, 3, "an unanswered call is repeated");
+    assert_eq!(harness.polls, 3, "an unanswered poll is repeated");
 }
--- a/crates/balancer/tests/zones.rs
+++ b/crates/balancer/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Zones that are cut off, and slices where backends say what they hold: at the size at which one proxy sees little.
+//! Unreachable zones and load reports, in fleets so large that one proxy sees little of each backend.
 
 mod common;
 
@@ -33,7 +33,7 @@
     far
 }
 
-fn cut(to: &BackendEntry) -> Outcome {
+fn far_zone_unreachable(to: &BackendEntry) -> Outcome {
     if to.zone == ZoneId(FAR) {
         Outcome::ConnectFailed
     } else {
@@ -45,9 +45,9 @@
 fn unreachable_zone_gets_no_attempts_and_is_used_again_later() {
     let mut harness = one_of_a_hundred();
     assert!(ask(&mut harness, 60, |_| Outcome::Ok) > 10, "the far zone is in use");
-    // Each of its backends would cost four attempts before it is ejected: eighty.
-    let lost = ask(&mut harness, 200, cut);
-    assert!((4..=30).contains(&lost), "{lost} attempts to a zone that is cut off");
+    // Ejecting its twenty backends one by one would take four attempts each.
+    let lost = ask(&mut harness, 200, far_zone_unreachable);
+    assert!((4..=30).contains(&lost), "{lost} attempts to an unreachable zone");
     harness.advance(4_000_000);
     assert!(ask(&mut harness, 100, |_| Outcome::Ok) > 10, "the far zone is in use again");
 }
@@ -74,7 +74,7 @@
     assert!(far > 10, "{far} attempts to the far zone");
 }
 
-/// A backend's room is kept by how many proxies use it: with six each, and one request of each, it never turns slow.
+/// The number of proxies that use a backend bounds its load: with six, and one request of each, it stays fast.
 #[test]
 fn subsets_are_smaller_and_cover_all_backends_where_load_is_reported() {
     let (proxies, backends) = (300, 60);
@@ -88,7 +88,7 @@
         harness.update_endpoints(EndpointUpdate::Snapshot, list(1_000));
         let mut used = std::collections::BTreeSet::new();
         for round in 0..24 {
-            // One held, of a thousandth each: the list speaks.
+            // One request in flight on a core: the list reports load.
             harness.update_endpoints(EndpointUpdate::Delta, list(500 + round % 2));
             let id = harness.send_request(0, 900_000);
             used.extend(harness.backends_tried(id));
@@ -104,7 +104,7 @@
     assert!(users.iter().all(|n| (3..=20).contains(n)), "some six each expected: {users:?}");
 }
 
-/// Found by reading: what was let in by the last news was held on to for ever, and a backend's small part with it.
+/// The admitted fraction that the last reports led to does not last, nor does a backend's small part.
 #[test]
 fn all_requests_are_admitted_again_after_load_reports_end() {
     let cfg = Config { proxies: 100, weights_report_load: true, ..Config::example() };
@@ -121,16 +121,16 @@
             })
             .count()
     };
-    // All hold nine, for five seconds: fewer are let in.
+    // All have nine in flight on a core, for five seconds: fewer are admitted.
     let mut full = 50;
     for round in 0..5 {
         harness.update_endpoints(EndpointUpdate::Delta, list(100 + round % 2));
         full = served(&mut harness);
     }
-    assert!(full < 40, "{full} of 50 let in where all are full");
+    assert!(full < 40, "{full} of 50 admitted where all are overloaded");
     harness.advance(3_000_000);
     for _ in 0..6 {
         served(&mut harness);
     }
-    assert_eq!(served(&mut harness), 50, "some six seconds after the last word");
+    assert_eq!(served(&mut harness), 50, "some six seconds after the last report");
 }
