--- /dev/null
+++ b/crates/routing/src/client_response/tests.rs
@@ -0,0 +1,89 @@
+//! What the client gets, case by case.
+
+use super::*;
+
+const AFTER: Micros = Micros(70_000);
+const OWN_503: ClientResponse = ClientResponse::Reject(AFTER);
+
+fn all_answers() -> Vec<Option<LastResponse>> {
+    let answer = |status| [true, false].map(|not_executed| Some(LastResponse { status, not_executed }));
+    [200, 204, 302, 404, 429, 500, 502, 503, 504].into_iter().flat_map(answer).chain([None]).collect()
+}
+
+#[test]
+fn a_served_answer_passes_and_a_late_request_gets_a_504_whatever_came_before() {
+    for last in all_answers() {
+        for (errors, safe) in [
+            (ErrorResponses::Forward, true),
+            (ErrorResponses::Forward, false),
+            (ErrorResponses::Replace, true),
+        ] {
+            assert_eq!(client_response(Decision::Served, errors, safe, last), ClientResponse::Forward);
+            assert_eq!(
+                client_response(Decision::TimedOut, errors, safe, last),
+                ClientResponse::GatewayTimeout
+            );
+        }
+    }
+}
+
+#[test]
+fn in_its_own_words_the_proxy_passes_on_no_error() {
+    for last in all_answers() {
+        for safe in [true, false] {
+            assert_eq!(
+                client_response(Decision::Rejected(AFTER), ErrorResponses::Replace, safe, last),
+                OWN_503
+            );
+            assert_eq!(
+                client_response(Decision::Failed, ErrorResponses::Replace, safe, last),
+                ClientResponse::BadGateway
+            );
+        }
+    }
+}
+
+#[test]
+fn without_an_answer_there_is_nothing_to_pass_on() {
+    for safe in [true, false] {
+        assert_eq!(client_response(Decision::Rejected(AFTER), ErrorResponses::Forward, safe, None), OWN_503);
+        assert_eq!(
+            client_response(Decision::Failed, ErrorResponses::Forward, safe, None),
+            ClientResponse::BadGateway
+        );
+    }
+}
+
+#[test]
+fn answers_as_they_are_follow_the_table() {
+    use ClientResponse::{BadGateway, Forward};
+    let rows: [(&[u16], bool, [ClientResponse; 4]); 5] = [
+        (&[429, 503], true, [Forward, Forward, Forward, BadGateway]),
+        (&[429, 503], false, [Forward, BadGateway, Forward, BadGateway]),
+        (&[400, 404, 500, 502, 504, 599], true, [Forward, OWN_503, Forward, Forward]),
+        (&[200, 204, 302, 399], true, [OWN_503, OWN_503, BadGateway, BadGateway]),
+        (&[200, 204, 302, 399, 400, 404, 500, 502, 504, 599], false, [Forward; 4]),
+    ];
+    for (statuses, not_executed, cells) in rows {
+        for status in statuses {
+            let last = Some(LastResponse { status: *status, not_executed });
+            let refused = Decision::Rejected(AFTER);
+            let each =
+                [(refused, true), (refused, false), (Decision::Failed, true), (Decision::Failed, false)];
+            let got =
+                each.map(|(decision, safe)| client_response(decision, ErrorResponses::Forward, safe, last));
+            assert_eq!(got, cells, "{last:?}");
+        }
+    }
+}
+
+#[test]
+fn a_429_or_503_reaches_a_client_only_where_coming_again_does_no_harm() {
+    for last in all_answers().into_iter().flatten().filter(|last| matches!(last.status, 429 | 503)) {
+        for (decision, safe) in [(Decision::Failed, false), (Decision::Failed, true)] {
+            let passed = client_response(decision, ErrorResponses::Forward, safe, Some(last))
+                == ClientResponse::Forward;
+            assert!(!passed || safe, "{last:?}");
+        }
+    }
+}
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -2,15 +2,15 @@
 //! clock, no configuration text: typed values in, decisions out.
 #![forbid(unsafe_code)]
 
-mod answers;
-mod form;
+mod client_response;
 mod index;
-mod last;
 pub mod pools;
+mod request_format;
+mod response_rules;
 mod table;
 
-pub use answers::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules, StatusSet};
-pub use form::{AttributeSource, RequestFormat};
-pub use last::{client_response, ClientResponse, Decision, LastResponse};
+pub use client_response::{client_response, ClientResponse, Decision, LastResponse};
 pub use pools::Pools;
+pub use request_format::{AttributeSource, RequestFormat};
+pub use response_rules::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules, StatusSet};
 pub use table::{HeaderMatch, Match, Mismatch, RequestAttributes, Route, RouteId, RouteTable};
--- a/crates/routing/src/form.rs
+++ b/crates/routing/src/request_format.rs
@@ -1,5 +1,8 @@
 //! Where in a request its class, tenant, key and so on stand.
 
+#[cfg(test)]
+mod tests;
+
 use shaletide_types::ClassId;
 
 /// A place in a request's head.
@@ -52,18 +55,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_platform_form_reads_class_from_the_path_and_demands_an_id() {
-        let form = RequestFormat::platform();
-        assert_eq!(form.class, AttributeSource::Path(1));
-        assert_eq!(form.tenant, Some(AttributeSource::Header("x-account".into())));
-        assert_eq!(form.key, AttributeSource::Header("idempotency-key".into()));
-        assert_eq!((form.default_class, form.deduplication_group, form.zone), (None, None, None));
-        assert!(form.id_required && form.id == "x-correlation-id" && form.time_left == "x-time-left");
-    }
-}
--- a/crates/routing/src/answers.rs
+++ b/crates/routing/src/response_rules.rs
@@ -1,6 +1,9 @@
 //! What a backend's answer means: served, proof that the request was not executed, or an error; and what of it the
 //! client gets.
 
+#[cfg(test)]
+mod tests;
+
 /// Statuses from 100 to 599.
 #[derive(Clone, PartialEq, Eq)]
 pub struct StatusSet([u64; 8]);
@@ -126,72 +129,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn set(ranges: &[(u16, u16)]) -> StatusSet {
-        let mut set = StatusSet::none();
-        ranges.iter().for_each(|(first, last)| set.add(*first, *last));
-        set
-    }
-
-    #[test]
-    fn a_status_set_holds_what_was_added_and_nothing_outside_100_to_599() {
-        let mut some = set(&[(0, 101), (204, 204), (300, 250), (598, 700)]);
-        let held: Vec<u16> = (0..=u16::MAX).filter(|s| some.has(*s)).collect();
-        assert_eq!(held, [100, 101, 204, 598, 599]);
-        [204, 205, 0, 99, 600, u16::MAX].into_iter().for_each(|s| some.remove(s));
-        assert!(!some.has(204) && some.has(100) && some.has(599));
-        assert_eq!(format!("{some:?}"), "{100, 101, 598, 599}");
-    }
-
-    #[test]
-    fn by_default_all_final_statuses_are_served_but_five() {
-        let plain = ResponseRules::plain();
-        let failing: Vec<u16> =
-            (200..600).filter(|s| plain.classify(*s, |_| None) != ResponseClass::Served).collect();
-        assert_eq!(failing, [429, 500, 502, 503, 504]);
-        assert_eq!(plain.error_responses, ErrorResponses::Forward);
-    }
-
-    #[test]
-    fn an_answer_below_200_is_never_served_and_proves_nothing() {
-        let proof = NotExecutedProof { status: 103, header: "x-unprocessed".into(), value: None };
-        let answers =
-            ResponseRules { served: set(&[(100, 599)]), not_executed: vec![proof], ..ResponseRules::plain() };
-        assert!((0..200).all(|s| answers.classify(s, |_| Some("1")) == ResponseClass::Error));
-        assert_eq!(answers.classify(200, |_| None), ResponseClass::Served);
-    }
-
-    #[test]
-    fn the_platform_serves_200_and_takes_the_header_on_503_and_504_as_proof() {
-        let platform = ResponseRules::platform();
-        let header = |value: &'static str| move |name: &str| (name == "x-unprocessed").then_some(value);
-        assert_eq!(platform.classify(200, header("1")), ResponseClass::Served);
-        assert_eq!(platform.classify(201, |_| None), ResponseClass::Error);
-        assert_eq!(platform.classify(500, header("1")), ResponseClass::Error);
-        for status in [503, 504] {
-            assert_eq!(
-                platform.classify(status, header(" 1\t")),
-                ResponseClass::NotExecuted,
-                "the value is trimmed"
-            );
-            assert_eq!(platform.classify(status, header("11")), ResponseClass::Error);
-            assert_eq!(platform.classify(status, header("")), ResponseClass::Error);
-            assert_eq!(platform.classify(status, |_| None), ResponseClass::Error);
-        }
-    }
-
-    #[test]
-    fn proof_wins_over_served_and_may_take_any_value() {
-        let proof = NotExecutedProof { status: 404, header: "x-later".into(), value: None };
-        let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::plain() };
-        assert_eq!(
-            answers.classify(404, |name| (name == "x-later").then_some("")),
-            ResponseClass::NotExecuted
-        );
-        assert_eq!(answers.classify(404, |_| None), ResponseClass::Served);
-    }
-}
