--- a/crates/routing/src/client_response.rs
+++ b/crates/routing/src/client_response.rs
@@ -1,4 +1,4 @@
-//! What the client gets at the end of a request: a backend's answer unchanged or the proxy's own words.
+//! What the client gets at the end of a request: a backend's response unchanged, or one of the proxy's own.
 
 #[cfg(test)]
 mod tests;
@@ -6,21 +6,20 @@
 use crate::ErrorResponses;
 use shaletide_types::Micros;
 
-/// The decision module's last word on a request.
+/// How the balancer and the engine ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// An attempt was served.
     Served,
-    /// Every attempt is known not to have run, or running it again does no harm; with the time after which
-    /// the client had better come again.
+    /// No attempt was executed, or a second execution does no harm; with the time for `Retry-After`.
     Rejected(Micros),
-    /// Given up; an attempt may have run.
+    /// Given up; an attempt may have been executed.
     Failed,
-    /// Its time was up.
+    /// Its deadline has passed.
     TimedOut,
 }
 
-/// The answer, not a served one, in which the last attempt ended.
+/// The response, not a served one, in which the last attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastResponse {
     /// Its status.
@@ -32,7 +31,7 @@
 /// What the client gets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
-    /// The backend's answer, unchanged.
+    /// The backend's response, unchanged.
     Forward,
     /// The proxy's own 503, with this time in `Retry-After`.
     Reject(Micros),
@@ -42,41 +41,40 @@
     GatewayTimeout,
 }
 
-/// Decides what the client gets. `safe`: a second run of its class does nothing. `last` is how the last
-/// attempt ended, if in an answer.
+/// Decides what the client gets. `safe`: a second execution of its class does nothing. `last`: the response in which
+/// the last attempt ended, if in one.
 ///
-/// A served answer passes, a request whose time is up gets a 504 (an older answer is not its end), and
-/// without an answer, or under [`Errors::OwnWords`], a refusal is the proxy's 503 and a failure its 502.
-/// Else:
+/// A served response is forwarded; a request that timed out gets a 504, as an older response is not its end. Without
+/// a response, or under [`ErrorResponses::Replace`], a rejection is the proxy's 503 and a failure its 502. Else:
 ///
-/// | last answer                | refused, safe | refused, other | failed, safe | failed, other |
-/// |----------------------------|---------------|----------------|--------------|---------------|
-/// | 429 or 503, was not executed      | passes        | passes         | passes       | 502           |
-/// | 429 or 503, error          | passes        | 502            | passes       | 502           |
-/// | other from 400, was not executed  | passes        | own 503        | passes       | passes        |
-/// | below 400, was not executed       | own 503       | own 503        | 502          | 502           |
-/// | any other, error           | passes        | passes         | passes       | passes        |
+/// | last response                    | rejected, safe | rejected, other | failed, safe | failed, other |
+/// |----------------------------------|----------------|-----------------|--------------|---------------|
+/// | 429 or 503, not executed         | forwarded      | forwarded       | forwarded    | 502           |
+/// | 429 or 503, error                | forwarded      | 502             | forwarded    | 502           |
+/// | other from 400, not executed     | forwarded      | own 503         | forwarded    | forwarded     |
+/// | below 400, not executed          | own 503        | own 503         | 502          | 502           |
+/// | any other, error                 | forwarded      | forwarded       | forwarded    | forwarded     |
 ///
-/// So a client sees 429 or 503 only where coming again does no harm (a safe class, or proof), and nothing that reads like success for
-/// what was not executed.
+/// So a client gets 429 or 503 only where a retry does no harm (a safe class, or proof), and nothing that reads like
+/// success for what was not executed.
 pub fn client_response(
     decision: Decision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
 ) -> ClientResponse {
-    let own = match decision {
+    let own_response = match decision {
         Decision::Served => return ClientResponse::Forward,
         Decision::TimedOut => return ClientResponse::GatewayTimeout,
-        Decision::Rejected(after) => ClientResponse::Reject(after),
+        Decision::Rejected(retry_after) => ClientResponse::Reject(retry_after),
         Decision::Failed => ClientResponse::BadGateway,
     };
-    let Some(last) = last.filter(|_| errors == ErrorResponses::Forward) else { return own };
-    let refused = matches!(decision, Decision::Rejected(_));
-    let says_harmless = matches!(last.status, 429 | 503);
+    let Some(last) = last.filter(|_| errors == ErrorResponses::Forward) else { return own_response };
+    let rejected = matches!(decision, Decision::Rejected(_));
+    let invites_retry = matches!(last.status, 429 | 503);
     match last.not_executed {
-        true if says_harmless && (refused || safe) => ClientResponse::Forward,
-        true if says_harmless => ClientResponse::BadGateway,
-        // The status does not say what the refusal has to say.
-        true if last.status < 400 || refused && !safe => own,
-        false if says_harmless && !safe => ClientResponse::BadGateway,
+        true if invites_retry && (rejected || safe) => ClientResponse::Forward,
+        true if invites_retry => ClientResponse::BadGateway,
+        // This status would not tell the client that a retry is harmless.
+        true if last.status < 400 || rejected && !safe => own_response,
+        false if invites_retry && !safe => ClientResponse::BadGateway,
         _ => ClientResponse::Forward,
     }
 }
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,227 +1,233 @@
-//! Which routes of a table a request's class, tenant, zone, bay, path, method and best-known header leave,
-//! without walking the routes: for each value that some route names a row with a bit for each route, all rows
-//! of a request taken together.
+//! Which routes of a table a request's class, tenant, zone, deduplication group, method, path and most frequent header
+//! leave, without a walk over the routes: for each value that some route names there is a set of routes, and the sets
+//! of a request are intersected.
 //!
-//! Bounds: a row takes a bit a route, and there is one for each value that the routes name and one more for
-//! each sort of condition. Nothing is kept for pairs of values: 1,000 routes that name 64 classes and 10,000
-//! tenants hold some 1.3 MB of rows, however they combine them. A look-up allocates nothing.
+//! Bounds: a set takes a bit a route, and there is one for each value that the routes name and one more for each kind
+//! of condition. Nothing is kept for pairs of values: 1,000 routes that name 64 classes and 10,000 tenants hold some
+//! 1.3 MB of sets, however they combine them. A look-up allocates nothing.
 
-use crate::table::{Match, RequestAttributes};
+use crate::route_bits::{empty, insert, RouteBits};
+use crate::route_match::{Match, RequestAttributes};
 use shaletide_types::*;
 use std::borrow::Borrow;
+use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// How many sorts of condition there are but for the headers that are looked at one by one.
-pub const SORTS: usize = 7;
+/// Kinds of condition, without the headers that are checked route by route.
+pub const CONDITION_KINDS: usize = 7;
 
-/// A bit for each route, the first route's lowest in the first word.
-pub type Row = Box<[u64]>;
-
-fn empty(routes: usize) -> Row {
-    vec![0; routes.div_ceil(64)].into()
-}
-
-fn set(row: &mut Row, route: usize) {
-    row[route / 64] |= 1 << (route % 64);
-}
-
-/// The places of the bits of one word of a row, in order.
-pub fn bits(word: usize, mut left: u64) -> impl Iterator<Item = usize> {
-    std::iter::from_fn(move || {
-        let low = (left != 0).then(|| left.trailing_zeros() as usize)?;
-        left &= left - 1;
-        Some(word * 64 + low)
-    })
-}
-
-/// The routes that one sort of condition leaves, by the request's value.
+/// The routes that one kind of condition leaves, by the request's value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Condition<K: Hash + Eq> {
-    /// For a value that no route names: those without such a condition.
-    others: Row,
-    named: HashMap<K, Row>,
+struct ValueIndex<K: Hash + Eq> {
+    /// For a value that no route names: the routes without such a condition.
+    unconditional: RouteBits,
+    by_value: HashMap<K, RouteBits>,
 }
 
-impl<K: Hash + Eq + Clone> Condition<K> {
-    fn new<'a>(routes: &'a [&Match], named: impl Fn(&'a Match) -> &'a [K]) -> Condition<K>
+impl<K: Hash + Eq + Clone> ValueIndex<K> {
+    fn new<'a>(routes: &'a [&Match], values_of: impl Fn(&'a Match) -> &'a [K]) -> ValueIndex<K>
     where
         K: 'a,
     {
-        let mut others = empty(routes.len());
-        let free = routes.iter().enumerate().filter(|(_, when)| named(when).is_empty());
-        free.for_each(|(at, _)| set(&mut others, at));
+        let mut unconditional = empty(routes.len());
+        for (route, conditions) in routes.iter().enumerate() {
+            if values_of(conditions).is_empty() {
+                insert(&mut unconditional, route);
+            }
+        }
         let mut by_value = HashMap::new();
-        for (at, when) in routes.iter().enumerate() {
-            for value in named(when) {
-                set(by_value.entry(value.clone()).or_insert_with(|| others.clone()), at);
+        for (route, conditions) in routes.iter().enumerate() {
+            for value in values_of(conditions) {
+                insert(by_value.entry(value.clone()).or_insert_with(|| unconditional.clone()), route);
             }
         }
-        Condition { others, named: by_value }
+        ValueIndex { unconditional, by_value }
     }
 
     /// For a request with that value, or without one.
-    fn row<Q: Hash + Eq + ?Sized>(&self, value: Option<&Q>) -> &[u64]
+    fn routes_for<Q: Hash + Eq + ?Sized>(&self, value: Option<&Q>) -> &[u64]
     where
         K: Borrow<Q>,
     {
-        value.and_then(|value| self.named.get(value)).unwrap_or(&self.others)
+        value.and_then(|value| self.by_value.get(value)).unwrap_or(&self.unconditional)
     }
 
-    /// Of each of these values; of any at all where there are none.
-    fn rows<'a>(&'a self, values: &[K]) -> Vec<&'a [u64]> {
-        match values.is_empty() {
-            true => vec![&self.others],
-            false => values.iter().map(|value| self.row(Some(value))).collect(),
+    /// For each of these values; where there are none, for any value.
+    fn routes_for_each<'a>(&'a self, values: &[K]) -> Vec<&'a [u64]> {
+        if values.is_empty() {
+            return vec![&self.unconditional];
         }
+        values.iter().map(|value| self.routes_for(Some(value))).collect()
     }
 }
 
-/// The routes left by a path.
+/// The routes that a path leaves.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Paths {
+struct PathIndex {
     /// Those that take any path.
-    others: Row,
-    /// By prefix: those that take all paths under it.
-    under: HashMap<String, Row>,
-    /// The longest prefix's length in bytes.
-    longest: usize,
+    unconditional: RouteBits,
+    /// By prefix, those that take every path under it.
+    by_prefix: HashMap<String, RouteBits>,
+    /// In bytes.
+    longest_prefix: usize,
 }
 
-impl Paths {
-    fn new(routes: &[&Match]) -> Paths {
-        let prefixes: Vec<&str> = routes.iter().map(|when| when.prefix()).collect();
-        let mut others = empty(routes.len());
-        let free = prefixes.iter().enumerate().filter(|(_, prefix)| prefix.is_empty());
-        free.for_each(|(at, _)| set(&mut others, at));
-        let longest = prefixes.iter().map(|prefix| prefix.len()).max().unwrap_or(0);
-        let mut paths = Paths { others, under: HashMap::new(), longest };
-        let mut named: Vec<&str> = prefixes.iter().copied().filter(|prefix| !prefix.is_empty()).collect();
-        // A prefix stands before all that lie under it, which take over the row of the nearest.
-        named.sort_unstable();
-        named.dedup();
-        for prefix in named {
-            let mut row: Row = paths.row(prefix).into();
-            let same = prefixes.iter().enumerate().filter(|(_, other)| **other == prefix);
-            same.for_each(|(at, _)| set(&mut row, at));
-            paths.under.insert(prefix.to_string(), row);
+impl PathIndex {
+    fn new(routes: &[&Match]) -> PathIndex {
+        let prefixes: Vec<&str> = routes.iter().map(|conditions| conditions.prefix()).collect();
+        let mut unconditional = empty(routes.len());
+        for (route, prefix) in prefixes.iter().enumerate() {
+            if prefix.is_empty() {
+                insert(&mut unconditional, route);
+            }
+        }
+        let longest_prefix = prefixes.iter().map(|prefix| prefix.len()).max().unwrap_or(0);
+        let mut index = PathIndex { unconditional, by_prefix: HashMap::new(), longest_prefix };
+        let mut distinct: Vec<&str> = prefixes.iter().copied().filter(|prefix| !prefix.is_empty()).collect();
+        // A prefix comes before all that lie under it, which start from the set of the nearest.
+        distinct.sort_unstable();
+        distinct.dedup();
+        for prefix in distinct {
+            let mut under_prefix: RouteBits = index.routes_for(prefix).into();
+            for (route, other) in prefixes.iter().enumerate() {
+                if *other == prefix {
+                    insert(&mut under_prefix, route);
+                }
+            }
+            index.by_prefix.insert(prefix.to_string(), under_prefix);
         }
-        paths
+        index
     }
 
-    /// The row of the longest prefix that the path is or lies under. It holds those of all shorter ones.
-    fn row(&self, path: &str) -> &[u64] {
-        if self.under.is_empty() {
-            return &self.others;
+    /// The set of the longest prefix that the path is or lies under. It holds those of all shorter ones.
+    fn routes_for(&self, path: &str) -> &[u64] {
+        if self.by_prefix.is_empty() {
+            return &self.unconditional;
         }
-        let ends =
-            path.bytes().enumerate().take(self.longest + 1).filter(|(_, b)| *b == b'/').map(|(at, _)| at);
-        let whole = (path.len() <= self.longest).then_some(path.len());
-        let found = ends.chain(whole).rev().find_map(|end| self.under.get(&path[..end]));
-        found.unwrap_or(&self.others)
+        let bytes = path.bytes().enumerate().take(self.longest_prefix + 1);
+        let segment_ends = bytes.filter(|(_, byte)| *byte == b'/').map(|(end, _)| end);
+        let whole_path = (path.len() <= self.longest_prefix).then_some(path.len());
+        let longest = segment_ends.chain(whole_path).rev().find_map(|end| self.by_prefix.get(&path[..end]));
+        longest.unwrap_or(&self.unconditional)
     }
 }
 
-/// The header that most routes ask for; the others are looked at one by one.
+/// The routes that the header leaves which most routes ask for; other headers are checked route by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Header {
+struct HeaderIndex {
     name: String,
-    /// Those that do not ask for it.
-    absent: Row,
+    /// Without the header: the routes that do not ask for it.
+    absent: RouteBits,
     /// For a value that no route names: those that do not ask for it or take any value.
-    others: Row,
-    named: HashMap<String, Row>,
+    any_value: RouteBits,
+    by_value: HashMap<String, RouteBits>,
 }
 
-impl Header {
-    fn new(routes: &[&Match]) -> Option<Header> {
-        let mut asked: HashMap<&str, usize> = HashMap::new();
-        routes.iter().flat_map(|when| &when.headers).for_each(|h| *asked.entry(&h.name).or_default() += 1);
-        // By name where as many ask for two: the index is the same for the same routes.
-        let name = asked.into_iter().max_by_key(|(name, count)| (*count, std::cmp::Reverse(*name)))?.0;
-        let wants = |at: usize| routes[at].headers.iter().filter(move |h| h.name == name);
-        let (mut absent, mut others) = (empty(routes.len()), empty(routes.len()));
-        for at in 0..routes.len() {
-            if wants(at).next().is_none() {
-                set(&mut absent, at);
+impl HeaderIndex {
+    fn new(routes: &[&Match]) -> Option<HeaderIndex> {
+        let name = most_frequent_header(routes)?;
+        let conditions =
+            |route: usize| routes[route].headers.iter().filter(move |header| header.name == name);
+        let mut absent = empty(routes.len());
+        let mut any_value = empty(routes.len());
+        for route in 0..routes.len() {
+            if conditions(route).next().is_none() {
+                insert(&mut absent, route);
             }
-            if wants(at).all(|h| h.value.is_none()) {
-                set(&mut others, at);
+            if conditions(route).all(|header| header.value.is_none()) {
+                insert(&mut any_value, route);
             }
         }
-        let mut named: HashMap<String, Row> = HashMap::new();
-        for at in 0..routes.len() {
-            let mut values = wants(at).filter_map(|h| h.value.as_ref());
+        let mut by_value: HashMap<String, RouteBits> = HashMap::new();
+        for route in 0..routes.len() {
+            let mut values = conditions(route).filter_map(|header| header.value.as_ref());
             let Some(value) = values.next() else { continue };
             // Two values for one header: no request has both.
             if values.all(|other| other == value) {
-                set(named.entry(value.clone()).or_insert_with(|| others.clone()), at);
+                insert(by_value.entry(value.clone()).or_insert_with(|| any_value.clone()), route);
             }
         }
-        Some(Header { name: name.to_string(), absent, others, named })
+        Some(HeaderIndex { name: name.to_string(), absent, any_value, by_value })
     }
 
-    fn row(&self, value: Option<&str>) -> &[u64] {
-        value.map_or(&self.absent, |value| self.named.get(value).unwrap_or(&self.others))
+    fn routes_for(&self, value: Option<&str>) -> &[u64] {
+        match value {
+            Some(value) => self.by_value.get(value).unwrap_or(&self.any_value),
+            None => &self.absent,
+        }
+    }
+}
+
+/// The first by name where there are several, so that the same routes give the same index.
+fn most_frequent_header<'a>(routes: &[&'a Match]) -> Option<&'a str> {
+    let mut counts: HashMap<&str, usize> = HashMap::new();
+    for header in routes.iter().flat_map(|conditions| &conditions.headers) {
+        *counts.entry(&header.name).or_default() += 1;
     }
+    let most = counts.into_iter().max_by_key(|(name, count)| (*count, Reverse(*name)))?;
+    Some(most.0)
 }
 
-/// The rows of all sorts of condition.
+/// The sets of all kinds of condition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Index {
-    classes: Condition<ClassId>,
-    tenants: Condition<TenantId>,
-    zones: Condition<String>,
-    bays: Condition<String>,
-    methods: Condition<String>,
-    paths: Paths,
-    header: Option<Header>,
+    classes: ValueIndex<ClassId>,
+    tenants: ValueIndex<TenantId>,
+    zones: ValueIndex<String>,
+    deduplication_groups: ValueIndex<String>,
+    methods: ValueIndex<String>,
+    paths: PathIndex,
+    header: Option<HeaderIndex>,
 }
 
 impl Index {
     pub fn new(routes: &[&Match]) -> Index {
         Index {
-            classes: Condition::new(routes, |when| &when.classes),
-            tenants: Condition::new(routes, |when| &when.tenants),
-            zones: Condition::new(routes, |when| &when.zones),
-            bays: Condition::new(routes, |when| &when.deduplication_groups),
-            methods: Condition::new(routes, |when| &when.methods),
-            paths: Paths::new(routes),
-            header: Header::new(routes),
+            classes: ValueIndex::new(routes, |conditions| &conditions.classes),
+            tenants: ValueIndex::new(routes, |conditions| &conditions.tenants),
+            zones: ValueIndex::new(routes, |conditions| &conditions.zones),
+            deduplication_groups: ValueIndex::new(routes, |conditions| &conditions.deduplication_groups),
+            methods: ValueIndex::new(routes, |conditions| &conditions.methods),
+            paths: PathIndex::new(routes),
+            header: HeaderIndex::new(routes),
         }
     }
 
-    /// The rows that a request leaves: a route whose bit stands in all of them takes it, but for the headers
-    /// that are not `settled`.
-    pub fn rows<'a>(&'a self, asked: &RequestAttributes<'_>) -> [&'a [u64]; SORTS] {
-        let classes = self.classes.row(Some(&asked.class));
-        let header = self.header.as_ref().map_or(classes, |h| h.row((asked.header)(&h.name)));
+    /// The sets that a request leaves: a route that is in all of them takes it, but for the headers that
+    /// [`Self::decides_header`] denies.
+    pub fn routes_for<'a>(&'a self, request: &RequestAttributes<'_>) -> [&'a [u64]; CONDITION_KINDS] {
+        let classes = self.classes.routes_for(Some(&request.class));
+        let header = match &self.header {
+            Some(header) => header.routes_for((request.header)(&header.name)),
+            None => classes,
+        };
         [
             classes,
-            self.tenants.row(asked.tenant.as_ref()),
-            self.zones.row(Some(asked.zone)),
-            self.bays.row(asked.deduplication_group),
-            self.methods.row(Some(asked.method)),
-            self.paths.row(asked.path),
+            self.tenants.routes_for(request.tenant.as_ref()),
+            self.zones.routes_for(Some(request.zone)),
+            self.deduplication_groups.routes_for(request.deduplication_group),
+            self.methods.routes_for(Some(request.method)),
+            self.paths.routes_for(request.path),
             header,
         ]
     }
 
-    /// Whether the rows have settled the conditions on that header.
-    pub fn settled(&self, name: &str) -> bool {
-        self.header.as_ref().is_some_and(|h| h.name == name)
+    /// Whether the sets include the conditions on that header.
+    pub fn decides_header(&self, name: &str) -> bool {
+        self.header.as_ref().is_some_and(|header| header.name == name)
     }
 
-    /// Of each sort of condition but the headers the rows of all values that `when` takes. A route whose bit
-    /// stands in all of them covers it, but for the headers.
-    pub fn covering(&self, when: &Match) -> [Vec<&[u64]>; SORTS - 1] {
+    /// Of each kind of condition but the headers, the sets of all values that `conditions` take. A route that is in all
+    /// of them covers these conditions, but for the headers.
+    pub fn routes_covering(&self, conditions: &Match) -> [Vec<&[u64]>; CONDITION_KINDS - 1] {
         [
-            self.classes.rows(&when.classes),
-            self.tenants.rows(&when.tenants),
-            self.zones.rows(&when.zones),
-            self.bays.rows(&when.deduplication_groups),
-            self.methods.rows(&when.methods),
-            vec![self.paths.row(when.prefix())],
+            self.classes.routes_for_each(&conditions.classes),
+            self.tenants.routes_for_each(&conditions.tenants),
+            self.zones.routes_for_each(&conditions.zones),
+            self.deduplication_groups.routes_for_each(&conditions.deduplication_groups),
+            self.methods.routes_for_each(&conditions.methods),
+            vec![self.paths.routes_for(conditions.prefix())],
         ]
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which pools a request may go to and in which order, and what a backend's answer means. No sockets, no
-//! clock, no configuration text: typed values in, decisions out.
+//! Which pools a request may go to and in which order, what a backend's response means, and what the client gets of
+//! it. No sockets, no clock, no configuration text: typed values in, decisions out.
 #![forbid(unsafe_code)]
 
 mod client_response;
@@ -7,10 +7,16 @@
 pub mod pools;
 mod request_format;
 mod response_rules;
+mod route_bits;
+mod route_match;
+mod shadowed;
+mod status_set;
 mod table;
 
 pub use client_response::{client_response, ClientResponse, Decision, LastResponse};
 pub use pools::Pools;
 pub use request_format::{AttributeSource, RequestFormat};
-pub use response_rules::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules, StatusSet};
-pub use table::{HeaderMatch, Match, Mismatch, RequestAttributes, Route, RouteId, RouteTable};
+pub use response_rules::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules};
+pub use route_match::{HeaderMatch, Match, Mismatch, RequestAttributes};
+pub use status_set::StatusSet;
+pub use table::{Route, RouteId, RouteTable};
--- a/crates/routing/src/request_format.rs
+++ b/crates/routing/src/request_format.rs
@@ -1,4 +1,4 @@
-//! Where in a request its class, tenant, key and so on stand.
+//! Where in a request its class, tenant, key and other attributes stand.
 
 #[cfg(test)]
 mod tests;
@@ -8,10 +8,10 @@
 /// A place in a request's head.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AttributeSource {
-    /// The part of the path of that number, from 1: in `/read/k7` part 1 is `read`. Read as it stands,
-    /// without decoding.
+    /// The path's segment of that number, from 1: in `/read/k7` segment 1 is `read`. Read as it stands, without
+    /// decoding.
     Path(usize),
-    /// A header, its name in lower case. Where it stands twice the request is refused.
+    /// A header, its name in lower case. A request that has it twice is rejected as malformed.
     Header(String),
 }
 
@@ -20,27 +20,27 @@
 pub struct RequestFormat {
     /// The name of its class.
     pub class: AttributeSource,
-    /// The class of a request in which that place is empty or names no class; none: such a request is
-    /// refused.
+    /// The class of a request in which that place is empty or names no class; none: such a request is rejected as
+    /// malformed.
     pub default_class: Option<ClassId>,
     /// The name of its tenant.
     pub tenant: Option<AttributeSource>,
-    /// What keeps a keyed request from running twice.
+    /// The idempotency key.
     pub key: AttributeSource,
-    /// The bay that it is about, for routes.
+    /// The deduplication group that it is about, for routes.
     pub deduplication_group: Option<AttributeSource>,
     /// The zone that it came from, for routes; none: the proxy's own.
     pub zone: Option<AttributeSource>,
-    /// The header that names the request.
+    /// The header with the request's id.
     pub id: String,
-    /// A request without that header is refused; else it is given an id.
+    /// A request without that header is rejected as malformed; else it is given an id.
     pub id_required: bool,
     /// The header with the seconds that its client will wait.
     pub time_left: String,
 }
 
 impl RequestFormat {
-    /// The platform's form, and the default of the operators' file but for `id_required`.
+    /// The platform's format, and the default of the operators' file but for `id_required`.
     pub fn platform() -> RequestFormat {
         RequestFormat {
             class: AttributeSource::Path(1),
