--- a/crates/engine/src/monitor/tests.rs
+++ b/crates/engine/src/monitor/tests.rs
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_good_life_breaks_nothing_and_leaves_nothing() {
+fn correct_request_breaks_no_rule_and_leaves_no_state() {
     let mut s = Stream::new(RULES);
     s.request(KEYED, true);
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn there_is_one_answer_and_it_is_one_that_came() {
+fn second_or_unreceived_answer_breaks_one_answer() {
     let twice = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn the_answer_comes_in_time() {
+fn late_or_early_answer_breaks_in_time() {
     let late = |s: &mut Stream| {
         s.sent(0, 0);
         s.now = s.now + Micros(5_000);
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn nothing_is_left_running_and_nothing_is_sent_after_the_end() {
+fn attempt_in_flight_or_sent_after_the_answer_breaks_nothing_after() {
     let running = |s: &mut Stream| {
         s.sent(0, 0);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn an_unsafe_request_goes_out_again_only_when_nothing_has_run() {
+fn non_idempotent_retry_after_possible_execution_breaks_unsafe_once() {
     for (end, ran) in [
         (Event::ConnectionUnusable { connection: connection(0) }, false),
         (Event::ConnectionClosed { connection: connection(0) }, false),
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn a_keyed_request_is_repeated_only_in_its_group_and_window() {
+fn keyed_retry_outside_its_group_or_window_breaks_keyed_inside() {
     let to = |to: u32, after: u64| {
         said(KEYED, RULES, |s| {
             s.sent(0, 0);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn a_refusal_only_where_a_retry_is_harmless() {
+fn rejection_after_possible_execution_breaks_harmless_refusal() {
     let ran = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_box_after_its_drain_but_for_the_grace() {
+fn attempt_to_draining_backend_after_the_grace_breaks_drain() {
     let whole = |backends: Vec<BackendEntry>| Event::EndpointsUpdated {
         pool: PoolId(0),
         update: EndpointUpdate::Snapshot,
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn no_unclean_connection_is_used_again() {
+fn reuse_of_an_unclean_connection_breaks_clean_connection() {
     let after = |keep: bool, behind: bool, written: bool, wait: u64| {
         said(Idempotency::Safe, RULES, |s| {
             s.sent(0, 0);
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn no_byte_goes_before_its_permit_and_no_permit_is_left_open() {
+fn attempt_without_intent_or_open_intent_breaks_permit() {
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
     let ask = Action::PersistIntent { request, attempt };
     let back = Action::WithdrawIntent { request, attempt };
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn when_all_is_quiet_all_is_answered() {
+fn open_request_when_quiet_breaks_all_answered() {
     let mut s = Stream::new(RULES);
     s.request(Idempotency::Safe, false);
     assert_eq!(s.monitor.quiet(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
@@ -458,7 +458,7 @@
 }
 
 #[test]
-fn a_cold_box_is_sent_no_more_than_its_budget() {
+fn work_over_the_slow_start_budget_breaks_cold_budget() {
     let rules = ColdRules {
         initial_capacity_fraction: 0.2,
         ramp: Micros(10_000_000),
--- a/crates/engine/tests/found.rs
+++ b/crates/engine/tests/counterexamples.rs
@@ -1,4 +1,4 @@
-//! What the explorer found in the engine: each counterexample as the script of its events.
+//! Counterexamples that the model checker found in the engine, each as the script of its events.
 
 use shaletide_balancer::Arrival;
 use shaletide_engine::{Action, ConnectionLimits, Engine, Event, FinalOutcome, Policy, RequestSpec};
@@ -6,14 +6,14 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// Asks for nothing by itself and keeps what it is told of attempts.
+/// Makes no decision by itself and records the ends of attempts.
 #[derive(Clone, Debug, Default)]
-struct Quiet {
+struct RecordingPolicy {
     ends: Vec<shaletide_balancer::AttemptEnd>,
 }
 
-impl Policy for Quiet {
-    fn handle(&mut self, _now: Time, event: pools::Event, _asks: &mut Vec<pools::Action>) {
+impl Policy for RecordingPolicy {
+    fn handle(&mut self, _now: Time, event: pools::Event, _actions: &mut Vec<pools::Action>) {
         if let pools::Event::AttemptEnded(end) = event {
             self.ends.push(end);
         }
@@ -21,7 +21,7 @@
 }
 
 struct Script {
-    engine: Engine<Quiet>,
+    engine: Engine<RecordingPolicy>,
     now: Time,
 }
 
@@ -29,41 +29,41 @@
 
 impl Script {
     fn new(cancel: bool) -> Script {
-        let keeping = ConnectionLimits {
+        let limits = ConnectionLimits {
             max_connections: 8,
             idle_timeout: Micros(100_000),
             reuse_delay: Micros(1_000),
         };
-        let mut engine = Engine::new(Quiet::default(), keeping);
-        engine.configure(keeping, cancel, None);
+        let mut engine = Engine::new(RecordingPolicy::default(), limits);
+        engine.configure(limits, cancel, None);
         let mut script = Script { engine, now: Time(1_000_000) };
         script.list(0, 0, BackendState::Ready);
         script
     }
 
-    fn told(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.engine.handle(self.now, event, &mut out);
         out
     }
 
-    fn asked(&mut self, ask: pools::Action) -> Vec<Action> {
+    fn apply(&mut self, action: pools::Action) -> Vec<Action> {
         let mut out = Vec::new();
-        self.engine.apply_policy_action(self.now, ask, &mut out);
+        self.engine.apply_policy_action(self.now, action, &mut out);
         out
     }
 
-    fn list(&mut self, id: u32, cell: u64, state: BackendState) -> Vec<Action> {
+    fn list(&mut self, id: u32, group: u64, state: BackendState) -> Vec<Action> {
         let backends = vec![BackendEntry {
             id: BackendId(id),
-            deduplication_group: DeduplicationGroupId(cell),
+            deduplication_group: DeduplicationGroupId(group),
             state,
             ..BackendEntry::default()
         }];
-        self.told(Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Delta, backends })
+        self.handle(Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Delta, backends })
     }
 
-    fn request(&mut self, effect: Idempotency, permit: bool) {
+    fn request(&mut self, idempotency: Idempotency, requires_intent: bool) {
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(0),
@@ -74,29 +74,29 @@
             may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = Rc::new([PoolId(0)]);
-        self.told(Event::Request(RequestSpec {
+        self.handle(Event::Request(RequestSpec {
             arrival,
-            idempotency: effect,
+            idempotency,
             pools,
-            requires_intent: permit,
+            requires_intent,
             recorded: false,
         }));
     }
 
     fn dispatch(&mut self, attempt: u32) -> Vec<Action> {
         let (request, attempt, backend) = (RequestId(0), AttemptNumber(attempt), BackendId(0));
-        self.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None })
+        self.apply(pools::Action::Dispatch { request, attempt, backend, send_by: None })
     }
 
-    fn up(&mut self, connection: u64) -> Vec<Action> {
-        self.told(Event::Connected { connection: ConnectionId(connection) })
+    fn connect(&mut self, connection: u64) -> Vec<Action> {
+        self.handle(Event::Connected { connection: ConnectionId(connection) })
     }
 
-    fn answered(&mut self, connection: u64, verdict: ResponseClass, keep: bool) -> Vec<Action> {
-        self.told(Event::ResponseReceived {
+    fn respond(&mut self, connection: u64, verdict: ResponseClass, reusable: bool) -> Vec<Action> {
+        self.handle(Event::ResponseReceived {
             connection: ConnectionId(connection),
             verdict,
-            reusable: keep,
+            reusable,
             has_excess_bytes: false,
         })
     }
@@ -114,10 +114,10 @@
     Action::WithdrawIntent { request: RequestId(0), attempt: AttemptNumber(attempt) }
 }
 
-/// It was begun under a number that no attempt has: the one that was made for it hung in the air until the
-/// request ended, and its permit was given back under the other number.
+/// It was begun under a number that no attempt has: the attempt made for it stayed until the request ended, and its
+/// intent was withdrawn under the other number.
 #[test]
-fn an_attempt_under_a_number_that_is_not_the_next_is_declined() {
+fn attempt_with_a_number_that_is_not_the_next_is_declined() {
     let mut s = Script::new(true);
     s.request(KEYED, true);
     assert_eq!(s.dispatch(1), []);
@@ -125,81 +125,86 @@
     let ends = &s.engine.policy().ends;
     assert_eq!((ends.len(), ends[0].outcome, ends[0].request_answered), (1, Outcome::NotSent, false));
     assert!(matches!(s.dispatch(0)[..], [Action::PersistIntent { attempt: AttemptNumber(0), .. }]));
-    assert_eq!(s.told(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
+    assert_eq!(s.handle(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
     assert!(s.engine.requests().is_empty());
 }
 
-/// Not a byte had gone out, so its permit was neither used nor given back.
+/// No byte had been written, so that its intent was neither used nor withdrawn.
 #[test]
-fn the_permit_of_an_attempt_whose_connection_was_unfit_is_given_back() {
+fn intent_is_withdrawn_when_connection_is_unusable() {
     for drained in [false, true] {
         let mut s = Script::new(true);
         s.request(KEYED, true);
         s.dispatch(0);
-        s.told(Event::IntentPersisted { request: RequestId(0), attempt: AttemptNumber(0), persisted: true });
-        s.up(0);
+        s.handle(Event::IntentPersisted {
+            request: RequestId(0),
+            attempt: AttemptNumber(0),
+            persisted: true,
+        });
+        s.connect(0);
         let unfit = Event::ConnectionUnusable { connection: ConnectionId(0) };
         if drained {
             s.list(0, 0, BackendState::Draining);
-            assert!(s.told(unfit).contains(&withdrawn(0)), "it cannot begin again");
+            assert!(s.handle(unfit).contains(&withdrawn(0)), "it cannot begin again");
         } else {
-            s.told(Event::ClientDisconnected { request: RequestId(0) });
-            assert!(s.told(unfit).contains(&withdrawn(0)), "it was called back meanwhile");
+            s.handle(Event::ClientDisconnected { request: RequestId(0) });
+            assert!(s.handle(unfit).contains(&withdrawn(0)), "it was called back meanwhile");
             assert!(s.engine.requests().is_empty());
         }
     }
 }
 
-/// Both were asked for while the backend stood in the first cell; the second would have run again in the other.
+/// Both were dispatched while the backend was listed in the first group; the second would have been executed again in
+/// the other.
 #[test]
-fn a_box_that_is_listed_in_another_cell_meanwhile_is_not_sent_a_keyed_repeat() {
+fn keyed_retry_is_declined_when_backend_is_listed_in_another_group() {
     let mut s = Script::new(true);
     s.request(KEYED, false);
     s.dispatch(0);
     s.dispatch(1);
-    assert_eq!(sends(&s.up(0)), 1);
+    assert_eq!(sends(&s.connect(0)), 1);
     s.list(0, 100, BackendState::Ready);
-    assert_eq!(sends(&s.up(1)), 0);
+    assert_eq!(sends(&s.connect(1)), 0);
     assert_eq!(s.engine.policy().ends.last().map(|e| e.outcome), Some(Outcome::NotSent));
 }
 
-/// What was idle was closed, and what was busy came to rest later and was used again.
+/// Idle connections were closed, and a busy one became idle later and was used again.
 #[test]
-fn a_connection_that_was_busy_when_its_box_moved_to_another_address_is_not_kept() {
+fn busy_connection_is_closed_after_response_when_backend_address_changed() {
     let mut s = Script::new(true);
     s.request(KEYED, false);
     s.dispatch(0);
-    s.up(0);
-    s.told(Event::RequestWritten { connection: ConnectionId(0) });
-    s.told(Event::AddressChanged { backend: BackendId(0) });
+    s.connect(0);
+    s.handle(Event::RequestWritten { connection: ConnectionId(0) });
+    s.handle(Event::AddressChanged { backend: BackendId(0) });
     let closed = Action::Close { connection: ConnectionId(0) };
-    assert_eq!(s.answered(0, ResponseClass::NotExecuted, true), [closed]);
+    assert_eq!(s.respond(0, ResponseClass::NotExecuted, true), [closed]);
     assert_eq!(s.engine.connection_count(), 0);
 }
 
 /// A repeat counts when its last byte has come: one that begins as the window ends comes too late. Here the window is
-/// 2 ms, of which an eighth is kept for the way.
+/// 2 ms, of which an eighth is kept for the transfer.
 #[test]
-fn a_keyed_repeat_does_not_begin_at_the_very_end_of_its_window() {
-    for (asked, up, goes) in
+fn keyed_retry_does_not_begin_at_the_end_of_its_deduplication_window() {
+    for (dispatched, connected, is_sent) in
         [(1_000, 1_749, true), (1_749, 1_749, true), (1_000, 1_750, false), (1_750, 1_750, false)]
     {
         let mut s = Script::new(true);
         s.request(KEYED, false);
         let begun = s.now;
         s.dispatch(0);
-        let first = s.up(0);
+        let first = s.connect(0);
         assert!(
             matches!(first[..], [Action::Send { write_deadline: None, .. }]),
             "it is no repeat: {first:?}"
         );
-        s.told(Event::RequestWritten { connection: ConnectionId(0) });
-        s.told(Event::ConnectionClosed { connection: ConnectionId(0) });
-        s.now = begun + Micros(asked);
+        s.handle(Event::RequestWritten { connection: ConnectionId(0) });
+        s.handle(Event::ConnectionClosed { connection: ConnectionId(0) });
+        s.now = begun + Micros(dispatched);
         s.dispatch(1);
-        s.now = begun + Micros(up);
-        let out = s.up(1);
-        assert_eq!(sends(&out), usize::from(goes), "asked at {asked}, up at {up}");
+        s.now = begun + Micros(connected);
+        let out = s.connect(1);
+        assert_eq!(sends(&out), usize::from(is_sent), "dispatched at {dispatched}, connected at {connected}");
         let end = begun + Micros(1_750);
         assert!(
             out.iter().all(|a| !matches!(a, Action::Send { write_deadline: by, .. } if *by != Some(end))),
@@ -208,82 +213,79 @@
     }
 }
 
-/// It begins first and is whole last, after a copy that ran meanwhile: it is a repeat of that one by then.
+/// It begins first and is completely written last, after a hedged attempt that was executed meanwhile: it is a repeat of
+/// that one by then.
 #[test]
-fn what_is_not_whole_when_a_window_that_begins_with_it_ends_never_is() {
+fn first_keyed_attempt_has_write_deadline_from_its_window() {
     let mut s = Script::new(true);
     let window = Micros(400_000);
     s.request(Idempotency::Keyed(DeduplicationScope::Group, window), false);
     s.dispatch(0);
     s.now = s.now + Micros(2_000); // the connection took so long
     let end = s.now + Micros(380_000);
-    assert!(matches!(s.up(0)[..], [Action::Send { write_deadline: by, .. }] if by == Some(end)));
+    assert!(matches!(s.connect(0)[..], [Action::Send { write_deadline: by, .. }] if by == Some(end)));
 }
 
-/// It was kept until its connection came up, with its permit open.
+/// It was kept until its connection was open, with its intent not withdrawn.
 #[test]
-fn what_has_not_begun_ends_with_its_request_also_where_nothing_is_called_back() {
+fn attempt_not_begun_ends_with_its_request_without_cancellation() {
     let mut s = Script::new(false);
     s.request(KEYED, false);
     s.dispatch(0);
     s.dispatch(1);
-    s.up(0);
+    s.connect(0);
     assert!(s
-        .answered(0, ResponseClass::Served, false)
+        .respond(0, ResponseClass::Served, false)
         .contains(&answer(FinalOutcome::Served(AttemptNumber(0)))));
     assert!(s.engine.requests().is_empty());
 }
 
-/// The first of two that had not begun ended, and the answer did not wait for the second.
+/// The first of two attempts that had not begun ended, and the answer did not wait for the second.
 #[test]
-fn what_has_not_begun_does_not_make_a_failure_of_a_refusal_where_nothing_is_called_back() {
+fn request_with_no_attempt_begun_is_rejected_without_cancellation() {
     let mut s = Script::new(false);
     s.request(KEYED, false);
     s.dispatch(0);
     s.dispatch(1);
     let (request, retry_after) = (RequestId(0), Micros(7));
-    let out = s.asked(pools::Action::Reject { request, retry_after });
+    let out = s.apply(pools::Action::Reject { request, retry_after });
     assert_eq!(out, [answer(FinalOutcome::Rejected(retry_after))]);
     assert!(s.engine.requests().is_empty());
 }
 
-/// Each backend that went while a request was on it left a line behind for ever.
+/// Each backend that was removed while an attempt was in flight there left an entry behind.
 #[test]
-fn nothing_is_kept_of_a_box_whose_last_answer_comes_after_it_is_gone() {
+fn response_of_a_gone_backend_leaves_no_entry_for_it() {
     let mut s = Script::new(true);
     s.request(KEYED, false);
     s.dispatch(0);
-    s.up(0);
-    s.told(Event::RequestWritten { connection: ConnectionId(0) });
+    s.connect(0);
+    s.handle(Event::RequestWritten { connection: ConnectionId(0) });
     s.list(0, 0, BackendState::Gone);
-    s.answered(0, ResponseClass::Served, true);
+    s.respond(0, ResponseClass::Served, true);
     assert_eq!((s.engine.heard().count(), s.engine.count_listed()), (0, 0));
 }
 
-/// The explorer leaves this out: the store's word comes when nothing is known of the request any more.
+/// The model checker leaves this out: the store's result comes when nothing is known of the request any more.
 #[test]
-fn a_late_permit_finds_nothing_and_changes_nothing() {
+fn late_intent_result_of_an_ended_request_is_ignored() {
     let mut s = Script::new(true);
     s.request(KEYED, true);
     s.dispatch(0);
-    assert_eq!(s.told(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
-    for given in [true, false] {
+    assert_eq!(s.handle(Event::ClientDisconnected { request: RequestId(0) }), [withdrawn(0)]);
+    for persisted in [true, false] {
         assert_eq!(
-            s.told(Event::IntentPersisted {
-                request: RequestId(0),
-                attempt: AttemptNumber(0),
-                persisted: given
-            }),
+            s.handle(Event::IntentPersisted { request: RequestId(0), attempt: AttemptNumber(0), persisted }),
             []
         );
         assert!(s.engine.requests().is_empty() && s.engine.deadlines().is_empty());
     }
 }
 
-/// Its request was over before it was up. Eight of them held all the room that there is, and what came then was not sent
-/// though nobody wanted any of them.
+/// Their requests ended before they were open. Eight of them took all connections that there may be, and a further
+/// request was not sent though none of them was needed.
 #[test]
-fn connections_that_come_up_for_nobody_make_way_at_the_bound_the_oldest_first() {
+fn oldest_unclaimed_connecting_connection_is_closed_at_the_limit() {
     let mut s = Script::new(true);
     for connection in 0..8 {
         s.request(KEYED, false);
@@ -291,37 +293,37 @@
             s.dispatch(0),
             [Action::Connect { connection: ConnectionId(connection), backend: BackendId(0) }]
         );
-        s.told(Event::ClientDisconnected { request: RequestId(0) });
+        s.handle(Event::ClientDisconnected { request: RequestId(0) });
     }
     s.request(KEYED, false);
     let (closed, opened) = (Action::Close { connection: ConnectionId(0) }, ConnectionId(8));
     assert_eq!(s.dispatch(0), [closed, Action::Connect { connection: opened, backend: BackendId(0) }]);
     assert_eq!(s.engine.connection_count(), 8);
     assert_eq!(
-        s.told(Event::ConnectFailed { connection: ConnectionId(0), backend_at_fault: true }),
+        s.handle(Event::ConnectFailed { connection: ConnectionId(0), backend_at_fault: true }),
         [],
         "it is gone"
     );
-    s.up(1);
-    s.told(Event::ClientDisconnected { request: RequestId(0) });
+    s.connect(1);
+    s.handle(Event::ClientDisconnected { request: RequestId(0) });
     s.request(KEYED, false);
     assert_eq!(sends(&s.dispatch(0)), 1, "on the one that came up for nobody");
 }
 
-/// One that is idle goes before one that still comes up: that may be had by whoever asks next.
+/// A connection that is still being opened may serve the next attempt to its backend.
 #[test]
-fn what_is_idle_makes_way_before_what_comes_up_for_nobody() {
+fn idle_connection_is_closed_before_unclaimed_connecting_one() {
     let mut s = Script::new(true);
     s.list(1, 0, BackendState::Ready);
     for _ in 0..8 {
         s.request(KEYED, false);
         s.dispatch(0);
-        s.told(Event::ClientDisconnected { request: RequestId(0) });
+        s.handle(Event::ClientDisconnected { request: RequestId(0) });
     }
-    s.up(5);
+    s.connect(5);
     s.request(KEYED, false);
     let (request, attempt, backend) = (RequestId(0), AttemptNumber(0), BackendId(1));
-    let out = s.asked(pools::Action::Dispatch { request, attempt, backend, send_by: None });
+    let out = s.apply(pools::Action::Dispatch { request, attempt, backend, send_by: None });
     assert_eq!(
         out,
         [
--- a/crates/routing/src/client_response/tests.rs
+++ b/crates/routing/src/client_response/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_served_answer_passes_and_a_late_request_gets_a_504_whatever_came_before() {
+fn served_response_is_forwarded_and_timed_out_request_gets_504() {
     for last in all_answers() {
         for (errors, safe) in [
             (ErrorResponses::Forward, true),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn in_its_own_words_the_proxy_passes_on_no_error() {
+fn errors_are_replaced_by_own_responses_under_replace() {
     for last in all_answers() {
         for safe in [true, false] {
             assert_eq!(
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn without_an_answer_there_is_nothing_to_pass_on() {
+fn own_response_is_sent_without_a_last_response() {
     for safe in [true, false] {
         assert_eq!(client_response(Decision::Rejected(AFTER), ErrorResponses::Forward, safe, None), OWN_503);
         assert_eq!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn answers_as_they_are_follow_the_table() {
+fn last_response_is_forwarded_or_replaced_by_the_table() {
     use ClientResponse::{BadGateway, Forward};
     let rows: [(&[u16], bool, [ClientResponse; 4]); 5] = [
         (&[429, 503], true, [Forward, Forward, Forward, BadGateway]),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_429_or_503_reaches_a_client_only_where_coming_again_does_no_harm() {
+fn status_429_or_503_is_forwarded_only_where_a_retry_is_harmless() {
     for last in all_answers().into_iter().flatten().filter(|last| matches!(last.status, 429 | 503)) {
         for (decision, safe) in [(Decision::Failed, false), (Decision::Failed, true)] {
             let passed = client_response(decision, ErrorResponses::Forward, safe, Some(last))
--- a/crates/routing/src/request_format/tests.rs
+++ b/crates/routing/src/request_format/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_platform_form_reads_class_from_the_path_and_demands_an_id() {
+fn platform_format_reads_class_from_path_and_requires_an_id() {
     let form = RequestFormat::platform();
     assert_eq!(form.class, AttributeSource::Path(1));
     assert_eq!(form.tenant, Some(AttributeSource::Header("x-account".into())));
--- a/crates/routing/src/response_rules/tests.rs
+++ b/crates/routing/src/response_rules/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_status_set_holds_what_was_added_and_nothing_outside_100_to_599() {
+fn status_set_holds_added_statuses_from_100_to_599_only() {
     let mut some = set(&[(0, 101), (204, 204), (300, 250), (598, 700)]);
     let held: Vec<u16> = (0..=u16::MAX).filter(|s| some.has(*s)).collect();
     assert_eq!(held, [100, 101, 204, 598, 599]);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn by_default_all_final_statuses_are_served_but_five() {
+fn default_rules_serve_all_final_statuses_but_five() {
     let plain = ResponseRules::plain();
     let failing: Vec<u16> =
         (200..600).filter(|s| plain.classify(*s, |_| None) != ResponseClass::Served).collect();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_answer_below_200_is_never_served_and_proves_nothing() {
+fn status_below_200_is_an_error() {
     let proof = NotExecutedProof { status: 103, header: "x-unprocessed".into(), value: None };
     let answers =
         ResponseRules { served: set(&[(100, 599)]), not_executed: vec![proof], ..ResponseRules::plain() };
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_platform_serves_200_and_takes_the_header_on_503_and_504_as_proof() {
+fn platform_rules_serve_200_and_take_header_on_503_and_504_as_proof() {
     let platform = ResponseRules::platform();
     let header = |value: &'static str| move |name: &str| (name == "x-unprocessed").then_some(value);
     assert_eq!(platform.classify(200, header("1")), ResponseClass::Served);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn proof_wins_over_served_and_may_take_any_value() {
+fn proof_comes_before_served_and_may_take_any_value() {
     let proof = NotExecutedProof { status: 404, header: "x-later".into(), value: None };
     let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::plain() };
     assert_eq!(answers.classify(404, |name| (name == "x-later").then_some("")), ResponseClass::NotExecuted);
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -23,13 +23,13 @@
 }
 
 #[test]
-fn no_condition_takes_everything() {
+fn match_without_conditions_takes_every_request() {
     assert_eq!(why(Match::default(), &get()), None);
     assert_eq!(why(Match::default(), &Request::default()), None);
 }
 
 #[test]
-fn each_condition_says_why_it_does_not_hold() {
+fn failed_condition_is_named_as_mismatch() {
     let texts = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     let cases = [
         (Match { classes: vec![ClassId(0), ClassId(3)], ..Match::default() }, Mismatch::Class),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn conditions_that_hold_take_the_request_and_the_first_that_fails_is_named() {
+fn request_meeting_all_conditions_matches_and_first_failure_is_named() {
     let all = Match {
         classes: vec![ClassId(0), ClassId(1)],
         tenants: vec![TenantId(2)],
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_request_without_tenant_or_bay_is_none_of_those_named() {
+fn request_without_tenant_or_group_does_not_match_named_ones() {
     let without = Request { tenant: None, bay: None, ..get() };
     let tenants = Match { tenants: vec![TenantId(0)], ..Match::default() };
     let bays = Match { deduplication_groups: vec!["".into()], ..Match::default() };
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_path_prefix_takes_whole_parts() {
+fn path_prefix_matches_whole_segments() {
     let takes = |prefix: &str, path: &str| {
         let when = Match { path_prefix: Some(prefix.into()), ..Match::default() };
         let request = Request { path: path.into(), ..get() };
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_pool_that_can_take_nothing_is_passed_over_at_once() {
+fn unavailable_pool_is_skipped_at_once() {
     let mut world = two();
     for (class, pool) in [(SAFE, 0), (KEYED, 0), (UNSAFE, 0)] {
         let id = world.arrive(class, SECOND, &[0, 1]);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_pool_of_ejected_backends_is_passed_over_and_tried_again() {
+fn pool_of_ejected_backends_is_skipped_and_probed_later() {
     let mut world = two();
     world.eject_all(0);
     let id = world.arrive(UNSAFE, SECOND, &[0, 1]);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_pool_without_room_is_not_passed_over() {
+fn pool_without_capacity_queues_and_is_not_skipped() {
     let mut world = two();
     let ids: Vec<RequestId> = (0..30).map(|_| world.arrive(SAFE, SECOND, &[0, 1])).collect();
     let there = ids.iter().flat_map(|id| world.sent_to(*id));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn what_fails_on_the_way_goes_on_in_the_next_pool() {
+fn attempt_not_executed_fails_over_to_the_next_pool() {
     let mut world = two();
     world.warm_up(40, &[0, 1]);
     let id = world.arrive(UNSAFE, SECOND, &[0, 1]);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_goes_nowhere_else() {
+fn non_idempotent_request_that_may_have_executed_fails() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
         let mut world = two();
         world.warm_up(40, &[0, 1]);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_group_whatever_the_pool() {
+fn keyed_request_that_may_have_executed_stays_in_its_group() {
     for realm in [0, 1] {
         let pool = |from: u32, realm| vec![backend(from, 1, realm), backend(from + 1, 2, realm)];
         let mut world = World::new(config(), &[pool(0, 0), pool(10, realm)]);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_keyed_request_goes_nowhere_after_its_window() {
+fn keyed_request_is_not_retried_after_its_window() {
     let pool = |from: u32| vec![backend(from, 1, 0)];
     // 20 ms of it are kept for the way.
     for (after, tries) in [(WINDOW.0 - 30_000, 2), (WINDOW.0 - 10_000, 1), (WINDOW.0 + 10_000, 1)] {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn further_attempts_are_counted_over_all_pools() {
+fn retries_are_limited_over_all_pools() {
     let mut world = two();
     let (mut asked, mut sent) = (0, 0);
     for _ in 0..300 {
@@ -150,7 +150,7 @@
 
 /// A copy of what a hung pool holds goes to the next, and the answer of either is the answer.
 #[test]
-fn a_hung_pool_is_helped_out_by_the_next() {
+fn requests_of_a_hung_pool_are_hedged_to_the_next() {
     let mut world = World::new(config(), &[vec![backend(0, 1, 0)], vec![backend(10, 1, 1)]]);
     world.warm_up(60, &[0, 1]);
     let ids: Vec<RequestId> = (0..3).map(|_| world.arrive(SAFE, 300_000, &[0, 1])).collect();
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn both_pools_ill_at_once_still_answer_everything() {
+fn all_requests_are_answered_when_both_pools_are_ejected() {
     let mut world = two();
     world.eject_all(0);
     world.eject_all(1);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn what_waits_for_an_empty_pool_goes_where_one_appears() {
+fn requests_queued_for_an_empty_pool_move_to_one_with_a_backend() {
     let mut world = World::new(config(), &[Vec::new(), Vec::new()]);
     let ids: Vec<RequestId> = (0..3).map(|class| world.arrive(class, SECOND, &[0, 1])).collect();
     assert!(ids.iter().all(|id| world.sent_to(*id).is_empty()));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_pool_that_closes_hands_on_what_it_holds_and_ends_what_is_out() {
+fn closed_pool_transfers_queued_requests_and_ends_attempts_in_flight() {
     let mut world = two();
     let out = world.arrive(UNSAFE, SECOND, &[0]);
     let only = (0..20).map(|_| world.arrive(SAFE, SECOND, &[0])).collect::<Vec<_>>();
@@ -208,7 +208,7 @@
 
 /// Where no pool can take anything a request waits in the first. That one may be taken away meanwhile.
 #[test]
-fn what_waits_for_any_pool_waits_on_when_one_closes() {
+fn queued_request_stays_queued_when_its_first_pool_closes() {
     let mut world = World::new(config(), &[Vec::new(), Vec::new()]);
     let id = world.arrive(UNSAFE, SECOND, &[0, 1]);
     world.close(0);
@@ -221,7 +221,7 @@
 
 /// It keeps what it holds and what it was sent while cold: another pool's module does not start afresh with it.
 #[test]
-fn a_backend_that_moves_keeps_its_counts_and_its_cold_budget() {
+fn migrated_backend_keeps_its_in_flight_count_and_slow_start_budget() {
     let cold = |now: Time| BackendEntry { started_at: Some(now), ..backend(0, 1, 0) };
     let now = Time(1_000_000_000);
     let mut world = World::new(config(), &[vec![cold(now)], Vec::new()]);
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn a_backend_with_more_cores_holds_more() {
+fn backend_with_more_cores_has_a_higher_concurrency_limit() {
     let held = |cores| {
         let mut world = World::new(config(), &[vec![BackendEntry { cores, ..backend(0, 1, 0) }]]);
         world.burst(100, &[0])
@@ -277,7 +277,7 @@
 
     /// Whatever happens in whichever order: the world panics at the first broken rule, and all is answered.
     #[test]
-    fn every_rule_holds_over_all_pools(steps in proptest::collection::vec(step(), 1..150)) {
+    fn random_events_break_no_invariant_over_all_pools(steps in proptest::collection::vec(step(), 1..150)) {
         let list = |pool: u32| -> Vec<BackendEntry> {
             (0..3).map(|n| backend(pool * 10 + n, u64::from(n % 2), u32::from(pool == 2))).collect()
         };
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn what_a_pool_holds_goes_on_where_a_pool_of_its_route_is_left() {
+fn queued_request_of_a_closed_pool_moves_to_a_pool_of_its_route() {
     let mut world = World::new(config(), &[Vec::new(), Vec::new()]);
     let (alone, moves) = (world.arrive(UNSAFE, SECOND, &[0]), world.arrive(UNSAFE, SECOND, &[0, 1]));
     world.close(0);
@@ -345,7 +345,7 @@
 }
 
 #[test]
-fn a_box_that_moves_in_brings_what_waits_elsewhere() {
+fn migrated_backend_gets_requests_queued_in_other_pools() {
     let mut world = World::new(config(), &[vec![backend(0, 1, 0)], vec![backend(1, 1, 0)], Vec::new()]);
     world.set(1, 1, BackendState::Draining);
     let id = world.arrive(UNSAFE, SECOND, &[1, 2]);
@@ -358,7 +358,7 @@
 /// A new file puts a pool of another group in the old one's place: a key that the old one may have seen is not known
 /// there, and the client must not be told to come again.
 #[test]
-fn what_may_have_run_in_a_group_that_is_gone_is_never_refused() {
+fn keyed_request_that_may_have_executed_in_a_removed_group_fails() {
     for route in [&[0][..], &[0, 1]] {
         let mut cfg = config();
         cfg.classes[KEYED].idempotency = Idempotency::Keyed(DeduplicationScope::All, WINDOW);
@@ -379,7 +379,7 @@
 
 /// A reload that puts thousands of backends into another pool is carried out between two requests.
 #[test]
-fn thousands_of_boxes_move_at_once() {
+fn migrating_6000_backends_takes_under_5_seconds() {
     let many: Vec<BackendEntry> = (0..6_000).map(|id| backend(id, u64::from(id), 0)).collect();
     let mut world = World::new(config(), &[many.clone(), Vec::new()]);
     let start = std::time::Instant::now();
@@ -396,7 +396,7 @@
 
 /// An operator may well name a kind for each backend.
 #[test]
-fn as_many_kinds_as_boxes_cost_little() {
+fn a_server_type_per_backend_costs_under_4_seconds() {
     let one = |id| BackendEntry { server_type: ServerTypeId(id), ..backend(id, u64::from(id), 0) };
     let mut world = World::new(config(), &[(0..3_000).map(one).collect()]);
     world.arrive(SAFE, SECOND, &[0]);
@@ -408,7 +408,7 @@
 /// A backend that moves out takes the attempt along, which is as good as it was: the request waits for it, though it is
 /// held for another one meanwhile and its pools close.
 #[test]
-fn an_attempt_that_is_out_is_waited_for_when_its_pools_close() {
+fn attempt_in_flight_is_awaited_when_its_pools_close() {
     let mut world = World::new(config(), &[vec![backend(0, 1, 0)], vec![backend(10, 1, 0)], Vec::new()]);
     world.warm_up(20, &[0]);
     world.eject_all(1);
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -71,7 +71,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn the_index_finds_what_a_walk_finds(routes in vec(conditions(), 0..140), asked in vec(request(), 40)) {
+    fn index_and_linear_search_find_the_same_route(routes in vec(conditions(), 0..140), asked in vec(request(), 40)) {
         let table = table(routes.clone());
         for request in asked {
             request.ask(|asked| {
@@ -86,7 +86,7 @@
     }
 
     #[test]
-    fn what_is_said_to_be_hidden_is_never_found(routes in vec(conditions(), 0..40), asked in vec(request(), 200)) {
+    fn shadowed_route_is_never_found(routes in vec(conditions(), 0..40), asked in vec(request(), 200)) {
         let table = table(routes.clone());
         let (hidden, several) = (table.shadowed(), table.shadowed_by_several());
         for (route, by) in &hidden {
@@ -108,7 +108,7 @@
 
     /// Each pair by itself: in a table of many the request would mostly go to a third.
     #[test]
-    fn a_match_that_covers_another_takes_all_that_it_takes(
+    fn covering_match_takes_every_request_of_the_covered_one(
         a in conditions(), b in conditions(), asked in vec(request(), 200),
     ) {
         for request in asked {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_wider_route_hides_a_narrower_one_behind_it_and_not_the_other_way_round() {
+fn wider_route_shadows_later_narrower_one_only() {
     let narrow = Match { path_prefix: Some("/a/b/".into()), ..classes(&[1]) };
     let wide = Match { path_prefix: Some("/a".into()), ..classes(&[0, 1]) };
     assert_eq!(table([wide.clone(), narrow.clone()]).shadowed(), [(RouteId(1), RouteId(0))]);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_header_more_does_not_hide_and_a_header_less_does() {
+fn route_with_fewer_headers_shadows_route_with_more() {
     let with = |value| Match { headers: vec![header("x-canary", value)], ..Match::default() };
     assert_eq!(table([with(None), Match::default()]).shadowed(), []);
     assert_eq!(
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn several_together_hide_a_route_whose_values_they_share_out() {
+fn several_routes_together_shadow_a_route_whose_values_they_share() {
     let routes = [classes(&[0]), classes(&[1, 2]), classes(&[0, 2]), classes(&[0, 3])];
     let table = table(routes);
     assert_eq!(table.shadowed(), []);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_empty_table_finds_nothing() {
+fn empty_table_finds_no_route() {
     let none = table([]);
     Request::default()
         .ask(|asked| assert_eq!((none.find(asked), none.explain(asked)), (None, (vec![], None))));
