--- a/crates/engine/src/attempt_rules.rs
+++ b/crates/engine/src/attempt_rules.rs
@@ -1,39 +1,35 @@
-//! Whether an attempt may go out: asked when the policy asks for it, and again at its first byte.
+//! Whether an attempt may be sent: checked when the policy asks for it, and again before its first byte.
 
 use crate::mutant::{mutant, ActiveMutant};
-use crate::request::{Attempt, AttemptState, Request, RequestState};
+use crate::request::{Attempt, Request, RequestState};
 use shaletide_balancer::{first_retry_deadline, retry_deadline};
 use shaletide_types::*;
 
-/// A window that is shorter than this bounds no write but that of a repeat: none may be whole in time.
+/// A shorter deduplication window sets no write deadline for a first attempt: it might leave no time to write it.
 const MIN_WRITE_WINDOW: Micros = Micros(50_000);
 
-/// Why an attempt is declined.
+/// Why an attempt may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Denied {
-    /// The request is over or given up, or its time is up.
+    /// The request is answered or given up, or its deadline has passed.
     RequestEnded,
-    /// The backend may be sent nothing.
+    /// The backend is draining or gone, or listed in other deduplication scopes.
     BackendNotReady,
-    /// An earlier attempt may have run and a repeat would run again.
+    /// An earlier attempt may have been executed, and this one would be executed again.
     MayExecuteTwice,
-    /// It was to go out earlier.
+    /// It had to begin earlier.
     DeadlinePassed,
 }
 
-/// The attempts beside `own` that may have run or may run yet: one that has not begun is no proof of anything.
+/// The attempts beside `own` that may have been executed or still may be: one that has not begun proves nothing.
 fn possible_executions(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Attempt> {
-    let others = request
-        .attempts
-        .iter()
-        .enumerate()
-        .filter(move |(number, _)| Some(*number) != own)
-        .map(|(_, attempt)| attempt);
+    let numbered = request.attempts.iter().enumerate();
+    let others = numbered.filter(move |(number, _)| Some(*number) != own).map(|(_, attempt)| attempt);
     others.filter(|attempt| attempt.out() || attempt.may_have_run())
 }
 
-/// When an attempt has to have gone out at the latest, as its key's repeats are dropped no longer; none where it is no
-/// repeat.
+/// When an attempt has to be written at the latest, as repeats of its key are discarded no longer; none where it repeats
+/// nothing.
 fn retry_deadline_of(request: &Request, own: Option<usize>, mutant: ActiveMutant) -> Option<Time> {
     let Idempotency::Keyed(_, window) = request.idempotency else { return None };
     let start = |attempt: &Attempt| {
@@ -46,16 +42,22 @@
     first_retry_deadline(window, possible_executions(request, own).map(start))
 }
 
-/// When the last byte of an attempt that begins now has to have gone out at the latest. One that is no repeat may yet have
-/// one, which is whole before it: then it is the one that comes later.
+/// When the last byte of an attempt that begins now has to be written at the latest. A first attempt is bound too: a
+/// hedged attempt may be completely written before it, and then this one is the repeat.
 pub(crate) fn write_deadline(now: Time, request: &Request, own: usize, mutant: ActiveMutant) -> Option<Time> {
     let Idempotency::Keyed(_, window) = request.idempotency else { return None };
-    retry_deadline_of(request, Some(own), mutant)
-        .or_else(|| (window >= MIN_WRITE_WINDOW).then(|| retry_deadline(window, now)))
+    let as_repeat = retry_deadline_of(request, Some(own), mutant);
+    if as_repeat.is_none() && window >= MIN_WRITE_WINDOW {
+        return Some(retry_deadline(window, now));
+    }
+    as_repeat
 }
 
-/// The rules on one attempt of `request` to a backend of that group: `own` is its number where it is one of
-/// the request's attempts already.
+/// Whether an attempt of `request` may be dispatched to a backend in those deduplication scopes. `own`: its number, if it
+/// is one of the request's attempts already.
+///
+/// # Errors
+/// The rule that forbids it.
 pub(crate) fn may_dispatch(
     now: Time, request: &Request, to: DeduplicationPlacement, own: Option<usize>, mutant: ActiveMutant,
 ) -> Result<(), Denied> {
@@ -69,24 +71,27 @@
         }
         Idempotency::NonIdempotent => Ok(()),
         Idempotency::Keyed(scope, _) => {
-            let known =
+            let is_discarded =
                 possible_executions(request, own).all(|attempt| scope.is_shared(attempt.placement, to));
-            match retry_deadline_of(request, own, mutant) {
-                _ if !known => Err(Denied::MayExecuteTwice),
-                Some(until) if now >= until => Err(Denied::DeadlinePassed),
-                _ => Ok(()),
+            if !is_discarded {
+                return Err(Denied::MayExecuteTwice);
+            }
+            if retry_deadline_of(request, own, mutant).is_some_and(|until| now >= until) {
+                return Err(Denied::DeadlinePassed);
             }
+            Ok(())
         }
     }
 }
 
-/// What is asked once more at the first byte of attempt `own`.
+/// Whether attempt `own` may begin now. `ready`: its backend is still as when it was dispatched.
+///
+/// # Errors
+/// The rule that forbids it.
 pub(crate) fn may_start(
     now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant,
 ) -> Result<(), Denied> {
-    let Some(attempt) =
-        request.attempts.get(own).filter(|attempt| !matches!(attempt.state, AttemptState::Ended(_)))
-    else {
+    let Some(attempt) = request.attempts.get(own).filter(|attempt| attempt.out()) else {
         return Err(Denied::RequestEnded);
     };
     if !ready && !mutant!(mutant, StaleDrainState) {
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,165 +1,165 @@
-//! What the engine is told and what it asks for.
+//! What the engine is told ([`Event`]) and what it asks for ([`Action`]).
 
 use shaletide_balancer::Arrival;
 use shaletide_routing::ResponseClass;
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// A request of any front.
+/// A request as a front accepted it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSpec {
-    /// What the decision module is told; its `request` is the payload's id at the front.
+    /// What the policy is told; its `request` is the payload's id at the front.
     pub arrival: Arrival,
-    /// What a second run would do.
+    /// What a second execution would do.
     pub idempotency: Idempotency,
     /// The pools of its route, the preferred first.
     pub pools: Rc<[PoolId]>,
-    /// No byte of it may go out before [`Event::Permit`] says so.
+    /// No byte of an attempt may be written before [`Event::IntentPersisted`].
     pub requires_intent: bool,
-    /// Each end of an attempt of it is told: [`Action::Ended`].
+    /// The end of each of its attempts is told by [`Action::AttemptEnded`].
     pub recorded: bool,
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of a pool's list.
+    /// An update of a pool's endpoint list.
     EndpointsUpdated {
-        /// Whose.
+        /// The pool.
         pool: PoolId,
-        /// What sort of news.
+        /// A snapshot, a delta, and so on.
         update: EndpointUpdate,
         /// The entries.
         backends: Vec<BackendEntry>,
     },
-    /// A backend belongs to another pool from now on.
+    /// A backend belongs to another pool from now on; updates of both lists follow.
     BackendMoved {
-        /// Which.
+        /// The backend.
         backend: BackendId,
         /// The pool that it leaves.
         from: PoolId,
         /// The one that it joins.
         to: PoolId,
     },
-    /// A backend listens elsewhere now: what is open leads to the old address.
+    /// A backend listens at another address now: open connections lead to the old one.
     AddressChanged {
-        /// Which.
+        /// The backend.
         backend: BackendId,
     },
-    /// A pool is no more.
+    /// A pool is closed: its backends take nothing new.
     PoolClosed {
-        /// Which.
+        /// The pool.
         pool: PoolId,
     },
-    /// A request was taken: it is owed one final answer.
+    /// A request was accepted: it gets one final answer.
     Request(RequestSpec),
-    /// Its client left; nothing is owed any more.
+    /// Its client disconnected; no answer is due any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// It is to be given up, by somebody who knows that it cannot be served: nothing of it goes out any more.
+    /// It is to be given up, as the sender knows that it cannot be served: no further attempt is made.
     GiveUp {
         /// The request.
         request: RequestId,
-        /// When its client had better come again.
+        /// For the client's `Retry-After`.
         retry_after: Micros,
     },
-    /// The store's word on an attempt for which [`Action::PersistIntent`] asked.
+    /// The store's result on an attempt for which [`Action::PersistIntent`] asked.
     IntentPersisted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// It may be sent.
+        /// The intent is durable, and the attempt may be sent.
         persisted: bool,
     },
-    /// A connection is up.
+    /// A connection is open.
     Connected {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// A connection did not come up.
+    /// A connection could not be opened.
     ConnectFailed {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
-        /// The backend is to blame, and not this machine.
+        /// The cause is the backend, and not this machine.
         backend_at_fault: bool,
     },
-    /// The last byte of the request on it has gone to the kernel: from here on it may run.
+    /// The last byte of the request on it has been handed to the kernel: from here on it may be executed.
     RequestWritten {
         /// The connection.
         connection: ConnectionId,
     },
-    /// What the backend at the other end of a connection says of its own load, in an answer that is about to be told.
+    /// What a backend reports of its load, in a response that is told next.
     LoadReported {
         /// The connection.
         connection: ConnectionId,
-        /// What it says.
+        /// The report.
         report: LoadReport,
     },
-    /// A whole answer came.
+    /// A complete response came.
     ResponseReceived {
         /// The connection.
         connection: ConnectionId,
-        /// What it means by the request's route.
+        /// What it means by the rules of the request's route.
         verdict: ResponseClass,
-        /// The answer lets the connection be used again.
+        /// By the response the connection may be used again.
         reusable: bool,
-        /// More has come than the answer.
+        /// More bytes have come than the response.
         has_excess_bytes: bool,
     },
-    /// What came can never become an answer.
+    /// What came can never become a response.
     InvalidResponse {
         /// The connection.
         connection: ConnectionId,
     },
-    /// The connection ended.
+    /// The connection ended before a complete response.
     ConnectionClosed {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// An idle connection turned out to be closed or to have something on it, at the latest when it was to be
-    /// written to: not a byte of a request went out on it.
+    /// An idle connection turned out to be closed or to have bytes on it, at the latest when it was to be written
+    /// to: no byte of a request was written on it.
     ConnectionUnusable {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// A connection with a request on it is closed, as asked.
+    /// A connection with a request on it is closed, as [`Action::Close`] asked.
     CloseCompleted {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
-        /// The last byte of the request had gone to the kernel by then.
+        /// The last byte of the request had been handed to the kernel by then.
         written: bool,
     },
-    /// The time for which [`crate::Engine::wake_at`] asked has come.
+    /// The time of [`crate::Engine::wake_at`] has come.
     Wake,
 }
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalOutcome {
-    /// By the answer to this attempt.
+    /// By the response to this attempt.
     Served(AttemptNumber),
-    /// A retry is harmless; the client had better come again after this time.
+    /// A retry is harmless; with the time for `Retry-After`.
     Rejected(Micros),
-    /// Nothing is promised.
+    /// An attempt may have been executed.
     Failed,
-    /// Its time was up.
+    /// Its deadline has passed.
     TimedOut,
 }
 
-/// What the shell is to do, in order.
+/// What the driver is to do, in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Open a connection.
     Connect {
-        /// Its name from now on.
+        /// Its id from now on.
         connection: ConnectionId,
-        /// Where to.
+        /// The backend to connect to.
         backend: BackendId,
     },
-    /// Write a request on a connection that is up, if that is quiet at this moment; else [`Event::Unfit`].
+    /// Write a request on an open connection, if no byte has come on that; else [`Event::ConnectionUnusable`].
     Send {
         /// The connection.
         connection: ConnectionId,
@@ -167,41 +167,42 @@
         request: RequestId,
         /// Which attempt this is.
         attempt: AttemptNumber,
-        /// When the request's time is up.
+        /// The request's deadline.
         deadline: Time,
-        /// Its last byte may go out only before then: no further byte is written from then on, and the connection is told
-        /// as [`Event::Ended`], or as [`Event::Unfit`] where not a byte had gone out.
+        /// Its last byte may be written only before then: no further byte is written from then on, and
+        /// [`Event::ConnectionClosed`] is told, or [`Event::ConnectionUnusable`] where no byte had been written.
         write_deadline: Option<Time>,
     },
-    /// Close a connection at once. Where a request is on it, [`Event::Closed`] says how far that had got.
+    /// Close a connection at once. Where a request is on it, [`Event::CloseCompleted`] says whether all of it had
+    /// been written.
     Close {
-        /// Which.
+        /// The connection.
         connection: ConnectionId,
     },
-    /// The final answer.
+    /// The request's final answer.
     Answer {
         /// The request.
         request: RequestId,
         /// How it ends.
         answer: FinalOutcome,
-        /// The attempt whose answer, though not served, ended the request.
+        /// The attempt whose response, though not served, ended the request.
         last_attempt: Option<AttemptNumber>,
     },
-    /// Ask the store whether an attempt may be sent; [`Event::Permit`] tells.
+    /// Ask the store to make the intent of an attempt durable; [`Event::IntentPersisted`] tells the result.
     PersistIntent {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt for which a permit was asked was not sent and never will be.
+    /// An attempt whose intent was requested was not sent and never will be.
     WithdrawIntent {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt of a recorded request is over.
+    /// An attempt of a recorded request has ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -210,7 +211,7 @@
         /// How.
         outcome: Outcome,
     },
-    /// Ask a pool's discovery for changes from now on.
+    /// Subscribe to a pool's endpoint list from now on.
     Subscribe {
         /// Whose.
         pool: PoolId,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,17 +1,19 @@
-//! The life of every request, attempt and connection as one machine without I/O.
+//! The life of every request, attempt and connection as one state machine without I/O.
 //!
-//! A shell tells [`Engine::handle`] what happened ([`Event`]) with the time at which it did, and carries out what
-//! comes back ([`Action`]), in order and after the call has returned. Which backend, whether to retry and what is
-//! refused is the [`Policy`]'s to say, in a program [`shaletide_routing::Pools`]; the engine holds every request
-//! to the rules whatever the policy asks, by declining.
+//! A driver tells [`Engine::handle`] what happened ([`Event`]) with the time at which it did, and carries out the
+//! actions that come back ([`Action`]), in order and after the call has returned. The [`Policy`] selects backends and
+//! decides on retries and rejection, in a program [`shaletide_routing::Pools`]; the engine holds every request to the
+//! invariants whatever the policy asks for, by declining.
 //!
-//! # What a shell owes
-//! - Every [`Action::Open`] ends in one [`Event::Up`] or [`Event::ConnectFailed`], unless it is closed before.
-//! - Every [`Action::Send`] ends in one of [`Event::Answered`], [`Event::InvalidResponse`], [`Event::Ended`],
-//!   [`Event::Unfit`] or, where [`Action::Close`] came first, [`Event::Closed`].
-//! - [`Event::Written`] is told when the last byte of the request has gone to the kernel, before anything else
-//!   of that connection.
-//! - [`Engine::wake_at`] is asked after each call, and [`Event::Wake`] told then.
+//! # What a driver guarantees
+//! - Every [`Action::Connect`] ends in one [`Event::Connected`] or [`Event::ConnectFailed`], unless the connection is
+//!   closed before.
+//! - Every [`Action::Send`] ends in one of [`Event::ResponseReceived`], [`Event::InvalidResponse`],
+//!   [`Event::ConnectionClosed`], [`Event::ConnectionUnusable`] or, where [`Action::Close`] came first,
+//!   [`Event::CloseCompleted`].
+//! - [`Event::RequestWritten`] is told when the last byte of the request has been handed to the kernel, before anything
+//!   else of that connection.
+//! - [`Engine::wake_at`] is read after each call, and [`Event::Wake`] told then.
 #![forbid(unsafe_code)]
 
 mod attempt_rules;
--- a/crates/engine/src/mutant.rs
+++ b/crates/engine/src/mutant.rs
@@ -1,47 +1,47 @@
-//! Bugs that tests switch on to see them found.
+//! Faults that tests switch on to show that the checks find them.
 
-/// One mutant bug. Without the feature `mutants` there is none to choose and every question is answered no, so
-/// that nothing of it is in a program.
+/// One fault. Without the feature `mutants` there is none and every check of it is constant, so that nothing of it is in a
+/// program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Mutant {
-    /// A success that comes after the time-out's answer is answered too.
+    /// A successful response that comes after the timeout is answered too.
     #[cfg(feature = "mutants")]
     LateSuccess,
     /// A connection that ends after the last byte is taken to mean that the request was not executed.
     #[cfg(feature = "mutants")]
     NotExecutedAfterLastByte,
-    /// A key's window is measured from the end of the first attempt.
+    /// A key's deduplication window is measured from the end of the first attempt.
     #[cfg(feature = "mutants")]
     WindowStartsAtEnd,
-    /// Whether a backend drains is asked when an attempt is asked for, and no more at its first byte.
+    /// Whether a backend is draining is checked at dispatch, and not again before the first byte.
     #[cfg(feature = "mutants")]
     StaleDrainState,
-    /// When a request is answered its other attempts go on.
+    /// When a request is answered its other attempts are not cancelled.
     #[cfg(feature = "mutants")]
     HedgeNotCancelled,
-    /// A client that leaves is answered all the same, when its attempt ends.
+    /// A client that disconnects is answered all the same, when its attempt ends.
     #[cfg(feature = "mutants")]
     AnswerAfterDisconnect,
-    /// A refusal is given out as the policy words it.
+    /// The policy's rejection is answered though an attempt may have been executed.
     #[cfg(feature = "mutants")]
     RejectedAfterExecution,
-    /// A connection is kept though more came than the answer.
+    /// A connection is kept though bytes came after the response.
     #[cfg(feature = "mutants")]
     ReusedWithExcessBytes,
-    /// A request's deadline goes on when the request is over.
+    /// A request's deadline is awaited when the request has ended.
     #[cfg(feature = "mutants")]
     TimerOutlivesRequest,
-    /// What is absent from a whole list keeps the state that it had.
+    /// A backend that a snapshot lacks keeps the state that it had.
     #[cfg(feature = "mutants")]
     DrainMissedInSnapshot,
 }
 
-/// Which bug is mutant, if any.
+/// The fault that is switched on, if any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ActiveMutant(#[cfg(feature = "mutants")] pub Option<Mutant>);
 
-/// Whether a bug is mutant; a constant where the feature is off.
+/// Whether a fault is switched on; constant without the feature.
 macro_rules! mutant {
     ($active:expr, $mutant:ident) => {{
         #[cfg(feature = "mutants")]
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,51 +1,51 @@
-//! What is kept of a request and of its attempts.
+//! The state of a request and of its attempts. Owned by [`crate::Engine`]'s request table.
 
 use shaletide_balancer::retry_deadline;
 use shaletide_types::*;
 
-/// How far an attempt has got.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
-    /// It waits for its permit.
+    /// It waits until its intent is durable.
     AwaitingIntent,
-    /// It waits for its connection.
+    /// It waits for its connection to be opened.
     Connecting(ConnectionId),
-    /// Its bytes go out.
+    /// Its bytes are being written.
     Writing(ConnectionId),
-    /// Its last byte has gone: it may run.
+    /// Its last byte has been handed to the kernel: it may be executed.
     Written(ConnectionId),
-    /// Its connection is to be closed; how far it had got is not known yet.
+    /// Its connection is being closed; whether all of it was written is not known yet. With the outcome if so.
     Cancelling(ConnectionId, Outcome),
-    /// It is over.
+    /// It has ended.
     Ended(Outcome),
 }
 
-/// An attempt.
+/// An attempt: one sending of a request to a backend.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// Where it goes.
+    /// The backend that it goes to.
     pub backend: BackendId,
-    /// What drops its repeats.
+    /// The deduplication scopes of its backend, which discard its repeats.
     pub placement: DeduplicationPlacement,
-    /// When it was asked for; a backend may drop its repeats for the window counted from here at the earliest.
+    /// When the policy asked for it. A deduplication window that begins with it begins here at the earliest.
     pub dispatched_at: Time,
     /// When it ended.
     pub ended_at: Time,
-    /// Its last byte may go out only before then.
+    /// It may begin only before then; none: no bound but the deadline.
     pub send_by: Option<Time>,
-    /// A permit was asked for, and nothing has gone out on it yet.
+    /// Its intent was requested, and has neither failed nor been withdrawn.
     pub intent_requested: bool,
-    /// How far it has got.
+    /// Its state.
     pub state: AttemptState,
 }
 
 impl Attempt {
-    /// It has not ended.
+    /// Whether it has not ended.
     pub fn out(&self) -> bool {
         !matches!(self.state, AttemptState::Ended(_))
     }
 
-    /// It is not known that it has not run.
+    /// Whether it is not proved that it was not executed.
     pub fn may_have_run(&self) -> bool {
         match self.state {
             AttemptState::Ended(outcome) => !outcome.not_executed(),
@@ -66,33 +66,34 @@
     }
 }
 
-/// How far a request has got.
+/// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestState {
-    /// It is owed an answer.
+    /// No decision on its answer has been made.
     Open,
-    /// It is given up, with advice for the client, and answered when its attempts are known to have ended.
+    /// It is given up, with the time for `Retry-After`, and answered when it is known which attempts may have been
+    /// executed.
     GivenUp(Micros),
-    /// Its time is up, and it is answered when its attempts are known to have ended.
+    /// Its deadline has passed; it is answered in the same step.
     TimedOut,
-    /// Nothing is owed: it was answered, or its client left. It is kept until its attempts have ended.
+    /// It was answered, or its client disconnected. It is kept until its attempts have ended.
     Finished,
 }
 
-/// A request.
+/// A request that has no answer yet, or whose attempts have not all ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// What a second run would do.
+    /// What a second execution would do.
     pub idempotency: Idempotency,
-    /// When its time is up.
+    /// When it has to be answered.
     pub deadline: Time,
-    /// Its attempts want a permit.
+    /// Its attempts may be sent only when their intent is durable.
     pub requires_intent: bool,
-    /// The ends of its attempts are told.
+    /// The ends of its attempts are told by [`crate::Action::AttemptEnded`].
     pub recorded: bool,
-    /// How far it has got.
+    /// Its state.
     pub state: RequestState,
-    /// The attempt whose answer was the last to come, if nothing ended without one since.
+    /// The attempt whose response came last, if no attempt has ended without one since.
     pub last_answered: Option<AttemptNumber>,
     /// Its attempts by number.
     pub attempts: Vec<Attempt>,
@@ -124,7 +125,7 @@
         Some(EndedAttempt { withdraw_intent, latency })
     }
 
-    /// Some attempt has not ended.
+    /// Whether some attempt has not ended.
     pub fn out(&self) -> bool {
         self.attempts.iter().any(Attempt::out)
     }
@@ -132,19 +133,20 @@
     /// Numbers of the attempts that have not ended.
     pub fn still_out(&self) -> Vec<AttemptNumber> {
         let each = self.attempts.iter().enumerate();
-        each.filter(|(_, t)| t.out()).map(|(no, _)| AttemptNumber(no as u32)).collect()
+        each.filter(|(_, attempt)| attempt.out()).map(|(number, _)| AttemptNumber(number as u32)).collect()
     }
 
-    /// Whether a retry at `back` is harmless: nothing may have run, or running again does nothing. `only_deduplication_domain`: the one
-    /// to which all backends belong that a retry may reach.
-    pub fn is_harmless(&self, back: Time, only_deduplication_domain: Option<u32>) -> bool {
-        let drops = |t: &Attempt| match self.idempotency {
+    /// Whether a retry by the client at `retry_at` is harmless: nothing may have been executed, or a second execution does
+    /// nothing. `only_deduplication_domain`: the one that all backends belong to, if they do.
+    pub fn is_harmless(&self, retry_at: Time, only_deduplication_domain: Option<u32>) -> bool {
+        let is_discarded = |attempt: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
-                only_deduplication_domain == Some(t.placement.domain)
-                    && back < retry_deadline(window, t.dispatched_at)
+                only_deduplication_domain == Some(attempt.placement.domain)
+                    && retry_at < retry_deadline(window, attempt.dispatched_at)
             }
-            effect => effect == Idempotency::Safe,
+            Idempotency::Safe => true,
+            Idempotency::Keyed(..) | Idempotency::NonIdempotent => false,
         };
-        self.attempts.iter().all(|t| !t.may_have_run() || drops(t))
+        self.attempts.iter().all(|attempt| !attempt.may_have_run() || is_discarded(attempt))
     }
 }
--- a/crates/routing/src/pools/event.rs
+++ b/crates/routing/src/pools/event.rs
@@ -4,99 +4,99 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// What the shell tells.
+/// What happened, as the engine tells it.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of a pool's list.
+    /// An update of a pool's endpoint list.
     EndpointsUpdated {
-        /// Whose.
+        /// The pool.
         pool: PoolId,
-        /// What sort of news.
+        /// A snapshot, a delta, and so on.
         update: EndpointUpdate,
         /// The entries.
         backends: Vec<BackendEntry>,
     },
-    /// A backend belongs to another pool from now on; the news of that pool's list follows.
+    /// A backend belongs to another pool from now on; an update of that pool's list follows.
     BackendMoved {
-        /// Which.
+        /// The backend.
         backend: BackendId,
         /// The pool that it leaves.
         from: PoolId,
         /// The one that it joins.
         to: PoolId,
     },
-    /// A request and the pools that its route names, the first of them preferred. It is owed one final answer.
+    /// A request and the pools of its route, the preferred first. It gets one final answer.
     Request {
         /// The request.
         arrival: Arrival,
-        /// Where to; pools that there are not (any more) are passed over.
+        /// The pools; those that do not exist or are closed are skipped.
         pools: Rc<[PoolId]>,
     },
-    /// The answer has begun to stream.
+    /// The response has begun to stream to the client.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// What a backend says of its own load.
+    /// What a backend reports of its load.
     LoadReported {
         /// The pool that it belongs to.
         pool: PoolId,
-        /// Which.
+        /// The backend.
         backend: BackendId,
-        /// What it says.
+        /// The report.
         report: LoadReport,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client left.
+    /// The client disconnected.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// A pool is no more: what it holds is handed on or given up at once, and what is out at its backends ends
-    /// as ever.
+    /// A pool is closed: queued requests fail over or are given up at once, and attempts in flight go on to
+    /// their end.
     PoolClosed {
-        /// Which.
+        /// The pool.
         pool: PoolId,
     },
-    /// A timer fell due.
+    /// A timer is due.
     Timer {
-        /// Which.
+        /// The token of its [`Action::SetTimer`].
         token: TimerToken,
     },
 }
 
-/// What the shell is to do, in order.
+/// What the engine is to do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Its number within the request.
+        /// Its number within the request, from 0.
         attempt: AttemptNumber,
-        /// Where to.
+        /// The backend that it goes to.
         backend: BackendId,
-        /// The first byte may go out only before then.
+        /// The first byte may be written only before then.
         send_by: Option<Time>,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Final answer: rejected, a retry is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client had better come again, from now.
+        /// For `Retry-After`, from now.
         retry_after: Micros,
     },
-    /// Final answer: failed, nothing is promised.
+    /// Final answer: failed, an attempt may have been executed.
     Fail {
         /// The request.
         request: RequestId,
-        /// When the client had better come again, should it turn out that nothing has run.
+        /// For `Retry-After`, should it turn out that nothing was executed.
         retry_after: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt: its result is not needed.
     Cancel {
         /// The request.
         request: RequestId,
@@ -110,9 +110,9 @@
         /// When, from now.
         after: Micros,
     },
-    /// Ask a pool's discovery for changes from now on.
+    /// Subscribe to a pool's endpoint list from now on.
     Subscribe {
-        /// Whose.
+        /// The pool.
         pool: PoolId,
     },
     /// A line for the operators.
