--- a/crates/engine/src/monitor/drains.rs
+++ b/crates/engine/src/monitor/draining.rs
@@ -1,7 +1,7 @@
-//! Nothing new goes to a backend that drains or is gone, but for the grace after that was told.
+//! Nothing new goes to a backend that is draining or gone, once the grace after that update has passed.
 
-use super::record::Record;
-use super::{broken, Rule, Rules, Verdict};
+use super::observed::Record;
+use super::{violation, Rule, Rules, Verdict};
 use shaletide_types::*;
 
 pub(super) fn may_send(record: &Record, now: Time, to: BackendId, rules: &Rules) -> Verdict {
@@ -10,8 +10,8 @@
         Some(entry) => {
             let ago = (now - entry.since).0 / 1_000;
             let text = format!("box {} is sent something new, {ago} ms after it was told not to be", to.0);
-            broken(Rule::Drain, now, text)
+            violation(Rule::Drain, now, text)
         }
-        None => broken(Rule::Drain, now, format!("box {} is sent something new and no list has it", to.0)),
+        None => violation(Rule::Drain, now, format!("box {} is sent something new and no list has it", to.0)),
     }
 }
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -11,18 +11,18 @@
 //! What is over is forgotten: the record is no larger than what is open, on its way or listed.
 
 mod answers;
-mod cold;
-mod drains;
-mod kept;
-mod lines;
-mod permits;
-mod record;
-mod repeats;
+mod connections;
+mod draining;
+mod intents;
+mod leftovers;
+mod observed;
+mod retries;
+mod slow_start;
 #[cfg(test)]
 mod tests;
 
-pub use cold::{Cold, ColdRules};
-pub use record::{Entry, Line, LineStep, Permit, Record, Sent, Watched, Where};
+pub use observed::{Entry, Line, LineStep, Permit, Record, Sent, Watched, Where};
+pub use slow_start::{Cold, ColdRules};
 
 use crate::event::{Action, Event};
 use shaletide_types::*;
@@ -112,7 +112,7 @@
 /// What every question returns.
 pub type Verdict = Result<(), Violation>;
 
-fn broken(rule: Rule, at: Time, text: String) -> Verdict {
+fn violation(rule: Rule, at: Time, text: String) -> Verdict {
     Err(Violation { rule, at, text })
 }
 
@@ -149,8 +149,8 @@
     /// # Errors
     /// The rule that is broken by now. The event is taken in all the same.
     pub fn see(&mut self, now: Time, event: &Event) -> Verdict {
-        let late = answers::overdue(&mut self.record, now, &self.rules);
-        self.record.see(now, event, &self.rules);
+        let late = answers::check_deadlines(&mut self.record, now, &self.rules);
+        self.record.observe_event(now, event, &self.rules);
         late
     }
 
@@ -159,27 +159,29 @@
     /// # Errors
     /// The rule that it breaks. The action is taken in all the same.
     pub fn act(&mut self, now: Time, action: &Action) -> Verdict {
-        let verdict = self.allowed(now, action);
-        self.record.act(now, action);
+        let verdict = self.check_action(now, action);
+        self.record.observe_action(now, action);
         verdict
     }
 
-    fn allowed(&self, now: Time, action: &Action) -> Verdict {
+    fn check_action(&self, now: Time, action: &Action) -> Verdict {
         let (record, rules) = (&self.record, &self.rules);
         match action {
             Action::Send { connection, request, attempt, .. } => {
                 answers::may_send(record, now, *request)?;
-                let line = lines::may_use(record, now, *connection, rules)?;
-                drains::may_send(record, now, line.to, rules)?;
-                repeats::may_send(record, now, *request, line.to)?;
-                permits::may_send(record, now, *request, *attempt)
+                let line = connections::may_use(record, now, *connection, rules)?;
+                draining::may_send(record, now, line.to, rules)?;
+                retries::may_send(record, now, *request, line.to)?;
+                intents::may_send(record, now, *request, *attempt)
             }
             Action::Answer { request, answer, .. } => {
                 answers::may_answer(record, now, *request, *answer, rules)
             }
-            Action::PersistIntent { request, attempt } => permits::may_ask(record, now, *request, *attempt),
+            Action::PersistIntent { request, attempt } => {
+                intents::may_request(record, now, *request, *attempt)
+            }
             Action::WithdrawIntent { request, attempt } => {
-                permits::may_withdraw(record, now, *request, *attempt)
+                intents::may_withdraw(record, now, *request, *attempt)
             }
             Action::Connect { .. }
             | Action::Close { .. }
@@ -194,9 +196,9 @@
     /// # Errors
     /// The rule that they leave broken.
     pub fn done(&mut self, now: Time) -> Verdict {
-        let verdict = answers::ended_well(&self.record, now, &self.rules)
-            .and_then(|()| permits::given_back(&self.record, now));
-        self.record.step_over();
+        let verdict = answers::check_nothing_running(&self.record, now, &self.rules)
+            .and_then(|()| intents::check_none_open(&self.record, now));
+        self.record.finish_step();
         verdict
     }
 
@@ -219,6 +221,6 @@
     /// # Errors
     /// A request that waits for its answer.
     pub fn quiet(&self, now: Time) -> Verdict {
-        answers::all_answered(&self.record, now)
+        answers::check_all_answered(&self.record, now)
     }
 }
--- a/crates/engine/src/monitor/record.rs
+++ b/crates/engine/src/monitor/observed.rs
@@ -1,4 +1,5 @@
-//! What can be known from outside: what is listed, what is open, what is on each connection and what may have run.
+//! What can be known from outside the engine: the listed backends, the open requests, the attempt on each connection, and
+//! which attempts may have been executed.
 
 use super::Rules;
 use crate::event::{Action, Event, RequestSpec};
@@ -6,85 +7,85 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a backend stands among those that drop each other's repeats.
+/// The deduplication scopes of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Where {
-    /// Its realm.
+    /// Its deduplication domain.
     pub realm: u32,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Its deduplication group.
     pub cell: DeduplicationGroupId,
 }
 
-/// The last word on a backend.
+/// What the lists said last of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    /// The pool that said it.
+    /// The pool whose list it is in.
     pub pool: PoolId,
-    /// Where it stands.
+    /// Its deduplication scopes.
     pub place: Where,
-    /// What it may be sent.
+    /// Whether it takes new requests.
     pub state: BackendState,
-    /// When it was first said to be no longer ready.
+    /// When it was first listed as not ready.
     pub since: Time,
 }
 
-/// An attempt whose request went out on a connection and may have run for all that was told since.
+/// An attempt that was sent on a connection and, by all events since, may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Sent {
-    /// When.
+    /// When it was sent.
     pub at: Time,
-    /// Where the backend stood then.
+    /// The backend's deduplication scopes then.
     pub place: Where,
     /// The connection that it is on; none once it has ended.
     pub on: Option<ConnectionId>,
 }
 
-/// How far the permit of an attempt has got; one that is used, refused or given back is not kept.
+/// The state of an attempt's intent; one that is used, failed or withdrawn is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Permit {
-    /// It was asked for.
+    /// It was requested.
     Asked,
-    /// It was given.
+    /// It is durable.
     Given,
 }
 
-/// A request that is open, or over with something still on its way.
+/// A request that is open, or ended with an attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Watched {
-    /// What a second run would do.
+    /// What a second execution would do.
     pub effect: Idempotency,
-    /// When its time is up.
+    /// When it has to be answered.
     pub deadline: Time,
-    /// It wants permits.
+    /// Its attempts need a durable intent.
     pub permit: bool,
-    /// It is owed an answer.
+    /// Its answer is due.
     pub open: bool,
-    /// Attempts that may have run; of a request that may run at will only those on a connection.
+    /// Attempts that may have been executed; of a safe request only those in flight.
     pub sent: BTreeMap<AttemptNumber, Sent>,
-    /// Permits that are neither used, refused nor given back.
+    /// Intents that are neither used, failed nor withdrawn.
     pub permits: BTreeMap<AttemptNumber, Permit>,
 }
 
-/// How far a connection has got.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LineStep {
-    /// It comes up.
+    /// It is being opened.
     Opening,
-    /// Nothing is on it: never yet, or since then.
+    /// It is idle: since it was opened, or since a response at that time.
     Up(Option<Time>),
-    /// Something is on it that is no answer, or more than one.
+    /// Bytes are on it that belong to no response, or a part of a request is.
     Unclean,
-    /// A request is on it.
+    /// An attempt is on it.
     Busy {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt.
         attempt: AttemptNumber,
-        /// Its last byte has gone.
+        /// Its last byte has been handed to the kernel.
         written: bool,
-        /// It is to be closed.
+        /// The engine has asked to close it.
         closing: bool,
     },
 }
@@ -94,34 +95,34 @@
 pub struct Line {
     /// Its backend.
     pub to: BackendId,
-    /// How far it has got.
+    /// Its state.
     pub step: LineStep,
-    /// Its backend listens elsewhere by now.
+    /// Its backend listens at another address by now.
     pub old: bool,
 }
 
-/// All that is known.
+/// All that has been observed and is still needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// What is open or on its way.
+    /// Requests that are open or have an attempt in flight.
     pub requests: BTreeMap<RequestId, Watched>,
-    /// The connections that there are.
+    /// The connections.
     pub lines: BTreeMap<ConnectionId, Line>,
-    /// What the lists say; a backend that is gone is kept for the grace.
+    /// The listed backends; one that is gone is kept for the drain grace.
     pub boxes: BTreeMap<BackendId, Entry>,
-    /// The deadlines of what is open.
+    /// The deadlines of open requests.
     pub(super) deadlines: BTreeSet<(Time, RequestId)>,
-    /// The attempt that the present event brought a served answer to.
+    /// The attempt that got a served response by the present event.
     pub(super) served: Option<(RequestId, AttemptNumber)>,
-    /// The requests that ended in the present step.
+    /// Requests that ended, or that an attempt ended of, in the present step.
     pub(super) ended: Vec<RequestId>,
 }
 
 impl Record {
-    pub(super) fn see(&mut self, now: Time, event: &Event, rules: &Rules) {
+    pub(super) fn observe_event(&mut self, now: Time, event: &Event, rules: &Rules) {
         match event {
             Event::EndpointsUpdated { pool, update, backends } => {
-                self.members(now, *pool, *update, backends, rules)
+                self.update_endpoints(now, *pool, *update, backends, rules)
             }
             Event::BackendMoved { backend, to, .. } => {
                 if let Some(entry) = self.boxes.get_mut(backend) {
@@ -129,13 +130,19 @@
                 }
             }
             Event::AddressChanged { backend } => {
-                self.lines.values_mut().filter(|l| l.to == *backend).for_each(|l| l.old = true);
+                for line in self.lines.values_mut() {
+                    if line.to == *backend {
+                        line.old = true;
+                    }
+                }
+            }
+            Event::PoolClosed { pool } => {
+                self.update_endpoints(now, *pool, EndpointUpdate::Snapshot, &[], rules)
             }
-            Event::PoolClosed { pool } => self.members(now, *pool, EndpointUpdate::Snapshot, &[], rules),
-            Event::Request(order) => self.request(now, order),
-            Event::ClientDisconnected { request } => self.end(*request),
+            Event::Request(spec) => self.on_request(now, spec),
+            Event::ClientDisconnected { request } => self.on_request_ended(*request),
             Event::IntentPersisted { request, attempt, persisted: given } => {
-                self.permit(*request, *attempt, *given)
+                self.on_intent_persisted(*request, *attempt, *given)
             }
             Event::Connected { connection } => {
                 if let Some(line) = self.lines.get_mut(connection) {
@@ -151,31 +158,31 @@
                 }
             }
             Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
-                self.answered(now, *connection, *verdict, *keep && !*behind)
+                self.on_response(now, *connection, *verdict, *keep && !*behind)
             }
             Event::InvalidResponse { connection } | Event::ConnectionClosed { connection } => {
-                self.cut(*connection, false)
+                self.on_connection_closed(*connection, false)
             }
-            Event::ConnectionUnusable { connection } => self.unfit(*connection),
-            Event::CloseCompleted { connection, written } => self.cut(*connection, *written),
+            Event::ConnectionUnusable { connection } => self.on_connection_unusable(*connection),
+            Event::CloseCompleted { connection, written } => self.on_connection_closed(*connection, *written),
             Event::GiveUp { .. } | Event::LoadReported { .. } | Event::Wake => {}
         }
     }
 
-    pub(super) fn act(&mut self, now: Time, action: &Action) {
+    pub(super) fn observe_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Connect { connection, backend } => {
                 let line = Line { to: *backend, step: LineStep::Opening, old: false };
                 self.lines.insert(*connection, line);
             }
             Action::Send { connection, request, attempt, .. } => {
-                self.send(now, *connection, *request, *attempt)
+                self.on_sent(now, *connection, *request, *attempt)
             }
             Action::Close { connection } => match self.lines.get_mut(connection).map(|l| &mut l.step) {
                 Some(LineStep::Busy { closing, .. }) => *closing = true,
                 _ => drop(self.lines.remove(connection)),
             },
-            Action::Answer { request, .. } => self.end(*request),
+            Action::Answer { request, .. } => self.on_request_ended(*request),
             Action::PersistIntent { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(request) {
                     r.permits.insert(*attempt, Permit::Asked);
@@ -190,32 +197,30 @@
         }
     }
 
-    /// What the present step brought is no news any more, and what is over for good is forgotten.
-    pub(super) fn step_over(&mut self) {
+    /// Ends the step: requests that have ended with all their attempts are removed.
+    pub(super) fn finish_step(&mut self) {
         self.served = None;
         for id in std::mem::take(&mut self.ended) {
-            self.forget(id);
+            self.remove_if_ended(id);
         }
     }
 
-    /// The attempts of a request that are on a connection.
-    pub(super) fn under_way(r: &Watched) -> impl Iterator<Item = ConnectionId> + '_ {
+    /// The connections that a request's attempts are on.
+    pub(super) fn connections_of(r: &Watched) -> impl Iterator<Item = ConnectionId> + '_ {
         r.sent.values().filter_map(|s| s.on)
     }
 
-    /// A request is on that connection, and it is not to be closed.
-    pub(super) fn runs_on(&self, connection: ConnectionId) -> bool {
+    /// Whether an attempt is on that connection and the engine has not asked to close it.
+    pub(super) fn is_running_on(&self, connection: ConnectionId) -> bool {
         let step = self.lines.get(&connection).map(|line| line.step);
         matches!(step, Some(LineStep::Busy { closing: false, .. }))
     }
 
-    // --- lists ---
-
-    /// The last word counts; a backend that another pool has spoken for since cannot be given up by the first.
-    fn members(
+    /// The last update counts; a pool cannot take away a backend that another pool has listed since.
+    fn update_endpoints(
         &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: &[BackendEntry], rules: &Rules,
     ) {
-        let gone = |entry: &mut Entry| {
+        let mark_gone = |entry: &mut Entry| {
             if entry.state == BackendState::Ready {
                 entry.since = now;
             }
@@ -223,13 +228,18 @@
         };
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             let named = |id: &BackendId| list.iter().any(|b| b.id == *id);
-            let absent = self.boxes.iter_mut().filter(|(id, e)| e.pool == pool && !named(id));
-            absent.for_each(|(_, entry)| gone(entry));
+            for (id, entry) in &mut self.boxes {
+                if entry.pool == pool && !named(id) {
+                    mark_gone(entry);
+                }
+            }
         }
         for b in list {
             let known = self.boxes.get_mut(&b.id);
             if b.state == BackendState::Gone {
-                known.filter(|e| e.pool == pool).into_iter().for_each(gone);
+                if let Some(entry) = known.filter(|e| e.pool == pool) {
+                    mark_gone(entry);
+                }
                 continue;
             }
             let since = known.filter(|e| e.state != BackendState::Ready).map_or(now, |e| e.since);
@@ -239,45 +249,42 @@
         self.boxes.retain(|_, e| e.state != BackendState::Gone || now < e.since + rules.drain_grace);
     }
 
-    // --- requests ---
-
-    fn request(&mut self, now: Time, order: &RequestSpec) {
-        let (id, deadline) = (order.arrival.request, now + order.arrival.time_left);
+    fn on_request(&mut self, now: Time, spec: &RequestSpec) {
+        let (id, deadline) = (spec.arrival.request, now + spec.arrival.time_left);
         if self.requests.contains_key(&id) {
             return;
         }
-        let (effect, permit) = (order.idempotency, order.requires_intent);
+        let (effect, permit) = (spec.idempotency, spec.requires_intent);
         let (sent, permits) = (BTreeMap::new(), BTreeMap::new());
         self.requests.insert(id, Watched { effect, deadline, permit, open: true, sent, permits });
         self.deadlines.insert((deadline, id));
     }
 
-    fn end(&mut self, id: RequestId) {
+    fn on_request_ended(&mut self, id: RequestId) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         r.open = false;
         self.deadlines.remove(&(r.deadline, id));
         self.ended.push(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        let over = |r: &Watched| !r.open && r.permits.is_empty() && Record::under_way(r).next().is_none();
+    fn remove_if_ended(&mut self, id: RequestId) {
+        let over =
+            |r: &Watched| !r.open && r.permits.is_empty() && Record::connections_of(r).next().is_none();
         if self.requests.get(&id).is_some_and(over) {
             self.requests.remove(&id);
         }
     }
 
-    fn permit(&mut self, id: RequestId, attempt: AttemptNumber, given: bool) {
+    fn on_intent_persisted(&mut self, id: RequestId, attempt: AttemptNumber, given: bool) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         match r.permits.get_mut(&attempt) {
             Some(permit) if given => *permit = Permit::Given,
             Some(_) => drop(r.permits.remove(&attempt)),
-            None => {} // it was given back before the store's word came
+            None => {} // it was withdrawn before the store's result came
         }
     }
 
-    // --- connections ---
-
-    fn send(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
+    fn on_sent(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         let Some(line) = self.lines.get_mut(&connection) else { return };
         line.step = LineStep::Busy { request, attempt, written: false, closing: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
@@ -287,22 +294,22 @@
         r.sent.insert(attempt, Sent { at: now, place, on: Some(connection) });
     }
 
-    /// The attempt on it has ended; of one that did not run, and of one that may run at will, nothing is kept.
-    fn ended(&mut self, request: RequestId, attempt: AttemptNumber, ran: bool) {
+    /// Nothing is kept of an attempt that was not executed, and of one of a safe request.
+    fn on_attempt_ended(&mut self, request: RequestId, attempt: AttemptNumber, may_have_executed: bool) {
         let Some(r) = self.requests.get_mut(&request) else { return };
         if let Some(sent) = r.sent.get_mut(&attempt) {
             sent.on = None;
         }
-        if !ran || r.effect == Idempotency::Safe {
+        if !may_have_executed || r.effect == Idempotency::Safe {
             r.sent.remove(&attempt);
         }
         self.ended.push(request);
     }
 
-    fn answered(&mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool) {
+    fn on_response(&mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool) {
         let Some(line) = self.lines.get_mut(&connection) else { return };
         let LineStep::Busy { request, attempt, written, closing } = line.step else { return };
-        // An answer to half of a request leaves the other half to go out before the next one.
+        // After a response to a part of a request the rest of it would go out ahead of the next request.
         line.step = if clean && written { LineStep::Up(Some(now)) } else { LineStep::Unclean };
         if closing {
             self.lines.remove(&connection);
@@ -310,22 +317,22 @@
         if verdict == ResponseClass::Served {
             self.served = Some((request, attempt));
         }
-        self.ended(request, attempt, verdict != ResponseClass::NotExecuted);
+        self.on_attempt_ended(request, attempt, verdict != ResponseClass::NotExecuted);
     }
 
-    /// It ended, or is closed as asked. What had not gone out whole by then cannot have run.
-    fn cut(&mut self, connection: ConnectionId, whole: bool) {
+    /// It ended, or is closed as asked. A request that was not completely written by then was not executed.
+    fn on_connection_closed(&mut self, connection: ConnectionId, completely_written: bool) {
         let Some(line) = self.lines.remove(&connection) else { return };
         if let LineStep::Busy { request, attempt, written, .. } = line.step {
-            self.ended(request, attempt, written || whole);
+            self.on_attempt_ended(request, attempt, written || completely_written);
         }
     }
 
-    /// Not a byte of a request went out on it: the permit is as good as before.
-    fn unfit(&mut self, connection: ConnectionId) {
+    /// No byte of a request was written on it: its intent is still unused.
+    fn on_connection_unusable(&mut self, connection: ConnectionId) {
         let Some(line) = self.lines.remove(&connection) else { return };
         let LineStep::Busy { request, attempt, .. } = line.step else { return };
-        self.ended(request, attempt, false);
+        self.on_attempt_ended(request, attempt, false);
         if let Some(r) = self.requests.get_mut(&request).filter(|r| r.permit) {
             r.permits.insert(attempt, Permit::Given);
         }
--- a/crates/engine/src/monitor/repeats.rs
+++ b/crates/engine/src/monitor/retries.rs
@@ -1,7 +1,7 @@
-//! An unsafe request runs once; a keyed one again only where and while its repeats are dropped.
+//! A non-idempotent request is executed once; a keyed one is sent again only where and while repeats are discarded.
 
-use super::record::{Record, Where};
-use super::{broken, Rule, Verdict};
+use super::observed::{Record, Where};
+use super::{violation, Rule, Verdict};
 use shaletide_types::*;
 
 pub(super) fn may_send(record: &Record, now: Time, id: RequestId, to: BackendId) -> Verdict {
@@ -11,9 +11,11 @@
         Idempotency::NonIdempotent => match r.sent.keys().next() {
             None => Ok(()),
             Some(before) => {
-                let text =
-                    format!("unsafe request {} is sent again and attempt {} may have run", id.0, before.0);
-                broken(Rule::UnsafeOnce, now, text)
+                let text = format!(
+                    "non-idempotent request {} was sent again though attempt {} may have been executed",
+                    id.0, before.0
+                );
+                violation(Rule::UnsafeOnce, now, text)
             }
         },
         Idempotency::Keyed(scope, window) => {
@@ -21,17 +23,17 @@
             for (before, sent) in &r.sent {
                 if !same_group(scope, sent.place, place) {
                     let text = format!(
-                        "keyed request {} is sent again to box {}, which does not know of attempt {}",
+                        "keyed request {} was sent again to backend {}, which does not share the keys seen by attempt {}",
                         id.0, to.0, before.0
                     );
-                    return broken(Rule::KeyedInside, now, text);
+                    return violation(Rule::KeyedInside, now, text);
                 }
                 if now >= sent.at + window {
                     let text = format!(
-                        "keyed request {} is sent again after the window of attempt {}",
+                        "keyed request {} was sent again after the deduplication window of attempt {}",
                         id.0, before.0
                     );
-                    return broken(Rule::KeyedInside, now, text);
+                    return violation(Rule::KeyedInside, now, text);
                 }
             }
             Ok(())
@@ -39,7 +41,7 @@
     }
 }
 
-/// Keys mean nothing from one realm to another, whatever they are called.
+/// Groups of different domains share no keys, whatever their names.
 fn same_group(scope: DeduplicationScope, one: Where, other: Where) -> bool {
     let inside = match scope {
         DeduplicationScope::All => true,
