--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -1,14 +1,15 @@
-//! The rules of routing as observers of what the engine is told and what it asks for.
+//! The invariants of routing as monitors of what the engine is told and what it asks for.
 //!
-//! Nothing here reads the engine's state or calls its code: [`Record`] puts together for itself, from events and
-//! actions alone, what may have run, and each rule is a question to it, a file a rule or two. The explorer asks
-//! after every step of every world, the socket tests and `--self-check` while the program runs.
+//! Nothing here reads the engine's state or calls its code, but [`Monitor::kept`], which compares ids: [`Record`] puts
+//! together from events and actions alone what may have been executed, and each rule is a question to it, a file for a
+//! rule or two. The model checker asks after every step of every model, the socket tests and `--self-check` while the
+//! program runs.
 //!
 //! For each event: [`Monitor::see`] before the engine handles it, [`Monitor::act`] for each action in order,
-//! [`Monitor::done`] after the last. What broke is returned; the monitor goes on after it.
+//! [`Monitor::done`] after the last. Each returns the rule that is broken; the monitor goes on after it.
 //!
-//! Cost: a few look-ups an event or action, a walk over the attempts of one request where it is sent or ends.
-//! What is over is forgotten: the record is no larger than what is open, on its way or listed.
+//! Cost: a few look-ups an event or action, a walk over the attempts of one request where it is sent or ends. Requests,
+//! connections and backends that have ended are removed: the record is no larger than what is open, in flight or listed.
 
 mod answers;
 mod connections;
@@ -27,49 +28,49 @@
 use crate::event::{Action, Event};
 use shaletide_types::*;
 
-/// What the rules measure by.
+/// The settings of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// Something new may still go to a backend for so long after its drain or its end was told; zero allows nothing.
+    /// A new attempt may still go to a backend for so long after the update by which it is draining or gone; zero: none may.
     pub drain_grace: Micros,
-    /// An answer that is none of a backend's may be so late after the deadline: as late as the shell wakes.
+    /// An answer that no backend served may come so long after the deadline: as late as the driver wakes.
     pub answer_slack: Micros,
-    /// A connection rests for so long before its next request.
+    /// The reuse delay: a connection is idle for so long before its next request.
     pub quiet: Micros,
-    /// Attempts that are not needed any more are called back.
+    /// Attempts whose result is not needed are cancelled.
     pub cancel: bool,
-    /// All backends are of one realm: a keyed request of scope `all` may be refused though it ran, as long as its
-    /// window is open when the client comes back.
+    /// All backends are of one deduplication domain: a keyed request of scope `all` may be rejected though it may have been
+    /// executed, as long as its deduplication window is open when the client comes back.
     pub one_realm: bool,
 }
 
-/// A rule.
+/// An invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Rule {
-    /// Exactly one final answer, a served one by an answer that came.
+    /// Exactly one final answer; a served one by a response that came.
     OneAnswer,
-    /// The answer comes, and everything is sent, before the request's time is up.
+    /// The request is answered, and its attempts are sent, before its deadline.
     InTime,
-    /// Nothing after the final answer or after the client has left: nothing sent, nothing left running.
+    /// After the final answer or the client's disconnection nothing is sent and no attempt goes on.
     NothingAfter,
-    /// An unsafe request goes out again only when all earlier attempts was not executed.
+    /// A non-idempotent request is sent again only if no earlier attempt was executed.
     UnsafeOnce,
-    /// A keyed one only to those that drop its repeats, and inside its window.
+    /// A keyed request is sent again only to backends that discard its repeats, and inside its deduplication window.
     KeyedInside,
-    /// A refusal only where a retry is harmless.
+    /// A rejection only where a retry is harmless.
     HarmlessRefusal,
-    /// Nothing new to a backend later than the grace after its drain was told.
+    /// No new attempt to a backend that is draining or gone, once the grace has passed.
     Drain,
-    /// No unclean connection is used again.
+    /// No connection with foreign bytes on it is used again.
     CleanConnection,
-    /// Nothing is sent without the permit that it wants, and each permit is used, refused or given back.
+    /// No attempt is sent before its intent is durable, and each intent is used, has failed or is withdrawn.
     Permit,
-    /// Nothing is kept of a request that is over.
+    /// Nothing is kept of a request that has ended.
     NothingKept,
-    /// When all is quiet, all is answered.
+    /// When nothing is in flight or due, every request is answered.
     AllAnswered,
-    /// A cold backend is sent no more than its budget.
+    /// A backend is sent no more than its slow start budget.
     ColdBudget,
 }
 
@@ -77,29 +78,32 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
             Rule::OneAnswer => "exactly one final answer",
+            // The soak test matches this text in the log.
             Rule::InTime => "answered and sent before its time is up",
             Rule::NothingAfter => "nothing after the final answer",
-            Rule::UnsafeOnce => "an unsafe request goes out again only when all earlier attempts never ran",
-            Rule::KeyedInside => "a keyed request is repeated only in its group and window",
+            Rule::UnsafeOnce => {
+                "a non-idempotent request is sent again only if no earlier attempt was executed"
+            }
+            Rule::KeyedInside => "a keyed request is sent again only in its deduplication group and window",
             Rule::HarmlessRefusal => "a refusal only where a retry is harmless",
             Rule::Drain => "nothing new to a box after its drain was told",
             Rule::CleanConnection => "no unclean connection is used again",
-            Rule::Permit => "no byte before its permit, and no permit left open",
-            Rule::NothingKept => "nothing is kept of a request that is over",
-            Rule::AllAnswered => "when all is quiet, all is answered",
-            Rule::ColdBudget => "a cold box is sent no more than its budget",
+            Rule::Permit => "no byte before the intent is durable, and no intent left open",
+            Rule::NothingKept => "nothing is kept of a request that has ended",
+            Rule::AllAnswered => "when nothing is in flight or due, every request is answered",
+            Rule::ColdBudget => "a backend is sent no more than its slow start budget",
         })
     }
 }
 
-/// A rule was broken.
+/// A break of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// When.
+    /// When it was observed.
     pub at: Time,
-    /// By which request, connection or backend, and how.
+    /// Which request, connection or backend broke it, and how.
     pub text: String,
 }
 
@@ -109,14 +113,14 @@
     }
 }
 
-/// What every question returns.
+/// The result of every check.
 pub type Verdict = Result<(), Violation>;
 
 fn violation(rule: Rule, at: Time, text: String) -> Verdict {
     Err(Violation { rule, at, text })
 }
 
-/// All rules but the cold budget, which is the module's: see [`Cold`].
+/// Checks all rules but the slow start budget, which is the balancer's: see [`Cold`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Monitor {
     rules: Rules,
@@ -124,40 +128,40 @@
 }
 
 impl Monitor {
-    /// One that has seen nothing yet.
+    /// A monitor that has observed nothing yet.
     pub fn new(rules: Rules) -> Monitor {
         Monitor { rules, record: Record::default() }
     }
 
-    /// What it goes by.
+    /// Its settings.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Other measures from now on.
+    /// Changes the settings from now on.
     pub fn configure(&mut self, rules: Rules) {
         self.rules = rules;
     }
 
-    /// What it has put together.
+    /// What it has observed.
     pub fn record(&self) -> &Record {
         &self.record
     }
 
-    /// The engine is about to be told this.
+    /// To be called before the engine handles the event.
     ///
     /// # Errors
-    /// The rule that is broken by now. The event is taken in all the same.
+    /// The rule that is broken by now. The event is recorded all the same.
     pub fn see(&mut self, now: Time, event: &Event) -> Verdict {
         let late = answers::check_deadlines(&mut self.record, now, &self.rules);
         self.record.observe_event(now, event, &self.rules);
         late
     }
 
-    /// The engine asks for this.
+    /// To be called for each action of the engine, in order.
     ///
     /// # Errors
-    /// The rule that it breaks. The action is taken in all the same.
+    /// The rule that it breaks. The action is recorded all the same.
     pub fn act(&mut self, now: Time, action: &Action) -> Verdict {
         let verdict = self.check_action(now, action);
         self.record.observe_action(now, action);
@@ -191,10 +195,10 @@
         }
     }
 
-    /// All actions of the event have been told.
+    /// To be called after the last action of an event.
     ///
     /// # Errors
-    /// The rule that they leave broken.
+    /// The rule that is broken after them.
     pub fn done(&mut self, now: Time) -> Verdict {
         let verdict = answers::check_nothing_running(&self.record, now, &self.rules)
             .and_then(|()| intents::check_none_open(&self.record, now));
@@ -202,7 +206,7 @@
         verdict
     }
 
-    /// One event with all that came of it.
+    /// Checks one event (none: a step without one) with all its actions.
     ///
     /// # Errors
     /// The first rule that is broken.
@@ -216,10 +220,10 @@
         verdict.and(last)
     }
 
-    /// Nothing is on its way and nothing is due.
+    /// To be called when nothing is in flight and nothing is due.
     ///
     /// # Errors
-    /// A request that waits for its answer.
+    /// A request that has no answer.
     pub fn quiet(&self, now: Time) -> Verdict {
         answers::check_all_answered(&self.record, now)
     }
