--- a/crates/engine/src/monitor/tests.rs
+++ b/crates/engine/src/monitor/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule fires on a stream that breaks it and is silent on a good one.
+//! Each rule reports a stream of events and actions that breaks it, and nothing on a correct one.
 
 use super::*;
 use crate::event::{FinalOutcome, RequestSpec};
@@ -15,47 +15,47 @@
     one_realm: false,
 };
 
-/// A stream of what a monitor sees, and what it said to each part of it.
+/// A stream of events and actions, and the rules that the monitor reported as broken.
 struct Stream {
     monitor: Monitor,
     now: Time,
-    said: Vec<Rule>,
+    broken_rules: Vec<Rule>,
 }
 
 impl Stream {
-    /// Two backends in two cells are listed.
+    /// Two backends in two deduplication groups are listed.
     fn new(rules: Rules) -> Stream {
-        let mut s = Stream { monitor: Monitor::new(rules), now: Time(1_000_000), said: Vec::new() };
+        let mut s = Stream { monitor: Monitor::new(rules), now: Time(1_000_000), broken_rules: Vec::new() };
         s.list(0, 0, BackendState::Ready);
         s.list(1, 1, BackendState::Ready);
         s
     }
 
-    fn hear(&mut self, verdict: Verdict) {
-        self.said.extend(verdict.err().map(|v| v.rule));
+    fn record(&mut self, verdict: Verdict) {
+        self.broken_rules.extend(verdict.err().map(|v| v.rule));
     }
 
     fn step(&mut self, event: Event, actions: &[Action]) {
         let verdict = self.monitor.step(self.now, Some(&event), actions);
-        self.hear(verdict);
+        self.record(verdict);
     }
 
-    fn asked(&mut self, actions: &[Action]) {
+    fn act(&mut self, actions: &[Action]) {
         let verdict = self.monitor.step(self.now, None, actions);
-        self.hear(verdict);
+        self.record(verdict);
     }
 
-    fn list(&mut self, id: u32, cell: u64, state: BackendState) {
+    fn list(&mut self, id: u32, group: u64, state: BackendState) {
         let backends = vec![BackendEntry {
             id: BackendId(id),
-            deduplication_group: DeduplicationGroupId(cell),
+            deduplication_group: DeduplicationGroupId(group),
             state,
             ..BackendEntry::default()
         }];
         self.step(Event::EndpointsUpdated { pool: PoolId(0), update: EndpointUpdate::Delta, backends }, &[]);
     }
 
-    fn request(&mut self, effect: Idempotency, permit: bool) {
+    fn request(&mut self, idempotency: Idempotency, requires_intent: bool) {
         let arrival = Arrival {
             request: RequestId(0),
             class: ClassId(0),
@@ -69,55 +69,53 @@
         self.step(
             Event::Request(RequestSpec {
                 arrival,
-                idempotency: effect,
+                idempotency,
                 pools,
-                requires_intent: permit,
-                recorded: permit,
+                requires_intent,
+                recorded: requires_intent,
             }),
             &[],
         );
     }
 
-    /// Attempt and connection of that number are sent to that backend.
-    fn sent(&mut self, no: u32, to: u32) {
-        self.asked(&[open(no, to)]);
-        self.step(Event::Connected { connection: connection(no) }, &[send(no, no)]);
+    /// The attempt of that number is sent to that backend, on a connection of the same number.
+    fn sent(&mut self, number: u32, to: u32) {
+        self.act(&[open(number, to)]);
+        self.step(Event::Connected { connection: connection(number) }, &[send(number, number)]);
     }
 
-    fn answered(&mut self, no: u32, verdict: ResponseClass, keep: bool, behind: bool, actions: &[Action]) {
-        self.step(Event::RequestWritten { connection: connection(no) }, &[]);
+    fn answered(
+        &mut self, number: u32, verdict: ResponseClass, reusable: bool, has_excess_bytes: bool,
+        actions: &[Action],
+    ) {
+        self.step(Event::RequestWritten { connection: connection(number) }, &[]);
         self.step(
-            Event::ResponseReceived {
-                connection: connection(no),
-                verdict,
-                reusable: keep,
-                has_excess_bytes: behind,
-            },
+            Event::ResponseReceived { connection: connection(number), verdict, reusable, has_excess_bytes },
             actions,
         );
     }
 }
 
-fn connection(no: u32) -> ConnectionId {
-    ConnectionId(u64::from(no))
+fn connection(number: u32) -> ConnectionId {
+    ConnectionId(u64::from(number))
 }
 
-fn open(no: u32, to: u32) -> Action {
-    Action::Connect { connection: connection(no), backend: BackendId(to) }
+fn open(number: u32, to: u32) -> Action {
+    Action::Connect { connection: connection(number), backend: BackendId(to) }
 }
 
-fn send(on: u32, no: u32) -> Action {
+fn send(on: u32, number: u32) -> Action {
     Action::Send {
         connection: connection(on),
         request: RequestId(0),
-        attempt: AttemptNumber(no),
+        attempt: AttemptNumber(number),
         deadline: Time(0),
         write_deadline: None,
     }
 }
 
-fn close(no: u32) -> Action {
-    Action::Close { connection: connection(no) }
+fn close(number: u32) -> Action {
+    Action::Close { connection: connection(number) }
 }
 
 fn answer(answer: FinalOutcome) -> Action {
@@ -125,14 +123,14 @@
 }
 
 const SERVED: FinalOutcome = FinalOutcome::Served(AttemptNumber(0));
-const REFUSED: FinalOutcome = FinalOutcome::Rejected(Micros(1));
+const REJECTED: FinalOutcome = FinalOutcome::Rejected(Micros(1));
 
-/// What is said of a stream that begins with a request of that effect.
-fn said(effect: Idempotency, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
+/// The rules broken by a stream that begins with a request of that idempotency.
+fn broken_rules(idempotency: Idempotency, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
     let mut s = Stream::new(rules);
-    s.request(effect, false);
+    s.request(idempotency, false);
     stream(&mut s);
-    s.said
+    s.broken_rules
 }
 
 #[test]
@@ -140,16 +138,16 @@
     let mut s = Stream::new(RULES);
     s.request(KEYED, true);
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
-    s.asked(&[Action::PersistIntent { request, attempt }]);
+    s.act(&[Action::PersistIntent { request, attempt }]);
     s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[open(0, 0)]);
     s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]); // before its last byte
-    s.asked(&[Action::PersistIntent { request, attempt: AttemptNumber(1) }]);
+    s.act(&[Action::PersistIntent { request, attempt: AttemptNumber(1) }]);
     s.step(Event::IntentPersisted { request, attempt: AttemptNumber(1), persisted: true }, &[open(1, 1)]);
     s.step(Event::Connected { connection: connection(1) }, &[send(1, 1)]);
     s.answered(1, ResponseClass::Served, true, false, &[answer(FinalOutcome::Served(AttemptNumber(1)))]);
     s.step(Event::ConnectionUnusable { connection: connection(1) }, &[close(1)]);
-    assert_eq!(s.said, []);
+    assert_eq!(s.broken_rules, []);
     assert_eq!(s.monitor.quiet(s.now), Ok(()));
     let record = s.monitor.record();
     assert!(record.requests.is_empty() && record.lines.is_empty() && record.deadlines.is_empty());
@@ -160,19 +158,19 @@
     let twice = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
-        s.asked(&[answer(FinalOutcome::Failed)]);
+        s.act(&[answer(FinalOutcome::Failed)]);
     };
-    assert_eq!(said(KEYED, RULES, twice), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(KEYED, RULES, twice), [Rule::OneAnswer]);
     let none = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[answer(SERVED), close(0)]);
     };
-    assert_eq!(said(KEYED, RULES, none), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::OneAnswer]);
     let after_leaving = |s: &mut Stream| {
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
-        s.asked(&[answer(FinalOutcome::Failed)]);
+        s.act(&[answer(FinalOutcome::Failed)]);
     };
-    assert_eq!(said(KEYED, RULES, after_leaving), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(KEYED, RULES, after_leaving), [Rule::OneAnswer]);
 }
 
 #[test]
@@ -182,21 +180,21 @@
         s.now = s.now + Micros(5_000);
         s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
     };
-    assert_eq!(said(KEYED, RULES, late), [Rule::InTime]);
+    assert_eq!(broken_rules(KEYED, RULES, late), [Rule::InTime]);
     let none = |s: &mut Stream| {
         s.now = s.now + Micros(5_001);
         s.step(Event::Wake, &[]);
         s.step(Event::Wake, &[]);
     };
-    assert_eq!(said(KEYED, RULES, none), [Rule::InTime], "said once");
-    assert_eq!(said(KEYED, Rules { answer_slack: Micros(1), ..RULES }, none), []);
+    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::InTime], "said once");
+    assert_eq!(broken_rules(KEYED, Rules { answer_slack: Micros(1), ..RULES }, none), []);
     let in_time = |s: &mut Stream| {
         s.now = s.now + Micros(5_000);
         s.step(Event::Wake, &[answer(FinalOutcome::TimedOut)]);
     };
-    assert_eq!(said(KEYED, RULES, in_time), []);
-    let early = |s: &mut Stream| s.asked(&[answer(FinalOutcome::TimedOut)]);
-    assert_eq!(said(KEYED, RULES, early), [Rule::InTime]);
+    assert_eq!(broken_rules(KEYED, RULES, in_time), []);
+    let early = |s: &mut Stream| s.act(&[answer(FinalOutcome::TimedOut)]);
+    assert_eq!(broken_rules(KEYED, RULES, early), [Rule::InTime]);
 }
 
 #[test]
@@ -205,14 +203,14 @@
         s.sent(0, 0);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
-    assert_eq!(said(Idempotency::Safe, Rules { cancel: false, ..RULES }, running), []);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
+    assert_eq!(broken_rules(Idempotency::Safe, Rules { cancel: false, ..RULES }, running), []);
     let sent = |s: &mut Stream| {
-        s.asked(&[open(0, 0)]);
+        s.act(&[open(0, 0)]);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
         s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, sent), [Rule::NothingAfter]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, sent), [Rule::NothingAfter]);
 }
 
 #[test]
@@ -248,7 +246,7 @@
             s.sent(1, 1);
         };
         let expected = if ran { vec![Rule::UnsafeOnce] } else { vec![] };
-        assert_eq!(said(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
+        assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
     }
     let after_its_last_byte = |s: &mut Stream| {
         s.sent(0, 0);
@@ -256,19 +254,19 @@
         s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(said(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
     let beside = |s: &mut Stream| {
         s.sent(0, 0);
         s.sent(1, 1);
     };
-    assert_eq!(said(Idempotency::NonIdempotent, RULES, beside), [Rule::UnsafeOnce]);
-    assert_eq!(said(Idempotency::Safe, RULES, beside), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, beside), [Rule::UnsafeOnce]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, beside), []);
 }
 
 #[test]
 fn keyed_retry_outside_its_group_or_window_breaks_keyed_inside() {
     let to = |to: u32, after: u64| {
-        said(KEYED, RULES, |s| {
+        broken_rules(KEYED, RULES, |s| {
             s.sent(0, 0);
             s.now = s.now + Micros(after);
             s.sent(1, to);
@@ -283,13 +281,13 @@
         s.list(0, 7, BackendState::Ready);
         s.sent(1, 0);
     };
-    assert_eq!(said(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
+    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
     let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(said(KEYED, RULES, not_executed), []);
+    assert_eq!(broken_rules(KEYED, RULES, not_executed), []);
 }
 
 #[test]
@@ -297,28 +295,32 @@
     let ran = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
-        s.asked(&[answer(REFUSED)]);
+        s.act(&[answer(REJECTED)]);
     };
-    assert_eq!(said(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRefusal]);
-    assert_eq!(said(KEYED, RULES, ran), [Rule::HarmlessRefusal]);
-    assert_eq!(said(Idempotency::Safe, RULES, ran), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(broken_rules(KEYED, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, ran), []);
     let all = Idempotency::Keyed(DeduplicationScope::All, Micros(2_000));
-    assert_eq!(said(all, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(broken_rules(all, RULES, ran), [Rule::HarmlessRefusal]);
     let told_to_be_back = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.now = s.now + Micros(1_999);
-        s.asked(&[answer(FinalOutcome::Rejected(Micros(0)))]);
+        s.act(&[answer(FinalOutcome::Rejected(Micros(0)))]);
     };
     let one_realm = Rules { one_realm: true, ..RULES };
-    assert_eq!(said(all, one_realm, told_to_be_back), []);
-    assert_eq!(said(all, one_realm, ran), [Rule::HarmlessRefusal], "back in a second, after the window");
+    assert_eq!(broken_rules(all, one_realm, told_to_be_back), []);
+    assert_eq!(
+        broken_rules(all, one_realm, ran),
+        [Rule::HarmlessRefusal],
+        "back in a second, after the window"
+    );
     let did_not = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
-        s.asked(&[answer(REFUSED)]);
+        s.act(&[answer(REJECTED)]);
     };
-    assert_eq!(said(Idempotency::NonIdempotent, RULES, did_not), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, did_not), []);
 }
 
 #[test]
@@ -343,44 +345,39 @@
             }
         };
         let grace = Rules { drain_grace: Micros(250), ..RULES };
-        assert_eq!(said(Idempotency::Safe, RULES, after(0)), [Rule::Drain]);
-        assert_eq!(said(Idempotency::Safe, grace, after(249)), []);
-        assert_eq!(said(Idempotency::Safe, grace, after(250)), [Rule::Drain]);
+        assert_eq!(broken_rules(Idempotency::Safe, RULES, after(0)), [Rule::Drain]);
+        assert_eq!(broken_rules(Idempotency::Safe, grace, after(249)), []);
+        assert_eq!(broken_rules(Idempotency::Safe, grace, after(250)), [Rule::Drain]);
     }
     let back = |s: &mut Stream| {
         s.list(0, 0, BackendState::Draining);
         s.list(0, 0, BackendState::Ready);
         s.sent(0, 0);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, back), []);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, back), []);
     let of_another = |s: &mut Stream| {
         s.step(Event::BackendMoved { backend: BackendId(0), from: PoolId(0), to: PoolId(1) }, &[]);
         s.step(whole(vec![]), &[]);
         s.sent(0, 0);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, of_another), [], "its old pool cannot give it up");
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, of_another), [], "its old pool cannot give it up");
 }
 
 #[test]
 fn reuse_of_an_unclean_connection_breaks_clean_connection() {
-    let after = |keep: bool, behind: bool, written: bool, wait: u64| {
-        said(Idempotency::Safe, RULES, |s| {
+    let after = |reusable: bool, has_excess_bytes: bool, written: bool, wait: u64| {
+        broken_rules(Idempotency::Safe, RULES, |s| {
             s.sent(0, 0);
             if written {
                 s.step(Event::RequestWritten { connection: connection(0) }, &[]);
             }
             let verdict = ResponseClass::Error;
             s.step(
-                Event::ResponseReceived {
-                    connection: connection(0),
-                    verdict,
-                    reusable: keep,
-                    has_excess_bytes: behind,
-                },
+                Event::ResponseReceived { connection: connection(0), verdict, reusable, has_excess_bytes },
                 &[],
             );
             s.now = s.now + Micros(wait);
-            s.asked(&[send(0, 1)]);
+            s.act(&[send(0, 1)]);
         })
     };
     assert_eq!(after(true, false, true, 500), []);
@@ -388,19 +385,19 @@
     assert_eq!(after(true, true, true, 500), [Rule::CleanConnection]);
     assert_eq!(after(false, false, true, 500), [Rule::CleanConnection]);
     assert_eq!(after(true, false, false, 500), [Rule::CleanConnection], "half a request is still on it");
-    let never_up = |s: &mut Stream| s.asked(&[open(0, 0), send(0, 0)]);
-    assert_eq!(said(Idempotency::Safe, RULES, never_up), [Rule::CleanConnection]);
+    let never_up = |s: &mut Stream| s.act(&[open(0, 0), send(0, 0)]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, never_up), [Rule::CleanConnection]);
     let busy = |s: &mut Stream| {
         s.sent(0, 0);
-        s.asked(&[send(0, 1)]);
+        s.act(&[send(0, 1)]);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, busy), [Rule::CleanConnection]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, busy), [Rule::CleanConnection]);
     let old = |s: &mut Stream| {
-        s.asked(&[open(0, 0)]);
+        s.act(&[open(0, 0)]);
         s.step(Event::AddressChanged { backend: BackendId(0) }, &[]);
         s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     };
-    assert_eq!(said(Idempotency::Safe, RULES, old), [Rule::CleanConnection]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, old), [Rule::CleanConnection]);
 }
 
 #[test]
@@ -408,27 +405,27 @@
     let (request, attempt) = (RequestId(0), AttemptNumber(0));
     let ask = Action::PersistIntent { request, attempt };
     let back = Action::WithdrawIntent { request, attempt };
-    let said = |stream: &dyn Fn(&mut Stream)| {
+    let broken_rules = |stream: &dyn Fn(&mut Stream)| {
         let mut s = Stream::new(RULES);
         s.request(Idempotency::Safe, true);
         stream(&mut s);
-        s.said
+        s.broken_rules
     };
-    assert_eq!(said(&|s| s.sent(0, 0)), [Rule::Permit]);
-    assert_eq!(said(&|s| s.asked(&[ask.clone(), back.clone()])), []);
-    assert_eq!(said(&|s| s.asked(&[ask.clone(), back.clone(), back.clone()])), [Rule::Permit]);
-    assert_eq!(said(&|s| s.asked(&[ask.clone(), ask.clone()])), [Rule::Permit]);
+    assert_eq!(broken_rules(&|s| s.sent(0, 0)), [Rule::Permit]);
+    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), back.clone()])), []);
+    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), back.clone(), back.clone()])), [Rule::Permit]);
+    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), ask.clone()])), [Rule::Permit]);
     let left = Event::ClientDisconnected { request };
     assert_eq!(
-        said(&|s| {
-            s.asked(std::slice::from_ref(&ask));
+        broken_rules(&|s| {
+            s.act(std::slice::from_ref(&ask));
             s.step(left.clone(), &[]);
         }),
         [Rule::Permit]
     );
     assert_eq!(
-        said(&|s| {
-            s.asked(std::slice::from_ref(&ask));
+        broken_rules(&|s| {
+            s.act(std::slice::from_ref(&ask));
             s.step(left.clone(), std::slice::from_ref(&back));
             s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[]);
             // too late
@@ -437,8 +434,8 @@
     );
     // An unfit connection leaves the permit as good as before.
     assert_eq!(
-        said(&|s| {
-            s.asked(std::slice::from_ref(&ask));
+        broken_rules(&|s| {
+            s.act(std::slice::from_ref(&ask));
             s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[open(0, 0)]);
             s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
             s.step(Event::ConnectionUnusable { connection: connection(0) }, &[close(0), open(1, 0)]);
@@ -453,7 +450,7 @@
     let mut s = Stream::new(RULES);
     s.request(Idempotency::Safe, false);
     assert_eq!(s.monitor.quiet(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
-    s.asked(&[answer(REFUSED)]);
+    s.act(&[answer(REJECTED)]);
     assert_eq!(s.monitor.quiet(s.now), Ok(()));
 }
 
@@ -476,8 +473,10 @@
         let row = BackendEntry { id, started_at: booted, cores: 1, state, ..BackendEntry::default() };
         let (pool, update) = (PoolId(0), EndpointUpdate::Snapshot);
         cold.see(now, &Event::EndpointsUpdated { pool, update, backends: vec![row] });
-        let all = (0..count).map(|no| {
-            cold.act(now, &open(no, 0)).and_then(|()| cold.act(now, &send(no, no))).map_err(|v| v.rule)
+        let all = (0..count).map(|number| {
+            cold.act(now, &open(number, 0))
+                .and_then(|()| cold.act(now, &send(number, number)))
+                .map_err(|v| v.rule)
         });
         all.filter(Result::is_err).count()
     };
--- a/crates/routing/tests/allocations.rs
+++ b/crates/routing/tests/allocations.rs
@@ -17,8 +17,8 @@
     let table = table((0..200).map(when).chain([Match::default()]));
     let path = "/a/r7/k".to_string();
     let request = Request { class: 1, tenant: Some(7), path, ..Request::default() };
-    request.ask(|asked| {
-        let used = allocation_counter::measure(|| assert_eq!(table.find(asked), Some(RouteId(200))));
+    request.with_attributes(|attributes| {
+        let used = allocation_counter::measure(|| assert_eq!(table.find(attributes), Some(RouteId(200))));
         assert_eq!(used.count_total, 0);
     });
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Requests and routes for tests: owned values that are asked about.
+//! Requests and routes for tests: owned values that are attributes about.
 #![allow(dead_code)]
 
 use shaletide_routing::*;
@@ -10,21 +10,21 @@
     pub class: usize,
     pub tenant: Option<usize>,
     pub zone: String,
-    pub bay: Option<String>,
+    pub group: Option<String>,
     pub path: String,
     pub method: String,
     pub headers: Vec<(String, String)>,
 }
 
 impl Request {
-    /// What `with` makes of it.
-    pub fn ask<T>(&self, with: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
+    /// Calls `with` on the attributes that the table is asked about.
+    pub fn with_attributes<T>(&self, with: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
         let header = |name: &str| self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
         with(&RequestAttributes {
             class: ClassId(self.class),
             tenant: self.tenant.map(TenantId),
             zone: &self.zone,
-            deduplication_group: self.bay.as_deref(),
+            deduplication_group: self.group.as_deref(),
             path: &self.path,
             method: &self.method,
             header: &header,
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -11,7 +11,7 @@
         class: 1,
         tenant: Some(2),
         zone: "a".into(),
-        bay: Some("b1".into()),
+        group: Some("b1".into()),
         path: "/read/k7".into(),
         method: "GET".into(),
         headers,
@@ -19,7 +19,7 @@
 }
 
 fn why(when: Match, request: &Request) -> Option<Mismatch> {
-    request.ask(|asked| when.mismatch(asked))
+    request.with_attributes(|attributes| when.mismatch(attributes))
 }
 
 #[test]
@@ -46,7 +46,7 @@
     ];
     for (when, reason) in cases {
         assert_eq!(why(when.clone(), &get()), Some(reason), "{when:?}");
-        let found = get().ask(|asked| table([when.clone()]).explain(asked));
+        let found = get().with_attributes(|attributes| table([when.clone()]).explain(attributes));
         assert_eq!(found, (vec![(RouteId(0), reason)], None));
     }
 }
@@ -69,11 +69,11 @@
 
 #[test]
 fn request_without_tenant_or_group_does_not_match_named_ones() {
-    let without = Request { tenant: None, bay: None, ..get() };
+    let without = Request { tenant: None, group: None, ..get() };
     let tenants = Match { tenants: vec![TenantId(0)], ..Match::default() };
-    let bays = Match { deduplication_groups: vec!["".into()], ..Match::default() };
+    let groups = Match { deduplication_groups: vec!["".into()], ..Match::default() };
     assert_eq!(why(tenants, &without), Some(Mismatch::Tenant));
-    assert_eq!(why(bays, &without), Some(Mismatch::DeduplicationGroup));
+    assert_eq!(why(groups, &without), Some(Mismatch::DeduplicationGroup));
 }
 
 #[test]
@@ -82,7 +82,11 @@
         let when = Match { path_prefix: Some(prefix.into()), ..Match::default() };
         let request = Request { path: path.into(), ..get() };
         let plain = why(when.clone(), &request).is_none();
-        assert_eq!(plain, request.ask(|asked| table([when]).find(asked).is_some()), "{prefix} {path}");
+        assert_eq!(
+            plain,
+            request.with_attributes(|attributes| table([when]).find(attributes).is_some()),
+            "{prefix} {path}"
+        );
         plain
     };
     for prefix in ["/read", "/read/"] {
--- a/crates/routing/tests/world/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A made-up world around the machine of all pools: it carries out what is asked and checks every rule as it goes.
+//! A simulation around [`Pools`] on a virtual clock: it carries out the actions and checks every invariant at each.
 
 use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, PoolHealth};
 use shaletide_routing::pools::{Action, Event};
@@ -8,34 +8,34 @@
 use std::rc::Rc;
 
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     pub to: BackendEntry,
     pub at: Time,
     pub outcome: Option<Outcome>,
 }
 
-impl Try {
-    pub fn may_have_run(&self) -> bool {
+impl Attempt {
+    pub fn may_have_executed(&self) -> bool {
         self.outcome.is_none_or(|o| !o.not_executed())
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Open {
+pub struct ClientRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
     pub answer: Option<&'static str>,
-    pub left: bool,
+    pub disconnected: bool,
 }
 
-pub struct World {
+pub struct Simulation {
     pub cfg: Config,
     pub pools: Pools,
     pub now: Time,
     /// What each pool's list says.
     pub lists: BTreeMap<PoolId, BTreeMap<BackendId, BackendEntry>>,
-    pub requests: BTreeMap<RequestId, Open>,
+    pub requests: BTreeMap<RequestId, ClientRequest>,
     pub timers: Vec<(Time, TimerToken)>,
     pub cancelled: Vec<(RequestId, usize)>,
     next: u64,
@@ -47,10 +47,10 @@
 pub const WINDOW: Micros = Micros(800_000);
 
 pub fn config() -> Config {
-    let class = |effect| Class {
+    let class = |idempotency| Class {
         latency_objective: Micros(400_000),
         latency_objective_per_work_hint: 0.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight_fraction: 0.2,
     };
@@ -70,22 +70,21 @@
     }
 }
 
-pub fn backend(id: u32, cell: u64, realm: u32) -> BackendEntry {
-    let (state, cell) = (BackendState::Ready, DeduplicationGroupId(cell));
+pub fn backend(id: u32, group: u64, domain: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
         stable_hash: u64::from(id),
-        deduplication_group: cell,
-        deduplication_domain: realm,
-        state,
+        deduplication_group: DeduplicationGroupId(group),
+        deduplication_domain: domain,
+        state: BackendState::Ready,
         ..BackendEntry::default()
     }
 }
 
-impl World {
+impl Simulation {
     /// Pools numbered from 0, each with its list.
-    pub fn new(cfg: Config, pools: &[Vec<BackendEntry>]) -> World {
-        let mut world = World {
+    pub fn new(cfg: Config, pools: &[Vec<BackendEntry>]) -> Simulation {
+        let mut simulation = Simulation {
             cfg,
             pools: Pools::new(),
             now: Time(1_000_000_000),
@@ -96,21 +95,21 @@
             next: 0,
         };
         for (at, list) in pools.iter().enumerate() {
-            world.open(at as u32);
-            world.full(at as u32, list.clone());
+            simulation.add_pool(at as u32);
+            simulation.send_snapshot(at as u32, list.clone());
         }
-        world
+        simulation
     }
 
-    pub fn open(&mut self, pool: u32) {
-        self.pools.configure(PoolId(pool), self.cfg.clone(), 7).expect("sound");
+    pub fn add_pool(&mut self, pool: u32) {
+        self.pools.configure(PoolId(pool), self.cfg.clone(), 7).expect("valid");
         self.lists.entry(PoolId(pool)).or_default();
     }
 
-    pub fn full(&mut self, pool: u32, list: Vec<BackendEntry>) {
+    pub fn send_snapshot(&mut self, pool: u32, list: Vec<BackendEntry>) {
         let known = self.lists.entry(PoolId(pool)).or_default();
         *known = list.iter().map(|b| (b.id, b.clone())).collect();
-        self.event(Event::EndpointsUpdated {
+        self.handle(Event::EndpointsUpdated {
             pool: PoolId(pool),
             update: EndpointUpdate::Snapshot,
             backends: list,
@@ -118,81 +117,83 @@
     }
 
     /// A change of one entry's state.
-    pub fn set(&mut self, pool: u32, id: u32, state: BackendState) {
+    pub fn set_state(&mut self, pool: u32, id: u32, state: BackendState) {
         let list = self.lists.get_mut(&PoolId(pool)).expect("a pool");
         let entry = list.get_mut(&BackendId(id)).expect("an entry");
         entry.state = state;
         let backends = vec![entry.clone()];
-        self.event(Event::EndpointsUpdated { pool: PoolId(pool), update: EndpointUpdate::Delta, backends });
+        self.handle(Event::EndpointsUpdated { pool: PoolId(pool), update: EndpointUpdate::Delta, backends });
     }
 
-    pub fn shift(&mut self, id: u32, from: u32, to: u32) {
+    pub fn migrate(&mut self, id: u32, from: u32, to: u32) {
         let entry =
             self.lists.get_mut(&PoolId(from)).expect("a pool").remove(&BackendId(id)).expect("an entry");
         self.lists.get_mut(&PoolId(to)).expect("a pool").insert(entry.id, entry);
         let (from, to) = (PoolId(from), PoolId(to));
-        self.event(Event::BackendMoved { backend: BackendId(id), from, to });
+        self.handle(Event::BackendMoved { backend: BackendId(id), from, to });
         for pool in [from, to] {
             let list: Vec<BackendEntry> = self.lists[&pool].values().cloned().collect();
-            self.event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Snapshot, backends: list });
+            self.handle(Event::EndpointsUpdated { pool, update: EndpointUpdate::Snapshot, backends: list });
         }
     }
 
-    pub fn close(&mut self, pool: u32) {
+    pub fn close_pool(&mut self, pool: u32) {
         self.lists.remove(&PoolId(pool));
-        self.event(Event::PoolClosed { pool: PoolId(pool) });
+        self.handle(Event::PoolClosed { pool: PoolId(pool) });
     }
 
-    pub fn event(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.pools.handle(self.now, event, &mut actions);
-        actions.into_iter().for_each(|action| self.apply(action));
+        for action in actions {
+            self.carry_out(action);
+        }
     }
 
-    fn listed(&self, id: BackendId) -> Option<&BackendEntry> {
+    fn entry_of(&self, id: BackendId) -> Option<&BackendEntry> {
         self.lists.values().find_map(|list| list.get(&id))
     }
 
-    fn apply(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, attempt, backend, send_by } => {
-                let to = self.listed(backend).expect("sent to a listed backend").clone();
-                assert_eq!(to.state, BackendState::Ready, "sent to one that drains or is gone");
+                let to = self.entry_of(backend).expect("sent to a listed backend").clone();
+                assert_eq!(to.state, BackendState::Ready, "sent to a draining or gone backend");
                 let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.is_none() && !r.left, "sent after its end");
-                assert_eq!(attempt.0 as usize, r.tries.len(), "attempts are numbered over all pools");
+                assert!(r.answer.is_none() && !r.disconnected, "sent after its end");
+                assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered over all pools");
                 assert!(
-                    r.tries.len() < self.cfg.max_attempts as usize,
+                    r.attempts.len() < self.cfg.max_attempts as usize,
                     "attempts are counted over all pools"
                 );
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
+                for t in r.attempts.iter().filter(|t| t.may_have_executed()) {
                     match self.cfg.classes[r.class].idempotency {
                         Idempotency::Safe => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
+                        Idempotency::NonIdempotent => panic!("a non-idempotent request was sent twice"),
                         Idempotency::Keyed(_, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             assert!(
                                 send_by.is_some_and(|by| by <= t.at + window),
                                 "no bound on the first byte"
                             );
-                            let same = (t.to.deduplication_domain, t.to.deduplication_group)
+                            let is_same_group = (t.to.deduplication_domain, t.to.deduplication_group)
                                 == (to.deduplication_domain, to.deduplication_group);
-                            assert!(same, "a key was repeated outside its group");
+                            assert!(is_same_group, "a key was repeated outside its group");
                         }
                     }
                 }
-                r.tries.push(Try { to, at: self.now, outcome: None });
+                r.attempts.push(Attempt { to, at: self.now, outcome: None });
             }
             Action::Reject { request, retry_after } => {
-                assert!(retry_after > Micros(0), "refused without advice");
+                assert!(retry_after > Micros(0), "rejected without Retry-After");
                 let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
-                assert!(r.class == SAFE || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none() && !r.left, "answered twice");
+                let may_have_executed = r.attempts.iter().any(Attempt::may_have_executed);
+                assert!(r.class == SAFE || !may_have_executed, "rejected what may have been executed");
+                assert!(r.answer.replace("rejected").is_none() && !r.disconnected, "answered twice");
             }
             Action::Fail { request, .. } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.replace("failed").is_none() && !r.left, "answered twice");
+                assert!(r.answer.replace("failed").is_none() && !r.disconnected, "answered twice");
             }
             Action::Cancel { request, attempt } => self.cancelled.push((request, attempt.0 as usize)),
             Action::SetTimer { token, after } => self.timers.push((self.now + after, token)),
@@ -200,11 +201,16 @@
         }
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64, route: &[u32]) -> RequestId {
+    pub fn send_request(&mut self, class: usize, left: u64, route: &[u32]) -> RequestId {
         self.next += 1;
         let request = RequestId(self.next);
-        let open =
-            Open { class, deadline: self.now + Micros(left), tries: Vec::new(), answer: None, left: false };
+        let open = ClientRequest {
+            class,
+            deadline: self.now + Micros(left),
+            attempts: Vec::new(),
+            answer: None,
+            disconnected: false,
+        };
         self.requests.insert(request, open);
         let arrival = Arrival {
             request,
@@ -216,32 +222,35 @@
             may_fail_over: false,
         };
         let pools: Rc<[PoolId]> = route.iter().map(|p| PoolId(*p)).collect();
-        self.event(Event::Request { arrival, pools });
+        self.handle(Event::Request { arrival, pools });
         request
     }
 
-    pub fn leave(&mut self, id: RequestId) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.left) else { return };
-        r.left = true;
-        self.event(Event::ClientDisconnected { request: id });
+    pub fn disconnect(&mut self, id: RequestId) {
+        let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.disconnected) else {
+            return;
+        };
+        r.disconnected = true;
+        self.handle(Event::ClientDisconnected { request: id });
     }
 
-    pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
+    pub fn end_attempt(&mut self, id: RequestId, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(t) = r.attempts.get_mut(number).filter(|t| t.outcome.is_none()) else { return };
         t.outcome = Some(outcome);
         let latency = now - t.at;
-        if outcome == Outcome::Ok && r.answer.is_none() && !r.left {
+        if outcome == Outcome::Ok && r.answer.is_none() && !r.disconnected {
             r.answer = Some("served");
         }
-        let (settled, attempt) = (r.answer.is_some() || r.left, AttemptNumber(no as u32));
-        self.event(Event::AttemptEnded(AttemptEnd {
+        let request_answered = r.answer.is_some() || r.disconnected;
+        let attempt = AttemptNumber(number as u32);
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             outcome,
             latency,
-            request_answered: settled,
+            request_answered,
         }));
     }
 
@@ -252,66 +261,74 @@
             let (due, rest) = std::mem::take(&mut self.timers).into_iter().partition(|t| t.0 <= self.now);
             self.timers = rest;
             let due: Vec<(Time, TimerToken)> = due;
-            due.into_iter().for_each(|(_, token)| self.event(Event::Timer { token }));
-            for (id, no) in std::mem::take(&mut self.cancelled) {
-                self.end(id, no, Outcome::Cancelled);
+            for (_, token) in due {
+                self.handle(Event::Timer { token });
             }
-            for (id, no) in self.out() {
+            for (id, number) in std::mem::take(&mut self.cancelled) {
+                self.end_attempt(id, number, Outcome::Cancelled);
+            }
+            for (id, number) in self.attempts_in_flight() {
                 if self.requests[&id].deadline <= self.now {
-                    self.end(id, no, Outcome::TimedOut);
+                    self.end_attempt(id, number, Outcome::TimedOut);
                 }
             }
             for (id, r) in &self.requests {
-                let open = r.answer.is_none() && !r.left;
+                let open = r.answer.is_none() && !r.disconnected;
                 assert!(!open || self.now < r.deadline + Micros(16_000), "no answer in time for {id:?}");
             }
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+            r.attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.outcome.is_none())
+                .map(|(number, _)| (*id, number))
         });
         each.collect()
     }
 
-    pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.to.id.0).collect()
+    pub fn backends_tried(&self, id: RequestId) -> Vec<u32> {
+        self.requests[&id].attempts.iter().map(|t| t.to.id.0).collect()
     }
 
-    pub fn answer(&self, id: RequestId) -> Option<&'static str> {
+    pub fn answer_of(&self, id: RequestId) -> Option<&'static str> {
         self.requests[&id].answer
     }
 
-    /// How many of so many safe requests at once are sent on at once.
+    /// How many of so many simultaneous safe requests are dispatched at once.
     pub fn burst(&mut self, count: usize, route: &[u32]) -> usize {
-        let ids: Vec<RequestId> = (0..count).map(|_| self.arrive(SAFE, 1_000_000, route)).collect();
-        ids.into_iter().map(|id| self.sent_to(id).len()).sum()
+        let ids: Vec<RequestId> = (0..count).map(|_| self.send_request(SAFE, 1_000_000, route)).collect();
+        ids.into_iter().map(|id| self.backends_tried(id).len()).sum()
     }
 
-    /// Serves so many safe requests, one after the other: the module saves up its further attempts from them.
+    /// Serves so many safe requests, one after the other: they fill the retry budget.
     pub fn warm_up(&mut self, count: usize, route: &[u32]) {
         for _ in 0..count {
-            let id = self.arrive(SAFE, 3_000_000, route);
+            let id = self.send_request(SAFE, 3_000_000, route);
             self.advance(20_000);
-            self.out().into_iter().for_each(|(id, no)| self.end(id, no, Outcome::Ok));
-            assert_eq!(self.answer(id), Some("served"));
+            for (id, number) in self.attempts_in_flight() {
+                self.end_attempt(id, number, Outcome::Ok);
+            }
+            assert_eq!(self.answer_of(id), Some("served"));
         }
     }
 
-    /// Nobody listens at any backend of a pool, until none is in use.
+    /// Connections to a pool's backends fail until all are ejected.
     pub fn eject_all(&mut self, pool: u32) {
         for _ in 0..100 {
             if self.pools.health(self.now, PoolId(pool)) != Some(PoolHealth::Available) {
                 return;
             }
-            let id = self.arrive(SAFE, 3_000_000, &[pool]);
-            for no in 0..self.requests[&id].tries.len() {
-                self.end(id, no, Outcome::ConnectFailed);
+            let id = self.send_request(SAFE, 3_000_000, &[pool]);
+            for number in 0..self.requests[&id].attempts.len() {
+                self.end_attempt(id, number, Outcome::ConnectFailed);
             }
-            self.leave(id);
-            self.advance(120_000); // the module reckons anew every 0.1 s
+            self.disconnect(id);
+            self.advance(120_000); // the balancer recomputes its weights every 0.1 s
         }
-        panic!("still in use");
+        panic!("not all ejected");
     }
 }
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The index against a plain walk over the routes, and what is said of routes that nothing reaches.
+//! The index against a linear search, and which routes are reported as shadowed.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
 use shaletide_types::*;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
-const BAYS: [&str; 3] = ["", "b1", "b2"];
+const GROUPS: [&str; 3] = ["", "b1", "b2"];
 const METHODS: [&str; 3] = ["GET", "POST", "PUT"];
 const HEADERS: [&str; 3] = ["x-canary", "x-beta", "x-rare"];
 const VALUES: [&str; 3] = ["", "1", "2"];
@@ -32,15 +32,15 @@
 
 fn conditions() -> impl Strategy<Value = Match> {
     let ids = (numbers(4), numbers(5));
-    let texts = (some(&ZONES, 3), some(&BAYS, 2), some(&METHODS, 3));
+    let texts = (some(&ZONES, 3), some(&GROUPS, 2), some(&METHODS, 3));
     let path = prop_oneof![2 => Just(None), 1 => proptest::sample::select(&PATHS[..]).prop_map(Some)];
     let headers = prop_oneof![2 => Just(Vec::new()), 1 => vec(header_match(), 0..3)];
-    (ids, texts, path, headers).prop_map(|((classes, tenants), (zones, bays, methods), path, headers)| {
+    (ids, texts, path, headers).prop_map(|((classes, tenants), (zones, groups, methods), path, headers)| {
         Match {
             classes: classes.into_iter().map(ClassId).collect(),
             tenants: tenants.into_iter().map(TenantId).collect(),
             zones,
-            deduplication_groups: bays,
+            deduplication_groups: groups,
             path_prefix: path.map(String::from),
             methods,
             headers,
@@ -55,12 +55,12 @@
 fn request() -> impl Strategy<Value = Request> {
     let headers = vec((text(&HEADERS), text(&VALUES)), 0..3);
     let ids = (0..5usize, option::of(0..6usize));
-    let texts = (text(&ZONES), option::of(text(&BAYS)), text(&PATHS), text(&METHODS));
-    (ids, texts, headers).prop_map(|((class, tenant), (zone, bay, path, method), headers)| Request {
+    let texts = (text(&ZONES), option::of(text(&GROUPS)), text(&PATHS), text(&METHODS));
+    (ids, texts, headers).prop_map(|((class, tenant), (zone, group, path, method), headers)| Request {
         class,
         tenant,
         zone,
-        bay,
+        group,
         path,
         method,
         headers,
@@ -71,13 +71,13 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn index_and_linear_search_find_the_same_route(routes in vec(conditions(), 0..140), asked in vec(request(), 40)) {
+    fn index_and_linear_search_find_the_same_route(routes in vec(conditions(), 0..140), requests in vec(request(), 40)) {
         let table = table(routes.clone());
-        for request in asked {
-            request.ask(|asked| {
-                let naive = routes.iter().position(|when| when.mismatch(asked).is_none()).map(RouteId);
-                prop_assert_eq!(table.find(asked), naive);
-                let (passed, found) = table.explain(asked);
+        for request in requests {
+            request.with_attributes(|attributes| {
+                let naive = routes.iter().position(|when| when.mismatch(attributes).is_none()).map(RouteId);
+                prop_assert_eq!(table.find(attributes), naive);
+                let (passed, found) = table.explain(attributes);
                 prop_assert_eq!(found, naive);
                 prop_assert_eq!(passed.len(), naive.map_or(routes.len(), |id| id.0));
                 Ok(())
@@ -86,7 +86,7 @@
     }
 
     #[test]
-    fn shadowed_route_is_never_found(routes in vec(conditions(), 0..40), asked in vec(request(), 200)) {
+    fn shadowed_route_is_never_found(routes in vec(conditions(), 0..40), requests in vec(request(), 200)) {
         let table = table(routes.clone());
         let (hidden, several) = (table.shadowed(), table.shadowed_by_several());
         for (route, by) in &hidden {
@@ -99,8 +99,8 @@
             prop_assert!(by.len() > 1 && by.iter().all(|e| e < route));
             prop_assert!(hidden.iter().all(|(alone, _)| alone != route));
         }
-        for request in asked {
-            let found = request.ask(|asked| table.find(asked));
+        for request in requests {
+            let found = request.with_attributes(|attributes| table.find(attributes));
             prop_assert!(hidden.iter().all(|(route, _)| Some(*route) != found));
             prop_assert!(several.iter().all(|(route, _)| Some(*route) != found));
         }
@@ -109,10 +109,10 @@
     /// Each pair by itself: in a table of many the request would mostly go to a third.
     #[test]
     fn covering_match_takes_every_request_of_the_covered_one(
-        a in conditions(), b in conditions(), asked in vec(request(), 200),
+        a in conditions(), b in conditions(), requests in vec(request(), 200),
     ) {
-        for request in asked {
-            let (by_a, by_b) = request.ask(|r| (a.mismatch(r).is_none(), b.mismatch(r).is_none()));
+        for request in requests {
+            let (by_a, by_b) = request.with_attributes(|r| (a.mismatch(r).is_none(), b.mismatch(r).is_none()));
             prop_assert!(!a.covers(&b) || by_a || !by_b);
             prop_assert!(!b.covers(&a) || by_b || !by_a);
         }
@@ -155,8 +155,9 @@
 #[test]
 fn empty_table_finds_no_route() {
     let none = table([]);
-    Request::default()
-        .ask(|asked| assert_eq!((none.find(asked), none.explain(asked)), (None, (vec![], None))));
+    Request::default().with_attributes(|attributes| {
+        assert_eq!((none.find(attributes), none.explain(attributes)), (None, (vec![], None)))
+    });
     assert!(
         none.shadowed().is_empty() && none.shadowed_by_several().is_empty() && none.get(RouteId(0)).is_none()
     );
