--- a/crates/engine/src/monitor/leftovers.rs
+++ b/crates/engine/src/monitor/leftovers.rs
@@ -5,6 +5,7 @@
 use super::{violation, Monitor, Rule, Verdict};
 use crate::connection_pool::ConnectionState;
 use crate::engine::Engine;
+use crate::policy::Policy;
 use shaletide_types::*;
 
 impl Monitor {
@@ -12,54 +13,78 @@
     ///
     /// # Errors
     /// The first thing that the engine keeps and should not, or does not keep and should.
-    pub fn kept<P>(&self, now: Time, engine: &Engine<P>) -> Verdict
-    where
-        P: crate::Policy,
-    {
-        let leftover = |what: String| violation(Rule::NothingKept, now, what);
+    pub fn kept<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        self.check_requests(now, engine)?;
+        self.check_deadlines(now, engine)?;
+        check_last_responses(now, engine)?;
+        self.check_connections(now, engine)
+    }
+
+    fn check_requests<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for id in engine.requests().keys() {
             if !self.record.requests.contains_key(id) {
-                return leftover(format!("request {} has ended and is still kept", id.0));
+                return leftover(now, format!("request {} has ended and is still kept", id.0));
             }
         }
-        let open = |id: &RequestId| self.record.requests.get(id).is_some_and(|r| r.open);
-        let runs = |id: &RequestId| !self.rules.cancel && self.record.requests.contains_key(id);
+        Ok(())
+    }
+
+    /// The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off; of no other.
+    fn check_deadlines<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (_, id) in engine.deadlines() {
-            if !open(id) && !runs(id) {
-                return leftover(format!("request {} has ended and its deadline is still awaited", id.0));
+            let may_go_on = !self.rules.cancel && self.record.requests.contains_key(id);
+            if !self.is_open(*id) && !may_go_on {
+                let text = format!("request {} has ended and its deadline is still awaited", id.0);
+                return leftover(now, text);
             }
         }
-        // The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off.
-        let runs_on = |r: &Watched| {
-            r.open || Record::connections_of(r).any(|connection| self.record.is_running_on(connection))
-        };
-        for (id, r) in self.record.requests.iter().filter(|(_, r)| runs_on(r)) {
-            if !engine.deadlines().contains(&(r.deadline, *id)) {
+        for (id, request) in &self.record.requests {
+            let is_due = request.open || self.has_running_attempt(request);
+            if is_due && !engine.deadlines().contains(&(request.deadline, *id)) {
                 let text = format!("request {} is open or in flight and its deadline is not awaited", id.0);
                 return violation(Rule::AllAnswered, now, text);
             }
         }
-        for (backend, _) in engine.heard() {
-            if engine.listed(backend).is_none() {
-                return leftover(format!(
-                    "backend {} is gone and the time of its last response is still kept",
-                    backend.0
-                ));
-            }
-        }
-        for (connection, _, step) in engine.connections() {
+        Ok(())
+    }
+
+    fn check_connections<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        for (connection, _, state) in engine.connections() {
             if !self.record.lines.contains_key(&connection) {
-                return leftover(format!("connection {} is closed and still kept", connection.0));
+                return leftover(now, format!("connection {} is closed and still kept", connection.0));
             }
-            if let ConnectionState::Connecting(Some((id, _))) = step {
-                if !open(&id) {
-                    return leftover(format!(
-                        "connection {} is being opened for request {}, which has ended",
-                        connection.0, id.0
-                    ));
-                }
+            let ConnectionState::Connecting(Some((id, _))) = state else { continue };
+            if !self.is_open(id) {
+                let text = format!(
+                    "connection {} is being opened for request {}, which has ended",
+                    connection.0, id.0
+                );
+                return leftover(now, text);
             }
         }
         Ok(())
     }
+
+    fn is_open(&self, id: RequestId) -> bool {
+        self.record.requests.get(&id).is_some_and(|request| request.open)
+    }
+
+    fn has_running_attempt(&self, request: &Watched) -> bool {
+        Record::connections_of(request).any(|connection| self.record.is_running_on(connection))
+    }
+}
+
+fn check_last_responses<P: Policy>(now: Time, engine: &Engine<P>) -> Verdict {
+    for (backend, _) in engine.heard() {
+        if engine.listed(backend).is_none() {
+            let text =
+                format!("backend {} is gone and the time of its last response is still kept", backend.0);
+            return leftover(now, text);
+        }
+    }
+    Ok(())
+}
+
+fn leftover(now: Time, text: String) -> Verdict {
+    violation(Rule::NothingKept, now, text)
 }
--- a/crates/engine/src/monitor/observed.rs
+++ b/crates/engine/src/monitor/observed.rs
@@ -124,41 +124,21 @@
             Event::EndpointsUpdated { pool, update, backends } => {
                 self.update_endpoints(now, *pool, *update, backends, rules)
             }
-            Event::BackendMoved { backend, to, .. } => {
-                if let Some(entry) = self.boxes.get_mut(backend) {
-                    entry.pool = *to;
-                }
-            }
-            Event::AddressChanged { backend } => {
-                for line in self.lines.values_mut() {
-                    if line.to == *backend {
-                        line.old = true;
-                    }
-                }
-            }
+            Event::BackendMoved { backend, to, .. } => self.on_backend_moved(*backend, *to),
+            Event::AddressChanged { backend } => self.on_address_changed(*backend),
             Event::PoolClosed { pool } => {
                 self.update_endpoints(now, *pool, EndpointUpdate::Snapshot, &[], rules)
             }
             Event::Request(spec) => self.on_request(now, spec),
             Event::ClientDisconnected { request } => self.on_request_ended(*request),
-            Event::IntentPersisted { request, attempt, persisted: given } => {
-                self.on_intent_persisted(*request, *attempt, *given)
-            }
-            Event::Connected { connection } => {
-                if let Some(line) = self.lines.get_mut(connection) {
-                    line.step = LineStep::Up(None);
-                }
+            Event::IntentPersisted { request, attempt, persisted } => {
+                self.on_intent_persisted(*request, *attempt, *persisted)
             }
+            Event::Connected { connection } => self.on_connected(*connection),
             Event::ConnectFailed { connection, .. } => drop(self.lines.remove(connection)),
-            Event::RequestWritten { connection } => {
-                if let Some(Line { step: LineStep::Busy { written, .. }, .. }) =
-                    self.lines.get_mut(connection)
-                {
-                    *written = true;
-                }
-            }
-            Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
-                self.on_response(now, *connection, *verdict, *keep && !*behind)
+            Event::RequestWritten { connection } => self.on_request_written(*connection),
+            Event::ResponseReceived { connection, verdict, reusable, has_excess_bytes } => {
+                self.on_response(now, *connection, *verdict, *reusable && !*has_excess_bytes)
             }
             Event::InvalidResponse { connection } | Event::ConnectionClosed { connection } => {
                 self.on_connection_closed(*connection, false)
@@ -249,14 +229,35 @@
         self.boxes.retain(|_, e| e.state != BackendState::Gone || now < e.since + rules.drain_grace);
     }
 
+    fn on_backend_moved(&mut self, backend: BackendId, to: PoolId) {
+        if let Some(entry) = self.boxes.get_mut(&backend) {
+            entry.pool = to;
+        }
+    }
+
+    fn on_address_changed(&mut self, backend: BackendId) {
+        for line in self.lines.values_mut() {
+            if line.to == backend {
+                line.old = true;
+            }
+        }
+    }
+
     fn on_request(&mut self, now: Time, spec: &RequestSpec) {
-        let (id, deadline) = (spec.arrival.request, now + spec.arrival.time_left);
+        let id = spec.arrival.request;
+        let deadline = now + spec.arrival.time_left;
         if self.requests.contains_key(&id) {
             return;
         }
-        let (effect, permit) = (spec.idempotency, spec.requires_intent);
-        let (sent, permits) = (BTreeMap::new(), BTreeMap::new());
-        self.requests.insert(id, Watched { effect, deadline, permit, open: true, sent, permits });
+        let request = Watched {
+            effect: spec.idempotency,
+            deadline,
+            permit: spec.requires_intent,
+            open: true,
+            sent: BTreeMap::new(),
+            permits: BTreeMap::new(),
+        };
+        self.requests.insert(id, request);
         self.deadlines.insert((deadline, id));
     }
 
@@ -275,15 +276,28 @@
         }
     }
 
-    fn on_intent_persisted(&mut self, id: RequestId, attempt: AttemptNumber, given: bool) {
+    fn on_intent_persisted(&mut self, id: RequestId, attempt: AttemptNumber, persisted: bool) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         match r.permits.get_mut(&attempt) {
-            Some(permit) if given => *permit = Permit::Given,
+            Some(permit) if persisted => *permit = Permit::Given,
             Some(_) => drop(r.permits.remove(&attempt)),
             None => {} // it was withdrawn before the store's result came
         }
     }
 
+    fn on_connected(&mut self, connection: ConnectionId) {
+        if let Some(line) = self.lines.get_mut(&connection) {
+            line.step = LineStep::Up(None);
+        }
+    }
+
+    fn on_request_written(&mut self, connection: ConnectionId) {
+        let line = self.lines.get_mut(&connection);
+        if let Some(Line { step: LineStep::Busy { written, .. }, .. }) = line {
+            *written = true;
+        }
+    }
+
     fn on_sent(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         let Some(line) = self.lines.get_mut(&connection) else { return };
         line.step = LineStep::Busy { request, attempt, written: false, closing: false };
