--- a/crates/record/src/pending_writes.rs
+++ b/crates/record/src/pending_writes.rs
@@ -2,8 +2,9 @@
 
 use crate::config::Bounds;
 use crate::event::{Action, ReplyId, Ticket};
+use crate::request::AttemptId;
 use crate::row::{KeyId, Write};
-use shaletide_types::{AttemptNumber, Micros, RequestId, Time};
+use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// What a row takes besides its strings, roughly, in bytes.
@@ -17,7 +18,7 @@
     /// Nothing.
     Nothing,
     /// The attempt may be sent.
-    IntentPersisted(RequestId, AttemptNumber),
+    IntentPersisted(AttemptId),
     /// The key is free.
     KeyFree(KeyId),
     /// The key was served.
@@ -43,13 +44,6 @@
     resend: Option<Box<Write>>,
 }
 
-/// The write of an intent that failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct FailedIntent {
-    pub request: RequestId,
-    pub attempt: AttemptNumber,
-}
-
 /// Everything that was to be written and is not known to be durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingWrites {
@@ -96,11 +90,11 @@
     }
 
     /// The write failed: it waits for the store to come back. An intent does not; its attempt is returned.
-    pub fn fail(&mut self, ticket: Ticket) -> Option<FailedIntent> {
+    pub fn fail(&mut self, ticket: Ticket) -> Option<AttemptId> {
         let pending = self.writes.get_mut(&ticket)?;
-        if let OnCommit::IntentPersisted(request, attempt) = pending.on_commit {
+        if let OnCommit::IntentPersisted(attempt) = pending.on_commit {
             self.writes.remove(&ticket);
-            return Some(FailedIntent { request, attempt });
+            return Some(attempt);
         }
         pending.sent_at = None;
         None
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -1,133 +1,124 @@
-//! Requests that need permits, from their first attempt to their end.
+//! Requests that need intents, from their first attempt to their end.
 
 use super::Recorder;
 use crate::event::{Action, KeyDecision, RequestEnding};
 use crate::fact::{About, Fact, Seen};
 use crate::pending_writes::OnCommit;
-use crate::request::{AttemptState, IntentRequest, RequestState, UnsettledKey};
+use crate::request::{AttemptId, AttemptState, IntentRequest, KeyFate};
 use crate::row::{Claim, KeyState};
 use shaletide_types::{AttemptNumber, Outcome, RequestId, Time};
 
 impl Recorder {
     pub(super) fn intent_requested(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen,
-        actions: &mut Vec<Action>,
+        &mut self, now: Time, id: AttemptId, seen: Seen, actions: &mut Vec<Action>,
     ) {
-        if !self.may_request_intent(now, request, attempt) {
-            return actions.push(Action::IntentPersisted { request, attempt, persisted: false });
+        if !self.may_request_intent(now, id) {
+            return answer_intent(id, false, actions);
         }
         if self.cannot_take_intent(now) {
-            return self.deny_attempt(request, attempt, KeyDecision::Reject(self.retry_after(now)), actions);
+            return self.deny_attempt(id, KeyDecision::Reject(self.retry_after(now)), actions);
         }
-        let until_at_most = now + self.config.intent_timeout;
-        let Some(tracked) = self.requests.get_mut(&request) else { return };
-        let until = tracked.deadline.min(until_at_most);
-        let (claim, key) = (tracked.claim_of_intent(), tracked.key.clone());
-        tracked.attempts.insert(attempt, AttemptState::AwaitingIntent(until));
-        self.intent_deadlines.insert((until, request, attempt));
-        let about = About { request: Some(request.0), key, backend: Some(seen.backend.clone()) };
-        let fact = Fact::Intent { attempt: attempt.0, seen };
-        self.write(now, fact, about, claim, OnCommit::IntentPersisted(request, attempt), actions);
-    }
-
-    /// It may be asked for at all: the request goes on, and its key is its own or not even asked for. Behind an
-    /// intent that may yet be refused nothing can be said of the key.
-    fn may_request_intent(&self, now: Time, request: RequestId, attempt: AttemptNumber) -> bool {
-        self.requests.get(&request).is_some_and(|r| {
-            !r.ended
-                && r.rejected_with.is_none()
-                && now < r.deadline
-                && !r.attempts.contains_key(&attempt)
-                && (r.key_claimed || !r.awaits_intent())
+        let latest = now + self.config.intent_timeout;
+        let Some(request) = self.requests.get_mut(&id.request) else { return };
+        let deadline = request.deadline.min(latest);
+        let claim = request.claim_of_intent();
+        let key = request.key.clone();
+        request.attempts.insert(id.attempt, AttemptState::AwaitingIntent(deadline));
+        self.intent_deadlines.insert((deadline, id));
+        let about = About { request: Some(id.request.0), key, backend: Some(seen.backend.clone()) };
+        let fact = Fact::Intent { attempt: id.attempt.0, seen };
+        self.write(now, fact, about, claim, OnCommit::IntentPersisted(id), actions);
+    }
+
+    /// The request goes on, and its key is its own or not even claimed. Behind an intent that the store may yet reject
+    /// nothing can be said of the key.
+    fn may_request_intent(&self, now: Time, id: AttemptId) -> bool {
+        self.requests.get(&id.request).is_some_and(|request| {
+            !request.ended
+                && request.rejected_with.is_none()
+                && now < request.deadline
+                && !request.attempts.contains_key(&id.attempt)
+                && (request.key_claimed || !request.awaits_intent())
         })
     }
 
-    /// The store does not write, or too many wait for it already.
+    /// The store does not write, or too many attempts wait for it already.
     fn cannot_take_intent(&self, now: Time) -> bool {
         self.pending_writes.is_store_down()
             || self.pending_writes.is_stalled(now, self.config.intent_timeout)
             || self.intent_deadlines.len() >= self.config.bounds.waiting
     }
 
-    /// An attempt is not sent. Where nothing of its request may have run, that ends it at once.
-    pub(super) fn deny_attempt(
-        &mut self, request: RequestId, attempt: AttemptNumber, verdict: KeyDecision,
-        actions: &mut Vec<Action>,
-    ) {
-        // The verdict first: the end of its only attempt would have the engine answer without it.
-        self.reject_request(request, verdict, actions);
-        actions.push(Action::IntentPersisted { request, attempt, persisted: false });
+    /// An attempt is not sent. Where no attempt of its request may have been executed, that ends the request at once.
+    pub(super) fn deny_attempt(&mut self, id: AttemptId, decision: KeyDecision, actions: &mut Vec<Action>) {
+        // The decision first: the end of its only attempt would have the engine answer without it.
+        self.reject_request(id.request, decision, actions);
+        answer_intent(id, false, actions);
     }
 
-    /// No attempt of a request goes any more, if nothing of it may have run.
+    /// No further attempt of a request is sent, if none may have been executed.
     pub(super) fn reject_request(
-        &mut self, request: RequestId, verdict: KeyDecision, actions: &mut Vec<Action>,
+        &mut self, request: RequestId, decision: KeyDecision, actions: &mut Vec<Action>,
     ) {
-        let Some(tracked) = self.requests.get_mut(&request) else { return };
-        if !tracked.ended && tracked.rejected_with.is_none() && !tracked.may_have_run() {
-            tracked.rejected_with = Some(verdict);
-            actions.push(Action::EndRequest { request, verdict });
+        let Some(open) = self.requests.get_mut(&request) else { return };
+        if !open.ended && open.rejected_with.is_none() && !open.may_have_executed() {
+            open.rejected_with = Some(decision);
+            actions.push(Action::EndRequest { request, verdict: decision });
         }
     }
 
     /// Attempts whose intents took too long are not sent.
     pub(super) fn expire_intent_waits(&mut self, now: Time, actions: &mut Vec<Action>) {
-        while let Some(&(until, request, attempt)) = self.intent_deadlines.first().filter(|w| w.0 <= now) {
-            self.intent_deadlines.remove(&(until, request, attempt));
-            self.set_attempt_state(request, attempt, AttemptState::IntentTooLate);
-            self.deny_attempt(request, attempt, KeyDecision::Reject(self.retry_after(now)), actions);
+        while let Some(&(deadline, id)) = self.intent_deadlines.first().filter(|(at, _)| *at <= now) {
+            self.intent_deadlines.remove(&(deadline, id));
+            self.set_attempt_state(id, AttemptState::IntentTooLate);
+            self.deny_attempt(id, KeyDecision::Reject(self.retry_after(now)), actions);
         }
     }
 
-    pub(super) fn set_attempt_state(
-        &mut self, request: RequestId, attempt: AttemptNumber, state: AttemptState,
-    ) {
-        if let Some(tracked) = self.requests.get_mut(&request) {
-            tracked.attempts.insert(attempt, state);
+    pub(super) fn set_attempt_state(&mut self, id: AttemptId, state: AttemptState) {
+        if let Some(request) = self.requests.get_mut(&id.request) {
+            request.attempts.insert(id.attempt, state);
         }
     }
 
-    pub(super) fn attempt_state(&self, request: RequestId, attempt: AttemptNumber) -> Option<AttemptState> {
-        self.requests.get(&request)?.attempts.get(&attempt).copied()
+    pub(super) fn attempt_state(&self, id: AttemptId) -> Option<AttemptState> {
+        self.requests.get(&id.request)?.attempts.get(&id.attempt).copied()
     }
 
-    pub(super) fn intent_withdrawn(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>,
-    ) {
-        match self.attempt_state(request, attempt) {
-            // Whether its intent takes the key is not known: what frees it waits for that, or it would free
-            // what another holds.
-            Some(AttemptState::AwaitingIntent(until)) => {
-                self.intent_deadlines.remove(&(until, request, attempt));
-                self.set_attempt_state(request, attempt, AttemptState::IntentTooLate);
+    pub(super) fn intent_withdrawn(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
+        match self.attempt_state(id) {
+            // Whether its intent takes the key is not known: what frees it waits for that, or it would free what
+            // another request has.
+            Some(AttemptState::AwaitingIntent(deadline)) => {
+                self.intent_deadlines.remove(&(deadline, id));
+                self.set_attempt_state(id, AttemptState::IntentTooLate);
             }
-            Some(AttemptState::IntentPersisted) => self.not_executed(now, request, attempt, actions),
+            Some(AttemptState::IntentPersisted) => self.record_withdrawn(now, id, actions),
             _ => {}
         }
     }
 
     /// Its intent is on record, or may be, and it was not sent.
-    pub(super) fn not_executed(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>,
-    ) {
-        self.set_attempt_state(request, attempt, AttemptState::NotExecuted);
-        self.record_end(now, request, Fact::Withdrawn { attempt: attempt.0 }, actions);
+    pub(super) fn record_withdrawn(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
+        self.set_attempt_state(id, AttemptState::NotExecuted);
+        self.record_end(now, id.request, Fact::Withdrawn { attempt: id.attempt.0 }, actions);
     }
 
     pub(super) fn attempt_ended(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, outcome: Outcome,
-        actions: &mut Vec<Action>,
+        &mut self, now: Time, id: AttemptId, outcome: Outcome, actions: &mut Vec<Action>,
     ) {
         let may_have_run = !outcome.not_executed();
-        let fact = Fact::Outcome { attempt: attempt.0, outcome: outcome_word(outcome).into(), may_have_run };
-        match self.attempt_state(request, attempt) {
+        let fact =
+            Fact::Outcome { attempt: id.attempt.0, outcome: outcome_word(outcome).into(), may_have_run };
+        match self.attempt_state(id) {
             Some(AttemptState::IntentPersisted) => {
-                self.set_attempt_state(request, attempt, AttemptState::ended(outcome));
-                self.record_end(now, request, fact, actions);
+                self.set_attempt_state(id, AttemptState::ended(outcome));
+                self.record_end(now, id.request, fact, actions);
             }
-            Some(AttemptState::AwaitingIntent(_)) => self.intent_withdrawn(now, request, attempt, actions),
+            Some(AttemptState::AwaitingIntent(_)) => self.intent_withdrawn(now, id, actions),
             Some(_) => {}
-            None => self.recorded_attempt_ended(now, request, attempt, fact, actions),
+            None => self.recorded_attempt_ended(now, id, fact, actions),
         }
     }
 
@@ -135,116 +126,70 @@
         &mut self, now: Time, request: RequestId, ending: RequestEnding, actions: &mut Vec<Action>,
     ) {
         let attempt = match ending {
-            RequestEnding::Served(no) => Some(no.0),
+            RequestEnding::Served(number) => Some(number.0),
             _ => None,
         };
         let fact = Fact::Answer { ending: ending_word(ending).into(), attempt };
-        let Some(tracked) = self.requests.get_mut(&request).filter(|r| !r.ended) else {
+        let Some(open) = self.requests.get_mut(&request).filter(|request| !request.ended) else {
             return self.recorded_request_ended(now, request, fact, actions);
         };
-        tracked.ended = true;
-        let waiting: Vec<AttemptNumber> = tracked
-            .attempts
-            .iter()
-            .filter(|(_, t)| matches!(t, AttemptState::AwaitingIntent(_)))
-            .map(|(no, _)| *no)
-            .collect();
-        waiting.into_iter().for_each(|no| self.intent_withdrawn(now, request, no, actions));
+        open.ended = true;
+        let awaits_intent = |state: &AttemptState| matches!(state, AttemptState::AwaitingIntent(_));
+        let waiting = open.attempts.iter().filter(|(_, state)| awaits_intent(state));
+        let waiting: Vec<AttemptNumber> = waiting.map(|(number, _)| *number).collect();
+        for attempt in waiting {
+            self.intent_withdrawn(now, AttemptId { request, attempt }, actions);
+        }
         self.record_end(now, request, fact, actions);
     }
 
-    /// A fact about the end of an attempt or a request, with what that makes of the key.
+    /// Records the end of an attempt or a request, with what that makes of the key.
     fn record_end(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
-        let Some(tracked) = self.requests.get_mut(&request) else { return };
-        let claim = tracked.claim();
-        let about = About { request: Some(request.0), key: tracked.key.clone(), backend: None };
+        let Some(ended) = self.requests.get_mut(&request) else { return };
+        let claim = ended.claim();
+        let about = About { request: Some(request.0), key: ended.key.clone(), backend: None };
         let on_commit = match &claim {
             Claim::FreeOwn(key) => OnCommit::KeyFree(key.clone()),
             Claim::Set(key, KeyState::Served) => OnCommit::KeyServed(key.clone()),
             _ => OnCommit::Nothing,
         };
-        let live = settled_key(tracked);
-        if let (Some(key), Some(live)) = (tracked.key.clone().filter(|_| tracked.owns_key), live) {
-            tracked.owns_key = false;
-            match live {
-                Some(live) => drop(self.unsettled_keys.insert(key, live)),
-                None => drop(self.unsettled_keys.remove(&key)),
-            }
-        }
+        self.release_key(request);
         self.write(now, fact, about, claim, on_commit, actions);
-        self.forget(request);
+        self.forget_if_done(request);
     }
 
-    /// Nothing is kept of a request of which nothing more is to be heard.
-    pub(super) fn forget(&mut self, request: RequestId) {
-        if self.requests.get(&request).is_some_and(IntentRequest::is_done) {
-            self.requests.remove(&request);
-        }
-    }
-
-    /// An attempt of a request that is only recorded goes out.
-    pub(super) fn recorded_attempt_started(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, seen: Seen,
-        actions: &mut Vec<Action>,
-    ) {
-        if let Some(recorded) = self.recorded.get_mut(&request) {
-            recorded.out.insert(attempt);
-        }
-        self.write_recorded(now, request, Fact::Intent { attempt: attempt.0, seen }, actions);
-    }
-
-    /// One of them is over; it may be that its request was before.
-    fn recorded_attempt_ended(
-        &mut self, now: Time, request: RequestId, attempt: AttemptNumber, fact: Fact,
-        actions: &mut Vec<Action>,
-    ) {
-        self.write_recorded(now, request, fact, actions);
-        if let Some(recorded) = self.recorded.get_mut(&request) {
-            recorded.out.remove(&attempt);
-        }
-        self.forget_recorded(request);
-    }
-
-    fn recorded_request_ended(
-        &mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>,
-    ) {
-        self.write_recorded(now, request, fact, actions);
-        if let Some(recorded) = self.recorded.get_mut(&request) {
-            recorded.ended = true;
+    /// Keeps or frees the key of a request that no longer decides what becomes of it.
+    fn release_key(&mut self, request: RequestId) {
+        let Some(request) = self.requests.get_mut(&request).filter(|request| request.owns_key) else {
+            return;
+        };
+        let Some(key) = request.key.clone() else { return };
+        match request.key_fate() {
+            KeyFate::Open => return,
+            KeyFate::Kept(unsettled) => {
+                self.unsettled_keys.insert(key, unsettled);
+            }
+            KeyFate::Free => {
+                self.unsettled_keys.remove(&key);
+            }
         }
-        self.forget_recorded(request);
+        request.owns_key = false;
     }
 
-    fn forget_recorded(&mut self, request: RequestId) {
-        if self.recorded.get(&request).is_some_and(|f| f.ended && f.out.is_empty()) {
-            self.recorded.remove(&request);
+    /// Nothing is kept of a request of which nothing more is to come.
+    pub(super) fn forget_if_done(&mut self, request: RequestId) {
+        if self.requests.get(&request).is_some_and(IntentRequest::is_done) {
+            self.requests.remove(&request);
         }
     }
-
-    /// A fact about a request that is only recorded.
-    fn write_recorded(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
-        let Some(recorded) = self.recorded.get(&request) else { return };
-        let key = recorded.key.clone();
-        let backend = match &fact {
-            Fact::Intent { seen, .. } => Some(seen.backend.clone()),
-            _ => None,
-        };
-        self.write_droppable(now, fact, About { request: Some(request.0), key, backend }, actions);
-    }
 }
 
-/// Where its key is no longer up to the request, how it stands from now on; as none it is free.
-fn settled_key(tracked: &IntentRequest) -> Option<Option<UnsettledKey>> {
-    match tracked.state() {
-        RequestState::Pending | RequestState::InFlight => None,
-        RequestState::InDoubt if !tracked.is_done() => None,
-        RequestState::InDoubt => Some(Some(UnsettledKey::InDoubt { resolving: false })),
-        RequestState::Served => Some(Some(UnsettledKey::Served)),
-        RequestState::NotExecuted if tracked.key_claimed => Some(Some(UnsettledKey::Freeing)),
-        RequestState::NotExecuted => Some(None),
-    }
+/// Tells the engine whether an attempt may be sent.
+pub(super) fn answer_intent(id: AttemptId, persisted: bool, actions: &mut Vec<Action>) {
+    actions.push(Action::IntentPersisted { request: id.request, attempt: id.attempt, persisted });
 }
 
+/// The word for an outcome in the facts on disk.
 fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
@@ -258,6 +203,7 @@
     }
 }
 
+/// The word for a request's ending in the facts on disk.
 fn ending_word(ending: RequestEnding) -> &'static str {
     match ending {
         RequestEnding::Served(_) => "served",
--- a/crates/record/src/recorder/decide.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -1,7 +1,7 @@
-//! What fronts and operators ask.
+//! What fronts and operators ask: may a request of this key be sent, and was the attempt in doubt executed.
 
 use super::Recorder;
-use crate::config::WithoutKey;
+use crate::config::{ClassRule, WithoutKey};
 use crate::event::{Action, KeyConflict, KeyDecision, KeyRequest, ReplyId, ResolveResult};
 use crate::fact::{About, Fact};
 use crate::pending_writes::OnCommit;
@@ -11,50 +11,57 @@
 use std::collections::BTreeMap;
 
 /// The longest name of a tenant, in bytes: as long as operators' commands take.
-const TENANT: usize = 256;
+const MAX_TENANT: usize = 256;
 
 impl Recorder {
-    /// Anything of that class goes on record.
+    /// Requests of that class go on record.
     pub fn records(&self, class: &str) -> bool {
         self.config.classes.contains_key(class)
     }
 
-    /// Says what a front does with a request, before the engine hears of it.
+    /// Decides what a front does with a request, before the engine hears of it.
     pub fn ask(&mut self, now: Time, asked: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
         self.expire_intent_waits(now, actions);
-        self.expire(now, actions);
+        self.expire_served(now, actions);
         let Some(rule) = self.config.classes.get(asked.class).copied() else {
             return KeyDecision::Proceed { requires_intent: false };
         };
-        let key = asked.key.filter(|k| !k.is_empty());
-        // Each row holds it, and operators have to be able to say it.
-        if asked.tenant.len() > TENANT {
+        // Each row has it, and operators have to be able to give it.
+        if asked.tenant.len() > MAX_TENANT {
             return KeyDecision::KeyTooLong;
         }
+        let key = asked.key.filter(|key| !key.is_empty());
         if !rule.requires_intent {
-            self.ask_recorded(now, &asked, key, actions);
+            self.accept_recorded(now, &asked, key, actions);
             return KeyDecision::Proceed { requires_intent: false };
         }
-        if key.is_some_and(|k| k.len() > self.config.bounds.key) {
+        self.ask_with_intent(now, &asked, rule, key, actions)
+    }
+
+    fn ask_with_intent(
+        &mut self, now: Time, asked: &KeyRequest, rule: ClassRule, key: Option<&[u8]>,
+        actions: &mut Vec<Action>,
+    ) -> KeyDecision {
+        if key.is_some_and(|key| key.len() > self.config.bounds.key) {
             return KeyDecision::KeyTooLong;
         }
         if key.is_none() && rule.without_key == WithoutKey::Refuse {
             return KeyDecision::KeyRequired;
         }
-        let key = key.map(|key| key_id(&asked, key));
-        if let Some(verdict) = key.as_ref().and_then(|key| self.key_decision(now, key)) {
-            self.record_conflict(now, &asked, key, verdict, actions);
-            return verdict;
+        let key = key.map(|key| key_id(asked, key));
+        if let Some(decision) = key.as_ref().and_then(|key| self.decision_against(now, key)) {
+            self.record_conflict(now, asked, key, decision, actions);
+            return decision;
         }
         if self.cannot_take_request(now) || self.requests.contains_key(&asked.request) {
             return KeyDecision::Reject(self.retry_after(now));
         }
-        self.accept(now, &asked, key, actions);
+        self.accept(now, asked, key, actions);
         KeyDecision::Proceed { requires_intent: true }
     }
 
-    /// Why a request of this key is not sent now.
-    fn key_decision(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
+    /// Why a request of this key is not sent now; none where it may be.
+    fn decision_against(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
         let conflict = match self.unsettled_keys.get(key) {
             Some(UnsettledKey::Requested(request)) => {
                 self.requests.get(request).and_then(IntentRequest::conflict)
@@ -65,12 +72,12 @@
             None if self.served.has(key) => Some(KeyConflict::Served),
             None => return None,
         };
-        // Nothing of it has run, but its fate is not known yet: harmless, a little later.
+        // Without a conflict no attempt was executed, but what becomes of the key is open: harmless, a little later.
         Some(conflict.map_or(KeyDecision::Reject(self.retry_after(now)), KeyDecision::Conflict))
     }
 
     /// Nothing new is taken: the store does not write, or a bound is reached.
-    pub(super) fn cannot_take_request(&self, now: Time) -> bool {
+    fn cannot_take_request(&self, now: Time) -> bool {
         let bounds = &self.config.bounds;
         self.pending_writes.is_store_down()
             || self.pending_writes.is_stalled(now, self.config.intent_timeout)
@@ -80,55 +87,53 @@
             || self.unsettled_keys.len() >= bounds.unsettled
     }
 
-    /// When it is worth coming again: not before the store is tried again.
+    /// When a client should come again: not before the store is tried again.
     pub(super) fn retry_after(&self, now: Time) -> Micros {
-        let again = self.pending_writes.store_retry_at().map_or(Micros(0), |at| at - now);
-        again.max(self.config.retry_after)
+        let until_store_retry = self.pending_writes.store_retry_at().map_or(Micros(0), |at| at - now);
+        until_store_retry.max(self.config.retry_after)
     }
 
     fn accept(&mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, actions: &mut Vec<Action>) {
         if let Some(key) = &key {
             self.unsettled_keys.insert(key.clone(), UnsettledKey::Requested(asked.request));
         }
-        let owns_key = key.is_some();
-        let (attempts, deadline) = (BTreeMap::new(), asked.deadline);
+        let is_keyed = key.is_some();
         let about = About { request: Some(asked.request.0), key: key.clone(), backend: None };
-        let tracked = IntentRequest {
+        let request = IntentRequest {
             key,
-            deadline,
-            attempts,
+            deadline: asked.deadline,
+            attempts: BTreeMap::new(),
             ended: false,
             rejected_with: None,
             key_claimed: false,
-            owns_key,
+            owns_key: is_keyed,
         };
-        self.requests.insert(asked.request, tracked);
-        self.write(now, fact(now, asked, owns_key), about, Claim::None, OnCommit::Nothing, actions);
+        self.requests.insert(asked.request, request);
+        let fact = asked_fact(now, asked, is_keyed);
+        self.write(now, fact, about, Claim::None, OnCommit::Nothing, actions);
     }
 
-    fn ask_recorded(&mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, actions: &mut Vec<Action>) {
-        let key = key.filter(|k| k.len() <= self.config.bounds.key).map(|key| key_id(asked, key));
+    fn accept_recorded(
+        &mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, actions: &mut Vec<Action>,
+    ) {
         if self.recorded.len() >= self.config.bounds.unsettled {
-            self.dropped += 1;
-            self.dropped_unrecorded += 1;
+            self.count_dropped();
             return;
         }
+        let key = key.filter(|key| key.len() <= self.config.bounds.key).map(|key| key_id(asked, key));
         let recorded = RecordedRequest { key: key.clone(), ..RecordedRequest::default() };
         self.recorded.insert(asked.request, recorded);
-        let fact = fact(now, asked, key.is_some());
-        self.write_droppable(
-            now,
-            fact,
-            About { request: Some(asked.request.0), key, backend: None },
-            actions,
-        );
+        let fact = asked_fact(now, asked, key.is_some());
+        let about = About { request: Some(asked.request.0), key, backend: None };
+        self.write_droppable(now, fact, about, actions);
     }
 
+    /// Records that a request was rejected unsent because of its key.
     fn record_conflict(
-        &mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, verdict: KeyDecision,
+        &mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, decision: KeyDecision,
         actions: &mut Vec<Action>,
     ) {
-        let KeyDecision::Conflict(conflict) = verdict else { return };
+        let KeyDecision::Conflict(conflict) = decision else { return };
         let why = match conflict {
             KeyConflict::InFlight => "in_flight",
             KeyConflict::Doubt => "doubt",
@@ -138,35 +143,42 @@
         self.write_droppable(now, Fact::Turned { why: why.into() }, about, actions);
     }
 
-    /// An operator ends a doubt. In memory it lasts until that is durable.
+    /// An operator says whether the attempt in doubt was executed. In memory the doubt lasts until that is durable.
     pub(super) fn resolve(
         &mut self, now: Time, reply: ReplyId, key: KeyId, fact: Fact, ran: bool, actions: &mut Vec<Action>,
     ) {
-        let why_not = match self.unsettled_keys.get(&key) {
-            Some(UnsettledKey::InDoubt { resolving: false }) if self.pending_writes.is_store_down() => {
-                ResolveResult::StoreDown
-            }
+        if let Some(result) = self.cannot_resolve(&key) {
+            actions.push(Action::Reply { reply, result });
+            return;
+        }
+        self.unsettled_keys.insert(key.clone(), UnsettledKey::InDoubt { resolving: true });
+        let claim = match ran {
+            true => Claim::Set(key.clone(), KeyState::Served),
+            false => Claim::Free(key.clone()),
+        };
+        let about = About { key: Some(key.clone()), ..About::default() };
+        self.write(now, fact, about, claim, OnCommit::Resolved { key, ran, reply }, actions);
+    }
+
+    /// Why a key cannot be resolved now; none where it can.
+    fn cannot_resolve(&self, key: &KeyId) -> Option<ResolveResult> {
+        match self.unsettled_keys.get(key) {
             Some(UnsettledKey::InDoubt { resolving: false }) => {
-                self.unsettled_keys.insert(key.clone(), UnsettledKey::InDoubt { resolving: true });
-                let claim = match ran {
-                    true => Claim::Set(key.clone(), KeyState::Served),
-                    false => Claim::Free(key.clone()),
-                };
-                let about = About { key: Some(key.clone()), ..About::default() };
-                return self.write(now, fact, about, claim, OnCommit::Resolved { key, ran, reply }, actions);
+                self.pending_writes.is_store_down().then_some(ResolveResult::StoreDown)
+            }
+            Some(UnsettledKey::InDoubt { resolving: true } | UnsettledKey::Freeing) => {
+                Some(ResolveResult::NotYet)
             }
             Some(UnsettledKey::Requested(request)) => {
                 match self.requests.get(request).map(IntentRequest::state) {
-                    Some(RequestState::Served) => ResolveResult::Served,
-                    _ => ResolveResult::InFlight,
+                    Some(RequestState::Served) => Some(ResolveResult::Served),
+                    _ => Some(ResolveResult::InFlight),
                 }
             }
-            Some(UnsettledKey::Served) => ResolveResult::Served,
-            Some(UnsettledKey::InDoubt { .. } | UnsettledKey::Freeing) => ResolveResult::NotYet,
-            None if self.served.has(&key) => ResolveResult::Served,
-            None => ResolveResult::Unknown,
-        };
-        actions.push(Action::Reply { reply, result: why_not });
+            Some(UnsettledKey::Served) => Some(ResolveResult::Served),
+            None if self.served.has(key) => Some(ResolveResult::Served),
+            None => Some(ResolveResult::Unknown),
+        }
     }
 }
 
@@ -174,7 +186,11 @@
     KeyId { tenant: asked.tenant.into(), class: asked.class.into(), key: key.into() }
 }
 
-fn fact(now: Time, asked: &KeyRequest, keyed: bool) -> Fact {
-    let (tenant, class) = (asked.tenant.into(), asked.class.into());
-    Fact::Asked { tenant, class, keyed, time_left: (asked.deadline - now).0 }
+fn asked_fact(now: Time, asked: &KeyRequest, keyed: bool) -> Fact {
+    Fact::Asked {
+        tenant: asked.tenant.into(),
+        class: asked.class.into(),
+        keyed,
+        time_left: (asked.deadline - now).0,
+    }
 }
--- a/crates/record/src/served_keys.rs
+++ b/crates/record/src/served_keys.rs
@@ -1,8 +1,8 @@
-//! Served keys, by the million.
+//! Keys that were served, up to millions of them.
 //!
 //! Of each only a fingerprint of 128 bits is kept: SHA-256 over a secret and the key. Two keys that share one would
-//! make the recorder call a key served that was not, and it would be rejected unsent: the mistake that costs an
-//! operator a look, and never a second run. With a million keys it befalls one new key in 10^32. Whatever is not
+//! make the recorder call a key served that was not, and it would be rejected unsent: that costs an operator a
+//! look, and never a second execution. With a million keys it happens to one new key in 10^32. Whatever is not
 //! settled is kept as it is, elsewhere: what frees a key never goes by a fingerprint.
 
 use crate::chain::put;
@@ -11,7 +11,7 @@
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Stretches into which the time that keys are kept is cut: the store is told of the end of one, not of each key.
+/// Slices into which the time that keys are kept is divided: the store is told of the end of one, not of each key.
 const SLICES: u64 = 256;
 
 type Fingerprint = [u8; 16];
@@ -54,11 +54,12 @@
     /// gains by it, as the store knows rows and no time.
     pub fn add(&mut self, key: &KeyId, seq: u64, until: Time, keep: Micros, most: usize) {
         let fingerprint = self.fingerprint(key);
-        let until = self.slices.back().map_or(until, |s| s.until.max(until));
-        let fits = |s: &&mut ExpirySlice| until - s.from <= Micros(keep.0 / SLICES);
+        let until = self.slices.back().map_or(until, |slice| slice.until.max(until));
+        let fits = |slice: &&mut ExpirySlice| until - slice.from <= Micros(keep.0 / SLICES);
         match self.slices.back_mut().filter(fits) {
             Some(slice) => {
-                (slice.until, slice.through) = (until, slice.through.max(seq));
+                slice.until = until;
+                slice.through = slice.through.max(seq);
                 slice.fingerprints.push_back(fingerprint);
             }
             None => {
@@ -71,14 +72,14 @@
     }
 
     /// When the next keys are free again.
-    pub fn due(&self) -> Option<Time> {
-        self.slices.front().map(|s| s.until)
+    pub fn next_expiry(&self) -> Option<Time> {
+        self.slices.front().map(|slice| slice.until)
     }
 
     /// Frees the keys whose time is up; the highest row among theirs.
     pub fn expire(&mut self, now: Time) -> Option<u64> {
         let mut through = None;
-        while self.slices.front().is_some_and(|s| s.until <= now) {
+        while self.slices.front().is_some_and(|slice| slice.until <= now) {
             let Some(slice) = self.slices.pop_front() else { break };
             for fingerprint in &slice.fingerprints {
                 self.fingerprints.remove(fingerprint);
@@ -91,7 +92,7 @@
     /// The oldest are left to the store; their slices stay, as it is told when their time is up.
     fn forget_beyond(&mut self, most: usize) {
         while self.fingerprints.len() > most {
-            let oldest = self.slices.iter_mut().find_map(|s| s.fingerprints.pop_front());
+            let oldest = self.slices.iter_mut().find_map(|slice| slice.fingerprints.pop_front());
             let Some(fingerprint) = oldest else { return };
             self.fingerprints.remove(&fingerprint);
         }
