--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -3,7 +3,7 @@
 use shaletide_types::Micros;
 use std::collections::BTreeMap;
 
-/// What is recorded, how long keys are kept, how long a permit may take, and the bounds.
+/// What is recorded, how long keys are kept, how long an attempt waits for its intent, and the bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordConfig {
     /// How long a served key is remembered, counted from the commit of its end. Keys in flight or in doubt are
@@ -11,16 +11,16 @@
     pub keep: Micros,
     /// How long an attempt waits for its intent to be durable; well inside the deadlines of its class.
     pub intent_timeout: Micros,
-    /// What a client is advised where nothing better is known.
+    /// The `Retry-After` of a rejected request, where nothing better is known.
     pub retry_after: Micros,
-    /// Classes by name. One that is not named is neither recorded nor held up.
+    /// Classes by name. One that is not named is neither recorded nor delayed.
     pub classes: BTreeMap<String, ClassRule>,
     /// What may be kept in memory.
     pub bounds: Bounds,
 }
 
 impl RecordConfig {
-    /// No request of that class may go out before its intent is durable.
+    /// No attempt of that class may be sent before its intent is durable.
     pub fn requires_intent(&self, class: &str) -> bool {
         self.classes.get(class).is_some_and(|rule| rule.requires_intent)
     }
@@ -29,36 +29,36 @@
 /// What is done with the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassRule {
-    /// No byte goes out before its intent is durable, and its keys are unique. Such a class is recorded in any
-    /// case; another goes on record as far as the queue has room.
+    /// No byte is sent before its intent is durable, and its keys are unique. Such a class is recorded in any
+    /// case; another as far as the queue has room.
     pub requires_intent: bool,
-    /// What becomes of a request without a key, where a permit is needed.
+    /// What becomes of a request without a key, where an intent is needed.
     pub without_key: WithoutKey,
 }
 
 /// What becomes of a request without a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
-    /// It is refused: the client is to send one.
+    /// It is rejected: the client is to send one.
     Refuse,
-    /// It goes, and is recorded as one without a key: nothing can say of a second one that it is the same.
+    /// It is sent, and recorded as one without a key: of a second one nothing tells that it is the same.
     Record,
 }
 
-/// What may be kept in memory. A bound that is reached refuses (503), except that of served keys: the oldest are
-/// then left to the store, whose constraint refuses them as well.
+/// What may be kept in memory. A bound that is reached rejects requests (503), except that of served keys: the oldest are
+/// then left to the store, whose constraint rejects them as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Requests that wait for their intent to be durable.
     pub waiting: usize,
-    /// Requests under way in classes that need a permit, and as many keys that are not settled (asked for, in
-    /// flight, in doubt, being freed).
+    /// Open requests in classes that need an intent, and as many keys that are not settled (requested, in flight, in
+    /// doubt, being freed).
     pub unsettled: usize,
     /// Served keys, 16 bytes each and what an ordered set of them costs.
     pub served: usize,
     /// Bytes in a key.
     pub key: usize,
-    /// Facts that nobody waits for and that are not durable yet.
+    /// Facts that may be dropped and are not durable yet.
     pub spare_facts: usize,
     /// Their bytes.
     pub spare_bytes: usize,
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplyId(pub u64);
 
-/// A request as a front has read it, before the engine hears of it.
+/// A request as a front has read it, before it goes to the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyRequest<'a> {
     /// Which.
@@ -30,9 +30,9 @@
 /// Why a key is not sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyConflict {
-    /// An attempt of it is out.
+    /// An attempt of it is in flight.
     InFlight,
-    /// An attempt of it may have run.
+    /// An attempt of it may have been executed.
     Doubt,
     /// It was served.
     Served,
@@ -48,17 +48,17 @@
     }
 }
 
-/// What a front does with a request.
+/// What a front does with a request, and the status of the response if it does not go to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyDecision {
-    /// It goes to the engine; with this for `permit` in its order.
+    /// It goes to the engine; with this for `requires_intent` in its specification.
     Proceed {
-        /// Its attempts want a permit, and the recorder is told how each of them and the request itself end.
+        /// Its attempts wait for their intents, and the recorder is told how each of them and the request itself end.
         requires_intent: bool,
     },
     /// 503: nothing was sent, and it may come again after this time.
     Reject(Micros),
-    /// 409: it is not sent, now or by another try.
+    /// 409: it is not sent, now or by a retry.
     Conflict(KeyConflict),
     /// 400: its class wants a key.
     KeyRequired,
@@ -71,17 +71,17 @@
 pub enum RequestEnding {
     /// By the answer to this attempt.
     Served(AttemptNumber),
-    /// Refused: a retry is harmless.
+    /// Rejected: a retry is harmless.
     Rejected,
     /// Failed: nothing is promised.
     Failed,
     /// Its time was up.
     TimedOut,
-    /// Its client left; it was answered nothing.
+    /// Its client disconnected; it got no response.
     ClientDisconnected,
 }
 
-/// What ails a store.
+/// Why a store takes no writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StoreFailure {
     /// It does not answer in time.
@@ -102,15 +102,16 @@
 
 /// What happened.
 ///
-/// What the shell owes: each [`KeyDecision::Proceed`] ends in one [`Event::Over`]; each permit that was given in one
-/// [`Event::Withdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each [`Action::Write`] ends in one [`Event::Committed`], [`Event::Refused`] or
-/// [`Event::WriteFailed`], in the order of tickets; once one has failed, all that were sent behind it fail too,
-/// and all of that is told before an [`Event::StoreUp`], which follows each failure. A write that failed may be on
-/// record all the same; it comes once more on_commit, and its fact stands there twice.
+/// What the shell owes: each [`KeyDecision::Proceed`] ends in one [`Event::RequestEnded`]; each attempt whose intent was
+/// persisted in one [`Event::IntentWithdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each
+/// [`Action::Write`] ends in one [`Event::Committed`], [`Event::ClaimRejected`] or [`Event::WriteFailed`], in the order of
+/// tickets; once one has failed, all that were sent behind it fail too, and all of that is told before an
+/// [`Event::StoreUp`], which follows each failure. A write that failed may be on record all the same; it comes once more
+/// then, and its fact is on record twice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The engine asks whether an attempt may be sent; answered by one [`Action::Permit`] within the time that a
-    /// permit may take, unless it is withdrawn before.
+    /// The engine asks whether an attempt may be sent; answered by one [`Action::IntentPersisted`] within
+    /// [`RecordConfig::intent_timeout`](crate::RecordConfig::intent_timeout), unless it is withdrawn before.
     IntentRequested {
         /// The request.
         request: RequestId,
@@ -119,7 +120,7 @@
         /// What was known of its backend.
         seen: Seen,
     },
-    /// An attempt of a recorded class that needs no permit goes out.
+    /// An attempt of a recorded class that needs no intent was sent.
     AttemptStarted {
         /// The request.
         request: RequestId,
@@ -128,7 +129,7 @@
         /// What was known of its backend.
         seen: Seen,
     },
-    /// An attempt for which a permit was asked was not sent and never will be.
+    /// An attempt whose intent was requested was not sent and never will be.
     IntentWithdrawn {
         /// The request.
         request: RequestId,
@@ -181,13 +182,13 @@
     },
     /// The store takes writes again.
     StoreUp,
-    /// An operator says whether the attempt in doubt ran.
+    /// An operator says whether the attempt in doubt was executed.
     Resolve {
         /// Who is told what came of it.
         reply: ReplyId,
         /// The key.
         key: KeyId,
-        /// It ran.
+        /// It was executed.
         ran: bool,
         /// The operator's name.
         by: String,
@@ -235,10 +236,10 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// It may.
+        /// It may: its intent is durable.
         persisted: bool,
     },
-    /// Nothing of this request has gone out and nothing will: end it at once with this answer.
+    /// No attempt of this request was sent and none will be: end it at once with this decision.
     EndRequest {
         /// The request.
         request: RequestId,
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -19,9 +19,9 @@
     pub list: u64,
     /// What the list said of it.
     pub state: String,
-    /// It was held to be ready.
+    /// It was taken to be ready.
     pub ready: bool,
-    /// Requests that this proxy had out to it.
+    /// Attempts that this proxy had in flight to it.
     pub out: u32,
 }
 
@@ -47,13 +47,13 @@
         /// Its digest.
         digest: String,
     },
-    /// News of a pool's list.
+    /// An update of a pool's list.
     List {
         /// The pool.
         pool: String,
         /// The list's version.
         version: u64,
-        /// What it brought, as its source gave it.
+        /// What it changed, as text.
         news: String,
     },
     /// A request was taken.
@@ -90,7 +90,7 @@
         attempt: u32,
         /// In a word.
         outcome: String,
-        /// It may have run.
+        /// It may have been executed.
         may_have_run: bool,
     },
     /// How a request ended.
@@ -109,7 +109,7 @@
     Resolved {
         /// Their name.
         by: String,
-        /// It ran.
+        /// It was executed.
         ran: bool,
         /// Why they think so.
         note: String,
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,5 +1,8 @@
-//! What the proxy knew and did, as facts that are added and never edited; and what of that decides: which keys are
-//! taken, which attempts may have run, which are in doubt. No database, no clock, no thread.
+//! What the proxy knew and did, as facts that are added and never edited; and the decisions that rest on them: which keys
+//! are taken, which attempts may have been executed, which are in doubt. No database, no clock, no thread.
+//!
+//! [`Recorder`] is the state machine, driven by `record-service`; [`Fact`] and [`Row`] are the form of what is stored;
+//! [`chain`] is the checksum chain over the rows.
 #![forbid(unsafe_code)]
 
 pub mod chain;
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -1,8 +1,8 @@
-//! What goes to a store and comes back: plain rows, of which the store knows no more than it has to keep and find.
+//! What goes to a store and comes back: plain rows, of which the store knows no more than it needs to keep and find them.
 
 use shaletide_types::Time;
 
-/// What makes a settlement one: whoever asks for it again, by whatever front, means the same.
+/// What identifies a keyed request: another with the same, by whatever front, is a repeat of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId {
     /// The tenant's name; empty where there is none.
@@ -13,12 +13,12 @@
     pub key: Vec<u8>,
 }
 
-/// How a key stands.
+/// The state of a key that is not free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyState {
     /// An attempt has its intent on record and no end yet.
     InFlight,
-    /// An attempt may have run, and nothing has said whether it did.
+    /// An attempt may have been executed, and nothing has said whether it was.
     Doubt,
     /// It was served.
     Served,
@@ -90,7 +90,7 @@
 pub struct StoredKey {
     /// The key.
     pub key: KeyId,
-    /// How it stands.
+    /// Its state.
     pub state: KeyState,
     /// Since when.
     pub since: Time,
--- a/crates/record/tests/bounds.rs
+++ b/crates/record/tests/bounds.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{Try, World};
+use common::{AttemptStage, World};
 use shaletide_record::*;
 use shaletide_types::*;
 
@@ -10,7 +10,7 @@
 const SECOND: KeyDecision = KeyDecision::Reject(Micros(1_000_000));
 
 #[test]
-fn keys_of_every_form() {
+fn key_of_any_form_is_accepted_within_the_length_bound() {
     let mut w = World::new();
     let long = vec![b'k'; 1_024];
     let longer = vec![b'k'; 10 * 1_024];
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn without_a_key_it_goes_by_choice_and_is_recorded_as_such() {
+fn request_without_a_key_is_sent_where_configured_and_recorded_without_one() {
     let mut w = World::new();
     for _ in 0..2 {
         let (id, verdict) = w.ask_as("odd", None);
@@ -46,7 +46,7 @@
 
 /// A store that is frozen holds nobody up who needs no permit, and costs no more than its bound.
 #[test]
-fn what_nobody_waits_for_is_dropped_and_counted_and_the_gap_is_told() {
+fn droppable_facts_beyond_the_bound_are_dropped_and_the_count_is_recorded() {
     let mut config = common::config();
     config.bounds.spare_facts = 10;
     let mut w = World::with(config);
@@ -66,7 +66,7 @@
 
 /// A copy that is called back ends behind the answer: that it may have run is on record too, and then nothing is kept.
 #[test]
-fn what_ends_behind_the_answer_is_on_record_too() {
+fn attempt_that_ends_after_its_request_is_recorded() {
     let mut w = World::new();
     let (request, _) = w.ask_as("bid", Some(b"k"));
     for attempt in [0, 1].map(AttemptNumber) {
@@ -81,14 +81,14 @@
 }
 
 #[test]
-fn each_bound_refuses() {
+fn request_beyond_any_bound_is_rejected() {
     let mut config = common::config();
     (config.bounds.waiting, config.bounds.unsettled) = (2, 4);
     let mut w = World::with(config);
     let ids = ["a", "b", "c", "d"].map(|k| w.go(k));
     assert_eq!(w.ask("e").1, SECOND, "as many keys as may be");
     ids.iter().for_each(|id| w.want(*id, 0));
-    assert_eq!(w.step(ids[2], 0), Try::Denied, "as many permits as may be");
+    assert_eq!(w.step(ids[2], 0), AttemptStage::Denied, "as many permits as may be");
     w.commit_all();
-    assert_eq!(w.step(ids[0], 0), Try::Permitted);
+    assert_eq!(w.step(ids[0], 0), AttemptStage::Permitted);
 }
--- a/crates/record/tests/chain.rs
+++ b/crates/record/tests/chain.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn every_fact_comes_back_as_it_went() {
+fn fact_read_from_its_row_equals_the_fact_written() {
     let seen =
         Seen { backend: "b".into(), pool: "p".into(), list: 7, state: "SERVING".into(), ready: true, out: 3 };
     let facts = [
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_edit_a_gap_and_a_cut_end_show() {
+fn edited_missing_and_cut_rows_break_the_chain() {
     let (good, head) = rows(20);
     assert_eq!(verify(Chain::default(), good.clone(), Some(head)), Ok(head));
     let edits: [fn(&mut Row); 6] = [
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn behind_an_anchor_the_chain_goes_on_and_names_it() {
+fn chain_continues_after_an_anchor_and_names_it() {
     let (mut all, mut chain) = rows(10);
     let anchor = Chain { seq: 6, head: all[5].sum };
     let unsaid = verify(anchor, all[6..].to_vec(), None);
@@ -100,7 +100,7 @@
 
 /// The sum of a known row, so that no later version changes the form by accident.
 #[test]
-fn the_form_is_fixed() {
+fn canonical_form_of_a_row_never_changes() {
     let mut row = Fact::Withdrawn { attempt: 1 }.row(Time(2), About::default());
     Chain::default().add(&mut row);
     assert_eq!(canonical(&row).len(), 24 + 8 + 9 + 3 + 8 + row.body.len());
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -28,7 +28,7 @@
 
 /// How far the engine's stand-in is with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Try {
+pub enum AttemptStage {
     Asked(Time),
     Denied,
     Permitted,
@@ -37,9 +37,9 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct TrackedRequest {
     pub key: Option<KeyId>,
-    pub tries: BTreeMap<AttemptNumber, Try>,
+    pub attempts: BTreeMap<AttemptNumber, AttemptStage>,
     pub ended: Option<KeyDecision>,
     pub over: bool,
 }
@@ -50,9 +50,9 @@
     pub config: RecordConfig,
     pub recorder: Recorder,
     pub store: Store,
-    pub orders: BTreeMap<RequestId, Order>,
+    pub requests: BTreeMap<RequestId, TrackedRequest>,
     /// What has gone to a backend and may run yet; backends live through our restarts.
-    pub at_boxes: BTreeSet<(u64, RequestId, AttemptNumber, KeyId)>,
+    pub at_backends: BTreeSet<(u64, RequestId, AttemptNumber, KeyId)>,
     pub runs: BTreeMap<KeyId, u32>,
     pub replies: Vec<ResolveResult>,
     next: u64,
@@ -72,8 +72,8 @@
             config,
             recorder,
             store: Store::default(),
-            orders: BTreeMap::new(),
-            at_boxes: BTreeSet::new(),
+            requests: BTreeMap::new(),
+            at_backends: BTreeSet::new(),
             runs: BTreeMap::new(),
             replies: Vec::new(),
             next: 0,
@@ -84,14 +84,14 @@
         self.next += 1;
         let request = RequestId(self.next);
         let deadline = self.now + Micros(10_000_000);
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let asked = KeyRequest { request, tenant: "t", class, key, deadline };
-        let verdict = self.recorder.ask(self.now, asked, &mut out);
-        self.carry_out(out);
+        let verdict = self.recorder.ask(self.now, asked, &mut actions);
+        self.carry_out(actions);
         if verdict == (KeyDecision::Proceed { requires_intent: true }) {
             let key = key.map(|k| KeyId { tenant: "t".into(), class: class.into(), key: k.into() });
-            let tries = BTreeMap::new();
-            self.orders.insert(request, Order { key, tries, ended: None, over: false });
+            let attempts = BTreeMap::new();
+            self.requests.insert(request, TrackedRequest { key, attempts, ended: None, over: false });
         }
         (request, verdict)
     }
@@ -108,20 +108,20 @@
     }
 
     pub fn tell(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.recorder.handle(self.now, event, &mut out);
-        self.carry_out(out);
+        let mut actions = Vec::new();
+        self.recorder.handle(self.now, event, &mut actions);
+        self.carry_out(actions);
     }
 
-    fn carry_out(&mut self, out: Vec<Action>) {
-        for action in out {
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::Write { ticket, write } => self.store.queue.push_back((ticket, *write)),
                 Action::IntentPersisted { request, attempt, persisted: given } => {
                     self.permit(request, attempt, given)
                 }
                 Action::EndRequest { request, verdict } => {
-                    let order = self.orders.get_mut(&request).expect("it is under way");
+                    let order = self.requests.get_mut(&request).expect("it is under way");
                     assert!(order.ended.replace(verdict).is_none(), "ended once");
                 }
                 Action::Reply { result: resolved, .. } => self.replies.push(resolved),
@@ -130,42 +130,44 @@
     }
 
     fn permit(&mut self, request: RequestId, attempt: AttemptNumber, given: bool) {
-        let order = self.orders.get_mut(&request).expect("it is under way");
-        let step = order.tries.get_mut(&attempt).expect("it was asked for");
+        let order = self.requests.get_mut(&request).expect("it is under way");
+        let step = order.attempts.get_mut(&attempt).expect("it was asked for");
         match *step {
-            Try::Asked(_) => *step = if given { Try::Permitted } else { Try::Denied },
-            Try::Ended => assert!(!given, "a permit for what was withdrawn"),
+            AttemptStage::Asked(_) => {
+                *step = if given { AttemptStage::Permitted } else { AttemptStage::Denied }
+            }
+            AttemptStage::Ended => assert!(!given, "a permit for what was withdrawn"),
             step => panic!("a second permit: {step:?}"),
         }
     }
 
     pub fn want(&mut self, request: RequestId, no: u32) {
         let until = self.now + WAIT;
-        let order = self.orders.get_mut(&request).unwrap();
-        order.tries.insert(AttemptNumber(no), Try::Asked(until));
+        let order = self.requests.get_mut(&request).unwrap();
+        order.attempts.insert(AttemptNumber(no), AttemptStage::Asked(until));
         let seen = Seen { backend: format!("box-{no}"), pool: "p".into(), list: 3, ..Seen::default() };
         self.tell(Event::IntentRequested { request, attempt: AttemptNumber(no), seen });
     }
 
-    pub fn step(&self, request: RequestId, no: u32) -> Try {
-        self.orders[&request].tries[&AttemptNumber(no)]
+    pub fn step(&self, request: RequestId, no: u32) -> AttemptStage {
+        self.requests[&request].attempts[&AttemptNumber(no)]
     }
 
     /// The first byte goes out; the backend runs it now, later or never.
     pub fn send(&mut self, request: RequestId, no: u32) {
-        let order = self.orders.get_mut(&request).unwrap();
+        let order = self.requests.get_mut(&request).unwrap();
         assert_eq!(
-            order.tries.insert(AttemptNumber(no), Try::Sent),
-            Some(Try::Permitted),
+            order.attempts.insert(AttemptNumber(no), AttemptStage::Sent),
+            Some(AttemptStage::Permitted),
             "no byte before its permit"
         );
         let key = order.key.clone().unwrap_or_else(|| key("none"));
-        self.at_boxes.insert((self.run, request, AttemptNumber(no), key));
+        self.at_backends.insert((self.run, request, AttemptNumber(no), key));
     }
 
     /// What lies at a backend runs, or never will.
     pub fn box_runs(&mut self, which: (u64, RequestId, AttemptNumber, KeyId), ran: bool) {
-        self.at_boxes.remove(&which);
+        self.at_backends.remove(&which);
         if ran {
             *self.runs.entry(which.3).or_default() += 1;
         }
@@ -177,22 +179,22 @@
             self.run,
             request,
             AttemptNumber(no),
-            self.orders[&request].key.clone().unwrap_or_else(|| key("none")),
+            self.requests[&request].key.clone().unwrap_or_else(|| key("none")),
         );
-        if self.at_boxes.contains(&at) && (outcome.not_executed() || outcome == Outcome::Ok) {
+        if self.at_backends.contains(&at) && (outcome.not_executed() || outcome == Outcome::Ok) {
             self.box_runs(at, outcome == Outcome::Ok);
         }
-        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNumber(no), Try::Ended);
+        self.requests.get_mut(&request).unwrap().attempts.insert(AttemptNumber(no), AttemptStage::Ended);
         self.tell(Event::AttemptEnded { request, attempt: AttemptNumber(no), outcome });
     }
 
     pub fn withdraw(&mut self, request: RequestId, no: u32) {
-        self.orders.get_mut(&request).unwrap().tries.insert(AttemptNumber(no), Try::Ended);
+        self.requests.get_mut(&request).unwrap().attempts.insert(AttemptNumber(no), AttemptStage::Ended);
         self.tell(Event::IntentWithdrawn { request, attempt: AttemptNumber(no) });
     }
 
     pub fn over(&mut self, request: RequestId, ending: RequestEnding) {
-        self.orders.get_mut(&request).unwrap().over = true;
+        self.requests.get_mut(&request).unwrap().over = true;
         self.tell(Event::RequestEnded { request, ending });
     }
 
@@ -225,11 +227,11 @@
     pub fn restart_at(&mut self, wall: Time) {
         self.run += 1;
         self.store.queue.clear();
-        self.orders.clear();
+        self.requests.clear();
         self.recorder = Recorder::new(self.config.clone(), [8; 16], self.now, wall);
-        let mut out = Vec::new();
-        self.recorder.restore(self.now, self.store.remembered(), &mut out);
-        self.carry_out(out);
+        let mut actions = Vec::new();
+        self.recorder.restore(self.now, self.store.remembered(), &mut actions);
+        self.carry_out(actions);
     }
 
     pub fn restart(&mut self) {
--- a/crates/record/tests/windows.rs
+++ b/crates/record/tests/key_states.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{key, Try, World, KEEP, WAIT};
+use common::{key, AttemptStage, World, KEEP, WAIT};
 use shaletide_record::*;
 use shaletide_types::*;
 
@@ -15,7 +15,7 @@
 
 /// Each window of a request: what a second one of its key hears in it, and what after a kill and a restart in it.
 #[test]
-fn a_key_in_every_window_and_after_a_kill_in_it() {
+fn key_is_decided_rightly_in_every_state_and_after_a_kill_in_it() {
     type Step = fn(&mut World, RequestId);
     let steps: [(Step, KeyDecision, KeyDecision); 7] = [
         (|_, _| {}, SECOND, GO),             // before its intent
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_request_s_story_is_on_record_in_order() {
+fn facts_of_a_request_are_recorded_in_order() {
     let mut w = World::new();
     w.serve("k");
     assert_eq!(w.kinds(), ["asked", "intent", "outcome", "answer"]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_may_have_run_is_in_doubt_at_once_and_after_a_restart() {
+fn possibly_executed_attempt_is_in_doubt_at_once_and_after_a_restart() {
     for outcome in [Outcome::TimedOut, Outcome::Reset, Outcome::Error, Outcome::Cancelled] {
         let mut w = World::new();
         let id = w.go("k");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_never_ran_goes_again_and_its_key_is_free_once_that_is_durable() {
+fn key_of_an_attempt_not_executed_is_free_once_that_is_durable() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
@@ -80,7 +80,7 @@
     assert_eq!(w.ask("k").1, SECOND, "it may go again itself");
     w.want(id, 1);
     w.commit_all();
-    assert_eq!(w.step(id, 1), Try::Permitted);
+    assert_eq!(w.step(id, 1), AttemptStage::Permitted);
     w.withdraw(id, 1);
     w.over(id, RequestEnding::Rejected);
     assert_eq!(w.ask("k").1, SECOND, "not durable yet");
@@ -92,7 +92,7 @@
 
 /// Its request timed out, its attempt did not: the doubt ends by the attempt's own outcome.
 #[test]
-fn an_attempt_that_outlives_its_request_keeps_the_key_in_flight() {
+fn attempt_that_outlives_its_request_keeps_the_key_in_flight() {
     for (outcome, then) in [(Outcome::Ok, Some(KeyConflict::Served)), (Outcome::ConnectFailed, None)] {
         let mut w = World::new();
         let id = w.go("k");
@@ -110,21 +110,21 @@
 
 /// Two requests of one key never meet in one group commit; if another proxy's got there first, the store says so.
 #[test]
-fn of_two_requests_of_one_key_one_goes() {
+fn one_of_two_requests_with_one_key_is_sent() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
     assert_eq!(w.ask("k").1, SECOND);
     w.commit_all();
-    assert_eq!(w.step(id, 0), Try::Permitted);
+    assert_eq!(w.step(id, 0), AttemptStage::Permitted);
     for state in [KeyState::InFlight, KeyState::Doubt, KeyState::Served] {
         let mut w = World::new();
         w.store.set(key("k"), state);
         let id = w.go("k");
         w.want(id, 0);
         w.commit_all();
-        assert_eq!(w.step(id, 0), Try::Denied);
-        assert_eq!(w.orders[&id].ended, Some(KeyDecision::Conflict(state.into())));
+        assert_eq!(w.step(id, 0), AttemptStage::Denied);
+        assert_eq!(w.requests[&id].ended, Some(KeyDecision::Conflict(state.into())));
         w.over(id, RequestEnding::Failed);
         w.commit_all();
         assert_eq!(w.store.state(&key("k")), Some(state), "what another holds stays");
@@ -132,14 +132,14 @@
 }
 
 #[test]
-fn a_permit_that_takes_too_long_is_refused_and_its_late_commit_withdrawn() {
+fn late_intent_is_denied_and_withdrawn_once_committed() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
     assert_eq!(w.recorder.wake_at(), Some(w.now + WAIT));
     w.pass(WAIT);
-    assert_eq!(w.step(id, 0), Try::Denied);
-    assert_eq!(w.orders[&id].ended, Some(SECOND));
+    assert_eq!(w.step(id, 0), AttemptStage::Denied);
+    assert_eq!(w.requests[&id].ended, Some(SECOND));
     w.over(id, RequestEnding::Rejected);
     assert_eq!(w.ask("k").1, SECOND, "what is late may still take it");
     assert_eq!(w.ask("other").1, SECOND, "the store is stalled");
@@ -153,19 +153,19 @@
 
 /// The commit is told at the very moment at which the wait is over, before anything else was.
 #[test]
-fn a_commit_at_the_limit_is_late() {
+fn commit_at_the_intent_deadline_is_late() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
     w.now = w.now + WAIT;
     w.commit_all();
-    assert_eq!(w.step(id, 0), Try::Denied);
+    assert_eq!(w.step(id, 0), AttemptStage::Denied);
     assert!(w.kinds().contains(&"withdrawn"));
 }
 
 /// Called back while its intent waits, and the store refuses it: what another holds is not freed.
 #[test]
-fn a_withdrawal_waits_for_what_the_store_says_of_its_intent() {
+fn withdrawal_waits_for_the_commit_outcome_of_its_intent() {
     let mut w = World::new();
     w.store.set(key("k"), KeyState::Served);
     let id = w.go("k");
@@ -176,21 +176,21 @@
     w.commit_all();
     w.over(id, RequestEnding::Failed);
     w.commit_all();
-    assert_eq!(w.step(id, 1), Try::Denied);
+    assert_eq!(w.step(id, 1), AttemptStage::Denied);
     assert_eq!(w.store.state(&key("k")), Some(KeyState::Served));
     assert_eq!(w.kinds(), ["asked", "answer"]);
 }
 
 /// Its write failed, and nobody can tell whether it took the key; nothing was sent, so it is given back.
 #[test]
-fn a_store_that_is_down_refuses_at_once_and_comes_back() {
+fn requests_are_rejected_while_the_store_is_down_and_accepted_after() {
     for durable in [0, 2] {
         let mut w = World::new();
         let id = w.go("k");
         w.want(id, 0);
         w.fail(durable);
-        assert_eq!(w.step(id, 0), Try::Denied);
-        assert_eq!(w.orders[&id].ended, Some(SECOND));
+        assert_eq!(w.step(id, 0), AttemptStage::Denied);
+        assert_eq!(w.requests[&id].ended, Some(SECOND));
         w.tell(Event::StoreDown { why: StoreFailure::Full, again: Micros(5_000_000) });
         w.pass(Micros(2_000_000));
         assert_eq!(w.ask("k").1, KeyDecision::Reject(Micros(3_000_000)), "not before it is tried again");
@@ -206,7 +206,7 @@
 
 /// Served, left to the store for want of room, and asked again while the store fails: it stays served.
 #[test]
-fn a_failed_write_frees_nothing_that_it_did_not_take() {
+fn failed_write_frees_no_key_of_another_request() {
     let mut config = common::config();
     config.bounds.served = 0;
     let mut w = World::with(config);
@@ -222,7 +222,7 @@
 
 /// Outcomes and answers outlive a store that fails under them, in their order.
 #[test]
-fn outcomes_are_written_once_more_when_the_store_is_back() {
+fn outcomes_are_resent_when_the_store_is_back() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn an_operator_ends_a_doubt_and_nothing_else() {
+fn operator_resolves_keys_in_doubt_only() {
     for (ran, state, then) in
         [(false, None, GO), (true, Some(KeyState::Served), conflict(KeyConflict::Served))]
     {
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn a_served_key_is_free_when_its_time_is_up_and_one_in_doubt_never() {
+fn served_key_expires_and_key_in_doubt_does_not() {
     let mut w = in_doubt();
     w.serve("a");
     w.pass(Micros(KEEP.0 / 2));
@@ -297,7 +297,7 @@
 /// Times are the wall clock's, for people. In a run nothing goes by them; across a restart a time that lies ahead
 /// counts as now, and what was kept for half its time is kept for the other half.
 #[test]
-fn a_clock_set_back_an_hour_frees_nothing_early() {
+fn wall_clock_set_back_frees_no_key_early() {
     let hour = Micros(3_600_000_000);
     let mut w = World::new();
     w.now = Time(0) + hour + hour;
@@ -320,7 +320,7 @@
 /// A key's age across a restart is told by clocks that may be wrong by [`MAX_WALL_CLOCK_ERROR`]: it is kept as if it were
 /// that much younger, though no longer than its whole time from the restart.
 #[test]
-fn a_restart_goes_on_with_what_is_left_of_the_time() {
+fn served_key_keeps_its_remaining_time_after_a_restart() {
     let kept_after = [
         (Micros(0), KEEP),
         (Micros(KEEP.0 / 2), KEEP),
@@ -343,12 +343,12 @@
 
 /// Classes whose backends drop repeats may have several attempts out; the key stands by all of them.
 #[test]
-fn of_several_attempts_the_worst_counts_and_the_best_ends_it() {
+fn worst_outcome_of_several_attempts_counts_until_one_is_served() {
     let mut w = World::new();
     let id = w.go("k");
     w.want(id, 0);
     w.want(id, 1);
-    assert_eq!(w.step(id, 1), Try::Denied, "it is not known yet whether the key is its own");
+    assert_eq!(w.step(id, 1), AttemptStage::Denied, "it is not known yet whether the key is its own");
     w.commit_all();
     w.send(id, 0);
     w.want(id, 2);
@@ -360,7 +360,10 @@
     assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
     w.want(id, 3);
     w.commit_all();
-    assert_eq!((w.store.state(&key("k")), w.step(id, 3)), (Some(KeyState::InFlight), Try::Permitted));
+    assert_eq!(
+        (w.store.state(&key("k")), w.step(id, 3)),
+        (Some(KeyState::InFlight), AttemptStage::Permitted)
+    );
     w.send(id, 3);
     w.end(id, 3, Outcome::Ok);
     assert_eq!(w.ask("k").1, conflict(KeyConflict::Served));
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_million_served_keys_fit_and_expire() {
+fn million_served_keys_fit_in_memory_and_expire() {
     let config = RecordConfig { keep: KEEP, ..RecordConfig::default() };
     let start = Time(KEEP.0);
     let mut recorder = Recorder::new(config, [1; 16], start, Time(KEEP.0));
@@ -34,22 +34,22 @@
     println!("{} bytes a key, {} at most", used.bytes_current as f64 / KEYS as f64, used.bytes_max);
     assert_eq!(recorder.served() as u64, KEYS);
     assert!(used.bytes_max < EACH * KEYS, "{} bytes", used.bytes_max);
-    let mut out = Vec::new();
-    recorder.handle(start + KEEP, Event::Wake, &mut out);
+    let mut actions = Vec::new();
+    recorder.handle(start + KEEP, Event::Wake, &mut actions);
     assert_eq!((recorder.served(), recorder.wake_at()), (0, None));
-    let Some(Action::Write { write, .. }) = out.first() else { panic!("the store is told") };
-    assert_eq!((out.len(), &write.claim), (1, &Claim::FreeServed { through: KEYS }));
+    let Some(Action::Write { write, .. }) = actions.first() else { panic!("the store is told") };
+    assert_eq!((actions.len(), &write.claim), (1, &Claim::FreeServed { through: KEYS }));
 }
 
 /// What is not settled is kept whole: key, request, and the rows that are not durable yet.
 #[test]
-fn keys_that_are_not_settled_cost_what_is_stated() {
+fn unsettled_keys_use_the_stated_memory() {
     let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
     let classes = [("settle".to_string(), settle)].into();
     let config = RecordConfig { classes, ..RecordConfig::default() };
     let most = config.bounds.unsettled as u64;
     let mut recorder = Recorder::new(config, [1; 16], Time(0), Time(0));
-    let mut out = Vec::new();
+    let mut actions = Vec::new();
     let fill = || {
         for n in 0..most {
             let key = format!("{n:036}");
@@ -57,16 +57,16 @@
             let asked =
                 KeyRequest { request, tenant: "t", class: "settle", key: Some(key.as_bytes()), deadline };
             assert_eq!(
-                recorder.ask(Time(0), asked, &mut out),
+                recorder.ask(Time(0), asked, &mut actions),
                 KeyDecision::Proceed { requires_intent: true }
             );
             let attempt = AttemptNumber(0);
             recorder.handle(
                 Time(0),
                 Event::IntentRequested { request, attempt, seen: Seen::default() },
-                &mut out,
+                &mut actions,
             );
-            for action in std::mem::take(&mut out) {
+            for action in std::mem::take(&mut actions) {
                 if let Action::Write { ticket, .. } = action {
                     recorder.handle(Time(0), Event::Committed { ticket, seq: ticket.0 }, &mut Vec::new());
                 }
--- a/crates/record/tests/world.rs
+++ b/crates/record/tests/random_events.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{Try, World, WAIT};
+use common::{AttemptStage, World, WAIT};
 use proptest::prelude::*;
 use shaletide_record::chain::{verify, Chain};
 use shaletide_record::*;
@@ -59,14 +59,14 @@
 }
 
 /// The n-th attempt at that step.
-fn at(w: &World, n: usize, is: impl Fn(Try) -> bool) -> Option<(RequestId, u32)> {
-    let each = w.orders.iter().flat_map(|(id, o)| o.tries.iter().map(move |(no, t)| (*id, no.0, *t)));
+fn at(w: &World, n: usize, is: impl Fn(AttemptStage) -> bool) -> Option<(RequestId, u32)> {
+    let each = w.requests.iter().flat_map(|(id, o)| o.attempts.iter().map(move |(no, t)| (*id, no.0, *t)));
     let found: Vec<(RequestId, u32)> = each.filter(|(.., t)| is(*t)).map(|(id, no, _)| (id, no)).collect();
     (!found.is_empty()).then(|| found[n % found.len()])
 }
 
-fn waits(t: Try) -> bool {
-    matches!(t, Try::Asked(_))
+fn waits(t: AttemptStage) -> bool {
+    matches!(t, AttemptStage::Asked(_))
 }
 
 fn act(w: &mut World, op: Op) {
@@ -76,22 +76,24 @@
         Op::Commit(n) => w.commit(n),
         Op::Send(n) => {
             // A request that is over sends nothing.
-            if let Some((id, no)) = at(w, n, |t| t == Try::Permitted).filter(|(id, _)| !w.orders[id].over) {
+            if let Some((id, no)) =
+                at(w, n, |t| t == AttemptStage::Permitted).filter(|(id, _)| !w.requests[id].over)
+            {
                 w.send(id, no);
             }
         }
         Op::BoxRuns(n) => {
-            if let Some(which) = w.at_boxes.iter().nth(n).cloned() {
+            if let Some(which) = w.at_backends.iter().nth(n).cloned() {
                 w.box_runs(which, n % 2 == 0);
             }
         }
         Op::End(n, o) => {
-            if let Some((id, no)) = at(w, n, |t| t == Try::Sent) {
+            if let Some((id, no)) = at(w, n, |t| t == AttemptStage::Sent) {
                 end(w, id, no, OUTCOMES[o]);
             }
         }
         Op::Withdraw(n) => {
-            if let Some((id, no)) = at(w, n, |t| t == Try::Permitted || waits(t)) {
+            if let Some((id, no)) = at(w, n, |t| t == AttemptStage::Permitted || waits(t)) {
                 w.withdraw(id, no);
             }
         }
@@ -106,18 +108,20 @@
 
 /// As the engine: a further attempt only where none is out and none may have run.
 fn want(w: &mut World, n: usize) {
-    let next = |o: &common::Order| !o.over && o.tries.values().all(|t| matches!(t, Try::Ended | Try::Denied));
-    let found: Vec<RequestId> = w.orders.iter().filter(|(_, o)| next(o)).map(|(id, _)| *id).collect();
+    let next = |o: &common::TrackedRequest| {
+        !o.over && o.attempts.values().all(|t| matches!(t, AttemptStage::Ended | AttemptStage::Denied))
+    };
+    let found: Vec<RequestId> = w.requests.iter().filter(|(_, o)| next(o)).map(|(id, _)| *id).collect();
     if let Some(id) = found.get(n % found.len().max(1)) {
-        let no = w.orders[id].tries.len() as u32;
+        let no = w.requests[id].attempts.len() as u32;
         w.want(*id, no);
     }
 }
 
 /// The outcome is one that can be: a backend that has run it does not turn it away, one that never will serves nothing.
 fn end(w: &mut World, id: RequestId, no: u32, outcome: Outcome) {
-    let key = w.orders[&id].key.clone().unwrap();
-    let there = w.at_boxes.contains(&(w.run, id, AttemptNumber(no), key));
+    let key = w.requests[&id].key.clone().unwrap();
+    let there = w.at_backends.contains(&(w.run, id, AttemptNumber(no), key));
     let outcome = match outcome {
         o if there => o,
         _ => Outcome::Reset,
@@ -130,12 +134,12 @@
 }
 
 fn over(w: &mut World, n: usize) {
-    let open: Vec<RequestId> = w.orders.iter().filter(|(_, o)| !o.over).map(|(id, _)| *id).collect();
+    let open: Vec<RequestId> = w.requests.iter().filter(|(_, o)| !o.over).map(|(id, _)| *id).collect();
     let Some(id) = open.get(n % open.len().max(1)).copied() else { return };
     // As the engine: what has not been sent is withdrawn, before the answer.
-    let unsent = |t: &Try| *t == Try::Permitted || waits(*t);
+    let unsent = |t: &AttemptStage| *t == AttemptStage::Permitted || waits(*t);
     let unsent: Vec<u32> =
-        w.orders[&id].tries.iter().filter(|(_, t)| unsent(t)).map(|(no, _)| no.0).collect();
+        w.requests[&id].attempts.iter().filter(|(_, t)| unsent(t)).map(|(no, _)| no.0).collect();
     unsent.into_iter().for_each(|no| w.withdraw(id, no));
     w.over(id, RequestEnding::TimedOut);
 }
@@ -143,7 +147,7 @@
 /// A truthful operator: says nothing while the backend may yet run it.
 fn resolve(w: &mut World, name: &str) {
     let key = common::key(name);
-    if !w.at_boxes.iter().any(|at| at.3 == key) {
+    if !w.at_backends.iter().any(|at| at.3 == key) {
         let ran = w.runs.contains_key(&key);
         w.resolve(&key, ran);
     }
@@ -153,9 +157,9 @@
     for (key, runs) in &w.runs {
         prop_assert!(*runs <= 1, "{key:?} ran {runs} times");
     }
-    let wait_too_long = |t: &Try| matches!(t, Try::Asked(until) if w.now >= *until);
-    for (id, order) in &w.orders {
-        prop_assert!(!order.tries.values().any(wait_too_long), "{id:?} waits past its limit");
+    let wait_too_long = |t: &AttemptStage| matches!(t, AttemptStage::Asked(until) if w.now >= *until);
+    for (id, order) in &w.requests {
+        prop_assert!(!order.attempts.values().any(wait_too_long), "{id:?} waits past its limit");
     }
     Ok(())
 }
@@ -165,16 +169,16 @@
     w.pass(WAIT);
     w.tell(Event::StoreUp);
     w.commit_all();
-    while let Some((id, no)) = at(w, 0, |t| t == Try::Sent) {
+    while let Some((id, no)) = at(w, 0, |t| t == AttemptStage::Sent) {
         end(w, id, no, Outcome::Reset);
     }
-    while w.orders.values().any(|o| !o.over) {
+    while w.requests.values().any(|o| !o.over) {
         over(w, 0);
     }
-    while let Some((id, no)) = at(w, 0, |t| t == Try::Permitted) {
+    while let Some((id, no)) = at(w, 0, |t| t == AttemptStage::Permitted) {
         w.withdraw(id, no);
     }
-    while let Some(which) = w.at_boxes.first().cloned() {
+    while let Some(which) = w.at_backends.first().cloned() {
         w.box_runs(which, false);
     }
     w.commit_all();
@@ -194,13 +198,13 @@
                 prop_assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true });
                 w.want(request, 0);
                 w.commit_all();
-                prop_assert_eq!(w.orders[&request].ended, Some(KeyDecision::Conflict(KeyConflict::Served)));
+                prop_assert_eq!(w.requests[&request].ended, Some(KeyDecision::Conflict(KeyConflict::Served)));
             }
         } else {
             prop_assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true }, "{} never ran", name);
             w.want(request, 0);
             w.commit_all();
-            prop_assert_eq!(w.step(request, 0), Try::Permitted);
+            prop_assert_eq!(w.step(request, 0), AttemptStage::Permitted);
         }
     }
     let head = verify(Chain::default(), w.store.rows.clone(), None);
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn key_served_a_minute_ago_is_known_whatever_the_clock_says() {
+fn key_served_a_minute_ago_is_known_for_any_clock_error() {
     for wall in [NOW, NOW + HOUR, NOW - HOUR, NOW + 7 * SECOND, NOW - 7 * SECOND] {
         let mut recorder = recorder(wall, 60 * SECOND);
         let just_started = asked(&mut recorder, Time(wall));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn key_served_long_ago_is_free_at_the_restart() {
+fn key_served_long_ago_is_free_after_a_restart() {
     for wall in [NOW, NOW + HOUR, NOW - HOUR] {
         let mut recorder = recorder(wall, KEEP.0 + 4 * HOUR);
         assert_eq!(
--- a/crates/store/tests/edits.rs
+++ b/crates/store/tests/edits.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_edit_a_gap_and_a_cut_end_show() {
+fn edited_missing_and_cut_rows_break_the_chain() {
     assert_eq!(after("").expect("as it was").seq, 6);
     for column in ["at", "run", "request"] {
         let edit = format!("UPDATE rows SET {column} = {column} + 1 WHERE seq = 3");
