--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -95,7 +95,7 @@
 
     /// A store with these faults around another.
     pub fn around(&self, inner: Box<dyn Store>) -> Box<dyn Store> {
-        Box::new(Faulty { faults: self.clone(), inner })
+        Box::new(FaultyStore { faults: self.clone(), inner })
     }
 
     /// Waits while frozen, then for the delay; says how the commit ends.
@@ -116,12 +116,12 @@
     }
 }
 
-struct Faulty {
+struct FaultyStore {
     faults: Faults,
     inner: Box<dyn Store>,
 }
 
-impl StoreReader for Faulty {
+impl StoreReader for FaultyStore {
     fn head(&self) -> Result<Head, StoreError> {
         self.inner.head()
     }
@@ -145,13 +145,13 @@
     }
 }
 
-impl Store for Faulty {
+impl Store for FaultyStore {
     fn commit(
         &mut self, batch: &[Write], sums: &dyn Sums,
     ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError> {
         let fault = self.faults.begin(batch.len());
-        let fate = if fault == Fault::Before { CommitOutcome::Nothing } else { CommitOutcome::Unknown };
-        let failed = || CommitError { error: StoreError::Io("planted".into()), outcome: fate };
+        let outcome = if fault == Fault::Before { CommitOutcome::Nothing } else { CommitOutcome::Unknown };
+        let failed = || CommitError { error: StoreError::Io("planted".into()), outcome };
         let done = match fault {
             Fault::None => self.inner.commit(batch, sums),
             Fault::Before | Fault::Lost => Err(failed()),
--- a/crates/store/src/sqlite/files.rs
+++ b/crates/store/src/sqlite/files.rs
@@ -8,7 +8,7 @@
 use rustix::fs::{flock, FlockOperation};
 use rustix::io::Errno;
 
-use super::trouble::classify_io;
+use super::errors::classify_io;
 use crate::StoreError;
 
 /// Nobody but the proxy's user reads what is in a store.
--- a/crates/store/src/sqlite/mod.rs
+++ b/crates/store/src/sqlite/mod.rs
@@ -1,10 +1,10 @@
 //! SQLite: one file, one owner, readers beside it.
 
+mod errors;
 mod files;
 mod open;
 mod read;
 mod schema;
-mod trouble;
 mod write;
 
 use std::path::{Path, PathBuf};
@@ -17,9 +17,9 @@
 use crate::{
     Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader, Sums,
 };
+use errors::refine;
 use files::{Owner, Watched};
 pub use open::SqliteOptions;
-use trouble::refine;
 
 /// How long a reader waits for a lock; there is none in its way but while the log is recovered.
 const READER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -57,7 +57,7 @@
     /// As the database says.
     #[cfg(any(test, feature = "conformance"))]
     pub fn plant(&self, sql: &str) -> Result<(), StoreError> {
-        self.db.execute_batch(sql).map_err(trouble::classify)
+        self.db.execute_batch(sql).map_err(errors::classify)
     }
 
     fn refined(&self, error: StoreError) -> StoreError {
--- a/crates/store/src/sqlite/open.rs
+++ b/crates/store/src/sqlite/open.rs
@@ -5,9 +5,9 @@
 
 use rusqlite::{Connection, OpenFlags};
 
+use super::errors::{classify, refine};
 use super::files::{beside, locate, Mark, Owner, Watched};
 use super::schema::{migrate, version, KNOWN};
-use super::trouble::{classify, refine};
 use super::SqliteStore;
 use crate::StoreError;
 
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -10,9 +10,9 @@
 use shaletide_record::{KeyId, KeyState, Row, StoredKey};
 use shaletide_types::Time;
 
+use super::errors::{classify, classify_io};
 use super::files::{beside, sync_parent};
 use super::open::open_reading;
-use super::trouble::{classify, classify_io};
 use super::READER_TIMEOUT;
 use crate::{Anchor, Head, Query, StoreError};
 
--- a/crates/store/src/sqlite/schema.rs
+++ b/crates/store/src/sqlite/schema.rs
@@ -2,7 +2,7 @@
 
 use rusqlite::{Connection, TransactionBehavior};
 
-use super::trouble::classify;
+use super::errors::classify;
 use crate::StoreError;
 
 /// "SHLT": says that the file is a store of shaletide.
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -4,8 +4,8 @@
 use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, Write};
 use shaletide_types::Time;
 
+use super::errors::classify;
 use super::read::{anchor, head, state_number, state_of, to_sql};
-use super::trouble::classify;
 use crate::{Anchor, CommitError, CommitOutcome, Head, Note, Pruned, StoreError, Sums};
 
 type Taken = Vec<Result<u64, ClaimRejection>>;
--- a/crates/store/src/writer/fate.rs
+++ b/crates/store/src/writer/commit_outcome.rs
@@ -12,9 +12,11 @@
 ///
 /// # Errors
 /// If the store cannot be read.
-pub(super) fn look(store: &dyn Store, acked: Head, tickets: &[&[Write]]) -> Result<Vec<Found>, StoreError> {
+pub(super) fn find_rows(
+    store: &dyn Store, acknowledged: Head, tickets: &[&[Write]],
+) -> Result<Vec<Found>, StoreError> {
     let limit = tickets.iter().map(|writes| writes.len()).sum();
-    let rows = store.rows(&Query { after_seq: acked.seq, limit, ..Query::default() })?;
+    let rows = store.rows(&Query { after_seq: acknowledged.seq, limit, ..Query::default() })?;
     let mut rows = rows.iter().peekable();
     let mut any = false;
     let mut found = Vec::with_capacity(tickets.len());
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -1,7 +1,7 @@
 //! The one thread that writes, behind a bounded queue: nobody else ever waits for a disk.
 
-mod fate;
-mod recover;
+mod commit_outcome;
+mod recovery;
 mod worker;
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -33,9 +33,9 @@
     /// Default: 50 ms.
     pub backoff: Duration,
     /// The longest time between two such trials. Default: 2 s.
-    pub backoff_most: Duration,
+    pub max_backoff: Duration,
     /// So many keys are forgotten, or rows pruned, between two commits. Default: 500.
-    pub chore_step: usize,
+    pub maintenance_step: usize,
 }
 
 impl WriterConfig {
@@ -48,8 +48,8 @@
             batch_rows: 256,
             linger: Duration::ZERO,
             backoff: Duration::from_millis(50),
-            backoff_most: Duration::from_secs(2),
-            chore_step: 500,
+            max_backoff: Duration::from_secs(2),
+            maintenance_step: 500,
         }
     }
 }
@@ -222,7 +222,7 @@
             return Err(SendError::Unstorable);
         }
         let bytes = writes.iter().map(size).sum();
-        self.queue(Job::Write { ticket, writes, bytes }, bytes)
+        self.enqueue(Job::Write { ticket, writes, bytes }, bytes)
     }
 
     /// Has the keys forgotten that were served before that time, some between each two commits. Never waits.
@@ -230,7 +230,7 @@
     /// # Errors
     /// See [`SendError`].
     pub fn forget_served(&self, ticket: u64, before: Time) -> Result<(), SendError> {
-        self.queue(Job::Forget { ticket, before }, 0)
+        self.enqueue(Job::Forget { ticket, before }, 0)
     }
 
     /// Has rows pruned that are older, some between each two commits; `note` makes the row that tells of each step.
@@ -239,7 +239,7 @@
     /// # Errors
     /// See [`SendError`].
     pub fn prune(&self, ticket: u64, before: Time, note: FactEncoder) -> Result<(), SendError> {
-        self.queue(Job::Prune { ticket, before, note }, 0)
+        self.enqueue(Job::Prune { ticket, before, note }, 0)
     }
 
     /// How long the store has been at work on one thing; none if it is not. A store that is slow, or that hangs,
@@ -264,7 +264,7 @@
         }
     }
 
-    fn queue(&self, job: Job, bytes: usize) -> Result<(), SendError> {
+    fn enqueue(&self, job: Job, bytes: usize) -> Result<(), SendError> {
         let waiting = self.shared.bytes.fetch_add(bytes, Ordering::Relaxed);
         // One that is larger than the bound alone may go when nothing waits, else it never could.
         let sent = if waiting > 0 && waiting.saturating_add(bytes) > self.queue_bytes {
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -20,15 +20,15 @@
 }
 
 /// Something that is done a step at a time, between commits.
-pub(super) enum Chore {
+pub(super) enum Maintenance {
     Forget { ticket: u64, before: Time, keys: usize },
     Prune { ticket: u64, before: Time, note: FactEncoder, rows: u64 },
 }
 
-impl Chore {
+impl Maintenance {
     pub(super) fn ticket(&self) -> u64 {
         match self {
-            Chore::Forget { ticket, .. } | Chore::Prune { ticket, .. } => *ticket,
+            Maintenance::Forget { ticket, .. } | Maintenance::Prune { ticket, .. } => *ticket,
         }
     }
 }
@@ -36,12 +36,12 @@
 /// The store, or why there is none.
 pub(super) enum Access {
     Open(Box<dyn Store>),
-    Down { trouble: Arc<StoreError>, retry_at: Instant, wait: Duration },
+    Down { error: Arc<StoreError>, retry_at: Instant, wait: Duration },
 }
 
-enum Next {
+enum Step {
     Job(Job),
-    Nothing,
+    Idle,
     End,
 }
 
@@ -54,10 +54,10 @@
     pub(super) notify: Box<dyn FnMut(WriterEvent) + Send>,
     pub(super) access: Access,
     /// The last head that the store has shown; none before it was open.
-    pub(super) acked: Option<Head>,
+    pub(super) acknowledged: Option<Head>,
     /// What failed so that it may be on record.
-    pub(super) unknown: Vec<Ticket>,
-    pub(super) chores: VecDeque<Chore>,
+    pub(super) unresolved: Vec<Ticket>,
+    pub(super) maintenance: VecDeque<Maintenance>,
 }
 
 impl Worker {
@@ -65,58 +65,69 @@
         config: WriterConfig, jobs: Receiver<Job>, shared: Arc<Shared>, opener: Opener, sums: Arc<dyn Sums>,
         notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> Worker {
-        let trouble = Arc::new(StoreError::Other("not open yet".into()));
-        let access = Access::Down { trouble, retry_at: Instant::now(), wait: Duration::ZERO };
-        let (unknown, chores) = (Vec::new(), VecDeque::new());
-        Worker { config, jobs, shared, opener, sums, notify, access, acked: None, unknown, chores }
+        let error = Arc::new(StoreError::Other("not open yet".into()));
+        let access = Access::Down { error, retry_at: Instant::now(), wait: Duration::ZERO };
+        let (unresolved, maintenance) = (Vec::new(), VecDeque::new());
+        Worker {
+            config,
+            jobs,
+            shared,
+            opener,
+            sums,
+            notify,
+            access,
+            acknowledged: None,
+            unresolved,
+            maintenance,
+        }
     }
 
     pub(super) fn run(mut self) {
         loop {
             self.open_if_due();
-            match self.next() {
-                Next::Job(job) => self.take(job),
-                Next::Nothing => self.chore(),
-                // What is left of the chores may be asked for again after the next start.
-                Next::End => return,
+            match self.next_step() {
+                Step::Job(job) => self.process(job),
+                Step::Idle => self.maintain(),
+                // What is left of the maintenance may be asked for again after the next start.
+                Step::End => return,
             }
         }
     }
 
-    fn next(&self) -> Next {
+    fn next_step(&self) -> Step {
         let of = |error| match error {
-            TryRecvError::Empty => Next::Nothing,
-            TryRecvError::Disconnected => Next::End,
+            TryRecvError::Empty => Step::Idle,
+            TryRecvError::Disconnected => Step::End,
         };
         match &self.access {
-            Access::Open(_) if self.chores.is_empty() => self.jobs.recv().map_or(Next::End, Next::Job),
-            Access::Open(_) => self.jobs.try_recv().map_or_else(of, Next::Job),
+            Access::Open(_) if self.maintenance.is_empty() => self.jobs.recv().map_or(Step::End, Step::Job),
+            Access::Open(_) => self.jobs.try_recv().map_or_else(of, Step::Job),
             Access::Down { retry_at, .. } => {
                 match self.jobs.recv_timeout(retry_at.saturating_duration_since(Instant::now())) {
-                    Ok(job) => Next::Job(job),
-                    Err(RecvTimeoutError::Timeout) => Next::Nothing,
-                    Err(RecvTimeoutError::Disconnected) => Next::End,
+                    Ok(job) => Step::Job(job),
+                    Err(RecvTimeoutError::Timeout) => Step::Idle,
+                    Err(RecvTimeoutError::Disconnected) => Step::End,
                 }
             }
         }
     }
 
     /// Takes this job and, if it is to be written, what waits behind it.
-    fn take(&mut self, job: Job) {
+    fn process(&mut self, job: Job) {
         let until = Instant::now() + self.config.linger;
         let mut tickets = Vec::new();
         let mut rows = 0;
         let mut next = Some(job);
         while let Some(job) = next {
-            rows += self.sort(job, &mut tickets);
-            next = if rows >= self.config.batch_rows { None } else { self.more(until) };
+            rows += self.accept(job, &mut tickets);
+            next = if rows >= self.config.batch_rows { None } else { self.next_waiting(until) };
         }
         if !tickets.is_empty() {
             self.commit(tickets);
         }
     }
 
-    fn more(&self, until: Instant) -> Option<Job> {
+    fn next_waiting(&self, until: Instant) -> Option<Job> {
         match self.jobs.try_recv() {
             Ok(job) => Some(job),
             Err(_) => {
@@ -130,7 +141,7 @@
     }
 
     /// Puts a job where it belongs, and says how many rows it adds to the commit.
-    fn sort(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
+    fn accept(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
         match job {
             Job::Write { ticket, mut writes, bytes } => {
                 self.shared.bytes.fetch_sub(bytes, Ordering::Relaxed);
@@ -142,11 +153,11 @@
                 rows
             }
             Job::Forget { ticket, before } => {
-                self.chores.push_back(Chore::Forget { ticket, before, keys: 0 });
+                self.maintenance.push_back(Maintenance::Forget { ticket, before, keys: 0 });
                 0
             }
             Job::Prune { ticket, before, note } => {
-                self.chores.push_back(Chore::Prune { ticket, before, note, rows: 0 });
+                self.maintenance.push_back(Maintenance::Prune { ticket, before, note, rows: 0 });
                 0
             }
         }
@@ -155,9 +166,9 @@
     fn commit(&mut self, mut tickets: Vec<Ticket>) {
         let store = match &mut self.access {
             Access::Open(store) => store,
-            Access::Down { trouble, .. } => {
-                let trouble = Arc::clone(trouble);
-                return self.fail(&tickets, &trouble, CommitOutcome::Nothing);
+            Access::Down { error, .. } => {
+                let error = Arc::clone(error);
+                return self.fail(&tickets, &error, CommitOutcome::Nothing);
             }
         };
         let mut batch = Vec::new();
@@ -179,8 +190,8 @@
             }
         }
         match head {
-            Some(Ok(head)) => self.acked = Some(head),
-            Some(Err(error)) => self.down(Arc::new(error)),
+            Some(Ok(head)) => self.acknowledged = Some(head),
+            Some(Err(error)) => self.store_failed(Arc::new(error)),
             None => {}
         }
     }
@@ -189,11 +200,11 @@
         let mut rows = rows.into_iter();
         for (ticket, length) in tickets.iter().zip(lengths) {
             let rows = rows.by_ref().take(*length).collect();
-            self.say_done(ticket.id, rows);
+            self.report_rows(ticket.id, rows);
         }
     }
 
-    pub(super) fn say_done(&mut self, ticket: u64, rows: Vec<Result<u64, ClaimRejection>>) {
+    pub(super) fn report_rows(&mut self, ticket: u64, rows: Vec<Result<u64, ClaimRejection>>) {
         let seqs: Result<Vec<u64>, ClaimRejection> = rows.iter().copied().collect();
         (self.notify)(match seqs {
             Ok(seqs) => WriterEvent::Committed { ticket, seqs },
@@ -202,21 +213,17 @@
     }
 
     fn commit_failed(&mut self, tickets: Vec<Ticket>, failed: CommitError) {
-        let trouble = Arc::new(failed.error);
-        self.fail(&tickets, &trouble, failed.outcome);
+        let error = Arc::new(failed.error);
+        self.fail(&tickets, &error, failed.outcome);
         if failed.outcome == CommitOutcome::Unknown {
-            self.unknown = tickets;
+            self.unresolved = tickets;
         }
-        self.down(trouble);
+        self.store_failed(error);
     }
 
-    fn fail(&mut self, tickets: &[Ticket], trouble: &Arc<StoreError>, fate: CommitOutcome) {
+    fn fail(&mut self, tickets: &[Ticket], error: &Arc<StoreError>, outcome: CommitOutcome) {
         for ticket in tickets {
-            (self.notify)(WriterEvent::Failed {
-                ticket: ticket.id,
-                error: Arc::clone(trouble),
-                outcome: fate,
-            });
+            (self.notify)(WriterEvent::Failed { ticket: ticket.id, error: Arc::clone(error), outcome });
         }
     }
 }
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -18,7 +18,7 @@
     let place = Place::new("chain");
     let options = place.options();
     let (say, events) = channel();
-    let config = WriterConfig { chore_step: 10, ..WriterConfig::new(3) };
+    let config = WriterConfig { maintenance_step: 10, ..WriterConfig::new(3) };
     let opener =
         Box::new(move |_| SqliteStore::open(&options).map(|store| Box::new(store) as Box<dyn Store>));
     let notify = Box::new(move |event| say.send(event).unwrap_or(()));
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -231,7 +231,7 @@
 #[test]
 fn keys_are_forgotten_and_rows_pruned_between_commits() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { chore_step: 3, ..config() }, &store, &faults);
+    let host = Host::in_memory(WriterConfig { maintenance_step: 3, ..config() }, &store, &faults);
     for ticket in 0..10 {
         host.writer
             .send(ticket, vec![set(ticket, &key(format!("{ticket}")), KeyState::Served)])
