--- a/crates/store/src/sqlite/errors.rs
+++ b/crates/store/src/sqlite/errors.rs
@@ -5,7 +5,7 @@
 
 use rusqlite::{Error, ErrorCode};
 
-use super::files::beside;
+use super::paths::beside;
 use crate::StoreError;
 
 /// `SQLITE_READONLY_DBMOVED`.
--- a/crates/store/src/sqlite/files.rs
+++ b/crates/store/src/sqlite/files.rs
@@ -9,18 +9,12 @@
 use rustix::io::Errno;
 
 use super::errors::classify_io;
+use super::paths::beside;
 use crate::StoreError;
 
 /// Nobody but the proxy's user reads what is in a store.
 const MODE: u32 = 0o600;
 
-/// A file next to the database, named after it.
-pub(super) fn beside(db: &Path, suffix: &str) -> PathBuf {
-    let mut name = db.as_os_str().to_owned();
-    name.push(suffix);
-    PathBuf::from(name)
-}
-
 /// A file, whatever its name.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Inode {
--- a/crates/store/src/sqlite/open.rs
+++ b/crates/store/src/sqlite/open.rs
@@ -6,49 +6,14 @@
 use rusqlite::{Connection, OpenFlags};
 
 use super::errors::{classify, refine};
-use super::files::{beside, locate, Mark, Owner, Watched};
-use super::schema::{migrate, version, KNOWN};
-use super::SqliteStore;
+use super::files::{locate, Mark, Owner, Watched};
+use super::options::SqliteOptions;
+use super::paths::beside;
+use super::schema::{migrate, version};
 use crate::StoreError;
 
-/// How to open a store.
-#[derive(Clone, Debug)]
-pub struct SqliteOptions {
-    /// The database; its log, its index and its lock lie beside it. On a local disk: the locks and the shared
-    /// memory of the log do not work over a network file system.
-    pub path: PathBuf,
-    /// Whether it is made where there is none. To be false when a store that was open is opened again: a new one
-    /// would know nothing. Default: true.
-    pub create: bool,
-    /// How long to wait for somebody else's lock. Default: 250 ms.
-    pub busy_timeout: Duration,
-    /// At most so many pages of 4 KiB; none for what the disk holds. Default: none.
-    pub max_pages: Option<u32>,
-    /// The version to which the tables are brought; for tests of migrations.
-    #[cfg(any(test, feature = "conformance"))]
-    pub target_version: Option<u32>,
-}
-
-impl SqliteOptions {
-    /// The defaults, for this path.
-    pub fn new(path: impl Into<PathBuf>) -> SqliteOptions {
-        SqliteOptions {
-            path: path.into(),
-            create: true,
-            busy_timeout: Duration::from_millis(250),
-            max_pages: None,
-            #[cfg(any(test, feature = "conformance"))]
-            target_version: None,
-        }
-    }
-
-    fn target(&self) -> u32 {
-        #[cfg(any(test, feature = "conformance"))]
-        return self.target_version.unwrap_or(KNOWN);
-        #[cfg(not(any(test, feature = "conformance")))]
-        KNOWN
-    }
-}
+/// How long a reader waits for a lock; none is in its way but while the log is recovered.
+pub(super) const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What a setting must be, or the store is refused.
 const IN_FORCE: [(&str, &str); 2] = [("journal_mode", "wal"), ("synchronous", "2")];
@@ -56,7 +21,16 @@
 /// After a checkpoint the log is cut to this, so that one long reading does not leave a large file for good.
 const LOG_BYTES: i64 = 16 << 20;
 
-pub(super) fn open(options: &SqliteOptions) -> Result<SqliteStore, StoreError> {
+/// An open database and what was noted of its files.
+pub(super) struct Opened {
+    pub(super) db: Connection,
+    /// Without links.
+    pub(super) path: PathBuf,
+    pub(super) watched: Watched,
+    pub(super) owner: Owner,
+}
+
+pub(super) fn open(options: &SqliteOptions) -> Result<Opened, StoreError> {
     let path = locate(&options.path, options.create)?;
     let owner = Owner::take(&path)?;
     let before = Mark::of(&path)?;
@@ -65,7 +39,7 @@
     if before != Mark::of(&path)? {
         return Err(StoreError::Gone { path });
     }
-    Ok(SqliteStore { db, path, watched, _owner: owner })
+    Ok(Opened { db, path, watched, owner })
 }
 
 fn connect(path: &Path, options: &SqliteOptions) -> Result<Connection, StoreError> {
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -1,4 +1,4 @@
-//! StoreReader: the head, the keys, the rows that are asked for, and a copy of it all.
+//! Reading: the head, the keys, the rows of a query, and a backup.
 
 use std::fs::File;
 use std::os::unix::fs::OpenOptionsExt;
@@ -10,39 +10,13 @@
 use shaletide_record::{KeyId, KeyState, Row, StoredKey};
 use shaletide_types::Time;
 
+use super::convert::{limit_to_sql, of_sql, state_number, state_of, time_to_sql, to_sql};
 use super::errors::{classify, classify_io};
-use super::files::{beside, sync_parent};
-use super::open::open_reading;
-use super::READER_TIMEOUT;
+use super::files::sync_parent;
+use super::open::{open_reading, READER_TIMEOUT};
+use super::paths::beside;
 use crate::{Anchor, Head, Query, StoreError};
 
-/// The state's number in the table. A state that the table does not know is refused by its constraint.
-pub(super) fn state_number(state: KeyState) -> i64 {
-    match state {
-        KeyState::InFlight => 0,
-        KeyState::Doubt => 1,
-        KeyState::Served => 2,
-    }
-}
-
-pub(super) fn state_of(number: i64) -> KeyState {
-    match number {
-        0 => KeyState::InFlight,
-        2 => KeyState::Served,
-        // Also for what no store writes: a doubt never sends anything.
-        _ => KeyState::Doubt,
-    }
-}
-
-/// Numbers go into the table bit by bit, so that each of them comes back as it was.
-pub(super) fn to_sql(number: u64) -> i64 {
-    number as i64
-}
-
-fn of_sql(number: i64) -> u64 {
-    number as u64
-}
-
 pub(super) fn head(db: &Connection) -> Result<Head, StoreError> {
     let last = "SELECT seq, sum, run FROM rows ORDER BY seq DESC LIMIT 1";
     let mut last = db.prepare_cached(last).map_err(classify)?;
@@ -69,12 +43,12 @@
     let first = "SELECT tenant, class, key, state, since, seq FROM keys ORDER BY tenant, class, key LIMIT ?1";
     let next = "SELECT tenant, class, key, state, since, seq FROM keys
          WHERE (tenant, class, key) > (?2, ?3, ?4) ORDER BY tenant, class, key LIMIT ?1";
-    let mut values = vec![limit_of(limit)];
+    let mut values = vec![Value::Integer(limit_to_sql(limit))];
     if let Some(after) = after {
         values.extend([after.tenant.clone().into(), after.class.clone().into(), after.key.clone().into()]);
     }
     let mut found = db.prepare_cached(if after.is_some() { next } else { first }).map_err(classify)?;
-    let rows = found.query_map(params_from_iter(values), remembered_of).map_err(classify)?;
+    let rows = found.query_map(params_from_iter(values), stored_key_of).map_err(classify)?;
     rows.collect::<Result<_, _>>().map_err(classify)
 }
 
@@ -82,10 +56,10 @@
     let sql = "SELECT tenant, class, key, state, since, seq FROM keys
          WHERE tenant = ?1 AND class = ?2 AND key = ?3";
     let mut found = db.prepare_cached(sql).map_err(classify)?;
-    found.query_row((&key.tenant, &key.class, &key.key), remembered_of).optional().map_err(classify)
+    found.query_row((&key.tenant, &key.class, &key.key), stored_key_of).optional().map_err(classify)
 }
 
-fn remembered_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<StoredKey> {
+fn stored_key_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<StoredKey> {
     Ok(StoredKey {
         key: KeyId { tenant: row.get(0)?, class: row.get(1)?, key: row.get(2)? },
         state: state_of(row.get(3)?),
@@ -94,10 +68,6 @@
     })
 }
 
-fn limit_of(limit: usize) -> Value {
-    Value::Integer(i64::try_from(limit).unwrap_or(i64::MAX))
-}
-
 pub(super) fn rows(db: &Connection, query: &Query) -> Result<Vec<Row>, StoreError> {
     let (sql, values) = select(query);
     let mut found = db.prepare_cached(&sql).map_err(classify)?;
@@ -107,7 +77,7 @@
 
 /// The statement for what is asked, with its values.
 fn select(query: &Query) -> (String, Vec<Value>) {
-    let time = |time: Time| Value::Integer(i64::try_from(time.0).unwrap_or(i64::MAX));
+    let time = |time: Time| Value::Integer(time_to_sql(time));
     let after = Value::Integer(i64::try_from(query.after_seq).unwrap_or(i64::MAX));
     let mut sql = "SELECT seq, at, run, kind, request, tenant, class, key, backend, body, sum FROM rows AS r
          WHERE seq > "
@@ -118,31 +88,31 @@
     let begin = "ifnull((SELECT min(+f.seq) - 1 FROM rows AS f WHERE f.at >= ?), 9223372036854775807)";
     sql.push_str(if first.is_some() { begin } else { "?" });
     let mut values = vec![first.map_or(after, time)];
-    let mut also = |condition: &str, value: Option<Value>| {
+    let mut and = |condition: &str, value: Option<Value>| {
         if let Some(value) = value {
             sql.push_str(" AND ");
             sql.push_str(condition);
             values.push(value);
         }
     };
-    also("key = ?", query.key.clone().map(Value::Blob));
-    also("+tenant = ?", query.tenant.clone().map(Value::Text));
-    also("+class = ?", query.class.clone().map(Value::Text));
-    also("request = ?", query.request.map(|(_, request)| Value::Integer(to_sql(request))));
-    also("run = ?", query.request.map(|(run, _)| Value::Integer(to_sql(run))));
+    and("key = ?", query.key.clone().map(Value::Blob));
+    and("+tenant = ?", query.tenant.clone().map(Value::Text));
+    and("+class = ?", query.class.clone().map(Value::Text));
+    and("request = ?", query.request.map(|(_, request)| Value::Integer(to_sql(request))));
+    and("run = ?", query.request.map(|(run, _)| Value::Integer(to_sql(run))));
     // Clocks are set back: behind the first such row, each is looked at.
-    also("+at >= ?", query.since.map(time));
-    also("+at < ?", query.until.map(time));
-    also("+backend = ?", query.backend.clone().map(Value::Text));
-    also("+kind = ?", query.kind.clone().map(Value::Text));
+    and("+at >= ?", query.since.map(time));
+    and("+at < ?", query.until.map(time));
+    and("+backend = ?", query.backend.clone().map(Value::Text));
+    and("+kind = ?", query.kind.clone().map(Value::Text));
     let doubt = Value::Integer(state_number(KeyState::Doubt));
-    also(
+    and(
         "seq IN (SELECT d.seq FROM keys AS k CROSS JOIN rows AS d ON d.key = k.key AND d.tenant = k.tenant
              AND d.class = k.class WHERE k.state = ? AND k.state < 2)",
         query.in_doubt.then_some(doubt),
     );
     sql.push_str(" ORDER BY seq LIMIT ?");
-    values.push(limit_of(query.limit));
+    values.push(Value::Integer(limit_to_sql(query.limit)));
     (sql, values)
 }
 
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -4,8 +4,9 @@
 use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, Write};
 use shaletide_types::Time;
 
+use super::convert::{limit_to_sql, state_number, state_of, time_to_sql, to_sql};
 use super::errors::classify;
-use super::read::{anchor, head, state_number, state_of, to_sql};
+use super::read::{anchor, head};
 use crate::{Anchor, CommitError, CommitOutcome, Head, Note, Pruned, StoreError, Sums};
 
 type Taken = Vec<Result<u64, ClaimRejection>>;
@@ -119,16 +120,11 @@
     Ok(())
 }
 
-/// A time as the table has it; one that no table holds is later than all of them.
-fn time(at: Time) -> i64 {
-    i64::try_from(at.0).unwrap_or(i64::MAX)
-}
-
 pub(super) fn forget_served(db: &Connection, before: Time, limit: usize) -> Result<usize, StoreError> {
     let sql = "DELETE FROM keys WHERE (tenant, class, key) IN
          (SELECT tenant, class, key FROM keys WHERE state = 2 AND since < ?1 LIMIT ?2)";
     let mut forget = db.prepare_cached(sql).map_err(classify)?;
-    forget.execute(params![time(before), i64::try_from(limit).unwrap_or(i64::MAX)]).map_err(classify)
+    forget.execute(params![time_to_sql(before), limit_to_sql(limit)]).map_err(classify)
 }
 
 pub(super) fn prune(
@@ -158,13 +154,13 @@
     let kept: Option<i64> = tx.query_row(open, [], |row| row.get(0)).optional().map_err(classify)?.flatten();
     let oldest = "SELECT seq, sum, run, at FROM rows ORDER BY seq LIMIT ?1";
     let mut oldest = tx.prepare_cached(oldest).map_err(classify)?;
-    let limit = i64::try_from(limit).unwrap_or(i64::MAX);
+    let limit = limit_to_sql(limit);
     let mut found = oldest.query([limit.saturating_add(1)]).map_err(classify)?;
     let mut last = None;
     let mut count = 0;
     while let Some(row) = found.next().map_err(classify)? {
         let (seq, at): (i64, i64) = (row.get(0).map_err(classify)?, row.get(3).map_err(classify)?);
-        if at >= time(before) || kept.is_some_and(|kept| seq >= kept) {
+        if at >= time_to_sql(before) || kept.is_some_and(|kept| seq >= kept) {
             return Ok(last.map(|last| (last, count, false)));
         }
         if count == limit as u64 {
