--- a/crates/record-service/src/lib.rs
+++ b/crates/record-service/src/lib.rs
@@ -280,7 +280,7 @@
                 let seq = seqs.last().copied().unwrap_or_default();
                 self.push(Event::Committed { ticket: Ticket(ticket), seq });
             }
-            WriterEvent::Refused { ticket, rows } => {
+            WriterEvent::ClaimsRejected { ticket, rows } => {
                 let refused = rows.iter().find_map(|row| row.err());
                 let seq = rows.iter().find_map(|row| row.ok()).unwrap_or_default();
                 self.push(match refused {
--- a/crates/store/src/writer/commit_outcome.rs
+++ b/crates/store/src/writer/commit_outcome.rs
@@ -5,7 +5,7 @@
 use crate::{Head, Query, Store, StoreError};
 
 /// What a ticket's rows have become; none if nothing of the transaction is on record.
-pub(super) type Found = Option<Vec<Result<u64, ClaimRejection>>>;
+pub(super) type FoundRows = Option<Vec<Result<u64, ClaimRejection>>>;
 
 /// Looks for the writes behind the last row that was acknowledged. They were one transaction, so all of them are
 /// there, but those that were refused, or none.
@@ -14,7 +14,7 @@
 /// If the store cannot be read.
 pub(super) fn find_rows(
     store: &dyn Store, acknowledged: Head, tickets: &[&[Write]],
-) -> Result<Vec<Found>, StoreError> {
+) -> Result<Vec<FoundRows>, StoreError> {
     let limit = tickets.iter().map(|writes| writes.len()).sum();
     let rows = store.rows(&Query { after_seq: acknowledged.seq, limit, ..Query::default() })?;
     let mut rows = rows.iter().peekable();
--- a/crates/store/src/writer/recovery.rs
+++ b/crates/store/src/writer/recovery.rs
@@ -1,30 +1,37 @@
-//! The writer's thread when the store fails, until it is back; and what is done between commits.
+//! The writer's thread when the store fails, until it is open again.
 
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Instant;
 
-use shaletide_record::Row;
+use super::commit_outcome::{find_rows, FoundRows};
+use super::config::Opening;
+use super::event::WriterEvent;
+use super::worker::{Access, Worker};
+use crate::{holds, Head, Store, StoreError};
 
-use super::commit_outcome::{find_rows, Found};
-use super::worker::{Access, Maintenance, Worker};
-use super::{Opening, WriterConfig, WriterEvent};
-use crate::{holds, Anchor, CommitOutcome, Head, Pruned, Store, StoreError, Sums};
+/// A store that was opened again, compared with what was acknowledged.
+struct Reopened {
+    store: Box<dyn Store>,
+    head: Head,
+    /// What became of each unresolved ticket.
+    found: Vec<FoundRows>,
+}
 
 impl Worker {
-    /// Closes the store, and opens it again later.
+    /// Closes the store, and opens it again after a backoff.
     pub(super) fn store_failed(&mut self, error: Arc<StoreError>) {
-        let (known, wait) = match &self.access {
-            Access::Open(_) => (false, self.config.backoff),
-            Access::Down { wait, .. } if wait.is_zero() => (false, self.config.backoff),
-            Access::Down { error: before, wait, .. } => {
-                (before.code() == error.code(), (*wait * 2).min(self.config.max_backoff))
+        let mut is_reported = false;
+        let mut backoff = self.config.backoff;
+        if let Access::Down { error: before, backoff: last, .. } = &self.access {
+            if !last.is_zero() {
+                is_reported = before.code() == error.code();
+                backoff = (*last * 2).min(self.config.max_backoff);
             }
-        };
-        let retry_at = Instant::now() + wait;
-        self.access = Access::Down { error: Arc::clone(&error), retry_at, wait };
-        if !known {
-            (self.notify)(WriterEvent::Down { error: error });
+        }
+        let retry_at = Instant::now() + backoff;
+        self.access = Access::Down { error: Arc::clone(&error), retry_at, backoff };
+        if !is_reported {
+            (self.notify)(WriterEvent::Down { error });
         }
     }
 
@@ -33,36 +40,37 @@
             Access::Down { retry_at, .. } if *retry_at <= Instant::now() => {}
             _ => return,
         }
-        let opening = if self.acknowledged.is_some() { Opening::Again } else { Opening::First };
-        self.shared.working_since.store(self.shared.now(), Ordering::Relaxed);
-        let opened = (self.opener)(opening).and_then(|store| {
-            let (head, found) = self.compare(&*store)?;
-            Ok((store, head, found))
-        });
-        self.shared.working_since.store(0, Ordering::Relaxed);
-        match opened {
-            Ok((store, head, found)) => {
+        let work = self.shared.begin_work();
+        let reopened = self.reopen();
+        drop(work);
+        match reopened {
+            Ok(Reopened { store, head, found }) => {
                 self.access = Access::Open(store);
                 self.acknowledged = Some(head);
-                self.report_outcomes(found);
+                self.report_unresolved(found);
                 (self.notify)(WriterEvent::Back { head });
             }
             Err(error) => self.store_failed(Arc::new(error)),
         }
     }
 
-    /// Whether what was acknowledged is there, and what became of what was not.
-    fn compare(&self, store: &dyn Store) -> Result<(Head, Vec<Found>), StoreError> {
+    /// Opens the store; it has to have what was acknowledged, and tells what became of what was not.
+    fn reopen(&mut self) -> Result<Reopened, StoreError> {
+        let opening = if self.acknowledged.is_some() { Opening::Again } else { Opening::First };
+        let store = (self.opener)(opening)?;
         let head = store.head()?;
-        let Some(acknowledged) = self.acknowledged else { return Ok((head, Vec::new())) };
-        if !holds(store, &acknowledged)? {
+        let Some(acknowledged) = self.acknowledged else {
+            return Ok(Reopened { store, head, found: Vec::new() });
+        };
+        if !holds(&*store, &acknowledged)? {
             return Err(StoreError::Cut { expected: acknowledged, found: head });
         }
         let writes: Vec<&[_]> = self.unresolved.iter().map(|ticket| &ticket.writes[..]).collect();
-        Ok((head, find_rows(store, acknowledged, &writes)?))
+        let found = find_rows(&*store, acknowledged, &writes)?;
+        Ok(Reopened { store, head, found })
     }
 
-    fn report_outcomes(&mut self, found: Vec<Found>) {
+    fn report_unresolved(&mut self, found: Vec<FoundRows>) {
         for (ticket, found) in std::mem::take(&mut self.unresolved).into_iter().zip(found) {
             match found {
                 Some(rows) => self.report_rows(ticket.id, rows),
@@ -70,55 +78,4 @@
             }
         }
     }
-
-    /// One step of what is to be done between commits.
-    pub(super) fn maintain(&mut self) {
-        let Access::Open(store) = &mut self.access else { return };
-        let Some(task) = self.maintenance.front_mut() else { return };
-        self.shared.working_since.store(self.shared.now(), Ordering::Relaxed);
-        let WriterConfig { run, maintenance_step, .. } = self.config;
-        let done = step(task, &mut **store, &*self.sums, run, maintenance_step.max(1));
-        self.shared.working_since.store(0, Ordering::Relaxed);
-        // A note was added behind the last row.
-        let done = done.and_then(|event| Ok((event, store.head()?)));
-        match done {
-            Ok((None, head)) => self.acknowledged = Some(head),
-            Ok((Some(event), head)) => {
-                self.acknowledged = Some(head);
-                self.maintenance.pop_front();
-                (self.notify)(event);
-            }
-            Err(error) => self.maintenance_failed(Arc::new(error)),
-        }
-    }
-
-    /// A task may be asked for again at any time: what is left of them is given up, not kept for later.
-    fn maintenance_failed(&mut self, error: Arc<StoreError>) {
-        for task in std::mem::take(&mut self.maintenance) {
-            let (ticket, error) = (task.ticket(), Arc::clone(&error));
-            (self.notify)(WriterEvent::Failed { ticket, error: error, outcome: CommitOutcome::Unknown });
-        }
-        self.store_failed(error);
-    }
-}
-
-/// One step of a task; what to say if it was the last.
-fn step(
-    task: &mut Maintenance, store: &mut dyn Store, sums: &dyn Sums, run: u64, limit: usize,
-) -> Result<Option<WriterEvent>, StoreError> {
-    match task {
-        Maintenance::Forget { ticket, before, keys } => {
-            let forgotten = store.forget_served(*before, limit)?;
-            *keys += forgotten;
-            let done = WriterEvent::Forgotten { ticket: *ticket, keys: *keys };
-            Ok((forgotten < limit).then_some(done))
-        }
-        Maintenance::Prune { ticket, before, note, rows } => {
-            let noted = |anchor: &Anchor| Row { run, ..note(anchor) };
-            let pruned = store.prune(*before, limit, &noted, sums)?;
-            *rows += pruned.rows;
-            let done = WriterEvent::Pruned { ticket: *ticket, pruned: Pruned { rows: *rows, ..pruned } };
-            Ok((!pruned.more).then_some(done))
-        }
-    }
 }
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -1,5 +1,4 @@
-//! The writer's thread: takes what waits, commits it together, says what became of it; opens the store again when
-//! it failed.
+//! The writer's thread: takes what is queued, commits it together, reports what became of it.
 
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
@@ -8,9 +7,11 @@
 use std::time::{Duration, Instant};
 
 use shaletide_record::{ClaimRejection, Write};
-use shaletide_types::Time;
 
-use super::{FactEncoder, Job, Opener, Shared, WriterConfig, WriterEvent};
+use super::config::{Opener, WriterConfig};
+use super::event::WriterEvent;
+use super::maintenance::Maintenance;
+use super::queue::{Job, Shared};
 use crate::{CommitError, CommitOutcome, Head, Store, StoreError, Sums};
 
 /// The writes of one call.
@@ -19,29 +20,23 @@
     pub(super) writes: Vec<Write>,
 }
 
-/// Something that is done a step at a time, between commits.
-pub(super) enum Maintenance {
-    Forget { ticket: u64, before: Time, keys: usize },
-    Prune { ticket: u64, before: Time, note: FactEncoder, rows: u64 },
-}
-
-impl Maintenance {
-    pub(super) fn ticket(&self) -> u64 {
-        match self {
-            Maintenance::Forget { ticket, .. } | Maintenance::Prune { ticket, .. } => *ticket,
-        }
-    }
-}
-
 /// The store, or why there is none.
 pub(super) enum Access {
     Open(Box<dyn Store>),
-    Down { error: Arc<StoreError>, retry_at: Instant, wait: Duration },
+    Down {
+        error: Arc<StoreError>,
+        retry_at: Instant,
+        /// The wait before `retry_at`; zero before the store was opened for the first time.
+        backoff: Duration,
+    },
 }
 
-enum Step {
+/// What the thread does next.
+enum Next {
     Job(Job),
+    /// No job is queued: a step of maintenance, or an opening of the store.
     Idle,
+    /// The caller's side was dropped and nothing is queued.
     End,
 }
 
@@ -55,7 +50,7 @@
     pub(super) access: Access,
     /// The last head that the store has shown; none before it was open.
     pub(super) acknowledged: Option<Head>,
-    /// What failed so that it may be on record.
+    /// Tickets of a commit that failed and may be durable all the same.
     pub(super) unresolved: Vec<Ticket>,
     pub(super) maintenance: VecDeque<Maintenance>,
 }
@@ -66,8 +61,6 @@
         notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> Worker {
         let error = Arc::new(StoreError::Other("not open yet".into()));
-        let access = Access::Down { error, retry_at: Instant::now(), wait: Duration::ZERO };
-        let (unresolved, maintenance) = (Vec::new(), VecDeque::new());
         Worker {
             config,
             jobs,
@@ -75,76 +68,76 @@
             opener,
             sums,
             notify,
-            access,
+            access: Access::Down { error, retry_at: Instant::now(), backoff: Duration::ZERO },
             acknowledged: None,
-            unresolved,
-            maintenance,
+            unresolved: Vec::new(),
+            maintenance: VecDeque::new(),
         }
     }
 
+    /// Works until the caller's side is dropped and all that was queued is written or has failed. What is left of the
+    /// maintenance then may be asked for again after the next start.
     pub(super) fn run(mut self) {
         loop {
             self.open_if_due();
-            match self.next_step() {
-                Step::Job(job) => self.process(job),
-                Step::Idle => self.maintain(),
-                // What is left of the maintenance may be asked for again after the next start.
-                Step::End => return,
+            match self.next() {
+                Next::Job(job) => self.process(job),
+                Next::Idle => self.maintain(),
+                Next::End => return,
             }
         }
     }
 
-    fn next_step(&self) -> Step {
-        let of = |error| match error {
-            TryRecvError::Empty => Step::Idle,
-            TryRecvError::Disconnected => Step::End,
-        };
+    /// The next job. Waits for one while there is nothing else to do.
+    fn next(&self) -> Next {
         match &self.access {
-            Access::Open(_) if self.maintenance.is_empty() => self.jobs.recv().map_or(Step::End, Step::Job),
-            Access::Open(_) => self.jobs.try_recv().map_or_else(of, Step::Job),
+            Access::Open(_) if self.maintenance.is_empty() => self.jobs.recv().map_or(Next::End, Next::Job),
+            Access::Open(_) => match self.jobs.try_recv() {
+                Ok(job) => Next::Job(job),
+                Err(TryRecvError::Empty) => Next::Idle,
+                Err(TryRecvError::Disconnected) => Next::End,
+            },
             Access::Down { retry_at, .. } => {
                 match self.jobs.recv_timeout(retry_at.saturating_duration_since(Instant::now())) {
-                    Ok(job) => Step::Job(job),
-                    Err(RecvTimeoutError::Timeout) => Step::Idle,
-                    Err(RecvTimeoutError::Disconnected) => Step::End,
+                    Ok(job) => Next::Job(job),
+                    Err(RecvTimeoutError::Timeout) => Next::Idle,
+                    Err(RecvTimeoutError::Disconnected) => Next::End,
                 }
             }
         }
     }
 
-    /// Takes this job and, if it is to be written, what waits behind it.
+    /// Takes this job and what is queued behind it, and commits what of that is to be written.
     fn process(&mut self, job: Job) {
-        let until = Instant::now() + self.config.linger;
+        let commit_at = Instant::now() + self.config.linger;
         let mut tickets = Vec::new();
         let mut rows = 0;
         let mut next = Some(job);
         while let Some(job) = next {
             rows += self.accept(job, &mut tickets);
-            next = if rows >= self.config.batch_rows { None } else { self.next_waiting(until) };
+            next = if rows >= self.config.batch_rows { None } else { self.next_until(commit_at) };
         }
         if !tickets.is_empty() {
             self.commit(tickets);
         }
     }
 
-    fn next_waiting(&self, until: Instant) -> Option<Job> {
-        match self.jobs.try_recv() {
-            Ok(job) => Some(job),
-            Err(_) => {
-                let left = until.saturating_duration_since(Instant::now());
-                if left.is_zero() {
-                    return None;
-                }
-                self.jobs.recv_timeout(left).ok()
-            }
+    fn next_until(&self, end: Instant) -> Option<Job> {
+        if let Ok(job) = self.jobs.try_recv() {
+            return Some(job);
         }
+        let left = end.saturating_duration_since(Instant::now());
+        if left.is_zero() {
+            return None;
+        }
+        self.jobs.recv_timeout(left).ok()
     }
 
-    /// Puts a job where it belongs, and says how many rows it adds to the commit.
+    /// Puts a job with the tickets or the maintenance, and returns how many rows it adds to the commit.
     fn accept(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
         match job {
             Job::Write { ticket, mut writes, bytes } => {
-                self.shared.bytes.fetch_sub(bytes, Ordering::Relaxed);
+                self.shared.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
                 for write in &mut writes {
                     write.row.run = self.config.run;
                 }
@@ -168,19 +161,19 @@
             Access::Open(store) => store,
             Access::Down { error, .. } => {
                 let error = Arc::clone(error);
-                return self.fail(&tickets, &error, CommitOutcome::Nothing);
+                return self.report_failed(&tickets, &error, CommitOutcome::Nothing);
             }
         };
-        let mut batch = Vec::new();
         let lengths: Vec<usize> = tickets.iter().map(|ticket| ticket.writes.len()).collect();
+        let mut batch = Vec::new();
         for ticket in &mut tickets {
             batch.append(&mut ticket.writes);
         }
-        self.shared.working_since.store(self.shared.now(), Ordering::Relaxed);
-        let done = store.commit(&batch, &*self.sums);
-        let head = done.as_ref().ok().map(|_| store.head());
-        self.shared.working_since.store(0, Ordering::Relaxed);
-        match done {
+        let work = self.shared.begin_work();
+        let committed = store.commit(&batch, &*self.sums);
+        let head = committed.is_ok().then(|| store.head());
+        drop(work);
+        match committed {
             Ok(rows) => self.acknowledge(&tickets, &lengths, rows),
             Err(failed) => {
                 for (ticket, length) in tickets.iter_mut().zip(lengths) {
@@ -208,20 +201,20 @@
         let seqs: Result<Vec<u64>, ClaimRejection> = rows.iter().copied().collect();
         (self.notify)(match seqs {
             Ok(seqs) => WriterEvent::Committed { ticket, seqs },
-            Err(_) => WriterEvent::Refused { ticket, rows },
+            Err(_) => WriterEvent::ClaimsRejected { ticket, rows },
         });
     }
 
     fn commit_failed(&mut self, tickets: Vec<Ticket>, failed: CommitError) {
         let error = Arc::new(failed.error);
-        self.fail(&tickets, &error, failed.outcome);
+        self.report_failed(&tickets, &error, failed.outcome);
         if failed.outcome == CommitOutcome::Unknown {
             self.unresolved = tickets;
         }
         self.store_failed(error);
     }
 
-    fn fail(&mut self, tickets: &[Ticket], error: &Arc<StoreError>, outcome: CommitOutcome) {
+    fn report_failed(&mut self, tickets: &[Ticket], error: &Arc<StoreError>, outcome: CommitOutcome) {
         for ticket in tickets {
             (self.notify)(WriterEvent::Failed { ticket: ticket.id, error: Arc::clone(error), outcome });
         }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -31,8 +31,10 @@
     assert_eq!(host.committed(), (1, vec![1]));
     assert_eq!(host.committed(), (2, vec![2]));
     let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
-    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [taken]));
-    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)]));
+    assert!(matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [taken]));
+    assert!(
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)])
+    );
     assert_eq!(host.committed(), (5, vec![5]));
     assert_eq!(faults.steps(), [Step::Began(1), Step::Durable(1), Step::Began(6), Step::Durable(4)]);
     assert!(host.stop().is_empty());
@@ -175,11 +177,11 @@
     }
     host.down();
     assert!(
-        matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
     );
     assert_eq!(host.committed(), (4, vec![3]));
     assert!(
-        matches!(host.next(), WriterEvent::Refused { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
     );
     assert_eq!(host.back(), 3);
 }
--- a/crates/store/tests/writer_disk.rs
+++ b/crates/store/tests/writer_disk.rs
@@ -83,7 +83,7 @@
     });
     let events = host.stop();
     let won = events.iter().filter(|event| matches!(event, WriterEvent::Committed { .. })).count();
-    let lost = events.iter().filter(|event| matches!(event, WriterEvent::Refused { .. })).count();
+    let lost = events.iter().filter(|event| matches!(event, WriterEvent::ClaimsRejected { .. })).count();
     assert_eq!((won, lost), (200, 600));
     assert_eq!(place.open().keys(None, usize::MAX).expect("keys").len(), 200);
 }
