--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening the store and reading what it remembers, on a thread of its own: a disk may fail, or hang.
+//! Opening the store and reading its keys, on a thread of its own: a disk may fail, or hang.
 
 use crate::StoreError;
 use shaletide_record::StoredKey;
@@ -9,22 +9,22 @@
 
 /// So many keys are read at a time.
 const PAGE: usize = 10_000;
-/// An owner that is about to end is waited for.
-const OWNED: Duration = Duration::from_secs(5);
-/// The pause between two looks whether a lock has been given up.
+/// A store that another process owns is waited for so long.
+const MAX_OWNER_WAIT: Duration = Duration::from_secs(5);
+/// The pause between two attempts to take the lock.
 const LOCK_PAUSE: Duration = Duration::from_millis(50);
 /// A store that reads as corrupt so often in a row, on a disk that can be read, is corrupt.
 const CORRUPT_TRIES: u32 = 4;
 /// The pause between two such readings.
 const CORRUPT_PAUSE: Duration = Duration::from_millis(250);
-/// The pause between two looks at an opening that is under way.
-const LOOK: Duration = Duration::from_millis(20);
+/// The pause between two checks of an opening in progress.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An open store and what it remembers.
+/// An open store and what it has.
 pub(crate) struct StoreContents {
     pub store: SqliteStore,
     pub head: Head,
-    pub held: Vec<StoredKey>,
+    pub keys: Vec<StoredKey>,
 }
 
 impl StoreContents {
@@ -48,15 +48,15 @@
     }
 
     fn read_once(path: &Path) -> Result<StoreContents, StoreError> {
-        let store = opened(path)?;
+        let store = open_when_released(path)?;
         let head = store.head()?;
-        let mut held: Vec<StoredKey> = Vec::new();
+        let mut keys: Vec<StoredKey> = Vec::new();
         loop {
-            let page = store.keys(held.last().map(|remembered| &remembered.key), PAGE)?;
+            let page = store.keys(keys.last().map(|remembered| &remembered.key), PAGE)?;
             let is_last = page.len() < PAGE;
-            held.extend(page);
+            keys.extend(page);
             if is_last {
-                return Ok(StoreContents { store, head, held });
+                return Ok(StoreContents { store, head, keys });
             }
         }
     }
@@ -72,24 +72,26 @@
     })
 }
 
-/// A command that ends a doubt holds a store for a moment while no proxy runs: no reason not to start.
-fn opened(path: &Path) -> Result<SqliteStore, StoreError> {
+/// Opens a store. One that is owned is waited for: a command that resolves a key owns it for a moment while no proxy runs.
+fn open_when_released(path: &Path) -> Result<SqliteStore, StoreError> {
     let begun = Instant::now();
     loop {
         match SqliteStore::open(&SqliteOptions::new(path)) {
-            Err(StoreError::Owned { .. }) if begun.elapsed() < OWNED => std::thread::sleep(LOCK_PAUSE),
+            Err(StoreError::Owned { .. }) if begun.elapsed() < MAX_OWNER_WAIT => {
+                std::thread::sleep(LOCK_PAUSE)
+            }
             done => return done,
         }
     }
 }
 
-/// The disk may work again by itself. Everything else wants an operator: another store, another program, another owner,
+/// The disk may work again by itself. Everything else needs an operator: another store, another program, another owner,
 /// a setting that is not in force, a folder that is not there.
 pub(crate) fn may_open_later(error: &StoreError) -> bool {
     matches!(error, StoreError::Slow(_) | StoreError::Busy(_) | StoreError::Full(_) | StoreError::Io(_))
 }
 
-/// An opening that is under way on a thread of its own.
+/// An opening in progress on a thread of its own.
 pub(crate) struct OpeningAttempt(Receiver<Result<StoreContents, StoreError>>);
 
 impl OpeningAttempt {
@@ -98,10 +100,10 @@
     /// # Errors
     /// The system gives no thread.
     pub fn begin(path: PathBuf) -> Result<OpeningAttempt, StoreError> {
-        let (tell, told) = channel();
-        let read = move || drop(tell.send(StoreContents::read(&path))); // whoever waited may have ended
+        let (sender, receiver) = channel();
+        let read = move || drop(sender.send(StoreContents::read(&path))); // whoever waited may have ended
         let thread = std::thread::Builder::new().name("store-open".into()).spawn(read);
-        thread.map(|_| OpeningAttempt(told)).map_err(|e| StoreError::Io(e.into()))
+        thread.map(|_| OpeningAttempt(receiver)).map_err(|e| StoreError::Io(e.into()))
     }
 
     /// What has come of it, if that is known within that time. Blocks.
@@ -109,7 +111,7 @@
         match self.0.recv_timeout(most) {
             Ok(done) => Some(done),
             Err(RecvTimeoutError::Timeout) => None,
-            Err(RecvTimeoutError::Disconnected) => Some(Err(ended_without_a_word())),
+            Err(RecvTimeoutError::Disconnected) => Some(Err(thread_ended())),
         }
     }
 
@@ -118,13 +120,13 @@
         loop {
             match self.0.try_recv() {
                 Ok(done) => return done,
-                Err(TryRecvError::Empty) => tokio::time::sleep(LOOK).await,
-                Err(TryRecvError::Disconnected) => return Err(ended_without_a_word()),
+                Err(TryRecvError::Empty) => tokio::time::sleep(POLL_INTERVAL).await,
+                Err(TryRecvError::Disconnected) => return Err(thread_ended()),
             }
         }
     }
 }
 
-fn ended_without_a_word() -> StoreError {
+fn thread_ended() -> StoreError {
     StoreError::Other("the thread that opened the store has ended".into())
 }
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -1,7 +1,8 @@
-//! The record as the daemon holds it: at work, or waiting for its store.
+//! The record as the daemon holds it: at work, or waiting until its store opens.
 
-use crate::opening::{may_open_later, OpeningAttempt};
-use crate::{RecordService, Run, StoreError, AGAIN};
+use crate::opening::{may_open_later, OpeningAttempt, StoreContents};
+use crate::service::STORE_RETRY_AFTER;
+use crate::{RecordService, Run, StoreError};
 use shaletide_net::{Driver, RequestRecorder};
 use shaletide_record::{Event, KeyDecision, KeyRequest, RecordConfig};
 use shaletide_types::{causes, Time};
@@ -11,12 +12,19 @@
 use std::time::Duration;
 use tracing::{error, info};
 
-/// The start waits so long for the store, and goes on without it then.
-const START_WAIT: Duration = Duration::from_secs(6);
+/// The start waits so long for the store, then goes on without it.
+const MAX_START_WAIT: Duration = Duration::from_secs(6);
 /// The pause after the first opening that failed; it doubles with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 /// The longest pause between two openings.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+
+/// What a run begins with.
+#[derive(Clone)]
+struct NextRun {
+    config: RecordConfig,
+    run: Run,
+}
 
 /// The record of one proxy.
 pub struct Record {
@@ -24,12 +32,12 @@
     driver: Rc<Driver>,
     service: RefCell<Option<Rc<RecordService>>>,
     /// What the next run begins with, as long as there is no service.
-    next: RefCell<(RecordConfig, Run)>,
+    next: RefCell<NextRun>,
 }
 
 impl Record {
-    /// Opens the store and begins, or goes on without it where its disk fails: then what needs the record is refused,
-    /// and the store is opened again and again. Blocks for some seconds at most. Within a `LocalSet`.
+    /// Opens the store and begins, or goes on without it where its disk fails: then requests that need the record are
+    /// rejected, and the store is opened again and again. Blocks for some seconds at most. Within a `LocalSet`.
     ///
     /// # Errors
     /// The store cannot be right, whatever becomes of its disk.
@@ -40,12 +48,12 @@
             path: path.into(),
             driver: driver.clone(),
             service: RefCell::default(),
-            next: RefCell::new((config, run)),
+            next: RefCell::new(NextRun { config, run }),
         });
         match record.open_once() {
             Ok(None) => {}
             Ok(Some(attempt)) => {
-                error!("store: not open after {START_WAIT:?}: what needs the record is refused");
+                error!("store: not open after {MAX_START_WAIT:?}: what needs the record is refused");
                 record.wait_for_store(Some(attempt));
             }
             Err(error) if may_open_later(&error) => {
@@ -57,11 +65,11 @@
         Ok(record)
     }
 
-    /// Opens the store and begins; the attempt where it takes longer than a start waits. A thread that the system does
-    /// not give for now is a failure like that of a disk.
+    /// Opens the store and begins; returns the opening where it takes longer than a start waits. If the system gives no
+    /// thread for now, that is a failure like one of the disk.
     fn open_once(self: &Rc<Record>) -> Result<Option<OpeningAttempt>, StoreError> {
         let attempt = OpeningAttempt::begin(self.path.clone())?;
-        match attempt.wait(START_WAIT) {
+        match attempt.wait(MAX_START_WAIT) {
             Some(opened) => self.begin(opened?).map(|()| None),
             None => Ok(Some(attempt)),
         }
@@ -83,14 +91,14 @@
             Some(service) => service.configure(config, digest),
             None => {
                 let mut next = self.next.borrow_mut();
-                next.0 = config;
-                next.1.digest = digest;
+                next.config = config;
+                next.run.digest = digest;
             }
         }
     }
 
-    fn begin(&self, contents: crate::StoreContents) -> Result<(), StoreError> {
-        let (config, run) = self.next.borrow().clone();
+    fn begin(&self, contents: StoreContents) -> Result<(), StoreError> {
+        let NextRun { config, run } = self.next.borrow().clone();
         let (service, heard) = RecordService::begin(&self.path, contents, config, self.driver.clock, run)?;
         service.serve(&self.driver);
         tokio::task::spawn_local(service.clone().work(heard));
@@ -103,43 +111,50 @@
         error!("store: {word}: {path} does not open, what needs the record is refused: {}", causes(error));
     }
 
-    /// Refuses what needs the record until the store opens; `attempt` may be under way already.
+    /// Rejects requests that need the record until the store opens; `attempt` may be in progress already.
     fn wait_for_store(self: &Rc<Record>, attempt: Option<OpeningAttempt>) {
         self.driver.set_recorder(self.clone());
         tokio::task::spawn_local(self.clone().open_later(attempt));
     }
 
     async fn open_later(self: Rc<Record>, mut attempt: Option<OpeningAttempt>) {
-        let (mut pause, mut said) = (FIRST_PAUSE, "");
+        let mut backoff = FIRST_BACKOFF;
+        let mut reported = "";
         loop {
-            let opened = match attempt.take().map_or_else(|| OpeningAttempt::begin(self.path.clone()), Ok) {
-                Ok(attempt) => attempt.done().await,
-                Err(error) => Err(error),
-            };
+            let opened = self.next_opening(attempt.take()).await;
             match opened.and_then(|contents| self.begin(contents)) {
                 Ok(()) => return info!("store: open, what needs the record is taken again"),
                 // Each kind of failure once.
-                Err(error) if error.code() != said => {
+                Err(error) if error.code() != reported => {
                     self.report_failure(&error);
-                    said = error.code();
+                    reported = error.code();
                 }
                 Err(_) => {}
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            tokio::time::sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_BACKOFF);
         }
     }
+
+    /// The outcome of the opening in progress, or of a new one.
+    async fn next_opening(&self, attempt: Option<OpeningAttempt>) -> Result<StoreContents, StoreError> {
+        let attempt = match attempt {
+            Some(attempt) => attempt,
+            None => OpeningAttempt::begin(self.path.clone())?,
+        };
+        attempt.done().await
+    }
 }
 
 /// As long as the store is not open.
 impl RequestRecorder for Record {
     /// Classes of which only facts are kept are served: their facts are lost meanwhile.
     fn records(&self, class: &str) -> bool {
-        self.next.borrow().0.requires_intent(class)
+        self.next.borrow().config.requires_intent(class)
     }
 
     fn ask(&self, _: Time, _: &KeyRequest<'_>) -> KeyDecision {
-        KeyDecision::Reject(AGAIN)
+        KeyDecision::Reject(STORE_RETRY_AFTER)
     }
 
     fn tell(&self, _: Time, _: Event) {}
--- /dev/null
+++ b/crates/record-service/src/service/commands.rs
@@ -0,0 +1,147 @@
+//! What operators and the daemon have done: resolutions, pruning, facts, another configuration, the end.
+
+use super::RecordService;
+use shaletide_record::{chain, About, Event, Fact, KeyId, RecordConfig, ReplyId, ResolveResult};
+use shaletide_store::{Anchor, FactEncoder, SendError};
+use shaletide_types::Time;
+use std::fmt;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
+use tracing::{error, info};
+
+/// The facts that a command asks for have so long to become durable.
+const COMMAND_FLUSH: Duration = Duration::from_secs(5);
+/// How often it is checked whether they are.
+const FLUSH_POLL: Duration = Duration::from_millis(5);
+
+/// Why rows were not pruned.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum PruneError {
+    /// The store takes nothing.
+    StoreDown,
+    /// The writer took no ticket.
+    NotQueued(SendError),
+    /// The store failed; how.
+    Failed(String),
+    /// The store was closed before its turn came.
+    Lost,
+    /// The service ended first.
+    Stopping,
+}
+
+impl fmt::Display for PruneError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            PruneError::StoreDown => f.write_str("the store takes nothing now"),
+            PruneError::NotQueued(error) => write!(f, "{error}"),
+            PruneError::Failed(error) => f.write_str(error),
+            PruneError::Lost => f.write_str("the store did not get to it"),
+            PruneError::Stopping => f.write_str("the proxy stops"),
+        }
+    }
+}
+
+impl RecordService {
+    /// Another configuration, and the digest of the file that has it.
+    pub fn configure(&self, config: RecordConfig, digest: String) {
+        self.recorder.borrow_mut().configure(config);
+        let version = self.config_version.get() + 1;
+        self.config_version.set(version);
+        self.note(Fact::Config { version, digest });
+    }
+
+    /// Records a fact that is about no request.
+    pub fn note(&self, fact: Fact) {
+        self.handle(Event::RecordFact(fact));
+    }
+
+    /// An operator says whether the attempt in doubt was executed.
+    pub async fn resolve(self: &Rc<Self>, key: KeyId, ran: bool, by: String, note: String) -> ResolveResult {
+        let reply = ReplyId(self.next_number());
+        let (sender, receiver) = oneshot::channel();
+        self.replies.borrow_mut().insert(reply, sender);
+        self.handle(Event::Resolve { reply, key, ran, by, note });
+        receiver.await.unwrap_or(ResolveResult::StoreDown)
+    }
+
+    /// Has rows pruned that are older than `before`, and returns how many.
+    ///
+    /// # Errors
+    /// Why none were pruned, or it is not known whether any were.
+    pub async fn prune(&self, before: Time, by: String) -> Result<u64, String> {
+        self.prune_rows(before, by).await.map_err(|error| error.to_string())
+    }
+
+    async fn prune_rows(&self, before: Time, by: String) -> Result<u64, PruneError> {
+        if self.store_down.get() {
+            return Err(PruneError::StoreDown);
+        }
+        // Above all tickets of the recorder's own, which count from 0.
+        let ticket = u64::MAX - self.next_number();
+        let at = self.clock.now();
+        let note: FactEncoder = Box::new(move |anchor: &Anchor| {
+            let sum = chain::hex(&anchor.through.sum);
+            Fact::Pruned { through: anchor.through.seq, sum, by: by.clone() }.row(at, About::default())
+        });
+        let sent = match &*self.writer.borrow() {
+            Some(writer) => writer.prune(ticket, before, note),
+            None => Err(SendError::Ended),
+        };
+        sent.map_err(PruneError::NotQueued)?;
+        let (sender, receiver) = oneshot::channel();
+        self.prunes.borrow_mut().insert(ticket, sender);
+        receiver.await.unwrap_or(Err(PruneError::Stopping))
+    }
+
+    /// A number for a reply or a prune, each used once.
+    fn next_number(&self) -> u64 {
+        self.next_reply.replace(self.next_reply.get() + 1)
+    }
+
+    /// The store takes nothing, as far as is known.
+    pub fn down(&self) -> bool {
+        self.store_down.get()
+    }
+
+    /// Waits until all facts that may not be lost are durable; false where that takes too long for a command.
+    pub async fn settled(&self) -> bool {
+        self.settled_by(Instant::now() + COMMAND_FLUSH).await
+    }
+
+    /// The same until that time.
+    pub async fn settled_by(&self, end: Instant) -> bool {
+        while self.recorder.borrow().pending_fact_count() > 0 {
+            if Instant::now() >= end {
+                return false;
+            }
+            tokio::time::sleep(FLUSH_POLL).await;
+        }
+        true
+    }
+
+    /// Ends the writer: what is queued is written until that time, and what is left is logged. An attempt that was sent
+    /// has its intent on record, so what is left of its key is in doubt at the next start. Blocks.
+    pub fn stop(&self, end: Instant) {
+        let Some(writer) = self.writer.borrow_mut().take() else { return };
+        let ended = writer.stop(end.saturating_duration_since(Instant::now()));
+        let recorder = self.recorder.borrow();
+        let facts = recorder.pending_fact_count();
+        if ended.is_err() || facts > 0 {
+            let keys = recorder.unsettled();
+            error!("the store did not take its last writes in time: {facts} facts, {keys} keys unsettled");
+        }
+    }
+
+    /// Logs the state of the record in one line.
+    pub fn report(&self) {
+        let recorder = self.recorder.borrow();
+        info!(
+            "record: keys unsettled {} served {}, facts on their way {}, left out {}",
+            recorder.unsettled(),
+            recorder.served(),
+            recorder.pending_fact_count(),
+            recorder.dropped()
+        );
+    }
+}
--- a/crates/record-service/src/store_error.rs
+++ b/crates/record-service/src/store_error.rs
@@ -1,10 +1,10 @@
-//! What the store says, in the recorder's terms.
+//! The store's errors in the recorder's terms.
 
 use shaletide_record::StoreFailure;
 use shaletide_store::StoreError;
 
-/// What is wrong with the store, by who can mend it.
-pub fn store_failure(error: &StoreError) -> StoreFailure {
+/// What is wrong with the store, by who can repair it.
+pub(crate) fn store_failure(error: &StoreError) -> StoreFailure {
     match error {
         StoreError::Slow(_) => StoreFailure::Slow,
         StoreError::Busy(_) | StoreError::Owned { .. } => StoreFailure::Locked,
