--- a/crates/store/examples/child.rs
+++ b/crates/store/examples/child.rs
@@ -72,7 +72,7 @@
         let key = key(format!("key-{at}"));
         let batch = [take(at, &key), set(at, &key, KeyState::Served)];
         let rows = store.commit(&batch, &plain_sum).map_err(|failed| failed.error)?;
-        say(&format!("acked {}", rows[1].expect("a new key")));
+        say(&format!("acknowledged {}", rows[1].expect("a new key")));
     }
     Ok(())
 }
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -24,11 +24,11 @@
 /// how long each waited.
 fn settle(db: &Path, callers: usize, count: usize, batch_rows: usize) -> (f64, Vec<Duration>) {
     let options = SqliteOptions::new(db);
-    let (say, events) = channel();
+    let (sender, events) = channel();
     let config = WriterConfig { batch_rows, ..WriterConfig::new(1) };
     let opener =
         Box::new(move |_| SqliteStore::open(&options).map(|store| Box::new(store) as Box<dyn Store>));
-    let notify = Box::new(move |event| say.send(event).unwrap_or(()));
+    let notify = Box::new(move |event| sender.send(event).unwrap_or(()));
     let writer = Writer::start(config, opener, Arc::new(chain::sum), notify).expect("a thread");
     assert!(matches!(events.recv(), Ok(WriterEvent::Back { .. })));
     let mut sent = vec![Instant::now(); count];
@@ -72,11 +72,11 @@
 
 fn main() {
     let base = std::env::args().nth(1).map_or_else(std::env::temp_dir, Into::into);
-    let place = base.join(format!("shaletide-commits-{}", std::process::id()));
-    std::fs::create_dir_all(&place).expect("a directory");
+    let directory = base.join(format!("shaletide-commits-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory");
     let mut ratios = Vec::new();
     for round in 0..ROUNDS {
-        let file = |name: &str| place.join(format!("{name}-{round}.db"));
+        let file = |name: &str| directory.join(format!("{name}-{round}.db"));
         let (single, _) = settle(&file("single"), 64, ONE_BY_ONE, 1);
         let (grouped, waited) = settle(&file("grouped"), 64, TOGETHER, 256);
         ratios.push(grouped / single);
@@ -93,8 +93,8 @@
     for rows in [1, 10, 100] {
         println!(
             "a commit of {rows}: {}",
-            quantiles(commits(&place.join(format!("rows-{rows}.db")), rows, 2_000))
+            quantiles(commits(&directory.join(format!("rows-{rows}.db")), rows, 2_000))
         );
     }
-    std::fs::remove_dir_all(&place).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("removed");
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,17 +1,17 @@
-//! What can be wrong with a store, by what somebody has to do about it.
+//! What can be wrong with a store, by what an operator has to do about it.
 
 use std::fmt;
 use std::path::PathBuf;
 
 use crate::Head;
 
-/// Why a store did not do as asked.
+/// Why a store failed.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// It took longer than it may.
+    /// It took too long.
     Slow(Cause),
-    /// Somebody else holds the lock that it needs.
+    /// Another process has the lock that it needs.
     Busy(Cause),
     /// Another proxy owns the store.
     Owned {
@@ -40,10 +40,10 @@
     Newer {
         /// Its version.
         found: u32,
-        /// The newest that this program knows.
+        /// The newest version that this program knows.
         known: u32,
     },
-    /// A setting that durability rests on is not in force.
+    /// A setting that durability depends on is not in force.
     NotInForce {
         /// Its name.
         pragma: &'static str,
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -1,4 +1,4 @@
-//! A store that is slow, fails or hangs when told, and writes down in which order things happened. For tests.
+//! A store that is slow, fails or hangs on command, and logs in which order things happened. For tests.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -46,7 +46,7 @@
     steps: Vec<Step>,
 }
 
-/// What a test holds to command the stores that it made.
+/// Commands the stores that a test made.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     plan: Arc<(Mutex<Plan>, Condvar)>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! The store of record: rows and keys made durable, found again, and forgotten when their time is over. One trait,
-//! one conformance suite, SQLite behind it; a thread that owns the store, so that nobody else ever waits for a disk.
+//! The store of record: rows and keys made durable, read, and forgotten when their time is over. [`Store`] is the trait,
+//! `conformance` its suite, [`SqliteStore`] its implementation; [`Writer`] is the thread that owns a store, so that
+//! nothing else ever waits for a disk.
 //!
-//! The store decides one thing only: whether a key is free, by a constraint of the database and never by time.
-//! What a row means, when a key is in doubt and what follows from it is decided in `shaletide-record`.
+//! The store decides one thing only: whether a key is free, by a constraint of the database and never by time. What a row
+//! means, when a key is in doubt and what follows from it is decided in `shaletide-record`.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -43,11 +43,11 @@
         last.map_or(anchored, |row| Head { seq: row.seq, sum: row.sum, run: row.run })
     }
 
-    fn asked(&self, row: &Row, query: &Query) -> bool {
+    fn matches(&self, row: &Row, query: &Query) -> bool {
         let key = row.key.as_ref();
         let doubt = || {
-            let held = key.and_then(|key| self.keys.get(key));
-            held.is_some_and(|held| held.state == KeyState::Doubt)
+            let stored = key.and_then(|key| self.keys.get(key));
+            stored.is_some_and(|stored| stored.state == KeyState::Doubt)
         };
         let is = |wanted: &Option<String>, found: Option<&String>| {
             wanted.as_ref().is_none_or(|wanted| Some(wanted) == found)
@@ -65,30 +65,30 @@
     }
 
     fn claim(&mut self, write: &Write, seq: u64) -> Result<(), ClaimRejection> {
-        let held = |key: &KeyId, state| StoredKey { key: key.clone(), state, since: write.row.at, seq };
+        let stored = |key: &KeyId, state| StoredKey { key: key.clone(), state, since: write.row.at, seq };
         match &write.claim {
             Claim::None => {}
             Claim::Take(key) => {
                 if let Some(taken) = self.keys.get(key) {
                     return Err(ClaimRejection::Taken(taken.state));
                 }
-                self.keys.insert(key.clone(), held(key, KeyState::InFlight));
+                self.keys.insert(key.clone(), stored(key, KeyState::InFlight));
             }
             Claim::Set(key, state) => {
-                self.keys.insert(key.clone(), held(key, *state));
+                self.keys.insert(key.clone(), stored(key, *state));
             }
             Claim::Free(key) => {
                 self.keys.remove(key);
             }
             Claim::FreeOwn(key) => {
-                let last = self.keys.get(key).and_then(|held| self.rows.get(&held.seq));
+                let last = self.keys.get(key).and_then(|stored| self.rows.get(&stored.seq));
                 let (run, request) = (write.row.run, write.row.request);
                 if last.is_some_and(|last| (last.run, last.request) == (run, request)) {
                     self.keys.remove(key);
                 }
             }
             Claim::FreeServed { through } => {
-                self.keys.retain(|_, held| held.state != KeyState::Served || held.seq > *through);
+                self.keys.retain(|_, stored| stored.state != KeyState::Served || stored.seq > *through);
             }
         }
         Ok(())
@@ -101,9 +101,9 @@
         self.rows.insert(row.seq, row);
     }
 
-    fn open(&self, row: &Row) -> bool {
-        let held = row.key.as_ref().and_then(|key| self.keys.get(key));
-        held.is_some_and(|held| held.state != KeyState::Served)
+    fn is_unsettled(&self, row: &Row) -> bool {
+        let stored = row.key.as_ref().and_then(|key| self.keys.get(key));
+        stored.is_some_and(|stored| stored.state != KeyState::Served)
     }
 }
 
@@ -116,7 +116,7 @@
     }
     fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         let state = self.state();
-        let behind = state.keys.values().filter(|held| after.is_none_or(|after| held.key > *after));
+        let behind = state.keys.values().filter(|stored| after.is_none_or(|after| stored.key > *after));
         Ok(behind.take(limit).cloned().collect())
     }
     fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
@@ -124,7 +124,7 @@
     }
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError> {
         let state = self.state();
-        Ok(state.rows.values().filter(|row| state.asked(row, query)).take(query.limit).cloned().collect())
+        Ok(state.rows.values().filter(|row| state.matches(row, query)).take(query.limit).cloned().collect())
     }
     fn check(&self) -> Result<(), StoreError> {
         Ok(())
@@ -160,8 +160,9 @@
 
     fn forget_served(&mut self, before: Time, limit: usize) -> Result<usize, StoreError> {
         let mut state = self.state();
-        let old = state.keys.values().filter(|held| held.state == KeyState::Served && held.since < before);
-        let old: Vec<KeyId> = old.take(limit).map(|held| held.key.clone()).collect();
+        let old =
+            state.keys.values().filter(|stored| stored.state == KeyState::Served && stored.since < before);
+        let old: Vec<KeyId> = old.take(limit).map(|stored| stored.key.clone()).collect();
         for key in &old {
             state.keys.remove(key);
         }
@@ -172,7 +173,7 @@
         &mut self, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
     ) -> Result<Pruned, StoreError> {
         let mut state = self.state();
-        let old = state.rows.values().take_while(|row| row.at < before && !state.open(row));
+        let old = state.rows.values().take_while(|row| row.at < before && !state.is_unsettled(row));
         let mut old: Vec<Head> = old
             .take(limit.saturating_add(1))
             .map(|row| Head { seq: row.seq, sum: row.sum, run: row.run })
--- a/crates/store/src/sqlite/errors.rs
+++ b/crates/store/src/sqlite/errors.rs
@@ -1,4 +1,4 @@
-//! What SQLite says went wrong, by what somebody has to do about it.
+//! The errors of SQLite and of the file system as those of the store.
 
 use std::io::{ErrorKind, Seek, SeekFrom, Write};
 use std::path::Path;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! What every store can do, whatever lies behind it.
+//! The interface of every store.
 
 use std::path::Path;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The end of a store: what is on record up to here, and the sum that vouches for it.
+/// The end of a store: the last row, and the sum that verifies all up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Head {
     /// The number of the last row; 0 before the first.
@@ -40,7 +40,7 @@
     }
 }
 
-/// What is left of rows that were pruned: enough to vouch for those behind them.
+/// What is left of rows that were pruned: enough to verify those behind them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Anchor {
     /// The last row pruned, as a head of what was there.
@@ -52,18 +52,18 @@
 /// What one step of pruning did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pruned {
-    /// How many rows went in this step.
+    /// How many rows were pruned in this step.
     pub rows: u64,
-    /// What stands for all that ever went; none if none did.
+    /// What stands for all rows ever pruned; none if none were.
     pub anchor: Option<Anchor>,
     /// Whether another step would find more.
     pub more: bool,
 }
 
-/// Makes the row that tells of an anchor; its `seq` and `sum` are not looked at.
+/// Makes the row that records an anchor; its `seq` and `sum` are not looked at.
 pub type Note<'a> = &'a dyn Fn(&Anchor) -> Row;
 
-/// Which rows are asked for: those of which all that is given here is true. In the order of their numbers.
+/// Which rows are wanted: those that match all that is given here. In the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
     /// Of this key, whatever the tenant and the class.
@@ -80,7 +80,7 @@
     pub until: Option<Time>,
     /// About this backend.
     pub backend: Option<String>,
-    /// Of this sort.
+    /// Of this kind.
     pub kind: Option<String>,
     /// Of keys that are in doubt now.
     pub in_doubt: bool,
@@ -90,9 +90,9 @@
     pub limit: usize,
 }
 
-/// StoreReader a store, beside whoever writes to it.
+/// Reads a store, beside its writer.
 pub trait StoreReader: Send {
-    /// Where it ends.
+    /// The last row.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
@@ -104,32 +104,33 @@
     /// Of any kind; reading changes nothing.
     fn anchor(&self) -> Result<Option<Anchor>, StoreError>;
 
-    /// At most `limit` of the keys that are remembered, in the order of [`KeyId`], behind `after`.
+    /// At most `limit` of the keys that are not free, in the order of [`KeyId`], behind `after`.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
     fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError>;
 
-    /// How a key stands; none if it is free.
+    /// A key's state; none if it is free.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
     fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError>;
 
-    /// The rows that are asked for, at most [`Query::limit`] of them.
+    /// The rows that match, at most [`Query::limit`] of them.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError>;
 
-    /// Whether all parts of it fit together, its indexes too, as far as it can tell. Takes time as its size does.
+    /// Checks that all parts of it are consistent, its indexes too, as far as it can tell. Takes time in proportion to its
+    /// size.
     ///
     /// # Errors
     /// `Corrupt` if they do not, and any other.
     fn check(&self) -> Result<(), StoreError>;
 
-    /// Copies all of it, as it is at one moment, into a new file, which is there only when it is whole and durable.
-    /// May take long, and is to be called from a thread that may; the writer is not held up.
+    /// Copies all of it, as it is at one moment, into a new file, which exists only once it is complete and durable.
+    /// Blocks, perhaps for long; the writer is not delayed.
     ///
     /// # Errors
     /// Of any kind, and if the file is there already. What was there is left alone.
@@ -141,7 +142,7 @@
     /// Makes the whole batch durable, in order, in one transaction, before it returns. Gives each row its number
     /// and its sum; the caller's `seq` and `sum` are not looked at, its `run` is kept.
     ///
-    /// A [`Claim::Take`] of a key that is taken, by an earlier row of the batch too, refuses its row and no other.
+    /// A [`Claim::Take`] of a key that is taken, by an earlier row of the batch too, rejects its row and no other.
     /// [`Claim::Set`] of a key that is not there puts it there; [`Claim::Free`] of one that is not does nothing.
     /// For [`Claim::FreeOwn`], a key whose last row was pruned is another's.
     ///
@@ -152,15 +153,15 @@
         &mut self, batch: &[Write], sums: &dyn Sums,
     ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError>;
 
-    /// Forgets at most `limit` keys that were served before that time, and says how many. Fewer: that was all.
+    /// Forgets at most `limit` keys that were served before that time, and returns how many. Fewer: that was all.
     ///
     /// # Errors
     /// Of any kind; all of the step was done or nothing.
     fn forget_served(&mut self, before: Time, limit: usize) -> Result<usize, StoreError>;
 
-    /// Takes away at most `limit` rows from the beginning of the record, up to the first that is not older than
+    /// Prunes at most `limit` rows from the beginning of the record, up to the first that is not older than
     /// `before` or whose key is in doubt or in flight. What is left stays verifiable: no row is missing in between,
-    /// and in the same transaction, if any went, `note` makes the row that tells of it, which is added at the end.
+    /// and in the same transaction, if any were pruned, `note` makes the row that records it, which is added at the end.
     ///
     /// # Errors
     /// Of any kind; all of the step was done or nothing.
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -1,4 +1,4 @@
-//! Whether a record still tells what it told: every row's sum, from the anchor to the head.
+//! Whether a record is as it was written: every row's sum, from the anchor to the head.
 
 use std::fmt;
 
@@ -16,11 +16,11 @@
     pub rows: u64,
     /// How many were pruned, ever.
     pub pruned: u64,
-    /// Where it ends.
+    /// Its last row.
     pub head: Head,
 }
 
-/// Where a record is not what it was.
+/// Where a record is not as it was written.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Broken {
--- a/crates/store/src/writer/commit_outcome.rs
+++ b/crates/store/src/writer/commit_outcome.rs
@@ -8,7 +8,7 @@
 pub(super) type FoundRows = Option<Vec<Result<u64, ClaimRejection>>>;
 
 /// Looks for the writes behind the last row that was acknowledged. They were one transaction, so all of them are
-/// there, but those that were refused, or none.
+/// there, but those that were rejected, or none.
 ///
 /// # Errors
 /// If the store cannot be read.
--- a/crates/store/src/writer/config.rs
+++ b/crates/store/src/writer/config.rs
@@ -11,19 +11,19 @@
 pub struct WriterConfig {
     /// The number of this start of the proxy, which each row is given: higher than [`Head::run`] as it was before.
     pub run: u64,
-    /// At most so many tickets wait; one more is refused. Default: 1024.
+    /// At most so many tickets are queued; one more is rejected. Default: 1024.
     pub queue: usize,
-    /// At most so many bytes of rows wait, by a count from above. Default: 16 MiB.
+    /// At most so many bytes of rows are queued, by an upper estimate. Default: 16 MiB.
     pub queue_bytes: usize,
     /// A commit begins with so many rows at the latest; a ticket is never divided. Default: 256.
     pub batch_rows: usize,
-    /// How long a commit waits for others to come along. Default: not at all; what came while the one before it ran
-    /// goes together anyway.
+    /// How long a commit waits for more tickets. Default: not at all; what was queued while the one before it ran is
+    /// committed together anyway.
     pub linger: Duration,
     /// After a failure the store is opened again after this time, and after twice that each time that it fails.
     /// Default: 50 ms.
     pub backoff: Duration,
-    /// The longest time between two such trials. Default: 2 s.
+    /// The longest time between two openings. Default: 2 s.
     pub max_backoff: Duration,
     /// So many keys are forgotten, or rows pruned, between two commits. Default: 500.
     pub maintenance_step: usize,
@@ -58,5 +58,5 @@
 /// handed over at the first call.
 pub type Opener = Box<dyn FnMut(Opening) -> Result<Box<dyn Store>, StoreError> + Send>;
 
-/// Makes the row that tells of an anchor, in the writer's thread; the run is set by the writer.
+/// Makes the row that records an anchor, in the writer's thread; the run is set by the writer.
 pub type FactEncoder = Box<dyn Fn(&Anchor) -> Row + Send>;
--- a/crates/store/src/writer/event.rs
+++ b/crates/store/src/writer/event.rs
@@ -21,7 +21,7 @@
         /// The rows' numbers.
         seqs: Vec<u64>,
     },
-    /// Some of its rows were refused; the others are durable.
+    /// Some of its rows were rejected; the others are durable.
     ClaimsRejected {
         /// Which.
         ticket: u64,
@@ -37,7 +37,7 @@
         /// Whether it may be on record nevertheless.
         outcome: CommitOutcome,
     },
-    /// It had failed with an unknown fate; now it is certain that nothing of it is on record or ever will be.
+    /// It had failed with an unknown outcome; now it is certain that nothing of it is on record or ever will be.
     Lost {
         /// Which.
         ticket: u64,
@@ -56,7 +56,7 @@
         /// How many in all, and the anchor.
         pruned: Pruned,
     },
-    /// The store does not work; it is opened again and again. Sent for each kind of trouble once.
+    /// The store failed; it is opened again and again. Sent once for each kind of failure.
     Down {
         /// What is wrong.
         error: Arc<StoreError>,
@@ -71,7 +71,7 @@
 /// Why a ticket was not taken. Nothing was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// Too much waits already.
+    /// The queue is full.
     QueueFull,
     /// A row that no store can keep: see [`storable`].
     Unstorable,
@@ -91,6 +91,6 @@
 
 impl std::error::Error for SendError {}
 
-/// The writer did not end in time: the store holds it. What waits will still be written, should it come back.
+/// The writer did not end in time: the store blocks it. What is queued will still be written if that ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StillBusy;
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::chain::{self, hex, Chain};
 use shaletide_record::{About, Fact, KeyState};
 use shaletide_store::conformance::{all_rows, key, set};
@@ -14,14 +14,14 @@
 use shaletide_types::Time;
 
 #[test]
-fn pruned_through_the_writer_the_chain_verifies_by_records_own_rules() {
-    let place = Place::new("chain");
-    let options = place.options();
-    let (say, events) = channel();
+fn chain_pruned_by_the_writer_verifies() {
+    let directory = TestDirectory::new("chain");
+    let options = directory.options();
+    let (sender, events) = channel();
     let config = WriterConfig { maintenance_step: 10, ..WriterConfig::new(3) };
     let opener =
         Box::new(move |_| SqliteStore::open(&options).map(|store| Box::new(store) as Box<dyn Store>));
-    let notify = Box::new(move |event| say.send(event).unwrap_or(()));
+    let notify = Box::new(move |event| sender.send(event).unwrap_or(()));
     let writer = Writer::start(config, opener, Arc::new(chain::sum), notify).expect("a thread");
     for at in 0..50 {
         writer.send(at, vec![set(at, &key(format!("{at}")), KeyState::Served)]).expect("queued");
@@ -37,7 +37,7 @@
     ) {}
     writer.stop(Duration::from_secs(20)).expect("stops");
 
-    let store = place.open();
+    let store = directory.open();
     let anchor = store.anchor().expect("reads").expect("an anchor").through;
     assert_eq!(anchor.seq, 35);
     let (from, head) = (Chain { seq: anchor.seq, head: anchor.sum }, store.head().expect("head"));
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Places for stores, and children to kill.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
-pub mod host;
+pub mod writer_harness;
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -11,18 +11,18 @@
 use shaletide_store::{verify, SqliteOptions, SqliteStore, Verified};
 
 /// A directory of one test, gone with it.
-pub struct Place {
+pub struct TestDirectory {
     path: PathBuf,
 }
 
-impl Place {
-    pub fn new(name: &str) -> Place {
+impl TestDirectory {
+    pub fn new(name: &str) -> TestDirectory {
         static MADE: AtomicU32 = AtomicU32::new(0);
         let number = MADE.fetch_add(1, Ordering::Relaxed);
         let name = format!("shaletide-store-{name}-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a directory");
-        Place { path }
+        TestDirectory { path }
     }
     pub fn dir(&self) -> &Path {
         &self.path
@@ -41,7 +41,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for TestDirectory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.path);
     }
--- a/crates/store/tests/common/host.rs
+++ b/crates/store/tests/common/writer_harness.rs
@@ -9,10 +9,10 @@
 use shaletide_store::memory::MemoryStore;
 use shaletide_store::{CommitOutcome, Opener, SendError, Writer, WriterConfig, WriterEvent};
 
-pub const LONG: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A writer, and what it said.
-pub struct Host {
+pub struct WriterHarness {
     pub writer: Writer,
     pub events: Receiver<WriterEvent>,
 }
@@ -21,24 +21,25 @@
     WriterConfig { backoff: Duration::from_millis(5), ..WriterConfig::new(7) }
 }
 
-impl Host {
-    pub fn start(config: WriterConfig, opener: Opener) -> Host {
-        let (say, events) = channel();
-        let notify = Box::new(move |event| say.send(event).unwrap_or(()));
+impl WriterHarness {
+    pub fn start(config: WriterConfig, opener: Opener) -> WriterHarness {
+        let (sender, events) = channel();
+        let notify = Box::new(move |event| sender.send(event).unwrap_or(()));
         let writer = Writer::start(config, opener, Arc::new(plain_sum), notify).expect("a thread");
-        Host { writer, events }
+        WriterHarness { writer, events }
     }
 
     /// Around a store in memory, which fails as told; open already.
-    pub fn in_memory(config: WriterConfig, store: &MemoryStore, faults: &Faults) -> Host {
+    pub fn in_memory(config: WriterConfig, store: &MemoryStore, faults: &Faults) -> WriterHarness {
         let (store, faults) = (store.clone(), faults.clone());
-        let host = Host::start(config, Box::new(move |_| Ok(faults.around(Box::new(store.clone())))));
+        let host =
+            WriterHarness::start(config, Box::new(move |_| Ok(faults.around(Box::new(store.clone())))));
         host.back();
         host
     }
 
     pub fn next(&self) -> WriterEvent {
-        self.events.recv_timeout(LONG).expect("an event")
+        self.events.recv_timeout(TIMEOUT).expect("an event")
     }
 
     pub fn back(&self) -> u64 {
@@ -50,7 +51,7 @@
 
     pub fn down(&self) -> &'static str {
         match self.next() {
-            WriterEvent::Down { error: trouble } => trouble.code(),
+            WriterEvent::Down { error } => error.code(),
             other => panic!("{other:?}"),
         }
     }
@@ -64,7 +65,7 @@
 
     pub fn failed(&self) -> (u64, &'static str, CommitOutcome) {
         match self.next() {
-            WriterEvent::Failed { ticket, error: trouble, outcome: fate } => (ticket, trouble.code(), fate),
+            WriterEvent::Failed { ticket, error, outcome } => (ticket, error.code(), outcome),
             other => panic!("{other:?}"),
         }
     }
@@ -74,7 +75,7 @@
     }
 
     pub fn stop(self) -> Vec<WriterEvent> {
-        self.writer.stop(LONG).expect("stops");
+        self.writer.stop(TIMEOUT).expect("stops");
         self.events.iter().collect()
     }
 }
--- a/crates/store/tests/earlier_version.rs
+++ b/crates/store/tests/earlier_version.rs
@@ -10,7 +10,7 @@
 
 use std::path::PathBuf;
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::chain::{self, hex};
 use shaletide_record::{
     Action, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, ReplyId, ResolveResult, Row, Write,
@@ -26,11 +26,11 @@
 }
 
 /// A copy of the old build's store, in a place of its own.
-fn copy_of_record(place: &Place) {
-    std::fs::copy(fixture("record.db"), place.db()).expect("copied");
+fn copy_of_record(directory: &TestDirectory) {
+    std::fs::copy(fixture("record.db"), directory.db()).expect("copied");
 }
 
-fn copy_of_pruned(place: &Place) {
+fn copy_of_pruned(directory: &TestDirectory) {
     let sparse = std::fs::read(fixture("pruned.db.sparse")).expect("reads");
     let number = |at: usize| u32::from_le_bytes(sparse[at..at + 4].try_into().expect("4 bytes")) as usize;
     let mut file = vec![0; number(0)];
@@ -40,7 +40,7 @@
         file[offset..offset + length].copy_from_slice(&sparse[at + 8..at + 8 + length]);
         at += 8 + length;
     }
-    std::fs::write(place.db(), file).expect("written");
+    std::fs::write(directory.db(), file).expect("written");
 }
 
 fn key_of(tenant: &str, key: &str) -> KeyId {
@@ -121,9 +121,9 @@
 
 #[test]
 fn earlier_record_verifies_and_lists_the_same_rows_and_keys() {
-    let place = Place::new("earlier");
-    copy_of_record(&place);
-    let reader = SqliteReader::open(place.db()).expect("opens");
+    let directory = TestDirectory::new("earlier");
+    copy_of_record(&directory);
+    let reader = SqliteReader::open(directory.db()).expect("opens");
     let said = std::fs::read_to_string(fixture("verify.txt")).expect("reads");
     assert_eq!(old_verify_output(&verified(&reader)), said);
     let rows = rows_after(&reader, 0);
@@ -140,9 +140,9 @@
 
 #[test]
 fn earlier_facts_are_known_and_encode_to_the_same_kind_and_body() {
-    let place = Place::new("earlier-facts");
-    copy_of_record(&place);
-    let reader = SqliteReader::open(place.db()).expect("opens");
+    let directory = TestDirectory::new("earlier-facts");
+    copy_of_record(&directory);
+    let reader = SqliteReader::open(directory.db()).expect("opens");
     for row in rows_after(&reader, 0) {
         let fact = Fact::of(&row);
         assert!(!matches!(fact, Fact::Unknown { .. }), "row {}: {} {}", row.seq, row.kind, row.body);
@@ -153,9 +153,9 @@
 
 #[test]
 fn key_in_doubt_of_an_earlier_run_is_resolved_and_the_record_verifies() {
-    let place = Place::new("earlier-resolved");
-    copy_of_record(&place);
-    let mut store = place.open();
+    let directory = TestDirectory::new("earlier-resolved");
+    copy_of_record(&directory);
+    let mut store = directory.open();
     let before = store.head().expect("head");
     let run = before.run + 1;
     let mut recorder = Recorder::new(RecordConfig::default(), [7; 16], NOW, NOW);
@@ -190,9 +190,9 @@
 
 #[test]
 fn earlier_pruned_record_verifies_from_its_anchor() {
-    let place = Place::new("earlier-pruned");
-    copy_of_pruned(&place);
-    let store = place.open();
+    let directory = TestDirectory::new("earlier-pruned");
+    copy_of_pruned(&directory);
+    let store = directory.open();
     let anchor: Anchor = store.anchor().expect("reads").expect("an anchor");
     assert_eq!((anchor.through.seq, anchor.through.run, anchor.rows), (23, 1, 23));
     let Verified { rows, pruned, head } = verified(&store);
@@ -205,7 +205,7 @@
     assert_eq!((rows, pruned, head), (lines.len() as u64, 23, store.head().expect("head")));
     assert_eq!(keys(&store), old_keys());
     let old_head: Head = verified(&{
-        let whole = Place::new("earlier-whole");
+        let whole = TestDirectory::new("earlier-whole");
         copy_of_record(&whole);
         SqliteReader::open(whole.db()).expect("opens")
     })
--- a/crates/store/tests/edits.rs
+++ b/crates/store/tests/edited_rows.rs
@@ -2,23 +2,23 @@
 
 mod common;
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{verify, Broken, Head, SqliteReader, Store, StoreReader};
 
 /// Six rows, then this statement; gives what `verify` says with the head noted before.
 fn after(edit: &str) -> Result<Head, Broken> {
-    let place = Place::new("edits");
-    let mut store = place.open();
+    let directory = TestDirectory::new("edits");
+    let mut store = directory.open();
     for name in ["a", "b", "c"] {
         let key = key(name);
         store.commit(&[take(1, &key), set(2, &key, KeyState::Served)], &plain_sum).expect("commits");
     }
     let noted = store.head().expect("head");
     drop(store);
-    rusqlite::Connection::open(place.db()).and_then(|db| db.execute_batch(edit)).expect("edited");
-    let reader = SqliteReader::open(place.db()).expect("opens");
+    rusqlite::Connection::open(directory.db()).and_then(|db| db.execute_batch(edit)).expect("edited");
+    let reader = SqliteReader::open(directory.db()).expect("opens");
     verify(&reader, &plain_sum, Some(noted)).map(|verified| verified.head)
 }
 
--- a/crates/store/tests/trouble.rs
+++ b/crates/store/tests/errors.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-use common::{child, child_program, has, verified, Place};
+use common::{child, child_program, has, verified, TestDirectory};
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::{
     CommitError, CommitOutcome, SqliteOptions, SqliteReader, SqliteStore, Store, StoreError, StoreReader,
@@ -33,7 +33,7 @@
     child.wait().expect("ended");
 }
 
-fn said(output: std::process::Output) -> String {
+fn stdout_of(output: std::process::Output) -> String {
     String::from_utf8(output.stdout).expect("text")
 }
 
@@ -46,46 +46,46 @@
     Ok(rows[0].expect("a new key"))
 }
 
-fn word(opened: Result<SqliteStore, StoreError>) -> &'static str {
+fn error_code(opened: Result<SqliteStore, StoreError>) -> &'static str {
     opened.err().map_or("none", |error| error.code())
 }
 
 #[test]
-fn a_second_owner_is_refused_and_readers_are_not() {
-    let place = Place::new("owners");
-    let holder = started(&["hold", path(&place.db())]);
-    assert_eq!(word(SqliteStore::open(&place.options())), "owned");
-    let link = place.file("link.db");
-    std::os::unix::fs::symlink(place.db(), &link).expect("a link");
-    assert_eq!(word(SqliteStore::open(&SqliteOptions::new(link))), "owned", "by another name either");
-    assert_eq!(SqliteReader::open(place.db()).expect("reads beside").head().expect("head").seq, 0);
+fn second_owner_is_rejected_and_readers_are_not() {
+    let directory = TestDirectory::new("owners");
+    let holder = started(&["hold", path(&directory.db())]);
+    assert_eq!(error_code(SqliteStore::open(&directory.options())), "owned");
+    let link = directory.file("link.db");
+    std::os::unix::fs::symlink(directory.db(), &link).expect("a link");
+    assert_eq!(error_code(SqliteStore::open(&SqliteOptions::new(link))), "owned", "by another name either");
+    assert_eq!(SqliteReader::open(directory.db()).expect("reads beside").head().expect("head").seq, 0);
     end(holder);
-    let mut store = place.open();
-    assert_eq!(word(SqliteStore::open(&place.options())), "owned", "within one process either");
+    let mut store = directory.open();
+    assert_eq!(error_code(SqliteStore::open(&directory.options())), "owned", "within one process either");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
-    let reader = SqliteReader::open(place.db()).expect("reads beside");
+    let reader = SqliteReader::open(directory.db()).expect("reads beside");
     assert_eq!(reader.head().expect("head").seq, 1);
     assert_eq!(commit(&mut store, "b").expect("commits"), 2);
     assert_eq!(reader.head().expect("head").seq, 2);
 }
 
 #[test]
-fn its_files_are_for_the_owner_alone() {
-    let place = Place::new("mode");
-    let mut store = place.open();
+fn files_are_readable_by_their_user_only() {
+    let directory = TestDirectory::new("mode");
+    let mut store = directory.open();
     commit(&mut store, "a").expect("commits");
-    store.backup(&place.file("copy.db")).expect("backup");
+    store.backup(&directory.file("copy.db")).expect("backup");
     for name in ["record.db", "record.db-wal", "record.db-shm", "record.db.lock", "copy.db"] {
-        let mode = place.file(name).metadata().expect(name).permissions().mode();
+        let mode = directory.file(name).metadata().expect(name).permissions().mode();
         assert_eq!(mode & 0o777, 0o600, "{name}");
     }
 }
 
 #[test]
-fn locked_by_another_process_is_busy_and_nothing_is_written() {
-    let place = Place::new("busy");
-    let mut store = place.open();
-    let other = started(&["lock", path(&place.db())]);
+fn store_locked_by_another_process_is_busy_and_writes_nothing() {
+    let directory = TestDirectory::new("busy");
+    let mut store = directory.open();
+    let other = started(&["lock", path(&directory.db())]);
     let began = Instant::now();
     let failed = commit(&mut store, "a").expect_err("locked");
     assert!(began.elapsed() >= Duration::from_millis(200), "it waits for a while");
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn a_file_that_is_removed_or_replaced_is_gone() {
+fn removed_or_replaced_file_is_gone() {
     for name in ["record.db", "record.db-wal", "record.db-shm", "record.db.lock"] {
-        let place = Place::new("gone");
-        let mut store = place.open();
+        let directory = TestDirectory::new("gone");
+        let mut store = directory.open();
         commit(&mut store, "a").expect("commits");
-        let lost = place.file(name);
-        let kept = place.file("kept");
+        let lost = directory.file(name);
+        let kept = directory.file("kept");
         fs::rename(&lost, &kept).expect("renamed");
         let failed = commit(&mut store, "b").expect_err("removed");
         assert!(matches!(&failed.error, StoreError::Gone { path } if path.ends_with(name)), "{failed:?}");
@@ -115,51 +115,55 @@
 }
 
 #[test]
-fn a_store_that_was_open_is_not_made_anew() {
-    let place = Place::new("anew");
-    let again = SqliteOptions { create: false, ..place.options() };
-    assert_eq!(word(SqliteStore::open(&again)), "gone");
-    assert!(!place.db().exists());
-    fs::write(place.db(), []).expect("an empty file");
-    assert_eq!(word(SqliteStore::open(&again)), "gone");
-    assert!(SqliteReader::open(place.file("none.db")).is_err_and(|error| error.code() == "gone"));
+fn store_that_was_open_is_not_created_again() {
+    let directory = TestDirectory::new("anew");
+    let again = SqliteOptions { create: false, ..directory.options() };
+    assert_eq!(error_code(SqliteStore::open(&again)), "gone");
+    assert!(!directory.db().exists());
+    fs::write(directory.db(), []).expect("an empty file");
+    assert_eq!(error_code(SqliteStore::open(&again)), "gone");
+    assert!(SqliteReader::open(directory.file("none.db")).is_err_and(|error| error.code() == "gone"));
 }
 
 #[test]
-fn what_is_not_a_store_is_refused_and_left_alone() {
-    let place = Place::new("other");
-    fs::write(place.db(), "no database at all, but long enough to be looked at ".repeat(100))
+fn file_that_is_no_store_is_rejected_and_left_unchanged() {
+    let directory = TestDirectory::new("other");
+    fs::write(directory.db(), "no database at all, but long enough to be looked at ".repeat(100))
         .expect("written");
-    let before = fs::read(place.db()).expect("read");
-    assert_eq!(word(SqliteStore::open(&place.options())), "corrupt");
-    assert_eq!(fs::read(place.db()).expect("read"), before);
-    let other = place.file("other.db");
+    let before = fs::read(directory.db()).expect("read");
+    assert_eq!(error_code(SqliteStore::open(&directory.options())), "corrupt");
+    assert_eq!(fs::read(directory.db()).expect("read"), before);
+    let other = directory.file("other.db");
     rusqlite::Connection::open(&other).and_then(|db| db.execute_batch("CREATE TABLE t (x)")).expect("made");
-    assert_eq!(word(SqliteStore::open(&SqliteOptions::new(&other))), "corrupt");
-    let twice = place.file("twice.db");
+    assert_eq!(error_code(SqliteStore::open(&SqliteOptions::new(&other))), "corrupt");
+    let twice = directory.file("twice.db");
     drop(SqliteStore::open(&SqliteOptions::new(&twice)).expect("opens"));
-    fs::hard_link(&twice, place.file("name.db")).expect("linked");
-    assert_eq!(word(SqliteStore::open(&SqliteOptions::new(&twice))), "other", "two names would be two logs");
+    fs::hard_link(&twice, directory.file("name.db")).expect("linked");
+    assert_eq!(
+        error_code(SqliteStore::open(&SqliteOptions::new(&twice))),
+        "other",
+        "two names would be two logs"
+    );
 }
 
 #[test]
-fn a_newer_store_is_refused_clearly_and_left_alone() {
-    let place = Place::new("newer");
-    let store = place.open();
+fn newer_store_is_rejected_and_left_unchanged() {
+    let directory = TestDirectory::new("newer");
+    let store = directory.open();
     store.plant("PRAGMA user_version = 99").expect("planted");
     drop(store);
-    let before = fs::read(place.db()).expect("read");
-    let error = SqliteStore::open(&place.options()).err().expect("refused");
+    let before = fs::read(directory.db()).expect("read");
+    let error = SqliteStore::open(&directory.options()).err().expect("refused");
     assert_eq!(error.to_string(), "the store has version 99; this program knows versions up to 2");
-    assert!(SqliteReader::open(place.db()).is_err_and(|error| error.code() == "newer"));
-    assert_eq!(fs::read(place.db()).expect("read"), before);
+    assert!(SqliteReader::open(directory.db()).is_err_and(|error| error.code() == "newer"));
+    assert_eq!(fs::read(directory.db()).expect("read"), before);
 }
 
 /// Root may write to anything, so the connection is made to refuse; another user is tried below.
 #[test]
-fn a_connection_that_may_not_write_is_read_only() {
-    let place = Place::new("query-only");
-    let mut store = place.open();
+fn connection_without_write_access_is_read_only() {
+    let directory = TestDirectory::new("query-only");
+    let mut store = directory.open();
     store.plant("PRAGMA query_only = ON").expect("planted");
     let failed = commit(&mut store, "a").expect_err("read-only");
     assert_eq!((failed.error.code(), failed.outcome), ("read-only", CommitOutcome::Nothing));
@@ -169,20 +173,20 @@
 
 /// As root through `setpriv`, with a copy of the program that the other user may run.
 #[test]
-fn a_file_that_its_user_may_not_write_is_read_only() {
-    let place = Place::new("read-only");
-    drop(place.open());
-    let program = place.file("child");
+fn file_without_write_permission_is_read_only() {
+    let directory = TestDirectory::new("read-only");
+    drop(directory.open());
+    let program = directory.file("child");
     fs::copy(child_program(), &program).expect("copied");
-    fs::remove_file(place.file("record.db.lock")).expect("removed");
+    fs::remove_file(directory.file("record.db.lock")).expect("removed");
     let mode = |path: &Path, mode| fs::set_permissions(path, fs::Permissions::from_mode(mode)).expect("mode");
-    mode(&place.db(), 0o444);
-    mode(place.dir(), 0o555);
+    mode(&directory.db(), 0o444);
+    mode(directory.dir(), 0o555);
     let run = |dir_mode: u32| {
-        mode(place.dir(), dir_mode);
+        mode(directory.dir(), dir_mode);
         let mut other = std::process::Command::new("setpriv");
         other.args(["--reuid=65534", "--regid=65534", "--clear-groups"]).arg(&program);
-        other.args(["open", path(&place.db())]).output().map(said).unwrap_or_default()
+        other.args(["open", path(&directory.db())]).output().map(stdout_of).unwrap_or_default()
     };
     if !has("setpriv") || run(0o777).is_empty() {
         eprintln!("skipped: it takes root and setpriv to be somebody else");
@@ -192,73 +196,74 @@
         let said = run(dir_mode);
         assert!(said.starts_with("failed read-only"), "{dir_mode:o}: {said}");
     }
-    mode(place.dir(), 0o755);
+    mode(directory.dir(), 0o755);
 }
 
 #[test]
-fn a_store_at_its_own_limit_is_full_and_works_on_when_there_is_room() {
-    let place = Place::new("full");
+fn store_at_its_page_limit_is_full_until_there_is_room() {
+    let directory = TestDirectory::new("full");
     let mut store =
-        SqliteStore::open(&SqliteOptions { max_pages: Some(100), ..place.options() }).expect("opens");
-    let mut acked = 0;
+        SqliteStore::open(&SqliteOptions { max_pages: Some(100), ..directory.options() }).expect("opens");
+    let mut acknowledged = 0;
     let failed = loop {
-        match commit(&mut store, &format!("{acked:01000}")) {
-            Ok(seq) => acked = seq,
+        match commit(&mut store, &format!("{acknowledged:01000}")) {
+            Ok(seq) => acknowledged = seq,
             Err(failed) => break failed,
         }
     };
     assert_eq!((failed.error.code(), failed.outcome), ("full", CommitOutcome::Nothing));
-    assert!(acked > 10);
-    assert_eq!(verified(&store).rows, acked);
+    assert!(acknowledged > 10);
+    assert_eq!(verified(&store).rows, acknowledged);
     drop(store);
-    let mut store = place.open();
-    assert_eq!(commit(&mut store, "more").expect("room"), acked + 1);
-    assert_eq!(verified(&store).rows, acked + 1);
+    let mut store = directory.open();
+    assert_eq!(commit(&mut store, "more").expect("room"), acknowledged + 1);
+    assert_eq!(verified(&store).rows, acknowledged + 1);
 }
 
 #[test]
-fn a_limit_on_the_size_of_files_is_full_and_loses_nothing() {
-    let place = Place::new("ulimit");
-    drop(place.open());
+fn file_size_limit_is_full_and_loses_nothing() {
+    let directory = TestDirectory::new("ulimit");
+    drop(directory.open());
     // In blocks of 512 bytes. The signal ignored, a write beyond it fails.
     let script = "trap '' XFSZ; ulimit -f 600; exec \"$0\" commit \"$1\" 0 10000";
     let mut shell = std::process::Command::new("sh");
-    let output = shell.args(["-c", script, path(&child_program()), path(&place.db())]).output().expect("sh");
-    let said = said(output);
+    let output =
+        shell.args(["-c", script, path(&child_program()), path(&directory.db())]).output().expect("sh");
+    let said = stdout_of(output);
     let last = said.lines().last().expect("something");
     assert!(last.starts_with("failed full"), "{last}");
-    let acked: u64 =
-        said.lines().filter_map(|line| line.strip_prefix("acked ")?.parse().ok()).max().expect("some");
-    let mut store = place.open();
+    let acknowledged: u64 =
+        said.lines().filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok()).max().expect("some");
+    let mut store = directory.open();
     let found = verified(&store).rows;
     assert!(
-        found == acked || found == acked + 2,
-        "the commit that failed is there as a whole or not: {acked} {found}"
+        found == acknowledged || found == acknowledged + 2,
+        "the commit that failed is there as a whole or not: {acknowledged} {found}"
     );
     assert_eq!(commit(&mut store, "more").expect("room"), found + 1);
 }
 
 #[test]
-fn a_page_that_was_overwritten_is_corrupt() {
-    let place = Place::new("corrupt");
-    let mut store = place.open();
+fn overwritten_page_is_corrupt() {
+    let directory = TestDirectory::new("corrupt");
+    let mut store = directory.open();
     for at in 0..200 {
         commit(&mut store, &format!("{at:0500}")).expect("commits");
     }
     drop(store);
-    let mut bytes = fs::read(place.db()).expect("read");
+    let mut bytes = fs::read(directory.db()).expect("read");
     let length = bytes.len();
     bytes[4096..length].chunks_mut(4096).for_each(|page| page[..64].fill(0xa5));
-    fs::write(place.db(), bytes).expect("written");
-    let opened = SqliteStore::open(&place.options());
+    fs::write(directory.db(), bytes).expect("written");
+    let opened = SqliteStore::open(&directory.options());
     let found = opened.and_then(|store| store.head().map(|_| store));
-    assert_eq!(word(found), "corrupt");
+    assert_eq!(error_code(found), "corrupt");
 }
 
 #[test]
-fn a_planted_synchronous_off_is_refused_before_anything_is_written() {
-    let place = Place::new("sync");
-    let mut store = place.open();
+fn synchronous_off_is_rejected_before_any_write() {
+    let directory = TestDirectory::new("sync");
+    let mut store = directory.open();
     assert_eq!(store.setting("synchronous").expect("read"), "2");
     assert_eq!(store.setting("journal_mode").expect("read"), "wal");
     for planted in ["OFF", "NORMAL"] {
--- a/crates/store/tests/kills.rs
+++ b/crates/store/tests/kills.rs
@@ -11,7 +11,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-use common::{child, verified, Place};
+use common::{child, verified, TestDirectory};
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, pruned, set, take};
 use shaletide_store::{verify, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader};
@@ -61,8 +61,9 @@
 }
 
 /// A store with that many settlements, of the times 0 up; without its newest tables if so asked.
-fn filled(place: &Place, settles: u64, target_version: Option<u32>) {
-    let mut store = SqliteStore::open(&SqliteOptions { target_version, ..place.options() }).expect("opens");
+fn filled(directory: &TestDirectory, settles: u64, target_version: Option<u32>) {
+    let mut store =
+        SqliteStore::open(&SqliteOptions { target_version, ..directory.options() }).expect("opens");
     for chunk in (0..settles).collect::<Vec<_>>().chunks(1000) {
         let batch: Vec<_> = chunk
             .iter()
@@ -76,27 +77,27 @@
 }
 
 /// The closed store as it is, put back before each kill.
-fn put_back(place: &Place, kept: &Path) {
+fn put_back(directory: &TestDirectory, kept: &Path) {
     for suffix in ["-wal", "-shm"] {
-        let _ = fs::remove_file(format!("{}{suffix}", place.db().display()));
+        let _ = fs::remove_file(format!("{}{suffix}", directory.db().display()));
     }
-    fs::copy(kept, place.db()).expect("copied");
+    fs::copy(kept, directory.db()).expect("copied");
 }
 
 #[test]
-fn killed_while_it_commits_all_that_was_acknowledged_is_there() {
-    let place = Place::new("kill-commit");
-    drop(place.open());
+fn kill_during_commits_loses_nothing_acknowledged() {
+    let directory = TestDirectory::new("kill-commit");
+    drop(directory.open());
     let (mut at, mut total) = (0, 0);
     for moment in moments(Duration::from_millis(100)).take(KILLS as usize) {
-        let said = killed_after(&["commit", text(&place.db()), &at.to_string(), "1000000"], moment);
-        let acked: Vec<u64> =
-            said.lines().filter_map(|line| line.strip_prefix("acked ")?.parse().ok()).collect();
-        let store = place.open();
+        let said = killed_after(&["commit", text(&directory.db()), &at.to_string(), "1000000"], moment);
+        let acknowledged: Vec<u64> =
+            said.lines().filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok()).collect();
+        let store = directory.open();
         let found = verified(&store).rows;
-        let last = acked.last().copied().unwrap_or(at * 2);
+        let last = acknowledged.last().copied().unwrap_or(at * 2);
         assert!(found == last || found == last + 2, "acknowledged {last}, found {found}");
-        total += acked.len();
+        total += acknowledged.len();
         at = found / 2;
     }
     assert!(total > 0);
@@ -104,30 +105,30 @@
 }
 
 #[test]
-fn killed_while_it_migrates_the_next_opening_goes_on() {
+fn kill_during_migration_is_completed_by_the_next_opening() {
     migrates(FEW);
 }
 
 fn migrates(hits: u32) {
-    let place = Place::new("kill-migrate");
-    filled(&place, 10_000, Some(1));
-    let kept = place.file("kept");
-    fs::copy(place.db(), &kept).expect("copied");
-    let noted = SqliteReader::open(place.db()).and_then(|store| store.head()).expect("head");
-    let whole = timed(&["open", text(&place.db())]);
+    let directory = TestDirectory::new("kill-migrate");
+    filled(&directory, 10_000, Some(1));
+    let kept = directory.file("kept");
+    fs::copy(directory.db(), &kept).expect("copied");
+    let noted = SqliteReader::open(directory.db()).and_then(|store| store.head()).expect("head");
+    let whole = timed(&["open", text(&directory.db())]);
     let (mut early, mut late) = (0, 0);
     for moment in moments(whole.mul_f64(1.2)).take((hits * TRIES) as usize) {
         if early == hits {
             break;
         }
-        put_back(&place, &kept);
-        let said = killed_after(&["open", text(&place.db())], moment);
+        put_back(&directory, &kept);
+        let said = killed_after(&["open", text(&directory.db())], moment);
         if said.ends_with("done\n") {
             late += 1
         } else {
             early += 1
         }
-        let store = place.open();
+        let store = directory.open();
         assert_eq!(store.setting("user_version").expect("read"), "2");
         assert_eq!(store.setting("integrity_check").expect("read"), "ok");
         verify(&store, &plain_sum, Some(noted)).expect("verifies");
@@ -137,17 +138,17 @@
 }
 
 #[test]
-fn killed_while_it_prunes_the_rest_stays_verifiable() {
+fn kill_during_pruning_leaves_a_verifiable_record() {
     prunes(FEW);
 }
 
 fn prunes(hits: u32) {
-    let place = Place::new("kill-prune");
-    filled(&place, 5_000, None);
-    let kept = place.file("kept");
-    fs::copy(place.db(), &kept).expect("copied");
-    let noted = SqliteReader::open(place.db()).and_then(|store| store.head()).expect("head");
-    let db = place.db();
+    let directory = TestDirectory::new("kill-prune");
+    filled(&directory, 5_000, None);
+    let kept = directory.file("kept");
+    fs::copy(directory.db(), &kept).expect("copied");
+    let noted = SqliteReader::open(directory.db()).and_then(|store| store.head()).expect("head");
+    let db = directory.db();
     let args = ["prune", text(&db), "4500", "50"];
     let whole = timed(&args);
     let mut early = 0;
@@ -157,12 +158,12 @@
             break;
         }
         tries += 1;
-        put_back(&place, &kept);
+        put_back(&directory, &kept);
         let said = killed_after(&args, moment);
         early += u32::from(!said.ends_with("done\n"));
         let told: u64 =
             said.lines().filter_map(|line| line.strip_prefix("pruned ")?.parse::<u64>().ok()).sum();
-        let mut store = place.open();
+        let mut store = directory.open();
         let found = verify(&store, &plain_sum, Some(noted)).expect("verifies");
         let steps = found.pruned / 50;
         assert_eq!(found.rows + found.pruned, 10_000 + steps, "a row for each step");
@@ -178,15 +179,15 @@
 }
 
 #[test]
-fn killed_while_it_backs_up_there_is_a_whole_copy_or_none() {
+fn kill_during_backup_leaves_a_complete_copy_or_none() {
     backs_up(FEW);
 }
 
 fn backs_up(hits: u32) {
-    let place = Place::new("kill-backup");
-    filled(&place, 5_000, None);
-    let copy = place.file("copy.db");
-    let db = place.db();
+    let directory = TestDirectory::new("kill-backup");
+    filled(&directory, 5_000, None);
+    let copy = directory.file("copy.db");
+    let db = directory.db();
     let args = ["backup", text(&db), text(&copy)];
     let whole = timed(&args);
     let (mut none, mut there) = (0, 0);
@@ -196,7 +197,7 @@
         }
         let _ = fs::remove_file(&copy);
         killed_after(&args, moment);
-        let store = place.open();
+        let store = directory.open();
         let noted = verified(&store).head;
         if copy.exists() {
             there += 1;
@@ -216,7 +217,7 @@
 
 #[test]
 #[ignore = "a minute"]
-fn twenty_five_hits_of_each_sort() {
+fn kill_at_25_moments_of_each_operation() {
     migrates(MANY);
     prunes(MANY);
     backs_up(MANY);
--- a/crates/store/tests/many.rs
+++ b/crates/store/tests/large_stores.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::{chain, Claim, KeyId, KeyState, Row, Write};
 use shaletide_store::conformance::{free, key, pruned, set, take, write};
 use shaletide_store::{verify, Query, SqliteReader, SqliteStore, Store, StoreReader};
@@ -51,8 +51,8 @@
     result
 }
 
-fn mib(place: &Place, name: &str) -> f64 {
-    place.file(name).metadata().map_or(0.0, |found| found.len() as f64 / f64::from(1 << 20))
+fn mib(directory: &TestDirectory, name: &str) -> f64 {
+    directory.file(name).metadata().map_or(0.0, |found| found.len() as f64 / f64::from(1 << 20))
 }
 
 fn all_keys(store: &SqliteStore) -> usize {
@@ -70,15 +70,15 @@
 
 fn many(rows: u64) {
     let settles = rows / ROWS_EACH;
-    let place = Place::new("many");
-    let mut store = place.open();
+    let directory = TestDirectory::new("many");
+    let mut store = directory.open();
     eprintln!("{rows} rows, {settles} keys");
     timed("filled, 1000 rows a commit", || fill(&mut store, rows));
     drop(store);
-    eprintln!("on disk: {:.1} MiB", mib(&place, "record.db"));
-    let mut store = timed("opened", || place.open());
+    eprintln!("on disk: {:.1} MiB", mib(&directory, "record.db"));
+    let mut store = timed("opened", || directory.open());
     assert_eq!(timed("all keys read, 1000 a page", || all_keys(&store)) as u64, settles);
-    let reader = timed("opened to read", || SqliteReader::open(place.db()).expect("opens"));
+    let reader = timed("opened to read", || SqliteReader::open(directory.db()).expect("opens"));
     let ask = |query: Query| reader.rows(&Query { limit: 1000, ..query }).expect("rows");
     let shown = name(settles / 2).key;
     let found = timed("show a key", || ask(Query { key: Some(shown), ..Query::default() }));
@@ -95,8 +95,8 @@
         timed("verify, with SQLite's own check", || verify(&reader, &chain::sum, None).expect("verifies"));
     assert_eq!(verified.rows, rows);
     timed("SQLite's own check alone", || reader.check().expect("whole"));
-    timed("backup", || reader.backup(&place.file("copy.db")).expect("backup"));
-    eprintln!("the copy: {:.1} MiB", mib(&place, "copy.db"));
+    timed("backup", || reader.backup(&directory.file("copy.db")).expect("backup"));
+    eprintln!("the copy: {:.1} MiB", mib(&directory, "copy.db"));
     freed_and_pruned(&mut store, settles);
 }
 
@@ -127,18 +127,18 @@
 }
 
 #[test]
-fn a_hundred_thousand_rows() {
+fn store_of_100_000_rows_meets_its_time_limits() {
     many(100_000);
 }
 
 #[test]
 #[ignore = "takes a minute or two"]
-fn a_million_rows() {
+fn store_of_1_000_000_rows_meets_its_time_limits() {
     many(1_000_000);
 }
 
 #[test]
 #[ignore = "takes a minute or two"]
-fn a_million_keys() {
+fn store_of_1_000_000_keys_meets_its_time_limits() {
     many(4_000_000);
 }
--- a/crates/store/tests/power.rs
+++ b/crates/store/tests/power_loss.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{
@@ -43,13 +43,13 @@
 }
 
 /// A place without a disk below it where there is one: what is cut here was synced by nobody anyway.
-fn fast_place(name: &str) -> (Place, PathBuf) {
-    let place = Place::new(name);
+fn fast_place(name: &str) -> (TestDirectory, PathBuf) {
+    let directory = TestDirectory::new(name);
     let shared = Path::new("/dev/shm");
-    let dir = if shared.is_dir() { shared } else { place.dir() };
+    let dir = if shared.is_dir() { shared } else { directory.dir() };
     let dir = dir.join(format!("shaletide-{name}-{}", std::process::id()));
     fs::create_dir_all(&dir).expect("a directory");
-    (place, dir)
+    (directory, dir)
 }
 
 /// Runs `check(number, path)` for each number, on some threads, each with a path of its own.
@@ -69,39 +69,39 @@
     fs::remove_dir_all(dir).expect("removed");
 }
 
-/// The store reads, its sums are right, and it ends at `acked` or at the one commit behind it.
-fn nothing_lost(path: &Path, acked: &Head, behind: &Head, what: &str) {
+/// The store reads, its sums are right, and it ends at `acknowledged` or at the one commit behind it.
+fn nothing_lost(path: &Path, acknowledged: &Head, behind: &Head, what: &str) {
     let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{what}: {error}"));
-    verify(&reader, &plain_sum, Some(*acked)).unwrap_or_else(|broken| panic!("{what}: {broken}"));
-    ends_well(&reader, acked, behind, what);
+    verify(&reader, &plain_sum, Some(*acknowledged)).unwrap_or_else(|broken| panic!("{what}: {broken}"));
+    ends_well(&reader, acknowledged, behind, what);
 }
 
 /// As above without a look at each row.
-fn ends_well(reader: &SqliteReader, acked: &Head, behind: &Head, what: &str) {
+fn ends_well(reader: &SqliteReader, acknowledged: &Head, behind: &Head, what: &str) {
     let head = reader.head().unwrap_or_else(|error| panic!("{what}: {error}"));
-    assert!(head == *acked || head == *behind, "{what}: ends at {}", head.seq);
+    assert!(head == *acknowledged || head == *behind, "{what}: ends at {}", head.seq);
     let keys = reader.keys(None, usize::MAX).expect("keys");
     assert_eq!(keys.len() as u64 * 2, head.seq, "{what}: a key for each two rows");
 }
 
 /// Ten commits, then one more that nobody was told of: the files before it and behind it.
-fn history(place: &Place) -> (Files, Head, Files, Head, SqliteStore) {
-    let mut store = place.open();
+fn history(directory: &TestDirectory) -> (Files, Head, Files, Head, SqliteStore) {
+    let mut store = directory.open();
     for at in 0..9 {
         settle(&mut store, at);
     }
-    let acked = settle(&mut store, 9);
-    let before = Files::of(&place.db());
+    let acknowledged = settle(&mut store, 9);
+    let before = Files::of(&directory.db());
     let behind = settle(&mut store, 10);
-    let after = Files::of(&place.db());
+    let after = Files::of(&directory.db());
     assert_eq!(before.db, after.db, "no checkpoint in between");
-    (before, acked, after, behind, store)
+    (before, acknowledged, after, behind, store)
 }
 
 #[test]
-fn cut_at_every_length_past_the_last_acknowledged_commit_nothing_acknowledged_is_lost() {
-    let (place, dir) = fast_place("power-cut");
-    let (before, acked, after, behind, _store) = history(&place);
+fn log_cut_at_any_length_after_the_last_commit_loses_nothing_acknowledged() {
+    let (directory, dir) = fast_place("power-cut");
+    let (before, acknowledged, after, behind, _store) = history(&directory);
     let (from, to) = (before.wal.len(), after.wal.len());
     assert_eq!(before.wal, after.wal[..from]);
     assert!(to > from);
@@ -110,18 +110,18 @@
         Files { wal: after.wal[..length].to_vec(), ..after.clone() }.put(path);
         let what = format!("cut at {length}");
         if length % 64 == 0 {
-            return nothing_lost(path, &acked, &behind, &what);
+            return nothing_lost(path, &acknowledged, &behind, &what);
         }
         let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{what}: {error}"));
-        ends_well(&reader, &acked, &behind, &what);
+        ends_well(&reader, &acknowledged, &behind, &what);
     });
     eprintln!("{} lengths", lengths.len());
 }
 
 #[test]
-fn torn_past_the_last_acknowledged_commit_nothing_acknowledged_is_lost_and_it_works_on() {
-    let (place, dir) = fast_place("power-torn");
-    let (before, acked, after, behind, _store) = history(&place);
+fn log_torn_after_the_last_commit_loses_nothing_acknowledged_and_can_be_written() {
+    let (directory, dir) = fast_place("power-torn");
+    let (before, acknowledged, after, behind, _store) = history(&directory);
     let (from, to) = (before.wal.len(), after.wal.len());
     // Each sector of the last commit not written, alone or with all behind it: zeros or garbage in its place.
     let sectors: Vec<usize> = (from..to).step_by(128).collect();
@@ -136,21 +136,24 @@
             files.wal[start..end.min(to)].fill(byte);
             files.put(path);
             let what = format!("{what} from {start}");
-            nothing_lost(path, &acked, &behind, &what);
+            nothing_lost(path, &acknowledged, &behind, &what);
             let mut store = SqliteStore::open(&SqliteOptions::new(path)).expect("opens to write");
             let head = settle(&mut store, 99);
-            assert!(holds(&store, &acked).expect("reads") && head.seq >= acked.seq + 2, "{what}");
-            verify(&store, &plain_sum, Some(acked)).expect("verifies");
+            assert!(
+                holds(&store, &acknowledged).expect("reads") && head.seq >= acknowledged.seq + 2,
+                "{what}"
+            );
+            verify(&store, &plain_sum, Some(acknowledged)).expect("verifies");
         }
     });
 }
 
 #[test]
-fn cut_in_the_middle_of_a_checkpoint_nothing_is_lost() {
-    let (place, dir) = fast_place("power-checkpoint");
-    let (_, _, before, head, store) = history(&place);
+fn cut_during_a_checkpoint_loses_nothing() {
+    let (directory, dir) = fast_place("power-checkpoint");
+    let (_, _, before, head, store) = history(&directory);
     store.plant("PRAGMA wal_checkpoint(PASSIVE)").expect("checkpoint");
-    let after = Files::of(&place.db());
+    let after = Files::of(&directory.db());
     assert_ne!(before.db, after.db);
     assert_eq!(before.wal, after.wal, "the log stays until the database is synced");
     let sectors: Vec<usize> = (0..=after.db.len()).step_by(512).collect();
@@ -176,17 +179,17 @@
 }
 
 #[test]
-fn cut_below_it_is_refused_or_what_is_missing_shows_against_the_noted_head() {
-    let (place, dir) = fast_place("power-below");
-    let (before, acked, _, _, store) = history(&place);
+fn log_cut_before_the_last_commit_is_rejected_or_fails_against_the_noted_head() {
+    let (directory, dir) = fast_place("power-below");
+    let (before, acknowledged, _, _, store) = history(&directory);
     let lengths: Vec<usize> = (0..before.wal.len()).step_by(509).collect();
     let (cut, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     let check = |path: &Path, what: &str| match SqliteReader::open(path) {
         Err(_) => refused.fetch_add(1, Ordering::Relaxed),
-        Ok(reader) => match verify(&reader, &plain_sum, Some(acked)) {
+        Ok(reader) => match verify(&reader, &plain_sum, Some(acknowledged)) {
             Ok(_) => panic!("{what}: whole, though something is missing"),
             Err(Broken::Cut { noted, found }) => {
-                assert!(noted == acked && found.seq < acked.seq, "{what}");
+                assert!(noted == acknowledged && found.seq < acknowledged.seq, "{what}");
                 cut.fetch_add(1, Ordering::Relaxed)
             }
             Err(_) => refused.fetch_add(1, Ordering::Relaxed),
@@ -200,7 +203,7 @@
 
     // The database itself, once the log is in it: only where all of its pages are there may it be whole.
     drop(store);
-    let whole = Files::of(&place.db());
+    let whole = Files::of(&directory.db());
     let (_, dir) = fast_place("power-below-db");
     let lengths: Vec<usize> = (0..whole.db.len()).step_by(509).collect();
     for_each(&dir, &lengths, |length, path| {
--- a/crates/store/tests/calls.rs
+++ b/crates/store/tests/system_calls.rs
@@ -7,11 +7,11 @@
 use std::path::Path;
 use std::process::Output;
 
-use common::{child_program, has, verified, Place};
+use common::{child_program, has, verified, TestDirectory};
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::{SqliteOptions, SqliteStore, Store, StoreReader};
 
-fn said(output: Output) -> String {
+fn stdout_of(output: Output) -> String {
     String::from_utf8(output.stdout).expect("text")
 }
 
@@ -20,16 +20,19 @@
 }
 
 /// The child commits under strace with these arguments; none if there is no strace that may trace.
-fn traced(place: &Place, arguments: &[&str], commits: &str) -> Option<(String, String)> {
+fn traced(directory: &TestDirectory, arguments: &[&str], commits: &str) -> Option<(String, String)> {
     if !has("strace") {
         eprintln!("skipped: no strace here");
         return None;
     }
-    let trace = place.file("trace");
+    let trace = directory.file("trace");
     let mut strace = std::process::Command::new("strace");
     strace.args(["-f", "-y", "-o", path(&trace)]).args(arguments);
-    let output =
-        strace.arg(child_program()).args(["commit", path(&place.db()), "0", commits]).output().expect("runs");
+    let output = strace
+        .arg(child_program())
+        .args(["commit", path(&directory.db()), "0", commits])
+        .output()
+        .expect("runs");
     let mut calls = String::new();
     if fs::File::open(&trace).and_then(|mut file| file.read_to_string(&mut calls)).is_err()
         || calls.is_empty()
@@ -37,15 +40,15 @@
         eprintln!("skipped: strace may not trace here");
         return None;
     }
-    Some((said(output), calls))
+    Some((stdout_of(output), calls))
 }
 
 /// A killed process does not lose what the system has in memory, so the order of the calls is what shows.
 #[test]
-fn the_log_is_synced_between_its_last_write_and_the_answer() {
-    let place = Place::new("strace");
+fn log_is_synced_before_the_acknowledgement() {
+    let directory = TestDirectory::new("strace");
     let trace = ["-e", "trace=write,pwrite64,pwritev,fsync,fdatasync"];
-    let Some((said, calls)) = traced(&place, &trace, "20") else { return };
+    let Some((said, calls)) = traced(&directory, &trace, "20") else { return };
     assert!(said.ends_with("done\n"));
     let (mut written, mut synced, mut answers) = (false, false, 0);
     for call in calls.lines() {
@@ -54,7 +57,7 @@
             (written, synced) = (true, false);
         } else if log && call.contains("sync(") && call.ends_with("= 0") {
             synced = true;
-        } else if call.contains("\"acked ") {
+        } else if call.contains("\"acknowledged ") {
             assert!(written && synced, "answer {answers} came before the sync");
             (written, synced, answers) = (false, false, answers + 1);
         }
@@ -63,15 +66,15 @@
 }
 
 #[test]
-fn a_call_that_fails_is_told_apart_and_loses_nothing_acknowledged() {
+fn failed_system_call_has_its_error_code_and_loses_nothing_acknowledged() {
     let errors =
         [("fsync,fdatasync", "EIO", "io"), ("pwrite64", "EIO", "io"), ("pwrite64", "ENOSPC", "full")];
     for (call, error, word) in errors {
         for when in [12, 25, 38] {
-            let place = Place::new("inject");
-            drop(place.open());
+            let directory = TestDirectory::new("inject");
+            drop(directory.open());
             let inject = format!("inject={call}:error={error}:when={when}+");
-            let Some((said, _)) = traced(&place, &["-e", &format!("trace={call}"), "-e", &inject], "100")
+            let Some((said, _)) = traced(&directory, &["-e", &format!("trace={call}"), "-e", &inject], "100")
             else {
                 return;
             };
@@ -80,26 +83,29 @@
                 said.lines().last().is_some_and(|last| last.starts_with(&format!("failed {word}"))),
                 "{what}"
             );
-            let acked =
-                said.lines().filter_map(|line| line.strip_prefix("acked ")?.parse().ok()).max().unwrap_or(0);
-            let mut store = place.open();
+            let acknowledged = said
+                .lines()
+                .filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok())
+                .max()
+                .unwrap_or(0);
+            let mut store = directory.open();
             let found = verified(&store).rows;
-            assert!(found == acked || found == acked + 2, "{what}: {found}");
+            assert!(found == acknowledged || found == acknowledged + 2, "{what}: {found}");
             store.commit(&[take(1, &key("more"))], &plain_sum).expect("works on");
         }
     }
 }
 
 #[test]
-fn a_store_that_failed_is_back_only_when_its_log_was_copied() {
-    let place = Place::new("copied");
-    let mut store = place.open();
+fn failed_store_reopens_only_after_its_log_is_copied() {
+    let directory = TestDirectory::new("copied");
+    let mut store = directory.open();
     store.commit(&[take(1, &key("a"))], &plain_sum).expect("commits");
-    let other = rusqlite::Connection::open(place.db()).expect("opens");
+    let other = rusqlite::Connection::open(directory.db()).expect("opens");
     other.execute_batch("BEGIN; SELECT count(*) FROM rows").expect("reads on");
     store.commit(&[take(1, &key("b"))], &plain_sum).expect("a reader is not in the way of that");
     drop(store);
-    let again = SqliteOptions { create: false, ..place.options() };
+    let again = SqliteOptions { create: false, ..directory.options() };
     assert!(SqliteStore::open(&again).is_err_and(|error| error.code() == "busy"));
     other.execute_batch("COMMIT").expect("ends");
     assert_eq!(SqliteStore::open(&again).expect("opens").head().expect("head").seq, 2);
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::host::{config, until_it_hangs, Host, LONG};
+use common::writer_harness::{config, until_it_hangs, WriterHarness, TIMEOUT};
 use shaletide_record::{Claim, ClaimRejection, KeyState};
 use shaletide_store::conformance::{all_rows, free, key, plain_sum, pruned, set, take, write};
 use shaletide_store::faults::{Fault, Faults, Step};
@@ -17,9 +17,9 @@
 use shaletide_types::Time;
 
 #[test]
-fn what_waits_goes_in_one_commit_in_its_order() {
+fn queued_tickets_are_committed_together_in_order() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     faults.freeze();
     host.take(1, "a").expect("queued");
     until_it_hangs(&faults);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_answer_comes_after_the_commit_that_it_is_about() {
+fn acknowledgement_follows_its_commit() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let noting = faults.clone();
     let around = faults.clone();
@@ -54,7 +54,7 @@
     for ticket in 0..100 {
         writer.send(ticket, vec![take(ticket, &key(format!("{ticket}")))]).expect("queued");
     }
-    writer.stop(LONG).expect("stops");
+    writer.stop(TIMEOUT).expect("stops");
     let (mut durable, mut answered) = (0, 0);
     for step in faults.steps() {
         match step {
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn a_frozen_store_makes_nobody_wait_and_its_queue_has_a_bound() {
+fn hung_store_blocks_no_caller_and_its_queue_is_bounded() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { queue: 3, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { queue: 3, ..config() }, &store, &faults);
     faults.freeze();
     host.take(0, "first").expect("queued");
     until_it_hangs(&faults);
@@ -96,15 +96,15 @@
     assert_eq!(host.writer.stop(Duration::from_millis(20)), Err(StillBusy));
     faults.thaw();
     assert!(
-        matches!(host.events.recv_timeout(LONG), Ok(WriterEvent::Committed { ticket: 5, .. })),
+        matches!(host.events.recv_timeout(TIMEOUT), Ok(WriterEvent::Committed { ticket: 5, .. })),
         "written all the same"
     );
 }
 
 #[test]
-fn bytes_that_wait_have_a_bound_too() {
+fn queued_bytes_are_bounded() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { queue_bytes: 10_000, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { queue_bytes: 10_000, ..config() }, &store, &faults);
     let mut large = write(1, "note", None, Claim::None);
     large.row.body = "x".repeat(20_000);
     let mut late = large.clone();
@@ -120,9 +120,9 @@
 }
 
 #[test]
-fn a_slow_store_shows_and_works() {
+fn slow_store_is_visible_and_works() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     assert_eq!(host.writer.working_for(), None);
     faults.slow(Duration::from_millis(50));
     let began = Instant::now();
@@ -133,17 +133,17 @@
 }
 
 #[test]
-fn a_failure_is_told_and_what_became_of_it_once_the_store_is_back() {
+fn failure_is_reported_and_its_outcome_once_the_store_is_back() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
-    for (ticket, fault, fate) in [
+    let host = WriterHarness::in_memory(config(), &store, &faults);
+    for (ticket, fault, outcome) in [
         (1, Fault::Before, CommitOutcome::Nothing),
         (2, Fault::Lost, CommitOutcome::Unknown),
         (3, Fault::Landed, CommitOutcome::Unknown),
     ] {
         faults.script([fault]);
         host.take(ticket, &ticket.to_string()).expect("queued");
-        assert_eq!(host.failed(), (ticket, "io", fate));
+        assert_eq!(host.failed(), (ticket, "io", outcome));
         assert_eq!(host.down(), "io");
         match fault {
             Fault::Lost => assert!(matches!(host.next(), WriterEvent::Lost { ticket: 2 })),
@@ -158,9 +158,9 @@
 }
 
 #[test]
-fn of_a_commit_that_landed_unseen_the_refused_rows_are_known_too() {
+fn rejected_rows_of_an_unacknowledged_durable_commit_are_reported() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     host.writer.send(1, vec![set(1, &key("a"), KeyState::Doubt)]).expect("queued");
     host.committed();
     faults.freeze();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn another_store_in_its_place_is_not_taken_for_it() {
+fn other_store_in_its_place_is_not_accepted() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let right = Arc::new(Mutex::new(true));
     let (real, asked, around) = (store.clone(), Arc::clone(&right), faults.clone());
@@ -198,7 +198,7 @@
         let right = *asked.lock().expect("lock");
         Ok(around.around(Box::new(if right { real.clone() } else { MemoryStore::new() })))
     });
-    let host = Host::start(config(), opener);
+    let host = WriterHarness::start(config(), opener);
     host.back();
     host.take(1, "a").expect("queued");
     host.committed();
@@ -215,9 +215,9 @@
 }
 
 #[test]
-fn stopped_it_writes_what_waits_and_ends() {
+fn stopped_writer_writes_its_queue_and_ends() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { batch_rows: 10, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { batch_rows: 10, ..config() }, &store, &faults);
     faults.freeze();
     for ticket in 0..100 {
         host.take(ticket, &ticket.to_string()).expect("queued");
@@ -231,9 +231,9 @@
 }
 
 #[test]
-fn keys_are_forgotten_and_rows_pruned_between_commits() {
+fn maintenance_runs_between_commits() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { maintenance_step: 3, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { maintenance_step: 3, ..config() }, &store, &faults);
     for ticket in 0..10 {
         host.writer
             .send(ticket, vec![set(ticket, &key(format!("{ticket}")), KeyState::Served)])
@@ -252,10 +252,10 @@
 }
 
 #[test]
-fn a_store_that_cannot_be_opened_at_first_is_opened_later() {
+fn store_that_fails_to_open_is_opened_later() {
     let tries = Arc::new(Mutex::new(0));
     let counting = Arc::clone(&tries);
-    let host = Host::start(
+    let host = WriterHarness::start(
         config(),
         Box::new(move |_| {
             let mut tries = counting.lock().expect("lock");
--- a/crates/store/tests/writer_disk.rs
+++ b/crates/store/tests/writer_disk.rs
@@ -5,14 +5,14 @@
 use std::fs;
 use std::time::Duration;
 
-use common::host::{config, Host};
-use common::{child, Place};
+use common::writer_harness::{config, WriterHarness};
+use common::{child, TestDirectory};
 use shaletide_store::conformance::{key, take};
 use shaletide_store::{CommitOutcome, Opening, SqliteOptions, SqliteStore, Store, StoreReader, WriterEvent};
 
-fn sqlite(place: &Place) -> Host {
-    let options = SqliteOptions { busy_timeout: Duration::from_millis(20), ..place.options() };
-    let host = Host::start(
+fn sqlite(directory: &TestDirectory) -> WriterHarness {
+    let options = SqliteOptions { busy_timeout: Duration::from_millis(20), ..directory.options() };
+    let host = WriterHarness::start(
         config(),
         Box::new(move |opening| {
             let options = SqliteOptions { create: opening == Opening::First, ..options.clone() };
@@ -24,29 +24,29 @@
 }
 
 #[test]
-fn a_file_moved_away_is_gone_until_it_is_put_back() {
-    let place = Place::new("writer-gone");
-    let host = sqlite(&place);
+fn moved_file_is_gone_until_it_is_put_back() {
+    let directory = TestDirectory::new("writer-gone");
+    let host = sqlite(&directory);
     host.take(1, "a").expect("queued");
     host.committed();
-    let away = place.file("away.db");
-    fs::rename(place.db(), &away).expect("moved");
+    let away = directory.file("away.db");
+    fs::rename(directory.db(), &away).expect("moved");
     host.take(2, "b").expect("queued");
     assert_eq!(host.failed(), (2, "gone", CommitOutcome::Nothing));
     assert_eq!(host.down(), "gone");
     std::thread::sleep(Duration::from_millis(30));
-    assert!(!place.db().exists(), "no new one is made in its place");
-    fs::rename(&away, place.db()).expect("moved");
+    assert!(!directory.db().exists(), "no new one is made in its directory");
+    fs::rename(&away, directory.db()).expect("moved");
     assert_eq!(host.back(), 1);
     host.take(3, "b").expect("queued");
     assert_eq!(host.committed(), (3, vec![2]));
 }
 
 #[test]
-fn a_lock_of_another_process_is_waited_out_without_a_restart() {
-    let place = Place::new("writer-busy");
-    let host = sqlite(&place);
-    let db = place.db();
+fn lock_of_another_process_is_waited_out() {
+    let directory = TestDirectory::new("writer-busy");
+    let host = sqlite(&directory);
+    let db = directory.db();
     let mut other = child(&["lock", db.to_str().expect("UTF-8")])
         .stdin(std::process::Stdio::piped())
         .stdout(std::process::Stdio::piped())
@@ -65,9 +65,9 @@
 }
 
 #[test]
-fn many_callers_get_each_key_once() {
-    let place = Place::new("writer-many");
-    let host = sqlite(&place);
+fn concurrent_callers_get_each_key_once() {
+    let directory = TestDirectory::new("writer-many");
+    let host = sqlite(&directory);
     std::thread::scope(|scope| {
         for caller in 0..4u64 {
             let writer = &host.writer;
@@ -85,5 +85,5 @@
     let won = events.iter().filter(|event| matches!(event, WriterEvent::Committed { .. })).count();
     let lost = events.iter().filter(|event| matches!(event, WriterEvent::ClaimsRejected { .. })).count();
     assert_eq!((won, lost), (200, 600));
-    assert_eq!(place.open().keys(None, usize::MAX).expect("keys").len(), 200);
+    assert_eq!(directory.open().keys(None, usize::MAX).expect("keys").len(), 200);
 }
