--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,7 +1,7 @@
-//! The command line's side; it blocks.
+//! The command line's side of the socket; it blocks.
 
 use crate::command::{Command, Reply, MAX_LINE};
-use crate::place::failed;
+use crate::socket_file::io_error;
 use crate::ControlError;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::os::unix::net::UnixStream;
@@ -9,23 +9,22 @@
 use std::time::Duration;
 
 /// Somewhat longer than the other side gives a command.
-const WAIT: Duration = Duration::from_secs(65);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(65);
 
-/// Asks a running proxy, and waits for what it says for about a minute.
+/// Sends a command to a running proxy, and waits for its reply for about a minute.
 ///
 /// # Errors
-/// If nobody listens there, or no reply that makes sense comes back; each error says whether the command may have
-/// been carried out.
+/// If no proxy listens there, or no valid reply comes; each error says whether the command may have been carried out.
 pub fn ask(path: &Path, command: &Command) -> Result<Reply, ControlError> {
-    ask_within(path, command, WAIT)
+    ask_within(path, command, REPLY_TIMEOUT)
 }
 
-/// The same, with the time that each step of it may take.
+/// The same; `wait`: what each step of it may take.
 ///
 /// # Errors
 /// As [`ask`].
 pub fn ask_within(path: &Path, command: &Command, wait: Duration) -> Result<Reply, ControlError> {
-    command.check().map_err(ControlError::Command)?;
+    command.check().map_err(|error| ControlError::Command(error.to_string()))?;
     let mut line = serde_json::to_vec(command).map_err(|error| ControlError::Command(error.to_string()))?;
     line.push(b'\n');
     if line.len() > MAX_LINE {
@@ -33,18 +32,18 @@
     }
     let mut stream = UnixStream::connect(path).map_err(|error| match error.kind() {
         ErrorKind::NotFound | ErrorKind::ConnectionRefused => ControlError::Absent { path: path.into() },
-        _ => failed(path, "connect to", error),
+        _ => io_error(path, "connect to", error),
     })?;
     let set = stream.set_read_timeout(Some(wait)).and_then(|()| stream.set_write_timeout(Some(wait)));
-    set.map_err(|error| failed(path, "talk at", error))?;
-    stream.write_all(&line).map_err(|error| late(&error))?;
+    set.map_err(|error| io_error(path, "talk at", error))?;
+    stream.write_all(&line).map_err(|error| no_reply(&error))?;
     let mut answer = Vec::new();
     let mut bounded = BufReader::new(&stream).take(MAX_LINE as u64);
-    bounded.read_until(b'\n', &mut answer).map_err(|error| late(&error))?;
+    bounded.read_until(b'\n', &mut answer).map_err(|error| no_reply(&error))?;
     serde_json::from_slice(&answer).map_err(|error| ControlError::NoReply(error.to_string()))
 }
 
-fn late(error: &std::io::Error) -> ControlError {
+fn no_reply(error: &std::io::Error) -> ControlError {
     match error.kind() {
         ErrorKind::WouldBlock | ErrorKind::TimedOut => ControlError::TimedOut,
         _ => ControlError::NoReply(error.to_string()),
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,6 +1,7 @@
-//! What is asked and answered, and how that is written.
+//! Commands and replies, and their form on the wire: one line of JSON each.
 
 use serde::{Deserialize, Serialize};
+use std::fmt;
 
 /// The longest line, its end included.
 pub const MAX_LINE: usize = 64 << 10;
@@ -9,7 +10,7 @@
 /// The longest note or text, in bytes.
 pub const MAX_TEXT: usize = 4 << 10;
 
-/// A key, any bytes; hexadecimal digits on the line.
+/// An idempotency key, any bytes; hexadecimal digits on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(pub Vec<u8>);
@@ -37,9 +38,9 @@
 #[serde(tag = "command", rename_all = "snake_case", deny_unknown_fields)]
 #[non_exhaustive]
 pub enum Command {
-    /// Whether somebody is there.
+    /// Is a proxy running?
     Ping {},
-    /// Whether the attempt of a key in doubt ran.
+    /// Whether the attempt of a key in doubt was executed.
     Resolve {
         /// The tenant; empty where there is none.
         tenant: String,
@@ -47,21 +48,21 @@
         class: String,
         /// The key.
         key: Key,
-        /// It ran.
+        /// It was executed.
         ran: bool,
         /// Who says so.
         by: String,
         /// Why.
         note: String,
     },
-    /// Take out the oldest rows.
+    /// Prune the oldest rows.
     Prune {
         /// Those before this time, in microseconds since 1970.
         before: u64,
-        /// Who has it done.
+        /// The operator's name.
         by: String,
     },
-    /// Put a correction of an earlier row on record.
+    /// Record a correction of an earlier row.
     Correct {
         /// The row.
         of: u64,
@@ -72,31 +73,85 @@
     },
 }
 
+/// What is wrong with a command's texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[non_exhaustive]
+pub enum CommandError {
+    /// A field is empty.
+    Empty {
+        /// Its name.
+        field: &'static str,
+    },
+    /// A field is longer than its bound.
+    TooLong {
+        /// Its name.
+        field: &'static str,
+        /// Its bound, in bytes.
+        max: usize,
+    },
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Empty { field } => write!(f, "{field} may not be empty"),
+            CommandError::TooLong { field, max } => write!(f, "{field} is longer than {max} bytes"),
+        }
+    }
+}
+
+impl std::error::Error for CommandError {}
+
+/// A text of a command, with what it has to keep to.
+struct Field<'a> {
+    name: &'static str,
+    value: &'a str,
+    max: usize,
+    may_be_empty: bool,
+}
+
+impl Field<'_> {
+    /// The name of an operator or a class.
+    fn name<'a>(name: &'static str, value: &'a str) -> Field<'a> {
+        Field { name, value, max: MAX_NAME, may_be_empty: false }
+    }
+
+    /// A note or a text.
+    fn text<'a>(name: &'static str, value: &'a str) -> Field<'a> {
+        Field { name, value, max: MAX_TEXT, may_be_empty: false }
+    }
+}
+
 impl Command {
-    /// Whether all texts are within their bounds, and names are there.
+    /// Checks that all texts are within their bounds, and that none is empty that may not be.
     ///
     /// # Errors
-    /// What is not, in words.
-    pub fn check(&self) -> Result<(), String> {
-        type Fields<'a> = Vec<(&'static str, &'a String)>;
-        let (names, texts): (Fields<'_>, Fields<'_>) = match self {
-            Command::Ping {} => return Ok(()),
-            Command::Resolve { tenant, class, by, note, .. } => {
-                (vec![("by", by), ("class", class), ("tenant", tenant)], vec![("note", note)])
-            }
-            Command::Prune { by, .. } => (vec![("by", by)], vec![]),
-            Command::Correct { by, text, .. } => (vec![("by", by)], vec![("text", text)]),
-        };
-        let must = |what: &str| what != "tenant";
-        if let Some((what, _)) =
-            names.iter().chain(&texts).find(|(what, t)| must(what) && t.trim().is_empty())
-        {
-            return Err(format!("{what} may not be empty"));
+    /// The first field that is wrong: an empty one before one that is too long.
+    pub fn check(&self) -> Result<(), CommandError> {
+        let fields = self.fields();
+        let is_missing = |field: &&Field<'_>| !field.may_be_empty && field.value.trim().is_empty();
+        if let Some(field) = fields.iter().find(is_missing) {
+            return Err(CommandError::Empty { field: field.name });
+        }
+        match fields.iter().find(|field| field.value.len() > field.max) {
+            Some(field) => Err(CommandError::TooLong { field: field.name, max: field.max }),
+            None => Ok(()),
+        }
+    }
+
+    /// Names first, then texts.
+    fn fields(&self) -> Vec<Field<'_>> {
+        match self {
+            Command::Ping {} => Vec::new(),
+            Command::Resolve { tenant, class, by, note, .. } => vec![
+                Field::name("by", by),
+                Field::name("class", class),
+                Field { may_be_empty: true, ..Field::name("tenant", tenant) },
+                Field::text("note", note),
+            ],
+            Command::Prune { by, .. } => vec![Field::name("by", by)],
+            Command::Correct { by, text, .. } => vec![Field::name("by", by), Field::text("text", text)],
         }
-        let over = names.iter().find(|(_, name)| name.len() > MAX_NAME).map(|(what, _)| (what, MAX_NAME));
-        let over =
-            over.or(texts.iter().find(|(_, text)| text.len() > MAX_TEXT).map(|(what, _)| (what, MAX_TEXT)));
-        over.map_or(Ok(()), |(what, most)| Err(format!("{what} is longer than {most} bytes")))
     }
 }
 
@@ -109,6 +164,6 @@
     Done(String),
     /// It was not done, and nothing was changed, or nobody can tell.
     Refused(String),
-    /// It makes no sense; nothing was changed.
+    /// The command is invalid; nothing was changed.
     Senseless(String),
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -27,8 +27,8 @@
     Io {
         /// The socket.
         path: PathBuf,
-        /// What was tried.
-        tried: &'static str,
+        /// The operation that failed.
+        operation: &'static str,
         /// Why not.
         error: io::Error,
     },
@@ -46,7 +46,7 @@
             ControlError::InUse { path } => write!(f, "another process serves {}", path.display()),
             ControlError::NotASocket { path } => write!(f, "{} is no socket", path.display()),
             ControlError::Absent { path } => write!(f, "no proxy listens at {}", path.display()),
-            ControlError::Io { path, tried, .. } => write!(f, "cannot {tried} {}", path.display()),
+            ControlError::Io { path, operation, .. } => write!(f, "cannot {operation} {}", path.display()),
             ControlError::Command(why) => f.write_str(why),
             ControlError::TimedOut => {
                 f.write_str("the proxy does not answer; it may carry the command out yet")
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -7,10 +7,10 @@
 mod client;
 mod command;
 mod error;
-mod place;
 mod server;
+mod socket_file;
 
 pub use client::{ask, ask_within};
-pub use command::{Command, Key, Reply, MAX_LINE, MAX_NAME, MAX_TEXT};
+pub use command::{Command, CommandError, Key, Reply, MAX_LINE, MAX_NAME, MAX_TEXT};
 pub use error::ControlError;
 pub use server::Control;
--- a/crates/control/src/place.rs
+++ b/crates/control/src/socket_file.rs
@@ -1,4 +1,4 @@
-//! The socket's file: whose it is, and that nobody else gets in.
+//! The socket's file: which process owns it, and that no other user gets in.
 
 use crate::ControlError;
 use rustix::fs::{flock, FlockOperation, Mode};
@@ -9,31 +9,31 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-/// A place that this process holds. Dropped, the socket is taken away; the lock file stays, as whoever waits for it
-/// may have it open.
+/// A socket's file that this process owns. Dropped, the socket is removed; the lock file stays, as another process that
+/// waits for it may have it open.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct SocketFile {
     path: PathBuf,
     inode: Option<(u64, u64)>,
     lock: File,
 }
 
-impl Place {
-    /// Takes the place and binds a socket there. One that a dead process left is replaced.
-    pub fn take(path: &Path) -> Result<(Place, UnixListener), ControlError> {
+impl SocketFile {
+    /// Takes the lock and binds a socket. One that a dead process left is replaced.
+    pub fn take(path: &Path) -> Result<(SocketFile, UnixListener), ControlError> {
         let lock = lock(path)?;
         clear(path)?;
         // Nobody else may connect from the first moment on; a later chmod would leave one between.
         let before = rustix::process::umask(Mode::from_raw_mode(0o177));
         let bound = UnixListener::bind(path);
         rustix::process::umask(before);
-        let listener = bound.map_err(|error| failed(path, "bind", error))?;
-        listener.set_nonblocking(true).map_err(|error| failed(path, "listen at", error))?;
-        Ok((Place { path: path.into(), inode: inode(path), lock }, listener))
+        let listener = bound.map_err(|error| io_error(path, "bind", error))?;
+        listener.set_nonblocking(true).map_err(|error| io_error(path, "listen at", error))?;
+        Ok((SocketFile { path: path.into(), inode: inode(path), lock }, listener))
     }
 }
 
-impl Drop for Place {
+impl Drop for SocketFile {
     fn drop(&mut self) {
         // Only its own: another may lie there by now.
         if self.inode.is_some() && inode(&self.path) == self.inode {
@@ -48,39 +48,39 @@
     path.symlink_metadata().ok().map(|found| (found.dev(), found.ino()))
 }
 
-pub(crate) fn failed(path: &Path, tried: &'static str, error: Error) -> ControlError {
-    ControlError::Io { path: path.into(), tried, error }
+pub(crate) fn io_error(path: &Path, operation: &'static str, error: Error) -> ControlError {
+    ControlError::Io { path: path.into(), operation, error }
 }
 
-/// Held as long as the place is, so that of two processes that start at once one has it.
+/// The lock beside the socket, so that of two processes that start at once one has it.
 fn lock(path: &Path) -> Result<File, ControlError> {
     let mut name = path.as_os_str().to_owned();
     name.push(".lock");
     let name = PathBuf::from(name);
     let file = OpenOptions::new().write(true).create(true).truncate(false).mode(0o600).open(&name);
-    let file = file.map_err(|error| failed(&name, "open", error))?;
+    let file = file.map_err(|error| io_error(&name, "open", error))?;
     match flock(&file, FlockOperation::NonBlockingLockExclusive) {
         Ok(()) => Ok(file),
         Err(Errno::WOULDBLOCK) => Err(ControlError::InUse { path: path.into() }),
-        Err(error) => Err(failed(&name, "lock", error.into())),
+        Err(error) => Err(io_error(&name, "lock", error.into())),
     }
 }
 
-/// Takes away what a dead process left.
+/// Removes the socket that a dead process left.
 fn clear(path: &Path) -> Result<(), ControlError> {
     let found = match path.symlink_metadata() {
         Ok(found) => found,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(()),
-        Err(error) => return Err(failed(path, "look at", error)),
+        Err(error) => return Err(io_error(path, "look at", error)),
     };
     if !found.file_type().is_socket() {
         return Err(ControlError::NotASocket { path: path.into() });
     }
     match UnixStream::connect(path) {
         Err(error) if error.kind() == ErrorKind::ConnectionRefused => {
-            std::fs::remove_file(path).map_err(|error| failed(path, "replace", error))
+            std::fs::remove_file(path).map_err(|error| io_error(path, "replace", error))
         }
-        Err(error) => Err(failed(path, "connect to", error)),
+        Err(error) => Err(io_error(path, "connect to", error)),
         // Some other program's, which takes no lock.
         Ok(_) => Err(ControlError::InUse { path: path.into() }),
     }
--- a/crates/control/tests/socket.rs
+++ b/crates/control/tests/socket.rs
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_command_is_answered_and_only_the_owner_gets_in() {
+fn command_is_answered_and_only_the_owner_may_connect() {
     let folder = Folder::new();
     let served = Served::at(&folder.socket());
     let mode = folder.socket().symlink_metadata().unwrap().permissions().mode();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_mode_holds_whatever_the_process_allows() {
+fn socket_mode_is_0600_under_any_umask() {
     // As seen by whoever looks at the folder all the time.
     let folder = Folder::new();
     let (stop, stopped) = mpsc::channel::<()>();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_live_socket_is_refused_and_a_dead_ones_is_replaced() {
+fn live_socket_is_in_use_and_a_dead_one_is_replaced() {
     let folder = Folder::new();
     let served = Served::at(&folder.socket());
     within(async {
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn what_is_no_socket_is_left_alone() {
+fn file_that_is_no_socket_is_left_unchanged() {
     let folder = Folder::new();
     std::fs::write(folder.socket(), "mine").unwrap();
     within(async {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn lines_that_make_no_sense_are_answered_and_the_next_one_counts() {
+fn invalid_lines_are_answered_and_the_next_line_is_read() {
     let folder = Folder::new();
     let _served = Served::at(&folder.socket());
     let mut stream = UnixStream::connect(folder.socket()).unwrap();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_line_without_an_end_is_cut() {
+fn endless_line_is_rejected_at_the_bound() {
     let folder = Folder::new();
     let _served = Served::at(&folder.socket());
     let mut stream = UnixStream::connect(folder.socket()).unwrap();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn what_is_too_long_is_not_even_sent() {
+fn command_that_is_too_long_is_not_sent() {
     let folder = Folder::new();
     let long = Command::Correct { of: 1, by: "jo".into(), text: "x".repeat(MAX_TEXT + 1) };
     assert!(matches!(ask(&folder.socket(), &long), Err(ControlError::Command(_))));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn one_that_hangs_holds_up_nobody_else_and_many_wait_their_turn() {
+fn hanging_client_delays_no_other_and_excess_connections_wait() {
     let folder = Folder::new();
     let served = Served::at(&folder.socket());
     let hangs = Command::Prune { before: 1, by: "jo".into() };
