--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -162,7 +162,7 @@
 pub enum Reply {
     /// It was done.
     Done(String),
-    /// It was not done, and nothing was changed, or nobody can tell.
+    /// It was not done, and nothing was changed, or that is not known.
     Refused(String),
     /// The command is invalid; nothing was changed.
     Senseless(String),
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -18,7 +18,7 @@
         /// What lies there.
         path: PathBuf,
     },
-    /// Nobody serves it.
+    /// No process serves it.
     Absent {
         /// Where it would be.
         path: PathBuf,
@@ -36,7 +36,7 @@
     Command(String),
     /// No answer in time; the command may be carried out yet.
     TimedOut,
-    /// The other side hung up, or what it said is no reply; the command may have been carried out.
+    /// The connection was closed, or the reply is invalid; the command may have been carried out.
     NoReply(String),
 }
 
--- a/crates/control/src/socket_file.rs
+++ b/crates/control/src/socket_file.rs
@@ -23,7 +23,7 @@
     pub fn take(path: &Path) -> Result<(SocketFile, UnixListener), ControlError> {
         let lock = lock(path)?;
         clear(path)?;
-        // Nobody else may connect from the first moment on; a later chmod would leave one between.
+        // No other user may connect from the first moment on; a later chmod would leave a gap.
         let before = rustix::process::umask(Mode::from_raw_mode(0o177));
         let bound = UnixListener::bind(path);
         rustix::process::umask(before);
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -32,7 +32,7 @@
     /// middle of a reading makes one look so.
     ///
     /// # Errors
-    /// Of any kind; [`may_open_later`] tells them apart.
+    /// Of any kind; see [`may_open_later`].
     pub fn read(path: &Path) -> Result<StoreContents, StoreError> {
         let mut tries = 1;
         loop {
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -99,9 +99,10 @@
 
     fn begin(&self, contents: StoreContents) -> Result<(), StoreError> {
         let NextRun { config, run } = self.next.borrow().clone();
-        let (service, heard) = RecordService::begin(&self.path, contents, config, self.driver.clock, run)?;
+        let (service, writer_events) =
+            RecordService::begin(&self.path, contents, config, self.driver.clock, run)?;
         service.serve(&self.driver);
-        tokio::task::spawn_local(service.clone().work(heard));
+        tokio::task::spawn_local(service.clone().work(writer_events));
         self.service.replace(Some(service));
         Ok(())
     }
--- a/crates/record-service/src/service.rs
+++ b/crates/record-service/src/service.rs
@@ -226,7 +226,7 @@
         let is_full = error == SendError::QueueFull;
         let why = if is_full { StoreFailure::Slow } else { StoreFailure::Failed };
         self.pending_events.borrow_mut().push_back(Event::WriteFailed { ticket, why });
-        // The queue has room again soon, and nothing else tells. Not at once: on a disk that hangs that would be a busy
+        // The queue has room again soon, and no event reports that. Not at once: on a disk that hangs that would be a busy
         // loop.
         if is_full && !self.queue_full.replace(true) {
             self.timer_changed.notify_one();
--- a/crates/record-service/src/service/writer_events.rs
+++ b/crates/record-service/src/service/writer_events.rs
@@ -49,7 +49,7 @@
         } else if outcome != CommitOutcome::Unknown {
             self.handle(Event::WriteFailed { ticket: Ticket(ticket), why: store_failure(error) });
         }
-        // Of what may be durable all the same, another event tells as soon as the store is back: the recorder's own
+        // Of what may be durable all the same, another event reports as soon as the store is back: the recorder's own
         // limit answers whoever waits for it.
     }
 
--- a/crates/record/src/chain.rs
+++ b/crates/record/src/chain.rs
@@ -37,7 +37,7 @@
 /// What is wrong with a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Why {
-    /// Another stands in its place.
+    /// Another row is in its place.
     Missing {
         /// The number of that one.
         found: u64,
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -41,7 +41,7 @@
 pub enum WithoutKey {
     /// It is rejected: the client is to send one.
     Refuse,
-    /// It is sent, and recorded as one without a key: of a second one nothing tells that it is the same.
+    /// It is sent, and recorded as one without a key: a repeat of it cannot be recognized.
     Record,
 }
 
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -1,4 +1,4 @@
-//! What the recorder is told, what it answers and what it asks for.
+//! The recorder's interface: events in, decisions and actions out.
 
 use crate::fact::{Fact, Seen};
 use crate::row::{ClaimRejection, KeyId, KeyState, Write};
@@ -53,7 +53,7 @@
 pub enum KeyDecision {
     /// It goes to the engine; with this for `requires_intent` in its specification.
     Proceed {
-        /// Its attempts wait for their intents, and the recorder is told how each of them and the request itself end.
+        /// Its attempts wait for their intents, and events report the end of each of them and of the request.
         requires_intent: bool,
     },
     /// 503: nothing was sent, and it may come again after this time.
@@ -105,7 +105,7 @@
 /// What the shell owes: each [`KeyDecision::Proceed`] ends in one [`Event::RequestEnded`]; each attempt whose intent was
 /// persisted in one [`Event::IntentWithdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each
 /// [`Action::Write`] ends in one [`Event::Committed`], [`Event::ClaimRejected`] or [`Event::WriteFailed`], in the order of
-/// tickets; once one has failed, all that were sent behind it fail too, and all of that is told before an
+/// tickets; once one has failed, all that were sent behind it fail too, and all of these events come before an
 /// [`Event::StoreUp`], which follows each failure. A write that failed may be on record all the same; it comes once more
 /// then, and its fact is on record twice.
 #[derive(Clone, Debug, PartialEq)]
@@ -166,7 +166,7 @@
         /// Why.
         why: ClaimRejection,
     },
-    /// A write failed, or nobody can tell whether it did.
+    /// A write failed, or its outcome is unknown.
     WriteFailed {
         /// Which.
         ticket: Ticket,
@@ -184,7 +184,7 @@
     StoreUp,
     /// An operator says whether the attempt in doubt was executed.
     Resolve {
-        /// Who is told what came of it.
+        /// The operator's command, for the reply.
         reply: ReplyId,
         /// The key.
         key: KeyId,
@@ -203,10 +203,10 @@
     Wake,
 }
 
-/// What came of a resolution.
+/// The result of a resolution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResolveResult {
-    /// It is durable, and the key is free or served as was said.
+    /// It is durable, and the key is free or served accordingly.
     Done,
     /// The key is free or unknown.
     Unknown,
@@ -216,7 +216,7 @@
     Served,
     /// Its last fact or an earlier resolution is not durable yet: try again.
     NotYet,
-    /// The store takes nothing: nothing was resolved, or nobody can tell yet.
+    /// The store takes nothing: nothing was resolved, or that is not known yet.
     StoreDown,
 }
 
@@ -246,11 +246,11 @@
         /// [`KeyDecision::Reject`] or [`KeyDecision::Conflict`].
         verdict: KeyDecision,
     },
-    /// Tell an operator what came of a resolution.
+    /// Reply to an operator's resolution.
     Reply {
         /// The operator's command.
         reply: ReplyId,
-        /// What came of it.
+        /// Its result.
         result: ResolveResult,
     },
 }
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -17,7 +17,7 @@
     pub pool: String,
     /// That list's version.
     pub list: u64,
-    /// What the list said of it.
+    /// Its state by the list.
     pub state: String,
     /// It was taken to be ready.
     pub ready: bool,
@@ -102,7 +102,7 @@
     },
     /// A key that was in flight when an earlier run ended is in doubt.
     Doubted {
-        /// The row that last said something of it.
+        /// The last row that changed its state.
         seq: u64,
     },
     /// An operator ended a doubt.
@@ -119,7 +119,7 @@
         /// Those whose last row is this one or an earlier.
         through: u64,
     },
-    /// Facts that nobody waited for were not kept, for want of room.
+    /// Facts that may be dropped were not kept, for want of room.
     Dropped {
         /// How many.
         facts: u64,
@@ -142,7 +142,7 @@
         /// Who had it done.
         by: String,
     },
-    /// One of a kind, or of a form, that this version does not know, as it stands.
+    /// One of a kind, or of a form, that this version does not know, unchanged.
     #[serde(skip)]
     Unknown {
         /// Its kind.
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -30,8 +30,8 @@
         self.write(now, fact, about, claim, OnCommit::IntentPersisted(id), actions);
     }
 
-    /// The request goes on, and its key is its own or not even claimed. Behind an intent that the store may yet reject
-    /// nothing can be said of the key.
+    /// The request goes on, and its key is its own or not even claimed. While the store may
+    /// yet reject an intent, the key's state is not known.
     fn may_request_intent(&self, now: Time, id: AttemptId) -> bool {
         self.requests.get(&id.request).is_some_and(|request| {
             !request.ended
--- a/crates/record/src/recorder/store_events.rs
+++ b/crates/record/src/recorder/store_events.rs
@@ -57,7 +57,7 @@
     }
 
     /// The store has this key for another. In doubt it is kept, so that an operator can end that; else the store is
-    /// asked anew each time, as nothing would tell here when it is free again.
+    /// asked anew each time, as no event reports here when it is free again.
     pub(super) fn claim_rejected(
         &mut self, now: Time, ticket: Ticket, why: ClaimRejection, actions: &mut Vec<Action>,
     ) {
@@ -94,7 +94,7 @@
         self.forget_if_done(id.request);
     }
 
-    /// A write failed, as far as can be told. An intent may be on record all the same: it is withdrawn, and its key
+    /// A write failed, as far as is known. An intent may be on record all the same: it is withdrawn, and its key
     /// stays taken until that is durable. All else is written once more when the store is back.
     pub(super) fn write_failed(&mut self, now: Time, ticket: Ticket, actions: &mut Vec<Action>) {
         if !self.pending_writes.is_store_down() {
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -18,7 +18,7 @@
 pub enum KeyState {
     /// An attempt has its intent on record and no end yet.
     InFlight,
-    /// An attempt may have been executed, and nothing has said whether it was.
+    /// An attempt may have been executed, and it is not known whether it was.
     Doubt,
     /// It was served.
     Served,
@@ -33,7 +33,7 @@
     pub at: Time,
     /// Which start of the proxy wrote it.
     pub run: u64,
-    /// What sort of fact, in a word: `intent`, `outcome`, `answer`, ...
+    /// The kind of fact, in a word: `intent`, `outcome`, `answer`, ...
     pub kind: String,
     /// The request that it is about, within its run.
     pub request: Option<u64>,
@@ -54,12 +54,12 @@
     None,
     /// The key is taken, if it is free: else the row is refused, and so is none behind it.
     Take(KeyId),
-    /// The key is taken already, by this proxy, and stands so from now on.
+    /// The key is taken already, by this proxy, and has this state from now on.
     Set(KeyId, KeyState),
     /// The key is free again, whoever took it. One that is free already stays so: a row that failed may be on
     /// record all the same, and is written once more.
     Free(KeyId),
-    /// The key is free again, if the row that last said something of it is of this row's run and request: a row
+    /// The key is free again, if the last row that changed its state is of this row's run and request: a row
     /// that failed may or may not have taken it, and what another took stays taken.
     FreeOwn(KeyId),
     /// All keys are free again that were served and whose last row has this number or a lower one.
@@ -81,7 +81,7 @@
 /// Why a row was not taken though the store is well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRejection {
-    /// Its key is taken, and stands so.
+    /// Its key is taken, and has this state.
     Taken(KeyState),
 }
 
@@ -94,6 +94,6 @@
     pub state: KeyState,
     /// Since when.
     pub since: Time,
-    /// The row that last said so.
+    /// The last row that changed its state.
     pub seq: u64,
 }
--- a/crates/record/src/served_keys.rs
+++ b/crates/record/src/served_keys.rs
@@ -11,7 +11,7 @@
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Slices into which the time that keys are kept is divided: the store is told of the end of one, not of each key.
+/// Slices into which the time that keys are kept is divided: the store learns of the end of one, not of each key.
 const SLICES: u64 = 256;
 
 type Fingerprint = [u8; 16];
@@ -89,7 +89,7 @@
         through
     }
 
-    /// The oldest are left to the store; their slices stay, as it is told when their time is up.
+    /// The oldest are left to the store; their slices stay, as it has to learn when their time is up.
     fn forget_beyond(&mut self, most: usize) {
         while self.fingerprints.len() > most {
             let oldest = self.slices.iter_mut().find_map(|slice| slice.fingerprints.pop_front());
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -7,16 +7,16 @@
 
 use crate::{holds, verify, Anchor, Broken, CommitOutcome, Head, Query, Store, StoreError, Sums};
 
-/// A sum for tests: it depends on all of the row and of the one before. It keeps nobody from forging.
+/// A sum for tests: it depends on all of the row and of the one before. It is no protection against forgery.
 pub fn plain_sum(before: &[u8; 32], row: &Row) -> [u8; 32] {
-    let told = format!(
+    let content = format!(
         "{:?}",
         (row.seq, row.at, row.run, &row.kind, row.request, &row.key, &row.backend, &row.body)
     );
     let mut sum = [0u8; 32];
     for (lane, chunk) in sum.chunks_mut(8).enumerate() {
         let mut hash = 0xcbf2_9ce4_8422_2325_u64 ^ lane as u64;
-        for byte in before.iter().chain(told.as_bytes()) {
+        for byte in before.iter().chain(content.as_bytes()) {
             hash = (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
         chunk.copy_from_slice(&hash.to_le_bytes());
@@ -50,7 +50,7 @@
     write(at, "intent", Some(key), Claim::Take(key.clone()))
 }
 
-/// A row that says how its key stands.
+/// A row that sets its key's state.
 pub fn set(at: u64, key: &KeyId, state: KeyState) -> Write {
     write(at, "outcome", Some(key), Claim::Set(key.clone(), state))
 }
@@ -60,7 +60,7 @@
     write(at, "withdrawn", Some(key), Claim::Free(key.clone()))
 }
 
-/// The row that tells of pruning.
+/// The row that records pruning.
 pub fn pruned(anchor: &Anchor) -> Row {
     write(anchor.through.seq, "pruned", None, Claim::None).row
 }
@@ -97,14 +97,14 @@
     store.commit(batch, &plain_sum).expect("commit")
 }
 
-fn remembered(store: &dyn Store) -> Vec<StoredKey> {
+fn stored_keys(store: &dyn Store) -> Vec<StoredKey> {
     store.keys(None, usize::MAX).expect("keys")
 }
 
 fn begins_empty(store: &mut dyn Store) {
     assert_eq!(store.head().expect("head"), Head::default());
     assert_eq!(store.anchor().expect("anchor"), None);
-    assert!(remembered(store).is_empty() && all_rows(store, 0).is_empty());
+    assert!(stored_keys(store).is_empty() && all_rows(store, 0).is_empty());
     assert_eq!(commit(store, &[]), []);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 0);
 }
@@ -158,7 +158,7 @@
     let c = KeyId { class: "other".into(), ..a.clone() };
     let d = KeyId { tenant: String::new(), ..a.clone() };
     assert_eq!(commit(store, &[a, b, c, d].map(|k| take(1, &k))), [Ok(1), Ok(2), Ok(3), Ok(4)]);
-    assert_eq!(remembered(store).len(), 4);
+    assert_eq!(stored_keys(store).len(), 4);
 }
 
 fn states_of_a_key(store: &mut dyn Store) {
@@ -173,7 +173,7 @@
     commit(store, &[free(12, &k), free(13, &k)]);
     assert_eq!(store.key(&k).expect("key"), None);
     commit(store, &[set(14, &k, KeyState::Served)]);
-    assert_eq!(remembered(store), [is(KeyState::Served, 14, 6).expect("some")]);
+    assert_eq!(stored_keys(store), [is(KeyState::Served, 14, 6).expect("some")]);
 }
 
 fn keeps_any_bytes(store: &mut dyn Store) {
@@ -194,7 +194,7 @@
     assert!(commit(store, &batch).iter().all(Result::is_err));
     let mut sorted = ids.clone();
     sorted.sort();
-    assert_eq!(remembered(store).into_iter().map(|held| held.key).collect::<Vec<_>>(), sorted);
+    assert_eq!(stored_keys(store).into_iter().map(|stored| stored.key).collect::<Vec<_>>(), sorted);
     for id in ids {
         let rows =
             store.rows(&Query { key: Some(id.key.clone()), limit: 9, ..Query::default() }).expect("rows");
@@ -209,7 +209,7 @@
     for bad in [late, large] {
         let failed = store.commit(&[take(1, &key("good")), bad], &plain_sum).expect_err("unstorable");
         assert!(matches!(failed.error, StoreError::Unstorable) && failed.outcome == CommitOutcome::Nothing);
-        assert!(remembered(store).is_empty() && all_rows(store, 0).is_empty());
+        assert!(stored_keys(store).is_empty() && all_rows(store, 0).is_empty());
     }
 }
 
@@ -218,14 +218,14 @@
     commit(store, &batch);
     let mut seen: Vec<StoredKey> = Vec::new();
     loop {
-        let page = store.keys(seen.last().map(|held| &held.key), 10).expect("keys");
+        let page = store.keys(seen.last().map(|stored| &stored.key), 10).expect("keys");
         if page.is_empty() {
             break;
         }
         seen.extend(page);
     }
-    assert_eq!(seen, remembered(store));
-    assert_eq!(seen.iter().map(|held| held.key.key[0]).collect::<Vec<_>>(), (0..25).collect::<Vec<u8>>());
+    assert_eq!(seen, stored_keys(store));
+    assert_eq!(seen.iter().map(|stored| stored.key.key[0]).collect::<Vec<_>>(), (0..25).collect::<Vec<u8>>());
 }
 
 const NONE: [u64; 0] = [];
@@ -278,7 +278,7 @@
     assert_eq!(store.forget_served(Time(5), 1).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 0);
-    let left: Vec<KeyId> = remembered(store).into_iter().map(|held| held.key).collect();
+    let left: Vec<KeyId> = stored_keys(store).into_iter().map(|stored| stored.key).collect();
     assert_eq!(left, [doubt, flying, new]);
     assert_eq!(commit(store, &[take(9, &old)]), [Ok(6)]);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 6, "a forgotten key's rows stay");
@@ -348,16 +348,16 @@
             free_own(Some(1), 1, &c),
         ],
     );
-    assert_eq!(remembered(store).len(), 2, "of another request, another run, no request, or free already");
+    assert_eq!(stored_keys(store).len(), 2, "of another request, another run, no request, or free already");
     commit(store, &[free_own(Some(1), 1, &a), take(3, &c), free_own(Some(3), 1, &c)]);
     assert_eq!(
-        remembered(store).into_iter().map(|held| held.key).collect::<Vec<_>>(),
+        stored_keys(store).into_iter().map(|stored| stored.key).collect::<Vec<_>>(),
         std::slice::from_ref(&b)
     );
     let through = store.head().expect("head").seq + 1;
     commit(store, &[set(60, &a, KeyState::Served), set(61, &c, KeyState::Served)]);
     commit(store, &[write(62, "forgot", None, Claim::FreeServed { through })]);
-    assert_eq!(remembered(store).into_iter().map(|held| held.key).collect::<Vec<_>>(), [b, c.clone()]);
+    assert_eq!(stored_keys(store).into_iter().map(|stored| stored.key).collect::<Vec<_>>(), [b, c.clone()]);
     commit(store, &[write(63, "forgot", None, Claim::FreeServed { through: u64::MAX })]);
     assert_eq!(store.key(&c).expect("key"), None);
 }
@@ -370,7 +370,7 @@
     store.backup(&path).expect("backup");
     let size = path.metadata().expect("a file").len();
     assert!(size > 0);
-    assert!(store.backup(&path).is_err(), "a backup takes nobody's place");
+    assert!(store.backup(&path).is_err(), "a backup replaces no file");
     assert_eq!(path.metadata().expect("a file").len(), size);
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -65,7 +65,7 @@
 pub enum CommitOutcome {
     /// Nothing, for certain: the transaction was never asked to commit.
     Nothing,
-    /// All of the batch or nothing; only the store, opened again, tells.
+    /// All of the batch or nothing; which, shows when the store is opened again.
     Unknown,
 }
 
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -19,9 +19,9 @@
     None,
     /// Before anything is written, and it says so.
     Before,
-    /// Nothing is on record, but nobody knows.
+    /// Nothing is durable, and the outcome is unknown.
     Lost,
-    /// All of it is on record, but nobody knows.
+    /// All of it is durable, and the outcome is unknown.
     Landed,
 }
 
--- a/crates/store/src/sqlite/files.rs
+++ b/crates/store/src/sqlite/files.rs
@@ -12,7 +12,7 @@
 use super::paths::beside;
 use crate::StoreError;
 
-/// Nobody but the proxy's user reads what is in a store.
+/// Only the proxy's user reads a store.
 const MODE: u32 = 0o600;
 
 /// A file, whatever its name.
@@ -88,9 +88,9 @@
             Err(Errno::WOULDBLOCK) => return Err(StoreError::Owned { lock: path }),
             Err(error) => return Err(classify_io(error.into())),
         }
-        // Whoever holds a file that was removed meanwhile owns nothing.
-        let held = Inode::of(&file.metadata().map_err(classify_io)?);
-        if named(&path) != Some(held) {
+        // A lock on a file that was removed meanwhile is no ownership.
+        let locked = Inode::of(&file.metadata().map_err(classify_io)?);
+        if named(&path) != Some(locked) {
             return Err(StoreError::Owned { lock: path });
         }
         // For whoever looks who it is; the lock is what counts.
@@ -114,19 +114,19 @@
 ///
 /// SQLite goes on writing into a file that has lost its name, and all of that is lost with the process. So the names
 /// are looked at before and after each commit; that costs a few microseconds.
-pub(super) struct Watched {
+pub(super) struct WatchedFiles {
     files: Vec<(PathBuf, Inode)>,
 }
 
-impl Watched {
+impl WatchedFiles {
     /// What is there now, under all the names that the open store uses.
-    pub(super) fn note(db: &Path) -> Result<Watched, StoreError> {
+    pub(super) fn note(db: &Path) -> Result<WatchedFiles, StoreError> {
         let files = ["", "-wal", "-shm", ".lock"].map(|suffix| beside(db, suffix));
         let noted = files.into_iter().map(|path| match named(&path) {
             Some(inode) => Ok((path, inode)),
             None => Err(StoreError::Gone { path }),
         });
-        Ok(Watched { files: noted.collect::<Result<_, _>>()? })
+        Ok(WatchedFiles { files: noted.collect::<Result<_, _>>()? })
     }
 
     /// Whether they are all there still.
@@ -138,20 +138,20 @@
     }
 }
 
-/// A mark of the database file alone, to compare before and after it is opened.
+/// Which file the database is, to compare before and after it is opened.
 #[derive(PartialEq, Eq)]
-pub(super) struct Mark(Option<Inode>);
+pub(super) struct FileIdentity(Option<Inode>);
 
-impl Mark {
+impl FileIdentity {
     /// Of the file that has this name now.
     ///
     /// # Errors
     /// If it has several names: SQLite would keep a log for each.
-    pub(super) fn of(db: &Path) -> Result<Mark, StoreError> {
+    pub(super) fn of(db: &Path) -> Result<FileIdentity, StoreError> {
         let found = db.symlink_metadata().ok();
         if found.as_ref().is_some_and(|found| found.nlink() > 1) {
             return Err(StoreError::Other("the database has more than one name (hard links)".into()));
         }
-        Ok(Mark(found.as_ref().map(Inode::of)))
+        Ok(FileIdentity(found.as_ref().map(Inode::of)))
     }
 }
--- a/crates/store/src/sqlite/open.rs
+++ b/crates/store/src/sqlite/open.rs
@@ -6,7 +6,7 @@
 use rusqlite::{Connection, OpenFlags};
 
 use super::errors::{classify, refine};
-use super::files::{locate, Mark, Owner, Watched};
+use super::files::{locate, FileIdentity, Owner, WatchedFiles};
 use super::options::SqliteOptions;
 use super::paths::beside;
 use super::schema::{migrate, version};
@@ -26,17 +26,17 @@
     pub(super) db: Connection,
     /// Without links.
     pub(super) path: PathBuf,
-    pub(super) watched: Watched,
+    pub(super) watched: WatchedFiles,
     pub(super) owner: Owner,
 }
 
 pub(super) fn open(options: &SqliteOptions) -> Result<Opened, StoreError> {
     let path = locate(&options.path, options.create)?;
     let owner = Owner::take(&path)?;
-    let before = Mark::of(&path)?;
+    let before = FileIdentity::of(&path)?;
     let db = connect(&path, options).map_err(|error| refine(error, &path))?;
-    let watched = Watched::note(&path)?;
-    if before != Mark::of(&path)? {
+    let watched = WatchedFiles::note(&path)?;
+    if before != FileIdentity::of(&path)? {
         return Err(StoreError::Gone { path });
     }
     Ok(Opened { db, path, watched, owner })
@@ -46,7 +46,7 @@
     let flags = OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_NO_MUTEX;
     let mut db = Connection::open_with_flags(path, flags).map_err(classify)?;
     db.busy_timeout(options.busy_timeout).map_err(classify)?;
-    // Before anything is changed: the file may be somebody else's, or a newer program's.
+    // Before anything is changed: the file may be another program's, or a newer version's.
     if version(&db)? == 0 && !options.create {
         return Err(StoreError::Gone { path: path.to_path_buf() });
     }
@@ -67,7 +67,7 @@
     Ok(db)
 }
 
-/// Reads the settings back: a database can be built, or be opened, so that it ignores what it is told.
+/// Reads the settings back: a database can be built, or be opened, so that it ignores its settings.
 pub(super) fn check_in_force(db: &Connection) -> Result<(), StoreError> {
     for (pragma, expected) in IN_FORCE {
         let found = setting(db, pragma)?;
@@ -90,7 +90,7 @@
 }
 
 /// Writes something. So a store that opens can be written to, and what an earlier commit that failed may have left
-/// at the end of the log, of which nobody was told that it is there, is overwritten and can never come back.
+/// at the end of the log, which was acknowledged to no caller, is overwritten and can never come back.
 fn note_opening(db: &Connection) -> Result<(), StoreError> {
     db.execute("UPDATE meta SET openings = openings + 1", []).map_err(classify)?;
     Ok(())
--- a/crates/store/src/sqlite/options.rs
+++ b/crates/store/src/sqlite/options.rs
@@ -14,7 +14,7 @@
     /// Whether it is made where there is none. To be false when a store that was open is opened again: a new one
     /// would know nothing. Default: true.
     pub create: bool,
-    /// How long to wait for somebody else's lock. Default: 250 ms.
+    /// How long to wait for another process's lock. Default: 250 ms.
     pub busy_timeout: Duration,
     /// At most so many pages of 4 KiB; none for what the disk holds. Default: none.
     pub max_pages: Option<u32>,
--- a/crates/store/src/sqlite/store.rs
+++ b/crates/store/src/sqlite/store.rs
@@ -9,7 +9,7 @@
 #[cfg(any(test, feature = "conformance"))]
 use super::errors::classify;
 use super::errors::refine;
-use super::files::{Owner, Watched};
+use super::files::{Owner, WatchedFiles};
 use super::open::{check_in_force, open, open_reading, setting, Opened, READER_TIMEOUT};
 use super::options::SqliteOptions;
 use super::{read, write};
@@ -21,7 +21,7 @@
 pub struct SqliteStore {
     db: Connection,
     path: PathBuf,
-    watched: Watched,
+    watched: WatchedFiles,
     // Dropped last: the lock outlives the connection.
     _owner: Owner,
 }
@@ -45,7 +45,7 @@
         setting(&self.db, pragma)
     }
 
-    /// Runs a statement on the connection, to plant trouble.
+    /// Runs a statement on the connection, to cause a fault.
     ///
     /// # Errors
     /// As the database says.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -54,7 +54,7 @@
 pub struct Pruned {
     /// How many rows were pruned in this step.
     pub rows: u64,
-    /// What stands for all rows ever pruned; none if none were.
+    /// The anchor of all rows ever pruned; none if none were.
     pub anchor: Option<Anchor>,
     /// Whether another step would find more.
     pub more: bool,
@@ -98,7 +98,7 @@
     /// Of any kind; reading changes nothing.
     fn head(&self) -> Result<Head, StoreError>;
 
-    /// What stands for the rows that were pruned.
+    /// The anchor of the rows that were pruned.
     ///
     /// # Errors
     /// Of any kind; reading changes nothing.
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -1,4 +1,4 @@
-//! The one thread that writes, behind a bounded queue: nobody else ever waits for a disk.
+//! The one thread that writes, behind a bounded queue: no other thread ever waits for a disk.
 
 mod commit_outcome;
 mod config;
@@ -71,7 +71,7 @@
         self.enqueue(Job::Forget { ticket, before }, 0)
     }
 
-    /// Has rows pruned that are older, some between each two commits; `note` makes the row that tells of each step.
+    /// Has rows pruned that are older, some between each two commits; `note` makes the row that records each step.
     /// Never waits.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
     }
 
     /// How long the store has been at work on one thing; none if it is not. A store that is slow, or that hangs,
-    /// tells nobody so.
+    /// reports nothing.
     pub fn working_for(&self) -> Option<Duration> {
         self.shared.working_for()
     }
--- a/crates/store/src/writer/recovery.rs
+++ b/crates/store/src/writer/recovery.rs
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Opens the store; it has to have what was acknowledged, and tells what became of what was not.
+    /// Opens the store; it must have what was acknowledged, and shows what became of what was not.
     fn reopen(&mut self) -> Result<Reopened, StoreError> {
         let opening = if self.acknowledged.is_some() { Opening::Again } else { Opening::First };
         let store = (self.opener)(opening)?;
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -1,23 +1,23 @@
-//! An entry of the backend list.
+//! An entry of an endpoint list, with names turned into numbers.
 
 use crate::{BackendId, DeduplicationGroupId, DeduplicationPlacement, ServerTypeId, Time, ZoneId};
 
-/// A line of the backend list.
+/// What an endpoint list says of a backend, as a balancer is notified of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEntry {
     /// Which backend.
     pub id: BackendId,
-    /// A number drawn from its address, the same at every proxy.
+    /// A hash of its name, the same at every proxy.
     pub stable_hash: u64,
     /// Its zone.
     pub zone: ZoneId,
-    /// Its cell.
+    /// Its deduplication group.
     pub deduplication_group: DeduplicationGroupId,
-    /// Backends of different realms never drop each other's repeats, whatever their zones and cells.
+    /// Backends of different domains never discard each other's repeats, whatever their zones and groups.
     pub deduplication_domain: u32,
-    /// Its kind.
+    /// Its server type.
     pub server_type: ServerTypeId,
-    /// How many cores it has; what it may hold grows with it.
+    /// How many cores it has, at least 1; its concurrency limit grows with it.
     pub cores: u32,
     /// The weight that the list gives it, in thousandths; 0 where the list says none.
     pub weight: u32,
@@ -39,7 +39,7 @@
 }
 
 impl Default for BackendEntry {
-    /// Number 0 of everything, one core, gone, booted long ago.
+    /// Number 0 of everything, one core, gone, started long ago.
     fn default() -> BackendEntry {
         BackendEntry {
             id: BackendId(0),
@@ -59,7 +59,7 @@
 /// What a backend may be sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackendState {
-    /// Requests.
+    /// New requests.
     Ready,
     /// Nothing new: it finishes what it has.
     Draining,
@@ -68,15 +68,15 @@
     Gone,
 }
 
-/// What sort of news about the list this is.
+/// The kind of an update of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointUpdate {
     /// The entries that changed.
     Delta,
     /// The whole list; what is absent is gone.
     Snapshot,
-    /// The whole list as it was before a restart, perhaps out of date.
+    /// The whole list as an earlier process had it, perhaps out of date.
     Cached,
-    /// The call or the subscription failed; the list held stays.
+    /// The call or the subscription failed; the list stays as it was.
     SubscriptionLost,
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -11,15 +11,15 @@
 ids! {
     /// One client request; never used again.
     RequestId(u64);
-    /// One server process's address, numbered by the host.
+    /// One backend, numbered by the directory; never used again.
     BackendId(u32);
     /// A place in the network.
     ZoneId(u32);
-    /// A handful of backends that share which keys they have seen.
+    /// Backends that share the keys they have seen.
     DeduplicationGroupId(u64);
-    /// A named set of backends with a decision module of its own.
+    /// A named set of backends with a balancer of its own.
     PoolId(u32);
-    /// A sort of machine: backends of one kind are taken as equally fast.
+    /// Backends of one server type are taken as equally fast.
     ServerTypeId(u32);
     /// Index into the configured classes.
     ClassId(usize);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! The types that every part of shaletide shares: time, identifiers, entries of the backend list, outcomes of attempts.
-//! Plain values, no decisions.
+//! The types that all crates of shaletide share: time, identifiers, entries of endpoint lists, outcomes of attempts. Plain
+//! values, no decisions.
 
 mod backend;
 mod error_chain;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,21 +1,21 @@
-//! How an attempt ended.
+//! The outcome of an attempt.
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// Served.
     Ok,
-    /// An error answer; it may have run.
+    /// An error response; it may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the backend without being executed.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No response in time; it may have been executed or still be.
     TimedOut,
     /// No connection was made.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; it may have been executed.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled; it may have been executed.
     Cancelled,
     /// Never sent.
     NotSent,
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,6 +1,6 @@
 //! Points in time and spans of it, in microseconds.
 
-/// A point in time, in microseconds of the host's clock; it begins at no particular value.
+/// A point in time, in microseconds of the driver's clock; its zero has no meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
@@ -45,6 +45,6 @@
     }
 }
 
-/// Times by wall clocks are believed up to this error, all machines' errors taken together: two steps of an hour. Whatever
-/// a rule rests on goes by the monotonic clock, or keeps this distance.
+/// The largest error of wall clocks that is allowed for, all machines' errors together: two steps of an hour. A rule goes by
+/// the monotonic clock, or keeps this distance.
 pub const MAX_WALL_CLOCK_ERROR: Micros = Micros(2 * 3_600_000_000);
