--- a/crates/store/src/writer/config.rs
+++ b/crates/store/src/writer/config.rs
@@ -9,7 +9,7 @@
 /// How the writer works.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriterConfig {
-    /// The number of this start of the proxy, which each row is given: higher than [`Head::run`] as it was before.
+    /// The number of this start of the proxy, which each row is given: higher than [`Head::run`](crate::Head::run) as it was before.
     pub run: u64,
     /// At most so many tickets are queued; one more is rejected. Default: 1024.
     pub queue: usize,
--- a/crates/store/src/writer/event.rs
+++ b/crates/store/src/writer/event.rs
@@ -73,7 +73,7 @@
 pub enum SendError {
     /// The queue is full.
     QueueFull,
-    /// A row that no store can keep: see [`storable`].
+    /// A row that no store can keep: see [`storable`](crate::storable).
     Unstorable,
     /// The writer has ended.
     Ended,
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -32,7 +32,7 @@
 }
 
 impl Writer {
-    /// Starts the thread, which opens the store and says [`Event::Back`] or [`Event::Down`].
+    /// Starts the thread, which opens the store and reports [`WriterEvent::Back`] or [`WriterEvent::Down`].
     ///
     /// # Errors
     /// If the system gives no thread.
