--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -18,7 +18,7 @@
         /// What lies there.
         path: PathBuf,
     },
-    /// Nobody serves it.
+    /// No process serves it.
     Absent {
         /// Where it would be.
         path: PathBuf,
@@ -27,8 +27,8 @@
     Io {
         /// The socket.
         path: PathBuf,
-        /// What was tried.
-        tried: &'static str,
+        /// The operation that failed.
+        operation: &'static str,
         /// Why not.
         error: io::Error,
     },
@@ -36,7 +36,7 @@
     Command(String),
     /// No answer in time; the command may be carried out yet.
     TimedOut,
-    /// The other side hung up, or what it said is no reply; the command may have been carried out.
+    /// The connection was closed, or the reply is invalid; the command may have been carried out.
     NoReply(String),
 }
 
@@ -46,7 +46,7 @@
             ControlError::InUse { path } => write!(f, "another process serves {}", path.display()),
             ControlError::NotASocket { path } => write!(f, "{} is no socket", path.display()),
             ControlError::Absent { path } => write!(f, "no proxy listens at {}", path.display()),
-            ControlError::Io { path, tried, .. } => write!(f, "cannot {tried} {}", path.display()),
+            ControlError::Io { path, operation, .. } => write!(f, "cannot {operation} {}", path.display()),
             ControlError::Command(why) => f.write_str(why),
             ControlError::TimedOut => {
                 f.write_str("the proxy does not answer; it may carry the command out yet")
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -17,11 +17,11 @@
     pub pool: String,
     /// That list's version.
     pub list: u64,
-    /// What the list said of it.
+    /// Its state by the list.
     pub state: String,
-    /// It was held to be ready.
+    /// It was taken to be ready.
     pub ready: bool,
-    /// Requests that this proxy had out to it.
+    /// Attempts that this proxy had in flight to it.
     pub out: u32,
 }
 
@@ -47,13 +47,13 @@
         /// Its digest.
         digest: String,
     },
-    /// News of a pool's list.
+    /// An update of a pool's list.
     List {
         /// The pool.
         pool: String,
         /// The list's version.
         version: u64,
-        /// What it brought, as its source gave it.
+        /// What it changed, as text.
         news: String,
     },
     /// A request was taken.
@@ -90,7 +90,7 @@
         attempt: u32,
         /// In a word.
         outcome: String,
-        /// It may have run.
+        /// It may have been executed.
         may_have_run: bool,
     },
     /// How a request ended.
@@ -102,14 +102,14 @@
     },
     /// A key that was in flight when an earlier run ended is in doubt.
     Doubted {
-        /// The row that last said something of it.
+        /// The last row that changed its state.
         seq: u64,
     },
     /// An operator ended a doubt.
     Resolved {
         /// Their name.
         by: String,
-        /// It ran.
+        /// It was executed.
         ran: bool,
         /// Why they think so.
         note: String,
@@ -119,7 +119,7 @@
         /// Those whose last row is this one or an earlier.
         through: u64,
     },
-    /// Facts that nobody waited for were not kept, for want of room.
+    /// Facts that may be dropped were not kept, for want of room.
     Dropped {
         /// How many.
         facts: u64,
@@ -142,7 +142,7 @@
         /// Who had it done.
         by: String,
     },
-    /// One of a kind, or of a form, that this version does not know, as it stands.
+    /// One of a kind, or of a form, that this version does not know, unchanged.
     #[serde(skip)]
     Unknown {
         /// Its kind.
--- a/crates/store/src/sqlite/trouble.rs
+++ b/crates/store/src/sqlite/errors.rs
@@ -1,11 +1,11 @@
-//! What SQLite says went wrong, by what somebody has to do about it.
+//! The errors of SQLite and of the file system as those of the store.
 
 use std::io::{ErrorKind, Seek, SeekFrom, Write};
 use std::path::Path;
 
 use rusqlite::{Error, ErrorCode};
 
-use super::files::beside;
+use super::paths::beside;
 use crate::StoreError;
 
 /// `SQLITE_READONLY_DBMOVED`.
--- a/crates/store/src/sqlite/open.rs
+++ b/crates/store/src/sqlite/open.rs
@@ -5,50 +5,15 @@
 
 use rusqlite::{Connection, OpenFlags};
 
-use super::files::{beside, locate, Mark, Owner, Watched};
-use super::schema::{migrate, version, KNOWN};
-use super::trouble::{classify, refine};
-use super::SqliteStore;
+use super::errors::{classify, refine};
+use super::files::{locate, FileIdentity, Owner, WatchedFiles};
+use super::options::SqliteOptions;
+use super::paths::beside;
+use super::schema::{migrate, version};
 use crate::StoreError;
 
-/// How to open a store.
-#[derive(Clone, Debug)]
-pub struct SqliteOptions {
-    /// The database; its log, its index and its lock lie beside it. On a local disk: the locks and the shared
-    /// memory of the log do not work over a network file system.
-    pub path: PathBuf,
-    /// Whether it is made where there is none. To be false when a store that was open is opened again: a new one
-    /// would know nothing. Default: true.
-    pub create: bool,
-    /// How long to wait for somebody else's lock. Default: 250 ms.
-    pub busy_timeout: Duration,
-    /// At most so many pages of 4 KiB; none for what the disk holds. Default: none.
-    pub max_pages: Option<u32>,
-    /// The version to which the tables are brought; for tests of migrations.
-    #[cfg(any(test, feature = "conformance"))]
-    pub target_version: Option<u32>,
-}
-
-impl SqliteOptions {
-    /// The defaults, for this path.
-    pub fn new(path: impl Into<PathBuf>) -> SqliteOptions {
-        SqliteOptions {
-            path: path.into(),
-            create: true,
-            busy_timeout: Duration::from_millis(250),
-            max_pages: None,
-            #[cfg(any(test, feature = "conformance"))]
-            target_version: None,
-        }
-    }
-
-    fn target(&self) -> u32 {
-        #[cfg(any(test, feature = "conformance"))]
-        return self.target_version.unwrap_or(KNOWN);
-        #[cfg(not(any(test, feature = "conformance")))]
-        KNOWN
-    }
-}
+/// How long a reader waits for a lock; none is in its way but while the log is recovered.
+pub(super) const READER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What a setting must be, or the store is refused.
 const IN_FORCE: [(&str, &str); 2] = [("journal_mode", "wal"), ("synchronous", "2")];
@@ -56,23 +21,32 @@
 /// After a checkpoint the log is cut to this, so that one long reading does not leave a large file for good.
 const LOG_BYTES: i64 = 16 << 20;
 
-pub(super) fn open(options: &SqliteOptions) -> Result<SqliteStore, StoreError> {
+/// An open database and what was noted of its files.
+pub(super) struct Opened {
+    pub(super) db: Connection,
+    /// Without links.
+    pub(super) path: PathBuf,
+    pub(super) watched: WatchedFiles,
+    pub(super) owner: Owner,
+}
+
+pub(super) fn open(options: &SqliteOptions) -> Result<Opened, StoreError> {
     let path = locate(&options.path, options.create)?;
     let owner = Owner::take(&path)?;
-    let before = Mark::of(&path)?;
+    let before = FileIdentity::of(&path)?;
     let db = connect(&path, options).map_err(|error| refine(error, &path))?;
-    let watched = Watched::note(&path)?;
-    if before != Mark::of(&path)? {
+    let watched = WatchedFiles::note(&path)?;
+    if before != FileIdentity::of(&path)? {
         return Err(StoreError::Gone { path });
     }
-    Ok(SqliteStore { db, path, watched, _owner: owner })
+    Ok(Opened { db, path, watched, owner })
 }
 
 fn connect(path: &Path, options: &SqliteOptions) -> Result<Connection, StoreError> {
     let flags = OpenFlags::SQLITE_OPEN_READ_WRITE | OpenFlags::SQLITE_OPEN_NO_MUTEX;
     let mut db = Connection::open_with_flags(path, flags).map_err(classify)?;
     db.busy_timeout(options.busy_timeout).map_err(classify)?;
-    // Before anything is changed: the file may be somebody else's, or a newer program's.
+    // Before anything is changed: the file may be another program's, or a newer version's.
     if version(&db)? == 0 && !options.create {
         return Err(StoreError::Gone { path: path.to_path_buf() });
     }
@@ -93,7 +67,7 @@
     Ok(db)
 }
 
-/// Reads the settings back: a database can be built, or be opened, so that it ignores what it is told.
+/// Reads the settings back: a database can be built, or be opened, so that it ignores its settings.
 pub(super) fn check_in_force(db: &Connection) -> Result<(), StoreError> {
     for (pragma, expected) in IN_FORCE {
         let found = setting(db, pragma)?;
@@ -116,7 +90,7 @@
 }
 
 /// Writes something. So a store that opens can be written to, and what an earlier commit that failed may have left
-/// at the end of the log, of which nobody was told that it is there, is overwritten and can never come back.
+/// at the end of the log, which was acknowledged to no caller, is overwritten and can never come back.
 fn note_opening(db: &Connection) -> Result<(), StoreError> {
     db.execute("UPDATE meta SET openings = openings + 1", []).map_err(classify)?;
     Ok(())
--- a/crates/store/src/writer/fate.rs
+++ b/crates/store/src/writer/commit_outcome.rs
@@ -5,16 +5,18 @@
 use crate::{Head, Query, Store, StoreError};
 
 /// What a ticket's rows have become; none if nothing of the transaction is on record.
-pub(super) type Found = Option<Vec<Result<u64, ClaimRejection>>>;
+pub(super) type FoundRows = Option<Vec<Result<u64, ClaimRejection>>>;
 
 /// Looks for the writes behind the last row that was acknowledged. They were one transaction, so all of them are
-/// there, but those that were refused, or none.
+/// there, but those that were rejected, or none.
 ///
 /// # Errors
 /// If the store cannot be read.
-pub(super) fn look(store: &dyn Store, acked: Head, tickets: &[&[Write]]) -> Result<Vec<Found>, StoreError> {
+pub(super) fn find_rows(
+    store: &dyn Store, acknowledged: Head, tickets: &[&[Write]],
+) -> Result<Vec<FoundRows>, StoreError> {
     let limit = tickets.iter().map(|writes| writes.len()).sum();
-    let rows = store.rows(&Query { after_seq: acked.seq, limit, ..Query::default() })?;
+    let rows = store.rows(&Query { after_seq: acknowledged.seq, limit, ..Query::default() })?;
     let mut rows = rows.iter().peekable();
     let mut any = false;
     let mut found = Vec::with_capacity(tickets.len());
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -1,5 +1,4 @@
-//! The writer's thread: takes what waits, commits it together, says what became of it; opens the store again when
-//! it failed.
+//! The writer's thread: takes what is queued, commits it together, reports what became of it.
 
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
@@ -8,9 +7,11 @@
 use std::time::{Duration, Instant};
 
 use shaletide_record::{ClaimRejection, Write};
-use shaletide_types::Time;
 
-use super::{FactEncoder, Job, Opener, Shared, WriterConfig, WriterEvent};
+use super::config::{Opener, WriterConfig};
+use super::event::WriterEvent;
+use super::maintenance::Maintenance;
+use super::queue::{Job, Shared};
 use crate::{CommitError, CommitOutcome, Head, Store, StoreError, Sums};
 
 /// The writes of one call.
@@ -19,29 +20,23 @@
     pub(super) writes: Vec<Write>,
 }
 
-/// Something that is done a step at a time, between commits.
-pub(super) enum Chore {
-    Forget { ticket: u64, before: Time, keys: usize },
-    Prune { ticket: u64, before: Time, note: FactEncoder, rows: u64 },
-}
-
-impl Chore {
-    pub(super) fn ticket(&self) -> u64 {
-        match self {
-            Chore::Forget { ticket, .. } | Chore::Prune { ticket, .. } => *ticket,
-        }
-    }
-}
-
 /// The store, or why there is none.
 pub(super) enum Access {
     Open(Box<dyn Store>),
-    Down { trouble: Arc<StoreError>, retry_at: Instant, wait: Duration },
+    Down {
+        error: Arc<StoreError>,
+        retry_at: Instant,
+        /// The wait before `retry_at`; zero before the store was opened for the first time.
+        backoff: Duration,
+    },
 }
 
+/// What the thread does next.
 enum Next {
     Job(Job),
-    Nothing,
+    /// No job is queued: a step of maintenance, or an opening of the store.
+    Idle,
+    /// The caller's side was dropped and nothing is queued.
     End,
 }
 
@@ -54,10 +49,10 @@
     pub(super) notify: Box<dyn FnMut(WriterEvent) + Send>,
     pub(super) access: Access,
     /// The last head that the store has shown; none before it was open.
-    pub(super) acked: Option<Head>,
-    /// What failed so that it may be on record.
-    pub(super) unknown: Vec<Ticket>,
-    pub(super) chores: VecDeque<Chore>,
+    pub(super) acknowledged: Option<Head>,
+    /// Tickets of a commit that failed and may be durable all the same.
+    pub(super) unresolved: Vec<Ticket>,
+    pub(super) maintenance: VecDeque<Maintenance>,
 }
 
 impl Worker {
@@ -65,75 +60,84 @@
         config: WriterConfig, jobs: Receiver<Job>, shared: Arc<Shared>, opener: Opener, sums: Arc<dyn Sums>,
         notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> Worker {
-        let trouble = Arc::new(StoreError::Other("not open yet".into()));
-        let access = Access::Down { trouble, retry_at: Instant::now(), wait: Duration::ZERO };
-        let (unknown, chores) = (Vec::new(), VecDeque::new());
-        Worker { config, jobs, shared, opener, sums, notify, access, acked: None, unknown, chores }
+        let error = Arc::new(StoreError::Other("not open yet".into()));
+        Worker {
+            config,
+            jobs,
+            shared,
+            opener,
+            sums,
+            notify,
+            access: Access::Down { error, retry_at: Instant::now(), backoff: Duration::ZERO },
+            acknowledged: None,
+            unresolved: Vec::new(),
+            maintenance: VecDeque::new(),
+        }
     }
 
+    /// Works until the caller's side is dropped and all that was queued is written or has failed. What is left of the
+    /// maintenance then may be asked for again after the next start.
     pub(super) fn run(mut self) {
         loop {
             self.open_if_due();
             match self.next() {
-                Next::Job(job) => self.take(job),
-                Next::Nothing => self.chore(),
-                // What is left of the chores may be asked for again after the next start.
+                Next::Job(job) => self.process(job),
+                Next::Idle => self.maintain(),
                 Next::End => return,
             }
         }
     }
 
+    /// The next job. Waits for one while there is nothing else to do.
     fn next(&self) -> Next {
-        let of = |error| match error {
-            TryRecvError::Empty => Next::Nothing,
-            TryRecvError::Disconnected => Next::End,
-        };
         match &self.access {
-            Access::Open(_) if self.chores.is_empty() => self.jobs.recv().map_or(Next::End, Next::Job),
-            Access::Open(_) => self.jobs.try_recv().map_or_else(of, Next::Job),
+            Access::Open(_) if self.maintenance.is_empty() => self.jobs.recv().map_or(Next::End, Next::Job),
+            Access::Open(_) => match self.jobs.try_recv() {
+                Ok(job) => Next::Job(job),
+                Err(TryRecvError::Empty) => Next::Idle,
+                Err(TryRecvError::Disconnected) => Next::End,
+            },
             Access::Down { retry_at, .. } => {
                 match self.jobs.recv_timeout(retry_at.saturating_duration_since(Instant::now())) {
                     Ok(job) => Next::Job(job),
-                    Err(RecvTimeoutError::Timeout) => Next::Nothing,
+                    Err(RecvTimeoutError::Timeout) => Next::Idle,
                     Err(RecvTimeoutError::Disconnected) => Next::End,
                 }
             }
         }
     }
 
-    /// Takes this job and, if it is to be written, what waits behind it.
-    fn take(&mut self, job: Job) {
-        let until = Instant::now() + self.config.linger;
+    /// Takes this job and what is queued behind it, and commits what of that is to be written.
+    fn process(&mut self, job: Job) {
+        let commit_at = Instant::now() + self.config.linger;
         let mut tickets = Vec::new();
         let mut rows = 0;
         let mut next = Some(job);
         while let Some(job) = next {
-            rows += self.sort(job, &mut tickets);
-            next = if rows >= self.config.batch_rows { None } else { self.more(until) };
+            rows += self.accept(job, &mut tickets);
+            next = if rows >= self.config.batch_rows { None } else { self.next_until(commit_at) };
         }
         if !tickets.is_empty() {
             self.commit(tickets);
         }
     }
 
-    fn more(&self, until: Instant) -> Option<Job> {
-        match self.jobs.try_recv() {
-            Ok(job) => Some(job),
-            Err(_) => {
-                let left = until.saturating_duration_since(Instant::now());
-                if left.is_zero() {
-                    return None;
-                }
-                self.jobs.recv_timeout(left).ok()
-            }
+    fn next_until(&self, end: Instant) -> Option<Job> {
+        if let Ok(job) = self.jobs.try_recv() {
+            return Some(job);
         }
+        let left = end.saturating_duration_since(Instant::now());
+        if left.is_zero() {
+            return None;
+        }
+        self.jobs.recv_timeout(left).ok()
     }
 
-    /// Puts a job where it belongs, and says how many rows it adds to the commit.
-    fn sort(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
+    /// Puts a job with the tickets or the maintenance, and returns how many rows it adds to the commit.
+    fn accept(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
         match job {
             Job::Write { ticket, mut writes, bytes } => {
-                self.shared.bytes.fetch_sub(bytes, Ordering::Relaxed);
+                self.shared.queued_bytes.fetch_sub(bytes, Ordering::Relaxed);
                 for write in &mut writes {
                     write.row.run = self.config.run;
                 }
@@ -142,11 +146,11 @@
                 rows
             }
             Job::Forget { ticket, before } => {
-                self.chores.push_back(Chore::Forget { ticket, before, keys: 0 });
+                self.maintenance.push_back(Maintenance::Forget { ticket, before, keys: 0 });
                 0
             }
             Job::Prune { ticket, before, note } => {
-                self.chores.push_back(Chore::Prune { ticket, before, note, rows: 0 });
+                self.maintenance.push_back(Maintenance::Prune { ticket, before, note, rows: 0 });
                 0
             }
         }
@@ -155,21 +159,21 @@
     fn commit(&mut self, mut tickets: Vec<Ticket>) {
         let store = match &mut self.access {
             Access::Open(store) => store,
-            Access::Down { trouble, .. } => {
-                let trouble = Arc::clone(trouble);
-                return self.fail(&tickets, &trouble, CommitOutcome::Nothing);
+            Access::Down { error, .. } => {
+                let error = Arc::clone(error);
+                return self.report_failed(&tickets, &error, CommitOutcome::Nothing);
             }
         };
-        let mut batch = Vec::new();
         let lengths: Vec<usize> = tickets.iter().map(|ticket| ticket.writes.len()).collect();
+        let mut batch = Vec::new();
         for ticket in &mut tickets {
             batch.append(&mut ticket.writes);
         }
-        self.shared.working_since.store(self.shared.now(), Ordering::Relaxed);
-        let done = store.commit(&batch, &*self.sums);
-        let head = done.as_ref().ok().map(|_| store.head());
-        self.shared.working_since.store(0, Ordering::Relaxed);
-        match done {
+        let work = self.shared.begin_work();
+        let committed = store.commit(&batch, &*self.sums);
+        let head = committed.is_ok().then(|| store.head());
+        drop(work);
+        match committed {
             Ok(rows) => self.acknowledge(&tickets, &lengths, rows),
             Err(failed) => {
                 for (ticket, length) in tickets.iter_mut().zip(lengths) {
@@ -179,8 +183,8 @@
             }
         }
         match head {
-            Some(Ok(head)) => self.acked = Some(head),
-            Some(Err(error)) => self.down(Arc::new(error)),
+            Some(Ok(head)) => self.acknowledged = Some(head),
+            Some(Err(error)) => self.store_failed(Arc::new(error)),
             None => {}
         }
     }
@@ -189,34 +193,30 @@
         let mut rows = rows.into_iter();
         for (ticket, length) in tickets.iter().zip(lengths) {
             let rows = rows.by_ref().take(*length).collect();
-            self.say_done(ticket.id, rows);
+            self.report_rows(ticket.id, rows);
         }
     }
 
-    pub(super) fn say_done(&mut self, ticket: u64, rows: Vec<Result<u64, ClaimRejection>>) {
+    pub(super) fn report_rows(&mut self, ticket: u64, rows: Vec<Result<u64, ClaimRejection>>) {
         let seqs: Result<Vec<u64>, ClaimRejection> = rows.iter().copied().collect();
         (self.notify)(match seqs {
             Ok(seqs) => WriterEvent::Committed { ticket, seqs },
-            Err(_) => WriterEvent::Refused { ticket, rows },
+            Err(_) => WriterEvent::ClaimsRejected { ticket, rows },
         });
     }
 
     fn commit_failed(&mut self, tickets: Vec<Ticket>, failed: CommitError) {
-        let trouble = Arc::new(failed.error);
-        self.fail(&tickets, &trouble, failed.outcome);
+        let error = Arc::new(failed.error);
+        self.report_failed(&tickets, &error, failed.outcome);
         if failed.outcome == CommitOutcome::Unknown {
-            self.unknown = tickets;
+            self.unresolved = tickets;
         }
-        self.down(trouble);
+        self.store_failed(error);
     }
 
-    fn fail(&mut self, tickets: &[Ticket], trouble: &Arc<StoreError>, fate: CommitOutcome) {
+    fn report_failed(&mut self, tickets: &[Ticket], error: &Arc<StoreError>, outcome: CommitOutcome) {
         for ticket in tickets {
-            (self.notify)(WriterEvent::Failed {
-                ticket: ticket.id,
-                error: Arc::clone(trouble),
-                outcome: fate,
-            });
+            (self.notify)(WriterEvent::Failed { ticket: ticket.id, error: Arc::clone(error), outcome });
         }
     }
 }
--- a/crates/store/tests/edits.rs
+++ b/crates/store/tests/edited_rows.rs
@@ -2,28 +2,28 @@
 
 mod common;
 
-use common::Place;
+use common::TestDirectory;
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{verify, Broken, Head, SqliteReader, Store, StoreReader};
 
 /// Six rows, then this statement; gives what `verify` says with the head noted before.
 fn after(edit: &str) -> Result<Head, Broken> {
-    let place = Place::new("edits");
-    let mut store = place.open();
+    let directory = TestDirectory::new("edits");
+    let mut store = directory.open();
     for name in ["a", "b", "c"] {
         let key = key(name);
         store.commit(&[take(1, &key), set(2, &key, KeyState::Served)], &plain_sum).expect("commits");
     }
     let noted = store.head().expect("head");
     drop(store);
-    rusqlite::Connection::open(place.db()).and_then(|db| db.execute_batch(edit)).expect("edited");
-    let reader = SqliteReader::open(place.db()).expect("opens");
+    rusqlite::Connection::open(directory.db()).and_then(|db| db.execute_batch(edit)).expect("edited");
+    let reader = SqliteReader::open(directory.db()).expect("opens");
     verify(&reader, &plain_sum, Some(noted)).map(|verified| verified.head)
 }
 
 #[test]
-fn an_edit_a_gap_and_a_cut_end_show() {
+fn edited_missing_and_cut_rows_break_the_chain() {
     assert_eq!(after("").expect("as it was").seq, 6);
     for column in ["at", "run", "request"] {
         let edit = format!("UPDATE rows SET {column} = {column} + 1 WHERE seq = 3");
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use common::host::{config, until_it_hangs, Host, LONG};
+use common::writer_harness::{config, until_it_hangs, WriterHarness, TIMEOUT};
 use shaletide_record::{Claim, ClaimRejection, KeyState};
 use shaletide_store::conformance::{all_rows, free, key, plain_sum, pruned, set, take, write};
 use shaletide_store::faults::{Fault, Faults, Step};
@@ -17,9 +17,9 @@
 use shaletide_types::Time;
 
 #[test]
-fn what_waits_goes_in_one_commit_in_its_order() {
+fn queued_tickets_are_committed_together_in_order() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     faults.freeze();
     host.take(1, "a").expect("queued");
     until_it_hangs(&faults);
@@ -31,8 +31,10 @@
     assert_eq!(host.committed(), (1, vec![1]));
     assert_eq!(host.committed(), (2, vec![2]));
     let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
-    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [taken]));
-    assert!(matches!(host.next(), WriterEvent::Refused { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)]));
+    assert!(matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [taken]));
+    assert!(
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 4, rows } if rows == [Ok(3), taken, Ok(4)])
+    );
     assert_eq!(host.committed(), (5, vec![5]));
     assert_eq!(faults.steps(), [Step::Began(1), Step::Durable(1), Step::Began(6), Step::Durable(4)]);
     assert!(host.stop().is_empty());
@@ -40,7 +42,7 @@
 }
 
 #[test]
-fn an_answer_comes_after_the_commit_that_it_is_about() {
+fn acknowledgement_follows_its_commit() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let noting = faults.clone();
     let around = faults.clone();
@@ -52,7 +54,7 @@
     for ticket in 0..100 {
         writer.send(ticket, vec![take(ticket, &key(format!("{ticket}")))]).expect("queued");
     }
-    writer.stop(LONG).expect("stops");
+    writer.stop(TIMEOUT).expect("stops");
     let (mut durable, mut answered) = (0, 0);
     for step in faults.steps() {
         match step {
@@ -68,9 +70,9 @@
 }
 
 #[test]
-fn a_frozen_store_makes_nobody_wait_and_its_queue_has_a_bound() {
+fn hung_store_blocks_no_caller_and_its_queue_is_bounded() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { queue: 3, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { queue: 3, ..config() }, &store, &faults);
     faults.freeze();
     host.take(0, "first").expect("queued");
     until_it_hangs(&faults);
@@ -94,15 +96,15 @@
     assert_eq!(host.writer.stop(Duration::from_millis(20)), Err(StillBusy));
     faults.thaw();
     assert!(
-        matches!(host.events.recv_timeout(LONG), Ok(WriterEvent::Committed { ticket: 5, .. })),
+        matches!(host.events.recv_timeout(TIMEOUT), Ok(WriterEvent::Committed { ticket: 5, .. })),
         "written all the same"
     );
 }
 
 #[test]
-fn bytes_that_wait_have_a_bound_too() {
+fn queued_bytes_are_bounded() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { queue_bytes: 10_000, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { queue_bytes: 10_000, ..config() }, &store, &faults);
     let mut large = write(1, "note", None, Claim::None);
     large.row.body = "x".repeat(20_000);
     let mut late = large.clone();
@@ -118,9 +120,9 @@
 }
 
 #[test]
-fn a_slow_store_shows_and_works() {
+fn slow_store_is_visible_and_works() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     assert_eq!(host.writer.working_for(), None);
     faults.slow(Duration::from_millis(50));
     let began = Instant::now();
@@ -131,17 +133,17 @@
 }
 
 #[test]
-fn a_failure_is_told_and_what_became_of_it_once_the_store_is_back() {
+fn failure_is_reported_and_its_outcome_once_the_store_is_back() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
-    for (ticket, fault, fate) in [
+    let host = WriterHarness::in_memory(config(), &store, &faults);
+    for (ticket, fault, outcome) in [
         (1, Fault::Before, CommitOutcome::Nothing),
         (2, Fault::Lost, CommitOutcome::Unknown),
         (3, Fault::Landed, CommitOutcome::Unknown),
     ] {
         faults.script([fault]);
         host.take(ticket, &ticket.to_string()).expect("queued");
-        assert_eq!(host.failed(), (ticket, "io", fate));
+        assert_eq!(host.failed(), (ticket, "io", outcome));
         assert_eq!(host.down(), "io");
         match fault {
             Fault::Lost => assert!(matches!(host.next(), WriterEvent::Lost { ticket: 2 })),
@@ -156,9 +158,9 @@
 }
 
 #[test]
-fn of_a_commit_that_landed_unseen_the_refused_rows_are_known_too() {
+fn rejected_rows_of_an_unacknowledged_durable_commit_are_reported() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(config(), &store, &faults);
+    let host = WriterHarness::in_memory(config(), &store, &faults);
     host.writer.send(1, vec![set(1, &key("a"), KeyState::Doubt)]).expect("queued");
     host.committed();
     faults.freeze();
@@ -175,17 +177,17 @@
     }
     host.down();
     assert!(
-        matches!(host.next(), WriterEvent::Refused { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
     );
     assert_eq!(host.committed(), (4, vec![3]));
     assert!(
-        matches!(host.next(), WriterEvent::Refused { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
     );
     assert_eq!(host.back(), 3);
 }
 
 #[test]
-fn another_store_in_its_place_is_not_taken_for_it() {
+fn other_store_in_its_place_is_not_accepted() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let right = Arc::new(Mutex::new(true));
     let (real, asked, around) = (store.clone(), Arc::clone(&right), faults.clone());
@@ -196,7 +198,7 @@
         let right = *asked.lock().expect("lock");
         Ok(around.around(Box::new(if right { real.clone() } else { MemoryStore::new() })))
     });
-    let host = Host::start(config(), opener);
+    let host = WriterHarness::start(config(), opener);
     host.back();
     host.take(1, "a").expect("queued");
     host.committed();
@@ -213,9 +215,9 @@
 }
 
 #[test]
-fn stopped_it_writes_what_waits_and_ends() {
+fn stopped_writer_writes_its_queue_and_ends() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { batch_rows: 10, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { batch_rows: 10, ..config() }, &store, &faults);
     faults.freeze();
     for ticket in 0..100 {
         host.take(ticket, &ticket.to_string()).expect("queued");
@@ -229,9 +231,9 @@
 }
 
 #[test]
-fn keys_are_forgotten_and_rows_pruned_between_commits() {
+fn maintenance_runs_between_commits() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
-    let host = Host::in_memory(WriterConfig { chore_step: 3, ..config() }, &store, &faults);
+    let host = WriterHarness::in_memory(WriterConfig { maintenance_step: 3, ..config() }, &store, &faults);
     for ticket in 0..10 {
         host.writer
             .send(ticket, vec![set(ticket, &key(format!("{ticket}")), KeyState::Served)])
@@ -250,10 +252,10 @@
 }
 
 #[test]
-fn a_store_that_cannot_be_opened_at_first_is_opened_later() {
+fn store_that_fails_to_open_is_opened_later() {
     let tries = Arc::new(Mutex::new(0));
     let counting = Arc::clone(&tries);
-    let host = Host::start(
+    let host = WriterHarness::start(
         config(),
         Box::new(move |_| {
             let mut tries = counting.lock().expect("lock");
