--- a/crates/shaletide/src/start/control_socket.rs
+++ b/crates/shaletide/src/control_socket.rs
@@ -1,8 +1,8 @@
 //! The control socket: it is optional to the service, so that one which cannot be had for now holds up nothing.
 
-use super::retry::{until_ready, Attempt, RetryPolicy};
 use crate::commands;
-use crate::daemon::StartError;
+use crate::retry::{until_ready, Attempt, RetryPolicy};
+use crate::start_error::StartError;
 use shaletide_control::{Control, ControlError};
 use shaletide_record_service::Record;
 use std::path::{Path, PathBuf};
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -1,17 +1,16 @@
 //! The daemon: its parts set up and shut down in their order, and a new configuration put in the old one's place.
 
+use crate::control_socket;
 use crate::descriptors::{self, Descriptors};
+use crate::listening::{ListenOutcomes, Listening};
 use crate::reload::{Again, Reader};
 use crate::setup::{RecordSetup, Setup};
-use crate::start::control_socket;
-use crate::start::listening::{ListenOutcomes, Listening};
-use shaletide_balancer::{ConfigError, EndpointUpdate, PoolId};
-use shaletide_control::ControlError;
+use crate::start_error::StartError;
+use shaletide_balancer::{EndpointUpdate, PoolId};
 use shaletide_discovery::{DiscoveryEndpoint, WatchConfig};
-use shaletide_http::{ListenError, Rules, Server};
+use shaletide_http::{Rules, Server};
 use shaletide_net::{span, Clock, Driver};
-use shaletide_record_service::{Record, Run, StoreError};
-use shaletide_types::causes;
+use shaletide_record_service::{Record, Run};
 use std::cell::Cell;
 use std::collections::HashMap;
 use std::future::Future;
@@ -31,42 +30,6 @@
 /// And so long at the least.
 const LAST_WRITES: Duration = Duration::from_millis(100);
 const REPORT_EVERY: Duration = Duration::from_secs(5);
-/// Why the daemon does not start.
-#[derive(Debug)]
-#[non_exhaustive]
-pub enum StartError {
-    Signals(std::io::Error),
-    Listen(ListenError),
-    Store(std::path::PathBuf, Box<StoreError>),
-    Control(ControlError),
-    Config(ConfigError),
-}
-
-impl std::fmt::Display for StartError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            StartError::Signals(e) => write!(f, "no signals: {e}"),
-            StartError::Listen(e) => write!(f, "{e}"),
-            StartError::Config(e) => write!(f, "configuration: {e}"),
-            StartError::Control(e) => write!(f, "control socket: {e}"),
-            StartError::Store(path, e) => {
-                write!(f, "store of record {}: {}", path.display(), causes(&**e))
-            }
-        }
-    }
-}
-
-impl std::error::Error for StartError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            StartError::Signals(e) => Some(e),
-            StartError::Listen(e) => e.source(),
-            StartError::Config(e) => Some(e),
-            StartError::Store(_, e) => Some(e),
-            StartError::Control(e) => Some(e),
-        }
-    }
-}
 
 /// Follows one pool's list for as long as it is kept.
 struct Follower {
--- a/crates/shaletide/src/start/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -1,8 +1,8 @@
 //! The listen addresses: each is listened on at once or as soon as it is to be had, whatever becomes of the others.
 
-use super::retry::WaitLog;
-use crate::daemon::StartError;
+use crate::retry::WaitLog;
 use crate::setup::Setup;
+use crate::start_error::StartError;
 use shaletide_http::{listen, BoundSocket, ListenError};
 use shaletide_net::socket_table::Holders;
 use shaletide_net::{listen_failure, Driver, ListenFailure, SystemCall};
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -3,18 +3,22 @@
 
 mod cli;
 mod commands;
+mod control_socket;
 mod daemon;
 mod demo;
 mod descriptors;
 mod explain;
 mod explore;
 mod files;
+mod listening;
 mod log;
 mod node;
 mod record;
 mod reload;
+mod retry;
 mod setup;
 mod start;
+mod start_error;
 
 use clap::Parser;
 use cli::{Cli, Command};
--- a/crates/shaletide/src/start/configuration.rs
+++ b/crates/shaletide/src/start/configuration.rs
@@ -1,7 +1,7 @@
 //! What a reading of the configuration at the start comes to.
 
-use super::retry::Attempt;
 use crate::node::NodeError;
+use crate::retry::Attempt;
 use crate::setup::Setup;
 use std::fmt;
 
--- a/crates/shaletide/src/start/mod.rs
+++ b/crates/shaletide/src/start/mod.rs
@@ -3,17 +3,14 @@
 //! ends no process and keeps no other part from its work.
 
 pub mod configuration;
-pub mod control_socket;
-pub mod listening;
-pub mod retry;
 pub mod signals;
 
 use crate::daemon::Daemon;
 use crate::log::say_failure;
 use crate::reload::Again;
+use crate::retry::{self, Attempt, RetryPolicy};
 use crate::setup::Setup;
 use configuration::SetupError;
-use retry::{Attempt, RetryPolicy};
 use shaletide_net::retry_shortage;
 use signals::{hangups, stops, Stop};
 use std::process::ExitCode;
--- a/crates/shaletide/src/start/signals.rs
+++ b/crates/shaletide/src/start/signals.rs
@@ -1,6 +1,6 @@
 //! The signals that the program handles, from the first moment that it can.
 
-use crate::daemon::StartError;
+use crate::start_error::StartError;
 use shaletide_net::retry_shortage;
 use std::future::Future;
 use std::pin::Pin;
--- /dev/null
+++ b/crates/shaletide/src/start_error.rs
@@ -0,0 +1,47 @@
+//! Why the daemon does not start.
+
+use shaletide_balancer::ConfigError;
+use shaletide_control::ControlError;
+use shaletide_http::ListenError;
+use shaletide_record_service::StoreError;
+use shaletide_types::causes;
+use std::fmt;
+use std::path::PathBuf;
+
+/// A step of the start that failed, with its cause.
+#[derive(Debug)]
+#[non_exhaustive]
+pub enum StartError {
+    Signals(std::io::Error),
+    Listen(ListenError),
+    /// The file of the store, and what ails it.
+    Store(PathBuf, Box<StoreError>),
+    Control(ControlError),
+    Config(ConfigError),
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StartError::Signals(error) => write!(f, "no signals: {error}"),
+            StartError::Listen(error) => write!(f, "{error}"),
+            StartError::Config(error) => write!(f, "configuration: {error}"),
+            StartError::Control(error) => write!(f, "control socket: {error}"),
+            StartError::Store(path, error) => {
+                write!(f, "store of record {}: {}", path.display(), causes(&**error))
+            }
+        }
+    }
+}
+
+impl std::error::Error for StartError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            StartError::Signals(error) => Some(error),
+            StartError::Listen(error) => error.source(),
+            StartError::Config(error) => Some(error),
+            StartError::Store(_, error) => Some(error),
+            StartError::Control(error) => Some(error),
+        }
+    }
+}
