--- a/crates/shaletide/src/control_socket.rs
+++ b/crates/shaletide/src/control_socket.rs
@@ -1,7 +1,7 @@
-//! The control socket: it is optional to the service, so that one which cannot be had for now holds up nothing.
+//! The control socket. The service does not depend on it, so that one that cannot be bound for now delays nothing.
 
 use crate::commands;
-use crate::retry::{until_ready, Attempt, RetryPolicy};
+use crate::retry::{until_ready, Attempt, RetryPolicy, StepNames};
 use crate::start_error::StartError;
 use shaletide_control::{Control, ControlError};
 use shaletide_record_service::Record;
@@ -10,18 +10,23 @@
 use std::time::Duration;
 use tracing::error;
 
-/// How a socket that another process holds is waited for.
+const STEP: StepNames = StepNames { waiting: "no control socket yet", done: "control socket opened" };
+/// How a socket that another process holds is tried again.
 const RETRY: RetryPolicy = RetryPolicy { pause: Duration::from_millis(200), patience: None };
 
-/// Serves operators' commands there, from now on or once the socket is to be had. Within a `LocalSet`.
+/// Serves operators' commands there, from now on or once the socket can be bound. Within a `LocalSet`.
 ///
 /// # Errors
 /// Something that is no socket lies in its place.
 pub fn begin(socket: PathBuf, record: Option<Rc<Record>>) -> Result<(), StartError> {
     match attempt(&socket) {
-        Attempt::Ready(control) => drop(tokio::task::spawn_local(serve(control, record))),
+        Attempt::Ready(control) => {
+            tokio::task::spawn_local(serve(control, record));
+        }
         Attempt::Fatal(error) => return Err(StartError::Control(error)),
-        Attempt::WaitFor(_) => drop(tokio::task::spawn_local(serve_later(socket, record))),
+        Attempt::WaitFor(_) => {
+            tokio::task::spawn_local(serve_later(socket, record));
+        }
     }
     Ok(())
 }
@@ -35,7 +40,7 @@
 }
 
 async fn serve_later(socket: PathBuf, record: Option<Rc<Record>>) {
-    match until_ready("no control socket yet", RETRY, || attempt(&socket)).await {
+    match until_ready(STEP, RETRY, || attempt(&socket)).await {
         Ok(control) => serve(control, record).await,
         Err(error) => error!("control socket: {error}"),
     }
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -1,56 +1,40 @@
-//! The daemon: its parts set up and shut down in their order, and a new configuration put in the old one's place.
+//! The daemon: its parts started and stopped in their order, and a new configuration put in the old one's place.
 
 use crate::control_socket;
 use crate::descriptors::{self, Descriptors};
 use crate::listening::{ListenOutcomes, Listening};
-use crate::reload::{Again, Reader};
+use crate::reload::{ReadConfiguration, Reader};
 use crate::setup::{RecordSetup, Setup};
 use crate::start_error::StartError;
-use shaletide_balancer::{EndpointUpdate, PoolId};
-use shaletide_discovery::{DiscoveryEndpoint, WatchConfig};
+use crate::subscriptions::Subscriptions;
+use shaletide_balancer::EndpointUpdate;
 use shaletide_http::{Rules, Server};
 use shaletide_net::{span, Clock, Driver};
 use shaletide_record_service::{Record, Run};
 use std::cell::Cell;
-use std::collections::HashMap;
 use std::future::Future;
 use std::hash::{BuildHasher, Hasher};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::signal::unix::Signal;
-use tokio::sync::watch;
 use tokio::task::AbortHandle;
 use tracing::info;
 
 /// SIGKILL may come so long after the longest deadline, counted from SIGTERM, less what a loaded core takes for the last
 /// steps: the store has until then for its last writes, and requests until 0.1 s before.
-const ENDED: Duration = Duration::from_millis(600);
-/// And so long at the least.
-const LAST_WRITES: Duration = Duration::from_millis(100);
-const REPORT_EVERY: Duration = Duration::from_secs(5);
-
-/// Follows one pool's list for as long as it is kept.
-struct Follower {
-    moved: watch::Sender<DiscoveryEndpoint>,
-    terms: WatchConfig,
-    task: AbortHandle,
-}
-
-impl Drop for Follower {
-    fn drop(&mut self) {
-        self.task.abort();
-    }
-}
+const STORE_STOP_GRACE: Duration = Duration::from_millis(600);
+/// The store has at least this long for its last writes.
+const MIN_STORE_STOP: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What came of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// How often rules were broken, where there was a self-check.
-    pub broken: u64,
-    /// The first cases.
-    pub cases: Vec<String>,
+    /// How many violations of the rules the self-check saw; 0 without it.
+    pub violations: u64,
+    /// The first of them, in words.
+    pub first_violations: Vec<String>,
     /// Why it ended by itself, where it did.
     pub failure: Option<StartError>,
 }
@@ -64,38 +48,39 @@
     driver: Rc<Driver>,
     server: Rc<Server>,
     listening: Listening,
-    followers: HashMap<PoolId, Follower>,
+    subscriptions: Subscriptions,
 }
 
 impl Daemon {
-    /// Sets all up and listens, or begins to wait for addresses that are not to be had for now; nothing is served before
-    /// [`Daemon::run`]. Within a `LocalSet`. `self_check`: with the rules' monitors at work. What an agent has counts
-    /// since `begun`, the program's first moment.
+    /// Starts all parts and listens, or begins to wait for addresses that cannot be listened on for now; nothing is served
+    /// before [`Daemon::run`]. Within a `LocalSet`. `self_check`: with the monitors of the rules at work. What discovery
+    /// has counts as known since `begun`, the program's first moment.
     ///
     /// # Errors
-    /// An address that can never be listened on, or a configuration that the decision module refuses.
+    /// An address that can never be listened on, a store that cannot be opened, a control socket that can never be bound,
+    /// or a configuration that the balancer rejects.
     pub fn start(setup: Setup, self_check: bool, begun: Instant) -> Result<Daemon, StartError> {
         let operator = &setup.operator;
         let seed =
             operator.proxy.seed.unwrap_or_else(|| std::hash::RandomState::new().build_hasher().finish());
         let descriptors = Descriptors::new(descriptors::limit(operator.limits.descriptors), &setup);
-        let network = setup.network(descriptors.upstreams);
-        let driver = Driver::new(Clock::new(), network);
+        let upstream = setup.upstream_config(descriptors.upstreams);
+        let driver = Driver::new(Clock::new(), upstream);
         if self_check {
             driver.self_check(operator.limits.drain_grace);
         }
-        // What was in flight when the program ended is known before anything is asked.
+        // What was in flight when the last process ended is known before anything is sent.
         let record = match &setup.record {
             Some(record) => Some(open_record(record, &driver, &operator.proxy.name)?),
             None => None,
         };
-        let first = Some((&setup.zones[..], &setup.kinds[..]));
+        let first = Some((&setup.zones[..], &setup.server_types[..]));
         let pools = setup.pools();
         let ids =
-            driver.setup(first, &operator.proxy.zone, seed, network, pools).map_err(StartError::Config)?;
+            driver.setup(first, &operator.proxy.zone, seed, upstream, pools).map_err(StartError::Config)?;
         // The list from before the restart is in place before anything is served.
-        if let (Some(pool), false) = (ids.first(), setup.known.endpoints.is_empty()) {
-            shaletide_discovery::tell(&driver, *pool, EndpointUpdate::Cached, &setup.known);
+        if let (Some(pool), false) = (ids.first(), setup.cached_list.endpoints.is_empty()) {
+            shaletide_discovery::tell(&driver, *pool, EndpointUpdate::Cached, &setup.cached_list);
         }
         let listening = Listening::begin(&setup, &driver)?;
         if let Some(socket) = &operator.control {
@@ -105,142 +90,118 @@
         let server = Server::new(driver.clone(), rules, descriptors.clients, seed);
         tokio::task::spawn_local(driver.clone().run_timers());
         tokio::task::spawn_local(driver.clone().sweep_idle_connections());
-        let followers = HashMap::new();
+        let mut subscriptions = Subscriptions::new(driver.clone());
+        subscriptions.update(&setup, &ids, begun);
         let setup = Arc::new(setup);
-        let mut daemon = Daemon { setup, seed, descriptors, record, driver, server, listening, followers };
-        daemon.follow(&ids, begun);
-        Ok(daemon)
+        Ok(Daemon { setup, seed, descriptors, record, driver, server, listening, subscriptions })
     }
 
-    /// Serves until told to stop, or until an address could not be had in the time that is allowed; then answers what
-    /// it has taken and returns. At each hang-up the configuration is read `again`.
+    /// Serves until `stop` is ready, or until an address could not be listened on in the time that is allowed; then answers
+    /// the requests that it has accepted and returns. At each SIGHUP the configuration is read again.
     pub async fn run(
-        mut self, again: Again, mut hangup: Option<Signal>, stop: impl Future<Output = ()>,
+        mut self, read: ReadConfiguration, mut hangup: Option<Signal>, stop: impl Future<Output = ()>,
     ) -> RunReport {
         let ListenOutcomes { listeners, failure } = self.listening.outcomes();
-        let (driver, server, record) = (self.driver.clone(), self.server.clone(), self.record.clone());
-        let reporter = tokio::task::spawn_local(async move {
-            loop {
-                tokio::time::sleep(REPORT_EVERY).await;
-                driver.report(&server.report());
-                record.iter().filter_map(|record| record.service()).for_each(|keeper| keeper.report());
-            }
-        });
-        let stopping = Cell::new(None);
-        let failed = Cell::new(None);
+        let reporter = self.spawn_reporter();
+        let stopped_at = Cell::new(None);
+        let listen_error = Cell::new(None);
         let stop = async {
             tokio::select! {
                 () = stop => {}
-                Ok(error) = failure => failed.set(Some(error)),
+                Ok(error) = failure => listen_error.set(Some(error)),
             }
-            stopping.set(Some(Instant::now()));
+            stopped_at.set(Some(Instant::now()));
         };
         let served = self.server.clone().run(listeners, stop);
         tokio::pin!(served);
-        let mut reader = Reader::new(again);
+        let mut reader = Reader::new(read);
         loop {
             tokio::select! {
                 () = &mut served => break,
-                () = told(&mut hangup) => reader.hangup(&self.setup),
-                read = reader.next(&self.setup) => {
-                    let done = read.came.and_then(|next| self.reload(next, read.asked));
-                    reader.over(read.number, read.asked, done);
+                () = received(&mut hangup) => reader.hangup(&self.setup),
+                reading = reader.next(&self.setup) => {
+                    let requested_at = reading.requested_at;
+                    let applied = reading.result.and_then(|next| self.reload(next, requested_at));
+                    reader.finish(reading.number, requested_at, applied);
                 }
             }
         }
         reporter.abort();
-        if let Some(keeper) = self.record.as_ref().and_then(|record| record.service()) {
-            let now = Instant::now();
-            let end = stopping.get().unwrap_or(now) + self.longest_stop() + ENDED;
-            let end = end.max(now + LAST_WRITES); // where earlier rules gave requests more time
-            keeper.settled_by(end).await; // what it says is said by the other
-            keeper.stop(end);
-        }
-        let (broken, cases) = self.driver.violations();
-        RunReport { broken, cases, failure: failed.take().map(StartError::Listen) }
+        self.stop_record(stopped_at.get()).await;
+        let (violations, first_violations) = self.driver.violations();
+        let failure = listen_error.take().map(StartError::Listen);
+        RunReport { violations, first_violations, failure }
+    }
+
+    /// Logs the counters at intervals.
+    fn spawn_reporter(&self) -> AbortHandle {
+        let driver = self.driver.clone();
+        let server = self.server.clone();
+        let record = self.record.clone();
+        let report = async move {
+            loop {
+                tokio::time::sleep(REPORT_INTERVAL).await;
+                driver.report(&server.report());
+                if let Some(service) = record.as_ref().and_then(|record| record.service()) {
+                    service.report();
+                }
+            }
+        };
+        tokio::task::spawn_local(report).abort_handle()
     }
 
-    /// Whoever ends the program waits for so long at the least, and a moment.
+    /// Has the store write what it has, as long as the program may take for that.
+    async fn stop_record(&self, stopped_at: Option<Instant>) {
+        let Some(service) = self.record.as_ref().and_then(|record| record.service()) else { return };
+        let now = Instant::now();
+        let end = stopped_at.unwrap_or(now) + self.longest_stop() + STORE_STOP_GRACE;
+        let end = end.max(now + MIN_STORE_STOP); // earlier rules may have given requests more time
+        service.settled_by(end).await; // the service logs what is not written by then
+        service.stop(end);
+    }
+
+    /// How long requests may take to end after SIGTERM.
     fn longest_stop(&self) -> Duration {
-        let longest =
-            self.setup.operator.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let deadlines = self.setup.operator.classes.iter().map(|class| class.deadline);
+        let longest = deadlines.max().unwrap_or_default();
         span(longest.min(self.setup.longest_stop.unwrap_or(longest)))
     }
 
-    /// Takes the configuration, asked for at that time, whole or leaves all as it is and says why.
-    fn reload(&mut self, next: Setup, asked: Instant) -> Result<(), String> {
-        let next = self.setup.follow(next).map_err(|changes| {
+    /// Applies the configuration, requested at that time, as a whole.
+    ///
+    /// # Errors
+    /// Why all stays as it is.
+    fn reload(&mut self, next: Setup, requested_at: Instant) -> Result<(), String> {
+        let next = self.setup.prepare_reload(next).map_err(|changes| {
             format!("nothing changes, as this needs a restart:\n  {}", changes.join("\n  "))
         })?;
         let zone = &next.operator.proxy.zone;
         let descriptors = self.descriptors.reconfigured(&next);
-        let network = next.network(descriptors.upstreams);
-        let ids = self.driver.setup(None, zone, self.seed, network, next.pools());
-        let ids = ids.map_err(|e| format!("{e}"))?; // the reader has checked all of it before
+        let upstream = next.upstream_config(descriptors.upstreams);
+        let ids = self.driver.setup(None, zone, self.seed, upstream, next.pools());
+        let ids = ids.map_err(|error| error.to_string())?; // the reader has validated it before
         self.server.reload(Rules::new(next.rules(&ids)));
         if let (Some(record), Some(next)) = (&self.record, &next.record) {
             record.configure(next.config.clone(), next.digest.clone());
         }
-        (self.setup, self.descriptors) = (Arc::new(next), descriptors);
-        self.follow(&ids, asked);
-        let routes = self.setup.operator.routes.len();
-        info!("SIGHUP: taken, pools {}, {routes} routes", self.setup.pool_names());
+        self.subscriptions.update(&next, &ids, requested_at);
+        info!("SIGHUP: taken, pools {}, {} routes", next.pool_names(), next.operator.routes.len());
+        self.setup = Arc::new(next);
+        self.descriptors = descriptors;
         Ok(())
     }
-
-    /// Follows the lists of those pools that are told by a discovery, and of no other. What is new of them is so since
-    /// that time.
-    fn follow(&mut self, ids: &[PoolId], since: Instant) {
-        let grace = Duration::from_micros(self.setup.operator.limits.drain_grace.0);
-        let position = self.setup.operator.proxy.position;
-        let strict = |pool| self.setup.strict && ids.first() == Some(&pool);
-        let wanted: HashMap<PoolId, (SocketAddr, WatchConfig)> = self
-            .setup
-            .discoveries()
-            .into_iter()
-            .filter_map(|(at, address, mode)| {
-                let pool = *ids.get(at)?;
-                Some((pool, (address, WatchConfig { mode, position, grace, strict: strict(pool) })))
-            })
-            .collect();
-        self.followers.retain(|pool, f| wanted.get(pool).is_some_and(|(_, terms)| *terms == f.terms));
-        for (pool, (address, terms)) in wanted {
-            match self.followers.get(&pool) {
-                Some(follower) => {
-                    let to = DiscoveryEndpoint { address, since };
-                    let moved = |old: &mut DiscoveryEndpoint| {
-                        let moves = old.address != address;
-                        *old = if moves { to } else { *old };
-                        moves
-                    };
-                    if follower.moved.send_if_modified(moved) {
-                        info!("pool {}: discovery is now at {address}", pool.0);
-                    }
-                }
-                None => {
-                    let (moved, moves) = watch::channel(DiscoveryEndpoint { address, since });
-                    // An index means something only to the discovery that the list at the start came from.
-                    let first = ids.first() == Some(&pool) && !self.setup.known.endpoints.is_empty();
-                    let known = first.then_some(self.setup.known.index);
-                    let watch = shaletide_discovery::watch(self.driver.clone(), pool, moves, known, terms);
-                    let task = tokio::task::spawn_local(watch).abort_handle();
-                    self.followers.insert(pool, Follower { moved, terms, task });
-                }
-            }
-        }
-    }
 }
 
-/// The record for that driver.
+/// Opens the record for that driver.
 fn open_record(record: &RecordSetup, driver: &Rc<Driver>, proxy: &str) -> Result<Rc<Record>, StartError> {
     let run =
         Run { proxy: proxy.into(), version: env!("CARGO_PKG_VERSION").into(), digest: record.digest.clone() };
     let opened = Record::open(&record.path, record.config.clone(), driver, run);
-    opened.map_err(|e| StartError::Store(record.path.clone(), Box::new(e)))
+    opened.map_err(|error| StartError::Store(record.path.clone(), Box::new(error)))
 }
 
-/// Until the signal comes; for ever where none is heeded.
-async fn told(signal: &mut Option<Signal>) {
+/// Ready when the signal comes; never where none is handled.
+async fn received(signal: &mut Option<Signal>) {
     if let Some(signal) = signal {
         if signal.recv().await.is_some() {
             return;
--- a/crates/shaletide/src/demo/mod.rs
+++ b/crates/shaletide/src/demo/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::cli::Demo;
 use crate::daemon::Daemon;
-use crate::reload::Again;
+use crate::reload::ReadConfiguration;
 use crate::setup::Setup;
 use report::{report, Report};
 use script::{play, Played};
@@ -67,7 +67,7 @@
     local.block_on(
         &runtime,
         proxied(
-            Setup::of_file(operator, String::new()),
+            Setup::from_file(operator, String::new()),
             stage,
             Duration::from_secs(asked.seconds),
             self_check,
@@ -88,18 +88,18 @@
     };
     let script = std::thread::Builder::new().name("script".into()).spawn(work);
     let script = script.map_err(|e| format!("no thread: {e}"))?;
-    let again: Again = Arc::new(|_| Err("the demo has no file to read again".into()));
+    let read_again: ReadConfiguration = Arc::new(|_| Err("the demo has no file to read again".into()));
     let stop = async {
         let _ = ended.await; // a script that broke off has ended too
     };
-    let report = daemon.run(again, None, stop).await;
+    let report = daemon.run(read_again, None, stop).await;
     if let Some(failure) = report.failure {
         return Err(failure.to_string());
     }
     // The stand-ins stay until the proxy has ended: it would complain of a discovery that left.
     let (_stage, played) = script.join().map_err(|_| "the script broke off".to_string())?;
     let mut played = played.map_err(|e| format!("no load: {e}"))?;
-    played.watched = self_check.then_some((report.broken, report.cases));
+    played.watched = self_check.then_some((report.violations, report.first_violations));
     Ok(played)
 }
 
--- a/crates/shaletide/src/descriptors/tests.rs
+++ b/crates/shaletide/src/descriptors/tests.rs
@@ -10,7 +10,7 @@
         + "[[class]]\nname = \"a\"\n[[pool]]\nname = \"fixed\"\nboxes = [\"127.0.0.1:1\"]\n"
         + &(0..discoveries).map(pool).collect::<String>()
         + more;
-    Setup::of_file(read("f", &text).unwrap_or_else(|report| panic!("{report}")), String::new())
+    Setup::from_file(read("f", &text).unwrap_or_else(|report| panic!("{report}")), String::new())
 }
 
 const ALL: &str = "[control]\nsocket = \"/tmp/c.sock\"\n[record]\npath = \"/tmp/r.db\"\n";
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -1,10 +1,9 @@
 //! `shaletide explain`: which route and pools a request would get, and why no other.
 
 use crate::cli::Explain;
-use crate::setup::errors_of;
 use shaletide_balancer::{ClassId, TenantId};
 use shaletide_config::operator::{OperatorConfig, PoolConfig, PoolSource};
-use shaletide_routing::{Mismatch, RequestAttributes, Route, RouteTable};
+use shaletide_routing::{ErrorResponses, Mismatch, RequestAttributes, Route, RouteTable};
 use std::fmt::Write;
 
 /// The explanation, or what of the question makes no sense.
@@ -61,7 +60,7 @@
         text.push_str("  is refused with 404: no route takes it\n");
         return Ok(text);
     };
-    let _ = writeln!(text, "  route {}, errors {}", route.name, errors_of(route));
+    let _ = writeln!(text, "  route {}, errors {}", route.name, error_responses(route));
     for (at, pool) in route.pools.iter().filter_map(|id| operator.pools.get(id.0 as usize)).enumerate() {
         let when = if at == 0 { "first" } else { "else " };
         let _ = writeln!(text, "    {when} pool {}: {}", pool.name, described(pool));
@@ -120,3 +119,11 @@
         PoolSource::Discovery { address, .. } => format!("boxes told by {address}"),
     }
 }
+
+/// What clients get where the last attempt ended in an error.
+fn error_responses(route: &Route) -> &'static str {
+    match route.answers.error_responses {
+        ErrorResponses::Forward => "as they are",
+        ErrorResponses::Replace => "in own words",
+    }
+}
--- a/crates/shaletide/src/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -1,4 +1,4 @@
-//! The listen addresses: each is listened on at once or as soon as it is to be had, whatever becomes of the others.
+//! The listen addresses: each is listened on at once or as soon as it is free, whatever becomes of the others.
 
 use crate::retry::WaitLog;
 use crate::setup::Setup;
@@ -18,17 +18,17 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::{debug, info, warn};
 
-/// The pause between two attempts, in ms: of this length and up to as much again, so that two processes that wait for one
-/// address do not try in step.
-const PAUSE_MS: u64 = 30;
+/// The least pause between two attempts, in ms; up to as much again is added at random, so that two processes that wait for
+/// one address do not try in step.
+const MIN_PAUSE_MS: u64 = 30;
 /// An attempt to share a reserved address is made at most this often.
 const SHARING_INTERVAL: Duration = Duration::from_millis(100);
-/// A listener whose queue is full does not answer: it counts as one after this time.
+/// A listener whose queue is full does not answer: the address counts as listened on after this time.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A line of the log waits so long at most for who holds the address.
-const LOOK_PATIENCE: Duration = Duration::from_millis(500);
-/// The kernel's table of sockets, which may be long, is looked at for a part of the time of no more than one in this.
-const LOOK_SHARE: u32 = 20;
+/// A line of the log waits at most this long for who holds the address.
+const HOLDER_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
+/// The kernel's table of sockets, which may be long, is read for at most one part in this many of the time.
+const HOLDER_LOOKUP_DUTY_DIVISOR: u32 = 20;
 
 /// The addresses, and the listeners that are there already.
 pub struct Listening {
@@ -36,7 +36,7 @@
     failure: Option<oneshot::Receiver<ListenError>>,
 }
 
-/// What comes of them.
+/// The listeners as they come, or why one never will.
 pub struct ListenOutcomes {
     /// The listeners, each as it is there.
     pub listeners: mpsc::Receiver<TcpListener>,
@@ -52,11 +52,11 @@
     pub fn begin(setup: &Setup, driver: &Rc<Driver>) -> Result<Listening, StartError> {
         let addresses = &setup.operator.listeners;
         let (ready, listeners) = mpsc::channel(addresses.len().max(1));
-        let greeting = Rc::new(Greeting::of(setup));
+        let announcement = Rc::new(Announcement::of(setup));
         let mut waits = Vec::new();
         for address in addresses {
             match listen(*address) {
-                Ok(listener) => greeting.hand_over(listener, &ready),
+                Ok(listener) => announcement.hand_over(listener, &ready),
                 Err(error) if error.may_pass() => waits.push(error),
                 Err(error) => return Err(StartError::Listen(error)),
             }
@@ -64,20 +64,22 @@
         let (tell, failure) = oneshot::channel();
         if !waits.is_empty() {
             let waits = waits.into_iter().map(|first| {
-                let (driver, greeting, ready) = (driver.clone(), greeting.clone(), ready.clone());
+                let (driver, announcement, ready) = (driver.clone(), announcement.clone(), ready.clone());
                 let wait = Wait {
                     address: first.address,
                     patience: setup.listen_patience,
                     driver,
-                    greeting,
+                    announcement,
                     ready,
-                    look_up: Rc::new(|address| Box::pin(look(address))),
-                    next_look: Rc::default(),
+                    look_up_holder: Rc::new(|address| Box::pin(holders_of(address))),
+                    next_lookup: Rc::default(),
                 };
                 wait.until_listening(first)
             });
             let mut tasks = tokio::task::JoinSet::new();
-            waits.for_each(|wait| drop(tasks.spawn_local(wait)));
+            for wait in waits {
+                tasks.spawn_local(wait);
+            }
             tokio::task::spawn_local(report_first_failure(tasks, tell));
         }
         Ok(Listening { ready: Some(listeners), failure: Some(failure) })
@@ -105,18 +107,18 @@
     }
 }
 
-/// What is said of a listener.
-struct Greeting {
+/// What the log says of each listener.
+struct Announcement {
     name: String,
-    known: usize,
+    cached_backends: usize,
     pools: String,
 }
 
-impl Greeting {
-    fn of(setup: &Setup) -> Greeting {
-        Greeting {
+impl Announcement {
+    fn of(setup: &Setup) -> Announcement {
+        Announcement {
             name: setup.operator.proxy.name.clone(),
-            known: setup.known.endpoints.len(),
+            cached_backends: setup.cached_list.endpoints.len(),
             pools: setup.pool_names(),
         }
     }
@@ -126,26 +128,26 @@
         let address = listener.local_addr();
         if ready.try_send(listener).is_ok() {
             if let Ok(address) = address {
-                let Greeting { name, known, pools } = self;
-                info!("{name} listens on {address}, {known} backends known, pools {pools}");
+                let Announcement { name, cached_backends, pools } = self;
+                info!("{name} listens on {address}, {cached_backends} backends known, pools {pools}");
             }
         }
     }
 }
 
 /// Looks up who holds an address; `None` where it cannot be seen.
-type LookUp = Rc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Option<Holders>>>>>;
+type LookUpHolder = Rc<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Option<Holders>>>>>;
 
 /// An address that is waited for.
 struct Wait {
     address: SocketAddr,
     patience: Option<Duration>,
     driver: Rc<Driver>,
-    greeting: Rc<Greeting>,
+    announcement: Rc<Announcement>,
     ready: mpsc::Sender<TcpListener>,
-    look_up: LookUp,
+    look_up_holder: LookUpHolder,
     /// The holder is not looked up again before.
-    next_look: Rc<Cell<Option<Instant>>>,
+    next_lookup: Rc<Cell<Option<Instant>>>,
 }
 
 impl Wait {
@@ -181,7 +183,7 @@
     }
 
     fn listens(&self, listener: TcpListener, log: &WaitLog) -> Result<(), ListenError> {
-        self.greeting.hand_over(listener, &self.ready);
+        self.announcement.hand_over(listener, &self.ready);
         log.done(format_args!("{} is listened on", self.address));
         Ok(())
     }
@@ -194,20 +196,22 @@
             return;
         }
         let is_in_use = listen_failure(&error.source) == ListenFailure::AddressInUse;
-        if !is_in_use || self.next_look.get().is_some_and(|at| Instant::now() < at) {
+        if !is_in_use || self.next_lookup.get().is_some_and(|at| Instant::now() < at) {
             return log.warn(error);
         }
         let (cause, line) = (error.to_string(), log.line());
-        let (begun, next_look) = (Instant::now(), self.next_look.clone());
-        next_look.set(Some(begun + LOOK_PATIENCE * LOOK_SHARE));
-        let held = (self.look_up)(self.address);
+        let (begun, next_lookup) = (Instant::now(), self.next_lookup.clone());
+        next_lookup.set(Some(begun + HOLDER_LOOKUP_TIMEOUT * HOLDER_LOOKUP_DUTY_DIVISOR));
+        let held = (self.look_up_holder)(self.address);
         tokio::task::spawn_local(async move {
-            match tokio::time::timeout(LOOK_PATIENCE, held).await {
+            match tokio::time::timeout(HOLDER_LOOKUP_TIMEOUT, held).await {
                 Ok(Some(holders)) => warn!("{cause}: {holders}; {line}"),
                 Ok(None) => warn!("{cause}: who holds it cannot be seen; {line}"),
-                Err(_) => return warn!("{cause}: who holds it was not found in {LOOK_PATIENCE:?}; {line}"),
+                Err(_) => {
+                    return warn!("{cause}: who holds it was not found in {HOLDER_LOOKUP_TIMEOUT:?}; {line}")
+                }
             }
-            next_look.set(Some(begun + begun.elapsed() * LOOK_SHARE));
+            next_lookup.set(Some(begun + begun.elapsed() * HOLDER_LOOKUP_DUTY_DIVISOR));
         });
     }
 }
@@ -245,7 +249,7 @@
 /// The pause before the next attempt.
 fn pause() -> Duration {
     let drawn = std::hash::RandomState::new().build_hasher().finish();
-    Duration::from_millis(PAUSE_MS + drawn % PAUSE_MS)
+    Duration::from_millis(MIN_PAUSE_MS + drawn % MIN_PAUSE_MS)
 }
 
 /// Listens on an address that others have only reserved: bound with `SO_REUSEPORT`, without listening. A listener of
@@ -270,15 +274,17 @@
 
 /// Who holds an address, with the processes that have the sockets open, read on a thread of its own; `None` where it
 /// cannot be seen.
-async fn look(address: SocketAddr) -> Option<Holders> {
-    let (tell, told) = oneshot::channel();
+async fn holders_of(address: SocketAddr) -> Option<Holders> {
+    let (result_tx, result_rx) = oneshot::channel();
     let read = move || {
         let mut holders = Holders::of(address).ok();
-        holders.iter_mut().for_each(Holders::find_processes);
-        let _ = tell.send(holders); // whoever asked may have ended
+        if let Some(holders) = &mut holders {
+            holders.find_processes();
+        }
+        let _ = result_tx.send(holders); // the waiting task may have ended
     };
     std::thread::Builder::new().name("sockets".into()).spawn(read).ok()?;
-    told.await.ok().flatten()
+    result_rx.await.ok().flatten()
 }
 
 #[cfg(test)]
--- a/crates/shaletide/src/listening/tests.rs
+++ b/crates/shaletide/src/listening/tests.rs
@@ -7,7 +7,7 @@
 /// Longer than any wait here takes.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn wait(address: SocketAddr, look_up: LookUp) -> (Wait, mpsc::Receiver<TcpListener>) {
+fn wait(address: SocketAddr, look_up_holder: LookUpHolder) -> (Wait, mpsc::Receiver<TcpListener>) {
     let second = Micros(1_000_000);
     let network = UpstreamConfig {
         connect_timeout: second,
@@ -17,10 +17,10 @@
         max_connections: 1,
     };
     let driver = Driver::new(Clock::new(), network);
-    let greeting = Greeting { name: "n".into(), known: 0, pools: String::new() };
+    let announcement = Announcement { name: "n".into(), cached_backends: 0, pools: String::new() };
     let (ready, listeners) = mpsc::channel(1);
-    let (greeting, next_look) = (Rc::new(greeting), Rc::default());
-    (Wait { address, patience: None, driver, greeting, ready, look_up, next_look }, listeners)
+    let (announcement, next_lookup) = (Rc::new(announcement), Rc::default());
+    (Wait { address, patience: None, driver, announcement, ready, look_up_holder, next_lookup }, listeners)
 }
 
 /// On a machine with many sockets the table takes long to read: the attempts go on meanwhile.
@@ -31,7 +31,7 @@
     let first = listen(address).expect_err("the address is held");
     let looks = Rc::new(std::cell::Cell::new(0));
     let counted = looks.clone();
-    let never: LookUp = Rc::new(move |_| {
+    let never: LookUpHolder = Rc::new(move |_| {
         counted.set(counted.get() + 1);
         Box::pin(std::future::pending())
     });
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -29,7 +29,7 @@
     /// The seed is no number.
     Seed,
     Settings(SettingsError),
-    NodeConfigExtension(Report),
+    Extension(Report),
 }
 
 impl fmt::Display for NodeError {
@@ -39,7 +39,7 @@
             NodeError::Malformed(path, e) => write!(f, "NODE_CONFIG {}: {e}", path.display()),
             NodeError::Seed => f.write_str("settings: seed: expected a number or up to 16 hex digits"),
             NodeError::Settings(error) => write!(f, "settings: {error}"),
-            NodeError::NodeConfigExtension(report) => write!(f, "{report}"),
+            NodeError::Extension(report) => write!(f, "{report}"),
         }
     }
 }
@@ -49,7 +49,7 @@
         match self {
             NodeError::Unreadable(_, e) => Some(e),
             NodeError::Malformed(_, e) => Some(e),
-            NodeError::NodeConfigExtension(report) => Some(report),
+            NodeError::Extension(report) => Some(report),
             NodeError::Settings(error) => Some(error),
             NodeError::Seed => None,
         }
@@ -66,7 +66,7 @@
                 is_missing || is_shortage(error) || is_failing_disk(error)
             }
             NodeError::Malformed(_, error) => error.is_eof() || error.is_syntax(),
-            NodeError::Seed | NodeError::Settings(_) | NodeError::NodeConfigExtension(_) => false,
+            NodeError::Seed | NodeError::Settings(_) | NodeError::Extension(_) => false,
         }
     }
 }
@@ -89,11 +89,11 @@
     settings: serde_json::Value,
 }
 
-/// File descriptors that the process may hold, where nothing usable is said of them: what the platform grants.
-const SOCKETS: usize = 1024;
+/// File descriptors that the process may hold, where the file does not say: what the platform grants.
+const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// Fewer than these are taken for these: a process with its reserve, one client and one connection to a backend.
-const LEAST_SOCKETS: usize = 64;
+/// A smaller number counts as this: a process with its reserve, one client and one connection to a backend.
+const MIN_DESCRIPTORS: usize = 64;
 
 /// The part of the file that may change while the program runs.
 #[derive(Deserialize)]
@@ -106,19 +106,20 @@
     serde_json::from_slice(&bytes).map_err(|e| NodeError::Malformed(path.into(), e))
 }
 
-/// JSON does not tell 1024 from 1024.0, and a negative number of descriptors or a text says nothing.
-fn sockets(limits: &serde_json::Value) -> usize {
-    let said = limits.get("sockets").and_then(serde_json::Value::as_f64);
-    said.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n)).map_or(SOCKETS, |n| n as usize)
+/// File descriptors that the process may hold. JSON does not tell 1024 from 1024.0; a negative number or a text counts as
+/// absent.
+fn descriptors(limits: &serde_json::Value) -> usize {
+    let number = limits.get("sockets").and_then(serde_json::Value::as_f64);
+    number.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n)).map_or(DEFAULT_DESCRIPTORS, |n| n as usize)
 }
 
 /// The list from before only bridges the time until discovery is heard: one that cannot be read is passed over, as
 /// a proxy that does not start is worse than one that knows no backend for that long.
-fn known(said: serde_json::Value) -> List {
-    if said.is_null() {
+fn cached_list(value: serde_json::Value) -> List {
+    if value.is_null() {
         return List::default();
     }
-    serde_json::from_value(said).unwrap_or_else(|e| {
+    serde_json::from_value(value).unwrap_or_else(|e| {
         tracing::warn!("the list known from before is passed over: {e}");
         List::default()
     })
@@ -134,40 +135,37 @@
         listen: file.listen,
         discovery: file.discovery,
         seed: seed.ok_or(NodeError::Seed)?,
-        descriptors: sockets(&file.limits).max(LEAST_SOCKETS),
+        descriptors: descriptors(&file.limits).max(MIN_DESCRIPTORS),
     };
     let (operator, names) = platform::operator(node, &file.settings).map_err(NodeError::Settings)?;
-    let (zones, kinds) = (names.zones().to_vec(), names.server_types().to_vec());
-    let longest_stop = Some(LONGEST_STOP);
-    let strict = platform::has_drain_grace(&file.settings);
     Ok(Setup {
         operator,
-        zones,
-        kinds,
-        known: known(file.known),
-        decimals: true,
-        longest_stop,
-        strict,
+        zones: names.zones().to_vec(),
+        server_types: names.server_types().to_vec(),
+        cached_list: cached_list(file.known),
+        fractional_retry_after: true,
+        longest_stop: Some(LONGEST_STOP),
+        agent_counts_as_known: platform::has_drain_grace(&file.settings),
         record: None,
         listen_patience: None,
     })
 }
 
 /// NODE_CONFIG as it was read at the start, and what the file adds to it now.
-pub fn with(bare: &Setup, with: Option<&Path>) -> Result<Setup, NodeError> {
+pub fn extended(bare: &Setup, with: Option<&Path>) -> Result<Setup, NodeError> {
     let mut setup = bare.clone();
     if let Some(with) = with {
-        add(&mut setup, with, Reading::First)?;
+        extend(&mut setup, with, Reading::First)?;
     }
     Ok(setup)
 }
 
 /// What SIGHUP takes anew: where discovery is, and the file that adds. Nothing else in NODE_CONFIG is looked at.
-pub fn again(bare: &Setup, path: &Path, with: Option<&Path>) -> Result<Setup, NodeError> {
+pub fn read_again(bare: &Setup, path: &Path, with: Option<&Path>) -> Result<Setup, NodeError> {
     let changed: Changeable = file(path, Reading::Again)?;
     let mut next = bare.clone();
     if let Some(with) = with {
-        add(&mut next, with, Reading::Again)?;
+        extend(&mut next, with, Reading::Again)?;
     }
     if let Some(PoolSource::Discovery { address, .. }) =
         next.operator.pools.first_mut().map(|p| &mut p.source)
@@ -177,7 +175,7 @@
     Ok(next)
 }
 
-fn add(setup: &mut Setup, with: &Path, reading: Reading) -> Result<(), NodeError> {
+fn extend(setup: &mut Setup, with: &Path, reading: Reading) -> Result<(), NodeError> {
     let bytes =
         files::read(with, operator::MAX_FILE, reading).map_err(|e| NodeError::Unreadable(with.into(), e))?;
     let name = with.display().to_string();
@@ -185,7 +183,7 @@
         classes: setup.operator.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: setup.operator.tenants.clone(),
     };
-    let text = utf8(&name, &bytes).map_err(NodeError::NodeConfigExtension)?;
-    setup.add(read_extension(&name, text, &names).map_err(NodeError::NodeConfigExtension)?);
+    let text = utf8(&name, &bytes).map_err(NodeError::Extension)?;
+    setup.extend(read_extension(&name, text, &names).map_err(NodeError::Extension)?);
     Ok(())
 }
--- a/crates/shaletide/src/reload.rs
+++ b/crates/shaletide/src/reload.rs
@@ -1,5 +1,5 @@
-//! The configuration read again: on threads beside the event loop, and more than once where it makes no sense yet. Says
-//! when to take what was read; [`crate::daemon`] takes it.
+//! Reads the configuration again: on threads beside the event loop, and more than once where it is invalid. Says when to
+//! apply what was read; [`crate::daemon`] applies it.
 
 use crate::setup::Setup;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -8,125 +8,150 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// Reads the configuration anew, seen from the one that runs; the text says why there is none. Called on a thread of
-/// its own: a large file takes time, and one on a disk that hangs all the time there is.
-pub type Again = Arc<dyn Fn(&Setup) -> Result<Setup, String> + Send + Sync>;
+/// Reads the configuration anew, given the running one; the text says why there is none. Called on a thread of its own:
+/// a large file takes time, and one on a disk that hangs may never be read.
+pub type ReadConfiguration = Arc<dyn Fn(&Setup) -> Result<Setup, String> + Send + Sync>;
 
-/// A file may be half-written as the hang-up comes, so one that makes no sense is read again after these times, in
-/// milliseconds. All together they are well under the 4 s after which what another discovery has counts as told.
-const PAUSES: [u64; 5] = [50, 100, 200, 400, 800];
-/// Whoever reads from a disk that hangs does not come back. A later hang-up does not wait for him, and no more than so
-/// many read at a time.
-const MOST: usize = 4;
+/// A file may be half written as SIGHUP comes, so that an invalid one is read again after these pauses, in ms. Together
+/// they are well under the 4 s after which what another discovery has counts as known.
+const RETRY_PAUSES_MS: [u64; 5] = [50, 100, 200, 400, 800];
+/// A thread that reads from a disk that hangs does not return. A later SIGHUP does not wait for it, and at most so many
+/// read at a time.
+const MAX_CONCURRENT_READS: usize = 4;
 
-/// What came of one reading.
-pub struct Read {
-    /// Counted from the first.
+/// The result of one reading.
+pub struct Reading {
+    /// Counted from 1.
     pub number: u64,
-    /// When it was asked for.
-    pub asked: Instant,
-    /// The configuration, or what the log is to say.
-    pub came: Result<Setup, String>,
+    /// When it was requested.
+    pub requested_at: Instant,
+    /// The configuration, or the text for the log.
+    pub result: Result<Setup, String>,
 }
 
-/// Has the configuration read at each hang-up. The last reading that makes sense holds.
+/// A further reading of a file that was invalid.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Retry {
+    at: Instant,
+    /// When the configuration was first requested.
+    requested_at: Instant,
+}
+
+/// Has the configuration read at each SIGHUP. The last valid reading is applied.
 pub struct Reader {
-    again: Again,
-    tell: mpsc::Sender<Read>,
-    told: mpsc::Receiver<Read>,
-    /// Readings that are under way; numbers of the last that was begun, and of the last that was taken.
-    out: usize,
-    begun: u64,
-    taken: u64,
-    /// How often the file was read again since the last hang-up.
-    repeats: usize,
-    /// When it is to be read again, and since when that is asked for.
-    due: Option<(Instant, Instant)>,
-    /// The same where nobody was there to read it.
-    waits: Option<Instant>,
+    read: ReadConfiguration,
+    results_tx: mpsc::Sender<Reading>,
+    results_rx: mpsc::Receiver<Reading>,
+    reads_in_progress: usize,
+    last_begun: u64,
+    last_applied: u64,
+    /// Readings since the last SIGHUP, beside the first.
+    retries: usize,
+    next_retry: Option<Retry>,
+    /// When a reading was requested that waits for one of [`MAX_CONCURRENT_READS`] to end.
+    postponed: Option<Instant>,
 }
 
 impl Reader {
-    pub fn new(again: Again) -> Reader {
-        let (tell, told) = mpsc::channel(MOST);
-        Reader { again, tell, told, out: 0, begun: 0, taken: 0, repeats: 0, due: None, waits: None }
+    pub fn new(read: ReadConfiguration) -> Reader {
+        let (results_tx, results_rx) = mpsc::channel(MAX_CONCURRENT_READS);
+        Reader {
+            read,
+            results_tx,
+            results_rx,
+            reads_in_progress: 0,
+            last_begun: 0,
+            last_applied: 0,
+            retries: 0,
+            next_retry: None,
+            postponed: None,
+        }
     }
 
-    /// A hang-up: the file is read, whatever became of it before.
+    /// SIGHUP: the file is read, whatever came of earlier readings.
     pub fn hangup(&mut self, running: &Arc<Setup>) {
-        self.repeats = 0;
-        // What an earlier one asked for, and has not got yet, counts from then.
-        let asked = self.due.take().map_or_else(Instant::now, |(_, asked)| asked);
-        self.begin(asked, running);
+        self.retries = 0;
+        // What an earlier SIGHUP requested, and has not got yet, counts from then.
+        let requested_at = self.next_retry.take().map_or_else(Instant::now, |retry| retry.requested_at);
+        self.begin(requested_at, running);
     }
 
-    /// The next reading that is over and no older than what was taken; for ever where there is none. May be dropped
-    /// midway.
-    pub async fn next(&mut self, running: &Arc<Setup>) -> Read {
+    /// The next reading that has ended and is not older than the last one applied; pending where there is none. May be
+    /// dropped before it is ready: nothing is lost.
+    pub async fn next(&mut self, running: &Arc<Setup>) -> Reading {
         loop {
-            let due = self.due;
+            let next_retry = self.next_retry;
             tokio::select! {
-                Some(read) = self.told.recv() => {
-                    self.out -= 1;
-                    if let Some(asked) = self.waits.take() {
-                        self.begin(asked, running);
+                Some(reading) = self.results_rx.recv() => {
+                    self.reads_in_progress -= 1;
+                    if let Some(requested_at) = self.postponed.take() {
+                        self.begin(requested_at, running);
                     }
-                    if read.number > self.taken {
-                        return read;
+                    if reading.number > self.last_applied {
+                        return reading;
                     }
                 }
-                Some(asked) = pause(due) => {
-                    self.due = None;
-                    self.begin(asked, running);
+                Some(requested_at) = due(next_retry) => {
+                    self.next_retry = None;
+                    self.begin(requested_at, running);
                 }
             }
         }
     }
 
-    /// What was read is in force, or the log is to say why not; it is if it is not read again.
-    pub fn over(&mut self, number: u64, asked: Instant, done: Result<(), String>) {
-        let Err(why) = done else {
-            self.taken = number;
+    /// Takes note of what came of a reading: applied, or why not. An invalid one is read again, or logged.
+    pub fn finish(&mut self, number: u64, requested_at: Instant, applied: Result<(), String>) {
+        let Err(cause) = applied else {
+            self.last_applied = number;
             return;
         };
-        if number < self.begun {
-            return; // it is read again already
+        if number < self.last_begun {
+            return; // it is being read again already
         }
-        let Some(pause) = PAUSES.get(self.repeats) else {
-            return warn!("SIGHUP: {why}");
+        let Some(pause_ms) = RETRY_PAUSES_MS.get(self.retries) else {
+            warn!("SIGHUP: {cause}");
+            return;
         };
-        self.repeats += 1;
-        info!("SIGHUP, to be read again in {pause} ms: {}", why.lines().nth(1).unwrap_or_default().trim());
-        self.due = Some((Instant::now() + Duration::from_millis(*pause), asked));
+        self.retries += 1;
+        let first_line = cause.lines().nth(1).unwrap_or_default().trim();
+        info!("SIGHUP, to be read again in {pause_ms} ms: {first_line}");
+        let at = Instant::now() + Duration::from_millis(*pause_ms);
+        self.next_retry = Some(Retry { at, requested_at });
     }
 
-    fn begin(&mut self, asked: Instant, running: &Arc<Setup>) {
-        if self.out == MOST {
-            self.waits.get_or_insert(asked);
+    fn begin(&mut self, requested_at: Instant, running: &Arc<Setup>) {
+        if self.reads_in_progress == MAX_CONCURRENT_READS {
+            self.postponed.get_or_insert(requested_at);
             return;
         }
-        let (again, running, tell) = (self.again.clone(), running.clone(), self.tell.clone());
-        let number = self.begun + 1;
-        let read = move || {
-            let came = catch_unwind(AssertUnwindSafe(|| again(&running)));
-            let came = came.unwrap_or_else(|_| Err("the reader has failed".into()));
-            let came = came.map_err(|why| format!("nothing changes:\n{why}"));
-            let _ = tell.try_send(Read { number, asked, came }); // there is room; the program may have stopped
+        let number = self.last_begun + 1;
+        let read = self.read.clone();
+        let running = running.clone();
+        let results = self.results_tx.clone();
+        let work = move || {
+            let result = catch_unwind(AssertUnwindSafe(|| read(&running)));
+            let result = result.unwrap_or_else(|_| Err("the reader has failed".into()));
+            let result = result.map_err(|cause| format!("nothing changes:\n{cause}"));
+            let _ = results.try_send(Reading { number, requested_at, result }); // the program may have stopped
         };
-        match std::thread::Builder::new().name("reload".into()).spawn(read) {
-            Ok(_) => (self.out, self.begun) = (self.out + 1, number),
-            Err(e) => {
-                self.over(self.begun, asked, Err(format!("nothing changes:\nno thread to read on: {e}")))
+        match std::thread::Builder::new().name("reload".into()).spawn(work) {
+            Ok(_) => {
+                self.reads_in_progress += 1;
+                self.last_begun = number;
+            }
+            Err(error) => {
+                let cause = format!("nothing changes:\nno thread to read on: {error}");
+                self.finish(self.last_begun, requested_at, Err(cause));
             }
         }
     }
 }
 
-/// Until then; `None` at once where nothing is due.
-async fn pause(due: Option<(Instant, Instant)>) -> Option<Instant> {
-    let (at, asked) = due?;
-    tokio::time::sleep_until(at.into()).await;
-    Some(asked)
+/// Waits until the retry is due and returns when it was requested; `None` at once where there is none.
+async fn due(retry: Option<Retry>) -> Option<Instant> {
+    let retry = retry?;
+    tokio::time::sleep_until(retry.at.into()).await;
+    Some(retry.requested_at)
 }
 
 #[cfg(test)]
--- a/crates/shaletide/src/reload/tests.rs
+++ b/crates/shaletide/src/reload/tests.rs
@@ -4,10 +4,10 @@
 use std::sync::mpsc as blocking;
 use std::sync::Mutex;
 
-type Came = Result<&'static str, &'static str>;
+type Outcome = Result<&'static str, &'static str>;
 
 /// A reading that waits for what comes of it: the name of a proxy, or what is wrong.
-type Begun = blocking::Sender<Came>;
+type PendingRead = blocking::Sender<Outcome>;
 
 fn setup(name: &str) -> Setup {
     let text = format!(
@@ -15,15 +15,15 @@
          [[pool]]\nname = \"p\"\nboxes = [\"127.0.0.1:1\"]\n"
     );
     let operator = shaletide_config::operator::read("test.toml", &text).expect("a sound file");
-    Setup::of_file(operator, String::new())
+    Setup::from_file(operator, String::new())
 }
 
 /// A reader whose readings wait for the test, and the readings in the order in which they began.
-fn reader() -> (Reader, Arc<Setup>, blocking::Receiver<Begun>) {
+fn reader() -> (Reader, Arc<Setup>, blocking::Receiver<PendingRead>) {
     let (tell, begun) = blocking::channel();
     let tell = Mutex::new(tell);
     let again = move |_: &Setup| -> Result<Setup, String> {
-        let (came, wait) = blocking::channel::<Came>();
+        let (came, wait) = blocking::channel::<Outcome>();
         tell.lock().unwrap().send(came).unwrap();
         match wait.recv() {
             Ok(Ok(name)) => Ok(setup(name)),
@@ -40,11 +40,11 @@
 }
 
 /// The next reading that is over, taken: who asked for it, and its proxy's name or what is wrong.
-async fn taken(reader: &mut Reader, running: &Arc<Setup>) -> (Instant, Result<String, String>) {
-    let Read { number, asked, came } = reader.next(running).await;
-    let came = came.map(|setup| setup.operator.proxy.name);
-    reader.over(number, asked, came.clone().map(drop));
-    (asked, came)
+async fn next_result(reader: &mut Reader, running: &Arc<Setup>) -> (Instant, Result<String, String>) {
+    let Reading { number, requested_at, result } = reader.next(running).await;
+    let result = result.map(|setup| setup.operator.proxy.name);
+    reader.finish(number, requested_at, result.clone().map(drop));
+    (requested_at, result)
 }
 
 #[test]
@@ -52,20 +52,20 @@
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
-        let files: [Came; 3] = [Err("empty"), Err("half"), Ok("whole")];
+        let files: [Outcome; 3] = [Err("empty"), Err("half"), Ok("whole")];
         let script = std::thread::spawn(move || {
             files.iter().for_each(|came| begun.recv().unwrap().send(*came).unwrap());
             begun
         });
         let mut asked = Vec::new();
         for came in files {
-            let (since, read) = taken(&mut reader, &running).await;
+            let (since, read) = next_result(&mut reader, &running).await;
             assert_eq!(read.is_ok(), came.is_ok(), "{read:?}");
             asked.push(since);
         }
         let _begun = script.join().unwrap();
         assert!(asked.iter().all(|since| *since == asked[0]), "all of it counts from the signal");
-        assert!(reader.due.is_none());
+        assert!(reader.next_retry.is_none());
     });
 }
 
@@ -76,15 +76,15 @@
         reader.hangup(&running);
         let script = std::thread::spawn(move || {
             // The reader itself fails: as bad as a file that does.
-            (0..=PAUSES.len()).for_each(|_| drop::<Begun>(begun.recv().unwrap()));
+            (0..=RETRY_PAUSES_MS.len()).for_each(|_| drop::<PendingRead>(begun.recv().unwrap()));
             begun
         });
-        for _ in 0..=PAUSES.len() {
-            assert!(taken(&mut reader, &running).await.1.is_err());
+        for _ in 0..=RETRY_PAUSES_MS.len() {
+            assert!(next_result(&mut reader, &running).await.1.is_err());
         }
         let begun = script.join().unwrap();
-        assert!(reader.due.is_none() && begun.try_recv().is_err());
-        assert!(PAUSES.iter().sum::<u64>() < 2000, "what a new discovery has counts after 4 s");
+        assert!(reader.next_retry.is_none() && begun.try_recv().is_err());
+        assert!(RETRY_PAUSES_MS.iter().sum::<u64>() < 2000, "what a new discovery has counts after 4 s");
     });
 }
 
@@ -94,15 +94,15 @@
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
         begun.recv().unwrap().send(Err("half")).unwrap();
-        let first = taken(&mut reader, &running).await.0;
-        assert_eq!(reader.repeats, 1);
+        let first = next_result(&mut reader, &running).await.0;
+        assert_eq!(reader.retries, 1);
         reader.hangup(&running);
-        assert_eq!((reader.repeats, reader.due), (0, None), "at once, with all the pauses before it");
+        assert_eq!((reader.retries, reader.next_retry), (0, None), "at once, with all the pauses before it");
         begun.recv().unwrap().send(Ok("whole")).unwrap();
-        assert_eq!(taken(&mut reader, &running).await, (first, Ok("whole".into())));
+        assert_eq!(next_result(&mut reader, &running).await, (first, Ok("whole".into())));
         reader.hangup(&running);
         begun.recv().unwrap().send(Ok("later")).unwrap();
-        assert!(taken(&mut reader, &running).await.0 > first);
+        assert!(next_result(&mut reader, &running).await.0 > first);
     });
 }
 
@@ -114,12 +114,12 @@
         let hangs = begun.recv().unwrap();
         reader.hangup(&running);
         begun.recv().unwrap().send(Ok("second")).unwrap();
-        assert_eq!(taken(&mut reader, &running).await.1, Ok("second".into()));
+        assert_eq!(next_result(&mut reader, &running).await.1, Ok("second".into()));
         reader.hangup(&running);
         let third = begun.recv().unwrap();
         hangs.send(Ok("first")).unwrap();
         third.send(Ok("third")).unwrap();
-        assert_eq!(taken(&mut reader, &running).await.1, Ok("third".into()), "and not the first");
+        assert_eq!(next_result(&mut reader, &running).await.1, Ok("third".into()), "and not the first");
     });
 }
 
@@ -128,18 +128,18 @@
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         let mut hang = Vec::new();
-        for _ in 0..MOST {
+        for _ in 0..MAX_CONCURRENT_READS {
             reader.hangup(&running);
             hang.push(begun.recv().unwrap());
         }
         reader.hangup(&running);
         reader.hangup(&running);
-        assert_eq!(reader.out, MOST);
+        assert_eq!(reader.reads_in_progress, MAX_CONCURRENT_READS);
         assert!(begun.try_recv().is_err());
         hang.remove(1).send(Err("old")).unwrap();
-        assert!(taken(&mut reader, &running).await.1.is_err());
+        assert!(next_result(&mut reader, &running).await.1.is_err());
         begun.recv().unwrap().send(Ok("last")).unwrap();
-        assert_eq!(taken(&mut reader, &running).await.1, Ok("last".into()));
-        assert!(reader.due.is_none() && begun.try_recv().is_err(), "two that waited are one reading");
+        assert_eq!(next_result(&mut reader, &running).await.1, Ok("last".into()));
+        assert!(reader.next_retry.is_none() && begun.try_recv().is_err(), "two that waited are one reading");
     });
 }
--- a/crates/shaletide/src/retry.rs
+++ b/crates/shaletide/src/retry.rs
@@ -1,4 +1,4 @@
-//! Steps of the start that are tried again, and what the log says meanwhile.
+//! Steps of the start that are tried again, and their lines in the log.
 
 use std::fmt::Display;
 use std::time::{Duration, Instant};
@@ -20,10 +20,19 @@
 pub struct RetryPolicy {
     /// The pause between two attempts.
     pub pause: Duration,
-    /// For how long; `None`: for as long as it takes.
+    /// How long it is tried; `None`: without end.
     pub patience: Option<Duration>,
 }
 
+/// What the log calls a step.
+#[derive(Clone, Copy, Debug)]
+pub struct StepNames {
+    /// While it is tried again.
+    pub waiting: &'static str,
+    /// Once it is done.
+    pub done: &'static str,
+}
+
 /// A step that waits is logged at once, and at most this often then.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -76,20 +85,20 @@
 /// # Errors
 /// What does not pass by itself, or the last failure where the patience is over.
 pub async fn until_ready<T, E: Display>(
-    what: &str, policy: RetryPolicy, mut attempt: impl FnMut() -> Attempt<T, E>,
+    step: StepNames, policy: RetryPolicy, mut attempt: impl FnMut() -> Attempt<T, E>,
 ) -> Result<T, E> {
     let mut log = WaitLog::begin();
     loop {
         let cause = match attempt() {
             Attempt::Ready(done) => {
-                log.done(format_args!("{what}: done"));
+                log.done(step.done);
                 return Ok(done);
             }
             Attempt::Fatal(cause) => return Err(cause),
             Attempt::WaitFor(cause) => cause,
         };
         if log.count() {
-            log.warn(format_args!("{what}: {cause}"));
+            log.warn(format_args!("{}: {cause}", step.waiting));
         }
         if policy.patience.is_some_and(|patience| log.waited() >= patience) {
             return Err(cause);
--- /dev/null
+++ b/crates/shaletide/src/setup/record.rs
@@ -0,0 +1,44 @@
+//! The part of the setup that is for the store of record.
+
+use shaletide_config::operator::{self, ClassConfig, OperatorConfig, RecordMode};
+use shaletide_record::{ClassRule, RecordConfig, WithoutKey};
+use std::path::PathBuf;
+
+/// The store of record.
+#[derive(Clone, Debug)]
+pub struct RecordSetup {
+    /// Its file.
+    pub path: PathBuf,
+    /// What is recorded and for how long.
+    pub config: RecordConfig,
+    /// The digest of the file that says this.
+    pub digest: String,
+}
+
+/// The record as the file has it; `digest` is the file's.
+pub(super) fn record_setup(operator: &OperatorConfig, digest: String) -> Option<RecordSetup> {
+    let store = operator.record.as_ref()?;
+    let classes = operator.classes.iter().filter_map(|class| Some((class.name.clone(), class_rule(class)?)));
+    let config = RecordConfig {
+        keep: store.retention,
+        intent_timeout: store.intent_timeout,
+        retry_after: store.retry_after,
+        classes: classes.collect(),
+        ..RecordConfig::default()
+    };
+    Some(RecordSetup { path: store.path.clone(), config, digest })
+}
+
+/// How requests of a class are recorded; `None`: they are not.
+fn class_rule(class: &ClassConfig) -> Option<ClassRule> {
+    match class.record {
+        RecordMode::None => None,
+        RecordMode::Facts => Some(ClassRule { requires_intent: false, without_key: WithoutKey::Record }),
+        RecordMode::Intent { without_key: operator::WithoutKey::Reject } => {
+            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Refuse })
+        }
+        RecordMode::Intent { without_key: operator::WithoutKey::Record } => {
+            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Record })
+        }
+    }
+}
--- /dev/null
+++ b/crates/shaletide/src/setup/tests.rs
@@ -0,0 +1,41 @@
+use super::*;
+use shaletide_balancer::{ClassId, TenantId};
+use shaletide_config::operator::read;
+
+fn setup(classes: &str, tenants: &str) -> Setup {
+    let class = |name| format!("[[class]]\nname = \"{name}\"\n");
+    let tenant = |name| format!("[[tenant]]\nname = \"{name}\"\nquota = 5.0\n");
+    let text = format!(
+        "[request]\notherwise = \"a\"\n[[listener]]\naddress = \"127.0.0.1:8080\"\n{}{}\
+         [[pool]]\nname = \"p\"\nboxes = [\"127.0.0.1:1\"]\n[[pool]]\nname = \"q\"\nboxes = [\"127.0.0.1:2\"]\n\
+         [[route]]\nname = \"r\"\nclass = \"b\"\ntenant = \"x\"\npools = [\"p\", \"q\"]\n\
+         [[route]]\nname = \"s\"\npools = [\"q\"]\n",
+        classes.split(' ').map(class).collect::<String>(),
+        tenants.split(' ').map(tenant).collect::<String>(),
+    );
+    Setup::from_file(read("f", &text).unwrap_or_else(|report| panic!("{report}")), String::new())
+}
+
+#[test]
+fn classes_and_tenants_keep_their_numbers_in_whatever_order_a_new_file_has_them() {
+    let old = setup("a b", "x y");
+    let next = old.prepare_reload(setup("c b a", "z y x")).unwrap();
+    let names: Vec<&str> = next.operator.classes.iter().map(|c| c.name.as_str()).collect();
+    assert_eq!(names, ["a", "b", "c"]);
+    assert_eq!(next.operator.tenants, ["x", "y", "z"]);
+    assert_eq!(next.operator.request_format.default_class, Some(ClassId(0)));
+    let when = &next.operator.routes[0].when;
+    assert_eq!((&when.classes[..], &when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
+    let fewer = old.prepare_reload(setup("a b", "x")).unwrap_err();
+    assert_eq!(fewer, ["tenant.name: y is gone"]);
+}
+
+#[test]
+fn only_pools_with_another_beside_them_may_be_left_whole() {
+    let spare: Vec<bool> = setup("a b", "x y").pools().iter().map(|p| p.config.has_failover_pool).collect();
+    assert_eq!(spare, [true, true]);
+    let mut one = setup("a b", "x y");
+    one.operator.routes.remove(0);
+    let spare: Vec<bool> = one.pools().iter().map(|p| p.config.has_failover_pool).collect();
+    assert_eq!(spare, [false, false]);
+}
--- a/crates/shaletide/src/start/configuration.rs
+++ b/crates/shaletide/src/start/configuration.rs
@@ -1,4 +1,4 @@
-//! What a reading of the configuration at the start comes to.
+//! The result of reading the configuration at the start.
 
 use crate::node::NodeError;
 use crate::retry::Attempt;
@@ -10,13 +10,13 @@
 pub enum SetupError {
     /// The platform's file may be about to be written.
     Unfinished(String),
-    /// It makes no sense, or is a file of a person's, who waits for the answer.
-    Senseless(String),
+    /// It is invalid, or cannot be read and is an operator's, who waits for the answer.
+    Invalid(String),
 }
 
 impl fmt::Display for SetupError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (SetupError::Unfinished(text) | SetupError::Senseless(text)) = self;
+        let (SetupError::Unfinished(text) | SetupError::Invalid(text)) = self;
         f.write_str(text.trim_end())
     }
 }
@@ -26,7 +26,7 @@
         if error.may_pass() {
             SetupError::Unfinished(error.to_string())
         } else {
-            SetupError::Senseless(error.to_string())
+            SetupError::Invalid(error.to_string())
         }
     }
 }
@@ -36,7 +36,7 @@
         match read {
             Ok(setup) => Attempt::Ready(setup),
             Err(error @ SetupError::Unfinished(_)) => Attempt::WaitFor(error),
-            Err(error @ SetupError::Senseless(_)) => Attempt::Fatal(error),
+            Err(error @ SetupError::Invalid(_)) => Attempt::Fatal(error),
         }
     }
 }
--- a/crates/shaletide/src/start/mod.rs
+++ b/crates/shaletide/src/start/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::daemon::Daemon;
 use crate::log::say_failure;
-use crate::reload::Again;
-use crate::retry::{self, Attempt, RetryPolicy};
+use crate::reload::ReadConfiguration;
+use crate::retry::{until_ready, Attempt, RetryPolicy, StepNames};
 use crate::setup::Setup;
 use configuration::SetupError;
 use shaletide_net::retry_shortage;
@@ -20,23 +20,25 @@
 use tokio::task::LocalSet;
 use tracing_appender::non_blocking::WorkerGuard;
 
-/// The exit status where a configuration or the command line makes no sense.
-pub const SENSELESS: u8 = 2;
+/// The exit status where the configuration or the command line is invalid.
+pub const INVALID_STATUS: u8 = 2;
 
-/// How a configuration that is not whole is waited for.
+const CONFIGURATION_STEP: StepNames =
+    StepNames { waiting: "no configuration yet", done: "configuration read" };
+/// How a configuration that is not complete is read again.
 const CONFIGURATION_RETRY: RetryPolicy = RetryPolicy { pause: Duration::from_millis(100), patience: None };
 
-/// Says what makes no sense.
-pub fn senseless(why: &str) -> ExitCode {
+/// Reports a configuration or command line that is invalid.
+pub fn reject(why: &str) -> ExitCode {
     say_failure(why.trim_end());
-    ExitCode::from(SENSELESS)
+    ExitCode::from(INVALID_STATUS)
 }
 
 /// Why the program ends with a status other than 0.
 #[derive(Debug)]
 enum Failure {
-    /// What it was told makes no sense.
-    Senseless(String),
+    /// The configuration is invalid.
+    Invalid(String),
     /// It cannot serve.
     Failed(String),
 }
@@ -48,7 +50,7 @@
 
     fn report(&self) -> ExitCode {
         match self {
-            Failure::Senseless(why) => senseless(why),
+            Failure::Invalid(why) => reject(why),
             Failure::Failed(why) => {
                 say_failure(why);
                 ExitCode::FAILURE
@@ -59,16 +61,16 @@
 
 /// A start.
 pub struct Start {
-    /// How long a shortage of the system's is waited for; `None`: for as long as it takes.
+    /// How long a step that lacks memory or descriptors is tried again; `None`: without end.
     pub shortage_patience: Option<Duration>,
-    /// Reads the configuration again at a hang-up.
-    pub again: Again,
+    /// Reads the configuration again at SIGHUP.
+    pub read_again: ReadConfiguration,
     /// With the rules' monitors at work.
     pub self_check: bool,
 }
 
 impl Start {
-    /// Starts the daemon with the configuration that is read, and serves until it is told to stop.
+    /// Starts the daemon with the configuration that `read` returns, and serves until a signal to stop.
     pub fn run(self, read: impl FnMut() -> Result<Setup, SetupError>) -> ExitCode {
         let begun = Instant::now();
         // Until its handler stands SIGHUP ends the program: nothing comes before that but the command line.
@@ -82,7 +84,7 @@
         let local = LocalSet::new();
         let served = self.serve(&runtime, &local, hangup, read, begun);
         drop(local);
-        runtime.shutdown_background(); // nobody waits for one who reads from a disk that hangs
+        runtime.shutdown_background(); // a thread may read from a disk that hangs
         match served {
             Ok(()) => ExitCode::SUCCESS,
             Err(failure) => failure.report(),
@@ -100,9 +102,9 @@
         drop(entered);
         let setup = match Attempt::from(first) {
             Attempt::Ready(setup) => setup,
-            Attempt::Fatal(error) => return Err(Failure::Senseless(error.to_string())),
+            Attempt::Fatal(error) => return Err(Failure::Invalid(error.to_string())),
             Attempt::WaitFor(_) => match local.block_on(runtime, wait_for_setup(read, &mut stop)) {
-                Some(setup) => setup.map_err(|error| Failure::Senseless(error.to_string()))?,
+                Some(setup) => setup.map_err(|error| Failure::Invalid(error.to_string()))?,
                 None => return Ok(()),
             },
         };
@@ -113,12 +115,12 @@
         self, setup: Setup, hangup: Signal, stop: Stop, begun: Instant,
     ) -> Result<(), Failure> {
         let daemon = Daemon::start(setup, self.self_check, begun).map_err(Failure::failed)?;
-        let report = daemon.run(self.again, Some(hangup), stop).await;
+        let report = daemon.run(self.read_again, Some(hangup), stop).await;
         if let Some(failure) = report.failure {
             return Err(Failure::failed(failure));
         }
         tracing::info!(target: "shaletide", "stopped");
-        match report.broken {
+        match report.violations {
             0 => Ok(()),
             count => {
                 Err(Failure::Failed(format!("self-check: rules were broken {count} times, see the log")))
@@ -147,11 +149,11 @@
     crate::log::start(tracing::Level::INFO)
 }
 
-/// Reads the configuration until it is whole or makes no sense; `None` where the program is told to stop before.
+/// Reads the configuration until it is complete or invalid; `None` where a signal to stop comes before.
 async fn wait_for_setup(
     mut read: impl FnMut() -> Result<Setup, SetupError>, stop: &mut Stop,
 ) -> Option<Result<Setup, SetupError>> {
-    let setup = retry::until_ready("no configuration yet", CONFIGURATION_RETRY, || Attempt::from(read()));
+    let setup = until_ready(CONFIGURATION_STEP, CONFIGURATION_RETRY, || Attempt::from(read()));
     tokio::select! {
         setup = setup => Some(setup),
         () = stop => None,
