--- a/crates/shaletide/src/demo/mod.rs
+++ b/crates/shaletide/src/demo/mod.rs
@@ -1,43 +1,47 @@
-//! `shaletide demo`: backends, discovery, clients and the proxy in one process on loopback, some trouble, and a report.
+//! `shaletide demo`: backends, discovery, clients and the proxy in one process on loopback, some faults, and a report.
 //!
 //! The proxy is the daemon that `serve` runs, by an operators' file made here. It has the main thread; the
 //! stand-ins have theirs, and one more tells them what to do when.
 
+mod output;
 mod report;
 mod rules;
+mod run;
 mod script;
+mod shares;
 mod stage;
 
 use crate::cli::Demo;
 use crate::daemon::Daemon;
 use crate::reload::ReadConfiguration;
 use crate::setup::Setup;
+use output::print_line;
 use report::{report, Report};
-use script::{play, Played};
+use run::{DemoRun, SelfCheck};
+use script::play;
 use shaletide_config::operator;
 use stage::Stage;
-use std::io::Write;
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 
-/// The exit status of what SIGINT ended, as shells have it.
+/// The exit status after SIGINT, as shells have it.
 const INTERRUPTED: u8 = 130;
 
-/// Runs it and says what came of it.
+/// Runs the demo and prints its report.
 pub fn run(asked: &Demo, self_check: bool) -> ExitCode {
     let _log = crate::log::start(tracing::Level::WARN);
-    let played = match staged(asked, self_check) {
-        Ok(played) => played,
+    let demo_run = match run_on_stage(asked, self_check) {
+        Ok(demo_run) => demo_run,
         Err(why) => {
             crate::log::say_failure(format_args!("the demo could not run: {why}"));
             return ExitCode::FAILURE;
         }
     };
-    let report = report(&played);
-    say(&report.text);
-    ExitCode::from(status(&report, played.interrupted))
+    let report = report(&demo_run);
+    print_line(&report.text);
+    ExitCode::from(status(&report, demo_run.interrupted))
 }
 
 /// The exit status.
@@ -49,16 +53,11 @@
     }
 }
 
-/// A line of the demo's. Whoever reads may have left: that changes nothing.
-fn say(text: &str) {
-    let _ = writeln!(std::io::stdout(), "{text}");
-}
-
-/// Sets all up, runs the proxy on this thread until the script is over, and returns what was written down.
-fn staged(asked: &Demo, self_check: bool) -> Result<Played, String> {
+/// Starts the stand-ins, runs the proxy on this thread until the script has ended, and returns what was recorded.
+fn run_on_stage(asked: &Demo, self_check: bool) -> Result<DemoRun, String> {
     let stage = Stage::set().map_err(|e| format!("no stand-ins: {e}"))?;
     if asked.show_config {
-        say(&stage.config);
+        print_line(&stage.config);
     }
     let operator = operator::read("demo.toml", &stage.config).map_err(|report| report.to_string())?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -66,7 +65,7 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(
         &runtime,
-        proxied(
+        run_proxy(
             Setup::from_file(operator, String::new()),
             stage,
             Duration::from_secs(asked.seconds),
@@ -76,15 +75,17 @@
 }
 
 /// The proxy at work for as long as the script lasts.
-async fn proxied(setup: Setup, stage: Stage, seconds: Duration, self_check: bool) -> Result<Played, String> {
+async fn run_proxy(
+    setup: Setup, stage: Stage, seconds: Duration, self_check: bool,
+) -> Result<DemoRun, String> {
     let daemon = Daemon::start(setup, self_check, Instant::now()).map_err(|e| e.to_string())?;
     let (stop, stopped) = watch::channel(false);
-    tokio::task::spawn_local(interrupts(stop));
-    let (over, ended) = oneshot::channel();
+    tokio::task::spawn_local(handle_interrupts(stop));
+    let (ended_tx, ended) = oneshot::channel();
     let work = move || {
-        let played = play(&stage, seconds, stopped);
-        let _ = over.send(()); // the daemon listens for as long as it runs
-        (stage, played)
+        let demo_run = play(&stage, seconds, stopped);
+        let _ = ended_tx.send(()); // the daemon listens for as long as it runs
+        (stage, demo_run)
     };
     let script = std::thread::Builder::new().name("script".into()).spawn(work);
     let script = script.map_err(|e| format!("no thread: {e}"))?;
@@ -97,14 +98,15 @@
         return Err(failure.to_string());
     }
     // The stand-ins stay until the proxy has ended: it would complain of a discovery that left.
-    let (_stage, played) = script.join().map_err(|_| "the script broke off".to_string())?;
-    let mut played = played.map_err(|e| format!("no load: {e}"))?;
-    played.watched = self_check.then_some((report.violations, report.first_violations));
-    Ok(played)
+    let (_stage, demo_run) = script.join().map_err(|_| "the script broke off".to_string())?;
+    let mut demo_run = demo_run.map_err(|e| format!("no load: {e}"))?;
+    demo_run.self_check =
+        self_check.then_some(SelfCheck { violations: report.violations, first: report.first_violations });
+    Ok(demo_run)
 }
 
 /// The first SIGINT ends the load; the second, the program.
-async fn interrupts(stop: watch::Sender<bool>) {
+async fn handle_interrupts(stop: watch::Sender<bool>) {
     if tokio::signal::ctrl_c().await.is_ok() {
         let _ = stop.send(true); // the script may be over
         if tokio::signal::ctrl_c().await.is_ok() {
--- /dev/null
+++ b/crates/shaletide/src/demo/report/tests.rs
@@ -0,0 +1,122 @@
+use super::*;
+use crate::demo::run::{MeasuredPart, SelfCheck};
+use crate::demo::stage::{GRACE, RAMP, WINDOW};
+use crate::demo::status;
+use shaletide_balancer::Micros;
+use shaletide_testkit::checks::Drained;
+use shaletide_testkit::{Boot, BoxInfo, Ended, Ledger, Power, Record, Repeat, Sent};
+
+const SECOND: Micros = Micros(1_000_000);
+
+/// Two backends in two bays, the second started at 10 s, the first drains at 10 s; and a request of each class.
+fn sound() -> DemoRun {
+    let info = |name: &str, bay, at| {
+        let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.3, ramp: RAMP };
+        BoxInfo { name: name.into(), bay, power, boots: vec![Boot { at, died: None }] }
+    };
+    let boxes = vec![info("fast-1", 1, None), info("slow-1", 2, Some(Time(10_000_000)))];
+    let classes = ["read", "settle", "pay"].map(String::from).to_vec();
+    let mut run = DemoRun {
+        ledger: Ledger { boxes, ..Ledger::new(1000) },
+        result: LoadResult { classes, ..LoadResult::default() },
+        drained: vec![Drained { name: "fast-1".into(), told: Time(10_000_000) }],
+        server_types: vec!["fast".into(), "slow".into()],
+        begun: Time(1_000_000),
+        measured: Some(MeasuredPart { from: Time(2_000_000), to: Time(4_000_000) }),
+        missing: Vec::new(),
+        interrupted: false,
+        self_check: Some(SelfCheck { violations: 0, first: Vec::new() }),
+    };
+    for (number, class) in [0, 1, 2].into_iter().enumerate() {
+        asked(&mut run, class, number as u32, End::Status(200));
+        ran(&mut run, 0, class, number as u32, Time(3_000_000));
+    }
+    run
+}
+
+fn asked(run: &mut DemoRun, class: usize, number: u32, end: End) {
+    let (arrived, latency) = (Time(3_000_000), Micros(9_000));
+    let in_time = matches!(end, End::Status(_));
+    run.result.sent.push(Sent { class, number, arrived, latency, end, in_time, retry: false });
+}
+
+fn ran(run: &mut DemoRun, at_box: usize, class: usize, number: u32, at: Time) {
+    let id = run.result.id(number);
+    let record = Record {
+        at_box,
+        boot: 0,
+        key: (class == 1).then(|| format!("k-{id}").into()),
+        id: id.into(),
+        class: run.result.classes[class].as_str().into(),
+        repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][class],
+        came: at,
+        began: at,
+        ended: None,
+        draining: None,
+        work_ms: 16.0,
+        time_left: None,
+    };
+    let place = run.ledger.begin(record).expect("room");
+    run.ledger.end(place, at + Micros(8_000), Ended::Served);
+}
+
+#[test]
+fn a_sound_run_holds_and_ends_with_status_0() {
+    let report = report(&sound());
+    assert!(report.holds, "{}", report.text);
+    assert_eq!((status(&report, false), status(&report, true)), (0, 130));
+    assert_eq!(report.text.matches(" held\n").count(), 8, "{}", report.text);
+    assert!(report.text.contains("fast      1         3  100.0 %"), "{}", report.text);
+}
+
+/// What a proxy that breaks a rule would have left behind, rule by rule.
+#[test]
+fn each_rule_that_is_broken_is_named_and_ends_it_with_status_1() {
+    let late = Time(10_000_000) + GRACE + Micros(1);
+    type Break = Box<dyn Fn(&mut DemoRun)>;
+    let breaks: [(&str, Break); 10] = [
+        (
+            "The monitors inside saw no rule broken",
+            Box::new(|p| p.self_check = Some(SelfCheck { violations: 1, first: vec!["so".into()] })),
+        ),
+        ("An unsafe request runs once", Box::new(|p| ran(p, 1, 2, 2, Time(3_100_000)))),
+        ("A keyed one runs again in its bay only", Box::new(|p| ran(p, 1, 1, 1, Time(3_100_000)))),
+        ("A keyed one runs again in its bay only", Box::new(|p| ran(p, 0, 1, 1, Time(3_000_001) + WINDOW))),
+        ("Nothing new to a box 2 s after it drains", Box::new(move |p| ran(p, 0, 0, 0, late))),
+        (
+            "A cold box is not pushed over",
+            Box::new(|p| (0..200).for_each(|_| ran(p, 1, 0, 0, Time(10_000_000) + SECOND))),
+        ),
+        ("Each request gets one answer within its time", Box::new(|p| asked(p, 2, 9, End::GaveUp))),
+        ("Each request gets one answer within its time", Box::new(|p| p.result.overfull = 1)),
+        ("Each 200 is a box's answer to that request", Box::new(|p| asked(p, 0, 9, End::Status(200)))),
+        ("All was written down", Box::new(|p| p.ledger.missed = 1)),
+    ];
+    for (rule, break_rule) in breaks {
+        let mut run = sound();
+        break_rule(&mut run);
+        let report = report(&run);
+        let row = report.text.lines().find(|line| line.contains(rule)).expect("the rule's row");
+        assert!(row.contains("BROKEN"), "{}", report.text);
+        assert!(report.text.contains(&format!("Broken: {rule}")), "{}", report.text);
+        assert_eq!(report.text.matches("BROKEN").count(), 1, "{rule}: {}", report.text);
+        assert_eq!((status(&report, false), status(&report, true)), (1, 1));
+    }
+}
+
+#[test]
+fn what_did_not_come_about_and_a_run_without_shares_are_said() {
+    let run = DemoRun { missing: vec!["the drain".into()], measured: None, interrupted: true, ..sound() };
+    let report = report(&run);
+    assert!(!report.holds && report.text.contains("Did not come about: the drain"), "{}", report.text);
+    assert!(report.text.contains("told to stop before they were measured"), "{}", report.text);
+}
+
+#[test]
+fn lines_fit_a_hundred_columns() {
+    let mut run = sound();
+    (0..99_999).for_each(|n| asked(&mut run, 0, n + 9, End::Status(503)));
+    ran(&mut run, 1, 2, 2, Time(3_100_000));
+    let report = report(&run);
+    assert!(report.text.lines().all(|line| line.chars().count() <= 100), "{}", report.text);
+}
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -1,60 +1,60 @@
-//! The rules that a run of the demo is held against, each with what it was looked for in.
+//! The rules that a run of the demo is checked against.
 
-use super::script::Played;
+use super::run::DemoRun;
 use super::stage::{GRACE, PUSH, RAMP, WINDOW};
 use shaletide_testkit::checks::{self, Violation};
 use shaletide_testkit::{End, Ledger, Record, Repeat};
 use std::collections::BTreeMap;
 
-/// A rule and what came of it.
+/// A rule and its violations.
 pub struct Rule {
-    /// In words.
+    /// The rule in words.
     pub what: &'static str,
-    /// Where it could have been broken.
-    pub looked_at: String,
-    /// Each case in which it was.
-    pub broken: Vec<String>,
+    /// What it was checked on.
+    pub checked_on: String,
+    /// In words.
+    pub violations: Vec<String>,
 }
 
-pub fn checked(played: &Played) -> Vec<Rule> {
-    let ledger = &played.ledger;
+pub fn check_rules(run: &DemoRun) -> Vec<Rule> {
+    let ledger = &run.ledger;
     let mut rules = vec![
         Rule {
             what: "An unsafe request runs once",
-            looked_at: many(ran(ledger, Repeat::Unsafe).len(), "request", "requests"),
-            broken: told(played, checks::unsafe_ran_once(ledger)),
+            checked_on: many(ran(ledger, Repeat::Unsafe).len(), "request", "requests"),
+            violations: described(run, checks::unsafe_ran_once(ledger)),
         },
         Rule {
             what: "A keyed one runs again in its bay only",
-            looked_at: keyed(ledger),
-            broken: told(played, checks::keyed_ran_in_one_bay(ledger, |_| WINDOW)),
+            checked_on: keyed(ledger),
+            violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| WINDOW)),
         },
         Rule {
             what: "Nothing new to a box 2 s after it drains",
-            looked_at: drained(played),
-            broken: told(played, checks::nothing_after_drain(ledger, &played.drained, GRACE)),
+            checked_on: drained(run),
+            violations: described(run, checks::nothing_after_drain(ledger, &run.drained, GRACE)),
         },
         Rule {
             what: "A cold box is not pushed over",
-            looked_at: cold(ledger),
-            broken: told(played, checks::cold_not_pushed_over(ledger, PUSH)),
+            checked_on: cold(ledger),
+            violations: described(run, checks::cold_not_pushed_over(ledger, PUSH)),
         },
-        one_answer(played),
+        one_answer(run),
         Rule {
             what: "Each 200 is a box's answer to that request",
-            looked_at: many(played.result.total().status(200), "answer", "answers"),
-            broken: their_own(played),
+            checked_on: many(run.result.total().status(200), "answer", "answers"),
+            violations: foreign_answers(run),
         },
         Rule {
             what: "All was written down",
-            looked_at: many(ledger.records.len(), "record", "records"),
-            broken: unwritten(played),
+            checked_on: many(ledger.records.len(), "record", "records"),
+            violations: lost_records(run),
         },
     ];
-    rules.extend(played.watched.as_ref().map(|(count, first)| Rule {
+    rules.extend(run.self_check.as_ref().map(|self_check| Rule {
         what: "The monitors inside saw no rule broken",
-        looked_at: many(*count as usize, "breach", "breaches"),
-        broken: first.clone(),
+        checked_on: many(self_check.violations as usize, "breach", "breaches"),
+        violations: self_check.first.clone(),
     }));
     rules
 }
@@ -78,10 +78,10 @@
     format!("{}, {again} ran again", many(runs.len(), "key", "keys"))
 }
 
-fn drained(played: &Played) -> String {
-    let ledger = &played.ledger;
+fn drained(run: &DemoRun) -> String {
+    let ledger = &run.ledger;
     let mut texts = Vec::new();
-    for drain in &played.drained {
+    for drain in &run.drained {
         let here = |r: &&Record| ledger.place(&drain.name) == Some(r.at_box);
         let (before, after): (Vec<&Record>, Vec<&Record>) =
             ledger.records.iter().filter(here).partition(|r| r.came <= drain.told);
@@ -108,9 +108,9 @@
 }
 
 /// Every request has a whole answer, just one, and before its client's time was up.
-fn one_answer(played: &Played) -> Rule {
-    let result = &played.result;
-    let mut broken: Vec<String> = Vec::new();
+fn one_answer(run: &DemoRun) -> Rule {
+    let result = &run.result;
+    let mut violations: Vec<String> = Vec::new();
     for sent in result.sent.iter().filter(|sent| !sent.in_time) {
         let how = match sent.end {
             End::Status(status) => format!("was answered {status} too late"),
@@ -118,45 +118,45 @@
             End::Broken => "lost its connection".into(),
             End::NoConnection => "found no connection".into(),
         };
-        let (class, at) = (&result.classes[sent.class], (sent.arrived - played.begun).secs());
-        broken.push(format!(
+        let (class, at) = (&result.classes[sent.class], (sent.arrived - run.begun).secs());
+        violations.push(format!(
             "{class} {} of {at:.3} s {how}, {:.3} s",
             result.id(sent.number),
             sent.latency.secs()
         ));
     }
     if result.overfull > 0 {
-        broken.push(format!("more came than the answer, {} times", result.overfull));
+        violations.push(format!("more came than the answer, {} times", result.overfull));
     }
-    let looked_at = many(result.sent.len(), "request", "requests");
-    Rule { what: "Each request gets one answer within its time", looked_at, broken }
+    let checked_on = many(result.sent.len(), "request", "requests");
+    Rule { what: "Each request gets one answer within its time", checked_on, violations }
 }
 
-fn their_own(played: &Played) -> Vec<String> {
-    let mut broken = told(played, checks::answers_come_from_boxes(&played.ledger, &played.result));
-    if played.result.mixed_up > 0 {
-        broken.push(format!("{} were another request's", played.result.mixed_up));
+fn foreign_answers(run: &DemoRun) -> Vec<String> {
+    let mut violations = described(run, checks::answers_come_from_boxes(&run.ledger, &run.result));
+    if run.result.mixed_up > 0 {
+        violations.push(format!("{} were another request's", run.result.mixed_up));
     }
-    broken
+    violations
 }
 
-fn unwritten(played: &Played) -> Vec<String> {
-    let mut broken = Vec::new();
-    if played.ledger.missed > 0 {
-        broken.push(format!("the boxes had no room for {}", played.ledger.missed));
+fn lost_records(run: &DemoRun) -> Vec<String> {
+    let mut violations = Vec::new();
+    if run.ledger.missed > 0 {
+        violations.push(format!("the boxes had no room for {}", run.ledger.missed));
     }
-    if played.result.missed > 0 {
-        broken.push(format!("the clients had no room for {}", played.result.missed));
+    if run.result.missed > 0 {
+        violations.push(format!("the clients had no room for {}", run.result.missed));
     }
-    broken
+    violations
 }
 
 /// Each case in words, with where and when its first records were.
-fn told(played: &Played, cases: Vec<Violation>) -> Vec<String> {
+fn described(run: &DemoRun, cases: Vec<Violation>) -> Vec<String> {
     let place = |place: &usize| {
-        let record = played.ledger.records.get(*place)?;
-        let name = &played.ledger.boxes.get(record.at_box)?.name;
-        Some(format!("{name} at {:.3} s", (record.came - played.begun).secs()))
+        let record = run.ledger.records.get(*place)?;
+        let name = &run.ledger.boxes.get(record.at_box)?.name;
+        Some(format!("{name} at {:.3} s", (record.came - run.begun).secs()))
     };
     let text = |case: Violation| {
         let places: Vec<String> = case.records.iter().take(2).filter_map(place).collect();
--- a/crates/shaletide/src/demo/script.rs
+++ b/crates/shaletide/src/demo/script.rs
@@ -1,67 +1,53 @@
-//! What happens in the demo, and when.
+//! The load and the faults of the demo, and when each begins.
 
-use super::say;
+use super::output::print_line;
+use super::run::{DemoRun, MeasuredPart};
 use super::stage::{classes, Stage, COLD_FROM, GRACE, RAMP, RATE};
 use shaletide_balancer::{Micros, Time};
-use shaletide_testkit::checks::Drained;
-use shaletide_testkit::{BoxHandle, Fault, Ledger, Load, LoadResult};
+use shaletide_testkit::{BoxHandle, Fault, Load};
 use std::io;
 use std::time::Duration;
 use tokio::sync::watch;
 
 /// Requests that are open at a time, at most: many times as many as usually are, and well below half of the proxy's
 /// places, from where answers end their connections. On a machine that is behind it bounds what waits.
-const OPEN: usize = 64;
-/// The backend that died is back after so long.
-const DEAD: Duration = Duration::from_millis(500);
+const MAX_OPEN_REQUESTS: usize = 64;
+/// The backend that crashed is restarted after this.
+const DOWN_TIME: Duration = Duration::from_millis(500);
 
-/// By this part of the load's time the proxy has learned the speeds.
-const CALM: f64 = 0.2;
-/// Trouble begins: a backend drains.
-const TROUBLE: f64 = 0.5;
-/// A backend fails from here ...
-const FAILS: f64 = 0.55;
+/// Parts of the load's time: from here the balancer has learned the speeds.
+const MEASURED_FROM: f64 = 0.2;
+/// Faults begin: a backend drains.
+const FAULTS_FROM: f64 = 0.5;
+/// A backend answers errors from here ...
+const ERRORS_FROM: f64 = 0.55;
 /// ... to here.
-const WELL: f64 = 0.7;
-/// A backend dies.
-const DIES: f64 = 0.72;
+const ERRORS_UNTIL: f64 = 0.7;
+/// A backend crashes.
+const CRASH_AT: f64 = 0.72;
 
-/// What was written down.
-pub struct Played {
-    pub ledger: Ledger,
-    pub result: LoadResult,
-    pub drained: Vec<Drained>,
-    /// The kind of each backend, in the ledger's order.
-    pub kinds: Vec<String>,
-    /// When the load began.
-    pub begun: Time,
-    /// The part of the run in which the speeds were learned and nothing had happened yet, if it came to its end.
-    pub calm: Option<(Time, Time)>,
-    /// What was to happen and did not.
-    pub missing: Vec<String>,
-    /// It was told to stop before its time.
-    pub interrupted: bool,
-    /// What the monitors inside the proxy saw: how often a rule broke, and the first cases.
-    pub watched: Option<(u64, Vec<String>)>,
-}
-
-/// Puts the load on the proxy and does the rest meanwhile. Blocks until the last client has its answer.
+/// Runs the load against the proxy, with the faults meanwhile. Blocks until the last client has its answer.
 ///
 /// # Errors
 /// No thread or descriptors for the clients.
-pub fn play(stage: &Stage, seconds: Duration, stop: watch::Receiver<bool>) -> io::Result<Played> {
-    let boxes = stage.fleet.boxes();
+pub fn play(stage: &Stage, seconds: Duration, stop: watch::Receiver<bool>) -> io::Result<DemoRun> {
+    let backends = stage.fleet.boxes();
     if !stage.discovery.wait_told(1) {
         return Err(io::Error::new(io::ErrorKind::TimedOut, "the proxy did not ask for the list"));
     }
-    say(&format!(
-        "{} boxes in two bays, {RATE} requests a second for {} s, the proxy at {}",
-        boxes.len(),
+    print_line(&format!(
+        "{} backends in two groups, {RATE} requests a second for {} s, the proxy at {}",
+        backends.len(),
         seconds.as_secs(),
         stage.proxy
     ));
     let clock = stage.fleet.clock();
-    let load = Load { clock, connections: OPEN, leave_out: true, ..Load::new(RATE, classes(), seconds) };
+    let load = Load {
+        clock,
+        connections: MAX_OPEN_REQUESTS,
+        leave_out: true,
+        ..Load::new(RATE, classes(), seconds)
+    };
     let mut ending = stop.clone();
     let clients = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let timers = tokio::runtime::Builder::new_current_thread().enable_time().build()?;
@@ -78,16 +64,16 @@
     })?;
     let interrupted = *script.stop.borrow();
     let at = |part: f64| begun + micros(seconds.mul_f64(part));
-    Ok(Played {
+    Ok(DemoRun {
         ledger: stage.fleet.ledger(),
         result,
         drained: stage.discovery.drained(),
-        kinds: boxes.iter().map(|b| b.spec.kind.clone()).collect(),
+        server_types: backends.iter().map(|backend| backend.spec.kind.clone()).collect(),
         begun,
-        calm: script.measured.then_some((at(CALM), at(TROUBLE))),
+        measured: script.measured.then_some(MeasuredPart { from: at(MEASURED_FROM), to: at(FAULTS_FROM) }),
         missing: script.missing,
         interrupted,
-        watched: None,
+        self_check: None,
     })
 }
 
@@ -113,23 +99,23 @@
     }
 
     fn steps(&mut self, drains: &BoxHandle, fails: &BoxHandle, dies: &BoxHandle) -> Option<()> {
-        self.say("the load begins; the proxy knows nothing of the boxes' speeds");
-        self.wait(CALM, Duration::ZERO)?;
+        self.say("the load begins; the proxy knows nothing of the backends' speeds");
+        self.wait(MEASURED_FROM, Duration::ZERO)?;
         self.say("from here on the shares are measured");
-        self.wait(TROUBLE, Duration::ZERO)?;
+        self.wait(FAULTS_FROM, Duration::ZERO)?;
         self.measured = true;
-        self.say("the shares are measured; trouble begins");
+        self.say("the shares are measured; faults begin");
         self.drain(drains);
-        self.wait(FAILS, Duration::ZERO)?;
+        self.wait(ERRORS_FROM, Duration::ZERO)?;
         fails.set(Fault::Fail(1.0));
         self.say(&format!("{} fails: it answers 500 to everything", fails.spec.name));
-        self.wait(WELL, Duration::ZERO)?;
+        self.wait(ERRORS_UNTIL, Duration::ZERO)?;
         fails.set(Fault::Cleared);
         self.say(&format!("{} is well again", fails.spec.name));
-        self.wait(DIES, Duration::ZERO)?;
+        self.wait(CRASH_AT, Duration::ZERO)?;
         dies.kill();
         self.say(&format!("{} dies: what it had is lost, connections to it are refused", dies.spec.name));
-        self.wait(DIES, DEAD)?;
+        self.wait(CRASH_AT, DOWN_TIME)?;
         dies.revive();
         self.stage.discovery.put(dies.entry());
         let (name, cold, ramp) = (&dies.spec.name, COLD_FROM * 100.0, RAMP.secs());
@@ -166,7 +152,7 @@
     /// A line with the time since the load began.
     fn say(&self, text: &str) {
         let at = (self.stage.fleet.clock().now() - self.begun).secs();
-        say(&format!("{at:6.1} s  {text}"));
+        print_line(&format!("{at:6.1} s  {text}"));
     }
 }
 
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -1,4 +1,4 @@
-//! What stands around the proxy in the demo, and the operators' file that it runs by.
+//! The stand-ins around the proxy in the demo, and the operators' file that it runs by.
 
 use shaletide_balancer::{DeduplicationScope, Idempotency, Micros};
 use shaletide_testkit::*;
@@ -11,8 +11,8 @@
 pub const RATE: f64 = 350.0;
 /// The mean work of a request, ms of a standard core.
 const WORK_MS: f64 = 16.0;
-/// Each kind: its name, how many backends, and the speed of their one core.
-const KINDS: [(&str, u32, f64); 2] = [("fast", 4, 2.0), ("slow", 4, 1.0)];
+/// Each server type: its name, how many backends, and the speed of their one core.
+const SERVER_TYPES: [(&str, u32, f64); 2] = [("fast", 4, 2.0), ("slow", 4, 1.0)];
 /// How long a client waits.
 pub const DEADLINE: Duration = Duration::from_secs(5);
 /// A draining backend takes new requests for so long.
@@ -42,7 +42,7 @@
     /// Starts all but the proxy and the clients.
     pub fn set() -> io::Result<Stage> {
         let services = vec![Service::new("", Law::Even(0.5 * WORK_MS, 1.5 * WORK_MS))];
-        let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes()) })?;
+        let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backends()) })?;
         let entries = fleet.boxes().iter().map(BoxHandle::entry).collect();
         let discovery = ListServer::start(fleet.clock(), &["demo"], entries)?;
         let port = TcpSocket::new_v4()?;
@@ -56,12 +56,12 @@
     /// The backend of that name.
     pub fn named(&self, name: &str) -> io::Result<&BoxHandle> {
         let found = self.fleet.boxes().iter().find(|b| b.spec.name == name);
-        found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("no box {name}")))
+        found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("no backend {name}")))
     }
 }
 
-/// The first half of each kind is in bay 1, the other in bay 2.
-fn boxes() -> Vec<BoxSpec> {
+/// The backends: of each server type the first half is in deduplication group 1, the others in 2.
+fn backends() -> Vec<BoxSpec> {
     let of_kind = |(kind, count, speed): (&'static str, u32, f64)| {
         (1..=count).map(move |n| {
             let power = Power { cores: 1, speed, initial_capacity_fraction: COLD_FROM, ramp: RAMP };
@@ -74,7 +74,7 @@
             }
         })
     };
-    KINDS.into_iter().flat_map(of_kind).collect()
+    SERVER_TYPES.into_iter().flat_map(of_kind).collect()
 }
 
 /// What clients ask for; the same classes stand in the file.
@@ -140,24 +140,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use shaletide_config::operator::read;
-
-    #[test]
-    fn the_file_makes_sense_and_names_the_clients_classes() {
-        let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
-        let operator = read("demo.toml", &config(at(1), at(2))).unwrap_or_else(|report| panic!("{report}"));
-        let named: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
-        let asked = classes();
-        assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
-        for (def, class) in operator.balancer.classes.iter().zip(asked) {
-            assert_eq!(def.idempotency, class.effect);
-        }
-        assert_eq!(operator.balancer.slow_start_window, RAMP);
-        assert_eq!(
-            (operator.balancer.overload_multiple, operator.balancer.overload_window),
-            (PUSH.multiple, PUSH.window)
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/shaletide/src/demo/stage/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+use shaletide_config::operator::read;
+
+#[test]
+fn the_file_makes_sense_and_names_the_clients_classes() {
+    let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
+    let operator = read("demo.toml", &config(at(1), at(2))).unwrap_or_else(|report| panic!("{report}"));
+    let named: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
+    let asked = classes();
+    assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
+    for (def, class) in operator.balancer.classes.iter().zip(asked) {
+        assert_eq!(def.idempotency, class.effect);
+    }
+    assert_eq!(operator.balancer.slow_start_window, RAMP);
+    assert_eq!(
+        (operator.balancer.overload_multiple, operator.balancer.overload_window),
+        (PUSH.multiple, PUSH.window)
+    );
+}
