--- a/crates/shaletide/src/commands.rs
+++ b/crates/shaletide/src/commands.rs
@@ -1,6 +1,6 @@
 //! What operators' commands do to a proxy at work.
 
-use crate::record::words;
+use crate::record::text;
 use shaletide_control::{Command, Reply};
 use shaletide_record::{Fact, KeyId};
 use shaletide_record_service::Record;
@@ -33,7 +33,7 @@
         }),
         Command::Resolve { tenant, class, key, ran, by, note } => {
             let key = KeyId { tenant, class, key: key.0 };
-            words::resolved(keeper.resolve(key, ran, by, note).await, ran)
+            text::resolved(keeper.resolve(key, ran, by, note).await, ran)
         }
         Command::Prune { before, by } => match keeper.prune(Time(before), by).await {
             Ok(0) => Reply::Done("no row is older, or the oldest is of a key that is not settled".into()),
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -6,7 +6,7 @@
 
 /// The store of record: what the proxy knew and did.
 ///
-/// StoreReader works beside a running proxy. What changes the store goes through the control socket of the proxy that holds
+/// Reading works beside a running proxy. What changes the store goes through the control socket of the proxy that holds
 /// it, or straight to the file when no proxy does. Status 0: done, or whole. 1: the answer is no. 2: it makes no sense,
 /// or cannot be read.
 #[derive(Args, Debug)]
@@ -24,24 +24,24 @@
     /// The whole story of one key. Status 1 where nothing is on record.
     Show {
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         /// The key.
         #[arg(long)]
         key: OsString,
         #[command(flatten)]
-        which: Which,
+        which: KeyArgs,
     },
     /// Facts, the oldest first; or, with --in-doubt, the keys that are not settled.
     List(List),
     /// All facts, or those asked for, one a line.
     Export {
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         /// The form.
         #[arg(long, value_enum)]
         format: Format,
         #[command(flatten)]
-        filter: Filter,
+        filter: FactFilter,
         /// At most so many; else all.
         #[arg(long, value_name = "N")]
         limit: Option<u64>,
@@ -52,7 +52,7 @@
     /// Whether every row is as it was written. Status 0: whole; 1: not, and where.
     Verify {
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         /// A head that was noted earlier, as ROW:SUM, so that a cut end shows.
         #[arg(long, value_name = "ROW:SUM")]
         head: Option<String>,
@@ -60,7 +60,7 @@
     /// Copies the store as it is at one moment into a new file.
     Backup {
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         /// The file to make.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
@@ -79,11 +79,11 @@
         #[arg(long, value_name = "TEXT")]
         note: String,
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         #[command(flatten)]
-        control: Control,
+        control: ControlArgs,
         #[command(flatten)]
-        which: Which,
+        which: KeyArgs,
     },
     /// Takes out the oldest rows, up to the first that is not older or whose key is not settled.
     Prune {
@@ -94,9 +94,9 @@
         #[arg(long, value_name = "NAME")]
         by: String,
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         #[command(flatten)]
-        control: Control,
+        control: ControlArgs,
     },
     /// Puts on record that an earlier row is wrong; that row stays.
     Correct {
@@ -113,15 +113,15 @@
         #[arg(long, value_name = "TEXT")]
         note: Option<String>,
         #[command(flatten)]
-        place: Place,
+        place: StoreArgs,
         #[command(flatten)]
-        control: Control,
+        control: ControlArgs,
     },
 }
 
 /// Which store.
 #[derive(Args, Debug)]
-pub struct Place {
+pub struct StoreArgs {
     /// The store's file.
     #[arg(long, value_name = "FILE")]
     pub store: Option<PathBuf>,
@@ -132,7 +132,7 @@
 
 /// Which proxy.
 #[derive(Args, Debug)]
-pub struct Control {
+pub struct ControlArgs {
     /// The control socket of the running proxy.
     #[arg(long, value_name = "SOCKET")]
     pub control: Option<PathBuf>,
@@ -140,7 +140,7 @@
 
 /// Which key, where one stands for several.
 #[derive(Args, Debug)]
-pub struct Which {
+pub struct KeyArgs {
     /// The key's tenant; empty for none.
     #[arg(long)]
     pub tenant: Option<String>,
@@ -155,12 +155,12 @@
 #[derive(Args, Debug)]
 pub struct List {
     #[command(flatten)]
-    pub place: Place,
+    pub place: StoreArgs,
     /// Keys in doubt or in flight, instead of facts.
     #[arg(long, conflicts_with_all = ["since", "until", "after"])]
     pub in_doubt: bool,
     #[command(flatten)]
-    pub filter: Filter,
+    pub filter: FactFilter,
     /// At most so many.
     #[arg(long, value_name = "N", default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=1_000_000))]
     pub limit: u64,
@@ -171,7 +171,7 @@
 
 /// Which facts.
 #[derive(Args, Debug)]
-pub struct Filter {
+pub struct FactFilter {
     /// Of this time or later: a time, or a span back from now such as 2h.
     #[arg(long, value_name = "TIME")]
     pub since: Option<String>,
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -1,9 +1,11 @@
 //! What changes the store: through the proxy that holds it, or, when none does, with its lock in hand and by the
 //! recorder's own rules.
 
-use super::args::Which;
-use super::when::now;
-use super::{list, words, Failure, Places};
+use super::args::KeyArgs;
+use super::error::CommandError;
+use super::target::Target;
+use super::time_zone::now;
+use super::{list, text};
 use shaletide_control::{ask, Command, ControlError, Key, Reply};
 use shaletide_record::{
     chain, About, Action, ClaimRejection, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, ReplyId,
@@ -19,16 +21,16 @@
 const STEP: usize = 10_000;
 
 /// A key and what is said of it.
-pub struct Doubt<'a> {
+pub struct KeyResolution<'a> {
     pub key: Vec<u8>,
-    pub which: &'a Which,
+    pub which: &'a KeyArgs,
     pub ran: bool,
 }
 
 pub fn resolve(
-    places: &Places, doubt: &Doubt<'_>, by: &str, note: &str, out: &mut dyn Write,
-) -> Result<(), Failure> {
-    let id = one_key(places, doubt)?;
+    target: &Target, doubt: &KeyResolution<'_>, by: &str, note: &str, out: &mut dyn Write,
+) -> Result<(), CommandError> {
+    let id = find_key(target, doubt)?;
     let command = Command::Resolve {
         tenant: id.tenant.clone(),
         class: id.class.clone(),
@@ -37,32 +39,36 @@
         by: by.into(),
         note: note.into(),
     };
-    done(places, &command, out, |alone| {
+    done(target, &command, out, |alone| {
         let came = alone.resolve(&id, doubt.ran, by, note)?;
-        Ok(words::resolved(came, doubt.ran))
+        Ok(text::resolved(came, doubt.ran))
     })
 }
 
-pub fn prune(places: &Places, before: Time, by: &str, out: &mut dyn Write) -> Result<(), Failure> {
+pub fn prune(target: &Target, before: Time, by: &str, out: &mut dyn Write) -> Result<(), CommandError> {
     let command = Command::Prune { before: before.0, by: by.into() };
-    done(places, &command, out, |alone| alone.prune(before, by))
+    done(target, &command, out, |alone| alone.prune(before, by))
 }
 
-pub fn correct(places: &Places, of: u64, by: &str, text: &str, out: &mut dyn Write) -> Result<(), Failure> {
+pub fn correct(
+    target: &Target, of: u64, by: &str, text: &str, out: &mut dyn Write,
+) -> Result<(), CommandError> {
     let command = Command::Correct { of, by: by.into(), text: text.into() };
-    done(places, &command, out, |alone| alone.correct(of, by, text))
+    done(target, &command, out, |alone| alone.correct(of, by, text))
 }
 
 /// The one key that is meant; of those that the store knows where tenant or class were left out.
-fn one_key(places: &Places, doubt: &Doubt<'_>) -> Result<KeyId, Failure> {
-    let Doubt { key, which, .. } = doubt;
+fn find_key(target: &Target, doubt: &KeyResolution<'_>) -> Result<KeyId, CommandError> {
+    let KeyResolution { key, which, .. } = doubt;
     if let (Some(tenant), Some(class)) = (&which.tenant, &which.class) {
         return Ok(KeyId { tenant: tenant.clone(), class: class.clone(), key: key.clone() });
     }
-    if places.store.is_none() {
-        return Err(Failure::senseless("give --tenant and --class, or --store or --config to look them up"));
+    if target.store.is_none() {
+        return Err(CommandError::invalid(
+            "give --tenant and --class, or --store or --config to look them up",
+        ));
     }
-    let store = places.reader()?;
+    let store = target.reader()?;
     let mut query = Query {
         key: Some(key.clone()),
         tenant: which.tenant.clone(),
@@ -87,49 +93,49 @@
     }
     match held.as_slice() {
         [one] => Ok(one.clone()),
-        [] => Err(Failure::no(format!(
+        [] => Err(CommandError::negative(format!(
             "the key {} is not in doubt: it is free, or was never there",
-            words::key(key)
+            text::key(key)
         ))),
         several => {
-            let all: Vec<String> = several.iter().map(words::arguments).collect();
-            Err(Failure::senseless(format!("which of these?\n  {}", all.join("\n  "))))
+            let all: Vec<String> = several.iter().map(text::arguments).collect();
+            Err(CommandError::invalid(format!("which of these?\n  {}", all.join("\n  "))))
         }
     }
 }
 
 /// Asks the proxy, or does it alone where none is there.
 fn done(
-    places: &Places, command: &Command, out: &mut dyn Write,
-    alone: impl FnOnce(&mut Alone) -> Result<Reply, Failure>,
-) -> Result<(), Failure> {
-    command.check().map_err(|why| Failure::senseless(format!("--{why}")))?;
-    let reply = match (&places.control, &places.store) {
+    target: &Target, command: &Command, out: &mut dyn Write,
+    alone: impl FnOnce(&mut OfflineStore) -> Result<Reply, CommandError>,
+) -> Result<(), CommandError> {
+    command.check().map_err(|why| CommandError::invalid(format!("--{why}")))?;
+    let reply = match (&target.control, &target.store) {
         (Some(socket), store) => match (ask(socket, command), store) {
             (Ok(reply), _) => reply,
-            (Err(ControlError::Absent { .. }), Some(store)) => alone(&mut Alone::open(store)?)?,
+            (Err(ControlError::Absent { .. }), Some(store)) => alone(&mut OfflineStore::open(store)?)?,
             (Err(error @ ControlError::Absent { .. }), None) => {
-                return Err(Failure::senseless(format!(
+                return Err(CommandError::invalid(format!(
                     "{error}; with --store FILE this works while no proxy runs"
                 )));
             }
-            (Err(error), _) => return Err(Failure::senseless(causes(&error))),
+            (Err(error), _) => return Err(CommandError::invalid(causes(&error))),
         },
-        (None, Some(store)) => alone(&mut Alone::open(store)?)?,
-        (None, None) => return Err(Failure::senseless("give --store, --control or --config")),
+        (None, Some(store)) => alone(&mut OfflineStore::open(store)?)?,
+        (None, None) => return Err(CommandError::invalid("give --store, --control or --config")),
     };
     match reply {
-        Reply::Done(said) => Ok(writeln!(out, "{}", words::one_line(&said))?),
-        Reply::Refused(why) => Err(Failure::no(words::one_line(&why))),
-        Reply::Senseless(why) => Err(Failure::senseless(words::one_line(&why))),
+        Reply::Done(said) => Ok(writeln!(out, "{}", text::one_line(&said))?),
+        Reply::Refused(why) => Err(CommandError::negative(text::one_line(&why))),
+        Reply::Senseless(why) => Err(CommandError::invalid(text::one_line(&why))),
         other => {
-            Err(Failure::senseless(format!("the proxy says what this version does not know: {other:?}")))
+            Err(CommandError::invalid(format!("the proxy says what this version does not know: {other:?}")))
         }
     }
 }
 
 /// The store while no proxy has it, as a run of its own.
-struct Alone {
+struct OfflineStore {
     store: SqliteStore,
     recorder: Recorder,
     run: u64,
@@ -137,25 +143,25 @@
     started: bool,
 }
 
-impl Alone {
-    fn open(path: &Path) -> Result<Alone, Failure> {
+impl OfflineStore {
+    fn open(path: &Path) -> Result<OfflineStore, CommandError> {
         let store = SqliteStore::open(&SqliteOptions { create: false, ..SqliteOptions::new(path) })?;
         let run = store.head()?.run.saturating_add(1);
         let now = now();
         // Nothing is asked of it but by this command: no class, and no secret, as there are no clients.
         let recorder = Recorder::new(RecordConfig::default(), [0; 16], now, now);
-        Ok(Alone { store, recorder, run, started: false })
+        Ok(OfflineStore { store, recorder, run, started: false })
     }
 
     /// Tells the recorder, and has written what it wants written.
-    fn tell(&mut self, event: Event) -> Result<Option<ResolveResult>, Failure> {
+    fn tell(&mut self, event: Event) -> Result<Option<ResolveResult>, CommandError> {
         self.begin()?;
         let mut actions = Vec::new();
         self.recorder.handle(now(), event, &mut actions);
         self.carry_out(actions)
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) -> Result<Option<ResolveResult>, Failure> {
+    fn carry_out(&mut self, actions: Vec<Action>) -> Result<Option<ResolveResult>, CommandError> {
         let mut waiting: VecDeque<Action> = actions.into();
         let mut came = None;
         while let Some(action) = waiting.pop_front() {
@@ -177,16 +183,20 @@
         Ok(came)
     }
 
-    fn commit(&mut self, mut write: shaletide_record::Write) -> Result<Result<u64, ClaimRejection>, Failure> {
+    fn commit(
+        &mut self, mut write: shaletide_record::Write,
+    ) -> Result<Result<u64, ClaimRejection>, CommandError> {
         write.row.run = self.run;
         let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
         let committed = self.store.commit(&[write], &sums);
         let rows = committed
-            .map_err(|failed| Failure::senseless(format!("{failed}: {}", words::trouble(&failed.error))))?;
-        rows.into_iter().next().ok_or_else(|| Failure::senseless("the store wrote nothing"))
+            .map_err(|failed| CommandError::invalid(format!("{failed}: {}", text::trouble(&failed.error))))?;
+        rows.into_iter().next().ok_or_else(|| CommandError::invalid("the store wrote nothing"))
     }
 
-    fn resolve(&mut self, id: &KeyId, ran: bool, by: &str, note: &str) -> Result<ResolveResult, Failure> {
+    fn resolve(
+        &mut self, id: &KeyId, ran: bool, by: &str, note: &str,
+    ) -> Result<ResolveResult, CommandError> {
         let Some(held) = self.store.key(id)? else { return Ok(ResolveResult::Unknown) };
         if held.state == KeyState::Served {
             return Ok(ResolveResult::Served);
@@ -201,7 +211,7 @@
         Ok(self.tell(event)?.unwrap_or(ResolveResult::StoreDown))
     }
 
-    fn begin(&mut self) -> Result<(), Failure> {
+    fn begin(&mut self) -> Result<(), CommandError> {
         if !self.started {
             self.started = true;
             let (proxy, version) = ("shaletide record".into(), env!("CARGO_PKG_VERSION").into());
@@ -211,7 +221,7 @@
         Ok(())
     }
 
-    fn prune(&mut self, before: Time, by: &str) -> Result<Reply, Failure> {
+    fn prune(&mut self, before: Time, by: &str) -> Result<Reply, CommandError> {
         let (mut rows, at, run) = (0, now(), self.run);
         let note = |anchor: &Anchor| {
             let (through, sum) = (anchor.through.seq, chain::hex(&anchor.through.sum));
@@ -232,7 +242,7 @@
         }))
     }
 
-    fn correct(&mut self, of: u64, by: &str, text: &str) -> Result<Reply, Failure> {
+    fn correct(&mut self, of: u64, by: &str, text: &str) -> Result<Reply, CommandError> {
         let query = Query { after_seq: of.saturating_sub(1), limit: 1, ..Query::default() };
         let found = self.store.rows(&query)?.first().is_some_and(|row| row.seq == of);
         if of == 0 || !found {
--- a/crates/shaletide/src/record/export.rs
+++ b/crates/shaletide/src/record/export.rs
@@ -1,8 +1,9 @@
 //! Rows for other programs: all that is kept of each, with what its sum is over.
 
 use super::args::Format;
-use super::when::Zone;
-use super::{list, words, Failure};
+use super::error::CommandError;
+use super::time_zone::Zone;
+use super::{list, text};
 use serde_json::json;
 use shaletide_record::{chain, Row};
 use shaletide_store::{Query, StoreReader};
@@ -13,7 +14,7 @@
 pub fn export(
     store: &dyn StoreReader, mut query: Query, format: Format, mut left: u64, zone: &Zone,
     out: &mut dyn Write,
-) -> Result<(), Failure> {
+) -> Result<(), CommandError> {
     if let Format::Csv = format {
         write!(out, "{COLUMNS}\r\n")?;
     }
@@ -68,7 +69,7 @@
         id.map(|id| id.tenant.clone()).unwrap_or_default(),
         id.map(|id| id.class.clone()).unwrap_or_default(),
         // What a spreadsheet might take for a formula, or not show, stands in hexadecimal digits alone.
-        id.and_then(|id| words::plain(&id.key)).unwrap_or_default().to_string(),
+        id.and_then(|id| text::plain(&id.key)).unwrap_or_default().to_string(),
         id.map(|id| chain::hex(&id.key)).unwrap_or_default(),
         row.backend.clone().unwrap_or_default(),
         row.body.clone(),
--- a/crates/shaletide/src/record/show.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -1,8 +1,10 @@
 //! The story of one key.
 
-use super::args::Which;
-use super::when::Zone;
-use super::{list, words, Failure, PAGE};
+use super::args::KeyArgs;
+use super::error::CommandError;
+use super::list::{self, PAGE};
+use super::text;
+use super::time_zone::Zone;
 use shaletide_record::{Fact, KeyId, KeyState, Row, StoredKey};
 use shaletide_store::{Query, StoreError, StoreReader};
 use shaletide_types::Time;
@@ -13,8 +15,8 @@
 const MOST: usize = 100_000;
 
 pub fn show(
-    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
-) -> Result<(), Failure> {
+    store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
     let query = Query {
         key: Some(key.to_vec()),
         tenant: which.tenant.clone(),
@@ -24,7 +26,7 @@
     let rows = all(store, query)?;
     let whose: BTreeSet<&KeyId> = rows.iter().filter_map(|row| row.key.as_ref()).collect();
     if whose.is_empty() {
-        return nothing(store, key, which, zone, out);
+        return report_no_rows(store, key, which, zone, out);
     }
     let corrections = corrections(store, &rows)?;
     for (number, id) in whose.into_iter().enumerate() {
@@ -32,28 +34,28 @@
             writeln!(out)?;
         }
         let rows: Vec<&Row> = rows.iter().filter(|row| row.key.as_ref() == Some(id)).collect();
-        Story { store, id, held: store.key(id)?, corrections: &corrections, zone }.tell(&rows, out)?;
+        KeyHistory { store, id, held: store.key(id)?, corrections: &corrections, zone }.tell(&rows, out)?;
     }
     Ok(())
 }
 
 /// No row is about it: it may be one whose rows were taken out.
-fn nothing(
-    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
-) -> Result<(), Failure> {
-    let none = format!("nothing is on record of the key {}", words::key(key));
+fn report_no_rows(
+    store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
+    let none = format!("nothing is on record of the key {}", text::key(key));
     let (Some(tenant), Some(class)) = (&which.tenant, &which.class) else {
         let pruned = store.anchor()?.is_some();
         let help = "; rows were taken out: --tenant and --class tell how it stands";
-        return Err(Failure::no(none + if pruned { help } else { "" }));
+        return Err(CommandError::negative(none + if pruned { help } else { "" }));
     };
     let id = KeyId { tenant: tenant.clone(), class: class.clone(), key: key.to_vec() };
     let held = store.key(&id)?;
     if held.is_none() {
-        return Err(Failure::no(none));
+        return Err(CommandError::negative(none));
     }
     let corrections = BTreeMap::new();
-    Story { store, id: &id, held, corrections: &corrections, zone }.tell(&[], out)
+    KeyHistory { store, id: &id, held, corrections: &corrections, zone }.tell(&[], out)
 }
 
 fn all(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
@@ -93,7 +95,7 @@
     Ok(found)
 }
 
-struct Story<'a> {
+struct KeyHistory<'a> {
     store: &'a dyn StoreReader,
     id: &'a KeyId,
     /// How the key stands now.
@@ -102,9 +104,9 @@
     zone: &'a Zone,
 }
 
-impl Story<'_> {
-    fn tell(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), Failure> {
-        writeln!(out, "{}, key {}", words::whose(self.id), words::key(&self.id.key))?;
+impl KeyHistory<'_> {
+    fn tell(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), CommandError> {
+        writeln!(out, "{}, key {}", text::whose(self.id), text::key(&self.id.key))?;
         writeln!(out, "times in {}", self.zone.name)?;
         let proves = |row: &&&Row| matches!(row.kind.as_str(), "withdrawn" | "doubted" | "resolved");
         let durable = self.held.is_some() || rows.iter().find(proves).is_some();
@@ -131,9 +133,9 @@
                 boxes.insert((row.run, row.request, attempt), seen.backend);
             }
             let to = |attempt| boxes.get(&(row.run, row.request, attempt)).cloned();
-            self.line(row, &words::fact(row, to, durable), out)?;
+            self.line(row, &text::fact(row, to, durable), out)?;
             for correction in self.corrections.get(&row.seq).into_iter().flatten() {
-                let said = words::fact(correction, |_| None, false);
+                let said = text::fact(correction, |_| None, false);
                 writeln!(
                     out,
                     "                 row {}, {}: {said}",
@@ -148,13 +150,13 @@
         self.ending(out)
     }
 
-    fn line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), Failure> {
+    fn line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), CommandError> {
         Ok(writeln!(out, "    {}  {said}  [row {}]", self.zone.clock(row.at), row.seq)?)
     }
 
     /// The start of a row's run, as far as it is on record yet. Runs follow one another, so that the first row of one
     /// is found in a few steps.
-    fn run(&self, row: &Row) -> Result<String, Failure> {
+    fn run(&self, row: &Row) -> Result<String, CommandError> {
         let from = self.store.anchor()?.map_or(0, |anchor| anchor.through.seq);
         let (mut low, mut high) = (from + 1, row.seq);
         while low < high {
@@ -167,7 +169,7 @@
         }
         let first = self.at(low)?.filter(|first| first.kind == "start");
         Ok(match first {
-            Some(first) => format!("{} ({})", words::fact(&first, |_| None, false), self.zone.full(first.at)),
+            Some(first) => format!("{} ({})", text::fact(&first, |_| None, false), self.zone.full(first.at)),
             None => format!("run {}; its beginning is not on record", row.run),
         })
     }
@@ -177,7 +179,7 @@
         Ok(page.into_iter().next())
     }
 
-    fn ending(&self, out: &mut dyn Write) -> Result<(), Failure> {
+    fn ending(&self, out: &mut dyn Write) -> Result<(), CommandError> {
         let since = |at: Time| self.zone.full(at);
         let said = match &self.held {
             None => "now: free; a request of this key is sent".into(),
@@ -189,7 +191,7 @@
                  shaletide record resolve {} --ran yes|no --by NAME --note TEXT",
                 since(held.since),
                 held.seq,
-                words::arguments(self.id)
+                text::arguments(self.id)
             ),
             Some(held) => format!(
                 "now: in flight since {} (row {}); in doubt, if the proxy that sent it is gone",
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -1,14 +1,18 @@
 //! Facts one a line, and the keys that are not settled.
 
-use super::args::{Filter, List};
-use super::when::Zone;
-use super::{words, Failure, PAGE};
+use super::args::{FactFilter, List};
+use super::error::CommandError;
+use super::text;
+use super::time_zone::Zone;
 use shaletide_record::{KeyState, Row, StoredKey};
 use shaletide_store::{Query, StoreError, StoreReader};
 use std::io::Write;
 
-/// What a filter asks for.
-pub fn query(filter: &Filter, zone: &Zone) -> Result<Query, Failure> {
+/// Rows read at a time.
+pub const PAGE: usize = 1_000;
+
+/// The query that a filter asks for.
+pub fn query(filter: &FactFilter, zone: &Zone) -> Result<Query, CommandError> {
     let time =
         |what: &str, text: &Option<String>| text.as_ref().map(|text| zone.read(what, text)).transpose();
     Ok(Query {
@@ -20,12 +24,14 @@
     })
 }
 
-pub fn list(store: &dyn StoreReader, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
-    if asked.in_doubt {
-        return unsettled(store, asked, zone, out);
+pub fn list(
+    store: &dyn StoreReader, args: &List, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
+    if args.in_doubt {
+        return unsettled(store, args, zone, out);
     }
-    let mut query = Query { after_seq: asked.after, ..query(&asked.filter, zone)? };
-    let mut left = asked.limit;
+    let mut query = Query { after_seq: args.after, ..query(&args.filter, zone)? };
+    let mut left = args.limit;
     writeln!(out, "times in {}", zone.name)?;
     while left > 0 {
         let page = rows(store, &mut query, left)?;
@@ -34,8 +40,8 @@
         }
         for row in &page {
             let about = row.key.as_ref().filter(|_| row.kind != "asked");
-            let about = about.map(|id| format!("{}, key {}: ", words::whose(id), words::key(&id.key)));
-            let said = words::fact(row, |_| None, false);
+            let about = about.map(|id| format!("{}, key {}: ", text::whose(id), text::key(&id.key)));
+            let said = text::fact(row, |_| None, false);
             writeln!(out, "{}  {}{said}  [row {}]", zone.full(row.at), about.unwrap_or_default(), row.seq)?;
         }
         left -= page.len() as u64;
@@ -56,27 +62,29 @@
     Ok(page)
 }
 
-fn unsettled(store: &dyn StoreReader, asked: &List, zone: &Zone, out: &mut dyn Write) -> Result<(), Failure> {
+fn unsettled(
+    store: &dyn StoreReader, args: &List, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
     let mut after: Option<StoredKey> = None;
-    let mut left = asked.limit;
+    let mut left = args.limit;
     writeln!(out, "times in {}", zone.name)?;
     loop {
         let page = store.keys(after.as_ref().map(|held| &held.key), PAGE * 10)?;
         for held in page.iter().filter(|held| held.state != KeyState::Served) {
-            if asked.filter.tenant.as_ref().is_some_and(|tenant| *tenant != held.key.tenant) {
+            if args.filter.tenant.as_ref().is_some_and(|tenant| *tenant != held.key.tenant) {
                 continue;
             }
-            let at = last_box(store, held)?;
-            if asked.filter.backend.is_some() && asked.filter.backend != at {
+            let at = last_backend(store, held)?;
+            if args.filter.backend.is_some() && args.filter.backend != at {
                 continue;
             }
             if left == 0 {
-                return Ok(writeln!(out, "there are more: --limit {}", asked.limit.saturating_mul(10))?);
+                return Ok(writeln!(out, "there are more: --limit {}", args.limit.saturating_mul(10))?);
             }
             left -= 1;
-            let (state, since) = (words::state(held.state), zone.full(held.since));
-            let at = at.map_or("no box".into(), |at| words::one_line(&at));
-            let key = words::arguments(&held.key);
+            let (state, since) = (text::state(held.state), zone.full(held.since));
+            let at = at.map_or("no box".into(), |at| text::one_line(&at));
+            let key = text::arguments(&held.key);
             writeln!(out, "{state} since {since}, last at {at}  [row {}]  {key}", held.seq)?;
         }
         match page.into_iter().last() {
@@ -87,7 +95,7 @@
 }
 
 /// The backend to which its last attempt went.
-fn last_box(store: &dyn StoreReader, held: &StoredKey) -> Result<Option<String>, StoreError> {
+fn last_backend(store: &dyn StoreReader, held: &StoredKey) -> Result<Option<String>, StoreError> {
     let id = &held.key;
     let mut query = Query {
         key: Some(id.key.clone()),
--- a/crates/shaletide/src/record/when.rs
+++ b/crates/shaletide/src/record/time_zone.rs
@@ -1,6 +1,6 @@
 //! Times, in the operators' time zone.
 
-use super::Failure;
+use super::error::CommandError;
 use jiff::civil::DateTime;
 use jiff::tz::{Offset, TimeZone};
 use jiff::Timestamp;
@@ -15,7 +15,7 @@
 
 impl Zone {
     /// The zone of that name, or the system's.
-    pub fn of(name: Option<&str>) -> Result<Zone, Failure> {
+    pub fn of(name: Option<&str>) -> Result<Zone, CommandError> {
         let Some(name) = name else {
             // A system without one that can be read runs in UTC as well as anywhere.
             let zone = TimeZone::try_system().unwrap_or(TimeZone::UTC);
@@ -26,7 +26,7 @@
             Some(offset) => TimeZone::fixed(offset),
             None if name.eq_ignore_ascii_case("utc") => TimeZone::UTC,
             None => TimeZone::get(name).map_err(|_| {
-                Failure::senseless(format!(
+                CommandError::invalid(format!(
                     "--tz {name}: this system knows no such zone; +HH:MM always works"
                 ))
             })?,
@@ -63,7 +63,7 @@
     }
 
     /// What an operator wrote: a time with an offset, one of this zone, a day, or a span back from now.
-    pub fn read(&self, what: &str, text: &str) -> Result<Time, Failure> {
+    pub fn read(&self, what: &str, text: &str) -> Result<Time, CommandError> {
         let stamp = text.parse::<Timestamp>().ok().or_else(|| {
             let civil = text.parse::<DateTime>().ok()?;
             Some(civil.to_zoned_datetime(self.zone.clone()).ok()?.timestamp())
@@ -76,7 +76,7 @@
         micros.map(Time).ok_or_else(|| {
             let expected =
                 "such as \"2026-12-01 10:30\", 2026-12-01T10:30:00Z, 2026-12-01, or 2h for two hours ago";
-            Failure::senseless(format!("{what} {text}: expected a time {expected}"))
+            CommandError::invalid(format!("{what} {text}: expected a time {expected}"))
         })
     }
 }
