--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,38 +1,49 @@
-//! Speaks the bench's wire on standard input and output: one [`shaletide_balancer::Balancer`] per instance.
-//! Translation only; every decision is the library's.
+//! Speaks the simulator's wire on standard input and output: one [`shaletide_balancer::Balancer`] per instance.
+//! Translation only; every decision is the balancer's.
 #![forbid(unsafe_code)]
 
-mod wire;
+mod error;
+mod instance;
+mod line;
+mod list_entry;
+mod messages;
+mod simulation;
 
+use simulation::{Progress, Simulation};
 use std::io::{BufRead, Write};
+use std::process::ExitCode;
 
-fn main() -> std::process::ExitCode {
-    let (stdin, stdout) = (std::io::stdin().lock(), std::io::stdout().lock());
-    match run(stdin, stdout) {
-        Ok(()) => std::process::ExitCode::SUCCESS,
+fn main() -> ExitCode {
+    let input = std::io::stdin().lock();
+    let output = std::io::stdout().lock();
+    match run(input, output) {
+        Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
             eprintln!("shaletide-adapter: {text}");
-            std::process::ExitCode::FAILURE
+            ExitCode::FAILURE
         }
     }
 }
 
+/// Handles lines until the input ends; the text of an error names the line.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
-    let mut host = wire::Host::default();
-    let (mut line, mut number) = (String::new(), 0u64);
-    let mut reply = Vec::new();
+    let mut simulation = Simulation::default();
+    let mut line = String::new();
+    let mut number = 0u64;
+    let mut replies = Vec::new();
     loop {
         line.clear();
         number += 1;
-        let read = input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))?;
+        let read = input.read_line(&mut line).map_err(|error| format!("line {number}: {error}"))?;
         if read == 0 {
             return Ok(());
         }
-        let done = host.line(line.trim_end(), &mut reply).map_err(|e| format!("line {number}: {e}"))?;
-        if done {
-            let sent = output.write_all(&reply).and_then(|()| output.flush());
-            sent.map_err(|e| format!("reply after line {number}: {e}"))?;
-            reply.clear();
+        let progress = simulation.handle(line.trim_end(), &mut replies);
+        let progress = progress.map_err(|error| format!("line {number}: {error}"))?;
+        if progress == Progress::BatchDone {
+            let sent = output.write_all(&replies).and_then(|()| output.flush());
+            sent.map_err(|error| format!("reply after line {number}: {error}"))?;
+            replies.clear();
         }
     }
 }
