--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_settings_are_read_and_unknown_keys_skipped() {
+fn settings_are_read_and_unknown_keys_skipped() {
     let (config, names) = read(&settings()).unwrap();
     assert_eq!(config.validate(), Ok(()));
     assert_eq!(names.classes(), ["read", "pay"]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_is_out_of_range_is_named_as_the_platform_names_it() {
+fn value_out_of_range_is_named_by_its_platform_path() {
     let zero = || json!(0);
     let cases = [
         ("/group_size", zero(), "group_size: expected a whole number, at least 1, got 0"),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn what_is_missing_is_named_with_what_was_expected() {
+fn missing_setting_is_named_with_what_was_expected() {
     let mut without = settings();
     without["blend"] = json!({});
     assert_eq!(read(&without).unwrap_err().to_string(), "blend.whole: missing, expected a number");
@@ -111,7 +111,7 @@
 
 /// JSON does not tell 5 from 5.0, and the platform writes null where there is no value.
 #[test]
-fn whole_floats_are_whole_numbers_and_null_is_no_value() {
+fn integral_floats_are_integers_and_null_is_absent() {
     let (plain, _) = read(&settings()).unwrap();
     for (place, value) in [
         ("/granularity_us", json!(5000.0)),
@@ -130,7 +130,7 @@
 
 /// Some sites have no tenants, and nothing hangs on the kinds being named ahead.
 #[test]
-fn lists_that_need_not_be_there_are_empty_without_them() {
+fn optional_lists_are_empty_when_absent() {
     for absent in [json!(null), json!([])] {
         for list in ["customers", "kinds"] {
             let mut without = settings();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_least_and_the_most_are_in_range() {
+fn bounds_are_inclusive() {
     for (place, value) in [
         ("/rules/cold_from", json!(0)),
         ("/rules/cold_from", json!(1)),
--- a/crates/config/src/source/tests.rs
+++ b/crates/config/src/source/tests.rs
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn what_could_steer_a_terminal_is_shown_as_a_picture() {
+fn control_characters_are_shown_as_symbols() {
     assert_eq!(harmless("a\x1b[31m\u{9b}\u{202e}\0\t\x7f"), "a␛[31m\u{fffd}\u{fffd}␀ ␡");
 }
 
 #[test]
-fn a_long_line_is_cut_around_the_place_and_keeps_its_columns() {
+fn long_line_is_cut_around_the_span_and_keeps_its_columns() {
     let text = format!("{}X{}", "a".repeat(1000), "b".repeat(1000));
     let source = Source::new(&text);
     let mut extract = Extract::new("f");
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn ten_megabytes_are_refused_before_they_are_parsed() {
+fn ten_megabytes_are_rejected_before_parsing() {
     let noise: Vec<u8> = (0..10_000_000u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
     let started = Instant::now();
     let report = read_bytes("f.toml", &noise).expect_err("too long");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn noise_is_called_what_it_is() {
+fn random_bytes_are_reported_as_not_toml() {
     for noise in ["%$#@\n", "=", "\"\n", "a=\n", "[\n", "a b\n", "a=\"\\q\"\n", "{"] {
         let report = refused(&noise.repeat(LONG / noise.len()));
         assert!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn deep_nesting_overflows_nothing() {
+fn deep_nesting_does_not_overflow_the_stack() {
     let most = LONG - 100;
     for text in [
         format!("[limits]\ntick = {}", "[".repeat(most)),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn five_thousand_boxes_and_two_hundred_routes_are_read_at_once() {
+fn five_thousand_backends_and_two_hundred_routes_are_read_in_time() {
     let pools: String = (0..50).map(|p| pool(&format!("p{p}"), p * 100..p * 100 + 100)).collect();
     let route = |n: usize| {
         format!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn more_than_the_bounds_is_one_problem_each() {
+fn each_exceeded_bound_is_one_problem() {
     let many = |n: usize, line: &dyn Fn(usize) -> String| (0..n).map(line).collect::<String>();
     let fine = head() + &pool("p", 0..1);
     let cases = [
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_file_of_1024_proxies_and_1024_backends_is_read() {
+fn file_of_1024_proxies_and_1024_backends_is_read() {
     for position in [0, 349, 1_023] {
         let proxy = format!("[proxy]\nproxies = 1024\nposition = {position}\n");
         let operator = read("f.toml", &(proxy + &head() + &pool("p", 0..1_024))).unwrap();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn many_tenants_in_many_routes_are_compared_within_bounds() {
+fn comparison_of_many_tenants_in_many_routes_is_bounded() {
     let tenants: String = (0..10_000).map(|n| format!("[[tenant]]\nname = \"t{n}\"\nquota = 1\n")).collect();
     let text = head() + &pool("p", 0..1) + &tenants;
     let names = |from: usize, to: usize| (from..to).map(|n| format!("\"t{n}\",")).collect::<String>();
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -15,12 +15,12 @@
 
 /// `cargo run -q -p shaletide-config --example operator_page > docs/operator-file.md` makes it true again.
 #[test]
-fn the_page_is_the_schemas() {
+fn page_is_generated_from_the_schema() {
     assert!(page() == PAGE, "docs/operator-file.md is not what the schema says");
 }
 
 #[test]
-fn every_key_stands_in_the_sample_and_on_the_page() {
+fn every_key_is_in_the_sample_and_on_the_page() {
     for section in sections() {
         for key in section.keys {
             let shown = SAMPLE.lines().any(|line| line.contains(&format!("{} = ", key.name)));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_pages_first_file_is_right_and_its_first_mistake_reads_as_shown() {
+fn first_file_of_the_page_is_valid_and_its_first_problem_reads_as_shown() {
     let blocks: Vec<&str> = PAGE.split("```").collect();
     let file = blocks[1].strip_prefix("toml\n").unwrap();
     assert!(read("operator.toml", file).is_ok());
--- a/crates/config/tests/extension.rs
+++ b/crates/config/tests/extension.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_empty_file_adds_nothing() {
+fn empty_extension_adds_nothing() {
     let added = good("# nothing\n");
     assert_eq!((added.limits.answer_stall, added.limits.head_timeout), (None, Micros(2_100_000)));
     assert_eq!((added.deduplication_group, added.zone, added.pools.len()), (None, None, 0));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn pools_and_routes_stand_beside_the_platforms() {
+fn extension_adds_pools_and_routes() {
     let added = good(
         "[limits]\nanswer_stall = \"40ms\"\n[request]\nbay = { path = 3 }\n[answers]\nserved = [\"200-299\"]\n\
          [[pool]]\nname = \"far\"\nboxes = [\"127.0.0.1:9001\"]\n\
@@ -49,13 +49,13 @@
 }
 
 #[test]
-fn without_a_route_the_platforms_pool_comes_first() {
+fn platform_pool_is_first_without_routes() {
     let added = good("[[pool]]\nname = \"far\"\nboxes = [\"127.0.0.1:9001\"]\n");
     assert_eq!(added.routes[0].pools, [PoolId(0), PoolId(1)]);
 }
 
 #[test]
-fn what_node_config_says_is_refused_by_its_word() {
+fn key_of_node_config_is_rejected_with_its_name() {
     let report =
         read("[limits]\nmax_attempts = 3\ntick = \"1ms\"\nbody_timeout = \"1s\"\n[[class]]\nname = \"x\"\n")
             .unwrap_err();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn every_key_of_the_schema_is_either_taken_or_refused() {
+fn every_key_is_accepted_or_rejected_as_the_schema_says() {
     for section in SECTIONS.iter().filter(|s| s.shape == Shape::Table) {
         for key in section.keys {
             let value = match key.default {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn mistakes_are_found_as_in_the_operators_file() {
+fn problems_are_reported_as_in_the_operators_file() {
     let text = "[[pool]]\nname = \"platform\"\nboxes = [\"127.0.0.1:1\"]\n[[route]]\nname = \"a\"\nclass = \"reed\"\npools = \"platfrom\"\n";
     let report = read(text).unwrap_err();
     let said: Vec<(usize, &str)> = report.problems().iter().map(|p| (p.line, p.expected.as_str())).collect();
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -6,12 +6,12 @@
 use common::{check, problems, BASE};
 
 #[test]
-fn the_base_is_right() {
+fn base_file_is_valid() {
     assert_eq!(problems(BASE), []);
 }
 
 #[test]
-fn syntax_errors() {
+fn syntax_errors_are_reported() {
     check(&[
         ("tick = \"1ms\"", "tick = 1ms", (13, 8), "`1ms` is not quoted", "expected text in double quotes"),
         ("tick = \"1ms\"", "tick =", (13, 7), "there is no value here", "expected a value"),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn names_that_nothing_has() {
+fn unknown_names_are_reported() {
     check(&[
         (
             "max_attempts",
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn what_does_not_fit_together() {
+fn conflicting_values_are_reported() {
     check(&[
         ("position = 1", "position = 2", (5, 12), "proxy.position: 2 is not less than proxies", "expected a whole number less than 2"),
         ("aim = \"400ms\"", "aim = \"2s\"", (26, 7), "class.aim: it is over the deadline", "expected an aim of at most 1s"),
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_is_missing() {
+fn missing_keys_are_reported() {
     for (gone, what) in [
         ("listener", "[[listener]] is missing"),
         ("pool", "[[pool]] is missing"),
@@ -167,7 +167,7 @@
 /// One line and the section that it spoils, and mistakes elsewhere: nothing follows from the one, and the others
 /// are found.
 #[test]
-fn a_syntax_error_hides_nothing_elsewhere() {
+fn syntax_error_hides_no_problem_elsewhere() {
     let rest = "[goal]\nwhole = 2\n[[class]]\nname = \"c\"\n[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\n\
                 name = \"p\"\nboxes = [\"127.0.0.1:2\"]\n[[route]]\nname = \"r\"\npools = \"p\"\nclass = \"d\"\n";
     let cases = [
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn the_first_place_is_shown_beside_the_second() {
+fn first_occurrence_is_shown_beside_a_duplicate() {
     let found = problems(&BASE.replace("name = \"b\"", "name = \"a\""));
     assert!(
         found[0].block.contains("49 | name = \"a\"") && found[0].block.contains("first here"),
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_smallest_file_has_every_default() {
+fn smallest_file_has_all_defaults() {
     let operator = good(SMALLEST);
     assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!((operator.proxy.name.as_str(), operator.proxy.seed), ("shaletide", None));
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn the_default_of_served_in_the_schema_is_the_plain_one() {
+fn default_of_served_is_the_plain_set() {
     let served = "[answers]\nserved = [\"200-428\", 430, \"431-499\", 501, \"505-599\"]\nnever_ran = []\n";
     assert_eq!(with(&format!("{served}errors = \"as_they_are\"")).routes[0].answers, ResponseRules::plain());
 }
 
 #[test]
-fn a_box_in_short_form_is_a_bay_of_its_own() {
+fn backend_in_short_form_has_its_own_deduplication_group() {
     let operator = good(SMALLEST);
     let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
     assert_eq!(boxes.len(), 2);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_sample_reads_as_it_stands() {
+fn sample_is_valid() {
     let operator = good(SAMPLE);
     assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!(operator.proxy.seed, Some(0x8c1f_30d2_7a5b_e964));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_lines_of_the_sample_that_show_what_may_stand_instead_are_right() {
+fn commented_lines_of_the_sample_are_valid() {
     let boxes = "boxes = [\"127.0.0.1:9011\", \"127.0.0.1:9012\"]\n";
     let text =
         SAMPLE.replace(boxes, "").replace("# discovery", "discovery").replace("# must_ask", "must_ask");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn every_value_comes_out_where_it_belongs() {
+fn every_key_sets_its_field() {
     let text = r#"
         [proxy]
         name = "q.1_a-B"
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn the_store_of_record_and_the_socket_are_off_unless_they_are_there() {
+fn store_of_record_and_control_socket_are_off_by_default() {
     let pay = "[[class]]\nname = \"pay\"\neffect = \"unsafe\"\n";
     let off = with(&format!("{pay}record = \"none\"\n"));
     assert_eq!((off.record, off.control), (None, None));
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn one_thing_may_stand_for_a_list_of_it() {
+fn single_value_counts_as_a_list() {
     let one = "class = \"read\"\nzone = \"a\"\nbay = 7\nmethod = \"GET\"\nheader = { name = \"X-A\" }\npools = \"all\"";
     let list = "class = [\"read\"]\nzone = [\"a\"]\nbay = [\"7\"]\nmethod = [\"GET\"]\nheader = [{ name = \"x-a\" }]\n\
                 pools = [\"all\"]";
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn discovery_may_push() {
+fn discovery_mode_push_is_read() {
     let pool = "[[pool]]\nname = \"d\"\ndiscovery = \"[::1]:8500\"\ndiscovery_mode = \"push\"";
     let operator = with(pool);
     let PoolSource::Discovery { address, mode } = operator.pools[1].source else { panic!("a discovery") };
@@ -230,13 +230,13 @@
 }
 
 #[test]
-fn windows_line_ends_and_a_byte_order_mark_change_nothing() {
+fn windows_line_ends_and_byte_order_mark_change_nothing() {
     let windows = format!("\u{feff}{}", SAMPLE.replace('\n', "\r\n"));
     assert_eq!(read_bytes("f.toml", windows.as_bytes()).unwrap(), good(SAMPLE));
 }
 
 #[test]
-fn what_needs_a_restart_is_named_and_nothing_else() {
+fn needs_restart_names_exactly_the_changed_keys() {
     let old = good(SAMPLE);
     assert_eq!(old.needs_restart(&old), [""; 0]);
     let changes = [
--- a/crates/config/tests/record.rs
+++ b/crates/config/tests/record.rs
@@ -22,7 +22,7 @@
 const STORE: &str = "[record]\npath = \"r.db\"";
 
 #[test]
-fn permits_are_for_unsafe_classes() {
+fn intents_are_for_unsafe_classes_only() {
     let (line, what, block) = only(&with("record = \"permit\"", STORE));
     assert_eq!((line, what.as_str()), (36, "class.record: the class is not unsafe"));
     assert!(block.contains("without `effect` a class is safe"), "{block}");
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_recorded_wants_a_store() {
+fn recording_needs_a_store() {
     for word in ["permit", "facts"] {
         let (_, what, block) = only(&with(&format!("{UNSAFE}\nrecord = \"{word}\""), ""));
         assert_eq!(what, format!("class.record: `{word}` without a store to record in"));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn without_key_wants_permits() {
+fn without_key_needs_intents() {
     for (class, record) in [
         (format!("{UNSAFE}\nrecord = \"facts\"\nwithout_key = \"refuse\""), STORE),
         ("without_key = \"record\"".into(), STORE),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_wait_lies_under_every_deadline_and_both_are_named() {
+fn intent_timeout_is_under_every_deadline() {
     let class = format!("{UNSAFE}\naim = \"20ms\"\ndeadline = \"50ms\"");
     let (line, what, block) = only(&with(&class, STORE));
     assert_eq!(
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn values_of_the_store() {
+fn values_of_the_store_are_read() {
     check(&[
         (
             "[goal]",
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_platform_has_no_disk() {
+fn store_of_record_is_rejected_on_the_platform() {
     let names = PlatformNames { classes: vec!["read".into()], tenants: vec![] };
     let report = read_extension("w.toml", "[record]\npath = \"r.db\"\n[control]\nsocket = \"c\"\n", &names);
     let said: Vec<_> = report.unwrap_err().problems().iter().map(|p| (p.line, p.expected.clone())).collect();
--- a/crates/config/tests/report.rs
+++ b/crates/config/tests/report.rs
@@ -12,7 +12,7 @@
 
 /// `PRINT=1 cargo test -p shaletide-config --test report` writes what is printed now.
 #[test]
-fn fifteen_planted_mistakes_are_all_reported_in_one_go() {
+fn fifteen_problems_are_reported_in_one_report() {
     let report = read("operator.toml", PLANTED).expect_err("it has mistakes");
     let printed = format!("{report}\n");
     if std::env::var_os("PRINT").is_some() {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn problems_stand_in_the_order_of_their_lines_and_the_last_line_has_the_count() {
+fn problems_are_sorted_by_line_and_counted() {
     let text = "[goal]\nwhole = 2\nworst_class = 2\n[proxy]\nposition = 1\n[limits]\ncancel = 1\n";
     let report = report(text);
     let lines: Vec<usize> = report.problems().iter().map(|p| p.line).collect();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn of_very_many_problems_the_first_are_shown_and_the_rest_counted() {
+fn first_problems_are_shown_and_the_rest_counted() {
     let keys: String = (0..1000).map(|n| format!("unknown_{n} = 1\n")).collect();
     let report = report(&format!("[limits]\n{keys}"));
     assert_eq!((report.problems().len(), report.total()), (SHOWN, 1003));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn windows_line_ends_and_a_byte_order_mark_keep_lines_and_columns() {
+fn windows_line_ends_and_byte_order_mark_keep_positions() {
     let text = "[goal]\nwhole = 2\n\n[limits]\ncancel = 3\n";
     let plain = report(text);
     for other in [
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn marks_stand_under_tabs_and_wide_characters() {
+fn marks_align_under_tabs_and_wide_characters() {
     let report = report("[proxy]\n\tname = \"漢字é\"\t# ü\n[goal]\n\twhole\t=\t2\n");
     let wide = &report.problems()[3];
     assert_eq!((wide.line, wide.column), (2, 9));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn nothing_that_steers_a_terminal_comes_through() {
+fn control_characters_are_not_printed() {
     let odd = "\u{1b}[31m\u{7}\u{9b}2J\u{202e}\u{200b}\u{feff}\u{2028}";
     let cases = [
         format!("[proxy]\nname = '{odd}'\n"),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_very_long_line_is_cut_around_the_mistake() {
+fn long_line_is_cut_around_the_problem() {
     let many = "\"127.0.0.1:1\", ".repeat(50_000);
     let text = format!("[[pool]]\nname = \"p\"\nboxes = [{many}\"x\"]\n");
     let report = read("f.toml", &text).expect_err("it has mistakes");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_utf8_are_shown_with_their_place() {
+fn invalid_utf8_is_shown_with_its_position() {
     for (bytes, place) in [
         (&b"[proxy]\r\nname = \"a\xffb\"\r\n"[..], (2, 10)),
         (b"\xef\xbb\xbf[proxy]\nname = \"\xc3\"", (2, 9)),
--- a/crates/config/tests/values.rs
+++ b/crates/config/tests/values.rs
@@ -6,7 +6,7 @@
 use common::check;
 
 #[test]
-fn types_units_and_ranges() {
+fn wrong_types_units_and_ranges_are_reported() {
     check(&[
         (
             "max_attempts = 3",
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn odd_names_and_words() {
+fn invalid_names_and_words_are_reported() {
     check(&[
         ("\"quay-1\"", "\"\"", (2, 8), "proxy.name: a name may not be empty", "expected a name: 1 to 64"),
         ("\"quay-1\"", "\"quay 1\"", (2, 8), "proxy.name: `quay 1` is no name", "expected a name"),
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn addresses() {
+fn invalid_addresses_are_reported() {
     check(&[
         (
             "127.0.0.1:8081",
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn answers() {
+fn invalid_response_rules_are_reported() {
     check(&[
         (
             "404]",
--- a/crates/shaletide/benches/front/main.rs
+++ b/crates/shaletide/benches/front/main.rs
@@ -6,8 +6,8 @@
 //! `SHALETIDE_AGAINST` names another, or the file of a program. What needs a program that is not there (valgrind, strace) is passed over, with a line that says so.
 #![allow(missing_docs)] // a program; its modules say what they do
 
-#[path = "../../tests/rig/mod.rs"]
-mod rig;
+#[path = "../../tests/harness/mod.rs"]
+mod harness;
 mod stock;
 
 mod calls;
@@ -19,7 +19,7 @@
 mod record;
 mod routes;
 
-use rig::*;
+use harness::*;
 
 /// The path of the program that is measured.
 const HERE: &str = env!("CARGO_BIN_EXE_shaletide");
--- a/crates/shaletide/src/demo/report/tests.rs
+++ b/crates/shaletide/src/demo/report/tests.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_sound_run_holds_and_ends_with_status_0() {
+fn run_without_violations_holds_and_exits_0() {
     let report = report(&sound());
     assert!(report.holds, "{}", report.text);
     assert_eq!((status(&report, false), status(&report, true)), (0, 130));
@@ -71,7 +71,7 @@
 
 /// What a proxy that breaks a rule would have left behind, rule by rule.
 #[test]
-fn each_rule_that_is_broken_is_named_and_ends_it_with_status_1() {
+fn each_broken_rule_is_named_and_exits_1() {
     let late = Time(10_000_000) + GRACE + Micros(1);
     type Break = Box<dyn Fn(&mut DemoRun)>;
     let breaks: [(&str, Break); 10] = [
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_did_not_come_about_and_a_run_without_shares_are_said() {
+fn missing_faults_and_missing_shares_are_reported() {
     let run = DemoRun { missing: vec!["the drain".into()], measured: None, interrupted: true, ..sound() };
     let report = report(&run);
     assert!(!report.holds && report.text.contains("Did not come about: the drain"), "{}", report.text);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn lines_fit_a_hundred_columns() {
+fn report_lines_fit_100_columns() {
     let mut run = sound();
     (0..99_999).for_each(|n| asked(&mut run, 0, n + 9, End::Status(503)));
     ran(&mut run, 1, 2, 2, Time(3_100_000));
--- a/crates/shaletide/src/demo/stage/tests.rs
+++ b/crates/shaletide/src/demo/stage/tests.rs
@@ -2,7 +2,7 @@
 use shaletide_config::operator::read;
 
 #[test]
-fn the_file_makes_sense_and_names_the_clients_classes() {
+fn demo_file_is_valid_and_has_the_clients_classes() {
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let operator = read("demo.toml", &config(at(1), at(2))).unwrap_or_else(|report| panic!("{report}"));
     let named: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
--- a/crates/shaletide/src/descriptors/tests.rs
+++ b/crates/shaletide/src/descriptors/tests.rs
@@ -16,7 +16,7 @@
 const ALL: &str = "[control]\nsocket = \"/tmp/c.sock\"\n[record]\npath = \"/tmp/r.db\"\n";
 
 #[test]
-fn the_platforms_process_keeps_64_in_reserve() {
+fn platform_process_keeps_64_descriptors_in_reserve() {
     for (limit, clients, upstreams) in [(64, 1, 1), (80, 8, 8), (256, 96, 96), (1_024, 480, 480)] {
         let divided = Descriptors::new(limit, &setup(1, 1, ""));
         assert_eq!((divided.clients, divided.upstreams), (clients, upstreams), "{limit}");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn clients_and_upstreams_at_their_bounds_leave_one_for_each_listener_and_discovery() {
+fn reserve_has_a_descriptor_for_each_listener_and_discovery() {
     for limit in [256, 1_024, 1_000_000] {
         for (listeners, discoveries) in [(1, 0), (1, 1), (64, 1), (1, 63), (64, 63)] {
             for more in ["", ALL] {
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn discoveries_that_a_reload_adds_are_taken_from_upstreams() {
+fn discoveries_added_by_reload_reduce_upstream_connections() {
     let before = Descriptors::new(256, &setup(1, 1, ""));
     let after = before.reconfigured(&setup(1, 41, ""));
     assert_eq!((after.clients, after.upstreams), (before.clients, before.upstreams - 40));
--- a/crates/shaletide/src/files/tests.rs
+++ b/crates/shaletide/src/files/tests.rs
@@ -5,7 +5,7 @@
 
 /// Half of a file may make sense, and it is taken whole: by the time it is looked at it has to be at rest.
 #[test]
-fn a_file_that_is_written_to_while_it_is_read_again_is_none() {
+fn file_written_during_a_second_reading_is_rejected() {
     let path = std::env::temp_dir().join(format!("shaletide-still-{}", std::process::id()));
     let next = path.with_extension("next");
     std::fs::write(&path, "half").unwrap();
--- a/crates/shaletide/src/reload/tests.rs
+++ b/crates/shaletide/src/reload/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_file_that_makes_no_sense_yet_is_read_again_without_a_further_signal() {
+fn invalid_file_is_read_again_without_another_signal() {
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_file_that_never_makes_sense_is_left_alone_after_six_readings() {
+fn invalid_file_is_given_up_after_six_readings() {
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_later_hangup_begins_afresh_and_counts_from_the_first_that_got_nothing() {
+fn later_sighup_restarts_retries_and_keeps_the_first_request_time() {
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_hangup_is_heeded_while_earlier_readings_hang_and_what_they_bring_later_is_too_old() {
+fn sighup_is_handled_while_earlier_readings_hang() {
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         reader.hangup(&running);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn no_more_than_so_many_readings_hang_and_the_next_begins_as_one_comes_back() {
+fn concurrent_readings_are_bounded() {
     with_runtime(async {
         let (mut reader, running, begun) = reader();
         let mut hang = Vec::new();
--- a/crates/shaletide/src/setup/tests.rs
+++ b/crates/shaletide/src/setup/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn classes_and_tenants_keep_their_numbers_in_whatever_order_a_new_file_has_them() {
+fn classes_and_tenants_keep_their_numbers_across_reloads() {
     let old = setup("a b", "x y");
     let next = old.prepare_reload(setup("c b a", "z y x")).unwrap();
     let names: Vec<&str> = next.operator.classes.iter().map(|c| c.name.as_str()).collect();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn only_pools_with_another_beside_them_may_be_left_whole() {
+fn failover_is_possible_only_where_a_route_has_another_pool() {
     let spare: Vec<bool> = setup("a b", "x y").pools().iter().map(|p| p.config.has_failover_pool).collect();
     assert_eq!(spare, [true, true]);
     let mut one = setup("a b", "x y");
--- a/crates/shaletide/tests/accept_queue.rs
+++ b/crates/shaletide/tests/accept_queue.rs
@@ -1,8 +1,8 @@
 //! Requests that wait in the kernel while the program does not come round to them: that time is part of theirs.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::time::Duration;
 
 /// So long the program stands still while requests wait.
@@ -17,7 +17,7 @@
 
 /// A connection in the accept queue, and one that has been accepted before.
 #[test]
-fn time_in_the_kernel_counts_against_the_time_told_to_a_backend() {
+fn time_in_the_accept_queue_counts_against_the_time_left() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let mut kept = proxy.client();
--- a/crates/shaletide/tests/habits.rs
+++ b/crates/shaletide/tests/backend_behaviour.rs
@@ -1,9 +1,9 @@
 //! Odd habits of servers, as modes of the stand-in backends behind `shaletide serve`: what they answer passes unchanged,
 //! and no request comes to them twice.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::time::Duration;
 
 const IN_TURN: usize = 300;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn answers_in_two_segments_or_byte_by_byte_are_served_each_once() {
+fn fragmented_responses_are_served_once() {
     for sending in [Sending::TwoSegments, Sending::Drip(Duration::from_millis(2))] {
         let fleet = fleet(Duration::from_secs(60));
         fleet.boxes()[0].set(Fault::Send(sending));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn connections_that_end_after_each_answer_said_or_not_are_served_from() {
+fn connections_closed_after_each_response_are_served_from() {
     for says_so in [true, false] {
         let fleet = fleet(Duration::from_secs(60));
         fleet.boxes()[0].set(Fault::Close(says_so));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn answers_without_a_body_and_odd_statuses_pass_unchanged() {
+fn bodyless_responses_and_unusual_statuses_are_forwarded_unchanged() {
     let fleet = fleet(Duration::from_secs(60));
     let proxy = before(&fleet, "");
     let mut client = proxy.client();
@@ -81,7 +81,7 @@
 
 /// Where `idle_timeout` says what the backend's time is, no connection is used that may be about to end.
 #[test]
-fn connections_about_to_end_are_not_used_where_the_file_says_when() {
+fn connections_near_backends_idle_timeout_are_not_used() {
     let fleet = fleet(Duration::from_millis(200));
     let proxy = before(&fleet, "[limits]\nidle_timeout = \"200ms\"\n");
     let mut client = proxy.client();
--- a/crates/shaletide/tests/client_gone.rs
+++ b/crates/shaletide/tests/client_close_before_read.rs
@@ -1,10 +1,10 @@
 //! Clients that close between the event loop's wait and the turn in which their requests are read: the program is
 //! delayed there, so that what the loop was told is older than the close each time.
 
-mod rig;
+mod harness;
 
-use rig::strace::Strace;
-use rig::*;
+use harness::strace::Strace;
+use harness::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::mpsc;
--- a/crates/shaletide/tests/left.rs
+++ b/crates/shaletide/tests/client_disconnects.rs
@@ -1,9 +1,9 @@
 //! Clients that have left: what a request waits for may come, but it is sent nowhere any more. By the close of their
 //! connection or by its reset, with and without further bytes behind the request.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -136,19 +136,19 @@
 }
 
 #[test]
-fn a_request_that_is_held_is_not_sent_once_its_client_has_left() {
+fn queued_request_is_not_sent_after_client_disconnects() {
     held(false);
 }
 
 #[test]
-fn nor_while_the_program_stops() {
+fn queued_request_is_not_sent_after_client_disconnects_during_shutdown() {
     held(true);
 }
 
 /// Several hundred leave at once: from places that are all taken, and from the kernel's queue behind them, where their
 /// requests lie and were not read yet. The backend comes 0.3 s later, and the queue moves on only then.
 #[test]
-fn a_burst_that_leaves_from_its_places_and_from_the_queue_is_not_sent() {
+fn burst_that_disconnects_from_slots_and_queue_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for how in [Leaving::Close, Leaving::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
@@ -174,7 +174,7 @@
 
 /// They leave while the program is busy with the turn in which it finds all of their requests.
 #[test]
-fn a_burst_that_leaves_as_it_is_read_is_not_sent() {
+fn burst_that_disconnects_while_it_is_read_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for how in [Leaving::Close, Leaving::Reset, Leaving::Close, Leaving::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
@@ -201,7 +201,7 @@
 /// Its first attempt is out, and is rejected 0.3 s after the client left: it is given up before, and there is no
 /// second one.
 #[test]
-fn a_request_is_not_tried_again_once_its_client_has_left() {
+fn request_is_not_retried_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Leaving::Close, Leaving::Reset] {
@@ -241,7 +241,7 @@
 
 /// It left before its request was read: both stood in the kernel, on a new connection or on one that was kept.
 #[test]
-fn what_came_with_the_end_of_its_client_is_not_sent() {
+fn request_that_arrives_with_its_clients_close_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Leaving::Close, Leaving::Reset] {
@@ -273,7 +273,7 @@
 
 /// Its body waited for room, which came 0.3 s after it left.
 #[test]
-fn a_body_that_waits_for_room_is_not_let_in_once_its_client_has_left() {
+fn body_that_waits_for_admission_is_dropped_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Leaving::Close, Leaving::Reset] {
@@ -315,7 +315,7 @@
 
 /// The connection for it comes up 0.3 s after it left, and later: it takes the request of one who stayed.
 #[test]
-fn a_connection_that_comes_up_late_is_not_for_those_who_have_left() {
+fn late_connection_is_not_used_for_disconnected_clients() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Leaving::Close, Leaving::Reset] {
@@ -367,7 +367,7 @@
 
 /// What comes behind a request is thrown away, but not without end: that is no client, and its attempt is given up.
 #[test]
-fn a_client_that_sends_without_end_behind_its_request_is_turned_away() {
+fn client_that_sends_endless_excess_bytes_is_disconnected() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
     let mut client = proxy.client();
--- a/crates/shaletide/tests/last.rs
+++ b/crates/shaletide/tests/connection_close.rs
@@ -1,9 +1,9 @@
 //! The last answer on a connection comes whole, whatever its client sent behind its request: the connection ends, and is
 //! not reset before the answer was read.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 
 /// What comes behind the request is there as its answer goes out, or comes after that.
 #[test]
-fn an_answer_is_whole_with_more_behind_its_request() {
+fn response_is_complete_with_excess_bytes_behind_the_request() {
     for round in 0..10 {
         let gate = Arc::new(Gate::default());
         let wait = gate.clone();
@@ -60,7 +60,7 @@
 
 /// A body that is too long is answered before all of it came.
 #[test]
-fn a_refusal_is_read_by_who_still_sends_its_body() {
+fn rejection_reaches_client_that_still_sends_its_body() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     for _ in 0..20 {
@@ -76,7 +76,7 @@
 
 /// Its reader takes its time, and its place is wanted meanwhile: the rest is waited for.
 #[test]
-fn an_answer_on_its_way_is_whole_though_its_place_is_wanted() {
+fn response_in_transit_is_complete_when_its_connection_is_evicted() {
     let backend = BackendServer::start(|_| ok(&"x".repeat(LENGTH)));
     let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
     for round in 0..2 {
@@ -105,7 +105,7 @@
 
 /// Or the program stops, before or after it was asked, and closes what is at rest every few milliseconds.
 #[test]
-fn an_answer_on_its_way_is_whole_though_the_program_stops() {
+fn response_in_transit_is_complete_during_shutdown() {
     let backend = BackendServer::start(|_| ok(&"x".repeat(LENGTH)));
     let mut proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let ask = |n: u32| {
@@ -127,7 +127,7 @@
 
 /// They hold no place, and there are never many of them: others are served as if they were not there.
 #[test]
-fn connections_that_end_slowly_keep_nobody_out() {
+fn slowly_closing_connections_do_not_block_new_clients() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
     let mut ending: Vec<TcpStream> = (0..200)
--- a/crates/shaletide/tests/kills.rs
+++ b/crates/shaletide/tests/crash_recovery.rs
@@ -1,10 +1,10 @@
 //! Killed under load and started again, over and over: no key runs twice, and none that was not executed stays taken.
 //!
-//! The long run: `cargo test --locked --release -p shaletide --test kills -- --ignored --nocapture`.
+//! The long run: `cargo test --locked --release -p shaletide --test crash_recovery -- --ignored --nocapture`.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use shaletide_record::Fact;
 use shaletide_store::{Query, SqliteReader, StoreReader};
 use std::collections::BTreeMap;
@@ -196,12 +196,12 @@
 }
 
 #[test]
-fn fifty_kills() {
+fn no_key_runs_twice_over_fifty_kills() {
     killed_under_load("fifty", 50);
 }
 
 #[test]
 #[ignore = "a few minutes"]
-fn a_thousand_kills() {
+fn no_key_runs_twice_over_a_thousand_kills() {
     killed_under_load("thousand", 1_000);
 }
--- a/crates/shaletide/tests/windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -1,11 +1,11 @@
 //! Killed in each window of a settle, under load: the window is brought about and shown, by what store, backend and client
 //! have of it, and what the same key gets at the program that is started again.
 //!
-//! The long run: `cargo test --locked --release -p shaletide --test windows -- --ignored --nocapture`.
+//! The long run: `cargo test --locked --release -p shaletide --test crash_windows -- --ignored --nocapture`.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use shaletide_record::Fact;
 use shaletide_store::{Query, SqliteReader, StoreReader};
 use std::collections::{BTreeMap, BTreeSet};
@@ -427,12 +427,12 @@
 }
 
 #[test]
-fn twice_in_each_window() {
+fn no_key_runs_twice_over_two_kills_in_each_window() {
     killed_in_each_window("twice", 2, 1);
 }
 
 #[test]
 #[ignore = "some minutes"]
-fn seventy_five_times_in_each_window() {
+fn no_key_runs_twice_over_75_kills_in_each_window() {
     killed_in_each_window("often", 75, 10);
 }
--- a/crates/shaletide/tests/demo.rs
+++ b/crates/shaletide/tests/demo.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_demo_keeps_every_rule_and_shows_what_it_did() {
+fn demo_holds_all_rules_and_prints_report() {
     let output = demo(&["--seconds", "5", "--show-config"]).output().expect("the program");
     let (text, log) =
         (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr).to_string());
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn sigint_ends_the_demo_early_with_what_there_is() {
+fn sigint_ends_demo_early_with_report() {
     let mut child = demo(&["--seconds", "120"])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn spans_that_are_too_short_or_too_long_are_not_taken() {
+fn seconds_out_of_range_are_rejected() {
     for seconds in ["4", "121", "soon"] {
         let output = demo(&["--seconds", seconds]).output().expect("the program");
         assert_eq!(output.status.code(), Some(2), "{seconds}");
--- a/crates/shaletide/tests/explore.rs
+++ b/crates/shaletide/tests/explore.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_world_that_is_exhausted_ends_with_status_0_and_a_row() {
+fn exhausted_world_prints_row_and_exits_0() {
     let (code, out, _) = explore(&["--world", "race"]);
     assert_eq!(code, Some(0));
     let row = out.lines().last().expect("a row");
@@ -19,21 +19,21 @@
 }
 
 #[test]
-fn a_limit_that_was_hit_ends_with_status_3_and_says_so() {
+fn exceeded_limit_is_reported_and_exits_3() {
     let (code, out, _) = explore(&["--boxes", "2", "--requests", "4", "--seconds", "0"]);
     assert_eq!(code, Some(3));
     assert!(out.trim_end().ends_with("| no: a limit was hit |"), "{out}");
 }
 
 #[test]
-fn an_unknown_world_ends_with_status_2_and_the_names_of_those_there_are() {
+fn unknown_world_lists_known_ones_and_exits_2() {
     let (code, _, err) = explore(&["--world", "flat"]);
     assert_eq!(code, Some(2));
     assert!(err.contains("there is no world \"flat\"") && err.contains("late-connect"), "{err}");
 }
 
 #[test]
-fn what_was_met_and_what_was_not_is_said() {
+fn coverage_lists_transitions_met_and_not_met() {
     let (code, out, _) = explore(&["--world", "race", "--cover"]);
     assert_eq!(code, Some(0));
     assert!(out.contains("Up at Open/Opening -> Open/Writing, Open/Ended"), "{out}");
--- a/crates/shaletide/tests/stop.rs
+++ b/crates/shaletide/tests/graceful_shutdown.rs
@@ -1,8 +1,8 @@
 //! The program is told to end: what it has taken gets its whole answer, and it has ended before it would be killed.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
@@ -31,7 +31,7 @@
 
 /// Where a class may take longer than the platform waits, its requests are answered before that all the same.
 #[test]
-fn requests_with_more_time_than_is_left_are_answered_before_the_kill() {
+fn requests_with_long_deadlines_are_answered_before_sigkill() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":8000000");
     let mut proxy = Proxy::with(&[entry("b0", silent.address, "SERVING")], 1024, &settings);
@@ -92,18 +92,18 @@
 }
 
 #[test]
-fn a_program_that_sleeps_over_its_end_answers_before_it_ends() {
+fn process_suspended_past_its_stop_answers_before_exit() {
     sleeps_over_its_end(3200);
 }
 
 #[test]
-fn so_does_one_that_sleeps_from_the_first_moment() {
+fn process_suspended_from_sigterm_on_answers_before_exit() {
     sleeps_over_its_end(50);
 }
 
 /// What is idle is closed while connections are still accepted; what has begun to come, or was just accepted, is not.
 #[test]
-fn idle_connections_are_closed_first_and_new_ones_and_half_requests_last() {
+fn shutdown_closes_idle_connections_first_and_partial_requests_last() {
     let backend = BackendServer::start(|_| ok("x"));
     let mut proxy = one(&backend);
     let mut idle: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
@@ -133,7 +133,7 @@
 
 /// Signals that come together, again, or while the program stops: it ends once, with everything answered.
 #[test]
-fn signals_that_cross_change_nothing() {
+fn overlapping_signals_change_nothing() {
     for signals in [["TERM", "TERM"], ["TERM", "HUP"], ["HUP", "TERM"], ["TERM", "INT"], ["INT", "HUP"]] {
         let gate = Arc::new(Gate::default());
         let wait = gate.clone();
@@ -156,7 +156,7 @@
 
 /// Its list was never got: the program ends like any other, and what it holds is answered.
 #[test]
-fn a_program_that_never_got_its_list_ends() {
+fn process_without_a_list_exits() {
     let mut proxy = Proxy::start(&[]);
     let (_, _silent) = proxy.discovery.call();
     let mut client = proxy.client();
@@ -170,7 +170,7 @@
 
 /// Who holds half of a request, or reads nothing, does not keep the program.
 #[test]
-fn clients_that_go_no_further_do_not_keep_the_program() {
+fn stalled_clients_do_not_delay_exit() {
     let backend = BackendServer::start(|_| ok(&"x".repeat(60_000)));
     let mut proxy = one(&backend);
     let (mut half, mut deaf) = (proxy.client(), proxy.client());
@@ -185,7 +185,7 @@
 
 /// Connections that stood in the kernel's queue as it was told to end.
 #[test]
-fn what_waits_to_be_accepted_is_answered() {
+fn requests_in_the_accept_queue_are_answered_at_shutdown() {
     let backend = BackendServer::start(|_| ok("x"));
     let mut proxy = one(&backend);
     assert_eq!(proxy.ask(&read(3.0)).status(), 200);
@@ -203,7 +203,7 @@
 /// Connections that stand in the queue because all places are taken, still as no new ones come any more: each is taken
 /// in as a place is free, and none is closed with its request unread.
 #[test]
-fn what_waits_for_a_place_is_answered() {
+fn requests_waiting_for_a_slot_are_answered_at_shutdown() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -228,7 +228,7 @@
 /// Clients go on on every connection that stays open, and open new ones while that works; a third of the requests find
 /// a backend that hangs. Whatever was taken is answered whole; only a connection that was answered before may end instead.
 #[test]
-fn clients_that_go_on_to_the_end_get_every_answer() {
+fn clients_that_keep_sending_get_every_response() {
     let backend = BackendServer::start(|n| if n % 3 == 2 { Reply::Silence } else { ok("x") });
     let mut proxy = one(&backend);
     let (answered, lost) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
@@ -273,7 +273,7 @@
 /// A hang-up that comes before the configuration is read ends nothing: it is read again once the program serves. Its
 /// configuration comes by a pipe, which holds the reading until the test lets go.
 #[test]
-fn a_hangup_before_the_configuration_is_read_is_heeded() {
+fn sighup_before_the_configuration_is_read_is_handled() {
     let backend = BackendServer::start(|_| ok("x"));
     let door = Refusing::new();
     let path = std::env::temp_dir().join(format!("shaletide-stop-{}.toml", std::process::id()));
@@ -306,7 +306,7 @@
 
 /// Whoever reads its log has gone, as on a disk that is full: lines are lost, and nothing else.
 #[test]
-fn a_log_that_cannot_be_written_ends_nothing() {
+fn unwritable_log_ends_nothing() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -336,7 +336,7 @@
 
 /// Its log is on a disk that is full, or has reached the limit on files' sizes, from its first line on: it serves.
 #[test]
-fn a_log_that_is_full_ends_nothing() {
+fn full_log_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
     let name = std::env::temp_dir().join(format!("shaletide-full-{}", std::process::id()));
     let (path, full) = (name.with_extension("toml"), name.with_extension("log"));
--- a/crates/shaletide/tests/hostile.rs
+++ b/crates/shaletide/tests/hostile_input.rs
@@ -1,8 +1,8 @@
 //! Careless operators, hostile clients and broken backends against the program that serves by a file.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -88,7 +88,7 @@
 /// Where attempts are not withdrawn they end with their client's time all the same: no connection is held by a backend
 /// that never answers.
 #[test]
-fn an_attempt_that_may_not_be_withdrawn_ends_with_its_time() {
+fn attempt_that_may_not_be_cancelled_ends_at_its_deadline() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let served = Served::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
     let answer = served.client().ask(&read(0.3));
@@ -100,7 +100,7 @@
 
 /// What was taken while classes had more time is answered by that time, though the program stops by a new file.
 #[test]
-fn a_stop_waits_for_requests_taken_before_their_class_got_less_time() {
+fn shutdown_waits_for_requests_accepted_under_a_longer_deadline() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let slow = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -121,7 +121,7 @@
 
 /// A file that cannot be read to its end holds up nobody: neither one that nobody writes to nor one without end.
 #[test]
-fn a_file_without_end_stops_nothing() {
+fn endless_file_does_not_block_reload() {
     let good = BackendServer::start(|_| ok("x"));
     let text = file(CLASSES, &[&good]);
     let served = Served::by(&text);
@@ -144,7 +144,7 @@
 
 /// Signals that come while a file is read are one more reading, and the last file counts.
 #[test]
-fn the_last_of_many_files_is_taken() {
+fn last_of_many_reloads_is_applied() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let served = Served::by(&file(CLASSES, &[&old]));
     for _ in 0..50 {
@@ -162,7 +162,7 @@
 /// A request that belongs to no class as its path stands, but to one by another way to read it, is not taken for one of
 /// the class for all others: that may be repeated.
 #[test]
-fn a_path_that_others_read_as_an_unsafe_class_is_turned_away() {
+fn ambiguous_path_to_unsafe_class_is_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let ask = |form: &str, path: &str| {
         let any = "[[class]]\nname = \"any\"\nmethods = [\"GET\", \"POST\"]\n";
@@ -187,7 +187,7 @@
 
 /// Nobody has asked for another protocol: an answer that says so is none, and its client never sees it.
 #[test]
-fn an_answer_that_switches_protocols_is_spoilt() {
+fn protocol_switch_is_an_invalid_response() {
     for more in ["Content-Length: 5\r\n\r\nhello", "Transfer-Encoding: chunked\r\n\r\n", "Upgrade: x\r\n\r\n"]
     {
         let pieces = vec![format!("HTTP/1.1 101 X\r\n{more}")];
@@ -199,7 +199,7 @@
 
 /// Of requests and answers alike.
 #[test]
-fn the_longest_body_is_what_the_file_says() {
+fn max_body_limits_request_and_response() {
     let length = |n: u32| if n == 0 { 2000 } else { 2001 };
     let backend = BackendServer::start(move |n| ok(&"x".repeat(length(n))));
     let text = file(&format!("[limits]\nmax_body = \"2KB\"\n{CLASSES}"), &[&backend]);
@@ -217,7 +217,7 @@
 
 /// A hint of the work that no machine could do is a hint.
 #[test]
-fn a_hint_beyond_all_numbers_harms_nobody() {
+fn overflowing_work_hint_is_ignored() {
     let backend = BackendServer::start(|_| ok("x"));
     let classes = CLASSES.replace("\"read\"", "\"read\"\naim_stretch = 2.0");
     let served = Served::by(&file(&classes, &[&backend]));
@@ -229,7 +229,7 @@
 
 /// Asked for news with time to wait, a discovery that answers at once that there is none is not asked without a pause.
 #[test]
-fn a_discovery_that_never_waits_is_given_a_pause() {
+fn discovery_that_answers_at_once_is_polled_with_pauses() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let (_, answer) = proxy.discovery.call();
--- a/crates/shaletide/tests/eviction.rs
+++ b/crates/shaletide/tests/idle_eviction.rs
@@ -1,9 +1,9 @@
 //! Idle clients hold all connection slots, and new ones keep coming: what it costs to make room for them.
 
-mod rig;
+mod harness;
 
-use rig::strace::Strace;
-use rig::*;
+use harness::strace::Strace;
+use harness::*;
 
 /// Connections that arrive once all slots are taken.
 const ARRIVALS: usize = 60;
--- a/crates/shaletide/tests/idle_close.rs
+++ b/crates/shaletide/tests/idle_timeout.rs
@@ -1,8 +1,8 @@
 //! A resting connection whose time is up in the moment in which a request arrives on it.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::time::Duration;
 
 /// A resting connection is closed after this time (2.1 s on the platform), less what a busy machine needs to stop it.
@@ -14,7 +14,7 @@
 /// events is interrupted and tells of none, so that timers are looked at before sockets: the request is answered all the
 /// same. The bad order is made to happen each time.
 #[test]
-fn request_that_arrives_while_the_process_is_held_up_is_answered_on_its_resting_connection() {
+fn request_during_a_suspension_is_answered_on_its_idle_connection() {
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     for round in 0..3 {
--- a/crates/shaletide/tests/large_fleet.rs
+++ b/crates/shaletide/tests/large_fleet.rs
@@ -1,9 +1,9 @@
 //! The program as one of 350 proxies before 1,024 backends, with the least memory and the fewest descriptors that it is
 //! ever given; and what idle clients cannot take from it.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn one_of_350_proxies_serves_from_1024_backends_told_whole_and_as_changes() {
+fn one_of_350_proxies_serves_from_1024_backends_by_snapshot_and_delta() {
     for mode in ["automatic", "subscribe"] {
         let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
         let at = [low.address, high.address];
@@ -159,7 +159,7 @@
 /// connection of its own all the same; so has the one to another discovery after a reload; and as the list is there, a
 /// connection to a backend comes up.
 #[test]
-fn idle_clients_take_no_descriptor_from_discovery_reload_and_backends() {
+fn idle_clients_leave_descriptors_for_discovery_reload_and_backends() {
     for mode in ["automatic", "subscribe"] {
         let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
         let at = [low.address, high.address];
@@ -187,7 +187,7 @@
 
 /// The system may grant less than the configuration says: the reserve is kept out of what it grants.
 #[test]
-fn idle_clients_take_no_descriptor_from_backends_where_the_system_grants_fewer() {
+fn idle_clients_leave_descriptors_for_backends_under_a_lower_system_limit() {
     let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
     let at = [low.address, high.address];
     let proxy = Proxy::launched(&[], 1_024, &settings("automatic"), DESCRIPTORS);
@@ -205,7 +205,7 @@
 
 /// A line for each of 1,024 backends is more than a pipe takes. Whoever collects the log may be slow, or gone.
 #[test]
-fn a_log_that_nobody_reads_holds_up_neither_start_nor_requests_nor_end() {
+fn unread_log_delays_neither_start_nor_requests_nor_shutdown() {
     let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
     let (discovery, door) = (DiscoveryServer::start(), Refusing::new());
     let known = list(4, true, &entries([low.address, high.address], 0..BACKENDS, "SERVING"));
--- a/crates/shaletide/tests/late.rs
+++ b/crates/shaletide/tests/late_response.rs
@@ -1,8 +1,8 @@
 //! What a backend sends some milliseconds after its answer is never the answer to the next request.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
@@ -43,7 +43,7 @@
 
 /// Requests of each effect in turn, the next as soon as the shortest rest is over that was ever kept.
 #[test]
-fn a_second_copy_of_an_answer_some_milliseconds_late_is_served_to_nobody() {
+fn late_duplicate_response_is_served_to_nobody() {
     let mut found = Vec::new();
     for late in [3, 5, 8] {
         let (address, crossed) = answers_twice(Duration::from_millis(late));
--- a/crates/shaletide/tests/list_log.rs
+++ b/crates/shaletide/tests/list_log.rs
@@ -1,8 +1,8 @@
 //! What the log says of long lists that change often: a line a list, not one a backend.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::time::Duration;
 
 /// Lists of wholly new backends, one after the other; returns the lines of the log and the peak of memory in KiB.
@@ -39,7 +39,7 @@
 /// 3,200 backends that are replaced three times a second, for 12 s. By hand: `--ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn lines_of_3200_backends_replaced_three_times_a_second() {
+fn log_lines_of_3200_backends_replaced_three_times_a_second() {
     let (lines, peak) = lines_and_memory(3_200, 36, Duration::from_millis(333));
     println!("{} lines in 12 s, peak memory {peak} KiB", lines.len());
     assert!(lines.len() < 200);
--- a/crates/shaletide/tests/listen_address.rs
+++ b/crates/shaletide/tests/listen_address.rs
@@ -1,9 +1,9 @@
 //! The start of the program while its listen address is not to be had: it waits, heeds signals and serves once the
 //! address is free. Each holder of the address is made by the test, and released on what the program says.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn heeds_signals_while_its_address_is_held() {
+fn handles_signals_while_its_address_is_held() {
     let backend = BackendServer::start(|_| ok("done"));
     for signals in [&["TERM"][..], &["INT"], &["HUP", "TERM"], &["HUP", "HUP", "HUP", "TERM", "TERM"]] {
         let held = Holder::Listening.hold();
--- a/crates/shaletide/tests/operator.rs
+++ b/crates/shaletide/tests/operator_file.rs
@@ -1,8 +1,8 @@
 //! Files as operators write them, read by the program itself: `check`, `serve`, and `--with` beside NODE_CONFIG.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::path::PathBuf;
 use std::process::{Command, Output, Stdio};
 use std::time::{Duration, Instant};
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_refused_with_all_that_is_wrong_in_one_run() {
+fn check_reports_all_problems_at_once() {
     let door = Refusing::new();
     let sound = sound(&door);
     let nine = sound
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn what_makes_sense_is_said_so() {
+fn check_confirms_a_valid_file() {
     let door = Refusing::new();
     let file = sound(&door);
     let windows = file.replace('\n', "\r\n");
@@ -124,7 +124,7 @@
 
 /// As it comes from other systems, it is served and read again all the same.
 #[test]
-fn line_ends_and_marks_of_other_systems_change_nothing() {
+fn windows_line_ends_and_byte_order_mark_are_accepted() {
     let backend = BackendServer::start(|_| ok("x"));
     let text = CLASSES.to_string() + &pool("p", &[(backend.address, "1")]);
     let windows = |text: &str| format!("\u{feff}{}", text.replace('\n', "\r\n"));
@@ -142,7 +142,7 @@
 /// 5,000 backends in 50 pools and 200 routes: a request goes where its route says, and while the file is read again
 /// all goes on.
 #[test]
-fn a_large_file_is_served_and_read_again() {
+fn large_file_is_served_and_reloaded() {
     let backends = ["first", "last"].map(|name| BackendServer::start(move |_| ok(name)));
     let file = |at: usize, moved: usize| {
         // The client at rest is waited for, however long the file takes.
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn all_listeners_serve_and_all_drain() {
+fn all_listeners_serve_and_drain() {
     let backend = BackendServer::start(|_| ok("x"));
     let text = CLASSES.to_string() + &pool("p", &[(backend.address, "1")]);
     let mut proxy = program().serve_at((0..3).map(|_| Refusing::new()).collect(), &text);
@@ -210,11 +210,11 @@
 
 /// A request of the platform's class.
 fn vote() -> String {
-    rig::vote(3.0)
+    harness::vote(3.0)
 }
 
 #[test]
-fn a_file_beside_node_config_adds_pools_and_routes() {
+fn extension_file_adds_pools_and_routes() {
     let [near, far] = ["near", "far"].map(|name| BackendServer::start(move |_| ok(name)));
     let clock = Clock::start();
     let entry = Entry::new("b0", near.address, "east", "big", 1);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_key_that_node_config_has_too_ends_the_start() {
+fn extension_with_a_key_of_node_config_ends_the_start() {
     let node = Text::new(
         "node",
         r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":1,"settings":SETTINGS}"#
@@ -283,7 +283,7 @@
 
 /// The file that adds is for NODE_CONFIG alone: beside an operators' file it would be of no effect.
 #[test]
-fn a_file_that_adds_has_no_place_beside_a_command() {
+fn extension_is_rejected_beside_a_command() {
     let (file, add) = (Text::new("alone", sound(&Refusing::new())), Text::new("beside", "# nothing\n"));
     let add = add.0.to_str().expect("a path");
     for command in [&["--with", add, "check"][..], &["--with", add, "serve", "--config"]] {
@@ -295,7 +295,7 @@
 
 /// A time that the file says no more is again what it is without the file.
 #[test]
-fn a_key_that_is_taken_out_has_its_default_again() {
+fn removed_key_returns_to_its_default() {
     let stalling =
         BackendServer::start(|_| Reply::Pieces(vec!["HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca".into()]));
     let entries = vec![Entry::new("b0", stalling.address, "east", "big", 1)];
--- a/crates/shaletide/tests/settings.rs
+++ b/crates/shaletide/tests/platform_settings.rs
@@ -1,9 +1,9 @@
 //! The platform's settings as some deployment may have them: unlike any seen before they are served by their
 //! meaning; where they make no sense the program ends and names the key.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 
 /// The settings with these texts put in the place of others, each of which stands there.
 fn settings(changes: &[(&str, &str)]) -> String {
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn settings_unlike_any_before_are_served_by_their_meaning() {
+fn unusual_settings_are_applied() {
     let tenant = r#"[{"name":"north","quota_rps":500.0}]"#;
     let customers = format!(r#""customers":{tenant},"#);
     for changes in [
@@ -69,7 +69,7 @@
 
 /// The first part of a path names the class, and a name may itself have several parts.
 #[test]
-fn a_class_whose_name_has_a_slash_is_served_under_its_own_rules() {
+fn class_name_with_slash_has_its_own_rules() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = started(&backend, &settings(&[(r#""name":"pay""#, r#""name":"read/PAY.1:a@b+c""#)]));
     let own = |request: String| request.replacen("/pay/k1", "/read/PAY.1:a@b+c/k1", 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_end_the_program_and_name_the_key() {
+fn invalid_settings_end_the_program_and_name_the_key() {
     for (old, new, key) in [
         (r#""gain":1.0"#, r#""gain":-1.0"#, "profiles[0].gain"),
         (r#""quota_rps":500.0"#, r#""quota_rps":-1"#, "customers[0].quota_rps"),
@@ -125,7 +125,7 @@
 
 /// What may be left out of the configuration may be null.
 #[test]
-fn a_configuration_with_null_for_what_may_be_left_out_starts_the_program() {
+fn null_counts_as_absent_in_the_configuration() {
     let backend = BackendServer::start(|_| ok("x"));
     let (_, config) = started(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
@@ -137,7 +137,7 @@
 /// The list from before and the bound on descriptors help a proxy; what makes no sense there does not keep it from
 /// starting, and its backends are those that discovery names.
 #[test]
-fn a_list_from_before_that_cannot_be_read_or_an_odd_bound_keeps_no_proxy_from_starting() {
+fn unreadable_cached_list_or_descriptor_limit_does_not_prevent_start() {
     let backend = BackendServer::start(|_| ok("x"));
     let (_, config) = started(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -1,9 +1,9 @@
 //! Pools: what one cannot take goes on to the next, and no rule ends at a pool's edge; which pool has a backend, and what
 //! it may hold there.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn where_all_pools_are_ill_everything_is_answered_and_nothing_runs_twice() {
+fn requests_are_answered_and_run_once_while_all_pools_fail() {
     for failing in [|| Reply::Reset, || Reply::Answer(500, "", "no".into())] {
         let ((a, first), (b, second)) = (turning("a", failing), turning("b", failing));
         let [p, q] = [("p", &a), ("q", &b)].map(|(name, backend)| pool(name, &[(backend.address, "1")]));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn what_never_ran_goes_on_to_the_next_pool_whatever_its_class() {
+fn not_executed_request_fails_over_whatever_its_class() {
     let power = Power::warm(4, 1.0);
     let fleet =
         Fleet::start((0..4).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()).expect("a fleet");
@@ -90,7 +90,7 @@
 /// A keyed request that may have run goes on in the next pool only where that drops what this one has seen: in a
 /// common group, inside the scope of its key, within its window.
 #[test]
-fn a_settle_that_may_have_run_goes_on_inside_its_repeat_group_alone() {
+fn keyed_request_that_may_have_run_fails_over_only_inside_its_domain() {
     let (bay, all, zone) = ("\"bay\"", "\"all\"", "\"zone\"");
     // The key's scope, the groups of the two pools, bay and zone of the backend in the second, and whether it goes on.
     let cases = [
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_settle_goes_nowhere_once_its_window_is_over() {
+fn keyed_request_is_not_retried_after_its_window() {
     let slow = || {
         std::thread::sleep(Duration::from_millis(400));
         Reply::Reset
@@ -145,7 +145,7 @@
 
 /// With 8 cores a backend may hold eight times as many as with one.
 #[test]
-fn a_box_holds_as_many_as_its_cores_allow() {
+fn backend_has_as_many_in_flight_as_its_cores_allow() {
     for (cores, holds) in [(1, 4), (2, 8), (8, 32)] {
         let gate = Arc::new(Gate::default());
         let wait = gate.clone();
@@ -195,7 +195,7 @@
 /// A backend that a file brings anew is cold: here it gets one request in an hour. One that was there, in whichever
 /// pool, is as warm as it was.
 #[test]
-fn a_box_that_is_new_in_a_file_is_cold_and_one_that_moves_is_not() {
+fn new_backend_starts_cold_and_moved_one_does_not() {
     let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
     let rules = "[rules]\nramp = \"1h\"\nfall_window = \"1h\"\nfall_multiple = 0.0000001\n";
     let routes = route("p", "class = \"pay\"", &["p"]) + &route("rest", "", &["q"]);
@@ -230,7 +230,7 @@
 
 /// What a backend holds goes along to another pool, and so does its drain.
 #[test]
-fn a_box_that_moves_keeps_what_it_holds() {
+fn moved_backend_keeps_its_in_flight_attempts() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let moved = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -263,7 +263,7 @@
 
 /// An address that two lists bring stays with the pool that had it first. It is told as long as that is so.
 #[test]
-fn an_address_in_two_lists_stays_where_it_was_until_it_is_free() {
+fn address_in_two_lists_stays_with_its_first_pool() {
     let [shared, own] = ["shared", "own"].map(|name| BackendServer::start(move |_| ok(name)));
     let entry = |name: &str, at: &BackendServer| Entry::new(name, at.address, "east", "big", 1);
     let clock = Clock::start();
@@ -308,7 +308,7 @@
 
 /// Where a pool's backends come from may change while it serves: it keeps those that it has until others are told.
 #[test]
-fn a_pool_may_go_from_a_file_to_a_list_to_another_and_back() {
+fn pool_moves_between_static_list_and_discoveries() {
     let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
     let list = |at: &BackendServer| {
         let entry = Entry::new("x", at.address, "east", "big", 1);
--- a/crates/shaletide/tests/proxy.rs
+++ b/crates/shaletide/tests/proxy.rs
@@ -1,8 +1,8 @@
 //! The program as a whole, on loopback sockets: what it must keep whatever backends, clients and discovery do.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufRead, BufReader, Write};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_request_goes_on_unchanged_and_so_does_its_answer() {
+fn request_and_response_are_forwarded_unchanged() {
     let backend = BackendServer::start(|_| Reply::Answer(200, "Content-Type: text/x", "the body".into()));
     let proxy = one(&backend);
     let answer = proxy.ask(
@@ -53,7 +53,7 @@
 
 /// Each outcome that may have run: an unsafe request is not sent again and is not called harmless.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_never_repeated() {
+fn unsafe_request_that_may_have_run_is_not_retried() {
     type Make = fn() -> Reply;
     let cases: [(&str, Make, f64); 7] = [
         ("500", || Reply::Answer(500, "", "oops".into()), 3.0),
@@ -79,7 +79,7 @@
 
 /// Each outcome that proves that it was not executed: even an unsafe request goes on to another backend.
 #[test]
-fn an_unsafe_request_that_never_ran_is_sent_elsewhere() {
+fn unsafe_request_that_was_not_executed_is_retried_elsewhere() {
     for status in [503, 504] {
         let away = move || Reply::Answer(status, "X-Unprocessed: 1", String::new());
         let ((away, switch), good) = (turning(away), BackendServer::start(|_| ok("paid")));
@@ -99,7 +99,7 @@
 
 /// A refused connection was not executed either. Nobody sees it, so the draw gets many chances to meet it.
 #[test]
-fn an_unsafe_request_is_sent_elsewhere_when_the_connection_is_refused() {
+fn unsafe_request_is_retried_elsewhere_after_connection_refused() {
     let (nobody, good) = (Refusing::new(), BackendServer::start(|_| ok("paid")));
     let proxy = one(&good);
     warm_up(&proxy);
@@ -116,7 +116,7 @@
 
 /// A request that is given up is answered then, not at its deadline, and the client is told when to come back.
 #[test]
-fn a_refusal_comes_at_once_and_with_advice() {
+fn rejection_is_immediate_with_retry_after() {
     let away = BackendServer::start(|_| Reply::Answer(503, "X-Unprocessed: 1", String::new()));
     let proxy = one(&away);
     for request in [pay(3.0), read(3.0)] {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn silence_is_answered_before_the_client_gives_up() {
+fn silent_backend_is_answered_for_before_the_deadline() {
     let backend = BackendServer::start(|_| Reply::Silence);
     let proxy = one(&backend);
     let begun = std::time::Instant::now();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn attempt_is_cancelled_when_client_disconnects() {
     let backend = BackendServer::start(|_| Reply::Silence);
     let proxy = one(&backend);
     let mut client = proxy.client();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn requests_in_turn_share_a_warm_connection() {
+fn sequential_requests_share_a_connection() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let mut client = proxy.client();
@@ -165,7 +165,7 @@
 
 /// A backend may end a kept connection at any time: a request written to it then would count as a reset.
 #[test]
-fn a_connection_that_the_backend_closed_is_not_used_again() {
+fn connection_closed_by_backend_is_not_reused() {
     let backend = BackendServer::start(|_| Reply::AnswerAndClose(200, "x".into()));
     let proxy = one(&backend);
     for round in 1..=5 {
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_connection_is_retired_before_the_backends_idle_limit() {
+fn connection_is_retired_before_backends_idle_timeout() {
     let backend = BackendServer::start(|_| ok("x"));
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, &settings);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn the_watch_follows_changes_failures_and_gaps() {
+fn watch_follows_changes_failures_and_gaps() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let proxy = one(&old);
     assert_eq!(proxy.ask(&read(3.0)).body, b"old");
@@ -226,7 +226,7 @@
 /// A call that was out as the agent fell silent is never answered: the next one asks soon, and for what is there now.
 /// How soon follows from the time within which nothing new may go to a backend that drains.
 #[test]
-fn an_agent_that_answers_new_calls_only_is_heard_again_soon() {
+fn agent_that_answers_only_new_calls_is_polled_again_soon() {
     let graces = [
         (None, 700),
         (Some(5_000_000), 1000),
@@ -254,7 +254,7 @@
 /// A discovery that is asked works through calls in turn: one that waits behind others' is answered late, and one made
 /// in its place would stand behind it.
 #[test]
-fn a_call_that_stands_in_line_at_a_discovery_is_not_given_up() {
+fn call_queued_at_discovery_is_not_abandoned() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let whole = [entry("b0", old.address, "SERVING")];
     let settings = granting(Some(150_000)).replace("\"automatic\"", "\"subscribe\"");
@@ -272,7 +272,7 @@
 /// A request whose connection is still coming up as its backend begins to drain goes to another at once; so does one that
 /// comes later.
 #[test]
-fn a_drain_takes_back_what_waits_for_a_connection() {
+fn drain_takes_back_requests_that_wait_for_a_connection() {
     let (never, good) = (NeverUp::new(), BackendServer::start(|_| ok("x")));
     let settings = SETTINGS
         .replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":60000000")
@@ -293,7 +293,7 @@
 
 /// What is wrong with an entry hides neither what it says of its own backend nor what others say.
 #[test]
-fn a_spoilt_entry_of_the_list_hides_no_drain() {
+fn invalid_list_entry_does_not_hide_a_drain() {
     let spoilt = [
         ("\"since_ms\":0", "\"since_ms\":1e999"),
         ("\"zone\":\"east\"", "\"zone\":7"),
@@ -343,7 +343,7 @@
 /// What an agent has counts from the first moment of a process: the list of before a restart is gone by only as long
 /// as the grace allows, and its backends are back in use as soon as the agent says so.
 #[test]
-fn a_list_from_before_the_start_is_too_old_once_the_grace_is_over() {
+fn cached_list_expires_after_the_grace() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let known = [entry("b0", old.address, "SERVING"), entry("b1", new.address, "SERVING")];
     let proxy = Proxy::with(&known, 1024, &granting(Some(300_000)));
@@ -363,7 +363,7 @@
 
 /// An agent that was heard and falls silent learns nothing meanwhile: what it has said holds.
 #[test]
-fn a_list_that_the_agent_has_told_holds_while_it_is_silent() {
+fn received_list_holds_while_the_agent_is_silent() {
     let backend = BackendServer::start(|_| ok("x"));
     let boxes = [entry("b0", backend.address, "SERVING")];
     let proxy = Proxy::with(&boxes, 1024, &granting(Some(300_000)));
@@ -374,7 +374,7 @@
 
 /// What the new discovery has counts 4 s after the signal, and the grace after that nothing goes by the old one's list.
 #[test]
-fn a_list_from_before_a_move_is_too_old_once_what_the_new_one_has_counts() {
+fn old_discoverys_list_expires_once_the_new_ones_counts() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let boxes = [entry("b0", old.address, "SERVING")];
     let proxy = Proxy::with(&boxes, 1024, &granting(Some(300_000)));
@@ -393,7 +393,7 @@
 /// That holds from the program's first moment, however long it takes to start: here its configuration comes late, by a
 /// pipe.
 #[test]
-fn a_list_from_before_the_start_is_too_old_at_once_where_the_start_took_the_grace() {
+fn cached_list_expires_at_once_when_the_start_took_the_grace() {
     let (backend, discovery) = (BackendServer::start(|_| ok("x")), DiscoveryServer::start());
     let path = std::env::temp_dir().join(format!("shaletide-proxy-{}.json", std::process::id()));
     let _ = std::fs::remove_file(&path);
@@ -423,7 +423,7 @@
 /// Where a call is dear: each that fails is followed by a pause, which the module draws and which doubles. So it is with
 /// the first call, before which the module has asked for one too, and with changes in answer to a call for the whole list.
 #[test]
-fn a_discovery_that_is_asked_has_rest_after_each_call_that_failed() {
+fn polled_discovery_gets_backoff_after_each_failure() {
     let backend = BackendServer::start(|_| ok("x"));
     let (down, odd) = (0, 1);
     let change = list(9, false, &[entry("b0", backend.address, "SERVING")]);
@@ -445,7 +445,7 @@
 
 /// A discovery that does not know a version any more, or never did, is asked for the whole list.
 #[test]
-fn a_call_that_is_refused_is_followed_by_one_for_the_whole_list() {
+fn rejected_call_is_followed_by_one_for_a_snapshot() {
     let backend = BackendServer::start(|_| ok("x"));
     let boxes = [entry("b0", backend.address, "SERVING")];
     for settings in [asking(), granting(Some(10_000_000))] {
@@ -460,7 +460,7 @@
 
 /// One that goes back to an earlier version each time, say two that take turns, is not asked as fast as it answers.
 #[test]
-fn a_discovery_that_goes_back_each_time_is_asked_with_pauses() {
+fn discovery_whose_index_goes_back_is_polled_with_pauses() {
     let backend = BackendServer::start(|_| ok("x"));
     let boxes = [entry("b0", backend.address, "SERVING")];
     let proxy = Proxy::with(&boxes, 1024, &granting(Some(2_000_000)));
@@ -489,7 +489,7 @@
 }
 
 #[test]
-fn odd_requests_get_their_own_answers_and_harm_nothing() {
+fn unusual_requests_get_their_own_responses() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let long = 64 * 1024 + 1;
@@ -527,7 +527,7 @@
 }
 
 #[test]
-fn configuration_that_is_not_named_or_makes_no_sense_ends_the_program_with_a_plain_message() {
+fn missing_or_invalid_configuration_ends_the_program_with_a_message() {
     let sound = r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"zz","settings":{}}"#;
     for (config, expected) in
         [(None, "NODE_CONFIG is not set"), (Some("{}"), "name"), (Some(sound), "settings")]
@@ -541,7 +541,7 @@
 
 /// More clients than descriptors allow: the idle make way, and nobody is rejected or crashes it.
 #[test]
-fn at_the_bound_idle_connections_make_way() {
+fn idle_connections_are_evicted_at_the_limit() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
@@ -561,7 +561,7 @@
 
 /// A machine that was cut off leaves its connections open: none that was idle meanwhile is trusted again.
 #[test]
-fn idle_connections_to_a_silent_backend_are_dropped() {
+fn idle_connections_to_silent_backend_are_closed() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| match n {
@@ -588,7 +588,7 @@
 
 /// The kernel may run out of descriptors before the bound is reached: then too the idle make way.
 #[test]
-fn running_out_of_descriptors_ends_nothing() {
+fn descriptor_exhaustion_ends_nothing() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
     let mut idle = Vec::new();
@@ -603,7 +603,7 @@
 /// And there what was taken is answered, though connections to backends cannot be had at times either; so is each request
 /// that waits in the queue until there is a descriptor for its client.
 #[test]
-fn what_was_taken_is_answered_where_descriptors_run_out() {
+fn accepted_requests_are_answered_when_descriptors_run_out() {
     let backend = BackendServer::start(|_| ok("x"));
     for descriptors in [40, 100] {
         let known = [entry("b0", backend.address, "SERVING")];
@@ -624,7 +624,7 @@
 
 /// Where every connection holds half of a head, none is idle: after a while they make way all the same.
 #[test]
-fn heads_that_never_end_do_not_shut_others_out() {
+fn endless_heads_do_not_block_other_clients() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
@@ -640,7 +640,7 @@
 
 /// On SIGTERM what is under way is answered, and so is what comes while clients do not know of it yet.
 #[test]
-fn a_graceful_shutdown_answers_everything_and_ends() {
+fn graceful_shutdown_answers_all_requests_and_exits() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("late") });
@@ -675,7 +675,7 @@
 }
 
 #[test]
-fn keyed_requests_are_repeated_under_the_same_key() {
+fn keyed_requests_are_retried_under_the_same_key() {
     let ((bad, switch), good) = (turning(|| Reply::Reset), BackendServer::start(|_| ok("counted")));
     let proxy = two(&bad, &good);
     warm_up(&proxy);
--- a/crates/shaletide/tests/record.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -1,8 +1,8 @@
 //! `shaletide record` against stores that the recorder wrote.
 
-mod book;
+mod record_fixture;
 
-use book::*;
+use record_fixture::*;
 use shaletide_control::{Command, Control, Reply};
 use shaletide_record::{Event, Fact, RequestEnding, ResolveResult};
 use shaletide_store::{SqliteOptions, SqliteStore};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn show_tells_each_story_beside_the_one_that_writes() {
+fn show_prints_each_keys_history_beside_the_writer() {
     let folder = Folder::new();
     let _writes = stories(&folder);
     let show = |key| folder.says(0, &["show", "--store", "record.db", "--key", key]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn show_goes_by_tenant_class_and_zone_and_says_where_there_is_nothing() {
+fn show_filters_by_tenant_class_and_zone() {
     let folder = Folder::new();
     let mut book = stories(&folder);
     book.served("other", b"good");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_story_that_goes_on_in_another_run_says_so() {
+fn history_across_runs_names_each_run() {
     let folder = Folder::new();
     let mut book = Book::open(&folder.db(), MORNING);
     let request = book.settle("milford", b"cut");
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn list_finds_facts_and_keys_that_are_not_settled() {
+fn list_prints_facts_and_unsettled_keys() {
     let folder = Folder::new();
     let _writes = stories(&folder);
     let list = |more: &[&str]| folder.says(0, &[&["list", "--store", "record.db"], more].concat());
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn odd_keys_come_out_whole() {
+fn unusual_keys_are_printed_completely() {
     let folder = Folder::new();
     let mut book = Book::open(&folder.db(), MORNING);
     let long = vec![b'x'; 10 << 10];
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn verify_finds_an_edit_a_missing_row_and_a_cut_end() {
+fn verify_finds_edited_missing_and_truncated_rows() {
     let verify = |folder: &Folder, status, more: &[&str]| {
         folder.says(status, &[&["verify", "--store", "record.db"], more].concat())
     };
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_doubt_is_resolved_while_no_proxy_runs_and_refused_while_one_does() {
+fn doubt_is_resolved_only_while_no_proxy_holds_the_store() {
     let folder = Folder::new();
     let book = stories(&folder);
     let resolve = |status, key: &str, ran: &str, more: &[&str]| {
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn what_was_in_flight_when_the_proxy_ended_can_be_resolved_before_it_comes_back() {
+fn key_in_flight_at_a_crash_is_resolved_before_restart() {
     let folder = Folder::new();
     let mut book = Book::open(&folder.db(), MORNING);
     for tenant in ["milford", "other"] {
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn pruning_leaves_a_record_that_verifies_and_says_who_did_it() {
+fn pruned_record_verifies_and_names_who_pruned() {
     let folder = Folder::new();
     let book = stories(&folder);
     let noted = folder.says(0, &["verify", "--store", "record.db"]);
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn a_beginning_that_was_cut_off_by_hand_shows() {
+fn rows_removed_by_hand_are_found() {
     let folder = Folder::new();
     drop(stories(&folder));
     let anchor =
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn a_correction_adds_and_shows_where_it_belongs() {
+fn correction_is_added_and_shown_with_its_row() {
     let folder = Folder::new();
     let mut book = stories(&folder);
     // As a running proxy writes it: without the key of the row.
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn a_backup_is_made_while_it_is_written_to_and_is_a_store() {
+fn backup_during_writes_is_a_valid_store() {
     let folder = Folder::new();
     let _writes = stories(&folder);
     assert_eq!(folder.says(0, &["backup", "--store", "record.db", "--to", "copy.db"]), "copied to copy.db\n");
@@ -474,7 +474,7 @@
 "#;
 
 #[test]
-fn a_running_proxy_is_asked_and_its_word_is_the_status() {
+fn running_proxys_reply_decides_the_status() {
     let folder = Folder::new();
     let book = stories(&folder);
     std::fs::write(folder.0.join("operator.toml"), CONFIG).unwrap();
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn who_stops_listening_ends_it_without_a_panic() {
+fn closed_output_ends_the_command_without_panic() {
     let folder = Folder::new();
     let mut book = Book::open(&folder.db(), MORNING);
     (0..150u32).for_each(|n| book.served("milford", &n.to_be_bytes()));
--- a/crates/shaletide/tests/record_finance.rs
+++ b/crates/shaletide/tests/record_pages.rs
@@ -1,8 +1,8 @@
 //! The pages about the record: the configuration works as pasted, and what the commands say is what the program says.
 
-mod book;
+mod record_fixture;
 
-use book::*;
+use record_fixture::*;
 use shaletide_control::{Command, Control, Reply};
 use shaletide_record::{Event, Fact, KeyId, ResolveResult};
 use shaletide_types::Time;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_configuration_on_the_operators_page_makes_sense_as_pasted() {
+fn configuration_on_the_record_page_is_valid() {
     let folder = Folder::new();
     std::fs::write(folder.0.join("operator.toml"), block(OPERATORS, "toml")).unwrap();
     let mut check = Program::new(env!("CARGO_BIN_EXE_shaletide"));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn the_dispute_on_finances_page_is_what_the_program_says() {
+fn dispute_on_the_finance_page_is_the_programs_output() {
     let folder = Folder::new();
     std::fs::write(folder.0.join("operator.toml"), block(OPERATORS, "toml")).unwrap();
     let end = serve(&folder, morning(&folder));
--- a/crates/shaletide/tests/reload.rs
+++ b/crates/shaletide/tests/reload.rs
@@ -1,9 +1,9 @@
 //! SIGHUP: a file is taken whole or refused whole, whatever is under way meanwhile, and each request still gets one
 //! answer.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_taken_changes_nothing_and_the_log_says_all_that_is_wrong() {
+fn invalid_file_changes_nothing_and_is_reported_completely() {
     let gate = Arc::new(Gate::default());
     let backend = holding(0, &gate, || ok("held"));
     let tenant = "[[tenant]]\nname = \"milford\"\nquota = 9\n";
@@ -88,7 +88,7 @@
 
 /// What is out at a backend of a pool that goes ends as ever; where it ends badly the rules hold as before.
 #[test]
-fn a_pool_may_go_while_it_holds_a_request() {
+fn pool_is_removed_while_it_has_a_request() {
     let reset = || Reply::Reset;
     let served = || ok("held");
     let full = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn of_two_files_in_one_second_the_last_holds() {
+fn last_of_two_reloads_in_one_second_is_applied() {
     let backends = ["first", "second", "third"].map(|name| BackendServer::start(move |_| ok(name)));
     let [a, b, c] = &backends;
     let proxy = program().serve(&file(&[("a", a)], ""));
@@ -158,7 +158,7 @@
 
 /// A request goes by the route that it came under, also where it waits and where it is sent again.
 #[test]
-fn a_route_may_change_while_a_request_waits() {
+fn route_changes_while_a_request_is_queued() {
     let ([a, b], rest) = (["a", "b"].map(|name| BackendServer::start(move |_| ok(name))), "");
     let resting = |text: String| text.replacen("bay = \"1\"", "bay = \"1\", state = \"draining\"", 1);
     let pools = [("p", &a), ("q", &b)];
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_route_may_change_between_the_attempts_of_a_request() {
+fn route_changes_between_the_attempts_of_a_request() {
     for stays in [true, false] {
         let gate = Arc::new(Gate::default());
         let full = || Reply::Answer(503, "X-Unprocessed: 1", "full".into());
@@ -217,7 +217,7 @@
 
 /// A backend that was found ill stays out of use, and connections stay up, where the pool is the same.
 #[test]
-fn what_a_pool_has_learned_outlives_a_reload() {
+fn learned_state_of_a_pool_survives_reload() {
     let ill = Arc::new(AtomicBool::new(false));
     let switch = ill.clone();
     let bad = BackendServer::start(move |_| if switch.load(SeqCst) { Reply::Reset } else { ok("x") });
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn connections_outlive_a_reload() {
+fn connections_survive_reload() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = program().serve(&file(&[("p", &backend)], ""));
     let mut client = proxy.client();
@@ -261,7 +261,7 @@
 
 /// Classes go by their names, in whatever order a new file has them.
 #[test]
-fn classes_may_change_places_and_be_joined_by_others() {
+fn classes_are_reordered_and_added_by_reload() {
     let ill = Arc::new(AtomicBool::new(false));
     let failing = || {
         let ill = ill.clone();
--- a/crates/shaletide/tests/requests.rs
+++ b/crates/shaletide/tests/request_format.rs
@@ -1,8 +1,8 @@
 //! Requests as an operators' file reads them, and backends that answer as stock servers do.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn each_class_takes_its_methods_and_names_them_where_it_does_not() {
+fn method_not_allowed_names_the_classes_methods() {
     let backend = BackendServer::start(|_| ok("x"));
     let own = "[[class]]\nname = \"own\"\neffect = \"unsafe\"\nmethods = [\"PURGE\", \"GET\"]\n";
     let proxy = serving(&(CLASSES.to_string() + own), &backend);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_class_may_stand_in_a_header_and_one_is_for_all_others() {
+fn class_is_read_from_header_with_default() {
     let backend = BackendServer::start(|_| ok("x"));
     let (place, otherwise) = ("[request]\nclass = { header = \"X-Class\" }\n", "otherwise = \"read\"\n");
     for (form, without) in [(place.to_string(), 404), (place.to_string() + otherwise, 200)] {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_key_may_stand_in_the_path() {
+fn key_is_read_from_path() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = serving(&("[request]\nkey = { path = 3 }\n".to_string() + CLASSES), &backend);
     for (path, status) in
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn routes_go_by_the_bay_and_zone_that_a_request_names() {
+fn routes_match_by_group_and_zone_of_request() {
     let names = ["bay", "zone", "tenant", "header", "path", "rest"];
     let backends = names.map(|name| BackendServer::start(move |_| ok(name)));
     let when = [
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_request_without_an_id_is_given_one_of_its_own() {
+fn request_without_id_gets_one() {
     let backend = BackendServer::start(|_| ok("x"));
     let form = "[request]\nid = \"X-Request-Id\"\ntime_left = \"X-Left\"\n";
     let proxy = serving(&(form.to_string() + CLASSES), &backend);
@@ -154,7 +154,7 @@
 
 /// An attempt after the first is the same request still.
 #[test]
-fn the_id_that_is_given_is_the_same_in_each_attempt() {
+fn assigned_id_is_the_same_in_each_attempt() {
     let full = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
     let backends = [BackendServer::start(move |_| full()), BackendServer::start(move |_| full())];
     let proof = "[answers]\nnever_ran = [{ status = 503, header = \"X-Unprocessed\" }]\n";
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn what_a_request_is_read_by_goes_on_and_stands_once() {
+fn attributes_of_a_request_are_forwarded_once() {
     let backend = BackendServer::start(|_| ok("x"));
     let form = "[request]\nclass = { header = \"X-Class\" }\ntenant = { header = \"X-Who\" }\nkey = { header = \"X-Key\" }\n\
                 bay = { header = \"X-Bay\" }\nzone = { header = \"X-Zone\" }\nid = \"X-Id\"\ntime_left = \"X-Left\"\n";
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn advice_is_in_whole_seconds_and_never_none_at_all() {
+fn retry_after_is_whole_seconds_of_at_least_one() {
     let nobody = Refusing::new();
     for (most, bound) in [("10ms", 1), ("1500ms", 2), ("1h", 3600)] {
         let limits = format!("[limits]\nmax_retry_after = \"{most}\"\n{CLASSES}");
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn bodies_are_as_long_as_the_file_allows() {
+fn body_length_is_limited_by_the_file() {
     let long = Arc::new(AtomicBool::new(false));
     let over = long.clone();
     let backend = BackendServer::start(move |n| {
@@ -262,7 +262,7 @@
 /// Head and body one after the other, the second held back by the backend's kernel until the first is acknowledged;
 /// or bit by bit with a pause in it: all are served, and in one attempt.
 #[test]
-fn answers_in_parts_are_served_in_one_attempt() {
+fn responses_in_parts_are_served_in_one_attempt() {
     for (sending, count) in [(Sending::TwoSegments, 60), (Sending::Drip(Duration::from_millis(150)), 6)] {
         let (fleet, text) = stock(sending);
         let proxy = program().serve(&text);
@@ -284,7 +284,7 @@
 
 /// Where a bound is set, an answer that stalls is spoilt, and may have run.
 #[test]
-fn a_bound_on_stalls_is_heeded_and_may_be_taken_away() {
+fn stall_limit_is_applied_and_removed_by_reload() {
     let (fleet, text) = stock(Sending::Drip(Duration::from_millis(600)));
     let proxy = program().serve(&format!("[limits]\nanswer_stall = \"50ms\"\n{text}"));
     assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).status(), 502);
@@ -298,7 +298,7 @@
 /// Where many answers stall for good a safe request is copied to another backend while there is time; an unsafe one
 /// waits for its own.
 #[test]
-fn where_answers_stall_safe_requests_are_copied_and_unsafe_ones_are_not() {
+fn stalled_responses_hedge_safe_requests_only() {
     let part = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca".to_string();
     let stalling = |name: &'static str| {
         let part = part.clone();
--- a/crates/shaletide/tests/request_trace.rs
+++ b/crates/shaletide/tests/request_trace.rs
@@ -1,8 +1,8 @@
 //! Requests followed through the log: with NODE_LOG=trace each has its events in order, at the usual level none.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
 use std::sync::Arc;
--- a/crates/shaletide/tests/answers.rs
+++ b/crates/shaletide/tests/response_rules.rs
@@ -1,9 +1,9 @@
 //! What a client gets of what backends answer, by the class of its request and its route, over sockets; and how often
 //! the backends saw it.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering::SeqCst};
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn what_a_client_gets_and_how_often_boxes_see_its_request() {
+fn responses_and_attempts_by_class_and_route() {
     let cases: Vec<Case> = CLASSES_BY_EFFECT
         .iter()
         .flat_map(|(effect, class)| ANSWERS.map(|(status, proof)| (*effect, *class, status, proof)))
@@ -149,7 +149,7 @@
 /// The answer that a client gets is that of the last attempt or none: an earlier one's says nothing of what came of
 /// the request after it.
 #[test]
-fn an_earlier_attempts_answer_is_never_the_last_word() {
+fn earlier_attempts_response_is_not_returned_after_a_later_error() {
     let no = || Reply::Answer(500, "", "first".into());
     let full = || Reply::Answer(503, "X-Unprocessed: 1", "full".into());
     let cases: [(&str, Turns, &str, u32); 6] = [
@@ -177,7 +177,7 @@
 
 /// Nor is it where the last attempt is out still when the client's time is up.
 #[test]
-fn an_earlier_attempts_answer_does_not_stand_for_one_that_never_came() {
+fn earlier_attempts_response_is_not_returned_after_a_timeout() {
     for path in ["/read/k", "/settle/k"] {
         let ([a, b], turn) = in_turn([|| Reply::Answer(500, "", "first".into()), || Reply::Silence]);
         let boxes = [(a.address, "1"), (b.address, "1")];
@@ -199,7 +199,7 @@
 /// On one connection at either side: nothing of a length that stands for no body is taken for one, and what comes
 /// next is the answer to the next request.
 #[test]
-fn answers_without_a_body_leave_their_connections_in_order() {
+fn responses_without_body_keep_connections_usable() {
     let backend = BackendServer::start(|n| match n % 5 {
         0 => raw(204, "", ""),
         1 => raw(304, "ETag: \"7\"\r\nContent-Length: 9\r\n", ""),
@@ -231,7 +231,7 @@
 /// Statuses that a route serves pass in one attempt whatever they are; one that it does not serve is an error there
 /// and is served on the next route.
 #[test]
-fn each_route_reads_answers_by_its_own_word() {
+fn each_route_classifies_responses_by_its_own_rules() {
     let backends: HashMap<u16, BackendServer> = [404, 500, 504]
         .into_iter()
         .map(|status| (status, BackendServer::start(move |_| Reply::Answer(status, "", "so".into()))))
--- a/crates/shaletide/tests/load.rs
+++ b/crates/shaletide/tests/rules_under_load.rs
@@ -1,9 +1,9 @@
 //! The program under load, between load clients and a fleet whose backends drain, die and come back meanwhile: what
 //! the backends wrote down keeps every rule.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use shaletide_types::{DeduplicationScope, Idempotency, Micros};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_rules_hold_while_boxes_drain_die_and_come_back() {
+fn rules_hold_while_backends_drain_crash_and_return() {
     let services = vec![Service::new("", Law::Exponential(4.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes(6)) }).expect("a fleet");
     let entries: Vec<Entry> = fleet.boxes().iter().map(BoxHandle::entry).collect();
@@ -102,7 +102,7 @@
 /// Pools that come, go and change their backends, files that make no sense, two signals at once, and news of a list in
 /// the same instant: each request has one answer, and no rule is broken.
 #[test]
-fn the_rules_hold_while_the_file_is_read_again_and_again() {
+fn rules_hold_during_repeated_reloads() {
     let services = vec![Service::new("", Law::Exponential(4.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes(8)) }).expect("a fleet");
     let listed: Vec<Entry> = fleet.boxes()[6..].iter().map(BoxHandle::entry).collect();
--- a/crates/shaletide/tests/service.rs
+++ b/crates/shaletide/tests/service.rs
@@ -1,9 +1,9 @@
 //! The program in service, on loopback sockets: new configurations, clients that cannot be read, backends that
 //! answer with more or less than they should.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 /// On SIGHUP discovery is asked at its new address at once, for the whole list, though a call to the old one
 /// is still out. A file that makes no sense changes nothing, nor does a second signal.
 #[test]
-fn sighup_moves_the_watch_to_the_new_discovery() {
+fn sighup_moves_watch_to_new_discovery() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let proxy = one(&old);
     let (target, answer) = proxy.discovery.call();
@@ -44,7 +44,7 @@
 
 /// Two moves in one instant: the last holds, whichever reading ends first, and what the other says comes too late.
 #[test]
-fn of_two_moves_in_one_instant_the_last_holds() {
+fn last_of_two_simultaneous_moves_is_applied() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
     let proxy = one(&old);
     let moved = |to: &DiscoveryServer| {
@@ -74,7 +74,7 @@
 /// A configuration that is half there at the signal, or empty, or not there, is read again until it makes sense, without
 /// another signal.
 #[test]
-fn a_move_that_is_half_written_at_the_signal_is_made_once_it_is_whole() {
+fn half_written_move_is_applied_once_complete() {
     let backend = BackendServer::start(|_| ok("x"));
     for part in [0.0, 0.5, 0.99] {
         let proxy = one(&backend);
@@ -96,7 +96,7 @@
 
 /// Connections break at any backend now and then. One that broke says nothing of the next.
 #[test]
-fn one_reset_does_not_put_a_backend_out_of_use() {
+fn single_reset_does_not_eject_a_backend() {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
     let reply = move |_| if thrown.swap(false, SeqCst) { Reply::Reset } else { ok("x") };
@@ -119,7 +119,7 @@
 
 /// Answers that never come hold no room for long: the backend has answered others meanwhile.
 #[test]
-fn lost_answers_do_not_use_a_backend_up() {
+fn lost_responses_do_not_exhaust_a_backend() {
     let backend = BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok("x") });
     let proxy = one(&backend);
     let mut client = proxy.client();
@@ -139,7 +139,7 @@
 
 /// A backend that turned one request away has room again as soon as it has finished another.
 #[test]
-fn a_full_backend_is_used_again_before_long() {
+fn full_backend_is_used_again_soon() {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
     let away = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
@@ -175,7 +175,7 @@
 /// Each request that can't be read is answered with an error, its connection ends, and no backend hears of it,
 /// nor of what may hide behind it.
 #[test]
-fn requests_that_cannot_be_read_are_turned_away_and_end_their_connection() {
+fn malformed_requests_are_rejected_and_close_their_connection() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let get = |more: &str| format!("GET /read/k HTTP/1.1\r\nHost: s\r\n{more}\r\n");
@@ -243,7 +243,7 @@
 
 /// What was checked is what is sent: a key or an id that went missing on the way would let effects double.
 #[test]
-fn a_request_that_would_lose_its_key_on_the_way_is_turned_away() {
+fn request_that_would_lose_its_key_is_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let vote = |more: &str| vote(3.0).replace("X-Time-Left", &format!("{more}X-Time-Left"));
@@ -263,7 +263,7 @@
     let keyless: Vec<String> = ["", " ", "\t \t"]
         .iter()
         .map(|key| {
-            rig::vote(3.0).replace("Idempotency-Key: key-", &format!("Idempotency-Key:{key}\r\nX-A: "))
+            harness::vote(3.0).replace("Idempotency-Key: key-", &format!("Idempotency-Key:{key}\r\nX-A: "))
         })
         .chain([vote("Idempotency-Key:\r\n"), vote("Idempotency-Key: another\r\n")])
         .collect();
@@ -278,7 +278,7 @@
 /// A second request in the same write is never served, nor is the one that hid it, however heads end. Those
 /// that hide nothing are served.
 #[test]
-fn nothing_hides_behind_a_request_whatever_ends_its_head() {
+fn no_request_is_smuggled_behind_another() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let ready = || "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n".to_string();
@@ -300,7 +300,7 @@
 
 /// A probe is a GET and nothing more.
 #[test]
-fn readiness_is_told_to_plain_probes_alone() {
+fn readiness_is_answered_to_plain_probes_only() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let probe = |method: &str, more: &str, body: &str| {
@@ -331,7 +331,7 @@
 
 /// What comes while a request is open hides no further one: the answer is owed, and ends the connection.
 #[test]
-fn what_comes_during_a_request_is_not_served_after_it() {
+fn bytes_received_during_a_request_are_not_served_after_it() {
     // The proxy has read it by the end of the request, or finds it in the kernel then.
     for pause in [0, 50] {
         let gate = Arc::new(Gate::default());
@@ -354,7 +354,7 @@
 /// A backend that tidies paths up must find the class there that the proxy found. What is no such trick goes on
 /// to the letter.
 #[test]
-fn paths_that_could_name_another_class_are_turned_away() {
+fn ambiguous_paths_are_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let get = |target: &str| read(3.0).replace("/read/k1", target);
@@ -404,7 +404,7 @@
 
 /// One request names one host, and one that there could be.
 #[test]
-fn requests_to_no_host_or_to_two_are_turned_away() {
+fn requests_without_or_with_two_hosts_are_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let with = |lines: &str| read(3.0).replace("Host: s\r\n", lines);
@@ -450,7 +450,7 @@
 
 /// The id of a request that is open is not taken for another; once it is answered it is nobody's.
 #[test]
-fn an_id_is_not_used_twice_at_a_time() {
+fn id_in_use_is_not_accepted_again() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
@@ -467,7 +467,7 @@
 
 /// Whoever says nothing, sends half a head or half a body is let go of, with room to spare or not.
 #[test]
-fn connections_that_bring_no_whole_request_end() {
+fn connections_without_complete_request_are_closed() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = one(&backend);
     let parts = [
@@ -490,7 +490,7 @@
 
 /// Silent connections by the hundred push each other out and not a client that has asked before.
 #[test]
-fn silent_connections_make_way_before_proven_ones() {
+fn unproven_connections_are_evicted_first() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut usual = proxy.client();
@@ -511,7 +511,7 @@
 /// At the bound, one that said nothing for long makes way, but not where its request has come and only was not read
 /// yet: the program finds it together with those that want its place.
 #[test]
-fn a_request_that_was_not_read_yet_does_not_make_way() {
+fn connection_with_unread_request_is_not_evicted() {
     let backend = BackendServer::start(|_| ok("x"));
     let places = 8; // half of what is left of 80
     for round in 0..5 {
@@ -542,7 +542,7 @@
 /// A spoilt answer on a connection that stays open is known for what it is in time for another attempt, and an
 /// unsafe request that met one has failed and is not sent again.
 #[test]
-fn spoilt_answers_are_failed_attempts_that_may_have_run() {
+fn invalid_responses_are_failed_attempts_that_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\n";
     for spoilt in [
         "\u{1}\u{7f} noise without an end".to_string(),
@@ -580,7 +580,7 @@
 
 /// A backend that fails at one class alone gets no more of that, and goes on with the others.
 #[test]
-fn a_backend_that_fails_one_class_serves_the_others() {
+fn backend_that_fails_one_class_serves_the_others() {
     let paying = Arc::new(AtomicBool::new(false));
     let fails = paying.clone();
     let bad =
@@ -614,7 +614,7 @@
 
 /// Where many answers are lost, a request that may run again gets a copy while there is time for one.
 #[test]
-fn where_answers_are_lost_copies_make_up_for_them() {
+fn hedged_attempts_make_up_for_lost_responses() {
     let never = Arc::new(Gate::default());
     let losing = || {
         let never = never.clone();
@@ -635,7 +635,7 @@
 
 /// More than an answer, in its own segment or the next: it is never taken for the answer to another request.
 #[test]
-fn what_comes_behind_an_answer_is_nobodys() {
+fn bytes_behind_a_response_are_discarded() {
     let answer = |body: String| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     for behind in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
         for one_segment in [true, false] {
@@ -660,7 +660,7 @@
 
 /// Answers of status 1xx ahead of the real one, and a load report that makes no sense, spoil nothing.
 #[test]
-fn early_answers_and_odd_reports_are_passed_over() {
+fn early_responses_and_unusual_reports_are_ignored() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
     let real = "HTTP/1.1 200 OK\r\nX-Backend-Load: \u{7f}=,,inflight\r\nContent-Length: 4\r\n\r\nreal";
     let real = real.replace('\u{7f}', "?");
@@ -674,7 +674,7 @@
 /// Clients that ask once and keep their connections use up what they may hold: where many are kept, each goes
 /// after its answer, and where few are, none does.
 #[test]
-fn answers_end_their_connections_where_many_are_kept() {
+fn responses_close_connections_when_many_are_open() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut kept = Vec::new();
@@ -695,7 +695,7 @@
 /// A stock server writes head and body one after the other, and its kernel keeps the second until the first is
 /// acknowledged: 40 ms later, where nobody asks for more. Such an answer is as good as any.
 #[test]
-fn a_backend_that_writes_head_and_body_apart_is_served() {
+fn backend_that_writes_head_and_body_apart_is_served_from() {
     let parts =
         |body: String| vec![format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", body.len()), body];
     let backend = BackendServer::start(move |n| Reply::Writes(parts(format!("answer {n}"))));
@@ -714,7 +714,7 @@
 /// What came with an answer and belongs to none is gone with its connection: were that kept, the rest of it would come
 /// behind the next request and pass for its answer.
 #[test]
-fn a_connection_with_half_of_something_behind_its_answer_is_not_kept() {
+fn connection_with_partial_excess_bytes_is_not_reused() {
     let first = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Le".to_string();
     let backend = BackendServer::start(move |n| match n {
         0 => Reply::Pieces(vec![first.clone()]),
--- a/crates/shaletide/tests/terms.rs
+++ b/crates/shaletide/tests/service_terms.rs
@@ -1,9 +1,9 @@
 //! The service terms on lists, restarts and reloads, and on what backends are told: each under the order of events
 //! that is worst for it. docs/terms.md has the table.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
@@ -346,7 +346,7 @@
 
 /// A connection that comes up late: its backend is told no more than the client has left by then.
 #[test]
-fn time_told_on_a_connection_that_came_up_late_is_what_is_left_by_then() {
+fn time_left_on_a_late_connection_is_current() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
     listener.listen(0).unwrap();
@@ -394,7 +394,7 @@
 
 /// Each further attempt tells what is left at its own time, as does one that had to wait for a backend.
 #[test]
-fn time_told_by_further_and_held_attempts_is_what_is_left_by_then() {
+fn time_left_of_retries_and_queued_attempts_is_current() {
     let pause = Duration::from_millis(300);
     let full = move || {
         std::thread::sleep(pause);
@@ -478,7 +478,7 @@
 
 /// A reset is no end of an answer, whatever its form; nor is a close where no length says so.
 #[test]
-fn answer_that_breaks_off_is_never_served_as_whole() {
+fn truncated_response_is_never_served_as_complete() {
     let begins = [
         "HTTP/1.1 200 OK\r\n\r\nhalf of a bo",
         "HTTP/1.0 200 OK\r\n\r\nhalf of a bo",
@@ -506,7 +506,7 @@
 /// Requests that come byte by byte, in each form that the protocol has, are the ones that go on; what a client sends
 /// behind one before its answer came is passed on to nobody.
 #[test]
-fn requests_in_pieces_go_on_whole_and_pipelined_ones_are_not_sent_on() {
+fn fragmented_requests_are_forwarded_complete_and_pipelined_ones_are_not() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let forms = [
--- a/crates/shaletide/tests/slow.rs
+++ b/crates/shaletide/tests/slow_bodies.rs
@@ -1,9 +1,9 @@
 //! Clients whose bodies come slowly, stall or never end: nobody else waits behind them, and they hold no more than the
-//! bound. The measurement: `cargo test --locked --release -p shaletide --test slow -- --ignored --nocapture`.
+//! bound. The measurement: `cargo test --locked --release -p shaletide --test slow_bodies -- --ignored --nocapture`.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_body_below_the_rate_gets_408_and_is_let_go_and_one_that_stalls_once_is_served() {
+fn body_below_the_rate_gets_408_and_single_stall_is_served() {
     let (backend, proxy) = proxy("body_rate = \"1KiB\"\nbody_grace = \"400ms\"");
     let mut trickles = connected(proxy.address, (head(10_000).replace("3.0", "20.0") + "x").as_bytes());
     // Keeps to the rate with a stall of half its grace in the middle.
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_house_full_of_slow_bodies_lets_a_client_with_a_whole_request_in() {
+fn slow_bodies_do_not_block_a_complete_request() {
     // A grace beyond the test's patience: only those who need a place push others out.
     let (backend, proxy) = proxy("descriptors = 128\nbody_grace = \"1m\"");
     let mut slow: Vec<TcpStream> =
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn bodies_hold_no_more_than_the_bound_and_a_good_one_gets_room() {
+fn bodies_are_bounded_and_a_fast_one_is_admitted() {
     let (backend, proxy) = proxy("held_bodies = \"1MiB\"\nbody_grace = \"1m\"");
     let stuck = head(60_000) + &"x".repeat(59_000);
     // Seventeen fit; the others are not read, and push one after the other out.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_body_for_which_there_is_no_room_in_its_time_is_refused() {
+fn body_not_admitted_in_time_is_rejected() {
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(held.clone()));
@@ -140,7 +140,7 @@
 
 #[test]
 #[ignore = "a measurement, half a minute"]
-fn what_a_good_client_feels_of_a_thousand_slow_ones() {
+fn latency_of_a_fast_client_beside_a_thousand_slow_ones() {
     println!("| load | served | p50 ms | p99 ms | peak KiB |\n|---|--:|--:|--:|--:|");
     let cases: [(&str, usize, String); 6] = [
         ("calm", 0, String::new()),
--- a/crates/shaletide/tests/start_configuration.rs
+++ b/crates/shaletide/tests/start_configuration.rs
@@ -1,8 +1,8 @@
 //! The start of the program while its configuration is not whole: on the platform it is waited for.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::path::PathBuf;
 
 /// What the program says while it has no configuration.
@@ -51,7 +51,7 @@
 
 /// It may be told to end while it waits, and a hang-up meanwhile ends nothing.
 #[test]
-fn heeds_signals_while_it_waits_for_its_configuration() {
+fn handles_signals_while_it_waits_for_its_configuration() {
     for signal in ["TERM", "INT"] {
         let path = path("never");
         let mut proxy = program().launch_with(Refusing::new().address(), &path);
--- a/crates/shaletide/tests/recorded.rs
+++ b/crates/shaletide/tests/store_of_record.rs
@@ -1,8 +1,8 @@
 //! The program with a store of record: what a key gets whatever becomes of its attempts, of the store and of the program.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_key_that_was_served_is_sent_once() {
+fn served_key_is_sent_once() {
     let folder = Folder::new("served");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file(&backend));
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_key_in_flight_is_not_sent_beside_itself() {
+fn key_in_flight_is_not_sent_again() {
     let folder = Folder::new("flight");
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -178,7 +178,7 @@
 
 /// The attempt may have run: nobody but a person can say, and the doubt outlives the program.
 #[test]
-fn a_key_in_doubt_stays_so_until_somebody_resolves_it() {
+fn key_in_doubt_stays_until_resolved() {
     let folder = Folder::new("doubt");
     let backend = BackendServer::start(|n| if n < 2 { Reply::Reset } else { ok("done") });
     let file = folder.file(&backend);
@@ -208,7 +208,7 @@
 
 /// Killed while an attempt is out, again and again: whatever was on the wire is never sent a second time.
 #[test]
-fn killed_with_attempts_out_it_sends_none_of_them_again() {
+fn attempts_in_flight_at_a_kill_are_not_sent_again() {
     let folder = Folder::new("killed");
     let backend = BackendServer::start(|_| Reply::Silence);
     let file = folder.file(&backend);
@@ -235,7 +235,7 @@
 
 /// A store that takes nothing costs those that need it a refusal in time, and nobody else anything.
 #[test]
-fn a_store_that_is_stuck_refuses_at_once_and_holds_nobody_else() {
+fn stuck_store_rejects_at_once_and_delays_no_other_class() {
     let folder = Folder::new("stuck");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
@@ -264,7 +264,7 @@
 
 /// What is written to a file that nobody finds again is not on record.
 #[test]
-fn a_store_that_is_taken_away_is_missed_and_comes_back_without_a_restart() {
+fn removed_store_is_noticed_and_reopened_without_restart() {
     let folder = Folder::new("away");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
@@ -303,7 +303,7 @@
 
 /// A disk that is slow below the program, by strace where it is and may trace.
 #[test]
-fn a_disk_that_syncs_slowly_refuses_in_time_and_what_comes_late_is_withdrawn() {
+fn slow_sync_rejects_in_time_and_withdraws_late_intents() {
     let folder = Folder::new("slow");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
@@ -347,7 +347,7 @@
 
 /// What a backend may be sent is asked again after the permit: a drain that was told meanwhile holds.
 #[test]
-fn a_drain_that_comes_while_permits_are_waited_for_holds() {
+fn drain_during_intent_writes_is_respected() {
     let came_about = (0..20).any(|_| drained_while_permits_are_waited_for());
     assert!(came_about, "the store was in trouble each time");
 }
@@ -392,7 +392,7 @@
 
 /// Of two requests of one key at the same moment one goes, however their writes fall together.
 #[test]
-fn of_two_at_once_one_goes() {
+fn one_of_two_concurrent_requests_of_a_key_is_sent() {
     let folder = Folder::new("twice");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file(&backend));
@@ -413,7 +413,7 @@
 
 /// What ended before the program was told to end is on record when it has ended, though the store was busy.
 #[test]
-fn last_writes_wait_for_a_store_that_is_busy() {
+fn last_writes_wait_for_a_busy_store() {
     let folder = Folder::new("last");
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -439,7 +439,7 @@
 
 /// A log without its database says that there was one, with keys that nobody knows any more.
 #[test]
-fn a_store_of_which_a_part_is_gone_is_not_begun_anew() {
+fn incomplete_store_is_not_created_anew() {
     let folder = Folder::new("part");
     let backend = BackendServer::start(|_| ok("done"));
     let file = folder.file(&backend);
@@ -457,7 +457,7 @@
 
 /// A client's words on a line that is meant to be pasted into a shell are words.
 #[test]
-fn what_clients_say_is_quoted_for_shells_and_bounded() {
+fn client_input_is_quoted_for_shells_and_bounded() {
     let folder = Folder::new("words");
     let backend = BackendServer::start(|_| Reply::Reset);
     let proxy = program().serve(&folder.file(&backend));
@@ -484,7 +484,7 @@
 /// A disk without room, as a limit on the size of files: what needs the store is refused, and is served again once
 /// there is room.
 #[test]
-fn a_store_without_room_refuses_and_serves_again_once_there_is_some() {
+fn full_disk_rejects_until_there_is_space() {
     let folder = Folder::new("full");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn it_ends_in_time_while_the_store_is_stuck() {
+fn shutdown_is_in_time_while_the_store_is_stuck() {
     let folder = Folder::new("ends");
     let backend = BackendServer::start(|_| ok("done"));
     let mut proxy = program().serve(&folder.file_with_short_wait(&backend));
@@ -534,7 +534,7 @@
 /// The store is stuck to the end: the program has ended before it would be killed, and what its record does not know of
 /// is in doubt, not free.
 #[test]
-fn what_a_stuck_store_did_not_take_by_the_end_is_said_and_stays_in_doubt() {
+fn unwritten_facts_at_shutdown_are_logged_and_stay_in_doubt() {
     let folder = Folder::new("left");
     let gate = Arc::new(Gate::default());
     let held = gate.clone();
@@ -567,7 +567,7 @@
 
 /// Two proxies on one store would each think that they know all keys.
 #[test]
-fn a_store_has_one_proxy() {
+fn store_is_held_by_one_proxy() {
     let folder = Folder::new("one");
     let backend = BackendServer::start(|_| ok("done"));
     let file = folder.file(&backend);
@@ -579,7 +579,7 @@
 }
 
 #[test]
-fn commands_come_by_the_socket() {
+fn control_socket_carries_commands() {
     let folder = Folder::new("commands");
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file(&backend));
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -39,13 +39,13 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_clean() {
+fn empty_batch_gets_empty_reply_and_end_of_input_exits_0() {
     assert_eq!(run("[\"TICK\",5]\n[\"END\"]\n"), ("[\"YIELD\"]\n".into(), String::new(), true));
     assert_eq!(run(""), (String::new(), String::new(), true));
 }
 
 #[test]
-fn a_request_is_handed_off_and_its_answer_closes_it() {
+fn request_is_dispatched_and_its_response_ends_it() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
     let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn with_no_backend_a_request_is_refused_in_time() {
+fn request_without_backend_is_rejected_in_time() {
     let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
     let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_killed_instance_is_forgotten_and_may_come_again() {
+fn killed_instance_is_removed_and_can_be_created_again() {
     let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
     let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
     assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
@@ -83,7 +83,7 @@
 
 /// Each is told with its line number and what was expected, and ends the process.
 #[test]
-fn malformed_lines_are_told_and_end_the_process() {
+fn malformed_line_is_reported_and_ends_the_process() {
     let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn bad_settings_are_a_fault_of_that_instance_that_names_the_key() {
+fn invalid_settings_are_reported_for_their_instance_with_the_key() {
     let cases = [
         ("\"group_size\":1,", "", "group_size"),
         ("\"group_size\":1,", "\"group_size\":0,", "group_size: expected a whole number, at least 1, got 0"),
