--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RelatedSpan {
     pub span: Range<usize>,
-    /// What is said of it.
+    /// Why it is shown.
     pub label: String,
 }
 
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -1,21 +1,21 @@
-//! What the operators' file says, as values that have been checked against each other.
+//! The operators' file as values that have been checked against each other.
 
 use shaletide_balancer::{BackendState, Config, DiscoveryMode, Micros};
 use shaletide_routing::{RequestFormat, Route};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that the file says.
+/// The whole file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfig {
     /// This proxy.
     pub proxy: ProxyConfig,
     /// Where it listens; at least one address, none twice.
     pub listeners: Vec<SocketAddr>,
-    /// What it may use and how long it waits.
+    /// Limits and timeouts.
     pub limits: Limits,
-    /// All that the decision module wants. Two fields are stand-ins: `zone` is 0, as the caller numbers
-    /// zones, and `discovery` is [`Discovery::Push`], as it differs by pool.
+    /// The balancer's configuration. Two fields are placeholders: `zone` is 0, as the caller numbers
+    /// zones, and `discovery` is [`DiscoveryMode::Push`], as it differs by pool.
     pub balancer: Config,
     /// The classes, in the order of `balancer.classes`.
     pub classes: Vec<ClassConfig>,
@@ -44,40 +44,40 @@
     pub proxies: u32,
     /// Which of them it is, from 0.
     pub position: u32,
-    /// The seed of its dice; none: drawn at the start.
+    /// The seed of its random numbers; none: drawn at the start.
     pub seed: Option<u64>,
 }
 
-/// What the proxy may use and how long it waits.
+/// Limits and timeouts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// File descriptors that the process may use.
     pub descriptors: usize,
-    /// A connection to a backend that is not up by then counts as failed.
+    /// A connection to a backend that is not established by then has failed.
     pub connect_timeout: Micros,
     /// Backends close connections that were idle for so long.
     pub idle_timeout: Micros,
-    /// The longest advice given to a client that is refused.
+    /// The longest `Retry-After` sent to a client.
     pub max_retry_after: Micros,
-    /// An answer that has begun and is not whole after so long is spoilt.
+    /// A response that has begun and is not complete after this is invalid.
     pub answer_stall: Option<Micros>,
-    /// A request's head is whole after this.
+    /// A request's head is complete after this.
     pub head_timeout: Micros,
-    /// A request's body is whole after this.
+    /// A request's body is complete after this.
     pub body_timeout: Micros,
     /// A body comes at this rate at least, in bytes a second.
     pub body_rate: usize,
-    /// But for so long, at its beginning or after it has kept to the rate.
+    /// How long a body may fall short of the rate, at its beginning or after it has kept to it.
     pub body_grace: Micros,
-    /// What bodies that are coming and those of open requests may hold together, in bytes.
+    /// Bytes that bodies being read and those of open requests may hold together.
     pub held_bodies: usize,
-    /// The longest body of a request or an answer, in bytes.
+    /// The longest body of a request or a response, in bytes.
     pub max_body: usize,
-    /// Nothing new goes to a backend later than this after the news that it drains.
+    /// No new attempt goes to a backend later than this after the list says that it drains.
     pub drain_grace: Micros,
 }
 
-/// What the daemon wants to know of a class beside the decision module's
+/// A class, beside the balancer's
 /// [`Class`](shaletide_balancer::Class).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassConfig {
@@ -85,30 +85,30 @@
     pub name: String,
     /// The methods that its requests may have; at least one, in capitals.
     pub methods: Vec<String>,
-    /// How long a client waits at most; no less than the aim.
+    /// How long a client waits at most; no less than the latency objective.
     pub deadline: Micros,
-    /// What goes on record of its requests; [`RecordMode::None`] where there is no [`OperatorConfig::record`].
+    /// What is recorded of its requests; [`RecordMode::None`] where there is no [`OperatorConfig::record`].
     pub record: RecordMode,
 }
 
-/// What goes on record of a class's requests.
+/// What is recorded of a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordMode {
     /// Nothing.
     None,
     /// What was known and done, as far as the store keeps up.
     Facts,
-    /// That too, and no attempt is sent before its intent is durable. Only of unsafe classes.
+    /// That too, and no attempt is sent before its intent is durable. Only of non-idempotent classes.
     Intent {
         /// What becomes of a request without a key.
         without_key: WithoutKey,
     },
 }
 
-/// What becomes of a request without a key where one is wanted.
+/// What becomes of a request without a key where one is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
-    /// It is refused.
+    /// It is rejected.
     Reject,
     /// It is sent, and recorded as one without a key.
     Record,
@@ -124,7 +124,7 @@
     /// How long a request waits for its intent to be durable; less than the deadline of each class with
     /// [`RecordMode::Permit`].
     pub intent_timeout: Micros,
-    /// What a client is advised that is refused, where nothing better is known.
+    /// The `Retry-After` of a rejection where nothing better is known.
     pub retry_after: Micros,
 }
 
@@ -133,7 +133,7 @@
 pub struct PoolConfig {
     /// Its name.
     pub name: String,
-    /// Pools of one group share bays.
+    /// Pools of one domain share deduplication groups.
     pub deduplication_domain: String,
     /// Where its backends come from.
     pub source: PoolSource,
@@ -144,11 +144,11 @@
 pub enum PoolSource {
     /// They stand in the file; at least one. No address stands in two pools.
     Static(Vec<StaticBackend>),
-    /// A discovery service tells.
+    /// They come from a discovery service.
     Discovery {
         /// Where it listens.
         address: SocketAddr,
-        /// How it tells.
+        /// How it sends lists.
         mode: DiscoveryMode,
     },
 }
@@ -158,11 +158,11 @@
 pub struct StaticBackend {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Backends of one kind are taken as equally fast.
+    /// Backends of one server type are taken to be equally fast.
     pub server_type: String,
     /// Its zone; may be empty.
     pub zone: String,
-    /// Its bay. A backend that names none is a bay of its own, under its address.
+    /// Its deduplication group. A backend that names none is in one of its own, under its address.
     pub deduplication_group: String,
     /// Its cores.
     pub cores: u32,
@@ -170,19 +170,19 @@
     pub state: BackendState,
 }
 
-/// The times that the platform has no word for.
+/// The limits that the platform has no setting for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExtensionLimits {
     /// An answer that has begun and is not whole after so long is spoilt; none: as without the file.
     pub answer_stall: Option<Micros>,
-    /// A request's head is whole after this.
+    /// A request's head is complete after this.
     pub head_timeout: Micros,
-    /// A request's body is whole after this.
+    /// A request's body is complete after this.
     pub body_timeout: Micros,
     /// A body comes at this rate at least, in bytes a second.
     pub body_rate: usize,
-    /// But for so long, at its beginning or after it has kept to the rate.
+    /// How long a body may fall short of the rate, at its beginning or after it has kept to it.
     pub body_grace: Micros,
-    /// What bodies that are coming and those of open requests may hold together, in bytes.
+    /// Bytes that bodies being read and those of open requests may hold together.
     pub held_bodies: usize,
 }
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -5,15 +5,16 @@
 mod define;
 mod page;
 mod process_keys;
+mod request_keys;
+mod routing_keys;
 mod sections;
-mod traffic_keys;
 mod types;
 
 pub use page::page;
+pub(crate) use request_keys::MAX_PATH_PART;
 pub use sections::{
     section, ATTRIBUTE_SOURCE, BACKEND, HEADER_MATCH, NOT_EXECUTED_PROOF, ROUTE_RESPONSES, SECTIONS,
 };
-pub(crate) use traffic_keys::MAX_PATH_PART;
 pub use types::{
     duration_text, one_of, size_text, DefaultValue, KeySchema, NodeConfigKey, SectionSchema, Shape,
     TakesEffect, ValueKind,
--- a/crates/config/src/schema/sections.rs
+++ b/crates/config/src/schema/sections.rs
@@ -2,7 +2,8 @@
 
 use super::define::{inline, list, table};
 use super::process_keys::*;
-use super::traffic_keys::*;
+use super::request_keys::*;
+use super::routing_keys::*;
 use super::types::SectionSchema;
 
 /// The sections of the file, in the order of the page.
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -265,7 +265,7 @@
     }
 }
 
-/// Marks where values begin that have a syntax error in them: of these as a whole nothing can be said.
+/// Marks where values begin that have a syntax error in them: such a value as a whole is not reported on.
 fn mark_damaged_values<'v, 't: 'v>(
     values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize],
     unreadable: &mut Vec<Range<usize>>,
--- a/crates/config/src/values.rs
+++ b/crates/config/src/values.rs
@@ -1,5 +1,5 @@
-//! One value of the file at a time: its type, its form and its range. What was found instead is said in a few
-//! words; what was expected stands in the schema.
+//! One value of the file at a time: its type, form and range. The error says what was found instead; what was expected is
+//! in the schema.
 
 use crate::diagnostics::quoted;
 use crate::schema::ValueKind;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use toml::de::DeValue;
 
-/// A value, or what was found instead.
+/// A value, or what was found instead, in words.
 pub(crate) type Parsed<T> = Result<T, String>;
 
 /// The type of a value in words.
--- a/crates/shaletide/src/cli.rs
+++ b/crates/shaletide/src/cli.rs
@@ -4,9 +4,9 @@
 use shaletide_config::operator::{OperatorConfig, PoolSource};
 use std::path::PathBuf;
 
-/// What is said where nothing says how to run.
+/// Printed where neither `NODE_CONFIG` nor a command is given.
 pub const WHAT_NEXT: &str = "NODE_CONFIG is not set, and no command says what to do.
-  shaletide demo                 stand-in boxes, load and trouble, in this one process
+  shaletide demo                 stand-in backends, load and faults, in this one process
   shaletide serve --config FILE  serve by an operators' file; deploy/operator.example.toml shows one
   shaletide check FILE           all that is wrong with such a file
   shaletide --help               the rest
@@ -42,7 +42,7 @@
         /// The operators' file.
         file: PathBuf,
     },
-    /// Stand-in backends, load and trouble in this one process: status 0 where all rules held, 1 where one did not.
+    /// Stand-in backends, load and faults in this one process: status 0 where all rules held, 1 where one did not.
     Demo(Demo),
     /// What the proxy knew and did: read, check, copy and keep the store of record.
     Record(crate::record::args::Record),
--- a/crates/shaletide/src/commands.rs
+++ b/crates/shaletide/src/commands.rs
@@ -1,17 +1,18 @@
-//! What operators' commands do to a proxy at work.
+//! What operators' commands do to a running proxy.
 
 use crate::record::text;
 use shaletide_control::{Command, Reply};
 use shaletide_record::{Fact, KeyId};
-use shaletide_record_service::Record;
+use shaletide_record_service::{Record, RecordService};
 use shaletide_store::{Query, SqliteReader, StoreReader};
 use shaletide_types::Time;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 /// The store is down, or was not open yet.
 const STORE_DOWN: &str = "the store takes nothing now";
 
-/// Carries one command out.
+/// Carries out one command.
 pub async fn handle(record: Option<Rc<Record>>, command: Command) -> Reply {
     let Some(record) = record else {
         return match command {
@@ -19,51 +20,55 @@
             _ => Reply::Refused("this proxy has no store of record".into()),
         };
     };
-    let Some(keeper) = record.service() else {
+    let Some(service) = record.service() else {
         return match command {
             Command::Ping {} => Reply::Done(format!("at work; {STORE_DOWN}")),
             _ => Reply::Refused(STORE_DOWN.into()),
         };
     };
-    let store = record.path().to_path_buf();
     match command {
-        Command::Ping {} => Reply::Done(match keeper.down() {
+        Command::Ping {} => Reply::Done(match service.down() {
             true => format!("at work; {STORE_DOWN}"),
             false => "at work".into(),
         }),
         Command::Resolve { tenant, class, key, ran, by, note } => {
             let key = KeyId { tenant, class, key: key.0 };
-            text::resolved(keeper.resolve(key, ran, by, note).await, ran)
+            text::resolved(service.resolve(key, ran, by, note).await, ran)
         }
-        Command::Prune { before, by } => match keeper.prune(Time(before), by).await {
+        Command::Prune { before, by } => match service.prune(Time(before), by).await {
             Ok(0) => Reply::Done("no row is older, or the oldest is of a key that is not settled".into()),
             Ok(rows) => Reply::Done(format!("rows taken out: {rows}")),
             Err(why) => Reply::Refused(why),
         },
         Command::Correct { of, by, text } => {
-            // Beside the event loop: a disk may hang.
-            let found = tokio::task::spawn_blocking(move || has_row(&store, of)).await;
-            match found {
-                Ok(Ok(true)) if keeper.down() => Reply::Refused(STORE_DOWN.into()),
-                Ok(Ok(true)) => {
-                    keeper.note(Fact::Correction { of, by, text });
-                    match keeper.settled().await {
-                        true => Reply::Done(format!("on record; row {of} stays as it is")),
-                        false => {
-                            Reply::Refused("not on record yet: nobody can tell whether it will be".into())
-                        }
-                    }
-                }
-                Ok(Ok(false)) => Reply::Refused(format!("there is no row {of}")),
-                Ok(Err(why)) => Reply::Refused(why),
-                Err(why) => Reply::Refused(why.to_string()),
-            }
+            let correction = Fact::Correction { of, by, text };
+            correct(&service, record.path().to_path_buf(), of, correction).await
         }
         other => Reply::Senseless(format!("this version does not know {other:?}")),
     }
 }
 
-fn has_row(store: &std::path::Path, of: u64) -> Result<bool, String> {
+/// Records a correction of the row `of`, if there is such a row.
+async fn correct(service: &RecordService, store: PathBuf, of: u64, correction: Fact) -> Reply {
+    // On a thread beside the event loop: a disk may hang.
+    let found = tokio::task::spawn_blocking(move || has_row(&store, of)).await;
+    match found {
+        Ok(Ok(true)) if service.down() => Reply::Refused(STORE_DOWN.into()),
+        Ok(Ok(true)) => {
+            service.note(correction);
+            match service.settled().await {
+                true => Reply::Done(format!("on record; row {of} stays as it is")),
+                false => Reply::Refused("not on record yet: nobody can tell whether it will be".into()),
+            }
+        }
+        Ok(Ok(false)) => Reply::Refused(format!("there is no row {of}")),
+        Ok(Err(why)) => Reply::Refused(why),
+        Err(error) => Reply::Refused(error.to_string()),
+    }
+}
+
+/// Whether the store has a row of that number.
+fn has_row(store: &Path, of: u64) -> Result<bool, String> {
     let query = Query { after_seq: of.saturating_sub(1), limit: 1, ..Query::default() };
     let rows = SqliteReader::open(store).and_then(|reader| reader.rows(&query)).map_err(|e| e.to_string())?;
     Ok(of > 0 && rows.first().is_some_and(|row| row.seq == of))
--- a/crates/shaletide/src/demo/script.rs
+++ b/crates/shaletide/src/demo/script.rs
@@ -143,10 +143,10 @@
     fn wait(&mut self, part: f64, more: Duration) -> Option<()> {
         let at = self.begun + micros(self.seconds.mul_f64(part) + more);
         let (left, stop) = (at - self.stage.fleet.clock().now(), &mut self.stop);
-        let told = async {
+        let stopped = async {
             tokio::time::timeout(Duration::from_micros(left.0), stop.wait_for(|stop| *stop)).await.is_ok()
         };
-        (!self.timers.block_on(told)).then_some(())
+        (!self.timers.block_on(stopped)).then_some(())
     }
 
     /// A line with the time since the load began.
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -4,68 +4,89 @@
 use shaletide_balancer::{ClassId, TenantId};
 use shaletide_config::operator::{OperatorConfig, PoolConfig, PoolSource};
 use shaletide_routing::{ErrorResponses, Mismatch, RequestAttributes, Route, RouteTable};
-use std::fmt::Write;
 
-/// The explanation, or what of the question makes no sense.
+/// Explains which route a request would get.
+///
+/// # Errors
+/// What of the question is invalid.
 pub fn explain(operator: &OperatorConfig, asked: &Explain) -> Result<String, String> {
-    let part = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
-    let named = asked.class.clone().or_else(|| asked.path.as_deref().map(part));
-    let known = |name: &String| operator.classes.iter().position(|c| c.name == *name);
-    let class = match named.as_ref().and_then(known) {
-        Some(at) => ClassId(at),
-        None => match (asked.class.as_ref(), operator.request_format.default_class) {
-            (None, Some(class)) => class,
-            (name, _) => return Err(no_class(operator, name.or(named.as_ref()))),
-        },
-    };
+    let class = find_class(operator, asked)?;
     let def = &operator.classes[class.0];
-    let tenant = match &asked.tenant {
-        None => None,
-        Some(name) => match operator.tenants.iter().position(|t| t == name) {
-            Some(at) => Some(TenantId(at)),
-            None => return Err(format!("--tenant {name}: the file has no such tenant")),
-        },
-    };
+    let tenant = find_tenant(operator, asked)?;
     let path = asked.path.clone().unwrap_or_else(|| format!("/{}", def.name));
     let method = asked.method.clone().or_else(|| def.methods.first().cloned()).unwrap_or_default();
-    let mut headers = Vec::new();
-    for header in &asked.headers {
-        let (name, value) =
-            header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
-        headers.push((name.to_ascii_lowercase(), value));
-    }
-    let question = RequestAttributes {
+    let headers = read_headers(asked)?;
+    let request = RequestAttributes {
         class,
         tenant,
         zone: asked.zone.as_deref().unwrap_or(&operator.proxy.zone),
         deduplication_group: asked.bay.as_deref(),
         path: &path,
         method: &method,
-        header: &|name| headers.iter().find(|h| h.0 == name).map(|h| h.1),
+        header: &|name| headers.iter().find(|header| header.0 == name).map(|header| header.1),
     };
     let mut text = format!("{method} {path} of class {}", def.name);
-    let tenant = asked.tenant.as_ref().map(|name| format!(", tenant {name}"));
-    let _ = writeln!(text, "{}, zone {:?}", tenant.unwrap_or_default(), question.zone);
+    if let Some(name) = &asked.tenant {
+        text += &format!(", tenant {name}");
+    }
+    text += &format!(", zone {:?}\n", request.zone);
     if !def.methods.contains(&method) {
-        let _ = writeln!(text, "  is refused with 405: the class takes {}", def.methods.join(", "));
+        text += &format!("  is refused with 405: the class takes {}\n", def.methods.join(", "));
         return Ok(text);
     }
+    explain_routes(&mut text, operator, &request);
+    Ok(text)
+}
+
+/// Appends why routes were passed over, and the route taken with its pools.
+fn explain_routes(text: &mut String, operator: &OperatorConfig, request: &RequestAttributes<'_>) {
     let table = RouteTable::new(operator.routes.clone());
-    let (passed, taken) = table.explain(&question);
+    let (passed, taken) = table.explain(request);
     for (id, reason) in passed {
         let Some(route) = table.get(id) else { continue };
-        let _ = writeln!(text, "  not {}: {}", route.name, because(operator, route, reason, &question));
+        *text += &format!("  not {}: {}\n", route.name, mismatch(operator, route, reason, request));
     }
     let Some(route) = taken.and_then(|id| table.get(id)) else {
-        text.push_str("  is refused with 404: no route takes it\n");
-        return Ok(text);
+        *text += "  is refused with 404: no route takes it\n";
+        return;
     };
-    let _ = writeln!(text, "  route {}, errors {}", route.name, error_responses(route));
-    for (at, pool) in route.pools.iter().filter_map(|id| operator.pools.get(id.0 as usize)).enumerate() {
-        let when = if at == 0 { "first" } else { "else " };
-        let _ = writeln!(text, "    {when} pool {}: {}", pool.name, described(pool));
+    *text += &format!("  route {}, errors {}\n", route.name, error_responses(route));
+    let pools = route.pools.iter().filter_map(|id| operator.pools.get(id.0 as usize));
+    for (number, pool) in pools.enumerate() {
+        let when = if number == 0 { "first" } else { "else " };
+        *text += &format!("    {when} pool {}: {}\n", pool.name, described(pool));
     }
-    Ok(text)
+}
+
+/// The class that is named, or that the path names, or that all others have.
+fn find_class(operator: &OperatorConfig, asked: &Explain) -> Result<ClassId, String> {
+    let of_path = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
+    let name = asked.class.clone().or_else(|| asked.path.as_deref().map(of_path));
+    let known = name.as_ref().and_then(|name| operator.classes.iter().position(|c| c.name == *name));
+    if let Some(number) = known {
+        return Ok(ClassId(number));
+    }
+    match (asked.class.as_ref(), operator.request_format.default_class) {
+        (None, Some(class)) => Ok(class),
+        (class, _) => Err(no_class(operator, class.or(name.as_ref()))),
+    }
+}
+
+fn find_tenant(operator: &OperatorConfig, asked: &Explain) -> Result<Option<TenantId>, String> {
+    let Some(name) = &asked.tenant else { return Ok(None) };
+    let number = operator.tenants.iter().position(|tenant| tenant == name);
+    number.map(|number| Some(TenantId(number))).ok_or(format!("--tenant {name}: the file has no such tenant"))
+}
+
+/// The headers by their names in lower case.
+fn read_headers(asked: &Explain) -> Result<Vec<(String, &str)>, String> {
+    let mut headers = Vec::new();
+    for header in &asked.headers {
+        let (name, value) =
+            header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
+        headers.push((name.to_ascii_lowercase(), value));
+    }
+    Ok(headers)
 }
 
 fn no_class(operator: &OperatorConfig, name: Option<&String>) -> String {
@@ -76,7 +97,8 @@
     }
 }
 
-fn because(
+/// Why a route does not take the request.
+fn mismatch(
     operator: &OperatorConfig, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>,
 ) -> String {
     let when = &route.when;
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -1,4 +1,4 @@
-//! `NODE_CONFIG`: what this proxy is told by the platform, and a file that adds to it.
+//! `NODE_CONFIG`: the platform's configuration of this proxy, and a file that adds to it.
 
 use crate::files::{self, Reading};
 use crate::setup::Setup;
@@ -57,8 +57,8 @@
 }
 
 impl NodeError {
-    /// Whether the file may be about to be written: it is not there, cannot be read for now, or breaks off. What is
-    /// written only in part is never whole JSON, so that one that is whole and makes no sense is a mistake.
+    /// Whether the file may be about to be written: it is not there, cannot be read for now, or breaks off. A file that
+    /// is written only in part is never complete JSON, so that one that is complete and invalid is a mistake.
     pub fn may_pass(&self) -> bool {
         match self {
             NodeError::Unreadable(_, error) => {
@@ -113,8 +113,8 @@
     number.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n)).map_or(DEFAULT_DESCRIPTORS, |n| n as usize)
 }
 
-/// The list from before only bridges the time until discovery is heard: one that cannot be read is passed over, as
-/// a proxy that does not start is worse than one that knows no backend for that long.
+/// The cached list only bridges the time until discovery answers: one that cannot be read is ignored, as a proxy that does
+/// not start is worse than one that knows no backend for that long.
 fn cached_list(value: serde_json::Value) -> List {
     if value.is_null() {
         return List::default();
@@ -125,7 +125,7 @@
     })
 }
 
-/// All that NODE_CONFIG says, without a file that adds to it.
+/// Reads `NODE_CONFIG`, without a file that adds to it.
 pub fn read(path: &Path) -> Result<Setup, NodeError> {
     let file: File = file(path, Reading::First)?;
     let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
@@ -151,7 +151,7 @@
     })
 }
 
-/// NODE_CONFIG as it was read at the start, and what the file adds to it now.
+/// The setup of `NODE_CONFIG` as it was read at the start, with what the file adds now.
 pub fn extended(bare: &Setup, with: Option<&Path>) -> Result<Setup, NodeError> {
     let mut setup = bare.clone();
     if let Some(with) = with {
@@ -160,7 +160,7 @@
     Ok(setup)
 }
 
-/// What SIGHUP takes anew: where discovery is, and the file that adds. Nothing else in NODE_CONFIG is looked at.
+/// Reads what SIGHUP applies: where discovery is, and the file that adds. Nothing else in `NODE_CONFIG` is read.
 pub fn read_again(bare: &Setup, path: &Path, with: Option<&Path>) -> Result<Setup, NodeError> {
     let changed: Changeable = file(path, Reading::Again)?;
     let mut next = bare.clone();
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -20,7 +20,7 @@
 /// Rows pruned in one transaction, for each of which a row tells of it.
 const STEP: usize = 10_000;
 
-/// A key and what is said of it.
+/// A key in doubt, and whether its attempt ran.
 pub struct KeyResolution<'a> {
     pub key: Vec<u8>,
     pub which: &'a KeyArgs,
--- a/crates/shaletide/src/record/error.rs
+++ b/crates/shaletide/src/record/error.rs
@@ -13,7 +13,7 @@
 }
 
 impl CommandError {
-    /// It makes no sense, or cannot be read.
+    /// The command or the store is invalid, or cannot be read.
     pub fn invalid(why: impl Into<String>) -> CommandError {
         CommandError { status: 2, why: why.into() }
     }
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -1,4 +1,4 @@
-//! The story of one key.
+//! The history of one key.
 
 use super::args::KeyArgs;
 use super::error::CommandError;
@@ -11,8 +11,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
-/// So many rows of a story are shown, and so many corrections looked through.
-const MOST: usize = 100_000;
+/// Rows of a history that are shown, and corrections that are searched.
+const MAX_ROWS: usize = 100_000;
 
 pub fn show(
     store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
@@ -64,7 +64,7 @@
         let page = list::rows(store, &mut query, u64::MAX)?;
         let last = page.len() < PAGE;
         rows.extend(page);
-        if last || rows.len() >= MOST {
+        if last || rows.len() >= MAX_ROWS {
             return Ok(rows);
         }
     }
@@ -73,21 +73,21 @@
 /// The corrections of these rows, by the row that they correct: they came later, and bear no key where a running
 /// proxy wrote them.
 fn corrections(store: &dyn StoreReader, rows: &[Row]) -> Result<BTreeMap<u64, Vec<Row>>, StoreError> {
-    let told: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
+    let seqs: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
     let mut found: BTreeMap<u64, Vec<Row>> = BTreeMap::new();
     let mut query = Query {
         kind: Some("correction".into()),
-        after_seq: told.first().copied().unwrap_or_default(),
+        after_seq: seqs.first().copied().unwrap_or_default(),
         ..Query::default()
     };
-    for _ in 0..MOST / PAGE {
+    for _ in 0..MAX_ROWS / PAGE {
         let page = list::rows(store, &mut query, u64::MAX)?;
         if page.is_empty() {
             break;
         }
         for row in page {
             match Fact::of(&row) {
-                Fact::Correction { of, .. } if told.contains(&of) => found.entry(of).or_default().push(row),
+                Fact::Correction { of, .. } if seqs.contains(&of) => found.entry(of).or_default().push(row),
                 _ => {}
             }
         }
@@ -111,7 +111,7 @@
         let proves = |row: &&&Row| matches!(row.kind.as_str(), "withdrawn" | "doubted" | "resolved");
         let durable = self.held.is_some() || rows.iter().find(proves).is_some();
         let (mut day, mut run, mut request) = (String::new(), None, None);
-        let mut boxes: BTreeMap<(u64, Option<u64>, u32), String> = BTreeMap::new();
+        let mut backends: BTreeMap<(u64, Option<u64>, u32), String> = BTreeMap::new();
         for row in rows {
             let today = self.zone.day(row.at);
             if today != day {
@@ -130,9 +130,9 @@
                 request = row.request;
             }
             if let Fact::Intent { attempt, seen } = Fact::of(row) {
-                boxes.insert((row.run, row.request, attempt), seen.backend);
+                backends.insert((row.run, row.request, attempt), seen.backend);
             }
-            let to = |attempt| boxes.get(&(row.run, row.request, attempt)).cloned();
+            let to = |attempt| backends.get(&(row.run, row.request, attempt)).cloned();
             self.line(row, &text::fact(row, to, durable), out)?;
             for correction in self.corrections.get(&row.seq).into_iter().flatten() {
                 let said = text::fact(correction, |_| None, false);
--- a/crates/shaletide/src/record/text.rs
+++ b/crates/shaletide/src/record/text.rs
@@ -1,4 +1,4 @@
-//! Facts, keys and troubles in plain words.
+//! Facts, keys and errors of the store in words.
 
 use shaletide_control::Reply;
 use shaletide_record::{chain, Fact, KeyId, KeyState, ResolveResult, Row, Seen};
@@ -64,7 +64,7 @@
     }
 }
 
-/// What ails a store, with what to do about it.
+/// An error of a store, with what to do about it.
 pub fn trouble(error: &StoreError) -> String {
     match error {
         StoreError::Owned { .. } => {
@@ -111,7 +111,7 @@
     format!("{said}{ran}")
 }
 
-/// What the client was told.
+/// The final answer to the client.
 fn answer(ending: &str, attempt: Option<u32>) -> String {
     match (ending, attempt) {
         ("served", Some(attempt)) => format!("answered: served, by attempt {attempt}"),
--- a/crates/shaletide/src/start/signals.rs
+++ b/crates/shaletide/src/start/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program handles, from the first moment that it can.
+//! The signals that the program handles.
 
 use crate::start_error::StartError;
 use shaletide_net::retry_shortage;
