--- a/crates/config/src/operator/reload.rs
+++ b/crates/config/src/operator/reload.rs
@@ -21,7 +21,8 @@
     }
 
     fn changed_keys(&self, next: &OperatorConfig) -> Vec<String> {
-        let (old, new) = (&self.proxy, &next.proxy);
+        let old = &self.proxy;
+        let new = &next.proxy;
         let keys = [
             ("proxy.name", old.name != new.name),
             ("proxy.zone", old.zone != new.zone),
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -122,7 +122,7 @@
     /// How long a served key is remembered.
     pub retention: Micros,
     /// How long a request waits for its intent to be durable; less than the deadline of each class with
-    /// [`RecordMode::Permit`].
+    /// [`RecordMode::Intent`].
     pub intent_timeout: Micros,
     /// The `Retry-After` of a rejection where nothing better is known.
     pub retry_after: Micros,
--- a/crates/config/src/platform/setting.rs
+++ b/crates/config/src/platform/setting.rs
@@ -132,7 +132,8 @@
 
     /// The error that says what was expected here.
     pub fn unexpected(&self, expected: &str) -> SettingsError {
-        let (path, expected) = (self.path.clone(), expected.to_string());
+        let path = self.path.clone();
+        let expected = expected.to_string();
         match self.value {
             Some(value) => SettingsError::Unexpected { path, expected, found: value.clone() },
             None => SettingsError::Missing { path, expected },
--- a/crates/config/src/report.rs
+++ b/crates/config/src/report.rs
@@ -39,7 +39,8 @@
         file: &str, source: &Source<'_>, mut diagnostics: Vec<Diagnostic>, dropped: usize,
     ) -> Report {
         diagnostics.sort_by_key(|diagnostic| diagnostic.span.as_ref().map(|span| span.start));
-        let (file, total) = (harmless(file), diagnostics.len() + dropped);
+        let file = harmless(file);
+        let total = diagnostics.len() + dropped;
         let shown = diagnostics.into_iter().take(SHOWN);
         let problems = shown.map(|f| problem(&file, source, f)).collect();
         Report { file, problems, total }
--- a/crates/config/src/schema/page.rs
+++ b/crates/config/src/schema/page.rs
@@ -37,7 +37,9 @@
         return chapter;
     }
     chapter += "| Key | Value | Default | A change takes effect at | Meaning |\n|---|---|---|---|---|\n";
-    section.keys.iter().for_each(|key| chapter += &row(key));
+    for key in section.keys {
+        chapter += &row(key);
+    }
     chapter
 }
 
--- a/crates/config/src/schema/process_keys.rs
+++ b/crates/config/src/schema/process_keys.rs
@@ -36,7 +36,7 @@
         Described("drawn at start"),
         Restart,
         Named("seed"),
-        "The seed of its dice, so that a run can be repeated.",
+        "The seed of its random numbers, so that a run can be repeated.",
     ),
 ];
 
@@ -56,7 +56,7 @@
         Value("1024"),
         Restart,
         Named("limits.sockets"),
-        "File descriptors that the process may use. Each client and each connection to a box takes one.",
+        "File descriptors that the process may use. Each client and each connection to a backend takes one.",
     ),
     key(
         "max_attempts",
@@ -64,7 +64,7 @@
         Value("3"),
         Reload,
         Named("settings.limits.max_attempts"),
-        "How often a request is sent at most, the first time included.",
+        "Attempts of a request at most, the first included.",
     ),
     key(
         "second_copies",
@@ -72,7 +72,7 @@
         Value("true"),
         Reload,
         Named("settings.limits.parallel_tries"),
-        "Whether a second attempt may start while the first is still out. Never for unsafe classes.",
+        "Whether a hedged attempt may start while the first is still in flight. Never for unsafe classes.",
     ),
     key(
         "cancel",
@@ -80,7 +80,7 @@
         Value("true"),
         Reload,
         Named("settings.limits.cancel"),
-        "Whether an attempt that is no longer needed is withdrawn.",
+        "Whether an attempt that is no longer needed is cancelled.",
     ),
     key(
         "connect_timeout",
@@ -88,7 +88,7 @@
         Value("\"300ms\""),
         Reload,
         Named("settings.limits.dial_timeout_us"),
-        "A connection to a box that is not up by then has failed.",
+        "A connection to a backend that is not up by then has failed.",
     ),
     key(
         "idle_timeout",
@@ -96,7 +96,7 @@
         Value("\"60s\""),
         Reload,
         Named("settings.limits.conn_idle_us"),
-        "Boxes close connections that were idle for so long; the proxy uses none that is near it.",
+        "Backends close connections that were idle for so long; the proxy uses none that is near it.",
     ),
     key(
         "max_retry_after",
@@ -104,7 +104,7 @@
         Value("\"2s\""),
         Reload,
         Named("settings.limits.max_retry_after_us"),
-        "The longest advice (`Retry-After`) given to a client that is refused.",
+        "The longest `Retry-After` sent to a client that is rejected.",
     ),
     key(
         "tick",
@@ -120,7 +120,7 @@
         Described("no such bound"),
         Reload,
         Extends,
-        "An answer that has begun and is not whole after so long is spoilt.",
+        "A response that has begun and is not complete after this is invalid; the attempt has failed.",
     ),
     key(
         "head_timeout",
@@ -128,7 +128,7 @@
         Value("\"2100ms\""),
         Reload,
         Extends,
-        "A request's head is whole after this, or its connection is closed.",
+        "A request's head is complete within this, or its connection is closed.",
     ),
     key(
         "body_timeout",
@@ -136,7 +136,7 @@
         Value("\"700ms\""),
         Reload,
         Extends,
-        "A request's body is whole after this, or the request is refused.",
+        "A request's body is complete within this, or the request is rejected.",
     ),
     key(
         "body_rate",
@@ -179,7 +179,7 @@
         Value("0.3"),
         Reload,
         Named("settings.rules.cold_from"),
-        "The part of its capacity that a box has at least when it boots.",
+        "The part of its capacity that a backend has at least when it starts.",
     ),
     key(
         "ramp",
@@ -187,7 +187,7 @@
         Value("\"10s\""),
         Reload,
         Named("settings.rules.ramp_time_us"),
-        "A box that has booted is warm after this at most.",
+        "Slow start: a backend that has started is at full capacity after this at most.",
     ),
     key(
         "fall_multiple",
@@ -195,7 +195,7 @@
         Value("3.0"),
         Reload,
         Named("settings.rules.fall_multiple"),
-        "A cold box that is sent more than this multiple of its present capacity ...",
+        "A cold backend that is sent more than this multiple of its present capacity ...",
     ),
     key(
         "fall_window",
@@ -211,8 +211,8 @@
         Value("\"2s\""),
         Reload,
         Named("settings.rules.stop_sending_within_us"),
-        "Nothing new goes to a box later than this after the news that it drains. The proxy stops at once; \
-         the figure is for its checks, and for how often an agent is asked.",
+        "No new attempt goes to a backend later than this after the list says that it drains. The proxy stops at \
+         once; the figure is for its checks, and for how often discovery is polled.",
     ),
 ];
 
@@ -283,7 +283,7 @@
         Value("\"1s\""),
         Reload,
         Fixed,
-        "The advice (`Retry-After`) to a client that is refused, where nothing better is known.",
+        "The `Retry-After` of a rejection, where nothing better is known.",
     ),
 ];
 
--- a/crates/config/src/schema/request_keys.rs
+++ b/crates/config/src/schema/request_keys.rs
@@ -111,7 +111,7 @@
         Value("\"safe\""),
         Restart,
         Named("settings.profiles[].effect"),
-        "What a second run of a request would do. `safe`: nothing. `keyed`: nothing where the boxes drop \
+        "What a second run of a request would do. `safe`: nothing. `keyed`: nothing where the backends drop \
          repeats of its key. `unsafe`: harm; it is sent again only when it is certain that it never ran.",
     ),
     key(
@@ -168,7 +168,7 @@
         Described("keyed: must be given; others: may not be"),
         Restart,
         Named("settings.profiles[].key_scope"),
-        "Which boxes drop a key that one of them has seen: all of the pool, those of one zone, or those of one \
+        "Which backends drop a key that one of them has seen: all of the pool, those of one zone, or those of one \
          bay.",
     ),
     key(
--- a/crates/config/src/schema/routing_keys.rs
+++ b/crates/config/src/schema/routing_keys.rs
@@ -14,7 +14,7 @@
         Described("`discovery` must be given"),
         Reload,
         Extends,
-        "Its boxes; at least one. Exactly one of `boxes` and `discovery` stands.",
+        "Its backends; at least one. Exactly one of `boxes` and `discovery` stands.",
     ),
     key(
         "discovery",
@@ -22,7 +22,7 @@
         Described("`boxes` must be given"),
         Reload,
         Extends,
-        "Where the service listens that knows its boxes.",
+        "Where the service listens that knows its backends.",
     ),
     key(
         "discovery_mode",
@@ -65,7 +65,7 @@
         Value("\"box\""),
         Reload,
         Extends,
-        "Its sort of machine: boxes of one kind are taken as equally fast.",
+        "Its sort of machine: backends of one kind are taken as equally fast.",
     ),
     key("zone", ValueKind::NameOrEmpty, Value("\"\""), Reload, Extends, "Its zone."),
     key(
@@ -74,7 +74,7 @@
         Described("a bay of its own"),
         Reload,
         Extends,
-        "Boxes of one bay drop each other's repeated keys. `1` and \"1\" are the same bay.",
+        "Backends of one bay drop each other's repeated keys. `1` and \"1\" are the same bay.",
     ),
     key("cores", ValueKind::Integer(1, 4096), Value("1"), Reload, Extends, "Its cores."),
     key(
@@ -83,7 +83,7 @@
         Value("\"serving\""),
         Reload,
         Extends,
-        "A draining box finishes what it has and gets nothing new.",
+        "A draining backend finishes what it has and gets nothing new.",
     ),
 ];
 
@@ -112,7 +112,7 @@
         Value("\"as_they_are\""),
         Reload,
         Extends,
-        "What a client gets where the last attempt ended in an error: the box's answer, or the proxy's own \
+        "What a client gets where the last attempt ended in an error: the backend's answer, or the proxy's own \
          words. A 429 or 503 that proves nothing goes to a client of a safe class only: others get a 502.",
     ),
 ];
@@ -196,7 +196,7 @@
         Described("as `[answers]`"),
         Reload,
         Extends,
-        "What its boxes' answers mean.",
+        "What its backends' answers mean.",
     ),
 ];
 
--- a/crates/config/src/schema/sections.rs
+++ b/crates/config/src/schema/sections.rs
@@ -11,7 +11,7 @@
     table("proxy", "This proxy among those that share the work.", PROXY_KEYS),
     list("listener", true, Some("listen"), "An address where clients are taken.", LISTENER_KEYS),
     table("limits", "What the proxy may use and how long it waits.", LIMITS_KEYS),
-    table("rules", "Boxes that have just booted, and boxes that leave.", RULES_KEYS),
+    table("rules", "Backends that have just started, and backends that drain.", RULES_KEYS),
     table("goal", "What counts as serving well.", GOAL_KEYS),
     table(
         "request",
@@ -20,8 +20,8 @@
     ),
     list("class", true, Some("settings.profiles"), "A sort of request.", CLASS_KEYS),
     list("tenant", false, Some("settings.customers"), "A customer.", TENANT_KEYS),
-    list("pool", true, None, "Boxes that a route may lead to. At most 64.", POOL_KEYS),
-    table("answers", "What a box's answer means, for routes that say nothing else.", RESPONSES_KEYS),
+    list("pool", true, None, "Backends that a route may lead to. At most 64.", POOL_KEYS),
+    table("answers", "What a backend's answer means, for routes that say nothing else.", RESPONSES_KEYS),
     table(
         "record",
         "The store of record: what the proxy knew and did, in a file, and the keys that it does not send twice. \
@@ -46,7 +46,7 @@
 /// A backend in a pool's list, in its long form.
 pub static BACKEND: SectionSchema = inline(
     "pool.boxes",
-    "A box. The short form is the address alone, in quotes. At most 10000.",
+    "A backend. The short form is the address alone, in quotes. At most 10000.",
     BACKEND_KEYS,
 );
 /// A place in a request.
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -30,40 +30,13 @@
 }
 
 fn write_answers(text: &mut String, run: &DemoRun) -> std::fmt::Result {
-    let calm = |at: Time| run.measured.is_some_and(|part| at >= part.from && at < part.to);
-    let calm = run.result.sent.iter().filter(|s| calm(s.arrived));
-    let classes_of = |sent| LoadResult { classes: run.result.classes.clone(), sent, ..Default::default() };
-    let calm = classes_of(calm.copied().collect()).by_class();
     writeln!(text, "\nAnswers by class: requests, and the latency of those answered 200, ms")?;
     writeln!(text, "                             in that part      in all the run")?;
     let head = ["class", "", "requests", "p50", "p99", "p50", "p99", "refused", "failed", "late"];
     writeln!(text, "  {}", row(head.map(String::from)))?;
-    for ((class, calm), asked) in run.result.by_class().iter().zip(&calm).zip(classes()) {
-        let effect = match asked.effect {
-            Idempotency::Safe => "safe",
-            Idempotency::Keyed(..) => "keyed",
-            Idempotency::NonIdempotent => "unsafe",
-        };
-        let late = run.result.sent.iter().filter(|s| run.result.classes[s.class] == class.name);
-        let late = late.filter(|s| matches!(s.end, End::Status(_)) && !s.in_time).count();
-        let refused = class.status(503) + class.status(429);
-        let failed = class.count - class.status(200) - refused;
-        writeln!(
-            text,
-            "  {}",
-            row([
-                class.name.clone(),
-                effect.into(),
-                class.count.to_string(),
-                ms(calm, 0.5),
-                ms(calm, 0.99),
-                ms(class, 0.5),
-                ms(class, 0.99),
-                refused.to_string(),
-                failed.to_string(),
-                late.to_string(),
-            ])
-        )?;
+    let measured = measured_by_class(run);
+    for ((class, measured), load_class) in run.result.by_class().iter().zip(&measured).zip(classes()) {
+        writeln!(text, "  {}", row(class_row(run, class, measured, load_class.effect)))?;
     }
     writeln!(text, "  Refused: 429 or 503, coming again does no harm. Failed: any other end but 200.")?;
     writeln!(text, "  Late: answered when its client's {} s were over.", DEADLINE.as_secs())?;
@@ -77,6 +50,39 @@
     Ok(())
 }
 
+/// The results by class of the requests that arrived in the measured part.
+fn measured_by_class(run: &DemoRun) -> Vec<ClassResult> {
+    let is_measured = |at: Time| run.measured.is_some_and(|part| at >= part.from && at < part.to);
+    let sent = run.result.sent.iter().filter(|sent| is_measured(sent.arrived)).copied().collect();
+    LoadResult { classes: run.result.classes.clone(), sent, ..Default::default() }.by_class()
+}
+
+fn class_row(
+    run: &DemoRun, class: &ClassResult, measured: &ClassResult, idempotency: Idempotency,
+) -> [String; 10] {
+    let effect = match idempotency {
+        Idempotency::Safe => "safe",
+        Idempotency::Keyed(..) => "keyed",
+        Idempotency::NonIdempotent => "unsafe",
+    };
+    let of_class = run.result.sent.iter().filter(|sent| run.result.classes[sent.class] == class.name);
+    let late = of_class.filter(|sent| matches!(sent.end, End::Status(_)) && !sent.in_time).count();
+    let rejected = class.status(503) + class.status(429);
+    let failed = class.count - class.status(200) - rejected;
+    [
+        class.name.clone(),
+        effect.into(),
+        class.count.to_string(),
+        ms(measured, 0.5),
+        ms(measured, 0.99),
+        ms(class, 0.5),
+        ms(class, 0.99),
+        rejected.to_string(),
+        failed.to_string(),
+        late.to_string(),
+    ]
+}
+
 fn row(cells: [String; 10]) -> String {
     let widths = [6, 6, 8, 8, 7, 10, 7, 9, 7, 5];
     let cell = |(at, (text, width)): (usize, (&String, usize))| match at {
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -118,7 +118,8 @@
             End::Broken => "lost its connection".into(),
             End::NoConnection => "found no connection".into(),
         };
-        let (class, at) = (&result.classes[sent.class], (sent.arrived - run.begun).secs());
+        let class = &result.classes[sent.class];
+        let at = (sent.arrived - run.begun).secs();
         violations.push(format!(
             "{class} {} of {at:.3} s {how}, {:.3} s",
             result.id(sent.number),
--- a/crates/shaletide/src/demo/script.rs
+++ b/crates/shaletide/src/demo/script.rs
@@ -118,7 +118,9 @@
         self.wait(CRASH_AT, DOWN_TIME)?;
         dies.revive();
         self.stage.discovery.put(dies.entry());
-        let (name, cold, ramp) = (&dies.spec.name, COLD_FROM * 100.0, RAMP.secs());
+        let name = &dies.spec.name;
+        let cold = COLD_FROM * 100.0;
+        let ramp = RAMP.secs();
         self.say(&format!("{name} is back cold, at {cold:.0} % of its speed for a start, warm in {ramp} s"));
         self.wait(1.0, Duration::ZERO)?;
         self.say("the load ends; what is open is waited for");
@@ -142,7 +144,8 @@
     /// Waits for that part of the load's time and so long after it. `None`: told to stop.
     fn wait(&mut self, part: f64, more: Duration) -> Option<()> {
         let at = self.begun + micros(self.seconds.mul_f64(part) + more);
-        let (left, stop) = (at - self.stage.fleet.clock().now(), &mut self.stop);
+        let left = at - self.stage.fleet.clock().now();
+        let stop = &mut self.stop;
         let stopped = async {
             tokio::time::timeout(Duration::from_micros(left.0), stop.wait_for(|stop| *stop)).await.is_ok()
         };
--- a/crates/shaletide/src/demo/shares.rs
+++ b/crates/shaletide/src/demo/shares.rs
@@ -82,7 +82,8 @@
     writeln!(text, "  kind  count  requests    share    HALB by latencies    HALB by true speeds")?;
     for ((name, share), (by_latency, by_work)) in types.iter().zip(by_latency.into_iter().zip(by_work)) {
         let measured = percent(share.requests as f64 / part.len() as f64);
-        let (latency_rate, work_rate) = (share.rate_by_latency(span_s), share.rate_by_work(work_ms));
+        let latency_rate = share.rate_by_latency(span_s);
+        let work_rate = share.rate_by_work(work_ms);
         write!(text, "  {name:<4}  {:>5}  {:>8}  {measured:>7}   ", share.backends, share.requests)?;
         write!(text, "{:>8} ({latency_rate:5.1}/s)   ", percent(by_latency))?;
         writeln!(text, "{:>10} ({work_rate:5.1}/s)", percent(by_work))?;
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -89,8 +89,11 @@
 }
 
 fn config(proxy: SocketAddr, discovery: SocketAddr) -> String {
-    let (deadline, window) = (DEADLINE.as_secs_f64(), WINDOW.secs());
-    let (ramp, grace, over) = (RAMP.secs(), GRACE.secs(), PUSH.window.secs());
+    let deadline = DEADLINE.as_secs_f64();
+    let window = WINDOW.secs();
+    let ramp = RAMP.secs();
+    let grace = GRACE.secs();
+    let over = PUSH.window.secs();
     let multiple = PUSH.multiple;
     format!(
         r#"# The operators' file of `shaletide demo`.
--- a/crates/shaletide/src/explore.rs
+++ b/crates/shaletide/src/explore.rs
@@ -20,7 +20,8 @@
     }
     let worlds = worlds(asked)?;
     println!("{HEAD}");
-    let (mut status, mut cover) = (0, Cover::default());
+    let mut status = 0;
+    let mut cover = Cover::default();
     for world in &worlds {
         let limits = Limits {
             time: Duration::from_secs(asked.seconds),
--- a/crates/shaletide/src/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -64,7 +64,9 @@
         let (tell, failure) = oneshot::channel();
         if !waits.is_empty() {
             let waits = waits.into_iter().map(|first| {
-                let (driver, announcement, ready) = (driver.clone(), announcement.clone(), ready.clone());
+                let driver = driver.clone();
+                let announcement = announcement.clone();
+                let ready = ready.clone();
                 let wait = Wait {
                     address: first.address,
                     patience: setup.listen_patience,
@@ -156,7 +158,8 @@
     /// # Errors
     /// The last failure where the patience is over, or one that does not pass by itself.
     async fn until_listening(self, first: ListenError) -> Result<(), ListenError> {
-        let (mut log, mut error) = (WaitLog::begin(), first);
+        let mut log = WaitLog::begin();
+        let mut error = first;
         let mut sharing = SharingAttempts::new(self.address);
         loop {
             self.note_failure(&error, &mut log);
@@ -199,8 +202,10 @@
         if !is_in_use || self.next_lookup.get().is_some_and(|at| Instant::now() < at) {
             return log.warn(error);
         }
-        let (cause, line) = (error.to_string(), log.line());
-        let (begun, next_lookup) = (Instant::now(), self.next_lookup.clone());
+        let cause = error.to_string();
+        let line = log.line();
+        let begun = Instant::now();
+        let next_lookup = self.next_lookup.clone();
         next_lookup.set(Some(begun + HOLDER_LOOKUP_TIMEOUT * HOLDER_LOOKUP_DUTY_DIVISOR));
         let held = (self.look_up_holder)(self.address);
         tokio::task::spawn_local(async move {
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -81,7 +81,9 @@
     };
     // Each reading starts from NODE_CONFIG alone: nothing of an earlier extension remains.
     let bare = Arc::new(OnceLock::new());
-    let (first_read, node_config, extension) = (bare.clone(), path.clone(), with.clone());
+    let first_read = bare.clone();
+    let node_config = path.clone();
+    let extension = with.clone();
     let read_again: ReadConfiguration = Arc::new(move |running| {
         node::read_again(first_read.get().unwrap_or(running), &node_config, extension.as_deref())
             .map_err(|e| e.to_string())
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -34,7 +34,7 @@
             writeln!(out)?;
         }
         let rows: Vec<&Row> = rows.iter().filter(|row| row.key.as_ref() == Some(id)).collect();
-        KeyHistory { store, id, held: store.key(id)?, corrections: &corrections, zone }.tell(&rows, out)?;
+        KeyHistory { store, id, held: store.key(id)?, corrections: &corrections, zone }.write(&rows, out)?;
     }
     Ok(())
 }
@@ -55,7 +55,7 @@
         return Err(CommandError::negative(none));
     }
     let corrections = BTreeMap::new();
-    KeyHistory { store, id: &id, held, corrections: &corrections, zone }.tell(&[], out)
+    KeyHistory { store, id: &id, held, corrections: &corrections, zone }.write(&[], out)
 }
 
 fn all(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
@@ -105,12 +105,14 @@
 }
 
 impl KeyHistory<'_> {
-    fn tell(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), CommandError> {
+    fn write(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), CommandError> {
         writeln!(out, "{}, key {}", text::whose(self.id), text::key(&self.id.key))?;
         writeln!(out, "times in {}", self.zone.name)?;
         let proves = |row: &&&Row| matches!(row.kind.as_str(), "withdrawn" | "doubted" | "resolved");
         let durable = self.held.is_some() || rows.iter().find(proves).is_some();
-        let (mut day, mut run, mut request) = (String::new(), None, None);
+        let mut day = String::new();
+        let mut run = None;
+        let mut request = None;
         let mut backends: BTreeMap<(u64, Option<u64>, u32), String> = BTreeMap::new();
         for row in rows {
             let today = self.zone.day(row.at);
@@ -133,24 +135,25 @@
                 backends.insert((row.run, row.request, attempt), seen.backend);
             }
             let to = |attempt| backends.get(&(row.run, row.request, attempt)).cloned();
-            self.line(row, &text::fact(row, to, durable), out)?;
-            for correction in self.corrections.get(&row.seq).into_iter().flatten() {
-                let said = text::fact(correction, |_| None, false);
-                writeln!(
-                    out,
-                    "                 row {}, {}: {said}",
-                    correction.seq,
-                    self.zone.full(correction.at)
-                )?;
-            }
+            self.write_line(row, &text::fact(row, to, durable), out)?;
+            self.write_corrections(row, out)?;
         }
         if rows.is_empty() {
             writeln!(out, "\nits rows were taken out")?;
         }
-        self.ending(out)
+        self.write_state(out)
     }
 
-    fn line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), CommandError> {
+    fn write_corrections(&self, row: &Row, out: &mut dyn Write) -> Result<(), CommandError> {
+        for correction in self.corrections.get(&row.seq).into_iter().flatten() {
+            let fact = text::fact(correction, |_| None, false);
+            let at = self.zone.full(correction.at);
+            writeln!(out, "                 row {}, {at}: {fact}", correction.seq)?;
+        }
+        Ok(())
+    }
+
+    fn write_line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), CommandError> {
         Ok(writeln!(out, "    {}  {said}  [row {}]", self.zone.clock(row.at), row.seq)?)
     }
 
@@ -158,7 +161,8 @@
     /// is found in a few steps.
     fn run(&self, row: &Row) -> Result<String, CommandError> {
         let from = self.store.anchor()?.map_or(0, |anchor| anchor.through.seq);
-        let (mut low, mut high) = (from + 1, row.seq);
+        let mut low = from + 1;
+        let mut high = row.seq;
         while low < high {
             let middle = low + (high - low) / 2;
             let found = self.at(middle)?;
@@ -179,7 +183,8 @@
         Ok(page.into_iter().next())
     }
 
-    fn ending(&self, out: &mut dyn Write) -> Result<(), CommandError> {
+    /// How the key stands now.
+    fn write_state(&self, out: &mut dyn Write) -> Result<(), CommandError> {
         let since = |at: Time| self.zone.full(at);
         let said = match &self.held {
             None => "now: free; a request of this key is sent".into(),
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -82,7 +82,8 @@
                 return Ok(writeln!(out, "there are more: --limit {}", args.limit.saturating_mul(10))?);
             }
             left -= 1;
-            let (state, since) = (text::state(held.state), zone.full(held.since));
+            let state = text::state(held.state);
+            let since = zone.full(held.since);
             let at = at.map_or("no box".into(), |at| text::one_line(&at));
             let key = text::arguments(&held.key);
             writeln!(out, "{state} since {since}, last at {at}  [row {}]  {key}", held.seq)?;
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -6,6 +6,7 @@
 mod export;
 mod history;
 mod list;
+mod offline_store;
 mod target;
 pub mod text;
 mod time_zone;
--- a/crates/shaletide/src/record/time_zone.rs
+++ b/crates/shaletide/src/record/time_zone.rs
@@ -90,7 +90,8 @@
     let (hours, minutes) = text.get(1..)?.split_once(':')?;
     let number =
         |t: &str| t.parse::<i32>().ok().filter(|_| t.len() == 2 && t.bytes().all(|b| b.is_ascii_digit()));
-    let (hours, minutes) = (number(hours)?, number(minutes).filter(|m| *m < 60)?);
+    let hours = number(hours)?;
+    let minutes = number(minutes).filter(|m| *m < 60)?;
     Offset::from_seconds(sign * (hours * 3600 + minutes * 60)).ok()
 }
 
--- a/crates/shaletide/src/retry.rs
+++ b/crates/shaletide/src/retry.rs
@@ -75,7 +75,8 @@
 
     /// The line on a step that is done after all.
     pub fn done(&self, what: impl Display) {
-        let (attempts, waited) = (self.attempts, self.waited().as_secs_f64());
+        let attempts = self.attempts;
+        let waited = self.waited().as_secs_f64();
         info!("{what} after {attempts} failed attempts in {waited:.3} s");
     }
 }
--- a/crates/shaletide/src/start/signals.rs
+++ b/crates/shaletide/src/start/signals.rs
@@ -29,7 +29,8 @@
     // A log, or a store of record, that reaches a limit on its file's size is no reason to end: with any handler at all
     // the write fails instead. The handler outlives this.
     drop(on(SignalKind::from_raw(libc::SIGXFSZ))?);
-    let (mut terminate, mut interrupt) = (on(SignalKind::terminate())?, on(SignalKind::interrupt())?);
+    let mut terminate = on(SignalKind::terminate())?;
+    let mut interrupt = on(SignalKind::interrupt())?;
     Ok(Box::pin(async move {
         tokio::select! {
             _ = terminate.recv() => {}
--- a/crates/shaletide/tests/client_close_before_read.rs
+++ b/crates/shaletide/tests/client_close_before_read.rs
@@ -21,7 +21,7 @@
 
 /// What a client has sent before it closes.
 #[derive(Clone, Copy, Debug)]
-enum Sent {
+enum SentParts {
     Whole,
     /// Head and body in two parts; the end comes behind the second.
     InParts,
@@ -43,12 +43,12 @@
 }
 
 /// Sends a request, closes, and returns the request's id and when it closed.
-fn ask_and_close(proxy: SocketAddr, sent: Sent) -> (String, Instant) {
+fn ask_and_close(proxy: SocketAddr, sent: SentParts) -> (String, Instant) {
     let request = pay(3.0);
     let mut client = Client::connect(proxy);
     match sent {
-        Sent::Whole => client.send(&request),
-        Sent::InParts => {
+        SentParts::Whole => client.send(&request),
+        SentParts::InParts => {
             let (head, body) = request.split_at(request.len() - 2);
             client.send(head);
             std::thread::sleep(HELD_BACK * 2); // the head has been read
@@ -62,7 +62,7 @@
 
 #[test]
 fn request_is_not_sent_when_its_client_closes_before_the_loop_reads_it() {
-    for sent in [Sent::Whole, Sent::InParts] {
+    for sent in [SentParts::Whole, SentParts::InParts] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
         let arrivals = arrivals(backend);
--- a/crates/shaletide/tests/client_disconnects.rs
+++ b/crates/shaletide/tests/client_disconnects.rs
@@ -17,7 +17,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Disconnect {
     Close,
     Reset,
 }
@@ -26,9 +26,9 @@
 const BEHIND: [&str; 3] =
     ["", "\r\n\r\nx", "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: b\r\n\r\n"];
 
-fn leave(client: Client, how: Leaving) {
+fn disconnect(client: Client, how: Disconnect) {
     let tcp: TcpStream = client.0.into_inner();
-    if let Leaving::Reset = how {
+    if let Disconnect::Reset = how {
         socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)).unwrap();
     }
     drop(tcp);
@@ -83,9 +83,9 @@
 }
 
 /// They leave; when, by their requests' ids.
-fn all_leave(clients: Vec<(Client, String)>, how: Leaving) -> HashMap<String, Instant> {
+fn all_leave(clients: Vec<(Client, String)>, how: Disconnect) -> HashMap<String, Instant> {
     let leaves = |(client, id)| {
-        leave(client, how);
+        disconnect(client, how);
         (id, Instant::now())
     };
     clients.into_iter().map(leaves).collect()
@@ -95,7 +95,7 @@
 fn held(stopping: bool) {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
             let news = without_boxes(&proxy);
@@ -150,7 +150,7 @@
 #[test]
 fn burst_that_disconnects_from_slots_and_queue_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
-    for how in [Leaving::Close, Leaving::Reset] {
+    for how in [Disconnect::Close, Disconnect::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::launched(&[], 256, SETTINGS, 256);
         let news = without_boxes(&proxy);
@@ -176,7 +176,7 @@
 #[test]
 fn burst_that_disconnects_while_it_is_read_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
-    for how in [Leaving::Close, Leaving::Reset, Leaving::Close, Leaving::Reset] {
+    for how in [Disconnect::Close, Disconnect::Reset, Disconnect::Close, Disconnect::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::start(&[]);
         let news = without_boxes(&proxy);
@@ -204,7 +204,7 @@
 fn request_is_not_retried_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let silent = BackendServer::start(|_| Reply::Silence);
             let good = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
@@ -244,7 +244,7 @@
 fn request_that_arrives_with_its_clients_close_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
             let mut kept: Vec<Client> = (0..10).map(|_| proxy.client()).collect();
@@ -257,7 +257,7 @@
             for (n, mut client) in kept.into_iter().enumerate() {
                 let request = if n % 2 == 0 { pay(3.0) } else { read(3.0) };
                 client.send(&(request.clone() + behind));
-                leave(client, how);
+                disconnect(client, how);
                 left.insert(id(&request), Instant::now());
             }
             std::thread::sleep(LEFT);
@@ -276,7 +276,7 @@
 fn body_that_waits_for_admission_is_dropped_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let gate = Arc::new(Gate::default());
             let wait = gate.clone();
             let backend =
@@ -298,7 +298,7 @@
                 let request = post(9_000);
                 let mut client = proxy.client();
                 client.send(&(request.clone() + behind));
-                leave(client, how);
+                disconnect(client, how);
                 left.insert(id(&request), Instant::now());
             }
             std::thread::sleep(LEFT);
@@ -318,7 +318,7 @@
 fn late_connection_is_not_used_for_disconnected_clients() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             // As its queue is full, what else is to be connected is tried again by the kernel after a second.
             let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/crates/shaletide/tests/crash_recovery.rs
+++ b/crates/shaletide/tests/crash_recovery.rs
@@ -64,16 +64,17 @@
     }
 }
 
-struct Place(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Drop for Place {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 fn killed_under_load(name: &str, kills: u64) {
-    let place = Place(std::env::temp_dir().join(format!("shaletide-kills-{}-{name}", std::process::id())));
+    let place =
+        TestFolder(std::env::temp_dir().join(format!("shaletide-kills-{}-{name}", std::process::id())));
     let _ = std::fs::remove_dir_all(&place.0);
     std::fs::create_dir(&place.0).unwrap();
     let (store, socket) = (place.0.join("record.db"), place.0.join("control.sock"));
--- a/crates/shaletide/tests/crash_windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -54,7 +54,7 @@
 const LARGE: usize = 60_000;
 
 /// A backend that keeps its own record of what it ran, by key, and does what a key's name says of its first request.
-struct Till {
+struct RecordingBackend {
     address: SocketAddr,
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
     /// Keys as far as the backend has come with them: all of it, or a part.
@@ -62,8 +62,8 @@
     gate: Arc<Mutex<Arc<Gate>>>,
 }
 
-impl Till {
-    fn start() -> Till {
+impl RecordingBackend {
+    fn start() -> RecordingBackend {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         // What a part is read of must lie whole neither here nor on the way.
         socket.set_tcp_mss(536).unwrap();
@@ -88,7 +88,7 @@
                 }
             }
         });
-        Till { address, runs, seen, gate }
+        RecordingBackend { address, runs, seen, gate }
     }
 
     fn ran(&self, key: &str) -> u32 {
@@ -149,10 +149,10 @@
 }
 
 /// A place where no connection comes up: the queue of its listener is full.
-struct Deaf(SocketAddr, #[allow(dead_code)] (socket2::Socket, Vec<TcpStream>));
+struct StoppedListener(SocketAddr, #[allow(dead_code)] (socket2::Socket, Vec<TcpStream>));
 
-impl Deaf {
-    fn new() -> Deaf {
+impl StoppedListener {
+    fn new() -> StoppedListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -161,7 +161,7 @@
         while let Ok(tcp) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
             held.push(tcp);
         }
-        Deaf(address, (socket, held))
+        StoppedListener(address, (socket, held))
     }
 }
 
@@ -219,36 +219,36 @@
     }
 }
 
-struct Site {
+struct TestSite {
     folder: PathBuf,
     file: String,
-    till: Till,
-    _deaf: Deaf,
+    backend: RecordingBackend,
+    _stopped_listener: StoppedListener,
 }
 
-impl Drop for Site {
+impl Drop for TestSite {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Site {
-    fn new(name: &str) -> Site {
+impl TestSite {
+    fn new(name: &str) -> TestSite {
         let folder = std::env::temp_dir().join(format!("shaletide-windows-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir(&folder).unwrap();
-        let (till, deaf) = (Till::start(), Deaf::new());
+        let (backend, deaf) = (RecordingBackend::start(), StoppedListener::new());
         let quoted = |name: &str| format!("{:?}", folder.join(name).display().to_string());
         let file = format!(
             "{CLASSES}[record]\npath = {}\nwait = \"800ms\"\n[control]\nsocket = {}\n{}{}{}{}",
             quoted("record.db"),
             quoted("control.sock"),
-            pool("till", &[(till.address, "a")]),
+            pool("till", &[(backend.address, "a")]),
             pool("deaf", &[(deaf.0, "a")]),
             route("deaf", "path = \"/pay/deaf\"", &["deaf"]),
             route("all", "", &["till"]),
         );
-        Site { folder, file, till, _deaf: deaf }
+        TestSite { folder, file, backend, _stopped_listener: deaf }
     }
 
     fn store(&self) -> PathBuf {
@@ -262,7 +262,7 @@
     /// Brings a settle of that key into the window, kills the program there, and shows that it was there.
     fn kill_in(&self, window: Window, key: &str, proxy: &mut Serving) {
         let store = self.store();
-        *self.till.gate.lock().unwrap() = Arc::new(Gate::default());
+        *self.backend.gate.lock().unwrap() = Arc::new(Gate::default());
         let kill = |proxy: &mut Serving| {
             proxy.signal("KILL");
             proxy.child.wait().unwrap();
@@ -282,7 +282,7 @@
         if window == BeforeIntent {
             proxy.signal("STOP");
         }
-        let lock = (window == IntentQueued).then(|| locked(&store));
+        let lock = (window == IntentQueued).then(|| lock_store(&store));
         client.write_all(settle(key, path, body).as_bytes()).unwrap();
         let mut status = None;
         match window {
@@ -292,12 +292,12 @@
                 proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
             }
             DurableNotSent => until("the intent", || on_record(&store, key).1),
-            HalfSent => self.till.has(key, false),
-            Sent => self.till.has(key, true),
+            HalfSent => self.backend.has(key, false),
+            Sent => self.backend.has(key, true),
             ReadNotRecorded => {
-                self.till.has(key, true);
-                let lock = locked(&store);
-                self.till.gate.lock().unwrap().open();
+                self.backend.has(key, true);
+                let lock = lock_store(&store);
+                self.backend.gate.lock().unwrap().open();
                 status = status_of(client.try_clone().unwrap());
                 kill(proxy);
                 drop(lock);
@@ -312,7 +312,7 @@
             kill(proxy);
         }
         drop(lock);
-        self.till.gate.lock().unwrap().open();
+        self.backend.gate.lock().unwrap().open();
         // All that the system still held is delivered by now, or never will be.
         let mut rest = Vec::new();
         client.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -331,7 +331,7 @@
             "{window:?}: {intent} {outcome} {status:?} {}",
             String::from_utf8_lossy(&rest[..rest.len().min(300)])
         );
-        assert_eq!(self.till.ran(key), u32::from(ran), "{window:?}");
+        assert_eq!(self.backend.ran(key), u32::from(ran), "{window:?}");
     }
 
     /// The key again, at the program that was started again; whether an operator was wanted.
@@ -384,7 +384,7 @@
 }
 
 fn killed_in_each_window(name: &str, each: u64, long: u64) {
-    let site = Site::new(name);
+    let site = TestSite::new(name);
     let numbers = AtomicU64::new(0);
     let (mut hits, mut resolved, mut count) = (BTreeMap::<Window, u64>::new(), 0, [(0, 0); 2]);
     let mut before: Option<(Window, String)> = None;
@@ -414,7 +414,7 @@
             before = Some((window, key));
         }
     }
-    let most = site.till.runs.lock().unwrap().values().max().copied();
+    let most = site.backend.runs.lock().unwrap().values().max().copied();
     println!(
         "hits by window {hits:?}; resolved by an operator {resolved}; others' settles (asked, served) in the first \
          second of a run {:?}, later {:?}; most runs of a key {most:?}",
--- a/crates/shaletide/tests/harness/mod.rs
+++ b/crates/shaletide/tests/harness/mod.rs
@@ -11,7 +11,7 @@
 }
 
 /// The program's command, with a configuration or without any.
-pub fn launch(config: Option<&str>) -> std::process::Command {
+pub fn program_command(config: Option<&str>) -> std::process::Command {
     program().command(config)
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// The same in a group that drops repeats.
-pub fn grouped(name: &str, group: &str, boxes: &[(std::net::SocketAddr, &str)]) -> String {
+pub fn pool_in_domain(name: &str, group: &str, boxes: &[(std::net::SocketAddr, &str)]) -> String {
     pool(name, boxes) + &format!("repeat_group = \"{group}\"\n")
 }
 
@@ -92,14 +92,14 @@
 static REQUESTS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
 /// The module saves up its further attempts from the requests that come: so many pay for several.
-pub fn save_up(client: &mut Client, path: &str) {
+pub fn fill_retry_budget(client: &mut Client, path: &str) {
     for _ in 0..30 {
         assert_eq!(client.ask(&request(path, 3.0, "")).status(), 200);
     }
 }
 
 /// Holds SQLite's writing lock, as another program might: nothing else becomes durable meanwhile.
-pub fn locked(store: &std::path::Path) -> rusqlite::Connection {
+pub fn lock_store(store: &std::path::Path) -> rusqlite::Connection {
     let db = rusqlite::Connection::open(store).unwrap();
     db.busy_timeout(PATIENCE).unwrap();
     db.execute_batch("BEGIN IMMEDIATE").unwrap();
--- a/crates/shaletide/tests/hostile_input.rs
+++ b/crates/shaletide/tests/hostile_input.rs
@@ -13,7 +13,7 @@
 
 /// The program at work with an operators' file; both end when this is dropped. A file cannot leave the port to the
 /// kernel: `LISTEN` in it stands for an address that was free.
-struct Served {
+struct ServedProxy {
     child: Child,
     address: SocketAddr,
     path: PathBuf,
@@ -30,12 +30,12 @@
     format!("[[listener]]\naddress = \"LISTEN\"\n{more}[[pool]]\nname = \"p\"\nboxes = [{boxes}]\n")
 }
 
-impl Served {
-    fn by(text: &str) -> Served {
-        (0..10).find_map(|_| Served::tried(text)).expect("a port that stays free")
+impl ServedProxy {
+    fn by(text: &str) -> ServedProxy {
+        (0..10).find_map(|_| ServedProxy::tried(text)).expect("a port that stays free")
     }
 
-    fn tried(text: &str) -> Option<Served> {
+    fn tried(text: &str) -> Option<ServedProxy> {
         let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let number = NUMBER.fetch_add(1, SeqCst);
         let path =
@@ -47,7 +47,7 @@
         let (tell, log) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(tell.send(line))));
-        let served = Served { child, address, path, log };
+        let served = ServedProxy { child, address, path, log };
         served.log.iter().any(|line| line.contains("listens on ")).then_some(served)
     }
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for Served {
+impl Drop for ServedProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -90,7 +90,7 @@
 #[test]
 fn attempt_that_may_not_be_cancelled_ends_at_its_deadline() {
     let silent = BackendServer::start(|_| Reply::Silence);
-    let served = Served::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
+    let served = ServedProxy::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
     let answer = served.client().ask(&read(0.3));
     assert!(matches!(answer.status(), 502..=504), "{}", answer.status());
     let start = Instant::now();
@@ -107,7 +107,7 @@
     let classes =
         |deadline: &str| CLASSES.replace("\"unsafe\"", &format!("\"unsafe\"\ndeadline = \"{deadline}\""));
     let classes = |deadline: &str| classes(deadline).replace("\"read\"", "\"read\"\ndeadline = \"500ms\"");
-    let mut served = Served::by(&file(&classes("10s"), &[&slow]));
+    let mut served = ServedProxy::by(&file(&classes("10s"), &[&slow]));
     let mut client = served.client();
     client.send(&pay(9.0));
     slow.request();
@@ -124,7 +124,7 @@
 fn endless_file_does_not_block_reload() {
     let good = BackendServer::start(|_| ok("x"));
     let text = file(CLASSES, &[&good]);
-    let served = Served::by(&text);
+    let served = ServedProxy::by(&text);
     std::fs::remove_file(&served.path).unwrap();
     let made = Command::new("mkfifo").arg(&served.path).status().unwrap();
     assert!(made.success());
@@ -146,7 +146,7 @@
 #[test]
 fn last_of_many_reloads_is_applied() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
-    let served = Served::by(&file(CLASSES, &[&old]));
+    let served = ServedProxy::by(&file(CLASSES, &[&old]));
     for _ in 0..50 {
         std::fs::write(&served.path, "{").unwrap();
         served.signal("HUP");
@@ -167,7 +167,7 @@
     let ask = |form: &str, path: &str| {
         let any = "[[class]]\nname = \"any\"\nmethods = [\"GET\", \"POST\"]\n";
         let form = format!("[request]\notherwise = \"any\"\n{form}{CLASSES}{any}");
-        let served = Served::by(&file(&form, &[&backend]));
+        let served = ServedProxy::by(&file(&form, &[&backend]));
         let post = format!("POST {path} HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n");
         served.client().ask(&post).status()
     };
@@ -192,7 +192,7 @@
     {
         let pieces = vec![format!("HTTP/1.1 101 X\r\n{more}")];
         let backend = BackendServer::start(move |_| Reply::Pieces(pieces.clone()));
-        let served = Served::by(&file(CLASSES, &[&backend]));
+        let served = ServedProxy::by(&file(CLASSES, &[&backend]));
         assert_eq!(served.client().ask(&pay(1.0)).status(), 502, "{more:?}");
     }
 }
@@ -203,7 +203,7 @@
     let length = |n: u32| if n == 0 { 2000 } else { 2001 };
     let backend = BackendServer::start(move |n| ok(&"x".repeat(length(n))));
     let text = file(&format!("[limits]\nmax_body = \"2KB\"\n{CLASSES}"), &[&backend]);
-    let served = Served::by(&text);
+    let served = ServedProxy::by(&text);
     let post = |length: usize| {
         let body = "y".repeat(length);
         format!("POST /pay/x HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}")
@@ -220,7 +220,7 @@
 fn overflowing_work_hint_is_ignored() {
     let backend = BackendServer::start(|_| ok("x"));
     let classes = CLASSES.replace("\"read\"", "\"read\"\naim_stretch = 2.0");
-    let served = Served::by(&file(&classes, &[&backend]));
+    let served = ServedProxy::by(&file(&classes, &[&backend]));
     for hint in ["1e300", "1e19", "9223372036854775808", "0"] {
         let get = format!("GET /read/x HTTP/1.1\r\nHost: s\r\nX-Weight-Hint: {hint}\r\n\r\n");
         assert_eq!(served.client().ask(&get).status(), 200, "{hint}");
--- a/crates/shaletide/tests/large_fleet.rs
+++ b/crates/shaletide/tests/large_fleet.rs
@@ -216,7 +216,7 @@
         discovery.address,
         settings("automatic")
     );
-    let mut child = launch(Some(&config)).spawn().unwrap();
+    let mut child = program_command(Some(&config)).spawn().unwrap();
     let begun = std::time::Instant::now();
     while TcpStream::connect(door.address()).is_err() {
         assert!(begun.elapsed() < PATIENCE, "it does not listen");
--- a/crates/shaletide/tests/operator_file.rs
+++ b/crates/shaletide/tests/operator_file.rs
@@ -8,23 +8,23 @@
 use std::time::{Duration, Instant};
 
 /// A file that is gone with this.
-struct Text(PathBuf);
+struct ConfigFile(PathBuf);
 
-impl Text {
-    fn new(name: &str, bytes: impl AsRef<[u8]>) -> Text {
+impl ConfigFile {
+    fn new(name: &str, bytes: impl AsRef<[u8]>) -> ConfigFile {
         let path = std::env::temp_dir().join(format!("shaletide-{}-{name}.toml", std::process::id()));
         std::fs::write(&path, bytes).unwrap();
-        Text(path)
+        ConfigFile(path)
     }
 }
 
-impl Drop for Text {
+impl Drop for ConfigFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-fn run(arguments: &[&str], file: &Text) -> Output {
+fn run(arguments: &[&str], file: &ConfigFile) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
     command.args(arguments).arg(&file.0).env_remove("NODE_CONFIG").stdin(Stdio::null());
     command.output().unwrap()
@@ -42,7 +42,7 @@
 
 /// Both refuse it with status 2 and all that is wrong in one run; nothing listens meanwhile.
 fn refused(name: &str, bytes: impl AsRef<[u8]>, reasons: &[&str]) {
-    let (file, begun) = (Text::new(name, bytes), Instant::now());
+    let (file, begun) = (ConfigFile::new(name, bytes), Instant::now());
     for arguments in [&["check"][..], &["serve", "--config"]] {
         let output = run(arguments, &file);
         let text = said(&output);
@@ -110,7 +110,7 @@
     for (name, text) in
         [("plain", file.clone()), ("windows", windows), ("marked", marked), ("odd-names", odd)]
     {
-        let output = run(&["check"], &Text::new(name, text));
+        let output = run(&["check"], &ConfigFile::new(name, text));
         assert_eq!((output.status.code(), said(&output).as_str()), (Some(0), ""), "{name}");
         let told = String::from_utf8_lossy(&output.stdout).into_owned();
         assert!(
@@ -118,7 +118,7 @@
             "{told}"
         );
     }
-    let example = Text::new("example", include_str!("../../../deploy/operator.example.toml"));
+    let example = ConfigFile::new("example", include_str!("../../../deploy/operator.example.toml"));
     assert_eq!(run(&["check"], &example).status.code(), Some(0));
 }
 
@@ -262,13 +262,15 @@
 
 #[test]
 fn extension_with_a_key_of_node_config_ends_the_start() {
-    let node = Text::new(
+    let node = ConfigFile::new(
         "node",
         r#"{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":1,"settings":SETTINGS}"#
             .replace("SETTINGS", SETTINGS),
     );
-    let add =
-        Text::new("add", "[proxy]\nzone = \"x\"\n[rules]\nramp = \"1s\"\n[limits]\nhead_timeout = \"1s\"\n");
+    let add = ConfigFile::new(
+        "add",
+        "[proxy]\nzone = \"x\"\n[rules]\nramp = \"1s\"\n[limits]\nhead_timeout = \"1s\"\n",
+    );
     let output = Command::new(env!("CARGO_BIN_EXE_shaletide"))
         .arg("--with")
         .arg(&add.0)
@@ -284,7 +286,8 @@
 /// The file that adds is for NODE_CONFIG alone: beside an operators' file it would be of no effect.
 #[test]
 fn extension_is_rejected_beside_a_command() {
-    let (file, add) = (Text::new("alone", sound(&Refusing::new())), Text::new("beside", "# nothing\n"));
+    let (file, add) =
+        (ConfigFile::new("alone", sound(&Refusing::new())), ConfigFile::new("beside", "# nothing\n"));
     let add = add.0.to_str().expect("a path");
     for command in [&["--with", add, "check"][..], &["--with", add, "serve", "--config"]] {
         let output = run(command, &file);
--- a/crates/shaletide/tests/platform_settings.rs
+++ b/crates/shaletide/tests/platform_settings.rs
@@ -107,7 +107,7 @@
         let config = format!(
             r#"{{"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","settings":{settings}}}"#
         );
-        let out = launch(Some(&config)).output().unwrap();
+        let out = program_command(Some(&config)).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{key}: {text}");
         assert!(text.contains(&format!("settings: {key}: ")), "{key}: {text}");
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -34,7 +34,7 @@
         let ((a, first), (b, second)) = (turning("a", failing), turning("b", failing));
         let [p, q] = [("p", &a), ("q", &b)].map(|(name, backend)| pool(name, &[(backend.address, "1")]));
         let proxy = program().serve(&format!("{CLASSES}{p}{q}"));
-        save_up(&mut proxy.client(), "/read/k");
+        fill_retry_budget(&mut proxy.client(), "/read/k");
         let _ = (seen(&a), seen(&b));
         first.store(true, SeqCst);
         second.store(true, SeqCst);
@@ -73,7 +73,7 @@
     let proxy = program().serve(&format!("{CLASSES}{pools}"));
     // Each of the two has to fail four times before it is out of use.
     let mut client = proxy.client();
-    (0..4).for_each(|_| save_up(&mut client, "/read/k"));
+    (0..4).for_each(|_| fill_retry_budget(&mut client, "/read/k"));
     let count = || fleet.boxes().iter().map(|b| b.stats().requests).collect::<Vec<u64>>();
     let before = count();
     assert_eq!(before[2] + before[3], 0, "the first is preferred");
@@ -108,11 +108,12 @@
     for (scope, first, second, other, in_zone, goes_on) in cases {
         let ((a, ill), b) = (turning("a", || Reply::Reset), BackendServer::start(|_| ok("b")));
         let one = |name: &str, group: &str, at: &BackendServer, bay: &str, zone: &str| {
-            grouped(name, group, &[(at.address, bay)]).replace("bay =", &format!("zone = \"{zone}\", bay ="))
+            pool_in_domain(name, group, &[(at.address, bay)])
+                .replace("bay =", &format!("zone = \"{zone}\", bay ="))
         };
         let pools = one("p", first, &a, "1", "east") + &one("q", second, &b, other, in_zone);
         let proxy = program().serve(&(CLASSES.replace(bay, scope) + &pools));
-        save_up(&mut proxy.client(), "/settle/k");
+        fill_retry_budget(&mut proxy.client(), "/settle/k");
         let case = format!("{scope} {first} {second} {other} {in_zone}");
         assert_eq!(b.count(), 0, "{case}");
         ill.store(true, SeqCst);
@@ -135,9 +136,10 @@
         Reply::Reset
     };
     let ((a, ill), b) = (turning("a", slow), BackendServer::start(|_| ok("b")));
-    let pools = grouped("p", "g", &[(a.address, "1")]) + &grouped("q", "g", &[(b.address, "1")]);
+    let pools =
+        pool_in_domain("p", "g", &[(a.address, "1")]) + &pool_in_domain("q", "g", &[(b.address, "1")]);
     let proxy = program().serve(&(CLASSES.replace("10s", "300ms") + &pools));
-    save_up(&mut proxy.client(), "/settle/k");
+    fill_retry_budget(&mut proxy.client(), "/settle/k");
     ill.store(true, SeqCst);
     assert_eq!(proxy.ask(&request("/settle/k", 3.0, "")).status(), 502);
     assert_eq!(b.count(), 0);
--- a/crates/shaletide/tests/proxy.rs
+++ b/crates/shaletide/tests/proxy.rs
@@ -321,11 +321,11 @@
 }
 
 /// Where an answer goes, and what for.
-type Waiting = (String, std::sync::mpsc::Sender<(u16, String)>);
+type PendingCall = (String, std::sync::mpsc::Sender<(u16, String)>);
 
 /// Answers until version 9 is taken in, or 10 where a change to it is given. The first call from there on is held. A
 /// call that was given up by the time it is answered, as on a busy machine, is followed by another.
-fn tell(discovery: &DiscoveryServer, whole: &[String], change: Option<&[String]>) -> Waiting {
+fn tell(discovery: &DiscoveryServer, whole: &[String], change: Option<&[String]>) -> PendingCall {
     let taken_in = if change.is_some() { "after=10&" } else { "after=9&" };
     loop {
         let (target, answer) = discovery.call();
@@ -398,7 +398,7 @@
     let path = std::env::temp_dir().join(format!("shaletide-proxy-{}.json", std::process::id()));
     let _ = std::fs::remove_file(&path);
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
-    let mut child = launch(None).env("NODE_CONFIG", &path).spawn().unwrap();
+    let mut child = program_command(None).env("NODE_CONFIG", &path).spawn().unwrap();
     let mut pipe = std::fs::File::create(&path).unwrap(); // it has opened it, too
     std::thread::sleep(Duration::from_secs(1)); // what has to pass is time itself
     let known = list(4, true, &[entry("b0", backend.address, "SERVING")]);
@@ -532,7 +532,7 @@
     for (config, expected) in
         [(None, "NODE_CONFIG is not set"), (Some("{}"), "name"), (Some(sound), "settings")]
     {
-        let out = launch(config).output().unwrap();
+        let out = program_command(config).output().unwrap();
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{config:?}");
         assert!(text.contains(expected) && !text.contains("panicked"), "{config:?}: {text}");
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -10,33 +10,33 @@
 use std::process::Command as Program;
 
 /// Each sort of story once.
-fn stories(folder: &Folder) -> Book {
-    let mut book = Book::open(&folder.db(), MORNING);
-    book.served("milford", b"good");
-    book.pass(100);
+fn stories(folder: &Folder) -> RecordedStore {
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
+    recorded.serve_request("milford", b"good");
+    recorded.advance_ms(100);
     // Refused: the backend turned it away, and no other was tried.
-    let refused = book.settle("milford", b"refused");
-    book.intent(refused, 0, "box-3");
-    book.ended(refused, 0, Outcome::Rejected);
-    book.over(refused, RequestEnding::Rejected);
+    let refused = recorded.begin_settle("milford", b"refused");
+    recorded.request_intent(refused, 0, "box-3");
+    recorded.end_attempt(refused, 0, Outcome::Rejected);
+    recorded.end_request(refused, RequestEnding::Rejected);
     // Withdrawn: the permit was given, and it was not sent.
-    let withdrawn = book.settle("other", b"withdrawn");
-    book.intent(withdrawn, 0, "box-3");
-    book.tell(Event::IntentWithdrawn { request: withdrawn, attempt: AttemptNumber(0) });
-    book.over(withdrawn, RequestEnding::TimedOut);
-    book.pass(100);
-    book.doubt("milford", b"odd");
-    book.pass(100);
+    let withdrawn = recorded.begin_settle("other", b"withdrawn");
+    recorded.request_intent(withdrawn, 0, "box-3");
+    recorded.handle_event(Event::IntentWithdrawn { request: withdrawn, attempt: AttemptNumber(0) });
+    recorded.end_request(withdrawn, RequestEnding::TimedOut);
+    recorded.advance_ms(100);
+    recorded.leave_in_doubt("milford", b"odd");
+    recorded.advance_ms(100);
     assert_ne!(
-        book.ask("milford", "settle", b"odd").1,
+        recorded.begin_request("milford", "settle", b"odd").1,
         shaletide_record::KeyDecision::Proceed { requires_intent: true }
     );
-    book.doubt("milford", b"settled");
+    recorded.leave_in_doubt("milford", b"settled");
     assert_eq!(
-        book.resolve(key("milford", b"settled"), false, "jo", "not in the box's book"),
+        recorded.resolve(key("milford", b"settled"), false, "jo", "not in the box's book"),
         ResolveResult::Done
     );
-    book
+    recorded
 }
 
 #[test]
@@ -88,8 +88,8 @@
 #[test]
 fn show_filters_by_tenant_class_and_zone() {
     let folder = Folder::new();
-    let mut book = stories(&folder);
-    book.served("other", b"good");
+    let mut recorded = stories(&folder);
+    recorded.serve_request("other", b"good");
     let all = folder.says(0, &["show", "--store", "record.db", "--key", "good"]);
     assert!(
         all.contains("settle of milford, key good") && all.contains("settle of other, key good"),
@@ -112,15 +112,15 @@
 #[test]
 fn history_across_runs_names_each_run() {
     let folder = Folder::new();
-    let mut book = Book::open(&folder.db(), MORNING);
-    let request = book.settle("milford", b"cut");
-    book.intent(request, 0, "box-7");
-    drop(book); // killed with the attempt out
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
+    let request = recorded.begin_settle("milford", b"cut");
+    recorded.request_intent(request, 0, "box-7");
+    drop(recorded); // killed with the attempt out
     let gone = folder.says(0, &["list", "--store", "record.db", "--in-doubt"]);
     assert!(gone.contains("in flight since 2026-12-01 10:31:02.123, last at box-7"), "{gone}");
     let mut later = MORNING;
     later.0 += 86_400_000_000;
-    let _book = Book::open(&folder.db(), later);
+    let _book = RecordedStore::open(&folder.db(), later);
     let story = folder.says(0, &["show", "--store", "record.db", "--key", "cut"]);
     let said = "in doubt: the proxy had ended with an attempt out, and row 3 is the last about it";
     assert!(story.contains("2026-12-02\n  run 2 begins: quay-1") && story.contains(said), "{story}");
@@ -187,12 +187,12 @@
 #[test]
 fn unusual_keys_are_printed_completely() {
     let folder = Folder::new();
-    let mut book = Book::open(&folder.db(), MORNING);
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     let long = vec![b'x'; 10 << 10];
     let odd: [&[u8]; 7] = [b"a\0b", b"a\nb", b"a,\"b\"", b"=1+1", &long, b"\xff\xfe", "\u{1F512}".as_bytes()];
-    odd.iter().for_each(|key| book.served("milford", key));
+    odd.iter().for_each(|key| recorded.serve_request("milford", key));
     let (by, text) = ("jo \"the pen\"", "first,\r\nsecond\0");
-    book.tell(Event::RecordFact(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
+    recorded.handle_event(Event::RecordFact(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
     let rows = csv(&folder.says(0, &["export", "--store", "record.db", "--format", "csv"]));
     assert!(rows.iter().all(|row| row.len() == 13), "{rows:?}");
     let of = |at: usize| rows.iter().skip(1).map(|row| row[at].clone()).collect::<Vec<_>>();
@@ -271,7 +271,7 @@
 #[test]
 fn doubt_is_resolved_only_while_no_proxy_holds_the_store() {
     let folder = Folder::new();
-    let book = stories(&folder);
+    let recorded = stories(&folder);
     let resolve = |status, key: &str, ran: &str, more: &[&str]| {
         let said = ["resolve", key, "--ran", ran, "--by", "jo", "--note", "asked box-7"];
         folder.says(status, &[&said[..], &["--store", "record.db"], more].concat())
@@ -281,7 +281,7 @@
         held.contains("another proxy owns the store") && held.contains("give --control or --config"),
         "{held}"
     );
-    drop(book);
+    drop(recorded);
     assert_eq!(resolve(0, "odd", "no", &[]), "on record; the key is free\n");
     let story = folder.says(0, &["show", "--store", "record.db", "--key", "odd"]);
     assert!(story.contains("run 2 begins: shaletide record, version"), "{story}");
@@ -294,9 +294,9 @@
     assert!(resolve(1, "none", "yes", &["--tenant", "milford", "--class", "settle"]).contains("it is free"));
     assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
     // The freed key goes again, and what it is now is the store's own word.
-    let mut book = Book::open(&folder.db(), MORNING);
-    book.served("milford", b"odd");
-    drop(book);
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
+    recorded.serve_request("milford", b"odd");
+    drop(recorded);
     assert!(resolve(1, "odd", "yes", &[]).contains("it was served"));
     let empty = ["resolve", "odd", "--ran", "yes", "--by", " ", "--note", "n", "--store", "record.db"];
     assert!(folder.says(2, &empty).contains("--by may not be empty"));
@@ -305,12 +305,12 @@
 #[test]
 fn key_in_flight_at_a_crash_is_resolved_before_restart() {
     let folder = Folder::new();
-    let mut book = Book::open(&folder.db(), MORNING);
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     for tenant in ["milford", "other"] {
-        let request = book.settle(tenant, b"cut");
-        book.intent(request, 0, "box-7");
+        let request = recorded.begin_settle(tenant, b"cut");
+        recorded.request_intent(request, 0, "box-7");
     }
-    drop(book);
+    drop(recorded);
     let which = folder
         .says(2, &["resolve", "cut", "--ran", "yes", "--by", "jo", "--note", "n", "--store", "record.db"]);
     assert!(which.contains("which of these?\n  cut --tenant milford --class settle\n"), "{which}");
@@ -331,23 +331,26 @@
     assert_eq!(folder.says(0, &said), "on record; the key counts as served\n");
     let story = folder.says(0, &["show", "--store", "record.db", "--key", "cut", "--tenant", "other"]);
     assert!(story.contains("in doubt: the proxy had ended") && story.contains("now: served"), "{story}");
-    let mut book = Book::open(&folder.db(), MORNING);
-    assert!(matches!(book.ask("other", "settle", b"cut").1, shaletide_record::KeyDecision::Conflict(_)));
-    drop(book);
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
+    assert!(matches!(
+        recorded.begin_request("other", "settle", b"cut").1,
+        shaletide_record::KeyDecision::Conflict(_)
+    ));
+    drop(recorded);
     assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
 }
 
 #[test]
 fn pruned_record_verifies_and_names_who_pruned() {
     let folder = Folder::new();
-    let book = stories(&folder);
+    let recorded = stories(&folder);
     let noted = folder.says(0, &["verify", "--store", "record.db"]);
     let head = noted.trim().rsplit(' ').next().unwrap().to_string();
     let prune = |status, before: &str| {
         folder.says(status, &["prune", "--before", before, "--by", "jo", "--store", "record.db"])
     };
     assert!(prune(2, "1d").contains("another proxy owns the store"));
-    drop(book);
+    drop(recorded);
     assert!(prune(0, "2026-01-01").contains("no row is older"));
     assert_eq!(prune(0, "2026-12-01T10:31:02.200Z"), "5 rows were taken out\n");
     let whole = folder.says(0, &["verify", "--store", "record.db", "--head", &head]);
@@ -386,10 +389,14 @@
 #[test]
 fn correction_is_added_and_shown_with_its_row() {
     let folder = Folder::new();
-    let mut book = stories(&folder);
+    let mut recorded = stories(&folder);
     // As a running proxy writes it: without the key of the row.
-    book.tell(Event::RecordFact(Fact::Correction { of: 4, by: "jo".into(), text: "it was box-9".into() }));
-    drop(book);
+    recorded.handle_event(Event::RecordFact(Fact::Correction {
+        of: 4,
+        by: "jo".into(),
+        text: "it was box-9".into(),
+    }));
+    drop(recorded);
     let correct = |status, row: &str| {
         let said = [
             "correct",
@@ -476,7 +483,7 @@
 #[test]
 fn running_proxys_reply_decides_the_status() {
     let folder = Folder::new();
-    let book = stories(&folder);
+    let recorded = stories(&folder);
     std::fs::write(folder.0.join("operator.toml"), CONFIG).unwrap();
     let resolve =
         ["resolve", "odd", "--ran", "yes", "--by", "jo", "--note", "n", "--config", "operator.toml"];
@@ -501,7 +508,7 @@
     end();
     // Nobody listens, and somebody holds the store; then nobody does.
     assert!(folder.says(2, &resolve).contains("another proxy owns the store"));
-    drop(book);
+    drop(recorded);
     assert_eq!(folder.says(0, &resolve), "on record; the key counts as served\n");
     let lone = ["prune", "--before", "1d", "--by", "jo", "--control", "control.sock"];
     assert!(folder.says(2, &lone).contains("no proxy listens at control.sock"));
@@ -513,8 +520,8 @@
 #[test]
 fn closed_output_ends_the_command_without_panic() {
     let folder = Folder::new();
-    let mut book = Book::open(&folder.db(), MORNING);
-    (0..150u32).for_each(|n| book.served("milford", &n.to_be_bytes()));
+    let mut recorded = RecordedStore::open(&folder.db(), MORNING);
+    (0..150u32).for_each(|n| recorded.serve_request("milford", &n.to_be_bytes()));
     let line = format!(
         "{} record export --store record.db --format csv | head -n 1",
         env!("CARGO_BIN_EXE_shaletide")
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// The recorder and its store.
-pub struct Book {
+pub struct RecordedStore {
     pub now: Time,
     recorder: Recorder,
     store: SqliteStore,
@@ -60,8 +60,8 @@
     replies: Vec<ResolveResult>,
 }
 
-impl Book {
-    pub fn open(path: &Path, now: Time) -> Book {
+impl RecordedStore {
+    pub fn open(path: &Path, now: Time) -> RecordedStore {
         let store = SqliteStore::open(&SqliteOptions::new(path)).unwrap();
         let run = store.head().unwrap().run + 1;
         let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
@@ -71,16 +71,21 @@
         let config = RecordConfig { classes: classes.into(), bounds, ..RecordConfig::default() };
         let held = store.keys(None, usize::MAX).unwrap();
         let recorder = Recorder::new(config, [7; 16], now, now);
-        let mut book = Book { now, recorder, store, run, requests: 0, replies: Vec::new() };
+        let mut recorded = RecordedStore { now, recorder, store, run, requests: 0, replies: Vec::new() };
         let (proxy, version) = ("quay-1".into(), "0.1.0".into());
-        book.tell(Event::RecordFact(Fact::Start { proxy, version, config: 1, digest: "5f1c9d".into() }));
+        recorded.handle_event(Event::RecordFact(Fact::Start {
+            proxy,
+            version,
+            config: 1,
+            digest: "5f1c9d".into(),
+        }));
         let mut actions = Vec::new();
-        book.recorder.restore(now, held, &mut actions);
-        book.carry_out(actions);
-        book
+        recorded.recorder.restore(now, held, &mut actions);
+        recorded.carry_out(actions);
+        recorded
     }
 
-    pub fn tell(&mut self, event: Event) {
+    pub fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.recorder.handle(self.now, event, &mut actions);
         self.carry_out(actions);
@@ -108,12 +113,12 @@
         }
     }
 
-    pub fn pass(&mut self, ms: u64) {
+    pub fn advance_ms(&mut self, ms: u64) {
         self.now = self.now + Micros(ms * MS);
     }
 
     /// A request of a class; its number, and what its front does with it.
-    pub fn ask(&mut self, tenant: &str, class: &str, key: &[u8]) -> (RequestId, KeyDecision) {
+    pub fn begin_request(&mut self, tenant: &str, class: &str, key: &[u8]) -> (RequestId, KeyDecision) {
         self.requests += 1;
         let request = RequestId(self.requests);
         let deadline = self.now + Micros(1_000 * MS);
@@ -124,13 +129,13 @@
         (request, verdict)
     }
 
-    pub fn settle(&mut self, tenant: &str, key: &[u8]) -> RequestId {
-        let (request, verdict) = self.ask(tenant, "settle", key);
+    pub fn begin_settle(&mut self, tenant: &str, key: &[u8]) -> RequestId {
+        let (request, verdict) = self.begin_request(tenant, "settle", key);
         assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true });
         request
     }
 
-    pub fn intent(&mut self, request: RequestId, attempt: u32, backend: &str) {
+    pub fn request_intent(&mut self, request: RequestId, attempt: u32, backend: &str) {
         let seen = Seen {
             backend: backend.into(),
             pool: "new-boxes".into(),
@@ -139,38 +144,38 @@
             ready: true,
             out: 2,
         };
-        self.tell(Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen });
+        self.handle_event(Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen });
     }
 
-    pub fn ended(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
-        self.tell(Event::AttemptEnded { request, attempt: AttemptNumber(attempt), outcome });
+    pub fn end_attempt(&mut self, request: RequestId, attempt: u32, outcome: Outcome) {
+        self.handle_event(Event::AttemptEnded { request, attempt: AttemptNumber(attempt), outcome });
     }
 
-    pub fn over(&mut self, request: RequestId, ending: RequestEnding) {
-        self.tell(Event::RequestEnded { request, ending });
+    pub fn end_request(&mut self, request: RequestId, ending: RequestEnding) {
+        self.handle_event(Event::RequestEnded { request, ending });
     }
 
     /// One that is served at backend-2.
-    pub fn served(&mut self, tenant: &str, key: &[u8]) {
-        let request = self.settle(tenant, key);
-        self.intent(request, 0, "box-2");
-        self.pass(18);
-        self.ended(request, 0, Outcome::Ok);
-        self.over(request, RequestEnding::Served(AttemptNumber(0)));
+    pub fn serve_request(&mut self, tenant: &str, key: &[u8]) {
+        let request = self.begin_settle(tenant, key);
+        self.request_intent(request, 0, "box-2");
+        self.advance_ms(18);
+        self.end_attempt(request, 0, Outcome::Ok);
+        self.end_request(request, RequestEnding::Served(AttemptNumber(0)));
     }
 
     /// One whose connection breaks at backend-7.
-    pub fn doubt(&mut self, tenant: &str, key: &[u8]) {
-        let request = self.settle(tenant, key);
-        self.pass(1);
-        self.intent(request, 0, "box-7");
-        self.pass(214);
-        self.ended(request, 0, Outcome::Reset);
-        self.over(request, RequestEnding::Failed);
+    pub fn leave_in_doubt(&mut self, tenant: &str, key: &[u8]) {
+        let request = self.begin_settle(tenant, key);
+        self.advance_ms(1);
+        self.request_intent(request, 0, "box-7");
+        self.advance_ms(214);
+        self.end_attempt(request, 0, Outcome::Reset);
+        self.end_request(request, RequestEnding::Failed);
     }
 
     pub fn resolve(&mut self, key: KeyId, ran: bool, by: &str, note: &str) -> ResolveResult {
-        self.tell(Event::Resolve { reply: ReplyId(1), key, ran, by: by.into(), note: note.into() });
+        self.handle_event(Event::Resolve { reply: ReplyId(1), key, ran, by: by.into(), note: note.into() });
         self.replies.pop().expect("a reply")
     }
 }
--- a/crates/shaletide/tests/record_pages.rs
+++ b/crates/shaletide/tests/record_pages.rs
@@ -27,31 +27,31 @@
 }
 
 /// The morning of the dispute, up to the time when somebody asks.
-fn morning(folder: &Folder) -> Book {
-    let mut book = Book::open(&folder.db(), Time(MORNING.0 - 60_000 * MS));
-    book.now = MORNING;
-    book.doubt("milford", b"sale-0417");
-    book.pass(2_000);
-    book.ask("milford", "settle", b"sale-0417");
-    book.pass(400);
-    book.served("harwich", b"sale-2210");
-    book
+fn morning(folder: &Folder) -> RecordedStore {
+    let mut recorded = RecordedStore::open(&folder.db(), Time(MORNING.0 - 60_000 * MS));
+    recorded.now = MORNING;
+    recorded.leave_in_doubt("milford", b"sale-0417");
+    recorded.advance_ms(2_000);
+    recorded.begin_request("milford", "settle", b"sale-0417");
+    recorded.advance_ms(400);
+    recorded.serve_request("harwich", b"sale-2210");
+    recorded
 }
 
 /// The running proxy's side of the commands, at fixed times.
-fn serve(folder: &Folder, mut book: Book) -> impl FnOnce() {
+fn serve(folder: &Folder, mut recorded: RecordedStore) -> impl FnOnce() {
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
     let (ready, is_ready) = std::sync::mpsc::channel();
     let path = folder.0.join("control.sock");
-    book.now = Time(MORNING.0 + 3 * 3_600_000 * MS);
+    recorded.now = Time(MORNING.0 + 3 * 3_600_000 * MS);
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async move {
             let control = Control::bind(&path).unwrap();
             ready.send(()).unwrap();
-            let book = std::cell::RefCell::new(book);
+            let recorded = std::cell::RefCell::new(recorded);
             tokio::select! {
-                () = control.serve(move |command| std::future::ready(carry_out(&mut book.borrow_mut(), command))) => {}
+                () = control.serve(move |command| std::future::ready(carry_out(&mut recorded.borrow_mut(), command))) => {}
                 _ = ended => {}
             }
         });
@@ -63,16 +63,16 @@
     }
 }
 
-fn carry_out(book: &mut Book, command: Command) -> Reply {
-    book.pass(90_000);
+fn carry_out(recorded: &mut RecordedStore, command: Command) -> Reply {
+    recorded.advance_ms(90_000);
     match command {
         Command::Resolve { tenant, class, key, ran, by, note } => {
-            let came = book.resolve(KeyId { tenant, class, key: key.0 }, ran, &by, &note);
+            let came = recorded.resolve(KeyId { tenant, class, key: key.0 }, ran, &by, &note);
             assert_eq!((came, ran), (ResolveResult::Done, true));
             Reply::Done("on record; the key counts as served".into())
         }
         Command::Correct { of, by, text } => {
-            book.tell(Event::RecordFact(Fact::Correction { of, by, text }));
+            recorded.handle_event(Event::RecordFact(Fact::Correction { of, by, text }));
             Reply::Done(format!("on record; row {of} stays as it is"))
         }
         other => Reply::Senseless(format!("{other:?}")),
--- a/crates/shaletide/tests/reload.rs
+++ b/crates/shaletide/tests/reload.rs
@@ -109,12 +109,12 @@
         let gate = Arc::new(Gate::default());
         let (a, b) = (holding(30, &gate, then), BackendServer::start(|_| ok("other")));
         let group = |name| if one_group { "g" } else { name };
-        let p = grouped("p", group("p"), &[(a.address, "1")]);
-        let q = grouped("q", group("q"), &[(b.address, "1")]);
+        let p = pool_in_domain("p", group("p"), &[(a.address, "1")]);
+        let q = pool_in_domain("q", group("q"), &[(b.address, "1")]);
         let classes = patient();
         let proxy = program().serve(&format!("{PROOF}{classes}{p}{q}"));
         let mut client = proxy.client();
-        save_up(&mut client, "/read/k");
+        fill_retry_budget(&mut client, "/read/k");
         let sent = request(path, 30.0, "");
         client.send(&sent);
         while a.request().header("x-correlation-id") != Some(id_of(&sent)) {}
@@ -196,7 +196,7 @@
         let [b, c] = ["b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
         let proxy = program().serve(&file(&[("p", &a), ("q", &b)], ""));
         let mut client = proxy.client();
-        save_up(&mut client, "/read/k");
+        fill_retry_budget(&mut client, "/read/k");
         client.send(&request("/pay/k", 30.0, ""));
         while a.count() < 31 {
             std::thread::yield_now();
@@ -228,7 +228,7 @@
     let p = pool("p", &[(bad.address, "1"), (good.address, "2")]);
     let proxy = program().serve(&format!("{classes}{p}"));
     let mut client = proxy.client();
-    save_up(&mut client, "/pay/k");
+    fill_retry_budget(&mut client, "/pay/k");
     ill.store(true, SeqCst);
     while !proxy.log.since(0).iter().any(|line| line.contains("ejected")) {
         client.ask(&request("/pay/k", 3.0, ""));
--- a/crates/shaletide/tests/request_format.rs
+++ b/crates/shaletide/tests/request_format.rs
@@ -163,7 +163,7 @@
     let routes = route("pays", "class = \"pay\"", &["p"]) + &route("rest", "", &["q"]);
     let pools = pool("p", &boxes) + &pool("q", &[(good.address, "1")]);
     let proxy = program().serve(&format!("{proof}{CLASSES}{pools}{routes}"));
-    save_up(&mut proxy.client(), "/read/k");
+    fill_retry_budget(&mut proxy.client(), "/read/k");
     assert_eq!(proxy.ask(&bare("POST", "/pay/k", "")).status(), 503);
     let ids = backends.each_ref().map(|b| b.request().header("x-correlation-id").map(String::from));
     assert!(ids[0].is_some() && ids[0] == ids[1], "{ids:?}");
--- a/crates/shaletide/tests/response_rules.rs
+++ b/crates/shaletide/tests/response_rules.rs
@@ -131,10 +131,10 @@
 }
 
 /// What the backends do with the first two requests that come to either.
-type Turns = [fn() -> Reply; 2];
+type Responses = [fn() -> Reply; 2];
 
 /// Two backends of one bay whose answers go by how often the two together were asked since the switch was thrown.
-fn in_turn(replies: Turns) -> ([BackendServer; 2], Arc<AtomicU32>) {
+fn in_turn(replies: Responses) -> ([BackendServer; 2], Arc<AtomicU32>) {
     let turn = Arc::new(AtomicU32::new(u32::MAX / 2));
     let one = || {
         let turn = turn.clone();
@@ -152,7 +152,7 @@
 fn earlier_attempts_response_is_not_returned_after_a_later_error() {
     let no = || Reply::Answer(500, "", "first".into());
     let full = || Reply::Answer(503, "X-Unprocessed: 1", "full".into());
-    let cases: [(&str, Turns, &str, u32); 6] = [
+    let cases: [(&str, Responses, &str, u32); 6] = [
         ("/read/k", [no, || Reply::Reset], "503 refused\n", 2),
         ("/settle/k", [no, || Reply::Reset], "502 failed\n", 2),
         // The second attempt was not executed, but the first may have.
@@ -167,7 +167,7 @@
         let boxes = [(a.address, "1"), (b.address, "1")];
         let proxy = program().serve(&(answers.to_string() + CLASSES + &pool("p", &boxes)));
         let mut client = proxy.client();
-        save_up(&mut client, "/read/k");
+        fill_retry_budget(&mut client, "/read/k");
         turn.store(0, SeqCst);
         let answer = client.ask(&request(path, 3.0, ""));
         let got = format!("{} {}", answer.status(), String::from_utf8_lossy(&answer.body));
@@ -183,7 +183,7 @@
         let boxes = [(a.address, "1"), (b.address, "1")];
         let proxy = program().serve(&(CLASSES.to_string() + &pool("p", &boxes)));
         let mut client = proxy.client();
-        save_up(&mut client, "/read/k");
+        fill_retry_budget(&mut client, "/read/k");
         turn.store(0, SeqCst);
         let answer = client.ask(&request(path, 0.6, ""));
         let own = matches!(&answer.body[..], b"refused\n" | b"failed\n" | b"timed out\n");
@@ -251,7 +251,7 @@
     let mut client = proxy.client();
     for (status, backend) in &backends {
         for class in ["read", "settle", "pay"] {
-            save_up(&mut client, "/read/k");
+            fill_retry_budget(&mut client, "/read/k");
             let mut ask = |kind| {
                 let before = backend.count();
                 let answer = client.ask(&request(
--- a/crates/shaletide/tests/rules_under_load.rs
+++ b/crates/shaletide/tests/rules_under_load.rs
@@ -76,9 +76,9 @@
     assert!(total.count > 900, "{total}");
 }
 
-/// Pools of these backends, by their numbers, and one that discovery tells of; without `grouped` no pool drops what
+/// Pools of these backends, by their numbers, and one that discovery tells of; without `pool_in_domain` no pool drops what
 /// another has seen.
-fn file(fleet: &Fleet, told: SocketAddr, pools: &[&[usize]], grouped: bool) -> String {
+fn file(fleet: &Fleet, told: SocketAddr, pools: &[&[usize]], pool_in_domain: bool) -> String {
     let bays: Vec<String> = fleet.boxes().iter().map(|b| b.spec.bay.to_string()).collect();
     // No connection is closed at rest: one that ends without an answer was owed one.
     let mut text = "[limits]\nhead_timeout = \"1min\"\n".to_string();
@@ -87,7 +87,7 @@
         let boxes: Vec<(SocketAddr, &str)> =
             numbers.iter().map(|n| (fleet.boxes()[*n].address, bays[*n].as_str())).collect();
         text += &pool(&format!("p{at}"), &boxes);
-        text += if grouped { "repeat_group = \"g\"\n" } else { "" };
+        text += if pool_in_domain { "repeat_group = \"g\"\n" } else { "" };
     }
     text += &format!("[[pool]]\nname = \"told\"\ndiscovery = \"{told}\"\n");
     let names: Vec<String> = (0..pools.len()).map(|at| format!("p{at}")).collect();
--- a/crates/shaletide/tests/service_terms.rs
+++ b/crates/shaletide/tests/service_terms.rs
@@ -67,14 +67,14 @@
 }
 
 /// The draining backend still answers; what comes to it after a whole list without it is counted.
-struct Pair {
+struct BackendPair {
     old: BackendServer,
     new: BackendServer,
 }
 
-impl Pair {
-    fn start() -> Pair {
-        Pair { old: BackendServer::start(|_| ok("old")), new: BackendServer::start(|_| ok("new")) }
+impl BackendPair {
+    fn start() -> BackendPair {
+        BackendPair { old: BackendServer::start(|_| ok("old")), new: BackendServer::start(|_| ok("new")) }
     }
     fn both(&self) -> [String; 2] {
         [entry("b0", self.old.address, "SERVING"), entry("b1", self.new.address, "SERVING")]
@@ -100,7 +100,7 @@
 }
 
 fn retry_of_asked_discovery_that_failed() -> Result<(), String> {
-    let pair = Pair::start();
+    let pair = BackendPair::start();
     let proxy = Proxy::with(&[], 1024, &asked(300));
     let (_, mut answer) = proxy.discovery.call();
     for failure in 0..8 {
@@ -158,7 +158,7 @@
 }
 
 fn retry_of_silent_asked_watch() -> Result<(), String> {
-    let pair = Pair::start();
+    let pair = BackendPair::start();
     let proxy = Proxy::with(&pair.both(), 1024, &asked(300));
     let (target, _silent) = take_in(&proxy.discovery, 9, &list(9, true, &pair.both()));
     let opened = Instant::now();
@@ -211,7 +211,7 @@
 fn retry_of_silent_pushing_watch() -> Result<(), String> {
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
-        let pair = Pair::start();
+        let pair = BackendPair::start();
         let proxy = Proxy::with(&pair.both(), 1024, &pushed(grace));
         let (_, mut watch) = take_in(&proxy.discovery, 9, &indented(9, true, &pair.both()));
         for _ in 0..4 {
@@ -235,7 +235,7 @@
 #[test]
 fn watch_that_ends_instead_of_answering_is_followed_by_the_whole_list() {
     for settings in [pushed(2000), asked(2000)] {
-        let pair = Pair::start();
+        let pair = BackendPair::start();
         let proxy = Proxy::with(&pair.both(), 1024, &settings);
         let (_, watch) = take_in(&proxy.discovery, 9, &list(9, true, &pair.both()));
         drop(watch);
@@ -254,7 +254,7 @@
 #[test]
 fn reload_followed_at_once_by_a_drain_takes_the_drain_from_the_new_discovery() {
     for settings in [pushed(2000), asked(2000)] {
-        let pair = Pair::start();
+        let pair = BackendPair::start();
         let proxy = Proxy::with(&pair.both(), 1024, &settings);
         let (_, watch) = take_in(&proxy.discovery, 900, &list(900, true, &pair.both()));
         let elsewhere = DiscoveryServer::start();
@@ -449,13 +449,13 @@
 
 /// How an answer ends in its middle.
 #[derive(Clone, Copy, Debug)]
-enum Breaking {
+enum Truncation {
     Reset,
     Close,
 }
 
 /// A backend that begins each answer with these bytes and ends its connection in the midst of it.
-fn breaking(begin: &'static str, how: Breaking) -> SocketAddr {
+fn truncating_backend(begin: &'static str, how: Truncation) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -468,7 +468,7 @@
             tcp.write_all(begin.as_bytes()).unwrap();
             // The proxy has acknowledged what there is: a reset that overtook it would be none in the midst.
             std::thread::sleep(Duration::from_millis(20));
-            if let Breaking::Reset = how {
+            if let Truncation::Reset = how {
                 socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)).unwrap();
             }
         }
@@ -487,8 +487,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf of a bo",
     ];
     for begin in begins {
-        for how in [Breaking::Reset, Breaking::Close] {
-            let proxy = Proxy::start(&[entry("b0", breaking(begin, how), "SERVING")]);
+        for how in [Truncation::Reset, Truncation::Close] {
+            let proxy = Proxy::start(&[entry("b0", truncating_backend(begin, how), "SERVING")]);
             for make in [read, pay, vote] {
                 let mut tcp = TcpStream::connect(proxy.address).unwrap();
                 tcp.set_read_timeout(Some(PATIENCE)).unwrap();
--- a/crates/shaletide/tests/start_configuration.rs
+++ b/crates/shaletide/tests/start_configuration.rs
@@ -68,7 +68,7 @@
 fn exit_status_is_the_same_where_standard_error_has_no_reader() {
     let (ours, theirs) = std::os::unix::net::UnixStream::pair().unwrap();
     drop(ours);
-    let mut command = launch(Some("{}"));
+    let mut command = program_command(Some("{}"));
     command.stderr(std::os::fd::OwnedFd::from(theirs));
     assert_eq!(command.status().unwrap().code(), Some(2));
 }
--- a/crates/shaletide/tests/store_of_record.rs
+++ b/crates/shaletide/tests/store_of_record.rs
@@ -240,7 +240,7 @@
     let backend = BackendServer::start(|_| ok("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
-    let lock = locked(&folder.store());
+    let lock = lock_store(&folder.store());
     let mut waits = proxy.client();
     waits.send(&paid("waits"));
     let mut reader = proxy.client();
@@ -366,7 +366,7 @@
     // Ready beforehand, as the lock may not last.
     proxy.rewrite(0, proxy.whole(&file.replace(&pool("p", &[(stays.address, "a")]), &alone)));
     let from = proxy.log.len();
-    let lock = locked(&folder.store());
+    let lock = lock_store(&folder.store());
     // Fewer than the backends hold, so that the read behind them does not wait for room.
     let mut clients: Vec<Client> = (0..6).map(|_| proxy.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -423,7 +423,7 @@
     let mut client = proxy.client();
     client.send(&paid("k"));
     backend.request();
-    let lock = locked(&folder.store());
+    let lock = lock_store(&folder.store());
     gate.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
     proxy.signal("TERM");
@@ -512,7 +512,7 @@
     let backend = BackendServer::start(|_| ok("done"));
     let mut proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
-    let lock = locked(&folder.store());
+    let lock = lock_store(&folder.store());
     let mut waits = proxy.client();
     waits.send(&paid("waits"));
     std::thread::sleep(Duration::from_millis(50)); // until it is taken
@@ -545,7 +545,7 @@
     let mut client = proxy.client();
     client.send(&paid("k"));
     backend.request();
-    let lock = locked(&folder.store());
+    let lock = lock_store(&folder.store());
     gate.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
     proxy.signal("TERM");
