--- a/crates/shaletide/src/demo/mod.rs
+++ b/crates/shaletide/src/demo/mod.rs
@@ -30,9 +30,9 @@
 const INTERRUPTED: u8 = 130;
 
 /// Runs the demo and prints its report.
-pub fn run(asked: &Demo, self_check: bool) -> ExitCode {
+pub fn run(args: &Demo, self_check: bool) -> ExitCode {
     let _log = crate::log::start(tracing::Level::WARN);
-    let demo_run = match run_on_stage(asked, self_check) {
+    let demo_run = match run_on_stage(args, self_check) {
         Ok(demo_run) => demo_run,
         Err(why) => {
             crate::log::say_failure(format_args!("the demo could not run: {why}"));
@@ -54,9 +54,9 @@
 }
 
 /// Starts the stand-ins, runs the proxy on this thread until the script has ended, and returns what was recorded.
-fn run_on_stage(asked: &Demo, self_check: bool) -> Result<DemoRun, String> {
+fn run_on_stage(args: &Demo, self_check: bool) -> Result<DemoRun, String> {
     let stage = Stage::set().map_err(|e| format!("no stand-ins: {e}"))?;
-    if asked.show_config {
+    if args.show_config {
         print_line(&stage.config);
     }
     let operator = operator::read("demo.toml", &stage.config).map_err(|report| report.to_string())?;
@@ -68,7 +68,7 @@
         run_proxy(
             Setup::from_file(operator, String::new()),
             stage,
-            Duration::from_secs(asked.seconds),
+            Duration::from_secs(args.seconds),
             self_check,
         ),
     )
--- a/crates/shaletide/src/descriptors.rs
+++ b/crates/shaletide/src/descriptors.rs
@@ -13,14 +13,14 @@
 /// discovery; 4 for configuration files that are being read; 8 are spare.
 const PROCESS: usize = 24;
 /// Listeners and calls to discovery that [`PROCESS`] has room for, one of each.
-const COUNTED: usize = 1;
+const COUNTED_IN_PROCESS: usize = 1;
 /// The control socket, its lock, and 8 operators' connections, which is the bound of `shaletide-control`.
 const CONTROL: usize = 10;
 /// The store of record's writer: the database, its log, its index, the folder; and 3 for a reader in each of 8 operators'
 /// commands.
 const STORE: usize = 4 + 8 * 3;
 /// Slots of clients and connections to backends, where the reserve leaves less: one of each.
-const LEAST: usize = 2;
+const MIN_POOLED: usize = 2;
 
 /// The parts of clients and of connections to backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,9 +36,9 @@
 impl Descriptors {
     /// Divides so many: what the reserve leaves goes to clients and backends in halves.
     pub fn new(limit: usize, setup: &Setup) -> Descriptors {
-        let room = limit.saturating_sub(reserve(setup)).max(LEAST);
-        let upstreams = room / 2;
-        Descriptors { limit, clients: room - upstreams, upstreams }
+        let pooled = limit.saturating_sub(reserve(setup)).max(MIN_POOLED);
+        let upstreams = pooled / 2;
+        Descriptors { limit, clients: pooled - upstreams, upstreams }
     }
 
     /// The same limit under another configuration. Clients keep their slots; a larger reserve is taken from the
@@ -51,7 +51,7 @@
 
 /// What the process may hold: what the configuration says, or what the system grants where that is less.
 pub fn limit(configured: usize) -> usize {
-    let granted = getrlimit(Resource::Nofile).current.and_then(|most| usize::try_from(most).ok());
+    let granted = getrlimit(Resource::Nofile).current.and_then(|limit| usize::try_from(limit).ok());
     match granted.filter(|granted| *granted < configured) {
         Some(granted) => {
             warn!("the configuration says {configured} descriptors, the system grants {granted}");
@@ -64,8 +64,8 @@
 /// What neither clients in their slots nor connections to backends may take.
 fn reserve(setup: &Setup) -> usize {
     let operator = &setup.operator;
-    let listeners = operator.listeners.len().saturating_sub(COUNTED);
-    let discoveries = setup.discoveries().len().saturating_sub(COUNTED);
+    let listeners = operator.listeners.len().saturating_sub(COUNTED_IN_PROCESS);
+    let discoveries = setup.discoveries().len().saturating_sub(COUNTED_IN_PROCESS);
     let control = if operator.control.is_some() { CONTROL } else { 0 };
     let store = if setup.record.is_some() { STORE } else { 0 };
     CLIENT_OVERFLOW + PROCESS + listeners + discoveries + control + store
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -9,24 +9,24 @@
 ///
 /// # Errors
 /// What of the question is invalid.
-pub fn explain(operator: &OperatorConfig, asked: &Explain) -> Result<String, String> {
-    let class = find_class(operator, asked)?;
+pub fn explain(operator: &OperatorConfig, args: &Explain) -> Result<String, String> {
+    let class = find_class(operator, args)?;
     let def = &operator.classes[class.0];
-    let tenant = find_tenant(operator, asked)?;
-    let path = asked.path.clone().unwrap_or_else(|| format!("/{}", def.name));
-    let method = asked.method.clone().or_else(|| def.methods.first().cloned()).unwrap_or_default();
-    let headers = read_headers(asked)?;
+    let tenant = find_tenant(operator, args)?;
+    let path = args.path.clone().unwrap_or_else(|| format!("/{}", def.name));
+    let method = args.method.clone().or_else(|| def.methods.first().cloned()).unwrap_or_default();
+    let headers = read_headers(args)?;
     let request = RequestAttributes {
         class,
         tenant,
-        zone: asked.zone.as_deref().unwrap_or(&operator.proxy.zone),
-        deduplication_group: asked.bay.as_deref(),
+        zone: args.zone.as_deref().unwrap_or(&operator.proxy.zone),
+        deduplication_group: args.bay.as_deref(),
         path: &path,
         method: &method,
         header: &|name| headers.iter().find(|header| header.0 == name).map(|header| header.1),
     };
     let mut text = format!("{method} {path} of class {}", def.name);
-    if let Some(name) = &asked.tenant {
+    if let Some(name) = &args.tenant {
         text += &format!(", tenant {name}");
     }
     text += &format!(", zone {:?}\n", request.zone);
@@ -59,29 +59,29 @@
 }
 
 /// The class that is named, or that the path names, or that all others have.
-fn find_class(operator: &OperatorConfig, asked: &Explain) -> Result<ClassId, String> {
+fn find_class(operator: &OperatorConfig, args: &Explain) -> Result<ClassId, String> {
     let of_path = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
-    let name = asked.class.clone().or_else(|| asked.path.as_deref().map(of_path));
+    let name = args.class.clone().or_else(|| args.path.as_deref().map(of_path));
     let known = name.as_ref().and_then(|name| operator.classes.iter().position(|c| c.name == *name));
     if let Some(number) = known {
         return Ok(ClassId(number));
     }
-    match (asked.class.as_ref(), operator.request_format.default_class) {
+    match (args.class.as_ref(), operator.request_format.default_class) {
         (None, Some(class)) => Ok(class),
         (class, _) => Err(no_class(operator, class.or(name.as_ref()))),
     }
 }
 
-fn find_tenant(operator: &OperatorConfig, asked: &Explain) -> Result<Option<TenantId>, String> {
-    let Some(name) = &asked.tenant else { return Ok(None) };
+fn find_tenant(operator: &OperatorConfig, args: &Explain) -> Result<Option<TenantId>, String> {
+    let Some(name) = &args.tenant else { return Ok(None) };
     let number = operator.tenants.iter().position(|tenant| tenant == name);
     number.map(|number| Some(TenantId(number))).ok_or(format!("--tenant {name}: the file has no such tenant"))
 }
 
 /// The headers by their names in lower case.
-fn read_headers(asked: &Explain) -> Result<Vec<(String, &str)>, String> {
+fn read_headers(args: &Explain) -> Result<Vec<(String, &str)>, String> {
     let mut headers = Vec::new();
-    for header in &asked.headers {
+    for header in &args.headers {
         let (name, value) =
             header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
         headers.push((name.to_ascii_lowercase(), value));
@@ -99,7 +99,7 @@
 
 /// Why a route does not take the request.
 fn mismatch(
-    operator: &OperatorConfig, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>,
+    operator: &OperatorConfig, route: &Route, reason: Mismatch, request: &RequestAttributes<'_>,
 ) -> String {
     let when = &route.when;
     match reason {
@@ -110,11 +110,11 @@
         }
         Mismatch::Tenant => {
             let names = when.tenants.iter().filter_map(|t| operator.tenants.get(t.0)).map(String::as_str);
-            let here = if asked.tenant.is_none() { " and the request has none" } else { "" };
+            let here = if request.tenant.is_none() { " and the request has none" } else { "" };
             format!("it takes tenant {}{here}", names.collect::<Vec<_>>().join(", "))
         }
-        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), asked.zone),
-        Mismatch::DeduplicationGroup => match asked.deduplication_group {
+        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), request.zone),
+        Mismatch::DeduplicationGroup => match request.deduplication_group {
             Some(bay) => format!("it takes bay {}, not {bay}", when.deduplication_groups.join(", ")),
             None => {
                 format!("it takes bay {} and the request names none", when.deduplication_groups.join(", "))
@@ -123,9 +123,9 @@
         Mismatch::Path => {
             format!("it takes paths under {}", when.path_prefix.as_deref().unwrap_or("/"))
         }
-        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), asked.method),
+        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), request.method),
         Mismatch::Header(at) => match when.headers.get(at) {
-            Some(h) => match (&h.value, (asked.header)(&h.name)) {
+            Some(h) => match (&h.value, (request.header)(&h.name)) {
                 (Some(value), Some(got)) => format!("it wants header {}: {value}, not {got}", h.name),
                 (Some(value), None) => format!("it wants header {}: {value}", h.name),
                 (None, _) => format!("it wants a header {}", h.name),
--- a/crates/shaletide/src/explore.rs
+++ b/crates/shaletide/src/explore.rs
@@ -6,72 +6,72 @@
 use std::time::Duration;
 
 /// The exit status where a rule is broken.
-const BROKEN: u8 = 1;
+const RULE_BROKEN_STATUS: u8 = 1;
 /// The exit status where a limit was hit before all was looked at.
-const LEFT: u8 = 3;
+const INCOMPLETE_STATUS: u8 = 3;
 
 /// Explores one world, or all those that have a name, and prints a row for each.
 ///
 /// # Errors
 /// There is no world of that name.
-pub fn explore(asked: &Explore) -> Result<ExitCode, String> {
-    if let Some(count) = asked.restarts {
-        return Ok(killed(count, Duration::from_secs(asked.seconds)));
+pub fn explore(args: &Explore) -> Result<ExitCode, String> {
+    if let Some(count) = args.restarts {
+        return Ok(explore_restarts(count, Duration::from_secs(args.seconds)));
     }
-    let worlds = worlds(asked)?;
+    let worlds = worlds(args)?;
     println!("{HEAD}");
     let mut status = 0;
     let mut cover = Cover::default();
     for world in &worlds {
         let limits = Limits {
-            time: Duration::from_secs(asked.seconds),
-            threads: usize::from(asked.threads),
-            cover: asked.cover,
+            time: Duration::from_secs(args.seconds),
+            threads: usize::from(args.threads),
+            cover: args.cover,
             ..Limits::default()
         };
-        let found = shaletide_model_checker::explore(world, limits);
-        println!("{}", row(world, &found));
-        cover.add(&found.cover);
-        if let Some(broken) = &found.counterexample {
-            println!("\n{}\n", timeline(world, &|| Node::start(world), broken));
-            status = BROKEN;
-        } else if !found.exhausted && status == 0 {
-            status = LEFT;
+        let result = shaletide_model_checker::explore(world, limits);
+        println!("{}", row(world, &result));
+        cover.add(&result.cover);
+        if let Some(counterexample) = &result.counterexample {
+            println!("\n{}\n", timeline(world, &|| Node::start(world), counterexample));
+            status = RULE_BROKEN_STATUS;
+        } else if !result.exhausted && status == 0 {
+            status = INCOMPLETE_STATUS;
         }
     }
-    if asked.cover {
+    if args.cover {
         print!("\n{cover}");
     }
     Ok(ExitCode::from(status))
 }
 
 /// One attempt a request: what further ones add is a world of the tests.
-fn killed(count: u8, time: Duration) -> ExitCode {
+fn explore_restarts(count: u8, time: Duration) -> ExitCode {
     let bounds = Restarts { restarts: count, attempts: 1, ..Restarts::default() };
-    let found = restarts(&bounds, time);
+    let result = restarts(&bounds, time);
     println!(
         "restarts {count}: {} states, {} transitions, depth {}, {:.1} s, exhausted: {}",
-        found.states,
-        found.transitions,
-        found.depth,
-        found.took.as_secs_f64(),
-        if found.exhausted { "yes" } else { "no" }
+        result.states,
+        result.transitions,
+        result.depth,
+        result.took.as_secs_f64(),
+        if result.exhausted { "yes" } else { "no" }
     );
-    let Some((way, rule)) = found.counterexample else {
-        return ExitCode::from(if found.exhausted { 0 } else { LEFT });
+    let Some((steps, rule)) = result.counterexample else {
+        return ExitCode::from(if result.exhausted { 0 } else { INCOMPLETE_STATUS });
     };
-    for (at, step) in way.iter().enumerate() {
-        println!("{:>3}.  {step:?}", at + 1);
+    for (number, step) in steps.iter().enumerate() {
+        println!("{:>3}.  {step:?}", number + 1);
     }
     println!("broken: {rule}");
-    ExitCode::from(BROKEN)
+    ExitCode::from(RULE_BROKEN_STATUS)
 }
 
-fn worlds(asked: &Explore) -> Result<Vec<World>, String> {
-    match asked.world.as_deref() {
+fn worlds(args: &Explore) -> Result<Vec<World>, String> {
+    match args.world.as_deref() {
         None => {
-            let sizes = [asked.boxes, asked.requests, asked.pools].map(usize::from);
-            let world = base(sizes[0], sizes[1], asked.drains, sizes[2] as u32);
+            let sizes = [args.boxes, args.requests, args.pools].map(usize::from);
+            let world = base(sizes[0], sizes[1], args.drains, sizes[2] as u32);
             Ok(vec![World { out_all: world.out_each * sizes[1], ..world }])
         }
         Some("all") => Ok(WORLDS.iter().filter_map(|(name, _)| named(name)).collect()),
--- a/crates/shaletide/src/files.rs
+++ b/crates/shaletide/src/files.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// A file that is read again has to be the same for so long: a part of one may make sense, too.
-const STILL: Duration = Duration::from_millis(20);
+const SETTLE_TIME: Duration = Duration::from_millis(20);
 
 /// A file is waited for so long at most where the system lacks memory or files to read it.
 const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
@@ -21,25 +21,25 @@
     Again,
 }
 
-/// The file's bytes, but no more than one over `most`.
+/// The file's bytes, but no more than one over `max_bytes`.
 ///
 /// # Errors
 /// What the kernel says.
-pub fn read(path: &Path, most: usize, reading: Reading) -> Result<Vec<u8>> {
-    let read = || read_still(path, most, reading, || std::thread::sleep(STILL));
+pub fn read(path: &Path, max_bytes: usize, reading: Reading) -> Result<Vec<u8>> {
+    let read = || read_unchanged(path, max_bytes, reading, || std::thread::sleep(SETTLE_TIME));
     match reading {
         Reading::First => retry_shortage(Some(SHORTAGE_PATIENCE), read),
         Reading::Again => read(), // whoever has it read tries again
     }
 }
 
-fn read_still(path: &Path, most: usize, reading: Reading, wait: impl FnOnce()) -> Result<Vec<u8>> {
+fn read_unchanged(path: &Path, max_bytes: usize, reading: Reading, wait: impl FnOnce()) -> Result<Vec<u8>> {
     let before = std::fs::metadata(path)?;
     if reading == Reading::Again && !before.is_file() {
         return Err(Error::other("not a regular file"));
     }
     let mut bytes = Vec::new();
-    std::fs::File::open(path)?.take(most as u64 + 1).read_to_end(&mut bytes)?;
+    std::fs::File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
     if reading == Reading::Again {
         wait();
         let state = |of: &Metadata| (of.ino(), of.len(), of.mtime(), of.mtime_nsec());
--- a/crates/shaletide/src/files/tests.rs
+++ b/crates/shaletide/src/files/tests.rs
@@ -17,7 +17,8 @@
         std::fs::write(&next, "half and half").unwrap();
         std::fs::rename(&next, &path).unwrap();
     };
-    let read = |reading, wait: &dyn Fn()| read_still(&path, 100, reading, wait).map_err(|e| e.to_string());
+    let read =
+        |reading, wait: &dyn Fn()| read_unchanged(&path, 100, reading, wait).map_err(|e| e.to_string());
     let written = Err("it is being written".to_string());
     assert_eq!(read(Reading::Again, &|| ()), Ok(b"half".to_vec()));
     assert_eq!(read(Reading::Again, &more), written);
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -58,8 +58,8 @@
             }
             Err(report) => reject(&report),
         },
-        Some(Command::Explain(asked)) => {
-            match read(&asked.file, Reading::First).and_then(|o| explain::explain(&o, &asked)) {
+        Some(Command::Explain(args)) => {
+            match read(&args.file, Reading::First).and_then(|o| explain::explain(&o, &args)) {
                 Ok(text) => {
                     print!("{text}");
                     ExitCode::SUCCESS
@@ -67,9 +67,9 @@
                 Err(why) => reject(&why),
             }
         }
-        Some(Command::Record(asked)) => record::run(&asked, |path| read(path, Reading::First)),
-        Some(Command::Demo(asked)) => demo::run(&asked, cli.self_check),
-        Some(Command::Explore(asked)) => explore::explore(&asked).unwrap_or_else(|why| reject(&why)),
+        Some(Command::Record(args)) => record::run(&args, |path| read(path, Reading::First)),
+        Some(Command::Demo(args)) => demo::run(&args, cli.self_check),
+        Some(Command::Explore(args)) => explore::explore(&args).unwrap_or_else(|why| reject(&why)),
         None => platform(cli.with, cli.self_check),
     }
 }
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -23,9 +23,9 @@
 use time_zone::Zone;
 
 /// Does as asked; `read` reads an operators' file.
-pub fn run(asked: &args::Record, read: ReadConfig) -> ExitCode {
+pub fn run(args: &args::Record, read: ReadConfig) -> ExitCode {
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
-    let done = dispatch(asked, read, &mut out).and_then(|()| Ok(out.flush()?));
+    let done = dispatch(args, read, &mut out).and_then(|()| Ok(out.flush()?));
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
@@ -37,14 +37,14 @@
     }
 }
 
-fn dispatch(asked: &args::Record, read: ReadConfig, out: &mut dyn Write) -> Result<(), CommandError> {
-    let zone = Zone::of(asked.tz.as_deref())?;
+fn dispatch(args: &args::Record, read: ReadConfig, out: &mut dyn Write) -> Result<(), CommandError> {
+    let zone = Zone::of(args.tz.as_deref())?;
     let target = |place: &StoreArgs| Target::of(place, None, read);
-    match &asked.command {
+    match &args.command {
         Command::Show { place, key, which } => {
             history::show(&target(place)?.reader()?, &key_of(key, which)?, which, &zone, out)
         }
-        Command::List(asked) => list::list(&target(&asked.place)?.reader()?, asked, &zone, out),
+        Command::List(args) => list::list(&target(&args.place)?.reader()?, args, &zone, out),
         Command::Export { place, format, filter, limit, after } => {
             let query = Query { after_seq: *after, ..list::query(filter, &zone)? };
             export::export(&target(place)?.reader()?, query, *format, limit.unwrap_or(u64::MAX), &zone, out)
