--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -1,72 +1,92 @@
 //! `shaletide explain`: which route and pools a request would get, and why no other.
 
 use crate::cli::Explain;
-use crate::setup::errors_of;
 use shaletide_balancer::{ClassId, TenantId};
 use shaletide_config::operator::{OperatorConfig, PoolConfig, PoolSource};
-use shaletide_routing::{Mismatch, RequestAttributes, Route, RouteTable};
-use std::fmt::Write;
+use shaletide_routing::{ErrorResponses, Mismatch, RequestAttributes, Route, RouteTable};
 
-/// The explanation, or what of the question makes no sense.
-pub fn explain(operator: &OperatorConfig, asked: &Explain) -> Result<String, String> {
-    let part = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
-    let named = asked.class.clone().or_else(|| asked.path.as_deref().map(part));
-    let known = |name: &String| operator.classes.iter().position(|c| c.name == *name);
-    let class = match named.as_ref().and_then(known) {
-        Some(at) => ClassId(at),
-        None => match (asked.class.as_ref(), operator.request_format.default_class) {
-            (None, Some(class)) => class,
-            (name, _) => return Err(no_class(operator, name.or(named.as_ref()))),
-        },
-    };
+/// Explains which route a request would get.
+///
+/// # Errors
+/// What of the question is invalid.
+pub fn explain(operator: &OperatorConfig, args: &Explain) -> Result<String, String> {
+    let class = find_class(operator, args)?;
     let def = &operator.classes[class.0];
-    let tenant = match &asked.tenant {
-        None => None,
-        Some(name) => match operator.tenants.iter().position(|t| t == name) {
-            Some(at) => Some(TenantId(at)),
-            None => return Err(format!("--tenant {name}: the file has no such tenant")),
-        },
-    };
-    let path = asked.path.clone().unwrap_or_else(|| format!("/{}", def.name));
-    let method = asked.method.clone().or_else(|| def.methods.first().cloned()).unwrap_or_default();
-    let mut headers = Vec::new();
-    for header in &asked.headers {
-        let (name, value) =
-            header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
-        headers.push((name.to_ascii_lowercase(), value));
-    }
-    let question = RequestAttributes {
+    let tenant = find_tenant(operator, args)?;
+    let path = args.path.clone().unwrap_or_else(|| format!("/{}", def.name));
+    let method = args.method.clone().or_else(|| def.methods.first().cloned()).unwrap_or_default();
+    let headers = read_headers(args)?;
+    let request = RequestAttributes {
         class,
         tenant,
-        zone: asked.zone.as_deref().unwrap_or(&operator.proxy.zone),
-        deduplication_group: asked.bay.as_deref(),
+        zone: args.zone.as_deref().unwrap_or(&operator.proxy.zone),
+        deduplication_group: args.bay.as_deref(),
         path: &path,
         method: &method,
-        header: &|name| headers.iter().find(|h| h.0 == name).map(|h| h.1),
+        header: &|name| headers.iter().find(|header| header.0 == name).map(|header| header.1),
     };
     let mut text = format!("{method} {path} of class {}", def.name);
-    let tenant = asked.tenant.as_ref().map(|name| format!(", tenant {name}"));
-    let _ = writeln!(text, "{}, zone {:?}", tenant.unwrap_or_default(), question.zone);
+    if let Some(name) = &args.tenant {
+        text += &format!(", tenant {name}");
+    }
+    text += &format!(", zone {:?}\n", request.zone);
     if !def.methods.contains(&method) {
-        let _ = writeln!(text, "  is refused with 405: the class takes {}", def.methods.join(", "));
+        text += &format!("  is refused with 405: the class takes {}\n", def.methods.join(", "));
         return Ok(text);
     }
+    explain_routes(&mut text, operator, &request);
+    Ok(text)
+}
+
+/// Appends why routes were passed over, and the route taken with its pools.
+fn explain_routes(text: &mut String, operator: &OperatorConfig, request: &RequestAttributes<'_>) {
     let table = RouteTable::new(operator.routes.clone());
-    let (passed, taken) = table.explain(&question);
+    let (passed, taken) = table.explain(request);
     for (id, reason) in passed {
         let Some(route) = table.get(id) else { continue };
-        let _ = writeln!(text, "  not {}: {}", route.name, because(operator, route, reason, &question));
+        *text += &format!("  not {}: {}\n", route.name, mismatch(operator, route, reason, request));
     }
     let Some(route) = taken.and_then(|id| table.get(id)) else {
-        text.push_str("  is refused with 404: no route takes it\n");
-        return Ok(text);
+        *text += "  is refused with 404: no route takes it\n";
+        return;
     };
-    let _ = writeln!(text, "  route {}, errors {}", route.name, errors_of(route));
-    for (at, pool) in route.pools.iter().filter_map(|id| operator.pools.get(id.0 as usize)).enumerate() {
-        let when = if at == 0 { "first" } else { "else " };
-        let _ = writeln!(text, "    {when} pool {}: {}", pool.name, described(pool));
+    *text += &format!("  route {}, errors {}\n", route.name, error_responses(route));
+    let pools = route.pools.iter().filter_map(|id| operator.pools.get(id.0 as usize));
+    for (number, pool) in pools.enumerate() {
+        let when = if number == 0 { "first" } else { "else " };
+        *text += &format!("    {when} pool {}: {}\n", pool.name, described(pool));
     }
-    Ok(text)
+}
+
+/// The class that is named, or that the path names, or that all others have.
+fn find_class(operator: &OperatorConfig, args: &Explain) -> Result<ClassId, String> {
+    let of_path = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
+    let name = args.class.clone().or_else(|| args.path.as_deref().map(of_path));
+    let known = name.as_ref().and_then(|name| operator.classes.iter().position(|c| c.name == *name));
+    if let Some(number) = known {
+        return Ok(ClassId(number));
+    }
+    match (args.class.as_ref(), operator.request_format.default_class) {
+        (None, Some(class)) => Ok(class),
+        (class, _) => Err(no_class(operator, class.or(name.as_ref()))),
+    }
+}
+
+fn find_tenant(operator: &OperatorConfig, args: &Explain) -> Result<Option<TenantId>, String> {
+    let Some(name) = &args.tenant else { return Ok(None) };
+    let number = operator.tenants.iter().position(|tenant| tenant == name);
+    number.map(|number| Some(TenantId(number))).ok_or(format!("--tenant {name}: the file has no such tenant"))
+}
+
+/// The headers by their names in lower case.
+fn read_headers(args: &Explain) -> Result<Vec<(String, &str)>, String> {
+    let mut headers = Vec::new();
+    for header in &args.headers {
+        let (name, value) =
+            header.split_once('=').ok_or(format!("--header {header}: expected NAME=VALUE"))?;
+        headers.push((name.to_ascii_lowercase(), value));
+    }
+    Ok(headers)
 }
 
 fn no_class(operator: &OperatorConfig, name: Option<&String>) -> String {
@@ -77,8 +97,9 @@
     }
 }
 
-fn because(
-    operator: &OperatorConfig, route: &Route, reason: Mismatch, asked: &RequestAttributes<'_>,
+/// Why a route does not take the request.
+fn mismatch(
+    operator: &OperatorConfig, route: &Route, reason: Mismatch, request: &RequestAttributes<'_>,
 ) -> String {
     let when = &route.when;
     match reason {
@@ -89,11 +110,11 @@
         }
         Mismatch::Tenant => {
             let names = when.tenants.iter().filter_map(|t| operator.tenants.get(t.0)).map(String::as_str);
-            let here = if asked.tenant.is_none() { " and the request has none" } else { "" };
+            let here = if request.tenant.is_none() { " and the request has none" } else { "" };
             format!("it takes tenant {}{here}", names.collect::<Vec<_>>().join(", "))
         }
-        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), asked.zone),
-        Mismatch::DeduplicationGroup => match asked.deduplication_group {
+        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), request.zone),
+        Mismatch::DeduplicationGroup => match request.deduplication_group {
             Some(bay) => format!("it takes bay {}, not {bay}", when.deduplication_groups.join(", ")),
             None => {
                 format!("it takes bay {} and the request names none", when.deduplication_groups.join(", "))
@@ -102,9 +123,9 @@
         Mismatch::Path => {
             format!("it takes paths under {}", when.path_prefix.as_deref().unwrap_or("/"))
         }
-        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), asked.method),
+        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), request.method),
         Mismatch::Header(at) => match when.headers.get(at) {
-            Some(h) => match (&h.value, (asked.header)(&h.name)) {
+            Some(h) => match (&h.value, (request.header)(&h.name)) {
                 (Some(value), Some(got)) => format!("it wants header {}: {value}, not {got}", h.name),
                 (Some(value), None) => format!("it wants header {}: {value}", h.name),
                 (None, _) => format!("it wants a header {}", h.name),
@@ -120,3 +141,11 @@
         PoolSource::Discovery { address, .. } => format!("boxes told by {address}"),
     }
 }
+
+/// What clients get where the last attempt ended in an error.
+fn error_responses(route: &Route) -> &'static str {
+    match route.answers.error_responses {
+        ErrorResponses::Forward => "as they are",
+        ErrorResponses::Replace => "in own words",
+    }
+}
--- a/crates/shaletide/src/record/show.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -1,20 +1,22 @@
-//! The story of one key.
+//! The history of one key.
 
-use super::args::Which;
-use super::when::Zone;
-use super::{list, words, Failure, PAGE};
+use super::args::KeyArgs;
+use super::error::CommandError;
+use super::list::{self, PAGE};
+use super::text;
+use super::time_zone::Zone;
 use shaletide_record::{Fact, KeyId, KeyState, Row, StoredKey};
 use shaletide_store::{Query, StoreError, StoreReader};
 use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
-/// So many rows of a story are shown, and so many corrections looked through.
-const MOST: usize = 100_000;
+/// Rows of a history that are shown, and corrections that are searched.
+const MAX_ROWS: usize = 100_000;
 
 pub fn show(
-    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
-) -> Result<(), Failure> {
+    store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
     let query = Query {
         key: Some(key.to_vec()),
         tenant: which.tenant.clone(),
@@ -24,7 +26,7 @@
     let rows = all(store, query)?;
     let whose: BTreeSet<&KeyId> = rows.iter().filter_map(|row| row.key.as_ref()).collect();
     if whose.is_empty() {
-        return nothing(store, key, which, zone, out);
+        return report_no_rows(store, key, which, zone, out);
     }
     let corrections = corrections(store, &rows)?;
     for (number, id) in whose.into_iter().enumerate() {
@@ -32,28 +34,28 @@
             writeln!(out)?;
         }
         let rows: Vec<&Row> = rows.iter().filter(|row| row.key.as_ref() == Some(id)).collect();
-        Story { store, id, held: store.key(id)?, corrections: &corrections, zone }.tell(&rows, out)?;
+        KeyHistory { store, id, held: store.key(id)?, corrections: &corrections, zone }.write(&rows, out)?;
     }
     Ok(())
 }
 
 /// No row is about it: it may be one whose rows were taken out.
-fn nothing(
-    store: &dyn StoreReader, key: &[u8], which: &Which, zone: &Zone, out: &mut dyn Write,
-) -> Result<(), Failure> {
-    let none = format!("nothing is on record of the key {}", words::key(key));
+fn report_no_rows(
+    store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
+) -> Result<(), CommandError> {
+    let none = format!("nothing is on record of the key {}", text::key(key));
     let (Some(tenant), Some(class)) = (&which.tenant, &which.class) else {
         let pruned = store.anchor()?.is_some();
         let help = "; rows were taken out: --tenant and --class tell how it stands";
-        return Err(Failure::no(none + if pruned { help } else { "" }));
+        return Err(CommandError::negative(none + if pruned { help } else { "" }));
     };
     let id = KeyId { tenant: tenant.clone(), class: class.clone(), key: key.to_vec() };
     let held = store.key(&id)?;
     if held.is_none() {
-        return Err(Failure::no(none));
+        return Err(CommandError::negative(none));
     }
     let corrections = BTreeMap::new();
-    Story { store, id: &id, held, corrections: &corrections, zone }.tell(&[], out)
+    KeyHistory { store, id: &id, held, corrections: &corrections, zone }.write(&[], out)
 }
 
 fn all(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
@@ -62,7 +64,7 @@
         let page = list::rows(store, &mut query, u64::MAX)?;
         let last = page.len() < PAGE;
         rows.extend(page);
-        if last || rows.len() >= MOST {
+        if last || rows.len() >= MAX_ROWS {
             return Ok(rows);
         }
     }
@@ -71,21 +73,21 @@
 /// The corrections of these rows, by the row that they correct: they came later, and bear no key where a running
 /// proxy wrote them.
 fn corrections(store: &dyn StoreReader, rows: &[Row]) -> Result<BTreeMap<u64, Vec<Row>>, StoreError> {
-    let told: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
+    let seqs: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
     let mut found: BTreeMap<u64, Vec<Row>> = BTreeMap::new();
     let mut query = Query {
         kind: Some("correction".into()),
-        after_seq: told.first().copied().unwrap_or_default(),
+        after_seq: seqs.first().copied().unwrap_or_default(),
         ..Query::default()
     };
-    for _ in 0..MOST / PAGE {
+    for _ in 0..MAX_ROWS / PAGE {
         let page = list::rows(store, &mut query, u64::MAX)?;
         if page.is_empty() {
             break;
         }
         for row in page {
             match Fact::of(&row) {
-                Fact::Correction { of, .. } if told.contains(&of) => found.entry(of).or_default().push(row),
+                Fact::Correction { of, .. } if seqs.contains(&of) => found.entry(of).or_default().push(row),
                 _ => {}
             }
         }
@@ -93,7 +95,7 @@
     Ok(found)
 }
 
-struct Story<'a> {
+struct KeyHistory<'a> {
     store: &'a dyn StoreReader,
     id: &'a KeyId,
     /// How the key stands now.
@@ -102,14 +104,16 @@
     zone: &'a Zone,
 }
 
-impl Story<'_> {
-    fn tell(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), Failure> {
-        writeln!(out, "{}, key {}", words::whose(self.id), words::key(&self.id.key))?;
+impl KeyHistory<'_> {
+    fn write(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), CommandError> {
+        writeln!(out, "{}, key {}", text::whose(self.id), text::key(&self.id.key))?;
         writeln!(out, "times in {}", self.zone.name)?;
         let proves = |row: &&&Row| matches!(row.kind.as_str(), "withdrawn" | "doubted" | "resolved");
         let durable = self.held.is_some() || rows.iter().find(proves).is_some();
-        let (mut day, mut run, mut request) = (String::new(), None, None);
-        let mut boxes: BTreeMap<(u64, Option<u64>, u32), String> = BTreeMap::new();
+        let mut day = String::new();
+        let mut run = None;
+        let mut request = None;
+        let mut backends: BTreeMap<(u64, Option<u64>, u32), String> = BTreeMap::new();
         for row in rows {
             let today = self.zone.day(row.at);
             if today != day {
@@ -128,35 +132,37 @@
                 request = row.request;
             }
             if let Fact::Intent { attempt, seen } = Fact::of(row) {
-                boxes.insert((row.run, row.request, attempt), seen.backend);
-            }
-            let to = |attempt| boxes.get(&(row.run, row.request, attempt)).cloned();
-            self.line(row, &words::fact(row, to, durable), out)?;
-            for correction in self.corrections.get(&row.seq).into_iter().flatten() {
-                let said = words::fact(correction, |_| None, false);
-                writeln!(
-                    out,
-                    "                 row {}, {}: {said}",
-                    correction.seq,
-                    self.zone.full(correction.at)
-                )?;
+                backends.insert((row.run, row.request, attempt), seen.backend);
             }
+            let to = |attempt| backends.get(&(row.run, row.request, attempt)).cloned();
+            self.write_line(row, &text::fact(row, to, durable), out)?;
+            self.write_corrections(row, out)?;
         }
         if rows.is_empty() {
             writeln!(out, "\nits rows were taken out")?;
         }
-        self.ending(out)
+        self.write_state(out)
     }
 
-    fn line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), Failure> {
+    fn write_corrections(&self, row: &Row, out: &mut dyn Write) -> Result<(), CommandError> {
+        for correction in self.corrections.get(&row.seq).into_iter().flatten() {
+            let fact = text::fact(correction, |_| None, false);
+            let at = self.zone.full(correction.at);
+            writeln!(out, "                 row {}, {at}: {fact}", correction.seq)?;
+        }
+        Ok(())
+    }
+
+    fn write_line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), CommandError> {
         Ok(writeln!(out, "    {}  {said}  [row {}]", self.zone.clock(row.at), row.seq)?)
     }
 
     /// The start of a row's run, as far as it is on record yet. Runs follow one another, so that the first row of one
     /// is found in a few steps.
-    fn run(&self, row: &Row) -> Result<String, Failure> {
+    fn run(&self, row: &Row) -> Result<String, CommandError> {
         let from = self.store.anchor()?.map_or(0, |anchor| anchor.through.seq);
-        let (mut low, mut high) = (from + 1, row.seq);
+        let mut low = from + 1;
+        let mut high = row.seq;
         while low < high {
             let middle = low + (high - low) / 2;
             let found = self.at(middle)?;
@@ -167,7 +173,7 @@
         }
         let first = self.at(low)?.filter(|first| first.kind == "start");
         Ok(match first {
-            Some(first) => format!("{} ({})", words::fact(&first, |_| None, false), self.zone.full(first.at)),
+            Some(first) => format!("{} ({})", text::fact(&first, |_| None, false), self.zone.full(first.at)),
             None => format!("run {}; its beginning is not on record", row.run),
         })
     }
@@ -177,7 +183,8 @@
         Ok(page.into_iter().next())
     }
 
-    fn ending(&self, out: &mut dyn Write) -> Result<(), Failure> {
+    /// How the key stands now.
+    fn write_state(&self, out: &mut dyn Write) -> Result<(), CommandError> {
         let since = |at: Time| self.zone.full(at);
         let said = match &self.held {
             None => "now: free; a request of this key is sent".into(),
@@ -189,7 +196,7 @@
                  shaletide record resolve {} --ran yes|no --by NAME --note TEXT",
                 since(held.since),
                 held.seq,
-                words::arguments(self.id)
+                text::arguments(self.id)
             ),
             Some(held) => format!(
                 "now: in flight since {} (row {}); in doubt, if the proxy that sent it is gone",
--- a/crates/shaletide/tests/left.rs
+++ b/crates/shaletide/tests/client_disconnects.rs
@@ -1,9 +1,9 @@
 //! Clients that have left: what a request waits for may come, but it is sent nowhere any more. By the close of their
 //! connection or by its reset, with and without further bytes behind the request.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,7 +17,7 @@
 
 /// How a client leaves.
 #[derive(Clone, Copy, Debug)]
-enum Leaving {
+enum Disconnect {
     Close,
     Reset,
 }
@@ -26,9 +26,9 @@
 const BEHIND: [&str; 3] =
     ["", "\r\n\r\nx", "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: b\r\n\r\n"];
 
-fn leave(client: Client, how: Leaving) {
+fn disconnect(client: Client, how: Disconnect) {
     let tcp: TcpStream = client.0.into_inner();
-    if let Leaving::Reset = how {
+    if let Disconnect::Reset = how {
         socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)).unwrap();
     }
     drop(tcp);
@@ -83,9 +83,9 @@
 }
 
 /// They leave; when, by their requests' ids.
-fn all_leave(clients: Vec<(Client, String)>, how: Leaving) -> HashMap<String, Instant> {
+fn all_leave(clients: Vec<(Client, String)>, how: Disconnect) -> HashMap<String, Instant> {
     let leaves = |(client, id)| {
-        leave(client, how);
+        disconnect(client, how);
         (id, Instant::now())
     };
     clients.into_iter().map(leaves).collect()
@@ -95,7 +95,7 @@
 fn held(stopping: bool) {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[]);
             let news = without_boxes(&proxy);
@@ -136,21 +136,21 @@
 }
 
 #[test]
-fn a_request_that_is_held_is_not_sent_once_its_client_has_left() {
+fn queued_request_is_not_sent_after_client_disconnects() {
     held(false);
 }
 
 #[test]
-fn nor_while_the_program_stops() {
+fn queued_request_is_not_sent_after_client_disconnects_during_shutdown() {
     held(true);
 }
 
 /// Several hundred leave at once: from places that are all taken, and from the kernel's queue behind them, where their
 /// requests lie and were not read yet. The backend comes 0.3 s later, and the queue moves on only then.
 #[test]
-fn a_burst_that_leaves_from_its_places_and_from_the_queue_is_not_sent() {
+fn burst_that_disconnects_from_slots_and_queue_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
-    for how in [Leaving::Close, Leaving::Reset] {
+    for how in [Disconnect::Close, Disconnect::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::launched(&[], 256, SETTINGS, 256);
         let news = without_boxes(&proxy);
@@ -174,9 +174,9 @@
 
 /// They leave while the program is busy with the turn in which it finds all of their requests.
 #[test]
-fn a_burst_that_leaves_as_it_is_read_is_not_sent() {
+fn burst_that_disconnects_while_it_is_read_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
-    for how in [Leaving::Close, Leaving::Reset, Leaving::Close, Leaving::Reset] {
+    for how in [Disconnect::Close, Disconnect::Reset, Disconnect::Close, Disconnect::Reset] {
         let backend = BackendServer::start(|_| ok("x"));
         let proxy = Proxy::start(&[]);
         let news = without_boxes(&proxy);
@@ -201,10 +201,10 @@
 /// Its first attempt is out, and is rejected 0.3 s after the client left: it is given up before, and there is no
 /// second one.
 #[test]
-fn a_request_is_not_tried_again_once_its_client_has_left() {
+fn request_is_not_retried_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let silent = BackendServer::start(|_| Reply::Silence);
             let good = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
@@ -241,10 +241,10 @@
 
 /// It left before its request was read: both stood in the kernel, on a new connection or on one that was kept.
 #[test]
-fn what_came_with_the_end_of_its_client_is_not_sent() {
+fn request_that_arrives_with_its_clients_close_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let backend = BackendServer::start(|_| ok("x"));
             let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
             let mut kept: Vec<Client> = (0..10).map(|_| proxy.client()).collect();
@@ -257,7 +257,7 @@
             for (n, mut client) in kept.into_iter().enumerate() {
                 let request = if n % 2 == 0 { pay(3.0) } else { read(3.0) };
                 client.send(&(request.clone() + behind));
-                leave(client, how);
+                disconnect(client, how);
                 left.insert(id(&request), Instant::now());
             }
             std::thread::sleep(LEFT);
@@ -273,10 +273,10 @@
 
 /// Its body waited for room, which came 0.3 s after it left.
 #[test]
-fn a_body_that_waits_for_room_is_not_let_in_once_its_client_has_left() {
+fn body_that_waits_for_admission_is_dropped_after_client_disconnects() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             let gate = Arc::new(Gate::default());
             let wait = gate.clone();
             let backend =
@@ -298,7 +298,7 @@
                 let request = post(9_000);
                 let mut client = proxy.client();
                 client.send(&(request.clone() + behind));
-                leave(client, how);
+                disconnect(client, how);
                 left.insert(id(&request), Instant::now());
             }
             std::thread::sleep(LEFT);
@@ -315,10 +315,10 @@
 
 /// The connection for it comes up 0.3 s after it left, and later: it takes the request of one who stayed.
 #[test]
-fn a_connection_that_comes_up_late_is_not_for_those_who_have_left() {
+fn late_connection_is_not_used_for_disconnected_clients() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
-        for how in [Leaving::Close, Leaving::Reset] {
+        for how in [Disconnect::Close, Disconnect::Reset] {
             // As its queue is full, what else is to be connected is tried again by the kernel after a second.
             let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
             listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -367,7 +367,7 @@
 
 /// What comes behind a request is thrown away, but not without end: that is no client, and its attempt is given up.
 #[test]
-fn a_client_that_sends_without_end_behind_its_request_is_turned_away() {
+fn client_that_sends_endless_excess_bytes_is_disconnected() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
     let mut client = proxy.client();
--- a/crates/shaletide/tests/hostile.rs
+++ b/crates/shaletide/tests/hostile_input.rs
@@ -1,8 +1,8 @@
 //! Careless operators, hostile clients and broken backends against the program that serves by a file.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
 
 /// The program at work with an operators' file; both end when this is dropped. A file cannot leave the port to the
 /// kernel: `LISTEN` in it stands for an address that was free.
-struct Served {
+struct ServedProxy {
     child: Child,
     address: SocketAddr,
     path: PathBuf,
@@ -30,12 +30,12 @@
     format!("[[listener]]\naddress = \"LISTEN\"\n{more}[[pool]]\nname = \"p\"\nboxes = [{boxes}]\n")
 }
 
-impl Served {
-    fn by(text: &str) -> Served {
-        (0..10).find_map(|_| Served::tried(text)).expect("a port that stays free")
+impl ServedProxy {
+    fn by(text: &str) -> ServedProxy {
+        (0..10).find_map(|_| ServedProxy::tried(text)).expect("a port that stays free")
     }
 
-    fn tried(text: &str) -> Option<Served> {
+    fn tried(text: &str) -> Option<ServedProxy> {
         let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let number = NUMBER.fetch_add(1, SeqCst);
         let path =
@@ -47,7 +47,7 @@
         let (tell, log) = mpsc::channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
         std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| drop(tell.send(line))));
-        let served = Served { child, address, path, log };
+        let served = ServedProxy { child, address, path, log };
         served.log.iter().any(|line| line.contains("listens on ")).then_some(served)
     }
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for Served {
+impl Drop for ServedProxy {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -88,9 +88,9 @@
 /// Where attempts are not withdrawn they end with their client's time all the same: no connection is held by a backend
 /// that never answers.
 #[test]
-fn an_attempt_that_may_not_be_withdrawn_ends_with_its_time() {
+fn attempt_that_may_not_be_cancelled_ends_at_its_deadline() {
     let silent = BackendServer::start(|_| Reply::Silence);
-    let served = Served::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
+    let served = ServedProxy::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
     let answer = served.client().ask(&read(0.3));
     assert!(matches!(answer.status(), 502..=504), "{}", answer.status());
     let start = Instant::now();
@@ -100,14 +100,14 @@
 
 /// What was taken while classes had more time is answered by that time, though the program stops by a new file.
 #[test]
-fn a_stop_waits_for_requests_taken_before_their_class_got_less_time() {
+fn shutdown_waits_for_requests_accepted_under_a_longer_deadline() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let slow = BackendServer::start(move |_| Reply::Gate(wait.clone()));
     let classes =
         |deadline: &str| CLASSES.replace("\"unsafe\"", &format!("\"unsafe\"\ndeadline = \"{deadline}\""));
     let classes = |deadline: &str| classes(deadline).replace("\"read\"", "\"read\"\ndeadline = \"500ms\"");
-    let mut served = Served::by(&file(&classes("10s"), &[&slow]));
+    let mut served = ServedProxy::by(&file(&classes("10s"), &[&slow]));
     let mut client = served.client();
     client.send(&pay(9.0));
     slow.request();
@@ -121,10 +121,10 @@
 
 /// A file that cannot be read to its end holds up nobody: neither one that nobody writes to nor one without end.
 #[test]
-fn a_file_without_end_stops_nothing() {
+fn endless_file_does_not_block_reload() {
     let good = BackendServer::start(|_| ok("x"));
     let text = file(CLASSES, &[&good]);
-    let served = Served::by(&text);
+    let served = ServedProxy::by(&text);
     std::fs::remove_file(&served.path).unwrap();
     let made = Command::new("mkfifo").arg(&served.path).status().unwrap();
     assert!(made.success());
@@ -144,9 +144,9 @@
 
 /// Signals that come while a file is read are one more reading, and the last file counts.
 #[test]
-fn the_last_of_many_files_is_taken() {
+fn last_of_many_reloads_is_applied() {
     let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
-    let served = Served::by(&file(CLASSES, &[&old]));
+    let served = ServedProxy::by(&file(CLASSES, &[&old]));
     for _ in 0..50 {
         std::fs::write(&served.path, "{").unwrap();
         served.signal("HUP");
@@ -162,12 +162,12 @@
 /// A request that belongs to no class as its path stands, but to one by another way to read it, is not taken for one of
 /// the class for all others: that may be repeated.
 #[test]
-fn a_path_that_others_read_as_an_unsafe_class_is_turned_away() {
+fn ambiguous_path_to_unsafe_class_is_rejected() {
     let backend = BackendServer::start(|_| ok("x"));
     let ask = |form: &str, path: &str| {
         let any = "[[class]]\nname = \"any\"\nmethods = [\"GET\", \"POST\"]\n";
         let form = format!("[request]\notherwise = \"any\"\n{form}{CLASSES}{any}");
-        let served = Served::by(&file(&form, &[&backend]));
+        let served = ServedProxy::by(&file(&form, &[&backend]));
         let post = format!("POST {path} HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n");
         served.client().ask(&post).status()
     };
@@ -187,23 +187,23 @@
 
 /// Nobody has asked for another protocol: an answer that says so is none, and its client never sees it.
 #[test]
-fn an_answer_that_switches_protocols_is_spoilt() {
+fn protocol_switch_is_an_invalid_response() {
     for more in ["Content-Length: 5\r\n\r\nhello", "Transfer-Encoding: chunked\r\n\r\n", "Upgrade: x\r\n\r\n"]
     {
         let pieces = vec![format!("HTTP/1.1 101 X\r\n{more}")];
         let backend = BackendServer::start(move |_| Reply::Pieces(pieces.clone()));
-        let served = Served::by(&file(CLASSES, &[&backend]));
+        let served = ServedProxy::by(&file(CLASSES, &[&backend]));
         assert_eq!(served.client().ask(&pay(1.0)).status(), 502, "{more:?}");
     }
 }
 
 /// Of requests and answers alike.
 #[test]
-fn the_longest_body_is_what_the_file_says() {
+fn max_body_limits_request_and_response() {
     let length = |n: u32| if n == 0 { 2000 } else { 2001 };
     let backend = BackendServer::start(move |n| ok(&"x".repeat(length(n))));
     let text = file(&format!("[limits]\nmax_body = \"2KB\"\n{CLASSES}"), &[&backend]);
-    let served = Served::by(&text);
+    let served = ServedProxy::by(&text);
     let post = |length: usize| {
         let body = "y".repeat(length);
         format!("POST /pay/x HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}")
@@ -217,10 +217,10 @@
 
 /// A hint of the work that no machine could do is a hint.
 #[test]
-fn a_hint_beyond_all_numbers_harms_nobody() {
+fn overflowing_work_hint_is_ignored() {
     let backend = BackendServer::start(|_| ok("x"));
     let classes = CLASSES.replace("\"read\"", "\"read\"\naim_stretch = 2.0");
-    let served = Served::by(&file(&classes, &[&backend]));
+    let served = ServedProxy::by(&file(&classes, &[&backend]));
     for hint in ["1e300", "1e19", "9223372036854775808", "0"] {
         let get = format!("GET /read/x HTTP/1.1\r\nHost: s\r\nX-Weight-Hint: {hint}\r\n\r\n");
         assert_eq!(served.client().ask(&get).status(), 200, "{hint}");
@@ -229,7 +229,7 @@
 
 /// Asked for news with time to wait, a discovery that answers at once that there is none is not asked without a pause.
 #[test]
-fn a_discovery_that_never_waits_is_given_a_pause() {
+fn discovery_that_answers_at_once_is_polled_with_pauses() {
     let backend = BackendServer::start(|_| ok("x"));
     let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
     let (_, answer) = proxy.discovery.call();
