--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -219,7 +219,7 @@
                 latency_objective: ms(aim),
                 latency_objective_per_work_hint: 0.0,
                 idempotency: effect,
-                priority_weight: priority_weight,
+                priority_weight,
                 late_weight_fraction: 0.25,
             },
             deadline: ms(deadline),
