--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -121,10 +121,10 @@
             Selection::AllEjected | Selection::NoneEligible if request.may_fail_over => Decision::FailOver,
             // Waiting is in vain: a backend that comes back was tried before.
             Selection::NoneEligible if self.draining || !request.attempts.is_empty() => {
-                decide_unsendable(request, GiveUpReason::NoBackendLeft)
+                decide_unsendable(request, GiveUpReason::NoEligibleBackend)
             }
             Selection::NoCapacity | Selection::AllEjected if self.draining => {
-                decide_unsendable(request, GiveUpReason::NoRoom)
+                decide_unsendable(request, GiveUpReason::NoCapacity)
             }
             Selection::NoCapacity | Selection::AllEjected | Selection::NoneEligible => Decision::Wait,
         }
--- a/crates/balancer/src/give_up.rs
+++ b/crates/balancer/src/give_up.rs
@@ -8,10 +8,10 @@
     Overloaded,
     /// Its deadline has passed, or too little time is left for an attempt.
     OutOfTime,
-    /// No backend is left that it may go to: attempts were made at all of them, or none is listed.
-    NoBackendLeft,
+    /// There is no backend that it may go to: attempts were made at all of them, or none is listed.
+    NoEligibleBackend,
     /// All that it may go to are ejected or at their concurrency limits, and the pool is draining.
-    NoRoom,
+    NoCapacity,
     /// A further attempt might be executed a second time, or is over the number allowed.
     NotRepeatable,
     /// A further attempt is over the retry budget.
@@ -23,8 +23,8 @@
     pub const ALL: [GiveUpReason; 6] = [
         GiveUpReason::Overloaded,
         GiveUpReason::OutOfTime,
-        GiveUpReason::NoBackendLeft,
-        GiveUpReason::NoRoom,
+        GiveUpReason::NoEligibleBackend,
+        GiveUpReason::NoCapacity,
         GiveUpReason::NotRepeatable,
         GiveUpReason::RetryBudget,
     ];
@@ -34,8 +34,8 @@
         match self {
             GiveUpReason::Overloaded => "overloaded",
             GiveUpReason::OutOfTime => "out of time",
-            GiveUpReason::NoBackendLeft => "no backend left",
-            GiveUpReason::NoRoom => "no room",
+            GiveUpReason::NoEligibleBackend => "no eligible backend",
+            GiveUpReason::NoCapacity => "no capacity",
             GiveUpReason::NotRepeatable => "not repeatable",
             GiveUpReason::RetryBudget => "retry budget",
         }
