--- a/crates/routing/benches/first.rs
+++ b/crates/routing/benches/route_lookup.rs
@@ -1,4 +1,4 @@
-//! What finding a request's route costs with 1 to 1,000 routes, and what looking for hidden ones does.
+//! The time to find a request's route among 1 to 1,000 routes, and to find shadowed routes.
 //! `cargo bench -p shaletide-routing`.
 
 use shaletide_routing::*;
@@ -12,7 +12,7 @@
     Route { name: format!("r{at}"), when, pools: vec![PoolId(0)], answers: ResponseRules::plain() }
 }
 
-/// Every sort of condition, spread over the routes; the last takes everything.
+/// Every kind of condition, spread over the routes; the last takes everything.
 fn table(routes: usize) -> RouteTable {
     let class = |at: usize| vec![ClassId(at % 8)];
     let each = |at: usize| match at % 5 {
@@ -30,8 +30,8 @@
     RouteTable::new(all)
 }
 
-/// 64 classes and 10,000 tenants in each route: what a product of the two could not hold.
-fn broad(routes: usize) -> RouteTable {
+/// 64 classes and 10,000 tenants in each route: an index of pairs of values would not fit into memory.
+fn broad_table(routes: usize) -> RouteTable {
     let when = |at: usize| Match {
         classes: (0..64).map(ClassId).collect(),
         tenants: (0..TENANTS).filter(|t| t % 1_000 != at % 1_000).map(TenantId).collect(),
@@ -40,22 +40,22 @@
     RouteTable::new((0..routes).map(|at| route(at, when(at))).collect())
 }
 
-fn once(work: impl FnOnce()) -> Duration {
-    let began = Instant::now();
+fn time_once(work: impl FnOnce()) -> Duration {
+    let started_at = Instant::now();
     work();
-    began.elapsed()
+    started_at.elapsed()
 }
 
 /// The best of five rounds, in nanoseconds.
 fn per_call(mut call: impl FnMut()) -> f64 {
     const CALLS: u32 = 200_000;
-    let round = |_| once(|| (0..CALLS).for_each(|_| call())).as_secs_f64() * 1e9 / f64::from(CALLS);
+    let round = |_| time_once(|| (0..CALLS).for_each(|_| call())).as_secs_f64() * 1e9 / f64::from(CALLS);
     (0..5).map(round).fold(f64::INFINITY, f64::min)
 }
 
-fn first(table: &RouteTable) -> f64 {
+fn lookup_ns(table: &RouteTable) -> f64 {
     let header = |name: &str| (name == "x-canary").then_some("none");
-    let asked = RequestAttributes {
+    let request = RequestAttributes {
         class: ClassId(3),
         tenant: Some(TenantId(77)),
         zone: "a",
@@ -64,20 +64,20 @@
         method: "GET",
         header: &header,
     };
-    per_call(|| assert!(black_box(table).find(black_box(&asked)).is_some()))
+    per_call(|| assert!(black_box(table).find(black_box(&request)).is_some()))
 }
 
 fn main() {
     for routes in [1, 10, 200, 1_000] {
         let table = table(routes);
-        let hidden = once(|| assert!(black_box(table.shadowed()).is_empty()));
-        println!("{routes:5} routes: first {:6.0} ns, hidden {hidden:?}", first(&table));
+        let shadowed = time_once(|| assert!(black_box(table.shadowed()).is_empty()));
+        println!("{routes:5} routes: lookup {:6.0} ns, shadowed {shadowed:?}", lookup_ns(&table));
     }
     let mut built = None;
-    let build = once(|| built = Some(broad(1_000)));
+    let build = time_once(|| built = Some(broad_table(1_000)));
     let table = built.expect("just built");
-    let hidden = once(|| assert!(black_box(table.shadowed()).is_empty()));
-    let several = once(|| drop(black_box(table.shadowed_by_several())));
-    println!("1,000 routes of 64 classes and 9,990 tenants: built in {build:?}, hidden {hidden:?}, by several {several:?}");
-    println!("  first {:.0} ns", first(&table));
+    let shadowed = time_once(|| assert!(black_box(table.shadowed()).is_empty()));
+    let several = time_once(|| drop(black_box(table.shadowed_by_several())));
+    println!("1,000 routes of 64 classes and 9,990 tenants: built in {build:?}, shadowed {shadowed:?}, by several {several:?}");
+    println!("  lookup {:.0} ns", lookup_ns(&table));
 }
