--- /dev/null
+++ b/crates/engine/src/monitor/tests/retries.rs
@@ -0,0 +1,80 @@
+//! Retries of non-idempotent and keyed requests.
+
+use super::*;
+
+#[test]
+fn non_idempotent_retry_after_possible_execution_breaks_unsafe_once() {
+    for (end, ran) in [
+        (Event::ConnectionUnusable { connection: connection(0) }, false),
+        (Event::ConnectionClosed { connection: connection(0) }, false),
+        (Event::InvalidResponse { connection: connection(0) }, false),
+        (
+            Event::ResponseReceived {
+                connection: connection(0),
+                verdict: ResponseClass::NotExecuted,
+                reusable: false,
+                has_excess_bytes: false,
+            },
+            false,
+        ),
+        (
+            Event::ResponseReceived {
+                connection: connection(0),
+                verdict: ResponseClass::Error,
+                reusable: false,
+                has_excess_bytes: false,
+            },
+            true,
+        ),
+        (Event::CloseCompleted { connection: connection(0), written: false }, false),
+        (Event::CloseCompleted { connection: connection(0), written: true }, true),
+    ] {
+        let again = |s: &mut Stream| {
+            s.sent(0, 0);
+            s.step(end.clone(), &[close(0)]);
+            s.sent(1, 1);
+        };
+        let expected = if ran { vec![Rule::UnsafeOnce] } else { vec![] };
+        assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
+    }
+    let after_its_last_byte = |s: &mut Stream| {
+        s.sent(0, 0);
+        s.step(Event::RequestWritten { connection: connection(0) }, &[]);
+        s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]);
+        s.sent(1, 1);
+    };
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
+    let beside = |s: &mut Stream| {
+        s.sent(0, 0);
+        s.sent(1, 1);
+    };
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, beside), [Rule::UnsafeOnce]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, beside), []);
+}
+
+#[test]
+fn keyed_retry_outside_its_group_or_window_breaks_keyed_inside() {
+    let to = |to: u32, after: u64| {
+        broken_rules(KEYED, RULES, |s| {
+            s.sent(0, 0);
+            s.now = s.now + Micros(after);
+            s.sent(1, to);
+        })
+    };
+    assert_eq!(to(0, 0), []);
+    assert_eq!(to(0, 1_999), []);
+    assert_eq!(to(0, 2_000), [Rule::KeyedInside]);
+    assert_eq!(to(1, 0), [Rule::KeyedInside]);
+    let elsewhere = |s: &mut Stream| {
+        s.sent(0, 0);
+        s.list(0, 7, BackendState::Ready);
+        s.sent(1, 0);
+    };
+    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
+    let not_executed = |s: &mut Stream| {
+        s.sent(0, 0);
+        s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
+        s.sent(1, 1);
+    };
+    assert_eq!(broken_rules(KEYED, RULES, not_executed), []);
+}
