--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
 //! A simulation around [`Pools`] on a virtual clock: it carries out the actions and checks every invariant at each.
+#![allow(dead_code)]
 
 use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, PoolHealth};
 use shaletide_routing::pools::{Action, Event};
@@ -41,6 +42,9 @@
     next: u64,
 }
 
+/// In microseconds.
+pub const SECOND: u64 = 1_000_000;
+
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
@@ -332,3 +336,13 @@
         panic!("not all ejected");
     }
 }
+
+/// Two pools of two backends, in groups 1 and 2, each in a deduplication domain of its own.
+pub fn two_pools() -> Simulation {
+    let pool = |from: u32, domain| vec![backend(from, 1, domain), backend(from + 1, 2, domain)];
+    Simulation::new(config(), &[pool(0, 0), pool(10, 1)])
+}
+
+pub fn first_backend(simulation: &Simulation, id: RequestId) -> u32 {
+    simulation.backends_tried(id)[0]
+}
