--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -116,8 +116,10 @@
 
     async fn on_list(&mut self, call: &Call, list: &List) {
         if self.failures > 0 {
-            let (failures, version) = (self.failures, list.index);
-            info!("discovery answers again after {failures} failed calls, list version {version}");
+            info!(
+                "discovery answers again after {} failed calls, list version {}",
+                self.failures, list.index
+            );
         }
         self.failures = 0;
         self.catches_up = false;
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -108,8 +108,12 @@
     }
 
     fn report_failure(&self, error: &StoreError) {
-        let (word, path) = (error.code(), self.path.display());
-        error!("store: {word}: {path} does not open, what needs the record is refused: {}", causes(error));
+        error!(
+            "store: {}: {} does not open, what needs the record is refused: {}",
+            error.code(),
+            self.path.display(),
+            causes(error)
+        );
     }
 
     /// Rejects requests that need the record until the store opens; `attempt` may be in progress already.
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -105,7 +105,8 @@
         while plan.frozen {
             plan = self.plan.1.wait(plan).unwrap_or_else(PoisonError::into_inner);
         }
-        let (delay, fault) = (plan.delay, plan.script.pop_front().unwrap_or(Fault::None));
+        let delay = plan.delay;
+        let fault = plan.script.pop_front().unwrap_or(Fault::None);
         drop(plan);
         std::thread::sleep(delay);
         fault
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -132,7 +132,7 @@
 ) -> Result<Pruned, StoreError> {
     let tx = db.transaction_with_behavior(TransactionBehavior::Immediate).map_err(classify)?;
     let old = anchor(&tx)?;
-    let Some((last, rows, more)) = prunable(&tx, before, limit)? else {
+    let Some(Prunable { last, rows, more }) = prunable(&tx, before, limit)? else {
         return Ok(Pruned { rows: 0, anchor: old, more: false });
     };
     let anchor = Anchor { through: last, rows: rows + old.map_or(0, |old| old.rows) };
@@ -145,33 +145,43 @@
     Ok(Pruned { rows, anchor: Some(anchor), more })
 }
 
-/// The last row that may go in this step, how many go, and whether more could.
-fn prunable(
-    tx: &Transaction<'_>, before: Time, limit: usize,
-) -> Result<Option<(Head, u64, bool)>, StoreError> {
-    let open = "SELECT min(min(k.seq), min(ifnull(r.seq, k.seq))) FROM keys AS k LEFT JOIN rows AS r
-         ON r.key = k.key AND r.tenant = k.tenant AND r.class = k.class WHERE k.state < 2";
-    let kept: Option<i64> = tx.query_row(open, [], |row| row.get(0)).optional().map_err(classify)?.flatten();
-    let oldest = "SELECT seq, sum, run, at FROM rows ORDER BY seq LIMIT ?1";
-    let mut oldest = tx.prepare_cached(oldest).map_err(classify)?;
+/// What one step of pruning takes.
+struct Prunable {
+    /// The last row that goes.
+    last: Head,
+    rows: u64,
+    /// Another step would find more.
+    more: bool,
+}
+
+/// What may be pruned in this step; none if the oldest row has to stay.
+fn prunable(tx: &Transaction<'_>, before: Time, limit: usize) -> Result<Option<Prunable>, StoreError> {
+    let first_kept = first_unsettled(tx)?;
+    let sql = "SELECT seq, sum, run, at FROM rows ORDER BY seq LIMIT ?1";
+    let mut oldest = tx.prepare_cached(sql).map_err(classify)?;
     let limit = limit_to_sql(limit);
     let mut found = oldest.query([limit.saturating_add(1)]).map_err(classify)?;
-    let mut last = None;
-    let mut count = 0;
+    let mut prunable: Option<Prunable> = None;
     while let Some(row) = found.next().map_err(classify)? {
-        let (seq, at): (i64, i64) = (row.get(0).map_err(classify)?, row.get(3).map_err(classify)?);
-        if at >= time_to_sql(before) || kept.is_some_and(|kept| seq >= kept) {
-            return Ok(last.map(|last| (last, count, false)));
+        let seq: i64 = row.get(0).map_err(classify)?;
+        let at: i64 = row.get(3).map_err(classify)?;
+        if at >= time_to_sql(before) || first_kept.is_some_and(|kept| seq >= kept) {
+            break;
         }
-        if count == limit as u64 {
-            return Ok(last.map(|last| (last, count, true)));
+        let rows = prunable.as_ref().map_or(0, |prunable| prunable.rows);
+        if rows == limit as u64 {
+            return Ok(prunable.map(|prunable| Prunable { more: true, ..prunable }));
         }
-        last = Some(Head {
-            seq: seq as u64,
-            sum: row.get(1).map_err(classify)?,
-            run: row.get::<_, i64>(2).map_err(classify)? as u64,
-        });
-        count += 1;
+        let sum = row.get(1).map_err(classify)?;
+        let run = row.get::<_, i64>(2).map_err(classify)? as u64;
+        prunable = Some(Prunable { last: Head { seq: seq as u64, sum, run }, rows: rows + 1, more: false });
     }
-    Ok(last.map(|last| (last, count, false)))
+    Ok(prunable)
+}
+
+/// The first row of a key that is in flight or in doubt.
+fn first_unsettled(tx: &Transaction<'_>) -> Result<Option<i64>, StoreError> {
+    let sql = "SELECT min(min(k.seq), min(ifnull(r.seq, k.seq))) FROM keys AS k LEFT JOIN rows AS r
+         ON r.key = k.key AND r.tenant = k.tenant AND r.class = k.class WHERE k.state < 2";
+    Ok(tx.query_row(sql, [], |row| row.get(0)).optional().map_err(classify)?.flatten())
 }
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -98,7 +98,10 @@
             // Pruned meanwhile, or missing.
             let now = store.anchor()?;
             match now.filter(|now| now.through.seq > last.seq) {
-                Some(pruned) => (anchor, last) = (now, pruned.through),
+                Some(pruned) => {
+                    anchor = now;
+                    last = pruned.through;
+                }
                 None => return Err(Broken::Missing { seq: last.seq + 1 }),
             }
             continue;
