--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,76 +1,76 @@
-//! A host for one balancer that carries out its actions and checks every rule as it goes.
+//! A harness for one balancer that carries out its actions and checks every rule as it goes.
 #![allow(dead_code)]
 
 use shaletide_balancer::*;
 use std::collections::BTreeMap;
 
 #[derive(Clone)]
-pub struct Try {
+pub struct SentAttempt {
     pub backend: BackendId,
     pub zone: ZoneId,
-    pub cell: DeduplicationGroupId,
+    pub deduplication_group: DeduplicationGroupId,
     pub at: Time,
     pub outcome: Option<Outcome>,
 }
 
-impl Try {
-    /// No outcome proves yet that it did not run.
-    pub fn may_have_run(&self) -> bool {
+impl SentAttempt {
+    /// No outcome proves that it was not executed.
+    pub fn may_have_been_executed(&self) -> bool {
         self.outcome.is_none_or(|o| !o.not_executed())
     }
 }
 
-pub struct Open {
+pub struct OpenRequest {
     pub class: usize,
     pub deadline: Time,
-    pub tries: Vec<Try>,
+    pub attempts: Vec<SentAttempt>,
     pub streaming: bool,
     pub answer: Option<&'static str>,
 }
 
-pub struct Host {
+pub struct Harness {
     pub cfg: Config,
     pub balancer: Balancer,
     pub shared: SharedLimits,
     pub now: Time,
     pub list: BTreeMap<BackendId, BackendEntry>,
-    pub requests: BTreeMap<RequestId, Open>,
+    pub requests: BTreeMap<RequestId, OpenRequest>,
     pub timers: Vec<(Time, TimerToken)>,
-    pub follows: u32,
+    pub polls: u32,
     pub timers_set: usize,
     pub cancelled: Vec<(RequestId, usize)>,
     pub logs: Vec<String>,
     pub last: Vec<Action>,
-    pub repeat: bool,
+    pub is_client_retry: bool,
     next: u64,
 }
 
-pub fn backend(id: u32, zone: u32, kind: u32) -> BackendEntry {
+pub fn backend(id: u32, zone: u32, server_type: u32) -> BackendEntry {
     BackendEntry {
         id: BackendId(id),
         stable_hash: u64::from(id),
         zone: ZoneId(zone),
         deduplication_group: DeduplicationGroupId(u64::from(zone) * 2 + u64::from(id % 2)),
-        server_type: ServerTypeId(kind),
+        server_type: ServerTypeId(server_type),
         state: BackendState::Ready,
         ..BackendEntry::default()
     }
 }
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_objective: Micros(400_000),
         latency_objective_per_work_hint: 0.0,
-        idempotency: effect,
+        idempotency,
         priority_weight: 1.0,
         late_weight_fraction: 0.0,
     }
 }
 
-impl Host {
-    pub fn new(cfg: Config, seed: u64) -> Host {
+impl Harness {
+    pub fn new(cfg: Config, seed: u64) -> Harness {
         let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
-        Host {
+        Harness {
             cfg,
             balancer,
             shared: SharedLimits::new(),
@@ -78,12 +78,12 @@
             list: BTreeMap::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
-            follows: 0,
+            polls: 0,
             timers_set: 0,
             cancelled: Vec::new(),
             logs: Vec::new(),
             last: Vec::new(),
-            repeat: false,
+            is_client_retry: false,
             next: 0,
         }
     }
@@ -99,44 +99,9 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::FailOver { .. } => panic!("passed on where there is no other pool"),
-            Action::Dispatch { request, attempt, backend, .. } => {
-                let r = self.requests.get_mut(&request).expect("dispatch of a known request");
-                assert_eq!(attempt.0 as usize, r.tries.len(), "attempts are numbered in their order");
-                assert!(r.answer.is_none(), "sent after the final answer");
-                let b = self.list.get(&backend).expect("a listed backend");
-                assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
-                assert!(r.tries.len() < self.cfg.max_attempts as usize, "too many attempts");
-                assert!(self.cfg.hedging || r.tries.iter().all(|t| t.outcome.is_some()), "two at once");
-                for t in r.tries.iter().filter(|t| t.may_have_run()) {
-                    match self.cfg.classes[r.class].idempotency {
-                        Idempotency::Safe => {}
-                        Idempotency::NonIdempotent => panic!("an unsafe request was sent twice"),
-                        Idempotency::Keyed(scope, window) => {
-                            assert!(self.now <= t.at + window, "a key was repeated after its window");
-                            let same = match scope {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => t.zone == b.zone,
-                                DeduplicationScope::Group => t.cell == b.deduplication_group,
-                            };
-                            assert!(same, "a key was repeated outside its scope");
-                        }
-                    }
-                }
-                let (zone, cell, at) = (b.zone, b.deduplication_group, self.now);
-                r.tries.push(Try { backend, zone, cell, at, outcome: None });
-            }
-            Action::Reject { request, retry_after } => {
-                assert!(retry_after > Micros(0), "refused without advice");
-                let r = self.requests.get_mut(&request).expect("a known request");
-                let ran = r.tries.iter().any(Try::may_have_run);
-                let free = matches!(
-                    self.cfg.classes[r.class].idempotency,
-                    Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
-                );
-                assert!(free || !ran, "refused what may have run");
-                assert!(r.answer.replace("refused").is_none(), "answered twice");
-            }
+            Action::FailOver { .. } => panic!("failed over where there is no other pool"),
+            Action::Dispatch { request, attempt, backend, .. } => self.on_dispatch(request, attempt, backend),
+            Action::Reject { request, retry_after } => self.on_reject(request, retry_after),
             Action::Fail { request, .. } => {
                 let r = self.requests.get_mut(&request).expect("a known request");
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
@@ -144,7 +109,7 @@
             Action::Cancel { request, attempt } => {
                 assert!(self.cfg.may_cancel_attempts, "cancel is not allowed");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.tries.len(), "cancelled what was never sent");
+                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled what was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
@@ -153,13 +118,59 @@
             }
             Action::Subscribe => {
                 assert_ne!(self.cfg.discovery, DiscoveryMode::Push);
-                self.follows += 1;
+                self.polls += 1;
             }
             Action::Log(text) => self.logs.push(text),
         }
     }
 
-    pub fn members(&mut self, update: EndpointUpdate, backends: Vec<BackendEntry>) {
+    /// Checks every rule on where an attempt may go.
+    fn on_dispatch(&mut self, request: RequestId, attempt: AttemptNumber, backend: BackendId) {
+        let r = self.requests.get_mut(&request).expect("dispatch of a known request");
+        assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered in their order");
+        assert!(r.answer.is_none(), "sent after the final answer");
+        let b = self.list.get(&backend).expect("a listed backend");
+        assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
+        assert!(r.attempts.len() < self.cfg.max_attempts as usize, "too many attempts");
+        assert!(self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()), "two at once");
+        for t in r.attempts.iter().filter(|t| t.may_have_been_executed()) {
+            match self.cfg.classes[r.class].idempotency {
+                Idempotency::Safe => {}
+                Idempotency::NonIdempotent => panic!("a non-idempotent request was sent twice"),
+                Idempotency::Keyed(scope, window) => {
+                    assert!(self.now <= t.at + window, "a key was repeated after its window");
+                    let same = match scope {
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => t.zone == b.zone,
+                        DeduplicationScope::Group => t.deduplication_group == b.deduplication_group,
+                    };
+                    assert!(same, "a key was repeated outside its scope");
+                }
+            }
+        }
+        r.attempts.push(SentAttempt {
+            backend,
+            zone: b.zone,
+            deduplication_group: b.deduplication_group,
+            at: self.now,
+            outcome: None,
+        });
+    }
+
+    /// Checks that a retry by the client would be harmless.
+    fn on_reject(&mut self, request: RequestId, retry_after: Micros) {
+        assert!(retry_after > Micros(0), "rejected without Retry-After");
+        let r = self.requests.get_mut(&request).expect("a known request");
+        let may_have_run = r.attempts.iter().any(SentAttempt::may_have_been_executed);
+        let is_safe = matches!(
+            self.cfg.classes[r.class].idempotency,
+            Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
+        );
+        assert!(is_safe || !may_have_run, "rejected what may have been executed");
+        assert!(r.answer.replace("rejected").is_none(), "answered twice");
+    }
+
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, backends: Vec<BackendEntry>) {
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             self.list.values_mut().for_each(|b| b.state = BackendState::Gone);
         }
@@ -169,15 +180,15 @@
         self.event(Event::EndpointsUpdated { update, backends });
     }
 
-    pub fn arrive(&mut self, class: usize, left: u64) -> RequestId {
-        self.arrive_for(class, left, None)
+    pub fn send_request(&mut self, class: usize, left: u64) -> RequestId {
+        self.send_request_of(class, left, None)
     }
 
-    pub fn arrive_for(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
+    pub fn send_request_of(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
         self.next += 1;
         let id = RequestId(self.next);
         let deadline = self.now + Micros(left);
-        let open = Open { class, deadline, tries: Vec::new(), streaming: false, answer: None };
+        let open = OpenRequest { class, deadline, attempts: Vec::new(), streaming: false, answer: None };
         self.requests.insert(id, open);
         self.event(Event::Request(Arrival {
             request: id,
@@ -185,19 +196,21 @@
             tenant,
             time_left: Micros(left),
             work_hint: None,
-            is_client_retry: self.repeat,
+            is_client_retry: self.is_client_retry,
             may_fail_over: false,
         }));
         id
     }
 
-    /// So many requests at once.
-    pub fn burst(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.arrive(class, left)).collect()
+    /// Sends so many requests at once.
+    pub fn send_requests(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
+        (0..count).map(|_| self.send_request(class, left)).collect()
     }
 
-    /// One event of each sort about things that were never heard of.
-    pub fn nonsense(&mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken) {
+    /// Sends one event of each kind with ids that no action had.
+    pub fn send_events_with_unknown_ids(
+        &mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken,
+    ) {
         let (outcome, latency) = (Outcome::Error, Micros(5));
         self.event(Event::Timer { token });
         self.event(Event::ClientDisconnected { request });
@@ -211,24 +224,24 @@
         }));
     }
 
-    /// Ends an attempt that is out.
+    /// Ends an attempt that is in flight.
     pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.tries.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(t) = r.attempts.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
         t.outcome = Some(outcome);
         let latency = now - t.at;
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some("served");
         }
-        let settled = r.answer.is_some();
+        let request_answered = r.answer.is_some();
         let attempt = AttemptNumber(no as u32);
         self.event(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             outcome,
             latency,
-            request_answered: settled,
+            request_answered,
         }));
     }
 
@@ -236,13 +249,13 @@
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
             return;
         };
-        if r.tries.get(no).is_some_and(|t| t.outcome.is_none()) {
+        if r.attempts.get(no).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
             self.event(Event::StreamStarted { request: id, attempt: AttemptNumber(no as u32) });
         }
     }
 
-    /// Lets time pass; timers and time-outs fire when due, and every deadline is checked.
+    /// Lets time pass; timers fire and attempts time out when due, and every deadline is checked.
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
@@ -256,7 +269,7 @@
             for (id, no) in std::mem::take(&mut self.cancelled) {
                 self.end(id, no, Outcome::Cancelled);
             }
-            for (id, no) in self.out() {
+            for (id, no) in self.in_flight() {
                 let r = &self.requests[&id];
                 if r.deadline <= self.now && !r.streaming {
                     self.end(id, no, Outcome::TimedOut);
@@ -269,22 +282,48 @@
         }
     }
 
-    pub fn sent_to(&self, id: RequestId) -> Vec<u32> {
-        self.requests[&id].tries.iter().map(|t| t.backend.0).collect()
+    pub fn backends_tried(&self, id: RequestId) -> Vec<u32> {
+        self.requests[&id].attempts.iter().map(|t| t.backend.0).collect()
     }
 
-    /// Serves everything that is out, each after `span`.
-    pub fn serve_all(&mut self, span: u64) {
+    /// Serves every attempt in flight after `span`.
+    pub fn serve_all_in_flight(&mut self, span: u64) {
         self.advance(span);
-        for (id, no) in self.out() {
+        for (id, no) in self.in_flight() {
             self.end(id, no, Outcome::Ok);
         }
     }
 
-    pub fn out(&self) -> Vec<(RequestId, usize)> {
+    pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(id, r)| {
-            r.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+            r.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
         });
         each.collect()
     }
 }
+
+pub fn fleet(count: u32) -> Vec<BackendEntry> {
+    (0..count).map(|i| backend(i, 0, 0)).collect()
+}
+
+pub fn config(classes: Vec<Class>) -> Config {
+    Config { classes, ..Config::example() }
+}
+
+pub fn harness(cfg: Config, list: Vec<BackendEntry>) -> Harness {
+    let mut harness = Harness::new(cfg, 11);
+    harness.update_endpoints(EndpointUpdate::Snapshot, list);
+    harness
+}
+
+/// Sends requests one by one, each served after a time that may depend on its backend. Gives the backends.
+pub fn serve(harness: &mut Harness, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
+    let mut chosen = Vec::new();
+    for _ in 0..count {
+        let id = harness.send_request(class, 900_000);
+        chosen.extend(harness.backends_tried(id));
+        harness.advance(harness.backends_tried(id).first().map_or(5_000, |b| time(*b)));
+        harness.end(id, 0, Outcome::Ok);
+    }
+    chosen
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,10 @@
-//! What the program is told: the operators' file and the platform's settings as typed values, and the names
-//! that go with them. Text in, values or all that is wrong with it out; no files, no environment, no clock.
+//! Configuration: the operators' file and the platform's settings as typed values, and the names that go with them.
+//! Text in; values, or a report of all its problems, out. No files, no environment, no clock.
 #![forbid(unsafe_code)]
 
-mod desk;
+mod diagnostic;
+mod diagnostics;
+mod document;
 pub mod operator;
 pub mod platform;
 mod report;
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,10 +1,10 @@
-//! One table of the file under its schema: unknown keys are found when it is opened, and each value is read by
-//! the kind, range and default that the schema has for it.
+//! One table of the file under its schema: unknown keys are reported when it is opened, and each value is read by the
+//! kind, range and default that the schema has for it.
 
-use crate::desk::{quoted, Desk};
-use crate::report::Finding;
-use crate::schema::{self, Default, Key, Kind, Platform, Shape, SECTIONS};
-use crate::values::{self, describe, Found};
+use crate::diagnostic::Diagnostic;
+use crate::diagnostics::{quoted, Diagnostics};
+use crate::schema::{DefaultValue, KeySchema, SectionSchema, Shape, ValueKind, SECTIONS};
+use crate::values::{self, describe, Parsed};
 use shaletide_balancer::Micros;
 use std::ops::Range;
 use toml::de::{DeString, DeTable, DeValue};
@@ -13,80 +13,95 @@
 /// What a key holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Field<T> {
-    /// The value or its default; none where it is absent without a default, and where it was wrong.
+    /// The value or its default; none where it is absent without a default, and where it is invalid.
     pub value: Option<T>,
     /// Where it stands; none: it is absent.
-    pub at: Option<Range<usize>>,
+    pub span: Option<Range<usize>>,
 }
 
 impl<T> Field<T> {
-    /// The value; where something was wrong, and so the whole file is refused, a stand-in.
-    pub fn or(self, stand_in: T) -> T {
-        self.value.unwrap_or(stand_in)
+    /// The value; the placeholder where it is invalid, and the whole file is therefore rejected.
+    pub fn or_placeholder(self, placeholder: T) -> T {
+        self.value.unwrap_or(placeholder)
     }
 
-    /// Whether it stands in the file and is wrong.
-    pub fn is_wrong(&self) -> bool {
-        self.at.is_some() && self.value.is_none()
+    /// Whether it stands in the file and is invalid.
+    pub fn is_invalid(&self) -> bool {
+        self.span.is_some() && self.value.is_none()
     }
 }
 
-/// What a key holds that takes one thing or a list of them.
+/// What a key holds that takes one item or a list of them.
 #[derive(Clone, Debug)]
-pub(crate) struct Listed<T> {
-    /// Those that were right.
+pub(crate) struct ListField<T> {
+    /// The valid items, each with its place.
     pub items: Vec<(T, Range<usize>)>,
-    /// Whether none was wrong.
-    pub sound: bool,
+    /// Whether no item was invalid, and none is missing.
+    pub is_valid: bool,
     /// Where the whole stands; none: it is absent.
-    pub at: Option<Range<usize>>,
+    pub span: Option<Range<usize>>,
 }
 
-/// How a kind of value is read.
-type Parse<T> = fn(&Kind, &DeValue<'_>) -> Found<T>;
+impl<T> ListField<T> {
+    /// The items without their places.
+    pub fn into_values(self) -> Vec<T> {
+        self.items.into_iter().map(|(item, _)| item).collect()
+    }
+}
+
+/// How a kind of value is parsed.
+type Parse<T> = fn(&ValueKind, &DeValue<'_>) -> Parsed<T>;
 
 /// A table under its schema.
 #[derive(Clone, Debug)]
 pub(crate) struct Section<'v, 't> {
-    schema: &'static schema::Section,
+    schema: &'static SectionSchema,
     /// The path to its keys.
     path: String,
+    /// None: it is absent, and all its keys have their defaults.
     table: Option<&'v DeTable<'t>>,
     /// Keys that stand under a name near to theirs: they are neither missing nor at their defaults.
-    misnamed: Vec<(&'static str, Range<usize>)>,
+    misspelled: Vec<(&'static str, Range<usize>)>,
     /// Where its header stands, or the whole of an inline table.
-    pub at: Range<usize>,
+    pub span: Range<usize>,
 }
 
 impl<'v, 't> Section<'v, 't> {
-    /// The table; puts down each key that the schema does not know.
+    /// Opens a table; reports each key that the schema does not have.
     pub fn open(
-        desk: &mut Desk<'_>, schema: &'static schema::Section, table: &'v DeTable<'t>, at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, table: &'v DeTable<'t>,
+        span: Range<usize>,
     ) -> Section<'v, 't> {
-        Section::open_at(desk, schema, schema.name.into(), table, at)
+        Section::open_at(diagnostics, schema, schema.name.into(), table, span)
     }
 
     /// The same for a table that stands in more than one place: with the path to its keys.
     pub fn open_at(
-        desk: &mut Desk<'_>, schema: &'static schema::Section, path: String, table: &'v DeTable<'t>,
-        at: Range<usize>,
+        diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: String,
+        table: &'v DeTable<'t>, span: Range<usize>,
     ) -> Section<'v, 't> {
-        let mut misnamed = Vec::new();
+        let mut misspelled = Vec::new();
         for key in table.keys().filter(|key| schema.key(key.get_ref()).is_none()) {
-            let near = unknown_key(desk, schema, &path, key);
-            misnamed.extend(near.map(|near| (near, key.span())));
+            if let Some(meant) = push_unknown_key(diagnostics, schema, &path, key) {
+                misspelled.push((meant, key.span()));
+            }
         }
-        Section { schema, path, table: Some(table), misnamed, at }
+        Section { schema, path, table: Some(table), misspelled, span }
     }
 
     /// A table that is absent: all its keys have their defaults.
-    pub fn absent(schema: &'static schema::Section) -> Section<'v, 't> {
-        Section { schema, path: schema.name.into(), table: None, misnamed: Vec::new(), at: 0..0 }
+    pub fn absent(schema: &'static SectionSchema) -> Section<'v, 't> {
+        Section { schema, path: schema.name.into(), table: None, misspelled: Vec::new(), span: 0..0 }
+    }
+
+    /// Whether the file has it.
+    pub fn is_present(&self) -> bool {
+        self.table.is_some()
     }
 
     /// Where a key stands under a wrong name.
-    pub fn misnamed(&self, key: &str) -> Option<Range<usize>> {
-        self.misnamed.iter().find(|(name, _)| *name == key).map(|(_, at)| at.clone())
+    pub fn misspelled(&self, key: &str) -> Option<Range<usize>> {
+        self.misspelled.iter().find(|(meant, _)| *meant == key).map(|(_, span)| span.clone())
     }
 
     /// The name of a key with the path to it.
@@ -94,9 +109,9 @@
         format!("{}.{key}", self.path)
     }
 
-    fn known(&self, key: &str) -> &'static Key {
-        let known = self.schema.key(key);
-        known.unwrap_or_else(|| unreachable!("the schema lacks {}.{key}", self.schema.name))
+    fn key_schema(&self, key: &str) -> &'static KeySchema {
+        let schema = self.schema.key(key);
+        schema.unwrap_or_else(|| unreachable!("the schema lacks {}.{key}", self.schema.name))
     }
 
     /// The value of a key as it stands, and where.
@@ -105,311 +120,185 @@
         Some((value.get_ref(), value.span()))
     }
 
-    /// Puts down that a value is not what was expected.
-    pub fn wrong(&self, desk: &mut Desk<'_>, key: &str, at: Range<usize>, found: &str) {
-        let known = self.known(key);
-        let finding = Finding::at(at.clone(), format!("{}: {found}", self.path(key)), {
-            format!("expected {}", known.kind.expected())
-        });
-        let word = desk.source.text.get(at).unwrap_or("").trim_matches(['"', '\'']);
-        let help = match known.kind {
-            Kind::Word(words) => {
-                desk.nearest(word, words.iter().copied()).map(|w| format!("did you mean \"{w}\"?"))
+    /// Where a key stands, if it does.
+    pub fn span_of(&self, key: &str) -> Option<Range<usize>> {
+        self.raw(key).map(|(_, span)| span)
+    }
+
+    /// Reports that a value is not what the schema expects; `found` says what it is instead.
+    pub fn push_invalid(
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, span: Range<usize>, found: &str,
+    ) {
+        let schema = self.key_schema(key);
+        let expected = format!("expected {}", schema.kind.expected());
+        let diagnostic = Diagnostic::at(span.clone(), format!("{}: {found}", self.path(key)), expected);
+        let word = diagnostics.source.text.get(span).unwrap_or("").trim_matches(['"', '\'']);
+        let help = match schema.kind {
+            ValueKind::Choice(words) => {
+                let meant = diagnostics.suggest(word, words.iter().copied());
+                meant.map(|meant| format!("did you mean \"{meant}\"?"))
             }
-            Kind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
-            Kind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
+            ValueKind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
+            ValueKind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
                 Some("methods stand in capitals".into())
             }
             _ => None,
         };
-        desk.add(Finding { help, ..finding });
+        diagnostics.push(Diagnostic { help, ..diagnostic });
     }
 
-    /// Puts down that a key is missing.
-    pub fn missing(&self, desk: &mut Desk<'_>, key: &str) {
-        let expected = format!("expected `{key}`: {}", self.known(key).kind.expected());
-        let what = format!("{} is missing", self.path(key));
-        desk.missing(&self.at, Finding::at(self.at.clone(), what, expected));
+    /// Reports that a key is missing.
+    pub fn push_missing(&self, diagnostics: &mut Diagnostics<'_>, key: &str) {
+        let expected = format!("expected `{key}`: {}", self.key_schema(key).kind.expected());
+        let message = format!("{} is missing", self.path(key));
+        diagnostics.push_missing(&self.span, Diagnostic::at(self.span.clone(), message, expected));
     }
 
     /// Reads a key.
-    pub fn read<T>(&self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>) -> Field<T> {
-        let known = self.known(key);
-        let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misnamed(key) {
-                return Field { value: None, at: Some(at) };
+    pub fn read<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Field<T> {
+        let schema = self.key_schema(key);
+        let Some((value, span)) = self.raw(key) else {
+            if let Some(span) = self.misspelled(key) {
+                return Field { value: None, span: Some(span) };
+            }
+            if schema.default == DefaultValue::Required {
+                self.push_missing(diagnostics, key);
             }
-            if known.default == Default::Must {
-                self.missing(desk, key);
+            return Field { value: default(schema, parse), span: None };
+        };
+        let value = match parse(&schema.kind, value) {
+            Ok(value) => Some(value),
+            Err(found) => {
+                self.push_invalid(diagnostics, key, span.clone(), &found);
+                None
             }
-            return Field { value: default(known, parse), at: None };
         };
-        let found = parse(&known.kind, value);
-        let value = found.map_err(|found| self.wrong(desk, key, at.clone(), &found)).ok();
-        Field { value, at: Some(at) }
+        Field { value, span: Some(span) }
     }
 
-    pub fn span(&self, desk: &mut Desk<'_>, key: &str) -> Field<Micros> {
-        self.read(desk, key, values::span)
+    pub fn duration(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<Micros> {
+        self.read(diagnostics, key, values::duration)
     }
 
-    pub fn number(&self, desk: &mut Desk<'_>, key: &str) -> Field<f64> {
-        self.read(desk, key, values::number)
+    pub fn number(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<f64> {
+        self.read(diagnostics, key, values::number)
     }
 
-    pub fn flag(&self, desk: &mut Desk<'_>, key: &str) -> Field<bool> {
-        self.read(desk, key, values::flag)
+    pub fn flag(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<bool> {
+        self.read(diagnostics, key, values::flag)
     }
 
-    pub fn name(&self, desk: &mut Desk<'_>, key: &str) -> Field<String> {
-        self.read(desk, key, values::name)
+    pub fn name(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<String> {
+        self.read(diagnostics, key, values::name)
     }
 
-    pub fn word(&self, desk: &mut Desk<'_>, key: &str) -> Field<&'static str> {
-        self.read(desk, key, values::word)
+    pub fn choice(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<&'static str> {
+        self.read(diagnostics, key, values::choice)
     }
 
-    /// A whole number in a range that fits.
-    pub fn count(&self, desk: &mut Desk<'_>, key: &str) -> Field<u32> {
-        let field = self.read(desk, key, values::count);
-        let small =
+    /// A whole number whose range in the schema fits.
+    pub fn count(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<u32> {
+        let field = self.read(diagnostics, key, values::integer);
+        let narrow =
             |n| u32::try_from(n).unwrap_or_else(|_| unreachable!("the schema's range of {key} is too wide"));
-        Field { value: field.value.map(small), at: field.at }
+        Field { value: field.value.map(narrow), span: field.span }
     }
 
-    /// One thing or a list of them; not an empty list, and nothing twice.
-    pub fn listed<T: Clone + Eq + std::hash::Hash>(
-        &self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>,
-    ) -> Listed<T> {
-        let listed = self.items(desk, key, parse);
-        if listed.sound && listed.items.is_empty() {
-            if let Some(at) = listed.at.clone() {
-                self.wrong(desk, key, at, "this list is empty");
-                return Listed { sound: false, ..listed };
+    /// One item or a list of them; an empty list and duplicates are reported.
+    pub fn distinct_items<T: Clone + Eq + std::hash::Hash>(
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>,
+    ) -> ListField<T> {
+        let list = self.items(diagnostics, key, parse);
+        if list.is_valid && list.items.is_empty() {
+            if let Some(span) = list.span.clone() {
+                self.push_invalid(diagnostics, key, span, "this list is empty");
+                return ListField { is_valid: false, ..list };
             }
         }
         let path = self.path(key);
-        let again = listed.items.iter().cloned();
-        desk.twice(again, |_| format!("{path}: this stands twice"), "expected each once");
-        listed
+        let items = list.items.iter().cloned();
+        diagnostics.push_duplicates(items, |_| format!("{path}: this stands twice"), "expected each once");
+        list
     }
 
-    /// One thing or a list of them.
-    pub fn items<T>(&self, desk: &mut Desk<'_>, key: &str, parse: Parse<T>) -> Listed<T> {
-        let known = self.known(key);
-        let Some((value, at)) = self.raw(key) else {
-            if let Some(at) = self.misnamed(key) {
-                return Listed { items: Vec::new(), sound: false, at: Some(at) };
+    /// One item or a list of them.
+    pub fn items<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> ListField<T> {
+        let schema = self.key_schema(key);
+        let Some((value, span)) = self.raw(key) else {
+            if let Some(span) = self.misspelled(key) {
+                return ListField { items: Vec::new(), is_valid: false, span: Some(span) };
             }
-            if known.default == Default::Must {
-                self.missing(desk, key);
+            let is_required = schema.default == DefaultValue::Required;
+            if is_required {
+                self.push_missing(diagnostics, key);
             }
-            return Listed { items: Vec::new(), sound: known.default != Default::Must, at: None };
+            return ListField { items: Vec::new(), is_valid: !is_required, span: None };
         };
-        let mut listed = Listed { items: Vec::new(), sound: true, at: Some(at.clone()) };
-        let one = [(value, at)];
-        let each: Vec<_> = match value {
-            DeValue::Array(items) => items.iter().map(|i| (i.get_ref(), i.span())).collect(),
-            _ => one.to_vec(),
-        };
-        for (value, at) in each {
-            match parse(&known.kind, value) {
-                Ok(item) => listed.items.push((item, at)),
+        let mut list = ListField { items: Vec::new(), is_valid: true, span: Some(span.clone()) };
+        for (value, span) in one_or_many(value, span) {
+            match parse(&schema.kind, value) {
+                Ok(item) => list.items.push((item, span)),
                 Err(found) => {
-                    self.wrong(desk, key, at, &found);
-                    listed.sound = false;
+                    self.push_invalid(diagnostics, key, span, &found);
+                    list.is_valid = false;
                 }
             }
         }
-        listed
+        list
     }
 
-    /// The tables of a key that takes one or a list of them, each under that schema.
+    /// The tables of a key that takes one or a list of them, each under that schema, and whether all were tables.
     pub fn tables(
-        &self, desk: &mut Desk<'_>, key: &str, schema: &'static schema::Section,
+        &self, diagnostics: &mut Diagnostics<'_>, key: &str, schema: &'static SectionSchema,
     ) -> (Vec<Section<'v, 't>>, bool) {
-        let mut sound = true;
+        let mut all_tables = true;
         let mut tables = Vec::new();
-        let each: Vec<_> = match self.raw(key) {
-            Some((DeValue::Array(items), _)) => items.iter().map(|i| (i.get_ref(), i.span())).collect(),
-            one => one.into_iter().collect(),
-        };
-        for (value, at) in each {
+        let items = self.raw(key).map(|(value, span)| one_or_many(value, span)).unwrap_or_default();
+        for (value, span) in items {
             match value {
-                DeValue::Table(table) => tables.push(Section::open(desk, schema, table, at)),
+                DeValue::Table(table) => tables.push(Section::open(diagnostics, schema, table, span)),
                 _ => {
-                    self.wrong(desk, key, at, &format!("{} does not fit here", describe(value)));
-                    sound = false;
+                    let found = format!("{} does not fit here", describe(value));
+                    self.push_invalid(diagnostics, key, span, &found);
+                    all_tables = false;
                 }
             }
         }
-        (tables, sound)
+        (tables, all_tables)
+    }
+}
+
+/// The items of a list, or the value itself.
+fn one_or_many<'v, 't>(value: &'v DeValue<'t>, span: Range<usize>) -> Vec<(&'v DeValue<'t>, Range<usize>)> {
+    match value {
+        DeValue::Array(items) => items.iter().map(|item| (item.get_ref(), item.span())).collect(),
+        _ => vec![(value, span)],
     }
 }
 
 /// The schema's default, read as the file's own text would be.
-fn default<T>(key: &Key, parse: Parse<T>) -> Option<T> {
-    let Default::Is(text) = key.default else { return None };
-    let value = DeValue::parse(text).ok().and_then(|v| parse(&key.kind, v.get_ref()).ok());
-    Some(value.unwrap_or_else(|| unreachable!("the schema's default of {} is {text}", key.name)))
+fn default<T>(schema: &KeySchema, parse: Parse<T>) -> Option<T> {
+    let DefaultValue::Value(text) = schema.default else { return None };
+    let value = DeValue::parse(text).ok().and_then(|v| parse(&schema.kind, v.get_ref()).ok());
+    Some(value.unwrap_or_else(|| unreachable!("the schema's default of {} is {text}", schema.name)))
 }
 
-/// Puts down a key that the schema does not know; gives the one that was most likely meant.
-fn unknown_key(
-    desk: &mut Desk<'_>, schema: &'static schema::Section, path: &str, key: &Spanned<DeString<'_>>,
+/// Reports a key that the schema does not have; returns the one that was most likely meant.
+fn push_unknown_key(
+    diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: &str,
+    key: &Spanned<DeString<'_>>,
 ) -> Option<&'static str> {
-    let (name, at) = (key.get_ref().as_ref(), key.span());
-    let known: Vec<&'static str> = schema.keys.iter().map(|k| k.name).collect();
-    let near = desk.nearest(name, known.iter().copied());
-    let elsewhere = SECTIONS.iter().find(|s| s.key(name).is_some());
-    let expected = match (near, elsewhere) {
-        (Some(near), _) => format!("did you mean `{near}`?"),
+    let name = key.get_ref().as_ref();
+    let known: Vec<&'static str> = schema.keys.iter().map(|key| key.name).collect();
+    let meant = diagnostics.suggest(name, known.iter().copied());
+    let elsewhere = SECTIONS.iter().find(|section| section.key(name).is_some());
+    let expected = match (meant, elsewhere) {
+        (Some(meant), _) => format!("did you mean `{meant}`?"),
         (None, Some(section)) => format!("it belongs to {}", section.header()),
         (None, None) => format!("expected one of {}", known.join(", ")),
     };
     let place = if schema.shape == Shape::Inline { path.to_string() } else { schema.header() };
-    desk.add(Finding::at(at, format!("unknown key {} in {place}", quoted(name)), expected));
-    near
-}
-
-/// The sections of the file.
-pub(crate) struct File<'v, 't> {
-    table: &'v DeTable<'t>,
-    /// Sections that stand under a name near to theirs.
-    misnamed: Vec<&'static str>,
-    /// It adds to NODE_CONFIG, so that no section must be there.
-    adds: bool,
-}
-
-impl<'v, 't> File<'v, 't> {
-    /// The file's tree; puts down each section that no schema knows, and keys outside of all sections.
-    pub fn open(desk: &mut Desk<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
-        let mut misnamed = Vec::new();
-        for (key, value) in table.iter().filter(|(key, _)| schema::section(key.get_ref()).is_none()) {
-            let name = key.get_ref().as_ref();
-            let is_key = !matches!(value.get_ref(), DeValue::Table(_) | DeValue::Array(_));
-            let home = SECTIONS.iter().find(|s| s.key(name).is_some()).filter(|_| is_key);
-            let near = desk.nearest(name, SECTIONS.iter().map(|s| s.name));
-            misnamed.extend(near.filter(|_| !is_key));
-            let expected = match (home, near.and_then(schema::section)) {
-                (Some(section), _) => format!("it belongs to {}", section.header()),
-                (None, Some(section)) => format!("did you mean {}?", section.header()),
-                (None, None) => format!("expected one of {}", headers().join(", ")),
-            };
-            let what = match is_key {
-                true => format!("key {} outside of all sections", quoted(name)),
-                false => format!("unknown section {}", quoted(name)),
-            };
-            desk.add(Finding::at(key.span(), what, expected));
-        }
-        File { table, misnamed, adds: false }
-    }
-
-    /// Whether a section of that name is there, or may have been meant to be.
-    pub fn may_hold(&self, desk: &Desk<'_>, name: &str) -> bool {
-        self.table.contains_key(name) || self.misnamed.contains(&name) || desk.damage.hides(name)
-    }
-
-    /// A section that stands once, if it is there.
-    pub fn optional(&self, desk: &mut Desk<'_>, name: &str) -> Option<Section<'v, 't>> {
-        self.table
-            .contains_key(name)
-            .then(|| self.table(desk, name))
-            .filter(|section| section.table.is_some())
-    }
-
-    /// A section that stands once; all defaults where it is absent.
-    pub fn table(&self, desk: &mut Desk<'_>, name: &str) -> Section<'v, 't> {
-        let schema = known(name);
-        let Some(value) = self.table.get(name) else { return Section::absent(schema) };
-        match value.get_ref() {
-            DeValue::Table(table) => Section::open(desk, schema, table, value.span()),
-            other => {
-                let what = format!("{}: {} does not fit here", schema.header(), describe(other));
-                desk.add(Finding::at(value.span(), what, format!("expected {} once", schema.header())));
-                Section::absent(schema)
-            }
-        }
-    }
-
-    /// A section that stands any number of times, at most `most`. The flag says whether all of them are here.
-    pub fn list(&self, desk: &mut Desk<'_>, name: &str, most: usize) -> (Vec<Section<'v, 't>>, bool) {
-        let schema = known(name);
-        let mut all = !desk.damage.hides(name) && !self.misnamed.contains(&name);
-        let Some(value) = self.table.get(name) else {
-            if schema.required && all && !self.adds {
-                let what = format!("{} is missing", schema.header());
-                desk.add(Finding::whole(what, format!("expected at least one: {}", schema.meaning)));
-            }
-            return (Vec::new(), all);
-        };
-        let mut sections = Vec::new();
-        let expected = format!("expected {} before each", schema.header());
-        let wrong =
-            |value: &DeValue<'_>| format!("{}: {} does not fit here", schema.header(), describe(value));
-        match value.get_ref() {
-            DeValue::Array(items) => {
-                for item in items.iter().take(most) {
-                    match item.get_ref() {
-                        DeValue::Table(table) => {
-                            sections.push(Section::open(desk, schema, table, item.span()));
-                        }
-                        other => {
-                            all = false;
-                            desk.add(Finding::at(item.span(), wrong(other), &expected));
-                        }
-                    }
-                }
-                if let Some(over) = items.get(most) {
-                    all = false;
-                    let what = format!("{} of {}", items.len(), schema.header());
-                    desk.add(Finding::at(over.span(), what, format!("expected at most {most}")));
-                }
-            }
-            other => {
-                all = false;
-                desk.add(Finding::at(value.span(), wrong(other), &expected));
-            }
-        }
-        (sections, all)
-    }
-
-    /// The tree of a file that adds to NODE_CONFIG; puts down also each key that NODE_CONFIG has a word for, or
-    /// for which the platform leaves no choice.
-    pub fn open_additions(desk: &mut Desk<'_>, table: &'v DeTable<'t>) -> File<'v, 't> {
-        let file = File { adds: true, ..File::open(desk, table) };
-        file.refuse_platform(desk);
-        file
-    }
-
-    fn refuse_platform(&self, desk: &mut Desk<'_>) {
-        for (name, value) in self.table {
-            let Some(schema) = schema::section(name.get_ref()) else { continue };
-            if let Some(word) = schema.platform {
-                let what = format!("{} has no place in a file that adds to NODE_CONFIG", schema.header());
-                desk.add(Finding::at(name.span(), what, format!("NODE_CONFIG says this as {word}")));
-                continue;
-            }
-            let DeValue::Table(table) = value.get_ref() else { continue };
-            for (key, _) in table.iter().filter(|_| schema.shape == Shape::Table) {
-                let Some(known) = schema.key(key.get_ref()) else { continue };
-                let expected = match known.platform {
-                    Platform::Adds => continue,
-                    Platform::Says(word) => format!("NODE_CONFIG says this as {word}"),
-                    Platform::Fixed => "the platform leaves no choice here".into(),
-                };
-                let what =
-                    format!("{}.{} has no place in a file that adds to NODE_CONFIG", schema.name, known.name);
-                desk.add(Finding::at(key.span(), what, expected));
-            }
-        }
-    }
-}
-
-fn known(name: &str) -> &'static schema::Section {
-    schema::section(name).unwrap_or_else(|| unreachable!("the schema lacks [{name}]"))
-}
-
-fn headers() -> Vec<String> {
-    SECTIONS.iter().map(schema::Section::header).collect()
+    let message = format!("unknown key {} in {place}", quoted(name));
+    diagnostics.push(Diagnostic::at(key.span(), message, expected));
+    meant
 }
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{read, read_additions, read_bytes, PlatformNames, Source, MAX_FILE};
+use shaletide_config::operator::{read, read_bytes, read_extension, PlatformNames, PoolSource, MAX_FILE};
 use shaletide_config::{platform, Report};
 use std::time::{Duration, Instant};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn ten_megabytes_are_refused_before_they_are_parsed() {
+fn ten_megabytes_are_rejected_before_parsing() {
     let noise: Vec<u8> = (0..10_000_000u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
     let started = Instant::now();
     let report = read_bytes("f.toml", &noise).expect_err("too long");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn noise_is_called_what_it_is() {
+fn random_bytes_are_reported_as_not_toml() {
     for noise in ["%$#@\n", "=", "\"\n", "a=\n", "[\n", "a b\n", "a=\"\\q\"\n", "{"] {
         let report = refused(&noise.repeat(LONG / noise.len()));
         assert!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn deep_nesting_overflows_nothing() {
+fn deep_nesting_does_not_overflow_the_stack() {
     let most = LONG - 100;
     for text in [
         format!("[limits]\ntick = {}", "[".repeat(most)),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn five_thousand_boxes_and_two_hundred_routes_are_read_at_once() {
+fn five_thousand_backends_and_two_hundred_routes_are_read_in_time() {
     let pools: String = (0..50).map(|p| pool(&format!("p{p}"), p * 100..p * 100 + 100)).collect();
     let route = |n: usize| {
         format!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn more_than_the_bounds_is_one_problem_each() {
+fn each_exceeded_bound_is_one_problem() {
     let many = |n: usize, line: &dyn Fn(usize) -> String| (0..n).map(line).collect::<String>();
     let fine = head() + &pool("p", 0..1);
     let cases = [
@@ -124,14 +124,14 @@
 }
 
 #[test]
-fn a_file_of_1024_proxies_and_1024_backends_is_read() {
+fn file_of_1024_proxies_and_1024_backends_is_read() {
     for position in [0, 349, 1_023] {
         let proxy = format!("[proxy]\nproxies = 1024\nposition = {position}\n");
         let operator = read("f.toml", &(proxy + &head() + &pool("p", 0..1_024))).unwrap();
         assert_eq!((operator.proxy.proxies, operator.proxy.position), (1_024, position));
-        let Source::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
+        let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
         assert_eq!(backends.len(), 1_024);
-        assert_eq!(operator.config.validate(), Ok(()));
+        assert_eq!(operator.balancer.validate(), Ok(()));
     }
 }
 
@@ -143,7 +143,7 @@
         .into_iter()
         .map(|name| {
             json!({"name": name, "aim_us": 1_000, "deadline_us": 2_000, "effect": "free", "gain": 1.0,
-                "late_weight_fraction": 0.5})
+                "late_worth": 0.5})
         })
         .collect();
     let customers: Vec<_> =
@@ -155,19 +155,19 @@
         "limits": {"cancel": true, "max_attempts": 3, "parallel_tries": true, "dial_timeout_us": 300_000,
             "conn_idle_us": 60_000_000, "max_retry_after_us": 2_000_000},
         "over_share_worth": 0.1, "profiles": profiles,
-        "rules": {"initial_capacity_fraction": 0.3, "overload_multiple": 2.5, "must_ask_in_us": 9_000_000,
+        "rules": {"cold_from": 0.3, "fall_multiple": 2.5, "must_ask_in_us": 9_000_000,
             "ramp_time_us": 9_000_000, "tip_after_us": 2_000_000}
     });
     let started = Instant::now();
     let (config, names) = platform::read(&settings).unwrap();
     assert_eq!((config.proxies, config.position, config.validate()), (350, 349, Ok(())));
-    let counts = [names.zones(), names.kinds(), names.classes(), names.tenants()].map(<[String]>::len);
+    let counts = [names.zones(), names.server_types(), names.classes(), names.tenants()].map(<[String]>::len);
     assert_eq!((counts, config.zone.0), ([1_024; 4], 1_023));
     assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
 }
 
 #[test]
-fn many_tenants_in_many_routes_are_compared_within_bounds() {
+fn comparison_of_many_tenants_in_many_routes_is_bounded() {
     let tenants: String = (0..10_000).map(|n| format!("[[tenant]]\nname = \"t{n}\"\nquota = 1\n")).collect();
     let text = head() + &pool("p", 0..1) + &tenants;
     let names = |from: usize, to: usize| (from..to).map(|n| format!("\"t{n}\",")).collect::<String>();
@@ -186,7 +186,7 @@
 fn holds(bytes: &[u8]) {
     match read_bytes("f.toml", bytes) {
         Ok(operator) => {
-            assert_eq!(operator.config.validate(), Ok(()));
+            assert_eq!(operator.balancer.validate(), Ok(()));
             assert!(
                 !operator.listeners.is_empty() && !operator.pools.is_empty() && !operator.routes.is_empty()
             );
@@ -204,7 +204,7 @@
     }
     if let Ok(text) = std::str::from_utf8(bytes) {
         let names = PlatformNames { classes: vec!["read".into()], tenants: vec!["milford".into()] };
-        let _ = read_additions("f.toml", text, &names).map_err(|report| report.to_string());
+        let _ = read_extension("f.toml", text, &names).map_err(|report| report.to_string());
     }
 }
 
--- /dev/null
+++ b/crates/engine/src/monitor/leftovers.rs
@@ -0,0 +1,90 @@
+//! Nothing is kept of a request that has ended with all its attempts, and the deadline of an open one is awaited, so that
+//! all is answered in the end. This compares ids in the engine's state with what was observed.
+
+use super::observed::{Record, Watched};
+use super::{violation, Monitor, Rule, Verdict};
+use crate::connection_pool::ConnectionState;
+use crate::engine::Engine;
+use crate::policy::Policy;
+use shaletide_types::*;
+
+impl Monitor {
+    /// Compares what the engine keeps with what was observed. Costs a step for each request, deadline and connection.
+    ///
+    /// # Errors
+    /// The first thing that the engine keeps and should not, or does not keep and should.
+    pub fn kept<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        self.check_requests(now, engine)?;
+        self.check_deadlines(now, engine)?;
+        check_last_responses(now, engine)?;
+        self.check_connections(now, engine)
+    }
+
+    fn check_requests<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        for id in engine.requests().keys() {
+            if !self.record.requests.contains_key(id) {
+                return leftover(now, format!("request {} has ended and is still kept", id.0));
+            }
+        }
+        Ok(())
+    }
+
+    /// The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off; of no other.
+    fn check_deadlines<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        for (_, id) in engine.deadlines() {
+            let may_go_on = !self.rules.cancel && self.record.requests.contains_key(id);
+            if !self.is_open(*id) && !may_go_on {
+                let text = format!("request {} has ended and its deadline is still awaited", id.0);
+                return leftover(now, text);
+            }
+        }
+        for (id, request) in &self.record.requests {
+            let is_due = request.open || self.has_running_attempt(request);
+            if is_due && !engine.deadlines().contains(&(request.deadline, *id)) {
+                let text = format!("request {} is open or in flight and its deadline is not awaited", id.0);
+                return violation(Rule::AllAnswered, now, text);
+            }
+        }
+        Ok(())
+    }
+
+    fn check_connections<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+        for (connection, _, state) in engine.connections() {
+            if !self.record.lines.contains_key(&connection) {
+                return leftover(now, format!("connection {} is closed and still kept", connection.0));
+            }
+            let ConnectionState::Connecting(Some((id, _))) = state else { continue };
+            if !self.is_open(id) {
+                let text = format!(
+                    "connection {} is being opened for request {}, which has ended",
+                    connection.0, id.0
+                );
+                return leftover(now, text);
+            }
+        }
+        Ok(())
+    }
+
+    fn is_open(&self, id: RequestId) -> bool {
+        self.record.requests.get(&id).is_some_and(|request| request.open)
+    }
+
+    fn has_running_attempt(&self, request: &Watched) -> bool {
+        Record::connections_of(request).any(|connection| self.record.is_running_on(connection))
+    }
+}
+
+fn check_last_responses<P: Policy>(now: Time, engine: &Engine<P>) -> Verdict {
+    for (backend, _) in engine.heard() {
+        if engine.listed(backend).is_none() {
+            let text =
+                format!("backend {} is gone and the time of its last response is still kept", backend.0);
+            return leftover(now, text);
+        }
+    }
+    Ok(())
+}
+
+fn leftover(now: Time, text: String) -> Verdict {
+    violation(Rule::NothingKept, now, text)
+}
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -11,7 +11,7 @@
         class: 1,
         tenant: Some(2),
         zone: "a".into(),
-        bay: Some("b1".into()),
+        group: Some("b1".into()),
         path: "/read/k7".into(),
         method: "GET".into(),
         headers,
@@ -19,17 +19,17 @@
 }
 
 fn why(when: Match, request: &Request) -> Option<Mismatch> {
-    request.ask(|asked| when.mismatch(asked))
+    request.with_attributes(|attributes| when.mismatch(attributes))
 }
 
 #[test]
-fn no_condition_takes_everything() {
+fn match_without_conditions_takes_every_request() {
     assert_eq!(why(Match::default(), &get()), None);
     assert_eq!(why(Match::default(), &Request::default()), None);
 }
 
 #[test]
-fn each_condition_says_why_it_does_not_hold() {
+fn failed_condition_is_named_as_mismatch() {
     let texts = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     let cases = [
         (Match { classes: vec![ClassId(0), ClassId(3)], ..Match::default() }, Mismatch::Class),
@@ -46,13 +46,13 @@
     ];
     for (when, reason) in cases {
         assert_eq!(why(when.clone(), &get()), Some(reason), "{when:?}");
-        let found = get().ask(|asked| table([when.clone()]).explain(asked));
+        let found = get().with_attributes(|attributes| table([when.clone()]).explain(attributes));
         assert_eq!(found, (vec![(RouteId(0), reason)], None));
     }
 }
 
 #[test]
-fn conditions_that_hold_take_the_request_and_the_first_that_fails_is_named() {
+fn request_meeting_all_conditions_matches_and_first_failure_is_named() {
     let all = Match {
         classes: vec![ClassId(0), ClassId(1)],
         tenants: vec![TenantId(2)],
@@ -68,21 +68,25 @@
 }
 
 #[test]
-fn a_request_without_tenant_or_bay_is_none_of_those_named() {
-    let without = Request { tenant: None, bay: None, ..get() };
+fn request_without_tenant_or_group_does_not_match_named_ones() {
+    let without = Request { tenant: None, group: None, ..get() };
     let tenants = Match { tenants: vec![TenantId(0)], ..Match::default() };
-    let bays = Match { deduplication_groups: vec!["".into()], ..Match::default() };
+    let groups = Match { deduplication_groups: vec!["".into()], ..Match::default() };
     assert_eq!(why(tenants, &without), Some(Mismatch::Tenant));
-    assert_eq!(why(bays, &without), Some(Mismatch::DeduplicationGroup));
+    assert_eq!(why(groups, &without), Some(Mismatch::DeduplicationGroup));
 }
 
 #[test]
-fn a_path_prefix_takes_whole_parts() {
+fn path_prefix_matches_whole_segments() {
     let takes = |prefix: &str, path: &str| {
         let when = Match { path_prefix: Some(prefix.into()), ..Match::default() };
         let request = Request { path: path.into(), ..get() };
         let plain = why(when.clone(), &request).is_none();
-        assert_eq!(plain, request.ask(|asked| table([when]).find(asked).is_some()), "{prefix} {path}");
+        assert_eq!(
+            plain,
+            request.with_attributes(|attributes| table([when]).find(attributes).is_some()),
+            "{prefix} {path}"
+        );
         plain
     };
     for prefix in ["/read", "/read/"] {
--- a/crates/shaletide/src/files/tests.rs
+++ b/crates/shaletide/src/files/tests.rs
@@ -5,7 +5,7 @@
 
 /// Half of a file may make sense, and it is taken whole: by the time it is looked at it has to be at rest.
 #[test]
-fn a_file_that_is_written_to_while_it_is_read_again_is_none() {
+fn file_written_during_a_second_reading_is_rejected() {
     let path = std::env::temp_dir().join(format!("shaletide-still-{}", std::process::id()));
     let next = path.with_extension("next");
     std::fs::write(&path, "half").unwrap();
@@ -17,7 +17,8 @@
         std::fs::write(&next, "half and half").unwrap();
         std::fs::rename(&next, &path).unwrap();
     };
-    let read = |reading, wait: &dyn Fn()| read_still(&path, 100, reading, wait).map_err(|e| e.to_string());
+    let read =
+        |reading, wait: &dyn Fn()| read_unchanged(&path, 100, reading, wait).map_err(|e| e.to_string());
     let written = Err("it is being written".to_string());
     assert_eq!(read(Reading::Again, &|| ()), Ok(b"half".to_vec()));
     assert_eq!(read(Reading::Again, &more), written);
--- a/crates/shaletide/tests/kills.rs
+++ b/crates/shaletide/tests/crash_recovery.rs
@@ -1,10 +1,10 @@
 //! Killed under load and started again, over and over: no key runs twice, and none that was not executed stays taken.
 //!
-//! The long run: `cargo test --locked --release -p shaletide --test kills -- --ignored --nocapture`.
+//! The long run: `cargo test --locked --release -p shaletide --test crash_recovery -- --ignored --nocapture`.
 
-mod rig;
+mod harness;
 
-use rig::*;
+use harness::*;
 use shaletide_record::Fact;
 use shaletide_store::{Query, SqliteReader, StoreReader};
 use std::collections::BTreeMap;
@@ -64,16 +64,17 @@
     }
 }
 
-struct Place(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Drop for Place {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
 fn killed_under_load(name: &str, kills: u64) {
-    let place = Place(std::env::temp_dir().join(format!("shaletide-kills-{}-{name}", std::process::id())));
+    let place =
+        TestFolder(std::env::temp_dir().join(format!("shaletide-kills-{}-{name}", std::process::id())));
     let _ = std::fs::remove_dir_all(&place.0);
     std::fs::create_dir(&place.0).unwrap();
     let (store, socket) = (place.0.join("record.db"), place.0.join("control.sock"));
@@ -196,12 +197,12 @@
 }
 
 #[test]
-fn fifty_kills() {
+fn no_key_runs_twice_over_fifty_kills() {
     killed_under_load("fifty", 50);
 }
 
 #[test]
 #[ignore = "a few minutes"]
-fn a_thousand_kills() {
+fn no_key_runs_twice_over_a_thousand_kills() {
     killed_under_load("thousand", 1_000);
 }
--- a/crates/testkit/src/load/run.rs
+++ b/crates/testkit/src/load/run.rs
@@ -3,7 +3,7 @@
 use super::http::{Exchange, Link};
 use super::{micros, End, Load, LoadResult, Retry, Sent};
 use crate::pacer::Pacer;
-use crate::{Dice, Message};
+use crate::{Message, SeededRng};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -53,9 +53,9 @@
     /// The same, but arrivals end early once `stop` is over.
     pub async fn run_until(self, to: SocketAddr, stop: impl Future<Output = ()>) -> LoadResult {
         let mut stop = std::pin::pin!(stop);
-        let mut dice = Dice::new(self.seed);
+        let mut rng = SeededRng::new(self.seed);
         let classes = self.classes.iter().map(|c| c.name.clone()).collect();
-        let result = LoadResult { classes, run: dice.word() as u32, ..LoadResult::default() };
+        let result = LoadResult { classes, run: rng.word() as u32, ..LoadResult::default() };
         let (gap, duration, begun) = (self.gap(), self.duration, Instant::now());
         let due_now = Arc::new(Notify::new());
         let pacer = Pacer::start(vec![due_now.clone()]).ok();
@@ -69,11 +69,11 @@
         });
         let (mut tasks, mut after, mut behind) = (JoinSet::new(), 0.0, Duration::ZERO);
         while !run.load.classes.is_empty() {
-            after += gap.draw(&mut dice);
+            after += gap.draw(&mut rng);
             if after >= duration.as_secs_f64() {
                 break;
             }
-            let (class, subject) = (run.load.class(dice.part()), dice.word());
+            let (class, subject) = (run.load.class(rng.part()), rng.word());
             let due = begun + Duration::from_secs_f64(after);
             tokio::select! {
                 () = &mut stop => break,
@@ -248,25 +248,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn advice_is_followed_up_to_the_longest() {
-        let retry = Retry { longest: Duration::from_secs(1), usual: Duration::from_millis(50) };
-        for (advice, expected) in [("0.2", 200), ("7", 1000), ("-1", 50), ("soon", 50), ("inf", 50)] {
-            let headers = vec![("Retry-After".to_string(), advice.to_string())];
-            let refusal = Message { headers, ..Message::default() };
-            assert_eq!(pause(&refusal, retry), Duration::from_millis(expected), "{advice}");
-        }
-    }
-
-    #[test]
-    fn a_body_that_names_another_request_is_anothers() {
-        let answer =
-            |body: &str| Message { first: "HTTP/1.1 200 X".into(), body: body.into(), ..Message::default() };
-        assert!(is_anothers(&answer("b0 8\n..."), "7"));
-        assert!(!is_anothers(&answer("b0 7\n..."), "7"));
-        assert!(!is_anothers(&answer("other"), "7"), "not a box's own");
-    }
-}
+mod tests;
