--- /dev/null
+++ b/crates/soak/src/plan/builder.rs
@@ -0,0 +1,116 @@
+//! Random draws of a plan, and its steps so far.
+
+use super::{Ending, FaultKind, Manner, NextStart, Scale, Signals, Step, Timed};
+use shaletide_testkit::SeededRng;
+use std::time::Duration;
+
+/// An hour, by which wall clocks are stepped.
+pub(super) const HOUR_S: i64 = 3600;
+/// The longest pause between two proxies that end one after the other, s.
+const LONGEST_PAUSE_S: f64 = 0.4;
+
+/// A plan that is being drawn. A method whose description begins with "Draws" advances the random numbers, so the order
+/// in which these are called is part of the plan of a seed.
+pub(super) struct PlanBuilder {
+    rng: SeededRng,
+    pub(super) scale: Scale,
+    steps: Vec<Timed>,
+}
+
+impl PlanBuilder {
+    /// The builder of a seed's plan, without any step.
+    pub(super) fn new(seed: u64, scale: &Scale) -> PlanBuilder {
+        PlanBuilder { rng: SeededRng::of(seed, "plan"), scale: *scale, steps: Vec::new() }
+    }
+
+    /// The steps, in the order of their times; those of one time stay in the order in which they were added.
+    pub(super) fn into_steps(self) -> Vec<Timed> {
+        let mut steps = self.steps;
+        steps.sort_by_key(|timed| timed.at);
+        steps
+    }
+
+    /// How long clients ask, in seconds.
+    pub(super) fn length_s(&self) -> f64 {
+        self.scale.length.as_secs_f64()
+    }
+
+    /// Draws true with this probability.
+    pub(super) fn chance(&mut self, probability: f64) -> bool {
+        self.rng.chance(probability)
+    }
+
+    /// Draws a number below a bound.
+    pub(super) fn below(&mut self, bound: usize) -> usize {
+        (self.rng.word() % bound.max(1) as u64) as usize
+    }
+
+    /// Draws a number between two bounds.
+    pub(super) fn between(&mut self, from: f64, to: f64) -> f64 {
+        from + (to - from) * self.rng.part()
+    }
+
+    /// Draws a number of milliseconds between two bounds, short ones as likely as long ones.
+    pub(super) fn log_millis(&mut self, least: f64, most: f64) -> u64 {
+        (least * (most / least).powf(self.rng.part())) as u64
+    }
+
+    /// Draws a time in the middle of the run, in seconds: faults meet there.
+    pub(super) fn time(&mut self) -> f64 {
+        let length_s = self.length_s();
+        self.between(0.1 * length_s, 0.7 * length_s)
+    }
+
+    /// Draws a part of the numbers below a bound, each once; at least one.
+    pub(super) fn sample(&mut self, bound: usize, part: f64) -> Vec<usize> {
+        let mut left: Vec<usize> = (0..bound).collect();
+        let count = ((bound as f64 * part) as usize).clamp(1, bound);
+        (0..count).map(|_| left.swap_remove(self.below(left.len()))).collect()
+    }
+
+    /// Draws a part of the proxies.
+    pub(super) fn sample_proxies(&mut self, part: f64) -> Vec<usize> {
+        self.sample(self.scale.proxies, part)
+    }
+
+    /// Draws a part of the backends.
+    pub(super) fn sample_backends(&mut self, part: f64) -> Vec<usize> {
+        self.sample(self.scale.backends, part)
+    }
+
+    /// Draws as many kinds of fault as the scale says. Most runs have two of [`FaultKind::STARTS_AND_ENDS`].
+    pub(super) fn draw_kinds(&mut self) -> Vec<FaultKind> {
+        let count = self.scale.faults.min(FaultKind::ALL.len());
+        let mut drawn = Vec::new();
+        if self.chance(0.7) {
+            let mut related = FaultKind::STARTS_AND_ENDS.to_vec();
+            drawn.extend((0..count.min(2)).map(|_| related.swap_remove(self.below(related.len()))));
+        }
+        let mut left: Vec<FaultKind> =
+            FaultKind::ALL.into_iter().filter(|kind| !drawn.contains(kind)).collect();
+        while drawn.len() < count {
+            drawn.push(left.swap_remove(self.below(left.len())));
+        }
+        drawn
+    }
+
+    /// Draws the signals of a stop.
+    pub(super) fn signals(&mut self) -> Signals {
+        [Signals::Single, Signals::Single, Signals::Twice, Signals::WithHangups][self.below(4)]
+    }
+
+    /// Draws the pause before the next proxy of a series ends, in seconds.
+    pub(super) fn pause_s(&mut self) -> f64 {
+        self.between(0.0, LONGEST_PAUSE_S)
+    }
+
+    /// Adds a step at that time, in seconds from the beginning of the run.
+    pub(super) fn add(&mut self, at_s: f64, step: Step) {
+        self.steps.push(Timed { at: Duration::from_secs_f64(at_s.max(0.0)), step });
+    }
+
+    /// Adds the end of a proxy's process and the start of its next one.
+    pub(super) fn add_end(&mut self, at_s: f64, proxy: usize, manner: Manner, next: NextStart) {
+        self.add(at_s, Step::End(proxy, Ending { manner, next }));
+    }
+}
--- /dev/null
+++ b/crates/soak/src/plan/faults.rs
@@ -0,0 +1,242 @@
+//! The steps of each kind of fault: one function a kind.
+//!
+//! The order of the draws within each function is part of the plan of a seed.
+
+use super::builder::{PlanBuilder, HOUR_S};
+use super::{FaultKind, Illness, Manner, NextStart, Step};
+use crate::call_faults::CallFault;
+
+/// The system calls' faults that a run draws from, with their highest chance.
+const CALLS: [(CallFault, f64); 13] = [
+    (CallFault::ShortRead, 0.5),
+    (CallFault::ShortWrite, 0.5),
+    (CallFault::InterruptedRead, 0.2),
+    (CallFault::InterruptedWrite, 0.2),
+    (CallFault::InterruptedWait, 0.3),
+    (CallFault::Accept, 0.3),
+    (CallFault::Socket, 0.3),
+    (CallFault::Connect, 0.3),
+    (CallFault::BrokenUpstream, 0.02),
+    (CallFault::SocketOption, 0.3),
+    (CallFault::SlowWrite, 0.002),
+    (CallFault::Bind, 0.9),
+    (CallFault::Listen, 0.9),
+];
+
+impl PlanBuilder {
+    /// Adds the steps of a kind of fault.
+    pub(super) fn add_fault(&mut self, kind: FaultKind) {
+        match kind {
+            FaultKind::Stop => self.add_stops(),
+            FaultKind::Kill => self.add_kills(),
+            FaultKind::Reload => self.add_reloads(),
+            FaultKind::Discovery => self.add_discovery_outage(),
+            FaultKind::DiscoveryLink => self.add_discovery_cuts(),
+            FaultKind::Drain => self.add_drains(),
+            FaultKind::Death => self.add_deaths(),
+            FaultKind::Illness => self.add_illnesses(),
+            FaultKind::BackendLink => self.add_backend_link_faults(),
+            FaultKind::Calls => self.add_call_faults(),
+            FaultKind::WallClock => self.add_wall_clock_steps(),
+            FaultKind::Freeze => self.add_freezes(),
+            FaultKind::Crowd => self.add_crowds(),
+            FaultKind::ShortStart => self.add_starts_short_of_sockets(),
+            FaultKind::HeldAddress => self.add_held_addresses(),
+            FaultKind::Overlap => self.add_overlaps(),
+            FaultKind::HalfConfiguration => self.add_half_configurations(),
+            FaultKind::EarlyStop => self.add_early_stops(),
+            FaultKind::Clients => self.add_bad_clients(),
+        }
+    }
+
+    fn add_stops(&mut self) {
+        let mut at = self.time();
+        for proxy in self.sample_proxies(0.5) {
+            let signals = self.signals();
+            self.add_end(at, proxy, Manner::Stop(signals), NextStart::Plain);
+            at += self.pause_s();
+        }
+    }
+
+    fn add_kills(&mut self) {
+        let at = self.time();
+        for proxy in self.sample_proxies(0.4) {
+            let delay = self.between(0.0, 0.3);
+            self.add_end(at + delay, proxy, Manner::Kill, NextStart::Plain);
+        }
+    }
+
+    fn add_overlaps(&mut self) {
+        let mut at = self.time();
+        for proxy in self.sample_proxies(0.5) {
+            self.add_end(at, proxy, Manner::Overlap, NextStart::Plain);
+            at += self.pause_s();
+        }
+    }
+
+    fn add_reloads(&mut self) {
+        for proxy in self.sample_proxies(0.7) {
+            let mut at = self.time();
+            for _ in 0..1 + self.below(3) {
+                self.add(at, Step::Reload(proxy));
+                at += self.between(0.0, 0.6);
+            }
+        }
+    }
+
+    fn add_starts_short_of_sockets(&mut self) {
+        let at = self.time();
+        self.add(at, Step::Call(CallFault::Socket, 0.9));
+        for proxy in self.sample_proxies(0.3) {
+            let delay = self.between(0.0, 0.2);
+            self.add_end(at + delay, proxy, Manner::Kill, NextStart::Plain);
+        }
+        let duration = self.between(0.3, 1.5);
+        self.add(at + duration, Step::Call(CallFault::Socket, 0.0));
+    }
+
+    fn add_held_addresses(&mut self) {
+        let most_ms = 0.25 * self.length_s() * 1e3;
+        self.add_restarts(|builder| {
+            let millis = builder.log_millis(100.0, most_ms.max(200.0));
+            if builder.chance(0.3) {
+                NextStart::StopWhileHeld(millis)
+            } else {
+                NextStart::HeldAddress(millis)
+            }
+        });
+    }
+
+    fn add_half_configurations(&mut self) {
+        self.add_restarts(|builder| NextStart::HalfConfiguration(builder.log_millis(20.0, 2_000.0)));
+    }
+
+    fn add_early_stops(&mut self) {
+        self.add_restarts(|builder| NextStart::EarlyStop(builder.log_millis(1.0, 40.0)));
+    }
+
+    /// Ends single proxies, one soon after the other, by a kill or a stop, and starts the next ones in that way.
+    fn add_restarts(&mut self, draw_next: impl Fn(&mut PlanBuilder) -> NextStart) {
+        let mut at = self.time();
+        for proxy in self.sample_proxies(0.4) {
+            let manner = if self.chance(0.5) { Manner::Kill } else { Manner::Stop(self.signals()) };
+            let next = draw_next(self);
+            self.add_end(at, proxy, manner, next);
+            at += self.pause_s();
+        }
+    }
+
+    fn add_discovery_outage(&mut self) {
+        let at = self.time();
+        let is_silent = self.chance(0.7);
+        self.add(at, if is_silent { Step::DiscoverySilent } else { Step::DiscoveryBroken });
+        let duration = self.between(0.5, 0.3 * self.length_s());
+        self.add(at + duration, Step::DiscoveryUp);
+    }
+
+    fn add_discovery_cuts(&mut self) {
+        for proxy in self.sample_proxies(0.4) {
+            let at = self.time();
+            self.add(at, Step::DiscoveryCut(proxy));
+            let duration = self.between(0.3, 0.3 * self.length_s());
+            self.add(at + duration, Step::DiscoveryHealed(proxy));
+        }
+    }
+
+    fn add_drains(&mut self) {
+        for backend in self.sample_backends(0.3) {
+            let at = self.time();
+            self.add(at, Step::Drain(backend));
+            let removed = at + self.between(2.5, 3.5);
+            self.add(removed, Step::Remove(backend));
+            let returned = removed + self.between(0.1, 1.0);
+            self.add(returned, Step::Return(backend));
+        }
+    }
+
+    fn add_deaths(&mut self) {
+        for backend in self.sample_backends(0.2) {
+            let at = self.time();
+            self.add(at, Step::Die(backend));
+            let returned = at + self.between(0.2, 2.0);
+            self.add(returned, Step::Return(backend));
+        }
+    }
+
+    fn add_illnesses(&mut self) {
+        for backend in self.sample_backends(0.4) {
+            let at = self.time();
+            let illness = self.illness();
+            self.add(at, Step::Ill(backend, illness));
+            let duration = self.between(0.5, 0.4 * self.length_s());
+            self.add(at + duration, Step::Well(backend));
+        }
+    }
+
+    fn illness(&mut self) -> Illness {
+        match self.below(9) {
+            0 => Illness::Hangs(self.between(0.2, 1.0)),
+            1 => Illness::Fails(self.between(0.2, 1.0)),
+            2 => Illness::Resets(self.between(0.1, 1.0)),
+            3 => Illness::Slow(self.between(2.0, 10.0)),
+            4 => Illness::Drips(5 + self.below(100) as u64),
+            5 => Illness::Garbage,
+            6 => Illness::Truncates,
+            7 => Illness::TwoSegments,
+            _ => Illness::Closes,
+        }
+    }
+
+    fn add_backend_link_faults(&mut self) {
+        for proxy in self.sample_proxies(0.5) {
+            let backend = self.below(self.scale.backends);
+            let at = self.time();
+            let faults = [Step::LinkReset, Step::LinkSilent, Step::LinkSlow];
+            let fault = faults[self.below(faults.len())](proxy, backend);
+            self.add(at, fault);
+            let duration = self.between(0.2, 0.3 * self.length_s());
+            self.add(at + duration, Step::LinkHealed(proxy, backend));
+        }
+    }
+
+    fn add_call_faults(&mut self) {
+        for _ in 0..3 + self.below(4) {
+            let (fault, highest_chance) = CALLS[self.below(CALLS.len())];
+            let at = self.time();
+            let chance = self.between(0.1, 1.0) * highest_chance;
+            self.add(at, Step::Call(fault, chance));
+            let duration = self.between(1.0, 0.5 * self.length_s());
+            self.add(at + duration, Step::Call(fault, 0.0));
+        }
+    }
+
+    fn add_wall_clock_steps(&mut self) {
+        for _ in 0..3 {
+            let at = self.time();
+            let hours = self.below(3) as i64 - 1;
+            self.add(at, Step::WallClock(HOUR_S * hours));
+        }
+    }
+
+    fn add_freezes(&mut self) {
+        for proxy in self.sample_proxies(0.6) {
+            let at = self.time();
+            let millis = 20 + self.below(130) as u64;
+            self.add(at, Step::Freeze(proxy, millis));
+        }
+    }
+
+    fn add_crowds(&mut self) {
+        for proxy in self.sample_proxies(0.4) {
+            let at = self.time();
+            self.add(at, Step::Crowd(proxy));
+        }
+    }
+
+    fn add_bad_clients(&mut self) {
+        for proxy in self.sample_proxies(0.6) {
+            let at = self.time();
+            self.add(at, Step::BadClients(proxy));
+        }
+    }
+}
