--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -15,7 +15,6 @@
 pub mod call_faults;
 pub mod clients;
 pub mod control;
-mod lives;
 pub mod oracle;
 pub mod plan;
 pub mod proxies;
--- a/crates/soak/src/lives.rs
+++ b/crates/soak/src/run/processes.rs
@@ -1,31 +1,26 @@
 //! The processes of one proxy, one after the other or overlapping: their starts, their clients and their ends.
 
-use crate::clients::{leave, Departure};
+use super::load::Clients;
+use super::World;
+use crate::address::Holder;
 use crate::oracle::ClientRecords;
 use crate::plan::{Ending, Manner, NextStart, Signals};
 use crate::proxies::{peak_memory_kib, send_signal, Life};
-use crate::run::{classes, World};
-use shaletide_testkit::{Exchange, Kept, Load, LoadResult};
+use shaletide_testkit::{Exchange, Kept};
 use shaletide_types::Time;
 use std::io;
 use std::process::{Child, ExitStatus};
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::{mpsc, watch};
+use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Requests a second of the ordinary load at each proxy.
-const RATE_PER_S: f64 = 40.0;
-/// The mean pause between two clients of a proxy that leave, ms.
-const LEAVE_PAUSE_MS: f64 = 60.0;
 /// The front sends a proxy new connections for so long after SIGTERM; clients use open ones until it has ended.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
 /// SIGKILL comes so long after SIGTERM and the longest deadline.
-const KILL_AFTER: Duration = Duration::from_millis(700);
+pub(super) const KILL_AFTER: Duration = Duration::from_millis(700);
 /// Between two signals of a series.
 const SIGNAL_PAUSE: Duration = Duration::from_millis(15);
-/// A client waits so long after its deadline for an answer that comes late.
-const PATIENCE_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 /// A process that is not ready after so long is taken to be stuck.
 const START_PATIENCE: Duration = Duration::from_secs(15);
 /// An answer to a question whether it is ready comes within this time.
@@ -40,57 +35,52 @@
     unblocked: Option<JoinHandle<Time>>,
 }
 
+/// What becomes of a process that is ready.
+#[derive(Clone, Copy)]
+enum Order {
+    /// It is to end, and another one to start.
+    End(Ending),
+    /// It is to end with the run.
+    RunOver,
+    /// It has ended, and nothing told it to.
+    EndedByItself,
+}
+
 impl World {
     /// A proxy through all its processes, with its clients.
-    pub(crate) async fn proxy(
+    pub(super) async fn proxy(
         self: Arc<World>, place: usize, end: Time, mut orders: mpsc::Receiver<Ending>,
     ) -> io::Result<()> {
         let mut next = NextStart::Plain;
         let mut overlapping = JoinSet::new();
         loop {
-            let Started { mut child, mut life, unblocked } = self.start(place, next)?;
+            let mut started = self.start(place, next)?;
             if let NextStart::EarlyStop(millis) | NextStart::StopWhileHeld(millis) = next {
                 tokio::time::sleep(Duration::from_millis(millis)).await;
-                let exit = self.stop(&mut child, &mut life, None, Signals::WithHangups).await?;
-                self.note_end(child.id(), life, exit, None).await;
+                self.stop_with_clients(started.child, started.life, None, Signals::WithHangups).await?;
                 next = NextStart::Plain;
                 continue;
             }
-            life.ready = self.ready(&mut child, place).await;
-            if let Some(unblocked) = unblocked {
-                life.unblocked = unblocked.await.ok();
+            started.life.ready = self.ready(&mut started.child, place).await;
+            if let Some(unblocked) = started.unblocked {
+                started.life.unblocked = unblocked.await.ok();
             }
             let clients = Clients::start(&self, place, end);
-            let order = tokio::select! {
-                order = orders.recv() => order.map_or(Some(Manner::Stop(Signals::Single)), |ending| {
-                    next = ending.next;
-                    Some(ending.manner)
-                }),
-                () = ended(&mut child) => None,
-            };
+            let order = next_order(&mut started.child, &mut orders).await;
             let is_last = orders.is_closed() && orders.is_empty();
-            life.peak_memory_kib = peak_memory_kib(child.id());
-            let exit = match order {
-                None => child.wait()?,
-                Some(Manner::Kill) => {
-                    life.killed = Some(self.clock.now());
-                    child.kill()?;
-                    child.wait()?
-                }
-                Some(Manner::Stop(signals)) => {
-                    self.stop(&mut child, &mut life, Some(&clients), signals).await?
-                }
-                Some(Manner::Overlap) => {
-                    let world = self.clone();
-                    overlapping.spawn(async move {
-                        let exit = world.stop(&mut child, &mut life, Some(&clients), Signals::Single).await?;
-                        world.note_end(child.id(), life, exit, Some(clients)).await;
-                        io::Result::Ok(())
-                    });
-                    continue;
-                }
-            };
-            self.note_end(child.id(), life, exit, Some(clients)).await;
+            started.life.peak_memory_kib = peak_memory_kib(started.child.id());
+            if let Order::End(ending) = order {
+                next = ending.next;
+            }
+            if let Order::End(Ending { manner: Manner::Overlap, .. }) = order {
+                let world = self.clone();
+                let (child, life) = (started.child, started.life);
+                overlapping.spawn(async move {
+                    world.stop_with_clients(child, life, Some(clients), Signals::Single).await
+                });
+                continue;
+            }
+            self.end(started.child, started.life, clients, order).await?;
             if is_last || self.clock.now() >= end {
                 break;
             }
@@ -98,6 +88,37 @@
         overlapping.join_all().await.into_iter().collect()
     }
 
+    /// Ends a process as ordered, and waits for that.
+    async fn end(&self, mut child: Child, mut life: Life, clients: Clients, order: Order) -> io::Result<()> {
+        let signals = match order {
+            Order::RunOver => Signals::Single,
+            Order::End(Ending { manner: Manner::Stop(signals), .. }) => signals,
+            Order::End(Ending { manner: Manner::Overlap, .. }) => Signals::Single,
+            Order::End(Ending { manner: Manner::Kill, .. }) => {
+                life.killed = Some(self.clock.now());
+                child.kill()?;
+                let exit = child.wait()?;
+                self.note_end(child.id(), life, exit, Some(clients)).await;
+                return Ok(());
+            }
+            Order::EndedByItself => {
+                let exit = child.wait()?;
+                self.note_end(child.id(), life, exit, Some(clients)).await;
+                return Ok(());
+            }
+        };
+        self.stop_with_clients(child, life, Some(clients), signals).await
+    }
+
+    /// Tells a process to end, waits for that, and writes down what its clients got.
+    async fn stop_with_clients(
+        &self, mut child: Child, mut life: Life, clients: Option<Clients>, signals: Signals,
+    ) -> io::Result<()> {
+        let exit = self.stop(&mut child, &mut life, clients.as_ref(), signals).await?;
+        self.note_end(child.id(), life, exit, clients).await;
+        Ok(())
+    }
+
     fn start(self: &Arc<World>, place: usize, how: NextStart) -> io::Result<Started> {
         let slot = &self.slots[place];
         let held = match how {
@@ -108,24 +129,35 @@
         };
         let has_whole_config = !matches!(how, NextStart::HalfConfiguration(_));
         let (child, life) = slot.start(&self.setting(), has_whole_config)?;
-        let world = self.clone();
         let unblocked = match (held, how) {
-            (Some((millis, Ok(holder))), _) => Some(tokio::spawn(async move {
-                tokio::time::sleep(Duration::from_millis(millis)).await;
-                drop(holder);
-                world.clock.now()
-            })),
-            (_, NextStart::HalfConfiguration(millis)) => Some(tokio::spawn(async move {
-                tokio::time::sleep(Duration::from_millis(millis)).await;
-                // Where it cannot be written, the process is not ready, which is seen.
-                let _ = world.slots[place].complete_config(&world.setting());
-                world.clock.now()
-            })),
+            (Some((millis, Ok(holder))), _) => Some(self.release_later(holder, millis)),
+            (_, NextStart::HalfConfiguration(millis)) => Some(self.complete_config_later(place, millis)),
             _ => None,
         };
         Ok(Started { child, life, unblocked })
     }
 
+    /// Releases a held address after so many milliseconds.
+    fn release_later(self: &Arc<World>, holder: Holder, millis: u64) -> JoinHandle<Time> {
+        let world = self.clone();
+        tokio::spawn(async move {
+            tokio::time::sleep(Duration::from_millis(millis)).await;
+            drop(holder);
+            world.clock.now()
+        })
+    }
+
+    /// Writes the whole configuration of a proxy after so many milliseconds.
+    fn complete_config_later(self: &Arc<World>, place: usize, millis: u64) -> JoinHandle<Time> {
+        let world = self.clone();
+        tokio::spawn(async move {
+            tokio::time::sleep(Duration::from_millis(millis)).await;
+            // Where it cannot be written, the process is not ready, which is seen.
+            let _ = world.slots[place].complete_config(&world.setting());
+            world.clock.now()
+        })
+    }
+
     async fn note_end(&self, process: u32, mut life: Life, exit: ExitStatus, clients: Option<Clients>) {
         self.slots[life.proxy].ended(process);
         life.ended = Some((self.clock.now(), exit));
@@ -200,52 +232,17 @@
     }
 }
 
+/// Waits for the next order to a process, or for its end.
+async fn next_order(child: &mut Child, orders: &mut mpsc::Receiver<Ending>) -> Order {
+    tokio::select! {
+        order = orders.recv() => order.map_or(Order::RunOver, Order::End),
+        () = ended(child) => Order::EndedByItself,
+    }
+}
+
 /// Until the process has ended.
 async fn ended(child: &mut Child) {
     while matches!(child.try_wait(), Ok(None)) {
         tokio::time::sleep(LOOK).await;
     }
 }
-
-/// The clients of one process.
-struct Clients {
-    /// No new connections any more.
-    existing_only: watch::Sender<bool>,
-    /// Nothing any more.
-    stop: watch::Sender<bool>,
-    load: JoinHandle<LoadResult>,
-    leaving: JoinHandle<Vec<Departure>>,
-    leaving_run: u32,
-}
-
-impl Clients {
-    fn start(world: &Arc<World>, place: usize, end: Time) -> Clients {
-        let (existing_only, no_new) = watch::channel(false);
-        let (stop, mut stopped) = watch::channel(false);
-        let (to, clock) = (world.slots[place].address(), world.clock);
-        let longest = Duration::from_micros(world.settings.longest_stop_us()) + KILL_AFTER;
-        let left = Duration::from_micros((end - clock.now()).0) + longest;
-        let leaving_run = world.next_run();
-        let load = Load {
-            seed: world.seed.wrapping_mul(7919) + u64::from(leaving_run),
-            clock,
-            patience: PATIENCE_AFTER_DEADLINE,
-            existing_connections_only: Some(no_new.clone()),
-            ..Load::new(RATE_PER_S, classes(&world.settings), left)
-        };
-        let stop_load = async move {
-            let _ = stopped.wait_for(|stop| *stop).await; // or the run has ended
-        };
-        let load = tokio::spawn(async move { load.run_until(to, stop_load).await });
-        let leaving = tokio::spawn(leave(to, clock, leaving_run, LEAVE_PAUSE_MS, no_new));
-        Clients { existing_only, stop, load, leaving, leaving_run }
-    }
-
-    /// Waits for what is open, and returns what the clients got.
-    async fn end(self) -> Option<(LoadResult, (u32, Vec<Departure>))> {
-        self.existing_only.send_replace(true);
-        self.stop.send_replace(true);
-        let (load, departures) = (self.load.await.ok()?, self.leaving.await.ok()?);
-        Some((load, (self.leaving_run, departures)))
-    }
-}
--- /dev/null
+++ b/crates/soak/src/run/setup.rs
@@ -0,0 +1,148 @@
+//! Starts all parts of a run but the proxies' processes: backends, discovery, and the links between the parts.
+
+use super::{Notes, World};
+use crate::address::Reservation;
+use crate::artifacts::Artifacts;
+use crate::control::FaultControl;
+use crate::oracle::{CORES, MEAN_WORK_MS};
+use crate::plan::{FaultKind, Plan, Scale};
+use crate::proxies::ProxySlot;
+use crate::settings::RunSettings;
+use shaletide_lab::links::{Link, Links};
+use shaletide_testkit::{
+    BoxHandle, BoxSpec, Clock, Entry, Fleet, FleetSpec, Law, ListServer, Power, Service, View,
+};
+use shaletide_types::Micros;
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::path::Path;
+use std::sync::Mutex;
+use std::time::Duration;
+
+/// Where all parts listen.
+const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// Backends of one bay share the keys that they have seen.
+const BAY: usize = 3;
+
+/// The names by which links know a proxy.
+fn proxy_name(place: usize) -> String {
+    format!("p{place}")
+}
+
+fn backend(place: usize, settings: &RunSettings) -> BoxSpec {
+    let RunSettings { cold_from, ramp_us, .. } = *settings;
+    let power =
+        Power { cores: CORES, speed: 1.0, initial_capacity_fraction: cold_from, ramp: Micros(ramp_us) };
+    BoxSpec {
+        bay: 1 + (place / BAY) as u64,
+        idle: Duration::from_secs(10),
+        ..BoxSpec::new(&format!("b{place}"), power)
+    }
+}
+
+fn start_fleet(seed: u64, scale: &Scale, settings: &RunSettings) -> io::Result<Fleet> {
+    let boxes = (0..scale.backends).map(|place| backend(place, settings)).collect();
+    let services = vec![Service::new("", Law::Exponential(MEAN_WORK_MS))];
+    Fleet::with(FleetSpec { services, seed, ..FleetSpec::new(boxes) })
+}
+
+/// Links from each proxy to each backend.
+fn link_backends(links: &Links, proxies: usize, fleet: &Fleet) -> io::Result<Vec<Vec<Link>>> {
+    let link = |proxy: &str, backend: &BoxHandle| {
+        let name = &backend.spec.name;
+        links.tcp(&format!("{proxy}-{name}"), [proxy, name], HERE, backend.address)
+    };
+    let link_all = |place: usize| {
+        let proxy = proxy_name(place);
+        fleet.boxes().iter().map(|backend| link(&proxy, backend)).collect()
+    };
+    (0..proxies).map(link_all).collect()
+}
+
+/// The addresses at which each proxy finds the backends, where these are links.
+fn views(fleet: &Fleet, backend_links: &[Vec<Link>]) -> Vec<View> {
+    let view = |links: &Vec<Link>| {
+        let names = fleet.boxes().iter().map(|backend| backend.spec.name.clone());
+        names.zip(links.iter().map(Link::address)).collect()
+    };
+    backend_links.iter().map(view).collect()
+}
+
+fn start_discovery(
+    clock: Clock, proxies: usize, entries: &[Entry], views: &[View],
+) -> io::Result<ListServer> {
+    let watchers: Vec<String> = (0..proxies).map(proxy_name).collect();
+    let watchers: Vec<&str> = watchers.iter().map(String::as_str).collect();
+    ListServer::with_views(clock, &watchers, entries.to_vec(), views.to_vec())
+}
+
+/// Two links from each proxy to discovery, which it may be told one after the other.
+fn link_discovery(links: &Links, proxies: usize, discovery: &ListServer) -> io::Result<Vec<[Link; 2]>> {
+    let mut pairs = Vec::new();
+    for place in 0..proxies {
+        let proxy = proxy_name(place);
+        let link = |name: &str| links.tcp(name, [&proxy, "discovery"], HERE, discovery.address(place));
+        pairs.push([link(&format!("{proxy}-list-a"))?, link(&format!("{proxy}-list-b"))?]);
+    }
+    Ok(pairs)
+}
+
+/// The list that a proxy knows from before its start.
+fn known_list(entries: &[Entry], view: Option<&View>) -> serde_json::Value {
+    let known = entries.iter().map(|entry| {
+        let address = view.and_then(|view| view.get(&entry.name));
+        let seen = Entry { address: address.copied().unwrap_or(entry.address), ..entry.clone() };
+        serde_json::from_str::<serde_json::Value>(&seen.text()).unwrap_or_default()
+    });
+    known.collect()
+}
+
+fn proxy_slots(
+    folder: &Path, settings: &RunSettings, discovery_links: &[[Link; 2]], entries: &[Entry], views: &[View],
+) -> io::Result<Vec<ProxySlot>> {
+    let reservation =
+        if settings.reserves_addresses { Reservation::SharedPort } else { Reservation::Reusable };
+    let slot = |(place, pair): (usize, &[Link; 2])| {
+        let discovery: [SocketAddr; 2] = [pair[0].address(), pair[1].address()];
+        ProxySlot::new(place, folder, discovery, known_list(entries, views.get(place)), reservation)
+    };
+    discovery_links.iter().enumerate().map(slot).collect()
+}
+
+impl World {
+    /// Starts all parts of a seed's run.
+    pub(super) fn new(seed: u64, scale: &Scale, plan: &Plan, artifacts: &Artifacts) -> io::Result<World> {
+        let folder = std::env::temp_dir().join(format!("shaletide-soak-{}-{seed}", std::process::id()));
+        std::fs::create_dir_all(&folder)?;
+        let control = FaultControl::create(&folder.join("faults"))?;
+        control.step_wall_clock(plan.wall_clock_at_start)?;
+        let fleet = start_fleet(seed, scale, &plan.settings)?;
+        let clock = fleet.clock();
+        let links = Links::start_with(clock, seed, 2)?;
+        let has_link_faults = plan.kinds.contains(&FaultKind::BackendLink);
+        let backend_links =
+            if has_link_faults { link_backends(&links, scale.proxies, &fleet)? } else { Vec::new() };
+        let views = views(&fleet, &backend_links);
+        let entries: Vec<Entry> = fleet.boxes().iter().map(BoxHandle::entry).collect();
+        let discovery = start_discovery(clock, scale.proxies, &entries, &views)?;
+        let discovery_links = link_discovery(&links, scale.proxies, &discovery)?;
+        let slots = proxy_slots(&folder, &plan.settings, &discovery_links, &entries, &views)?;
+        Ok(World {
+            artifacts: artifacts.clone(),
+            control,
+            folder,
+            clock,
+            seed,
+            scale: *scale,
+            settings: plan.settings,
+            asks_discovery: plan.asks_discovery,
+            slots,
+            fleet,
+            discovery,
+            discovery_links,
+            backend_links,
+            _links: links,
+            notes: Mutex::new(Notes::of(scale.proxies)),
+        })
+    }
+}
--- /dev/null
+++ b/crates/soak/src/run/steps.rs
@@ -0,0 +1,186 @@
+//! Takes the steps of a plan, and notes what the oracle has to know of them.
+
+use super::{set_link, World};
+use crate::clients::{crowd, misbehave};
+use crate::plan::{Ending, Illness, Step};
+use shaletide_lab::links::{Cut, Fault as LinkFault, Link};
+use shaletide_testkit::{Fault, Law, ListService, Sending};
+use std::io;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+
+/// On a link that is slow bytes are late by so many ms.
+const SLOW_LINK_MS: (f64, f64) = (20.0, 300.0);
+
+impl World {
+    /// Takes a step. `orders`: where each proxy gets word of the ends of its processes.
+    pub(super) fn take(self: &Arc<World>, step: Step, orders: &[mpsc::Sender<Ending>]) -> io::Result<()> {
+        match step {
+            // A proxy that has several orders waiting has enough to do.
+            Step::End(proxy, ending) => {
+                let _ = orders[proxy].try_send(ending);
+            }
+            Step::Reload(proxy) => self.reload(proxy)?,
+            Step::Freeze(proxy, millis) => self.freeze(proxy, millis),
+            Step::DiscoverySilent => self.stop_discovery(ListService::Silent),
+            Step::DiscoveryBroken => self.stop_discovery(ListService::Broken),
+            Step::DiscoveryUp => self.resume_discovery(),
+            Step::DiscoveryCut(proxy) => self.cut_discovery(proxy)?,
+            Step::DiscoveryHealed(proxy) => self.heal_discovery(proxy)?,
+            Step::Drain(backend) => self.drain_backend(backend),
+            Step::Remove(backend) => self.remove_backend(backend),
+            Step::Return(backend) => self.return_backend(backend),
+            Step::Die(backend) => self.kill_backend(backend),
+            Step::Ill(backend, illness) => self.make_backend_ill(backend, illness),
+            Step::Well(backend) => self.cure_backend(backend),
+            Step::LinkReset(proxy, backend) => self.reset_link(proxy, backend)?,
+            Step::LinkSilent(proxy, backend) => self.silence_link(proxy, backend)?,
+            Step::LinkSlow(proxy, backend) => self.slow_link(proxy, backend)?,
+            Step::LinkHealed(proxy, backend) => self.heal_link(proxy, backend)?,
+            Step::Call(fault, chance) => self.control.set(fault, chance)?,
+            Step::WallClock(seconds) => self.control.step_wall_clock(seconds)?,
+            Step::Crowd(proxy) => self.crowd(proxy),
+            Step::BadClients(proxy) => self.misbehave(proxy),
+        }
+        Ok(())
+    }
+
+    fn reload(&self, proxy: usize) -> io::Result<()> {
+        let now = self.clock.now();
+        self.notes().moves[proxy].push(now);
+        self.slots[proxy].move_discovery(&self.setting())
+    }
+
+    fn freeze(self: &Arc<World>, proxy: usize, millis: u64) {
+        let world = self.clone();
+        tokio::spawn(async move {
+            world.slots[proxy].signal("STOP");
+            tokio::time::sleep(Duration::from_millis(millis)).await;
+            world.slots[proxy].signal("CONT");
+        });
+    }
+
+    fn crowd(&self, proxy: usize) {
+        tokio::spawn(crowd(self.slots[proxy].address(), self.settings.sockets));
+    }
+
+    fn misbehave(&self, proxy: usize) {
+        tokio::spawn(misbehave(self.slots[proxy].address(), self.next_run()));
+    }
+
+    fn stop_discovery(&self, service: ListService) {
+        self.unreached(0..self.scale.proxies);
+        self.discovery.serve(service);
+    }
+
+    fn resume_discovery(&self) {
+        self.discovery.serve(ListService::Up);
+        self.reached_again(0..self.scale.proxies);
+    }
+
+    fn cut_discovery(&self, proxy: usize) -> io::Result<()> {
+        self.unreached(proxy..=proxy);
+        self.set_discovery_links(proxy, LinkFault::cut(Cut::Silent))
+    }
+
+    fn heal_discovery(&self, proxy: usize) -> io::Result<()> {
+        self.set_discovery_links(proxy, LinkFault::default())?;
+        self.reached_again(proxy..=proxy);
+        Ok(())
+    }
+
+    fn set_discovery_links(&self, proxy: usize, fault: LinkFault) -> io::Result<()> {
+        self.discovery_links[proxy].iter().try_for_each(|link| set_link(link, fault))
+    }
+
+    fn drain_backend(&self, backend: usize) {
+        let from = self.clock.now();
+        self.discovery.drain(&format!("b{backend}"));
+        self.unlisted_from(backend, from);
+        self.fleet.boxes()[backend].drain();
+    }
+
+    fn remove_backend(&self, backend: usize) {
+        self.discovery.delete(&format!("b{backend}"));
+        self.fleet.boxes()[backend].kill();
+    }
+
+    fn return_backend(&self, backend: usize) {
+        let handle = &self.fleet.boxes()[backend];
+        handle.revive();
+        let now = self.clock.now();
+        self.discovery.put(handle.entry());
+        self.listed_again(backend, now);
+    }
+
+    fn kill_backend(&self, backend: usize) {
+        self.fleet.boxes()[backend].kill();
+    }
+
+    fn make_backend_ill(&self, backend: usize, illness: Illness) {
+        self.fleet.boxes()[backend].set(backend_fault(illness));
+    }
+
+    fn cure_backend(&self, backend: usize) {
+        let handle = &self.fleet.boxes()[backend];
+        for fault in [
+            Fault::Hang(0.0),
+            Fault::Fail(0.0),
+            Fault::Reset(0.0),
+            Fault::Slow(1.0),
+            Fault::Keep,
+            Fault::Send(Sending::Whole),
+        ] {
+            handle.set(fault);
+        }
+    }
+
+    fn backend_link(&self, proxy: usize, backend: usize) -> &Link {
+        &self.backend_links[proxy][backend]
+    }
+
+    fn reset_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
+        let link = self.backend_link(proxy, backend);
+        link.refuse(true);
+        set_link(link, LinkFault::cut(Cut::Reset))
+    }
+
+    fn silence_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
+        self.late_from_now(proxy, backend);
+        set_link(self.backend_link(proxy, backend), LinkFault::cut(Cut::Silent))
+    }
+
+    fn slow_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
+        self.late_from_now(proxy, backend);
+        let (least_ms, most_ms) = SLOW_LINK_MS;
+        let fault = LinkFault::delay_ms(Law::Even(least_ms, most_ms));
+        set_link(self.backend_link(proxy, backend), fault)
+    }
+
+    fn heal_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
+        let link = self.backend_link(proxy, backend);
+        set_link(link, LinkFault::default())?;
+        link.refuse(false);
+        self.late_until_now(proxy, backend);
+        Ok(())
+    }
+}
+
+/// What the stand-in of a backend is told for an illness.
+fn backend_fault(illness: Illness) -> Fault {
+    match illness {
+        Illness::Hangs(part) => Fault::Hang(part),
+        Illness::Fails(part) => Fault::Fail(part),
+        Illness::Resets(part) => Fault::Reset(part),
+        Illness::Slow(times) => Fault::Slow(times),
+        Illness::Closes => Fault::Close(false),
+        Illness::Drips(millis) => Fault::Send(Sending::Drip(Duration::from_millis(millis))),
+        Illness::Garbage => Fault::Send(Sending::Raw(vec![b"no answer at all\r\n\r\n".to_vec()])),
+        Illness::Truncates => Fault::Send(Sending::Raw(vec![
+            b"HTTP/1.1 200 X\r\nContent-Length: 50\r\n\r\n".to_vec(),
+            b"half of it".to_vec(),
+        ])),
+        Illness::TwoSegments => Fault::Send(Sending::TwoSegments),
+    }
+}
