--- /dev/null
+++ b/crates/soak/src/oracle/evidence.rs
@@ -0,0 +1,146 @@
+//! What was written down in a run.
+
+use super::{run_of, seconds, HOLD_UP};
+use crate::clients::Departure;
+use crate::proxies::Life;
+use crate::settings::RunSettings;
+use shaletide_testkit::{Ledger, LoadResult, Record};
+use shaletide_types::{Micros, Time};
+use std::collections::BTreeMap;
+
+/// After a link is as usual bytes may still be on their way for so long.
+const LATE_LINK_TAIL: Micros = Micros(500_000);
+
+/// What the clients of one process got.
+#[derive(Clone, Debug)]
+pub struct ClientRecords {
+    /// Its place in [`Evidence::lives`].
+    pub life: usize,
+    /// The ordinary load.
+    pub load: LoadResult,
+    /// Those that left, and the first half of their ids.
+    pub departures: (u32, Vec<Departure>),
+}
+
+/// A backend's time out of the list's service.
+#[derive(Clone, Copy, Debug)]
+pub struct Unlisted {
+    /// Its place in the ledger.
+    pub backend: usize,
+    /// When discovery was told.
+    pub from: Time,
+    /// When it was listed again.
+    pub until: Option<Time>,
+}
+
+/// A time in which bytes from a proxy to a backend are late on their way.
+#[derive(Clone, Copy, Debug)]
+pub struct LateLink {
+    /// Which proxy.
+    pub proxy: usize,
+    /// Which backend.
+    pub backend: usize,
+    /// From when on.
+    pub from: Time,
+    /// Until when.
+    pub until: Time,
+}
+
+/// An entry of the list was written to a proxy.
+#[derive(Clone, Copy, Debug)]
+pub struct Telling {
+    /// To which.
+    pub proxy: usize,
+    /// Of which backend.
+    pub backend: usize,
+    /// When its last byte was written.
+    pub at: Time,
+}
+
+/// A backend started anew.
+#[derive(Clone, Copy, Debug)]
+pub struct Return {
+    /// Its place in the ledger.
+    pub backend: usize,
+    /// When discovery was told.
+    pub listed: Time,
+}
+
+/// All that was written down in a run.
+#[derive(Clone, Debug)]
+pub struct Evidence {
+    /// The backends' records.
+    pub ledger: Ledger,
+    /// All processes.
+    pub lives: Vec<Life>,
+    /// What the clients of each got.
+    pub clients: Vec<ClientRecords>,
+    /// Drains and removals.
+    pub unlisted: Vec<Unlisted>,
+    /// Starts of backends, in order.
+    pub returns: Vec<Return>,
+    /// For each proxy, when discovery could not be reached.
+    pub unreachable: Vec<Vec<(Time, Time)>>,
+    /// For each proxy, when it was told that discovery has moved.
+    pub moves: Vec<Vec<Time>>,
+    /// What came to a backend over such a link says nothing of when it was sent.
+    pub late_links: Vec<LateLink>,
+    /// Clients that the processes say they evicted, and whether idle ones may have filled their slots.
+    pub evictions: u64,
+    /// Many idle clients were there: evictions are right.
+    pub crowded: bool,
+    /// The lines of the logs that matter, with their files' names.
+    pub log_lines: Vec<String>,
+    /// What discovery wrote to whom, where it is asked.
+    pub tellings: Vec<Telling>,
+    /// Discovery is asked: a change is told when it is written.
+    pub asks_discovery: bool,
+    /// Processes were held up.
+    pub held_up: bool,
+    /// What the proxies were told.
+    pub settings: RunSettings,
+    /// System calls failed, or processes were held up at their starts, so that these take longer.
+    pub starts_are_slow: bool,
+}
+
+impl Evidence {
+    pub(super) fn hold_up(&self) -> Micros {
+        if self.held_up {
+            HOLD_UP
+        } else {
+            Micros(0)
+        }
+    }
+
+    /// The process to which the clients with such ids were connected.
+    pub(super) fn lives_by_run(&self) -> BTreeMap<u32, usize> {
+        let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.life), (c.departures.0, c.life)]);
+        runs.collect()
+    }
+
+    /// Whether a record came when it was sent; not where it came over a link that held bytes back.
+    pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
+        !self.late_links.iter().any(|link| {
+            let here = link.proxy == proxy && link.backend == record.at_box;
+            here && record.came >= link.from && record.came <= link.until + LATE_LINK_TAIL
+        })
+    }
+
+    /// Records that came when they were sent, with the process that sent each.
+    pub(super) fn timely(&self) -> impl Iterator<Item = (&Record, usize)> {
+        let lives = self.lives_by_run();
+        self.ledger.records.iter().filter_map(move |record| {
+            let life = *lives.get(&run_of(&record.id)?)?;
+            self.is_timely(record, self.lives[life].proxy).then_some((record, life))
+        })
+    }
+
+    pub(super) fn described(&self, places: &[usize]) -> String {
+        let one = |place: &usize| {
+            let r = &self.ledger.records[*place];
+            let ended = r.ended.map(|(at, how)| (seconds(at), how));
+            format!("; {} at b{} {:.3} s, ended {ended:?}", r.id, r.at_box, seconds(r.began))
+        };
+        places.iter().map(one).collect()
+    }
+}
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -1,4 +1,8 @@
 use super::*;
+use crate::proxies::Life;
+use crate::settings::RunSettings;
+use shaletide_testkit::Ledger;
+use std::os::unix::process::ExitStatusExt;
 use std::path::PathBuf;
 
 fn life(proxy: usize) -> Life {
