--- /dev/null
+++ b/crates/soak/tests/verdict_identity.rs
@@ -0,0 +1,225 @@
+//! The oracle's verdicts of generated evidence stay the same, to the last request and time.
+
+use shaletide_soak::clients::{request_id, Departure};
+use shaletide_soak::oracle::{judge, ClientRecords, Evidence, LateLink, Return, Rule, Telling, Unlisted};
+use shaletide_soak::proxies::Life;
+use shaletide_soak::settings::RunSettings;
+use shaletide_testkit::{
+    Boot, BoxInfo, End, Ended, Ledger, LoadResult, Power, Record, Repeat, SeededRng, Sent,
+};
+use shaletide_types::{Micros, Time};
+use std::collections::BTreeMap;
+use std::os::unix::process::ExitStatusExt;
+use std::process::ExitStatus;
+
+/// How often evidence is generated.
+const SEEDS: u64 = 60;
+const PROXIES: usize = 3;
+const BACKENDS: usize = 4;
+const LENGTH_US: u64 = 20_000_000;
+/// When the first two backends start anew; the first one gets most requests.
+const BOOT: Time = Time(6_000_000);
+
+/// Draws of evidence.
+struct Draws(SeededRng);
+
+impl Draws {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0.word() % bound
+    }
+
+    fn one_in(&mut self, parts: u64) -> bool {
+        self.below(parts) == 0
+    }
+
+    fn time(&mut self) -> Time {
+        Time(self.below(LENGTH_US))
+    }
+
+    fn span(&mut self) -> (Time, Time) {
+        let from = self.time();
+        (from, Time(from.0 + self.below(4_000_000)))
+    }
+
+    fn life(&mut self, number: usize) -> Life {
+        let started = Time(if number < PROXIES { 0 } else { 9_000_000 });
+        let ended = Time(started.0 + 9_000_000 + self.below(3_000_000));
+        let status = [0, 1 << 8, 2 << 8, libc::SIGTERM, libc::SIGKILL][self.below(5) as usize];
+        Life {
+            proxy: number % PROXIES,
+            started,
+            ready: (!self.one_in(5)).then(|| Time(started.0 + self.below(12_000_000))),
+            stopped: (!self.one_in(4)).then(|| Time(ended.0 - self.below(9_000_000))),
+            killed: self.one_in(3).then_some(ended),
+            ended: (!self.one_in(5)).then(|| (ended, ExitStatus::from_raw(status))),
+            outlived_its_stop: self.one_in(6),
+            unblocked: self.one_in(3).then(|| Time(started.0 + self.below(8_000_000))),
+            peak_memory_kib: self.below(210 << 10),
+            log: format!("p{}-{number}.log", number % PROXIES).into(),
+        }
+    }
+
+    fn end(&mut self) -> End {
+        let statuses = [200, 200, 200, 200, 429, 503, 404, 500].map(End::Status);
+        let others = [End::Broken, End::GaveUp, End::NoConnection];
+        let ends = [statuses.as_slice(), others.as_slice()].concat();
+        ends[self.below(ends.len() as u64) as usize]
+    }
+
+    /// What the clients of a process got: some hundred requests, and some clients that left.
+    fn client_records(&mut self, life: usize, started: Time) -> ClientRecords {
+        let mut load = LoadResult { run: 0x100 + life as u32, ..LoadResult::default() };
+        for number in 0..450 {
+            load.sent.push(Sent {
+                class: number as usize % 3,
+                number,
+                arrived: Time(started.0 + self.below(9_500_000)),
+                latency: Micros(self.below(2_000_000)),
+                end: self.end(),
+                in_time: true,
+                retry: false,
+            });
+        }
+        (load.mixed_up, load.overfull) = (self.below(2), self.below(2));
+        let run = 0x200 + life as u32;
+        let departure = |number| Departure {
+            id: request_id(run, number),
+            closed: Time(started.0 + self.below(9_500_000)),
+        };
+        ClientRecords { life, load, departures: (run, (0..40).map(departure).collect()) }
+    }
+
+    /// A request at a backend that came at some time after the one given.
+    fn record(&mut self, id: &str, class: usize, sent: Time, settings: &RunSettings) -> Record {
+        let came = Time(sent.0 + self.below(400_000));
+        let began = Time(came.0 + self.below(20_000));
+        let at_box = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3][self.below(11) as usize];
+        let has_ended = [Ended::Served, Ended::Served, Ended::TurnedAway, Ended::Failed];
+        let ended = has_ended[self.below(4) as usize];
+        let told_us = settings.deadlines_us[class] + self.below(300_000);
+        Record {
+            at_box,
+            boot: usize::from(at_box < 2 && began >= BOOT),
+            id: id.into(),
+            key: (class == 2).then(|| format!("k-{id}").into()),
+            class: ["read", "pay", "vote"][class].into(),
+            repeat: [Repeat::Safe, Repeat::Unsafe, Repeat::Keyed][class],
+            came,
+            began,
+            ended: (!self.one_in(9)).then(|| (Time(began.0 + 20_000), ended)),
+            draining: None,
+            work_ms: 20.0,
+            time_left: (!self.one_in(4)).then_some(Micros(told_us.saturating_sub(came.0 - sent.0))),
+        }
+    }
+
+    fn ledger(&mut self, clients: &[ClientRecords], settings: &RunSettings) -> Ledger {
+        let mut ledger = Ledger::new(100_000);
+        let power = Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
+        for number in 0..BACKENDS {
+            let mut boots = vec![Boot { at: None, died: None }];
+            if number < 2 {
+                boots.push(Boot { at: Some(BOOT), died: None });
+            }
+            let bay = 1 + number as u64 / 2;
+            ledger.boxes.push(BoxInfo { name: format!("b{number}"), bay, power, boots });
+        }
+        for records in clients {
+            for sent in &records.load.sent {
+                for _ in 0..[1, 1, 1, 1, 2, 0][self.below(6) as usize] {
+                    let id = records.load.id(sent.number);
+                    ledger.records.push(self.record(&id, sent.class, sent.arrived, settings));
+                }
+            }
+            for departure in &records.departures.1 {
+                let sent = Time(departure.closed.0.saturating_sub(150_000));
+                ledger.records.push(self.record(&departure.id, 0, sent, settings));
+            }
+        }
+        ledger.records.sort_by_key(|record| record.began);
+        ledger
+    }
+
+    fn evidence(&mut self, seed: u64) -> Evidence {
+        let settings = RunSettings::draw(seed);
+        let lives: Vec<Life> = (0..2 * PROXIES).map(|number| self.life(number)).collect();
+        let starts = lives.iter().map(|life| life.started).enumerate();
+        let clients: Vec<ClientRecords> = starts.map(|(life, at)| self.client_records(life, at)).collect();
+        let ledger = self.ledger(&clients, &settings);
+        let late_links = (0..3).map(|_| {
+            let (from, until) = self.span();
+            LateLink { proxy: self.below(3) as usize, backend: self.below(4) as usize, from, until }
+        });
+        let late_links = late_links.collect();
+        // Half of the runs have a discovery without outages, so that starts are known of at once.
+        let outages = if self.one_in(2) { 0 } else { 2 };
+        let unreachable = (0..PROXIES).map(|_| (0..outages).map(|_| self.span()).collect()).collect();
+        let moves = (0..PROXIES).map(|_| (0..outages).map(|_| self.time()).collect()).collect();
+        let telling =
+            |_| Telling { proxy: self.below(3) as usize, backend: self.below(4) as usize, at: self.time() };
+        let tellings = (0..30).map(telling).collect();
+        let unlisted = (0..3).map(|backend| {
+            let (from, until) = self.span();
+            Unlisted { backend, from, until: (!self.one_in(3)).then_some(until) }
+        });
+        Evidence {
+            ledger,
+            lives,
+            clients,
+            unlisted: unlisted.collect(),
+            returns: (0..2).map(|backend| Return { backend, listed: Time(BOOT.0 + 10_000) }).collect(),
+            unreachable,
+            moves,
+            late_links,
+            evictions: self.below(2),
+            crowded: self.one_in(2),
+            log_lines: ["p0-0: panicked at 1", "p1-1: self-check: 2"].map(String::from).to_vec(),
+            tellings,
+            asks_discovery: self.one_in(3),
+            held_up: self.one_in(2),
+            settings,
+            starts_are_slow: self.one_in(2),
+        }
+    }
+}
+
+/// The hash of a text by the 64-bit Fowler-Noll-Vo function.
+fn hash(text: &str) -> u64 {
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
+}
+
+/// The hash is over the rules in their order and the digits of their texts, so that a renamed word does not change it.
+#[test]
+fn verdicts_of_generated_evidence_are_unchanged() {
+    let mut counts: BTreeMap<Rule, usize> = BTreeMap::new();
+    let mut verdicts = String::new();
+    for seed in 0..SEEDS {
+        let evidence = Draws(SeededRng::of(seed, "evidence")).evidence(seed);
+        for violation in judge(&evidence) {
+            *counts.entry(violation.rule).or_default() += 1;
+            let digits: String = violation.text.chars().filter(char::is_ascii_digit).collect();
+            verdicts += &format!("{seed} {:?} {digits}\n", violation.rule);
+        }
+    }
+    let expected = [
+        (Rule::Answered, 28957),
+        (Rule::NotRejected, 14621),
+        (Rule::UnsafeOnce, 5413),
+        (Rule::KeyedInside, 1630),
+        (Rule::HarmlessRefusal, 6673),
+        (Rule::Drain, 14148),
+        (Rule::Cold, 31),
+        (Rule::TrueAnswer, 34966),
+        (Rule::TimeLeft, 59331),
+        (Rule::ClientGone, 1642),
+        (Rule::NoCrash, 186),
+        (Rule::Ready, 87),
+        (Rule::Memory, 27),
+        (Rule::Stop, 61),
+        (Rule::NoNeedlessEviction, 21),
+        (Rule::SelfCheck, 60),
+    ];
+    assert_eq!(counts, BTreeMap::from(expected));
+    assert_eq!(hash(&verdicts), 8_046_329_746_908_666_970);
+}
