--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -6,6 +6,16 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
+/// A window in which a cold backend got more than it may.
+struct Fall<'a> {
+    /// What it got.
+    records: &'a [&'a Record],
+    /// Its age at the end of the window.
+    age: Micros,
+    /// How many requests it may get.
+    limit: f64,
+}
+
 impl Evidence {
     /// What a cold backend may get in the window that began at that age.
     pub fn cold_limit(settings: &RunSettings, age: Micros) -> f64 {
@@ -37,31 +47,41 @@
         for ((at_box, boot), records) in by_boot {
             let booted = self.ledger.boxes[at_box].boots.get(boot).and_then(|boot| boot.at);
             let Some((booted, listed)) = booted.zip(self.listed(at_box, boot)) else { continue };
-            let knew = |record: &Record| {
+            let Some(fall) = self.first_fall(&records, booted) else { continue };
+            let knew = |record: &&&Record| {
                 let life = run_of(&record.id).and_then(|run| lives.get(&run));
                 life.is_some_and(|life| record.came >= self.told(&self.lives[*life], at_box, listed))
             };
-            let mut first = 0;
-            for (at, record) in records.iter().enumerate() {
-                while records[first].began + Micros(FALL_WINDOW_US) < record.began {
-                    first += 1;
-                }
-                let age = (record.began - Micros(FALL_WINDOW_US)) - booted; // as the window began
-                let (got, limit) = (at - first + 1, Evidence::cold_limit(&self.settings, age));
-                if age >= Micros(self.settings.ramp_us) || got as f64 <= limit {
-                    continue;
-                }
-                let told = records[first..=at].iter().filter(|record| knew(record)).count();
-                if 3 * told > 2 * got {
-                    let after = (record.began - booted).secs();
-                    let text = format!(
-                        "b{at_box} got {got} requests in 2 s up to {after:.3} s after its start, {told} of those who \
-                         knew, and may get {limit:.0}"
-                    );
-                    add(broken, Rule::Cold, text);
-                }
-                break; // it has fallen
+            let got = fall.records.len();
+            let told = fall.records.iter().filter(knew).count();
+            if 3 * told > 2 * got {
+                let Fall { age, limit, .. } = fall;
+                let text = format!(
+                    "b{at_box} got {got} requests in 2 s up to {:.3} s after its start, {told} of those who \
+                     knew, and may get {limit:.0}",
+                    age.secs()
+                );
+                add(broken, Rule::Cold, text);
+            }
+        }
+    }
+
+    /// The first time that a backend gets more than it may while it is cold. `records`: those of one start, in the order
+    /// in which they began.
+    fn first_fall<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Fall<'a>> {
+        let mut first = 0;
+        for (last, record) in records.iter().enumerate() {
+            while records[first].began + Micros(FALL_WINDOW_US) < record.began {
+                first += 1;
+            }
+            let age_as_window_began = (record.began - Micros(FALL_WINDOW_US)) - booted;
+            let is_warm = age_as_window_began >= Micros(self.settings.ramp_us);
+            let limit = Evidence::cold_limit(&self.settings, age_as_window_began);
+            let window = &records[first..=last];
+            if !is_warm && window.len() as f64 > limit {
+                return Some(Fall { records: window, age: record.began - booted, limit });
             }
         }
+        None
     }
 }
