--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -9,7 +9,7 @@
 mod step;
 
 pub use fault_kind::FaultKind;
-pub use step::{Ending, Illness, Manner, NextStart, Signals, Step, Timed};
+pub use step::{BackendFault, ProcessEnd, ProcessStart, Restart, Step, StopSignals, TimedStep};
 
 use crate::settings::RunSettings;
 use builder::{PlanBuilder, HOUR_S};
@@ -40,7 +40,7 @@
     /// What the proxies are told.
     pub settings: RunSettings,
     /// In the order of their times.
-    pub steps: Vec<Timed>,
+    pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
--- a/crates/soak/src/plan/builder.rs
+++ b/crates/soak/src/plan/builder.rs
@@ -1,6 +1,6 @@
 //! Random draws of a plan, and its steps so far.
 
-use super::{Ending, FaultKind, Manner, NextStart, Scale, Signals, Step, Timed};
+use super::{FaultKind, ProcessEnd, ProcessStart, Restart, Scale, Step, StopSignals, TimedStep};
 use shaletide_testkit::SeededRng;
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 pub(super) struct PlanBuilder {
     rng: SeededRng,
     pub(super) scale: Scale,
-    steps: Vec<Timed>,
+    steps: Vec<TimedStep>,
 }
 
 impl PlanBuilder {
@@ -24,7 +24,7 @@
     }
 
     /// The steps, in the order of their times; those of one time stay in the order in which they were added.
-    pub(super) fn into_steps(self) -> Vec<Timed> {
+    pub(super) fn into_steps(self) -> Vec<TimedStep> {
         let mut steps = self.steps;
         steps.sort_by_key(|timed| timed.at);
         steps
@@ -95,8 +95,9 @@
     }
 
     /// Draws the signals of a stop.
-    pub(super) fn signals(&mut self) -> Signals {
-        [Signals::Single, Signals::Single, Signals::Twice, Signals::WithHangups][self.below(4)]
+    pub(super) fn stop_signals(&mut self) -> StopSignals {
+        [StopSignals::Single, StopSignals::Single, StopSignals::Twice, StopSignals::WithHangups]
+            [self.below(4)]
     }
 
     /// Draws the pause before the next proxy of a series ends, in seconds.
@@ -106,11 +107,11 @@
 
     /// Adds a step at that time, in seconds from the beginning of the run.
     pub(super) fn add(&mut self, at_s: f64, step: Step) {
-        self.steps.push(Timed { at: Duration::from_secs_f64(at_s.max(0.0)), step });
+        self.steps.push(TimedStep { at: Duration::from_secs_f64(at_s.max(0.0)), step });
     }
 
     /// Adds the end of a proxy's process and the start of its next one.
-    pub(super) fn add_end(&mut self, at_s: f64, proxy: usize, manner: Manner, next: NextStart) {
-        self.add(at_s, Step::End(proxy, Ending { manner, next }));
+    pub(super) fn add_restart(&mut self, at_s: f64, proxy: usize, end: ProcessEnd, start: ProcessStart) {
+        self.add(at_s, Step::Restart(proxy, Restart { end, start }));
     }
 }
--- a/crates/soak/src/plan/faults.rs
+++ b/crates/soak/src/plan/faults.rs
@@ -3,7 +3,7 @@
 //! The order of the draws within each function is part of the plan of a seed.
 
 use super::builder::{PlanBuilder, HOUR_S};
-use super::{FaultKind, Illness, Manner, NextStart, Step};
+use super::{BackendFault, FaultKind, ProcessEnd, ProcessStart, Step};
 use crate::call_faults::CallFault;
 
 /// The system calls' faults that a run draws from, with their highest chance.
@@ -34,26 +34,26 @@
             FaultKind::DiscoveryLink => self.add_discovery_cuts(),
             FaultKind::Drain => self.add_drains(),
             FaultKind::Death => self.add_deaths(),
-            FaultKind::Illness => self.add_illnesses(),
+            FaultKind::Illness => self.add_backend_faults(),
             FaultKind::BackendLink => self.add_backend_link_faults(),
             FaultKind::Calls => self.add_call_faults(),
             FaultKind::WallClock => self.add_wall_clock_steps(),
             FaultKind::Freeze => self.add_freezes(),
-            FaultKind::Crowd => self.add_crowds(),
+            FaultKind::Crowd => self.add_idle_crowds(),
             FaultKind::ShortStart => self.add_starts_short_of_sockets(),
             FaultKind::HeldAddress => self.add_held_addresses(),
             FaultKind::Overlap => self.add_overlaps(),
             FaultKind::HalfConfiguration => self.add_half_configurations(),
             FaultKind::EarlyStop => self.add_early_stops(),
-            FaultKind::Clients => self.add_bad_clients(),
+            FaultKind::Clients => self.add_misbehaving_clients(),
         }
     }
 
     fn add_stops(&mut self) {
         let mut at = self.time();
         for proxy in self.sample_proxies(0.5) {
-            let signals = self.signals();
-            self.add_end(at, proxy, Manner::Stop(signals), NextStart::Plain);
+            let signals = self.stop_signals();
+            self.add_restart(at, proxy, ProcessEnd::Stop(signals), ProcessStart::Normal);
             at += self.pause_s();
         }
     }
@@ -62,14 +62,14 @@
         let at = self.time();
         for proxy in self.sample_proxies(0.4) {
             let delay = self.between(0.0, 0.3);
-            self.add_end(at + delay, proxy, Manner::Kill, NextStart::Plain);
+            self.add_restart(at + delay, proxy, ProcessEnd::Kill, ProcessStart::Normal);
         }
     }
 
     fn add_overlaps(&mut self) {
         let mut at = self.time();
         for proxy in self.sample_proxies(0.5) {
-            self.add_end(at, proxy, Manner::Overlap, NextStart::Plain);
+            self.add_restart(at, proxy, ProcessEnd::Overlap, ProcessStart::Normal);
             at += self.pause_s();
         }
     }
@@ -86,13 +86,13 @@
 
     fn add_starts_short_of_sockets(&mut self) {
         let at = self.time();
-        self.add(at, Step::Call(CallFault::Socket, 0.9));
+        self.add(at, Step::CallFault(CallFault::Socket, 0.9));
         for proxy in self.sample_proxies(0.3) {
             let delay = self.between(0.0, 0.2);
-            self.add_end(at + delay, proxy, Manner::Kill, NextStart::Plain);
+            self.add_restart(at + delay, proxy, ProcessEnd::Kill, ProcessStart::Normal);
         }
         let duration = self.between(0.3, 1.5);
-        self.add(at + duration, Step::Call(CallFault::Socket, 0.0));
+        self.add(at + duration, Step::CallFault(CallFault::Socket, 0.0));
     }
 
     fn add_held_addresses(&mut self) {
@@ -100,28 +100,28 @@
         self.add_restarts(|builder| {
             let millis = builder.log_millis(100.0, most_ms.max(200.0));
             if builder.chance(0.3) {
-                NextStart::StopWhileHeld(millis)
+                ProcessStart::StopWhileHeld(millis)
             } else {
-                NextStart::HeldAddress(millis)
+                ProcessStart::HeldAddress(millis)
             }
         });
     }
 
     fn add_half_configurations(&mut self) {
-        self.add_restarts(|builder| NextStart::HalfConfiguration(builder.log_millis(20.0, 2_000.0)));
+        self.add_restarts(|builder| ProcessStart::HalfConfiguration(builder.log_millis(20.0, 2_000.0)));
     }
 
     fn add_early_stops(&mut self) {
-        self.add_restarts(|builder| NextStart::EarlyStop(builder.log_millis(1.0, 40.0)));
+        self.add_restarts(|builder| ProcessStart::EarlyStop(builder.log_millis(1.0, 40.0)));
     }
 
     /// Ends single proxies, one soon after the other, by a kill or a stop, and starts the next ones in that way.
-    fn add_restarts(&mut self, draw_next: impl Fn(&mut PlanBuilder) -> NextStart) {
+    fn add_restarts(&mut self, draw_start: impl Fn(&mut PlanBuilder) -> ProcessStart) {
         let mut at = self.time();
         for proxy in self.sample_proxies(0.4) {
-            let manner = if self.chance(0.5) { Manner::Kill } else { Manner::Stop(self.signals()) };
-            let next = draw_next(self);
-            self.add_end(at, proxy, manner, next);
+            let end = if self.chance(0.5) { ProcessEnd::Kill } else { ProcessEnd::Stop(self.stop_signals()) };
+            let start = draw_start(self);
+            self.add_restart(at, proxy, end, start);
             at += self.pause_s();
         }
     }
@@ -146,44 +146,44 @@
     fn add_drains(&mut self) {
         for backend in self.sample_backends(0.3) {
             let at = self.time();
-            self.add(at, Step::Drain(backend));
+            self.add(at, Step::DrainBackend(backend));
             let removed = at + self.between(2.5, 3.5);
-            self.add(removed, Step::Remove(backend));
+            self.add(removed, Step::RemoveBackend(backend));
             let returned = removed + self.between(0.1, 1.0);
-            self.add(returned, Step::Return(backend));
+            self.add(returned, Step::StartBackend(backend));
         }
     }
 
     fn add_deaths(&mut self) {
         for backend in self.sample_backends(0.2) {
             let at = self.time();
-            self.add(at, Step::Die(backend));
+            self.add(at, Step::KillBackend(backend));
             let returned = at + self.between(0.2, 2.0);
-            self.add(returned, Step::Return(backend));
+            self.add(returned, Step::StartBackend(backend));
         }
     }
 
-    fn add_illnesses(&mut self) {
+    fn add_backend_faults(&mut self) {
         for backend in self.sample_backends(0.4) {
             let at = self.time();
-            let illness = self.illness();
-            self.add(at, Step::Ill(backend, illness));
+            let fault = self.draw_backend_fault();
+            self.add(at, Step::BackendFault(backend, fault));
             let duration = self.between(0.5, 0.4 * self.length_s());
-            self.add(at + duration, Step::Well(backend));
+            self.add(at + duration, Step::BackendHealed(backend));
         }
     }
 
-    fn illness(&mut self) -> Illness {
+    fn draw_backend_fault(&mut self) -> BackendFault {
         match self.below(9) {
-            0 => Illness::Hangs(self.between(0.2, 1.0)),
-            1 => Illness::Fails(self.between(0.2, 1.0)),
-            2 => Illness::Resets(self.between(0.1, 1.0)),
-            3 => Illness::Slow(self.between(2.0, 10.0)),
-            4 => Illness::Drips(5 + self.below(100) as u64),
-            5 => Illness::Garbage,
-            6 => Illness::Truncates,
-            7 => Illness::TwoSegments,
-            _ => Illness::Closes,
+            0 => BackendFault::Hangs(self.between(0.2, 1.0)),
+            1 => BackendFault::Fails(self.between(0.2, 1.0)),
+            2 => BackendFault::Resets(self.between(0.1, 1.0)),
+            3 => BackendFault::Slow(self.between(2.0, 10.0)),
+            4 => BackendFault::Drips(5 + self.below(100) as u64),
+            5 => BackendFault::Garbage,
+            6 => BackendFault::Truncates,
+            7 => BackendFault::TwoSegments,
+            _ => BackendFault::Closes,
         }
     }
 
@@ -204,9 +204,9 @@
             let (fault, highest_chance) = CALLS[self.below(CALLS.len())];
             let at = self.time();
             let chance = self.between(0.1, 1.0) * highest_chance;
-            self.add(at, Step::Call(fault, chance));
+            self.add(at, Step::CallFault(fault, chance));
             let duration = self.between(1.0, 0.5 * self.length_s());
-            self.add(at + duration, Step::Call(fault, 0.0));
+            self.add(at + duration, Step::CallFault(fault, 0.0));
         }
     }
 
@@ -226,17 +226,17 @@
         }
     }
 
-    fn add_crowds(&mut self) {
+    fn add_idle_crowds(&mut self) {
         for proxy in self.sample_proxies(0.4) {
             let at = self.time();
-            self.add(at, Step::Crowd(proxy));
+            self.add(at, Step::IdleCrowd(proxy));
         }
     }
 
-    fn add_bad_clients(&mut self) {
+    fn add_misbehaving_clients(&mut self) {
         for proxy in self.sample_proxies(0.6) {
             let at = self.time();
-            self.add(at, Step::BadClients(proxy));
+            self.add(at, Step::MisbehavingClients(proxy));
         }
     }
 }
--- a/crates/soak/src/plan/step.rs
+++ b/crates/soak/src/plan/step.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
     /// A proxy's process ends, and another one starts.
-    End(usize, Ending),
+    Restart(usize, Restart),
     /// SIGHUP to a proxy, to whose configuration discovery has moved.
     Reload(usize),
     /// SIGSTOP for so many milliseconds.
@@ -23,17 +23,17 @@
     /// It does again.
     DiscoveryHealed(usize),
     /// A backend drains, in the list and by itself.
-    Drain(usize),
+    DrainBackend(usize),
     /// A backend that drains ends, and is taken out of the list.
-    Remove(usize),
+    RemoveBackend(usize),
     /// A backend that has ended starts anew and is listed.
-    Return(usize),
+    StartBackend(usize),
     /// A backend dies, and nobody says so.
-    Die(usize),
+    KillBackend(usize),
     /// A backend falls ill.
-    Ill(usize, Illness),
+    BackendFault(usize, BackendFault),
     /// It is well.
-    Well(usize),
+    BackendHealed(usize),
     /// The connections from a proxy to a backend are reset and refused.
     LinkReset(usize, usize),
     /// They are silent.
@@ -43,18 +43,18 @@
     /// They are as usual.
     LinkHealed(usize, usize),
     /// Calls fail with that chance.
-    Call(CallFault, f64),
+    CallFault(CallFault, f64),
     /// All wall clocks are so many seconds ahead.
     WallClock(i64),
     /// Clients of a proxy that misbehave.
-    BadClients(usize),
+    MisbehavingClients(usize),
     /// Idle clients fill the slots of a proxy.
-    Crowd(usize),
+    IdleCrowd(usize),
 }
 
 /// A step and when it is taken, from the beginning of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Timed {
+pub struct TimedStep {
     /// When.
     pub at: Duration,
     /// What.
@@ -63,27 +63,27 @@
 
 /// How a proxy's process ends, and how the next one starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
+pub struct Restart {
     /// How it ends.
-    pub manner: Manner,
+    pub end: ProcessEnd,
     /// How the next one starts.
-    pub next: NextStart,
+    pub start: ProcessStart,
 }
 
 /// How a process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum ProcessEnd {
     /// By SIGKILL.
     Kill,
     /// By signals, as the platform sends them or in series.
-    Stop(Signals),
+    Stop(StopSignals),
     /// By SIGTERM, and the next one is started at once.
     Overlap,
 }
 
 /// The signals of a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signals {
+pub enum StopSignals {
     /// SIGTERM.
     Single,
     /// SIGTERM twice.
@@ -94,9 +94,9 @@
 
 /// How a process starts. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NextStart {
+pub enum ProcessStart {
     /// As usual.
-    Plain,
+    Normal,
     /// Its address is held for so long.
     HeldAddress(u64),
     /// Its address is held, and it is told to end after so long.
@@ -109,7 +109,7 @@
 
 /// A backend's illness.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Illness {
+pub enum BackendFault {
     /// A part of its requests is never answered.
     Hangs(f64),
     /// A part gets 500.
--- a/crates/soak/src/run/notes.rs
+++ b/crates/soak/src/run/notes.rs
@@ -135,7 +135,7 @@
 
 /// Whether processes stand still in a plan.
 fn holds_processes_up(plan: &Plan) -> bool {
-    let holds_up = |step: Step| matches!(step, Step::Freeze(..) | Step::Call(CallFault::SlowWrite, _));
+    let holds_up = |step: Step| matches!(step, Step::Freeze(..) | Step::CallFault(CallFault::SlowWrite, _));
     plan.steps.iter().any(|timed| holds_up(timed.step))
 }
 
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -4,7 +4,7 @@
 use super::World;
 use crate::address::Holder;
 use crate::oracle::ClientRecords;
-use crate::plan::{Ending, Manner, NextStart, Signals};
+use crate::plan::{ProcessEnd, ProcessStart, Restart, StopSignals};
 use crate::proxies::{peak_memory_kib, send_signal, Life};
 use shaletide_testkit::{Exchange, Kept};
 use shaletide_types::Time;
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy)]
 enum Order {
     /// It is to end, and another one to start.
-    End(Ending),
+    Restart(Restart),
     /// It is to end with the run.
     RunOver,
     /// It has ended, and nothing told it to.
@@ -49,16 +49,16 @@
 impl World {
     /// A proxy through all its processes, with its clients.
     pub(super) async fn proxy(
-        self: Arc<World>, place: usize, end: Time, mut orders: mpsc::Receiver<Ending>,
+        self: Arc<World>, place: usize, end: Time, mut orders: mpsc::Receiver<Restart>,
     ) -> io::Result<()> {
-        let mut next = NextStart::Plain;
+        let mut next = ProcessStart::Normal;
         let mut overlapping = JoinSet::new();
         loop {
             let mut started = self.start(place, next)?;
-            if let NextStart::EarlyStop(millis) | NextStart::StopWhileHeld(millis) = next {
+            if let ProcessStart::EarlyStop(millis) | ProcessStart::StopWhileHeld(millis) = next {
                 tokio::time::sleep(Duration::from_millis(millis)).await;
-                self.stop_with_clients(started.child, started.life, None, Signals::WithHangups).await?;
-                next = NextStart::Plain;
+                self.stop_with_clients(started.child, started.life, None, StopSignals::WithHangups).await?;
+                next = ProcessStart::Normal;
                 continue;
             }
             started.life.ready = self.ready(&mut started.child, place).await;
@@ -69,14 +69,14 @@
             let order = next_order(&mut started.child, &mut orders).await;
             let is_last = orders.is_closed() && orders.is_empty();
             started.life.peak_memory_kib = peak_memory_kib(started.child.id());
-            if let Order::End(ending) = order {
-                next = ending.next;
+            if let Order::Restart(restart) = order {
+                next = restart.start;
             }
-            if let Order::End(Ending { manner: Manner::Overlap, .. }) = order {
+            if let Order::Restart(Restart { end: ProcessEnd::Overlap, .. }) = order {
                 let world = self.clone();
                 let (child, life) = (started.child, started.life);
                 overlapping.spawn(async move {
-                    world.stop_with_clients(child, life, Some(clients), Signals::Single).await
+                    world.stop_with_clients(child, life, Some(clients), StopSignals::Single).await
                 });
                 continue;
             }
@@ -91,10 +91,10 @@
     /// Ends a process as ordered, and waits for that.
     async fn end(&self, mut child: Child, mut life: Life, clients: Clients, order: Order) -> io::Result<()> {
         let signals = match order {
-            Order::RunOver => Signals::Single,
-            Order::End(Ending { manner: Manner::Stop(signals), .. }) => signals,
-            Order::End(Ending { manner: Manner::Overlap, .. }) => Signals::Single,
-            Order::End(Ending { manner: Manner::Kill, .. }) => {
+            Order::RunOver => StopSignals::Single,
+            Order::Restart(Restart { end: ProcessEnd::Stop(signals), .. }) => signals,
+            Order::Restart(Restart { end: ProcessEnd::Overlap, .. }) => StopSignals::Single,
+            Order::Restart(Restart { end: ProcessEnd::Kill, .. }) => {
                 life.killed = Some(self.clock.now());
                 child.kill()?;
                 let exit = child.wait()?;
@@ -112,26 +112,26 @@
 
     /// Tells a process to end, waits for that, and writes down what its clients got.
     async fn stop_with_clients(
-        &self, mut child: Child, mut life: Life, clients: Option<Clients>, signals: Signals,
+        &self, mut child: Child, mut life: Life, clients: Option<Clients>, signals: StopSignals,
     ) -> io::Result<()> {
         let exit = self.stop(&mut child, &mut life, clients.as_ref(), signals).await?;
         self.note_end(child.id(), life, exit, clients).await;
         Ok(())
     }
 
-    fn start(self: &Arc<World>, place: usize, how: NextStart) -> io::Result<Started> {
+    fn start(self: &Arc<World>, place: usize, how: ProcessStart) -> io::Result<Started> {
         let slot = &self.slots[place];
         let held = match how {
-            NextStart::HeldAddress(millis) => Some((millis, slot.kept().hold())),
+            ProcessStart::HeldAddress(millis) => Some((millis, slot.kept().hold())),
             // Longer than the process will be there.
-            NextStart::StopWhileHeld(millis) => Some((millis + 200, slot.kept().hold())),
+            ProcessStart::StopWhileHeld(millis) => Some((millis + 200, slot.kept().hold())),
             _ => None,
         };
-        let has_whole_config = !matches!(how, NextStart::HalfConfiguration(_));
+        let has_whole_config = !matches!(how, ProcessStart::HalfConfiguration(_));
         let (child, life) = slot.start(&self.setting(), has_whole_config)?;
         let unblocked = match (held, how) {
             (Some((millis, Ok(holder))), _) => Some(self.release_later(holder, millis)),
-            (_, NextStart::HalfConfiguration(millis)) => Some(self.complete_config_later(place, millis)),
+            (_, ProcessStart::HalfConfiguration(millis)) => Some(self.complete_config_later(place, millis)),
             _ => None,
         };
         Ok(Started { child, life, unblocked })
@@ -173,7 +173,7 @@
 
     /// Tells a process to end as the platform does, and waits for that.
     async fn stop(
-        &self, child: &mut Child, life: &mut Life, clients: Option<&Clients>, signals: Signals,
+        &self, child: &mut Child, life: &mut Life, clients: Option<&Clients>, signals: StopSignals,
     ) -> io::Result<ExitStatus> {
         let process = child.id();
         life.peak_memory_kib = life.peak_memory_kib.max(peak_memory_kib(process));
@@ -218,11 +218,11 @@
 }
 
 /// Sends the signals of a stop; SIGTERM is the first that ends anything.
-async fn send_series(process: u32, signals: Signals) {
+async fn send_series(process: u32, signals: StopSignals) {
     let names: &[&str] = match signals {
-        Signals::Single => &["TERM"],
-        Signals::Twice => &["TERM", "TERM"],
-        Signals::WithHangups => &["HUP", "HUP", "HUP", "TERM", "HUP", "TERM", "HUP"],
+        StopSignals::Single => &["TERM"],
+        StopSignals::Twice => &["TERM", "TERM"],
+        StopSignals::WithHangups => &["HUP", "HUP", "HUP", "TERM", "HUP", "TERM", "HUP"],
     };
     for (place, name) in names.iter().enumerate() {
         if place > 0 {
@@ -233,9 +233,9 @@
 }
 
 /// Waits for the next order to a process, or for its end.
-async fn next_order(child: &mut Child, orders: &mut mpsc::Receiver<Ending>) -> Order {
+async fn next_order(child: &mut Child, orders: &mut mpsc::Receiver<Restart>) -> Order {
     tokio::select! {
-        order = orders.recv() => order.map_or(Order::RunOver, Order::End),
+        order = orders.recv() => order.map_or(Order::RunOver, Order::Restart),
         () = ended(child) => Order::EndedByItself,
     }
 }
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -2,7 +2,7 @@
 
 use super::{set_link, World};
 use crate::clients::{crowd, misbehave};
-use crate::plan::{Ending, Illness, Step};
+use crate::plan::{BackendFault, Restart, Step};
 use shaletide_lab::links::{Cut, Fault as LinkFault, Link};
 use shaletide_testkit::{Fault, Law, ListService, Sending};
 use std::io;
@@ -15,11 +15,11 @@
 
 impl World {
     /// Takes a step. `orders`: where each proxy gets word of the ends of its processes.
-    pub(super) fn take(self: &Arc<World>, step: Step, orders: &[mpsc::Sender<Ending>]) -> io::Result<()> {
+    pub(super) fn take(self: &Arc<World>, step: Step, orders: &[mpsc::Sender<Restart>]) -> io::Result<()> {
         match step {
             // A proxy that has several orders waiting has enough to do.
-            Step::End(proxy, ending) => {
-                let _ = orders[proxy].try_send(ending);
+            Step::Restart(proxy, restart) => {
+                let _ = orders[proxy].try_send(restart);
             }
             Step::Reload(proxy) => self.reload(proxy)?,
             Step::Freeze(proxy, millis) => self.freeze(proxy, millis),
@@ -28,20 +28,20 @@
             Step::DiscoveryUp => self.resume_discovery(),
             Step::DiscoveryCut(proxy) => self.cut_discovery(proxy)?,
             Step::DiscoveryHealed(proxy) => self.heal_discovery(proxy)?,
-            Step::Drain(backend) => self.drain_backend(backend),
-            Step::Remove(backend) => self.remove_backend(backend),
-            Step::Return(backend) => self.return_backend(backend),
-            Step::Die(backend) => self.kill_backend(backend),
-            Step::Ill(backend, illness) => self.make_backend_ill(backend, illness),
-            Step::Well(backend) => self.cure_backend(backend),
+            Step::DrainBackend(backend) => self.drain_backend(backend),
+            Step::RemoveBackend(backend) => self.remove_backend(backend),
+            Step::StartBackend(backend) => self.return_backend(backend),
+            Step::KillBackend(backend) => self.kill_backend(backend),
+            Step::BackendFault(backend, fault) => self.set_backend_fault(backend, fault),
+            Step::BackendHealed(backend) => self.heal_backend(backend),
             Step::LinkReset(proxy, backend) => self.reset_link(proxy, backend)?,
             Step::LinkSilent(proxy, backend) => self.silence_link(proxy, backend)?,
             Step::LinkSlow(proxy, backend) => self.slow_link(proxy, backend)?,
             Step::LinkHealed(proxy, backend) => self.heal_link(proxy, backend)?,
-            Step::Call(fault, chance) => self.control.set(fault, chance)?,
+            Step::CallFault(fault, chance) => self.control.set(fault, chance)?,
             Step::WallClock(seconds) => self.control.step_wall_clock(seconds)?,
-            Step::Crowd(proxy) => self.crowd(proxy),
-            Step::BadClients(proxy) => self.misbehave(proxy),
+            Step::IdleCrowd(proxy) => self.crowd(proxy),
+            Step::MisbehavingClients(proxy) => self.misbehave(proxy),
         }
         Ok(())
     }
@@ -118,11 +118,11 @@
         self.fleet.boxes()[backend].kill();
     }
 
-    fn make_backend_ill(&self, backend: usize, illness: Illness) {
-        self.fleet.boxes()[backend].set(backend_fault(illness));
+    fn set_backend_fault(&self, backend: usize, fault: BackendFault) {
+        self.fleet.boxes()[backend].set(stand_in_fault(fault));
     }
 
-    fn cure_backend(&self, backend: usize) {
+    fn heal_backend(&self, backend: usize) {
         let handle = &self.fleet.boxes()[backend];
         for fault in [
             Fault::Hang(0.0),
@@ -167,20 +167,20 @@
     }
 }
 
-/// What the stand-in of a backend is told for an illness.
-fn backend_fault(illness: Illness) -> Fault {
-    match illness {
-        Illness::Hangs(part) => Fault::Hang(part),
-        Illness::Fails(part) => Fault::Fail(part),
-        Illness::Resets(part) => Fault::Reset(part),
-        Illness::Slow(times) => Fault::Slow(times),
-        Illness::Closes => Fault::Close(false),
-        Illness::Drips(millis) => Fault::Send(Sending::Drip(Duration::from_millis(millis))),
-        Illness::Garbage => Fault::Send(Sending::Raw(vec![b"no answer at all\r\n\r\n".to_vec()])),
-        Illness::Truncates => Fault::Send(Sending::Raw(vec![
+/// What the stand-in of a backend is told for a fault.
+fn stand_in_fault(fault: BackendFault) -> Fault {
+    match fault {
+        BackendFault::Hangs(part) => Fault::Hang(part),
+        BackendFault::Fails(part) => Fault::Fail(part),
+        BackendFault::Resets(part) => Fault::Reset(part),
+        BackendFault::Slow(times) => Fault::Slow(times),
+        BackendFault::Closes => Fault::Close(false),
+        BackendFault::Drips(millis) => Fault::Send(Sending::Drip(Duration::from_millis(millis))),
+        BackendFault::Garbage => Fault::Send(Sending::Raw(vec![b"no answer at all\r\n\r\n".to_vec()])),
+        BackendFault::Truncates => Fault::Send(Sending::Raw(vec![
             b"HTTP/1.1 200 X\r\nContent-Length: 50\r\n\r\n".to_vec(),
             b"half of it".to_vec(),
         ])),
-        Illness::TwoSegments => Fault::Send(Sending::TwoSegments),
+        BackendFault::TwoSegments => Fault::Send(Sending::TwoSegments),
     }
 }
