--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -62,7 +62,7 @@
         violations.len()
     );
     for violation in violations.iter().take(PRINTED) {
-        println!("  {:?}: {}", violation.rule, violation.text);
+        println!("  {:?}: {}", violation.invariant, violation.text);
     }
     if !violations.is_empty() {
         println!("  logs in {}", folder.display());
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -8,16 +8,16 @@
 mod discovery;
 mod drains;
 mod evidence;
+mod invariant;
 mod processes;
 mod repeats;
-mod rule;
 mod slow_start;
 #[cfg(test)]
 mod tests;
 
-pub use evidence::{ClientRecords, Evidence, LateLink, Return, Telling, Unlisted};
+pub use evidence::{BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, ListWrite};
+pub use invariant::{Invariant, Violation};
 pub use processes::MEMORY_LIMIT_KIB;
-pub use rule::{Rule, Violation};
 
 use shaletide_types::{Micros, Time};
 
@@ -26,7 +26,7 @@
 /// What the platform adds to each time limit on sockets.
 const CLOCK_SLACK: Micros = Micros(50_000);
 /// A proxy may be held up for so long between a look at its clock and a write.
-pub const HOLD_UP: Micros = Micros(150_000);
+pub const LONGEST_PAUSE: Micros = Micros(150_000);
 /// Cores that the machines of all backends have.
 pub const CORES: u32 = 2;
 /// The mean work of a request, ms.
@@ -34,19 +34,19 @@
 
 /// What broke.
 pub fn judge(evidence: &Evidence) -> Vec<Violation> {
-    let mut broken = Vec::new();
-    evidence.processes(&mut broken);
-    evidence.answers(&mut broken);
-    evidence.repeats(&mut broken);
-    evidence.drains(&mut broken);
-    evidence.cold_starts(&mut broken);
-    evidence.times_told(&mut broken);
-    evidence.clients_gone(&mut broken);
-    broken
+    let mut violations = Vec::new();
+    evidence.check_processes(&mut violations);
+    evidence.check_answers(&mut violations);
+    evidence.check_repeats(&mut violations);
+    evidence.check_drains(&mut violations);
+    evidence.check_slow_starts(&mut violations);
+    evidence.check_time_left(&mut violations);
+    evidence.check_disconnected_clients(&mut violations);
+    violations
 }
 
-fn add(broken: &mut Vec<Violation>, rule: Rule, text: String) {
-    broken.push(Violation { rule, text });
+fn report(violations: &mut Vec<Violation>, invariant: Invariant, text: String) {
+    violations.push(Violation { invariant, text });
 }
 
 /// A moment of the run's clock, in seconds.
@@ -55,6 +55,6 @@
 }
 
 /// The first half of an id, which tells whose clients sent it.
-fn run_of(id: &str) -> Option<u32> {
+fn client_run_of(id: &str) -> Option<u32> {
     u32::from_str_radix(id.get(..8)?, 16).ok()
 }
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -1,10 +1,10 @@
 //! The answers that clients got.
 
-use super::{add, seconds, Evidence, Rule, Violation};
+use super::{report, seconds, Evidence, Invariant, Violation};
 use shaletide_testkit::{checks, End};
 
 impl Evidence {
-    pub(super) fn answers(&self, broken: &mut Vec<Violation>) {
+    pub(super) fn check_answers(&self, violations: &mut Vec<Violation>) {
         for records in &self.clients {
             let life = &self.lives[records.life];
             for sent in &records.load.sent {
@@ -16,19 +16,23 @@
                     format!("{id} at p{} from {from:.3} to {to:.3} s: {:?}", life.proxy, sent.end)
                 };
                 match sent.end {
-                    End::Broken | End::GaveUp if !is_killed => add(broken, Rule::Answered, text()),
+                    End::Broken | End::GaveUp if !is_killed => {
+                        report(violations, Invariant::Answered, text())
+                    }
                     End::Status(status) if (400..500).contains(&status) && status != 429 => {
-                        add(broken, Rule::NotRejected, text());
+                        report(violations, Invariant::NotRejected, text());
                     }
                     _ => {}
                 }
             }
             let made_up = checks::answers_come_from_boxes(&self.ledger, &records.load);
-            made_up.into_iter().for_each(|violation| add(broken, Rule::TrueAnswer, violation.what));
+            for violation in made_up {
+                report(violations, Invariant::TrueAnswer, violation.what);
+            }
             if records.load.mixed_up + records.load.overfull > 0 {
                 let (mixed, more) = (records.load.mixed_up, records.load.overfull);
                 let text = format!("p{}: {mixed} answers of others, {more} with more behind", life.proxy);
-                add(broken, Rule::TrueAnswer, text);
+                report(violations, Invariant::TrueAnswer, text);
             }
         }
     }
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -1,6 +1,6 @@
 //! The client's own limits: the time that it has left, and that it is still there.
 
-use super::{add, Evidence, Rule, Violation, CLOCK_SLACK};
+use super::{report, Evidence, Invariant, Violation, CLOCK_SLACK};
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 const TIME_LEFT_SLACK: Micros = Micros(150_000);
 
 impl Evidence {
-    pub(super) fn times_told(&self, broken: &mut Vec<Violation>) {
+    pub(super) fn check_time_left(&self, violations: &mut Vec<Violation>) {
         let mut deadlines: BTreeMap<String, Time> = BTreeMap::new();
         for records in &self.clients {
             for sent in &records.load.sent {
@@ -24,20 +24,21 @@
             let until = record.came + left;
             if until > *deadline + TIME_LEFT_SLACK {
                 let over = (until - *deadline).secs();
-                add(broken, Rule::TimeLeft, format!("{} was told {over:.3} s too much", record.id));
+                let text = format!("{} was told {over:.3} s too much", record.id);
+                report(violations, Invariant::TimeLeft, text);
             }
         }
     }
 
-    pub(super) fn clients_gone(&self, broken: &mut Vec<Violation>) {
+    pub(super) fn check_disconnected_clients(&self, violations: &mut Vec<Violation>) {
         let departures = self.clients.iter().flat_map(|records| &records.departures.1);
         let closed: BTreeMap<&str, Time> = departures.map(|left| (left.id.as_str(), left.closed)).collect();
-        let slack = Micros(CLIENT_GONE_SLACK.0 + self.hold_up().0 + CLOCK_SLACK.0);
+        let slack = Micros(CLIENT_GONE_SLACK.0 + self.pause_allowance().0 + CLOCK_SLACK.0);
         for (record, _) in self.timely() {
             if let Some(closed) = closed.get(&*record.id).filter(|closed| record.came > **closed + slack) {
                 let after = (record.came - *closed).secs();
                 let text = format!("{} came {after:.3} s after its client had gone", record.id);
-                add(broken, Rule::ClientGone, text);
+                report(violations, Invariant::ClientGone, text);
             }
         }
     }
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -1,6 +1,6 @@
 //! What was written down in a run.
 
-use super::{run_of, seconds, HOLD_UP};
+use super::{client_run_of, seconds, LONGEST_PAUSE};
 use crate::clients::Departure;
 use crate::proxies::Life;
 use crate::settings::RunSettings;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 /// After a link is as usual bytes may still be on their way for so long.
-const LATE_LINK_TAIL: Micros = Micros(500_000);
+const DELAYED_LINK_TAIL: Micros = Micros(500_000);
 
 /// What the clients of one process got.
 #[derive(Clone, Debug)]
@@ -24,7 +24,7 @@
 
 /// A backend's time out of the list's service.
 #[derive(Clone, Copy, Debug)]
-pub struct Unlisted {
+pub struct DrainSpan {
     /// Its place in the ledger.
     pub backend: usize,
     /// When discovery was told.
@@ -35,7 +35,7 @@
 
 /// A time in which bytes from a proxy to a backend are late on their way.
 #[derive(Clone, Copy, Debug)]
-pub struct LateLink {
+pub struct DelayedLink {
     /// Which proxy.
     pub proxy: usize,
     /// Which backend.
@@ -48,7 +48,7 @@
 
 /// An entry of the list was written to a proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
+pub struct ListWrite {
     /// To which.
     pub proxy: usize,
     /// Of which backend.
@@ -59,7 +59,7 @@
 
 /// A backend started anew.
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
+pub struct BackendStart {
     /// Its place in the ledger.
     pub backend: usize,
     /// When discovery was told.
@@ -76,27 +76,27 @@
     /// What the clients of each got.
     pub clients: Vec<ClientRecords>,
     /// Drains and removals.
-    pub unlisted: Vec<Unlisted>,
+    pub drains: Vec<DrainSpan>,
     /// Starts of backends, in order.
-    pub returns: Vec<Return>,
+    pub backend_starts: Vec<BackendStart>,
     /// For each proxy, when discovery could not be reached.
-    pub unreachable: Vec<Vec<(Time, Time)>>,
+    pub discovery_outages: Vec<Vec<(Time, Time)>>,
     /// For each proxy, when it was told that discovery has moved.
-    pub moves: Vec<Vec<Time>>,
+    pub discovery_moves: Vec<Vec<Time>>,
     /// What came to a backend over such a link says nothing of when it was sent.
-    pub late_links: Vec<LateLink>,
+    pub delayed_links: Vec<DelayedLink>,
     /// Clients that the processes say they evicted, and whether idle ones may have filled their slots.
     pub evictions: u64,
     /// Many idle clients were there: evictions are right.
-    pub crowded: bool,
+    pub has_idle_crowds: bool,
     /// The lines of the logs that matter, with their files' names.
     pub log_lines: Vec<String>,
     /// What discovery wrote to whom, where it is asked.
-    pub tellings: Vec<Telling>,
+    pub list_writes: Vec<ListWrite>,
     /// Discovery is asked: a change is told when it is written.
-    pub asks_discovery: bool,
+    pub polls_discovery: bool,
     /// Processes were held up.
-    pub held_up: bool,
+    pub processes_paused: bool,
     /// What the proxies were told.
     pub settings: RunSettings,
     /// System calls failed, or processes were held up at their starts, so that these take longer.
@@ -104,38 +104,38 @@
 }
 
 impl Evidence {
-    pub(super) fn hold_up(&self) -> Micros {
-        if self.held_up {
-            HOLD_UP
+    pub(super) fn pause_allowance(&self) -> Micros {
+        if self.processes_paused {
+            LONGEST_PAUSE
         } else {
             Micros(0)
         }
     }
 
     /// The process to which the clients with such ids were connected.
-    pub(super) fn lives_by_run(&self) -> BTreeMap<u32, usize> {
+    pub(super) fn processes_by_client_run(&self) -> BTreeMap<u32, usize> {
         let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.life), (c.departures.0, c.life)]);
         runs.collect()
     }
 
     /// Whether a record came when it was sent; not where it came over a link that held bytes back.
     pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
-        !self.late_links.iter().any(|link| {
+        !self.delayed_links.iter().any(|link| {
             let here = link.proxy == proxy && link.backend == record.at_box;
-            here && record.came >= link.from && record.came <= link.until + LATE_LINK_TAIL
+            here && record.came >= link.from && record.came <= link.until + DELAYED_LINK_TAIL
         })
     }
 
     /// Records that came when they were sent, with the process that sent each.
     pub(super) fn timely(&self) -> impl Iterator<Item = (&Record, usize)> {
-        let lives = self.lives_by_run();
+        let lives = self.processes_by_client_run();
         self.ledger.records.iter().filter_map(move |record| {
-            let life = *lives.get(&run_of(&record.id)?)?;
+            let life = *lives.get(&client_run_of(&record.id)?)?;
             self.is_timely(record, self.lives[life].proxy).then_some((record, life))
         })
     }
 
-    pub(super) fn described(&self, places: &[usize]) -> String {
+    pub(super) fn describe(&self, places: &[usize]) -> String {
         let one = |place: &usize| {
             let r = &self.ledger.records[*place];
             let ended = r.ended.map(|(at, how)| (seconds(at), how));
--- a/crates/soak/src/oracle/rule.rs
+++ b/crates/soak/src/oracle/invariant.rs
@@ -3,7 +3,7 @@
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[non_exhaustive]
-pub enum Rule {
+pub enum Invariant {
     /// Each request has its final answer in time.
     Answered,
     /// A sound request is not rejected as malformed.
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Which.
-    pub rule: Rule,
+    pub invariant: Invariant,
     /// By what, and how.
     pub text: String,
 }
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -1,76 +1,77 @@
 //! Processes: their starts, their ends, their memory, and what they say themselves.
 
-use super::{add, seconds, Evidence, Rule, Violation, MACHINE_SLACK};
+use super::{report, seconds, Evidence, Invariant, Violation, MACHINE_SLACK};
 use crate::proxies::Life;
 use shaletide_types::Micros;
 use std::os::unix::process::ExitStatusExt;
 
 /// A new process is ready after this time.
-const READY: Micros = Micros(10_000_000);
+const LONGEST_START: Micros = Micros(10_000_000);
 /// One whose address was held, or whose configuration was not whole, is ready so long after that is over.
-const READY_AFTER_WAIT: Micros = Micros(1_000_000);
+const LONGEST_START_AFTER_WAIT: Micros = Micros(1_000_000);
 /// A process that is told to end so soon after its start may not handle the signal yet, and is ended by it.
-const EARLY_STOP: Micros = Micros(50_000);
+const STOP_BEFORE_HANDLERS: Micros = Micros(50_000);
 /// The memory that a process may use, KiB.
 pub const MEMORY_LIMIT_KIB: u64 = 192 << 10;
 /// What the program's own check says where an answer is late: the clients measure that themselves.
-const OWN_CHECK_OF_TIME: &str = "answered and sent before its time is up";
+const SELF_CHECK_OF_DEADLINES: &str = "answered and sent before its time is up";
 
 impl Evidence {
-    pub(super) fn processes(&self, broken: &mut Vec<Violation>) {
+    pub(super) fn check_processes(&self, violations: &mut Vec<Violation>) {
         for life in &self.lives {
             let name =
                 life.log.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-            self.end_of(life, &name, broken);
-            self.start_of(life, &name, broken);
+            self.check_end(life, &name, violations);
+            self.check_start(life, &name, violations);
             if life.peak_memory_kib > MEMORY_LIMIT_KIB {
                 let text = format!("{name} took {} KiB of {MEMORY_LIMIT_KIB}", life.peak_memory_kib);
-                add(broken, Rule::Memory, text);
+                report(violations, Invariant::Memory, text);
             }
         }
-        if self.evictions > 0 && !self.crowded {
+        if self.evictions > 0 && !self.has_idle_crowds {
             let text = format!("{} clients were evicted while slots were free", self.evictions);
-            add(broken, Rule::NoNeedlessEviction, text);
+            report(violations, Invariant::NoNeedlessEviction, text);
         }
         for line in &self.log_lines {
             if line.contains("panicked") {
-                add(broken, Rule::NoCrash, line.clone());
-            } else if line.contains("self-check:") && !line.contains(OWN_CHECK_OF_TIME) {
-                add(broken, Rule::SelfCheck, line.clone());
+                report(violations, Invariant::NoCrash, line.clone());
+            } else if line.contains("self-check:") && !line.contains(SELF_CHECK_OF_DEADLINES) {
+                report(violations, Invariant::SelfCheck, line.clone());
             }
         }
     }
 
-    fn end_of(&self, life: &Life, name: &str, broken: &mut Vec<Violation>) {
+    fn check_end(&self, life: &Life, name: &str, violations: &mut Vec<Violation>) {
         if life.outlived_its_stop {
-            add(broken, Rule::Stop, format!("{name} was still there when SIGKILL was due"));
+            report(violations, Invariant::Stop, format!("{name} was still there when SIGKILL was due"));
         }
         let Some((at, status)) = life.ended.filter(|_| life.killed.is_none()) else { return };
         let Some(stopped) = life.stopped else {
-            add(broken, Rule::NoCrash, format!("{name} ended at {:.3} s: {status}", seconds(at)));
+            report(violations, Invariant::NoCrash, format!("{name} ended at {:.3} s: {status}", seconds(at)));
             return;
         };
-        let is_early = stopped - life.started < EARLY_STOP && status.signal() == Some(libc::SIGTERM);
+        let is_early =
+            stopped - life.started < STOP_BEFORE_HANDLERS && status.signal() == Some(libc::SIGTERM);
         // It ends with status 1 where its own check found something, which is counted there.
         let is_orderly = matches!(status.code(), Some(0 | 1));
         if !life.outlived_its_stop && !is_early && !is_orderly {
-            add(broken, Rule::NoCrash, format!("{name} ended its stop with {status}"));
+            report(violations, Invariant::NoCrash, format!("{name} ended its stop with {status}"));
         }
     }
 
-    fn start_of(&self, life: &Life, name: &str, broken: &mut Vec<Violation>) {
+    fn check_start(&self, life: &Life, name: &str, violations: &mut Vec<Violation>) {
         let end = life.stopped.or(life.killed).or(life.ended.map(|(at, _)| at));
         let Some(ready) = life.ready.or(end) else {
-            add(broken, Rule::Ready, format!("{name} was not ready"));
+            report(violations, Invariant::Ready, format!("{name} was not ready"));
             return;
         };
         let since = life.unblocked.unwrap_or(life.started).max(life.started);
         let waited = life.unblocked.is_some() && !self.starts_are_slow;
-        let after_wait = Micros(READY_AFTER_WAIT.0 + MACHINE_SLACK.0 + self.hold_up().0);
-        let allowed = if waited { after_wait } else { READY };
+        let after_wait = Micros(LONGEST_START_AFTER_WAIT.0 + MACHINE_SLACK.0 + self.pause_allowance().0);
+        let allowed = if waited { after_wait } else { LONGEST_START };
         if ready > since + allowed {
             let after = (ready - since).secs();
-            add(broken, Rule::Ready, format!("{name} was ready {after:.3} s after it could be"));
+            report(violations, Invariant::Ready, format!("{name} was ready {after:.3} s after it could be"));
         }
     }
 }
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -1,43 +1,43 @@
 //! Requests that ran more often than they may.
 
-use super::{add, run_of, Evidence, Rule, Violation, CLOCK_SLACK};
+use super::{client_run_of, report, Evidence, Invariant, Violation, CLOCK_SLACK};
 use shaletide_testkit::{checks, End, Repeat, Sent};
 use shaletide_types::Micros;
 use std::collections::BTreeMap;
 
 impl Evidence {
-    pub(super) fn repeats(&self, broken: &mut Vec<Violation>) {
-        self.unsafe_repeats(broken);
-        self.keyed_repeats(broken);
-        self.rejected_that_ran(broken);
+    pub(super) fn check_repeats(&self, violations: &mut Vec<Violation>) {
+        self.check_unsafe_repeats(violations);
+        self.check_keyed_repeats(violations);
+        self.check_rejected(violations);
     }
 
-    fn unsafe_repeats(&self, broken: &mut Vec<Violation>) {
+    fn check_unsafe_repeats(&self, violations: &mut Vec<Violation>) {
         for violation in checks::unsafe_ran_once(&self.ledger) {
-            let text = violation.what + &self.described(&violation.records);
-            add(broken, Rule::UnsafeOnce, text);
+            let text = violation.what + &self.describe(&violation.records);
+            report(violations, Invariant::UnsafeOnce, text);
         }
     }
 
-    fn keyed_repeats(&self, broken: &mut Vec<Violation>) {
-        let window = Micros(self.settings.window_us + self.hold_up().0 + CLOCK_SLACK.0);
-        let lives = self.lives_by_run();
+    fn check_keyed_repeats(&self, violations: &mut Vec<Violation>) {
+        let window = Micros(self.settings.window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
+        let lives = self.processes_by_client_run();
         for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
             // The repeat may have been written in time and have lain in a cut since then.
             let is_timely = |place: &usize| {
                 let record = &self.ledger.records[*place];
-                let life = run_of(&record.id).and_then(|run| lives.get(&run));
+                let life = client_run_of(&record.id).and_then(|run| lives.get(&run));
                 life.is_none_or(|life| self.is_timely(record, self.lives[*life].proxy))
             };
             if violation.records.last().is_some_and(is_timely) {
-                let text = violation.what + &self.described(&violation.records);
-                add(broken, Rule::KeyedInside, text);
+                let text = violation.what + &self.describe(&violation.records);
+                report(violations, Invariant::KeyedInside, text);
             }
         }
     }
 
     /// Unsafe requests that were rejected, which promises that they have not run, and have.
-    fn rejected_that_ran(&self, broken: &mut Vec<Violation>) {
+    fn check_rejected(&self, violations: &mut Vec<Violation>) {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
         for (place, record) in self.ledger.records.iter().enumerate() {
             if record.repeat == Repeat::Unsafe && record.ran() {
@@ -49,8 +49,8 @@
             for sent in records.load.sent.iter().filter(is_rejected) {
                 let id = records.load.id(sent.number);
                 if let Some(place) = ran.get(id.as_str()) {
-                    let text = format!("{id} was refused and ran{}", self.described(&[*place]));
-                    add(broken, Rule::HarmlessRefusal, text);
+                    let text = format!("{id} was refused and ran{}", self.describe(&[*place]));
+                    report(violations, Invariant::HarmlessRefusal, text);
                 }
             }
         }
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -1,13 +1,13 @@
 //! What a backend gets in the time after its start.
 
-use super::{add, run_of, Evidence, Rule, Violation, CORES, MEAN_WORK_MS};
+use super::{client_run_of, report, Evidence, Invariant, Violation, CORES, MEAN_WORK_MS};
 use crate::settings::{RunSettings, FALL_WINDOW_US};
 use shaletide_testkit::Record;
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// A window in which a cold backend got more than it may.
-struct Fall<'a> {
+struct Overload<'a> {
     /// What it got.
     records: &'a [&'a Record],
     /// Its age at the end of the window.
@@ -31,44 +31,46 @@
     }
 
     /// When a backend's start of that number was listed; the first is its start before the run.
-    fn listed(&self, backend: usize, boot: usize) -> Option<Time> {
-        let mut starts = self.returns.iter().filter(|start| start.backend == backend);
+    fn start_listed_at(&self, backend: usize, boot: usize) -> Option<Time> {
+        let mut starts = self.backend_starts.iter().filter(|start| start.backend == backend);
         starts.nth(boot.checked_sub(1)?).map(|start| start.listed)
     }
 
     /// A backend falls where it gets too much, and the rule is broken where over two thirds of that came from processes
     /// that had been told of its start.
-    pub(super) fn cold_starts(&self, broken: &mut Vec<Violation>) {
-        let lives = self.lives_by_run();
+    pub(super) fn check_slow_starts(&self, violations: &mut Vec<Violation>) {
+        let lives = self.processes_by_client_run();
         let mut by_boot: BTreeMap<(usize, usize), Vec<&Record>> = BTreeMap::new();
         for record in &self.ledger.records {
             by_boot.entry((record.at_box, record.boot)).or_default().push(record);
         }
         for ((at_box, boot), records) in by_boot {
             let booted = self.ledger.boxes[at_box].boots.get(boot).and_then(|boot| boot.at);
-            let Some((booted, listed)) = booted.zip(self.listed(at_box, boot)) else { continue };
-            let Some(fall) = self.first_fall(&records, booted) else { continue };
-            let knew = |record: &&&Record| {
-                let life = run_of(&record.id).and_then(|run| lives.get(&run));
-                life.is_some_and(|life| record.came >= self.told(&self.lives[*life], at_box, listed))
+            let Some((booted, listed)) = booted.zip(self.start_listed_at(at_box, boot)) else { continue };
+            let Some(overload) = self.first_overload(&records, booted) else { continue };
+            let was_known = |record: &&&Record| {
+                let life = client_run_of(&record.id).and_then(|run| lives.get(&run));
+                life.is_some_and(|life| {
+                    record.came >= self.change_known_at(&self.lives[*life], at_box, listed)
+                })
             };
-            let got = fall.records.len();
-            let told = fall.records.iter().filter(knew).count();
+            let got = overload.records.len();
+            let told = overload.records.iter().filter(was_known).count();
             if 3 * told > 2 * got {
-                let Fall { age, limit, .. } = fall;
+                let Overload { age, limit, .. } = overload;
                 let text = format!(
                     "b{at_box} got {got} requests in 2 s up to {:.3} s after its start, {told} of those who \
                      knew, and may get {limit:.0}",
                     age.secs()
                 );
-                add(broken, Rule::Cold, text);
+                report(violations, Invariant::Cold, text);
             }
         }
     }
 
     /// The first time that a backend gets more than it may while it is cold. `records`: those of one start, in the order
     /// in which they began.
-    fn first_fall<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Fall<'a>> {
+    fn first_overload<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Overload<'a>> {
         let mut first = 0;
         for (last, record) in records.iter().enumerate() {
             while records[first].began + Micros(FALL_WINDOW_US) < record.began {
@@ -79,7 +81,7 @@
             let limit = Evidence::cold_limit(&self.settings, age_as_window_began);
             let window = &records[first..=last];
             if !is_warm && window.len() as f64 > limit {
-                return Some(Fall { records: window, age: record.began - booted, limit });
+                return Some(Overload { records: window, age: record.began - booted, limit });
             }
         }
         None
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -20,29 +20,29 @@
     }
 }
 
-fn evidence(asks_discovery: bool) -> Evidence {
+fn evidence(polls_discovery: bool) -> Evidence {
     Evidence {
         ledger: Ledger::new(0),
         lives: vec![life(0)],
         clients: Vec::new(),
-        unlisted: Vec::new(),
-        returns: Vec::new(),
-        unreachable: vec![Vec::new()],
-        moves: vec![Vec::new()],
-        late_links: Vec::new(),
+        drains: Vec::new(),
+        backend_starts: Vec::new(),
+        discovery_outages: vec![Vec::new()],
+        discovery_moves: vec![Vec::new()],
+        delayed_links: Vec::new(),
         evictions: 0,
-        crowded: false,
+        has_idle_crowds: false,
         log_lines: Vec::new(),
-        tellings: Vec::new(),
-        asks_discovery,
-        held_up: false,
+        list_writes: Vec::new(),
+        polls_discovery,
+        processes_paused: false,
         settings: RunSettings::USUAL,
         starts_are_slow: false,
     }
 }
 
-fn rules(evidence: &Evidence) -> Vec<Rule> {
-    judge(evidence).into_iter().map(|violation| violation.rule).collect()
+fn broken_invariants(evidence: &Evidence) -> Vec<Invariant> {
+    judge(evidence).into_iter().map(|violation| violation.invariant).collect()
 }
 
 /// A change that discovery writes into a link that is cut is told when the link is whole again, and 6 s after it could
@@ -51,12 +51,12 @@
 fn change_written_into_a_cut_link_is_told_when_it_arrives() {
     let mut evidence = evidence(true);
     let (change, written) = (Time(6_279_000), Time(6_280_000));
-    evidence.tellings = vec![Telling { proxy: 0, backend: 9, at: written }];
-    let told = |evidence: &Evidence| evidence.told(&evidence.lives[0], 9, change);
+    evidence.list_writes = vec![ListWrite { proxy: 0, backend: 9, at: written }];
+    let told = |evidence: &Evidence| evidence.change_known_at(&evidence.lives[0], 9, change);
     assert_eq!(told(&evidence), written, "nothing is cut");
-    evidence.unreachable[0] = vec![(Time(6_069_000), Time(8_790_000))];
+    evidence.discovery_outages[0] = vec![(Time(6_069_000), Time(8_790_000))];
     assert_eq!(told(&evidence), Time(8_790_000));
-    evidence.tellings[0].at = Time(30_000_000);
+    evidence.list_writes[0].at = Time(30_000_000);
     assert_eq!(told(&evidence), Time(14_790_000), "6 s after discovery could be reached");
 }
 
@@ -65,13 +65,13 @@
     let mut evidence = evidence(false);
     evidence.lives[0].unblocked = Some(Time(5_000_000));
     evidence.lives[0].ready = Some(Time(5_900_000));
-    assert_eq!(rules(&evidence), []);
+    assert_eq!(broken_invariants(&evidence), []);
     evidence.lives[0].ready = Some(Time(6_200_000));
-    assert_eq!(rules(&evidence), [Rule::Ready]);
+    assert_eq!(broken_invariants(&evidence), [Invariant::Ready]);
     evidence.starts_are_slow = true;
-    assert_eq!(rules(&evidence), []);
+    assert_eq!(broken_invariants(&evidence), []);
     (evidence.lives[0].ready, evidence.lives[0].peak_memory_kib) = (None, MEMORY_LIMIT_KIB + 1);
-    assert_eq!(rules(&evidence), [Rule::Ready, Rule::Memory]);
+    assert_eq!(broken_invariants(&evidence), [Invariant::Ready, Invariant::Memory]);
 }
 
 #[test]
@@ -79,12 +79,12 @@
     let status = |raw| std::process::ExitStatus::from_raw(raw);
     let mut evidence = evidence(false);
     evidence.lives[0].ended = Some((Time(20_000), status(1 << 8)));
-    assert_eq!(rules(&evidence), [Rule::NoCrash]);
+    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash]);
     (evidence.lives[0].stopped, evidence.lives[0].ready) = (Some(Time(5_000)), None);
     evidence.lives[0].ended = Some((Time(20_000), status(libc::SIGTERM)));
-    assert_eq!(rules(&evidence), []);
+    assert_eq!(broken_invariants(&evidence), []);
     evidence.lives[0].stopped = Some(Time(900_000));
-    assert_eq!(rules(&evidence), [Rule::NoCrash]);
+    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash]);
     evidence.lives[0].ended = Some((Time(920_000), status(0)));
-    assert_eq!(rules(&evidence), []);
+    assert_eq!(broken_invariants(&evidence), []);
 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -36,7 +36,7 @@
     /// Seconds that the proxies' wall clocks are ahead as the first processes start.
     pub wall_clock_at_start: i64,
     /// Discovery is asked, not an agent that pushes.
-    pub asks_discovery: bool,
+    pub polls_discovery: bool,
     /// What the proxies are told.
     pub settings: RunSettings,
     /// In the order of their times.
@@ -53,8 +53,8 @@
         for kind in &kinds {
             builder.add_fault(*kind);
         }
-        let asks_discovery = builder.chance(0.3);
+        let polls_discovery = builder.chance(0.3);
         let steps = builder.into_steps();
-        Plan { kinds, wall_clock_at_start, asks_discovery, settings: RunSettings::draw(seed), steps }
+        Plan { kinds, wall_clock_at_start, polls_discovery, settings: RunSettings::draw(seed), steps }
     }
 }
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -74,7 +74,7 @@
     /// How many proxies there are.
     pub proxies: usize,
     /// Discovery is asked, not an agent that pushes.
-    pub asks_discovery: bool,
+    pub polls_discovery: bool,
     /// The run's seed.
     pub seed: u64,
     /// What the proxies are told.
@@ -117,7 +117,7 @@
             "discovery": self.discovery[state.moves % 2].to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": setting.settings.sockets},
             "known": {"index": 0, "snapshot": true, "endpoints": state.known},
-            "settings": setting.settings.platform(self.place, setting.proxies, setting.asks_discovery),
+            "settings": setting.settings.platform(self.place, setting.proxies, setting.polls_discovery),
         });
         config.to_string()
     }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -57,7 +57,7 @@
     seed: u64,
     scale: Scale,
     settings: RunSettings,
-    asks_discovery: bool,
+    polls_discovery: bool,
     slots: Vec<ProxySlot>,
     fleet: Fleet,
     discovery: ListServer,
@@ -108,7 +108,7 @@
             folder: &self.folder,
             clock: self.clock,
             proxies: self.scale.proxies,
-            asks_discovery: self.asks_discovery,
+            polls_discovery: self.polls_discovery,
             seed: self.seed,
             settings: self.settings,
         }
--- a/crates/soak/src/run/notes.rs
+++ b/crates/soak/src/run/notes.rs
@@ -2,7 +2,7 @@
 
 use super::World;
 use crate::call_faults::CallFault;
-use crate::oracle::{ClientRecords, Evidence, LateLink, Return, Telling, Unlisted};
+use crate::oracle::{BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, ListWrite};
 use crate::plan::{FaultKind, Plan, Step};
 use crate::proxies::Life;
 use shaletide_testkit::Told;
@@ -16,26 +16,30 @@
 pub(super) struct Notes {
     pub(super) lives: Vec<Life>,
     pub(super) clients: Vec<ClientRecords>,
-    pub(super) unlisted: Vec<Unlisted>,
-    unreachable: Vec<Vec<(Time, Time)>>,
-    pub(super) moves: Vec<Vec<Time>>,
-    pub(super) late_links: Vec<LateLink>,
-    pub(super) returns: Vec<Return>,
+    pub(super) drains: Vec<DrainSpan>,
+    discovery_outages: Vec<Vec<(Time, Time)>>,
+    pub(super) discovery_moves: Vec<Vec<Time>>,
+    pub(super) delayed_links: Vec<DelayedLink>,
+    pub(super) backend_starts: Vec<BackendStart>,
     pub(super) runs: u32,
 }
 
 impl Notes {
     /// The notes of a run with so many proxies, before it begins.
     pub(super) fn of(proxies: usize) -> Notes {
-        Notes { unreachable: vec![Vec::new(); proxies], moves: vec![Vec::new(); proxies], ..Notes::default() }
+        Notes {
+            discovery_outages: vec![Vec::new(); proxies],
+            discovery_moves: vec![Vec::new(); proxies],
+            ..Notes::default()
+        }
     }
 
     /// Ends the spans that are still open.
     fn close(&mut self, now: Time) {
-        for span in self.unreachable.iter_mut().flatten().filter(|span| span.1 == OPEN) {
+        for span in self.discovery_outages.iter_mut().flatten().filter(|span| span.1 == OPEN) {
             span.1 = now;
         }
-        for link in self.late_links.iter_mut().filter(|link| link.until == OPEN) {
+        for link in self.delayed_links.iter_mut().filter(|link| link.until == OPEN) {
             link.until = now;
         }
     }
@@ -46,33 +50,42 @@
     pub(super) fn evidence(&self, plan: &Plan) -> Evidence {
         let mut notes = std::mem::take(&mut *self.notes());
         notes.close(self.clock.now());
-        let Notes { lives, clients, unlisted, unreachable, moves, late_links, returns, .. } = notes;
+        let Notes {
+            lives,
+            clients,
+            drains,
+            discovery_outages,
+            discovery_moves,
+            delayed_links,
+            backend_starts,
+            ..
+        } = notes;
         let (log_lines, evictions) = read_logs(&lives);
         Evidence {
             ledger: self.fleet.ledger(),
             lives,
             clients,
-            unlisted,
-            unreachable,
-            moves,
-            late_links,
-            returns,
+            drains,
+            discovery_outages,
+            discovery_moves,
+            delayed_links,
+            backend_starts,
             evictions,
-            crowded: has_kind(plan, &[FaultKind::Crowd, FaultKind::Clients]),
+            has_idle_crowds: has_kind(plan, &[FaultKind::Crowd, FaultKind::Clients]),
             log_lines,
-            tellings: if self.asks_discovery { self.tellings() } else { Vec::new() },
-            asks_discovery: self.asks_discovery,
-            held_up: holds_processes_up(plan),
+            list_writes: if self.polls_discovery { self.list_writes() } else { Vec::new() },
+            polls_discovery: self.polls_discovery,
+            processes_paused: holds_processes_up(plan),
             settings: self.settings,
             starts_are_slow: has_kind(plan, &[FaultKind::Calls, FaultKind::ShortStart, FaultKind::Freeze]),
         }
     }
 
     /// What discovery wrote to whom.
-    fn tellings(&self) -> Vec<Telling> {
+    fn list_writes(&self) -> Vec<ListWrite> {
         let place = |name: &str| name.get(1..).and_then(|number| number.parse().ok());
         let one =
-            |told: Told| Some(Telling { proxy: told.watcher, backend: place(&told.name)?, at: told.at });
+            |told: Told| Some(ListWrite { proxy: told.watcher, backend: place(&told.name)?, at: told.at });
         self.discovery.told().into_iter().filter_map(one).collect()
     }
 
@@ -81,7 +94,7 @@
         let now = self.clock.now();
         let mut notes = self.notes();
         for proxy in proxies {
-            notes.unreachable[proxy].push((now, OPEN));
+            notes.discovery_outages[proxy].push((now, OPEN));
         }
     }
 
@@ -90,7 +103,7 @@
         let now = self.clock.now();
         let mut notes = self.notes();
         for proxy in proxies {
-            for span in notes.unreachable[proxy].iter_mut().filter(|span| span.1 == OPEN) {
+            for span in notes.discovery_outages[proxy].iter_mut().filter(|span| span.1 == OPEN) {
                 span.1 = now;
             }
         }
@@ -99,13 +112,13 @@
     /// From now on bytes from a proxy to a backend are late.
     pub(super) fn late_from_now(&self, proxy: usize, backend: usize) {
         let from = self.clock.now();
-        self.notes().late_links.push(LateLink { proxy, backend, from, until: OPEN });
+        self.notes().delayed_links.push(DelayedLink { proxy, backend, from, until: OPEN });
     }
 
     /// From now on they are not.
     pub(super) fn late_until_now(&self, proxy: usize, backend: usize) {
         let now = self.clock.now();
-        for link in &mut self.notes().late_links {
+        for link in &mut self.notes().delayed_links {
             if (link.proxy, link.backend) == (proxy, backend) && link.until > now {
                 link.until = now;
             }
@@ -114,16 +127,16 @@
 
     /// A backend drains, as discovery was told at that time.
     pub(super) fn unlisted_from(&self, backend: usize, from: Time) {
-        self.notes().unlisted.push(Unlisted { backend, from, until: None });
+        self.notes().drains.push(DrainSpan { backend, from, until: None });
     }
 
     /// A backend that started anew is listed, as discovery was told at that time.
     pub(super) fn listed_again(&self, backend: usize, listed: Time) {
         let mut notes = self.notes();
-        notes.returns.push(Return { backend, listed });
-        for unlisted in &mut notes.unlisted {
-            if unlisted.backend == backend && unlisted.until.is_none() {
-                unlisted.until = Some(listed);
+        notes.backend_starts.push(BackendStart { backend, listed });
+        for drain in &mut notes.drains {
+            if drain.backend == backend && drain.until.is_none() {
+                drain.until = Some(listed);
             }
         }
     }
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -135,7 +135,7 @@
             seed,
             scale: *scale,
             settings: plan.settings,
-            asks_discovery: plan.asks_discovery,
+            polls_discovery: plan.polls_discovery,
             slots,
             fleet,
             discovery,
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -48,7 +48,7 @@
 
     fn reload(&self, proxy: usize) -> io::Result<()> {
         let now = self.clock.now();
-        self.notes().moves[proxy].push(now);
+        self.notes().discovery_moves[proxy].push(now);
         self.slots[proxy].move_discovery(&self.setting())
     }
 
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -83,8 +83,8 @@
     }
 
     /// The settings in the platform's form, for the proxy of that place among so many.
-    pub fn platform(&self, place: usize, proxies: usize, asks_discovery: bool) -> serde_json::Value {
-        let discovery = if asks_discovery { "subscribe" } else { "automatic" };
+    pub fn platform(&self, place: usize, proxies: usize, polls_discovery: bool) -> serde_json::Value {
+        let discovery = if polls_discovery { "subscribe" } else { "automatic" };
         let class = |place: usize, name: &str, effect: &str| {
             let deadline = self.deadlines_us[place];
             json!({"name": name, "aim_us": deadline / 3, "deadline_us": deadline, "effect": effect,
--- a/crates/soak/tests/plan_identity.rs
+++ b/crates/soak/tests/plan_identity.rs
@@ -9,9 +9,9 @@
 
 /// All that a plan says, one step a line, with times to the nanosecond.
 fn text(plan: &Plan) -> String {
-    let Plan { kinds, wall_clock_at_start, asks_discovery, settings, steps } = plan;
+    let Plan { kinds, wall_clock_at_start, polls_discovery, settings, steps } = plan;
     let mut text = format!(
-        "kinds {kinds:?}\nwall clock {wall_clock_at_start} s\nasks discovery {asks_discovery}\n{settings:#?}\n"
+        "kinds {kinds:?}\nwall clock {wall_clock_at_start} s\nasks discovery {polls_discovery}\n{settings:#?}\n"
     );
     for timed in steps {
         writeln!(text, "{:?} {:?}", timed.at, timed.step).expect("a string takes all");
--- a/crates/soak/tests/verdict_identity.rs
+++ b/crates/soak/tests/verdict_identity.rs
@@ -1,7 +1,9 @@
 //! The oracle's verdicts of generated evidence stay the same, to the last request and time.
 
 use shaletide_soak::clients::{request_id, Departure};
-use shaletide_soak::oracle::{judge, ClientRecords, Evidence, LateLink, Return, Rule, Telling, Unlisted};
+use shaletide_soak::oracle::{
+    judge, BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, Invariant, ListWrite,
+};
 use shaletide_soak::proxies::Life;
 use shaletide_soak::settings::RunSettings;
 use shaletide_testkit::{
@@ -146,37 +148,39 @@
         let starts = lives.iter().map(|life| life.started).enumerate();
         let clients: Vec<ClientRecords> = starts.map(|(life, at)| self.client_records(life, at)).collect();
         let ledger = self.ledger(&clients, &settings);
-        let late_links = (0..3).map(|_| {
+        let delayed_links = (0..3).map(|_| {
             let (from, until) = self.span();
-            LateLink { proxy: self.below(3) as usize, backend: self.below(4) as usize, from, until }
+            DelayedLink { proxy: self.below(3) as usize, backend: self.below(4) as usize, from, until }
         });
-        let late_links = late_links.collect();
+        let delayed_links = delayed_links.collect();
         // Half of the runs have a discovery without outages, so that starts are known of at once.
         let outages = if self.one_in(2) { 0 } else { 2 };
-        let unreachable = (0..PROXIES).map(|_| (0..outages).map(|_| self.span()).collect()).collect();
-        let moves = (0..PROXIES).map(|_| (0..outages).map(|_| self.time()).collect()).collect();
+        let discovery_outages = (0..PROXIES).map(|_| (0..outages).map(|_| self.span()).collect()).collect();
+        let discovery_moves = (0..PROXIES).map(|_| (0..outages).map(|_| self.time()).collect()).collect();
         let telling =
-            |_| Telling { proxy: self.below(3) as usize, backend: self.below(4) as usize, at: self.time() };
-        let tellings = (0..30).map(telling).collect();
-        let unlisted = (0..3).map(|backend| {
+            |_| ListWrite { proxy: self.below(3) as usize, backend: self.below(4) as usize, at: self.time() };
+        let list_writes = (0..30).map(telling).collect();
+        let drains = (0..3).map(|backend| {
             let (from, until) = self.span();
-            Unlisted { backend, from, until: (!self.one_in(3)).then_some(until) }
+            DrainSpan { backend, from, until: (!self.one_in(3)).then_some(until) }
         });
         Evidence {
             ledger,
             lives,
             clients,
-            unlisted: unlisted.collect(),
-            returns: (0..2).map(|backend| Return { backend, listed: Time(BOOT.0 + 10_000) }).collect(),
-            unreachable,
-            moves,
-            late_links,
+            drains: drains.collect(),
+            backend_starts: (0..2)
+                .map(|backend| BackendStart { backend, listed: Time(BOOT.0 + 10_000) })
+                .collect(),
+            discovery_outages,
+            discovery_moves,
+            delayed_links,
             evictions: self.below(2),
-            crowded: self.one_in(2),
+            has_idle_crowds: self.one_in(2),
             log_lines: ["p0-0: panicked at 1", "p1-1: self-check: 2"].map(String::from).to_vec(),
-            tellings,
-            asks_discovery: self.one_in(3),
-            held_up: self.one_in(2),
+            list_writes,
+            polls_discovery: self.one_in(3),
+            processes_paused: self.one_in(2),
             settings,
             starts_are_slow: self.one_in(2),
         }
@@ -192,33 +196,33 @@
 /// The hash is over the rules in their order and the digits of their texts, so that a renamed word does not change it.
 #[test]
 fn verdicts_of_generated_evidence_are_unchanged() {
-    let mut counts: BTreeMap<Rule, usize> = BTreeMap::new();
+    let mut counts: BTreeMap<Invariant, usize> = BTreeMap::new();
     let mut verdicts = String::new();
     for seed in 0..SEEDS {
         let evidence = Draws(SeededRng::of(seed, "evidence")).evidence(seed);
         for violation in judge(&evidence) {
-            *counts.entry(violation.rule).or_default() += 1;
+            *counts.entry(violation.invariant).or_default() += 1;
             let digits: String = violation.text.chars().filter(char::is_ascii_digit).collect();
-            verdicts += &format!("{seed} {:?} {digits}\n", violation.rule);
+            verdicts += &format!("{seed} {:?} {digits}\n", violation.invariant);
         }
     }
     let expected = [
-        (Rule::Answered, 28957),
-        (Rule::NotRejected, 14621),
-        (Rule::UnsafeOnce, 5413),
-        (Rule::KeyedInside, 1630),
-        (Rule::HarmlessRefusal, 6673),
-        (Rule::Drain, 14148),
-        (Rule::Cold, 31),
-        (Rule::TrueAnswer, 34966),
-        (Rule::TimeLeft, 59331),
-        (Rule::ClientGone, 1642),
-        (Rule::NoCrash, 186),
-        (Rule::Ready, 87),
-        (Rule::Memory, 27),
-        (Rule::Stop, 61),
-        (Rule::NoNeedlessEviction, 21),
-        (Rule::SelfCheck, 60),
+        (Invariant::Answered, 28957),
+        (Invariant::NotRejected, 14621),
+        (Invariant::UnsafeOnce, 5413),
+        (Invariant::KeyedInside, 1630),
+        (Invariant::HarmlessRefusal, 6673),
+        (Invariant::Drain, 14148),
+        (Invariant::Cold, 31),
+        (Invariant::TrueAnswer, 34966),
+        (Invariant::TimeLeft, 59331),
+        (Invariant::ClientGone, 1642),
+        (Invariant::NoCrash, 186),
+        (Invariant::Ready, 87),
+        (Invariant::Memory, 27),
+        (Invariant::Stop, 61),
+        (Invariant::NoNeedlessEviction, 21),
+        (Invariant::SelfCheck, 60),
     ];
     assert_eq!(counts, BTreeMap::from(expected));
     assert_eq!(hash(&verdicts), 8_046_329_746_908_666_970);
