--- a/crates/soak/src/address.rs
+++ b/crates/soak/src/address.rs
@@ -15,22 +15,22 @@
 
 /// A port that is kept by a socket which never listens.
 #[derive(Debug)]
-pub struct KeptAddress {
+pub struct ReservedAddress {
     _socket: Socket,
     address: SocketAddr,
     reservation: Reservation,
 }
 
-impl KeptAddress {
+impl ReservedAddress {
     /// Takes a port that the kernel picks.
     ///
     /// # Errors
     /// Those of the system calls.
-    pub fn take(reservation: Reservation) -> io::Result<KeptAddress> {
+    pub fn reserve(reservation: Reservation) -> io::Result<ReservedAddress> {
         let socket = open(reservation)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
         let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::InvalidData)?;
-        Ok(KeptAddress { _socket: socket, address, reservation })
+        Ok(ReservedAddress { _socket: socket, address, reservation })
     }
 
     /// The address.
@@ -42,11 +42,11 @@
     ///
     /// # Errors
     /// A process listens there.
-    pub fn hold(&self) -> io::Result<Holder> {
+    pub fn occupy(&self) -> io::Result<ConflictingListener> {
         let socket = open(self.reservation)?;
         socket.bind(&self.address.into())?;
         socket.listen(1)?;
-        Ok(Holder { _socket: socket })
+        Ok(ConflictingListener { _socket: socket })
     }
 }
 
@@ -61,6 +61,6 @@
 
 /// A listener that accepts nothing.
 #[derive(Debug)]
-pub struct Holder {
+pub struct ConflictingListener {
     _socket: Socket,
 }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -13,21 +13,21 @@
 /// A client waits so long for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest that a client stays before it leaves, ms.
-const LONGEST_STAY_MS: f64 = 80.0;
+const LONGEST_CONNECTION_MS: f64 = 80.0;
 /// A client that has ended its sending closes its connection after so long.
-const HALF_CLOSED: Duration = Duration::from_millis(500);
+const HALF_CLOSED_FOR: Duration = Duration::from_millis(500);
 /// Connections that rest at a proxy while its clients misbehave.
-const RESTING: usize = 60;
+const IDLE_CONNECTIONS: usize = 60;
 /// So long they rest.
-const REST: Duration = Duration::from_secs(4);
+const IDLE_FOR: Duration = Duration::from_secs(4);
 
 /// A client that left.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departure {
+pub struct ClientDisconnect {
     /// The id of its request.
     pub id: String,
     /// When it had closed its connection.
-    pub closed: Time,
+    pub closed_at: Time,
 }
 
 /// The id of a request of a run of clients.
@@ -55,9 +55,9 @@
 }
 
 /// Clients that leave, one after the other with pauses of this mean, until told to stop.
-pub async fn leave(
+pub async fn run_disconnecting_clients(
     to: SocketAddr, clock: Clock, run: u32, pause_ms: f64, mut stop: watch::Receiver<bool>,
-) -> Vec<Departure> {
+) -> Vec<ClientDisconnect> {
     let mut rng = SeededRng::new(u64::from(run));
     let mut clients = JoinSet::new();
     let mut number = 0;
@@ -67,17 +67,17 @@
             () = tokio::time::sleep(pause) => {}
             _ = stop.changed() => break,
         }
-        let stay = Duration::from_secs_f64(rng.part() * LONGEST_STAY_MS / 1e3);
-        clients.spawn(leave_once(to, clock, request_id(run, number), number, stay));
+        let stay = Duration::from_secs_f64(rng.part() * LONGEST_CONNECTION_MS / 1e3);
+        clients.spawn(disconnect_once(to, clock, request_id(run, number), number, stay));
         number += 1;
     }
     clients.join_all().await.into_iter().flatten().collect()
 }
 
 /// Sends a request, stays for a while, and leaves: by a close, a reset or an end of its sending, in turns.
-async fn leave_once(
+async fn disconnect_once(
     to: SocketAddr, clock: Clock, id: String, number: u32, stay: Duration,
-) -> Option<Departure> {
+) -> Option<ClientDisconnect> {
     let mut tcp = connect(to).await.ok()?;
     tcp.write_all(request(&id, number).as_bytes()).await.ok()?;
     tokio::time::sleep(stay).await;
@@ -89,17 +89,17 @@
         }
         _ => {
             let _ = tcp.shutdown().await; // the connection may be over already
-            let closed = clock.now();
-            tokio::time::sleep(HALF_CLOSED).await;
-            return Some(Departure { id, closed });
+            let closed_at = clock.now();
+            tokio::time::sleep(HALF_CLOSED_FOR).await;
+            return Some(ClientDisconnect { id, closed_at });
         }
     }
-    Some(Departure { id, closed: clock.now() })
+    Some(ClientDisconnect { id, closed_at: clock.now() })
 }
 
 /// Clients that misbehave at once: half of a head, half of a body, bytes that are no request, several requests in one
 /// write, and connections that rest.
-pub async fn misbehave(to: SocketAddr, run: u32) {
+pub async fn run_misbehaving_clients(to: SocketAddr, run: u32) {
     let several: String = (0..4).map(|n| request(&request_id(run, n), n)).collect();
     let half_body = request(&request_id(run, 4), 1).replace("Content-Length: 4", "Content-Length: 400");
     let texts = [
@@ -109,11 +109,11 @@
         several,
     ];
     let mut clients = JoinSet::new();
-    for text in texts.into_iter().chain((0..RESTING).map(|_| String::new())) {
+    for text in texts.into_iter().chain((0..IDLE_CONNECTIONS).map(|_| String::new())) {
         clients.spawn(async move {
             let mut tcp = connect(to).await?;
             tcp.write_all(text.as_bytes()).await?;
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(IDLE_FOR).await;
             io::Result::Ok(())
         });
     }
@@ -121,11 +121,11 @@
 }
 
 /// So many idle connections, a few at a time; those that the proxy closes are not opened again.
-pub async fn crowd(to: SocketAddr, connections: usize) {
+pub async fn hold_idle_connections(to: SocketAddr, connections: usize) {
     let mut open = Vec::new();
     for _ in 0..connections {
         open.extend(connect(to).await.ok());
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    tokio::time::sleep(REST).await;
+    tokio::time::sleep(IDLE_FOR).await;
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -55,9 +55,9 @@
 }
 
 fn print(report: &Report) {
-    let Report { seed, kinds, processes, requests, served, departures, calls, violations, folder } = report;
+    let Report { seed, kinds, processes, requests, served, disconnects, calls, violations, folder } = report;
     println!(
-        "seed {seed} {kinds:?}: {processes} processes, {requests} requests, {served} served, {departures} left, \
+        "seed {seed} {kinds:?}: {processes} processes, {requests} requests, {served} served, {disconnects} left, \
          calls {calls:?}, {} violations",
         violations.len()
     );
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -6,14 +6,14 @@
 impl Evidence {
     pub(super) fn check_answers(&self, violations: &mut Vec<Violation>) {
         for records in &self.clients {
-            let life = &self.lives[records.life];
+            let process = &self.processes[records.process];
             for sent in &records.load.sent {
                 let over = sent.arrived + sent.latency;
-                let is_killed = life.killed.is_some_and(|killed| over >= killed);
+                let is_killed = process.killed_at.is_some_and(|killed| over >= killed);
                 let id = records.load.id(sent.number);
                 let text = || {
                     let (from, to) = (seconds(sent.arrived), seconds(over));
-                    format!("{id} at p{} from {from:.3} to {to:.3} s: {:?}", life.proxy, sent.end)
+                    format!("{id} at p{} from {from:.3} to {to:.3} s: {:?}", process.proxy, sent.end)
                 };
                 match sent.end {
                     End::Broken | End::GaveUp if !is_killed => {
@@ -31,7 +31,7 @@
             }
             if records.load.mixed_up + records.load.overfull > 0 {
                 let (mixed, more) = (records.load.mixed_up, records.load.overfull);
-                let text = format!("p{}: {mixed} answers of others, {more} with more behind", life.proxy);
+                let text = format!("p{}: {mixed} answers of others, {more} with more behind", process.proxy);
                 report(violations, Invariant::TrueAnswer, text);
             }
         }
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -31,8 +31,9 @@
     }
 
     pub(super) fn check_disconnected_clients(&self, violations: &mut Vec<Violation>) {
-        let departures = self.clients.iter().flat_map(|records| &records.departures.1);
-        let closed: BTreeMap<&str, Time> = departures.map(|left| (left.id.as_str(), left.closed)).collect();
+        let disconnects = self.clients.iter().flat_map(|records| &records.disconnects.1);
+        let closed: BTreeMap<&str, Time> =
+            disconnects.map(|left| (left.id.as_str(), left.closed_at)).collect();
         let slack = Micros(CLIENT_GONE_SLACK.0 + self.pause_allowance().0 + CLOCK_SLACK.0);
         for (record, _) in self.timely() {
             if let Some(closed) = closed.get(&*record.id).filter(|closed| record.came > **closed + slack) {
--- a/crates/soak/src/oracle/drains.rs
+++ b/crates/soak/src/oracle/drains.rs
@@ -14,8 +14,8 @@
                     && r.came > drain.from
                     && drain.until.is_none_or(|until| r.came < until)
             };
-            for (record, life) in self.timely().filter(|(record, _)| here(record)) {
-                let told = self.change_known_at(&self.lives[life], drain.backend, drain.from);
+            for (record, process) in self.timely().filter(|(record, _)| here(record)) {
+                let told = self.change_known_at(&self.processes[process], drain.backend, drain.from);
                 if record.came > told + late {
                     let after = (record.came - told).secs();
                     let text = format!(
@@ -23,7 +23,7 @@
                         record.id,
                         drain.backend,
                         seconds(record.came),
-                        self.lives[life].proxy
+                        self.processes[process].proxy
                     );
                     report(violations, Invariant::Drain, text);
                 }
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -1,8 +1,8 @@
 //! What was written down in a run.
 
 use super::{client_run_of, seconds, LONGEST_PAUSE};
-use crate::clients::Departure;
-use crate::proxies::Life;
+use crate::clients::ClientDisconnect;
+use crate::proxies::ProcessRecord;
 use crate::settings::RunSettings;
 use shaletide_testkit::{Ledger, LoadResult, Record};
 use shaletide_types::{Micros, Time};
@@ -14,12 +14,12 @@
 /// What the clients of one process got.
 #[derive(Clone, Debug)]
 pub struct ClientRecords {
-    /// Its place in [`Evidence::lives`].
-    pub life: usize,
+    /// Its place in [`Evidence::processes`].
+    pub process: usize,
     /// The ordinary load.
     pub load: LoadResult,
     /// Those that left, and the first half of their ids.
-    pub departures: (u32, Vec<Departure>),
+    pub disconnects: (u32, Vec<ClientDisconnect>),
 }
 
 /// A backend's time out of the list's service.
@@ -72,7 +72,7 @@
     /// The backends' records.
     pub ledger: Ledger,
     /// All processes.
-    pub lives: Vec<Life>,
+    pub processes: Vec<ProcessRecord>,
     /// What the clients of each got.
     pub clients: Vec<ClientRecords>,
     /// Drains and removals.
@@ -114,7 +114,7 @@
 
     /// The process to which the clients with such ids were connected.
     pub(super) fn processes_by_client_run(&self) -> BTreeMap<u32, usize> {
-        let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.life), (c.departures.0, c.life)]);
+        let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.process), (c.disconnects.0, c.process)]);
         runs.collect()
     }
 
@@ -128,10 +128,10 @@
 
     /// Records that came when they were sent, with the process that sent each.
     pub(super) fn timely(&self) -> impl Iterator<Item = (&Record, usize)> {
-        let lives = self.processes_by_client_run();
+        let processes = self.processes_by_client_run();
         self.ledger.records.iter().filter_map(move |record| {
-            let life = *lives.get(&client_run_of(&record.id)?)?;
-            self.is_timely(record, self.lives[life].proxy).then_some((record, life))
+            let process = *processes.get(&client_run_of(&record.id)?)?;
+            self.is_timely(record, self.processes[process].proxy).then_some((record, process))
         })
     }
 
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -1,7 +1,7 @@
 //! Processes: their starts, their ends, their memory, and what they say themselves.
 
 use super::{report, seconds, Evidence, Invariant, Violation, MACHINE_SLACK};
-use crate::proxies::Life;
+use crate::proxies::ProcessRecord;
 use shaletide_types::Micros;
 use std::os::unix::process::ExitStatusExt;
 
@@ -18,13 +18,13 @@
 
 impl Evidence {
     pub(super) fn check_processes(&self, violations: &mut Vec<Violation>) {
-        for life in &self.lives {
+        for process in &self.processes {
             let name =
-                life.log.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
-            self.check_end(life, &name, violations);
-            self.check_start(life, &name, violations);
-            if life.peak_memory_kib > MEMORY_LIMIT_KIB {
-                let text = format!("{name} took {} KiB of {MEMORY_LIMIT_KIB}", life.peak_memory_kib);
+                process.log.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
+            self.check_end(process, &name, violations);
+            self.check_start(process, &name, violations);
+            if process.peak_memory_kib > MEMORY_LIMIT_KIB {
+                let text = format!("{name} took {} KiB of {MEMORY_LIMIT_KIB}", process.peak_memory_kib);
                 report(violations, Invariant::Memory, text);
             }
         }
@@ -41,32 +41,32 @@
         }
     }
 
-    fn check_end(&self, life: &Life, name: &str, violations: &mut Vec<Violation>) {
-        if life.outlived_its_stop {
+    fn check_end(&self, process: &ProcessRecord, name: &str, violations: &mut Vec<Violation>) {
+        if process.outlived_stop {
             report(violations, Invariant::Stop, format!("{name} was still there when SIGKILL was due"));
         }
-        let Some((at, status)) = life.ended.filter(|_| life.killed.is_none()) else { return };
-        let Some(stopped) = life.stopped else {
+        let Some((at, status)) = process.exit.filter(|_| process.killed_at.is_none()) else { return };
+        let Some(stopped) = process.stop_requested_at else {
             report(violations, Invariant::NoCrash, format!("{name} ended at {:.3} s: {status}", seconds(at)));
             return;
         };
         let is_early =
-            stopped - life.started < STOP_BEFORE_HANDLERS && status.signal() == Some(libc::SIGTERM);
+            stopped - process.started_at < STOP_BEFORE_HANDLERS && status.signal() == Some(libc::SIGTERM);
         // It ends with status 1 where its own check found something, which is counted there.
         let is_orderly = matches!(status.code(), Some(0 | 1));
-        if !life.outlived_its_stop && !is_early && !is_orderly {
+        if !process.outlived_stop && !is_early && !is_orderly {
             report(violations, Invariant::NoCrash, format!("{name} ended its stop with {status}"));
         }
     }
 
-    fn check_start(&self, life: &Life, name: &str, violations: &mut Vec<Violation>) {
-        let end = life.stopped.or(life.killed).or(life.ended.map(|(at, _)| at));
-        let Some(ready) = life.ready.or(end) else {
+    fn check_start(&self, process: &ProcessRecord, name: &str, violations: &mut Vec<Violation>) {
+        let end = process.stop_requested_at.or(process.killed_at).or(process.exit.map(|(at, _)| at));
+        let Some(ready) = process.ready_at.or(end) else {
             report(violations, Invariant::Ready, format!("{name} was not ready"));
             return;
         };
-        let since = life.unblocked.unwrap_or(life.started).max(life.started);
-        let waited = life.unblocked.is_some() && !self.starts_are_slow;
+        let since = process.unblocked_at.unwrap_or(process.started_at).max(process.started_at);
+        let waited = process.unblocked_at.is_some() && !self.starts_are_slow;
         let after_wait = Micros(LONGEST_START_AFTER_WAIT.0 + MACHINE_SLACK.0 + self.pause_allowance().0);
         let allowed = if waited { after_wait } else { LONGEST_START };
         if ready > since + allowed {
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -21,13 +21,13 @@
 
     fn check_keyed_repeats(&self, violations: &mut Vec<Violation>) {
         let window = Micros(self.settings.window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
-        let lives = self.processes_by_client_run();
+        let processes = self.processes_by_client_run();
         for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
             // The repeat may have been written in time and have lain in a cut since then.
             let is_timely = |place: &usize| {
                 let record = &self.ledger.records[*place];
-                let life = client_run_of(&record.id).and_then(|run| lives.get(&run));
-                life.is_none_or(|life| self.is_timely(record, self.lives[*life].proxy))
+                let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
+                process.is_none_or(|process| self.is_timely(record, self.processes[*process].proxy))
             };
             if violation.records.last().is_some_and(is_timely) {
                 let text = violation.what + &self.describe(&violation.records);
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -39,7 +39,7 @@
     /// A backend falls where it gets too much, and the rule is broken where over two thirds of that came from processes
     /// that had been told of its start.
     pub(super) fn check_slow_starts(&self, violations: &mut Vec<Violation>) {
-        let lives = self.processes_by_client_run();
+        let processes = self.processes_by_client_run();
         let mut by_boot: BTreeMap<(usize, usize), Vec<&Record>> = BTreeMap::new();
         for record in &self.ledger.records {
             by_boot.entry((record.at_box, record.boot)).or_default().push(record);
@@ -49,9 +49,9 @@
             let Some((booted, listed)) = booted.zip(self.start_listed_at(at_box, boot)) else { continue };
             let Some(overload) = self.first_overload(&records, booted) else { continue };
             let was_known = |record: &&&Record| {
-                let life = client_run_of(&record.id).and_then(|run| lives.get(&run));
-                life.is_some_and(|life| {
-                    record.came >= self.change_known_at(&self.lives[*life], at_box, listed)
+                let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
+                process.is_some_and(|process| {
+                    record.came >= self.change_known_at(&self.processes[*process], at_box, listed)
                 })
             };
             let got = overload.records.len();
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
-use crate::proxies::Life;
+use crate::proxies::ProcessRecord;
 use crate::settings::RunSettings;
 use shaletide_testkit::Ledger;
 use std::os::unix::process::ExitStatusExt;
 use std::path::PathBuf;
 
-fn life(proxy: usize) -> Life {
-    Life {
+fn process(proxy: usize) -> ProcessRecord {
+    ProcessRecord {
         proxy,
-        started: Time(0),
-        ready: Some(Time(10_000)),
-        stopped: None,
-        killed: None,
-        ended: None,
-        outlived_its_stop: false,
-        unblocked: None,
+        started_at: Time(0),
+        ready_at: Some(Time(10_000)),
+        stop_requested_at: None,
+        killed_at: None,
+        exit: None,
+        outlived_stop: false,
+        unblocked_at: None,
         peak_memory_kib: 0,
         log: PathBuf::from("p0-1.log"),
     }
@@ -23,7 +23,7 @@
 fn evidence(polls_discovery: bool) -> Evidence {
     Evidence {
         ledger: Ledger::new(0),
-        lives: vec![life(0)],
+        processes: vec![process(0)],
         clients: Vec::new(),
         drains: Vec::new(),
         backend_starts: Vec::new(),
@@ -52,7 +52,7 @@
     let mut evidence = evidence(true);
     let (change, written) = (Time(6_279_000), Time(6_280_000));
     evidence.list_writes = vec![ListWrite { proxy: 0, backend: 9, at: written }];
-    let told = |evidence: &Evidence| evidence.change_known_at(&evidence.lives[0], 9, change);
+    let told = |evidence: &Evidence| evidence.change_known_at(&evidence.processes[0], 9, change);
     assert_eq!(told(&evidence), written, "nothing is cut");
     evidence.discovery_outages[0] = vec![(Time(6_069_000), Time(8_790_000))];
     assert_eq!(told(&evidence), Time(8_790_000));
@@ -63,14 +63,14 @@
 #[test]
 fn start_is_ready_soon_after_its_address_was_released() {
     let mut evidence = evidence(false);
-    evidence.lives[0].unblocked = Some(Time(5_000_000));
-    evidence.lives[0].ready = Some(Time(5_900_000));
+    evidence.processes[0].unblocked_at = Some(Time(5_000_000));
+    evidence.processes[0].ready_at = Some(Time(5_900_000));
     assert_eq!(broken_invariants(&evidence), []);
-    evidence.lives[0].ready = Some(Time(6_200_000));
+    evidence.processes[0].ready_at = Some(Time(6_200_000));
     assert_eq!(broken_invariants(&evidence), [Invariant::Ready]);
     evidence.starts_are_slow = true;
     assert_eq!(broken_invariants(&evidence), []);
-    (evidence.lives[0].ready, evidence.lives[0].peak_memory_kib) = (None, MEMORY_LIMIT_KIB + 1);
+    (evidence.processes[0].ready_at, evidence.processes[0].peak_memory_kib) = (None, MEMORY_LIMIT_KIB + 1);
     assert_eq!(broken_invariants(&evidence), [Invariant::Ready, Invariant::Memory]);
 }
 
@@ -78,13 +78,13 @@
 fn process_that_ends_by_itself_is_a_crash_and_an_early_signal_is_none() {
     let status = |raw| std::process::ExitStatus::from_raw(raw);
     let mut evidence = evidence(false);
-    evidence.lives[0].ended = Some((Time(20_000), status(1 << 8)));
+    evidence.processes[0].exit = Some((Time(20_000), status(1 << 8)));
     assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash]);
-    (evidence.lives[0].stopped, evidence.lives[0].ready) = (Some(Time(5_000)), None);
-    evidence.lives[0].ended = Some((Time(20_000), status(libc::SIGTERM)));
+    (evidence.processes[0].stop_requested_at, evidence.processes[0].ready_at) = (Some(Time(5_000)), None);
+    evidence.processes[0].exit = Some((Time(20_000), status(libc::SIGTERM)));
     assert_eq!(broken_invariants(&evidence), []);
-    evidence.lives[0].stopped = Some(Time(900_000));
+    evidence.processes[0].stop_requested_at = Some(Time(900_000));
     assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash]);
-    evidence.lives[0].ended = Some((Time(920_000), status(0)));
+    evidence.processes[0].exit = Some((Time(920_000), status(0)));
     assert_eq!(broken_invariants(&evidence), []);
 }
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -1,6 +1,6 @@
 //! Processes of the program: their configuration, their start, their signals and their ends.
 
-use crate::address::{KeptAddress, Reservation};
+use crate::address::{Reservation, ReservedAddress};
 use crate::artifacts::Artifacts;
 use crate::control::FaultControl;
 use crate::settings::RunSettings;
@@ -16,23 +16,23 @@
 
 /// One process of a proxy.
 #[derive(Clone, Debug)]
-pub struct Life {
+pub struct ProcessRecord {
     /// Which proxy.
     pub proxy: usize,
     /// When it was started.
-    pub started: Time,
+    pub started_at: Time,
     /// When it was ready.
-    pub ready: Option<Time>,
+    pub ready_at: Option<Time>,
     /// When it was told to end.
-    pub stopped: Option<Time>,
+    pub stop_requested_at: Option<Time>,
     /// When it was killed, if the plan had it so.
-    pub killed: Option<Time>,
+    pub killed_at: Option<Time>,
     /// How it ended.
-    pub ended: Option<(Time, ExitStatus)>,
+    pub exit: Option<(Time, ExitStatus)>,
     /// It was still there when SIGKILL was due.
-    pub outlived_its_stop: bool,
+    pub outlived_stop: bool,
     /// When its address, or its configuration, was to be had, if that was after its start.
-    pub unblocked: Option<Time>,
+    pub unblocked_at: Option<Time>,
     /// Its peak memory in KiB, as far as it was looked at.
     pub peak_memory_kib: u64,
     /// The file with its log.
@@ -45,7 +45,7 @@
     /// Its place.
     pub place: usize,
     /// Keeps its address while no process listens there.
-    kept: KeptAddress,
+    reserved: ReservedAddress,
     config: PathBuf,
     /// The two addresses of discovery that it may be told.
     discovery: [SocketAddr; 2],
@@ -56,13 +56,13 @@
 struct SlotState {
     moves: usize,
     known: serde_json::Value,
-    process: Option<u32>,
-    lives: usize,
+    pid: Option<u32>,
+    starts: usize,
 }
 
 /// What all processes of a run share.
 #[derive(Debug)]
-pub struct Setting<'a> {
+pub struct ProcessContext<'a> {
     /// The program and the shim.
     pub artifacts: &'a Artifacts,
     /// The faults of their system calls.
@@ -90,41 +90,41 @@
         place: usize, folder: &Path, discovery: [SocketAddr; 2], known: serde_json::Value,
         reservation: Reservation,
     ) -> io::Result<ProxySlot> {
-        let state = SlotState { moves: 0, known, process: None, lives: 0 };
+        let state = SlotState { moves: 0, known, pid: None, starts: 0 };
         let config = folder.join(format!("p{place}.json"));
-        let kept = KeptAddress::take(reservation)?;
-        Ok(ProxySlot { place, kept, config, discovery, state: Mutex::new(state) })
+        let reserved = ReservedAddress::reserve(reservation)?;
+        Ok(ProxySlot { place, reserved, config, discovery, state: Mutex::new(state) })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.kept.address()
+        self.reserved.address()
     }
 
     /// Its address, to be held against it.
-    pub fn kept(&self) -> &KeptAddress {
-        &self.kept
+    pub fn reserved(&self) -> &ReservedAddress {
+        &self.reserved
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, SlotState> {
         self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn config_text(&self, setting: &Setting, state: &SlotState) -> String {
-        let seed = format!("{:x}", setting.seed.wrapping_mul(31) + state.lives as u64);
+    fn config_text(&self, context: &ProcessContext, state: &SlotState) -> String {
+        let seed = format!("{:x}", context.seed.wrapping_mul(31) + state.starts as u64);
         let config = json!({
             "name": format!("p{}", self.place), "listen": self.address().to_string(), "seed": seed,
             "discovery": self.discovery[state.moves % 2].to_string(),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": setting.settings.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": context.settings.sockets},
             "known": {"index": 0, "snapshot": true, "endpoints": state.known},
-            "settings": setting.settings.platform(self.place, setting.proxies, setting.polls_discovery),
+            "settings": context.settings.platform(self.place, context.proxies, context.polls_discovery),
         });
         config.to_string()
     }
 
-    fn write_config(&self, setting: &Setting, state: &SlotState) -> io::Result<()> {
+    fn write_config(&self, context: &ProcessContext, state: &SlotState) -> io::Result<()> {
         let next = self.config.with_extension("next");
-        std::fs::write(&next, self.config_text(setting, state))?;
+        std::fs::write(&next, self.config_text(context, state))?;
         std::fs::rename(&next, &self.config)
     }
 
@@ -132,51 +132,53 @@
     ///
     /// # Errors
     /// It cannot be written.
-    pub fn complete_config(&self, setting: &Setting) -> io::Result<()> {
-        self.write_config(setting, &self.state())
+    pub fn complete_config(&self, context: &ProcessContext) -> io::Result<()> {
+        self.write_config(context, &self.state())
     }
 
     /// Starts a process; its configuration is whole, or breaks off in the middle.
     ///
     /// # Errors
     /// It cannot be started.
-    pub fn start(&self, setting: &Setting, has_whole_config: bool) -> io::Result<(Child, Life)> {
+    pub fn start(
+        &self, context: &ProcessContext, has_whole_config: bool,
+    ) -> io::Result<(Child, ProcessRecord)> {
         let mut state = self.state();
-        state.lives += 1;
+        state.starts += 1;
         if has_whole_config {
-            self.write_config(setting, &state)?;
+            self.write_config(context, &state)?;
         } else {
-            let text = self.config_text(setting, &state);
+            let text = self.config_text(context, &state);
             std::fs::write(&self.config, &text[..text.len() / 2])?;
         }
-        let log = setting.folder.join(format!("p{}-{}.log", self.place, state.lives));
-        let mut command = Command::new(&setting.artifacts.program);
+        let log = context.folder.join(format!("p{}-{}.log", self.place, state.starts));
+        let mut command = Command::new(&context.artifacts.program);
         command.arg("--self-check").env("NODE_CONFIG", &self.config);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(&log)?);
-        let seed = setting.seed * 1000 + (self.place * 10 + state.lives) as u64;
-        setting.control.preload(&mut command, &setting.artifacts.shim, seed, None);
+        let seed = context.seed * 1000 + (self.place * 10 + state.starts) as u64;
+        context.control.preload(&mut command, &context.artifacts.shim, seed, None);
         let child = command.spawn()?;
-        state.process = Some(child.id());
-        let life = Life {
+        state.pid = Some(child.id());
+        let process = ProcessRecord {
             proxy: self.place,
-            started: setting.clock.now(),
-            ready: None,
-            stopped: None,
-            killed: None,
-            ended: None,
-            outlived_its_stop: false,
-            unblocked: None,
+            started_at: context.clock.now(),
+            ready_at: None,
+            stop_requested_at: None,
+            killed_at: None,
+            exit: None,
+            outlived_stop: false,
+            unblocked_at: None,
             peak_memory_kib: 0,
             log,
         };
-        Ok((child, life))
+        Ok((child, process))
     }
 
     /// That process has ended, and is sent nothing any more.
-    pub fn ended(&self, process: u32) {
+    pub fn ended(&self, pid: u32) {
         let mut state = self.state();
-        if state.process == Some(process) {
-            state.process = None;
+        if state.pid == Some(pid) {
+            state.pid = None;
         }
     }
 
@@ -184,10 +186,10 @@
     ///
     /// # Errors
     /// The configuration cannot be written.
-    pub fn move_discovery(&self, setting: &Setting) -> io::Result<()> {
+    pub fn move_discovery(&self, context: &ProcessContext) -> io::Result<()> {
         let mut state = self.state();
         state.moves += 1;
-        self.write_config(setting, &state)?;
+        self.write_config(context, &state)?;
         drop(state);
         self.signal("HUP");
         Ok(())
@@ -195,21 +197,21 @@
 
     /// Sends its process the signal of that name, if there is one.
     pub fn signal(&self, name: &str) {
-        if let Some(process) = self.state().process {
-            send_signal(process, name);
+        if let Some(pid) = self.state().pid {
+            send_signal(pid, name);
         }
     }
 }
 
 /// Sends a process of this run the signal of that name.
-pub fn send_signal(process: u32, name: &str) {
-    let _ = Command::new("kill").args(["-s", name, &process.to_string()]).status();
+pub fn send_signal(pid: u32, name: &str) {
+    let _ = Command::new("kill").args(["-s", name, &pid.to_string()]).status();
     // it may have ended
 }
 
 /// The peak of a process's memory so far, in KiB; 0 where it has ended.
-pub fn peak_memory_kib(process: u32) -> u64 {
-    let status = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
+pub fn peak_memory_kib(pid: u32) -> u64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     peak.and_then(|peak| peak.split_whitespace().next()?.parse().ok()).unwrap_or_default()
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -4,7 +4,7 @@
 //! their clients, and `notes` is what the run writes down itself.
 
 mod load;
-mod notes;
+mod observations;
 mod processes;
 mod setup;
 mod steps;
@@ -14,9 +14,9 @@
 use crate::control::FaultControl;
 use crate::oracle::{judge, Evidence, Violation};
 use crate::plan::{FaultKind, Plan, Scale};
-use crate::proxies::{ProxySlot, Setting};
+use crate::proxies::{ProcessContext, ProxySlot};
 use crate::settings::RunSettings;
-use notes::Notes;
+use observations::Observations;
 use shaletide_lab::links::{Direction, Fault as LinkFault, Link, Links};
 use shaletide_testkit::{Clock, End, Fleet, ListServer, ListService};
 use shaletide_types::Time;
@@ -41,7 +41,7 @@
     /// Of these, served.
     pub served: usize,
     /// Clients that left.
-    pub departures: usize,
+    pub disconnects: usize,
     /// System calls that failed, by kind.
     pub calls: Vec<(CallFault, u32)>,
     /// Where configurations and logs are: kept where something broke.
@@ -49,7 +49,7 @@
 }
 
 /// All parts of a run.
-struct World {
+struct Testbed {
     artifacts: Artifacts,
     control: FaultControl,
     folder: PathBuf,
@@ -65,7 +65,7 @@
     /// By proxy and backend; empty where the plan has no faults there.
     backend_links: Vec<Vec<Link>>,
     _links: Links,
-    notes: Mutex<Notes>,
+    observations: Mutex<Observations>,
 }
 
 /// Plays a seed. `only`: the kinds of fault that it is to have, in place of drawn ones.
@@ -75,34 +75,34 @@
 pub fn play(seed: u64, scale: &Scale, only: &[FaultKind], artifacts: &Artifacts) -> io::Result<Report> {
     let plan = Plan::draw(seed, scale, only);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
-    let world = Arc::new(World::new(seed, scale, &plan, artifacts)?);
-    let evidence = runtime.block_on(world.clone().run(&plan))?;
+    let testbed = Arc::new(Testbed::new(seed, scale, &plan, artifacts)?);
+    let evidence = runtime.block_on(testbed.clone().run(&plan))?;
     let violations = judge(&evidence);
     if violations.is_empty() {
-        let _ = std::fs::remove_dir_all(&world.folder); // a temporary folder
+        let _ = std::fs::remove_dir_all(&testbed.folder); // a temporary folder
     }
     let sent = || evidence.clients.iter().flat_map(|records| &records.load.sent);
-    let counts = CallFault::ALL.map(|fault| (fault, world.control.count(fault).unwrap_or_default()));
+    let counts = CallFault::ALL.map(|fault| (fault, testbed.control.count(fault).unwrap_or_default()));
     Ok(Report {
         seed,
         kinds: plan.kinds,
         violations,
-        processes: evidence.lives.len(),
+        processes: evidence.processes.len(),
         requests: sent().count(),
         served: sent().filter(|sent| sent.end == End::Status(200)).count(),
-        departures: evidence.clients.iter().map(|records| records.departures.1.len()).sum(),
+        disconnects: evidence.clients.iter().map(|records| records.disconnects.1.len()).sum(),
         calls: counts.into_iter().filter(|(_, count)| *count > 0).collect(),
-        folder: world.folder.clone(),
+        folder: testbed.folder.clone(),
     })
 }
 
-impl World {
-    fn notes(&self) -> MutexGuard<'_, Notes> {
-        self.notes.lock().unwrap_or_else(PoisonError::into_inner)
+impl Testbed {
+    fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn setting(&self) -> Setting<'_> {
-        Setting {
+    fn process_context(&self) -> ProcessContext<'_> {
+        ProcessContext {
             artifacts: &self.artifacts,
             control: &self.control,
             folder: &self.folder,
@@ -115,23 +115,23 @@
     }
 
     /// Leads all proxies through their processes while the steps of the plan are taken.
-    async fn run(self: Arc<World>, plan: &Plan) -> io::Result<Evidence> {
+    async fn run(self: Arc<Testbed>, plan: &Plan) -> io::Result<Evidence> {
         let end = Time(self.clock.now().0 + self.scale.length.as_micros() as u64);
         let begun = tokio::time::Instant::now();
-        let mut orders = Vec::new();
+        let mut restarts = Vec::new();
         let mut proxies = Vec::new();
         for place in 0..self.scale.proxies {
-            let (order, ordered) = mpsc::channel(8);
-            orders.push(order);
-            proxies.push(tokio::spawn(self.clone().proxy(place, end, ordered)));
+            let (sender, receiver) = mpsc::channel(8);
+            restarts.push(sender);
+            proxies.push(tokio::spawn(self.clone().proxy(place, end, receiver)));
         }
         for timed in &plan.steps {
             tokio::time::sleep_until(begun + timed.at).await;
-            self.take(timed.step, &orders)?;
+            self.apply_step(timed.step, &restarts)?;
         }
         tokio::time::sleep_until(begun + self.scale.length).await;
         self.heal()?;
-        drop(orders);
+        drop(restarts);
         for proxy in proxies {
             proxy.await.map_err(io::Error::other)??;
         }
@@ -149,15 +149,15 @@
             set_link(link, LinkFault::default())?;
             link.refuse(false);
         }
-        self.reached_again(0..self.scale.proxies);
+        self.discovery_reachable_again(0..self.scale.proxies);
         Ok(())
     }
 
     /// A number for the ids of a group of clients that no other has.
-    fn next_run(&self) -> u32 {
-        let mut notes = self.notes();
-        notes.runs += 1;
-        0xc000_0000 + notes.runs
+    fn next_client_run(&self) -> u32 {
+        let mut observations = self.observations();
+        observations.runs += 1;
+        0xc000_0000 + observations.runs
     }
 }
 
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -1,8 +1,8 @@
 //! The clients of one process: the ordinary load, and clients that leave.
 
 use super::processes::KILL_AFTER;
-use super::World;
-use crate::clients::{leave, Departure};
+use super::Testbed;
+use crate::clients::{run_disconnecting_clients, ClientDisconnect};
 use crate::settings::RunSettings;
 use shaletide_testkit::{Load, LoadClass, LoadResult};
 use shaletide_types::{DeduplicationScope, Idempotency, Micros, Time};
@@ -14,16 +14,16 @@
 /// Requests a second of the ordinary load at each proxy.
 const RATE_PER_S: f64 = 40.0;
 /// The mean pause between two clients of a proxy that leave, ms.
-const LEAVE_PAUSE_MS: f64 = 60.0;
+const DISCONNECT_PAUSE_MS: f64 = 60.0;
 /// A client waits so long after its deadline for an answer that comes late.
 const PATIENCE_AFTER_DEADLINE: Duration = Duration::from_millis(500);
 /// The body of a request that is unsafe to repeat, in bytes: some writes and reads.
-const LONG_BODY: usize = 20_000;
+const LONG_BODY_BYTES: usize = 20_000;
 
-fn class(name: &str, effect: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
+fn class(name: &str, idempotency: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
     let deadline = Duration::from_micros(deadline_us);
     let headers = vec![("X-Account".into(), "north".into())];
-    LoadClass { body, headers, ..LoadClass::new(name, effect, deadline) }
+    LoadClass { body, headers, ..LoadClass::new(name, idempotency, deadline) }
 }
 
 fn classes(settings: &RunSettings) -> Vec<LoadClass> {
@@ -31,7 +31,7 @@
     let [read, pay, vote] = settings.deadlines_us;
     vec![
         class("read", Idempotency::Safe, 0, read),
-        class("pay", Idempotency::NonIdempotent, LONG_BODY, pay),
+        class("pay", Idempotency::NonIdempotent, LONG_BODY_BYTES, pay),
         class("vote", keyed, 20, vote),
     ]
 }
@@ -43,38 +43,44 @@
     /// Nothing any more.
     stop: watch::Sender<bool>,
     load: JoinHandle<LoadResult>,
-    leaving: JoinHandle<Vec<Departure>>,
-    leaving_run: u32,
+    disconnecting: JoinHandle<Vec<ClientDisconnect>>,
+    disconnecting_run: u32,
 }
 
 impl Clients {
-    pub(super) fn start(world: &Arc<World>, place: usize, end: Time) -> Clients {
+    pub(super) fn start(testbed: &Arc<Testbed>, place: usize, end: Time) -> Clients {
         let (existing_only, no_new) = watch::channel(false);
         let (stop, mut stopped) = watch::channel(false);
-        let (to, clock) = (world.slots[place].address(), world.clock);
-        let longest = Duration::from_micros(world.settings.longest_stop_us()) + KILL_AFTER;
+        let (to, clock) = (testbed.slots[place].address(), testbed.clock);
+        let longest = Duration::from_micros(testbed.settings.longest_stop_us()) + KILL_AFTER;
         let left = Duration::from_micros((end - clock.now()).0) + longest;
-        let leaving_run = world.next_run();
+        let disconnecting_run = testbed.next_client_run();
         let load = Load {
-            seed: world.seed.wrapping_mul(7919) + u64::from(leaving_run),
+            seed: testbed.seed.wrapping_mul(7919) + u64::from(disconnecting_run),
             clock,
             patience: PATIENCE_AFTER_DEADLINE,
             existing_connections_only: Some(no_new.clone()),
-            ..Load::new(RATE_PER_S, classes(&world.settings), left)
+            ..Load::new(RATE_PER_S, classes(&testbed.settings), left)
         };
         let stop_load = async move {
             let _ = stopped.wait_for(|stop| *stop).await; // or the run has ended
         };
         let load = tokio::spawn(async move { load.run_until(to, stop_load).await });
-        let leaving = tokio::spawn(leave(to, clock, leaving_run, LEAVE_PAUSE_MS, no_new));
-        Clients { existing_only, stop, load, leaving, leaving_run }
+        let disconnecting = tokio::spawn(run_disconnecting_clients(
+            to,
+            clock,
+            disconnecting_run,
+            DISCONNECT_PAUSE_MS,
+            no_new,
+        ));
+        Clients { existing_only, stop, load, disconnecting, disconnecting_run }
     }
 
     /// Waits for what is open, and returns what the clients got.
-    pub(super) async fn end(self) -> Option<(LoadResult, (u32, Vec<Departure>))> {
+    pub(super) async fn end(self) -> Option<(LoadResult, (u32, Vec<ClientDisconnect>))> {
         self.existing_only.send_replace(true);
         self.stop.send_replace(true);
-        let (load, departures) = (self.load.await.ok()?, self.leaving.await.ok()?);
-        Some((load, (self.leaving_run, departures)))
+        let (load, disconnects) = (self.load.await.ok()?, self.disconnecting.await.ok()?);
+        Some((load, (self.disconnecting_run, disconnects)))
     }
 }
--- a/crates/soak/src/run/notes.rs
+++ b/crates/soak/src/run/observations.rs
@@ -1,10 +1,10 @@
 //! What a run writes down itself, and the evidence made of it and of what the stand-ins wrote.
 
-use super::World;
+use super::Testbed;
 use crate::call_faults::CallFault;
 use crate::oracle::{BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, ListWrite};
 use crate::plan::{FaultKind, Plan, Step};
-use crate::proxies::Life;
+use crate::proxies::ProcessRecord;
 use shaletide_testkit::Told;
 use shaletide_types::Time;
 
@@ -13,8 +13,8 @@
 
 /// What the run itself writes down.
 #[derive(Default)]
-pub(super) struct Notes {
-    pub(super) lives: Vec<Life>,
+pub(super) struct Observations {
+    pub(super) processes: Vec<ProcessRecord>,
     pub(super) clients: Vec<ClientRecords>,
     pub(super) drains: Vec<DrainSpan>,
     discovery_outages: Vec<Vec<(Time, Time)>>,
@@ -24,13 +24,13 @@
     pub(super) runs: u32,
 }
 
-impl Notes {
+impl Observations {
     /// The notes of a run with so many proxies, before it begins.
-    pub(super) fn of(proxies: usize) -> Notes {
-        Notes {
+    pub(super) fn of(proxies: usize) -> Observations {
+        Observations {
             discovery_outages: vec![Vec::new(); proxies],
             discovery_moves: vec![Vec::new(); proxies],
-            ..Notes::default()
+            ..Observations::default()
         }
     }
 
@@ -45,13 +45,13 @@
     }
 }
 
-impl World {
+impl Testbed {
     /// All that was written down, once every process has ended. Takes the notes.
     pub(super) fn evidence(&self, plan: &Plan) -> Evidence {
-        let mut notes = std::mem::take(&mut *self.notes());
-        notes.close(self.clock.now());
-        let Notes {
-            lives,
+        let mut observations = std::mem::take(&mut *self.observations());
+        observations.close(self.clock.now());
+        let Observations {
+            processes,
             clients,
             drains,
             discovery_outages,
@@ -59,11 +59,11 @@
             delayed_links,
             backend_starts,
             ..
-        } = notes;
-        let (log_lines, evictions) = read_logs(&lives);
+        } = observations;
+        let (log_lines, evictions) = read_logs(&processes);
         Evidence {
             ledger: self.fleet.ledger(),
-            lives,
+            processes,
             clients,
             drains,
             discovery_outages,
@@ -75,7 +75,7 @@
             log_lines,
             list_writes: if self.polls_discovery { self.list_writes() } else { Vec::new() },
             polls_discovery: self.polls_discovery,
-            processes_paused: holds_processes_up(plan),
+            processes_paused: pauses_processes(plan),
             settings: self.settings,
             starts_are_slow: has_kind(plan, &[FaultKind::Calls, FaultKind::ShortStart, FaultKind::Freeze]),
         }
@@ -90,35 +90,35 @@
     }
 
     /// From now on discovery cannot be reached by these proxies.
-    pub(super) fn unreached(&self, proxies: impl Iterator<Item = usize>) {
+    pub(super) fn discovery_unreachable_from_now(&self, proxies: impl Iterator<Item = usize>) {
         let now = self.clock.now();
-        let mut notes = self.notes();
+        let mut observations = self.observations();
         for proxy in proxies {
-            notes.discovery_outages[proxy].push((now, OPEN));
+            observations.discovery_outages[proxy].push((now, OPEN));
         }
     }
 
     /// From now on it can.
-    pub(super) fn reached_again(&self, proxies: impl Iterator<Item = usize>) {
+    pub(super) fn discovery_reachable_again(&self, proxies: impl Iterator<Item = usize>) {
         let now = self.clock.now();
-        let mut notes = self.notes();
+        let mut observations = self.observations();
         for proxy in proxies {
-            for span in notes.discovery_outages[proxy].iter_mut().filter(|span| span.1 == OPEN) {
+            for span in observations.discovery_outages[proxy].iter_mut().filter(|span| span.1 == OPEN) {
                 span.1 = now;
             }
         }
     }
 
     /// From now on bytes from a proxy to a backend are late.
-    pub(super) fn late_from_now(&self, proxy: usize, backend: usize) {
+    pub(super) fn link_delayed_from_now(&self, proxy: usize, backend: usize) {
         let from = self.clock.now();
-        self.notes().delayed_links.push(DelayedLink { proxy, backend, from, until: OPEN });
+        self.observations().delayed_links.push(DelayedLink { proxy, backend, from, until: OPEN });
     }
 
     /// From now on they are not.
-    pub(super) fn late_until_now(&self, proxy: usize, backend: usize) {
+    pub(super) fn link_delayed_until_now(&self, proxy: usize, backend: usize) {
         let now = self.clock.now();
-        for link in &mut self.notes().delayed_links {
+        for link in &mut self.observations().delayed_links {
             if (link.proxy, link.backend) == (proxy, backend) && link.until > now {
                 link.until = now;
             }
@@ -126,15 +126,15 @@
     }
 
     /// A backend drains, as discovery was told at that time.
-    pub(super) fn unlisted_from(&self, backend: usize, from: Time) {
-        self.notes().drains.push(DrainSpan { backend, from, until: None });
+    pub(super) fn note_drain(&self, backend: usize, from: Time) {
+        self.observations().drains.push(DrainSpan { backend, from, until: None });
     }
 
     /// A backend that started anew is listed, as discovery was told at that time.
-    pub(super) fn listed_again(&self, backend: usize, listed: Time) {
-        let mut notes = self.notes();
-        notes.backend_starts.push(BackendStart { backend, listed });
-        for drain in &mut notes.drains {
+    pub(super) fn note_backend_start(&self, backend: usize, listed: Time) {
+        let mut observations = self.observations();
+        observations.backend_starts.push(BackendStart { backend, listed });
+        for drain in &mut observations.drains {
             if drain.backend == backend && drain.until.is_none() {
                 drain.until = Some(listed);
             }
@@ -147,19 +147,19 @@
 }
 
 /// Whether processes stand still in a plan.
-fn holds_processes_up(plan: &Plan) -> bool {
-    let holds_up = |step: Step| matches!(step, Step::Freeze(..) | Step::CallFault(CallFault::SlowWrite, _));
-    plan.steps.iter().any(|timed| holds_up(timed.step))
+fn pauses_processes(plan: &Plan) -> bool {
+    let pauses = |step: Step| matches!(step, Step::Freeze(..) | Step::CallFault(CallFault::SlowWrite, _));
+    plan.steps.iter().any(|timed| pauses(timed.step))
 }
 
 /// The lines of all logs that matter to the oracle, with their files' names, and how many clients were evicted.
-fn read_logs(lives: &[Life]) -> (Vec<String>, u64) {
+fn read_logs(processes: &[ProcessRecord]) -> (Vec<String>, u64) {
     let (mut log_lines, mut evictions) = (Vec::new(), 0);
-    for life in lives {
-        let text = std::fs::read(&life.log).unwrap_or_default();
+    for process in processes {
+        let text = std::fs::read(&process.log).unwrap_or_default();
         let text = String::from_utf8_lossy(&text);
         evictions += text.lines().filter_map(evicted_in).sum::<u64>();
-        let name = life.log.file_stem().unwrap_or_default().to_string_lossy();
+        let name = process.log.file_stem().unwrap_or_default().to_string_lossy();
         let matters = text.lines().filter(|line| line.contains("self-check:") || line.contains("panicked"));
         log_lines.extend(matters.map(|line| format!("{name}: {line}")));
     }
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -1,6 +1,6 @@
 //! Starts all parts of a run but the proxies' processes: backends, discovery, and the links between the parts.
 
-use super::{Notes, World};
+use super::{Observations, Testbed};
 use crate::address::Reservation;
 use crate::artifacts::Artifacts;
 use crate::control::FaultControl;
@@ -22,7 +22,7 @@
 /// Where all parts listen.
 const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 /// Backends of one bay share the keys that they have seen.
-const BAY: usize = 3;
+const BACKENDS_PER_BAY: usize = 3;
 
 /// The names by which links know a proxy.
 fn proxy_name(place: usize) -> String {
@@ -34,7 +34,7 @@
     let power =
         Power { cores: CORES, speed: 1.0, initial_capacity_fraction: cold_from, ramp: Micros(ramp_us) };
     BoxSpec {
-        bay: 1 + (place / BAY) as u64,
+        bay: 1 + (place / BACKENDS_PER_BAY) as u64,
         idle: Duration::from_secs(10),
         ..BoxSpec::new(&format!("b{place}"), power)
     }
@@ -109,9 +109,9 @@
     discovery_links.iter().enumerate().map(slot).collect()
 }
 
-impl World {
+impl Testbed {
     /// Starts all parts of a seed's run.
-    pub(super) fn new(seed: u64, scale: &Scale, plan: &Plan, artifacts: &Artifacts) -> io::Result<World> {
+    pub(super) fn new(seed: u64, scale: &Scale, plan: &Plan, artifacts: &Artifacts) -> io::Result<Testbed> {
         let folder = std::env::temp_dir().join(format!("shaletide-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         let control = FaultControl::create(&folder.join("faults"))?;
@@ -127,7 +127,7 @@
         let discovery = start_discovery(clock, scale.proxies, &entries, &views)?;
         let discovery_links = link_discovery(&links, scale.proxies, &discovery)?;
         let slots = proxy_slots(&folder, &plan.settings, &discovery_links, &entries, &views)?;
-        Ok(World {
+        Ok(Testbed {
             artifacts: artifacts.clone(),
             control,
             folder,
@@ -142,7 +142,7 @@
             discovery_links,
             backend_links,
             _links: links,
-            notes: Mutex::new(Notes::of(scale.proxies)),
+            observations: Mutex::new(Observations::of(scale.proxies)),
         })
     }
 }
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -1,7 +1,7 @@
 //! Takes the steps of a plan, and notes what the oracle has to know of them.
 
-use super::{set_link, World};
-use crate::clients::{crowd, misbehave};
+use super::{set_link, Testbed};
+use crate::clients::{hold_idle_connections, run_misbehaving_clients};
 use crate::plan::{BackendFault, Restart, Step};
 use shaletide_lab::links::{Cut, Fault as LinkFault, Link};
 use shaletide_testkit::{Fault, Law, ListService, Sending};
@@ -13,13 +13,15 @@
 /// On a link that is slow bytes are late by so many ms.
 const SLOW_LINK_MS: (f64, f64) = (20.0, 300.0);
 
-impl World {
-    /// Takes a step. `orders`: where each proxy gets word of the ends of its processes.
-    pub(super) fn take(self: &Arc<World>, step: Step, orders: &[mpsc::Sender<Restart>]) -> io::Result<()> {
+impl Testbed {
+    /// Takes a step. `restarts`: where each proxy is told to restart its process.
+    pub(super) fn apply_step(
+        self: &Arc<Testbed>, step: Step, restarts: &[mpsc::Sender<Restart>],
+    ) -> io::Result<()> {
         match step {
-            // A proxy that has several orders waiting has enough to do.
+            // A proxy with a full queue of restarts has enough to do; this one is left out.
             Step::Restart(proxy, restart) => {
-                let _ = orders[proxy].try_send(restart);
+                let _ = restarts[proxy].try_send(restart);
             }
             Step::Reload(proxy) => self.reload(proxy)?,
             Step::Freeze(proxy, millis) => self.freeze(proxy, millis),
@@ -30,7 +32,7 @@
             Step::DiscoveryHealed(proxy) => self.heal_discovery(proxy)?,
             Step::DrainBackend(backend) => self.drain_backend(backend),
             Step::RemoveBackend(backend) => self.remove_backend(backend),
-            Step::StartBackend(backend) => self.return_backend(backend),
+            Step::StartBackend(backend) => self.start_backend(backend),
             Step::KillBackend(backend) => self.kill_backend(backend),
             Step::BackendFault(backend, fault) => self.set_backend_fault(backend, fault),
             Step::BackendHealed(backend) => self.heal_backend(backend),
@@ -40,53 +42,53 @@
             Step::LinkHealed(proxy, backend) => self.heal_link(proxy, backend)?,
             Step::CallFault(fault, chance) => self.control.set(fault, chance)?,
             Step::WallClock(seconds) => self.control.step_wall_clock(seconds)?,
-            Step::IdleCrowd(proxy) => self.crowd(proxy),
-            Step::MisbehavingClients(proxy) => self.misbehave(proxy),
+            Step::IdleCrowd(proxy) => self.start_idle_crowd(proxy),
+            Step::MisbehavingClients(proxy) => self.start_misbehaving_clients(proxy),
         }
         Ok(())
     }
 
     fn reload(&self, proxy: usize) -> io::Result<()> {
         let now = self.clock.now();
-        self.notes().discovery_moves[proxy].push(now);
-        self.slots[proxy].move_discovery(&self.setting())
+        self.observations().discovery_moves[proxy].push(now);
+        self.slots[proxy].move_discovery(&self.process_context())
     }
 
-    fn freeze(self: &Arc<World>, proxy: usize, millis: u64) {
-        let world = self.clone();
+    fn freeze(self: &Arc<Testbed>, proxy: usize, millis: u64) {
+        let testbed = self.clone();
         tokio::spawn(async move {
-            world.slots[proxy].signal("STOP");
+            testbed.slots[proxy].signal("STOP");
             tokio::time::sleep(Duration::from_millis(millis)).await;
-            world.slots[proxy].signal("CONT");
+            testbed.slots[proxy].signal("CONT");
         });
     }
 
-    fn crowd(&self, proxy: usize) {
-        tokio::spawn(crowd(self.slots[proxy].address(), self.settings.sockets));
+    fn start_idle_crowd(&self, proxy: usize) {
+        tokio::spawn(hold_idle_connections(self.slots[proxy].address(), self.settings.sockets));
     }
 
-    fn misbehave(&self, proxy: usize) {
-        tokio::spawn(misbehave(self.slots[proxy].address(), self.next_run()));
+    fn start_misbehaving_clients(&self, proxy: usize) {
+        tokio::spawn(run_misbehaving_clients(self.slots[proxy].address(), self.next_client_run()));
     }
 
     fn stop_discovery(&self, service: ListService) {
-        self.unreached(0..self.scale.proxies);
+        self.discovery_unreachable_from_now(0..self.scale.proxies);
         self.discovery.serve(service);
     }
 
     fn resume_discovery(&self) {
         self.discovery.serve(ListService::Up);
-        self.reached_again(0..self.scale.proxies);
+        self.discovery_reachable_again(0..self.scale.proxies);
     }
 
     fn cut_discovery(&self, proxy: usize) -> io::Result<()> {
-        self.unreached(proxy..=proxy);
+        self.discovery_unreachable_from_now(proxy..=proxy);
         self.set_discovery_links(proxy, LinkFault::cut(Cut::Silent))
     }
 
     fn heal_discovery(&self, proxy: usize) -> io::Result<()> {
         self.set_discovery_links(proxy, LinkFault::default())?;
-        self.reached_again(proxy..=proxy);
+        self.discovery_reachable_again(proxy..=proxy);
         Ok(())
     }
 
@@ -97,7 +99,7 @@
     fn drain_backend(&self, backend: usize) {
         let from = self.clock.now();
         self.discovery.drain(&format!("b{backend}"));
-        self.unlisted_from(backend, from);
+        self.note_drain(backend, from);
         self.fleet.boxes()[backend].drain();
     }
 
@@ -106,12 +108,12 @@
         self.fleet.boxes()[backend].kill();
     }
 
-    fn return_backend(&self, backend: usize) {
+    fn start_backend(&self, backend: usize) {
         let handle = &self.fleet.boxes()[backend];
         handle.revive();
         let now = self.clock.now();
         self.discovery.put(handle.entry());
-        self.listed_again(backend, now);
+        self.note_backend_start(backend, now);
     }
 
     fn kill_backend(&self, backend: usize) {
@@ -147,12 +149,12 @@
     }
 
     fn silence_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
-        self.late_from_now(proxy, backend);
+        self.link_delayed_from_now(proxy, backend);
         set_link(self.backend_link(proxy, backend), LinkFault::cut(Cut::Silent))
     }
 
     fn slow_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
-        self.late_from_now(proxy, backend);
+        self.link_delayed_from_now(proxy, backend);
         let (least_ms, most_ms) = SLOW_LINK_MS;
         let fault = LinkFault::delay_ms(Law::Even(least_ms, most_ms));
         set_link(self.backend_link(proxy, backend), fault)
@@ -162,7 +164,7 @@
         let link = self.backend_link(proxy, backend);
         set_link(link, LinkFault::default())?;
         link.refuse(false);
-        self.late_until_now(proxy, backend);
+        self.link_delayed_until_now(proxy, backend);
         Ok(())
     }
 }
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -24,7 +24,7 @@
     ];
     for (seed, kinds) in (1..).zip(&kinds) {
         let report = play(seed, &scale(), kinds, &artifacts).expect("a run");
-        assert!(report.requests > 300 && report.departures > 100, "{report:?}");
+        assert!(report.requests > 300 && report.disconnects > 100, "{report:?}");
         assert_eq!(report.violations, [], "seed {seed}, logs in {}", report.folder.display());
     }
 }
--- a/crates/soak/tests/verdict_identity.rs
+++ b/crates/soak/tests/verdict_identity.rs
@@ -1,10 +1,10 @@
 //! The oracle's verdicts of generated evidence stay the same, to the last request and time.
 
-use shaletide_soak::clients::{request_id, Departure};
+use shaletide_soak::clients::{request_id, ClientDisconnect};
 use shaletide_soak::oracle::{
     judge, BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, Invariant, ListWrite,
 };
-use shaletide_soak::proxies::Life;
+use shaletide_soak::proxies::ProcessRecord;
 use shaletide_soak::settings::RunSettings;
 use shaletide_testkit::{
     Boot, BoxInfo, End, Ended, Ledger, LoadResult, Power, Record, Repeat, SeededRng, Sent,
@@ -43,19 +43,19 @@
         (from, Time(from.0 + self.below(4_000_000)))
     }
 
-    fn life(&mut self, number: usize) -> Life {
+    fn process(&mut self, number: usize) -> ProcessRecord {
         let started = Time(if number < PROXIES { 0 } else { 9_000_000 });
         let ended = Time(started.0 + 9_000_000 + self.below(3_000_000));
         let status = [0, 1 << 8, 2 << 8, libc::SIGTERM, libc::SIGKILL][self.below(5) as usize];
-        Life {
+        ProcessRecord {
             proxy: number % PROXIES,
-            started,
-            ready: (!self.one_in(5)).then(|| Time(started.0 + self.below(12_000_000))),
-            stopped: (!self.one_in(4)).then(|| Time(ended.0 - self.below(9_000_000))),
-            killed: self.one_in(3).then_some(ended),
-            ended: (!self.one_in(5)).then(|| (ended, ExitStatus::from_raw(status))),
-            outlived_its_stop: self.one_in(6),
-            unblocked: self.one_in(3).then(|| Time(started.0 + self.below(8_000_000))),
+            started_at: started,
+            ready_at: (!self.one_in(5)).then(|| Time(started.0 + self.below(12_000_000))),
+            stop_requested_at: (!self.one_in(4)).then(|| Time(ended.0 - self.below(9_000_000))),
+            killed_at: self.one_in(3).then_some(ended),
+            exit: (!self.one_in(5)).then(|| (ended, ExitStatus::from_raw(status))),
+            outlived_stop: self.one_in(6),
+            unblocked_at: self.one_in(3).then(|| Time(started.0 + self.below(8_000_000))),
             peak_memory_kib: self.below(210 << 10),
             log: format!("p{}-{number}.log", number % PROXIES).into(),
         }
@@ -69,8 +69,8 @@
     }
 
     /// What the clients of a process got: some hundred requests, and some clients that left.
-    fn client_records(&mut self, life: usize, started: Time) -> ClientRecords {
-        let mut load = LoadResult { run: 0x100 + life as u32, ..LoadResult::default() };
+    fn client_records(&mut self, process: usize, started: Time) -> ClientRecords {
+        let mut load = LoadResult { run: 0x100 + process as u32, ..LoadResult::default() };
         for number in 0..450 {
             load.sent.push(Sent {
                 class: number as usize % 3,
@@ -83,12 +83,12 @@
             });
         }
         (load.mixed_up, load.overfull) = (self.below(2), self.below(2));
-        let run = 0x200 + life as u32;
-        let departure = |number| Departure {
+        let run = 0x200 + process as u32;
+        let disconnect = |number| ClientDisconnect {
             id: request_id(run, number),
-            closed: Time(started.0 + self.below(9_500_000)),
+            closed_at: Time(started.0 + self.below(9_500_000)),
         };
-        ClientRecords { life, load, departures: (run, (0..40).map(departure).collect()) }
+        ClientRecords { process, load, disconnects: (run, (0..40).map(disconnect).collect()) }
     }
 
     /// A request at a backend that came at some time after the one given.
@@ -133,9 +133,9 @@
                     ledger.records.push(self.record(&id, sent.class, sent.arrived, settings));
                 }
             }
-            for departure in &records.departures.1 {
-                let sent = Time(departure.closed.0.saturating_sub(150_000));
-                ledger.records.push(self.record(&departure.id, 0, sent, settings));
+            for disconnect in &records.disconnects.1 {
+                let sent = Time(disconnect.closed_at.0.saturating_sub(150_000));
+                ledger.records.push(self.record(&disconnect.id, 0, sent, settings));
             }
         }
         ledger.records.sort_by_key(|record| record.began);
@@ -144,9 +144,10 @@
 
     fn evidence(&mut self, seed: u64) -> Evidence {
         let settings = RunSettings::draw(seed);
-        let lives: Vec<Life> = (0..2 * PROXIES).map(|number| self.life(number)).collect();
-        let starts = lives.iter().map(|life| life.started).enumerate();
-        let clients: Vec<ClientRecords> = starts.map(|(life, at)| self.client_records(life, at)).collect();
+        let processes: Vec<ProcessRecord> = (0..2 * PROXIES).map(|number| self.process(number)).collect();
+        let starts = processes.iter().map(|process| process.started_at).enumerate();
+        let clients: Vec<ClientRecords> =
+            starts.map(|(process, at)| self.client_records(process, at)).collect();
         let ledger = self.ledger(&clients, &settings);
         let delayed_links = (0..3).map(|_| {
             let (from, until) = self.span();
@@ -166,7 +167,7 @@
         });
         Evidence {
             ledger,
-            lives,
+            processes,
             clients,
             drains: drains.collect(),
             backend_starts: (0..2)
