--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -20,7 +20,7 @@
     }
 
     fn check_keyed_repeats(&self, violations: &mut Vec<Violation>) {
-        let window = Micros(self.settings.window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
+        let window = Micros(self.settings.deduplication_window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
         let processes = self.processes_by_client_run();
         for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
             // The repeat may have been written in time and have lain in a cut since then.
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -1,7 +1,7 @@
 //! What a backend gets in the time after its start.
 
 use super::{client_run_of, report, Evidence, Invariant, Violation, CORES, MEAN_WORK_MS};
-use crate::settings::{RunSettings, FALL_WINDOW_US};
+use crate::settings::{RunSettings, OVERLOAD_WINDOW_US};
 use shaletide_testkit::Record;
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
@@ -18,15 +18,18 @@
 
 impl Evidence {
     /// What a cold backend may get in the window that began at that age.
-    pub fn cold_limit(settings: &RunSettings, age: Micros) -> f64 {
-        let RunSettings { cold_from, ramp_us, fall_multiple, .. } = *settings;
-        let warmth = cold_from + (1.0 - cold_from) * (age.secs() / Micros(ramp_us).secs()).min(1.0);
-        let able = warmth * f64::from(CORES) * Micros(FALL_WINDOW_US).secs() / (MEAN_WORK_MS / 1e3);
-        let n = fall_multiple * able;
-        if n < 30.0 {
-            n + 3.0 * n.sqrt() + 3.0
+    pub fn cold_request_limit(settings: &RunSettings, age: Micros) -> f64 {
+        let RunSettings { initial_capacity_fraction, slow_start_window_us, overload_multiple, .. } =
+            *settings;
+        let warmup_fraction = initial_capacity_fraction
+            + (1.0 - initial_capacity_fraction) * (age.secs() / Micros(slow_start_window_us).secs()).min(1.0);
+        let capacity =
+            warmup_fraction * f64::from(CORES) * Micros(OVERLOAD_WINDOW_US).secs() / (MEAN_WORK_MS / 1e3);
+        let allowed = overload_multiple * capacity;
+        if allowed < 30.0 {
+            allowed + 3.0 * allowed.sqrt() + 3.0
         } else {
-            n + 2.0 * n.sqrt() + 2.0
+            allowed + 2.0 * allowed.sqrt() + 2.0
         }
     }
 
@@ -73,12 +76,12 @@
     fn first_overload<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Overload<'a>> {
         let mut first = 0;
         for (last, record) in records.iter().enumerate() {
-            while records[first].began + Micros(FALL_WINDOW_US) < record.began {
+            while records[first].began + Micros(OVERLOAD_WINDOW_US) < record.began {
                 first += 1;
             }
-            let age_as_window_began = (record.began - Micros(FALL_WINDOW_US)) - booted;
-            let is_warm = age_as_window_began >= Micros(self.settings.ramp_us);
-            let limit = Evidence::cold_limit(&self.settings, age_as_window_began);
+            let age_as_window_began = (record.began - Micros(OVERLOAD_WINDOW_US)) - booted;
+            let is_warm = age_as_window_began >= Micros(self.settings.slow_start_window_us);
+            let limit = Evidence::cold_request_limit(&self.settings, age_as_window_began);
             let window = &records[first..=last];
             if !is_warm && window.len() as f64 > limit {
                 return Some(Overload { records: window, age: record.began - booted, limit });
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -115,7 +115,7 @@
         let config = json!({
             "name": format!("p{}", self.place), "listen": self.address().to_string(), "seed": seed,
             "discovery": self.discovery[state.moves % 2].to_string(),
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": context.settings.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": context.settings.max_descriptors},
             "known": {"index": 0, "snapshot": true, "endpoints": state.known},
             "settings": context.settings.platform(self.place, context.proxies, context.polls_discovery),
         });
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -27,7 +27,7 @@
 }
 
 fn classes(settings: &RunSettings) -> Vec<LoadClass> {
-    let keyed = Idempotency::Keyed(DeduplicationScope::Group, Micros(settings.window_us));
+    let keyed = Idempotency::Keyed(DeduplicationScope::Group, Micros(settings.deduplication_window_us));
     let [read, pay, vote] = settings.deadlines_us;
     vec![
         class("read", Idempotency::Safe, 0, read),
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -30,9 +30,9 @@
 }
 
 fn backend(place: usize, settings: &RunSettings) -> BoxSpec {
-    let RunSettings { cold_from, ramp_us, .. } = *settings;
+    let RunSettings { initial_capacity_fraction, slow_start_window_us, .. } = *settings;
     let power =
-        Power { cores: CORES, speed: 1.0, initial_capacity_fraction: cold_from, ramp: Micros(ramp_us) };
+        Power { cores: CORES, speed: 1.0, initial_capacity_fraction, ramp: Micros(slow_start_window_us) };
     BoxSpec {
         bay: 1 + (place / BACKENDS_PER_BAY) as u64,
         idle: Duration::from_secs(10),
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -64,7 +64,7 @@
     }
 
     fn start_idle_crowd(&self, proxy: usize) {
-        tokio::spawn(hold_idle_connections(self.slots[proxy].address(), self.settings.sockets));
+        tokio::spawn(hold_idle_connections(self.slots[proxy].address(), self.settings.max_descriptors));
     }
 
     fn start_misbehaving_clients(&self, proxy: usize) {
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -4,9 +4,9 @@
 use shaletide_testkit::SeededRng;
 
 /// A backend that gets more in this time than it is allowed falls over, µs.
-pub const FALL_WINDOW_US: u64 = 2_000_000;
+pub const OVERLOAD_WINDOW_US: u64 = 2_000_000;
 /// The platform waits no longer than this for the longest deadline before it kills a process, µs.
-const LONGEST_STOP_US: u64 = 3_000_000;
+const LONGEST_KILL_DELAY_US: u64 = 3_000_000;
 
 /// What all proxies of a run are told.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -14,19 +14,19 @@
     /// The deadlines of the classes `read`, `pay` and `vote`, µs.
     pub deadlines_us: [u64; 3],
     /// A repeat of a keyed request begins within so long of its first run, µs.
-    pub window_us: u64,
+    pub deduplication_window_us: u64,
     /// Nothing new may go to a backend so long after its drain was told, µs.
     pub drain_grace_us: u64,
     /// The part of its speed that a backend starts with.
-    pub cold_from: f64,
+    pub initial_capacity_fraction: f64,
     /// A backend is warm after so long, µs.
-    pub ramp_us: u64,
+    pub slow_start_window_us: u64,
     /// What a backend is allowed in the fall window, as a multiple of what it can do.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// Attempts of a request at most.
     pub max_attempts: u32,
     /// The file descriptors that a proxy may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Addresses are reserved by a socket that is bound with SO_REUSEPORT alone, as a platform may do.
     pub reserves_addresses: bool,
 }
@@ -35,13 +35,13 @@
     /// Those of a site like many.
     pub const USUAL: RunSettings = RunSettings {
         deadlines_us: [1_500_000; 3],
-        window_us: 500_000,
+        deduplication_window_us: 500_000,
         drain_grace_us: 2_000_000,
-        cold_from: 0.3,
-        ramp_us: 6_000_000,
-        fall_multiple: 1.2,
+        initial_capacity_fraction: 0.3,
+        slow_start_window_us: 6_000_000,
+        overload_multiple: 1.2,
         max_attempts: 4,
-        sockets: 256,
+        max_descriptors: 256,
         reserves_addresses: false,
     };
 
@@ -52,22 +52,23 @@
         // Half of the runs have short deadlines, where the kill comes soonest.
         let longest = if between(0.0, 1.0) < 0.5 { 0.8 } else { 3.0 };
         let deadlines_us = [(); 3].map(|()| micros(between(0.2, longest)));
-        let window_us = micros(between(0.2, 2.0));
+        let deduplication_window_us = micros(between(0.2, 2.0));
         let drain_grace_us = micros(between(1.0, 3.0));
-        let (cold_from, ramp_us) = (between(0.15, 0.5), micros(between(3.0, 9.0)));
-        let fall_multiple = between(1.2, 2.5);
+        let (initial_capacity_fraction, slow_start_window_us) =
+            (between(0.15, 0.5), micros(between(3.0, 9.0)));
+        let overload_multiple = between(1.2, 2.5);
         let max_attempts = between(2.0, 5.0) as u32;
-        let sockets = between(128.0, 512.0) as usize;
+        let max_descriptors = between(128.0, 512.0) as usize;
         let reserves_addresses = between(0.0, 1.0) < 0.3;
         RunSettings {
             deadlines_us,
-            window_us,
+            deduplication_window_us,
             drain_grace_us,
-            cold_from,
-            ramp_us,
-            fall_multiple,
+            initial_capacity_fraction,
+            slow_start_window_us,
+            overload_multiple,
             max_attempts,
-            sockets,
+            max_descriptors,
             reserves_addresses,
         }
     }
@@ -79,7 +80,7 @@
 
     /// The part of it that the platform waits for before it kills a process, µs.
     pub fn longest_stop_us(&self) -> u64 {
-        self.longest_deadline_us().min(LONGEST_STOP_US)
+        self.longest_deadline_us().min(LONGEST_KILL_DELAY_US)
     }
 
     /// The settings in the platform's form, for the proxy of that place among so many.
@@ -88,7 +89,7 @@
         let class = |place: usize, name: &str, effect: &str| {
             let deadline = self.deadlines_us[place];
             json!({"name": name, "aim_us": deadline / 3, "deadline_us": deadline, "effect": effect,
-                "key_scope": "cell", "window_us": self.window_us, "gain": 1.0, "late_worth": 0.5})
+                "key_scope": "cell", "window_us": self.deduplication_window_us, "gain": 1.0, "late_worth": 0.5})
         };
         json!({
             "blend": {"whole": 0.6, "worst_class": 0.2}, "costs": {"cross_zone": 0.0},
@@ -99,8 +100,9 @@
                 "dial_timeout_us": 250_000, "conn_idle_us": 10_000_000, "max_retry_after_us": 1_000_000},
             "profiles":
                 [class(0, "read", "free"), class(1, "pay", "single_shot"), class(2, "vote", "guarded")],
-            "rules": {"cold_from": self.cold_from, "fall_multiple": self.fall_multiple,
-                "must_ask_in_us": 9_000_000, "ramp_time_us": self.ramp_us, "tip_after_us": FALL_WINDOW_US,
+            "rules": {"cold_from": self.initial_capacity_fraction, "fall_multiple": self.overload_multiple,
+                "must_ask_in_us": 9_000_000, "ramp_time_us": self.slow_start_window_us,
+                "tip_after_us": OVERLOAD_WINDOW_US,
                 "stop_sending_within_us": self.drain_grace_us}
         })
     }
