--- a/crates/soak/src/address.rs
+++ b/crates/soak/src/address.rs
@@ -1,10 +1,11 @@
-//! The listen addresses of proxies: kept for them while no process listens, and held against them by others for a while.
+//! Listen addresses of proxies: reserved while no process listens, and occupied by another listener for the fault
+//! `HeldAddress`.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
 use std::net::SocketAddr;
 
-/// How a port is kept for a proxy.
+/// How a port is reserved for a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
     /// Bound with SO_REUSEADDR: whoever sets that too may listen.
@@ -13,7 +14,7 @@
     SharedPort,
 }
 
-/// A port that is kept by a socket which never listens.
+/// A port that is reserved by a bound socket which never listens.
 #[derive(Debug)]
 pub struct ReservedAddress {
     _socket: Socket,
@@ -22,7 +23,7 @@
 }
 
 impl ReservedAddress {
-    /// Takes a port that the kernel picks.
+    /// Reserves a port that the kernel picks.
     ///
     /// # Errors
     /// Those of the system calls.
@@ -38,7 +39,7 @@
         self.address
     }
 
-    /// A listener of someone else's at the address, until it is dropped.
+    /// Listens at the address in place of the proxy, until the listener is dropped.
     ///
     /// # Errors
     /// A process listens there.
@@ -59,7 +60,7 @@
     Ok(socket)
 }
 
-/// A listener that accepts nothing.
+/// A listener that accepts nothing and keeps a proxy from listening.
 #[derive(Debug)]
 pub struct ConflictingListener {
     _socket: Socket,
--- a/crates/soak/src/artifacts.rs
+++ b/crates/soak/src/artifacts.rs
@@ -1,4 +1,4 @@
-//! Where the program under test and the shim are: built by cargo into the folder of this process's own executable.
+//! Finds the program under test and the shim, which cargo builds into the folder of this process's own executable.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -14,10 +14,10 @@
 }
 
 impl Artifacts {
-    /// Those beside this process's executable, built first where one is missing.
+    /// Finds the files beside this process's executable, and builds those that are missing.
     ///
     /// # Errors
-    /// Cargo cannot be run, or does not make them.
+    /// Cargo cannot be run, or fails.
     pub fn find() -> io::Result<Artifacts> {
         let own = std::env::current_exe()?;
         let folder = own
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients beside the ordinary load: such that leave before their answer, and such that misbehave.
+//! Clients beside the ordinary load: some disconnect before their answer, some misbehave.
 
 use shaletide_testkit::{Clock, SeededRng};
 use shaletide_types::Time;
@@ -10,32 +10,32 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// A client waits so long for a connection.
+/// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest that a client stays before it leaves, ms.
+/// The longest time from a connect to the disconnect, ms.
 const LONGEST_CONNECTION_MS: f64 = 80.0;
-/// A client that has ended its sending closes its connection after so long.
+/// The time between the shutdown of the sending side and the close.
 const HALF_CLOSED_FOR: Duration = Duration::from_millis(500);
-/// Connections that rest at a proxy while its clients misbehave.
+/// Idle connections that misbehaving clients hold at a proxy.
 const IDLE_CONNECTIONS: usize = 60;
-/// So long they rest.
+/// How long idle connections are held.
 const IDLE_FOR: Duration = Duration::from_secs(4);
 
-/// A client that left.
+/// A client that disconnected before its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientDisconnect {
     /// The id of its request.
     pub id: String,
-    /// When it had closed its connection.
+    /// When it had closed its connection, or its sending side.
     pub closed_at: Time,
 }
 
-/// The id of a request of a run of clients.
+/// The id of a request: the first half is the run of clients, the second half the number of the request.
 pub fn request_id(run: u32, number: u32) -> String {
     format!("{run:08x}{number:08x}")
 }
 
-/// A request of one of the three classes, by a number.
+/// A request of one of the three classes, which take turns by the number.
 fn request(id: &str, number: u32) -> String {
     let head = |method: &str, class: &str, more: &str, body: &str| {
         format!(
@@ -54,7 +54,7 @@
     tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await?
 }
 
-/// Clients that leave, one after the other with pauses of this mean, until told to stop.
+/// Starts clients that disconnect, with pauses of this mean between them, until told to stop; returns their disconnects.
 pub async fn run_disconnecting_clients(
     to: SocketAddr, clock: Clock, run: u32, pause_ms: f64, mut stop: watch::Receiver<bool>,
 ) -> Vec<ClientDisconnect> {
@@ -74,7 +74,7 @@
     clients.join_all().await.into_iter().flatten().collect()
 }
 
-/// Sends a request, stays for a while, and leaves: by a close, a reset or an end of its sending, in turns.
+/// Sends a request, waits, and disconnects: in turns by a close, a reset, or a shutdown of the sending side.
 async fn disconnect_once(
     to: SocketAddr, clock: Clock, id: String, number: u32, stay: Duration,
 ) -> Option<ClientDisconnect> {
@@ -97,8 +97,8 @@
     Some(ClientDisconnect { id, closed_at: clock.now() })
 }
 
-/// Clients that misbehave at once: half of a head, half of a body, bytes that are no request, several requests in one
-/// write, and connections that rest.
+/// Runs clients that misbehave, all at once: half of a head, half of a body, bytes that are no request, several requests
+/// in one write, and idle connections.
 pub async fn run_misbehaving_clients(to: SocketAddr, run: u32) {
     let several: String = (0..4).map(|n| request(&request_id(run, n), n)).collect();
     let half_body = request(&request_id(run, 4), 1).replace("Content-Length: 4", "Content-Length: 400");
@@ -120,7 +120,7 @@
     while clients.join_next().await.is_some() {}
 }
 
-/// So many idle connections, a few at a time; those that the proxy closes are not opened again.
+/// Opens that many idle connections, 2 ms apart, and holds them; those that the proxy closes are not opened again.
 pub async fn hold_idle_connections(to: SocketAddr, connections: usize) {
     let mut open = Vec::new();
     for _ in 0..connections {
--- a/crates/soak/src/control.rs
+++ b/crates/soak/src/control.rs
@@ -1,4 +1,4 @@
-//! The shared file by which the faults of a process's system calls are switched while it runs.
+//! The shared file that switches faults of a process's system calls while it runs.
 
 use crate::call_faults::*;
 use std::ffi::OsString;
@@ -16,7 +16,7 @@
 }
 
 impl FaultControl {
-    /// A file in which nothing fails.
+    /// Creates the file; no call fails yet.
     ///
     /// # Errors
     /// Those of the system calls.
@@ -26,12 +26,13 @@
         Ok(FaultControl { file, path: path.into() })
     }
 
-    /// Has a command's process run with the shim and this file. `folder`: whose files the faults of the disk meet.
+    /// Sets a command's environment so that its process runs with the shim and this file. `folder`: the files in it have
+    /// the faults of the disk.
     pub fn preload(&self, command: &mut Command, shim: &Path, seed: u64, folder: Option<&Path>) {
         command.envs(self.environment(shim, seed, folder));
     }
 
-    /// The variables that do so.
+    /// The variables that [`FaultControl::preload`] sets.
     pub fn environment(
         &self, shim: &Path, seed: u64, folder: Option<&Path>,
     ) -> Vec<(&'static str, OsString)> {
@@ -44,7 +45,7 @@
         variables
     }
 
-    /// From now on calls fail with that chance, 0 to 1.
+    /// Sets the probability, 0 to 1, that a call fails.
     ///
     /// # Errors
     /// Those of the write.
@@ -53,7 +54,7 @@
         self.file.write_all_at(&parts.to_le_bytes(), fault.rate_at() as u64)
     }
 
-    /// No call fails any more; the wall clock stays as it is.
+    /// Ends all faults of calls; the offset of the wall clock stays.
     ///
     /// # Errors
     /// Those of the write.
@@ -61,7 +62,7 @@
         CallFault::ALL.into_iter().try_for_each(|fault| self.set(fault, 0.0))
     }
 
-    /// How often calls failed so far.
+    /// How many calls have failed so far.
     ///
     /// # Errors
     /// Those of the read.
@@ -71,7 +72,7 @@
         Ok(u32::from_le_bytes(bytes))
     }
 
-    /// The wall clock is so many seconds ahead of the true one, or behind.
+    /// Sets how many seconds the wall clock is ahead of the true one.
     ///
     /// # Errors
     /// Those of the write.
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `shaletide-soak`: plays seeds of the fault soak and says what broke.
+//! `shaletide-soak`: runs seeds of the fault soak and prints the violations of invariants.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Violations that are printed of one seed.
+/// The most violations of one seed that are printed.
 const PRINTED: usize = 12;
 
 /// Plays the fault soak: real processes, faults that overlap, the rules as the oracle. Ends with status 1 where a rule
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,7 +1,7 @@
-//! The rules of routing, held against what clients, backends and discovery wrote down in a run. Pure.
+//! Checks the invariants of routing against what clients, backends and discovery recorded in a run. Pure.
 //!
-//! `rule` names the rules, `evidence` is what was written down, `discovery` works out when a proxy was told of a change;
-//! each of the other modules checks the rules of one concern.
+//! `invariant` names the invariants, `evidence` is what was recorded, `discovery` computes when a proxy knew of a
+//! change; each of the other modules checks the invariants of one concern.
 
 mod answers;
 mod client_limits;
@@ -21,18 +21,18 @@
 
 use shaletide_types::{Micros, Time};
 
-/// What a busy machine adds to each measured time: the stand-ins run on the same cores as the proxies.
+/// Slack of each measured time for a busy machine: the stand-ins run on the same cores as the proxies.
 const MACHINE_SLACK: Micros = Micros(100_000);
-/// What the platform adds to each time limit on sockets.
+/// Slack that the platform adds to each time limit.
 const CLOCK_SLACK: Micros = Micros(50_000);
-/// A proxy may be held up for so long between a look at its clock and a write.
+/// The longest pause of a process between reading its clock and a write.
 pub const LONGEST_PAUSE: Micros = Micros(150_000);
-/// Cores that the machines of all backends have.
+/// Cores of each backend.
 pub const CORES: u32 = 2;
 /// The mean work of a request, ms.
 pub const MEAN_WORK_MS: f64 = 20.0;
 
-/// What broke.
+/// All violations of invariants in the evidence.
 pub fn judge(evidence: &Evidence) -> Vec<Violation> {
     let mut violations = Vec::new();
     evidence.check_processes(&mut violations);
@@ -54,7 +54,7 @@
     (at - Time(0)).secs()
 }
 
-/// The first half of an id, which tells whose clients sent it.
+/// The first half of an id: the run of clients that sent it.
 fn client_run_of(id: &str) -> Option<u32> {
     u32::from_str_radix(id.get(..8)?, 16).ok()
 }
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -1,4 +1,4 @@
-//! The answers that clients got.
+//! Checks the answers that clients got.
 
 use super::{report, seconds, Evidence, Invariant, Violation};
 use shaletide_testkit::{checks, End};
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -1,12 +1,12 @@
-//! The client's own limits: the time that it has left, and that it is still there.
+//! Checks the time left that backends are told, and that nothing is sent for a disconnected client.
 
 use super::{report, Evidence, Invariant, Violation, CLOCK_SLACK};
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// An attempt for a client that has gone begins no later than this after the close.
+/// A request may still come to a backend for so long after its client disconnected.
 const CLIENT_GONE_SLACK: Micros = Micros(100_000);
-/// The time that a backend is told may be over what the client has left by so much.
+/// How much the time left that a backend is told may exceed what the client has left.
 const TIME_LEFT_SLACK: Micros = Micros(150_000);
 
 impl Evidence {
--- a/crates/soak/src/oracle/drains.rs
+++ b/crates/soak/src/oracle/drains.rs
@@ -1,4 +1,4 @@
-//! Requests that come to a backend after its drain was told.
+//! Checks that no request comes to a draining backend after the grace.
 
 use super::{report, seconds, Evidence, Invariant, Violation, CLOCK_SLACK, MACHINE_SLACK};
 use shaletide_testkit::Record;
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -1,4 +1,4 @@
-//! What was written down in a run.
+//! What was recorded in a run.
 
 use super::{client_run_of, seconds, LONGEST_PAUSE};
 use crate::clients::ClientDisconnect;
@@ -8,7 +8,7 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// After a link is as usual bytes may still be on their way for so long.
+/// How long bytes may still be on their way after a link works again.
 const DELAYED_LINK_TAIL: Micros = Micros(500_000);
 
 /// What the clients of one process got.
@@ -18,11 +18,11 @@
     pub process: usize,
     /// The ordinary load.
     pub load: LoadResult,
-    /// Those that left, and the first half of their ids.
+    /// The run of the clients that disconnected, and their disconnects.
     pub disconnects: (u32, Vec<ClientDisconnect>),
 }
 
-/// A backend's time out of the list's service.
+/// A time in which a backend drains or is not listed.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSpan {
     /// Its place in the ledger.
@@ -33,7 +33,7 @@
     pub until: Option<Time>,
 }
 
-/// A time in which bytes from a proxy to a backend are late on their way.
+/// A time in which bytes from a proxy to a backend are delayed.
 #[derive(Clone, Copy, Debug)]
 pub struct DelayedLink {
     /// Which proxy.
@@ -46,18 +46,18 @@
     pub until: Time,
 }
 
-/// An entry of the list was written to a proxy.
+/// A write of an entry of the endpoint list to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct ListWrite {
-    /// To which.
+    /// The proxy.
     pub proxy: usize,
-    /// Of which backend.
+    /// The backend of the entry.
     pub backend: usize,
     /// When its last byte was written.
     pub at: Time,
 }
 
-/// A backend started anew.
+/// A start of a backend during the run.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendStart {
     /// Its place in the ledger.
@@ -66,7 +66,7 @@
     pub listed: Time,
 }
 
-/// All that was written down in a run.
+/// All that was recorded in a run.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     /// The backends' records.
@@ -83,23 +83,23 @@
     pub discovery_outages: Vec<Vec<(Time, Time)>>,
     /// For each proxy, when it was told that discovery has moved.
     pub discovery_moves: Vec<Vec<Time>>,
-    /// What came to a backend over such a link says nothing of when it was sent.
+    /// Links whose records do not tell when a request was sent.
     pub delayed_links: Vec<DelayedLink>,
-    /// Clients that the processes say they evicted, and whether idle ones may have filled their slots.
+    /// Clients that the processes report as evicted.
     pub evictions: u64,
-    /// Many idle clients were there: evictions are right.
+    /// Idle clients may have filled the slots, so that evictions are right.
     pub has_idle_crowds: bool,
-    /// The lines of the logs that matter, with their files' names.
+    /// Log lines of panics and of the self-check, each with the name of its file.
     pub log_lines: Vec<String>,
-    /// What discovery wrote to whom, where it is asked.
+    /// The entries that discovery wrote; empty unless the proxies poll it.
     pub list_writes: Vec<ListWrite>,
-    /// Discovery is asked: a change is told when it is written.
+    /// The proxies poll discovery: a change is known when it is written.
     pub polls_discovery: bool,
-    /// Processes were held up.
+    /// Processes were paused.
     pub processes_paused: bool,
-    /// What the proxies were told.
+    /// The settings of all proxies.
     pub settings: RunSettings,
-    /// System calls failed, or processes were held up at their starts, so that these take longer.
+    /// System calls failed or processes were paused, so that starts take longer.
     pub starts_are_slow: bool,
 }
 
@@ -112,13 +112,13 @@
         }
     }
 
-    /// The process to which the clients with such ids were connected.
+    /// The process of each run of clients.
     pub(super) fn processes_by_client_run(&self) -> BTreeMap<u32, usize> {
         let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.process), (c.disconnects.0, c.process)]);
         runs.collect()
     }
 
-    /// Whether a record came when it was sent; not where it came over a link that held bytes back.
+    /// Whether a record came when it was sent: it did not come over a delayed link.
     pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
         !self.delayed_links.iter().any(|link| {
             let here = link.proxy == proxy && link.backend == record.at_box;
--- a/crates/soak/src/oracle/invariant.rs
+++ b/crates/soak/src/oracle/invariant.rs
@@ -1,48 +1,48 @@
-//! The rules, and what is said of one that was broken.
+//! The invariants, and a violation of one.
 
-/// A rule.
+/// An invariant of routing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[non_exhaustive]
 pub enum Invariant {
-    /// Each request has its final answer in time.
+    /// Each request gets its final answer in time.
     Answered,
-    /// A sound request is not rejected as malformed.
+    /// A valid request is not answered with a 4xx other than 429.
     NotRejected,
     /// An unsafe request runs once.
     UnsafeOnce,
-    /// A keyed one is repeated only in its group and window.
+    /// A keyed request is repeated only in its deduplication group and window.
     KeyedInside,
-    /// What was refused has not run.
+    /// A rejected request has not run.
     HarmlessRefusal,
-    /// Nothing new to a backend later than the grace after its drain was told.
+    /// No new request comes to a backend later than the grace after the proxy knew of its drain.
     Drain,
-    /// A cold backend is not pushed over.
+    /// A warming backend is not overloaded.
     Cold,
-    /// What is answered as served was served by a backend.
+    /// An answer with status 200 is from a backend that served that request.
     TrueAnswer,
-    /// The time told to a backend is the client's.
+    /// A backend is not told more time than its client has left.
     TimeLeft,
-    /// Nothing begins for a client that has gone.
+    /// No request comes to a backend after its client disconnected.
     ClientGone,
-    /// No process ends by itself.
+    /// No process exits by itself or panics.
     NoCrash,
-    /// A process is ready soon, and at once where its address was held.
+    /// A process is ready soon after its start, or after its address is free.
     Ready,
-    /// A process stays within its memory.
+    /// A process stays within its limit of memory.
     Memory,
-    /// A process ends in time after SIGTERM.
+    /// A process exits in time after SIGTERM.
     Stop,
-    /// No client is evicted while there are slots for all.
+    /// No client is evicted while slots are free.
     NoNeedlessEviction,
-    /// The program's own check finds nothing.
+    /// The program's own check reports nothing.
     SelfCheck,
 }
 
-/// A rule that was broken.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// By what, and how.
+    /// What violated it, and how.
     pub text: String,
 }
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -1,17 +1,17 @@
-//! Processes: their starts, their ends, their memory, and what they say themselves.
+//! Checks starts, ends, memory and log lines of processes.
 
 use super::{report, seconds, Evidence, Invariant, Violation, MACHINE_SLACK};
 use crate::proxies::ProcessRecord;
 use shaletide_types::Micros;
 use std::os::unix::process::ExitStatusExt;
 
-/// A new process is ready after this time.
+/// The longest time from the start of a process until it is ready.
 const LONGEST_START: Micros = Micros(10_000_000);
-/// One whose address was held, or whose configuration was not whole, is ready so long after that is over.
+/// The longest time until a process is ready once its address is free or its configuration complete.
 const LONGEST_START_AFTER_WAIT: Micros = Micros(1_000_000);
-/// A process that is told to end so soon after its start may not handle the signal yet, and is ended by it.
+/// Within so long of its start a process may not handle SIGTERM yet, and may be ended by it.
 const STOP_BEFORE_HANDLERS: Micros = Micros(50_000);
-/// The memory that a process may use, KiB.
+/// The limit of the peak memory of a process, KiB.
 pub const MEMORY_LIMIT_KIB: u64 = 192 << 10;
 /// What the program's own check says where an answer is late: the clients measure that themselves.
 const SELF_CHECK_OF_DEADLINES: &str = "answered and sent before its time is up";
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -1,4 +1,4 @@
-//! Requests that ran more often than they may.
+//! Checks that no request runs more often than its idempotency allows.
 
 use super::{client_run_of, report, Evidence, Invariant, Violation, CLOCK_SLACK};
 use shaletide_testkit::{checks, End, Repeat, Sent};
@@ -23,7 +23,7 @@
         let window = Micros(self.settings.deduplication_window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
         let processes = self.processes_by_client_run();
         for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
-            // The repeat may have been written in time and have lain in a cut since then.
+            // On a delayed link the repeat may have been written in time.
             let is_timely = |place: &usize| {
                 let record = &self.ledger.records[*place];
                 let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Unsafe requests that were rejected, which promises that they have not run, and have.
+    /// A rejected request must not have run: that is what a rejection promises.
     fn check_rejected(&self, violations: &mut Vec<Violation>) {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
         for (place, record) in self.ledger.records.iter().enumerate() {
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -1,4 +1,4 @@
-//! What a backend gets in the time after its start.
+//! Checks that a warming backend is not overloaded.
 
 use super::{client_run_of, report, Evidence, Invariant, Violation, CORES, MEAN_WORK_MS};
 use crate::settings::{RunSettings, OVERLOAD_WINDOW_US};
@@ -6,18 +6,19 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// A window in which a cold backend got more than it may.
+/// An overload window in which a warming backend got more than its budget.
 struct Overload<'a> {
-    /// What it got.
+    /// The requests that it got.
     records: &'a [&'a Record],
     /// Its age at the end of the window.
     age: Micros,
-    /// How many requests it may get.
+    /// The most requests that it may get.
     limit: f64,
 }
 
 impl Evidence {
-    /// What a cold backend may get in the window that began at that age.
+    /// The most requests that a backend may get in an overload window that begins at that age: the mean that its budget
+    /// allows, and two to three standard deviations more.
     pub fn cold_request_limit(settings: &RunSettings, age: Micros) -> f64 {
         let RunSettings { initial_capacity_fraction, slow_start_window_us, overload_multiple, .. } =
             *settings;
@@ -33,14 +34,14 @@
         }
     }
 
-    /// When a backend's start of that number was listed; the first is its start before the run.
+    /// When that start of a backend was listed; `None` for start 0, which is before the run.
     fn start_listed_at(&self, backend: usize, boot: usize) -> Option<Time> {
         let mut starts = self.backend_starts.iter().filter(|start| start.backend == backend);
         starts.nth(boot.checked_sub(1)?).map(|start| start.listed)
     }
 
-    /// A backend falls where it gets too much, and the rule is broken where over two thirds of that came from processes
-    /// that had been told of its start.
+    /// A first overload is a violation if more than two thirds of its requests came from processes that knew of the
+    /// start of the backend.
     pub(super) fn check_slow_starts(&self, violations: &mut Vec<Violation>) {
         let processes = self.processes_by_client_run();
         let mut by_boot: BTreeMap<(usize, usize), Vec<&Record>> = BTreeMap::new();
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The first time that a backend gets more than it may while it is cold. `records`: those of one start, in the order
-    /// in which they began.
+    /// The first window in which a backend gets more than its budget while it warms up. `records`: those of one start,
+    /// in the order in which they began.
     fn first_overload<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Overload<'a>> {
         let mut first = 0;
         for (last, record) in records.iter().enumerate() {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -22,7 +22,7 @@
     pub proxies: usize,
     /// Backends.
     pub backends: usize,
-    /// How long clients ask; what is open then is waited for.
+    /// How long clients send requests; the run then waits for those that are open.
     pub length: Duration,
     /// How many kinds of fault a seed draws.
     pub faults: usize,
@@ -35,16 +35,16 @@
     pub kinds: Vec<FaultKind>,
     /// Seconds that the proxies' wall clocks are ahead as the first processes start.
     pub wall_clock_at_start: i64,
-    /// Discovery is asked, not an agent that pushes.
+    /// The proxies poll discovery; otherwise an agent pushes the lists.
     pub polls_discovery: bool,
-    /// What the proxies are told.
+    /// The settings of all proxies.
     pub settings: RunSettings,
-    /// In the order of their times.
+    /// The steps, in the order of their times.
     pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
-    /// The plan of a seed. `only`: kinds that it is to have, in place of drawn ones.
+    /// Draws the plan of a seed. `only`: the kinds of fault in it, in place of drawn ones.
     pub fn draw(seed: u64, scale: &Scale, only: &[FaultKind]) -> Plan {
         let mut builder = PlanBuilder::new(seed, scale);
         let kinds = if only.is_empty() { builder.draw_kinds() } else { only.to_vec() };
--- a/crates/soak/src/plan/builder.rs
+++ b/crates/soak/src/plan/builder.rs
@@ -1,4 +1,4 @@
-//! Random draws of a plan, and its steps so far.
+//! The random draws of a plan, and its steps so far.
 
 use super::{FaultKind, ProcessEnd, ProcessStart, Restart, Scale, Step, StopSignals, TimedStep};
 use shaletide_testkit::SeededRng;
@@ -30,7 +30,7 @@
         steps
     }
 
-    /// How long clients ask, in seconds.
+    /// How long clients send requests, in seconds.
     pub(super) fn length_s(&self) -> f64 {
         self.scale.length.as_secs_f64()
     }
@@ -110,7 +110,7 @@
         self.steps.push(TimedStep { at: Duration::from_secs_f64(at_s.max(0.0)), step });
     }
 
-    /// Adds the end of a proxy's process and the start of its next one.
+    /// Adds a restart of a proxy at that time, in seconds from the beginning of the run.
     pub(super) fn add_restart(&mut self, at_s: f64, proxy: usize, end: ProcessEnd, start: ProcessStart) {
         self.add(at_s, Step::Restart(proxy, Restart { end, start }));
     }
--- a/crates/soak/src/plan/fault_kind.rs
+++ b/crates/soak/src/plan/fault_kind.rs
@@ -4,19 +4,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum FaultKind {
-    /// Proxies are told to end with SIGTERM and started anew.
+    /// Proxies are stopped with SIGTERM and restarted.
     Stop,
-    /// Proxies are killed and started anew.
+    /// Proxies are killed and restarted.
     Kill,
     /// Proxies are told with SIGHUP that discovery has moved, some several times in a row.
     Reload,
-    /// Discovery is silent, or ends its calls.
+    /// Discovery does not answer, or closes its connections.
     Discovery,
-    /// Single proxies are cut off from discovery.
+    /// Single proxies cannot reach discovery.
     DiscoveryLink,
-    /// Backends drain, are taken out of the list, and come back cold.
+    /// Backends drain, are removed from the list, and start again with slow start.
     Drain,
-    /// Backends die without a word and come back cold.
+    /// Backends die while they are listed, and start again with slow start.
     Death,
     /// Backends hang, fail, reset connections, are slow or close each connection.
     Illness,
@@ -26,26 +26,26 @@
     Calls,
     /// The proxies' wall clocks are stepped by up to an hour while they run.
     WallClock,
-    /// Processes stand still for up to 0.15 s.
+    /// Processes are paused with SIGSTOP for up to 0.15 s.
     Freeze,
-    /// Clients send half of a request, or several at once, or rest in large numbers.
+    /// Clients send half of a request, or several at once, or hold many idle connections.
     Clients,
     /// Idle clients fill all slots of single proxies.
     Crowd,
-    /// Proxies are killed and started anew while the system lacks sockets.
+    /// Proxies are killed and restarted while sockets cannot be made.
     ShortStart,
-    /// Another socket listens at a proxy's address as it is started anew; some are told to end meanwhile.
+    /// Another socket listens at a proxy's address as it restarts; some proxies are stopped meanwhile.
     HeldAddress,
-    /// Proxies are started anew while the earlier process is still ending.
+    /// The next process starts while the earlier one still drains.
     Overlap,
-    /// Proxies are started anew with a configuration that breaks off, and is whole a little later.
+    /// Proxies restart with a truncated configuration, which is complete a little later.
     HalfConfiguration,
-    /// Proxies are told to end in the first milliseconds of a start.
+    /// Proxies are stopped in the first milliseconds of a start.
     EarlyStop,
 }
 
 impl FaultKind {
-    /// All of them.
+    /// All kinds, in the order in which they are drawn from.
     pub const ALL: [FaultKind; 19] = [
         FaultKind::Stop,
         FaultKind::Kill,
@@ -68,7 +68,7 @@
         FaultKind::EarlyStop,
     ];
 
-    /// Those of starts, ends and crowds: most runs have two of them.
+    /// Kinds that concern starts, stops and full slots: most runs have two of them.
     pub(super) const STARTS_AND_ENDS: [FaultKind; 8] = [
         FaultKind::Stop,
         FaultKind::Kill,
--- a/crates/soak/src/plan/faults.rs
+++ b/crates/soak/src/plan/faults.rs
@@ -6,7 +6,7 @@
 use super::{BackendFault, FaultKind, ProcessEnd, ProcessStart, Step};
 use crate::call_faults::CallFault;
 
-/// The system calls' faults that a run draws from, with their highest chance.
+/// The faults of system calls that a run draws from, with their highest probabilities.
 const CALLS: [(CallFault, f64); 13] = [
     (CallFault::ShortRead, 0.5),
     (CallFault::ShortWrite, 0.5),
@@ -115,7 +115,7 @@
         self.add_restarts(|builder| ProcessStart::EarlyStop(builder.log_millis(1.0, 40.0)));
     }
 
-    /// Ends single proxies, one soon after the other, by a kill or a stop, and starts the next ones in that way.
+    /// Restarts some proxies, one soon after the other, by a kill or a stop; the next process of each starts as drawn.
     fn add_restarts(&mut self, draw_start: impl Fn(&mut PlanBuilder) -> ProcessStart) {
         let mut at = self.time();
         for proxy in self.sample_proxies(0.4) {
--- a/crates/soak/src/plan/step.rs
+++ b/crates/soak/src/plan/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a run, and what is said with each.
+//! The steps of a run.
 
 use crate::call_faults::CallFault;
 use std::time::Duration;
@@ -6,47 +6,47 @@
 /// A single step of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// A proxy's process ends, and another one starts.
+    /// The process of a proxy ends, and its next one starts.
     Restart(usize, Restart),
-    /// SIGHUP to a proxy, to whose configuration discovery has moved.
+    /// Discovery moves to another address in a proxy's configuration, and the proxy gets SIGHUP.
     Reload(usize),
-    /// SIGSTOP for so many milliseconds.
+    /// A proxy is paused with SIGSTOP for so many milliseconds.
     Freeze(usize, u64),
-    /// Discovery is silent.
+    /// Discovery does not answer.
     DiscoverySilent,
-    /// Discovery ends all its calls.
+    /// Discovery closes all its connections.
     DiscoveryBroken,
-    /// Discovery is as usual.
+    /// Discovery works again.
     DiscoveryUp,
-    /// A proxy hears nothing of discovery.
+    /// A proxy cannot reach discovery.
     DiscoveryCut(usize),
-    /// It does again.
+    /// It can again.
     DiscoveryHealed(usize),
-    /// A backend drains, in the list and by itself.
+    /// A backend drains, and is listed so.
     DrainBackend(usize),
-    /// A backend that drains ends, and is taken out of the list.
+    /// A draining backend ends, and is removed from the list.
     RemoveBackend(usize),
-    /// A backend that has ended starts anew and is listed.
+    /// A backend that has ended starts again and is listed.
     StartBackend(usize),
-    /// A backend dies, and nobody says so.
+    /// A backend dies and stays listed.
     KillBackend(usize),
-    /// A backend falls ill.
+    /// A backend has a fault.
     BackendFault(usize, BackendFault),
-    /// It is well.
+    /// A backend has none of these faults any more.
     BackendHealed(usize),
     /// The connections from a proxy to a backend are reset and refused.
     LinkReset(usize, usize),
-    /// They are silent.
+    /// Nothing gets through on them.
     LinkSilent(usize, usize),
-    /// Bytes on them are late.
+    /// Bytes on them are delayed.
     LinkSlow(usize, usize),
-    /// They are as usual.
+    /// They work again.
     LinkHealed(usize, usize),
-    /// Calls fail with that chance.
+    /// System calls of all proxies fail with that probability.
     CallFault(CallFault, f64),
-    /// All wall clocks are so many seconds ahead.
+    /// The proxies' wall clocks are so many seconds ahead.
     WallClock(i64),
-    /// Clients of a proxy that misbehave.
+    /// Clients of a proxy misbehave.
     MisbehavingClients(usize),
     /// Idle clients fill the slots of a proxy.
     IdleCrowd(usize),
@@ -55,9 +55,9 @@
 /// A step and when it is taken, from the beginning of the run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedStep {
-    /// When.
+    /// When it is due.
     pub at: Duration,
-    /// What.
+    /// What is done.
     pub step: Step,
 }
 
@@ -75,9 +75,9 @@
 pub enum ProcessEnd {
     /// By SIGKILL.
     Kill,
-    /// By signals, as the platform sends them or in series.
+    /// By these signals.
     Stop(StopSignals),
-    /// By SIGTERM, and the next one is started at once.
+    /// By SIGTERM, and the next process starts at once.
     Overlap,
 }
 
@@ -88,26 +88,26 @@
     Single,
     /// SIGTERM twice.
     Twice,
-    /// SIGHUP three times, SIGTERM, and SIGHUP before and behind a second one.
+    /// SIGHUP three times, SIGTERM, SIGHUP, SIGTERM, SIGHUP.
     WithHangups,
 }
 
 /// How a process starts. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessStart {
-    /// As usual.
+    /// Without a fault.
     Normal,
-    /// Its address is held for so long.
+    /// Another socket listens at its address for so long.
     HeldAddress(u64),
-    /// Its address is held, and it is told to end after so long.
+    /// Another socket listens at its address, and it is stopped after so long.
     StopWhileHeld(u64),
-    /// Its configuration is whole after so long.
+    /// Its configuration is truncated, and complete after so long.
     HalfConfiguration(u64),
-    /// It is told to end after so long.
+    /// It is stopped after so long.
     EarlyStop(u64),
 }
 
-/// A backend's illness.
+/// A fault of a backend. Parts are fractions of its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
     /// A part of its requests is never answered.
@@ -116,16 +116,16 @@
     Fails(f64),
     /// A part ends in a reset.
     Resets(f64),
-    /// Work takes so many times as long.
+    /// Requests take so many times as long.
     Slow(f64),
-    /// Each connection ends after its answer.
+    /// Each connection is closed after its answer.
     Closes,
     /// Answers come byte by byte, over so many milliseconds.
     Drips(u64),
-    /// Answers are no HTTP, and the connection stays open.
+    /// Answers are not HTTP, and the connection stays open.
     Garbage,
-    /// Answers break off within their bodies, and the connection stays open.
+    /// Answers are truncated within their bodies, and the connection stays open.
     Truncates,
-    /// Head and body come in two segments, on a socket that holds small ones back.
+    /// Head and body are sent in two segments, without TCP_NODELAY.
     TwoSegments,
 }
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: their configuration, their start, their signals and their ends.
+//! Processes of the program: configuration, start and signals.
 
 use crate::address::{Reservation, ReservedAddress};
 use crate::artifacts::Artifacts;
@@ -23,31 +23,31 @@
     pub started_at: Time,
     /// When it was ready.
     pub ready_at: Option<Time>,
-    /// When it was told to end.
+    /// When it got the first signal of its stop.
     pub stop_requested_at: Option<Time>,
-    /// When it was killed, if the plan had it so.
+    /// When it was killed, if the plan killed it.
     pub killed_at: Option<Time>,
-    /// How it ended.
+    /// When and how it exited.
     pub exit: Option<(Time, ExitStatus)>,
     /// It was still there when SIGKILL was due.
     pub outlived_stop: bool,
-    /// When its address, or its configuration, was to be had, if that was after its start.
+    /// When its address was free or its configuration complete, if that was after its start.
     pub unblocked_at: Option<Time>,
-    /// Its peak memory in KiB, as far as it was looked at.
+    /// Its peak memory in KiB, when it was last measured.
     pub peak_memory_kib: u64,
     /// The file with its log.
     pub log: PathBuf,
 }
 
-/// A proxy through all its processes.
+/// A proxy, with its address and configuration, across all its processes.
 #[derive(Debug)]
 pub struct ProxySlot {
-    /// Its place.
+    /// Its number, from 0.
     pub place: usize,
-    /// Keeps its address while no process listens there.
+    /// Its address, reserved while no process listens.
     reserved: ReservedAddress,
     config: PathBuf,
-    /// The two addresses of discovery that it may be told.
+    /// The two addresses of discovery; a reload moves it from one to the other.
     discovery: [SocketAddr; 2],
     state: Mutex<SlotState>,
 }
@@ -73,19 +73,19 @@
     pub clock: Clock,
     /// How many proxies there are.
     pub proxies: usize,
-    /// Discovery is asked, not an agent that pushes.
+    /// The proxies poll discovery; otherwise an agent pushes the lists.
     pub polls_discovery: bool,
     /// The run's seed.
     pub seed: u64,
-    /// What the proxies are told.
+    /// The settings of all proxies.
     pub settings: RunSettings,
 }
 
 impl ProxySlot {
-    /// A proxy that is not started yet; `known`: the entries of its list from before.
+    /// A proxy that is not started yet. `known`: the cached endpoint list in its configuration.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port can be reserved.
     pub fn new(
         place: usize, folder: &Path, discovery: [SocketAddr; 2], known: serde_json::Value,
         reservation: Reservation,
@@ -101,7 +101,7 @@
         self.reserved.address()
     }
 
-    /// Its address, to be held against it.
+    /// Its reserved address.
     pub fn reserved(&self) -> &ReservedAddress {
         &self.reserved
     }
@@ -128,7 +128,7 @@
         std::fs::rename(&next, &self.config)
     }
 
-    /// Writes the whole configuration.
+    /// Writes the complete configuration.
     ///
     /// # Errors
     /// It cannot be written.
@@ -136,7 +136,7 @@
         self.write_config(context, &self.state())
     }
 
-    /// Starts a process; its configuration is whole, or breaks off in the middle.
+    /// Starts a process; its configuration is complete, or truncated in the middle.
     ///
     /// # Errors
     /// It cannot be started.
@@ -174,7 +174,7 @@
         Ok((child, process))
     }
 
-    /// That process has ended, and is sent nothing any more.
+    /// Forgets a process that has exited, so that it gets no more signals.
     pub fn ended(&self, pid: u32) {
         let mut state = self.state();
         if state.pid == Some(pid) {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Discovery moves to its other address, and the process is told.
+    /// Moves discovery to its other address, and sends the process SIGHUP.
     ///
     /// # Errors
     /// The configuration cannot be written.
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Sends its process the signal of that name, if there is one.
+    /// Sends the signal of that name to its process, if there is one.
     pub fn signal(&self, name: &str) {
         if let Some(pid) = self.state().pid {
             send_signal(pid, name);
@@ -203,13 +203,13 @@
     }
 }
 
-/// Sends a process of this run the signal of that name.
+/// Sends the signal of that name to a process of this run.
 pub fn send_signal(pid: u32, name: &str) {
     let _ = Command::new("kill").args(["-s", name, &pid.to_string()]).status();
     // it may have ended
 }
 
-/// The peak of a process's memory so far, in KiB; 0 where it has ended.
+/// The peak memory of a process so far, in KiB; 0 if it has exited.
 pub fn peak_memory_kib(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
-//! Carries a plan out: starts all parts, takes its steps in time, and collects what was written down.
+//! Executes a plan: starts all parts, applies the steps when they are due, and collects the evidence.
 //!
-//! `setup` starts the parts, `steps` takes the steps, `processes` leads each proxy through its processes, `load` holds
-//! their clients, and `notes` is what the run writes down itself.
+//! `setup` starts the parts, `steps` applies the steps, `processes` starts and ends the processes of each proxy, `load`
+//! runs their clients, and `observations` holds what the run itself records for the oracle.
 
 mod load;
 mod observations;
@@ -25,26 +25,26 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Report {
     /// Its seed.
     pub seed: u64,
     /// The kinds of fault.
     pub kinds: Vec<FaultKind>,
-    /// What broke.
+    /// The violations of invariants.
     pub violations: Vec<Violation>,
     /// Processes that were started.
     pub processes: usize,
-    /// Requests of the ordinary load, how many were served, and how many clients left.
+    /// Requests of the ordinary load.
     pub requests: usize,
-    /// Of these, served.
+    /// Those of them that were served.
     pub served: usize,
-    /// Clients that left.
+    /// Clients that disconnected before their answer.
     pub disconnects: usize,
-    /// System calls that failed, by kind.
+    /// System calls that were made to fail, by fault.
     pub calls: Vec<(CallFault, u32)>,
-    /// Where configurations and logs are: kept where something broke.
+    /// The folder with configurations and logs; it is kept only if there are violations.
     pub folder: PathBuf,
 }
 
@@ -62,16 +62,16 @@
     fleet: Fleet,
     discovery: ListServer,
     discovery_links: Vec<[Link; 2]>,
-    /// By proxy and backend; empty where the plan has no faults there.
+    /// By proxy and backend; empty if the plan has no fault of these links.
     backend_links: Vec<Vec<Link>>,
     _links: Links,
     observations: Mutex<Observations>,
 }
 
-/// Plays a seed. `only`: the kinds of fault that it is to have, in place of drawn ones.
+/// Runs the plan of a seed and checks the invariants. `only`: the kinds of fault in it, in place of drawn ones.
 ///
 /// # Errors
-/// The stand-ins could not be set up, or a process not be started.
+/// A stand-in or a process cannot be started.
 pub fn play(seed: u64, scale: &Scale, only: &[FaultKind], artifacts: &Artifacts) -> io::Result<Report> {
     let plan = Plan::draw(seed, scale, only);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Leads all proxies through their processes while the steps of the plan are taken.
+    /// Runs all proxies while the steps of the plan are applied, and returns the evidence.
     async fn run(self: Arc<Testbed>, plan: &Plan) -> io::Result<Evidence> {
         let end = Time(self.clock.now().0 + self.scale.length.as_micros() as u64);
         let begun = tokio::time::Instant::now();
@@ -138,7 +138,7 @@
         Ok(self.evidence(plan))
     }
 
-    /// Everything is as usual again, so that what is owed can be answered.
+    /// Ends all faults, so that open requests can be answered.
     fn heal(&self) -> io::Result<()> {
         self.control.clear()?;
         self.discovery.serve(ListService::Up);
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// A number for the ids of a group of clients that no other has.
+    /// A number for the ids of a run of clients that no other run has.
     fn next_client_run(&self) -> u32 {
         let mut observations = self.observations();
         observations.runs += 1;
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -1,4 +1,4 @@
-//! The clients of one process: the ordinary load, and clients that leave.
+//! The clients of one process: the ordinary load, and clients that disconnect.
 
 use super::processes::KILL_AFTER;
 use super::Testbed;
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Requests a second of the ordinary load at each proxy.
+/// The rate of the ordinary load at each proxy, requests a second.
 const RATE_PER_S: f64 = 40.0;
-/// The mean pause between two clients of a proxy that leave, ms.
+/// The mean pause between two clients of a proxy that disconnect, ms.
 const DISCONNECT_PAUSE_MS: f64 = 60.0;
-/// A client waits so long after its deadline for an answer that comes late.
+/// How long a client waits for an answer after its deadline.
 const PATIENCE_AFTER_DEADLINE: Duration = Duration::from_millis(500);
-/// The body of a request that is unsafe to repeat, in bytes: some writes and reads.
+/// The body of a non-idempotent request, in bytes: it takes several writes and reads.
 const LONG_BODY_BYTES: usize = 20_000;
 
 fn class(name: &str, idempotency: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
@@ -38,9 +38,9 @@
 
 /// The clients of one process.
 pub(super) struct Clients {
-    /// No new connections any more.
+    /// Set once clients may use only the connections that are open.
     pub(super) existing_only: watch::Sender<bool>,
-    /// Nothing any more.
+    /// Set once clients may send nothing more.
     stop: watch::Sender<bool>,
     load: JoinHandle<LoadResult>,
     disconnecting: JoinHandle<Vec<ClientDisconnect>>,
@@ -76,7 +76,7 @@
         Clients { existing_only, stop, load, disconnecting, disconnecting_run }
     }
 
-    /// Waits for what is open, and returns what the clients got.
+    /// Waits for the open requests, and returns what the clients got.
     pub(super) async fn end(self) -> Option<(LoadResult, (u32, Vec<ClientDisconnect>))> {
         self.existing_only.send_replace(true);
         self.stop.send_replace(true);
--- a/crates/soak/src/run/observations.rs
+++ b/crates/soak/src/run/observations.rs
@@ -1,4 +1,4 @@
-//! What a run writes down itself, and the evidence made of it and of what the stand-ins wrote.
+//! What the run itself records for the oracle, and the evidence made of that and of the records of the stand-ins.
 
 use super::Testbed;
 use crate::call_faults::CallFault;
@@ -8,10 +8,10 @@
 use shaletide_testkit::Told;
 use shaletide_types::Time;
 
-/// The end of a span that has not ended.
+/// The end of a span that is still open.
 const OPEN: Time = Time(u64::MAX);
 
-/// What the run itself writes down.
+/// What the run itself records.
 #[derive(Default)]
 pub(super) struct Observations {
     pub(super) processes: Vec<ProcessRecord>,
@@ -25,7 +25,7 @@
 }
 
 impl Observations {
-    /// The notes of a run with so many proxies, before it begins.
+    /// The empty observations of a run with so many proxies.
     pub(super) fn of(proxies: usize) -> Observations {
         Observations {
             discovery_outages: vec![Vec::new(); proxies],
@@ -46,7 +46,7 @@
 }
 
 impl Testbed {
-    /// All that was written down, once every process has ended. Takes the notes.
+    /// The evidence of the run. Takes the observations, so that it is called once, after every process has ended.
     pub(super) fn evidence(&self, plan: &Plan) -> Evidence {
         let mut observations = std::mem::take(&mut *self.observations());
         observations.close(self.clock.now());
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What discovery wrote to whom.
+    /// The entries that discovery wrote to each proxy.
     fn list_writes(&self) -> Vec<ListWrite> {
         let place = |name: &str| name.get(1..).and_then(|number| number.parse().ok());
         let one =
@@ -89,7 +89,7 @@
         self.discovery.told().into_iter().filter_map(one).collect()
     }
 
-    /// From now on discovery cannot be reached by these proxies.
+    /// Records that these proxies cannot reach discovery from now on.
     pub(super) fn discovery_unreachable_from_now(&self, proxies: impl Iterator<Item = usize>) {
         let now = self.clock.now();
         let mut observations = self.observations();
@@ -98,7 +98,7 @@
         }
     }
 
-    /// From now on it can.
+    /// Records that they can reach it again.
     pub(super) fn discovery_reachable_again(&self, proxies: impl Iterator<Item = usize>) {
         let now = self.clock.now();
         let mut observations = self.observations();
@@ -109,13 +109,13 @@
         }
     }
 
-    /// From now on bytes from a proxy to a backend are late.
+    /// Records that bytes from a proxy to a backend are delayed from now on.
     pub(super) fn link_delayed_from_now(&self, proxy: usize, backend: usize) {
         let from = self.clock.now();
         self.observations().delayed_links.push(DelayedLink { proxy, backend, from, until: OPEN });
     }
 
-    /// From now on they are not.
+    /// Records that they are not delayed any more.
     pub(super) fn link_delayed_until_now(&self, proxy: usize, backend: usize) {
         let now = self.clock.now();
         for link in &mut self.observations().delayed_links {
@@ -125,12 +125,12 @@
         }
     }
 
-    /// A backend drains, as discovery was told at that time.
+    /// Records that discovery was told of a drain at that time.
     pub(super) fn note_drain(&self, backend: usize, from: Time) {
         self.observations().drains.push(DrainSpan { backend, from, until: None });
     }
 
-    /// A backend that started anew is listed, as discovery was told at that time.
+    /// Records that discovery was told of a start of a backend at that time.
     pub(super) fn note_backend_start(&self, backend: usize, listed: Time) {
         let mut observations = self.observations();
         observations.backend_starts.push(BackendStart { backend, listed });
@@ -146,13 +146,13 @@
     plan.kinds.iter().any(|kind| kinds.contains(kind))
 }
 
-/// Whether processes stand still in a plan.
+/// Whether a plan pauses processes.
 fn pauses_processes(plan: &Plan) -> bool {
     let pauses = |step: Step| matches!(step, Step::Freeze(..) | Step::CallFault(CallFault::SlowWrite, _));
     plan.steps.iter().any(|timed| pauses(timed.step))
 }
 
-/// The lines of all logs that matter to the oracle, with their files' names, and how many clients were evicted.
+/// The log lines that the oracle checks, each with the name of its file, and the number of evicted clients.
 fn read_logs(processes: &[ProcessRecord]) -> (Vec<String>, u64) {
     let (mut log_lines, mut evictions) = (Vec::new(), 0);
     for process in processes {
@@ -166,7 +166,7 @@
     (log_lines, evictions)
 }
 
-/// How many clients a line of the program's periodic report says were evicted.
+/// The number of evicted clients in a line of the program's periodic report.
 fn evicted_in(line: &str) -> Option<u64> {
     let (_, behind) = line.split_once(" evicted ")?;
     behind.split(' ').next()?.parse().ok()
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -15,39 +15,39 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// The front sends a proxy new connections for so long after SIGTERM; clients use open ones until it has ended.
+/// Clients open new connections for so long after SIGTERM, and use open ones until the process has ended.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
-/// SIGKILL comes so long after SIGTERM and the longest deadline.
+/// The time from the longest deadline after SIGTERM to SIGKILL.
 pub(super) const KILL_AFTER: Duration = Duration::from_millis(700);
-/// Between two signals of a series.
+/// The pause between two signals of a series.
 const SIGNAL_PAUSE: Duration = Duration::from_millis(15);
-/// A process that is not ready after so long is taken to be stuck.
+/// A process that is not ready after so long is not waited for any more.
 const START_PATIENCE: Duration = Duration::from_secs(15);
-/// An answer to a question whether it is ready comes within this time.
+/// The timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// How often a process is looked at.
+/// The pause between two checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process, and when what it waits for will be there.
+/// A process that was started. `unblocked` ends when its address is free, or its configuration complete.
 struct Started {
     child: Child,
     process: ProcessRecord,
     unblocked: Option<JoinHandle<Time>>,
 }
 
-/// What becomes of a process that is ready.
+/// Why a process ends.
 #[derive(Clone, Copy)]
 enum EndCause {
-    /// It is to end, and another one to start.
+    /// The plan restarts it.
     Restart(Restart),
-    /// It is to end with the run.
+    /// The run is over.
     RunOver,
-    /// It has ended, and nothing told it to.
+    /// It has exited by itself.
     Exited,
 }
 
 impl Testbed {
-    /// A proxy through all its processes, with its clients.
+    /// Runs the processes of a proxy, one after the other or overlapping, with their clients, until the run is over.
     pub(super) async fn proxy(
         self: Arc<Testbed>, place: usize, end: Time, mut restarts: mpsc::Receiver<Restart>,
     ) -> io::Result<()> {
@@ -89,7 +89,7 @@
         overlapping.join_all().await.into_iter().collect()
     }
 
-    /// Ends a process for that cause, and waits until it has ended.
+    /// Ends a process for that cause, waits until it has exited, and records it.
     async fn end(
         &self, mut child: Child, mut process: ProcessRecord, clients: Clients, cause: EndCause,
     ) -> io::Result<()> {
@@ -113,7 +113,7 @@
         self.stop_with_clients(child, process, Some(clients), signals).await
     }
 
-    /// Tells a process to end, waits for that, and writes down what its clients got.
+    /// Stops a process, waits until it has exited, and records it with what its clients got.
     async fn stop_with_clients(
         &self, mut child: Child, mut process: ProcessRecord, clients: Option<Clients>, signals: StopSignals,
     ) -> io::Result<()> {
@@ -126,7 +126,7 @@
         let slot = &self.slots[place];
         let held = match how {
             ProcessStart::HeldAddress(millis) => Some((millis, slot.reserved().occupy())),
-            // Longer than the process will be there.
+            // Longer than the process runs.
             ProcessStart::StopWhileHeld(millis) => Some((millis + 200, slot.reserved().occupy())),
             _ => None,
         };
@@ -140,7 +140,7 @@
         Ok(Started { child, process, unblocked })
     }
 
-    /// Releases a held address after so many milliseconds.
+    /// Frees an occupied address after so many milliseconds.
     fn release_later(self: &Arc<Testbed>, listener: ConflictingListener, millis: u64) -> JoinHandle<Time> {
         let testbed = self.clone();
         tokio::spawn(async move {
@@ -155,7 +155,7 @@
         let testbed = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(millis)).await;
-            // Where it cannot be written, the process is not ready, which is seen.
+            // If it cannot be written, the process does not become ready, which the oracle reports.
             let _ = testbed.slots[place].complete_config(&testbed.process_context());
             testbed.clock.now()
         })
@@ -180,7 +180,7 @@
         }));
     }
 
-    /// Tells a process to end as the platform does, and waits for that.
+    /// Stops a process as the platform does: SIGTERM, and SIGKILL if it is still there when that is due.
     async fn stop(
         &self, child: &mut Child, process: &mut ProcessRecord, clients: Option<&Clients>,
         signals: StopSignals,
@@ -208,7 +208,7 @@
         child.wait()
     }
 
-    /// When a process says that it is ready; none where it ends or takes too long.
+    /// Waits until a process is ready, and returns when; `None` if it exits or takes too long.
     async fn wait_until_ready(&self, child: &mut Child, place: usize) -> Option<Time> {
         let to = self.slots[place].address();
         let by = tokio::time::Instant::now() + START_PATIENCE;
@@ -227,7 +227,7 @@
     }
 }
 
-/// Sends the signals of a stop; SIGTERM is the first that ends anything.
+/// Sends the signals of a stop, with pauses between them.
 async fn send_series(pid: u32, signals: StopSignals) {
     let names: &[&str] = match signals {
         StopSignals::Single => &["TERM"],
@@ -242,7 +242,7 @@
     }
 }
 
-/// Waits until a process is to end, or has ended.
+/// Waits until a process is to end, or has exited.
 async fn next_end_cause(child: &mut Child, restarts: &mut mpsc::Receiver<Restart>) -> EndCause {
     tokio::select! {
         restart = restarts.recv() => restart.map_or(EndCause::RunOver, EndCause::Restart),
@@ -250,7 +250,7 @@
     }
 }
 
-/// Until the process has ended.
+/// Waits until a process has exited.
 async fn wait_for_exit(child: &mut Child) {
     while matches!(child.try_wait(), Ok(None)) {
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -1,4 +1,4 @@
-//! Starts all parts of a run but the proxies' processes: backends, discovery, and the links between the parts.
+//! Starts all parts of a run except the proxies' processes: backends, discovery, and the links between the parts.
 
 use super::{Observations, Testbed};
 use crate::address::Reservation;
@@ -19,12 +19,12 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Where all parts listen.
+/// The address at which all parts listen.
 const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-/// Backends of one bay share the keys that they have seen.
+/// Backends of one deduplication group, `bay` on the wire: they share the keys that they have seen.
 const BACKENDS_PER_BAY: usize = 3;
 
-/// The names by which links know a proxy.
+/// The name of a proxy in links.
 fn proxy_name(place: usize) -> String {
     format!("p{place}")
 }
@@ -76,7 +76,7 @@
     ListServer::with_views(clock, &watchers, entries.to_vec(), views.to_vec())
 }
 
-/// Two links from each proxy to discovery, which it may be told one after the other.
+/// Two links from each proxy to discovery; a reload moves the proxy from one to the other.
 fn link_discovery(links: &Links, proxies: usize, discovery: &ListServer) -> io::Result<Vec<[Link; 2]>> {
     let mut pairs = Vec::new();
     for place in 0..proxies {
@@ -87,7 +87,7 @@
     Ok(pairs)
 }
 
-/// The list that a proxy knows from before its start.
+/// The cached endpoint list in a proxy's configuration.
 fn known_list(entries: &[Entry], view: Option<&View>) -> serde_json::Value {
     let known = entries.iter().map(|entry| {
         let address = view.and_then(|view| view.get(&entry.name));
@@ -110,7 +110,7 @@
 }
 
 impl Testbed {
-    /// Starts all parts of a seed's run.
+    /// Starts all parts of the run of a seed.
     pub(super) fn new(seed: u64, scale: &Scale, plan: &Plan, artifacts: &Artifacts) -> io::Result<Testbed> {
         let folder = std::env::temp_dir().join(format!("shaletide-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -1,4 +1,4 @@
-//! Takes the steps of a plan, and notes what the oracle has to know of them.
+//! Applies the steps of a plan, and records what the oracle needs to know of them.
 
 use super::{set_link, Testbed};
 use crate::clients::{hold_idle_connections, run_misbehaving_clients};
@@ -10,16 +10,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// On a link that is slow bytes are late by so many ms.
+/// The least and the longest delay of bytes on a slow link, ms.
 const SLOW_LINK_MS: (f64, f64) = (20.0, 300.0);
 
 impl Testbed {
-    /// Takes a step. `restarts`: where each proxy is told to restart its process.
+    /// Applies a step. `restarts`: where each proxy is told to restart its process.
     pub(super) fn apply_step(
         self: &Arc<Testbed>, step: Step, restarts: &[mpsc::Sender<Restart>],
     ) -> io::Result<()> {
         match step {
-            // A proxy with a full queue of restarts has enough to do; this one is left out.
+            // If the queue of the proxy is full, the restart is left out.
             Step::Restart(proxy, restart) => {
                 let _ = restarts[proxy].try_send(restart);
             }
@@ -169,7 +169,7 @@
     }
 }
 
-/// What the stand-in of a backend is told for a fault.
+/// The testkit's form of a fault of a backend.
 fn stand_in_fault(fault: BackendFault) -> Fault {
     match fault {
         BackendFault::Hangs(part) => Fault::Hang(part),
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,38 +1,38 @@
-//! The settings of a run: what the platform tells its proxies, drawn from the seed within what the platform allows.
+//! The settings of a run, drawn from the seed within the limits of the platform, and their form in `NODE_CONFIG`.
 
 use serde_json::json;
 use shaletide_testkit::SeededRng;
 
-/// A backend that gets more in this time than it is allowed falls over, µs.
+/// The overload window: a warming backend that gets more than its budget within it is overloaded, µs.
 pub const OVERLOAD_WINDOW_US: u64 = 2_000_000;
-/// The platform waits no longer than this for the longest deadline before it kills a process, µs.
+/// The longest part of a deadline that the platform waits for between SIGTERM and SIGKILL, µs.
 const LONGEST_KILL_DELAY_US: u64 = 3_000_000;
 
-/// What all proxies of a run are told.
+/// The settings of all proxies of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunSettings {
     /// The deadlines of the classes `read`, `pay` and `vote`, µs.
     pub deadlines_us: [u64; 3],
-    /// A repeat of a keyed request begins within so long of its first run, µs.
+    /// The deduplication window: a repeat of a keyed request begins within it after the first run, µs.
     pub deduplication_window_us: u64,
-    /// Nothing new may go to a backend so long after its drain was told, µs.
+    /// A proxy may send new requests to a backend for so long after it was told that the backend drains, µs.
     pub drain_grace_us: u64,
-    /// The part of its speed that a backend starts with.
+    /// The fraction of its capacity that a backend starts with.
     pub initial_capacity_fraction: f64,
-    /// A backend is warm after so long, µs.
+    /// The slow start window: a backend has its whole capacity after it, µs.
     pub slow_start_window_us: u64,
-    /// What a backend is allowed in the fall window, as a multiple of what it can do.
+    /// The slow start budget of an overload window, as a multiple of what the backend can serve in it.
     pub overload_multiple: f64,
-    /// Attempts of a request at most.
+    /// The most attempts of a request.
     pub max_attempts: u32,
-    /// The file descriptors that a proxy may hold.
+    /// The most file descriptors that a proxy may hold.
     pub max_descriptors: usize,
-    /// Addresses are reserved by a socket that is bound with SO_REUSEPORT alone, as a platform may do.
+    /// Addresses are reserved by a socket that is bound with SO_REUSEPORT alone, as some platforms do.
     pub reserves_addresses: bool,
 }
 
 impl RunSettings {
-    /// Those of a site like many.
+    /// Settings of a typical site.
     pub const USUAL: RunSettings = RunSettings {
         deadlines_us: [1_500_000; 3],
         deduplication_window_us: 500_000,
@@ -45,11 +45,11 @@
         reserves_addresses: false,
     };
 
-    /// Those of a seed.
+    /// Draws the settings of a seed.
     pub fn draw(seed: u64) -> RunSettings {
         let mut rng = SeededRng::of(seed, "settings");
         let mut between = |from: f64, to: f64| from + (to - from) * rng.part();
-        // Half of the runs have short deadlines, where the kill comes soonest.
+        // Half of the runs have short deadlines, and so the earliest SIGKILL.
         let longest = if between(0.0, 1.0) < 0.5 { 0.8 } else { 3.0 };
         let deadlines_us = [(); 3].map(|()| micros(between(0.2, longest)));
         let deduplication_window_us = micros(between(0.2, 2.0));
@@ -78,12 +78,12 @@
         self.deadlines_us.into_iter().max().unwrap_or_default()
     }
 
-    /// The part of it that the platform waits for before it kills a process, µs.
+    /// The part of the longest deadline that the platform waits for between SIGTERM and SIGKILL, µs.
     pub fn longest_stop_us(&self) -> u64 {
         self.longest_deadline_us().min(LONGEST_KILL_DELAY_US)
     }
 
-    /// The settings in the platform's form, for the proxy of that place among so many.
+    /// The `settings` of `NODE_CONFIG` for one of so many proxies.
     pub fn platform(&self, place: usize, proxies: usize, polls_discovery: bool) -> serde_json::Value {
         let discovery = if polls_discovery { "subscribe" } else { "automatic" };
         let class = |place: usize, name: &str, effect: &str| {
