--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -45,23 +45,23 @@
     judge(evidence).into_iter().map(|violation| violation.invariant).collect()
 }
 
-/// A change that discovery writes into a link that is cut is told when the link is whole again, and 6 s after it could
-/// be reached at the latest.
+/// A change that discovery writes into a cut link is known when the link works again, and at the latest 6 s after
+/// discovery could be reached.
 #[test]
-fn change_written_into_a_cut_link_is_told_when_it_arrives() {
+fn change_written_into_cut_link_is_known_when_it_arrives() {
     let mut evidence = evidence(true);
     let (change, written) = (Time(6_279_000), Time(6_280_000));
     evidence.list_writes = vec![ListWrite { proxy: 0, backend: 9, at: written }];
-    let told = |evidence: &Evidence| evidence.change_known_at(&evidence.processes[0], 9, change);
-    assert_eq!(told(&evidence), written, "nothing is cut");
+    let known_at = |evidence: &Evidence| evidence.change_known_at(&evidence.processes[0], 9, change);
+    assert_eq!(known_at(&evidence), written, "nothing is cut");
     evidence.discovery_outages[0] = vec![(Time(6_069_000), Time(8_790_000))];
-    assert_eq!(told(&evidence), Time(8_790_000));
+    assert_eq!(known_at(&evidence), Time(8_790_000));
     evidence.list_writes[0].at = Time(30_000_000);
-    assert_eq!(told(&evidence), Time(14_790_000), "6 s after discovery could be reached");
+    assert_eq!(known_at(&evidence), Time(14_790_000), "6 s after discovery could be reached");
 }
 
 #[test]
-fn start_is_ready_soon_after_its_address_was_released() {
+fn process_must_be_ready_soon_after_its_address_is_free() {
     let mut evidence = evidence(false);
     evidence.processes[0].unblocked_at = Some(Time(5_000_000));
     evidence.processes[0].ready_at = Some(Time(5_900_000));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn process_that_ends_by_itself_is_a_crash_and_an_early_signal_is_none() {
+fn process_exit_is_crash_unless_stop_was_early_or_orderly() {
     let status = |raw| std::process::ExitStatus::from_raw(raw);
     let mut evidence = evidence(false);
     evidence.processes[0].exit = Some((Time(20_000), status(1 << 8)));
--- a/crates/soak/tests/record_start.rs
+++ b/crates/soak/tests/record_start.rs
@@ -26,8 +26,8 @@
     )
 }
 
-/// Asks until the key is served; until then it may only be refused.
-fn served(proxy: &Serving, key: &str) {
+/// Sends the key until it is served; until then it may only be rejected.
+fn retry_until_served(proxy: &Serving, key: &str) {
     let begun = Instant::now();
     while proxy.ask(&keyed_pay(key)).status() != 200 {
         assert!(begun.elapsed() < PATIENCE, "{key} is not served");
@@ -35,45 +35,45 @@
     }
 }
 
-fn starts_beside_a_disk_that_fails(fault: CallFault) {
+fn starts_while_disk_fails(fault: CallFault) {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, Some(folder.path()));
     let backend = BackendServer::start(|_| ok("done"));
     let text = file(&folder, &backend);
     let first = program.serve(&text);
-    served(&first, "before");
+    retry_until_served(&first, "before");
     drop(first); // killed
 
     control.set(fault, 1.0).expect("the control file");
     let proxy = program.serve(&text);
     assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{fault:?}: what needs no record is served");
-    let refused = proxy.ask(&keyed_pay("during"));
-    assert_eq!(refused.status(), 503, "{fault:?}");
-    assert!(refused.header("retry-after").is_some(), "{fault:?}");
-    let sent = backend.count();
+    let rejected = proxy.ask(&keyed_pay("during"));
+    assert_eq!(rejected.status(), 503, "{fault:?}");
+    assert!(rejected.header("retry-after").is_some(), "{fault:?}");
+    let sent_before = backend.count();
     control.clear().expect("the control file");
-    served(&proxy, "during");
-    assert_eq!(backend.count(), sent + 1, "{fault:?}: sent once");
+    retry_until_served(&proxy, "during");
+    assert_eq!(backend.count(), sent_before + 1, "{fault:?}: sent once");
     assert_eq!(proxy.ask(&keyed_pay("before")).status(), 409, "{fault:?}: known from before the failure");
 }
 
 #[test]
-fn unrecorded_classes_are_served_while_the_disk_fails_at_the_start() {
+fn unrecorded_class_is_served_when_disk_fails_at_start() {
     for fault in [CallFault::DiskSync, CallFault::DiskWrite, CallFault::DiskRead, CallFault::DiskOpen] {
-        starts_beside_a_disk_that_fails(fault);
+        starts_while_disk_fails(fault);
     }
 }
 
-/// A store that is not one, or whose folder is not there, remains an error at the start.
+/// A file that is not a store, or a folder that does not exist, is an error at the start.
 #[test]
-fn store_that_cannot_be_right_ends_the_start() {
+fn start_fails_when_store_is_invalid_or_its_folder_is_missing() {
     let folder = Folder::new();
     let backend = BackendServer::start(|_| ok("done"));
     let (program, _control) = faulty(&folder, Some(folder.path()));
     std::fs::write(folder.path().join("record.db"), vec![b'x'; 8192]).expect("a file");
     let config = folder.path().join("operator.toml");
-    let door = Refusing::new();
-    let text = format!("[[listener]]\naddress = \"{}\"\n{}", door.address(), file(&folder, &backend));
+    let refusing = Refusing::new();
+    let text = format!("[[listener]]\naddress = \"{}\"\n{}", refusing.address(), file(&folder, &backend));
     for text in [text.clone(), text.replace("record.db", "no/record.db")] {
         std::fs::write(&config, text).expect("a file");
         let mut command = program.command(None);
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn rules_hold_while_faults_overlap() {
+fn invariants_hold_while_faults_overlap() {
     let artifacts = Artifacts::find().expect("the program and the shim");
     let kinds = [
         vec![FaultKind::Stop, FaultKind::Calls, FaultKind::Reload, FaultKind::Death],
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn plan_is_the_same_for_the_same_seed_and_faults_overlap() {
+fn plan_of_same_seed_is_equal_and_ordered() {
     for seed in 0..200 {
         let plan = Plan::draw(seed, &scale(), &[]);
         let again = Plan::draw(seed, &scale(), &[]);
--- a/crates/soak/tests/system_calls.rs
+++ b/crates/soak/tests/system_calls.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Accepts fail with what the kernel passes on from the network, while there are slots and descriptors enough: resting
+/// Accepts fail with what the kernel passes on from the network, while there are slots and descriptors enough: idle
 /// connections stay, and new ones are served.
 #[test]
 fn accept_errors_evict_nobody_while_slots_are_free() {
@@ -61,8 +61,8 @@
     let (program, control) = faulty(&folder, None);
     let (_backend, known) = backend();
     let proxy = program.start(&known);
-    let mut resting: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
-    for client in &mut resting {
+    let mut idle: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
+    for client in &mut idle {
         assert_eq!(client.ask(&read(3.0)).status(), 200);
     }
     control.set(CallFault::Accept, 0.5).expect("the control file");
@@ -70,7 +70,7 @@
         assert_eq!(proxy.ask(&read(3.0)).status(), 200);
     }
     assert!(control.count(CallFault::Accept).expect("the control file") > 10);
-    for (n, client) in resting.iter_mut().enumerate() {
+    for (n, client) in idle.iter_mut().enumerate() {
         let tcp = client.0.get_ref();
         tcp.set_nonblocking(true).expect("a socket");
         let peeked = tcp.peek(&mut [0]);
--- a/crates/soak/tests/wall_clock.rs
+++ b/crates/soak/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! A wall clock that is wrong: who is cold goes by real time all the same.
+//! A wall clock that is wrong: slow start goes by elapsed time all the same.
 
 mod rig;
 
@@ -7,39 +7,45 @@
 use shaletide_types::{Idempotency, Micros};
 use std::time::Duration;
 
-/// A backend is warm after this time.
-const RAMP: Micros = Micros(2_000_000);
+/// The slow start window.
+const SLOW_START_WINDOW: Micros = Micros(2_000_000);
 /// Requests a second, over five backends.
 const RATE_PER_S: f64 = 250.0;
-/// What each request needs, ms.
+/// The work of each request, ms.
 const WORK_MS: f64 = 10.0;
-/// The backend that starts anew is out of the list for so long before.
-const AWAY: Duration = Duration::from_millis(500);
-/// What it gets is counted for so long after its start.
-const COUNTED: Duration = Duration::from_secs(4);
-/// What a warm backend gets in a second: an even part.
-const WARM: usize = RATE_PER_S as usize / 5;
+/// How long the backend is not listed before it starts again.
+const UNLISTED_FOR: Duration = Duration::from_millis(500);
+/// How long its requests are counted after its start.
+const COUNTED_FOR: Duration = Duration::from_secs(4);
+/// The requests that a warm backend gets in a second: an even part.
+const WARM_RATE: usize = RATE_PER_S as usize / 5;
 
-/// When the clock is as wrong as said.
+/// Since when the clock is wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Since {
     /// From before the process starts.
     Start,
-    /// From before the backend starts anew, while the process runs.
+    /// From before the backend starts again, while the process runs.
     Running,
 }
 
 fn backends() -> Vec<BoxSpec> {
-    let power = shaletide_testkit::Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.1, ramp: RAMP };
+    let power = shaletide_testkit::Power {
+        cores: 2,
+        speed: 1.0,
+        initial_capacity_fraction: 0.1,
+        ramp: SLOW_START_WINDOW,
+    };
     (0..5).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()
 }
 
 fn settings() -> String {
-    let ramp = SETTINGS.replace("\"ramp_time_us\":9000000", &format!("\"ramp_time_us\":{}", RAMP.0));
+    let ramp =
+        SETTINGS.replace("\"ramp_time_us\":9000000", &format!("\"ramp_time_us\":{}", SLOW_START_WINDOW.0));
     ramp.replace("\"cold_from\":0.3", "\"cold_from\":0.1")
 }
 
-/// What a backend gets that starts anew, by the second after its start, at a proxy whose wall clock is so many seconds
+/// The requests that a backend gets in each second after its start, from a proxy whose wall clock is so many seconds
 /// ahead.
 fn requests_by_second(ahead: i64, since: Since) -> Vec<usize> {
     let folder = Folder::new();
@@ -54,7 +60,8 @@
     let discovery = ListServer::start(fleet.clock(), &["n0"], entries).expect("a discovery");
     let proxy = program.joined(discovery.address(0), &known, &settings());
     let class = LoadClass::new("read", Idempotency::Safe, Duration::from_secs(3));
-    let load = Load { clock: fleet.clock(), ..Load::new(RATE_PER_S, vec![class], AWAY * 2 + COUNTED) };
+    let load =
+        Load { clock: fleet.clock(), ..Load::new(RATE_PER_S, vec![class], UNLISTED_FOR * 2 + COUNTED_FOR) };
     let to = proxy.address;
     let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
     let backend = &fleet.boxes()[0];
@@ -64,13 +71,13 @@
     }
     let version = discovery.set("b0", Status::Deleted);
     assert!(discovery.wait_told(version));
-    std::thread::sleep(AWAY);
+    std::thread::sleep(UNLISTED_FOR);
     let started = backend.revive();
     discovery.put(backend.entry());
     let result = clients.join().expect("the clients");
     assert_eq!(result.unanswered(), 0);
     let ledger = fleet.ledger();
-    let mut counts = vec![0; COUNTED.as_secs() as usize];
+    let mut counts = vec![0; COUNTED_FOR.as_secs() as usize];
     for record in ledger.records.iter().filter(|record| record.at_box == 0 && record.boot == 1) {
         if let Some(count) = counts.get_mut((record.began - started).secs() as usize) {
             *count += 1;
@@ -82,24 +89,24 @@
 
 fn is_cold_first_and_warm_after(ahead: i64, since: Since) {
     let counts = requests_by_second(ahead, since);
-    assert!(counts[0] < WARM / 2, "{ahead} s ahead since {since:?}: taken for warm, {counts:?}");
-    assert!(counts[3] > WARM / 2, "{ahead} s ahead since {since:?}: starved, {counts:?}");
+    assert!(counts[0] < WARM_RATE / 2, "{ahead} s ahead since {since:?}: taken for warm, {counts:?}");
+    assert!(counts[3] > WARM_RATE / 2, "{ahead} s ahead since {since:?}: starved, {counts:?}");
 }
 
 #[test]
-fn backend_is_cold_for_a_ramp_where_the_clock_was_ahead_at_the_start() {
+fn backend_is_cold_for_slow_start_window_when_clock_was_ahead_at_start() {
     is_cold_first_and_warm_after(3600, Since::Start);
     is_cold_first_and_warm_after(7, Since::Start);
 }
 
 #[test]
-fn backend_is_cold_for_a_ramp_where_the_clock_was_behind_at_the_start() {
+fn backend_is_cold_for_slow_start_window_when_clock_was_behind_at_start() {
     is_cold_first_and_warm_after(-3600, Since::Start);
     is_cold_first_and_warm_after(-7, Since::Start);
 }
 
 #[test]
-fn backend_is_cold_for_a_ramp_where_the_clock_is_true_or_stepped_while_running() {
+fn backend_is_cold_for_slow_start_window_when_clock_is_right_or_stepped_while_running() {
     is_cold_first_and_warm_after(0, Since::Start);
     is_cold_first_and_warm_after(3600, Since::Running);
     is_cold_first_and_warm_after(-3600, Since::Running);
