--- a/crates/soak/tests/record_faults.rs
+++ b/crates/soak/tests/record_faults.rs
@@ -7,6 +7,7 @@
 
 use rig::*;
 use shaletide_soak::call_faults::CallFault;
+use shaletide_soak::control::FaultControl;
 use shaletide_testkit::SeededRng;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -113,50 +114,61 @@
     }
 }
 
-fn no_key_runs_twice(seed: u64, length: Duration) {
-    let folder = Folder::new();
-    let (program, control) = faulty(&folder, Some(folder.path()));
-    let runs = Runs::default();
-    let text = file(&folder, backend(&runs));
-    let mut proxy = Some(program.serve(&text));
-    let to = Mutex::new(proxy.as_ref().expect("a proxy").address);
-    let (over, answers) = (AtomicBool::new(false), Answers::default());
-    let (mut rng, mut kills, mut reloads) = (SeededRng::new(seed), 0, 0);
-    std::thread::scope(|scope| {
-        let _ends = EndsClients(&over); // also where a check fails
-        for number in 0..CLIENTS {
-            let (to, over, answers) = (&to, &over, &answers);
-            scope.spawn(move || client(number, to, over, answers));
-        }
+/// How often the program was killed and reloaded.
+#[derive(Default)]
+struct Disturbances {
+    kills: u32,
+    reloads: u32,
+}
+
+/// The program beside a disk that fails.
+struct Disturbed<'a> {
+    program: &'a Program,
+    control: &'a FaultControl,
+    config: &'a str,
+    proxy: Option<Serving>,
+    /// Where its clients find it.
+    address: &'a Mutex<SocketAddr>,
+}
+
+impl Disturbed<'_> {
+    /// Draws faults of the disk, kills and reloads for so long, and ends the faults.
+    fn disturb(&mut self, seed: u64, length: Duration) -> Disturbances {
+        let mut rng = SeededRng::new(seed);
+        let mut disturbances = Disturbances::default();
         let begun = Instant::now();
         while begun.elapsed() < length {
             std::thread::sleep(Duration::from_millis(100 + rng.word() % 300));
             let fault = FAULTS[rng.word() as usize % FAULTS.len()];
             let chance = [0.0, 0.0, 0.02, 0.3, 1.0][rng.word() as usize % 5];
-            control.set(fault, chance).expect("the control file");
+            self.control.set(fault, chance).expect("the control file");
             match rng.word() % 8 {
                 0 => {
-                    drop(proxy.take()); // SIGKILL
-                    kills += 1;
-                    let next = program.serve(&text);
-                    *to.lock().expect("an address") = next.address;
-                    proxy = Some(next);
+                    self.restart();
+                    disturbances.kills += 1;
                 }
                 1 => {
-                    proxy.as_ref().expect("a proxy").signal("HUP");
-                    reloads += 1;
+                    self.proxy.as_ref().expect("a proxy").signal("HUP");
+                    disturbances.reloads += 1;
                 }
                 _ => {}
             }
         }
-        control.clear().expect("the control file");
-    });
-    let answers = answers.into_inner().expect("answers");
-    let injected: Vec<u32> = FAULTS.iter().map(|fault| control.count(*fault).unwrap_or_default()).collect();
+        self.control.clear().expect("the control file");
+        disturbances
+    }
 
-    // A last start on a sound disk: what was served is known, and whatever is asked again runs once at most.
-    drop(proxy.take());
-    let proxy = program.serve(&text);
+    fn restart(&mut self) {
+        drop(self.proxy.take()); // SIGKILL
+        let next = self.program.serve(self.config);
+        *self.address.lock().expect("an address") = next.address;
+        self.proxy = Some(next);
+    }
+}
+
+/// What was served is known after a start on a sound disk, and whatever is sent again runs once at most. Returns how many
+/// keys were served.
+fn check_keys_after_restart(seed: u64, proxy: &Serving, answers: &BTreeMap<String, Option<u16>>) -> usize {
     let begun = Instant::now();
     while pay_key(proxy.address, "sound").is_none_or(|status| status == 503) {
         assert!(begun.elapsed() < PATIENCE, "seed {seed}: the store does not come back");
@@ -172,16 +184,47 @@
         let status = pay_key(proxy.address, key);
         assert!(matches!(status, Some(200 | 409 | 503 | 502)), "seed {seed}: {key} {status:?}");
     }
+    served.len()
+}
+
+fn no_key_runs_twice(seed: u64, length: Duration) {
+    let folder = Folder::new();
+    let (program, control) = faulty(&folder, Some(folder.path()));
+    let runs = Runs::default();
+    let config = file(&folder, backend(&runs));
+    let proxy = program.serve(&config);
+    let address = Mutex::new(proxy.address);
+    let mut disturbed = Disturbed {
+        program: &program,
+        control: &control,
+        config: &config,
+        proxy: Some(proxy),
+        address: &address,
+    };
+    let (over, answers) = (AtomicBool::new(false), Answers::default());
+    let disturbances = std::thread::scope(|scope| {
+        let _ends = EndsClients(&over); // also where a check fails
+        for number in 0..CLIENTS {
+            let (to, over, answers) = (&address, &over, &answers);
+            scope.spawn(move || client(number, to, over, answers));
+        }
+        disturbed.disturb(seed, length)
+    });
+    let answers = answers.into_inner().expect("answers");
+    let injected: Vec<u32> = FAULTS.iter().map(|fault| control.count(*fault).unwrap_or_default()).collect();
+
+    disturbed.restart();
+    let served = check_keys_after_restart(seed, disturbed.proxy.as_ref().expect("a proxy"), &answers);
     let runs = runs.lock().expect("runs").clone();
     let twice: Vec<_> = runs.iter().filter(|(_, count)| **count > 1).collect();
+    let Disturbances { kills, reloads } = disturbances;
     println!(
-        "seed {seed}: {} keys, {} served, {kills} kills, {reloads} reloads, faults {injected:?}, {} keys ran",
+        "seed {seed}: {} keys, {served} served, {kills} kills, {reloads} reloads, faults {injected:?}, {} keys ran",
         answers.len(),
-        served.len(),
         runs.len()
     );
     assert_eq!(twice, [], "seed {seed}: ran twice");
-    assert!(answers.len() > 50 && !served.is_empty(), "seed {seed}");
+    assert!(answers.len() > 50 && served > 0, "seed {seed}");
 }
 
 #[test]
