--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -55,10 +55,11 @@
 }
 
 fn print(report: &Report) {
-    let Report { seed, kinds, processes, requests, served, disconnects, calls, violations, folder } = report;
+    let Report { seed, kinds, processes, requests, served, disconnects, failed_calls, violations, folder } =
+        report;
     println!(
         "seed {seed} {kinds:?}: {processes} processes, {requests} requests, {served} served, {disconnects} left, \
-         calls {calls:?}, {} violations",
+         calls {failed_calls:?}, {} violations",
         violations.len()
     );
     for violation in violations.iter().take(PRINTED) {
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -8,16 +8,16 @@
         for records in &self.clients {
             let process = &self.processes[records.process];
             for sent in &records.load.sent {
-                let over = sent.arrived + sent.latency;
-                let is_killed = process.killed_at.is_some_and(|killed| over >= killed);
+                let ended_at = sent.arrived + sent.latency;
+                let is_killed = process.killed_at.is_some_and(|killed| ended_at >= killed);
                 let id = records.load.id(sent.number);
                 let text = || {
-                    let (from, to) = (seconds(sent.arrived), seconds(over));
+                    let (from, to) = (seconds(sent.arrived), seconds(ended_at));
                     format!("{id} at p{} from {from:.3} to {to:.3} s: {:?}", process.proxy, sent.end)
                 };
                 match sent.end {
                     End::Broken | End::GaveUp if !is_killed => {
-                        report(violations, Invariant::Answered, text())
+                        report(violations, Invariant::Answered, text());
                     }
                     End::Status(status) if (400..500).contains(&status) && status != 429 => {
                         report(violations, Invariant::NotRejected, text());
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -18,7 +18,7 @@
                 deadlines.insert(records.load.id(sent.number), sent.arrived + deadline);
             }
         }
-        for (record, _) in self.timely() {
+        for (record, _) in self.timely_records() {
             let Some(deadline) = deadlines.get(&*record.id) else { continue };
             let Some(left) = record.time_left else { continue };
             let until = record.came + left;
@@ -35,7 +35,7 @@
         let closed: BTreeMap<&str, Time> =
             disconnects.map(|left| (left.id.as_str(), left.closed_at)).collect();
         let slack = Micros(CLIENT_GONE_SLACK.0 + self.pause_allowance().0 + CLOCK_SLACK.0);
-        for (record, _) in self.timely() {
+        for (record, _) in self.timely_records() {
             if let Some(closed) = closed.get(&*record.id).filter(|closed| record.came > **closed + slack) {
                 let after = (record.came - *closed).secs();
                 let text = format!("{} came {after:.3} s after its client had gone", record.id);
--- a/crates/soak/src/oracle/discovery.rs
+++ b/crates/soak/src/oracle/discovery.rs
@@ -10,17 +10,19 @@
 const LONGEST_POLL_DELAY: Micros = Micros(6_000_000);
 
 impl Evidence {
-    /// When a change of a backend at that time was told to a process.
+    /// When a process knew of a change of a backend that discovery was told of at that time.
     pub(super) fn change_known_at(&self, process: &ProcessRecord, backend: usize, at: Time) -> Time {
         let mut known_at = at.max(process.started_at);
         if self.polls_discovery {
-            let here = |t: &&ListWrite| t.proxy == process.proxy && t.backend == backend && t.at >= known_at;
-            // What is written into a link that is cut arrives once it is whole again, or never.
+            let is_later_write = |write: &&ListWrite| {
+                write.proxy == process.proxy && write.backend == backend && write.at >= known_at
+            };
+            // What is written into a cut link arrives once the link works again, or never.
             let arrived = self
                 .list_writes
                 .iter()
-                .filter(here)
-                .map(|t| self.discovery_reachable_at(process.proxy, t.at))
+                .filter(is_later_write)
+                .map(|write| self.discovery_reachable_at(process.proxy, write.at))
                 .min();
             let latest = self.discovery_reachable_at(process.proxy, known_at) + LONGEST_POLL_DELAY;
             return arrived.map_or(latest, |arrived| arrived.min(latest));
@@ -28,9 +30,9 @@
         known_at = self.discovery_reachable_at(process.proxy, known_at);
         let moves = &self.discovery_moves[process.proxy];
         let drain_grace = Micros(self.settings.drain_grace_us);
-        let near =
+        let moves_around =
             moves.iter().filter(|at| **at + DISCOVERY_MOVE_GRACE > known_at && **at < known_at + drain_grace);
-        near.map(|at| *at + DISCOVERY_MOVE_GRACE).max().map_or(known_at, |moved| moved.max(known_at))
+        moves_around.map(|at| *at + DISCOVERY_MOVE_GRACE).max().map_or(known_at, |moved| moved.max(known_at))
     }
 
     /// When a proxy could reach discovery, from that time on.
--- a/crates/soak/src/oracle/drains.rs
+++ b/crates/soak/src/oracle/drains.rs
@@ -6,18 +6,18 @@
 
 impl Evidence {
     pub(super) fn check_drains(&self, violations: &mut Vec<Violation>) {
-        let late =
+        let allowance =
             Micros(self.settings.drain_grace_us + CLOCK_SLACK.0 + MACHINE_SLACK.0 + self.pause_allowance().0);
         for drain in &self.drains {
-            let here = |r: &Record| {
-                r.at_box == drain.backend
-                    && r.came > drain.from
-                    && drain.until.is_none_or(|until| r.came < until)
+            let is_during_drain = |record: &Record| {
+                record.at_box == drain.backend
+                    && record.came > drain.from
+                    && drain.until.is_none_or(|until| record.came < until)
             };
-            for (record, process) in self.timely().filter(|(record, _)| here(record)) {
-                let told = self.change_known_at(&self.processes[process], drain.backend, drain.from);
-                if record.came > told + late {
-                    let after = (record.came - told).secs();
+            for (record, process) in self.timely_records().filter(|(record, _)| is_during_drain(record)) {
+                let known_at = self.change_known_at(&self.processes[process], drain.backend, drain.from);
+                if record.came > known_at + allowance {
+                    let after = (record.came - known_at).secs();
                     let text = format!(
                         "{} came to b{} at {:.3} s, {after:.3} s after p{} was told",
                         record.id,
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -121,13 +121,13 @@
     /// Whether a record came when it was sent: it did not come over a delayed link.
     pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
         !self.delayed_links.iter().any(|link| {
-            let here = link.proxy == proxy && link.backend == record.at_box;
-            here && record.came >= link.from && record.came <= link.until + DELAYED_LINK_TAIL
+            let is_its_link = link.proxy == proxy && link.backend == record.at_box;
+            is_its_link && record.came >= link.from && record.came <= link.until + DELAYED_LINK_TAIL
         })
     }
 
     /// Records that came when they were sent, with the process that sent each.
-    pub(super) fn timely(&self) -> impl Iterator<Item = (&Record, usize)> {
+    pub(super) fn timely_records(&self) -> impl Iterator<Item = (&Record, usize)> {
         let processes = self.processes_by_client_run();
         self.ledger.records.iter().filter_map(move |record| {
             let process = *processes.get(&client_run_of(&record.id)?)?;
@@ -135,12 +135,12 @@
         })
     }
 
-    pub(super) fn describe(&self, places: &[usize]) -> String {
-        let one = |place: &usize| {
-            let r = &self.ledger.records[*place];
-            let ended = r.ended.map(|(at, how)| (seconds(at), how));
-            format!("; {} at b{} {:.3} s, ended {ended:?}", r.id, r.at_box, seconds(r.began))
+    pub(super) fn describe(&self, indices: &[usize]) -> String {
+        let one = |index: &usize| {
+            let record = &self.ledger.records[*index];
+            let ended = record.ended.map(|(at, how)| (seconds(at), how));
+            format!("; {} at b{} {:.3} s, ended {ended:?}", record.id, record.at_box, seconds(record.began))
         };
-        places.iter().map(one).collect()
+        indices.iter().map(one).collect()
     }
 }
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -24,8 +24,8 @@
         let processes = self.processes_by_client_run();
         for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
             // On a delayed link the repeat may have been written in time.
-            let is_timely = |place: &usize| {
-                let record = &self.ledger.records[*place];
+            let is_timely = |index: &usize| {
+                let record = &self.ledger.records[*index];
                 let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
                 process.is_none_or(|process| self.is_timely(record, self.processes[*process].proxy))
             };
@@ -39,17 +39,17 @@
     /// A rejected request must not have run: that is what a rejection promises.
     fn check_rejected(&self, violations: &mut Vec<Violation>) {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
-        for (place, record) in self.ledger.records.iter().enumerate() {
+        for (index, record) in self.ledger.records.iter().enumerate() {
             if record.repeat == Repeat::Unsafe && record.ran() {
-                ran.insert(&record.id, place);
+                ran.insert(&record.id, index);
             }
         }
         for records in &self.clients {
             let is_rejected = |sent: &&Sent| matches!(sent.end, End::Status(429 | 503));
             for sent in records.load.sent.iter().filter(is_rejected) {
                 let id = records.load.id(sent.number);
-                if let Some(place) = ran.get(id.as_str()) {
-                    let text = format!("{id} was refused and ran{}", self.describe(&[*place]));
+                if let Some(index) = ran.get(id.as_str()) {
+                    let text = format!("{id} was refused and ran{}", self.describe(&[*index]));
                     report(violations, Invariant::HarmlessRefusal, text);
                 }
             }
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -52,18 +52,18 @@
             let booted = self.ledger.boxes[at_box].boots.get(boot).and_then(|boot| boot.at);
             let Some((booted, listed)) = booted.zip(self.start_listed_at(at_box, boot)) else { continue };
             let Some(overload) = self.first_overload(&records, booted) else { continue };
-            let was_known = |record: &&&Record| {
+            let knew_of_start = |record: &&&Record| {
                 let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
                 process.is_some_and(|process| {
                     record.came >= self.change_known_at(&self.processes[*process], at_box, listed)
                 })
             };
             let got = overload.records.len();
-            let told = overload.records.iter().filter(was_known).count();
-            if 3 * told > 2 * got {
+            let informed = overload.records.iter().filter(knew_of_start).count();
+            if 3 * informed > 2 * got {
                 let Overload { age, limit, .. } = overload;
                 let text = format!(
-                    "b{at_box} got {got} requests in 2 s up to {:.3} s after its start, {told} of those who \
+                    "b{at_box} got {got} requests in 2 s up to {:.3} s after its start, {informed} of those who \
                      knew, and may get {limit:.0}",
                     age.secs()
                 );
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct ProxySlot {
     /// Its number, from 0.
-    pub place: usize,
+    pub index: usize,
     /// Its address, reserved while no process listens.
     reserved: ReservedAddress,
     config: PathBuf,
@@ -87,13 +87,13 @@
     /// # Errors
     /// No port can be reserved.
     pub fn new(
-        place: usize, folder: &Path, discovery: [SocketAddr; 2], known: serde_json::Value,
+        index: usize, folder: &Path, discovery: [SocketAddr; 2], known: serde_json::Value,
         reservation: Reservation,
     ) -> io::Result<ProxySlot> {
         let state = SlotState { moves: 0, known, pid: None, starts: 0 };
-        let config = folder.join(format!("p{place}.json"));
+        let config = folder.join(format!("p{index}.json"));
         let reserved = ReservedAddress::reserve(reservation)?;
-        Ok(ProxySlot { place, reserved, config, discovery, state: Mutex::new(state) })
+        Ok(ProxySlot { index, reserved, config, discovery, state: Mutex::new(state) })
     }
 
     /// Where it listens.
@@ -113,11 +113,11 @@
     fn config_text(&self, context: &ProcessContext, state: &SlotState) -> String {
         let seed = format!("{:x}", context.seed.wrapping_mul(31) + state.starts as u64);
         let config = json!({
-            "name": format!("p{}", self.place), "listen": self.address().to_string(), "seed": seed,
+            "name": format!("p{}", self.index), "listen": self.address().to_string(), "seed": seed,
             "discovery": self.discovery[state.moves % 2].to_string(),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": context.settings.max_descriptors},
             "known": {"index": 0, "snapshot": true, "endpoints": state.known},
-            "settings": context.settings.platform(self.place, context.proxies, context.polls_discovery),
+            "settings": context.settings.platform(self.index, context.proxies, context.polls_discovery),
         });
         config.to_string()
     }
@@ -141,26 +141,26 @@
     /// # Errors
     /// It cannot be started.
     pub fn start(
-        &self, context: &ProcessContext, has_whole_config: bool,
+        &self, context: &ProcessContext, is_config_complete: bool,
     ) -> io::Result<(Child, ProcessRecord)> {
         let mut state = self.state();
         state.starts += 1;
-        if has_whole_config {
+        if is_config_complete {
             self.write_config(context, &state)?;
         } else {
             let text = self.config_text(context, &state);
             std::fs::write(&self.config, &text[..text.len() / 2])?;
         }
-        let log = context.folder.join(format!("p{}-{}.log", self.place, state.starts));
+        let log = context.folder.join(format!("p{}-{}.log", self.index, state.starts));
         let mut command = Command::new(&context.artifacts.program);
         command.arg("--self-check").env("NODE_CONFIG", &self.config);
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(File::create(&log)?);
-        let seed = context.seed * 1000 + (self.place * 10 + state.starts) as u64;
+        let seed = context.seed * 1000 + (self.index * 10 + state.starts) as u64;
         context.control.preload(&mut command, &context.artifacts.shim, seed, None);
         let child = command.spawn()?;
         state.pid = Some(child.id());
         let process = ProcessRecord {
-            proxy: self.place,
+            proxy: self.index,
             started_at: context.clock.now(),
             ready_at: None,
             stop_requested_at: None,
@@ -175,7 +175,7 @@
     }
 
     /// Forgets a process that has exited, so that it gets no more signals.
-    pub fn ended(&self, pid: u32) {
+    pub fn forget(&self, pid: u32) {
         let mut state = self.state();
         if state.pid == Some(pid) {
             state.pid = None;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -43,7 +43,7 @@
     /// Clients that disconnected before their answer.
     pub disconnects: usize,
     /// System calls that were made to fail, by fault.
-    pub calls: Vec<(CallFault, u32)>,
+    pub failed_calls: Vec<(CallFault, u32)>,
     /// The folder with configurations and logs; it is kept only if there are violations.
     pub folder: PathBuf,
 }
@@ -91,7 +91,7 @@
         requests: sent().count(),
         served: sent().filter(|sent| sent.end == End::Status(200)).count(),
         disconnects: evidence.clients.iter().map(|records| records.disconnects.1.len()).sum(),
-        calls: counts.into_iter().filter(|(_, count)| *count > 0).collect(),
+        failed_calls: counts.into_iter().filter(|(_, count)| *count > 0).collect(),
         folder: testbed.folder.clone(),
     })
 }
@@ -120,10 +120,10 @@
         let begun = tokio::time::Instant::now();
         let mut restarts = Vec::new();
         let mut proxies = Vec::new();
-        for place in 0..self.scale.proxies {
+        for index in 0..self.scale.proxies {
             let (sender, receiver) = mpsc::channel(8);
             restarts.push(sender);
-            proxies.push(tokio::spawn(self.clone().proxy(place, end, receiver)));
+            proxies.push(tokio::spawn(self.clone().proxy(index, end, receiver)));
         }
         for timed in &plan.steps {
             tokio::time::sleep_until(begun + timed.at).await;
@@ -156,8 +156,8 @@
     /// A number for the ids of a run of clients that no other run has.
     fn next_client_run(&self) -> u32 {
         let mut observations = self.observations();
-        observations.runs += 1;
-        0xc000_0000 + observations.runs
+        observations.client_runs += 1;
+        0xc000_0000 + observations.client_runs
     }
 }
 
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -48,10 +48,10 @@
 }
 
 impl Clients {
-    pub(super) fn start(testbed: &Arc<Testbed>, place: usize, end: Time) -> Clients {
+    pub(super) fn start(testbed: &Arc<Testbed>, proxy: usize, end: Time) -> Clients {
         let (existing_only, no_new) = watch::channel(false);
         let (stop, mut stopped) = watch::channel(false);
-        let (to, clock) = (testbed.slots[place].address(), testbed.clock);
+        let (to, clock) = (testbed.slots[proxy].address(), testbed.clock);
         let longest = Duration::from_micros(testbed.settings.longest_stop_us()) + KILL_AFTER;
         let left = Duration::from_micros((end - clock.now()).0) + longest;
         let disconnecting_run = testbed.next_client_run();
@@ -77,7 +77,7 @@
     }
 
     /// Waits for the open requests, and returns what the clients got.
-    pub(super) async fn end(self) -> Option<(LoadResult, (u32, Vec<ClientDisconnect>))> {
+    pub(super) async fn finish(self) -> Option<(LoadResult, (u32, Vec<ClientDisconnect>))> {
         self.existing_only.send_replace(true);
         self.stop.send_replace(true);
         let (load, disconnects) = (self.load.await.ok()?, self.disconnecting.await.ok()?);
--- a/crates/soak/src/run/observations.rs
+++ b/crates/soak/src/run/observations.rs
@@ -21,7 +21,7 @@
     pub(super) discovery_moves: Vec<Vec<Time>>,
     pub(super) delayed_links: Vec<DelayedLink>,
     pub(super) backend_starts: Vec<BackendStart>,
-    pub(super) runs: u32,
+    pub(super) client_runs: u32,
 }
 
 impl Observations {
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -49,12 +49,12 @@
 impl Testbed {
     /// Runs the processes of a proxy, one after the other or overlapping, with their clients, until the run is over.
     pub(super) async fn proxy(
-        self: Arc<Testbed>, place: usize, end: Time, mut restarts: mpsc::Receiver<Restart>,
+        self: Arc<Testbed>, proxy: usize, end: Time, mut restarts: mpsc::Receiver<Restart>,
     ) -> io::Result<()> {
         let mut next = ProcessStart::Normal;
         let mut overlapping = JoinSet::new();
         loop {
-            let mut started = self.start(place, next)?;
+            let mut started = self.start(proxy, next)?;
             if let ProcessStart::EarlyStop(millis) | ProcessStart::StopWhileHeld(millis) = next {
                 tokio::time::sleep(Duration::from_millis(millis)).await;
                 self.stop_with_clients(started.child, started.process, None, StopSignals::WithHangups)
@@ -62,11 +62,11 @@
                 next = ProcessStart::Normal;
                 continue;
             }
-            started.process.ready_at = self.wait_until_ready(&mut started.child, place).await;
+            started.process.ready_at = self.wait_until_ready(&mut started.child, proxy).await;
             if let Some(unblocked) = started.unblocked {
                 started.process.unblocked_at = unblocked.await.ok();
             }
-            let clients = Clients::start(&self, place, end);
+            let clients = Clients::start(&self, proxy, end);
             let cause = next_end_cause(&mut started.child, &mut restarts).await;
             let is_last = restarts.is_closed() && restarts.is_empty();
             started.process.peak_memory_kib = peak_memory_kib(started.child.id());
@@ -101,12 +101,12 @@
                 process.killed_at = Some(self.clock.now());
                 child.kill()?;
                 let exit = child.wait()?;
-                self.note_end(child.id(), process, exit, Some(clients)).await;
+                self.record_exit(child.id(), process, exit, Some(clients)).await;
                 return Ok(());
             }
             EndCause::Exited => {
                 let exit = child.wait()?;
-                self.note_end(child.id(), process, exit, Some(clients)).await;
+                self.record_exit(child.id(), process, exit, Some(clients)).await;
                 return Ok(());
             }
         };
@@ -118,30 +118,32 @@
         &self, mut child: Child, mut process: ProcessRecord, clients: Option<Clients>, signals: StopSignals,
     ) -> io::Result<()> {
         let exit = self.stop(&mut child, &mut process, clients.as_ref(), signals).await?;
-        self.note_end(child.id(), process, exit, clients).await;
+        self.record_exit(child.id(), process, exit, clients).await;
         Ok(())
     }
 
-    fn start(self: &Arc<Testbed>, place: usize, how: ProcessStart) -> io::Result<Started> {
-        let slot = &self.slots[place];
-        let held = match how {
+    fn start(self: &Arc<Testbed>, proxy: usize, process_start: ProcessStart) -> io::Result<Started> {
+        let slot = &self.slots[proxy];
+        let occupied = match process_start {
             ProcessStart::HeldAddress(millis) => Some((millis, slot.reserved().occupy())),
             // Longer than the process runs.
             ProcessStart::StopWhileHeld(millis) => Some((millis + 200, slot.reserved().occupy())),
             _ => None,
         };
-        let has_whole_config = !matches!(how, ProcessStart::HalfConfiguration(_));
-        let (child, process) = slot.start(&self.process_context(), has_whole_config)?;
-        let unblocked = match (held, how) {
-            (Some((millis, Ok(listener))), _) => Some(self.release_later(listener, millis)),
-            (_, ProcessStart::HalfConfiguration(millis)) => Some(self.complete_config_later(place, millis)),
+        let is_config_complete = !matches!(process_start, ProcessStart::HalfConfiguration(_));
+        let (child, process) = slot.start(&self.process_context(), is_config_complete)?;
+        let unblocked = match (occupied, process_start) {
+            (Some((millis, Ok(listener))), _) => Some(self.release_address_later(listener, millis)),
+            (_, ProcessStart::HalfConfiguration(millis)) => Some(self.complete_config_later(proxy, millis)),
             _ => None,
         };
         Ok(Started { child, process, unblocked })
     }
 
     /// Frees an occupied address after so many milliseconds.
-    fn release_later(self: &Arc<Testbed>, listener: ConflictingListener, millis: u64) -> JoinHandle<Time> {
+    fn release_address_later(
+        self: &Arc<Testbed>, listener: ConflictingListener, millis: u64,
+    ) -> JoinHandle<Time> {
         let testbed = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(millis)).await;
@@ -150,24 +152,24 @@
         })
     }
 
-    /// Writes the whole configuration of a proxy after so many milliseconds.
-    fn complete_config_later(self: &Arc<Testbed>, place: usize, millis: u64) -> JoinHandle<Time> {
+    /// Writes the complete configuration of a proxy after so many milliseconds.
+    fn complete_config_later(self: &Arc<Testbed>, proxy: usize, millis: u64) -> JoinHandle<Time> {
         let testbed = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(millis)).await;
             // If it cannot be written, the process does not become ready, which the oracle reports.
-            let _ = testbed.slots[place].complete_config(&testbed.process_context());
+            let _ = testbed.slots[proxy].complete_config(&testbed.process_context());
             testbed.clock.now()
         })
     }
 
-    async fn note_end(
+    async fn record_exit(
         &self, pid: u32, mut process: ProcessRecord, exit: ExitStatus, clients: Option<Clients>,
     ) {
-        self.slots[process.proxy].ended(pid);
+        self.slots[process.proxy].forget(pid);
         process.exit = Some((self.clock.now(), exit));
         let records = match clients {
-            Some(clients) => clients.end().await,
+            Some(clients) => clients.finish().await,
             None => None,
         };
         let mut observations = self.observations();
@@ -209,8 +211,8 @@
     }
 
     /// Waits until a process is ready, and returns when; `None` if it exits or takes too long.
-    async fn wait_until_ready(&self, child: &mut Child, place: usize) -> Option<Time> {
-        let to = self.slots[place].address();
+    async fn wait_until_ready(&self, child: &mut Child, proxy: usize) -> Option<Time> {
+        let to = self.slots[proxy].address();
         let by = tokio::time::Instant::now() + START_PATIENCE;
         let probe = "GET /-/ready HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n";
         while tokio::time::Instant::now() < by && matches!(child.try_wait(), Ok(None)) {
@@ -234,8 +236,8 @@
         StopSignals::Twice => &["TERM", "TERM"],
         StopSignals::WithHangups => &["HUP", "HUP", "HUP", "TERM", "HUP", "TERM", "HUP"],
     };
-    for (place, name) in names.iter().enumerate() {
-        if place > 0 {
+    for (number, name) in names.iter().enumerate() {
+        if number > 0 {
             tokio::time::sleep(SIGNAL_PAUSE).await;
         }
         send_signal(pid, name);
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -25,23 +25,23 @@
 const BACKENDS_PER_BAY: usize = 3;
 
 /// The name of a proxy in links.
-fn proxy_name(place: usize) -> String {
-    format!("p{place}")
+fn proxy_name(index: usize) -> String {
+    format!("p{index}")
 }
 
-fn backend(place: usize, settings: &RunSettings) -> BoxSpec {
+fn backend(index: usize, settings: &RunSettings) -> BoxSpec {
     let RunSettings { initial_capacity_fraction, slow_start_window_us, .. } = *settings;
     let power =
         Power { cores: CORES, speed: 1.0, initial_capacity_fraction, ramp: Micros(slow_start_window_us) };
     BoxSpec {
-        bay: 1 + (place / BACKENDS_PER_BAY) as u64,
+        bay: 1 + (index / BACKENDS_PER_BAY) as u64,
         idle: Duration::from_secs(10),
-        ..BoxSpec::new(&format!("b{place}"), power)
+        ..BoxSpec::new(&format!("b{index}"), power)
     }
 }
 
 fn start_fleet(seed: u64, scale: &Scale, settings: &RunSettings) -> io::Result<Fleet> {
-    let boxes = (0..scale.backends).map(|place| backend(place, settings)).collect();
+    let boxes = (0..scale.backends).map(|index| backend(index, settings)).collect();
     let services = vec![Service::new("", Law::Exponential(MEAN_WORK_MS))];
     Fleet::with(FleetSpec { services, seed, ..FleetSpec::new(boxes) })
 }
@@ -52,8 +52,8 @@
         let name = &backend.spec.name;
         links.tcp(&format!("{proxy}-{name}"), [proxy, name], HERE, backend.address)
     };
-    let link_all = |place: usize| {
-        let proxy = proxy_name(place);
+    let link_all = |index: usize| {
+        let proxy = proxy_name(index);
         fleet.boxes().iter().map(|backend| link(&proxy, backend)).collect()
     };
     (0..proxies).map(link_all).collect()
@@ -79,9 +79,9 @@
 /// Two links from each proxy to discovery; a reload moves the proxy from one to the other.
 fn link_discovery(links: &Links, proxies: usize, discovery: &ListServer) -> io::Result<Vec<[Link; 2]>> {
     let mut pairs = Vec::new();
-    for place in 0..proxies {
-        let proxy = proxy_name(place);
-        let link = |name: &str| links.tcp(name, [&proxy, "discovery"], HERE, discovery.address(place));
+    for index in 0..proxies {
+        let proxy = proxy_name(index);
+        let link = |name: &str| links.tcp(name, [&proxy, "discovery"], HERE, discovery.address(index));
         pairs.push([link(&format!("{proxy}-list-a"))?, link(&format!("{proxy}-list-b"))?]);
     }
     Ok(pairs)
@@ -102,9 +102,9 @@
 ) -> io::Result<Vec<ProxySlot>> {
     let reservation =
         if settings.reserves_addresses { Reservation::SharedPort } else { Reservation::Reusable };
-    let slot = |(place, pair): (usize, &[Link; 2])| {
+    let slot = |(index, pair): (usize, &[Link; 2])| {
         let discovery: [SocketAddr; 2] = [pair[0].address(), pair[1].address()];
-        ProxySlot::new(place, folder, discovery, known_list(entries, views.get(place)), reservation)
+        ProxySlot::new(index, folder, discovery, known_list(entries, views.get(index)), reservation)
     };
     discovery_links.iter().enumerate().map(slot).collect()
 }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -84,17 +84,17 @@
     }
 
     /// The `settings` of `NODE_CONFIG` for one of so many proxies.
-    pub fn platform(&self, place: usize, proxies: usize, polls_discovery: bool) -> serde_json::Value {
+    pub fn platform(&self, proxy: usize, proxies: usize, polls_discovery: bool) -> serde_json::Value {
         let discovery = if polls_discovery { "subscribe" } else { "automatic" };
-        let class = |place: usize, name: &str, effect: &str| {
-            let deadline = self.deadlines_us[place];
+        let class = |index: usize, name: &str, effect: &str| {
+            let deadline = self.deadlines_us[index];
             json!({"name": name, "aim_us": deadline / 3, "deadline_us": deadline, "effect": effect,
                 "key_scope": "cell", "window_us": self.deduplication_window_us, "gain": 1.0, "late_worth": 0.5})
         };
         json!({
             "blend": {"whole": 0.6, "worst_class": 0.2}, "costs": {"cross_zone": 0.0},
             "customers": [{"name": "north", "quota_rps": 100_000.0}], "discovery": discovery,
-            "position": place, "group_size": proxies, "granularity_us": 5_000, "kinds": ["big"],
+            "position": proxy, "group_size": proxies, "granularity_us": 5_000, "kinds": ["big"],
             "my_zone": "east", "zones": ["east"], "over_share_worth": 0.1,
             "limits": {"cancel": true, "max_attempts": self.max_attempts, "parallel_tries": true,
                 "dial_timeout_us": 250_000, "conn_idle_us": 10_000_000, "max_retry_after_us": 1_000_000},
