--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -93,7 +93,7 @@
             }
             Decision::FailOver => {
                 let handover = Box::new(TransferredRequest { state: request });
-                self.actions.push(Action::FailOver { request: id, handover });
+                self.actions.push(Action::FailOver { request: id, transferred: handover });
                 return;
             }
             Decision::AwaitAttempt | Decision::GiveUp(_) => {}
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -293,7 +293,7 @@
         /// The request.
         request: RequestId,
         /// What the next balancer takes over.
-        handover: Box<TransferredRequest>,
+        transferred: Box<TransferredRequest>,
     },
     /// Final answer: rejected; a retry by the client is harmless.
     Reject {
--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator/file.rs
@@ -52,7 +52,7 @@
     let mut addresses = UsedAddresses::new(listeners.clone());
     let pools = pools::pools(diagnostics, &document, &mut addresses);
     let responses = document.table(diagnostics, "answers");
-    let responses = request::response_rules(diagnostics, &responses, &ResponseRules::plain());
+    let responses = request::response_rules(diagnostics, &responses, &ResponseRules::operator_default());
     let context = RouteContext {
         classes: &classes.names,
         tenants: &tenants.names,
--- a/crates/config/src/operator/request.rs
+++ b/crates/config/src/operator/request.rs
@@ -111,7 +111,7 @@
 /// The statuses that are final; reports those among them that promise that a retry does no harm.
 fn served(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> StatusSet {
     let ranges = section.distinct_items(diagnostics, "served", values::statuses);
-    let mut served = StatusSet::none();
+    let mut served = StatusSet::empty();
     for ((first, last), span) in &ranges.items {
         served.add(*first, *last);
         let retryable = RETRYABLE_STATUSES.into_iter().find(|status| (first..=last).contains(&status));
--- a/crates/config/src/operator/routes.rs
+++ b/crates/config/src/operator/routes.rs
@@ -9,7 +9,7 @@
 use crate::section::Section;
 use crate::values;
 use shaletide_balancer::{ClassId, PoolId, TenantId};
-use shaletide_routing::{HeaderMatch, Match, ResponseRules, Route, RouteTable};
+use shaletide_routing::{HeaderMatch, ResponseRules, Route, RouteMatch, RouteTable};
 use std::hash::Hash;
 use toml::de::DeValue;
 
@@ -56,7 +56,12 @@
         conditions_left = left;
         let pools = numbers(diagnostics, section, "pools", context.pools, |n| PoolId(n as u32));
         let answers = route_responses(diagnostics, section, context.responses);
-        routes.push(Route { name: name.to_string(), when: when.value, pools: pools.value, answers });
+        routes.push(Route {
+            name: name.to_string(),
+            conditions: when.value,
+            pools: pools.value,
+            response_rules: answers,
+        });
         valid.push(when.is_valid && pools.is_valid);
     }
     report_shadowed_routes(diagnostics, &routes, &valid, &names);
@@ -70,20 +75,20 @@
 fn default_route(context: &RouteContext<'_>) -> Route {
     Route {
         name: "default".into(),
-        when: Match::default(),
+        conditions: RouteMatch::default(),
         pools: (0..context.pools.len()).map(|number| PoolId(number as u32)).collect(),
-        answers: context.responses.clone(),
+        response_rules: context.responses.clone(),
     }
 }
 
-fn condition_count(when: &Match) -> usize {
+fn condition_count(when: &RouteMatch) -> usize {
     when.classes.len() + when.tenants.len() + when.zones.len() + when.deduplication_groups.len()
 }
 
 /// Which requests a route takes.
 fn conditions(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, context: &RouteContext<'_>,
-) -> Checked<Match> {
+) -> Checked<RouteMatch> {
     let classes = numbers(diagnostics, section, "class", context.classes, ClassId);
     let tenants = numbers(diagnostics, section, "tenant", context.tenants, TenantId);
     let zones = section.distinct_items(diagnostics, "zone", values::name);
@@ -94,7 +99,7 @@
     let are_lists_valid = zones.is_valid && groups.is_valid && methods.is_valid;
     let is_valid =
         classes.is_valid && tenants.is_valid && headers.is_valid && are_lists_valid && !path.is_invalid();
-    let value = Match {
+    let value = RouteMatch {
         classes: classes.value,
         tenants: tenants.value,
         zones: zones.into_values(),
--- a/crates/config/src/platform/node.rs
+++ b/crates/config/src/platform/node.rs
@@ -10,7 +10,7 @@
 };
 use serde_json::Value;
 use shaletide_balancer::{Config, Idempotency, Micros, PoolId};
-use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
+use shaletide_routing::{RequestFormat, ResponseRules, Route, RouteMatch};
 use std::net::SocketAddr;
 
 /// A response that has begun is complete within this: the platform's backends write small ones at once, and an invalid
@@ -86,9 +86,9 @@
         }],
         routes: vec![Route {
             name: "default".into(),
-            when: Match::default(),
+            conditions: RouteMatch::default(),
             pools: vec![PoolId(0)],
-            answers: ResponseRules::platform(),
+            response_rules: ResponseRules::platform(),
         }],
         record: None,
         control: None,
--- a/crates/config/tests/extension.rs
+++ b/crates/config/tests/extension.rs
@@ -22,7 +22,7 @@
     assert_eq!((added.deduplication_group, added.zone, added.pools.len()), (None, None, 0));
     assert_eq!(added.routes.len(), 1);
     assert_eq!(added.routes[0].pools, [PoolId(0)]);
-    assert_eq!(added.routes[0].answers, ResponseRules::platform());
+    assert_eq!(added.routes[0].response_rules, ResponseRules::platform());
 }
 
 #[test]
@@ -40,12 +40,12 @@
     assert_eq!(added.pools[0].name, "far");
     assert_eq!(added.routes[0].pools, [PoolId(1), PoolId(0)]);
     assert_eq!(
-        (&added.routes[0].when.classes[..], &added.routes[0].when.tenants[..]),
+        (&added.routes[0].conditions.classes[..], &added.routes[0].conditions.tenants[..]),
         (&[ClassId(1)][..], &[TenantId(0)][..])
     );
     // What the file does not say of answers is as on the platform.
-    assert!(added.routes[1].answers.served.has(299));
-    assert_eq!(added.routes[1].answers.not_executed, ResponseRules::platform().not_executed);
+    assert!(added.routes[1].response_rules.served.contains(299));
+    assert_eq!(added.routes[1].response_rules.not_executed, ResponseRules::platform().not_executed);
 }
 
 #[test]
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -7,7 +7,7 @@
     read, read_bytes, OperatorConfig, PoolSource, RecordMode, RecordStoreConfig, WithoutKey,
 };
 use shaletide_routing::{
-    AttributeSource, ErrorResponses, HeaderMatch, Match, NotExecutedProof, RequestFormat, ResponseRules,
+    AttributeSource, ErrorResponses, HeaderMatch, NotExecutedProof, RequestFormat, ResponseRules, RouteMatch,
 };
 
 const SMALLEST: &str = r#"
@@ -46,15 +46,21 @@
     assert_eq!(operator.balancer.classes[0].idempotency, Idempotency::Safe);
     assert_eq!(operator.tenants, [""; 0]);
     assert_eq!(operator.routes.len(), 1);
-    assert_eq!((operator.routes[0].name.as_str(), &operator.routes[0].when), ("default", &Match::default()));
+    assert_eq!(
+        (operator.routes[0].name.as_str(), &operator.routes[0].conditions),
+        ("default", &RouteMatch::default())
+    );
     assert_eq!(operator.routes[0].pools, [PoolId(0)]);
-    assert_eq!(operator.routes[0].answers, ResponseRules::plain());
+    assert_eq!(operator.routes[0].response_rules, ResponseRules::operator_default());
 }
 
 #[test]
 fn default_of_served_is_the_plain_set() {
     let served = "[answers]\nserved = [\"200-428\", 430, \"431-499\", 501, \"505-599\"]\nnever_ran = []\n";
-    assert_eq!(with(&format!("{served}errors = \"as_they_are\"")).routes[0].answers, ResponseRules::plain());
+    assert_eq!(
+        with(&format!("{served}errors = \"as_they_are\"")).routes[0].response_rules,
+        ResponseRules::operator_default()
+    );
 }
 
 #[test]
@@ -85,19 +91,22 @@
     let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
     assert_eq!((boxes[2].deduplication_group.as_str(), boxes[2].state), ("1", BackendState::Draining));
     let route = &operator.routes[0];
-    assert_eq!((&route.when.classes[..], &route.when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
     assert_eq!(
-        (route.when.deduplication_groups.join(","), route.when.zones.join(",")),
+        (&route.conditions.classes[..], &route.conditions.tenants[..]),
+        (&[ClassId(1)][..], &[TenantId(0)][..])
+    );
+    assert_eq!(
+        (route.conditions.deduplication_groups.join(","), route.conditions.zones.join(",")),
         ("1,annex".into(), "quay-office".into())
     );
-    assert_eq!(route.when.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
+    assert_eq!(route.conditions.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
     assert_eq!(route.pools, [PoolId(0), PoolId(1)]);
     // Its own `served` and `errors`, and `never_ran` of [answers].
-    assert!(route.answers.served.has(299) && !route.answers.served.has(300));
-    assert_eq!(route.answers.error_responses, ErrorResponses::Replace);
+    assert!(route.response_rules.served.contains(299) && !route.response_rules.served.contains(300));
+    assert_eq!(route.response_rules.error_responses, ErrorResponses::Replace);
     let proof = NotExecutedProof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
-    assert_eq!(route.answers.not_executed, [proof]);
-    assert_eq!(operator.routes[1].answers.error_responses, ErrorResponses::Forward);
+    assert_eq!(route.response_rules.not_executed, [proof]);
+    assert_eq!(operator.routes[1].response_rules.error_responses, ErrorResponses::Forward);
 }
 
 #[test]
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -22,7 +22,7 @@
 
 /// How a pool's list is had from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WatchConfig {
+pub struct SubscriptionConfig {
     /// Whether it is pushed or has to be polled.
     pub mode: DiscoveryMode,
     /// This proxy's number among all that subscribe.
@@ -48,9 +48,9 @@
 /// to another discovery: there the subscription begins with a snapshot.
 ///
 /// Ends only by being dropped, which leaves the pool with the list that it has.
-pub async fn watch(
+pub async fn run_subscription(
     driver: Rc<Driver>, pool: PoolId, mut moves: Receiver<DiscoveryEndpoint>, known: Option<u64>,
-    config: WatchConfig,
+    config: SubscriptionConfig,
 ) {
     // An agent's responses cost nothing: begin with a snapshot.
     let mut known = known.filter(|_| config.mode != DiscoveryMode::Push);
@@ -77,7 +77,7 @@
 /// Takes all backends out of use at that moment, unless discovery has sent a list: it may have known for as long as the
 /// grace lasts that they are draining. Its first list brings back those that are ready.
 async fn expire_unconfirmed(
-    driver: &Rc<Driver>, pool: PoolId, at: Instant, config: WatchConfig, has_list: &Cell<bool>,
+    driver: &Rc<Driver>, pool: PoolId, at: Instant, config: SubscriptionConfig, has_list: &Cell<bool>,
 ) {
     if !config.strict || config.mode != DiscoveryMode::Push {
         return;
@@ -93,7 +93,7 @@
 }
 
 /// Hands a list to the driver. Of the invalid entries one is logged, with their number: a list may be long.
-pub fn tell(driver: &Rc<Driver>, pool: PoolId, update: EndpointUpdate, list: &List) {
+pub fn apply_list(driver: &Rc<Driver>, pool: PoolId, update: EndpointUpdate, list: &List) {
     let (entries, skipped) = list.entries();
     if let Some(skipped) = skipped {
         warn!("{} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -2,7 +2,7 @@
 
 use crate::call::{fetch, CallTimeouts, Connection, PollError};
 use crate::poll_schedule::PollSchedule;
-use crate::{tell, WatchConfig};
+use crate::{apply_list, SubscriptionConfig};
 use shaletide_balancer::{DiscoveryMode, EndpointUpdate, PoolId};
 use shaletide_membership::List;
 use shaletide_net::Driver;
@@ -29,7 +29,7 @@
     driver: &'a Rc<Driver>,
     pool: PoolId,
     address: SocketAddr,
-    config: WatchConfig,
+    config: SubscriptionConfig,
     schedule: PollSchedule,
     /// Set once discovery has sent a list.
     has_list: &'a Cell<bool>,
@@ -50,8 +50,8 @@
 impl<'a> Subscription<'a> {
     /// `known`: the version of the list that the pool has; without one it begins with a snapshot.
     pub(crate) fn new(
-        driver: &'a Rc<Driver>, pool: PoolId, address: SocketAddr, known: Option<u64>, config: WatchConfig,
-        has_list: &'a Cell<bool>,
+        driver: &'a Rc<Driver>, pool: PoolId, address: SocketAddr, known: Option<u64>,
+        config: SubscriptionConfig, has_list: &'a Cell<bool>,
     ) -> Subscription<'a> {
         let polls = config.mode != DiscoveryMode::Push;
         let schedule = match polls {
@@ -78,7 +78,7 @@
     /// Calls discovery for ever. Dropped, it leaves the pool with the list that it has.
     pub(crate) async fn run(mut self) {
         if self.catches_up {
-            self.driver.subscribe_requested(self.pool).await;
+            self.driver.poll_requested(self.pool).await;
         }
         loop {
             let call = self.next_call();
@@ -128,7 +128,7 @@
         let is_older = !list.snapshot && list.index < self.version;
         if !is_older {
             let update = if list.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
-            tell(self.driver, self.pool, update, list);
+            apply_list(self.driver, self.pool, update, list);
             self.has_list.set(true);
             self.version = list.index;
         }
@@ -151,12 +151,12 @@
         if self.config.mode == DiscoveryMode::Push {
             tokio::time::sleep(self.schedule.backoff(failures)).await;
         } else {
-            discard_request(self.driver.subscribe_requested(self.pool)).await;
+            discard_request(self.driver.poll_requested(self.pool)).await;
             self.driver.update_endpoints(self.pool, EndpointUpdate::SubscriptionLost, Vec::new());
             // When to poll again is the balancer's decision, but not without bound.
             let position = self.config.position;
             let latest = self.schedule.latest_retry(call.made_at, Instant::now(), position, failures);
-            let requested = self.driver.subscribe_requested(self.pool);
+            let requested = self.driver.poll_requested(self.pool);
             let _ = tokio::time::timeout_at(latest.into(), requested).await;
         }
         // Whether it is back shows at once.
--- a/crates/engine/src/attempt_rules.rs
+++ b/crates/engine/src/attempt_rules.rs
@@ -25,7 +25,7 @@
 fn possible_executions(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Attempt> {
     let numbered = request.attempts.iter().enumerate();
     let others = numbered.filter(move |(number, _)| Some(*number) != own).map(|(_, attempt)| attempt);
-    others.filter(|attempt| attempt.out() || attempt.may_have_run())
+    others.filter(|attempt| attempt.is_in_flight() || attempt.may_have_executed())
 }
 
 /// When an attempt has to be written at the latest, as repeats of its key are discarded no longer; none where it repeats
@@ -91,7 +91,7 @@
 pub(crate) fn may_start(
     now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant,
 ) -> Result<(), Denied> {
-    let Some(attempt) = request.attempts.get(own).filter(|attempt| attempt.out()) else {
+    let Some(attempt) = request.attempts.get(own).filter(|attempt| attempt.is_in_flight()) else {
         return Err(Denied::RequestEnded);
     };
     if !ready && !mutant!(mutant, StaleDrainState) {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -74,7 +74,7 @@
 
     /// Switches a fault on, or all off.
     #[cfg(feature = "mutants")]
-    pub fn mutant(&mut self, mutant: Option<Mutant>) {
+    pub fn set_mutant(&mut self, mutant: Option<Mutant>) {
         self.mutant = ActiveMutant(mutant);
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// The connection that the engine would close to open another.
-    pub fn idle_connection(&self) -> Option<ConnectionId> {
+    pub fn connection_to_evict(&self) -> Option<ConnectionId> {
         self.connections.oldest_idle()
     }
 
@@ -147,7 +147,7 @@
             }
             Event::RequestWritten { connection } => self.on_request_written(connection),
             Event::LoadReported { connection, report } => self.on_load_reported(connection, report),
-            Event::ResponseReceived { connection, verdict, reusable, has_excess_bytes } => {
+            Event::ResponseReceived { connection, class: verdict, reusable, has_excess_bytes } => {
                 let is_clean = !has_excess_bytes || mutant!(self.mutant, ReusedWithExcessBytes);
                 self.on_response(now, connection, verdict, reusable && is_clean, actions)
             }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -129,7 +129,7 @@
     pub(super) fn cancel_attempts(
         &mut self, now: Time, id: RequestId, outcome: Outcome, cancellation: bool, actions: &mut Vec<Action>,
     ) {
-        let in_flight = self.requests.get(id).map(|request| request.still_out()).unwrap_or_default();
+        let in_flight = self.requests.get(id).map(|request| request.attempts_in_flight()).unwrap_or_default();
         for number in in_flight {
             self.cancel_attempt(now, id, number, outcome, cancellation, actions);
         }
--- a/crates/engine/src/engine/inspect.rs
+++ b/crates/engine/src/engine/inspect.rs
@@ -6,17 +6,19 @@
 
 impl<P: Policy> Engine<P> {
     /// What the lists say of a backend; none where no list has it.
-    pub fn listed(&self, backend: BackendId) -> Option<(PoolId, DeduplicationPlacement, BackendState)> {
+    pub fn listed_backend(
+        &self, backend: BackendId,
+    ) -> Option<(PoolId, DeduplicationPlacement, BackendState)> {
         self.backends.get(backend).map(|known| (known.pool, known.placement, known.state))
     }
 
     /// How many backends the lists have.
-    pub fn count_listed(&self) -> usize {
+    pub fn listed_backend_count(&self) -> usize {
         self.backends.len()
     }
 
     /// The idle connections of a backend, the most recently used last.
-    pub fn idle_of(&self, backend: BackendId) -> Vec<ConnectionId> {
+    pub fn idle_connections_of(&self, backend: BackendId) -> Vec<ConnectionId> {
         self.connections.idle_of(backend)
     }
 
@@ -26,12 +28,12 @@
     }
 
     /// When the last response came from each backend.
-    pub fn heard(&self) -> impl Iterator<Item = (BackendId, Time)> + '_ {
+    pub fn last_responses(&self) -> impl Iterator<Item = (BackendId, Time)> + '_ {
         self.connections.last_responses().iter().map(|(backend, at)| (*backend, *at))
     }
 
     /// When connections that were idle for too long are closed next.
-    pub fn sweep_at(&self) -> Option<Time> {
+    pub fn idle_sweep_at(&self) -> Option<Time> {
         self.connections.idle_sweep_at()
     }
 
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -26,7 +26,7 @@
             requires_intent: spec.requires_intent,
             recorded: spec.recorded,
             state: RequestState::Open,
-            last_answered: None,
+            last_response_attempt: None,
             attempts: Vec::new(),
         };
         self.requests.insert(id, request);
@@ -64,8 +64,8 @@
     ) {
         let Some(request) = self.requests.open_mut(id) else { return };
         request.state = RequestState::GivenUp(retry_after);
-        if request.out() {
-            request.last_answered = None; // its last attempt ends without a response
+        if request.has_attempt_in_flight() {
+            request.last_response_attempt = None; // its last attempt ends without a response
         }
         if as_rejected && mutant!(self.mutant, RejectedAfterExecution) {
             self.answer_request(id, FinalOutcome::Rejected(retry_after), actions);
@@ -82,8 +82,9 @@
     pub(super) fn answer_if_settled(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         // Where cancellation is off, what has begun goes on and may be executed: that is known at once.
-        let is_unsettled =
-            |attempt: &crate::Attempt| attempt.out() && (self.cancellation || !attempt.may_have_run());
+        let is_unsettled = |attempt: &crate::Attempt| {
+            attempt.is_in_flight() && (self.cancellation || !attempt.may_have_executed())
+        };
         if request.attempts.iter().any(is_unsettled) {
             return;
         }
@@ -105,7 +106,7 @@
     }
 
     pub(super) fn answer_request(&mut self, id: RequestId, outcome: FinalOutcome, actions: &mut Vec<Action>) {
-        let last_answered = self.requests.get(id).and_then(|request| request.last_answered);
+        let last_answered = self.requests.get(id).and_then(|request| request.last_response_attempt);
         let last_attempt = match outcome {
             FinalOutcome::Rejected(_) | FinalOutcome::Failed => last_answered,
             FinalOutcome::Served(_) | FinalOutcome::TimedOut => None,
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -103,7 +103,7 @@
         /// The connection.
         connection: ConnectionId,
         /// What it means by the rules of the request's route.
-        verdict: ResponseClass,
+        class: ResponseClass,
         /// By the response the connection may be used again.
         reusable: bool,
         /// More bytes have come than the response.
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -1,6 +1,6 @@
 //! Exactly one final answer, in time, a rejection only where a retry is harmless, and nothing after it.
 
-use super::observed::{Record, Sent};
+use super::observed::{ObservedAttempt, ObservedState};
 use super::{violation, Rule, Rules, Verdict};
 use crate::event::FinalOutcome;
 use shaletide_types::*;
@@ -9,16 +9,16 @@
 const SECOND_US: u64 = 1_000_000;
 
 /// No request is open after its deadline and the slack.
-pub(super) fn check_deadlines(record: &mut Record, now: Time, rules: &Rules) -> Verdict {
+pub(super) fn check_deadlines(record: &mut ObservedState, now: Time, rules: &Rules) -> Verdict {
     let Some(&(deadline, id)) = record.deadlines.first().filter(|d| d.0 + rules.answer_slack < now) else {
         return Ok(());
     };
     record.deadlines.remove(&(deadline, id)); // reported once
-    violation(Rule::InTime, now, format!("request {} has no answer after its deadline", id.0))
+    violation(Rule::BeforeDeadline, now, format!("request {} has no answer after its deadline", id.0))
 }
 
 pub(super) fn may_answer(
-    record: &Record, now: Time, id: RequestId, answer: FinalOutcome, rules: &Rules,
+    record: &ObservedState, now: Time, id: RequestId, answer: FinalOutcome, rules: &Rules,
 ) -> Verdict {
     let Some(r) = record.requests.get(&id).filter(|r| r.open) else {
         return violation(
@@ -34,13 +34,13 @@
             violation(Rule::OneAnswer, now, text)
         }
         FinalOutcome::Served(_) if now >= r.deadline => {
-            violation(Rule::InTime, now, format!("request {} was served after its deadline", id.0))
+            violation(Rule::BeforeDeadline, now, format!("request {} was served after its deadline", id.0))
         }
         _ if now > r.deadline + rules.answer_slack => {
-            violation(Rule::InTime, now, format!("request {} was answered after its deadline", id.0))
+            violation(Rule::BeforeDeadline, now, format!("request {} was answered after its deadline", id.0))
         }
         FinalOutcome::TimedOut if now < r.deadline => {
-            violation(Rule::InTime, now, format!("request {} timed out before its deadline", id.0))
+            violation(Rule::BeforeDeadline, now, format!("request {} timed out before its deadline", id.0))
         }
         FinalOutcome::Rejected(retry_after) => check_harmless(record, now, id, retry_after, rules),
         FinalOutcome::Served(_) | FinalOutcome::Failed | FinalOutcome::TimedOut => Ok(()),
@@ -49,46 +49,48 @@
 
 /// Nothing may have been executed, or a second execution does nothing: of a keyed request as long as its deduplication
 /// window lasts, which has to be open when the client comes back. `Retry-After` is in whole seconds.
-fn check_harmless(record: &Record, now: Time, id: RequestId, retry_after: Micros, rules: &Rules) -> Verdict {
+fn check_harmless(
+    record: &ObservedState, now: Time, id: RequestId, retry_after: Micros, rules: &Rules,
+) -> Verdict {
     let Some(r) = record.requests.get(&id) else { return Ok(()) };
     let client_back_at = now + Micros(retry_after.0.div_ceil(SECOND_US) * SECOND_US);
-    let is_discarded = |sent: &Sent| match r.effect {
+    let is_discarded = |sent: &ObservedAttempt| match r.idempotency {
         Idempotency::Safe => true,
         Idempotency::Keyed(DeduplicationScope::All, window) => {
-            rules.one_realm && client_back_at < sent.at + window
+            rules.has_only_one_deduplication_domain && client_back_at < sent.sent_at + window
         }
         Idempotency::Keyed(..) | Idempotency::NonIdempotent => false,
     };
-    match r.sent.iter().find(|(_, sent)| !is_discarded(sent)) {
+    match r.attempts.iter().find(|(_, sent)| !is_discarded(sent)) {
         Some((attempt, _)) => {
             let text = format!(
                 "request {} was rejected though its attempt {} may have been executed",
                 id.0, attempt.0
             );
-            violation(Rule::HarmlessRefusal, now, text)
+            violation(Rule::HarmlessRejection, now, text)
         }
         None => Ok(()),
     }
 }
 
-pub(super) fn may_send(record: &Record, now: Time, id: RequestId) -> Verdict {
+pub(super) fn may_send(record: &ObservedState, now: Time, id: RequestId) -> Verdict {
     match record.requests.get(&id).filter(|r| r.open) {
         None => violation(Rule::NothingAfter, now, format!("request {} was sent after it had ended", id.0)),
         Some(r) if now >= r.deadline => {
-            violation(Rule::InTime, now, format!("request {} was sent after its deadline", id.0))
+            violation(Rule::BeforeDeadline, now, format!("request {} was sent after its deadline", id.0))
         }
         Some(_) => Ok(()),
     }
 }
 
 /// A request that ended in this step has no attempt left that could have been cancelled.
-pub(super) fn check_nothing_running(record: &Record, now: Time, rules: &Rules) -> Verdict {
-    if !rules.cancel {
+pub(super) fn check_nothing_running(record: &ObservedState, now: Time, rules: &Rules) -> Verdict {
+    if !rules.cancellation {
         return Ok(());
     }
     let over = record.ended.iter().filter_map(|id| Some((id, record.requests.get(id)?)));
     for (id, r) in over.filter(|(_, r)| !r.open) {
-        for connection in Record::connections_of(r) {
+        for connection in ObservedState::connections_of(r) {
             if record.is_running_on(connection) {
                 let text = format!(
                     "request {} has ended and its attempt on connection {} was not cancelled",
@@ -101,7 +103,7 @@
     Ok(())
 }
 
-pub(super) fn check_all_answered(record: &Record, now: Time) -> Verdict {
+pub(super) fn check_all_answered(record: &ObservedState, now: Time) -> Verdict {
     match record.requests.iter().find(|(_, r)| r.open) {
         None => Ok(()),
         Some((id, _)) => violation(
--- a/crates/engine/src/monitor/draining.rs
+++ b/crates/engine/src/monitor/draining.rs
@@ -1,17 +1,23 @@
 //! Nothing new goes to a backend that is draining or gone, once the grace after that update has passed.
 
-use super::observed::Record;
+use super::observed::ObservedState;
 use super::{violation, Rule, Rules, Verdict};
 use shaletide_types::*;
 
-pub(super) fn may_send(record: &Record, now: Time, to: BackendId, rules: &Rules) -> Verdict {
-    match record.boxes.get(&to) {
-        Some(entry) if entry.state == BackendState::Ready || now < entry.since + rules.drain_grace => Ok(()),
+pub(super) fn may_send(record: &ObservedState, now: Time, to: BackendId, rules: &Rules) -> Verdict {
+    match record.backends.get(&to) {
+        Some(entry)
+            if entry.state == BackendState::Ready || now < entry.not_ready_since + rules.drain_grace =>
+        {
+            Ok(())
+        }
         Some(entry) => {
-            let ago = (now - entry.since).0 / 1_000;
+            let ago = (now - entry.not_ready_since).0 / 1_000;
             let text = format!("box {} is sent something new, {ago} ms after it was told not to be", to.0);
-            violation(Rule::Drain, now, text)
+            violation(Rule::Draining, now, text)
+        }
+        None => {
+            violation(Rule::Draining, now, format!("box {} is sent something new and no list has it", to.0))
         }
-        None => violation(Rule::Drain, now, format!("box {} is sent something new and no list has it", to.0)),
     }
 }
--- a/crates/engine/src/monitor/leftovers.rs
+++ b/crates/engine/src/monitor/leftovers.rs
@@ -1,7 +1,7 @@
 //! Nothing is kept of a request that has ended with all its attempts, and the deadline of an open one is awaited, so that
 //! all is answered in the end. This compares ids in the engine's state with what was observed.
 
-use super::observed::{Record, Watched};
+use super::observed::{ObservedRequest, ObservedState};
 use super::{violation, Monitor, Rule, Verdict};
 use crate::connection_pool::ConnectionState;
 use crate::engine::Engine;
@@ -13,7 +13,7 @@
     ///
     /// # Errors
     /// The first thing that the engine keeps and should not, or does not keep and should.
-    pub fn kept<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
+    pub fn check_leftovers<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         self.check_requests(now, engine)?;
         self.check_deadlines(now, engine)?;
         check_last_responses(now, engine)?;
@@ -32,7 +32,7 @@
     /// The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off; of no other.
     fn check_deadlines<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (_, id) in engine.deadlines() {
-            let may_go_on = !self.rules.cancel && self.record.requests.contains_key(id);
+            let may_go_on = !self.rules.cancellation && self.record.requests.contains_key(id);
             if !self.is_open(*id) && !may_go_on {
                 let text = format!("request {} has ended and its deadline is still awaited", id.0);
                 return leftover(now, text);
@@ -50,7 +50,7 @@
 
     fn check_connections<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (connection, _, state) in engine.connections() {
-            if !self.record.lines.contains_key(&connection) {
+            if !self.record.connections.contains_key(&connection) {
                 return leftover(now, format!("connection {} is closed and still kept", connection.0));
             }
             let ConnectionState::Connecting(Some((id, _))) = state else { continue };
@@ -69,14 +69,14 @@
         self.record.requests.get(&id).is_some_and(|request| request.open)
     }
 
-    fn has_running_attempt(&self, request: &Watched) -> bool {
-        Record::connections_of(request).any(|connection| self.record.is_running_on(connection))
+    fn has_running_attempt(&self, request: &ObservedRequest) -> bool {
+        ObservedState::connections_of(request).any(|connection| self.record.is_running_on(connection))
     }
 }
 
 fn check_last_responses<P: Policy>(now: Time, engine: &Engine<P>) -> Verdict {
-    for (backend, _) in engine.heard() {
-        if engine.listed(backend).is_none() {
+    for (backend, _) in engine.last_responses() {
+        if engine.listed_backend(backend).is_none() {
             let text =
                 format!("backend {} is gone and the time of its last response is still kept", backend.0);
             return leftover(now, text);
@@ -86,5 +86,5 @@
 }
 
 fn leftover(now: Time, text: String) -> Verdict {
-    violation(Rule::NothingKept, now, text)
+    violation(Rule::NoLeftovers, now, text)
 }
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -1,6 +1,6 @@
 //! The invariants of routing as monitors of what the engine is told and what it asks for.
 //!
-//! Nothing here reads the engine's state or calls its code, but [`Monitor::kept`], which compares ids: [`Record`] puts
+//! Nothing here reads the engine's state or calls its code, but [`Monitor::kept`], which compares ids: [`ObservedState`] puts
 //! together from events and actions alone what may have been executed, and each rule is a question to it, a file for a
 //! rule or two. The model checker asks after every step of every model, the socket tests and `--self-check` while the
 //! program runs.
@@ -22,8 +22,11 @@
 #[cfg(test)]
 mod tests;
 
-pub use observed::{Entry, Line, LineStep, Permit, Record, Sent, Watched, Where};
-pub use slow_start::{Cold, ColdRules};
+pub use observed::{
+    IntentState, ObservedAttempt, ObservedBackend, ObservedConnection, ObservedConnectionState,
+    ObservedPlacement, ObservedRequest, ObservedState,
+};
+pub use slow_start::{SlowStartMonitor, SlowStartRules};
 
 use crate::event::{Action, Event};
 use shaletide_types::*;
@@ -36,12 +39,12 @@
     /// An answer that no backend served may come so long after the deadline: as late as the driver wakes.
     pub answer_slack: Micros,
     /// The reuse delay: a connection is idle for so long before its next request.
-    pub quiet: Micros,
+    pub reuse_delay: Micros,
     /// Attempts whose result is not needed are cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// All backends are of one deduplication domain: a keyed request of scope `all` may be rejected though it may have been
     /// executed, as long as its deduplication window is open when the client comes back.
-    pub one_realm: bool,
+    pub has_only_one_deduplication_domain: bool,
 }
 
 /// An invariant.
@@ -51,27 +54,27 @@
     /// Exactly one final answer; a served one by a response that came.
     OneAnswer,
     /// The request is answered, and its attempts are sent, before its deadline.
-    InTime,
+    BeforeDeadline,
     /// After the final answer or the client's disconnection nothing is sent and no attempt goes on.
     NothingAfter,
     /// A non-idempotent request is sent again only if no earlier attempt was executed.
-    UnsafeOnce,
+    NonIdempotentOnce,
     /// A keyed request is sent again only to backends that discard its repeats, and inside its deduplication window.
-    KeyedInside,
+    KeyedInGroupAndWindow,
     /// A rejection only where a retry is harmless.
-    HarmlessRefusal,
+    HarmlessRejection,
     /// No new attempt to a backend that is draining or gone, once the grace has passed.
-    Drain,
+    Draining,
     /// No connection with foreign bytes on it is used again.
     CleanConnection,
     /// No attempt is sent before its intent is durable, and each intent is used, has failed or is withdrawn.
-    Permit,
+    DurableIntent,
     /// Nothing is kept of a request that has ended.
-    NothingKept,
+    NoLeftovers,
     /// When nothing is in flight or due, every request is answered.
     AllAnswered,
     /// A backend is sent no more than its slow start budget.
-    ColdBudget,
+    SlowStartBudget,
 }
 
 impl std::fmt::Display for Rule {
@@ -79,19 +82,21 @@
         f.write_str(match self {
             Rule::OneAnswer => "exactly one final answer",
             // The soak test matches this text in the log.
-            Rule::InTime => "answered and sent before its time is up",
+            Rule::BeforeDeadline => "answered and sent before its time is up",
             Rule::NothingAfter => "nothing after the final answer",
-            Rule::UnsafeOnce => {
+            Rule::NonIdempotentOnce => {
                 "a non-idempotent request is sent again only if no earlier attempt was executed"
             }
-            Rule::KeyedInside => "a keyed request is sent again only in its deduplication group and window",
-            Rule::HarmlessRefusal => "a refusal only where a retry is harmless",
-            Rule::Drain => "nothing new to a box after its drain was told",
+            Rule::KeyedInGroupAndWindow => {
+                "a keyed request is sent again only in its deduplication group and window"
+            }
+            Rule::HarmlessRejection => "a refusal only where a retry is harmless",
+            Rule::Draining => "nothing new to a box after its drain was told",
             Rule::CleanConnection => "no unclean connection is used again",
-            Rule::Permit => "no byte before the intent is durable, and no intent left open",
-            Rule::NothingKept => "nothing is kept of a request that has ended",
+            Rule::DurableIntent => "no byte before the intent is durable, and no intent left open",
+            Rule::NoLeftovers => "nothing is kept of a request that has ended",
             Rule::AllAnswered => "when nothing is in flight or due, every request is answered",
-            Rule::ColdBudget => "a backend is sent no more than its slow start budget",
+            Rule::SlowStartBudget => "a backend is sent no more than its slow start budget",
         })
     }
 }
@@ -120,17 +125,17 @@
     Err(Violation { rule, at, text })
 }
 
-/// Checks all rules but the slow start budget, which is the balancer's: see [`Cold`].
+/// Checks all rules but the slow start budget, which is the balancer's: see [`SlowStartMonitor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Monitor {
     rules: Rules,
-    record: Record,
+    record: ObservedState,
 }
 
 impl Monitor {
     /// A monitor that has observed nothing yet.
     pub fn new(rules: Rules) -> Monitor {
-        Monitor { rules, record: Record::default() }
+        Monitor { rules, record: ObservedState::default() }
     }
 
     /// Its settings.
@@ -144,7 +149,7 @@
     }
 
     /// What it has observed.
-    pub fn record(&self) -> &Record {
+    pub fn observed(&self) -> &ObservedState {
         &self.record
     }
 
@@ -152,7 +157,7 @@
     ///
     /// # Errors
     /// The rule that is broken by now. The event is recorded all the same.
-    pub fn see(&mut self, now: Time, event: &Event) -> Verdict {
+    pub fn observe_event(&mut self, now: Time, event: &Event) -> Verdict {
         let late = answers::check_deadlines(&mut self.record, now, &self.rules);
         self.record.observe_event(now, event, &self.rules);
         late
@@ -162,7 +167,7 @@
     ///
     /// # Errors
     /// The rule that it breaks. The action is recorded all the same.
-    pub fn act(&mut self, now: Time, action: &Action) -> Verdict {
+    pub fn observe_action(&mut self, now: Time, action: &Action) -> Verdict {
         let verdict = self.check_action(now, action);
         self.record.observe_action(now, action);
         verdict
@@ -174,8 +179,8 @@
             Action::Send { connection, request, attempt, .. } => {
                 answers::may_send(record, now, *request)?;
                 let line = connections::may_use(record, now, *connection, rules)?;
-                draining::may_send(record, now, line.to, rules)?;
-                retries::may_send(record, now, *request, line.to)?;
+                draining::may_send(record, now, line.backend, rules)?;
+                retries::may_send(record, now, *request, line.backend)?;
                 intents::may_send(record, now, *request, *attempt)
             }
             Action::Answer { request, answer, .. } => {
@@ -199,7 +204,7 @@
     ///
     /// # Errors
     /// The rule that is broken after them.
-    pub fn done(&mut self, now: Time) -> Verdict {
+    pub fn finish_step(&mut self, now: Time) -> Verdict {
         let verdict = answers::check_nothing_running(&self.record, now, &self.rules)
             .and_then(|()| intents::check_none_open(&self.record, now));
         self.record.finish_step();
@@ -210,13 +215,13 @@
     ///
     /// # Errors
     /// The first rule that is broken.
-    pub fn step(&mut self, now: Time, event: Option<&Event>, actions: &[Action]) -> Verdict {
-        let mut verdict = event.map_or(Ok(()), |event| self.see(now, event));
+    pub fn observe_step(&mut self, now: Time, event: Option<&Event>, actions: &[Action]) -> Verdict {
+        let mut verdict = event.map_or(Ok(()), |event| self.observe_event(now, event));
         for action in actions {
-            let next = self.act(now, action);
+            let next = self.observe_action(now, action);
             verdict = verdict.and(next);
         }
-        let last = self.done(now);
+        let last = self.finish_step(now);
         verdict.and(last)
     }
 
@@ -224,7 +229,7 @@
     ///
     /// # Errors
     /// A request that has no answer.
-    pub fn quiet(&self, now: Time) -> Verdict {
+    pub fn check_quiescent(&self, now: Time) -> Verdict {
         answers::check_all_answered(&self.record, now)
     }
 }
--- a/crates/engine/src/monitor/observed.rs
+++ b/crates/engine/src/monitor/observed.rs
@@ -9,74 +9,74 @@
 
 /// The deduplication scopes of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Where {
+pub struct ObservedPlacement {
     /// Its deduplication domain.
-    pub realm: u32,
+    pub domain: u32,
     /// Its zone.
     pub zone: ZoneId,
     /// Its deduplication group.
-    pub cell: DeduplicationGroupId,
+    pub group: DeduplicationGroupId,
 }
 
 /// What the lists said last of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Entry {
+pub struct ObservedBackend {
     /// The pool whose list it is in.
     pub pool: PoolId,
     /// Its deduplication scopes.
-    pub place: Where,
+    pub placement: ObservedPlacement,
     /// Whether it takes new requests.
     pub state: BackendState,
     /// When it was first listed as not ready.
-    pub since: Time,
+    pub not_ready_since: Time,
 }
 
 /// An attempt that was sent on a connection and, by all events since, may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Sent {
+pub struct ObservedAttempt {
     /// When it was sent.
-    pub at: Time,
+    pub sent_at: Time,
     /// The backend's deduplication scopes then.
-    pub place: Where,
+    pub placement: ObservedPlacement,
     /// The connection that it is on; none once it has ended.
-    pub on: Option<ConnectionId>,
+    pub connection: Option<ConnectionId>,
 }
 
 /// The state of an attempt's intent; one that is used, failed or withdrawn is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Permit {
+pub enum IntentState {
     /// It was requested.
-    Asked,
+    Requested,
     /// It is durable.
-    Given,
+    Durable,
 }
 
 /// A request that is open, or ended with an attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Watched {
+pub struct ObservedRequest {
     /// What a second execution would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// When it has to be answered.
     pub deadline: Time,
     /// Its attempts need a durable intent.
-    pub permit: bool,
+    pub requires_intent: bool,
     /// Its answer is due.
     pub open: bool,
     /// Attempts that may have been executed; of a safe request only those in flight.
-    pub sent: BTreeMap<AttemptNumber, Sent>,
+    pub attempts: BTreeMap<AttemptNumber, ObservedAttempt>,
     /// Intents that are neither used, failed nor withdrawn.
-    pub permits: BTreeMap<AttemptNumber, Permit>,
+    pub intents: BTreeMap<AttemptNumber, IntentState>,
 }
 
 /// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum LineStep {
+pub enum ObservedConnectionState {
     /// It is being opened.
-    Opening,
+    Connecting,
     /// It is idle: since it was opened, or since a response at that time.
-    Up(Option<Time>),
+    Idle(Option<Time>),
     /// Bytes are on it that belong to no response, or a part of a request is.
-    Unclean,
+    Dirty,
     /// An attempt is on it.
     Busy {
         /// The request.
@@ -86,30 +86,30 @@
         /// Its last byte has been handed to the kernel.
         written: bool,
         /// The engine has asked to close it.
-        closing: bool,
+        close_requested: bool,
     },
 }
 
 /// A connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Line {
+pub struct ObservedConnection {
     /// Its backend.
-    pub to: BackendId,
+    pub backend: BackendId,
     /// Its state.
-    pub step: LineStep,
+    pub state: ObservedConnectionState,
     /// Its backend listens at another address by now.
-    pub old: bool,
+    pub address_outdated: bool,
 }
 
 /// All that has been observed and is still needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Record {
+pub struct ObservedState {
     /// Requests that are open or have an attempt in flight.
-    pub requests: BTreeMap<RequestId, Watched>,
+    pub requests: BTreeMap<RequestId, ObservedRequest>,
     /// The connections.
-    pub lines: BTreeMap<ConnectionId, Line>,
+    pub connections: BTreeMap<ConnectionId, ObservedConnection>,
     /// The listed backends; one that is gone is kept for the drain grace.
-    pub boxes: BTreeMap<BackendId, Entry>,
+    pub backends: BTreeMap<BackendId, ObservedBackend>,
     /// The deadlines of open requests.
     pub(super) deadlines: BTreeSet<(Time, RequestId)>,
     /// The attempt that got a served response by the present event.
@@ -118,7 +118,7 @@
     pub(super) ended: Vec<RequestId>,
 }
 
-impl Record {
+impl ObservedState {
     pub(super) fn observe_event(&mut self, now: Time, event: &Event, rules: &Rules) {
         match event {
             Event::EndpointsUpdated { pool, update, backends } => {
@@ -135,9 +135,9 @@
                 self.on_intent_persisted(*request, *attempt, *persisted)
             }
             Event::Connected { connection } => self.on_connected(*connection),
-            Event::ConnectFailed { connection, .. } => drop(self.lines.remove(connection)),
+            Event::ConnectFailed { connection, .. } => drop(self.connections.remove(connection)),
             Event::RequestWritten { connection } => self.on_request_written(*connection),
-            Event::ResponseReceived { connection, verdict, reusable, has_excess_bytes } => {
+            Event::ResponseReceived { connection, class: verdict, reusable, has_excess_bytes } => {
                 self.on_response(now, *connection, *verdict, *reusable && !*has_excess_bytes)
             }
             Event::InvalidResponse { connection } | Event::ConnectionClosed { connection } => {
@@ -152,25 +152,31 @@
     pub(super) fn observe_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Connect { connection, backend } => {
-                let line = Line { to: *backend, step: LineStep::Opening, old: false };
-                self.lines.insert(*connection, line);
+                let line = ObservedConnection {
+                    backend: *backend,
+                    state: ObservedConnectionState::Connecting,
+                    address_outdated: false,
+                };
+                self.connections.insert(*connection, line);
             }
             Action::Send { connection, request, attempt, .. } => {
                 self.on_sent(now, *connection, *request, *attempt)
             }
-            Action::Close { connection } => match self.lines.get_mut(connection).map(|l| &mut l.step) {
-                Some(LineStep::Busy { closing, .. }) => *closing = true,
-                _ => drop(self.lines.remove(connection)),
-            },
+            Action::Close { connection } => {
+                match self.connections.get_mut(connection).map(|l| &mut l.state) {
+                    Some(ObservedConnectionState::Busy { close_requested: closing, .. }) => *closing = true,
+                    _ => drop(self.connections.remove(connection)),
+                }
+            }
             Action::Answer { request, .. } => self.on_request_ended(*request),
             Action::PersistIntent { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(request) {
-                    r.permits.insert(*attempt, Permit::Asked);
+                    r.intents.insert(*attempt, IntentState::Requested);
                 }
             }
             Action::WithdrawIntent { request, attempt } => {
                 if let Some(r) = self.requests.get_mut(request) {
-                    r.permits.remove(attempt);
+                    r.intents.remove(attempt);
                 }
             }
             Action::AttemptEnded { .. } | Action::Subscribe { .. } | Action::Log { .. } => {}
@@ -186,59 +192,67 @@
     }
 
     /// The connections that a request's attempts are on.
-    pub(super) fn connections_of(r: &Watched) -> impl Iterator<Item = ConnectionId> + '_ {
-        r.sent.values().filter_map(|s| s.on)
+    pub(super) fn connections_of(r: &ObservedRequest) -> impl Iterator<Item = ConnectionId> + '_ {
+        r.attempts.values().filter_map(|s| s.connection)
     }
 
     /// Whether an attempt is on that connection and the engine has not asked to close it.
     pub(super) fn is_running_on(&self, connection: ConnectionId) -> bool {
-        let step = self.lines.get(&connection).map(|line| line.step);
-        matches!(step, Some(LineStep::Busy { closing: false, .. }))
+        let step = self.connections.get(&connection).map(|line| line.state);
+        matches!(step, Some(ObservedConnectionState::Busy { close_requested: false, .. }))
     }
 
     /// The last update counts; a pool cannot take away a backend that another pool has listed since.
     fn update_endpoints(
         &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: &[BackendEntry], rules: &Rules,
     ) {
-        let mark_gone = |entry: &mut Entry| {
+        let mark_gone = |entry: &mut ObservedBackend| {
             if entry.state == BackendState::Ready {
-                entry.since = now;
+                entry.not_ready_since = now;
             }
             entry.state = BackendState::Gone;
         };
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
             let named = |id: &BackendId| list.iter().any(|b| b.id == *id);
-            for (id, entry) in &mut self.boxes {
+            for (id, entry) in &mut self.backends {
                 if entry.pool == pool && !named(id) {
                     mark_gone(entry);
                 }
             }
         }
         for b in list {
-            let known = self.boxes.get_mut(&b.id);
+            let known = self.backends.get_mut(&b.id);
             if b.state == BackendState::Gone {
                 if let Some(entry) = known.filter(|e| e.pool == pool) {
                     mark_gone(entry);
                 }
                 continue;
             }
-            let since = known.filter(|e| e.state != BackendState::Ready).map_or(now, |e| e.since);
-            let place = Where { realm: b.deduplication_domain, zone: b.zone, cell: b.deduplication_group };
-            self.boxes.insert(b.id, Entry { pool, place, state: b.state, since });
+            let since = known.filter(|e| e.state != BackendState::Ready).map_or(now, |e| e.not_ready_since);
+            let place = ObservedPlacement {
+                domain: b.deduplication_domain,
+                zone: b.zone,
+                group: b.deduplication_group,
+            };
+            self.backends.insert(
+                b.id,
+                ObservedBackend { pool, placement: place, state: b.state, not_ready_since: since },
+            );
         }
-        self.boxes.retain(|_, e| e.state != BackendState::Gone || now < e.since + rules.drain_grace);
+        self.backends
+            .retain(|_, e| e.state != BackendState::Gone || now < e.not_ready_since + rules.drain_grace);
     }
 
     fn on_backend_moved(&mut self, backend: BackendId, to: PoolId) {
-        if let Some(entry) = self.boxes.get_mut(&backend) {
+        if let Some(entry) = self.backends.get_mut(&backend) {
             entry.pool = to;
         }
     }
 
     fn on_address_changed(&mut self, backend: BackendId) {
-        for line in self.lines.values_mut() {
-            if line.to == backend {
-                line.old = true;
+        for line in self.connections.values_mut() {
+            if line.backend == backend {
+                line.address_outdated = true;
             }
         }
     }
@@ -249,13 +263,13 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        let request = Watched {
-            effect: spec.idempotency,
+        let request = ObservedRequest {
+            idempotency: spec.idempotency,
             deadline,
-            permit: spec.requires_intent,
+            requires_intent: spec.requires_intent,
             open: true,
-            sent: BTreeMap::new(),
-            permits: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            intents: BTreeMap::new(),
         };
         self.requests.insert(id, request);
         self.deadlines.insert((deadline, id));
@@ -269,8 +283,9 @@
     }
 
     fn remove_if_ended(&mut self, id: RequestId) {
-        let over =
-            |r: &Watched| !r.open && r.permits.is_empty() && Record::connections_of(r).next().is_none();
+        let over = |r: &ObservedRequest| {
+            !r.open && r.intents.is_empty() && ObservedState::connections_of(r).next().is_none()
+        };
         if self.requests.get(&id).is_some_and(over) {
             self.requests.remove(&id);
         }
@@ -278,55 +293,67 @@
 
     fn on_intent_persisted(&mut self, id: RequestId, attempt: AttemptNumber, persisted: bool) {
         let Some(r) = self.requests.get_mut(&id) else { return };
-        match r.permits.get_mut(&attempt) {
-            Some(permit) if persisted => *permit = Permit::Given,
-            Some(_) => drop(r.permits.remove(&attempt)),
+        match r.intents.get_mut(&attempt) {
+            Some(permit) if persisted => *permit = IntentState::Durable,
+            Some(_) => drop(r.intents.remove(&attempt)),
             None => {} // it was withdrawn before the store's result came
         }
     }
 
     fn on_connected(&mut self, connection: ConnectionId) {
-        if let Some(line) = self.lines.get_mut(&connection) {
-            line.step = LineStep::Up(None);
+        if let Some(line) = self.connections.get_mut(&connection) {
+            line.state = ObservedConnectionState::Idle(None);
         }
     }
 
     fn on_request_written(&mut self, connection: ConnectionId) {
-        let line = self.lines.get_mut(&connection);
-        if let Some(Line { step: LineStep::Busy { written, .. }, .. }) = line {
+        let line = self.connections.get_mut(&connection);
+        if let Some(ObservedConnection { state: ObservedConnectionState::Busy { written, .. }, .. }) = line {
             *written = true;
         }
     }
 
     fn on_sent(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        line.step = LineStep::Busy { request, attempt, written: false, closing: false };
+        let Some(line) = self.connections.get_mut(&connection) else { return };
+        line.state =
+            ObservedConnectionState::Busy { request, attempt, written: false, close_requested: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
-        r.permits.remove(&attempt);
-        let nowhere = Where { realm: 0, zone: ZoneId(0), cell: DeduplicationGroupId(0) };
-        let place = self.boxes.get(&line.to).map_or(nowhere, |e| e.place);
-        r.sent.insert(attempt, Sent { at: now, place, on: Some(connection) });
+        r.intents.remove(&attempt);
+        let nowhere = ObservedPlacement { domain: 0, zone: ZoneId(0), group: DeduplicationGroupId(0) };
+        let place = self.backends.get(&line.backend).map_or(nowhere, |e| e.placement);
+        r.attempts.insert(
+            attempt,
+            ObservedAttempt { sent_at: now, placement: place, connection: Some(connection) },
+        );
     }
 
     /// Nothing is kept of an attempt that was not executed, and of one of a safe request.
     fn on_attempt_ended(&mut self, request: RequestId, attempt: AttemptNumber, may_have_executed: bool) {
         let Some(r) = self.requests.get_mut(&request) else { return };
-        if let Some(sent) = r.sent.get_mut(&attempt) {
-            sent.on = None;
+        if let Some(sent) = r.attempts.get_mut(&attempt) {
+            sent.connection = None;
         }
-        if !may_have_executed || r.effect == Idempotency::Safe {
-            r.sent.remove(&attempt);
+        if !may_have_executed || r.idempotency == Idempotency::Safe {
+            r.attempts.remove(&attempt);
         }
         self.ended.push(request);
     }
 
     fn on_response(&mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool) {
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        let LineStep::Busy { request, attempt, written, closing } = line.step else { return };
+        let Some(line) = self.connections.get_mut(&connection) else { return };
+        let ObservedConnectionState::Busy { request, attempt, written, close_requested: closing } =
+            line.state
+        else {
+            return;
+        };
         // After a response to a part of a request the rest of it would go out ahead of the next request.
-        line.step = if clean && written { LineStep::Up(Some(now)) } else { LineStep::Unclean };
+        line.state = if clean && written {
+            ObservedConnectionState::Idle(Some(now))
+        } else {
+            ObservedConnectionState::Dirty
+        };
         if closing {
-            self.lines.remove(&connection);
+            self.connections.remove(&connection);
         }
         if verdict == ResponseClass::Served {
             self.served = Some((request, attempt));
@@ -336,19 +363,19 @@
 
     /// It ended, or is closed as asked. A request that was not completely written by then was not executed.
     fn on_connection_closed(&mut self, connection: ConnectionId, completely_written: bool) {
-        let Some(line) = self.lines.remove(&connection) else { return };
-        if let LineStep::Busy { request, attempt, written, .. } = line.step {
+        let Some(line) = self.connections.remove(&connection) else { return };
+        if let ObservedConnectionState::Busy { request, attempt, written, .. } = line.state {
             self.on_attempt_ended(request, attempt, written || completely_written);
         }
     }
 
     /// No byte of a request was written on it: its intent is still unused.
     fn on_connection_unusable(&mut self, connection: ConnectionId) {
-        let Some(line) = self.lines.remove(&connection) else { return };
-        let LineStep::Busy { request, attempt, .. } = line.step else { return };
+        let Some(line) = self.connections.remove(&connection) else { return };
+        let ObservedConnectionState::Busy { request, attempt, .. } = line.state else { return };
         self.on_attempt_ended(request, attempt, false);
-        if let Some(r) = self.requests.get_mut(&request).filter(|r| r.permit) {
-            r.permits.insert(attempt, Permit::Given);
+        if let Some(r) = self.requests.get_mut(&request).filter(|r| r.requires_intent) {
+            r.intents.insert(attempt, IntentState::Durable);
         }
     }
 }
--- a/crates/engine/src/monitor/retries.rs
+++ b/crates/engine/src/monitor/retries.rs
@@ -1,59 +1,59 @@
 //! A non-idempotent request is executed once; a keyed one is sent again only where and while repeats are discarded.
 
-use super::observed::{Record, Watched, Where};
+use super::observed::{ObservedPlacement, ObservedRequest, ObservedState};
 use super::{violation, Rule, Verdict};
 use shaletide_types::*;
 
-pub(super) fn may_send(record: &Record, now: Time, id: RequestId, to: BackendId) -> Verdict {
+pub(super) fn may_send(record: &ObservedState, now: Time, id: RequestId, to: BackendId) -> Verdict {
     let Some(request) = record.requests.get(&id) else { return Ok(()) };
-    match request.effect {
+    match request.idempotency {
         Idempotency::Safe => Ok(()),
         Idempotency::NonIdempotent => check_not_executed(now, id, request),
         Idempotency::Keyed(scope, window) => {
-            let Some(place) = record.boxes.get(&to).map(|entry| entry.place) else { return Ok(()) };
+            let Some(place) = record.backends.get(&to).map(|entry| entry.placement) else { return Ok(()) };
             check_repeat_is_discarded(now, id, request, scope, window, to, place)
         }
     }
 }
 
-fn check_not_executed(now: Time, id: RequestId, request: &Watched) -> Verdict {
-    let Some(before) = request.sent.keys().next() else { return Ok(()) };
+fn check_not_executed(now: Time, id: RequestId, request: &ObservedRequest) -> Verdict {
+    let Some(before) = request.attempts.keys().next() else { return Ok(()) };
     let text = format!(
         "non-idempotent request {} was sent again though attempt {} may have been executed",
         id.0, before.0
     );
-    violation(Rule::UnsafeOnce, now, text)
+    violation(Rule::NonIdempotentOnce, now, text)
 }
 
 fn check_repeat_is_discarded(
-    now: Time, id: RequestId, request: &Watched, scope: DeduplicationScope, window: Micros, to: BackendId,
-    place: Where,
+    now: Time, id: RequestId, request: &ObservedRequest, scope: DeduplicationScope, window: Micros,
+    to: BackendId, place: ObservedPlacement,
 ) -> Verdict {
-    for (before, sent) in &request.sent {
-        if !shares_keys(scope, sent.place, place) {
+    for (before, sent) in &request.attempts {
+        if !shares_keys(scope, sent.placement, place) {
             let text = format!(
                 "keyed request {} was sent again to backend {}, which does not share the keys seen by attempt {}",
                 id.0, to.0, before.0
             );
-            return violation(Rule::KeyedInside, now, text);
+            return violation(Rule::KeyedInGroupAndWindow, now, text);
         }
-        if now >= sent.at + window {
+        if now >= sent.sent_at + window {
             let text = format!(
                 "keyed request {} was sent again after the deduplication window of attempt {}",
                 id.0, before.0
             );
-            return violation(Rule::KeyedInside, now, text);
+            return violation(Rule::KeyedInGroupAndWindow, now, text);
         }
     }
     Ok(())
 }
 
 /// Groups of different domains share no keys, whatever their names.
-fn shares_keys(scope: DeduplicationScope, one: Where, other: Where) -> bool {
+fn shares_keys(scope: DeduplicationScope, one: ObservedPlacement, other: ObservedPlacement) -> bool {
     let in_scope = match scope {
         DeduplicationScope::All => true,
         DeduplicationScope::Zone => one.zone == other.zone,
-        DeduplicationScope::Group => one.cell == other.cell,
+        DeduplicationScope::Group => one.group == other.group,
     };
-    in_scope && one.realm == other.realm
+    in_scope && one.domain == other.domain
 }
--- a/crates/engine/src/monitor/tests/answers.rs
+++ b/crates/engine/src/monitor/tests/answers.rs
@@ -17,9 +17,9 @@
     s.answered(1, ResponseClass::Served, true, false, &[answer(FinalOutcome::Served(AttemptNumber(1)))]);
     s.step(Event::ConnectionUnusable { connection: connection(1) }, &[close(1)]);
     assert_eq!(s.broken_rules, []);
-    assert_eq!(s.monitor.quiet(s.now), Ok(()));
-    let record = s.monitor.record();
-    assert!(record.requests.is_empty() && record.lines.is_empty() && record.deadlines.is_empty());
+    assert_eq!(s.monitor.check_quiescent(s.now), Ok(()));
+    let record = s.monitor.observed();
+    assert!(record.requests.is_empty() && record.connections.is_empty() && record.deadlines.is_empty());
 }
 
 #[test]
@@ -49,13 +49,13 @@
         s.now = s.now + Micros(5_000);
         s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
     };
-    assert_eq!(broken_rules(KEYED, RULES, late), [Rule::InTime]);
+    assert_eq!(broken_rules(KEYED, RULES, late), [Rule::BeforeDeadline]);
     let none = |s: &mut Stream| {
         s.now = s.now + Micros(5_001);
         s.step(Event::Wake, &[]);
         s.step(Event::Wake, &[]);
     };
-    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::InTime], "said once");
+    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::BeforeDeadline], "said once");
     assert_eq!(broken_rules(KEYED, Rules { answer_slack: Micros(1), ..RULES }, none), []);
     let in_time = |s: &mut Stream| {
         s.now = s.now + Micros(5_000);
@@ -63,7 +63,7 @@
     };
     assert_eq!(broken_rules(KEYED, RULES, in_time), []);
     let early = |s: &mut Stream| s.act(&[answer(FinalOutcome::TimedOut)]);
-    assert_eq!(broken_rules(KEYED, RULES, early), [Rule::InTime]);
+    assert_eq!(broken_rules(KEYED, RULES, early), [Rule::BeforeDeadline]);
 }
 
 #[test]
@@ -73,7 +73,7 @@
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
     };
     assert_eq!(broken_rules(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
-    assert_eq!(broken_rules(Idempotency::Safe, Rules { cancel: false, ..RULES }, running), []);
+    assert_eq!(broken_rules(Idempotency::Safe, Rules { cancellation: false, ..RULES }, running), []);
     let sent = |s: &mut Stream| {
         s.act(&[open(0, 0)]);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
@@ -89,22 +89,22 @@
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.act(&[answer(REJECTED)]);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRefusal]);
-    assert_eq!(broken_rules(KEYED, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRejection]);
+    assert_eq!(broken_rules(KEYED, RULES, ran), [Rule::HarmlessRejection]);
     assert_eq!(broken_rules(Idempotency::Safe, RULES, ran), []);
     let all = Idempotency::Keyed(DeduplicationScope::All, Micros(2_000));
-    assert_eq!(broken_rules(all, RULES, ran), [Rule::HarmlessRefusal]);
+    assert_eq!(broken_rules(all, RULES, ran), [Rule::HarmlessRejection]);
     let told_to_be_back = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.now = s.now + Micros(1_999);
         s.act(&[answer(FinalOutcome::Rejected(Micros(0)))]);
     };
-    let one_realm = Rules { one_realm: true, ..RULES };
+    let one_realm = Rules { has_only_one_deduplication_domain: true, ..RULES };
     assert_eq!(broken_rules(all, one_realm, told_to_be_back), []);
     assert_eq!(
         broken_rules(all, one_realm, ran),
-        [Rule::HarmlessRefusal],
+        [Rule::HarmlessRejection],
         "back in a second, after the window"
     );
     let did_not = |s: &mut Stream| {
@@ -119,7 +119,7 @@
 fn open_request_when_quiet_breaks_all_answered() {
     let mut s = Stream::new(RULES);
     s.request(Idempotency::Safe, false);
-    assert_eq!(s.monitor.quiet(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
+    assert_eq!(s.monitor.check_quiescent(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
     s.act(&[answer(REJECTED)]);
-    assert_eq!(s.monitor.quiet(s.now), Ok(()));
+    assert_eq!(s.monitor.check_quiescent(s.now), Ok(()));
 }
--- a/crates/engine/src/monitor/tests/connections.rs
+++ b/crates/engine/src/monitor/tests/connections.rs
@@ -24,9 +24,9 @@
             }
         };
         let grace = Rules { drain_grace: Micros(250), ..RULES };
-        assert_eq!(broken_rules(Idempotency::Safe, RULES, after(0)), [Rule::Drain]);
+        assert_eq!(broken_rules(Idempotency::Safe, RULES, after(0)), [Rule::Draining]);
         assert_eq!(broken_rules(Idempotency::Safe, grace, after(249)), []);
-        assert_eq!(broken_rules(Idempotency::Safe, grace, after(250)), [Rule::Drain]);
+        assert_eq!(broken_rules(Idempotency::Safe, grace, after(250)), [Rule::Draining]);
     }
     let back = |s: &mut Stream| {
         s.list(0, 0, BackendState::Draining);
@@ -52,7 +52,12 @@
             }
             let verdict = ResponseClass::Error;
             s.step(
-                Event::ResponseReceived { connection: connection(0), verdict, reusable, has_excess_bytes },
+                Event::ResponseReceived {
+                    connection: connection(0),
+                    class: verdict,
+                    reusable,
+                    has_excess_bytes,
+                },
                 &[],
             );
             s.now = s.now + Micros(wait);
--- a/crates/engine/src/monitor/tests/intents.rs
+++ b/crates/engine/src/monitor/tests/intents.rs
@@ -13,17 +13,17 @@
         stream(&mut s);
         s.broken_rules
     };
-    assert_eq!(broken_rules(&|s| s.sent(0, 0)), [Rule::Permit]);
+    assert_eq!(broken_rules(&|s| s.sent(0, 0)), [Rule::DurableIntent]);
     assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), back.clone()])), []);
-    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), back.clone(), back.clone()])), [Rule::Permit]);
-    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), ask.clone()])), [Rule::Permit]);
+    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), back.clone(), back.clone()])), [Rule::DurableIntent]);
+    assert_eq!(broken_rules(&|s| s.act(&[ask.clone(), ask.clone()])), [Rule::DurableIntent]);
     let left = Event::ClientDisconnected { request };
     assert_eq!(
         broken_rules(&|s| {
             s.act(std::slice::from_ref(&ask));
             s.step(left.clone(), &[]);
         }),
-        [Rule::Permit]
+        [Rule::DurableIntent]
     );
     assert_eq!(
         broken_rules(&|s| {
--- a/crates/engine/src/monitor/tests/mod.rs
+++ b/crates/engine/src/monitor/tests/mod.rs
@@ -16,9 +16,9 @@
 const RULES: Rules = Rules {
     drain_grace: Micros(0),
     answer_slack: Micros(0),
-    quiet: Micros(500),
-    cancel: true,
-    one_realm: false,
+    reuse_delay: Micros(500),
+    cancellation: true,
+    has_only_one_deduplication_domain: false,
 };
 
 /// A stream of events and actions, and the rules that the monitor reported as broken.
@@ -42,12 +42,12 @@
     }
 
     fn step(&mut self, event: Event, actions: &[Action]) {
-        let verdict = self.monitor.step(self.now, Some(&event), actions);
+        let verdict = self.monitor.observe_step(self.now, Some(&event), actions);
         self.record(verdict);
     }
 
     fn act(&mut self, actions: &[Action]) {
-        let verdict = self.monitor.step(self.now, None, actions);
+        let verdict = self.monitor.observe_step(self.now, None, actions);
         self.record(verdict);
     }
 
@@ -96,7 +96,12 @@
     ) {
         self.step(Event::RequestWritten { connection: connection(number) }, &[]);
         self.step(
-            Event::ResponseReceived { connection: connection(number), verdict, reusable, has_excess_bytes },
+            Event::ResponseReceived {
+                connection: connection(number),
+                class: verdict,
+                reusable,
+                has_excess_bytes,
+            },
             actions,
         );
     }
--- a/crates/engine/src/monitor/tests/retries.rs
+++ b/crates/engine/src/monitor/tests/retries.rs
@@ -11,7 +11,7 @@
         (
             Event::ResponseReceived {
                 connection: connection(0),
-                verdict: ResponseClass::NotExecuted,
+                class: ResponseClass::NotExecuted,
                 reusable: false,
                 has_excess_bytes: false,
             },
@@ -20,7 +20,7 @@
         (
             Event::ResponseReceived {
                 connection: connection(0),
-                verdict: ResponseClass::Error,
+                class: ResponseClass::Error,
                 reusable: false,
                 has_excess_bytes: false,
             },
@@ -34,7 +34,7 @@
             s.step(end.clone(), &[close(0)]);
             s.sent(1, 1);
         };
-        let expected = if ran { vec![Rule::UnsafeOnce] } else { vec![] };
+        let expected = if ran { vec![Rule::NonIdempotentOnce] } else { vec![] };
         assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
     }
     let after_its_last_byte = |s: &mut Stream| {
@@ -43,12 +43,15 @@
         s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, after_its_last_byte), [Rule::UnsafeOnce]);
+    assert_eq!(
+        broken_rules(Idempotency::NonIdempotent, RULES, after_its_last_byte),
+        [Rule::NonIdempotentOnce]
+    );
     let beside = |s: &mut Stream| {
         s.sent(0, 0);
         s.sent(1, 1);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, beside), [Rule::UnsafeOnce]);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, beside), [Rule::NonIdempotentOnce]);
     assert_eq!(broken_rules(Idempotency::Safe, RULES, beside), []);
 }
 
@@ -63,14 +66,14 @@
     };
     assert_eq!(to(0, 0), []);
     assert_eq!(to(0, 1_999), []);
-    assert_eq!(to(0, 2_000), [Rule::KeyedInside]);
-    assert_eq!(to(1, 0), [Rule::KeyedInside]);
+    assert_eq!(to(0, 2_000), [Rule::KeyedInGroupAndWindow]);
+    assert_eq!(to(1, 0), [Rule::KeyedInGroupAndWindow]);
     let elsewhere = |s: &mut Stream| {
         s.sent(0, 0);
         s.list(0, 7, BackendState::Ready);
         s.sent(1, 0);
     };
-    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInside]);
+    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInGroupAndWindow]);
     let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -41,12 +41,12 @@
 
 impl Attempt {
     /// Whether it has not ended.
-    pub fn out(&self) -> bool {
+    pub fn is_in_flight(&self) -> bool {
         !matches!(self.state, AttemptState::Ended(_))
     }
 
     /// Whether it is not proved that it was not executed.
-    pub fn may_have_run(&self) -> bool {
+    pub fn may_have_executed(&self) -> bool {
         match self.state {
             AttemptState::Ended(outcome) => !outcome.not_executed(),
             AttemptState::AwaitingIntent | AttemptState::Connecting(_) => false,
@@ -94,7 +94,7 @@
     /// Its state.
     pub state: RequestState,
     /// The attempt whose response came last, if no attempt has ended without one since.
-    pub last_answered: Option<AttemptNumber>,
+    pub last_response_attempt: Option<AttemptNumber>,
     /// Its attempts by number.
     pub attempts: Vec<Attempt>,
 }
@@ -112,7 +112,7 @@
     pub(crate) fn end_attempt(
         &mut self, now: Time, number: AttemptNumber, outcome: Outcome, has_response: bool,
     ) -> Option<EndedAttempt> {
-        let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.out())?;
+        let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.is_in_flight())?;
         let not_begun = matches!(attempt.state, AttemptState::AwaitingIntent | AttemptState::Connecting(_));
         let withdraw_intent = not_begun && attempt.intent_requested;
         let latency = now - attempt.dispatched_at;
@@ -120,20 +120,22 @@
         attempt.ended_at = now;
         match outcome {
             Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // says nothing of the attempt before
-            _ => self.last_answered = has_response.then_some(number),
+            _ => self.last_response_attempt = has_response.then_some(number),
         }
         Some(EndedAttempt { withdraw_intent, latency })
     }
 
     /// Whether some attempt has not ended.
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(Attempt::out)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
     }
 
     /// Numbers of the attempts that have not ended.
-    pub fn still_out(&self) -> Vec<AttemptNumber> {
+    pub fn attempts_in_flight(&self) -> Vec<AttemptNumber> {
         let each = self.attempts.iter().enumerate();
-        each.filter(|(_, attempt)| attempt.out()).map(|(number, _)| AttemptNumber(number as u32)).collect()
+        each.filter(|(_, attempt)| attempt.is_in_flight())
+            .map(|(number, _)| AttemptNumber(number as u32))
+            .collect()
     }
 
     /// Whether a retry by the client at `retry_at` is harmless: nothing may have been executed, or a second execution does
@@ -147,6 +149,6 @@
             Idempotency::Safe => true,
             Idempotency::Keyed(..) | Idempotency::NonIdempotent => false,
         };
-        self.attempts.iter().all(|attempt| !attempt.may_have_run() || is_discarded(attempt))
+        self.attempts.iter().all(|attempt| !attempt.may_have_executed() || is_discarded(attempt))
     }
 }
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -65,7 +65,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = RequestState::Finished;
         let deadline = (request.deadline, id);
-        if (cancellation || !request.out()) && !mutant!(active, TimerOutlivesRequest) {
+        if (cancellation || !request.has_attempt_in_flight()) && !mutant!(active, TimerOutlivesRequest) {
             self.deadlines.remove(&deadline);
         }
     }
@@ -73,7 +73,7 @@
     /// Removes a request that is finished and whose attempts have ended.
     pub fn remove_if_ended(&mut self, id: RequestId, active: ActiveMutant) {
         let Some(request) = self.get(id) else { return };
-        if request.state != RequestState::Finished || request.out() {
+        if request.state != RequestState::Finished || request.has_attempt_in_flight() {
             return;
         }
         let deadline = (request.deadline, id);
--- a/crates/engine/tests/counterexamples.rs
+++ b/crates/engine/tests/counterexamples.rs
@@ -95,7 +95,7 @@
     fn respond(&mut self, connection: u64, verdict: ResponseClass, reusable: bool) -> Vec<Action> {
         self.handle(Event::ResponseReceived {
             connection: ConnectionId(connection),
-            verdict,
+            class: verdict,
             reusable,
             has_excess_bytes: false,
         })
@@ -263,7 +263,7 @@
     s.handle(Event::RequestWritten { connection: ConnectionId(0) });
     s.list(0, 0, BackendState::Gone);
     s.respond(0, ResponseClass::Served, true);
-    assert_eq!((s.engine.heard().count(), s.engine.count_listed()), (0, 0));
+    assert_eq!((s.engine.last_responses().count(), s.engine.listed_backend_count()), (0, 0));
 }
 
 /// The model checker leaves this out: the store's result comes when nothing is known of the request any more.
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -28,5 +28,5 @@
 
 pub use limits::CLIENT_OVERFLOW;
 pub use listener::{listen, BoundSocket, ListenCall, ListenError};
-pub use rules::{ClassRule, Rules, RulesDef};
+pub use rules::{ClassRule, Rules, RulesConfig};
 pub use server::Server;
--- a/crates/http/src/outgoing.rs
+++ b/crates/http/src/outgoing.rs
@@ -45,7 +45,7 @@
         let target = rules.route_targets.get(parsed.route.0).ok_or(RequestError::NoRoute)?;
         let spec = RequestSpec {
             arrival,
-            idempotency: rules.classes[parsed.class.0].effect,
+            idempotency: rules.classes[parsed.class.0].idempotency,
             pools: target.pools.clone(),
             requires_intent: false,
             recorded: false,
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -90,12 +90,12 @@
 fn idempotency_key<'a>(
     rules: &Rules, rule: &ClassRule, head: &'a Parts,
 ) -> Result<Option<&'a str>, RequestError> {
-    if rule.effect == Idempotency::Safe {
+    if rule.idempotency == Idempotency::Safe {
         return Ok(None);
     }
     let key = attribute(&rules.key, head).map_err(|_| RequestError::InvalidKey)?;
     let key = key.filter(|key| !key.trim().is_empty());
-    if key.is_none() && matches!(rule.effect, Idempotency::Keyed(..)) {
+    if key.is_none() && matches!(rule.idempotency, Idempotency::Keyed(..)) {
         return Err(RequestError::InvalidKey);
     }
     Ok(key)
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -3,7 +3,7 @@
 use super::path::is_plain;
 use super::target::is_valid_host;
 use super::*;
-use crate::rules::RulesDef;
+use crate::rules::RulesConfig;
 use hyper::header::HOST;
 use hyper::Version;
 use shaletide_balancer::DeduplicationScope;
@@ -21,15 +21,15 @@
     Rules::new(def())
 }
 
-fn def() -> RulesDef {
+fn def() -> RulesConfig {
     let class = |name: &str, effect, methods: &[Method]| ClassRule {
         name: name.into(),
-        effect,
+        idempotency: effect,
         methods: methods.to_vec(),
         deadline: Micros(1_000_000),
     };
-    RulesDef {
-        form: RequestFormat {
+    RulesConfig {
+        format: RequestFormat {
             deduplication_group: Some(AttributeSource::Path(2)),
             ..RequestFormat::platform()
         },
@@ -42,15 +42,15 @@
         routes: Vec::new(),
         zone: "east".into(),
         max_retry_after: Micros(2_000_000),
-        whole_seconds: true,
+        retry_after_in_whole_seconds: true,
         head_timeout: Micros(1),
         body_timeout: Micros(1),
-        body_rate: 1,
+        min_body_bytes_per_s: 1,
         body_grace: Micros(1),
-        held_bodies: 1,
+        max_buffered_body_bytes: 1,
         max_body: 64 * 1024,
-        record: false,
-        longest_stop: None,
+        records_requests: false,
+        max_stop_duration: None,
     }
 }
 
@@ -124,7 +124,7 @@
         ("read/all/pay", Idempotency::NonIdempotent),
         ("a//b", Idempotency::Safe),
     ] {
-        def.classes.push(ClassRule { name: name.into(), effect, ..def.classes[0].clone() });
+        def.classes.push(ClassRule { name: name.into(), idempotency: effect, ..def.classes[0].clone() });
     }
     let rules = Rules::new(def);
     let class = |path: &str| {
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -10,7 +10,7 @@
 use shaletide_balancer::Micros;
 use shaletide_net::FinalResponse;
 use shaletide_record::{KeyConflict, KeyDecision};
-use shaletide_routing::{client_response, ClientResponse, Decision};
+use shaletide_routing::{client_response, ClientResponse, FinalDecision};
 
 /// The response to a request that the record does not let be sent.
 pub(crate) fn record_rejection(
@@ -28,7 +28,7 @@
 fn key_conflict(conflict: KeyConflict) -> Response<Full<Bytes>> {
     let text = match conflict {
         KeyConflict::InFlight => "a request of this key is under way\n",
-        KeyConflict::Doubt => "a request of this key may have run; an operator has to say whether it did\n",
+        KeyConflict::InDoubt => "a request of this key may have run; an operator has to say whether it did\n",
         KeyConflict::Served => "a request of this key was served\n",
     };
     plain(StatusCode::CONFLICT, text)
@@ -47,7 +47,7 @@
 pub(crate) fn final_response(
     rules: &Rules, answer: FinalResponse, forwarded: &ForwardedRequest, is_safe: bool,
 ) -> Response<Full<Bytes>> {
-    if let (Some(conflict), Decision::Rejected(_)) = (answer.conflict, answer.decision) {
+    if let (Some(conflict), FinalDecision::Rejected(_)) = (answer.conflict, answer.decision) {
         return key_conflict(conflict);
     }
     let (last, backend_response) = answer.attempt.and_then(|attempt| forwarded.take(attempt)).unzip();
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -17,7 +17,7 @@
     /// Its name.
     pub name: String,
     /// What a second execution of a request would do.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The methods that its requests may have.
     pub methods: Vec<Method>,
     /// How long a client waits at most.
@@ -26,9 +26,9 @@
 
 /// The configuration of [`Rules`].
 #[derive(Clone, Debug)]
-pub struct RulesDef {
+pub struct RulesConfig {
     /// Where a request has its attributes.
-    pub form: RequestFormat,
+    pub format: RequestFormat,
     /// The classes in the order of their numbers.
     pub classes: Vec<ClassRule>,
     /// The tenants in the order of their numbers.
@@ -40,23 +40,23 @@
     /// The longest `Retry-After`.
     pub max_retry_after: Micros,
     /// `Retry-After` in whole seconds, as HTTP has it; otherwise with three decimals.
-    pub whole_seconds: bool,
+    pub retry_after_in_whole_seconds: bool,
     /// How long reading a request's head may take.
     pub head_timeout: Micros,
     /// How long reading its body may take.
     pub body_timeout: Micros,
     /// The minimum rate of a body, in bytes per second; 0: none.
-    pub body_rate: u64,
+    pub min_body_bytes_per_s: u64,
     /// How far a body may fall behind that rate.
     pub body_grace: Micros,
     /// What all bodies being read and those of open requests may reserve together, in bytes.
-    pub held_bodies: usize,
+    pub max_buffered_body_bytes: usize,
     /// The longest body, in bytes.
     pub max_body: usize,
     /// Requests are recorded: their tenants' names and their keys are needed.
-    pub record: bool,
+    pub records_requests: bool,
     /// The longest that a shutdown waits for open requests; `None`: as long as the longest deadline.
-    pub longest_stop: Option<Micros>,
+    pub max_stop_duration: Option<Micros>,
 }
 
 /// Where in a head an attribute is.
@@ -118,8 +118,8 @@
 
 impl Rules {
     /// The rules of a configuration, which has been checked: a header's name that is not valid is found in no request.
-    pub fn new(def: RulesDef) -> Rules {
-        let format = &def.form;
+    pub fn new(def: RulesConfig) -> Rules {
+        let format = &def.format;
         Rules {
             class: location(&format.class),
             default_class: format.default_class,
@@ -139,17 +139,17 @@
             classes: def.classes,
             zone: def.zone,
             max_retry_after: def.max_retry_after,
-            whole_seconds: def.whole_seconds,
+            whole_seconds: def.retry_after_in_whole_seconds,
             head_timeout: def.head_timeout,
             body_timeout: def.body_timeout,
             bodies: BodyLimits {
-                rate: MinimumRate { bytes_per_s: def.body_rate, grace: def.body_grace },
-                max_buffered_bytes: def.held_bodies,
+                rate: MinimumRate { bytes_per_s: def.min_body_bytes_per_s, grace: def.body_grace },
+                max_buffered_bytes: def.max_buffered_body_bytes,
                 patience: FIRST_REQUEST_PATIENCE,
             },
             max_body: def.max_body,
-            is_recorded: def.record,
-            longest_stop: def.longest_stop,
+            is_recorded: def.records_requests,
+            longest_stop: def.max_stop_duration,
         }
     }
 
@@ -178,7 +178,10 @@
 
 impl RouteTarget {
     fn new(route: &Route) -> RouteTarget {
-        RouteTarget { pools: route.pools.as_slice().into(), response_rules: Rc::new(route.answers.clone()) }
+        RouteTarget {
+            pools: route.pools.as_slice().into(),
+            response_rules: Rc::new(route.response_rules.clone()),
+        }
     }
 }
 
@@ -207,7 +210,8 @@
         AttributeSource::Header(name) => Some(header_name(name)),
         AttributeSource::Path(_) => None,
     });
-    let matched = routes.iter().flat_map(|route| &route.when.headers).map(|header| header_name(&header.name));
+    let matched =
+        routes.iter().flat_map(|route| &route.conditions.headers).map(|header| header_name(&header.name));
     always.into_iter().chain(attributes).chain(matched).chain(PLATFORM_HEADERS).collect()
 }
 
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -1,11 +1,11 @@
 //! Helpers of the tests of several modules.
 
-use crate::{listen, ClassRule, Rules, RulesDef, Server};
+use crate::{listen, ClassRule, Rules, RulesConfig, Server};
 use hyper::Method;
 use shaletide_balancer::{Config, Idempotency, Micros, PoolId};
 use shaletide_membership::{PoolSpec, Source};
 use shaletide_net::{Clock, Driver, PoolSetup, UpstreamConfig};
-use shaletide_routing::{Match, RequestFormat, ResponseRules, Route};
+use shaletide_routing::{RequestFormat, ResponseRules, Route, RouteMatch};
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
@@ -17,7 +17,7 @@
     let network = UpstreamConfig {
         connect_timeout: DEADLINE,
         idle_timeout: DEADLINE,
-        answer_stall: None,
+        response_stall_timeout: None,
         max_body: 64,
         max_connections: 8,
     };
@@ -31,30 +31,35 @@
     Server::new(driver, Rules::new(rules_of_one_class(pools)), max, 1)
 }
 
-fn rules_of_one_class(pools: Vec<PoolId>) -> RulesDef {
+fn rules_of_one_class(pools: Vec<PoolId>) -> RulesConfig {
     let class = ClassRule {
         name: "pay".into(),
-        effect: Idempotency::NonIdempotent,
+        idempotency: Idempotency::NonIdempotent,
         methods: vec![Method::POST],
         deadline: DEADLINE,
     };
     let answers = ResponseRules::platform();
-    RulesDef {
-        form: RequestFormat::platform(),
+    RulesConfig {
+        format: RequestFormat::platform(),
         classes: vec![class],
         tenants: Vec::new(),
-        routes: vec![Route { name: "r".into(), when: Match::default(), pools, answers }],
+        routes: vec![Route {
+            name: "r".into(),
+            conditions: RouteMatch::default(),
+            pools,
+            response_rules: answers,
+        }],
         zone: "a".into(),
         max_retry_after: DEADLINE,
-        whole_seconds: false,
+        retry_after_in_whole_seconds: false,
         head_timeout: DEADLINE,
         body_timeout: DEADLINE,
-        body_rate: 0,
+        min_body_bytes_per_s: 0,
         body_grace: DEADLINE,
-        held_bodies: 64,
+        max_buffered_body_bytes: 64,
         max_body: 64,
-        record: false,
-        longest_stop: None,
+        records_requests: false,
+        max_stop_duration: None,
     }
 }
 
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -25,7 +25,7 @@
             client: None,
             trace: None,
             time_left_header: HeaderName::from_static("x-time-left"),
-            response_rules: Rc::new(ResponseRules::plain()),
+            response_rules: Rc::new(ResponseRules::operator_default()),
             responses: RefCell::default(),
         });
         let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
@@ -59,7 +59,7 @@
         client: None,
         trace: None,
         time_left_header: HeaderName::from_static("x-time-left"),
-        response_rules: Rc::new(ResponseRules::plain()),
+        response_rules: Rc::new(ResponseRules::operator_default()),
         responses: RefCell::default(),
     }
 }
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::shell::{ConnectionActivity, Pending};
 use crate::world::{World, TICK};
-use shaletide_engine::monitor::{LineStep, Permit, Watched, Where};
+use shaletide_engine::monitor::{IntentState, ObservedConnectionState, ObservedPlacement, ObservedRequest};
 use shaletide_engine::{AttemptState, ConnectionState, Policy, Request, RequestState};
 use shaletide_types::*;
 use std::hash::Hasher;
@@ -65,7 +65,7 @@
             self.request(world, node, *id, boxes, &mut out);
         }
         self.nobodys(world, node, boxes, &mut out);
-        out.push(node.engine.sweep_at().map_or(255, |at| span(at, node.now)));
+        out.push(node.engine.idle_sweep_at().map_or(255, |at| span(at, node.now)));
         self.now = out;
     }
 
@@ -89,21 +89,23 @@
         let backend = BackendId(u32::from(id));
         let b = &node.shell.boxes[usize::from(id)];
         out.extend([b.pool.0 as u8, state(b.state), self.cell(b.pool.0, b.cell)]);
-        match node.engine.listed(backend) {
+        match node.engine.listed_backend(backend) {
             Some((pool, group, s)) => {
                 out.extend([pool.0 as u8, state(s), self.cell(group.domain, group.group)]);
             }
             None => out.push(255),
         }
-        match node.monitor.record().boxes.get(&backend) {
-            Some(e) => out.extend([e.pool.0 as u8, state(e.state), self.cell(e.place.realm, e.place.cell)]),
+        match node.monitor.observed().backends.get(&backend) {
+            Some(e) => {
+                out.extend([e.pool.0 as u8, state(e.state), self.cell(e.placement.domain, e.placement.group)])
+            }
             None => out.push(255),
         }
         if world.reuses() {
-            let now = node.engine.heard().any(|(b, at)| b == backend && at == node.now);
+            let now = node.engine.last_responses().any(|(b, at)| b == backend && at == node.now);
             out.push(u8::from(now));
         }
-        for connection in node.engine.idle_of(backend) {
+        for connection in node.engine.idle_connections_of(backend) {
             out.push(254);
             self.line(world, node, connection, boxes, out);
         }
@@ -136,16 +138,20 @@
                 3 + u8::from(written) + 2 * u8::from(closing)
             }
         };
-        let line = node.monitor.record().lines.get(&connection);
-        let monitor = match line.map(|l| l.step) {
+        let line = node.monitor.observed().connections.get(&connection);
+        let monitor = match line.map(|l| l.state) {
             None => 0,
-            Some(LineStep::Opening) => 1,
-            Some(LineStep::Unclean) => 2,
-            Some(LineStep::Busy { written, closing, .. }) => 3 + u8::from(written) + 2 * u8::from(closing),
-            Some(LineStep::Up(None)) => 7,
-            Some(LineStep::Up(Some(since))) => 8 + age(since, node.now, world.keeping.reuse_delay),
+            Some(ObservedConnectionState::Connecting) => 1,
+            Some(ObservedConnectionState::Dirty) => 2,
+            Some(ObservedConnectionState::Busy { written, close_requested: closing, .. }) => {
+                3 + u8::from(written) + 2 * u8::from(closing)
+            }
+            Some(ObservedConnectionState::Idle(None)) => 7,
+            Some(ObservedConnectionState::Idle(Some(since))) => {
+                8 + age(since, node.now, world.keeping.reuse_delay)
+            }
         };
-        let old = u8::from(line.is_some_and(|l| l.old))
+        let old = u8::from(line.is_some_and(|l| l.address_outdated))
             | u8::from(node.engine.is_address_outdated(connection)) << 1;
         let to = match known {
             None => 15,
@@ -158,7 +164,7 @@
     fn request<P: Policy>(&mut self, world: &World, node: &Node<P>, id: u8, boxes: &[u8], out: &mut Vec<u8>) {
         let id = RequestId(u64::from(id));
         let to_come = node.shell.to_come.contains(&id);
-        let (r, w) = (node.engine.requests().get(&id), node.monitor.record().requests.get(&id));
+        let (r, w) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
         let awaited = node.engine.deadlines().iter().find(|d| d.1 == id).map(|d| d.0);
         if r.is_none() && w.is_none() && awaited.is_none() {
             out.push(u8::from(to_come)); // to come, or over
@@ -190,14 +196,16 @@
 
     /// What is over of it and may have run. Only the oldest of those counts, and where any of them was.
     fn history<P: Policy>(
-        &mut self, world: &World, node: &Node<P>, r: Option<&Request>, w: Option<&Watched>, out: &mut Vec<u8>,
+        &mut self, world: &World, node: &Node<P>, r: Option<&Request>, w: Option<&ObservedRequest>,
+        out: &mut Vec<u8>,
     ) {
         if is_over(r, w) {
             return; // nothing asks for it any more
         }
-        let effect = r.map(|r| r.idempotency).or(w.map(|w| w.effect));
+        let effect = r.map(|r| r.idempotency).or(w.map(|w| w.idempotency));
         let sends = r.is_none_or(|r| r.state == RequestState::Open) || world.one_realm;
-        let ran = r.into_iter().flat_map(|r| &r.attempts).filter(|t| !t.out() && t.may_have_run());
+        let ran =
+            r.into_iter().flat_map(|r| &r.attempts).filter(|t| !t.is_in_flight() && t.may_have_executed());
         let mut cells = 0u64;
         match effect {
             Some(Idempotency::Keyed(_, window)) if sends => {
@@ -209,35 +217,35 @@
                     cells |= 1 << (self.cell(t.placement.domain, t.placement.group) & 15);
                 }
                 out.push(oldest.unwrap_or(255));
-                let over = w.into_iter().flat_map(|w| w.sent.values()).filter(|s| s.on.is_none());
+                let over = w.into_iter().flat_map(|w| w.attempts.values()).filter(|s| s.connection.is_none());
                 let mut oldest = None;
                 for s in over {
-                    oldest = oldest.max(Some(age(s.at, node.now, window)));
-                    cells |= 1 << (16 + (self.place(s.place) & 15));
+                    oldest = oldest.max(Some(age(s.sent_at, node.now, window)));
+                    cells |= 1 << (16 + (self.place(s.placement) & 15));
                 }
                 out.push(oldest.unwrap_or(255));
                 out.extend(cells.to_le_bytes().iter().take(4));
             }
             // Of one that is given up only matters whether anything may have run.
             Some(Idempotency::NonIdempotent | Idempotency::Keyed(..)) => {
-                let over = w.into_iter().flat_map(|w| w.sent.values()).any(|s| s.on.is_none());
+                let over = w.into_iter().flat_map(|w| w.attempts.values()).any(|s| s.connection.is_none());
                 out.push(u8::from(ran.count() > 0) | u8::from(over) << 1);
             }
             Some(Idempotency::Safe) | None => {}
         }
     }
 
-    fn place(&mut self, place: Where) -> u8 {
-        self.cell(place.realm, place.cell)
+    fn place(&mut self, place: ObservedPlacement) -> u8 {
+        self.cell(place.domain, place.group)
     }
 
     /// What is on its way of it, in an order that does not depend on the attempts' numbers.
     fn attempts<P: Policy>(
         &mut self, world: &World, node: &Node<P>, id: RequestId, boxes: &[u8], out: &mut Vec<u8>,
     ) {
-        let (r, w) = (node.engine.requests().get(&id), node.monitor.record().requests.get(&id));
+        let (r, w) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
         let known = r.map_or(0, |r| r.attempts.len());
-        let others = w.into_iter().flat_map(|w| w.sent.keys().chain(w.permits.keys()));
+        let others = w.into_iter().flat_map(|w| w.attempts.keys().chain(w.intents.keys()));
         let pending = node.shell.permits.iter().filter(|p| p.request == id).map(|p| p.attempt);
         let most = others.copied().chain(pending).map(|a| a.0 as usize + 1).max().unwrap_or(0);
         let mut parts = std::mem::take(&mut self.parts);
@@ -269,10 +277,10 @@
         &mut self, world: &World, node: &Node<P>, id: RequestId, no: usize, boxes: &[u8], out: &mut Vec<u8>,
     ) -> bool {
         let attempt = AttemptNumber(no as u32);
-        let t = node.engine.requests().get(&id).and_then(|r| r.attempts.get(no)).filter(|t| t.out());
-        let w = node.monitor.record().requests.get(&id);
-        let sent = w.and_then(|w| w.sent.get(&attempt)).filter(|s| s.on.is_some());
-        let permit = w.and_then(|w| w.permits.get(&attempt));
+        let t = node.engine.requests().get(&id).and_then(|r| r.attempts.get(no)).filter(|t| t.is_in_flight());
+        let w = node.monitor.observed().requests.get(&id);
+        let sent = w.and_then(|w| w.attempts.get(&attempt)).filter(|s| s.connection.is_some());
+        let permit = w.and_then(|w| w.intents.get(&attempt));
         let is = |p: &&Pending| (p.request, p.attempt) == (id, attempt);
         let pending = node.shell.permits.iter().find(is);
         if t.is_none() && sent.is_none() && permit.is_none() && pending.is_none() {
@@ -282,7 +290,7 @@
         let known = node.engine.requests().get(&id);
         let sends =
             known.is_some_and(|r| r.state == RequestState::Open) || world.one_realm && !is_over(known, w);
-        let window = w.filter(|_| sends).and_then(|w| match w.effect {
+        let window = w.filter(|_| sends).and_then(|w| match w.idempotency {
             Idempotency::Keyed(_, window) => Some(window),
             Idempotency::Safe | Idempotency::NonIdempotent => None,
         });
@@ -304,12 +312,12 @@
                 let to = if whole && !world.reuses() { 14 } else { place_of(boxes, t.backend) };
                 let heard = world.reuses()
                     && !stopping
-                    && node.engine.heard().any(|(b, at)| b == t.backend && at >= t.dispatched_at);
+                    && node.engine.last_responses().any(|(b, at)| b == t.backend && at >= t.dispatched_at);
                 let by = t.send_by.map_or(255, |by| span(by, node.now));
                 // Only what has not begun is asked for its first byte.
                 let by = if whole { 255 } else { by };
                 // What has not begun goes only where it was asked for.
-                let listed = node.engine.listed(t.backend).map(|(_, group, _)| group);
+                let listed = node.engine.listed_backend(t.backend).map(|(_, group, _)| group);
                 let moved = !whole && listed != Some(t.placement);
                 let flags = u8::from(heard) | u8::from(t.intent_requested) << 1 | u8::from(moved) << 2;
                 out.extend([step, to, since(t.dispatched_at), flags, by]);
@@ -324,19 +332,20 @@
         match sent {
             None => out.push(255),
             Some(s) => {
-                out.push(since(s.at));
+                out.push(since(s.sent_at));
                 if window.is_some() {
-                    out.push(self.place(s.place));
+                    out.push(self.place(s.placement));
                 }
-                if let Some(connection) = s.on.filter(|c| t.and_then(|t| t.connection()) != Some(*c)) {
+                if let Some(connection) = s.connection.filter(|c| t.and_then(|t| t.connection()) != Some(*c))
+                {
                     self.line(world, node, connection, boxes, out);
                 }
             }
         }
         out.push(match permit {
             None => 0,
-            Some(Permit::Asked) => 1,
-            Some(Permit::Given) => 2,
+            Some(IntentState::Requested) => 1,
+            Some(IntentState::Durable) => 2,
         });
         out.push(pending.map_or(0, |p| 1 + u8::from(p.withdrawn)));
         true
@@ -348,7 +357,7 @@
         let mut scratch = Vec::new();
         let engine = node.engine.connections().map(|c| c.0);
         let shell = node.shell.lines.iter().map(|l| l.0);
-        let monitor = node.monitor.record().lines.keys().copied();
+        let monitor = node.monitor.observed().connections.keys().copied();
         for connection in engine.chain(shell).chain(monitor) {
             if self.seen.contains(&connection) {
                 continue;
@@ -364,7 +373,7 @@
 }
 
 /// Nothing is owed any more, on either side.
-fn is_over(r: Option<&Request>, w: Option<&Watched>) -> bool {
+fn is_over(r: Option<&Request>, w: Option<&ObservedRequest>) -> bool {
     r.is_none_or(|r| r.state == RequestState::Finished) && w.is_none_or(|w| !w.open)
 }
 
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -224,7 +224,8 @@
 fn at_box(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNumber)> + '_ {
     let backend = BackendId(u32::from(at));
     node.engine.requests().iter().flat_map(move |(id, r)| {
-        let here = r.attempts.iter().enumerate().filter(move |(_, t)| t.backend == backend && t.out());
+        let here =
+            r.attempts.iter().enumerate().filter(move |(_, t)| t.backend == backend && t.is_in_flight());
         here.map(|(no, _)| (*id, AttemptNumber(no as u32)))
     })
 }
--- a/crates/model-checker/src/enabled.rs
+++ b/crates/model-checker/src/enabled.rs
@@ -20,7 +20,7 @@
 fn clients<P: Policy>(node: &Node<P>, out: &mut Vec<Move>) {
     out.extend(node.shell.to_come.iter().map(|id| Move::Arrive(id.0 as u8)));
     if node.shell.left.leaves > 0 {
-        let owed = node.monitor.record().requests.iter().filter(|(_, r)| r.open);
+        let owed = node.monitor.observed().requests.iter().filter(|(_, r)| r.open);
         out.extend(owed.map(|(id, _)| Move::Leave(id.0 as u8)));
     }
     if node.shell.left.stops > 0 && !node.shell.to_come.is_empty() {
@@ -36,7 +36,7 @@
     }
     let mut out_all = 0;
     for r in node.engine.requests().values() {
-        out_all += r.attempts.iter().filter(|t| t.out()).count();
+        out_all += r.attempts.iter().filter(|t| t.is_in_flight()).count();
     }
     if world.traffic.alike {
         let known =
@@ -53,7 +53,7 @@
             continue;
         }
         let late = node.shell.permits.iter().filter(|p| p.request.0 as u8 == id && p.withdrawn).count();
-        let out_here = r.attempts.iter().filter(|t| t.out()).count() + late.saturating_sub(1);
+        let out_here = r.attempts.iter().filter(|t| t.is_in_flight()).count() + late.saturating_sub(1);
         if out_here < world.out_each && out_all < world.out_all {
             for to in 0..world.boxes.len() as u8 {
                 out.push(Move::Dispatch(id, to));
@@ -70,7 +70,7 @@
             out.push(Move::Refuse(id));
         }
         for (no, t) in r.attempts.iter().enumerate() {
-            let out_still = t.out() && !matches!(t.state, AttemptState::Cancelling(..));
+            let out_still = t.is_in_flight() && !matches!(t.state, AttemptState::Cancelling(..));
             if out_still || world.traffic.alike {
                 out.push(Move::Cancel(id, no as u8));
             }
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -96,11 +96,11 @@
     pub fn check(&self) -> Verdict {
         if !self.engine.has_no_pending_events() {
             let text = "something waits inside the engine".to_string();
-            return Err(Violation { rule: Rule::NothingKept, at: self.now, text });
+            return Err(Violation { rule: Rule::NoLeftovers, at: self.now, text });
         }
-        self.monitor.kept(self.now, &self.engine)?;
+        self.monitor.check_leftovers(self.now, &self.engine)?;
         if self.engine.wake_at().is_none() && !self.shell.is_busy() {
-            self.monitor.quiet(self.now)?;
+            self.monitor.check_quiescent(self.now)?;
         }
         Ok(())
     }
@@ -110,7 +110,7 @@
         let verdict = match &input {
             Input::Event(event) => {
                 self.before(event);
-                let seen = self.monitor.see(self.now, event);
+                let seen = self.monitor.observe_event(self.now, event);
                 self.engine.handle(self.now, event.clone(), &mut out);
                 seen
             }
@@ -119,7 +119,7 @@
                 Ok(())
             }
         };
-        let acted = self.monitor.step(self.now, None, &out);
+        let acted = self.monitor.observe_step(self.now, None, &out);
         out.iter().for_each(|action| self.shell.carry_out(action));
         tell(&input, &out);
         verdict.and(acted)
@@ -142,7 +142,7 @@
             let unfit = Event::ConnectionUnusable { connection: *connection };
             self.put(Input::Event(unfit), &mut |_, _| {})?;
         }
-        let idle = self.engine.sweep_at().is_some_and(|at| at <= self.now);
+        let idle = self.engine.idle_sweep_at().is_some_and(|at| at <= self.now);
         let due = self.engine.deadlines().first().is_some_and(|d| d.0 <= self.now);
         if idle && !due {
             return self.put(Input::Event(Event::Wake), &mut |_, _| {});
@@ -298,7 +298,7 @@
                 let (keep, behind) = (after != After::Close, after == After::Behind);
                 Event::ResponseReceived {
                     connection: connection(place),
-                    verdict,
+                    class: verdict,
                     reusable: keep,
                     has_excess_bytes: behind,
                 }
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -168,7 +168,7 @@
                 record::Action::IntentPersisted { request, attempt, persisted: given } => {
                     self.events.push_back(Event::IntentPersisted { request, attempt, persisted: given });
                 }
-                record::Action::EndRequest { request, verdict } => {
+                record::Action::EndRequest { request, decision: verdict } => {
                     let advice = match verdict {
                         KeyDecision::Reject(advice) => advice,
                         _ => Micros(0),
@@ -194,7 +194,7 @@
             match &action {
                 Action::Send { connection, .. } => self.send(*connection),
                 Action::PersistIntent { request, attempt } => {
-                    let (request, attempt, seen) = (*request, *attempt, record::Seen::default());
+                    let (request, attempt, seen) = (*request, *attempt, record::BackendSnapshot::default());
                     if bounds.mutant == Some(ShellMutant::IntentAfterSend) {
                         self.events.push_back(Event::IntentPersisted { request, attempt, persisted: true });
                     }
@@ -248,7 +248,7 @@
         let request_count =
             record::KeyRequest { request, tenant: "", class: "settle", key: Some(&id.key), deadline };
         let mut out = Vec::new();
-        let verdict = self.recorder.ask(self.now, request_count, &mut out);
+        let verdict = self.recorder.decide(self.now, request_count, &mut out);
         self.carry_out(bounds, out);
         if verdict != (KeyDecision::Proceed { requires_intent: true }) {
             return;
--- a/crates/model-checker/src/restarts/steps.rs
+++ b/crates/model-checker/src/restarts/steps.rs
@@ -114,7 +114,7 @@
         self.shell.drop_connection(connection);
         self.events.push_back(Event::ResponseReceived {
             connection,
-            verdict: class,
+            class,
             reusable: false,
             has_excess_bytes: false,
         });
@@ -178,12 +178,12 @@
                 continue;
             }
             out.extend([Step::Leave(*id), Step::Fail(*id)]);
-            if r.attempts.len() < usize::from(bounds.attempts) && !r.out() {
+            if r.attempts.len() < usize::from(bounds.attempts) && !r.has_attempt_in_flight() {
                 out.extend((0..bounds.boxes).map(|to| Step::Dispatch(*id, to)));
             }
             let out_still = r.attempts.iter().enumerate();
-            let out_still =
-                out_still.filter(|(_, t)| t.out() && !matches!(t.state, AttemptState::Cancelling(..)));
+            let out_still = out_still
+                .filter(|(_, t)| t.is_in_flight() && !matches!(t.state, AttemptState::Cancelling(..)));
             out.extend(out_still.map(|(no, _)| Step::Cancel(*id, AttemptNumber(no as u32))));
         }
         if !self.queue.is_empty() && !self.down {
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -98,7 +98,7 @@
             format!("shell: the last byte has gone on connection {}", connection.0)
         }
         Event::LoadReported { connection, .. } => format!("{}: says how loaded it is", to(connection)),
-        Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind } => {
+        Event::ResponseReceived { connection, class: verdict, reusable: keep, has_excess_bytes: behind } => {
             let what = match verdict {
                 ResponseClass::Served => "the answer",
                 ResponseClass::NotExecuted => "an answer that it never ran",
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -130,9 +130,9 @@
         Rules {
             drain_grace: Micros(0),
             answer_slack: ticks(self.late),
-            quiet: self.keeping.reuse_delay,
-            cancel: self.cancel,
-            one_realm: self.one_realm,
+            reuse_delay: self.keeping.reuse_delay,
+            cancellation: self.cancel,
+            has_only_one_deduplication_domain: self.one_realm,
         }
     }
 
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -7,7 +7,7 @@
 fn with_mutant(world: &World, mutant: Mutant) -> impl Fn() -> Node<Chooser> + Sync + '_ {
     move || {
         let mut node = Node::start(world);
-        node.engine.mutant(Some(mutant));
+        node.engine.set_mutant(Some(mutant));
         node
     }
 }
@@ -40,32 +40,32 @@
 
 #[test]
 fn an_end_after_the_last_byte_is_taken_to_mean_never_ran() {
-    assert_eq!(steps("edge", Mutant::NotExecutedAfterLastByte), (6, Rule::HarmlessRefusal));
+    assert_eq!(steps("edge", Mutant::NotExecutedAfterLastByte), (6, Rule::HarmlessRejection));
 }
 
 #[test]
 fn a_window_is_measured_from_the_end() {
-    assert_eq!(steps("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInside));
+    assert_eq!(steps("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInGroupAndWindow));
 }
 
 #[test]
 fn a_drain_is_not_asked_for_at_the_first_byte() {
-    assert_eq!(steps("race", Mutant::StaleDrainState), (4, Rule::Drain));
+    assert_eq!(steps("race", Mutant::StaleDrainState), (4, Rule::Draining));
 }
 
 #[test]
 fn a_hedge_is_left_running() {
-    assert_eq!(steps("race", Mutant::HedgeNotCancelled), (5, Rule::NothingKept));
+    assert_eq!(steps("race", Mutant::HedgeNotCancelled), (5, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_client_that_left_is_answered() {
-    assert_eq!(steps("race", Mutant::AnswerAfterDisconnect), (2, Rule::NothingKept));
+    assert_eq!(steps("race", Mutant::AnswerAfterDisconnect), (2, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_refusal_after_running() {
-    assert_eq!(steps("edge", Mutant::RejectedAfterExecution), (4, Rule::HarmlessRefusal));
+    assert_eq!(steps("edge", Mutant::RejectedAfterExecution), (4, Rule::HarmlessRejection));
 }
 
 #[test]
@@ -75,14 +75,14 @@
 
 #[test]
 fn a_timer_outlives_its_request() {
-    assert_eq!(steps("race", Mutant::TimerOutlivesRequest), (2, Rule::NothingKept));
+    assert_eq!(steps("race", Mutant::TimerOutlivesRequest), (2, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_whole_list_does_not_drain_what_it_lacks() {
-    assert_eq!(steps("pools", Mutant::DrainMissedInSnapshot), (4, Rule::Drain));
+    assert_eq!(steps("pools", Mutant::DrainMissedInSnapshot), (4, Rule::Draining));
     // There the requests have come before the first step.
-    assert_eq!(steps("lost", Mutant::DrainMissedInSnapshot), (3, Rule::Drain));
+    assert_eq!(steps("lost", Mutant::DrainMissedInSnapshot), (3, Rule::Draining));
 }
 
 #[test]
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -2,7 +2,7 @@
 //! of the real one; and the engine under the real one keeps every rule there.
 
 use shaletide_balancer::{Class, Config, Tenant};
-use shaletide_engine::monitor::{Cold, ColdRules};
+use shaletide_engine::monitor::{SlowStartMonitor, SlowStartRules};
 use shaletide_engine::{Action, ConnectionLimits, Engine, Event, Policy, RequestSpec};
 use shaletide_model_checker::*;
 use shaletide_routing::{pools, Pools, ResponseClass};
@@ -163,7 +163,7 @@
         node.go(world, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
     }
     assert!(node.engine.requests().is_empty(), "seed {seed}: all is answered and forgotten");
-    assert_eq!(node.monitor.quiet(node.now), Ok(()));
+    assert_eq!(node.monitor.check_quiescent(node.now), Ok(()));
     node.engine.policy().asked.values().map(|n| u64::from(*n)).sum()
 }
 
@@ -178,21 +178,24 @@
 #[test]
 fn the_real_module_keeps_the_budget_of_a_cold_box() {
     let cfg = Config { slow_start_window: Micros(4_000_000), overload_window: Micros(500_000), ..config() };
-    let rules = ColdRules {
+    let rules = SlowStartRules {
         initial_capacity_fraction: cfg.initial_capacity_fraction,
-        ramp: cfg.slow_start_window,
-        multiple: cfg.overload_multiple,
-        window: cfg.overload_window,
+        slow_start_window: cfg.slow_start_window,
+        overload_multiple: cfg.overload_multiple,
+        overload_window: cfg.overload_window,
         proxies: cfg.proxies,
-        speed: 1.0,
-        work: ticks(20),
+        work_per_core_second: 1.0,
+        default_work: ticks(20),
     };
     let mut policy = Pools::new();
     policy.configure(PoolId(0), cfg, 3).expect("sound");
     let keeping =
         ConnectionLimits { max_connections: 256, idle_timeout: Micros(1_000_000), reuse_delay: Micros(0) };
     let mut engine = Engine::new(policy, keeping);
-    let (mut cold, mut strict) = (Cold::new(rules), Cold::new(ColdRules { multiple: 0.2, ..rules }));
+    let (mut cold, mut strict) = (
+        SlowStartMonitor::new(rules),
+        SlowStartMonitor::new(SlowStartRules { overload_multiple: 0.2, ..rules }),
+    );
     let mut now = Time(1_000_000_000);
     let mut due: VecDeque<(Time, ConnectionId)> = VecDeque::new();
     let (mut to_cold, mut too_much, mut lines) = (0, 0, BTreeMap::new());
@@ -213,17 +216,22 @@
             let (verdict, keep, behind) = (ResponseClass::Served, true, false);
             events.extend([
                 Event::RequestWritten { connection },
-                Event::ResponseReceived { connection, verdict, reusable: keep, has_excess_bytes: behind },
+                Event::ResponseReceived {
+                    connection,
+                    class: verdict,
+                    reusable: keep,
+                    has_excess_bytes: behind,
+                },
             ]);
         }
         while let Some(event) = events.pop_front() {
-            cold.see(now, &event);
-            strict.see(now, &event);
+            cold.observe_event(now, &event);
+            strict.observe_event(now, &event);
             let mut out = Vec::new();
             engine.handle(now, event, &mut out);
             for action in &out {
-                cold.act(now, action).unwrap_or_else(|v| panic!("at tick {tick}: {v}"));
-                too_much += u32::from(strict.act(now, action).is_err());
+                cold.observe_action(now, action).unwrap_or_else(|v| panic!("at tick {tick}: {v}"));
+                too_much += u32::from(strict.observe_action(now, action).is_err());
                 match action {
                     Action::Connect { connection, backend } => {
                         lines.insert(*connection, *backend);
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -33,7 +33,7 @@
     /// Backends close connections that were idle for this long.
     pub idle_timeout: Micros,
     /// A response that is not complete this long after its first byte is invalid; `None`: no limit but the deadline.
-    pub answer_stall: Option<Micros>,
+    pub response_stall_timeout: Option<Micros>,
     /// The longest body of a valid response, in bytes.
     pub max_body: usize,
     /// The most connections at a time.
@@ -180,7 +180,7 @@
             stream: stream.clone(),
             to: upstream.to,
             deadline: self.clock.instant(deadline).into_std(),
-            stall_timeout: config.answer_stall.map(span),
+            stall_timeout: config.response_stall_timeout.map(span),
             max_body: config.max_body,
         };
         stream.prepare_request(); // nothing is written until the exchange says what it writes
@@ -250,7 +250,7 @@
 
     /// Closes an idle connection to free a descriptor for a client. Whether there was one.
     pub fn close_idle_connection(self: &Rc<Self>) -> bool {
-        let idle = self.state.borrow().engine.idle_connection();
+        let idle = self.state.borrow().engine.connection_to_evict();
         if let Some(connection) = idle {
             self.handle_event(Event::ConnectionUnusable { connection });
         }
@@ -266,7 +266,7 @@
                 if let Some(report) = report {
                     self.pending_events.push_back(Event::LoadReported { connection, report });
                 }
-                Event::ResponseReceived { connection, verdict: class, reusable, has_excess_bytes }
+                Event::ResponseReceived { connection, class, reusable, has_excess_bytes }
             }
             ExchangeOutcome::InvalidResponse => {
                 self.counters.invalid_responses += 1;
--- a/crates/net/src/driver/endpoints.rs
+++ b/crates/net/src/driver/endpoints.rs
@@ -113,7 +113,7 @@
 
     /// Waits until a pool's balancer asks its discovery for changes. Dropped midway, it leaves the request for the next
     /// call.
-    pub async fn subscribe_requested(&self, pool: PoolId) {
+    pub async fn poll_requested(&self, pool: PoolId) {
         let poll = self.state.borrow_mut().endpoint_lists.polls.entry(pool).or_default().clone();
         poll.notified().await;
     }
--- a/crates/net/src/driver/invariants.rs
+++ b/crates/net/src/driver/invariants.rs
@@ -29,8 +29,8 @@
     /// The pools were set up anew.
     pub fn configure(&mut self, may_cancel_attempts: bool, has_one_deduplication_domain: bool) {
         let rules = Rules {
-            cancel: may_cancel_attempts,
-            one_realm: has_one_deduplication_domain,
+            cancellation: may_cancel_attempts,
+            has_only_one_deduplication_domain: has_one_deduplication_domain,
             ..*self.monitor.rules()
         };
         self.monitor.configure(rules);
@@ -38,20 +38,20 @@
 
     /// Lets the engine handle an event, and checks the event and the actions that it returns.
     pub fn handle(&mut self, now: Time, event: Event, engine: &mut Engine<Pools>, actions: &mut Vec<Action>) {
-        let verdict = self.monitor.see(now, &event);
+        let verdict = self.monitor.observe_event(now, &event);
         self.record(verdict);
         engine.handle(now, event, actions);
         for action in actions.iter() {
-            let verdict = self.monitor.act(now, action);
+            let verdict = self.monitor.observe_action(now, action);
             self.record(verdict);
         }
-        let verdict = self.monitor.done(now);
+        let verdict = self.monitor.finish_step(now);
         self.record(verdict);
     }
 
     /// Checks that the engine keeps nothing of what is over.
     pub fn check_kept(&mut self, now: Time, engine: &Engine<Pools>) {
-        let verdict = self.monitor.kept(now, engine);
+        let verdict = self.monitor.check_leftovers(now, engine);
         self.record(verdict);
     }
 
@@ -76,13 +76,13 @@
     /// Begins the self-check: from now on each event and action is checked. A violation is logged, and kept for
     /// [`Driver::violations`]. `drain_grace`: how long a backend may
     /// still get new attempts after the event that it drains.
-    pub fn self_check(&self, drain_grace: Micros) {
+    pub fn enable_self_check(&self, drain_grace: Micros) {
         let rules = Rules {
             drain_grace,
             answer_slack: ANSWER_SLACK,
-            quiet: REUSE_DELAY,
-            cancel: true,
-            one_realm: false,
+            reuse_delay: REUSE_DELAY,
+            cancellation: true,
+            has_only_one_deduplication_domain: false,
         };
         self.state.borrow_mut().checker = Some(InvariantChecker::new(rules));
     }
--- a/crates/net/src/driver/recording.rs
+++ b/crates/net/src/driver/recording.rs
@@ -3,7 +3,7 @@
 use super::Driver;
 use crate::recording::RequestRecorder;
 use shaletide_engine::{ConnectionState, Event};
-use shaletide_record::{KeyDecision, Seen};
+use shaletide_record::{BackendSnapshot, KeyDecision};
 use shaletide_types::{AttemptNumber, BackendId, BackendState, Micros, RequestId};
 use std::rc::Rc;
 
@@ -37,7 +37,7 @@
     pub(super) fn record_event(&self, event: shaletide_record::Event) {
         let recorder = self.state.borrow().recorder.clone();
         if let Some(recorder) = recorder {
-            recorder.tell(self.clock.now(), event);
+            recorder.on_event(self.clock.now(), event);
         }
     }
 
@@ -59,25 +59,25 @@
     }
 
     /// What is known at this moment of the backend of an attempt.
-    fn backend_seen(&self, request: RequestId, attempt: AttemptNumber) -> Seen {
+    fn backend_seen(&self, request: RequestId, attempt: AttemptNumber) -> BackendSnapshot {
         let state = self.state.borrow();
         let attempts = state.engine.requests().get(&request).map(|request| &request.attempts);
         let attempt = attempts.and_then(|attempts| attempts.get(attempt.0 as usize));
         let Some(backend) = attempt.map(|attempt| attempt.backend) else {
-            return Seen::default();
+            return BackendSnapshot::default();
         };
         let pool = state.directory.pool(backend);
         let backend_state = state.engine.backend_state(backend);
         let is_busy = |(_, to, step): &(_, BackendId, ConnectionState)| {
             *to == backend && matches!(step, ConnectionState::Busy(..))
         };
-        Seen {
+        BackendSnapshot {
             backend: state.directory.name(backend).unwrap_or_default().into(),
             pool: pool.and_then(|pool| state.directory.pool_name(pool)).unwrap_or_default().into(),
             list: pool.map_or(0, |pool| state.endpoint_lists.version(pool)),
             state: format!("{backend_state:?}").to_lowercase(),
             ready: backend_state == BackendState::Ready,
-            out: state.engine.connections().filter(is_busy).count() as u32,
+            in_flight: state.engine.connections().filter(is_busy).count() as u32,
         }
     }
 }
--- a/crates/net/src/driver/requests.rs
+++ b/crates/net/src/driver/requests.rs
@@ -7,7 +7,7 @@
 use crate::trace::{AttemptTrace, RequestEvent};
 use shaletide_engine::{Event, FinalOutcome, RequestSpec};
 use shaletide_record::{KeyConflict, KeyDecision, KeyRequest, RequestEnding};
-use shaletide_routing::Decision;
+use shaletide_routing::FinalDecision;
 use shaletide_types::{AttemptNumber, BackendId, Micros, RequestId, Time};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalResponse {
     /// What was decided on it.
-    pub decision: Decision,
+    pub decision: FinalDecision,
     /// The attempt whose response is forwarded, or else the last that was answered.
     pub attempt: Option<AttemptNumber>,
     /// Why its key is not sent, where that is so.
@@ -101,7 +101,7 @@
         let Some(recorder) = recorder.filter(|recorder| recorder.records(class)) else {
             return Ok(None);
         };
-        match recorder.ask(now, &KeyRequest { request: id, tenant, class, key, deadline }) {
+        match recorder.decide(now, &KeyRequest { request: id, tenant, class, key, deadline }) {
             KeyDecision::Proceed { requires_intent } => Ok(Some(requires_intent)),
             decision => Err(decision),
         }
@@ -149,19 +149,19 @@
         let (decision, attempt, ending) = match outcome {
             FinalOutcome::Served(attempt) => {
                 counters.served += 1;
-                (Decision::Served, Some(attempt), RequestEnding::Served(attempt))
+                (FinalDecision::Served, Some(attempt), RequestEnding::Served(attempt))
             }
             FinalOutcome::Rejected(retry_after) => {
                 counters.rejected += 1;
-                (Decision::Rejected(retry_after), last_attempt, RequestEnding::Rejected)
+                (FinalDecision::Rejected(retry_after), last_attempt, RequestEnding::Rejected)
             }
             FinalOutcome::Failed => {
                 counters.failed += 1;
-                (Decision::Failed, last_attempt, RequestEnding::Failed)
+                (FinalDecision::Failed, last_attempt, RequestEnding::Failed)
             }
             FinalOutcome::TimedOut => {
                 counters.timed_out += 1;
-                (Decision::TimedOut, None, RequestEnding::TimedOut)
+                (FinalDecision::TimedOut, None, RequestEnding::TimedOut)
             }
         };
         drop(state);
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -10,7 +10,7 @@
 use shaletide_balancer::{Arrival, Config};
 use shaletide_engine::RequestSpec;
 use shaletide_membership::{Endpoint, List, PoolSpec, Source};
-use shaletide_routing::Decision;
+use shaletide_routing::FinalDecision;
 use shaletide_types::*;
 use std::time::Duration;
 
@@ -53,7 +53,7 @@
 const NETWORK: UpstreamConfig = UpstreamConfig {
     connect_timeout: Micros(1_000_000),
     idle_timeout: Micros(1_000_000),
-    answer_stall: None,
+    response_stall_timeout: None,
     max_body: 64 * 1024,
     max_connections: 4,
 };
@@ -177,7 +177,7 @@
             }
             let opened = driver.state.borrow().connections.opened;
             assert_eq!((opened, driver.upstream_connection_count()), (1, 0), "none is opened in its place");
-            assert!(matches!(answer.await.unwrap().decision, Decision::Rejected(_)));
+            assert!(matches!(answer.await.unwrap().decision, FinalDecision::Rejected(_)));
         })
         .await;
 }
@@ -245,7 +245,7 @@
                 .unwrap();
             let q = pool("q", Config::example());
             assert_eq!(driver.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
-            assert!(matches!(queued.await.unwrap().decision, Decision::Rejected(_)));
+            assert!(matches!(queued.await.unwrap().decision, FinalDecision::Rejected(_)));
             driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
             while driver.state.borrow().connections.opened == 0 {
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -130,7 +130,7 @@
             let request = Rc::new(Request::new(&self.client, ResponseClass::Served));
             let (_, answer) =
                 self.driver.submit(request_spec(&self.pools), RequestIdentity::default(), request).unwrap();
-            assert_eq!(answer.await.unwrap().decision, Decision::Served);
+            assert_eq!(answer.await.unwrap().decision, FinalDecision::Served);
         }
     }
 
--- a/crates/net/src/recording.rs
+++ b/crates/net/src/recording.rs
@@ -10,10 +10,10 @@
     fn records(&self, class: &str) -> bool;
 
     /// Decides whether a request's key may be sent, before the engine gets the request.
-    fn ask(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision;
+    fn decide(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision;
 
     /// What happened to a request that may be sent, or to an endpoint list.
-    fn tell(&self, now: Time, event: Event);
+    fn on_event(&self, now: Time, event: Event);
 }
 
 /// How the record identifies a request.
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -158,9 +158,9 @@
         self.next.borrow().config.requires_intent(class)
     }
 
-    fn ask(&self, _: Time, _: &KeyRequest<'_>) -> KeyDecision {
+    fn decide(&self, _: Time, _: &KeyRequest<'_>) -> KeyDecision {
         KeyDecision::Reject(STORE_RETRY_AFTER)
     }
 
-    fn tell(&self, _: Time, _: Event) {}
+    fn on_event(&self, _: Time, _: Event) {}
 }
--- a/crates/record-service/src/service.rs
+++ b/crates/record-service/src/service.rs
@@ -203,7 +203,7 @@
                         driver.on_intent_persisted(request, attempt, persisted);
                     }
                 }
-                Action::EndRequest { request, verdict } => {
+                Action::EndRequest { request, decision: verdict } => {
                     if let Some(driver) = self.driver.borrow().upgrade() {
                         driver.end_by_record(request, verdict);
                     }
@@ -239,9 +239,9 @@
         self.recorder.borrow().records(class)
     }
 
-    fn ask(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision {
+    fn decide(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision {
         let mut actions = Vec::new();
-        let decision = self.recorder.borrow_mut().ask(now, *asked, &mut actions);
+        let decision = self.recorder.borrow_mut().decide(now, *asked, &mut actions);
         // Events that these actions cause wait until all are carried out: writes are sent in the order of their tickets.
         let is_nested = self.handling.replace(true);
         self.carry_out(actions);
@@ -250,7 +250,7 @@
         decision
     }
 
-    fn tell(&self, _: Time, event: Event) {
+    fn on_event(&self, _: Time, event: Event) {
         self.handle(event);
     }
 }
--- a/crates/record-service/src/service/commands.rs
+++ b/crates/record-service/src/service/commands.rs
@@ -1,7 +1,7 @@
 //! What operators and the daemon have done: resolutions, pruning, facts, another configuration, the end.
 
 use super::RecordService;
-use shaletide_record::{chain, About, Event, Fact, KeyId, RecordConfig, ReplyId, ResolveResult};
+use shaletide_record::{chain, Event, Fact, KeyId, RecordConfig, ReplyId, ResolveResult, RowSubject};
 use shaletide_store::{Anchor, FactEncoder, SendError};
 use shaletide_types::Time;
 use std::fmt;
@@ -48,11 +48,11 @@
         self.recorder.borrow_mut().configure(config);
         let version = self.config_version.get() + 1;
         self.config_version.set(version);
-        self.note(Fact::Config { version, digest });
+        self.record_fact(Fact::Config { version, digest });
     }
 
     /// Records a fact that is about no request.
-    pub fn note(&self, fact: Fact) {
+    pub fn record_fact(&self, fact: Fact) {
         self.handle(Event::RecordFact(fact));
     }
 
@@ -82,7 +82,7 @@
         let at = self.clock.now();
         let note: FactEncoder = Box::new(move |anchor: &Anchor| {
             let sum = chain::hex(&anchor.through.sum);
-            Fact::Pruned { through: anchor.through.seq, sum, by: by.clone() }.row(at, About::default())
+            Fact::Pruned { through: anchor.through.seq, sum, by: by.clone() }.row(at, RowSubject::default())
         });
         let sent = match &*self.writer.borrow() {
             Some(writer) => writer.prune(ticket, before, note),
@@ -100,17 +100,17 @@
     }
 
     /// The store takes nothing, as far as is known.
-    pub fn down(&self) -> bool {
+    pub fn is_store_down(&self) -> bool {
         self.store_down.get()
     }
 
     /// Waits until all facts that may not be lost are durable; false where that takes too long for a command.
-    pub async fn settled(&self) -> bool {
-        self.settled_by(Instant::now() + COMMAND_FLUSH).await
+    pub async fn flush(&self) -> bool {
+        self.flush_until(Instant::now() + COMMAND_FLUSH).await
     }
 
     /// The same until that time.
-    pub async fn settled_by(&self, end: Instant) -> bool {
+    pub async fn flush_until(&self, end: Instant) -> bool {
         while self.recorder.borrow().pending_fact_count() > 0 {
             if Instant::now() >= end {
                 return false;
@@ -134,7 +134,7 @@
     }
 
     /// Logs the state of the record in one line.
-    pub fn report(&self) {
+    pub fn log_status(&self) {
         let recorder = self.recorder.borrow();
         info!(
             "record: keys unsettled {} served {}, facts on their way {}, left out {}",
--- a/crates/record/src/chain.rs
+++ b/crates/record/src/chain.rs
@@ -30,13 +30,13 @@
 pub struct Broken {
     /// The first row that does not fit, or that is missing.
     pub seq: u64,
-    /// Why.
-    pub why: Why,
+    /// BreakCause.
+    pub why: BreakCause,
 }
 
 /// What is wrong with a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum BreakCause {
     /// Another row is in its place.
     Missing {
         /// The number of that one.
@@ -105,20 +105,20 @@
     for row in rows {
         let seq = chain.seq + 1;
         if row.seq != seq {
-            return Err(Broken { seq, why: Why::Missing { found: row.seq } });
+            return Err(Broken { seq, why: BreakCause::Missing { found: row.seq } });
         }
         if row.sum != sum(&chain.head, &row) {
-            return Err(Broken { seq, why: Why::Sum });
+            return Err(Broken { seq, why: BreakCause::Sum });
         }
         chain = Chain { seq, head: row.sum };
         fits(&chain, known)?;
         anchored |= names(&row, &anchor);
     }
     if known.is_some_and(|k| k.seq > chain.seq) {
-        return Err(Broken { seq: chain.seq + 1, why: Why::Cut });
+        return Err(Broken { seq: chain.seq + 1, why: BreakCause::Cut });
     }
     if !anchored {
-        return Err(Broken { seq: anchor.seq + 1, why: Why::Anchor });
+        return Err(Broken { seq: anchor.seq + 1, why: BreakCause::Anchor });
     }
     Ok(chain)
 }
@@ -126,7 +126,7 @@
 fn fits(chain: &Chain, known: Option<Chain>) -> Result<(), Broken> {
     match known {
         Some(known) if known.seq == chain.seq && known.head != chain.head => {
-            Err(Broken { seq: chain.seq, why: Why::Known })
+            Err(Broken { seq: chain.seq, why: BreakCause::Known })
         }
         _ => Ok(()),
     }
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -50,32 +50,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Requests that wait for their intent to be durable.
-    pub waiting: usize,
+    pub awaiting_intent: usize,
     /// Open requests in classes that need an intent, and as many keys that are not settled (requested, in flight, in
     /// doubt, being freed).
     pub unsettled: usize,
     /// Served keys, 16 bytes each and what an ordered set of them costs.
     pub served: usize,
     /// Bytes in a key.
-    pub key: usize,
+    pub key_bytes: usize,
     /// Facts that may be dropped and are not durable yet.
-    pub spare_facts: usize,
+    pub droppable_facts: usize,
     /// Their bytes.
-    pub spare_bytes: usize,
+    pub droppable_bytes: usize,
     /// Facts that must not be lost and are not durable yet, beyond which nothing new is taken.
-    pub owed_facts: usize,
+    pub required_facts: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Bounds {
         Bounds {
-            waiting: 1_024,
+            awaiting_intent: 1_024,
             unsettled: 16_384,
             served: 1_000_000,
-            key: 1_024,
-            spare_facts: 4_096,
-            spare_bytes: 1 << 20,
-            owed_facts: 65_536,
+            key_bytes: 1_024,
+            droppable_facts: 4_096,
+            droppable_bytes: 1 << 20,
+            required_facts: 65_536,
         }
     }
 }
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -1,6 +1,6 @@
 //! The recorder's interface: events in, decisions and actions out.
 
-use crate::fact::{Fact, Seen};
+use crate::fact::{BackendSnapshot, Fact};
 use crate::row::{ClaimRejection, KeyId, KeyState, Write};
 use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 
@@ -33,7 +33,7 @@
     /// An attempt of it is in flight.
     InFlight,
     /// An attempt of it may have been executed.
-    Doubt,
+    InDoubt,
     /// It was served.
     Served,
 }
@@ -42,7 +42,7 @@
     fn from(state: KeyState) -> KeyConflict {
         match state {
             KeyState::InFlight => KeyConflict::InFlight,
-            KeyState::Doubt => KeyConflict::Doubt,
+            KeyState::InDoubt => KeyConflict::InDoubt,
             KeyState::Served => KeyConflict::Served,
         }
     }
@@ -118,7 +118,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// What was known of its backend.
-        seen: Seen,
+        seen: BackendSnapshot,
     },
     /// An attempt of a recorded class that needs no intent was sent.
     AttemptStarted {
@@ -127,7 +127,7 @@
         /// The attempt.
         attempt: AttemptNumber,
         /// What was known of its backend.
-        seen: Seen,
+        seen: BackendSnapshot,
     },
     /// An attempt whose intent was requested was not sent and never will be.
     IntentWithdrawn {
@@ -244,7 +244,7 @@
         /// The request.
         request: RequestId,
         /// [`KeyDecision::Reject`] or [`KeyDecision::Conflict`].
-        verdict: KeyDecision,
+        decision: KeyDecision,
     },
     /// Reply to an operator's resolution.
     Reply {
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -9,7 +9,7 @@
 
 /// What the proxy knew of a backend when it chose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct BackendSnapshot {
     /// The backend, by name; kept in the row's own column.
     #[serde(skip)]
     pub backend: String,
@@ -22,7 +22,8 @@
     /// It was taken to be ready.
     pub ready: bool,
     /// Attempts that this proxy had in flight to it.
-    pub out: u32,
+    #[serde(rename = "out")]
+    pub in_flight: u32,
 }
 
 /// Something that was known or done. Facts are added and never edited.
@@ -77,7 +78,7 @@
         /// Its number.
         attempt: u32,
         /// What was known of its backend.
-        seen: Seen,
+        seen: BackendSnapshot,
     },
     /// An attempt was not sent and never will be.
     Withdrawn {
@@ -154,7 +155,7 @@
 
 /// What a fact is about: columns of its row.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct About {
+pub struct RowSubject {
     /// The request, within its run.
     pub request: Option<u64>,
     /// The key.
@@ -172,9 +173,9 @@
 
 impl Fact {
     /// Its row; number, run and checksum are given by the store's writer.
-    pub fn row(&self, at: Time, about: About) -> Row {
+    pub fn row(&self, at: Time, about: RowSubject) -> Row {
         let (kind, body) = self.parts();
-        let About { request, key, backend } = about;
+        let RowSubject { request, key, backend } = about;
         Row { seq: 0, at, run: 0, kind, request, key, backend, body, sum: [0; 32] }
     }
 
@@ -186,7 +187,7 @@
         match tagged.and_then(serde_json::from_value) {
             Ok(Fact::Intent { attempt, seen }) => {
                 let backend = row.backend.clone().unwrap_or_default();
-                Fact::Intent { attempt, seen: Seen { backend, ..seen } }
+                Fact::Intent { attempt, seen: BackendSnapshot { backend, ..seen } }
             }
             Ok(fact) => fact,
             Err(_) => unknown(),
@@ -194,7 +195,7 @@
     }
 
     /// It may be left out, and counted, where there is no room.
-    pub fn is_spare(&self) -> bool {
+    pub fn is_droppable(&self) -> bool {
         matches!(self, Fact::List { .. } | Fact::Turned { .. })
     }
 
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -20,6 +20,6 @@
     Action, Event, KeyConflict, KeyDecision, KeyRequest, ReplyId, RequestEnding, ResolveResult, StoreFailure,
     Ticket,
 };
-pub use fact::{About, Fact, Seen};
+pub use fact::{BackendSnapshot, Fact, RowSubject};
 pub use recorder::Recorder;
 pub use row::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
--- a/crates/record/src/pending_writes.rs
+++ b/crates/record/src/pending_writes.rs
@@ -76,7 +76,8 @@
 
     /// There is room for one that may be left out.
     pub fn has_room(&self, write: &Write, bounds: &Bounds) -> bool {
-        self.droppable < bounds.spare_facts && self.droppable_bytes + bytes(write) <= bounds.spare_bytes
+        self.droppable < bounds.droppable_facts
+            && self.droppable_bytes + bytes(write) <= bounds.droppable_bytes
     }
 
     /// How many must not be lost.
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -7,7 +7,7 @@
 
 use crate::config::RecordConfig;
 use crate::event::{Action, Event};
-use crate::fact::{About, Fact};
+use crate::fact::{Fact, RowSubject};
 use crate::pending_writes::{OnCommit, PendingWrites};
 use crate::request::{AttemptId, IntentRequest, RecordedRequest, UnsettledKey};
 use crate::row::{Claim, KeyId, KeyState, StoredKey, Write};
@@ -91,13 +91,13 @@
                     let left = Micros(keep.0.saturating_sub(age.0));
                     self.served.add(&key, seq, now + left, keep, self.config.bounds.served);
                 }
-                KeyState::Doubt => {
+                KeyState::InDoubt => {
                     self.unsettled_keys.insert(key, UnsettledKey::InDoubt { resolving: false });
                 }
                 KeyState::InFlight => {
                     self.unsettled_keys.insert(key.clone(), UnsettledKey::InDoubt { resolving: false });
-                    let about = About { key: Some(key.clone()), ..About::default() };
-                    let claim = Claim::Set(key, KeyState::Doubt);
+                    let about = RowSubject { key: Some(key.clone()), ..RowSubject::default() };
+                    let claim = Claim::Set(key, KeyState::InDoubt);
                     self.write(now, Fact::Doubted { seq }, about, claim, OnCommit::Nothing, actions);
                 }
             }
@@ -129,11 +129,11 @@
             Event::Resolve { reply, key, ran, by, note } => {
                 self.resolve(now, reply, key, Fact::Resolved { by, ran, note }, ran, actions);
             }
-            Event::RecordFact(fact) if fact.is_spare() => {
-                self.write_droppable(now, fact, About::default(), actions);
+            Event::RecordFact(fact) if fact.is_droppable() => {
+                self.write_droppable(now, fact, RowSubject::default(), actions);
             }
             Event::RecordFact(fact) => {
-                self.write(now, fact, About::default(), Claim::None, OnCommit::Nothing, actions);
+                self.write(now, fact, RowSubject::default(), Claim::None, OnCommit::Nothing, actions);
             }
             Event::Clock(shown) => self.wall_clock = WallClock { at: now, shown },
             Event::Wake => {}
@@ -169,7 +169,7 @@
 
     /// Has a fact written that must not be lost.
     fn write(
-        &mut self, now: Time, fact: Fact, about: About, claim: Claim, on_commit: OnCommit,
+        &mut self, now: Time, fact: Fact, about: RowSubject, claim: Claim, on_commit: OnCommit,
         actions: &mut Vec<Action>,
     ) {
         let row = fact.row(self.wall_clock.at(now), about);
@@ -178,7 +178,7 @@
 
     /// Has a fact written that nothing waits for, if there is room. Once one was left out, all are until that is
     /// recorded, so that the gap has one place.
-    fn write_droppable(&mut self, now: Time, fact: Fact, about: About, actions: &mut Vec<Action>) {
+    fn write_droppable(&mut self, now: Time, fact: Fact, about: RowSubject, actions: &mut Vec<Action>) {
         let row = fact.row(self.wall_clock.at(now), about);
         let write = Write { row, claim: Claim::None };
         if self.dropped_unrecorded == 0 && self.pending_writes.has_room(&write, &self.config.bounds) {
@@ -198,7 +198,7 @@
             return;
         }
         let fact = Fact::Dropped { facts: self.dropped_unrecorded };
-        let row = fact.row(self.wall_clock.at(now), About::default());
+        let row = fact.row(self.wall_clock.at(now), RowSubject::default());
         let write = Write { row, claim: Claim::None };
         if self.pending_writes.has_room(&write, &self.config.bounds) {
             self.dropped_unrecorded = 0;
@@ -212,7 +212,7 @@
         if let Some(through) = self.served.expire(now) {
             let claim = Claim::FreeServed { through };
             let fact = Fact::Expired { through };
-            self.write(now, fact, About::default(), claim, OnCommit::Nothing, actions);
+            self.write(now, fact, RowSubject::default(), claim, OnCommit::Nothing, actions);
         }
     }
 }
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::Recorder;
 use crate::event::{Action, KeyDecision, RequestEnding};
-use crate::fact::{About, Fact, Seen};
+use crate::fact::{BackendSnapshot, Fact, RowSubject};
 use crate::pending_writes::OnCommit;
 use crate::request::{AttemptId, AttemptState, IntentRequest, KeyFate};
 use crate::row::{Claim, KeyState};
@@ -10,7 +10,7 @@
 
 impl Recorder {
     pub(super) fn intent_requested(
-        &mut self, now: Time, id: AttemptId, seen: Seen, actions: &mut Vec<Action>,
+        &mut self, now: Time, id: AttemptId, seen: BackendSnapshot, actions: &mut Vec<Action>,
     ) {
         if !self.may_request_intent(now, id) {
             return answer_intent(id, false, actions);
@@ -25,7 +25,7 @@
         let key = request.key.clone();
         request.attempts.insert(id.attempt, AttemptState::AwaitingIntent(deadline));
         self.intent_deadlines.insert((deadline, id));
-        let about = About { request: Some(id.request.0), key, backend: Some(seen.backend.clone()) };
+        let about = RowSubject { request: Some(id.request.0), key, backend: Some(seen.backend.clone()) };
         let fact = Fact::Intent { attempt: id.attempt.0, seen };
         self.write(now, fact, about, claim, OnCommit::IntentPersisted(id), actions);
     }
@@ -46,7 +46,7 @@
     fn cannot_take_intent(&self, now: Time) -> bool {
         self.pending_writes.is_store_down()
             || self.pending_writes.is_stalled(now, self.config.intent_timeout)
-            || self.intent_deadlines.len() >= self.config.bounds.waiting
+            || self.intent_deadlines.len() >= self.config.bounds.awaiting_intent
     }
 
     /// An attempt is not sent. Where no attempt of its request may have been executed, that ends the request at once.
@@ -63,7 +63,7 @@
         let Some(open) = self.requests.get_mut(&request) else { return };
         if !open.ended && open.rejected_with.is_none() && !open.may_have_executed() {
             open.rejected_with = Some(decision);
-            actions.push(Action::EndRequest { request, verdict: decision });
+            actions.push(Action::EndRequest { request, decision });
         }
     }
 
@@ -147,7 +147,7 @@
     fn record_end(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
         let Some(ended) = self.requests.get_mut(&request) else { return };
         let claim = ended.claim();
-        let about = About { request: Some(request.0), key: ended.key.clone(), backend: None };
+        let about = RowSubject { request: Some(request.0), key: ended.key.clone(), backend: None };
         let on_commit = match &claim {
             Claim::FreeOwn(key) => OnCommit::KeyFree(key.clone()),
             Claim::Set(key, KeyState::Served) => OnCommit::KeyServed(key.clone()),
--- a/crates/record/src/recorder/decide.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -3,7 +3,7 @@
 use super::Recorder;
 use crate::config::{ClassRule, WithoutKey};
 use crate::event::{Action, KeyConflict, KeyDecision, KeyRequest, ReplyId, ResolveResult};
-use crate::fact::{About, Fact};
+use crate::fact::{Fact, RowSubject};
 use crate::pending_writes::OnCommit;
 use crate::request::{IntentRequest, RecordedRequest, RequestState, UnsettledKey};
 use crate::row::{Claim, KeyId, KeyState};
@@ -20,7 +20,7 @@
     }
 
     /// Decides what a front does with a request, before the engine hears of it.
-    pub fn ask(&mut self, now: Time, asked: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
+    pub fn decide(&mut self, now: Time, asked: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
         self.expire_intent_waits(now, actions);
         self.expire_served(now, actions);
         let Some(rule) = self.config.classes.get(asked.class).copied() else {
@@ -42,7 +42,7 @@
         &mut self, now: Time, asked: &KeyRequest, rule: ClassRule, key: Option<&[u8]>,
         actions: &mut Vec<Action>,
     ) -> KeyDecision {
-        if key.is_some_and(|key| key.len() > self.config.bounds.key) {
+        if key.is_some_and(|key| key.len() > self.config.bounds.key_bytes) {
             return KeyDecision::KeyTooLong;
         }
         if key.is_none() && rule.without_key == WithoutKey::Refuse {
@@ -67,7 +67,7 @@
                 self.requests.get(request).and_then(IntentRequest::conflict)
             }
             Some(UnsettledKey::Freeing) => None,
-            Some(UnsettledKey::InDoubt { .. }) => Some(KeyConflict::Doubt),
+            Some(UnsettledKey::InDoubt { .. }) => Some(KeyConflict::InDoubt),
             Some(UnsettledKey::Served) => Some(KeyConflict::Served),
             None if self.served.has(key) => Some(KeyConflict::Served),
             None => return None,
@@ -81,8 +81,8 @@
         let bounds = &self.config.bounds;
         self.pending_writes.is_store_down()
             || self.pending_writes.is_stalled(now, self.config.intent_timeout)
-            || self.pending_writes.required_count() >= bounds.owed_facts
-            || self.intent_deadlines.len() >= bounds.waiting
+            || self.pending_writes.required_count() >= bounds.required_facts
+            || self.intent_deadlines.len() >= bounds.awaiting_intent
             || self.requests.len() >= bounds.unsettled
             || self.unsettled_keys.len() >= bounds.unsettled
     }
@@ -98,7 +98,7 @@
             self.unsettled_keys.insert(key.clone(), UnsettledKey::Requested(asked.request));
         }
         let is_keyed = key.is_some();
-        let about = About { request: Some(asked.request.0), key: key.clone(), backend: None };
+        let about = RowSubject { request: Some(asked.request.0), key: key.clone(), backend: None };
         let request = IntentRequest {
             key,
             deadline: asked.deadline,
@@ -120,11 +120,11 @@
             self.count_dropped();
             return;
         }
-        let key = key.filter(|key| key.len() <= self.config.bounds.key).map(|key| key_id(asked, key));
+        let key = key.filter(|key| key.len() <= self.config.bounds.key_bytes).map(|key| key_id(asked, key));
         let recorded = RecordedRequest { key: key.clone(), ..RecordedRequest::default() };
         self.recorded.insert(asked.request, recorded);
         let fact = asked_fact(now, asked, key.is_some());
-        let about = About { request: Some(asked.request.0), key, backend: None };
+        let about = RowSubject { request: Some(asked.request.0), key, backend: None };
         self.write_droppable(now, fact, about, actions);
     }
 
@@ -136,10 +136,10 @@
         let KeyDecision::Conflict(conflict) = decision else { return };
         let why = match conflict {
             KeyConflict::InFlight => "in_flight",
-            KeyConflict::Doubt => "doubt",
+            KeyConflict::InDoubt => "doubt",
             KeyConflict::Served => "served",
         };
-        let about = About { request: Some(asked.request.0), key, backend: None };
+        let about = RowSubject { request: Some(asked.request.0), key, backend: None };
         self.write_droppable(now, Fact::Turned { why: why.into() }, about, actions);
     }
 
@@ -156,7 +156,7 @@
             true => Claim::Set(key.clone(), KeyState::Served),
             false => Claim::Free(key.clone()),
         };
-        let about = About { key: Some(key.clone()), ..About::default() };
+        let about = RowSubject { key: Some(key.clone()), ..RowSubject::default() };
         self.write(now, fact, about, claim, OnCommit::Resolved { key, ran, reply }, actions);
     }
 
--- a/crates/record/src/recorder/recorded.rs
+++ b/crates/record/src/recorder/recorded.rs
@@ -2,13 +2,13 @@
 
 use super::Recorder;
 use crate::event::Action;
-use crate::fact::{About, Fact, Seen};
+use crate::fact::{BackendSnapshot, Fact, RowSubject};
 use crate::request::AttemptId;
 use shaletide_types::{RequestId, Time};
 
 impl Recorder {
     pub(super) fn recorded_attempt_started(
-        &mut self, now: Time, id: AttemptId, seen: Seen, actions: &mut Vec<Action>,
+        &mut self, now: Time, id: AttemptId, seen: BackendSnapshot, actions: &mut Vec<Action>,
     ) {
         if let Some(recorded) = self.recorded.get_mut(&id.request) {
             recorded.in_flight.insert(id.attempt);
@@ -51,6 +51,6 @@
             Fact::Intent { seen, .. } => Some(seen.backend.clone()),
             _ => None,
         };
-        self.write_droppable(now, fact, About { request: Some(request.0), key, backend }, actions);
+        self.write_droppable(now, fact, RowSubject { request: Some(request.0), key, backend }, actions);
     }
 }
--- a/crates/record/src/recorder/store_events.rs
+++ b/crates/record/src/recorder/store_events.rs
@@ -76,7 +76,7 @@
         let Some(request) = self.requests.get_mut(&id.request) else { return };
         if let Some(key) = request.key.clone().filter(|_| request.owns_key) {
             match state {
-                KeyState::Doubt => {
+                KeyState::InDoubt => {
                     self.unsettled_keys.insert(key, UnsettledKey::InDoubt { resolving: false });
                 }
                 KeyState::InFlight | KeyState::Served => {
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -131,7 +131,7 @@
         };
         match self.state() {
             RequestState::Pending | RequestState::InFlight => Claim::None,
-            RequestState::InDoubt => Claim::Set(key, KeyState::Doubt),
+            RequestState::InDoubt => Claim::Set(key, KeyState::InDoubt),
             RequestState::Served => Claim::Set(key, KeyState::Served),
             RequestState::NotExecuted => Claim::FreeOwn(key),
         }
@@ -151,7 +151,7 @@
         match self.state() {
             RequestState::Pending | RequestState::NotExecuted => None,
             RequestState::InFlight => Some(KeyConflict::InFlight),
-            RequestState::InDoubt => Some(KeyConflict::Doubt),
+            RequestState::InDoubt => Some(KeyConflict::InDoubt),
             RequestState::Served => Some(KeyConflict::Served),
         }
     }
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -19,7 +19,7 @@
     /// An attempt has its intent on record and no end yet.
     InFlight,
     /// An attempt may have been executed, and it is not known whether it was.
-    Doubt,
+    InDoubt,
     /// It was served.
     Served,
 }
--- a/crates/record/tests/bounds.rs
+++ b/crates/record/tests/bounds.rs
@@ -48,12 +48,16 @@
 #[test]
 fn droppable_facts_beyond_the_bound_are_dropped_and_the_count_is_recorded() {
     let mut config = common::config();
-    config.bounds.spare_facts = 10;
+    config.bounds.droppable_facts = 10;
     let mut w = World::with(config);
     for _ in 0..25 {
         let (request, verdict) = w.ask_as("bid", Some(b"k"));
         assert_eq!(verdict, KeyDecision::Proceed { requires_intent: false });
-        w.tell(Event::AttemptStarted { request, attempt: AttemptNumber(0), seen: Seen::default() });
+        w.tell(Event::AttemptStarted {
+            request,
+            attempt: AttemptNumber(0),
+            seen: BackendSnapshot::default(),
+        });
         w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(0), outcome: Outcome::Ok });
         w.tell(Event::RequestEnded { request, ending: RequestEnding::Served(AttemptNumber(0)) });
     }
@@ -70,7 +74,7 @@
     let mut w = World::new();
     let (request, _) = w.ask_as("bid", Some(b"k"));
     for attempt in [0, 1].map(AttemptNumber) {
-        w.tell(Event::AttemptStarted { request, attempt, seen: Seen::default() });
+        w.tell(Event::AttemptStarted { request, attempt, seen: BackendSnapshot::default() });
     }
     w.tell(Event::AttemptEnded { request, attempt: AttemptNumber(1), outcome: Outcome::Ok });
     w.tell(Event::RequestEnded { request, ending: RequestEnding::Served(AttemptNumber(1)) });
@@ -83,7 +87,7 @@
 #[test]
 fn request_beyond_any_bound_is_rejected() {
     let mut config = common::config();
-    (config.bounds.waiting, config.bounds.unsettled) = (2, 4);
+    (config.bounds.awaiting_intent, config.bounds.unsettled) = (2, 4);
     let mut w = World::with(config);
     let ids = ["a", "b", "c", "d"].map(|k| w.go(k));
     assert_eq!(w.ask("e").1, SECOND, "as many keys as may be");
--- a/crates/record/tests/chain.rs
+++ b/crates/record/tests/chain.rs
@@ -1,7 +1,7 @@
 //! Facts to rows and back; the chain over them.
 
 use proptest::prelude::*;
-use shaletide_record::chain::{canonical, hex, verify, Broken, Chain, Why};
+use shaletide_record::chain::{canonical, hex, verify, BreakCause, Broken, Chain};
 use shaletide_record::*;
 use shaletide_types::Time;
 
@@ -12,7 +12,7 @@
         let key = KeyId { tenant: "t".into(), class: "settle".into(), key: vec![0, n as u8] };
         fact.row(
             Time(n.into()),
-            About { request: Some(n.into()), key: Some(key), backend: Some("box".into()) },
+            RowSubject { request: Some(n.into()), key: Some(key), backend: Some("box".into()) },
         )
     };
     let mut rows: Vec<Row> = (0..n as u32).map(row).collect();
@@ -22,8 +22,14 @@
 
 #[test]
 fn fact_read_from_its_row_equals_the_fact_written() {
-    let seen =
-        Seen { backend: "b".into(), pool: "p".into(), list: 7, state: "SERVING".into(), ready: true, out: 3 };
+    let seen = BackendSnapshot {
+        backend: "b".into(),
+        pool: "p".into(),
+        list: 7,
+        state: "SERVING".into(),
+        ready: true,
+        in_flight: 3,
+    };
     let facts = [
         Fact::Start { proxy: "p".into(), version: "1".into(), config: 2, digest: "d".into() },
         Fact::Config { version: 3, digest: "e".into() },
@@ -46,10 +52,10 @@
     ];
     for fact in facts {
         let backend = matches!(fact, Fact::Intent { .. }).then(|| "b".to_string());
-        let row = fact.row(Time(1), About { backend, ..About::default() });
+        let row = fact.row(Time(1), RowSubject { backend, ..RowSubject::default() });
         assert_eq!(Fact::of(&row), fact);
         assert_eq!(
-            Fact::of(&row).row(Time(1), About { backend: row.backend.clone(), ..About::default() }),
+            Fact::of(&row).row(Time(1), RowSubject { backend: row.backend.clone(), ..RowSubject::default() }),
             row
         );
     }
@@ -70,16 +76,19 @@
     for edit in edits {
         let mut bad = good.clone();
         edit(&mut bad[7]);
-        assert_eq!(verify(Chain::default(), bad, None), Err(Broken { seq: 8, why: Why::Sum }));
+        assert_eq!(verify(Chain::default(), bad, None), Err(Broken { seq: 8, why: BreakCause::Sum }));
     }
     let mut gap = good.clone();
     gap.remove(7);
-    assert_eq!(verify(Chain::default(), gap, None), Err(Broken { seq: 8, why: Why::Missing { found: 9 } }));
+    assert_eq!(
+        verify(Chain::default(), gap, None),
+        Err(Broken { seq: 8, why: BreakCause::Missing { found: 9 } })
+    );
     let cut = good[..15].to_vec();
     assert_eq!(verify(Chain::default(), cut.clone(), None).map(|c| c.seq), Ok(15), "by itself it is sound");
-    assert_eq!(verify(Chain::default(), cut, Some(head)), Err(Broken { seq: 16, why: Why::Cut }));
+    assert_eq!(verify(Chain::default(), cut, Some(head)), Err(Broken { seq: 16, why: BreakCause::Cut }));
     let known = Chain { head: [9; 32], ..head };
-    assert_eq!(verify(Chain::default(), good, Some(known)), Err(Broken { seq: 20, why: Why::Known }));
+    assert_eq!(verify(Chain::default(), good, Some(known)), Err(Broken { seq: 20, why: BreakCause::Known }));
 }
 
 #[test]
@@ -87,21 +96,21 @@
     let (mut all, mut chain) = rows(10);
     let anchor = Chain { seq: 6, head: all[5].sum };
     let unsaid = verify(anchor, all[6..].to_vec(), None);
-    assert_eq!(unsaid, Err(Broken { seq: 7, why: Why::Anchor }));
+    assert_eq!(unsaid, Err(Broken { seq: 7, why: BreakCause::Anchor }));
     let pruned = Fact::Pruned { through: 6, sum: hex(&anchor.head), by: "ann".into() };
-    let mut row = pruned.row(Time(0), About::default());
+    let mut row = pruned.row(Time(0), RowSubject::default());
     chain.add(&mut row);
     all.push(row);
     assert_eq!(verify(anchor, all[6..].to_vec(), Some(chain)), Ok(chain));
     assert_eq!(verify(Chain::default(), all.clone(), None), Ok(chain), "or nothing was taken out");
     let wrong = Chain { head: [1; 32], ..anchor };
-    assert_eq!(verify(wrong, all[6..].to_vec(), None), Err(Broken { seq: 7, why: Why::Sum }));
+    assert_eq!(verify(wrong, all[6..].to_vec(), None), Err(Broken { seq: 7, why: BreakCause::Sum }));
 }
 
 /// The sum of a known row, so that no later version changes the form by accident.
 #[test]
 fn canonical_form_of_a_row_never_changes() {
-    let mut row = Fact::Withdrawn { attempt: 1 }.row(Time(2), About::default());
+    let mut row = Fact::Withdrawn { attempt: 1 }.row(Time(2), RowSubject::default());
     Chain::default().add(&mut row);
     assert_eq!(canonical(&row).len(), 24 + 8 + 9 + 3 + 8 + row.body.len());
     assert_eq!(hex(&row.sum), "7a79bdd1a1e7607710e0735a9f26c5cdd2ae010c1232ec0d3117c1b723074964");
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -86,7 +86,7 @@
         let deadline = self.now + Micros(10_000_000);
         let mut actions = Vec::new();
         let asked = KeyRequest { request, tenant: "t", class, key, deadline };
-        let verdict = self.recorder.ask(self.now, asked, &mut actions);
+        let verdict = self.recorder.decide(self.now, asked, &mut actions);
         self.carry_out(actions);
         if verdict == (KeyDecision::Proceed { requires_intent: true }) {
             let key = key.map(|k| KeyId { tenant: "t".into(), class: class.into(), key: k.into() });
@@ -120,7 +120,7 @@
                 Action::IntentPersisted { request, attempt, persisted: given } => {
                     self.permit(request, attempt, given)
                 }
-                Action::EndRequest { request, verdict } => {
+                Action::EndRequest { request, decision: verdict } => {
                     let order = self.requests.get_mut(&request).expect("it is under way");
                     assert!(order.ended.replace(verdict).is_none(), "ended once");
                 }
@@ -145,7 +145,12 @@
         let until = self.now + WAIT;
         let order = self.requests.get_mut(&request).unwrap();
         order.attempts.insert(AttemptNumber(no), AttemptStage::Asked(until));
-        let seen = Seen { backend: format!("box-{no}"), pool: "p".into(), list: 3, ..Seen::default() };
+        let seen = BackendSnapshot {
+            backend: format!("box-{no}"),
+            pool: "p".into(),
+            list: 3,
+            ..BackendSnapshot::default()
+        };
         self.tell(Event::IntentRequested { request, attempt: AttemptNumber(no), seen });
     }
 
--- a/crates/record/tests/key_states.rs
+++ b/crates/record/tests/key_states.rs
@@ -20,9 +20,9 @@
     let steps: [(Step, KeyDecision, KeyDecision); 7] = [
         (|_, _| {}, SECOND, GO),             // before its intent
         (|w, id| w.want(id, 0), SECOND, GO), // intent queued
-        (|w, _| w.commit_all(), conflict(KeyConflict::InFlight), conflict(KeyConflict::Doubt)), // durable, not sent
-        (|w, id| w.send(id, 0), conflict(KeyConflict::InFlight), conflict(KeyConflict::Doubt)), // sent
-        (|w, id| w.end(id, 0, Outcome::Ok), conflict(KeyConflict::Served), conflict(KeyConflict::Doubt)), // not recorded
+        (|w, _| w.commit_all(), conflict(KeyConflict::InFlight), conflict(KeyConflict::InDoubt)), // durable, not sent
+        (|w, id| w.send(id, 0), conflict(KeyConflict::InFlight), conflict(KeyConflict::InDoubt)), // sent
+        (|w, id| w.end(id, 0, Outcome::Ok), conflict(KeyConflict::Served), conflict(KeyConflict::InDoubt)), // not recorded
         (|w, _| w.commit_all(), conflict(KeyConflict::Served), conflict(KeyConflict::Served)), // recorded, not answered
         (
             |w, id| w.over(id, RequestEnding::Served(AttemptNumber(0))),
@@ -60,12 +60,12 @@
         w.commit_all();
         w.send(id, 0);
         w.end(id, 0, outcome);
-        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "{outcome:?}");
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt), "{outcome:?}");
         w.over(id, RequestEnding::Failed);
         w.commit_all();
-        assert_eq!(w.store.state(&key("k")), Some(KeyState::Doubt));
+        assert_eq!(w.store.state(&key("k")), Some(KeyState::InDoubt));
         w.restart();
-        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "{outcome:?}");
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt), "{outcome:?}");
     }
 }
 
@@ -117,7 +117,7 @@
     assert_eq!(w.ask("k").1, SECOND);
     w.commit_all();
     assert_eq!(w.step(id, 0), AttemptStage::Permitted);
-    for state in [KeyState::InFlight, KeyState::Doubt, KeyState::Served] {
+    for state in [KeyState::InFlight, KeyState::InDoubt, KeyState::Served] {
         let mut w = World::new();
         w.store.set(key("k"), state);
         let id = w.go("k");
@@ -255,7 +255,7 @@
     {
         let mut w = in_doubt();
         w.resolve(&key("k"), ran);
-        assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt), "until it is durable");
+        assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt), "until it is durable");
         w.resolve(&key("k"), ran);
         w.commit_all();
         assert_eq!(w.replies, [ResolveResult::NotYet, ResolveResult::Done]);
@@ -275,7 +275,7 @@
     w.fail(0);
     w.resolve(&key("k"), false);
     assert_eq!(w.replies, [ResolveResult::StoreDown]);
-    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt));
 }
 
 #[test]
@@ -291,7 +291,7 @@
     w.pass(KEEP);
     w.commit_all();
     assert_eq!((w.recorder.served(), w.ask("b").1), (0, GO));
-    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt));
 }
 
 /// Times are the wall clock's, for people. In a run nothing goes by them; across a restart a time that lies ahead
@@ -357,7 +357,7 @@
     w.end(id, 0, Outcome::Reset);
     assert_eq!(w.ask("k").1, conflict(KeyConflict::InFlight));
     w.end(id, 2, Outcome::Rejected);
-    assert_eq!(w.ask("k").1, conflict(KeyConflict::Doubt));
+    assert_eq!(w.ask("k").1, conflict(KeyConflict::InDoubt));
     w.want(id, 3);
     w.commit_all();
     assert_eq!(
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -57,13 +57,13 @@
             let asked =
                 KeyRequest { request, tenant: "t", class: "settle", key: Some(key.as_bytes()), deadline };
             assert_eq!(
-                recorder.ask(Time(0), asked, &mut actions),
+                recorder.decide(Time(0), asked, &mut actions),
                 KeyDecision::Proceed { requires_intent: true }
             );
             let attempt = AttemptNumber(0);
             recorder.handle(
                 Time(0),
-                Event::IntentRequested { request, attempt, seen: Seen::default() },
+                Event::IntentRequested { request, attempt, seen: BackendSnapshot::default() },
                 &mut actions,
             );
             for action in std::mem::take(&mut actions) {
--- a/crates/record/tests/unknown_claims.rs
+++ b/crates/record/tests/unknown_claims.rs
@@ -16,7 +16,7 @@
     let mut recorder = Recorder::new(config, [1; 16], at(0), at(0));
     let (mut actions, request) = (Vec::new(), RequestId(1));
     let asked = KeyRequest { request, tenant: "", class: "settle", key: Some(b"k"), deadline: at(2_000) };
-    assert_eq!(recorder.ask(at(1), asked, &mut actions), KeyDecision::Proceed { requires_intent: true });
+    assert_eq!(recorder.decide(at(1), asked, &mut actions), KeyDecision::Proceed { requires_intent: true });
     (recorder, request, actions)
 }
 
@@ -25,8 +25,11 @@
 #[test]
 fn key_whose_claim_is_unknown_is_not_set() {
     let (mut recorder, request, mut actions) = one_settle();
-    let wanted =
-        |attempt| Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen: Seen::default() };
+    let wanted = |attempt| Event::IntentRequested {
+        request,
+        attempt: AttemptNumber(attempt),
+        seen: BackendSnapshot::default(),
+    };
     recorder.handle(at(2), wanted(0), &mut actions);
     recorder.handle(at(3), Event::IntentWithdrawn { request, attempt: AttemptNumber(0) }, &mut actions);
     let tickets: Vec<Ticket> = actions
@@ -52,7 +55,8 @@
 fn decision_precedes_the_denied_intent() {
     let (mut recorder, request, mut actions) = one_settle();
     actions.clear();
-    let wanted = Event::IntentRequested { request, attempt: AttemptNumber(0), seen: Seen::default() };
+    let wanted =
+        Event::IntentRequested { request, attempt: AttemptNumber(0), seen: BackendSnapshot::default() };
     recorder.handle(at(2), wanted, &mut actions);
     let Some(Action::Write { ticket, .. }) = actions.first() else { panic!("{actions:?}") };
     let refused = Event::ClaimRejected { ticket: *ticket, why: ClaimRejection::Taken(KeyState::Served) };
@@ -60,6 +64,6 @@
     recorder.handle(at(3), refused, &mut actions);
     let place =
         |is: fn(&Action) -> bool| actions.iter().position(is).unwrap_or_else(|| panic!("{actions:?}"));
-    let end = place(|a| matches!(a, Action::EndRequest { verdict: KeyDecision::Conflict(_), .. }));
+    let end = place(|a| matches!(a, Action::EndRequest { decision: KeyDecision::Conflict(_), .. }));
     assert!(end < place(|a| matches!(a, Action::IntentPersisted { persisted: false, .. })));
 }
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -23,7 +23,7 @@
 fn asked(recorder: &mut Recorder, at: Time) -> KeyDecision {
     let deadline = at + Micros(SECOND);
     let asked = KeyRequest { request: RequestId(1), tenant: "t", class: "settle", key: Some(b"k"), deadline };
-    recorder.ask(at, asked, &mut Vec::new())
+    recorder.decide(at, asked, &mut Vec::new())
 }
 
 #[test]
--- a/crates/routing/benches/route_lookup.rs
+++ b/crates/routing/benches/route_lookup.rs
@@ -8,34 +8,43 @@
 
 const TENANTS: usize = 10_000;
 
-fn route(at: usize, when: Match) -> Route {
-    Route { name: format!("r{at}"), when, pools: vec![PoolId(0)], answers: ResponseRules::plain() }
+fn route(at: usize, when: RouteMatch) -> Route {
+    Route {
+        name: format!("r{at}"),
+        conditions: when,
+        pools: vec![PoolId(0)],
+        response_rules: ResponseRules::operator_default(),
+    }
 }
 
 /// Every kind of condition, spread over the routes; the last takes everything.
 fn table(routes: usize) -> RouteTable {
     let class = |at: usize| vec![ClassId(at % 8)];
     let each = |at: usize| match at % 5 {
-        0 => Match { classes: class(at), tenants: vec![TenantId(at % TENANTS)], ..Match::default() },
-        1 => Match { deduplication_groups: vec![format!("b{at}")], ..Match::default() },
-        2 => Match { path_prefix: Some(format!("/api/v{}/r{at}", at % 3)), ..Match::default() },
+        0 => {
+            RouteMatch { classes: class(at), tenants: vec![TenantId(at % TENANTS)], ..RouteMatch::default() }
+        }
+        1 => RouteMatch { deduplication_groups: vec![format!("b{at}")], ..RouteMatch::default() },
+        2 => RouteMatch { path_prefix: Some(format!("/api/v{}/r{at}", at % 3)), ..RouteMatch::default() },
         3 => {
             let headers = vec![HeaderMatch { name: "x-canary".into(), value: Some(format!("c{at}")) }];
-            Match { classes: class(at), headers, ..Match::default() }
+            RouteMatch { classes: class(at), headers, ..RouteMatch::default() }
+        }
+        _ => {
+            RouteMatch { zones: vec![format!("z{at}")], methods: vec!["GET".into()], ..RouteMatch::default() }
         }
-        _ => Match { zones: vec![format!("z{at}")], methods: vec!["GET".into()], ..Match::default() },
     };
     let mut all: Vec<Route> = (0..routes - 1).map(|at| route(at, each(at))).collect();
-    all.push(route(routes - 1, Match::default()));
+    all.push(route(routes - 1, RouteMatch::default()));
     RouteTable::new(all)
 }
 
 /// 64 classes and 10,000 tenants in each route: an index of pairs of values would not fit into memory.
 fn broad_table(routes: usize) -> RouteTable {
-    let when = |at: usize| Match {
+    let when = |at: usize| RouteMatch {
         classes: (0..64).map(ClassId).collect(),
         tenants: (0..TENANTS).filter(|t| t % 1_000 != at % 1_000).map(TenantId).collect(),
-        ..Match::default()
+        ..RouteMatch::default()
     };
     RouteTable::new((0..routes).map(|at| route(at, when(at))).collect())
 }
--- a/crates/routing/src/client_response.rs
+++ b/crates/routing/src/client_response.rs
@@ -8,7 +8,7 @@
 
 /// How the balancer and the engine ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum FinalDecision {
     /// An attempt was served.
     Served,
     /// No attempt was executed, or a second execution does no harm; with the time for `Retry-After`.
@@ -58,16 +58,16 @@
 /// So a client gets 429 or 503 only where a retry does no harm (a safe class, or proof), and nothing that reads like
 /// success for what was not executed.
 pub fn client_response(
-    decision: Decision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
+    decision: FinalDecision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
 ) -> ClientResponse {
     let own_response = match decision {
-        Decision::Served => return ClientResponse::Forward,
-        Decision::TimedOut => return ClientResponse::GatewayTimeout,
-        Decision::Rejected(retry_after) => ClientResponse::Reject(retry_after),
-        Decision::Failed => ClientResponse::BadGateway,
+        FinalDecision::Served => return ClientResponse::Forward,
+        FinalDecision::TimedOut => return ClientResponse::GatewayTimeout,
+        FinalDecision::Rejected(retry_after) => ClientResponse::Reject(retry_after),
+        FinalDecision::Failed => ClientResponse::BadGateway,
     };
     let Some(last) = last.filter(|_| errors == ErrorResponses::Forward) else { return own_response };
-    let rejected = matches!(decision, Decision::Rejected(_));
+    let rejected = matches!(decision, FinalDecision::Rejected(_));
     let invites_retry = matches!(last.status, 429 | 503);
     match last.not_executed {
         true if invites_retry && (rejected || safe) => ClientResponse::Forward,
--- a/crates/routing/src/client_response/tests.rs
+++ b/crates/routing/src/client_response/tests.rs
@@ -18,9 +18,9 @@
             (ErrorResponses::Forward, false),
             (ErrorResponses::Replace, true),
         ] {
-            assert_eq!(client_response(Decision::Served, errors, safe, last), ClientResponse::Forward);
+            assert_eq!(client_response(FinalDecision::Served, errors, safe, last), ClientResponse::Forward);
             assert_eq!(
-                client_response(Decision::TimedOut, errors, safe, last),
+                client_response(FinalDecision::TimedOut, errors, safe, last),
                 ClientResponse::GatewayTimeout
             );
         }
@@ -32,11 +32,11 @@
     for last in all_answers() {
         for safe in [true, false] {
             assert_eq!(
-                client_response(Decision::Rejected(AFTER), ErrorResponses::Replace, safe, last),
+                client_response(FinalDecision::Rejected(AFTER), ErrorResponses::Replace, safe, last),
                 OWN_503
             );
             assert_eq!(
-                client_response(Decision::Failed, ErrorResponses::Replace, safe, last),
+                client_response(FinalDecision::Failed, ErrorResponses::Replace, safe, last),
                 ClientResponse::BadGateway
             );
         }
@@ -46,9 +46,12 @@
 #[test]
 fn own_response_is_sent_without_a_last_response() {
     for safe in [true, false] {
-        assert_eq!(client_response(Decision::Rejected(AFTER), ErrorResponses::Forward, safe, None), OWN_503);
         assert_eq!(
-            client_response(Decision::Failed, ErrorResponses::Forward, safe, None),
+            client_response(FinalDecision::Rejected(AFTER), ErrorResponses::Forward, safe, None),
+            OWN_503
+        );
+        assert_eq!(
+            client_response(FinalDecision::Failed, ErrorResponses::Forward, safe, None),
             ClientResponse::BadGateway
         );
     }
@@ -67,9 +70,13 @@
     for (statuses, not_executed, cells) in rows {
         for status in statuses {
             let last = Some(LastResponse { status: *status, not_executed });
-            let refused = Decision::Rejected(AFTER);
-            let each =
-                [(refused, true), (refused, false), (Decision::Failed, true), (Decision::Failed, false)];
+            let refused = FinalDecision::Rejected(AFTER);
+            let each = [
+                (refused, true),
+                (refused, false),
+                (FinalDecision::Failed, true),
+                (FinalDecision::Failed, false),
+            ];
             let got =
                 each.map(|(decision, safe)| client_response(decision, ErrorResponses::Forward, safe, last));
             assert_eq!(got, cells, "{last:?}");
@@ -80,7 +87,7 @@
 #[test]
 fn status_429_or_503_is_forwarded_only_where_a_retry_is_harmless() {
     for last in all_answers().into_iter().flatten().filter(|last| matches!(last.status, 429 | 503)) {
-        for (decision, safe) in [(Decision::Failed, false), (Decision::Failed, true)] {
+        for (decision, safe) in [(FinalDecision::Failed, false), (FinalDecision::Failed, true)] {
             let passed = client_response(decision, ErrorResponses::Forward, safe, Some(last))
                 == ClientResponse::Forward;
             assert!(!passed || safe, "{last:?}");
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -7,7 +7,7 @@
 //! 1.3 MB of sets, however they combine them. A look-up allocates nothing.
 
 use crate::route_bits::{empty, insert, RouteBits};
-use crate::route_match::{Match, RequestAttributes};
+use crate::route_match::{RequestAttributes, RouteMatch};
 use shaletide_types::*;
 use std::borrow::Borrow;
 use std::cmp::Reverse;
@@ -26,7 +26,7 @@
 }
 
 impl<K: Hash + Eq + Clone> ValueIndex<K> {
-    fn new<'a>(routes: &'a [&Match], values_of: impl Fn(&'a Match) -> &'a [K]) -> ValueIndex<K>
+    fn new<'a>(routes: &'a [&RouteMatch], values_of: impl Fn(&'a RouteMatch) -> &'a [K]) -> ValueIndex<K>
     where
         K: 'a,
     {
@@ -74,7 +74,7 @@
 }
 
 impl PathIndex {
-    fn new(routes: &[&Match]) -> PathIndex {
+    fn new(routes: &[&RouteMatch]) -> PathIndex {
         let prefixes: Vec<&str> = routes.iter().map(|conditions| conditions.prefix()).collect();
         let mut unconditional = empty(routes.len());
         for (route, prefix) in prefixes.iter().enumerate() {
@@ -125,7 +125,7 @@
 }
 
 impl HeaderIndex {
-    fn new(routes: &[&Match]) -> Option<HeaderIndex> {
+    fn new(routes: &[&RouteMatch]) -> Option<HeaderIndex> {
         let name = most_frequent_header(routes)?;
         let conditions =
             |route: usize| routes[route].headers.iter().filter(move |header| header.name == name);
@@ -160,7 +160,7 @@
 }
 
 /// The first by name where there are several, so that the same routes give the same index.
-fn most_frequent_header<'a>(routes: &[&'a Match]) -> Option<&'a str> {
+fn most_frequent_header<'a>(routes: &[&'a RouteMatch]) -> Option<&'a str> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for header in routes.iter().flat_map(|conditions| &conditions.headers) {
         *counts.entry(&header.name).or_default() += 1;
@@ -182,7 +182,7 @@
 }
 
 impl Index {
-    pub fn new(routes: &[&Match]) -> Index {
+    pub fn new(routes: &[&RouteMatch]) -> Index {
         Index {
             classes: ValueIndex::new(routes, |conditions| &conditions.classes),
             tenants: ValueIndex::new(routes, |conditions| &conditions.tenants),
@@ -220,7 +220,7 @@
 
     /// Of each kind of condition but the headers, the sets of all values that `conditions` take. A route that is in all
     /// of them covers these conditions, but for the headers.
-    pub fn routes_covering(&self, conditions: &Match) -> [Vec<&[u64]>; CONDITION_KINDS - 1] {
+    pub fn routes_covering(&self, conditions: &RouteMatch) -> [Vec<&[u64]>; CONDITION_KINDS - 1] {
         [
             self.classes.routes_for_each(&conditions.classes),
             self.tenants.routes_for_each(&conditions.tenants),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -13,10 +13,10 @@
 mod status_set;
 mod table;
 
-pub use client_response::{client_response, ClientResponse, Decision, LastResponse};
+pub use client_response::{client_response, ClientResponse, FinalDecision, LastResponse};
 pub use pools::Pools;
 pub use request_format::{AttributeSource, RequestFormat};
 pub use response_rules::{ErrorResponses, NotExecutedProof, ResponseClass, ResponseRules};
-pub use route_match::{HeaderMatch, Match, Mismatch, RequestAttributes};
+pub use route_match::{HeaderMatch, Mismatch, RequestAttributes, RouteMatch};
 pub use status_set::StatusSet;
 pub use table::{Route, RouteId, RouteTable};
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -24,7 +24,7 @@
 const BALANCER_TOKEN_MASK: u64 = (1 << BALANCER_TOKEN_BITS) - 1;
 
 /// Pools that there may ever be in the life of a program.
-pub const MOST_POOLS: u32 = 1 << (64 - BALANCER_TOKEN_BITS);
+pub const MAX_POOLS: u32 = 1 << (64 - BALANCER_TOKEN_BITS);
 
 /// Spreads a pool's number over all bits of its random seed.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -236,7 +236,9 @@
                 }
                 actions.push(Action::Dispatch { request, attempt, backend, send_by });
             }
-            balancer::Action::FailOver { request, handover } => self.fail_over(now, pool, request, *handover),
+            balancer::Action::FailOver { request, transferred: handover } => {
+                self.fail_over(now, pool, request, *handover)
+            }
             balancer::Action::Reject { request, retry_after } => {
                 self.remove_pending(request);
                 actions.push(Action::Reject { request, retry_after });
--- a/crates/routing/src/response_rules.rs
+++ b/crates/routing/src/response_rules.rs
@@ -5,7 +5,7 @@
 
 use crate::StatusSet;
 
-/// Statuses that are errors by [`ResponseRules::plain`]: too many requests, and failures of a server or gateway.
+/// Statuses that are errors by [`ResponseRules::operator_default`]: too many requests, and failures of a server or gateway.
 const DEFAULT_ERROR_STATUSES: [u16; 5] = [429, 500, 502, 503, 504];
 
 /// A status and a header that together prove that the request was not executed.
@@ -55,8 +55,8 @@
 impl ResponseRules {
     /// The operators' default: every final status is served but 429, 500, 502, 503 and 504; nothing proves that a
     /// request was not executed.
-    pub fn plain() -> ResponseRules {
-        let mut served = StatusSet::none();
+    pub fn operator_default() -> ResponseRules {
+        let mut served = StatusSet::empty();
         served.add(200, 599);
         for status in DEFAULT_ERROR_STATUSES {
             served.remove(status);
@@ -71,7 +71,7 @@
 
     /// The platform's rules: 200 is served; 503 and 504 with `X-Unprocessed: 1` were not executed.
     pub fn platform() -> ResponseRules {
-        let mut served = StatusSet::none();
+        let mut served = StatusSet::empty();
         served.add(200, 200);
         let unprocessed =
             |status| NotExecutedProof { status, header: "x-unprocessed".into(), value: Some("1".into()) };
@@ -92,7 +92,7 @@
         if self.not_executed.iter().any(|proof| proof.holds(status, &header)) {
             return ResponseClass::NotExecuted;
         }
-        if self.served.has(status) {
+        if self.served.contains(status) {
             return ResponseClass::Served;
         }
         ResponseClass::Error
--- a/crates/routing/src/response_rules/tests.rs
+++ b/crates/routing/src/response_rules/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 fn set(ranges: &[(u16, u16)]) -> StatusSet {
-    let mut set = StatusSet::none();
+    let mut set = StatusSet::empty();
     ranges.iter().for_each(|(first, last)| set.add(*first, *last));
     set
 }
@@ -11,16 +11,16 @@
 #[test]
 fn status_set_holds_added_statuses_from_100_to_599_only() {
     let mut some = set(&[(0, 101), (204, 204), (300, 250), (598, 700)]);
-    let held: Vec<u16> = (0..=u16::MAX).filter(|s| some.has(*s)).collect();
+    let held: Vec<u16> = (0..=u16::MAX).filter(|s| some.contains(*s)).collect();
     assert_eq!(held, [100, 101, 204, 598, 599]);
     [204, 205, 0, 99, 600, u16::MAX].into_iter().for_each(|s| some.remove(s));
-    assert!(!some.has(204) && some.has(100) && some.has(599));
+    assert!(!some.contains(204) && some.contains(100) && some.contains(599));
     assert_eq!(format!("{some:?}"), "{100, 101, 598, 599}");
 }
 
 #[test]
 fn default_rules_serve_all_final_statuses_but_five() {
-    let plain = ResponseRules::plain();
+    let plain = ResponseRules::operator_default();
     let failing: Vec<u16> =
         (200..600).filter(|s| plain.classify(*s, |_| None) != ResponseClass::Served).collect();
     assert_eq!(failing, [429, 500, 502, 503, 504]);
@@ -30,8 +30,11 @@
 #[test]
 fn status_below_200_is_an_error() {
     let proof = NotExecutedProof { status: 103, header: "x-unprocessed".into(), value: None };
-    let answers =
-        ResponseRules { served: set(&[(100, 599)]), not_executed: vec![proof], ..ResponseRules::plain() };
+    let answers = ResponseRules {
+        served: set(&[(100, 599)]),
+        not_executed: vec![proof],
+        ..ResponseRules::operator_default()
+    };
     assert!((0..200).all(|s| answers.classify(s, |_| Some("1")) == ResponseClass::Error));
     assert_eq!(answers.classify(200, |_| None), ResponseClass::Served);
 }
@@ -58,7 +61,7 @@
 #[test]
 fn proof_comes_before_served_and_may_take_any_value() {
     let proof = NotExecutedProof { status: 404, header: "x-later".into(), value: None };
-    let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::plain() };
+    let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::operator_default() };
     assert_eq!(answers.classify(404, |name| (name == "x-later").then_some("")), ResponseClass::NotExecuted);
     assert_eq!(answers.classify(404, |_| None), ResponseClass::Served);
 }
--- a/crates/routing/src/route_match.rs
+++ b/crates/routing/src/route_match.rs
@@ -14,7 +14,7 @@
 
 /// Which requests a route takes. Every condition must hold; an empty list, or none, is no condition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Match {
+pub struct RouteMatch {
     /// One of these classes.
     pub classes: Vec<ClassId>,
     /// One of these tenants; a request without a tenant meets no such condition.
@@ -65,11 +65,11 @@
     Path,
     /// It takes other methods.
     Method,
-    /// A header is missing or has another value; the index into [`Match::headers`].
+    /// A header is missing or has another value; the index into [`RouteMatch::headers`].
     Header(usize),
 }
 
-impl Match {
+impl RouteMatch {
     /// Why the route does not take the request; none: it does.
     pub fn mismatch(&self, request: &RequestAttributes<'_>) -> Option<Mismatch> {
         if !is_listed_or_any(&self.classes, Some(&request.class)) {
@@ -94,7 +94,7 @@
     }
 
     /// Whether it takes every request that `other` takes.
-    pub fn covers(&self, other: &Match) -> bool {
+    pub fn covers(&self, other: &RouteMatch) -> bool {
         covers_values(&self.classes, &other.classes)
             && covers_values(&self.tenants, &other.tenants)
             && covers_values(&self.zones, &other.zones)
@@ -105,7 +105,7 @@
     }
 
     /// Whether a request with all headers that `other` asks for has all that this asks for.
-    pub(crate) fn headers_cover(&self, other: &Match) -> bool {
+    pub(crate) fn headers_cover(&self, other: &RouteMatch) -> bool {
         self.headers.iter().all(|own| other.headers.iter().any(|theirs| own.covers(theirs)))
     }
 
--- a/crates/routing/src/shadowed.rs
+++ b/crates/routing/src/shadowed.rs
@@ -2,7 +2,7 @@
 
 use crate::index::{Index, CONDITION_KINDS};
 use crate::route_bits::{insert, routes_in_word};
-use crate::route_match::Match;
+use crate::route_match::RouteMatch;
 use std::collections::BTreeSet;
 
 /// The earlier routes of one route, by what they cover of it.
@@ -17,7 +17,7 @@
 
 impl<'a> EarlierRoutes<'a> {
     /// Of the route at place `route` in `all`, which `index` was made of.
-    pub fn new(index: &'a Index, all: &[&Match], route: usize) -> EarlierRoutes<'a> {
+    pub fn new(index: &'a Index, all: &[&RouteMatch], route: usize) -> EarlierRoutes<'a> {
         let conditions = all[route];
         let by_value = index.routes_covering(conditions);
         let mut earlier = vec![0; route / 64 + 1];
--- a/crates/routing/src/status_set.rs
+++ b/crates/routing/src/status_set.rs
@@ -9,7 +9,7 @@
 
 impl StatusSet {
     /// The empty set.
-    pub fn none() -> StatusSet {
+    pub fn empty() -> StatusSet {
         StatusSet([0; 8])
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Whether the status is one of them.
-    pub fn has(&self, status: u16) -> bool {
+    pub fn contains(&self, status: u16) -> bool {
         if !(FIRST..=LAST).contains(&status) {
             return false;
         }
@@ -41,6 +41,6 @@
 
 impl std::fmt::Debug for StatusSet {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_set().entries((FIRST..=LAST).filter(|status| self.has(*status))).finish()
+        f.debug_set().entries((FIRST..=LAST).filter(|status| self.contains(*status))).finish()
     }
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::index::Index;
 use crate::route_bits::routes_in_word;
-use crate::route_match::{Match, Mismatch, RequestAttributes};
+use crate::route_match::{Mismatch, RequestAttributes, RouteMatch};
 use crate::shadowed::EarlierRoutes;
 use crate::ResponseRules;
 use shaletide_types::*;
@@ -17,11 +17,11 @@
     /// Its name, for logs and `explain`.
     pub name: String,
     /// Which requests it takes.
-    pub when: Match,
+    pub conditions: RouteMatch,
     /// Where they go, in order of preference; at least one.
     pub pools: Vec<PoolId>,
     /// How the responses of its backends are classified.
-    pub answers: ResponseRules,
+    pub response_rules: ResponseRules,
 }
 
 /// All routes.
@@ -67,7 +67,7 @@
 
     /// Whether the conditions on headers that the index does not decide hold.
     fn other_headers_match(&self, route: usize, request: &RequestAttributes<'_>) -> bool {
-        let headers = &self.routes[route].when.headers;
+        let headers = &self.routes[route].conditions.headers;
         headers.iter().all(|header| self.index.decides_header(&header.name) || header.matches(request))
     }
 
@@ -75,7 +75,7 @@
     pub fn explain(&self, request: &RequestAttributes<'_>) -> (Vec<(RouteId, Mismatch)>, Option<RouteId>) {
         let mut mismatches = Vec::new();
         for (place, route) in self.routes.iter().enumerate() {
-            match route.when.mismatch(request) {
+            match route.conditions.mismatch(request) {
                 Some(mismatch) => mismatches.push((RouteId(place), mismatch)),
                 None => return (mismatches, Some(RouteId(place))),
             }
@@ -116,6 +116,6 @@
     }
 }
 
-fn conditions(routes: &[Route]) -> Vec<&Match> {
-    routes.iter().map(|route| &route.when).collect()
+fn conditions(routes: &[Route]) -> Vec<&RouteMatch> {
+    routes.iter().map(|route| &route.conditions).collect()
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -32,11 +32,16 @@
     }
 }
 
-pub fn route(when: Match) -> Route {
-    Route { name: String::new(), when, pools: vec![PoolId(0)], answers: ResponseRules::plain() }
+pub fn route(when: RouteMatch) -> Route {
+    Route {
+        name: String::new(),
+        conditions: when,
+        pools: vec![PoolId(0)],
+        response_rules: ResponseRules::operator_default(),
+    }
 }
 
-pub fn table(routes: impl IntoIterator<Item = Match>) -> RouteTable {
+pub fn table(routes: impl IntoIterator<Item = RouteMatch>) -> RouteTable {
     RouteTable::new(routes.into_iter().map(route).collect())
 }
 
