--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -18,29 +18,38 @@
     }
 }
 
-fn why(when: Match, request: &Request) -> Option<Mismatch> {
+fn why(when: RouteMatch, request: &Request) -> Option<Mismatch> {
     request.with_attributes(|attributes| when.mismatch(attributes))
 }
 
 #[test]
 fn match_without_conditions_takes_every_request() {
-    assert_eq!(why(Match::default(), &get()), None);
-    assert_eq!(why(Match::default(), &Request::default()), None);
+    assert_eq!(why(RouteMatch::default(), &get()), None);
+    assert_eq!(why(RouteMatch::default(), &Request::default()), None);
 }
 
 #[test]
 fn failed_condition_is_named_as_mismatch() {
     let texts = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     let cases = [
-        (Match { classes: vec![ClassId(0), ClassId(3)], ..Match::default() }, Mismatch::Class),
-        (Match { tenants: vec![TenantId(1)], ..Match::default() }, Mismatch::Tenant),
-        (Match { zones: texts(&["b", "c"]), ..Match::default() }, Mismatch::Zone),
-        (Match { deduplication_groups: texts(&["b2"]), ..Match::default() }, Mismatch::DeduplicationGroup),
-        (Match { path_prefix: Some("/write".into()), ..Match::default() }, Mismatch::Path),
-        (Match { methods: texts(&["POST", "get"]), ..Match::default() }, Mismatch::Method),
-        (Match { headers: vec![header("x-canary", Some("green"))], ..Match::default() }, Mismatch::Header(0)),
+        (RouteMatch { classes: vec![ClassId(0), ClassId(3)], ..RouteMatch::default() }, Mismatch::Class),
+        (RouteMatch { tenants: vec![TenantId(1)], ..RouteMatch::default() }, Mismatch::Tenant),
+        (RouteMatch { zones: texts(&["b", "c"]), ..RouteMatch::default() }, Mismatch::Zone),
         (
-            Match { headers: vec![header("x-canary", None), header("x-other", None)], ..Match::default() },
+            RouteMatch { deduplication_groups: texts(&["b2"]), ..RouteMatch::default() },
+            Mismatch::DeduplicationGroup,
+        ),
+        (RouteMatch { path_prefix: Some("/write".into()), ..RouteMatch::default() }, Mismatch::Path),
+        (RouteMatch { methods: texts(&["POST", "get"]), ..RouteMatch::default() }, Mismatch::Method),
+        (
+            RouteMatch { headers: vec![header("x-canary", Some("green"))], ..RouteMatch::default() },
+            Mismatch::Header(0),
+        ),
+        (
+            RouteMatch {
+                headers: vec![header("x-canary", None), header("x-other", None)],
+                ..RouteMatch::default()
+            },
             Mismatch::Header(1),
         ),
     ];
@@ -53,7 +62,7 @@
 
 #[test]
 fn request_meeting_all_conditions_matches_and_first_failure_is_named() {
-    let all = Match {
+    let all = RouteMatch {
         classes: vec![ClassId(0), ClassId(1)],
         tenants: vec![TenantId(2)],
         zones: vec!["a".into()],
@@ -63,15 +72,15 @@
         headers: vec![header("x-canary", Some("blue")), header("x-canary", None)],
     };
     assert_eq!(why(all.clone(), &get()), None);
-    let other = Match { classes: vec![ClassId(0)], tenants: vec![TenantId(0)], ..all };
+    let other = RouteMatch { classes: vec![ClassId(0)], tenants: vec![TenantId(0)], ..all };
     assert_eq!(why(other, &get()), Some(Mismatch::Class), "class comes before tenant");
 }
 
 #[test]
 fn request_without_tenant_or_group_does_not_match_named_ones() {
     let without = Request { tenant: None, group: None, ..get() };
-    let tenants = Match { tenants: vec![TenantId(0)], ..Match::default() };
-    let groups = Match { deduplication_groups: vec!["".into()], ..Match::default() };
+    let tenants = RouteMatch { tenants: vec![TenantId(0)], ..RouteMatch::default() };
+    let groups = RouteMatch { deduplication_groups: vec!["".into()], ..RouteMatch::default() };
     assert_eq!(why(tenants, &without), Some(Mismatch::Tenant));
     assert_eq!(why(groups, &without), Some(Mismatch::DeduplicationGroup));
 }
@@ -79,7 +88,7 @@
 #[test]
 fn path_prefix_matches_whole_segments() {
     let takes = |prefix: &str, path: &str| {
-        let when = Match { path_prefix: Some(prefix.into()), ..Match::default() };
+        let when = RouteMatch { path_prefix: Some(prefix.into()), ..RouteMatch::default() };
         let request = Request { path: path.into(), ..get() };
         let plain = why(when.clone(), &request).is_none();
         assert_eq!(
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -30,13 +30,13 @@
     (proptest::sample::select(&HEADERS[..]), value).prop_map(|(name, value)| header(name, value))
 }
 
-fn conditions() -> impl Strategy<Value = Match> {
+fn conditions() -> impl Strategy<Value = RouteMatch> {
     let ids = (numbers(4), numbers(5));
     let texts = (some(&ZONES, 3), some(&GROUPS, 2), some(&METHODS, 3));
     let path = prop_oneof![2 => Just(None), 1 => proptest::sample::select(&PATHS[..]).prop_map(Some)];
     let headers = prop_oneof![2 => Just(Vec::new()), 1 => vec(header_match(), 0..3)];
     (ids, texts, path, headers).prop_map(|((classes, tenants), (zones, groups, methods), path, headers)| {
-        Match {
+        RouteMatch {
             classes: classes.into_iter().map(ClassId).collect(),
             tenants: tenants.into_iter().map(TenantId).collect(),
             zones,
@@ -119,25 +119,29 @@
     }
 }
 
-fn classes(ids: &[usize]) -> Match {
-    Match { classes: ids.iter().copied().map(ClassId).collect(), ..Match::default() }
+fn classes(ids: &[usize]) -> RouteMatch {
+    RouteMatch { classes: ids.iter().copied().map(ClassId).collect(), ..RouteMatch::default() }
 }
 
 #[test]
 fn wider_route_shadows_later_narrower_one_only() {
-    let narrow = Match { path_prefix: Some("/a/b/".into()), ..classes(&[1]) };
-    let wide = Match { path_prefix: Some("/a".into()), ..classes(&[0, 1]) };
+    let narrow = RouteMatch { path_prefix: Some("/a/b/".into()), ..classes(&[1]) };
+    let wide = RouteMatch { path_prefix: Some("/a".into()), ..classes(&[0, 1]) };
     assert_eq!(table([wide.clone(), narrow.clone()]).shadowed(), [(RouteId(1), RouteId(0))]);
     assert_eq!(table([narrow, wide]).shadowed(), []);
     assert_eq!(table([classes(&[]), classes(&[2])]).shadowed(), [(RouteId(1), RouteId(0))]);
-    let root = Match { path_prefix: Some("/".into()), ..Match::default() };
-    assert_eq!(table([root, Match::default()]).shadowed(), [(RouteId(1), RouteId(0))], "/ is every path");
+    let root = RouteMatch { path_prefix: Some("/".into()), ..RouteMatch::default() };
+    assert_eq!(
+        table([root, RouteMatch::default()]).shadowed(),
+        [(RouteId(1), RouteId(0))],
+        "/ is every path"
+    );
 }
 
 #[test]
 fn route_with_fewer_headers_shadows_route_with_more() {
-    let with = |value| Match { headers: vec![header("x-canary", value)], ..Match::default() };
-    assert_eq!(table([with(None), Match::default()]).shadowed(), []);
+    let with = |value| RouteMatch { headers: vec![header("x-canary", value)], ..RouteMatch::default() };
+    assert_eq!(table([with(None), RouteMatch::default()]).shadowed(), []);
     assert_eq!(
         table([with(Some("1")), with(None), with(Some("1")), with(Some("2"))]).shadowed(),
         [(RouteId(2), RouteId(0)), (RouteId(3), RouteId(1)),]
--- a/crates/shaletide/src/commands.rs
+++ b/crates/shaletide/src/commands.rs
@@ -27,7 +27,7 @@
         };
     };
     match command {
-        Command::Ping {} => Reply::Done(match service.down() {
+        Command::Ping {} => Reply::Done(match service.is_store_down() {
             true => format!("at work; {STORE_DOWN}"),
             false => "at work".into(),
         }),
@@ -53,10 +53,10 @@
     // On a thread beside the event loop: a disk may hang.
     let found = tokio::task::spawn_blocking(move || has_row(&store, of)).await;
     match found {
-        Ok(Ok(true)) if service.down() => Reply::Refused(STORE_DOWN.into()),
+        Ok(Ok(true)) if service.is_store_down() => Reply::Refused(STORE_DOWN.into()),
         Ok(Ok(true)) => {
-            service.note(correction);
-            match service.settled().await {
+            service.record_fact(correction);
+            match service.flush().await {
                 true => Reply::Done(format!("on record; row {of} stays as it is")),
                 false => Reply::Refused("not on record yet: nobody can tell whether it will be".into()),
             }
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -67,7 +67,7 @@
         let upstream = setup.upstream_config(descriptors.upstreams);
         let driver = Driver::new(Clock::new(), upstream);
         if self_check {
-            driver.self_check(operator.limits.drain_grace);
+            driver.enable_self_check(operator.limits.drain_grace);
         }
         // What was in flight when the last process ended is known before anything is sent.
         let record = match &setup.record {
@@ -80,7 +80,7 @@
             driver.setup(first, &operator.proxy.zone, seed, upstream, pools).map_err(StartError::Config)?;
         // The list from before the restart is in place before anything is served.
         if let (Some(pool), false) = (ids.first(), setup.cached_list.endpoints.is_empty()) {
-            shaletide_discovery::tell(&driver, *pool, EndpointUpdate::Cached, &setup.cached_list);
+            shaletide_discovery::apply_list(&driver, *pool, EndpointUpdate::Cached, &setup.cached_list);
         }
         let listening = Listening::begin(&setup, &driver)?;
         if let Some(socket) = &operator.control {
@@ -143,7 +143,7 @@
                 tokio::time::sleep(REPORT_INTERVAL).await;
                 driver.report(&server.report());
                 if let Some(service) = record.as_ref().and_then(|record| record.service()) {
-                    service.report();
+                    service.log_status();
                 }
             }
         };
@@ -156,7 +156,7 @@
         let now = Instant::now();
         let end = stopped_at.unwrap_or(now) + self.longest_stop() + STORE_STOP_GRACE;
         let end = end.max(now + MIN_STORE_STOP); // earlier rules may have given requests more time
-        service.settled_by(end).await; // the service logs what is not written by then
+        service.flush_until(end).await; // the service logs what is not written by then
         service.stop(end);
     }
 
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -101,7 +101,7 @@
 fn mismatch(
     operator: &OperatorConfig, route: &Route, reason: Mismatch, request: &RequestAttributes<'_>,
 ) -> String {
-    let when = &route.when;
+    let when = &route.conditions;
     match reason {
         Mismatch::Class => {
             let names =
@@ -144,7 +144,7 @@
 
 /// What clients get where the last attempt ended in an error.
 fn error_responses(route: &Route) -> &'static str {
-    match route.answers.error_responses {
+    match route.response_rules.error_responses {
         ErrorResponses::Forward => "as they are",
         ErrorResponses::Replace => "in own words",
     }
--- a/crates/shaletide/src/listening/tests.rs
+++ b/crates/shaletide/src/listening/tests.rs
@@ -12,7 +12,7 @@
     let network = UpstreamConfig {
         connect_timeout: second,
         idle_timeout: second,
-        answer_stall: None,
+        response_stall_timeout: None,
         max_body: 64,
         max_connections: 1,
     };
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -178,10 +178,10 @@
     /// Earlier than this.
     #[arg(long, value_name = "TIME")]
     pub until: Option<String>,
-    /// About keys of this tenant.
+    /// RowSubject keys of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// About this backend.
+    /// RowSubject this backend.
     #[arg(long = "box", value_name = "BOX")]
     pub backend: Option<String>,
 }
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -191,7 +191,7 @@
             Some(held) if held.state == KeyState::Served => {
                 format!("now: served (row {}); a request of this key is turned away", held.seq)
             }
-            Some(held) if held.state == KeyState::Doubt => format!(
+            Some(held) if held.state == KeyState::InDoubt => format!(
                 "now: in doubt since {} (row {}), until it is resolved; a request of this key is turned away\n     \
                  shaletide record resolve {} --ran yes|no --by NAME --note TEXT",
                 since(held.since),
--- a/crates/shaletide/src/record/offline_store.rs
+++ b/crates/shaletide/src/record/offline_store.rs
@@ -5,8 +5,8 @@
 use super::time_zone::now;
 use shaletide_control::Reply;
 use shaletide_record::{
-    chain, About, Action, ClaimRejection, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, ReplyId,
-    ResolveResult, Row,
+    chain, Action, ClaimRejection, Event, Fact, KeyId, KeyState, RecordConfig, Recorder, ReplyId,
+    ResolveResult, Row, RowSubject,
 };
 use shaletide_store::{Anchor, Query, SqliteOptions, SqliteStore, Store, StoreReader};
 use shaletide_types::Time;
@@ -112,7 +112,7 @@
         let note = |anchor: &Anchor| {
             let through = anchor.through.seq;
             let sum = chain::hex(&anchor.through.sum);
-            Row { run, ..Fact::Pruned { through, sum, by: by.into() }.row(at, About::default()) }
+            Row { run, ..Fact::Pruned { through, sum, by: by.into() }.row(at, RowSubject::default()) }
         };
         let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
         loop {
--- a/crates/shaletide/src/record/text.rs
+++ b/crates/shaletide/src/record/text.rs
@@ -1,7 +1,7 @@
 //! Facts, keys and errors of the store in words.
 
 use shaletide_control::Reply;
-use shaletide_record::{chain, Fact, KeyId, KeyState, ResolveResult, Row, Seen};
+use shaletide_record::{chain, BackendSnapshot, Fact, KeyId, KeyState, ResolveResult, Row};
 use shaletide_store::StoreError;
 use shaletide_types::{causes, Micros};
 
@@ -59,7 +59,7 @@
 pub fn state(state: KeyState) -> &'static str {
     match state {
         KeyState::InFlight => "in flight",
-        KeyState::Doubt => "in doubt",
+        KeyState::InDoubt => "in doubt",
         KeyState::Served => "served",
     }
 }
@@ -84,9 +84,9 @@
     format!("{:.1} s", Micros(time).secs())
 }
 
-fn seen(seen: &Seen) -> String {
+fn seen(seen: &BackendSnapshot) -> String {
     let ready = if seen.ready { "ready" } else { "not ready" };
-    let Seen { pool, list, state, out, .. } = seen;
+    let BackendSnapshot { pool, list, state, in_flight: out, .. } = seen;
     format!("(pool {pool}, list {list}, {state}, {ready}, {out} out)")
 }
 
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -9,7 +9,7 @@
 use shaletide_config::operator::{
     NodeConfigExtension, OperatorConfig, PoolConfig, PoolSource, StaticBackend,
 };
-use shaletide_http::{ClassRule, RulesDef};
+use shaletide_http::{ClassRule, RulesConfig};
 use shaletide_membership::{deduplication_group_hash, Endpoint, List, PoolSpec, Source};
 use shaletide_net::{PoolSetup, UpstreamConfig};
 use shaletide_routing::Route;
@@ -92,7 +92,7 @@
         UpstreamConfig {
             connect_timeout: limits.connect_timeout,
             idle_timeout: limits.idle_timeout,
-            answer_stall: limits.answer_stall,
+            response_stall_timeout: limits.answer_stall,
             max_connections,
             max_body: limits.max_body,
         }
@@ -147,7 +147,7 @@
     }
 
     /// What requests are read and checked by; `ids` are the pools' numbers in their order.
-    pub fn rules(&self, ids: &[PoolId]) -> RulesDef {
+    pub fn rules(&self, ids: &[PoolId]) -> RulesConfig {
         let operator = &self.operator;
         let routes = operator.routes.iter().map(|route| {
             let pools = route.pools.iter().filter_map(|pool| ids.get(pool.0 as usize)).copied().collect();
@@ -155,26 +155,26 @@
         });
         let classes = operator.classes.iter().zip(&operator.balancer.classes).map(|(def, class)| ClassRule {
             name: def.name.clone(),
-            effect: class.idempotency,
+            idempotency: class.idempotency,
             methods: def.methods.iter().filter_map(|m| m.parse().ok()).collect(),
             deadline: def.deadline,
         });
-        RulesDef {
-            form: operator.request_format.clone(),
+        RulesConfig {
+            format: operator.request_format.clone(),
             classes: classes.collect(),
             tenants: operator.tenants.clone(),
             routes: routes.collect(),
             zone: operator.proxy.zone.clone(),
             max_retry_after: operator.limits.max_retry_after,
-            whole_seconds: !self.fractional_retry_after,
+            retry_after_in_whole_seconds: !self.fractional_retry_after,
             head_timeout: operator.limits.head_timeout,
             body_timeout: operator.limits.body_timeout,
-            body_rate: operator.limits.body_rate as u64,
+            min_body_bytes_per_s: operator.limits.body_rate as u64,
             body_grace: operator.limits.body_grace,
-            held_bodies: operator.limits.held_bodies,
+            max_buffered_body_bytes: operator.limits.held_bodies,
             max_body: operator.limits.max_body,
-            record: self.record.is_some(),
-            longest_stop: self.longest_stop,
+            records_requests: self.record.is_some(),
+            max_stop_duration: self.longest_stop,
         }
     }
 
--- a/crates/shaletide/src/setup/reload.rs
+++ b/crates/shaletide/src/setup/reload.rs
@@ -26,10 +26,10 @@
         let default_class = &mut operator.request_format.default_class;
         *default_class = default_class.map(|id| ClassId(renumber(&classes, id.0)));
         for route in &mut operator.routes {
-            for id in &mut route.when.classes {
+            for id in &mut route.conditions.classes {
                 *id = ClassId(renumber(&classes, id.0));
             }
-            for id in &mut route.when.tenants {
+            for id in &mut route.conditions.tenants {
                 *id = TenantId(renumber(&tenants, id.0));
             }
         }
--- a/crates/shaletide/src/setup/tests.rs
+++ b/crates/shaletide/src/setup/tests.rs
@@ -24,7 +24,7 @@
     assert_eq!(names, ["a", "b", "c"]);
     assert_eq!(next.operator.tenants, ["x", "y", "z"]);
     assert_eq!(next.operator.request_format.default_class, Some(ClassId(0)));
-    let when = &next.operator.routes[0].when;
+    let when = &next.operator.routes[0].conditions;
     assert_eq!((&when.classes[..], &when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
     let fewer = old.prepare_reload(setup("a b", "x")).unwrap_err();
     assert_eq!(fewer, ["tenant.name: y is gone"]);
--- a/crates/shaletide/src/subscriptions.rs
+++ b/crates/shaletide/src/subscriptions.rs
@@ -2,7 +2,7 @@
 
 use crate::setup::Setup;
 use shaletide_balancer::PoolId;
-use shaletide_discovery::{DiscoveryEndpoint, WatchConfig};
+use shaletide_discovery::{DiscoveryEndpoint, SubscriptionConfig};
 use shaletide_net::Driver;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 /// Keeps one pool's list up to date; dropped, it ends.
 struct Subscription {
     endpoint: watch::Sender<DiscoveryEndpoint>,
-    config: WatchConfig,
+    config: SubscriptionConfig,
     task: AbortHandle,
 }
 
@@ -29,7 +29,7 @@
 struct Wanted {
     pool: PoolId,
     address: SocketAddr,
-    config: WatchConfig,
+    config: SubscriptionConfig,
 }
 
 /// All subscriptions.
@@ -64,7 +64,8 @@
         // An index means something only to the discovery that the cached list came from.
         let has_cached_list = ids.first() == Some(&pool) && !setup.cached_list.endpoints.is_empty();
         let known_index = has_cached_list.then_some(setup.cached_list.index);
-        let watch = shaletide_discovery::watch(self.driver.clone(), pool, endpoints, known_index, config);
+        let watch =
+            shaletide_discovery::run_subscription(self.driver.clone(), pool, endpoints, known_index, config);
         let task = tokio::task::spawn_local(watch).abort_handle();
         self.by_pool.insert(pool, Subscription { endpoint, config, task });
     }
@@ -94,7 +95,7 @@
     for discovery in setup.discoveries() {
         let Some(pool) = ids.get(discovery.pool_index).copied() else { continue };
         let strict = setup.agent_counts_as_known && ids.first() == Some(&pool);
-        let config = WatchConfig { mode: discovery.mode, position, grace, strict };
+        let config = SubscriptionConfig { mode: discovery.mode, position, grace, strict };
         wanted.push(Wanted { pool, address: discovery.address, config });
     }
     wanted
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -67,7 +67,7 @@
         let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
         let bid = ClassRule { requires_intent: false, without_key: WithoutKey::Record };
         let classes = [("settle", settle), ("bid", bid)].map(|(name, rule)| (name.to_string(), rule));
-        let bounds = Bounds { key: 1 << 20, ..Bounds::default() };
+        let bounds = Bounds { key_bytes: 1 << 20, ..Bounds::default() };
         let config = RecordConfig { classes: classes.into(), bounds, ..RecordConfig::default() };
         let held = store.keys(None, usize::MAX).unwrap();
         let recorder = Recorder::new(config, [7; 16], now, now);
@@ -124,7 +124,7 @@
         let deadline = self.now + Micros(1_000 * MS);
         let asked = KeyRequest { request, tenant, class, key: Some(key), deadline };
         let mut actions = Vec::new();
-        let verdict = self.recorder.ask(self.now, asked, &mut actions);
+        let verdict = self.recorder.decide(self.now, asked, &mut actions);
         self.carry_out(actions);
         (request, verdict)
     }
@@ -136,13 +136,13 @@
     }
 
     pub fn request_intent(&mut self, request: RequestId, attempt: u32, backend: &str) {
-        let seen = Seen {
+        let seen = BackendSnapshot {
             backend: backend.into(),
             pool: "new-boxes".into(),
             list: 41,
             state: "serving".into(),
             ready: true,
-            out: 2,
+            in_flight: 2,
         };
         self.handle_event(Event::IntentRequested { request, attempt: AttemptNumber(attempt), seen });
     }
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -134,7 +134,7 @@
 fn refuses_a_key_that_is_taken(store: &mut dyn Store) {
     let k = key("k");
     assert_eq!(commit(store, &[take(1, &k)]), [Ok(1)]);
-    for (seq, state) in [(2, KeyState::Doubt), (3, KeyState::Served), (4, KeyState::InFlight)] {
+    for (seq, state) in [(2, KeyState::InDoubt), (3, KeyState::Served), (4, KeyState::InFlight)] {
         assert_eq!(commit(store, &[set(seq, &k, state)]), [Ok(seq)]);
         assert_eq!(commit(store, &[take(9, &k)]), [Err(ClaimRejection::Taken(state))]);
     }
@@ -145,7 +145,7 @@
 fn refuses_within_a_batch(store: &mut dyn Store) {
     let (a, b) = (key("a"), key("b"));
     let batch =
-        [take(1, &a), take(2, &a), take(3, &b), free(4, &b), take(5, &b), set(6, &b, KeyState::Doubt)];
+        [take(1, &a), take(2, &a), take(3, &b), free(4, &b), take(5, &b), set(6, &b, KeyState::InDoubt)];
     let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
     assert_eq!(commit(store, &batch), [Ok(1), taken, Ok(2), Ok(3), Ok(4), Ok(5)]);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 5);
@@ -168,8 +168,8 @@
     commit(store, &[take(10, &k)]);
     assert_eq!(store.key(&k).expect("key"), is(KeyState::InFlight, 10, 1));
     // The clock may be set back meanwhile.
-    commit(store, &[write(11, "note", None, Claim::None), set(7, &k, KeyState::Doubt)]);
-    assert_eq!(store.key(&k).expect("key"), is(KeyState::Doubt, 7, 3));
+    commit(store, &[write(11, "note", None, Claim::None), set(7, &k, KeyState::InDoubt)]);
+    assert_eq!(store.key(&k).expect("key"), is(KeyState::InDoubt, 7, 3));
     commit(store, &[free(12, &k), free(13, &k)]);
     assert_eq!(store.key(&k).expect("key"), None);
     commit(store, &[set(14, &k, KeyState::Served)]);
@@ -237,7 +237,7 @@
     // The third is of a time before the second: the clock was set back.
     commit(
         store,
-        &[take(10, &a), take(20, &b), note, set(15, &b, KeyState::Doubt), set(30, &a, KeyState::Served)],
+        &[take(10, &a), take(20, &b), note, set(15, &b, KeyState::InDoubt), set(30, &a, KeyState::Served)],
     );
     let ask = |query: Query| {
         let limit = if query.limit == 0 { 99 } else { query.limit };
@@ -272,7 +272,7 @@
     let [old, new, doubt, flying, too] = names.map(key);
     commit(
         store,
-        &[set(1, &old, KeyState::Served), set(9, &new, KeyState::Served), set(1, &doubt, KeyState::Doubt)],
+        &[set(1, &old, KeyState::Served), set(9, &new, KeyState::Served), set(1, &doubt, KeyState::InDoubt)],
     );
     commit(store, &[take(1, &flying), set(2, &too, KeyState::Served)]);
     assert_eq!(store.forget_served(Time(5), 1).expect("forget"), 1);
@@ -290,7 +290,7 @@
         store,
         &[take(1, &served), set(2, &served, KeyState::Served), write(9, "late", None, Claim::None)],
     );
-    commit(store, &[write(3, "note", None, Claim::None), take(4, &doubt), set(5, &doubt, KeyState::Doubt)]);
+    commit(store, &[write(3, "note", None, Claim::None), take(4, &doubt), set(5, &doubt, KeyState::InDoubt)]);
     let noted = store.head().expect("head");
     let mut prune = |before, limit| store.prune(Time(before), limit, &pruned, &plain_sum).expect("prune");
     let step = prune(6, 1);
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -47,7 +47,7 @@
         let key = row.key.as_ref();
         let doubt = || {
             let stored = key.and_then(|key| self.keys.get(key));
-            stored.is_some_and(|stored| stored.state == KeyState::Doubt)
+            stored.is_some_and(|stored| stored.state == KeyState::InDoubt)
         };
         let is = |wanted: &Option<String>, found: Option<&String>| {
             wanted.as_ref().is_none_or(|wanted| Some(wanted) == found)
--- a/crates/store/src/sqlite/convert.rs
+++ b/crates/store/src/sqlite/convert.rs
@@ -7,7 +7,7 @@
 pub(super) fn state_number(state: KeyState) -> i64 {
     match state {
         KeyState::InFlight => 0,
-        KeyState::Doubt => 1,
+        KeyState::InDoubt => 1,
         KeyState::Served => 2,
     }
 }
@@ -17,7 +17,7 @@
         0 => KeyState::InFlight,
         2 => KeyState::Served,
         // Also for what no store writes: a doubt never sends anything.
-        _ => KeyState::Doubt,
+        _ => KeyState::InDoubt,
     }
 }
 
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -105,7 +105,7 @@
     and("+at < ?", query.until.map(time));
     and("+backend = ?", query.backend.clone().map(Value::Text));
     and("+kind = ?", query.kind.clone().map(Value::Text));
-    let doubt = Value::Integer(state_number(KeyState::Doubt));
+    let doubt = Value::Integer(state_number(KeyState::InDoubt));
     and(
         "seq IN (SELECT d.seq FROM keys AS k CROSS JOIN rows AS d ON d.key = k.key AND d.tenant = k.tenant
              AND d.class = k.class WHERE k.state = ? AND k.state < 2)",
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -8,7 +8,7 @@
 
 use common::TestDirectory;
 use shaletide_record::chain::{self, hex, Chain};
-use shaletide_record::{About, Fact, KeyState};
+use shaletide_record::{Fact, KeyState, RowSubject};
 use shaletide_store::conformance::{all_rows, key, set};
 use shaletide_store::{verify, SqliteStore, Store, StoreReader, Writer, WriterConfig, WriterEvent};
 use shaletide_types::Time;
@@ -28,7 +28,7 @@
     }
     let note = |anchor: &shaletide_store::Anchor| {
         let Chain { seq, head } = Chain { seq: anchor.through.seq, head: anchor.through.sum };
-        Fact::Pruned { through: seq, sum: hex(&head), by: "ops".into() }.row(Time(99), About::default())
+        Fact::Pruned { through: seq, sum: hex(&head), by: "ops".into() }.row(Time(99), RowSubject::default())
     };
     writer.prune(99, Time(35), Box::new(note)).expect("queued");
     while !matches!(
--- a/crates/store/tests/earlier_version.rs
+++ b/crates/store/tests/earlier_version.rs
@@ -50,13 +50,13 @@
 /// What the old `record show` said of each key that is not free: its state and the row that says so.
 fn old_keys() -> Vec<(KeyId, KeyState, u64)> {
     vec![
-        (key_of("milford", "error-1"), KeyState::Doubt, 27),
+        (key_of("milford", "error-1"), KeyState::InDoubt, 27),
         (key_of("milford", "good-1"), KeyState::Served, 5),
-        (key_of("milford", "hang-1"), KeyState::Doubt, 52),
-        (key_of("milford", "late-1"), KeyState::Doubt, 44),
-        (key_of("milford", "left-1"), KeyState::Doubt, 48),
+        (key_of("milford", "hang-1"), KeyState::InDoubt, 52),
+        (key_of("milford", "late-1"), KeyState::InDoubt, 44),
+        (key_of("milford", "left-1"), KeyState::InDoubt, 48),
         (key_of("milford", "ran-1"), KeyState::Served, 57),
-        (key_of("milford", "reset-1"), KeyState::Doubt, 31),
+        (key_of("milford", "reset-1"), KeyState::InDoubt, 31),
         (key_of("other", "good-2"), KeyState::Served, 10),
     ]
 }
@@ -134,7 +134,7 @@
     let in_doubt = reader.rows(&Query { in_doubt: true, limit: 100, ..Query::default() }).expect("rows");
     let in_doubt: std::collections::BTreeSet<KeyId> =
         in_doubt.into_iter().filter_map(|row| row.key).collect();
-    let expected = old_keys().into_iter().filter(|(_, state, _)| *state == KeyState::Doubt);
+    let expected = old_keys().into_iter().filter(|(_, state, _)| *state == KeyState::InDoubt);
     assert_eq!(in_doubt, expected.map(|(key, _, _)| key).collect());
 }
 
@@ -146,7 +146,7 @@
     for row in rows_after(&reader, 0) {
         let fact = Fact::of(&row);
         assert!(!matches!(fact, Fact::Unknown { .. }), "row {}: {} {}", row.seq, row.kind, row.body);
-        let encoded = fact.row(row.at, shaletide_record::About::default());
+        let encoded = fact.row(row.at, shaletide_record::RowSubject::default());
         assert_eq!((encoded.kind, encoded.body), (row.kind, row.body), "row {}", row.seq);
     }
 }
--- a/crates/store/tests/large_stores.rs
+++ b/crates/store/tests/large_stores.rs
@@ -31,7 +31,7 @@
 /// One settlement; each ten-thousandth stays in doubt.
 fn settlement(settle: u64) -> [Write; ROWS_EACH as usize] {
     let (at, id) = (settle * 1000, name(settle));
-    let end = if settle % 10_000 == 9_999 { KeyState::Doubt } else { KeyState::Served };
+    let end = if settle % 10_000 == 9_999 { KeyState::InDoubt } else { KeyState::Served };
     let about = |kind| write(at, kind, Some(&id), Claim::None);
     [about("chosen"), take(at, &id), set(at, &id, end), about("answer")].map(long)
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -161,7 +161,7 @@
 fn rejected_rows_of_an_unacknowledged_durable_commit_are_reported() {
     let (store, faults) = (MemoryStore::new(), Faults::new());
     let host = WriterHarness::in_memory(config(), &store, &faults);
-    host.writer.send(1, vec![set(1, &key("a"), KeyState::Doubt)]).expect("queued");
+    host.writer.send(1, vec![set(1, &key("a"), KeyState::InDoubt)]).expect("queued");
     host.committed();
     faults.freeze();
     host.take(2, "b").expect("queued");
@@ -177,7 +177,7 @@
     }
     host.down();
     assert!(
-        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::Doubt))])
+        matches!(host.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InDoubt))])
     );
     assert_eq!(host.committed(), (4, vec![3]));
     assert!(
