--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -86,6 +86,7 @@
             }
             Rule::KeyedInside => "a keyed request is sent again only in its deduplication group and window",
             Rule::HarmlessRefusal => "a refusal only where a retry is harmless",
+            // A test of the model checker and docs/explore.md quote this text and that of `draining`.
             Rule::Drain => "nothing new to a box after its drain was told",
             Rule::CleanConnection => "no unclean connection is used again",
             Rule::Permit => "no byte before the intent is durable, and no intent left open",
--- a/crates/routing/src/client_response/tests.rs
+++ b/crates/routing/src/client_response/tests.rs
@@ -67,9 +67,9 @@
     for (statuses, not_executed, cells) in rows {
         for status in statuses {
             let last = Some(LastResponse { status: *status, not_executed });
-            let refused = Decision::Rejected(AFTER);
+            let rejected = Decision::Rejected(AFTER);
             let each =
-                [(refused, true), (refused, false), (Decision::Failed, true), (Decision::Failed, false)];
+                [(rejected, true), (rejected, false), (Decision::Failed, true), (Decision::Failed, false)];
             let got =
                 each.map(|(decision, safe)| client_response(decision, ErrorResponses::Forward, safe, last));
             assert_eq!(got, cells, "{last:?}");
