--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -1,12 +1,12 @@
 //! The invariants of routing as monitors of what the engine is told and what it asks for.
 //!
-//! Nothing here reads the engine's state or calls its code, but [`Monitor::kept`], which compares ids: [`ObservedState`] puts
+//! Nothing here reads the engine's state or calls its code, but [`Monitor::check_leftovers`], which compares ids: [`ObservedState`] puts
 //! together from events and actions alone what may have been executed, and each rule is a question to it, a file for a
 //! rule or two. The model checker asks after every step of every model, the socket tests and `--self-check` while the
 //! program runs.
 //!
-//! For each event: [`Monitor::see`] before the engine handles it, [`Monitor::act`] for each action in order,
-//! [`Monitor::done`] after the last. Each returns the rule that is broken; the monitor goes on after it.
+//! For each event: [`Monitor::observe_event`] before the engine handles it, [`Monitor::observe_action`] for each action in order,
+//! [`Monitor::finish_step`] after the last. Each returns the rule that is broken; the monitor goes on after it.
 //!
 //! Cost: a few look-ups an event or action, a walk over the attempts of one request where it is sent or ends. Requests,
 //! connections and backends that have ended are removed: the record is no larger than what is open, in flight or listed.
@@ -91,6 +91,7 @@
                 "a keyed request is sent again only in its deduplication group and window"
             }
             Rule::HarmlessRejection => "a refusal only where a retry is harmless",
+            // A test of the model checker and docs/explore.md quote this text and that of `draining`.
             Rule::Draining => "nothing new to a box after its drain was told",
             Rule::CleanConnection => "no unclean connection is used again",
             Rule::DurableIntent => "no byte before the intent is durable, and no intent left open",
--- a/crates/routing/src/client_response/tests.rs
+++ b/crates/routing/src/client_response/tests.rs
@@ -70,10 +70,10 @@
     for (statuses, not_executed, cells) in rows {
         for status in statuses {
             let last = Some(LastResponse { status: *status, not_executed });
-            let refused = FinalDecision::Rejected(AFTER);
+            let rejected = FinalDecision::Rejected(AFTER);
             let each = [
-                (refused, true),
-                (refused, false),
+                (rejected, true),
+                (rejected, false),
                 (FinalDecision::Failed, true),
                 (FinalDecision::Failed, false),
             ];
