--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -23,8 +23,12 @@
 use std::io;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
 use tokio::sync::mpsc;
 
+/// The time from the longest deadline after SIGTERM to SIGKILL.
+const KILL_AFTER: Duration = Duration::from_millis(700);
+
 /// The result of a run.
 #[derive(Debug)]
 pub struct Report {
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -1,7 +1,7 @@
 //! The clients of one process: the ordinary load, and clients that disconnect.
 
-use super::processes::KILL_AFTER;
 use super::Testbed;
+use super::KILL_AFTER;
 use crate::clients::{run_disconnecting_clients, ClientDisconnect};
 use crate::settings::RunSettings;
 use shaletide_testkit::{Load, LoadClass, LoadResult};
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -2,6 +2,7 @@
 
 use super::load::Clients;
 use super::Testbed;
+use super::KILL_AFTER;
 use crate::address::ConflictingListener;
 use crate::oracle::ClientRecords;
 use crate::plan::{ProcessEnd, ProcessStart, Restart, StopSignals};
@@ -17,8 +18,6 @@
 
 /// Clients open new connections for so long after SIGTERM, and use open ones until the process has ended.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
-/// The time from the longest deadline after SIGTERM to SIGKILL.
-pub(super) const KILL_AFTER: Duration = Duration::from_millis(700);
 /// The pause between two signals of a series.
 const SIGNAL_PAUSE: Duration = Duration::from_millis(15);
 /// A process that is not ready after so long is not waited for any more.
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -219,4 +219,38 @@
             (self.notify)(WriterEvent::Failed { ticket: ticket.id, error: Arc::clone(error), outcome });
         }
     }
+
+    /// One step of the first task.
+    fn maintain(&mut self) {
+        let Access::Open(store) = &mut self.access else { return };
+        let Some(task) = self.maintenance.front_mut() else { return };
+        let limit = self.config.maintenance_step.max(1);
+        let work = self.shared.begin_work();
+        let stepped = task.step(&mut **store, &*self.sums, self.config.run, limit);
+        drop(work);
+        // A note was added behind the last row.
+        let stepped = stepped.and_then(|done| Ok((done, store.head()?)));
+        match stepped {
+            Ok((done, head)) => {
+                self.acknowledged = Some(head);
+                if let Some(event) = done {
+                    self.maintenance.pop_front();
+                    (self.notify)(event);
+                }
+            }
+            Err(error) => self.maintenance_failed(Arc::new(error)),
+        }
+    }
+
+    /// A task may be asked for again at any time: what is left of them is given up, not kept for later.
+    fn maintenance_failed(&mut self, error: Arc<StoreError>) {
+        for task in std::mem::take(&mut self.maintenance) {
+            (self.notify)(WriterEvent::Failed {
+                ticket: task.ticket(),
+                error: Arc::clone(&error),
+                outcome: CommitOutcome::Unknown,
+            });
+        }
+        self.store_failed(error);
+    }
 }
