--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -87,8 +87,8 @@
     recompute_at: Time,
     timer: Timer,
     discovery_poll: DiscoveryPoll,
-    /// The pool is no more: nothing is queued.
-    draining: bool,
+    /// The pool was closed: nothing is queued.
+    closed: bool,
     next_log_at: Time,
     give_up_counts: GiveUpCounts,
     /// Actions of the event at hand.
@@ -131,7 +131,7 @@
             recompute_at: Time(0),
             timer: Timer::new(),
             discovery_poll: DiscoveryPoll::new(config.discovery),
-            draining: false,
+            closed: false,
             next_log_at: Time(0),
             give_up_counts: GiveUpCounts::default(),
             actions: Vec::new(),
@@ -209,7 +209,7 @@
             }
             Event::AttemptEnded(end) => self.on_attempt_ended(now, end),
             Event::ClientDisconnected { request } => self.remove_request(request),
-            Event::Drain => self.drain(),
+            Event::PoolClosed => self.on_pool_closed(),
             Event::Timer { token } => {
                 if !self.timer.fire(token) {
                     return FollowUp::None;
@@ -234,8 +234,8 @@
         }
     }
 
-    fn drain(&mut self) {
-        self.draining = true;
+    fn on_pool_closed(&mut self) {
+        self.closed = true;
         // Where clients' next requests go is not known here: no rejection relies on their being discarded.
         self.config.only_deduplication_domain = None;
     }
@@ -279,7 +279,7 @@
         | Event::StreamStarted { .. }
         | Event::AttemptEnded(_)
         | Event::ClientDisconnected { .. }
-        | Event::Drain => true,
+        | Event::PoolClosed => true,
     }
 }
 
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::interface::{Action, TransferredRequest};
 use crate::limits::SharedLimits;
 use crate::request::{Attempt, InFlightAttempt, RequestState};
-use crate::retry::{may_send_attempt, send_by};
+use crate::retry::{may_send_attempt, start_by};
 use crate::selection::{Selection, Selector};
 use crate::slow_start::SlowStart;
 use shaletide_types::*;
@@ -37,7 +37,7 @@
 impl Balancer {
     /// Sends what is queued, as far as there is capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time, shared: &mut SharedLimits) {
-        if self.queue.is_empty() || self.queue.is_blocked_for_all() && !self.draining {
+        if self.queue.is_empty() || self.queue.is_blocked_for_all() && !self.closed {
             return;
         }
         for queued in self.queue_by_priority() {
@@ -120,11 +120,11 @@
             Selection::Backend(backend) => Decision::Send(backend),
             Selection::AllEjected | Selection::NoneEligible if request.may_fail_over => Decision::FailOver,
             // Waiting is in vain: a backend that comes back was tried before.
-            Selection::NoneEligible if self.draining || !request.attempts.is_empty() => {
+            Selection::NoneEligible if self.closed || !request.attempts.is_empty() => {
                 decide_unsendable(request, GiveUpReason::NoEligibleBackend)
             }
-            Selection::NoCapacity | Selection::AllEjected if self.draining => {
-                decide_unsendable(request, GiveUpReason::NoCapacity)
+            Selection::NoCapacity | Selection::AllEjected if self.closed => {
+                decide_unsendable(request, GiveUpReason::PoolClosed)
             }
             Selection::NoCapacity | Selection::AllEjected | Selection::NoneEligible => Decision::Wait,
         }
@@ -152,7 +152,7 @@
     fn send_attempt(&mut self, now: Time, id: RequestId, request: &mut RequestState, to: BackendId) {
         let Some(backend) = self.backends.get_mut(&to) else { return };
         let attempt = AttemptNumber(request.attempts.len() as u32);
-        let send_by = send_by(&self.config, request);
+        let start_by = start_by(&self.config, request);
         request.attempts.push(Attempt {
             backend: backend.entry.clone(),
             sent_at: now,
@@ -166,7 +166,7 @@
         let is_probe = backend.outlier.is_ejected();
         let in_flight = InFlightAttempt { backend: to, class: request.class, sent_at: now };
         self.in_flight_attempts.insert((id, attempt), in_flight);
-        self.actions.push(Action::Dispatch { request: id, attempt, backend: to, send_by });
+        self.actions.push(Action::Dispatch { request: id, attempt, backend: to, start_by });
         if is_probe {
             self.recount_availability();
         }
--- a/crates/balancer/src/give_up.rs
+++ b/crates/balancer/src/give_up.rs
@@ -6,12 +6,13 @@
 pub enum GiveUpReason {
     /// Admission control rejected it.
     Overloaded,
-    /// Its deadline has passed, or too little time is left for an attempt.
+    /// It waited in the queue for half of its time, or cannot meet its latency objective or deadline any more.
     OutOfTime,
-    /// There is no backend that it may go to: attempts were made at all of them, or none is listed.
+    /// There is no backend that it may go to: attempts were made at all of them, none is listed, or none that is left
+    /// shares the keys of the earlier attempts.
     NoEligibleBackend,
-    /// All that it may go to are ejected or at their concurrency limits, and the pool is draining.
-    NoCapacity,
+    /// The pool was closed while the request waited for capacity. (A full open pool queues; it ends as `OutOfTime`.)
+    PoolClosed,
     /// A further attempt might be executed a second time, or is over the number allowed.
     NotRepeatable,
     /// A further attempt is over the retry budget.
@@ -24,7 +25,7 @@
         GiveUpReason::Overloaded,
         GiveUpReason::OutOfTime,
         GiveUpReason::NoEligibleBackend,
-        GiveUpReason::NoCapacity,
+        GiveUpReason::PoolClosed,
         GiveUpReason::NotRepeatable,
         GiveUpReason::RetryBudget,
     ];
@@ -35,7 +36,7 @@
             GiveUpReason::Overloaded => "overloaded",
             GiveUpReason::OutOfTime => "out of time",
             GiveUpReason::NoEligibleBackend => "no eligible backend",
-            GiveUpReason::NoCapacity => "no capacity",
+            GiveUpReason::PoolClosed => "pool closed",
             GiveUpReason::NotRepeatable => "not repeatable",
             GiveUpReason::RetryBudget => "retry budget",
         }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -264,8 +264,8 @@
         /// The request.
         request: RequestId,
     },
-    /// The pool is no more: whatever is queued fails over or is given up at once, and so is all that comes.
-    Drain,
+    /// The pool was closed: what cannot be sent at once fails over or is given up.
+    PoolClosed,
     /// A timer fired.
     Timer {
         /// The token that it was set with.
@@ -284,8 +284,8 @@
         attempt: AttemptNumber,
         /// Where to.
         backend: BackendId,
-        /// The last byte may go out only before then: a repeat would no longer be discarded later.
-        send_by: Option<Time>,
+        /// The attempt may begin only before then; the engine sets the deadline for its last byte itself.
+        start_by: Option<Time>,
     },
     /// No answer: this pool can do nothing for the request, and the next is to be asked. The balancer forgets the
     /// request, but the ends of its attempts are still to be reported.
@@ -295,14 +295,16 @@
         /// What the next balancer takes over.
         transferred: Box<TransferredRequest>,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Fail`] is only what this balancer expects: that a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
         /// When the client should come again, from now.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have been executed.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Reject`] is only what this balancer expects: that the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -30,7 +30,7 @@
     pub in_flight: bool,
     /// Its outcome proves that it was not executed.
     pub not_executed: bool,
-    /// No byte of it was sent: it cost no backend anything.
+    /// It ended as [`Outcome::NotSent`]: its last byte was not written, and the backend is not at fault.
     pub not_sent: bool,
 }
 
@@ -67,7 +67,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether a further attempt is a retry or a hedge: bytes of an earlier one were sent.
+    /// Whether a further attempt is a retry or a hedge: an earlier one did not end as [`Outcome::NotSent`].
     pub fn was_sent(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.not_sent)
     }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -59,8 +59,8 @@
     })
 }
 
-/// Until when the last byte of the request's next attempt may go out; `None` where any time will do.
-pub(crate) fn send_by(config: &Config, request: &RequestState) -> Option<Time> {
+/// Before when the request's next attempt has to begin; `None` where any time will do.
+pub(crate) fn start_by(config: &Config, request: &RequestState) -> Option<Time> {
     let Idempotency::Keyed(_, window) = config.classes[request.class].idempotency else { return None };
     let may_be_executed = request.attempts.iter().filter(|attempt| !attempt.not_executed);
     first_retry_deadline(window, may_be_executed.map(|attempt| attempt.sent_at))
--- a/crates/balancer/src/zone_reachability.rs
+++ b/crates/balancer/src/zone_reachability.rs
@@ -21,7 +21,8 @@
 pub(crate) enum Response {
     /// The backend answered, even if with an error.
     Received,
-    /// No connection came up, or nothing came back in time.
+    /// No connection was made, or it ended before the last byte of the request was written, or nothing came back in
+    /// time.
     Silence,
 }
 
--- a/crates/engine/src/attempt_rules.rs
+++ b/crates/engine/src/attempt_rules.rs
@@ -97,7 +97,7 @@
     if !ready && !mutant!(mutant, StaleDrainState) {
         return Err(Denied::BackendNotReady);
     }
-    if attempt.send_by.is_some_and(|by| now >= by) {
+    if attempt.start_by.is_some_and(|by| now >= by) {
         return Err(Denied::DeadlinePassed);
     }
     may_dispatch(now, request, attempt.placement, Some(own), mutant)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -186,8 +186,8 @@
 
     fn run_policy_action(&mut self, now: Time, action: pools::Action, actions: &mut Vec<Action>) {
         match action {
-            pools::Action::Dispatch { request, attempt, backend, send_by } => {
-                self.dispatch_attempt(now, request, attempt, backend, send_by, actions);
+            pools::Action::Dispatch { request, attempt, backend, start_by } => {
+                self.dispatch_attempt(now, request, attempt, backend, start_by, actions);
             }
             pools::Action::Reject { request, retry_after } => {
                 self.give_up_request(now, request, retry_after, true, actions)
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -17,7 +17,7 @@
     /// Begins an attempt that the policy asks for, or declines it: then it ends at once as not sent.
     pub(super) fn dispatch_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, backend: BackendId,
-        send_by: Option<Time>, actions: &mut Vec<Action>,
+        start_by: Option<Time>, actions: &mut Vec<Action>,
     ) {
         let known = self.backends.get(backend);
         let is_ready = known.is_some_and(|known| known.state == BackendState::Ready);
@@ -41,7 +41,7 @@
             placement,
             dispatched_at: now,
             ended_at: now,
-            send_by,
+            start_by,
             intent_requested,
             state,
         });
--- a/crates/engine/src/engine/endpoints.rs
+++ b/crates/engine/src/engine/endpoints.rs
@@ -21,7 +21,7 @@
             if changed.removed {
                 self.connections.remove_last_response(changed.backend);
             }
-            self.drain_backend(now, changed.backend, actions);
+            self.close_unused_connections(now, changed.backend, actions);
         }
     }
 
@@ -32,7 +32,7 @@
 
     pub(super) fn on_address_changed(&mut self, now: Time, backend: BackendId, actions: &mut Vec<Action>) {
         self.connections.mark_address_outdated(backend);
-        self.drain_backend(now, backend, actions);
+        self.close_unused_connections(now, backend, actions);
     }
 
     pub(super) fn on_pool_closed(&mut self, now: Time, pool: PoolId, actions: &mut Vec<Action>) {
@@ -42,7 +42,7 @@
 
     /// Closes the backend's idle connections and those that are being opened, so that nothing new goes out on
     /// them. Busy ones are closed when their attempt ends.
-    fn drain_backend(&mut self, now: Time, backend: BackendId, actions: &mut Vec<Action>) {
+    fn close_unused_connections(&mut self, now: Time, backend: BackendId, actions: &mut Vec<Action>) {
         for connection in self.connections.idle_of(backend) {
             self.close_connection(connection, actions);
         }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -57,9 +57,9 @@
     }
 
     /// No further attempt is made. Whether the request is rejected or has failed is decided by what its attempts
-    /// prove; `as_rejected`: the policy asked for a rejection.
+    /// prove; `policy_rejected`: the policy asked for a rejection, read by the mutant `RejectedAfterExecution` only.
     pub(super) fn give_up_request(
-        &mut self, now: Time, id: RequestId, retry_after: Micros, as_rejected: bool,
+        &mut self, now: Time, id: RequestId, retry_after: Micros, policy_rejected: bool,
         actions: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.open_mut(id) else { return };
@@ -67,7 +67,7 @@
         if request.has_attempt_in_flight() {
             request.last_response_attempt = None; // its last attempt ends without a response
         }
-        if as_rejected && mutant!(self.mutant, RejectedAfterExecution) {
+        if policy_rejected && mutant!(self.mutant, RejectedAfterExecution) {
             self.answer_request(id, FinalOutcome::Rejected(retry_after), actions);
             self.cancel_attempts(now, id, Outcome::Cancelled, self.cancellation, actions);
             self.requests.remove_if_ended(id, self.mutant);
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -32,7 +32,7 @@
     /// When it ended.
     pub ended_at: Time,
     /// It may begin only before then; none: no bound but the deadline.
-    pub send_by: Option<Time>,
+    pub start_by: Option<Time>,
     /// Its intent was requested, and has neither failed nor been withdrawn.
     pub intent_requested: bool,
     /// Its state.
--- a/crates/engine/tests/counterexamples.rs
+++ b/crates/engine/tests/counterexamples.rs
@@ -85,7 +85,7 @@
 
     fn dispatch(&mut self, attempt: u32) -> Vec<Action> {
         let (request, attempt, backend) = (RequestId(0), AttemptNumber(attempt), BackendId(0));
-        self.apply(pools::Action::Dispatch { request, attempt, backend, send_by: None })
+        self.apply(pools::Action::Dispatch { request, attempt, backend, start_by: None })
     }
 
     fn connect(&mut self, connection: u64) -> Vec<Action> {
@@ -323,7 +323,7 @@
     s.connect(5);
     s.request(KEYED, false);
     let (request, attempt, backend) = (RequestId(0), AttemptNumber(0), BackendId(1));
-    let out = s.apply(pools::Action::Dispatch { request, attempt, backend, send_by: None });
+    let out = s.apply(pools::Action::Dispatch { request, attempt, backend, start_by: None });
     assert_eq!(
         out,
         [
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -313,7 +313,7 @@
                 let heard = world.reuses()
                     && !stopping
                     && node.engine.last_responses().any(|(b, at)| b == t.backend && at >= t.dispatched_at);
-                let by = t.send_by.map_or(255, |by| span(by, node.now));
+                let by = t.start_by.map_or(255, |by| span(by, node.now));
                 // Only what has not begun is asked for its first byte.
                 let by = if whole { 255 } else { by };
                 // What has not begun goes only where it was asked for.
--- a/crates/model-checker/src/enabled.rs
+++ b/crates/model-checker/src/enabled.rs
@@ -57,7 +57,7 @@
         if out_here < world.out_each && out_all < world.out_all {
             for to in 0..world.boxes.len() as u8 {
                 out.push(Move::Dispatch(id, to));
-                if world.send_by {
+                if world.start_by {
                     out.push(Move::DispatchNow(id, to));
                 }
             }
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -260,13 +260,13 @@
     fn ask(&self, step: Move) -> pools::Action {
         let request = |id: u8| RequestId(u64::from(id));
         let next = |id: u8| self.engine.requests().get(&request(id)).map_or(0, |r| r.attempts.len() as u32);
-        let dispatch = |id: u8, to: u8, attempt: u32, send_by: Option<Time>| {
+        let dispatch = |id: u8, to: u8, attempt: u32, start_by: Option<Time>| {
             let backend = BackendId(u32::from(to));
             pools::Action::Dispatch {
                 request: request(id),
                 attempt: AttemptNumber(attempt),
                 backend,
-                send_by,
+                start_by,
             }
         };
         // Advice is rounded up to whole seconds, beyond any window here.
--- a/crates/model-checker/src/restarts/steps.rs
+++ b/crates/model-checker/src/restarts/steps.rs
@@ -62,7 +62,7 @@
         let next = self.engine.requests().get(&request).map_or(0, |r| r.attempts.len() as u32);
         let attempt = AttemptNumber(next);
         let backend = BackendId(u32::from(backend));
-        self.run_policy_action(bounds, pools::Action::Dispatch { request, attempt, backend, send_by: None });
+        self.run_policy_action(bounds, pools::Action::Dispatch { request, attempt, backend, start_by: None });
     }
 
     fn run_policy_action(&mut self, bounds: &Restarts, action: pools::Action) {
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -46,8 +46,8 @@
 
 fn chosen(ask: &pools::Action) -> String {
     match ask {
-        pools::Action::Dispatch { request, attempt, backend, send_by } => {
-            let by = send_by.map_or("", |_| ", its first byte in this millisecond");
+        pools::Action::Dispatch { request, attempt, backend, start_by } => {
+            let by = start_by.map_or("", |_| ", its first byte in this millisecond");
             format!("attempt {} of request {} at box {}{by}", attempt.0, request.0, backend.0)
         }
         pools::Action::Reject { request, .. } => format!("refuse request {}", request.0),
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -105,7 +105,7 @@
     /// What may come on connections.
     pub traffic: Traffic,
     /// The chooser may bound an attempt's first byte to the next tick.
-    pub send_by: bool,
+    pub start_by: bool,
     /// The shell may wake the engine so many ticks late.
     pub late: u64,
     /// Time does not pass while a connection is being closed.
@@ -165,7 +165,7 @@
             (self.prompt, "prompt closes"),
             (!self.cancel, "no calling back"),
             (self.one_realm, "one realm"),
-            (self.send_by, "first bytes bounded"),
+            (self.start_by, "first bytes bounded"),
             (self.at_once, "all there at once"),
         ];
         parts.extend(flags.iter().filter(|f| f.0).map(|f| f.1.to_string()));
--- a/crates/model-checker/src/worlds.rs
+++ b/crates/model-checker/src/worlds.rs
@@ -42,7 +42,7 @@
         out_all: 3,
         news: News { drains, leaves: 1, ..News::default() },
         traffic: ONCE,
-        send_by: false,
+        start_by: false,
         late: 0,
         prompt: false,
         asks: true,
@@ -133,7 +133,7 @@
             World { news, ..one(permit(KEYED)) }
         }
         "late-wakes" => World { late: 1, ..two(slow(FREE), slow(UNSAFE)) },
-        "first-byte" => World { send_by: true, ..one(edged) },
+        "first-byte" => World { start_by: true, ..one(edged) },
         "left-alone" => World {
             cancel: false,
             traffic: ALL_ONCE,
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -175,7 +175,7 @@
         let empty_list =
             balancer::Event::EndpointsUpdated { update: EndpointUpdate::Snapshot, backends: Vec::new() };
         self.balancer_events.push_back((pool, empty_list));
-        self.balancer_events.push_back((pool, balancer::Event::Drain));
+        self.balancer_events.push_back((pool, balancer::Event::PoolClosed));
         self.transfer_queued(now, pool);
     }
 
@@ -229,12 +229,12 @@
         &mut self, now: Time, pool: PoolId, action: balancer::Action, actions: &mut Vec<Action>,
     ) {
         match action {
-            balancer::Action::Dispatch { request, attempt, backend, send_by } => {
+            balancer::Action::Dispatch { request, attempt, backend, start_by } => {
                 self.in_flight.insert((request, attempt), InFlightAttempt { backend, pool });
                 if let Some(known) = self.pools.get_mut(&pool) {
                     known.in_flight_attempts += 1;
                 }
-                actions.push(Action::Dispatch { request, attempt, backend, send_by });
+                actions.push(Action::Dispatch { request, attempt, backend, start_by });
             }
             balancer::Action::FailOver { request, transferred: handover } => {
                 self.fail_over(now, pool, request, *handover)
--- a/crates/routing/src/pools/event.rs
+++ b/crates/routing/src/pools/event.rs
@@ -79,17 +79,19 @@
         attempt: AttemptNumber,
         /// The backend that it goes to.
         backend: BackendId,
-        /// The first byte may be written only before then.
-        send_by: Option<Time>,
+        /// The attempt may begin only before then; the engine sets the deadline for its last byte itself.
+        start_by: Option<Time>,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Fail`] is only what this balancer expects: that a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
         /// For `Retry-After`, from now.
         retry_after: Micros,
     },
-    /// Final answer: failed, an attempt may have been executed.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Reject`] is only what this balancer expects: that the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -160,7 +160,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Dispatch { request, attempt, backend, send_by } => {
+            Action::Dispatch { request, attempt, backend, start_by } => {
                 let to = self.entry_of(backend).expect("sent to a listed backend").clone();
                 assert_eq!(to.state, BackendState::Ready, "sent to a draining or gone backend");
                 let r = self.requests.get_mut(&request).expect("a known request");
@@ -177,7 +177,7 @@
                         Idempotency::Keyed(_, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             assert!(
-                                send_by.is_some_and(|by| by <= t.at + window),
+                                start_by.is_some_and(|by| by <= t.at + window),
                                 "no bound on the first byte"
                             );
                             let is_same_group = (t.to.deduplication_domain, t.to.deduplication_group)
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -11,13 +11,13 @@
     Rejected,
     /// No response in time; it may have been executed or still be.
     TimedOut,
-    /// No connection was made.
+    /// No connection was made, or it ended before the last byte of the request was written; not executed.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     Reset,
     /// Cancelled; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// Its last byte was not written, and the backend is not at fault; not executed.
     NotSent,
 }
 
