--- a/crates/engine/src/attempt_rules.rs
+++ b/crates/engine/src/attempt_rules.rs
@@ -8,20 +8,7 @@
 /// A shorter deduplication window sets no write deadline for a first attempt: it might leave no time to write it.
 const MIN_WRITE_WINDOW: Micros = Micros(50_000);
 
-/// Why an attempt may not be sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Denied {
-    /// The request is answered or given up, or its deadline has passed.
-    RequestEnded,
-    /// The backend is draining or gone, or listed in other deduplication scopes.
-    BackendNotReady,
-    /// An earlier attempt may have been executed, and this one would be executed again.
-    MayExecuteTwice,
-    /// It had to begin earlier.
-    DeadlinePassed,
-}
-
-/// The attempts beside `own` that may have been executed or still may be: one that has not begun proves nothing.
+/// The attempts other than `own` that may have been executed or still may be: one that has not begun proves nothing.
 fn possible_executions(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Attempt> {
     let numbered = request.attempts.iter().enumerate();
     let others = numbered.filter(move |(number, _)| Some(*number) != own).map(|(_, attempt)| attempt);
@@ -55,50 +42,39 @@
 
 /// Whether an attempt of `request` may be dispatched to a backend in those deduplication scopes. `own`: its number, if it
 /// is one of the request's attempts already.
-///
-/// # Errors
-/// The rule that forbids it.
 pub(crate) fn may_dispatch(
     now: Time, request: &Request, to: DeduplicationPlacement, own: Option<usize>, mutant: ActiveMutant,
-) -> Result<(), Denied> {
+) -> bool {
     if request.state != RequestState::Open || now >= request.deadline {
-        return Err(Denied::RequestEnded);
+        return false;
     }
     match request.idempotency {
-        Idempotency::Safe => Ok(()),
-        Idempotency::NonIdempotent if possible_executions(request, own).next().is_some() => {
-            Err(Denied::MayExecuteTwice)
-        }
-        Idempotency::NonIdempotent => Ok(()),
+        Idempotency::Safe => true,
+        Idempotency::NonIdempotent => possible_executions(request, own).next().is_none(),
         Idempotency::Keyed(scope, _) => {
             let is_discarded =
                 possible_executions(request, own).all(|attempt| scope.is_shared(attempt.placement, to));
             if !is_discarded {
-                return Err(Denied::MayExecuteTwice);
+                return false;
             }
             if retry_deadline_of(request, own, mutant).is_some_and(|until| now >= until) {
-                return Err(Denied::DeadlinePassed);
+                return false;
             }
-            Ok(())
+            true
         }
     }
 }
 
 /// Whether attempt `own` may begin now. `ready`: its backend is still as when it was dispatched.
-///
-/// # Errors
-/// The rule that forbids it.
-pub(crate) fn may_start(
-    now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant,
-) -> Result<(), Denied> {
+pub(crate) fn may_start(now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant) -> bool {
     let Some(attempt) = request.attempts.get(own).filter(|attempt| attempt.is_in_flight()) else {
-        return Err(Denied::RequestEnded);
+        return false;
     };
     if !ready && !mutant!(mutant, StaleDrainState) {
-        return Err(Denied::BackendNotReady);
+        return false;
     }
     if attempt.start_by.is_some_and(|by| now >= by) {
-        return Err(Denied::DeadlinePassed);
+        return false;
     }
     may_dispatch(now, request, attempt.placement, Some(own), mutant)
 }
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -27,8 +27,13 @@
 pub enum ConnectionState {
     /// It is being opened, for this attempt; none: the attempt that it was opened for has ended.
     Connecting(Option<(RequestId, AttemptNumber)>),
-    /// No attempt is on it, since then; and whether one ever was: an unused connection may be used at once.
-    Idle(Time, bool),
+    /// No attempt is on it.
+    Idle {
+        /// Since then.
+        since: Time,
+        /// One was before: an unused connection may be used at once.
+        used: bool,
+    },
     /// This attempt is on it.
     Busy(RequestId, AttemptNumber),
 }
@@ -88,7 +93,7 @@
         match self.get(connection)?.state {
             ConnectionState::Busy(request, attempt) => Some((request, attempt)),
             ConnectionState::Connecting(waiting) => waiting,
-            ConnectionState::Idle(..) => None,
+            ConnectionState::Idle { .. } => None,
         }
     }
 
@@ -126,7 +131,7 @@
     /// No attempt is on it from now on; `used`: one was.
     pub fn make_idle(&mut self, now: Time, connection: ConnectionId, used: bool) {
         if let Some(known) = self.connections.get_mut(&connection) {
-            known.state = ConnectionState::Idle(now, used);
+            known.state = ConnectionState::Idle { since: now, used };
             self.idle.entry(known.backend).or_default().push(connection);
         }
         self.idle_sweep_at.get_or_insert(now + self.limits.idle_timeout);
@@ -158,7 +163,8 @@
     }
 
     fn is_usable(&self, now: Time, connection: ConnectionId) -> bool {
-        let Some(ConnectionState::Idle(since, used)) = self.get(connection).map(|known| known.state) else {
+        let Some(ConnectionState::Idle { since, used }) = self.get(connection).map(|known| known.state)
+        else {
             return false;
         };
         let idle_for = now - since;
@@ -209,7 +215,7 @@
 
     fn idle_since(&self, connection: ConnectionId) -> Option<Time> {
         match self.get(connection)?.state {
-            ConnectionState::Idle(since, _) => Some(since),
+            ConnectionState::Idle { since, .. } => Some(since),
             ConnectionState::Connecting(_) | ConnectionState::Busy(..) => None,
         }
     }
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -31,11 +31,9 @@
             self.report_attempt_end(id, number, Outcome::NotSent, Micros(0), is_answered);
             return;
         };
-        let is_allowed =
-            is_ready && attempt_rules::may_dispatch(now, request, placement, None, self.mutant).is_ok();
+        let is_allowed = is_ready && attempt_rules::may_dispatch(now, request, placement, None, self.mutant);
         let intent_requested = request.requires_intent && is_allowed;
-        let state =
-            if is_allowed { AttemptState::AwaitingIntent } else { AttemptState::Ended(Outcome::NotSent) };
+        let state = if is_allowed { AttemptState::NotStarted } else { AttemptState::Ended(Outcome::NotSent) };
         request.attempts.push(Attempt {
             backend,
             placement,
@@ -59,7 +57,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(attempt) = self.requests.attempt_mut(id, number) else { return };
-        if attempt.state != AttemptState::AwaitingIntent {
+        if attempt.state != AttemptState::NotStarted {
             return; // it has been withdrawn
         }
         if persisted {
@@ -100,7 +98,7 @@
         let Some(request) = self.requests.get(id) else { return false };
         let own = number.0 as usize;
         let is_ready = request.attempts.get(own).is_some_and(|attempt| self.is_as_dispatched(attempt));
-        attempt_rules::may_start(now, request, own, is_ready, self.mutant).is_ok()
+        attempt_rules::may_start(now, request, own, is_ready, self.mutant)
     }
 
     /// Whether the attempt's backend is ready, and listed in the same deduplication scopes as when it was
@@ -143,7 +141,7 @@
     ) {
         let Some(attempt) = self.requests.attempt_mut(id, number) else { return };
         match attempt.state {
-            AttemptState::AwaitingIntent => self.end_attempt(now, id, number, Outcome::NotSent, actions),
+            AttemptState::NotStarted => self.end_attempt(now, id, number, Outcome::NotSent, actions),
             AttemptState::Connecting(connection) => {
                 self.connections.detach_attempt(connection);
                 self.end_attempt(now, id, number, Outcome::NotSent, actions);
--- a/crates/engine/src/engine/connections.rs
+++ b/crates/engine/src/engine/connections.rs
@@ -114,7 +114,7 @@
         if let AttemptState::Written(_) = state {
             return self.end_attempt(now, id, number, Outcome::Reset, actions);
         }
-        attempt.state = AttemptState::AwaitingIntent; // so that its intent can be withdrawn
+        attempt.state = AttemptState::NotStarted; // so that its intent can be withdrawn
         match state {
             AttemptState::Writing(_) => self.start_attempt(now, id, number, actions),
             _ => self.end_attempt(now, id, number, Outcome::NotSent, actions),
--- a/crates/engine/src/engine/endpoints.rs
+++ b/crates/engine/src/engine/endpoints.rs
@@ -59,7 +59,7 @@
                 }
                 ConnectionState::Connecting(None) => self.close_connection(connection, actions),
                 ConnectionState::Connecting(Some(_))
-                | ConnectionState::Idle(..)
+                | ConnectionState::Idle { .. }
                 | ConnectionState::Busy(..) => {}
             }
         }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -92,7 +92,7 @@
             RequestState::GivenUp(retry_after) => {
                 // `Retry-After` is in whole seconds: the client comes back that much later.
                 let client_back_at = now + round_up_to_seconds(retry_after);
-                if request.is_harmless(client_back_at, self.only_deduplication_domain) {
+                if request.is_rejection_harmless(client_back_at, self.only_deduplication_domain) {
                     FinalOutcome::Rejected(retry_after)
                 } else {
                     FinalOutcome::Failed
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -6,8 +6,8 @@
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
-    /// It waits until its intent is durable.
-    AwaitingIntent,
+    /// No connection has been taken; it may wait for its intent to be durable.
+    NotStarted,
     /// It waits for its connection to be opened.
     Connecting(ConnectionId),
     /// Its bytes are being written.
@@ -49,7 +49,7 @@
     pub fn may_have_executed(&self) -> bool {
         match self.state {
             AttemptState::Ended(outcome) => !outcome.not_executed(),
-            AttemptState::AwaitingIntent | AttemptState::Connecting(_) => false,
+            AttemptState::NotStarted | AttemptState::Connecting(_) => false,
             AttemptState::Writing(_) | AttemptState::Written(_) | AttemptState::Cancelling(..) => true,
         }
     }
@@ -61,7 +61,7 @@
             | AttemptState::Writing(connection)
             | AttemptState::Written(connection)
             | AttemptState::Cancelling(connection, _) => Some(connection),
-            AttemptState::AwaitingIntent | AttemptState::Ended(_) => None,
+            AttemptState::NotStarted | AttemptState::Ended(_) => None,
         }
     }
 }
@@ -113,7 +113,7 @@
         &mut self, now: Time, number: AttemptNumber, outcome: Outcome, has_response: bool,
     ) -> Option<EndedAttempt> {
         let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.is_in_flight())?;
-        let not_begun = matches!(attempt.state, AttemptState::AwaitingIntent | AttemptState::Connecting(_));
+        let not_begun = matches!(attempt.state, AttemptState::NotStarted | AttemptState::Connecting(_));
         let withdraw_intent = not_begun && attempt.intent_requested;
         let latency = now - attempt.dispatched_at;
         attempt.state = AttemptState::Ended(outcome);
@@ -140,7 +140,7 @@
 
     /// Whether a retry by the client at `retry_at` is harmless: nothing may have been executed, or a second execution does
     /// nothing. `only_deduplication_domain`: the one that all backends belong to, if they do.
-    pub fn is_harmless(&self, retry_at: Time, only_deduplication_domain: Option<u32>) -> bool {
+    pub fn is_rejection_harmless(&self, retry_at: Time, only_deduplication_domain: Option<u32>) -> bool {
         let is_discarded = |attempt: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
                 only_deduplication_domain == Some(attempt.placement.domain)
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -123,7 +123,7 @@
             Some(ConnectionState::Connecting(None)) => 1,
             Some(ConnectionState::Connecting(Some(_))) => 2,
             Some(ConnectionState::Busy(..)) => 3,
-            Some(ConnectionState::Idle(since, used)) => {
+            Some(ConnectionState::Idle { since, used }) => {
                 // Too old to be used, or quiet: what is older is no different.
                 let age = age(since, node.now, world.keeping.idle_timeout);
                 4 + u8::from(used) + 2 * age
@@ -299,7 +299,7 @@
             None => out.push(255),
             Some(t) => {
                 let step = match t.state {
-                    AttemptState::AwaitingIntent => 0,
+                    AttemptState::NotStarted => 0,
                     AttemptState::Connecting(_) => 1,
                     AttemptState::Writing(_) => 2,
                     AttemptState::Written(_) => 3,
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -216,7 +216,7 @@
             (Some(r), Some(no), None)
         }
         Some(ConnectionState::Connecting(None)) => (None, None, Some(At::Nobody)),
-        Some(ConnectionState::Idle(..)) => (None, None, Some(At::Idle)),
+        Some(ConnectionState::Idle { .. }) => (None, None, Some(At::Idle)),
         None => (None, None, None),
     }
 }
@@ -244,7 +244,7 @@
     let step = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
     let step = match step {
         None => At::None,
-        Some(AttemptState::AwaitingIntent) => At::Permit,
+        Some(AttemptState::NotStarted) => At::Permit,
         Some(AttemptState::Connecting(_)) => At::Opening,
         Some(AttemptState::Writing(_)) => At::Writing,
         Some(AttemptState::Written(_)) => At::Written,
