--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,5 +1,5 @@
 //! Admission control: whether a new request is rejected at once because too much is in flight. That does no harm, and
-//! waiting would bring no capacity.
+//! waiting would bring no capacity. Off with 4 proxies or fewer.
 
 use crate::load_reports::{LoadReports, TARGET_MEAN_IN_FLIGHT_PER_CORE};
 use crate::request::PriorityLevel;
@@ -18,9 +18,9 @@
 /// A lower load does not raise the slack further, requests in flight on a core.
 const MIN_IN_FLIGHT_PER_CORE: f64 = 0.1;
 
-/// Whether there are so many proxies that one has less than one place on a core, so that what the others have in flight
-/// matters more than its own limits.
-pub(crate) fn is_large_fleet(proxies: u32) -> bool {
+/// With more proxies than requests in flight that a core should have (5 or more), one proxy cannot judge the load by
+/// what it has in flight itself. Only then: admission control, load reports, zone reachability.
+pub(crate) fn sees_too_little_alone(proxies: u32) -> bool {
     f64::from(proxies) > TARGET_IN_FLIGHT_PER_CORE
 }
 
@@ -31,8 +31,8 @@
     pub load_reports: &'a LoadReports,
     /// Requests of all proxies in flight, if all are like this one.
     pub estimated_in_flight: f64,
-    /// Cores of all backends, each by its backend's health.
-    pub healthy_cores: f64,
+    /// Cores of all backends, each times its backend's capacity factor.
+    pub effective_cores: f64,
     /// Requests in flight on a core by this proxy's latencies; `None` where reports are to be waited for.
     pub in_flight_per_core_by_latency: Option<f64>,
 }
@@ -47,8 +47,8 @@
             PriorityLevel::Low => TARGET_IN_FLIGHT_PER_CORE * LOW_PRIORITY_LIMIT_FACTOR,
             PriorityLevel::Normal => TARGET_IN_FLIGHT_PER_CORE * NORMAL_PRIORITY_LIMIT_FACTOR,
         };
-        let limit = max_per_core * self.slack(priority) * self.healthy_cores;
-        is_large_fleet(self.proxies) && self.estimated_in_flight > limit
+        let limit = max_per_core * self.slack(priority) * self.effective_cores;
+        sees_too_little_alone(self.proxies) && self.estimated_in_flight > limit
     }
 
     /// The factor by which the estimate may be over its limit: what backends report goes before the guess that the
--- a/crates/balancer/src/backend_stats.rs
+++ b/crates/balancer/src/backend_stats.rs
@@ -10,17 +10,19 @@
 pub(crate) struct BackendStats {
     /// The backend by the endpoint list; `cores` may have been raised by its weight.
     pub entry: BackendEntry,
-    /// From 0 (sent nothing) to 1 (healthy and warm).
-    pub health: f64,
+    /// (1 - error rate) x warm-up x load factor, 0 to 1.2; 0 where the backend is not ready, ejected or in an
+    /// unreachable zone. (Where too many are ejected they are used after all, with an error rate of 0.)
+    pub capacity_factor: f64,
     /// Part of this proxy's traffic that the backend should have.
     pub selection_weight: f64,
-    /// The same within the subset of backends that this proxy uses.
+    /// Weight within the server type for the draw: the backend's length inside this proxy's arc, times its selection
+    /// weight where backends report.
     pub subset_weight: f64,
     /// Attempts of this proxy that may be in flight at the backend.
     pub concurrency_limit: f64,
     /// Attempts of this proxy that are in flight at the backend.
     pub in_flight: u32,
-    /// Of these, how many are taken for lost and occupy no capacity.
+    /// Of these, how many are so much older than expected that they take up no capacity.
     pub suspected_lost: u32,
     /// Errors, silence and ejections.
     pub outlier: OutlierState,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -24,7 +24,7 @@
 
 pub use endpoints::MigratedBackend;
 
-use crate::admission::{is_large_fleet, AdmissionControl};
+use crate::admission::{sees_too_little_alone, AdmissionControl};
 use crate::availability::Availability;
 use crate::backend_stats::BackendStats;
 use crate::discovery::DiscoveryPoll;
@@ -43,7 +43,7 @@
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// Window of the arrival rate, s: short beside a slow start or a failure.
+/// Window of the arrival rate, s: short compared with a slow start or a failure.
 const RATE_WINDOW_S: f64 = 2.0;
 /// Longest window of what this proxy has in flight, s. Attempts that hung while a zone was unreachable are forgotten as
 /// soon as others come back.
@@ -95,7 +95,7 @@
     actions: Vec<Action>,
 }
 
-/// What an event calls for beside its own effect.
+/// What an event calls for in addition to its own effect.
 enum FollowUp {
     /// Nothing.
     None,
@@ -150,7 +150,7 @@
         }
         self.latencies.set_classes(&config.classes);
         if config.proxies != self.config.proxies {
-            // The size of the fleet was learned beside the former number.
+            // The size of the fleet was learned relative to the former number.
             self.load_reports = LoadReports::new(config.proxies);
             self.zone_reachability = ZoneReachability::default();
         }
@@ -226,7 +226,7 @@
     }
 
     fn record_load_report(&mut self, now: Time, backend: BackendId, report: &LoadReport) {
-        if !self.is_large_fleet() {
+        if !self.sees_too_little_alone() {
             return;
         }
         if let Some(backend) = self.backends.get_mut(&backend) {
@@ -240,8 +240,8 @@
         self.config.only_deduplication_domain = None;
     }
 
-    fn is_large_fleet(&self) -> bool {
-        is_large_fleet(self.config.proxies)
+    fn sees_too_little_alone(&self) -> bool {
+        sees_too_little_alone(self.config.proxies)
     }
 
     /// Whether a new request is to be rejected because too much is in flight.
@@ -256,7 +256,7 @@
             proxies: self.config.proxies,
             load_reports: &self.load_reports,
             estimated_in_flight: own_in_flight * self.load_reports.fleet_size() * self.reachable_fraction,
-            healthy_cores: self.server_types.values().map(|server_type| server_type.healthy_cores).sum(),
+            effective_cores: self.server_types.values().map(|server_type| server_type.effective_cores).sum(),
             in_flight_per_core_by_latency,
         };
         admission.is_overloaded(request.priority_level(), request.admission_roll)
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -92,8 +92,8 @@
                 self.queue.push(id);
             }
             Decision::FailOver => {
-                let handover = Box::new(TransferredRequest { state: request });
-                self.actions.push(Action::FailOver { request: id, transferred: handover });
+                let transferred = Box::new(TransferredRequest { state: request });
+                self.actions.push(Action::FailOver { request: id, transferred });
                 return;
             }
             Decision::AwaitAttempt | Decision::GiveUp(_) => {}
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -40,9 +40,9 @@
 
     fn update_discovery(&mut self, now: Time, update: EndpointUpdate) {
         match (update, self.config.discovery) {
-            (EndpointUpdate::SubscriptionLost, DiscoveryMode::Subscribe(told_within)) => {
+            (EndpointUpdate::SubscriptionLost, DiscoveryMode::Subscribe(assumed_known_after)) => {
                 let roll = self.rng.next_unit();
-                let wait_s = self.discovery_poll.on_subscription_lost(now, told_within, roll);
+                let wait_s = self.discovery_poll.on_subscription_lost(now, assumed_known_after, roll);
                 self.log(now, format!("discovery subscription lost: polling again in {wait_s:.1} s"));
             }
             (EndpointUpdate::Delta | EndpointUpdate::Snapshot, _) => self.discovery_poll.on_list(),
@@ -51,7 +51,7 @@
     }
 
     fn update_entry(&mut self, now: Time, entry: BackendEntry) {
-        let weight_is_load = self.config.weights_report_load && self.is_large_fleet();
+        let weight_is_load = self.config.weights_report_load && self.sees_too_little_alone();
         let backend = self.backends.entry(entry.id).or_default();
         if backend.entry.started_at != entry.started_at {
             backend.reset_after_restart();
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -52,7 +52,8 @@
     fn record_reachability(
         &mut self, now: Time, attempt: InFlightAttempt, outcome: Outcome, silent_after: Micros,
     ) {
-        let Some(backend) = self.backends.get(&attempt.backend).filter(|_| self.is_large_fleet()) else {
+        let Some(backend) = self.backends.get(&attempt.backend).filter(|_| self.sees_too_little_alone())
+        else {
             return;
         };
         let was_silent =
@@ -129,7 +130,7 @@
         let first_term_s = OutlierState::first_term_s(self.rng.next_unit());
         let Some(backend) = self.backends.get_mut(&id) else { return };
         let Some(term_s) = backend.outlier.eject(now, first_term_s) else { return };
-        backend.health = 0.0;
+        backend.capacity_factor = 0.0;
         let percent = backend.outlier.error_rate * 100.0;
         self.timer.set_due(now);
         self.recount_availability();
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -48,8 +48,9 @@
         !shared.take_from_quota(now, id, rate_per_s)
     }
 
-    /// Priority beside that of a new request within its quota. A client that sends a request again has waited already:
-    /// what is left to earn is mostly the late weight, and serving it before a new request would make both late.
+    /// Priority relative to that of a new request within its quota. A client that sends a request again has waited
+    /// already: what is left to earn is mostly the late weight, and serving it before a new request would make both
+    /// late.
     fn priority(&self, class: &Class, is_client_retry: bool, is_over_quota: bool) -> f64 {
         let by_lateness = if is_client_retry { class.late_weight_fraction } else { 1.0 };
         let by_quota = if is_over_quota { self.config.over_quota_weight_fraction } else { 1.0 };
@@ -58,7 +59,7 @@
 
     /// Random only where reports may decide on a part of the requests.
     fn admission_roll(&mut self) -> f64 {
-        let expects_reports = self.is_large_fleet() && self.config.weights_report_load;
+        let expects_reports = self.sees_too_little_alone() && self.config.weights_report_load;
         if self.load_reports.mean_in_flight_per_core().is_some() || expects_reports {
             self.rng.next_unit()
         } else {
@@ -120,7 +121,8 @@
     pub(super) fn give_up(&mut self, now: Time, id: RequestId, reason: GiveUpReason) {
         let Some(request) = self.requests.get(&id) else { return };
         self.give_up_counts.add(reason);
-        let has_backend = self.server_types.values().any(|server_type| server_type.total_health > 0.0);
+        let has_backend =
+            self.server_types.values().any(|server_type| server_type.total_capacity_factor > 0.0);
         let retry_after = if has_backend {
             self.latencies.expected(request.class).times(RETRY_AFTER_LATENCIES)
         } else {
--- a/crates/balancer/src/balancer/timers.rs
+++ b/crates/balancer/src/balancer/timers.rs
@@ -1,4 +1,4 @@
-//! What time alone calls for: polls of discovery, attempts taken for lost, requests that expire, hedges.
+//! What time alone calls for: polls of discovery, attempts that are too old, requests that expire, hedges.
 
 use super::{Balancer, IN_FLIGHT_WINDOW_S};
 use crate::give_up::GiveUpReason;
@@ -8,14 +8,14 @@
 use crate::retry::may_send_attempt;
 use shaletide_types::*;
 
-/// A request that no backend has seen is rejected when this part of its time is over, so that its client can still turn
-/// elsewhere.
-const UNSEEN_TIME_FRACTION: f64 = 0.5;
+/// A queued request that is not worth answering late, or was certainly not executed, is given up after this part of its
+/// time, so that its client can still turn elsewhere.
+const QUEUE_TIME_FRACTION: f64 = 0.5;
 
 /// What time calls for at a request.
 enum DueAction {
     Nothing,
-    /// Another attempt, beside those in flight.
+    /// Another attempt, in addition to those in flight.
     Hedge,
     /// The attempt in flight makes way for the next.
     Cancel(AttemptNumber),
@@ -25,10 +25,10 @@
 
 /// How long a request may wait.
 struct RequestLimit {
-    /// An attempt that starts later is in vain.
-    last_start: Time,
-    /// The request is given up this long before.
-    margin: Micros,
+    /// An answer after this time is in vain.
+    answer_by: Time,
+    /// The request is given up this long before `answer_by`.
+    lead_time: Micros,
 }
 
 impl Balancer {
@@ -45,8 +45,8 @@
         self.timer.set_due(next_at.max(now + self.config.min_timer_interval));
     }
 
-    /// Counts anew which attempts in flight are taken for lost or speak of a silent backend. Gives the time at which
-    /// the next one will, or the end of time.
+    /// Counts anew which attempts in flight no longer take up capacity or speak of a silent backend. Gives the time at
+    /// which the next one will, or the end of time.
     fn mark_lost_attempts(&mut self, now: Time) -> Time {
         for backend in self.backends.values_mut() {
             backend.suspected_lost = 0;
@@ -80,7 +80,7 @@
         let mut due = Vec::new();
         for (&id, request) in self.requests.iter().filter(|(_, request)| !request.streaming) {
             let limit = self.request_limit(request);
-            next_at = next_at.min(limit.last_start - limit.margin);
+            next_at = next_at.min(limit.answer_by - limit.lead_time);
             match self.due_action(now, request, &limit, shared) {
                 DueAction::Nothing => {}
                 action => due.push((id, action)),
@@ -105,21 +105,22 @@
         let min_interval = self.config.min_timer_interval;
         if request.has_attempt_in_flight() {
             // A timer at the deadline itself would be too late to answer.
-            return RequestLimit { last_start: request.deadline, margin: min_interval };
+            return RequestLimit { answer_by: request.deadline, lead_time: min_interval };
         }
         let expected = self.latencies.expected(request.class);
-        let last_start = if self.may_be_late(request) {
+        let answer_by = if self.may_be_late(request) {
             request.deadline
         } else {
-            let time = (request.deadline - request.arrived_at).times(UNSEEN_TIME_FRACTION);
+            let time = (request.deadline - request.arrived_at).times(QUEUE_TIME_FRACTION);
             let rejected_at = request.arrived_at + time + expected - min_interval;
             request.objective_at.min(rejected_at).min(request.deadline)
         };
         // What waited so long that it cannot make it is rejected while that is harmless.
-        RequestLimit { last_start, margin: expected.max(min_interval) }
+        RequestLimit { answer_by, lead_time: expected.max(min_interval) }
     }
 
-    /// Whether an answer after the latency objective is worth waiting for.
+    /// Whether it is kept after its latency objective: its late answer earns something, and its client may not simply
+    /// go elsewhere, as it may have been executed.
     fn may_be_late(&self, request: &RequestState) -> bool {
         self.config.classes[request.class].late_weight_fraction > 0.0 && !request.is_not_executed()
     }
@@ -127,7 +128,7 @@
     fn due_action(
         &self, now: Time, request: &RequestState, limit: &RequestLimit, shared: &SharedLimits,
     ) -> DueAction {
-        if now + limit.margin >= limit.last_start {
+        if now + limit.lead_time >= limit.answer_by {
             return DueAction::Expire;
         }
         if !self.needs_another_attempt(now, request) || !shared.retry_budget.has_retry() {
@@ -148,20 +149,21 @@
         }
     }
 
-    /// Whether all attempts in flight are taken for lost, and another one can still be in time.
+    /// Whether all attempts in flight are worth replacing, and another one can still be in time.
     fn needs_another_attempt(&self, now: Time, request: &RequestState) -> bool {
         let mut in_flight = request.attempts.iter().filter(|attempt| attempt.in_flight);
-        let all_lost = in_flight.all(|attempt| self.is_lost(now, request.class, attempt));
-        if !request.has_attempt_in_flight() || !all_lost {
+        let all_worth_replacing =
+            in_flight.all(|attempt| self.is_worth_replacing(now, request.class, attempt));
+        if !request.has_attempt_in_flight() || !all_worth_replacing {
             return false;
         }
         let answered_at = now + self.latencies.expected(request.class);
         answered_at < request.objective_at || self.may_be_late(request) && answered_at < request.deadline
     }
 
-    /// Age alone counts only where attempts are being lost: hedges of requests that are merely heavy would overload
-    /// every backend.
-    fn is_lost(&self, now: Time, class: usize, attempt: &Attempt) -> bool {
+    /// Whether the attempt's answer is not to be relied on. Age alone counts only where attempts are being lost: hedges
+    /// of requests that are merely heavy would overload every backend.
+    fn is_worth_replacing(&self, now: Time, class: usize, attempt: &Attempt) -> bool {
         let backend = self.backends.get(&attempt.backend.id);
         let is_backend_ejected = backend.is_none_or(|backend| backend.outlier.is_ejected());
         let is_old = now >= attempt.sent_at + self.latencies.lost_after(class);
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -1,6 +1,6 @@
-//! Weights: each backend's part of the traffic, recomputed a few times a second. Health and load reports say what a
-//! backend can take, the arrival rate and the learned speeds give each server type its share (HALB), and zone affinity
-//! and subsetting say which part of it comes from this proxy.
+//! Weights: each backend's part of the traffic, recomputed a few times a second. Errors, warm-up and load reports say
+//! what a backend can take, the arrival rate and the learned speeds give each server type its share (HALB), and zone
+//! affinity and subsetting say which part of it comes from this proxy.
 
 use super::{Balancer, IN_FLIGHT_WINDOW_S};
 use crate::admission::TARGET_IN_FLIGHT_PER_CORE;
@@ -23,22 +23,22 @@
 const IN_FLIGHT_WINDOW_REQUESTS: f64 = 150.0;
 /// Half of a backend's concurrency limit goes by zone affinity, the rest is the same for all proxies.
 const AFFINITY_LIMIT_FRACTION: f64 = 0.5;
-/// Part of its health with which a backend is drawn that has no part of the traffic: it takes what is left over where
-/// all that have one are at their limits.
-const MIN_SELECTION_WEIGHT: f64 = 1e-6;
+/// Added to every weight, times capacity, so that a backend without a part of the traffic is drawn only when all others
+/// are at their limits.
+const LEFTOVER_FACTOR: f64 = 1e-6;
 
 impl Balancer {
-    /// Recomputes the health and the part of the traffic of every backend and server type.
+    /// Recomputes the capacity factor and the part of the traffic of every backend and server type.
     pub(super) fn recompute_weights(&mut self, now: Time) {
         self.recompute_at = now + self.recompute_interval();
         self.queue.unblock();
         let unreachable = self.update_unreachable_zones(now);
         let uses_ejected = self.uses_ejected_backends(&unreachable);
         self.median_error_rate = self.compute_median_error_rate();
-        if self.is_large_fleet() {
+        if self.sees_too_little_alone() {
             self.aggregate_load_reports(now);
         }
-        self.recompute_health(now, &unreachable, uses_ejected);
+        self.recompute_capacity_factors(now, &unreachable, uses_ejected);
         self.arrival_rate.record(now, 0.0);
         self.update_in_flight_window(now);
         let fleet_rate = self.fleet_arrival_rate();
@@ -110,11 +110,11 @@
         self.load_reports.rebalance(now, &mut self.backends);
     }
 
-    /// A backend's health is 1 less its error rate, times its warm-up, times its load factor.
-    fn recompute_health(&mut self, now: Time, unreachable: &BTreeSet<ZoneId>, uses_ejected: bool) {
+    /// A backend's capacity factor is 1 less its error rate, times its warm-up, times its load factor.
+    fn recompute_capacity_factors(&mut self, now: Time, unreachable: &BTreeSet<ZoneId>, uses_ejected: bool) {
         for server_type in self.server_types.values_mut() {
-            server_type.total_health = 0.0;
-            server_type.healthy_cores = 0.0;
+            server_type.total_capacity_factor = 0.0;
+            server_type.effective_cores = 0.0;
         }
         for backend in self.backends.values_mut() {
             let is_usable = backend.is_ready() && !unreachable.contains(&backend.entry.zone);
@@ -125,10 +125,10 @@
                 false => 1.0 - backend.outlier.error_rate,
             };
             let warmup = warmup_fraction(&self.config, now, &backend.entry);
-            backend.health = reliability * warmup * self.load_reports.load_factor(now, backend);
+            backend.capacity_factor = reliability * warmup * self.load_reports.load_factor(now, backend);
             let server_type = self.server_types.entry(backend.entry.server_type).or_default();
-            server_type.total_health += backend.health;
-            server_type.healthy_cores += backend.health * f64::from(backend.entry.cores);
+            server_type.total_capacity_factor += backend.capacity_factor;
+            server_type.effective_cores += backend.capacity_factor * f64::from(backend.entry.cores);
         }
     }
 
@@ -155,8 +155,8 @@
     fn recompute_capacities(&mut self, now: Time, fleet_rate: Option<f64>) {
         let is_reporting = self.load_reports.is_reporting(now);
         for server_type in self.server_types.values_mut() {
-            server_type.arrivals_per_s = if server_type.total_health > 0.0 {
-                fleet_rate.unwrap_or(0.0) * server_type.traffic_share / server_type.total_health
+            server_type.arrivals_per_s = if server_type.total_capacity_factor > 0.0 {
+                fleet_rate.unwrap_or(0.0) * server_type.traffic_share / server_type.total_capacity_factor
             } else {
                 0.0
             };
@@ -185,7 +185,8 @@
             }
         }
         let types = self.server_types.values();
-        let table: Vec<(f64, f64)> = types.map(|known| (known.total_health, known.capacity_per_s)).collect();
+        let table: Vec<(f64, f64)> =
+            types.map(|known| (known.total_capacity_factor, known.capacity_per_s)).collect();
         let rate = if known_types > 0.0 {
             fleet_rate
         } else if self.load_reports.has_weights() {
@@ -201,7 +202,7 @@
     /// Gives each backend its concurrency limit, its selection weight and its weight in this proxy's subset.
     fn distribute_weights(&mut self, now: Time) {
         // Live weights come from the start on: a zone's clients alone would fill its backends.
-        let expects_weights = self.is_large_fleet() && self.config.weights_report_load;
+        let expects_weights = self.sees_too_little_alone() && self.config.weights_report_load;
         let are_reporting = self.load_reports.is_reporting(now) || expects_weights;
         let reachable = self.recompute_selection_weights(are_reporting);
         let subset = Subset::new(
@@ -225,14 +226,14 @@
         for backend in self.backends.values_mut() {
             let factor = if has_affinity { affinity.factor(backend.entry.zone) } else { 1.0 };
             let target = TARGET_IN_FLIGHT_PER_CORE / self.load_reports.fleet_size();
-            let even_limit = target * backend.health * f64::from(backend.entry.cores);
+            let even_limit = target * backend.capacity_factor * f64::from(backend.entry.cores);
             let rounding = rounding_offset(self.config.position, self.config.proxies, &backend.entry);
             backend.concurrency_limit = concurrency_limit(even_limit, factor, rounding);
             let traffic = traffic_part(&self.server_types, backend) * factor;
             if traffic > 0.0 {
                 reachable += 1.0;
             }
-            backend.selection_weight = traffic + backend.health * MIN_SELECTION_WEIGHT;
+            backend.selection_weight = traffic + backend.capacity_factor * LEFTOVER_FACTOR;
             let server_type = self.server_types.entry(backend.entry.server_type).or_default();
             server_type.selection_weight += backend.selection_weight;
         }
@@ -241,7 +242,7 @@
 
     fn traffic_due_by_zone(&self) -> BTreeMap<ZoneId, f64> {
         let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
-        for backend in self.backends.values().filter(|backend| backend.health > 0.0) {
+        for backend in self.backends.values().filter(|backend| backend.capacity_factor > 0.0) {
             *due.entry(backend.entry.zone).or_default() += traffic_part(&self.server_types, backend);
         }
         due
@@ -250,7 +251,7 @@
     /// Where backends report, selection weights change all the time: there a subset goes by number, so that it stays.
     fn recompute_subset_weights(&mut self, subset: Subset, are_reporting: bool) {
         let length = |backend: &BackendStats| match are_reporting {
-            true if backend.health > 0.0 => 1.0,
+            true if backend.capacity_factor > 0.0 => 1.0,
             true => 0.0,
             false => backend.selection_weight,
         };
@@ -274,10 +275,10 @@
     }
 }
 
-/// The part of all traffic that a backend is due: that of its server type by health.
+/// The part of all traffic that a backend is due: that of its server type by capacity factor.
 fn traffic_part(server_types: &BTreeMap<ServerTypeId, ServerTypeStats>, backend: &BackendStats) -> f64 {
     let Some(server_type) = server_types.get(&backend.entry.server_type) else { return 0.0 };
-    server_type.traffic_share * backend.health / server_type.total_health.max(1e-9)
+    server_type.traffic_share * backend.capacity_factor / server_type.total_capacity_factor.max(1e-9)
 }
 
 /// A number from 0 to 1, different for each proxy at a backend, so that the limits of all proxies add up to the target
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -5,7 +5,7 @@
 
 /// Shortest backoff after a lost subscription, s.
 const MIN_BACKOFF_S: f64 = 0.1;
-/// The longest backoff is the time after which a proxy counts as told over this number.
+/// The longest backoff is the time after which a proxy is assumed to know of a change, over this number.
 const MAX_BACKOFF_DIVISOR: f64 = 8.0;
 /// Part of that time after which an unanswered poll is repeated: the call itself was lost.
 const UNANSWERED_FRACTION: f64 = 0.5;
@@ -40,8 +40,8 @@
 
     /// The subscription was lost: it is polled for again after a backoff that doubles each time. `roll` is a random
     /// number from 0 to 1, so that proxies do not poll in step. Gives the wait, s.
-    pub fn on_subscription_lost(&mut self, now: Time, told_within: Micros, roll: f64) -> f64 {
-        let max_s = (told_within.secs() / MAX_BACKOFF_DIVISOR).max(MIN_BACKOFF_S);
+    pub fn on_subscription_lost(&mut self, now: Time, assumed_known_after: Micros, roll: f64) -> f64 {
+        let max_s = (assumed_known_after.secs() / MAX_BACKOFF_DIVISOR).max(MIN_BACKOFF_S);
         self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_s);
         let wait_s = self.backoff_s * (0.5 + roll);
         self.due_at = Some(now + Micros::from_secs(wait_s));
@@ -50,11 +50,11 @@
 
     /// Whether to poll now; the next poll is then due when this one has gone unanswered for too long.
     pub fn poll_if_due(&mut self, now: Time, mode: DiscoveryMode) -> bool {
-        let DiscoveryMode::Subscribe(told_within) = mode else { return false };
+        let DiscoveryMode::Subscribe(assumed_known_after) = mode else { return false };
         if self.due_at.is_none_or(|at| now < at) {
             return false;
         }
-        self.due_at = Some(now + told_within.times(UNANSWERED_FRACTION));
+        self.due_at = Some(now + assumed_known_after.times(UNANSWERED_FRACTION));
         true
     }
 }
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -17,11 +17,14 @@
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, as a part of its class's weight, from 0 to 1.
     pub over_quota_weight_fraction: f64,
-    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1.
+    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1. Accepted from the file; no
+    /// decision uses it yet.
     pub total_objective_weight: f64,
-    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1.
+    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1. Accepted from the file; no
+    /// decision uses it yet.
     pub worst_class_objective_weight: f64,
-    /// What it costs the objective when every request crosses zones once; at least 0.
+    /// What it costs the objective when every request crosses zones once; at least 0. Above 0: zone affinity is on; the
+    /// amount is not used.
     pub cross_zone_cost: f64,
     /// How the endpoint list is had.
     pub discovery: DiscoveryMode,
@@ -33,7 +36,7 @@
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel_attempts: bool,
-    /// Requests may be hedged: two attempts of one request in flight at once.
+    /// Further attempts may start while earlier ones are in flight, up to `max_attempts`.
     pub hedging: bool,
     /// The shortest time for which a timer is set; above 0.
     pub min_timer_interval: Micros,
@@ -153,7 +156,8 @@
 pub enum DiscoveryMode {
     /// Changes arrive without a poll.
     Push,
-    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll counts as told after this time.
+    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll is assumed to know of them after this
+    /// time.
     Subscribe(Micros),
 }
 
--- a/crates/balancer/src/latency.rs
+++ b/crates/balancer/src/latency.rs
@@ -1,4 +1,4 @@
-//! How long attempts take: by class, over all classes, and from which age on an attempt is taken for lost.
+//! How long attempts take: by class, over all classes, and from which age on an attempt no longer takes up capacity.
 
 use crate::interface::Class;
 use crate::statistics::MovingAverage;
@@ -8,9 +8,10 @@
 pub(crate) const LATENCY_SAMPLES: f64 = 100.0;
 /// Part of the latency objective that an answer is taken to need before any is known.
 const UNLOADED_OBJECTIVE_FRACTION: f64 = 0.25;
-/// An attempt this many times older than expected is taken for lost: it occupies no capacity any more.
+/// An attempt this many times older than expected counts as silence of its backend; it also no longer takes up
+/// capacity.
 const SILENCE_AGE_FACTOR: f64 = 8.0;
-/// ... or this many times, while most that are as old are never answered.
+/// It takes up none from this many times on already, while most that are as old are never answered.
 const LOSS_AGE_FACTOR: f64 = 2.5;
 /// Overdue attempts in the part of them that was answered.
 const OVERDUE_SAMPLES: f64 = 30.0;
@@ -80,7 +81,7 @@
         latency_s * self.overall.value / self.by_class[class].served.value
     }
 
-    /// A class's work beside the mean of all requests, as far as latency shows it; 1 while nothing is known.
+    /// A class's work relative to the mean of all requests, as far as latency shows it; 1 while nothing is known.
     pub fn relative_work(&self, class: usize) -> f64 {
         self.by_class[class].served.mean().map_or(1.0, |latency_s| latency_s / self.overall.value)
     }
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -256,7 +256,7 @@
         !self.weight_per_core.is_empty()
     }
 
-    /// How fast the list says that a backend of the type is beside those of others; 1 where it says nothing.
+    /// How fast the list says that a backend of the type is relative to those of others; 1 where it says nothing.
     pub fn relative_speed(&self, server_type: ServerTypeId) -> f64 {
         self.weight_per_core.get(&server_type).copied().unwrap_or(1.0)
     }
@@ -287,7 +287,8 @@
             sum += factor;
             count += 1.0;
         }
-        // Beside the mean of all: a server type that is fuller than others gets less, however fast it is taken to be.
+        // Relative to the mean of all: a server type that is fuller than others gets less, however fast it is taken to
+        // be.
         for backend in backends.values_mut() {
             if let Some(factor) = &mut backend.reported_load.rebalancing_factor {
                 let normalized = *factor * count / f64::max(sum, 1e-9);
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,8 +1,9 @@
 //! Outlier detection: when a backend is ejected, for all requests or for one class, and when it is restored.
 //!
 //! A backend's error rate is an exponential mean over the outcomes of its attempts. Beyond a limit it is ejected for a
-//! time that doubles with each ejection in a row, and then probed by single requests that may be repeated. Silence
-//! ejects it at once. A rejection is no error: an overloaded backend is left alone for a moment.
+//! time that doubles with each ejection in a row, and then probed by new requests, one at a time: of safe classes, or
+//! of any class where none is safe. Silence ejects it at once. A rejection is no error: an overloaded backend is left
+//! alone for a moment.
 
 use shaletide_types::*;
 
@@ -12,6 +13,10 @@
 /// Multiple of the median error rate of all backends that is added to the limit: what is common to all is no fault of
 /// any.
 const MEDIAN_ERROR_RATE_FACTOR: f64 = 2.0;
+/// A class is served where its error rate is below this: half of what one failure adds to a rate of 0.
+const MAX_SERVED_ERROR_RATE: f64 = ERROR_RATE_STEP / 2.0;
+/// ... and its last response is no older than this, s.
+const SERVED_WINDOW_S: f64 = BASE_EJECTION_S;
 /// Weight of the newest outcome in an error rate.
 const ERROR_RATE_STEP: f64 = 0.1;
 /// First term of an ejection, s; it doubles with each ejection in a row ...
@@ -45,7 +50,7 @@
     EjectForClass,
 }
 
-/// An attempt that was not served, with what its backend is judged by beside its own state.
+/// An attempt that was not served, with what its backend is judged by in addition to its own state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnservedAttempt {
     pub class: usize,
@@ -63,7 +68,7 @@
 pub(crate) struct OutlierState {
     /// Part of the attempts that failed, from 0 to 1, the latest counting most.
     pub error_rate: f64,
-    /// When the backend last answered anything, an error included.
+    /// When the backend last answered anything, errors included, rejections excepted.
     last_response_at: Time,
     /// Overdue attempts in flight without a response of the backend since they were sent.
     overdue_without_response: u32,
@@ -81,7 +86,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ClassOutlierState {
     error_rate: f64,
-    /// When the backend last answered one of the class, with an error or not.
+    /// When the backend last answered one of the class, errors included, rejections excepted.
     last_response_at: Time,
     /// Overdue attempts in flight without a response to one of the class since they were sent.
     overdue_without_response: u32,
@@ -106,8 +111,8 @@
 impl ClassOutlierState {
     /// Whether the class was served just now.
     fn is_served(&self, now: Time) -> bool {
-        let is_recent = now < self.last_response_at + Micros::from_secs(BASE_EJECTION_S);
-        self.error_rate < ERROR_RATE_STEP / 2.0 && is_recent
+        let is_recent = now < self.last_response_at + Micros::from_secs(SERVED_WINDOW_S);
+        self.error_rate < MAX_SERVED_ERROR_RATE && is_recent
     }
 }
 
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -42,7 +42,7 @@
     /// An answer until then earns the whole priority weight.
     pub objective_at: Time,
     pub deadline: Time,
-    /// Priority beside that of a new request within its tenant's quota, from 0 to 1.
+    /// Priority relative to that of a new request within its tenant's quota, from 0 to 1.
     pub priority: f64,
     /// Drawn once, from 0 to 1: where only a part of the requests is admitted, those with a roll within that part are.
     pub admission_roll: f64,
--- a/crates/balancer/src/request_queue.rs
+++ b/crates/balancer/src/request_queue.rs
@@ -46,7 +46,8 @@
         std::mem::take(&mut self.requests)
     }
 
-    /// A new request of this priority found no capacity: neither will others of it, or of a lower one.
+    /// A new request of this priority found no capacity: none is sought for others of it, or of a lower one, until
+    /// [`RequestQueue::unblock`], though one that may go elsewhere might find some.
     pub fn block(&mut self, priority: PriorityLevel) {
         let blocked = match priority {
             PriorityLevel::Low => Blocked::LowPriority,
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -47,9 +47,9 @@
     }
 }
 
-/// Whether a further attempt at `backend` cannot be executed beside an earlier one: the backend shares the keys that it
-/// has seen with those of the earlier attempts.
-pub(crate) fn is_deduplicated(
+/// Whether a further attempt may go to `backend` after the earlier ones: the backend shares the keys that it has seen
+/// with those of each earlier attempt that may have been executed. Always so without a key.
+pub(crate) fn may_follow_at(
     idempotency: Idempotency, request: &RequestState, backend: &BackendEntry,
 ) -> bool {
     let Idempotency::Keyed(scope, _) = idempotency else { return true };
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -5,7 +5,7 @@
 use crate::interface::Config;
 use crate::outlier::MAX_EJECTED_FRACTION;
 use crate::request::{Attempt, PriorityLevel, RequestState};
-use crate::retry::is_deduplicated;
+use crate::retry::may_follow_at;
 use crate::rng::Rng;
 use crate::server_type::ServerTypeStats;
 use crate::slow_start::SlowStart;
@@ -56,7 +56,7 @@
 }
 
 impl Selector<'_> {
-    /// A backend for the request, which is of so much work beside the mean. Two random numbers are drawn where a
+    /// A backend for the request, which is of so much work relative to the mean. Two random numbers are drawn where a
     /// backend has capacity, one where none has, none for a probe.
     pub fn select(&self, rng: &mut Rng, request: &RequestState, work: f64) -> Selection {
         let may_probe = self.may_probe(request);
@@ -108,7 +108,7 @@
     fn heeds_class_ejections(&self, class: usize) -> bool {
         let mut usable = 0.0;
         let mut ejected = 0.0;
-        for backend in self.backends.values().filter(|backend| backend.health > 0.0) {
+        for backend in self.backends.values().filter(|backend| backend.capacity_factor > 0.0) {
             usable += 1.0;
             if backend.outlier.is_ejected_for_class(self.now, class) {
                 ejected += 1.0;
@@ -123,12 +123,12 @@
         let is_new = |earlier: &Attempt| earlier.not_sent || earlier.backend.id != backend.entry.id;
         backend.is_ready()
             && request.attempts.iter().all(is_new)
-            && is_deduplicated(self.config.classes[request.class].idempotency, request, &backend.entry)
+            && may_follow_at(self.config.classes[request.class].idempotency, request, &backend.entry)
     }
 
     fn suitability(&self, request: &RequestState, backend: &BackendStats, may_probe: bool) -> Suitability {
         // Ejected backends are in use where too many are ejected, unless another pool can be asked instead.
-        let is_used_if_ejected = backend.health > 0.0 && !request.may_fail_over;
+        let is_used_if_ejected = backend.capacity_factor > 0.0 && !request.may_fail_over;
         match backend.outlier.ejected_until {
             Some(until) if !is_used_if_ejected => {
                 // One probe at a time.
@@ -143,7 +143,7 @@
                     PriorityLevel::Low => (backend.concurrency_limit / 2.0).ceil(),
                     PriorityLevel::Normal => backend.concurrency_limit,
                 };
-                if backend.health > 0.0 && backend.has_capacity(limit) {
+                if backend.capacity_factor > 0.0 && backend.has_capacity(limit) {
                     Suitability::Capacity
                 } else {
                     Suitability::None
--- a/crates/balancer/src/server_type.rs
+++ b/crates/balancer/src/server_type.rs
@@ -17,10 +17,10 @@
     pub arrivals_per_s: f64,
     /// Requests a second that one backend of the type could serve.
     pub capacity_per_s: f64,
-    /// Sum of the health of the type's backends, ...
-    pub total_health: f64,
-    /// ... and of their cores, each by its backend's health.
-    pub healthy_cores: f64,
+    /// Sum of the capacity factors of the type's backends, ...
+    pub total_capacity_factor: f64,
+    /// ... and of their cores, each times its backend's capacity factor.
+    pub effective_cores: f64,
     /// The largest weight of any of its backends, in thousandths, where weights are sizes.
     largest_weight: u32,
     /// Part of the traffic of all proxies.
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,5 +1,6 @@
 //! Slow start: how much a backend may be sent that has just started. A backend is overloaded by more than a multiple of
-//! its present capacity within a span of time; this proxy keeps to its part of that.
+//! its present capacity within a span of time; this proxy keeps to its part of that. Beside this budget,
+//! `warmup_fraction` scales the backend's selection weight and its concurrency limit (`balancer/weights.rs`).
 
 use crate::interface::Config;
 use crate::server_type::ServerTypeStats;
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -236,8 +236,8 @@
                 }
                 actions.push(Action::Dispatch { request, attempt, backend, start_by });
             }
-            balancer::Action::FailOver { request, transferred: handover } => {
-                self.fail_over(now, pool, request, *handover)
+            balancer::Action::FailOver { request, transferred } => {
+                self.fail_over(now, pool, request, *transferred)
             }
             balancer::Action::Reject { request, retry_after } => {
                 self.remove_pending(request);
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -19,7 +19,8 @@
     pub server_type: ServerTypeId,
     /// How many cores it has, at least 1; its concurrency limit grows with it.
     pub cores: u32,
-    /// The weight that the list gives it, in thousandths; 0 where the list says none.
+    /// The weight that the list gives it; 0 where the list says none. Where weights are sizes it is in thousandths of a
+    /// standard core, else only the ratio of two weights counts.
     pub weight: u32,
     /// What it may be sent.
     pub state: BackendState,
