--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -147,9 +147,9 @@
             }
             Event::RequestWritten { connection } => self.on_request_written(connection),
             Event::LoadReported { connection, report } => self.on_load_reported(connection, report),
-            Event::ResponseReceived { connection, class: verdict, reusable, has_excess_bytes } => {
+            Event::ResponseReceived { connection, class, reusable, has_excess_bytes } => {
                 let is_clean = !has_excess_bytes || mutant!(self.mutant, ReusedWithExcessBytes);
-                self.on_response(now, connection, verdict, reusable && is_clean, actions)
+                self.on_response(now, connection, class, reusable && is_clean, actions)
             }
             Event::InvalidResponse { connection } => {
                 self.on_connection_lost(now, connection, Outcome::Error, actions)
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -9,18 +9,18 @@
 const SECOND_US: u64 = 1_000_000;
 
 /// No request is open after its deadline and the slack.
-pub(super) fn check_deadlines(record: &mut ObservedState, now: Time, rules: &Rules) -> Verdict {
-    let Some(&(deadline, id)) = record.deadlines.first().filter(|d| d.0 + rules.answer_slack < now) else {
+pub(super) fn check_deadlines(observed: &mut ObservedState, now: Time, rules: &Rules) -> Verdict {
+    let Some(&(deadline, id)) = observed.deadlines.first().filter(|d| d.0 + rules.answer_slack < now) else {
         return Ok(());
     };
-    record.deadlines.remove(&(deadline, id)); // reported once
+    observed.deadlines.remove(&(deadline, id)); // reported once
     violation(Rule::BeforeDeadline, now, format!("request {} has no answer after its deadline", id.0))
 }
 
 pub(super) fn may_answer(
-    record: &ObservedState, now: Time, id: RequestId, answer: FinalOutcome, rules: &Rules,
+    observed: &ObservedState, now: Time, id: RequestId, answer: FinalOutcome, rules: &Rules,
 ) -> Verdict {
-    let Some(r) = record.requests.get(&id).filter(|r| r.open) else {
+    let Some(r) = observed.requests.get(&id).filter(|r| r.open) else {
         return violation(
             Rule::OneAnswer,
             now,
@@ -28,7 +28,7 @@
         );
     };
     match answer {
-        FinalOutcome::Served(attempt) if record.served != Some((id, attempt)) => {
+        FinalOutcome::Served(attempt) if observed.served != Some((id, attempt)) => {
             let text =
                 format!("request {} was served by attempt {}, which got no served response", id.0, attempt.0);
             violation(Rule::OneAnswer, now, text)
@@ -42,7 +42,7 @@
         FinalOutcome::TimedOut if now < r.deadline => {
             violation(Rule::BeforeDeadline, now, format!("request {} timed out before its deadline", id.0))
         }
-        FinalOutcome::Rejected(retry_after) => check_harmless(record, now, id, retry_after, rules),
+        FinalOutcome::Rejected(retry_after) => check_harmless(observed, now, id, retry_after, rules),
         FinalOutcome::Served(_) | FinalOutcome::Failed | FinalOutcome::TimedOut => Ok(()),
     }
 }
@@ -50,9 +50,9 @@
 /// Nothing may have been executed, or a second execution does nothing: of a keyed request as long as its deduplication
 /// window lasts, which has to be open when the client comes back. `Retry-After` is in whole seconds.
 fn check_harmless(
-    record: &ObservedState, now: Time, id: RequestId, retry_after: Micros, rules: &Rules,
+    observed: &ObservedState, now: Time, id: RequestId, retry_after: Micros, rules: &Rules,
 ) -> Verdict {
-    let Some(r) = record.requests.get(&id) else { return Ok(()) };
+    let Some(r) = observed.requests.get(&id) else { return Ok(()) };
     let client_back_at = now + Micros(retry_after.0.div_ceil(SECOND_US) * SECOND_US);
     let is_discarded = |sent: &ObservedAttempt| match r.idempotency {
         Idempotency::Safe => true,
@@ -73,8 +73,8 @@
     }
 }
 
-pub(super) fn may_send(record: &ObservedState, now: Time, id: RequestId) -> Verdict {
-    match record.requests.get(&id).filter(|r| r.open) {
+pub(super) fn may_send(observed: &ObservedState, now: Time, id: RequestId) -> Verdict {
+    match observed.requests.get(&id).filter(|r| r.open) {
         None => violation(Rule::NothingAfter, now, format!("request {} was sent after it had ended", id.0)),
         Some(r) if now >= r.deadline => {
             violation(Rule::BeforeDeadline, now, format!("request {} was sent after its deadline", id.0))
@@ -84,14 +84,14 @@
 }
 
 /// A request that ended in this step has no attempt left that could have been cancelled.
-pub(super) fn check_nothing_running(record: &ObservedState, now: Time, rules: &Rules) -> Verdict {
+pub(super) fn check_nothing_running(observed: &ObservedState, now: Time, rules: &Rules) -> Verdict {
     if !rules.cancellation {
         return Ok(());
     }
-    let over = record.ended.iter().filter_map(|id| Some((id, record.requests.get(id)?)));
+    let over = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
     for (id, r) in over.filter(|(_, r)| !r.open) {
         for connection in ObservedState::connections_of(r) {
-            if record.is_running_on(connection) {
+            if observed.is_running_on(connection) {
                 let text = format!(
                     "request {} has ended and its attempt on connection {} was not cancelled",
                     id.0, connection.0
@@ -103,8 +103,8 @@
     Ok(())
 }
 
-pub(super) fn check_all_answered(record: &ObservedState, now: Time) -> Verdict {
-    match record.requests.iter().find(|(_, r)| r.open) {
+pub(super) fn check_all_answered(observed: &ObservedState, now: Time) -> Verdict {
+    match observed.requests.iter().find(|(_, r)| r.open) {
         None => Ok(()),
         Some((id, _)) => violation(
             Rule::AllAnswered,
--- a/crates/engine/src/monitor/connections.rs
+++ b/crates/engine/src/monitor/connections.rs
@@ -6,14 +6,14 @@
 use shaletide_types::*;
 
 pub(super) fn may_use(
-    record: &ObservedState, now: Time, connection: ConnectionId, rules: &Rules,
+    observed: &ObservedState, now: Time, connection: ConnectionId, rules: &Rules,
 ) -> Result<ObservedConnection, Violation> {
     let violation = |how: &str| {
         let text = format!("connection {} was used though {how}", connection.0);
         Err(Violation { rule: Rule::CleanConnection, at: now, text })
     };
-    let Some(line) = record.connections.get(&connection) else { return violation("it does not exist") };
-    match line.state {
+    let Some(known) = observed.connections.get(&connection) else { return violation("it does not exist") };
+    match known.state {
         ObservedConnectionState::Connecting => violation("it is not open"),
         ObservedConnectionState::Dirty => violation("bytes of another exchange may be on it"),
         ObservedConnectionState::Busy { request, .. } => {
@@ -22,9 +22,9 @@
         ObservedConnectionState::Idle(Some(since)) if now < since + rules.reuse_delay => {
             violation("the reuse delay has not passed")
         }
-        ObservedConnectionState::Idle(_) if line.address_outdated => {
+        ObservedConnectionState::Idle(_) if known.address_outdated => {
             violation("its backend listens at another address")
         }
-        ObservedConnectionState::Idle(_) => Ok(*line),
+        ObservedConnectionState::Idle(_) => Ok(*known),
     }
 }
--- a/crates/engine/src/monitor/draining.rs
+++ b/crates/engine/src/monitor/draining.rs
@@ -4,8 +4,8 @@
 use super::{violation, Rule, Rules, Verdict};
 use shaletide_types::*;
 
-pub(super) fn may_send(record: &ObservedState, now: Time, to: BackendId, rules: &Rules) -> Verdict {
-    match record.backends.get(&to) {
+pub(super) fn may_send(observed: &ObservedState, now: Time, to: BackendId, rules: &Rules) -> Verdict {
+    match observed.backends.get(&to) {
         Some(entry)
             if entry.state == BackendState::Ready || now < entry.not_ready_since + rules.drain_grace =>
         {
--- a/crates/engine/src/monitor/intents.rs
+++ b/crates/engine/src/monitor/intents.rs
@@ -5,9 +5,9 @@
 use shaletide_types::*;
 
 pub(super) fn may_request(
-    record: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber,
+    observed: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber,
 ) -> Verdict {
-    let text = match record.requests.get(&id).filter(|r| r.open) {
+    let text = match observed.requests.get(&id).filter(|r| r.open) {
         None => "after the request had ended",
         Some(r) if !r.requires_intent => "though it needs none",
         Some(r) if r.intents.contains_key(&attempt) => "a second time",
@@ -23,8 +23,10 @@
     )
 }
 
-pub(super) fn may_send(record: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber) -> Verdict {
-    let Some(r) = record.requests.get(&id).filter(|r| r.requires_intent) else { return Ok(()) };
+pub(super) fn may_send(
+    observed: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber,
+) -> Verdict {
+    let Some(r) = observed.requests.get(&id).filter(|r| r.requires_intent) else { return Ok(()) };
     match r.intents.get(&attempt) {
         Some(IntentState::Durable) => Ok(()),
         Some(IntentState::Requested) | None => violation(
@@ -36,9 +38,9 @@
 }
 
 pub(super) fn may_withdraw(
-    record: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber,
+    observed: &ObservedState, now: Time, id: RequestId, attempt: AttemptNumber,
 ) -> Verdict {
-    if record.requests.get(&id).is_some_and(|r| r.intents.contains_key(&attempt)) {
+    if observed.requests.get(&id).is_some_and(|r| r.intents.contains_key(&attempt)) {
         return Ok(());
     }
     let text = format!(
@@ -49,8 +51,8 @@
 }
 
 /// A request that ended in this step has no intent that is neither used, failed nor withdrawn.
-pub(super) fn check_none_open(record: &ObservedState, now: Time) -> Verdict {
-    let over = record.ended.iter().filter_map(|id| Some((id, record.requests.get(id)?)));
+pub(super) fn check_none_open(observed: &ObservedState, now: Time) -> Verdict {
+    let over = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
     for (id, r) in over.filter(|(_, r)| !r.open) {
         if let Some(attempt) = r.intents.keys().next() {
             let text = format!(
--- a/crates/engine/src/monitor/leftovers.rs
+++ b/crates/engine/src/monitor/leftovers.rs
@@ -22,7 +22,7 @@
 
     fn check_requests<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for id in engine.requests().keys() {
-            if !self.record.requests.contains_key(id) {
+            if !self.observed.requests.contains_key(id) {
                 return leftover(now, format!("request {} has ended and is still kept", id.0));
             }
         }
@@ -32,13 +32,13 @@
     /// The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off; of no other.
     fn check_deadlines<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (_, id) in engine.deadlines() {
-            let may_go_on = !self.rules.cancellation && self.record.requests.contains_key(id);
+            let may_go_on = !self.rules.cancellation && self.observed.requests.contains_key(id);
             if !self.is_open(*id) && !may_go_on {
                 let text = format!("request {} has ended and its deadline is still awaited", id.0);
                 return leftover(now, text);
             }
         }
-        for (id, request) in &self.record.requests {
+        for (id, request) in &self.observed.requests {
             let is_due = request.open || self.has_running_attempt(request);
             if is_due && !engine.deadlines().contains(&(request.deadline, *id)) {
                 let text = format!("request {} is open or in flight and its deadline is not awaited", id.0);
@@ -50,7 +50,7 @@
 
     fn check_connections<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (connection, _, state) in engine.connections() {
-            if !self.record.connections.contains_key(&connection) {
+            if !self.observed.connections.contains_key(&connection) {
                 return leftover(now, format!("connection {} is closed and still kept", connection.0));
             }
             let ConnectionState::Connecting(Some((id, _))) = state else { continue };
@@ -66,11 +66,11 @@
     }
 
     fn is_open(&self, id: RequestId) -> bool {
-        self.record.requests.get(&id).is_some_and(|request| request.open)
+        self.observed.requests.get(&id).is_some_and(|request| request.open)
     }
 
     fn has_running_attempt(&self, request: &ObservedRequest) -> bool {
-        ObservedState::connections_of(request).any(|connection| self.record.is_running_on(connection))
+        ObservedState::connections_of(request).any(|connection| self.observed.is_running_on(connection))
     }
 }
 
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -9,7 +9,7 @@
 //! [`Monitor::finish_step`] after the last. Each returns the rule that is broken; the monitor goes on after it.
 //!
 //! Cost: a few look-ups an event or action, a walk over the attempts of one request where it is sent or ends. Requests,
-//! connections and backends that have ended are removed: the record is no larger than what is open, in flight or listed.
+//! connections and backends that have ended are removed: what is observed is no larger than what is open, in flight or listed.
 
 mod answers;
 mod connections;
@@ -60,7 +60,7 @@
     /// A non-idempotent request is sent again only if no earlier attempt was executed.
     NonIdempotentOnce,
     /// A keyed request is sent again only to backends that discard its repeats, and inside its deduplication window.
-    KeyedInGroupAndWindow,
+    KeyedInScopeAndWindow,
     /// A rejection only where a retry is harmless.
     HarmlessRejection,
     /// No new attempt to a backend that is draining or gone, once the grace has passed.
@@ -87,8 +87,8 @@
             Rule::NonIdempotentOnce => {
                 "a non-idempotent request is sent again only if no earlier attempt was executed"
             }
-            Rule::KeyedInGroupAndWindow => {
-                "a keyed request is sent again only in its deduplication group and window"
+            Rule::KeyedInScopeAndWindow => {
+                "a keyed request is sent again only in its deduplication scope and window"
             }
             Rule::HarmlessRejection => "a refusal only where a retry is harmless",
             // A test of the model checker and docs/explore.md quote this text and that of `draining`.
@@ -130,13 +130,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Monitor {
     rules: Rules,
-    record: ObservedState,
+    observed: ObservedState,
 }
 
 impl Monitor {
     /// A monitor that has observed nothing yet.
     pub fn new(rules: Rules) -> Monitor {
-        Monitor { rules, record: ObservedState::default() }
+        Monitor { rules, observed: ObservedState::default() }
     }
 
     /// Its settings.
@@ -151,7 +151,7 @@
 
     /// What it has observed.
     pub fn observed(&self) -> &ObservedState {
-        &self.record
+        &self.observed
     }
 
     /// To be called before the engine handles the event.
@@ -159,8 +159,8 @@
     /// # Errors
     /// The rule that is broken by now. The event is recorded all the same.
     pub fn observe_event(&mut self, now: Time, event: &Event) -> Verdict {
-        let late = answers::check_deadlines(&mut self.record, now, &self.rules);
-        self.record.observe_event(now, event, &self.rules);
+        let late = answers::check_deadlines(&mut self.observed, now, &self.rules);
+        self.observed.observe_event(now, event, &self.rules);
         late
     }
 
@@ -170,28 +170,28 @@
     /// The rule that it breaks. The action is recorded all the same.
     pub fn observe_action(&mut self, now: Time, action: &Action) -> Verdict {
         let verdict = self.check_action(now, action);
-        self.record.observe_action(now, action);
+        self.observed.observe_action(now, action);
         verdict
     }
 
     fn check_action(&self, now: Time, action: &Action) -> Verdict {
-        let (record, rules) = (&self.record, &self.rules);
+        let (observed, rules) = (&self.observed, &self.rules);
         match action {
             Action::Send { connection, request, attempt, .. } => {
-                answers::may_send(record, now, *request)?;
-                let line = connections::may_use(record, now, *connection, rules)?;
-                draining::may_send(record, now, line.backend, rules)?;
-                retries::may_send(record, now, *request, line.backend)?;
-                intents::may_send(record, now, *request, *attempt)
+                answers::may_send(observed, now, *request)?;
+                let used = connections::may_use(observed, now, *connection, rules)?;
+                draining::may_send(observed, now, used.backend, rules)?;
+                retries::may_send(observed, now, *request, used.backend)?;
+                intents::may_send(observed, now, *request, *attempt)
             }
             Action::Answer { request, answer, .. } => {
-                answers::may_answer(record, now, *request, *answer, rules)
+                answers::may_answer(observed, now, *request, *answer, rules)
             }
             Action::PersistIntent { request, attempt } => {
-                intents::may_request(record, now, *request, *attempt)
+                intents::may_request(observed, now, *request, *attempt)
             }
             Action::WithdrawIntent { request, attempt } => {
-                intents::may_withdraw(record, now, *request, *attempt)
+                intents::may_withdraw(observed, now, *request, *attempt)
             }
             Action::Connect { .. }
             | Action::Close { .. }
@@ -206,9 +206,9 @@
     /// # Errors
     /// The rule that is broken after them.
     pub fn finish_step(&mut self, now: Time) -> Verdict {
-        let verdict = answers::check_nothing_running(&self.record, now, &self.rules)
-            .and_then(|()| intents::check_none_open(&self.record, now));
-        self.record.finish_step();
+        let verdict = answers::check_nothing_running(&self.observed, now, &self.rules)
+            .and_then(|()| intents::check_none_open(&self.observed, now));
+        self.observed.finish_step();
         verdict
     }
 
@@ -231,6 +231,6 @@
     /// # Errors
     /// A request that has no answer.
     pub fn check_quiescent(&self, now: Time) -> Verdict {
-        answers::check_all_answered(&self.record, now)
+        answers::check_all_answered(&self.observed, now)
     }
 }
--- a/crates/engine/src/monitor/observed.rs
+++ b/crates/engine/src/monitor/observed.rs
@@ -137,8 +137,8 @@
             Event::Connected { connection } => self.on_connected(*connection),
             Event::ConnectFailed { connection, .. } => drop(self.connections.remove(connection)),
             Event::RequestWritten { connection } => self.on_request_written(*connection),
-            Event::ResponseReceived { connection, class: verdict, reusable, has_excess_bytes } => {
-                self.on_response(now, *connection, *verdict, *reusable && !*has_excess_bytes)
+            Event::ResponseReceived { connection, class, reusable, has_excess_bytes } => {
+                self.on_response(now, *connection, *class, *reusable && !*has_excess_bytes)
             }
             Event::InvalidResponse { connection } | Event::ConnectionClosed { connection } => {
                 self.on_connection_closed(*connection, false)
@@ -152,19 +152,19 @@
     pub(super) fn observe_action(&mut self, now: Time, action: &Action) {
         match action {
             Action::Connect { connection, backend } => {
-                let line = ObservedConnection {
+                let known = ObservedConnection {
                     backend: *backend,
                     state: ObservedConnectionState::Connecting,
                     address_outdated: false,
                 };
-                self.connections.insert(*connection, line);
+                self.connections.insert(*connection, known);
             }
             Action::Send { connection, request, attempt, .. } => {
                 self.on_sent(now, *connection, *request, *attempt)
             }
             Action::Close { connection } => {
-                match self.connections.get_mut(connection).map(|l| &mut l.state) {
-                    Some(ObservedConnectionState::Busy { close_requested: closing, .. }) => *closing = true,
+                match self.connections.get_mut(connection).map(|known| &mut known.state) {
+                    Some(ObservedConnectionState::Busy { close_requested, .. }) => *close_requested = true,
                     _ => drop(self.connections.remove(connection)),
                 }
             }
@@ -198,8 +198,8 @@
 
     /// Whether an attempt is on that connection and the engine has not asked to close it.
     pub(super) fn is_running_on(&self, connection: ConnectionId) -> bool {
-        let step = self.connections.get(&connection).map(|line| line.state);
-        matches!(step, Some(ObservedConnectionState::Busy { close_requested: false, .. }))
+        let state = self.connections.get(&connection).map(|known| known.state);
+        matches!(state, Some(ObservedConnectionState::Busy { close_requested: false, .. }))
     }
 
     /// The last update counts; a pool cannot take away a backend that another pool has listed since.
@@ -250,9 +250,9 @@
     }
 
     fn on_address_changed(&mut self, backend: BackendId) {
-        for line in self.connections.values_mut() {
-            if line.backend == backend {
-                line.address_outdated = true;
+        for known in self.connections.values_mut() {
+            if known.backend == backend {
+                known.address_outdated = true;
             }
         }
     }
@@ -294,33 +294,33 @@
     fn on_intent_persisted(&mut self, id: RequestId, attempt: AttemptNumber, persisted: bool) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         match r.intents.get_mut(&attempt) {
-            Some(permit) if persisted => *permit = IntentState::Durable,
+            Some(intent) if persisted => *intent = IntentState::Durable,
             Some(_) => drop(r.intents.remove(&attempt)),
             None => {} // it was withdrawn before the store's result came
         }
     }
 
     fn on_connected(&mut self, connection: ConnectionId) {
-        if let Some(line) = self.connections.get_mut(&connection) {
-            line.state = ObservedConnectionState::Idle(None);
+        if let Some(known) = self.connections.get_mut(&connection) {
+            known.state = ObservedConnectionState::Idle(None);
         }
     }
 
     fn on_request_written(&mut self, connection: ConnectionId) {
-        let line = self.connections.get_mut(&connection);
-        if let Some(ObservedConnection { state: ObservedConnectionState::Busy { written, .. }, .. }) = line {
+        let known = self.connections.get_mut(&connection);
+        if let Some(ObservedConnection { state: ObservedConnectionState::Busy { written, .. }, .. }) = known {
             *written = true;
         }
     }
 
     fn on_sent(&mut self, now: Time, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
-        let Some(line) = self.connections.get_mut(&connection) else { return };
-        line.state =
+        let Some(known) = self.connections.get_mut(&connection) else { return };
+        known.state =
             ObservedConnectionState::Busy { request, attempt, written: false, close_requested: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
         r.intents.remove(&attempt);
         let nowhere = ObservedPlacement { domain: 0, zone: ZoneId(0), group: DeduplicationGroupId(0) };
-        let place = self.backends.get(&line.backend).map_or(nowhere, |e| e.placement);
+        let place = self.backends.get(&known.backend).map_or(nowhere, |e| e.placement);
         r.attempts.insert(
             attempt,
             ObservedAttempt { sent_at: now, placement: place, connection: Some(connection) },
@@ -339,40 +339,38 @@
         self.ended.push(request);
     }
 
-    fn on_response(&mut self, now: Time, connection: ConnectionId, verdict: ResponseClass, clean: bool) {
-        let Some(line) = self.connections.get_mut(&connection) else { return };
-        let ObservedConnectionState::Busy { request, attempt, written, close_requested: closing } =
-            line.state
-        else {
+    fn on_response(&mut self, now: Time, connection: ConnectionId, class: ResponseClass, clean: bool) {
+        let Some(known) = self.connections.get_mut(&connection) else { return };
+        let ObservedConnectionState::Busy { request, attempt, written, close_requested } = known.state else {
             return;
         };
         // After a response to a part of a request the rest of it would go out ahead of the next request.
-        line.state = if clean && written {
+        known.state = if clean && written {
             ObservedConnectionState::Idle(Some(now))
         } else {
             ObservedConnectionState::Dirty
         };
-        if closing {
+        if close_requested {
             self.connections.remove(&connection);
         }
-        if verdict == ResponseClass::Served {
+        if class == ResponseClass::Served {
             self.served = Some((request, attempt));
         }
-        self.on_attempt_ended(request, attempt, verdict != ResponseClass::NotExecuted);
+        self.on_attempt_ended(request, attempt, class != ResponseClass::NotExecuted);
     }
 
     /// It ended, or is closed as asked. A request that was not completely written by then was not executed.
     fn on_connection_closed(&mut self, connection: ConnectionId, completely_written: bool) {
-        let Some(line) = self.connections.remove(&connection) else { return };
-        if let ObservedConnectionState::Busy { request, attempt, written, .. } = line.state {
+        let Some(known) = self.connections.remove(&connection) else { return };
+        if let ObservedConnectionState::Busy { request, attempt, written, .. } = known.state {
             self.on_attempt_ended(request, attempt, written || completely_written);
         }
     }
 
     /// No byte of a request was written on it: its intent is still unused.
     fn on_connection_unusable(&mut self, connection: ConnectionId) {
-        let Some(line) = self.connections.remove(&connection) else { return };
-        let ObservedConnectionState::Busy { request, attempt, .. } = line.state else { return };
+        let Some(known) = self.connections.remove(&connection) else { return };
+        let ObservedConnectionState::Busy { request, attempt, .. } = known.state else { return };
         self.on_attempt_ended(request, attempt, false);
         if let Some(r) = self.requests.get_mut(&request).filter(|r| r.requires_intent) {
             r.intents.insert(attempt, IntentState::Durable);
--- a/crates/engine/src/monitor/retries.rs
+++ b/crates/engine/src/monitor/retries.rs
@@ -4,13 +4,13 @@
 use super::{violation, Rule, Verdict};
 use shaletide_types::*;
 
-pub(super) fn may_send(record: &ObservedState, now: Time, id: RequestId, to: BackendId) -> Verdict {
-    let Some(request) = record.requests.get(&id) else { return Ok(()) };
+pub(super) fn may_send(observed: &ObservedState, now: Time, id: RequestId, to: BackendId) -> Verdict {
+    let Some(request) = observed.requests.get(&id) else { return Ok(()) };
     match request.idempotency {
         Idempotency::Safe => Ok(()),
         Idempotency::NonIdempotent => check_not_executed(now, id, request),
         Idempotency::Keyed(scope, window) => {
-            let Some(place) = record.backends.get(&to).map(|entry| entry.placement) else { return Ok(()) };
+            let Some(place) = observed.backends.get(&to).map(|entry| entry.placement) else { return Ok(()) };
             check_repeat_is_discarded(now, id, request, scope, window, to, place)
         }
     }
@@ -35,14 +35,14 @@
                 "keyed request {} was sent again to backend {}, which does not share the keys seen by attempt {}",
                 id.0, to.0, before.0
             );
-            return violation(Rule::KeyedInGroupAndWindow, now, text);
+            return violation(Rule::KeyedInScopeAndWindow, now, text);
         }
         if now >= sent.sent_at + window {
             let text = format!(
                 "keyed request {} was sent again after the deduplication window of attempt {}",
                 id.0, before.0
             );
-            return violation(Rule::KeyedInGroupAndWindow, now, text);
+            return violation(Rule::KeyedInScopeAndWindow, now, text);
         }
     }
     Ok(())
--- a/crates/engine/src/monitor/tests/retries.rs
+++ b/crates/engine/src/monitor/tests/retries.rs
@@ -66,14 +66,14 @@
     };
     assert_eq!(to(0, 0), []);
     assert_eq!(to(0, 1_999), []);
-    assert_eq!(to(0, 2_000), [Rule::KeyedInGroupAndWindow]);
-    assert_eq!(to(1, 0), [Rule::KeyedInGroupAndWindow]);
+    assert_eq!(to(0, 2_000), [Rule::KeyedInScopeAndWindow]);
+    assert_eq!(to(1, 0), [Rule::KeyedInScopeAndWindow]);
     let elsewhere = |s: &mut Stream| {
         s.sent(0, 0);
         s.list(0, 7, BackendState::Ready);
         s.sent(1, 0);
     };
-    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInGroupAndWindow]);
+    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInScopeAndWindow]);
     let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_window_is_measured_from_the_end() {
-    assert_eq!(steps("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInGroupAndWindow));
+    assert_eq!(steps("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInScopeAndWindow));
 }
 
 #[test]
