--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -7,10 +7,10 @@
 /// Requests of all proxies in flight on a core of a backend: a shared processor at four fifths of its capacity has four
 /// in flight on average, and more only makes each of them later.
 pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 4.0;
-/// Multiple of the target from which requests of normal priority are rejected: with u / (1 - u) in flight at
-/// utilization u, this is a utilization of eight ninths, ...
+/// Multiple of the target from which requests of normal priority are rejected: 8 in flight on a core. With u / (1 - u)
+/// in flight at utilization u, this is a utilization of eight ninths, ...
 const NORMAL_PRIORITY_LIMIT_FACTOR: f64 = 2.0;
-/// ... and from which those of low priority are: two thirds.
+/// ... and from which those of low priority are: 2 in flight on a core, a utilization of two thirds.
 const LOW_PRIORITY_LIMIT_FACTOR: f64 = 0.5;
 /// Where backends have little in flight by their reports, the estimate by what this proxy has may be over its limit by
 /// this factor.
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -1,4 +1,4 @@
-//! HALB: the optimal division of traffic between servers of different speeds.
+//! HALB (heterogeneity-aware load balancing): the optimal division of traffic between servers of different speeds.
 //!
 //! Source: heterogeneity-aware load balancing with each server as an M/G/1 queue with processor sharing. With service
 //! rates mu of n servers of each type and an arrival rate lambda, the mean latency is least where a type gets
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -33,7 +33,8 @@
 const ADMISSION_GAIN_PER_S: f64 = 4.0;
 /// Rate at which the admitted fraction grows where reports have ended, a second.
 const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
-/// At least this part is admitted, however full backends report to be: they may be wrong.
+/// Lower bound of `admitted`: 53 % of requests of normal priority, none of low. Backends that report to be full may be
+/// wrong.
 const MIN_ADMITTED_FRACTION: f64 = 0.4;
 /// The first part of the rejections falls on requests of low priority alone.
 const LOW_PRIORITY_RANGE: f64 = 0.25;
@@ -64,7 +65,7 @@
     weight_per_core: BTreeMap<ServerTypeId, f64>,
     /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
     mean_in_flight_per_core: Option<f64>,
-    /// The part of all requests that there is capacity for.
+    /// The part of all requests that there is capacity for, at least [`MIN_ADMITTED_FRACTION`].
     admitted: f64,
     /// As many proxies like this one would bring all the traffic.
     fleet_size: f64,
--- a/crates/balancer/src/subset.rs
+++ b/crates/balancer/src/subset.rs
@@ -1,9 +1,10 @@
 //! Subsetting: where many proxies share the backends, each keeps connections to a part of them only, as a backend takes
 //! few connections and each has a cost.
 //!
-//! The backends of a server type lie on a circle of length 1 in the order of their stable hashes, each with a length in
-//! proportion to its weight. A proxy's subset is an arc of it. All arcs have the same width and begin at evenly spread
-//! places, so that all together cover every backend by its weight.
+//! The backends of a server type lie on a circle of length 1 in the order of their stable hashes, each with a length
+//! in proportion to its part of the traffic. A proxy's subset is an arc of it. All arcs have the same width and begin
+//! at evenly spread places, so that all together cover every backend in proportion to its length. The length is the
+//! selection weight, or 1 for every usable backend where backends report their load: see `balancer/weights.rs`.
 
 /// Proxies that use a backend, where there are more: the load of so many evens out, to a fifth of one's.
 const PROXIES_PER_BACKEND: f64 = 20.0;
--- a/crates/types/src/error_chain.rs
+++ b/crates/types/src/error_chain.rs
@@ -1,6 +1,6 @@
 //! Errors as text for a log line.
 
-/// An error with all that lies under it, on one line.
+/// The error's text, then that of its source, of the source's source and so on, joined by `: `.
 pub fn causes(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -45,6 +45,6 @@
     }
 }
 
-/// The largest error of wall clocks that is allowed for, all machines' errors together: two steps of an hour. A rule goes by
-/// the monotonic clock, or keeps this distance.
+/// The largest error of wall clocks that is allowed for, all machines' errors together: two steps of an hour. Two wall
+/// clocks' times are compared only with this much to spare; all else goes by a monotonic clock.
 pub const MAX_WALL_CLOCK_ERROR: Micros = Micros(2 * 3_600_000_000);
