--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -17,11 +17,14 @@
     pub tenants: Vec<Tenant>,
     /// Priority weight of a request over its tenant's quota, as a part of its class's weight, from 0 to 1.
     pub over_quota_weight_fraction: f64,
-    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1.
+    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1. Accepted from the file; no
+    /// decision uses it yet.
     pub total_objective_weight: f64,
-    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1.
+    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1. Accepted from the file; no
+    /// decision uses it yet.
     pub worst_class_objective_weight: f64,
-    /// What it costs the objective when every request crosses zones once; at least 0.
+    /// What it costs the objective when every request crosses zones once; at least 0. Above 0: zone affinity is on; the
+    /// amount is not used.
     pub cross_zone_cost: f64,
     /// How the endpoint list is had.
     pub discovery: DiscoveryMode,
@@ -33,7 +36,7 @@
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel_attempts: bool,
-    /// Requests may be hedged: two attempts of one request in flight at once.
+    /// Further attempts may start while earlier ones are in flight, up to `max_attempts`.
     pub hedging: bool,
     /// The shortest time for which a timer is set; above 0.
     pub min_timer_interval: Micros,
@@ -153,7 +156,8 @@
 pub enum DiscoveryMode {
     /// Changes arrive without a poll.
     Push,
-    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll counts as told after this time.
+    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll is assumed to know of them after this
+    /// time.
     Subscribe(Micros),
 }
 
@@ -264,8 +268,8 @@
         /// The request.
         request: RequestId,
     },
-    /// The pool is no more: whatever is queued fails over or is given up at once, and so is all that comes.
-    Drain,
+    /// The pool was closed: what cannot be sent at once fails over or is given up.
+    PoolClosed,
     /// A timer fired.
     Timer {
         /// The token that it was set with.
@@ -284,8 +288,8 @@
         attempt: AttemptNumber,
         /// Where to.
         backend: BackendId,
-        /// The last byte may go out only before then: a repeat would no longer be discarded later.
-        send_by: Option<Time>,
+        /// The attempt may begin only before then; the engine sets the deadline for its last byte itself.
+        start_by: Option<Time>,
     },
     /// No answer: this pool can do nothing for the request, and the next is to be asked. The balancer forgets the
     /// request, but the ends of its attempts are still to be reported.
@@ -295,14 +299,16 @@
         /// What the next balancer takes over.
         transferred: Box<TransferredRequest>,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Fail`] is only what this balancer expects: that a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
         /// When the client should come again, from now.
         retry_after: Micros,
     },
-    /// Final answer: failed; it may have been executed.
+    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
+    /// from [`Action::Reject`] is only what this balancer expects: that the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -33,7 +33,8 @@
 const ADMISSION_GAIN_PER_S: f64 = 4.0;
 /// Rate at which the admitted fraction grows where reports have ended, a second.
 const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
-/// At least this part is admitted, however full backends report to be: they may be wrong.
+/// Lower bound of `admitted`: 53 % of requests of normal priority, none of low. Backends that report to be full may be
+/// wrong.
 const MIN_ADMITTED_FRACTION: f64 = 0.4;
 /// The first part of the rejections falls on requests of low priority alone.
 const LOW_PRIORITY_RANGE: f64 = 0.25;
@@ -64,7 +65,7 @@
     weight_per_core: BTreeMap<ServerTypeId, f64>,
     /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
     mean_in_flight_per_core: Option<f64>,
-    /// The part of all requests that there is capacity for.
+    /// The part of all requests that there is capacity for, at least [`MIN_ADMITTED_FRACTION`].
     admitted: f64,
     /// As many proxies like this one would bring all the traffic.
     fleet_size: f64,
@@ -256,7 +257,7 @@
         !self.weight_per_core.is_empty()
     }
 
-    /// How fast the list says that a backend of the type is beside those of others; 1 where it says nothing.
+    /// How fast the list says that a backend of the type is relative to those of others; 1 where it says nothing.
     pub fn relative_speed(&self, server_type: ServerTypeId) -> f64 {
         self.weight_per_core.get(&server_type).copied().unwrap_or(1.0)
     }
@@ -287,7 +288,8 @@
             sum += factor;
             count += 1.0;
         }
-        // Beside the mean of all: a server type that is fuller than others gets less, however fast it is taken to be.
+        // Relative to the mean of all: a server type that is fuller than others gets less, however fast it is taken to
+        // be.
         for backend in backends.values_mut() {
             if let Some(factor) = &mut backend.reported_load.rebalancing_factor {
                 let normalized = *factor * count / f64::max(sum, 1e-9);
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -30,7 +30,7 @@
     pub in_flight: bool,
     /// Its outcome proves that it was not executed.
     pub not_executed: bool,
-    /// No byte of it was sent: it cost no backend anything.
+    /// It ended as [`Outcome::NotSent`]: its last byte was not written, and the backend is not at fault.
     pub not_sent: bool,
 }
 
@@ -42,7 +42,7 @@
     /// An answer until then earns the whole priority weight.
     pub objective_at: Time,
     pub deadline: Time,
-    /// Priority beside that of a new request within its tenant's quota, from 0 to 1.
+    /// Priority relative to that of a new request within its tenant's quota, from 0 to 1.
     pub priority: f64,
     /// Drawn once, from 0 to 1: where only a part of the requests is admitted, those with a roll within that part are.
     pub admission_roll: f64,
@@ -67,7 +67,7 @@
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// Whether a further attempt is a retry or a hedge: bytes of an earlier one were sent.
+    /// Whether a further attempt is a retry or a hedge: an earlier one did not end as [`Outcome::NotSent`].
     pub fn was_sent(&self) -> bool {
         self.attempts.iter().any(|attempt| !attempt.not_sent)
     }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -47,9 +47,9 @@
     }
 }
 
-/// Whether a further attempt at `backend` cannot be executed beside an earlier one: the backend shares the keys that it
-/// has seen with those of the earlier attempts.
-pub(crate) fn is_deduplicated(
+/// Whether a further attempt may go to `backend` after the earlier ones: the backend shares the keys that it has seen
+/// with those of each earlier attempt that may have been executed. Always so without a key.
+pub(crate) fn may_follow_at(
     idempotency: Idempotency, request: &RequestState, backend: &BackendEntry,
 ) -> bool {
     let Idempotency::Keyed(scope, _) = idempotency else { return true };
@@ -59,8 +59,8 @@
     })
 }
 
-/// Until when the last byte of the request's next attempt may go out; `None` where any time will do.
-pub(crate) fn send_by(config: &Config, request: &RequestState) -> Option<Time> {
+/// Before when the request's next attempt has to begin; `None` where any time will do.
+pub(crate) fn start_by(config: &Config, request: &RequestState) -> Option<Time> {
     let Idempotency::Keyed(_, window) = config.classes[request.class].idempotency else { return None };
     let may_be_executed = request.attempts.iter().filter(|attempt| !attempt.not_executed);
     first_retry_deadline(window, may_be_executed.map(|attempt| attempt.sent_at))
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -147,9 +147,9 @@
             }
             Event::RequestWritten { connection } => self.on_request_written(connection),
             Event::LoadReported { connection, report } => self.on_load_reported(connection, report),
-            Event::ResponseReceived { connection, class: verdict, reusable, has_excess_bytes } => {
+            Event::ResponseReceived { connection, class, reusable, has_excess_bytes } => {
                 let is_clean = !has_excess_bytes || mutant!(self.mutant, ReusedWithExcessBytes);
-                self.on_response(now, connection, verdict, reusable && is_clean, actions)
+                self.on_response(now, connection, class, reusable && is_clean, actions)
             }
             Event::InvalidResponse { connection } => {
                 self.on_connection_lost(now, connection, Outcome::Error, actions)
@@ -186,8 +186,8 @@
 
     fn run_policy_action(&mut self, now: Time, action: pools::Action, actions: &mut Vec<Action>) {
         match action {
-            pools::Action::Dispatch { request, attempt, backend, send_by } => {
-                self.dispatch_attempt(now, request, attempt, backend, send_by, actions);
+            pools::Action::Dispatch { request, attempt, backend, start_by } => {
+                self.dispatch_attempt(now, request, attempt, backend, start_by, actions);
             }
             pools::Action::Reject { request, retry_after } => {
                 self.give_up_request(now, request, retry_after, true, actions)
