--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -29,9 +29,10 @@
     pub position: u32,
     /// No new request may go to a backend later than this after discovery has said that it is draining or gone.
     pub grace: Duration,
-    /// What discovery has counts as known from the start, and soon after a move, whether it answered or not: a list from
-    /// before that is used no longer than the grace.
-    pub strict: bool,
+    /// From the start, and from soon after a move, the platform holds the proxy responsible for what discovery has, whether
+    /// or not it was received ("it counts as known"): a list from before that moment, which discovery has not confirmed
+    /// since, is used no longer than the grace. Only where lists are pushed.
+    pub expires_unconfirmed_list: bool,
 }
 
 /// Where discovery is, and since when: the start of the program, or the signal that moved it.
@@ -79,7 +80,7 @@
 async fn expire_unconfirmed(
     driver: &Rc<Driver>, pool: PoolId, at: Instant, config: SubscriptionConfig, has_list: &Cell<bool>,
 ) {
-    if !config.strict || config.mode != DiscoveryMode::Push {
+    if !config.expires_unconfirmed_list || config.mode != DiscoveryMode::Push {
         return;
     }
     // Where the start itself took that long nothing may be sent by the old list, not even for one turn of the event loop.
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -106,7 +106,7 @@
     pub(crate) bodies: BodyLimits,
     pub(crate) is_recorded: bool,
     pub(crate) max_body: usize,
-    pub(crate) longest_stop: Option<Micros>,
+    pub(crate) max_stop_duration: Option<Micros>,
 }
 
 /// Headers that the platform's backends go by, beside those of the format.
@@ -149,7 +149,7 @@
             },
             max_body: def.max_body,
             is_recorded: def.records_requests,
-            longest_stop: def.max_stop_duration,
+            max_stop_duration: def.max_stop_duration,
         }
     }
 
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -17,7 +17,7 @@
 
 /// How long connections are still accepted after SIGTERM: clients may hear of it up to 0.4 s later.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
-/// The program ends at most this long after SIGTERM plus the longest deadline. SIGKILL follows 0.2 s later at the
+/// The server returns at most this long after SIGTERM plus the longest deadline. SIGKILL follows 0.2 s later at the
 /// soonest, a reserve for a loaded machine.
 const STOP_MARGIN: Micros = Micros(500_000);
 /// The part of that margin that is kept for writing the last responses.
@@ -57,7 +57,7 @@
         // Requests accepted by earlier rules may have later deadlines; where the time to stop is limited, they are
         // answered before it ends.
         let longest = rules.longest_deadline().max(self.latest_deadline.get() - begun);
-        let end = begun + longest.min(rules.longest_stop.unwrap_or(longest)) + STOP_MARGIN;
+        let end = begun + longest.min(rules.max_stop_duration.unwrap_or(longest)) + STOP_MARGIN;
         let deadline = end - FLUSH_TIME;
         self.stop_deadline.set(Some(deadline));
         self.accept_after_stop(&listeners).await;
--- a/crates/net/src/connection_table.rs
+++ b/crates/net/src/connection_table.rs
@@ -56,7 +56,7 @@
 pub(crate) struct ConnectionTable {
     pub by_id: HashMap<ConnectionId, UpstreamConnection>,
     /// Connects begun since the last report.
-    pub opened: u64,
+    pub connects_begun: u64,
 }
 
 impl ConnectionTable {
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -91,7 +91,7 @@
             state.pending_events.push_back(Event::ConnectFailed { connection, backend_at_fault: false });
             return;
         };
-        state.connections.opened += 1;
+        state.connections.connects_begun += 1;
         state.trace_connecting(connection, AttemptEvent::Connecting);
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
@@ -173,7 +173,7 @@
             state.pending_events.push_back(unusable_event(connection, never_used));
             return;
         };
-        state.counters.sent += 1;
+        state.counters.dispatched += 1;
         let config = self.upstream_config.get();
         let exchange = ExchangeSpec {
             attempt,
--- a/crates/net/src/driver/counters.rs
+++ b/crates/net/src/driver/counters.rs
@@ -7,16 +7,17 @@
 /// Events since the last report.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    /// Requests submitted.
+    /// Requests numbered. Not among them: those whose client had already closed.
     pub requests: u64,
+    /// Requests by their final responses. Those that the record refuses are in none of the four.
     pub served: u64,
     pub rejected: u64,
     pub failed: u64,
     pub timed_out: u64,
-    /// Requests whose client closed its connection before the final response.
+    /// Requests whose client closed its connection before the final response, also those that were not numbered for it.
     pub client_disconnected: u64,
-    /// Attempts given to an established connection.
-    pub sent: u64,
+    /// Attempts given to an established connection, also those of which no byte was written then.
+    pub dispatched: u64,
     /// Attempts ended by an invalid response.
     pub invalid_responses: u64,
     /// Attempts ended by the end of the connection.
@@ -39,7 +40,7 @@
             self.failed,
             self.timed_out,
             self.client_disconnected,
-            self.sent,
+            self.dispatched,
             self.invalid_responses,
             self.connections_closed,
             self.connections_unusable,
@@ -54,7 +55,7 @@
     pub fn report(&self, clients: &str) {
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
-        let connects = std::mem::take(&mut state.connections.opened);
+        let connects = std::mem::take(&mut state.connections.connects_begun);
         let given_up = state.engine.policy_mut().take_give_up_counts();
         info!(
             "{counters}; given up: {given_up}; open requests {} {clients} backend connections {} connects {connects} \
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -114,7 +114,7 @@
                 .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
                 .unwrap();
             driver.client_disconnected(left);
-            assert_eq!(driver.state.borrow().counters.sent, 0);
+            assert_eq!(driver.state.borrow().counters.dispatched, 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
             assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "forgotten");
             drop(answer);
@@ -141,12 +141,12 @@
                 .submit(request_spec(&pools), RequestIdentity::default(), Rc::new(NeverWritten))
                 .unwrap();
             assert_eq!(
-                (driver.upstream_connection_count(), driver.state.borrow().connections.opened),
+                (driver.upstream_connection_count(), driver.state.borrow().connections.connects_begun),
                 (4, 4)
             );
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.2:9"));
             assert_eq!(
-                (driver.upstream_connection_count(), driver.state.borrow().connections.opened),
+                (driver.upstream_connection_count(), driver.state.borrow().connections.connects_begun),
                 (1, 5)
             );
             assert!(answer.is_empty(), "it is on its way to the new address");
@@ -175,7 +175,7 @@
                 assert!(begun.elapsed().as_secs() < 20, "it is not found out");
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let opened = driver.state.borrow().connections.opened;
+            let opened = driver.state.borrow().connections.connects_begun;
             assert_eq!((opened, driver.upstream_connection_count()), (1, 0), "none is opened in its place");
             assert!(matches!(answer.await.unwrap().decision, FinalDecision::Rejected(_)));
         })
@@ -248,7 +248,7 @@
             assert!(matches!(queued.await.unwrap().decision, FinalDecision::Rejected(_)));
             driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
-            while driver.state.borrow().connections.opened == 0 {
+            while driver.state.borrow().connections.connects_begun == 0 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             timers.abort();
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -225,7 +225,7 @@
         drop(answer);
         settle().await;
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.driver.state.borrow().counters.sent, 1, "decided on");
+        assert_eq!(setup.driver.state.borrow().counters.dispatched, 1, "decided on");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -1,5 +1,6 @@
-//! What an error of a system call means: the one place that says which errors end what. Callers match on the classes
-//! here and never on error numbers of their own.
+//! What an error of a system call on a connection or listener means. Callers match on the classes here and never on
+//! error numbers of their own. Elsewhere: files, `node::NodeError::may_pass`; the store, `opening::may_open_later`; the
+//! control socket, `control_socket`; discovery, every error fails the call.
 //!
 //! - A read, write, peek or shutdown on a connection: EAGAIN waits for readiness, EINTR is tried again at once, and any
 //!   other error ends the connection (ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EPIPE and the like).
@@ -119,7 +120,8 @@
     }
 }
 
-/// The system, or this process, lacks memory, files, buffers or threads for now.
+/// The system, or this process, lacks memory, files, buffers or threads for now, or a signal interrupted the call (EINTR):
+/// the same call may succeed when it is repeated.
 pub fn is_shortage(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -52,7 +52,7 @@
         let head = store.head()?;
         let mut keys: Vec<StoredKey> = Vec::new();
         loop {
-            let page = store.keys(keys.last().map(|remembered| &remembered.key), PAGE)?;
+            let page = store.keys(keys.last().map(|stored| &stored.key), PAGE)?;
             let is_last = page.len() < PAGE;
             keys.extend(page);
             if is_last {
--- a/crates/record-service/src/service.rs
+++ b/crates/record-service/src/service.rs
@@ -203,9 +203,9 @@
                         driver.on_intent_persisted(request, attempt, persisted);
                     }
                 }
-                Action::EndRequest { request, decision: verdict } => {
+                Action::EndRequest { request, decision } => {
                     if let Some(driver) = self.driver.borrow().upgrade() {
-                        driver.end_by_record(request, verdict);
+                        driver.end_by_record(request, decision);
                     }
                 }
                 Action::Reply { reply, result } => {
--- a/crates/record/src/chain.rs
+++ b/crates/record/src/chain.rs
@@ -30,7 +30,7 @@
 pub struct Broken {
     /// The first row that does not fit, or that is missing.
     pub seq: u64,
-    /// BreakCause.
+    /// What is wrong with it.
     pub why: BreakCause,
 }
 
--- a/crates/shaletide/src/control_socket.rs
+++ b/crates/shaletide/src/control_socket.rs
@@ -1,7 +1,7 @@
 //! The control socket. The service does not depend on it, so that one that cannot be bound for now delays nothing.
 
 use crate::commands;
-use crate::retry::{until_ready, Attempt, RetryPolicy, StepNames};
+use crate::retry::{until_ready, RetryPolicy, StepNames, StepOutcome};
 use crate::start_error::StartError;
 use shaletide_control::{Control, ControlError};
 use shaletide_record_service::Record;
@@ -20,22 +20,22 @@
 /// Something that is no socket lies in its place.
 pub fn begin(socket: PathBuf, record: Option<Rc<Record>>) -> Result<(), StartError> {
     match attempt(&socket) {
-        Attempt::Ready(control) => {
+        StepOutcome::Ready(control) => {
             tokio::task::spawn_local(serve(control, record));
         }
-        Attempt::Fatal(error) => return Err(StartError::Control(error)),
-        Attempt::WaitFor(_) => {
+        StepOutcome::Fatal(error) => return Err(StartError::Control(error)),
+        StepOutcome::WaitFor(_) => {
             tokio::task::spawn_local(serve_later(socket, record));
         }
     }
     Ok(())
 }
 
-fn attempt(socket: &Path) -> Attempt<Control, ControlError> {
+fn attempt(socket: &Path) -> StepOutcome<Control, ControlError> {
     match Control::bind(socket) {
-        Ok(control) => Attempt::Ready(control),
-        Err(error @ (ControlError::InUse { .. } | ControlError::Io { .. })) => Attempt::WaitFor(error),
-        Err(error) => Attempt::Fatal(error),
+        Ok(control) => StepOutcome::Ready(control),
+        Err(error @ (ControlError::InUse { .. } | ControlError::Io { .. })) => StepOutcome::WaitFor(error),
+        Err(error) => StepOutcome::Fatal(error),
     }
 }
 
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -21,8 +21,8 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// SIGKILL may come so long after the longest deadline, counted from SIGTERM, less what a loaded core takes for the last
-/// steps: the store has until then for its last writes, and requests until 0.1 s before.
+/// The store has until this long after SIGTERM plus the longest deadline. The server returns by 0.5 s (`STOP_MARGIN`), and
+/// the platform sends SIGKILL at 0.7 s at the soonest; 0.1 s is kept for a loaded machine.
 const STORE_STOP_GRACE: Duration = Duration::from_millis(600);
 /// The store has at least this long for its last writes.
 const MIN_STORE_STOP: Duration = Duration::from_millis(100);
@@ -154,17 +154,17 @@
     async fn stop_record(&self, stopped_at: Option<Instant>) {
         let Some(service) = self.record.as_ref().and_then(|record| record.service()) else { return };
         let now = Instant::now();
-        let end = stopped_at.unwrap_or(now) + self.longest_stop() + STORE_STOP_GRACE;
+        let end = stopped_at.unwrap_or(now) + self.stop_duration() + STORE_STOP_GRACE;
         let end = end.max(now + MIN_STORE_STOP); // earlier rules may have given requests more time
         service.flush_until(end).await; // the service logs what is not written by then
         service.stop(end);
     }
 
     /// How long requests may take to end after SIGTERM.
-    fn longest_stop(&self) -> Duration {
+    fn stop_duration(&self) -> Duration {
         let deadlines = self.setup.operator.classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or_default();
-        span(longest.min(self.setup.longest_stop.unwrap_or(longest)))
+        span(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
     }
 
     /// Applies the configuration, requested at that time, as a whole.
--- a/crates/shaletide/src/descriptors.rs
+++ b/crates/shaletide/src/descriptors.rs
@@ -9,7 +9,7 @@
 use shaletide_http::CLIENT_OVERFLOW;
 use tracing::warn;
 
-/// What every process holds. BackendSnapshot in use: 3 standard streams, 7 of the event loop and of signals, a listener, a call to
+/// What every process holds. Seen in use: 3 standard streams, 7 of the event loop and of signals, a listener, a call to
 /// discovery; 4 for configuration files that are being read; 8 are spare.
 const PROCESS: usize = 24;
 /// Listeners and calls to discovery that [`PROCESS`] has room for, one of each.
--- a/crates/shaletide/src/files.rs
+++ b/crates/shaletide/src/files.rs
@@ -16,7 +16,7 @@
 /// One that is read a first time may be a pipe, and the program starts when all of it has come. One that is read again
 /// has to be a regular file: who opens a pipe that nobody writes to waits for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum ReadMode {
     First,
     Again,
 }
@@ -25,22 +25,22 @@
 ///
 /// # Errors
 /// What the kernel says.
-pub fn read(path: &Path, max_bytes: usize, reading: Reading) -> Result<Vec<u8>> {
+pub fn read(path: &Path, max_bytes: usize, reading: ReadMode) -> Result<Vec<u8>> {
     let read = || read_unchanged(path, max_bytes, reading, || std::thread::sleep(SETTLE_TIME));
     match reading {
-        Reading::First => retry_shortage(Some(SHORTAGE_PATIENCE), read),
-        Reading::Again => read(), // whoever has it read tries again
+        ReadMode::First => retry_shortage(Some(SHORTAGE_PATIENCE), read),
+        ReadMode::Again => read(), // whoever has it read tries again
     }
 }
 
-fn read_unchanged(path: &Path, max_bytes: usize, reading: Reading, wait: impl FnOnce()) -> Result<Vec<u8>> {
+fn read_unchanged(path: &Path, max_bytes: usize, reading: ReadMode, wait: impl FnOnce()) -> Result<Vec<u8>> {
     let before = std::fs::metadata(path)?;
-    if reading == Reading::Again && !before.is_file() {
+    if reading == ReadMode::Again && !before.is_file() {
         return Err(Error::other("not a regular file"));
     }
     let mut bytes = Vec::new();
     std::fs::File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
-    if reading == Reading::Again {
+    if reading == ReadMode::Again {
         wait();
         let state = |of: &Metadata| (of.ino(), of.len(), of.mtime(), of.mtime_nsec());
         if state(&before) != state(&std::fs::metadata(path)?) {
--- a/crates/shaletide/src/files/tests.rs
+++ b/crates/shaletide/src/files/tests.rs
@@ -20,10 +20,10 @@
     let read =
         |reading, wait: &dyn Fn()| read_unchanged(&path, 100, reading, wait).map_err(|e| e.to_string());
     let written = Err("it is being written".to_string());
-    assert_eq!(read(Reading::Again, &|| ()), Ok(b"half".to_vec()));
-    assert_eq!(read(Reading::Again, &more), written);
-    assert_eq!(read(Reading::Again, &another), written, "by one in its place, as long as it is");
-    assert_eq!(read(Reading::Again, &|| ()), Ok(b"half and half".to_vec()));
-    assert_eq!(read(Reading::First, &|| panic!("a first reading waits for nobody")).unwrap().len(), 13);
-    assert!(read(Reading::Again, &|| std::fs::remove_file(&path).unwrap()).is_err());
+    assert_eq!(read(ReadMode::Again, &|| ()), Ok(b"half".to_vec()));
+    assert_eq!(read(ReadMode::Again, &more), written);
+    assert_eq!(read(ReadMode::Again, &another), written, "by one in its place, as long as it is");
+    assert_eq!(read(ReadMode::Again, &|| ()), Ok(b"half and half".to_vec()));
+    assert_eq!(read(ReadMode::First, &|| panic!("a first reading waits for nobody")).unwrap().len(), 13);
+    assert!(read(ReadMode::Again, &|| std::fs::remove_file(&path).unwrap()).is_err());
 }
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -23,7 +23,7 @@
 
 use clap::Parser;
 use cli::{Cli, Command};
-use files::Reading;
+use files::ReadMode;
 use reload::ReadConfiguration;
 use setup::Setup;
 use sha2::{Digest, Sha256};
@@ -45,13 +45,13 @@
         Some(Command::Serve { config }) => {
             let read_again: ReadConfiguration = Arc::new({
                 let config = config.clone();
-                move |_| setup_of(&config, Reading::Again)
+                move |_| setup_of(&config, ReadMode::Again)
             });
-            let read = || setup_of(&config, Reading::First).map_err(SetupError::Invalid);
+            let read = || setup_of(&config, ReadMode::First).map_err(SetupError::Invalid);
             let shortage_patience = Some(SHORTAGE_PATIENCE);
             Start { shortage_patience, read_again, self_check: cli.self_check }.run(read)
         }
-        Some(Command::Check { file }) => match read(&file, Reading::First) {
+        Some(Command::Check { file }) => match read(&file, ReadMode::First) {
             Ok(operator) => {
                 println!("{}: {}", file.display(), cli::summary(&operator));
                 ExitCode::SUCCESS
@@ -59,7 +59,7 @@
             Err(report) => reject(&report),
         },
         Some(Command::Explain(args)) => {
-            match read(&args.file, Reading::First).and_then(|o| explain::explain(&o, &args)) {
+            match read(&args.file, ReadMode::First).and_then(|o| explain::explain(&o, &args)) {
                 Ok(text) => {
                     print!("{text}");
                     ExitCode::SUCCESS
@@ -67,7 +67,7 @@
                 Err(why) => reject(&why),
             }
         }
-        Some(Command::Record(args)) => record::run(&args, |path| read(path, Reading::First)),
+        Some(Command::Record(args)) => record::run(&args, |path| read(path, ReadMode::First)),
         Some(Command::Demo(args)) => demo::run(&args, cli.self_check),
         Some(Command::Explore(args)) => explore::explore(&args).unwrap_or_else(|why| reject(&why)),
         None => platform(cli.with, cli.self_check),
@@ -96,17 +96,17 @@
 }
 
 /// Reads the operators' file.
-fn read(path: &Path, reading: Reading) -> Result<OperatorConfig, String> {
+fn read(path: &Path, reading: ReadMode) -> Result<OperatorConfig, String> {
     let bytes = read_file(path, reading)?;
     operator::read_bytes(&path.display().to_string(), &bytes).map_err(|report| report.to_string())
 }
 
-fn read_file(path: &Path, reading: Reading) -> Result<Vec<u8>, String> {
+fn read_file(path: &Path, reading: ReadMode) -> Result<Vec<u8>, String> {
     let bytes = files::read(path, operator::MAX_FILE, reading);
     bytes.map_err(|error| format!("cannot read {}: {error}", path.display()))
 }
 
-fn setup_of(path: &Path, reading: Reading) -> Result<Setup, String> {
+fn setup_of(path: &Path, reading: ReadMode) -> Result<Setup, String> {
     let bytes = read_file(path, reading)?;
     let operator = operator::read_bytes(&path.display().to_string(), &bytes).map_err(|r| r.to_string())?;
     Ok(Setup::from_file(operator, format!("{:x}", Sha256::digest(&bytes))))
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -1,6 +1,6 @@
 //! `NODE_CONFIG`: the platform's configuration of this proxy, and a file that adds to it.
 
-use crate::files::{self, Reading};
+use crate::files::{self, ReadMode};
 use crate::setup::Setup;
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -101,7 +101,7 @@
     discovery: SocketAddr,
 }
 
-fn file<T: DeserializeOwned>(path: &Path, reading: Reading) -> Result<T, NodeError> {
+fn file<T: DeserializeOwned>(path: &Path, reading: ReadMode) -> Result<T, NodeError> {
     let bytes = files::read(path, MAX_FILE, reading).map_err(|e| NodeError::Unreadable(path.into(), e))?;
     serde_json::from_slice(&bytes).map_err(|e| NodeError::Malformed(path.into(), e))
 }
@@ -127,7 +127,7 @@
 
 /// Reads `NODE_CONFIG`, without a file that adds to it.
 pub fn read(path: &Path) -> Result<Setup, NodeError> {
-    let file: File = file(path, Reading::First)?;
+    let file: File = file(path, ReadMode::First)?;
     let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
     let seed = hex.or(file.seed.as_u64());
     let node = NodeIdentity {
@@ -144,8 +144,8 @@
         server_types: names.server_types().to_vec(),
         cached_list: cached_list(file.known),
         fractional_retry_after: true,
-        longest_stop: Some(LONGEST_STOP),
-        agent_counts_as_known: platform::has_drain_grace(&file.settings),
+        max_stop_duration: Some(LONGEST_STOP),
+        expires_unconfirmed_list: platform::has_drain_grace(&file.settings),
         record: None,
         listen_patience: None,
     })
@@ -155,17 +155,17 @@
 pub fn extended(bare: &Setup, with: Option<&Path>) -> Result<Setup, NodeError> {
     let mut setup = bare.clone();
     if let Some(with) = with {
-        extend(&mut setup, with, Reading::First)?;
+        extend(&mut setup, with, ReadMode::First)?;
     }
     Ok(setup)
 }
 
 /// Reads what SIGHUP applies: where discovery is, and the file that adds. Nothing else in `NODE_CONFIG` is read.
 pub fn read_again(bare: &Setup, path: &Path, with: Option<&Path>) -> Result<Setup, NodeError> {
-    let changed: Changeable = file(path, Reading::Again)?;
+    let changed: Changeable = file(path, ReadMode::Again)?;
     let mut next = bare.clone();
     if let Some(with) = with {
-        extend(&mut next, with, Reading::Again)?;
+        extend(&mut next, with, ReadMode::Again)?;
     }
     if let Some(PoolSource::Discovery { address, .. }) =
         next.operator.pools.first_mut().map(|p| &mut p.source)
@@ -175,7 +175,7 @@
     Ok(next)
 }
 
-fn extend(setup: &mut Setup, with: &Path, reading: Reading) -> Result<(), NodeError> {
+fn extend(setup: &mut Setup, with: &Path, reading: ReadMode) -> Result<(), NodeError> {
     let bytes =
         files::read(with, operator::MAX_FILE, reading).map_err(|e| NodeError::Unreadable(with.into(), e))?;
     let name = with.display().to_string();
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -178,10 +178,10 @@
     /// Earlier than this.
     #[arg(long, value_name = "TIME")]
     pub until: Option<String>,
-    /// RowSubject keys of this tenant.
+    /// About keys of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// RowSubject this backend.
+    /// About this backend.
     #[arg(long = "box", value_name = "BOX")]
     pub backend: Option<String>,
 }
--- a/crates/shaletide/src/reload.rs
+++ b/crates/shaletide/src/reload.rs
@@ -1,5 +1,6 @@
-//! Reads the configuration again: on threads beside the event loop, and more than once where it is invalid. Says when to
-//! apply what was read; [`crate::daemon`] applies it.
+//! Reads the configuration again: on threads beside the event loop, and more than once where a reading cannot be
+//! applied. Says when to apply what was read; [`crate::daemon`] applies it. A reading that was not applied, for whatever
+//! reason, is read again up to five times before that is logged as a warning.
 
 use crate::setup::Setup;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -19,8 +20,8 @@
 /// read at a time.
 const MAX_CONCURRENT_READS: usize = 4;
 
-/// The result of one reading.
-pub struct Reading {
+/// What came of one reading.
+pub struct ReadResult {
     /// Counted from 1.
     pub number: u64,
     /// When it was requested.
@@ -29,7 +30,7 @@
     pub result: Result<Setup, String>,
 }
 
-/// A further reading of a file that was invalid.
+/// A further reading, after one that was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Retry {
     at: Instant,
@@ -40,8 +41,8 @@
 /// Has the configuration read at each SIGHUP. The last valid reading is applied.
 pub struct Reader {
     read: ReadConfiguration,
-    results_tx: mpsc::Sender<Reading>,
-    results_rx: mpsc::Receiver<Reading>,
+    results_tx: mpsc::Sender<ReadResult>,
+    results_rx: mpsc::Receiver<ReadResult>,
     reads_in_progress: usize,
     last_begun: u64,
     last_applied: u64,
@@ -78,7 +79,7 @@
 
     /// The next reading that has ended and is not older than the last one applied; pending where there is none. May be
     /// dropped before it is ready: nothing is lost.
-    pub async fn next(&mut self, running: &Arc<Setup>) -> Reading {
+    pub async fn next(&mut self, running: &Arc<Setup>) -> ReadResult {
         loop {
             let next_retry = self.next_retry;
             tokio::select! {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes note of what came of a reading: applied, or why not. An invalid one is read again, or logged.
+    /// Takes note of what came of a reading: applied, or why not. One that was not applied is read again, or logged.
     pub fn finish(&mut self, number: u64, requested_at: Instant, applied: Result<(), String>) {
         let Err(cause) = applied else {
             self.last_applied = number;
@@ -113,8 +114,9 @@
             return;
         };
         self.retries += 1;
-        let first_line = cause.lines().nth(1).unwrap_or_default().trim();
-        info!("SIGHUP, to be read again in {pause_ms} ms: {first_line}");
+        // The first line is always `nothing changes...`, but for a rejection by the balancer, which reading has ruled out.
+        let first_detail = cause.lines().nth(1).unwrap_or_default().trim();
+        info!("SIGHUP, to be read again in {pause_ms} ms: {first_detail}");
         let at = Instant::now() + Duration::from_millis(*pause_ms);
         self.next_retry = Some(Retry { at, requested_at });
     }
@@ -132,7 +134,8 @@
             let result = catch_unwind(AssertUnwindSafe(|| read(&running)));
             let result = result.unwrap_or_else(|_| Err("the reader has failed".into()));
             let result = result.map_err(|cause| format!("nothing changes:\n{cause}"));
-            let _ = results.try_send(Reading { number, requested_at, result }); // the program may have stopped
+            let _ = results.try_send(ReadResult { number, requested_at, result });
+            // the program may have stopped
         };
         match std::thread::Builder::new().name("reload".into()).spawn(work) {
             Ok(_) => {
--- a/crates/shaletide/src/reload/tests.rs
+++ b/crates/shaletide/src/reload/tests.rs
@@ -41,7 +41,7 @@
 
 /// The next reading that is over, taken: who asked for it, and its proxy's name or what is wrong.
 async fn next_result(reader: &mut Reader, running: &Arc<Setup>) -> (Instant, Result<String, String>) {
-    let Reading { number, requested_at, result } = reader.next(running).await;
+    let ReadResult { number, requested_at, result } = reader.next(running).await;
     let result = result.map(|setup| setup.operator.proxy.name);
     reader.finish(number, requested_at, result.clone().map(drop));
     (requested_at, result)
--- a/crates/shaletide/src/retry.rs
+++ b/crates/shaletide/src/retry.rs
@@ -6,7 +6,7 @@
 
 /// What an attempt at a step comes to.
 #[derive(Debug)]
-pub enum Attempt<T, E> {
+pub enum StepOutcome<T, E> {
     /// The step is done.
     Ready(T),
     /// It failed on a condition that may pass.
@@ -86,17 +86,17 @@
 /// # Errors
 /// What does not pass by itself, or the last failure where the patience is over.
 pub async fn until_ready<T, E: Display>(
-    step: StepNames, policy: RetryPolicy, mut attempt: impl FnMut() -> Attempt<T, E>,
+    step: StepNames, policy: RetryPolicy, mut attempt: impl FnMut() -> StepOutcome<T, E>,
 ) -> Result<T, E> {
     let mut log = WaitLog::begin();
     loop {
         let cause = match attempt() {
-            Attempt::Ready(done) => {
+            StepOutcome::Ready(done) => {
                 log.done(step.done);
                 return Ok(done);
             }
-            Attempt::Fatal(cause) => return Err(cause),
-            Attempt::WaitFor(cause) => cause,
+            StepOutcome::Fatal(cause) => return Err(cause),
+            StepOutcome::WaitFor(cause) => cause,
         };
         if log.count() {
             log.warn(format_args!("{}: {cause}", step.waiting));
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -33,9 +33,10 @@
     /// `Retry-After` has decimals, as on the platform; else whole seconds.
     pub fractional_retry_after: bool,
     /// Whoever ends the program waits for the longest deadline, though no longer than this; `None`: for any.
-    pub longest_stop: Option<Micros>,
-    /// What the first pool's discovery has counts as known to the proxy before it is received.
-    pub agent_counts_as_known: bool,
+    pub max_stop_duration: Option<Micros>,
+    /// The platform holds the proxy responsible for what the first pool's discovery has, from the start on, whether or not it
+    /// was received: see [`shaletide_discovery::SubscriptionConfig::expires_unconfirmed_list`].
+    pub expires_unconfirmed_list: bool,
     /// What is recorded, and where.
     pub record: Option<RecordSetup>,
     /// How long an address that cannot be listened on is tried again; `None`: without end.
@@ -63,8 +64,8 @@
             server_types: Vec::new(),
             cached_list: List::default(),
             fractional_retry_after: false,
-            longest_stop: None,
-            agent_counts_as_known: false,
+            max_stop_duration: None,
+            expires_unconfirmed_list: false,
             record,
             listen_patience: Some(LISTEN_PATIENCE),
         }
@@ -174,7 +175,7 @@
             max_buffered_body_bytes: operator.limits.held_bodies,
             max_body: operator.limits.max_body,
             records_requests: self.record.is_some(),
-            max_stop_duration: self.longest_stop,
+            max_stop_duration: self.max_stop_duration,
         }
     }
 
--- a/crates/shaletide/src/start/configuration.rs
+++ b/crates/shaletide/src/start/configuration.rs
@@ -1,7 +1,7 @@
 //! The result of reading the configuration at the start.
 
 use crate::node::NodeError;
-use crate::retry::Attempt;
+use crate::retry::StepOutcome;
 use crate::setup::Setup;
 use std::fmt;
 
@@ -31,12 +31,12 @@
     }
 }
 
-impl From<Result<Setup, SetupError>> for Attempt<Setup, SetupError> {
-    fn from(read: Result<Setup, SetupError>) -> Attempt<Setup, SetupError> {
+impl From<Result<Setup, SetupError>> for StepOutcome<Setup, SetupError> {
+    fn from(read: Result<Setup, SetupError>) -> StepOutcome<Setup, SetupError> {
         match read {
-            Ok(setup) => Attempt::Ready(setup),
-            Err(error @ SetupError::Unfinished(_)) => Attempt::WaitFor(error),
-            Err(error @ SetupError::Invalid(_)) => Attempt::Fatal(error),
+            Ok(setup) => StepOutcome::Ready(setup),
+            Err(error @ SetupError::Unfinished(_)) => StepOutcome::WaitFor(error),
+            Err(error @ SetupError::Invalid(_)) => StepOutcome::Fatal(error),
         }
     }
 }
--- a/crates/shaletide/src/start/mod.rs
+++ b/crates/shaletide/src/start/mod.rs
@@ -8,7 +8,7 @@
 use crate::daemon::Daemon;
 use crate::log::say_failure;
 use crate::reload::ReadConfiguration;
-use crate::retry::{until_ready, Attempt, RetryPolicy, StepNames};
+use crate::retry::{until_ready, RetryPolicy, StepNames, StepOutcome};
 use crate::setup::Setup;
 use configuration::SetupError;
 use shaletide_net::retry_shortage;
@@ -100,10 +100,10 @@
         let first = read();
         let mut stop = stops(self.shortage_patience).map_err(Failure::failed)?;
         drop(entered);
-        let setup = match Attempt::from(first) {
-            Attempt::Ready(setup) => setup,
-            Attempt::Fatal(error) => return Err(Failure::Invalid(error.to_string())),
-            Attempt::WaitFor(_) => match local.block_on(runtime, wait_for_setup(read, &mut stop)) {
+        let setup = match StepOutcome::from(first) {
+            StepOutcome::Ready(setup) => setup,
+            StepOutcome::Fatal(error) => return Err(Failure::Invalid(error.to_string())),
+            StepOutcome::WaitFor(_) => match local.block_on(runtime, wait_for_setup(read, &mut stop)) {
                 Some(setup) => setup.map_err(|error| Failure::Invalid(error.to_string()))?,
                 None => return Ok(()),
             },
@@ -153,7 +153,7 @@
 async fn wait_for_setup(
     mut read: impl FnMut() -> Result<Setup, SetupError>, stop: &mut Stop,
 ) -> Option<Result<Setup, SetupError>> {
-    let setup = until_ready(CONFIGURATION_STEP, CONFIGURATION_RETRY, || Attempt::from(read()));
+    let setup = until_ready(CONFIGURATION_STEP, CONFIGURATION_RETRY, || StepOutcome::from(read()));
     tokio::select! {
         setup = setup => Some(setup),
         () = stop => None,
--- a/crates/shaletide/src/subscriptions.rs
+++ b/crates/shaletide/src/subscriptions.rs
@@ -94,8 +94,8 @@
     let mut wanted = Vec::new();
     for discovery in setup.discoveries() {
         let Some(pool) = ids.get(discovery.pool_index).copied() else { continue };
-        let strict = setup.agent_counts_as_known && ids.first() == Some(&pool);
-        let config = SubscriptionConfig { mode: discovery.mode, position, grace, strict };
+        let expires_unconfirmed_list = setup.expires_unconfirmed_list && ids.first() == Some(&pool);
+        let config = SubscriptionConfig { mode: discovery.mode, position, grace, expires_unconfirmed_list };
         wanted.push(Wanted { pool, address: discovery.address, config });
     }
     wanted
