--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -37,7 +37,7 @@
 
 /// Where discovery is, and since when: the start of the program, or the signal that moved it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DiscoveryEndpoint {
+pub struct DiscoveryAddress {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it has counts from then on, or soon after.
@@ -50,7 +50,7 @@
 ///
 /// Ends only by being dropped, which leaves the pool with the list that it has.
 pub async fn run_subscription(
-    driver: Rc<Driver>, pool: PoolId, mut moves: Receiver<DiscoveryEndpoint>, known: Option<u64>,
+    driver: Rc<Driver>, pool: PoolId, mut moves: Receiver<DiscoveryAddress>, known: Option<u64>,
     config: SubscriptionConfig,
 ) {
     // An agent's responses cost nothing: begin with a snapshot.
@@ -88,7 +88,10 @@
         timeout::sleep_until(at.into()).await;
     }
     if !has_list.get() {
-        warn!("discovery has sent no list in time: all backends of the earlier list are taken out of use");
+        warn!(
+            "pool {}: discovery has sent no list in time: all backends of the earlier list are taken out of use",
+            driver.pool_name(pool)
+        );
         driver.update_endpoints(pool, EndpointUpdate::Snapshot, Vec::new());
     }
 }
@@ -97,7 +100,8 @@
 pub fn apply_list(driver: &Rc<Driver>, pool: PoolId, update: EndpointUpdate, list: &List) {
     let (entries, skipped) = list.entries();
     if let Some(skipped) = skipped {
-        warn!("{} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
+        let name = driver.pool_name(pool);
+        warn!("pool {name}: {} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
     }
     driver.set_list_version(pool, list.index);
     driver.update_endpoints(pool, update, entries);
--- a/crates/discovery/src/poll_schedule.rs
+++ b/crates/discovery/src/poll_schedule.rs
@@ -4,8 +4,9 @@
 
 /// Once a call has failed the body of a response may take so long, however steadily its pieces come.
 pub(crate) const MAX_BODY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Its multiples, modulo 1, are spread evenly over the range from 0 to 1, however many they are.
-const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+/// One divided by the golden ratio. Its multiples, modulo 1, are spread evenly over the range from 0 to 1, however many
+/// they are.
+const INVERSE_GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// The backoff after a failed call doubles so often at most.
 const MAX_DOUBLINGS: u32 = 3;
 
@@ -25,10 +26,10 @@
         Spread::new(span, span)
     }
 
-    /// The span for the so many-th call of a proxy. Multiples of the golden ratio lie evenly whatever their number: so
-    /// do the times of proxies that poll in step.
+    /// The span for the so many-th call of a proxy. Multiples of the inverse golden ratio lie evenly, modulo 1, whatever
+    /// their number: so do the times of proxies that poll in step.
     fn of(self, position: u32, call: u32) -> Duration {
-        let multiple = (f64::from(position) + f64::from(call)) * GOLDEN_RATIO;
+        let multiple = (f64::from(position) + f64::from(call)) * INVERSE_GOLDEN_RATIO;
         self.shortest + (self.longest - self.shortest).mul_f64(multiple.fract())
     }
 }
@@ -79,7 +80,9 @@
     /// For an agent on this machine, which responds at once and at no cost. A call that was in flight as it fell silent
     /// is never answered, not even when it is back, and what it has counts as known meanwhile: so a wait, the time of a
     /// response and a pause last no longer than two thirds of the grace, and so do the time of a response and the
-    /// longest backoff. Below 170 ms of grace calls do not get any faster: they would cost more than they tell.
+    /// longest backoff. Each of the three has a minimum, as faster calls would cost more than they tell: the wait below
+    /// 143 ms of grace (50 ms), the time of a response below 160 ms (40 ms), the pause below 250 ms (5 ms). The two thirds
+    /// are tested from 170 ms on.
     pub(crate) fn pushing(grace: Duration) -> PollSchedule {
         let part = |hundredths: u32, least_ms: u64, most_ms: u64| {
             (grace * hundredths / 100).clamp(Duration::from_millis(least_ms), Duration::from_millis(most_ms))
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -117,8 +117,11 @@
     async fn on_list(&mut self, call: &Call, list: &List) {
         if self.failures > 0 {
             info!(
-                "discovery answers again after {} failed calls, list version {}",
-                self.failures, list.index
+                "pool {}: discovery at {} answers again after {} failed calls, list version {}",
+                self.driver.pool_name(self.pool),
+                self.address,
+                self.failures,
+                list.index
             );
         }
         self.failures = 0;
@@ -144,7 +147,8 @@
         self.failures += 1;
         let failures = self.failures;
         if failures.is_power_of_two() {
-            warn!("discovery call failed, {failures} in a row: {error}");
+            let (name, address) = (self.driver.pool_name(self.pool), self.address);
+            warn!("pool {name}: discovery at {address}: call failed, {failures} in a row: {error}");
         }
         // It may not know that version any more, nor ever again.
         self.wants_snapshot |= matches!(error, PollError::Status(..500));
--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -90,7 +90,7 @@
                 frame = body.frame() => frame,
                 () = self.client.body_changed.notified() => {
                     let is_admitted = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
-                    if self.client.is_evicted() || !is_admitted {
+                    if self.client.is_slot_released() || !is_admitted {
                         return Err(RequestError::BodyTooSlow);
                     }
                     continue;
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -35,7 +35,7 @@
     /// When it was accepted or last answered.
     pub(crate) idle_since: Cell<Time>,
     /// It holds no slot any more: it was chosen for eviction, or has ended.
-    pub(crate) evicted: Cell<bool>,
+    pub(crate) slot_released: Cell<bool>,
     /// Wakes the task that serves it to close it, now or after its next response.
     pub(crate) close_requested: Notify,
     /// When reading the body of its request began; `None` once that is complete.
@@ -59,7 +59,7 @@
             answered: Cell::new(false),
             announced_close: Cell::new(false),
             idle_since: Cell::new(accepted_at),
-            evicted: Cell::new(false),
+            slot_released: Cell::new(false),
             close_requested: Notify::new(),
             body_since: Cell::new(None),
             body_changed: Notify::new(),
@@ -68,19 +68,19 @@
 
     /// Notes that it has sent a complete and valid request.
     pub(crate) fn prove(&self) {
-        if !self.proven.replace(true) && !self.evicted.get() {
+        if !self.proven.replace(true) && !self.slot_released.get() {
             self.slots.proven.set(self.slots.proven.get() + 1);
         }
     }
 
-    /// Whether it was chosen for eviction.
-    pub(crate) fn is_evicted(&self) -> bool {
-        self.evicted.get()
+    /// Whether it holds no slot any more: while it is open that means that it was chosen for eviction.
+    pub(crate) fn is_slot_released(&self) -> bool {
+        self.slot_released.get()
     }
 
     /// Frees its slot, once, while it may still be open.
     pub(crate) fn release_slot(&self) {
-        if !self.evicted.replace(true) {
+        if !self.slot_released.replace(true) {
             self.slots.active.set(self.slots.active.get() - 1);
             if self.proven.get() {
                 self.slots.proven.set(self.slots.proven.get() - 1);
--- a/crates/http/src/eviction.rs
+++ b/crates/http/src/eviction.rs
@@ -2,7 +2,7 @@
 //! candidates are asked one after the other.
 
 use crate::connection::Client;
-use crate::rules::FIRST_REQUEST_PATIENCE;
+use crate::rules::MIN_AGE_FOR_EVICTION;
 use crate::server::Server;
 use shaletide_balancer::Time;
 
@@ -19,8 +19,8 @@
     pub busy: bool,
     /// It has sent a complete and valid request.
     pub proven: bool,
-    /// It was chosen before.
-    pub evicted: bool,
+    /// It was chosen before, and holds no slot any more.
+    pub slot_released: bool,
     /// When it was accepted or last answered.
     pub idle_since: Time,
     /// The body of its request is being read since then.
@@ -30,13 +30,13 @@
 impl<K> Candidate<K> {
     /// Its first request may still be on its way.
     fn is_new(&self, now: Time) -> bool {
-        now - self.idle_since < FIRST_REQUEST_PATIENCE
+        now - self.idle_since < MIN_AGE_FOR_EVICTION
     }
 
     /// The body that it is sending has taken long enough to be evicted.
     fn sends_slowly(&self, now: Time, crowded_by_unproven: bool) -> bool {
         let at_once = crowded_by_unproven && !self.proven;
-        self.body_since.is_some_and(|since| at_once || now - since >= FIRST_REQUEST_PATIENCE)
+        self.body_since.is_some_and(|since| at_once || now - since >= MIN_AGE_FOR_EVICTION)
     }
 
     /// Its rank, and since when it has been idle or sending a body.
@@ -72,7 +72,7 @@
     now: Time, crowded_by_unproven: bool, candidates: impl Iterator<Item = Candidate<K>>,
 ) -> Vec<Candidate<K>> {
     let may_be_evicted =
-        |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, crowded_by_unproven)) && !c.evicted;
+        |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, crowded_by_unproven)) && !c.slot_released;
     let mut order: Vec<_> = candidates.filter(may_be_evicted).collect();
     order.sort_by_key(|c| c.rank(now, crowded_by_unproven));
     order
@@ -111,7 +111,7 @@
             key: self,
             busy: self.busy.get(),
             proven: self.proven.get(),
-            evicted: self.evicted.get(),
+            slot_released: self.slot_released.get(),
             idle_since: self.idle_since.get(),
             body_since: self.body_since.get(),
         }
--- a/crates/http/src/eviction/tests.rs
+++ b/crates/http/src/eviction/tests.rs
@@ -39,7 +39,7 @@
 /// An idle connection that has sent complete requests, and was answered so many milliseconds ago.
 fn idle(key: u8, millis: u64) -> Candidate<u8> {
     let idle_since = Time(NOW.0 - millis * 1_000);
-    Candidate { key, busy: false, proven: true, evicted: false, idle_since, body_since: None }
+    Candidate { key, busy: false, proven: true, slot_released: false, idle_since, body_since: None }
 }
 
 /// One that was accepted so long ago and has sent none.
@@ -66,7 +66,7 @@
 #[test]
 fn eviction_order_leaves_out_busy_and_evicted_connections() {
     let busy = Candidate { busy: true, ..idle(1, 900) };
-    let evicted = Candidate { evicted: true, ..idle(2, 900) };
+    let evicted = Candidate { slot_released: true, ..idle(2, 900) };
     assert_eq!(order(false, &[busy, evicted, idle(3, 1)]), [3]);
     assert!(order(true, &[busy, evicted]).is_empty());
 }
--- a/crates/http/src/outgoing.rs
+++ b/crates/http/src/outgoing.rs
@@ -3,7 +3,7 @@
 use crate::connection::Client;
 use crate::request::{number, ParsedHead};
 use crate::request_error::RequestError;
-use crate::rules::Rules;
+use crate::rules::{Rules, REPEAT_HEADER, WEIGHT_HINT_HEADER};
 use crate::server::Server;
 use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
@@ -77,14 +77,14 @@
 
 /// What the balancer decides by. The driver sets the number, the engine whether the request may fail over.
 fn arrival(headers: &HeaderMap, parsed: &ParsedHead, time_left: Micros) -> Arrival {
-    let work_hint_us = headers.get("x-weight-hint").and_then(number);
+    let work_hint_us = headers.get(WEIGHT_HINT_HEADER).and_then(number);
     Arrival {
         request: RequestId(0),
         class: parsed.class,
         tenant: parsed.tenant,
         time_left,
         work_hint: work_hint_us.map(|us| Micros(us as u64)),
-        is_client_retry: headers.get("x-repeat").is_some_and(|value| value == "1"),
+        is_client_retry: headers.get(REPEAT_HEADER).is_some_and(|value| value == "1"),
         may_fail_over: false,
     }
 }
--- a/crates/http/src/proxy.rs
+++ b/crates/http/src/proxy.rs
@@ -39,7 +39,8 @@
         let is_invalid = result.is_err();
         let mut response = result.unwrap_or_else(|error| self.reject(client, &rules, error));
         // A request whose connection is evicted just as it is complete is served all the same.
-        if is_invalid || client.is_evicted() || self.stop_deadline.get().is_some() || self.is_crowded() {
+        if is_invalid || client.is_slot_released() || self.stop_deadline.get().is_some() || self.is_crowded()
+        {
             end_connection(&mut response);
         }
         client.trace(|trace| trace.answered(response.status().as_u16()));
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -71,7 +71,7 @@
     let tenant_name = optional_attribute(&rules.tenant, head)?;
     let tenant = tenant_name.and_then(|name| rules.tenants.get(name)).copied();
     let route = find_route(rules, class, tenant, head)?;
-    let recorded = |text: Option<&str>| text.filter(|_| rules.is_recorded).map(String::from);
+    let recorded = |text: Option<&str>| text.filter(|_| rules.records_requests).map(String::from);
     let tenant_name = recorded(tenant_name);
     let key = recorded(key);
     Ok(ParsedHead { class, tenant, tenant_name, key, id, time_left, route })
--- a/crates/http/src/request/path.rs
+++ b/crates/http/src/request/path.rs
@@ -2,9 +2,9 @@
 
 use std::borrow::Cow;
 
-/// Whether the path's first segment is the class to every backend, whether it normalizes or decodes paths or not: nothing
-/// in it leads elsewhere, as it stands or decoded once or twice. Nobody decodes more often, and a client could make it cost
-/// time without limit.
+/// Whether every backend finds the same first segment in the path, be it that it normalizes or decodes paths or not: the
+/// path has no `.` or `..` segment, no backslash and no leading `//`, neither as it stands nor decoded once or twice. It is
+/// not decoded more often: no backend does that, and a client could have it done without end.
 pub(super) fn is_plain(path: &str) -> bool {
     let once = percent_decoded(path.as_bytes());
     let twice = percent_decoded(&once);
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -8,8 +8,10 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// How long a new connection may take for its first request, and a body to be read, before it may be evicted for it.
-pub(crate) const FIRST_REQUEST_PATIENCE: Micros = Micros(100_000);
+/// Up to this age a connection that has sent no request ranks with the idle ones, and bytes of it that were read protect
+/// it; a body that is being read is not chosen at all. While connections that never sent a request are too many, their age
+/// gives none of them that rank, and those that send a body may be chosen at once.
+pub(crate) const MIN_AGE_FOR_EVICTION: Micros = Micros(100_000);
 
 /// What is checked of the requests of a class.
 #[derive(Clone, Debug)]
@@ -100,26 +102,33 @@
     pub(crate) route_targets: Vec<RouteTarget>,
     pub(crate) zone: String,
     pub(crate) max_retry_after: Micros,
-    pub(crate) whole_seconds: bool,
+    pub(crate) retry_after_in_whole_seconds: bool,
     pub(crate) head_timeout: Micros,
     pub(crate) body_timeout: Micros,
     pub(crate) bodies: BodyLimits,
-    pub(crate) is_recorded: bool,
+    pub(crate) records_requests: bool,
     pub(crate) max_body: usize,
     pub(crate) max_stop_duration: Option<Micros>,
 }
 
+/// The platform's header for facts about a request. The proxy passes it on and does not read it.
+const FACTS_HEADER: &str = "x-facts";
+/// `1`: the client has sent the request before, and repeats it.
+pub(crate) const REPEAT_HEADER: &str = "x-repeat";
+/// How much work the client expects the request to be, in microseconds.
+pub(crate) const WEIGHT_HINT_HEADER: &str = "x-weight-hint";
+
 /// Headers that the platform's backends go by, beside those of the format.
 const PLATFORM_HEADERS: [HeaderName; 3] = [
-    HeaderName::from_static("x-facts"),
-    HeaderName::from_static("x-repeat"),
-    HeaderName::from_static("x-weight-hint"),
+    HeaderName::from_static(FACTS_HEADER),
+    HeaderName::from_static(REPEAT_HEADER),
+    HeaderName::from_static(WEIGHT_HINT_HEADER),
 ];
 
 impl Rules {
     /// The rules of a configuration, which has been checked: a header's name that is not valid is found in no request.
-    pub fn new(def: RulesConfig) -> Rules {
-        let format = &def.format;
+    pub fn new(config: RulesConfig) -> Rules {
+        let format = &config.format;
         Rules {
             class: location(&format.class),
             default_class: format.default_class,
@@ -130,26 +139,26 @@
             id_header: header_name(&format.id),
             id_required: format.id_required,
             time_left_header: header_name(&format.time_left),
-            required_headers: required_headers(format, &def.routes),
-            class_by_name: numbered(def.classes.iter().map(|class| &class.name), ClassId),
-            multi_segment_classes: multi_segment_classes(&def.classes),
-            tenants: numbered(def.tenants.iter(), TenantId),
-            route_targets: def.routes.iter().map(RouteTarget::new).collect(),
-            routes: RouteTable::new(def.routes),
-            classes: def.classes,
-            zone: def.zone,
-            max_retry_after: def.max_retry_after,
-            whole_seconds: def.retry_after_in_whole_seconds,
-            head_timeout: def.head_timeout,
-            body_timeout: def.body_timeout,
+            required_headers: required_headers(format, &config.routes),
+            class_by_name: numbered(config.classes.iter().map(|class| &class.name), ClassId),
+            multi_segment_classes: multi_segment_classes(&config.classes),
+            tenants: numbered(config.tenants.iter(), TenantId),
+            route_targets: config.routes.iter().map(RouteTarget::new).collect(),
+            routes: RouteTable::new(config.routes),
+            classes: config.classes,
+            zone: config.zone,
+            max_retry_after: config.max_retry_after,
+            retry_after_in_whole_seconds: config.retry_after_in_whole_seconds,
+            head_timeout: config.head_timeout,
+            body_timeout: config.body_timeout,
             bodies: BodyLimits {
-                rate: MinimumRate { bytes_per_s: def.min_body_bytes_per_s, grace: def.body_grace },
-                max_buffered_bytes: def.max_buffered_body_bytes,
-                patience: FIRST_REQUEST_PATIENCE,
+                rate: MinimumRate { bytes_per_s: config.min_body_bytes_per_s, grace: config.body_grace },
+                max_buffered_bytes: config.max_buffered_body_bytes,
+                patience: MIN_AGE_FOR_EVICTION,
             },
-            max_body: def.max_body,
-            is_recorded: def.records_requests,
-            max_stop_duration: def.max_stop_duration,
+            max_body: config.max_body,
+            records_requests: config.records_requests,
+            max_stop_duration: config.max_stop_duration,
         }
     }
 
@@ -165,10 +174,11 @@
         methods.join(", ")
     }
 
-    /// The `Retry-After` header for that span, rounded up, at most `max_retry_after`.
+    /// The `Retry-After` header for that span, at most `max_retry_after`: whole seconds, rounded up, from 1 on, or seconds
+    /// with three decimals.
     pub(crate) fn retry_after(&self, after: Micros) -> String {
         let seconds = after.min(self.max_retry_after).secs();
-        if self.whole_seconds {
+        if self.retry_after_in_whole_seconds {
             format!("{}", seconds.ceil().max(1.0))
         } else {
             format!("{seconds:.3}")
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -70,7 +70,7 @@
             CloseReason::Client // only its end drops a request that is being answered
         } else if client.announced_close.get() {
             CloseReason::Announced
-        } else if client.is_evicted() {
+        } else if client.is_slot_released() {
             CloseReason::Evicted
         } else if self.stop_deadline.get().is_some() && !client.stream.peer_closed() {
             CloseReason::Stopping
@@ -94,18 +94,18 @@
                     Err(error) => ServeEnd::cut(CloseReason::of_error(&error)),
                 },
                 // Checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout starts anew.
-                _ = close_timeout.as_mut(), if client.evicted.get() => {
+                _ = close_timeout.as_mut(), if client.slot_released.get() => {
                     if self.is_response_unread(client) {
                         return ServeEnd::cut(CloseReason::NotRead);
                     }
                     close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                 }
                 _ = client.close_requested.notified() => {
-                    if client.evicted.get() {
+                    if client.slot_released.get() {
                         close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                     }
                     let is_idle = client.is_idle();
-                    if client.evicted.get() && !client.proven.get() && is_idle {
+                    if client.slot_released.get() && !client.proven.get() && is_idle {
                         return ServeEnd::cut(CloseReason::Evicted); // no request of it is unanswered
                     }
                     // A request that has just arrived is answered first; `answer` then ends the connection.
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -98,7 +98,7 @@
     fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
             let time_left = spec.deadline.saturating_duration_since(Instant::now());
-            let request = outgoing(&self, spec.to, time_left);
+            let request = request_to_backend(&self, spec.to, time_left);
             spec.stream.begin_request(self.body.len());
             match exchange(&spec.stream, request, spec.stall_timeout, spec.max_body).await {
                 Ok(answered) => self.on_response(spec.attempt, answered),
@@ -120,7 +120,9 @@
 }
 
 /// The request as it is written on a connection to the backend at `to`.
-fn outgoing(forwarded: &ForwardedRequest, to: SocketAddr, time_left: Duration) -> Request<Full<Bytes>> {
+fn request_to_backend(
+    forwarded: &ForwardedRequest, to: SocketAddr, time_left: Duration,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(forwarded.body.clone()));
     *request.method_mut() = forwarded.method.clone();
     *request.uri_mut() = forwarded.uri.clone();
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -44,6 +44,15 @@
     last_notified: BackendEntry,
 }
 
+/// What a deduplication domain belongs to.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum DomainKey {
+    /// A pool without a repeat group, by name.
+    Pool(String),
+    /// All pools of that repeat group.
+    RepeatGroup(String),
+}
+
 /// What the changes of one pool's list are, as [`Directory::apply`] takes them.
 pub(crate) type ChangesByPool = Vec<(PoolId, ListChanges)>;
 
@@ -73,8 +82,8 @@
     pub(crate) pools: BTreeMap<PoolId, Pool>,
     pub(crate) address_owners: AddressOwners,
     pub(crate) names: NameTables,
-    /// Deduplication domains by repeat group, or by pool where it has none.
-    pub(crate) domains: BTreeMap<(bool, String), u32>,
+    /// Deduplication domains.
+    pub(crate) domains: BTreeMap<DomainKey, u32>,
     pub(crate) next_domain: u32,
     pub(crate) next_pool_id: u32,
     next_backend_id: u32,
@@ -121,7 +130,7 @@
         let conflicts_before = self.address_owners.conflicts();
         let keys: Vec<EntryKey> = changes.keys().cloned().collect();
         let new_owners = self.apply(vec![(pool, changes)], |_| false);
-        let mut notified = self.refresh_all(pool, &keys);
+        let mut notified = self.take_notifications(pool, &keys);
         if is_whole {
             notified.retain(|entry| entry.state != BackendState::Gone); // absence from a snapshot says so
         }
@@ -192,19 +201,19 @@
         let mut gained: BTreeMap<PoolId, Vec<BackendEntry>> = BTreeMap::new();
         for (address, owner) in new_owners {
             let keys: Vec<EntryKey> = self.address_owners.entries(*address, *owner).cloned().collect();
-            let entries = self.refresh_all(*owner, &keys);
+            let entries = self.take_notifications(*owner, &keys);
             gained.entry(*owner).or_default().extend(entries);
         }
         gained
     }
 
-    fn refresh_all(&mut self, pool: PoolId, keys: &[EntryKey]) -> Vec<BackendEntry> {
-        keys.iter().filter_map(|key| self.refresh(pool, key)).collect()
+    fn take_notifications(&mut self, pool: PoolId, keys: &[EntryKey]) -> Vec<BackendEntry> {
+        keys.iter().filter_map(|key| self.take_notification(pool, key)).collect()
     }
 
     /// The entry that its pool is to be notified of now, and notes it as notified: as its list has it where the pool
     /// owns the address, else gone if it was not notified as gone before.
-    pub(crate) fn refresh(&mut self, pool: PoolId, key: &EntryKey) -> Option<BackendEntry> {
+    pub(crate) fn take_notification(&mut self, pool: PoolId, key: &EntryKey) -> Option<BackendEntry> {
         let to = self.pools.get_mut(&pool)?;
         let owned =
             to.listed.get(key).filter(|listed| self.address_owners.owner(listed.address) == Some(pool));
--- a/crates/membership/src/hash.rs
+++ b/crates/membership/src/hash.rs
@@ -12,7 +12,7 @@
     fnv1a(name) >> 20
 }
 
-/// The deduplication group's number where the list gives a name in place of a number.
+/// The number of a deduplication group to which the list gives a name and no number: all 64 bits of the name's hash.
 pub fn deduplication_group_hash(name: &str) -> u64 {
     fnv1a(name)
 }
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -56,7 +56,7 @@
 
 impl ListedBackend {
     pub fn new(endpoint: Endpoint, names: &mut NameTables) -> ListedBackend {
-        let server_type = ServerTypeId(names.server_types.intern(&speed_class(&endpoint)));
+        let server_type = ServerTypeId(names.server_types.intern(&server_type_name(&endpoint)));
         ListedBackend {
             name: endpoint.name.into(),
             address: endpoint.address,
@@ -89,7 +89,7 @@
 
 /// The name under which a server type is numbered. Backends of one server type are taken as equally fast: with more
 /// cores it is another one, whatever its name.
-fn speed_class(endpoint: &Endpoint) -> Cow<'_, str> {
+fn server_type_name(endpoint: &Endpoint) -> Cow<'_, str> {
     match endpoint.cores {
         0 | 1 => endpoint.server_type.as_str().into(),
         cores => format!("{} of {cores} cores", endpoint.server_type).into(),
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,7 +1,7 @@
 //! The pools as the configuration has them, at the start and whenever it is read again.
 
 use crate::address_owners::EntryKey;
-use crate::directory::{ChangesByPool, Directory, DirectoryUpdate};
+use crate::directory::{ChangesByPool, Directory, DirectoryUpdate, DomainKey};
 use crate::list::Endpoint;
 use crate::pool::{ListedBackend, Pool, PoolChanges, PoolSpec, Source};
 use shaletide_types::*;
@@ -117,8 +117,8 @@
     /// The deduplication domain of the pool's repeat group; without one it is the pool's alone.
     fn domain_of(&mut self, spec: &PoolSpec) -> u32 {
         let key = match &spec.repeat_group {
-            Some(group) => (true, group.clone()),
-            None => (false, spec.name.clone()),
+            Some(group) => DomainKey::RepeatGroup(group.clone()),
+            None => DomainKey::Pool(spec.name.clone()),
         };
         *self.domains.entry(key).or_insert_with(|| {
             self.next_domain += 1;
@@ -204,7 +204,7 @@
                 pool.listed.keys().chain(pool.backend_ids.keys()).cloned().collect();
             for key in keys {
                 let before = self.last_notified(id, &key).cloned();
-                let Some(entry) = self.refresh(id, &key) else { continue };
+                let Some(entry) = self.take_notification(id, &key) else { continue };
                 if before.as_ref() == Some(&entry) {
                     continue;
                 }
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -299,7 +299,7 @@
             results.push(record::Event::WriteFailed { ticket, why: record::StoreFailure::Failed });
         }
         let (why, again) = (record::StoreFailure::Failed, TICK);
-        results.push(record::Event::StoreDown { why, again });
+        results.push(record::Event::StoreDown { why, retry_after_hint: again });
         self.undelivered.push_back(results);
     }
 
--- a/crates/net/src/connection_table.rs
+++ b/crates/net/src/connection_table.rs
@@ -17,20 +17,27 @@
     /// An attempt is on it.
     pub busy: bool,
     /// It was established just now, and the engine has not had a chance to use it.
-    pub never_used: bool,
+    pub just_established: bool,
 }
 
 impl UpstreamConnection {
     /// One that `task` is establishing.
     pub fn connecting(backend: BackendId, to: SocketAddr, task: AbortHandle) -> UpstreamConnection {
-        UpstreamConnection { backend, to, stream: None, task: Some(task), busy: false, never_used: false }
+        UpstreamConnection {
+            backend,
+            to,
+            stream: None,
+            task: Some(task),
+            busy: false,
+            just_established: false,
+        }
     }
 
     /// It has been established.
     pub fn established(&mut self, stream: Stream) {
         self.stream = Some(stream);
         self.task = None;
-        self.never_used = true;
+        self.just_established = true;
     }
 
     /// Its stream, unless it is not established yet, has input pending or was closed, as far as the event loop knows.
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -171,7 +171,7 @@
                 self.record_event(shaletide_record::Event::AttemptEnded { request, attempt, outcome });
             }
             Action::Subscribe { pool } => self.state.borrow_mut().endpoint_lists.request_poll(pool),
-            Action::Log { pool, text } => info!("pool {}: {text}", pool.0),
+            Action::Log { pool, text } => info!("pool {}: {text}", self.pool_name(pool)),
         }
     }
 }
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -65,8 +65,8 @@
 /// The event for a connection on which no byte of an attempt was written. The engine looks for another connection, but
 /// not where this one was new: a backend that closes each new connection, or sends first on it, would be connected to
 /// for as long as the request has time.
-fn unusable_event(connection: ConnectionId, never_used: bool) -> Event {
-    if never_used {
+fn unusable_event(connection: ConnectionId, just_established: bool) -> Event {
+    if just_established {
         Event::ConnectionClosed { connection }
     } else {
         Event::ConnectionUnusable { connection }
@@ -152,7 +152,7 @@
         };
         self.handle_event(event);
         if let Some(upstream) = self.state.borrow_mut().connections.by_id.get_mut(&connection) {
-            upstream.never_used = false;
+            upstream.just_established = false;
         }
     }
 
@@ -163,14 +163,14 @@
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let upstream = state.connections.by_id.get_mut(&connection);
-        let never_used = upstream.as_ref().is_some_and(|upstream| upstream.never_used);
+        let just_established = upstream.as_ref().is_some_and(|upstream| upstream.just_established);
         // The first write asks the kernel itself: until then the event loop may do other things.
         let stream = upstream.as_ref().and_then(|upstream| upstream.usable_stream());
         let open = state.open_requests.get(&request);
         let (Some(upstream), Some(stream), Some(open)) = (upstream, stream, open) else {
             state.counters.connections_unusable += 1;
             state.trace_unusable(connection, request, attempt);
-            state.pending_events.push_back(unusable_event(connection, never_used));
+            state.pending_events.push_back(unusable_event(connection, just_established));
             return;
         };
         state.counters.dispatched += 1;
@@ -191,7 +191,7 @@
         let exchange = open.upstream_request.clone().run(exchange);
         let task = tokio::task::spawn_local(async move {
             let outcome = exchange.await;
-            driver.exchange_ended(connection, request, outcome, &stream, never_used);
+            driver.exchange_ended(connection, request, outcome, &stream, just_established);
         });
         upstream.task = Some(task.abort_handle());
         upstream.busy = true;
@@ -200,7 +200,7 @@
     /// Tells the engine how an attempt ended.
     fn exchange_ended(
         self: &Rc<Self>, connection: ConnectionId, request: RequestId, outcome: ExchangeOutcome,
-        stream: &Stream, never_used: bool,
+        stream: &Stream, just_established: bool,
     ) {
         stream.end_trace(|| traced_outcome(&outcome, stream));
         let is_failed = !matches!(outcome, ExchangeOutcome::Response { .. });
@@ -217,7 +217,7 @@
             if is_failed && stream.is_unwritten() {
                 // What came or ended before the first byte is about an earlier request, if any.
                 state.counters.connections_unusable += 1;
-                unusable_event(connection, never_used && !stream.write_deadline_passed())
+                unusable_event(connection, just_established && !stream.write_deadline_passed())
             } else {
                 state.outcome_event(connection, outcome)
             }
--- a/crates/net/src/driver/endpoints.rs
+++ b/crates/net/src/driver/endpoints.rs
@@ -166,17 +166,25 @@
         self.record_event(shaletide_record::Event::RecordFact(fact));
     }
 
+    /// The pool's name, for logs.
+    pub fn pool_name(&self, pool: PoolId) -> String {
+        self.state.borrow().pool_name(pool).to_string()
+    }
+
     /// Which list has the address, and which waits for it.
     pub(super) fn describe_conflict(&self, conflict: &Conflict) -> String {
         let state = self.state.borrow();
-        let name = |pool| state.directory.pool_name(pool).unwrap_or("one that is gone").to_string();
-        let owner = name(conflict.owner);
-        let waiting = name(conflict.waiting);
+        let owner = state.pool_name(conflict.owner);
+        let waiting = state.pool_name(conflict.waiting);
         format!("{} is in the lists of pools {owner} and {waiting}, and stays with {owner}", conflict.address)
     }
 }
 
 impl State {
+    fn pool_name(&self, pool: PoolId) -> &str {
+        self.directory.pool_name(pool).unwrap_or("one that is gone")
+    }
+
     /// Logs an update; returns the backends that have connections to an earlier address, each once, as a second event
     /// would close what the first has opened to the new address.
     fn log_list(
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -18,7 +18,8 @@
     pub stream: Stream,
     /// The backend's address.
     pub to: SocketAddr,
-    /// Until when the response is awaited; the front tells the backend what is left of it as it writes the request.
+    /// Until when the response is awaited. The protocol tells the backend, in a header of the request, how much time is
+    /// left until then as the exchange begins.
     pub deadline: Instant,
     /// A response that is not complete this long after its first byte is invalid.
     pub stall_timeout: Option<Duration>,
--- a/crates/record-service/src/service.rs
+++ b/crates/record-service/src/service.rs
@@ -83,7 +83,8 @@
         }
         let now = clock.now();
         let mut recorder = Recorder::new(config, random_secret(), now, now);
-        let (sender, receiver) = mpsc::unbounded_channel(); // bounded by the tickets, which are
+        // Bounded all the same: one or two events a ticket, and the recorder bounds its tickets.
+        let (sender, receiver) = mpsc::unbounded_channel();
         let writer = start_writer(path.to_path_buf(), store, &head, sender);
         let writer = writer.map_err(|error| StoreError::Io(error.into()))?;
         let mut actions = Vec::new();
--- a/crates/record-service/src/service/commands.rs
+++ b/crates/record-service/src/service/commands.rs
@@ -77,7 +77,7 @@
         if self.store_down.get() {
             return Err(PruneError::StoreDown);
         }
-        // Above all tickets of the recorder's own, which count from 0.
+        // Counted down from the highest number. The recorder's own tickets count up from 0: the two never meet.
         let ticket = u64::MAX - self.next_number();
         let at = self.clock.now();
         let note: FactEncoder = Box::new(move |anchor: &Anchor| {
--- a/crates/record-service/src/service/writer_events.rs
+++ b/crates/record-service/src/service/writer_events.rs
@@ -32,7 +32,10 @@
             WriterEvent::Down { error } => {
                 error!("store: {}: {}", error.code(), causes(&error));
                 self.store_down.set(true);
-                self.handle(Event::StoreDown { why: store_failure(&error), again: STORE_RETRY_AFTER });
+                self.handle(Event::StoreDown {
+                    why: store_failure(&error),
+                    retry_after_hint: STORE_RETRY_AFTER,
+                });
             }
             WriterEvent::Back { head } => {
                 info!("store: at work, head {}", head);
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -173,12 +173,12 @@
         /// Why.
         why: StoreFailure,
     },
-    /// The store takes nothing, and is tried again after this time.
+    /// The store takes nothing. When it is tried again is up to the store's writer, which has a backoff of its own.
     StoreDown {
         /// Why.
         why: StoreFailure,
-        /// When it is tried again.
-        again: Micros,
+        /// Clients are told to come again after this time; the store may be tried earlier or later.
+        retry_after_hint: Micros,
     },
     /// The store takes writes again.
     StoreUp,
--- a/crates/record/src/pending_writes.rs
+++ b/crates/record/src/pending_writes.rs
@@ -51,8 +51,9 @@
     last_ticket: Ticket,
     droppable: usize,
     droppable_bytes: usize,
-    /// The store takes nothing; when it is tried again.
-    store_retry_at: Option<Time>,
+    /// The store takes nothing; when clients are told that it may be back. Nothing here tries it then: the writer has its
+    /// own backoff.
+    store_retry_hint: Option<Time>,
 }
 
 impl PendingWrites {
@@ -101,14 +102,14 @@
         None
     }
 
-    /// The store takes nothing until `retry_at` at the earliest.
-    pub fn set_store_down(&mut self, retry_at: Time) {
-        self.store_retry_at = Some(retry_at);
+    /// The store takes nothing; clients are told to come again at `retry_hint` or later.
+    pub fn set_store_down(&mut self, retry_hint: Time) {
+        self.store_retry_hint = Some(retry_hint);
     }
 
     /// The store takes writes again: those that wait are sent, in their order and with new tickets.
     pub fn resend(&mut self, now: Time, actions: &mut Vec<Action>) {
-        self.store_retry_at = None;
+        self.store_retry_hint = None;
         let unsent = self.writes.iter().filter(|(_, pending)| pending.sent_at.is_none());
         let unsent: Vec<Ticket> = unsent.map(|(ticket, _)| *ticket).collect();
         for ticket in unsent {
@@ -121,12 +122,12 @@
 
     /// The store takes nothing.
     pub fn is_store_down(&self) -> bool {
-        self.store_retry_at.is_some()
+        self.store_retry_hint.is_some()
     }
 
-    /// When the store is tried again, while it takes nothing.
-    pub fn store_retry_at(&self) -> Option<Time> {
-        self.store_retry_at
+    /// While the store takes nothing: when clients are told that it may be back.
+    pub fn store_retry_hint(&self) -> Option<Time> {
+        self.store_retry_hint
     }
 
     /// The oldest write was sent so long ago that an intent would not wait for it.
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -124,7 +124,9 @@
             Event::Committed { ticket, seq } => self.committed(now, ticket, seq, actions),
             Event::ClaimRejected { ticket, why } => self.claim_rejected(now, ticket, why, actions),
             Event::WriteFailed { ticket, .. } => self.write_failed(now, ticket, actions),
-            Event::StoreDown { again, .. } => self.pending_writes.set_store_down(now + again),
+            Event::StoreDown { retry_after_hint, .. } => {
+                self.pending_writes.set_store_down(now + retry_after_hint);
+            }
             Event::StoreUp => self.pending_writes.resend(now, actions),
             Event::Resolve { reply, key, ran, by, note } => {
                 self.resolve(now, reply, key, Fact::Resolved { by, ran, note }, ran, actions);
--- a/crates/record/src/recorder/decide.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -87,9 +87,9 @@
             || self.unsettled_keys.len() >= bounds.unsettled
     }
 
-    /// When a client should come again: not before the store is tried again.
+    /// What a client is told: to come again after this time, and not before the store may be back.
     pub(super) fn retry_after(&self, now: Time) -> Micros {
-        let until_store_retry = self.pending_writes.store_retry_at().map_or(Micros(0), |at| at - now);
+        let until_store_retry = self.pending_writes.store_retry_hint().map_or(Micros(0), |at| at - now);
         until_store_retry.max(self.config.retry_after)
     }
 
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -52,7 +52,7 @@
 pub enum Claim {
     /// Nothing.
     None,
-    /// The key is taken, if it is free: else the row is refused, and so is none behind it.
+    /// Takes the key if it is free. If not, this row alone is rejected; the rows after it are not affected.
     Take(KeyId),
     /// The key is taken already, by this proxy, and has this state from now on.
     Set(KeyId, KeyState),
--- a/crates/record/src/served_keys.rs
+++ b/crates/record/src/served_keys.rs
@@ -50,9 +50,9 @@
         self.fingerprints.len()
     }
 
-    /// A key whose row `seq` is durable. Rows come in their order; `until` never goes back by more than a slice
-    /// gains by it, as the store knows rows and no time.
-    pub fn add(&mut self, key: &KeyId, seq: u64, until: Time, keep: Micros, most: usize) {
+    /// A key whose row `seq` is durable. Rows come in ascending order. `until` is raised to the last key's if it is
+    /// earlier: the store frees keys by row number, so a later row cannot expire first.
+    pub fn add(&mut self, key: &KeyId, seq: u64, until: Time, keep: Micros, max_keys: usize) {
         let fingerprint = self.fingerprint(key);
         let until = self.slices.back().map_or(until, |slice| slice.until.max(until));
         let fits = |slice: &&mut ExpirySlice| until - slice.from <= Micros(keep.0 / SLICES);
@@ -68,7 +68,7 @@
             }
         }
         self.fingerprints.insert(fingerprint);
-        self.forget_beyond(most);
+        self.forget_beyond(max_keys);
     }
 
     /// When the next keys are free again.
@@ -90,8 +90,8 @@
     }
 
     /// The oldest are left to the store; their slices stay, as it has to learn when their time is up.
-    fn forget_beyond(&mut self, most: usize) {
-        while self.fingerprints.len() > most {
+    fn forget_beyond(&mut self, max_keys: usize) {
+        while self.fingerprints.len() > max_keys {
             let oldest = self.slices.iter_mut().find_map(|slice| slice.fingerprints.pop_front());
             let Some(fingerprint) = oldest else { return };
             self.fingerprints.remove(&fingerprint);
--- a/crates/record/tests/key_states.rs
+++ b/crates/record/tests/key_states.rs
@@ -191,7 +191,7 @@
         w.fail(durable);
         assert_eq!(w.step(id, 0), AttemptStage::Denied);
         assert_eq!(w.requests[&id].ended, Some(SECOND));
-        w.tell(Event::StoreDown { why: StoreFailure::Full, again: Micros(5_000_000) });
+        w.tell(Event::StoreDown { why: StoreFailure::Full, retry_after_hint: Micros(5_000_000) });
         w.pass(Micros(2_000_000));
         assert_eq!(w.ask("k").1, KeyDecision::Reject(Micros(3_000_000)), "not before it is tried again");
         assert_eq!(w.ask("other").1, KeyDecision::Reject(Micros(3_000_000)));
--- a/crates/shaletide/src/files.rs
+++ b/crates/shaletide/src/files.rs
@@ -10,8 +10,9 @@
 /// A file that is read again has to be the same for so long: a part of one may make sense, too.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
 
-/// A file is waited for so long at most where the system lacks memory or files to read it.
-const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
+/// A step of the start is tried again for so long at most where the system lacks memory, files or threads for it: the first
+/// reading of any file, and with an operators' file every other step; on the platform those are tried without end.
+pub const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
 
 /// One that is read a first time may be a pipe, and the program starts when all of it has come. One that is read again
 /// has to be a regular file: who opens a pipe that nobody writes to waits for ever.
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -33,11 +33,6 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::sync::{Arc, OnceLock};
-use std::time::Duration;
-
-/// With an operators' file a step that lacks memory or descriptors is tried again for so long; on the platform without
-/// end.
-const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -48,7 +43,7 @@
                 move |_| setup_of(&config, ReadMode::Again)
             });
             let read = || setup_of(&config, ReadMode::First).map_err(SetupError::Invalid);
-            let shortage_patience = Some(SHORTAGE_PATIENCE);
+            let shortage_patience = Some(files::SHORTAGE_PATIENCE);
             Start { shortage_patience, read_again, self_check: cli.self_check }.run(read)
         }
         Some(Command::Check { file }) => match read(&file, ReadMode::First) {
--- a/crates/shaletide/src/start/mod.rs
+++ b/crates/shaletide/src/start/mod.rs
@@ -140,7 +140,8 @@
     Ok((runtime, hangup))
 }
 
-/// Starts the log once the system gives threads: the library takes a failure of its own for a bug.
+/// Starts the log once the system gives threads. The log's library panics where it gets no thread, so that a thread which
+/// does nothing is started first, until that succeeds.
 fn start_log(patience: Option<Duration>) -> WorkerGuard {
     let probe = || std::thread::Builder::new().spawn(|| {});
     if let Ok(thread) = retry_shortage(patience, probe) {
--- a/crates/shaletide/src/start/signals.rs
+++ b/crates/shaletide/src/start/signals.rs
@@ -11,8 +11,8 @@
 /// A wait for the first of the signals to stop.
 pub type Stop = Pin<Box<dyn Future<Output = ()>>>;
 
-/// The hang-ups, handled from before the configuration is read: until its handler stands, one ends the program, and one
-/// that comes during the reading asks for what the reading may have missed.
+/// The SIGHUPs from now on. Called before the configuration is read first: without a handler SIGHUP ends the program, and
+/// one that comes during that reading has the configuration read again, as the reading may have missed the change.
 ///
 /// # Errors
 /// What the kernel says.
--- a/crates/shaletide/src/subscriptions.rs
+++ b/crates/shaletide/src/subscriptions.rs
@@ -2,7 +2,7 @@
 
 use crate::setup::Setup;
 use shaletide_balancer::PoolId;
-use shaletide_discovery::{DiscoveryEndpoint, SubscriptionConfig};
+use shaletide_discovery::{DiscoveryAddress, SubscriptionConfig};
 use shaletide_net::Driver;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 
 /// Keeps one pool's list up to date; dropped, it ends.
 struct Subscription {
-    endpoint: watch::Sender<DiscoveryEndpoint>,
+    discovery: watch::Sender<DiscoveryAddress>,
     config: SubscriptionConfig,
     task: AbortHandle,
 }
@@ -44,7 +44,7 @@
     }
 
     /// Subscribes to the discoveries that the setup names, and to no other. `ids` are the pools' numbers in their order;
-    /// an endpoint that is new is so since that time. Within a `LocalSet`.
+    /// a discovery at a new address is there since that time. Within a `LocalSet`.
     pub fn update(&mut self, setup: &Setup, ids: &[PoolId], since: Instant) {
         let wanted = wanted(setup, ids);
         self.by_pool.retain(|pool, subscription| {
@@ -52,7 +52,7 @@
         });
         for wanted in wanted {
             match self.by_pool.get(&wanted.pool) {
-                Some(subscription) => subscription.move_to(wanted, since),
+                Some(subscription) => subscription.move_to(&self.driver, wanted, since),
                 None => self.subscribe(setup, ids, wanted, since),
             }
         }
@@ -60,30 +60,30 @@
 
     fn subscribe(&mut self, setup: &Setup, ids: &[PoolId], wanted: Wanted, since: Instant) {
         let Wanted { pool, address, config } = wanted;
-        let (endpoint, endpoints) = watch::channel(DiscoveryEndpoint { address, since });
+        let (discovery, moves) = watch::channel(DiscoveryAddress { address, since });
         // An index means something only to the discovery that the cached list came from.
         let has_cached_list = ids.first() == Some(&pool) && !setup.cached_list.endpoints.is_empty();
         let known_index = has_cached_list.then_some(setup.cached_list.index);
         let watch =
-            shaletide_discovery::run_subscription(self.driver.clone(), pool, endpoints, known_index, config);
+            shaletide_discovery::run_subscription(self.driver.clone(), pool, moves, known_index, config);
         let task = tokio::task::spawn_local(watch).abort_handle();
-        self.by_pool.insert(pool, Subscription { endpoint, config, task });
+        self.by_pool.insert(pool, Subscription { discovery, config, task });
     }
 }
 
 impl Subscription {
     /// Follows a discovery to another address.
-    fn move_to(&self, wanted: Wanted, since: Instant) {
+    fn move_to(&self, driver: &Driver, wanted: Wanted, since: Instant) {
         let Wanted { pool, address, .. } = wanted;
-        let has_moved = self.endpoint.send_if_modified(|endpoint| {
-            let moves = endpoint.address != address;
+        let has_moved = self.discovery.send_if_modified(|discovery| {
+            let moves = discovery.address != address;
             if moves {
-                *endpoint = DiscoveryEndpoint { address, since };
+                *discovery = DiscoveryAddress { address, since };
             }
             moves
         });
         if has_moved {
-            info!("pool {}: discovery is now at {address}", pool.0);
+            info!("pool {}: discovery is now at {address}", driver.pool_name(pool));
         }
     }
 }
