--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -29,14 +29,15 @@
     pub position: u32,
     /// No new request may go to a backend later than this after discovery has said that it is draining or gone.
     pub grace: Duration,
-    /// What discovery has counts as known from the start, and soon after a move, whether it answered or not: a list from
-    /// before that is used no longer than the grace.
-    pub strict: bool,
+    /// From the start, and from soon after a move, the platform holds the proxy responsible for what discovery has, whether
+    /// or not it was received ("it counts as known"): a list from before that moment, which discovery has not confirmed
+    /// since, is used no longer than the grace. Only where lists are pushed.
+    pub expires_unconfirmed_list: bool,
 }
 
 /// Where discovery is, and since when: the start of the program, or the signal that moved it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DiscoveryEndpoint {
+pub struct DiscoveryAddress {
     /// Where it listens.
     pub address: SocketAddr,
     /// What it has counts from then on, or soon after.
@@ -49,7 +50,7 @@
 ///
 /// Ends only by being dropped, which leaves the pool with the list that it has.
 pub async fn run_subscription(
-    driver: Rc<Driver>, pool: PoolId, mut moves: Receiver<DiscoveryEndpoint>, known: Option<u64>,
+    driver: Rc<Driver>, pool: PoolId, mut moves: Receiver<DiscoveryAddress>, known: Option<u64>,
     config: SubscriptionConfig,
 ) {
     // An agent's responses cost nothing: begin with a snapshot.
@@ -79,7 +80,7 @@
 async fn expire_unconfirmed(
     driver: &Rc<Driver>, pool: PoolId, at: Instant, config: SubscriptionConfig, has_list: &Cell<bool>,
 ) {
-    if !config.strict || config.mode != DiscoveryMode::Push {
+    if !config.expires_unconfirmed_list || config.mode != DiscoveryMode::Push {
         return;
     }
     // Where the start itself took that long nothing may be sent by the old list, not even for one turn of the event loop.
@@ -87,7 +88,10 @@
         timeout::sleep_until(at.into()).await;
     }
     if !has_list.get() {
-        warn!("discovery has sent no list in time: all backends of the earlier list are taken out of use");
+        warn!(
+            "pool {}: discovery has sent no list in time: all backends of the earlier list are taken out of use",
+            driver.pool_name(pool)
+        );
         driver.update_endpoints(pool, EndpointUpdate::Snapshot, Vec::new());
     }
 }
@@ -96,7 +100,8 @@
 pub fn apply_list(driver: &Rc<Driver>, pool: PoolId, update: EndpointUpdate, list: &List) {
     let (entries, skipped) = list.entries();
     if let Some(skipped) = skipped {
-        warn!("{} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
+        let name = driver.pool_name(pool);
+        warn!("pool {name}: {} discovery entries skipped, the first: {:.400}", skipped.count, skipped.first);
     }
     driver.set_list_version(pool, list.index);
     driver.update_endpoints(pool, update, entries);
