--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -11,7 +11,7 @@
     pub name: &'static str,
     /// Its part of all.
     pub share: f64,
-    /// What the module is listed_proxies of it.
+    /// What the balancer is configured with for it.
     pub class: Class,
     /// A client waits so long at most.
     pub deadline: Micros,
@@ -165,9 +165,9 @@
     pub seed: u64,
     /// How long it lasts.
     pub length: Micros,
-    /// Proxies, and what they are listed_proxies that there are.
+    /// Proxies that run.
     pub proxies: u32,
-    /// The count that they are listed_proxies; as many as there are, else.
+    /// The number of proxies in the configuration; by default as many as run.
     pub listed_proxies: u32,
     /// How unevenly the front deals: 0 is even, 1 gives some several times the mean. One proxy may be given so many
     /// times the mean by `hot`.
@@ -188,7 +188,7 @@
     pub kinds: Vec<Kind>,
     /// What backends have in common.
     pub common: BackendLimits,
-    /// LoadReporting, in answers and as the list's weights; none where backends say nothing.
+    /// Load reports, in responses and as the list's weights; none where backends say nothing.
     pub reports: Option<LoadReporting>,
     /// News of the list comes so late.
     pub list_lag: Micros,
@@ -306,7 +306,7 @@
     /// The names that [`Scenario::named`] knows.
     pub const NAMES: [&'static str; 7] = ["calm", "herd", "join", "split", "slow", "silent", "zone"];
 
-    /// What the module of one proxy is listed_proxies; `proxies` is 1 for one that sees all.
+    /// The configuration of one proxy's balancer; `proxies` is 1 for one that sees all.
     pub(crate) fn config(&self, proxies: u32, position: u32, zone: ZoneId, live: bool) -> Config {
         let capacity = self.capacity();
         Config {
--- a/crates/emulator/src/statistics.rs
+++ b/crates/emulator/src/statistics.rs
@@ -96,7 +96,7 @@
         second
     }
 
-    /// The part of the priority_weight that was served.
+    /// The part of the priority weight that was served.
     pub fn served_worth(&self) -> f64 {
         self.priority_weight.1 / self.priority_weight.0.max(1e-9)
     }
--- a/crates/lab/src/links/core.rs
+++ b/crates/lab/src/links/core.rs
@@ -118,7 +118,7 @@
         self.changes.subscribe()
     }
 
-    /// SeededRng of a flow in one direction.
+    /// The random numbers of a flow in one direction.
     pub fn rng(&self, flow: &str, way: Way) -> SeededRng {
         SeededRng::of(self.seed, &format!("{}/{flow}/{way:?}", self.name))
     }
--- a/crates/model-checker/src/canon.rs
+++ b/crates/model-checker/src/canon.rs
@@ -26,7 +26,7 @@
 }
 
 impl Canon {
-    /// For states of that world. `end_counts`: a mutant bug reads when attempts ended.
+    /// For states of that world. `end_counts`: a mutant reads when attempts ended.
     pub fn new(world: &World, end_counts: bool) -> Canon {
         let (best, now, parts, cells, seen) = Default::default();
         Canon { alike: world.alike(), best, now, parts, cells, seen, end_counts }
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Ten mutant bugs: each is found, by a shortest counterexample.
+//! Ten mutants: each is found, by a shortest counterexample.
 
 use shaletide_engine::monitor::Rule;
 use shaletide_engine::Mutant;
--- a/crates/testkit/src/seeded_rng.rs
+++ b/crates/testkit/src/seeded_rng.rs
@@ -3,17 +3,17 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// SeededRng that fall the same for the same seed.
+/// Random numbers, the same for the same seed.
 #[derive(Clone, Debug)]
 pub struct SeededRng(Pcg32);
 
 impl SeededRng {
-    /// SeededRng of that seed.
+    /// The generator of that seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(Pcg32::seed_from_u64(seed))
     }
 
-    /// SeededRng that belong to a name: the same under the same seed wherever and whenever it is met.
+    /// The generator that belongs to a name: the same under the same seed wherever and whenever it is met.
     pub fn of(seed: u64, name: &str) -> SeededRng {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         SeededRng::new(name.bytes().fold(0xcbf2_9ce4_8422_2325 ^ seed, fold))
