--- a/crates/engine/src/attempt_rules.rs
+++ b/crates/engine/src/attempt_rules.rs
@@ -1,22 +1,24 @@
-//! Whether an attempt may be sent: checked when the policy asks for it, and again before its first byte.
+//! Whether an attempt may be sent. Checked when the policy dispatches it and again before its first byte.
 
 use crate::mutant::{mutant, ActiveMutant};
 use crate::request::{Attempt, Request, RequestState};
 use shaletide_balancer::{first_retry_deadline, retry_deadline};
 use shaletide_types::*;
 
-/// A shorter deduplication window sets no write deadline for a first attempt: it might leave no time to write it.
+/// The shortest deduplication window that sets a write deadline for a first attempt. A shorter one could leave no time to
+/// write it.
 const MIN_WRITE_WINDOW: Micros = Micros(50_000);
 
-/// The attempts other than `own` that may have been executed or still may be: one that has not begun proves nothing.
+/// The attempts other than `own` that may have been executed or still may be. This includes every attempt in flight, also
+/// one that has not started.
 fn possible_executions(request: &Request, own: Option<usize>) -> impl Iterator<Item = &Attempt> {
     let numbered = request.attempts.iter().enumerate();
     let others = numbered.filter(move |(number, _)| Some(*number) != own).map(|(_, attempt)| attempt);
     others.filter(|attempt| attempt.is_in_flight() || attempt.may_have_executed())
 }
 
-/// When an attempt has to be written at the latest, as repeats of its key are discarded no longer; none where it repeats
-/// nothing.
+/// The time by which a retry has to be written, because the backends discard repeats of its key only until then. `None` if
+/// there is no earlier execution to repeat.
 fn retry_deadline_of(request: &Request, own: Option<usize>, mutant: ActiveMutant) -> Option<Time> {
     let Idempotency::Keyed(_, window) = request.idempotency else { return None };
     let start = |attempt: &Attempt| {
@@ -29,19 +31,19 @@
     first_retry_deadline(window, possible_executions(request, own).map(start))
 }
 
-/// When the last byte of an attempt that begins now has to be written at the latest. A first attempt is bound too: a
-/// hedged attempt may be completely written before it, and then this one is the repeat.
+/// The deadline for the last byte of an attempt that starts now. A first attempt has one too: a hedged attempt may be
+/// completely written before it, which makes the first attempt the repeat.
 pub(crate) fn write_deadline(now: Time, request: &Request, own: usize, mutant: ActiveMutant) -> Option<Time> {
     let Idempotency::Keyed(_, window) = request.idempotency else { return None };
-    let as_repeat = retry_deadline_of(request, Some(own), mutant);
-    if as_repeat.is_none() && window >= MIN_WRITE_WINDOW {
+    let repeat_deadline = retry_deadline_of(request, Some(own), mutant);
+    if repeat_deadline.is_none() && window >= MIN_WRITE_WINDOW {
         return Some(retry_deadline(window, now));
     }
-    as_repeat
+    repeat_deadline
 }
 
-/// Whether an attempt of `request` may be dispatched to a backend in those deduplication scopes. `own`: its number, if it
-/// is one of the request's attempts already.
+/// Whether an attempt of `request` may be dispatched to a backend in the deduplication scopes `to`. `own`: the attempt's
+/// number, if it is already one of the request's attempts.
 pub(crate) fn may_dispatch(
     now: Time, request: &Request, to: DeduplicationPlacement, own: Option<usize>, mutant: ActiveMutant,
 ) -> bool {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Whether attempt `own` may begin now. `ready`: its backend is still as when it was dispatched.
+/// Whether attempt `own` may start now. `ready`: its backend is ready and in the same deduplication scopes as at dispatch.
 pub(crate) fn may_start(now: Time, request: &Request, own: usize, ready: bool, mutant: ActiveMutant) -> bool {
     let Some(attempt) = request.attempts.get(own).filter(|attempt| attempt.is_in_flight()) else {
         return false;
--- a/crates/engine/src/connection_pool.rs
+++ b/crates/engine/src/connection_pool.rs
@@ -1,40 +1,40 @@
-//! The connections: which one is idle, which may be used again, and how many there are.
+//! The connections: which are idle, which may be used again, and how many there are.
 //!
-//! Owned by [`crate::Engine`], which decides when one is opened or closed.
+//! Owned by [`crate::Engine`], which decides when a connection is opened or closed.
 
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// The shortest span between two searches for connections that were idle for too long.
+/// The shortest interval between two sweeps for connections past the idle timeout.
 const MIN_IDLE_SWEEP_INTERVAL: Micros = Micros(1_000);
-/// The span between two such searches, as a part of the idle timeout.
+/// The interval between two sweeps for idle connections, as a fraction of the idle timeout.
 const IDLE_SWEEP_FRACTION: f64 = 0.25;
 
-/// How many connections are kept, and for how long.
+/// Limits on the number and the reuse of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionLimits {
-    /// At most so many, to all backends together.
+    /// The maximum number of connections to all backends together.
     pub max_connections: usize,
-    /// A connection that was idle for so long is not used again.
+    /// A connection that has been idle for this long is not used again.
     pub idle_timeout: Micros,
-    /// A connection is not used again so soon after a response: bytes that a backend sends after one, in a
-    /// segment of their own, would be taken for the response to the next request.
+    /// The time after a response during which a connection is not used again. Excess bytes that the backend sends after
+    /// the response in a separate segment would otherwise be taken for the response to the next request.
     pub reuse_delay: Micros,
 }
 
 /// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionState {
-    /// It is being opened, for this attempt; none: the attempt that it was opened for has ended.
+    /// The connection is being opened for this attempt; `None`: that attempt has ended.
     Connecting(Option<(RequestId, AttemptNumber)>),
-    /// No attempt is on it.
+    /// No attempt is on the connection.
     Idle {
-        /// Since then.
+        /// When the connection became idle.
         since: Time,
-        /// One was before: an unused connection may be used at once.
+        /// Whether an attempt was on the connection before. An unused one may be used without the reuse delay.
         used: bool,
     },
-    /// This attempt is on it.
+    /// This attempt is on the connection.
     Busy(RequestId, AttemptNumber),
 }
 
@@ -42,7 +42,7 @@
 pub(crate) struct Connection {
     pub backend: BackendId,
     pub state: ConnectionState,
-    /// It leads to an address at which its backend no longer listens.
+    /// Whether the connection leads to a previous address of its backend.
     pub address_outdated: bool,
 }
 
@@ -51,9 +51,9 @@
 pub(crate) struct ConnectionPool {
     limits: ConnectionLimits,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// The idle ones of each backend, the most recently used last.
+    /// The idle connections of each backend, the most recently used last.
     idle: BTreeMap<BackendId, Vec<ConnectionId>>,
-    /// When the last response came from each backend that is listed.
+    /// The time of the last response from each listed backend.
     last_response_at: BTreeMap<BackendId, Time>,
     next_id: u64,
     idle_sweep_at: Option<Time>,
@@ -83,7 +83,7 @@
         self.connections.get(&connection)
     }
 
-    /// As many are open as there may be.
+    /// Whether the maximum number of connections is reached.
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.limits.max_connections
     }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Adds a connection that is being opened for that attempt.
+    /// Adds a connection that is being opened for an attempt.
     pub fn open(&mut self, backend: BackendId, request: RequestId, attempt: AttemptNumber) -> ConnectionId {
         let connection = ConnectionId(self.next_id);
         self.next_id += 1;
@@ -121,14 +121,14 @@
         }
     }
 
-    /// The attempt that a connection is being opened for has ended.
+    /// Detaches the attempt, which has ended, from the connection that is being opened for it.
     pub fn detach_attempt(&mut self, connection: ConnectionId) {
         if let Some(connecting) = self.connections.get_mut(&connection) {
             connecting.state = ConnectionState::Connecting(None);
         }
     }
 
-    /// No attempt is on it from now on; `used`: one was.
+    /// Marks a connection as idle. `used`: an attempt was on it.
     pub fn make_idle(&mut self, now: Time, connection: ConnectionId, used: bool) {
         if let Some(known) = self.connections.get_mut(&connection) {
             known.state = ConnectionState::Idle { since: now, used };
@@ -137,7 +137,7 @@
         self.idle_sweep_at.get_or_insert(now + self.limits.idle_timeout);
     }
 
-    /// The attempt is on it from now on.
+    /// Assigns a connection to an attempt.
     pub fn make_busy(&mut self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         if let Some(known) = self.connections.get_mut(&connection) {
             known.state = ConnectionState::Busy(request, attempt);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// All connections that a backend has now lead to an address at which it no longer listens.
+    /// Marks all present connections of a backend as leading to a previous address.
     pub fn mark_address_outdated(&mut self, backend: BackendId) {
         for connection in self.connections.values_mut() {
             if connection.backend == backend {
@@ -155,8 +155,7 @@
         }
     }
 
-    /// The most recently used idle connection of a backend that has passed the reuse delay and not the idle
-    /// timeout.
+    /// The most recently used idle connection of a backend that is past the reuse delay and not past the idle timeout.
     pub fn usable(&self, now: Time, backend: BackendId) -> Option<ConnectionId> {
         let idle = self.idle.get(&backend)?;
         idle.iter().rev().find(|connection| self.is_usable(now, **connection)).copied()
@@ -171,8 +170,8 @@
         idle_for < self.limits.idle_timeout && (!used || idle_for >= self.limits.reuse_delay)
     }
 
-    /// The connection to close where there may be no further one: of all backends the one that is idle for
-    /// longest; where none is idle, the oldest that is being opened for an attempt that has ended.
+    /// The connection to close at the connection limit: the one that has been idle for longest, of all backends. If none
+    /// is idle, the oldest one that is being opened for an attempt that has ended.
     pub fn oldest_idle(&self) -> Option<ConnectionId> {
         let first_of_each = self.idle.values().filter_map(|idle| idle.first());
         let by_time =
@@ -189,12 +188,12 @@
         self.idle.get(&backend).cloned().unwrap_or_default()
     }
 
-    /// When [`Self::sweep_idle`] is due.
+    /// The time at which [`Self::sweep_idle`] is due.
     pub fn idle_sweep_at(&self) -> Option<Time> {
         self.idle_sweep_at
     }
 
-    /// If the sweep is due, removes the connections that have passed the idle timeout and returns them.
+    /// If the sweep is due, removes the connections past the idle timeout and returns them.
     pub fn sweep_idle(&mut self, now: Time) -> Vec<ConnectionId> {
         if self.idle_sweep_at.is_none_or(|at| at > now) {
             return Vec::new();
@@ -220,22 +219,22 @@
         }
     }
 
-    /// A response came from a backend.
+    /// Records the time of a response from a backend.
     pub fn record_response(&mut self, now: Time, backend: BackendId) {
         self.last_response_at.insert(backend, now);
     }
 
-    /// Whether a response came from a backend at `since` or later.
+    /// Whether a backend has responded at `since` or later.
     pub fn has_responded_since(&self, backend: BackendId, since: Time) -> bool {
         self.last_response_at.get(&backend).is_some_and(|at| *at >= since)
     }
 
-    /// When the last response came from each backend that is listed.
+    /// The time of the last response from each listed backend.
     pub fn last_responses(&self) -> &BTreeMap<BackendId, Time> {
         &self.last_response_at
     }
 
-    /// No list has the backend any more.
+    /// Removes the time of the last response from a backend that is no longer listed.
     pub fn remove_last_response(&mut self, backend: BackendId) {
         self.last_response_at.remove(&backend);
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
-//! The state machine of all requests, attempts and connections: its state, and which function handles which event.
+//! The state of the state machine, and the dispatch of events to their handlers.
 //!
-//! The functions stand in modules by concern: `endpoints`, `requests`, `attempts`, `connections`; `inspect` is for
-//! the model checker and the monitors.
+//! The handlers are in modules by concern: `endpoints`, `requests`, `attempts`, `connections`. `inspect` has the
+//! accessors for the model checker and the monitors.
 
 mod attempts;
 mod connections;
@@ -22,31 +22,31 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Every request, attempt and connection.
+/// The state machine of all requests, attempts and connections.
 ///
-/// Bounds: a request for each that its front has open, and those that have ended until their attempts have; at most
-/// 64 attempts each; the connections of [`ConnectionLimits::max_connections`]; an entry for each backend that any
-/// list has.
+/// Bounds: the requests that the front has open, and ended requests until their attempts have ended; at most 64
+/// attempts for each request; at most [`ConnectionLimits::max_connections`] connections; an entry for each backend in
+/// any endpoint list.
 #[derive(Clone, Debug)]
 pub struct Engine<P> {
     policy: P,
-    /// Attempts whose result is not needed any more may be cancelled.
+    /// Whether attempts whose result is no longer needed may be cancelled.
     cancellation: bool,
-    /// The deduplication domain of all backends, if they are of one.
+    /// The deduplication domain of all backends, if they share one.
     only_deduplication_domain: Option<u32>,
     backends: KnownBackends,
     requests: RequestTable,
     connections: ConnectionPool,
     policy_timers: BTreeSet<(Time, TimerToken)>,
-    /// What the policy has not been told yet.
+    /// Events that the policy has not handled yet.
     policy_events: VecDeque<pools::Event>,
-    /// Empty between calls; kept for its memory.
+    /// Empty between calls; kept to reuse its allocation.
     policy_actions: Vec<pools::Action>,
     mutant: ActiveMutant,
 }
 
 impl<P: Policy> Engine<P> {
-    /// An engine that knows no backend yet.
+    /// Creates an engine without backends.
     pub fn new(policy: P, limits: ConnectionLimits) -> Engine<P> {
         Engine {
             policy,
@@ -62,8 +62,8 @@
         }
     }
 
-    /// From now on: how connections are kept, whether attempts may be cancelled, and the one deduplication domain
-    /// that all backends belong to, if they do.
+    /// Sets the connection limits, whether attempts may be cancelled, and the deduplication domain of all backends if
+    /// they share one.
     pub fn configure(
         &mut self, limits: ConnectionLimits, cancellation: bool, only_deduplication_domain: Option<u32>,
     ) {
@@ -72,53 +72,53 @@
         self.only_deduplication_domain = only_deduplication_domain;
     }
 
-    /// Switches a fault on, or all off.
+    /// Switches a fault on, or off with `None`.
     #[cfg(feature = "mutants")]
     pub fn set_mutant(&mut self, mutant: Option<Mutant>) {
         self.mutant = ActiveMutant(mutant);
     }
 
-    /// The policy, to configure it.
+    /// The policy, for configuring it.
     pub fn policy_mut(&mut self) -> &mut P {
         &mut self.policy
     }
 
-    /// The policy, to read it.
+    /// The policy, for reading it.
     pub fn policy(&self) -> &P {
         &self.policy
     }
 
-    /// The requests, with those that have ended and whose attempts have not.
+    /// The open requests, and ended requests whose attempts have not all ended.
     pub fn requests(&self) -> &BTreeMap<RequestId, Request> {
         self.requests.all()
     }
 
-    /// The connections.
+    /// The connections with their backends and states.
     pub fn connections(&self) -> impl Iterator<Item = (ConnectionId, BackendId, ConnectionState)> + '_ {
         self.connections.all().iter().map(|(id, connection)| (*id, connection.backend, connection.state))
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn connection_count(&self) -> usize {
         self.connections.all().len()
     }
 
-    /// The connection that the engine would close to open another.
+    /// The connection that the engine would close first when it opens another at the limit.
     pub fn connection_to_evict(&self) -> Option<ConnectionId> {
         self.connections.oldest_idle()
     }
 
-    /// Whether a backend takes new requests; gone where no list has it.
+    /// The state of a backend; `Gone` if no endpoint list has it.
     pub fn backend_state(&self, backend: BackendId) -> BackendState {
         self.backends.state(backend)
     }
 
-    /// The deadlines that are awaited.
+    /// The pending deadlines.
     pub fn deadlines(&self) -> &BTreeSet<(Time, RequestId)> {
         self.requests.deadlines()
     }
 
-    /// When [`Event::Wake`] is due at the latest.
+    /// The time at which [`Event::Wake`] is due, if any.
     pub fn wake_at(&self) -> Option<Time> {
         let deadline = self.requests.deadlines().first().map(|(at, _)| *at);
         let timer = self.policy_timers.first().map(|(at, _)| *at);
@@ -126,7 +126,7 @@
         [deadline, timer, sweep].into_iter().flatten().min()
     }
 
-    /// Handles one event that happened at `now` and adds the actions it calls for.
+    /// Handles one event that happened at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { pool, update, backends } => {
@@ -166,13 +166,13 @@
         self.run_policy(now, actions);
     }
 
-    /// Carries out one action of a policy outside of [`Policy::handle`]: for policies that are driven from outside.
+    /// Carries out one policy action that does not come from [`Policy::handle`], for a policy that is driven from outside.
     pub fn apply_policy_action(&mut self, now: Time, action: pools::Action, actions: &mut Vec<Action>) {
         self.run_policy_action(now, action, actions);
         self.run_policy(now, actions);
     }
 
-    /// Tells the policy what has happened and carries out its actions, until neither is left.
+    /// Passes pending events to the policy and carries out its actions, until none are left.
     fn run_policy(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some(event) = self.policy_events.pop_front() {
             let mut policy_actions = std::mem::take(&mut self.policy_actions);
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Deadlines come before the policy's timers, so that no decision is made on a request that has expired.
+    /// Deadlines are handled before the policy's timers, so that the policy makes no decision on an expired request.
     fn run_due_timers(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some(id) = self.requests.take_expired(now) {
             self.expire_request(now, id, actions);
--- a/crates/engine/src/engine/attempts.rs
+++ b/crates/engine/src/engine/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: dispatched, waiting for its intent or connection, sent, cancelled, ended.
+//! The lifecycle of an attempt: dispatched, waiting for its intent or connection, sent, cancelled, ended.
 
 use super::Engine;
 use crate::attempt_rules;
@@ -10,11 +10,11 @@
 use shaletide_routing::pools;
 use shaletide_types::*;
 
-/// Attempts that a request may have, whatever the policy asks for.
+/// The maximum number of attempts of a request, whatever the policy asks for.
 const MAX_ATTEMPTS: usize = 64;
 
 impl<P: Policy> Engine<P> {
-    /// Begins an attempt that the policy asks for, or declines it: then it ends at once as not sent.
+    /// Starts an attempt that the policy asks for, or declines it: a declined attempt ends at once as not sent.
     pub(super) fn dispatch_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, backend: BackendId,
         start_by: Option<Time>, actions: &mut Vec<Action>,
@@ -27,7 +27,7 @@
             request.attempts.len() < MAX_ATTEMPTS && request.attempts.len() == number.0 as usize
         });
         let Some(request) = request else {
-            // Each attempt that is asked for has one end, whatever it was asked for.
+            // Every dispatched attempt is reported as ended exactly once, also if its request or number is invalid.
             self.report_attempt_end(id, number, Outcome::NotSent, Micros(0), is_answered);
             return;
         };
@@ -58,17 +58,17 @@
     ) {
         let Some(attempt) = self.requests.attempt_mut(id, number) else { return };
         if attempt.state != AttemptState::NotStarted {
-            return; // it has been withdrawn
+            return; // the intent was withdrawn
         }
         if persisted {
             self.start_attempt(now, id, number, actions);
         } else {
-            attempt.intent_requested = false; // there is nothing to withdraw
+            attempt.intent_requested = false; // a failed intent is not withdrawn
             self.end_attempt(now, id, number, Outcome::NotSent, actions);
         }
     }
 
-    /// Sends an attempt on a usable connection, or has one opened for it.
+    /// Sends an attempt on a usable connection, or opens one for it.
     pub(super) fn start_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, actions: &mut Vec<Action>,
     ) {
@@ -82,7 +82,7 @@
         if self.connections.is_full() {
             match self.connections.oldest_idle() {
                 Some(connection) => self.close_connection(connection, actions),
-                // The backend is not at fault.
+                // The connection limit is the cause, not the backend.
                 None => return self.end_attempt(now, id, number, Outcome::NotSent, actions),
             }
         }
@@ -93,7 +93,7 @@
         actions.push(Action::Connect { connection, backend });
     }
 
-    /// Whether an attempt may still begin: asked when its connection is looked for and again before its first byte.
+    /// Whether an attempt may still start. Checked before a connection is selected and again before the first byte.
     pub(super) fn may_start(&self, now: Time, id: RequestId, number: AttemptNumber) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let own = number.0 as usize;
@@ -101,15 +101,15 @@
         attempt_rules::may_start(now, request, own, is_ready, self.mutant)
     }
 
-    /// Whether the attempt's backend is ready, and listed in the same deduplication scopes as when it was
-    /// dispatched: elsewhere it would discard the repeats of other keys.
+    /// Whether the attempt's backend is ready and in the same deduplication scopes as when the attempt was
+    /// dispatched. In other scopes the backend would discard the repeats of other keys.
     fn is_as_dispatched(&self, attempt: &Attempt) -> bool {
         self.backends
             .get(attempt.backend)
             .is_some_and(|known| known.state == BackendState::Ready && known.placement == attempt.placement)
     }
 
-    /// No byte of the attempt has been written yet; from here on it may be.
+    /// Sends an attempt of which no byte has been written yet.
     pub(super) fn send_request(
         &mut self, now: Time, connection: ConnectionId, id: RequestId, number: AttemptNumber,
         actions: &mut Vec<Action>,
@@ -133,8 +133,8 @@
         }
     }
 
-    /// Cancels an attempt; one that has begun only with `cancellation`. One that has not begun ends here, and the
-    /// connection that it waits for goes on opening, for others.
+    /// Cancels an attempt. An attempt that has started is cancelled only if `cancellation` is set. One that has not
+    /// started ends at once; the connection that it waits for continues to open and can serve other attempts.
     pub(super) fn cancel_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, outcome: Outcome, cancellation: bool,
         actions: &mut Vec<Action>,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Ends an attempt that got no response.
+    /// Ends an attempt that received no response.
     pub(super) fn end_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, outcome: Outcome,
         actions: &mut Vec<Action>,
@@ -168,8 +168,8 @@
         self.settle_attempt(now, id, number, outcome, false, actions);
     }
 
-    /// Ends an attempt; `has_response`: by a complete response. The policy is told, and the request is answered if
-    /// this settles it.
+    /// Ends an attempt, with a complete response if `has_response` is set. Notifies the policy, and answers the request
+    /// if its answer is now determined.
     pub(super) fn settle_attempt(
         &mut self, now: Time, id: RequestId, number: AttemptNumber, outcome: Outcome, has_response: bool,
         actions: &mut Vec<Action>,
@@ -199,7 +199,7 @@
         self.requests.remove_if_ended(id, self.mutant);
     }
 
-    /// Whether a successful response is the answer to a request in that state.
+    /// Whether a request in that state is answered with a successful response.
     fn may_serve(&self, state: RequestState, is_late: bool) -> bool {
         match state {
             RequestState::Open | RequestState::GivenUp(_) => !is_late,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// `is_answered`: the request has its answer, or gets it now.
+    /// `is_answered`: the request was answered before or is answered by this attempt.
     fn report_attempt_end(
         &mut self, request: RequestId, attempt: AttemptNumber, outcome: Outcome, latency: Micros,
         is_answered: bool,
--- a/crates/engine/src/engine/connections.rs
+++ b/crates/engine/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! The life of a connection as the driver reports it, and what that means for the attempt on it.
+//! The lifecycle of a connection as the driver reports it, and its effects on the attempt on it.
 
 use super::Engine;
 use crate::connection_pool::ConnectionState;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// `backend_at_fault`: else the cause is this machine, and the attempt counts as not sent.
+    /// If not `backend_at_fault`, the cause is this machine, and the attempt counts as not sent.
     pub(super) fn on_connect_failed(
         &mut self, now: Time, connection: ConnectionId, backend_at_fault: bool, actions: &mut Vec<Action>,
     ) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A report from an outdated address, or of a backend that no list has, is ignored.
+    /// Ignores reports from an outdated address and from a backend that no endpoint list has.
     pub(super) fn on_load_reported(&mut self, connection: ConnectionId, report: LoadReport) {
         let Some(known) = self.connections.get(connection) else { return };
         if known.address_outdated {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A complete response came; `reusable`: the connection may be used again after it.
+    /// Handles a complete response. `reusable`: the connection may be used again after it.
     pub(super) fn on_response(
         &mut self, now: Time, connection: ConnectionId, class: ResponseClass, reusable: bool,
         actions: &mut Vec<Action>,
@@ -67,9 +67,9 @@
             self.connections.record_response(now, backend);
         }
         match state {
-            // The driver has been asked to close it.
+            // The driver is already closing the connection.
             AttemptState::Cancelling(..) => drop(self.connections.remove(connection)),
-            // Before the last byte was written, the rest of this request would go out ahead of the next one.
+            // Otherwise the unwritten rest of this request would be sent ahead of the next one.
             AttemptState::Written(_) if reusable => {
                 self.keep_connection(now, connection, backend, true, actions)
             }
@@ -83,8 +83,8 @@
         self.settle_attempt(now, id, number, outcome, true, actions);
     }
 
-    /// The response is invalid, or the connection ended before it was complete: `outcome`, if the request was
-    /// written to its last byte. A backend executes nothing before that.
+    /// Handles an invalid response, or a connection that ended before a complete response. The attempt ends with
+    /// `outcome` if the request was completely written; a backend executes nothing before its last byte.
     pub(super) fn on_connection_lost(
         &mut self, now: Time, connection: ConnectionId, outcome: Outcome, actions: &mut Vec<Action>,
     ) {
@@ -102,7 +102,7 @@
         self.end_attempt(now, id, number, outcome, actions);
     }
 
-    /// No byte was written on it: an attempt that was about to be sent on it starts again.
+    /// Handles a connection on which no byte was written: an attempt that was being sent on it starts again.
     pub(super) fn on_connection_unusable(
         &mut self, now: Time, connection: ConnectionId, actions: &mut Vec<Action>,
     ) {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A connection is closed, as the engine asked; `written`: the last byte of its request had been written.
+    /// Handles the end of a close that the engine requested. `written`: the last byte of the request had been written.
     pub(super) fn on_close_completed(
         &mut self, now: Time, connection: ConnectionId, written: bool, actions: &mut Vec<Action>,
     ) {
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Keeps a connection as idle if its backend is ready and still listens there; else closes it. `used`: a
-    /// response came on it.
+    /// Keeps a connection as idle if its backend is ready and its address is current; else closes it. `used`: the
+    /// connection has received a response.
     fn keep_connection(
         &mut self, now: Time, connection: ConnectionId, backend: BackendId, used: bool,
         actions: &mut Vec<Action>,
@@ -154,10 +154,10 @@
         }
     }
 
-    /// An attempt that was dispatched at `dispatched_at` was cancelled without a response. If the backend has sent
-    /// nothing since, it may be cut off and its idle connections dead without a sign: a request written to one of
-    /// them may have been executed for all that is known, while a new connection that does not come up proves that
-    /// it was not.
+    /// Closes the idle connections of a backend that has not responded since `dispatched_at`, when an attempt dispatched
+    /// then is cancelled without a response. The backend may be unreachable and its idle connections dead without having
+    /// been closed. A request written to a dead connection counts as possibly executed, while a failure to open a new
+    /// connection proves that it was not.
     pub(super) fn close_suspect_connections(
         &mut self, backend: BackendId, dispatched_at: Time, actions: &mut Vec<Action>,
     ) {
--- a/crates/engine/src/engine/endpoints.rs
+++ b/crates/engine/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the endpoint lists change: which backends take new requests, and what becomes of connections to the others.
+//! Handles endpoint list changes: which backends take new requests, and which connections are closed.
 
 use super::Engine;
 use crate::connection_pool::ConnectionState;
@@ -40,8 +40,8 @@
         self.policy_events.push_back(pools::Event::PoolClosed { pool });
     }
 
-    /// Closes the backend's idle connections and those that are being opened, so that nothing new goes out on
-    /// them. Busy ones are closed when their attempt ends.
+    /// Closes the backend's idle connections and those that are being opened, so that nothing new is sent on them. Busy
+    /// connections are closed when their attempts end.
     fn close_unused_connections(&mut self, now: Time, backend: BackendId, actions: &mut Vec<Action>) {
         for connection in self.connections.idle_of(backend) {
             self.close_connection(connection, actions);
--- a/crates/engine/src/engine/inspect.rs
+++ b/crates/engine/src/engine/inspect.rs
@@ -1,18 +1,18 @@
-//! What the model checker and the monitors read of the engine to tell two states apart.
+//! Accessors with which the model checker and the monitors compare engine states.
 
 use super::Engine;
 use crate::policy::Policy;
 use shaletide_types::*;
 
 impl<P: Policy> Engine<P> {
-    /// What the lists say of a backend; none where no list has it.
+    /// The pool, deduplication scopes and state of a backend; `None` if no endpoint list has it.
     pub fn listed_backend(
         &self, backend: BackendId,
     ) -> Option<(PoolId, DeduplicationPlacement, BackendState)> {
         self.backends.get(backend).map(|known| (known.pool, known.placement, known.state))
     }
 
-    /// How many backends the lists have.
+    /// The number of backends in the endpoint lists.
     pub fn listed_backend_count(&self) -> usize {
         self.backends.len()
     }
@@ -27,17 +27,17 @@
         self.connections.get(connection).is_some_and(|known| known.address_outdated)
     }
 
-    /// When the last response came from each backend.
+    /// The time of the last response from each backend.
     pub fn last_responses(&self) -> impl Iterator<Item = (BackendId, Time)> + '_ {
         self.connections.last_responses().iter().map(|(backend, at)| (*backend, *at))
     }
 
-    /// When connections that were idle for too long are closed next.
+    /// The time of the next sweep for connections past the idle timeout.
     pub fn idle_sweep_at(&self) -> Option<Time> {
         self.connections.idle_sweep_at()
     }
 
-    /// Whether the policy has been told every event and all that it asked for has been carried out.
+    /// Whether the policy has handled every event and all its actions have been carried out.
     pub fn has_no_pending_events(&self) -> bool {
         self.policy_events.is_empty() && self.policy_actions.is_empty()
     }
--- a/crates/engine/src/engine/requests.rs
+++ b/crates/engine/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: accepted, given up, answered, expired.
+//! The lifecycle of a request: accepted, given up, answered, expired.
 
 use super::Engine;
 use crate::event::{Action, FinalOutcome, RequestSpec};
@@ -42,7 +42,7 @@
         if state == RequestState::Open {
             self.policy_events.push_back(pools::Event::ClientDisconnected { request: id });
         }
-        // Nobody waits for these attempts, so that they are cancelled even where cancellation is off.
+        // No client waits for these attempts: they are cancelled even if cancellation is off.
         self.cancel_attempts(now, id, Outcome::Cancelled, true, actions);
         self.requests.remove_if_ended(id, self.mutant);
     }
@@ -56,8 +56,9 @@
         }
     }
 
-    /// No further attempt is made. Whether the request is rejected or has failed is decided by what its attempts
-    /// prove; `policy_rejected`: the policy asked for a rejection, read by the mutant `RejectedAfterExecution` only.
+    /// Gives a request up: no further attempt is made. Whether it is rejected or fails depends on whether its attempts
+    /// may have been executed. `policy_rejected`: the policy asked for a rejection; only the mutant
+    /// `RejectedAfterExecution` reads this.
     pub(super) fn give_up_request(
         &mut self, now: Time, id: RequestId, retry_after: Micros, policy_rejected: bool,
         actions: &mut Vec<Action>,
@@ -65,7 +66,7 @@
         let Some(request) = self.requests.open_mut(id) else { return };
         request.state = RequestState::GivenUp(retry_after);
         if request.has_attempt_in_flight() {
-            request.last_response_attempt = None; // its last attempt ends without a response
+            request.last_response_attempt = None; // the last attempt will end without a response
         }
         if policy_rejected && mutant!(self.mutant, RejectedAfterExecution) {
             self.answer_request(id, FinalOutcome::Rejected(retry_after), actions);
@@ -77,11 +78,11 @@
         self.answer_if_settled(now, id, actions);
     }
 
-    /// Answers a request that was given up or has timed out, once it is known of each attempt whether it may have
-    /// been executed.
+    /// Answers a request that was given up or has timed out, once it is known for each attempt whether it may have been
+    /// executed.
     pub(super) fn answer_if_settled(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
-        // Where cancellation is off, what has begun goes on and may be executed: that is known at once.
+        // With cancellation off, a started attempt continues and may be executed, so there is nothing to wait for.
         let is_unsettled = |attempt: &crate::Attempt| {
             attempt.is_in_flight() && (self.cancellation || !attempt.may_have_executed())
         };
@@ -90,9 +91,9 @@
         }
         let outcome = match request.state {
             RequestState::GivenUp(retry_after) => {
-                // `Retry-After` is in whole seconds: the client comes back that much later.
-                let client_back_at = now + round_up_to_seconds(retry_after);
-                if request.is_rejection_harmless(client_back_at, self.only_deduplication_domain) {
+                // `Retry-After` is rounded up to whole seconds, and the client retries after that time.
+                let client_retry_at = now + round_up_to_seconds(retry_after);
+                if request.is_rejection_harmless(client_retry_at, self.only_deduplication_domain) {
                     FinalOutcome::Rejected(retry_after)
                 } else {
                     FinalOutcome::Failed
@@ -115,7 +116,7 @@
         actions.push(Action::Answer { request: id, answer: outcome, last_attempt });
     }
 
-    /// The request's deadline has passed: its attempts time out with it.
+    /// Times a request out at its deadline, together with its attempts.
     pub(super) fn expire_request(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         if !self.requests.contains(id) {
             return;
@@ -126,7 +127,7 @@
             self.policy_events.push_back(pools::Event::ClientDisconnected { request: id });
         }
         self.cancel_attempts(now, id, Outcome::TimedOut, true, actions);
-        // The answer does not wait until the connections are closed.
+        // The answer does not wait for the connections to be closed.
         if self.requests.get(id).is_some_and(|request| request.state != RequestState::Finished) {
             self.answer_request(id, FinalOutcome::TimedOut, actions);
         }
--- a/crates/engine/src/event.rs
+++ b/crates/engine/src/event.rs
@@ -1,77 +1,77 @@
-//! What the engine is told ([`Event`]) and what it asks for ([`Action`]).
+//! The engine's inputs ([`Event`]) and outputs ([`Action`]).
 
 use shaletide_balancer::{Arrival, GiveUpReason};
 use shaletide_routing::ResponseClass;
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// A request as a front accepted it.
+/// A request that a front accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestSpec {
-    /// What the policy is told; its `request` is the payload's id at the front.
+    /// The request's data for the policy; `request` is the id under which the front keeps the payload.
     pub arrival: Arrival,
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
-    /// The pools of its route, the preferred first.
+    /// The pools of the request's route, in order of preference.
     pub pools: Rc<[PoolId]>,
-    /// No byte of an attempt may be written before [`Event::IntentPersisted`].
+    /// Whether [`Event::IntentPersisted`] must precede the first byte of an attempt.
     pub requires_intent: bool,
-    /// The end of each of its attempts is told by [`Action::AttemptEnded`].
+    /// Whether the end of each attempt is reported by [`Action::AttemptEnded`].
     pub recorded: bool,
 }
 
-/// What happened.
+/// An event that the driver reports to the engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of a pool's endpoint list.
     EndpointsUpdated {
         /// The pool.
         pool: PoolId,
-        /// A snapshot, a delta, and so on.
+        /// The kind of update, such as a snapshot or a delta.
         update: EndpointUpdate,
         /// The entries.
         backends: Vec<BackendEntry>,
     },
-    /// A backend belongs to another pool from now on; updates of both lists follow.
+    /// A backend moved to another pool; updates of both endpoint lists follow.
     BackendMoved {
         /// The backend.
         backend: BackendId,
-        /// The pool that it leaves.
+        /// The previous pool.
         from: PoolId,
-        /// The one that it joins.
+        /// The new pool.
         to: PoolId,
     },
-    /// A backend listens at another address now: open connections lead to the old one.
+    /// A backend's address changed: open connections lead to the previous one.
     AddressChanged {
         /// The backend.
         backend: BackendId,
     },
-    /// A pool is closed: its backends take nothing new.
+    /// A pool was closed: its backends take no new requests.
     PoolClosed {
         /// The pool.
         pool: PoolId,
     },
-    /// A request was accepted: it gets one final answer.
+    /// A request was accepted: it receives exactly one final answer.
     Request(RequestSpec),
-    /// Its client disconnected; no answer is due any more.
+    /// The client of a request disconnected: no answer is due any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// It is to be given up, as the sender knows that it cannot be served: no further attempt is made.
+    /// The driver gives a request up because it cannot be served: no further attempt is made.
     GiveUp {
         /// The request.
         request: RequestId,
-        /// For the client's `Retry-After`.
+        /// The value for the client's `Retry-After`.
         retry_after: Micros,
     },
-    /// The store's result on an attempt for which [`Action::PersistIntent`] asked.
+    /// The store's result for an [`Action::PersistIntent`].
     IntentPersisted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// The intent is durable, and the attempt may be sent.
+        /// Whether the intent is durable, so that the attempt may be sent.
         persisted: bool,
     },
     /// A connection is open.
@@ -83,126 +83,127 @@
     ConnectFailed {
         /// The connection.
         connection: ConnectionId,
-        /// The cause is the backend, and not this machine.
+        /// Whether the cause is the backend rather than this machine.
         backend_at_fault: bool,
     },
-    /// The last byte of the request on it has been handed to the kernel: from here on it may be executed.
+    /// The last byte of the request on a connection was handed to the kernel: from now on it may be executed.
     RequestWritten {
         /// The connection.
         connection: ConnectionId,
     },
-    /// What a backend reports of its load, in a response that is told next.
+    /// A backend reported its load in a response, whose event follows.
     LoadReported {
         /// The connection.
         connection: ConnectionId,
         /// The report.
         report: LoadReport,
     },
-    /// A complete response came.
+    /// A complete response was received.
     ResponseReceived {
         /// The connection.
         connection: ConnectionId,
-        /// What it means by the rules of the request's route.
+        /// The response's class by the rules of the request's route.
         class: ResponseClass,
-        /// By the response the connection may be used again.
+        /// Whether the response allows the connection to be used again.
         reusable: bool,
-        /// More bytes have come than the response.
+        /// Whether further bytes came after the response.
         has_excess_bytes: bool,
     },
-    /// What came can never become a response.
+    /// The received bytes are not a valid response.
     InvalidResponse {
         /// The connection.
         connection: ConnectionId,
     },
-    /// The connection ended before a complete response.
+    /// The connection ended before a complete response was received.
     ConnectionClosed {
         /// The connection.
         connection: ConnectionId,
     },
-    /// An idle connection turned out to be closed or to have bytes on it, at the latest when it was to be written
-    /// to: no byte of a request was written on it.
+    /// An idle connection was found closed or with unexpected bytes on it, at the latest before a request was written:
+    /// no byte of a request was written on it.
     ConnectionUnusable {
         /// The connection.
         connection: ConnectionId,
     },
-    /// A connection with a request on it is closed, as [`Action::Close`] asked.
+    /// A connection with a request on it was closed by [`Action::Close`].
     CloseCompleted {
         /// The connection.
         connection: ConnectionId,
-        /// The last byte of the request had been handed to the kernel by then.
+        /// Whether the last byte of the request had been handed to the kernel before.
         written: bool,
     },
-    /// The time of [`crate::Engine::wake_at`] has come.
+    /// The time of [`crate::Engine::wake_at`] was reached.
     Wake,
 }
 
 /// How a request ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalOutcome {
-    /// By the response to this attempt.
+    /// Answered with the response to this attempt.
     Served(AttemptNumber),
-    /// A retry is harmless; with the time for `Retry-After`.
+    /// Rejected, as a retry is harmless; with the time for `Retry-After`.
     Rejected(Micros),
-    /// An attempt may have been executed.
+    /// Failed: an attempt may have been executed.
     Failed,
-    /// Its deadline has passed.
+    /// The deadline has passed.
     TimedOut,
 }
 
-/// What the driver is to do, in order.
+/// An action that the driver carries out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Open a connection.
     Connect {
-        /// Its id from now on.
+        /// The id of the new connection.
         connection: ConnectionId,
         /// The backend to connect to.
         backend: BackendId,
     },
-    /// Write a request on an open connection, if no byte has come on that; else [`Event::ConnectionUnusable`].
+    /// Write a request on an open connection. If the connection has received bytes, the driver writes nothing and reports
+    /// [`Event::ConnectionUnusable`].
     Send {
         /// The connection.
         connection: ConnectionId,
         /// The request.
         request: RequestId,
-        /// Which attempt this is.
+        /// The attempt.
         attempt: AttemptNumber,
         /// The request's deadline.
         deadline: Time,
-        /// Its last byte may be written only before then: no further byte is written from then on, and
-        /// [`Event::ConnectionClosed`] is told, or [`Event::ConnectionUnusable`] where no byte had been written.
+        /// The deadline for the request's last byte. The driver writes no byte from then on. It reports
+        /// [`Event::ConnectionClosed`], or [`Event::ConnectionUnusable`] if no byte was written.
         write_deadline: Option<Time>,
     },
-    /// Close a connection at once. Where a request is on it, [`Event::CloseCompleted`] says whether all of it had
-    /// been written.
+    /// Close a connection at once. If a request is on it, [`Event::CloseCompleted`] reports whether the request had been
+    /// written completely.
     Close {
         /// The connection.
         connection: ConnectionId,
     },
-    /// The policy gave a request up; its answer follows, in this step or a later one. For logs only.
+    /// The policy gave a request up; the answer follows in this step or a later one. For logs only.
     GivenUp {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         reason: GiveUpReason,
     },
-    /// The request's final answer.
+    /// Send a request's final answer.
     Answer {
         /// The request.
         request: RequestId,
-        /// How it ends.
+        /// The final outcome.
         answer: FinalOutcome,
-        /// The attempt whose response, though not served, ended the request.
+        /// The attempt whose response ended the request although it does not count as served.
         last_attempt: Option<AttemptNumber>,
     },
-    /// Ask the store to make the intent of an attempt durable; [`Event::IntentPersisted`] tells the result.
+    /// Make the intent of an attempt durable in the store; [`Event::IntentPersisted`] reports the result.
     PersistIntent {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt whose intent was requested was not sent and never will be.
+    /// Withdraw the intent of an attempt that was not sent and never will be.
     WithdrawIntent {
         /// The request.
         request: RequestId,
@@ -215,17 +216,17 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// How.
+        /// The attempt's outcome.
         outcome: Outcome,
     },
-    /// Subscribe to a pool's endpoint list from now on.
+    /// Subscribe to a pool's endpoint list.
     Subscribe {
-        /// Whose.
+        /// The pool.
         pool: PoolId,
     },
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log {
-        /// The pool that it is about.
+        /// The pool that the line is about.
         pool: PoolId,
         /// The line.
         text: String,
--- a/crates/engine/src/known_backends.rs
+++ b/crates/engine/src/known_backends.rs
@@ -1,11 +1,11 @@
-//! What the endpoint lists say of each backend: its pool, its place in the deduplication scopes and its state.
+//! The pool, deduplication scopes and state of each backend in the endpoint lists.
 //!
-//! Owned by [`crate::Engine`]. Bound: an entry for each backend that any list has.
+//! Owned by [`crate::Engine`]. Bound: an entry for each backend in any endpoint list.
 
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a list says of a backend.
+/// A backend in an endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KnownBackend {
     pub pool: PoolId,
@@ -13,15 +13,15 @@
     pub state: BackendState,
 }
 
-/// A backend that an update of its list leaves not ready.
+/// A backend that is not ready after an update of its endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct NotReadyBackend {
     pub backend: BackendId,
-    /// No list has it any more.
+    /// Whether no endpoint list has the backend any more.
     pub removed: bool,
 }
 
-/// All backends of all lists.
+/// The backends of all endpoint lists.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownBackends {
     backends: BTreeMap<BackendId, KnownBackend>,
@@ -40,7 +40,7 @@
         self.backends.len()
     }
 
-    /// Gone where no list has it.
+    /// The state of a backend; `Gone` if no endpoint list has it.
     pub fn state(&self, backend: BackendId) -> BackendState {
         self.get(backend).map_or(BackendState::Gone, |known| known.state)
     }
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Applies the entries of one update of `pool`'s list; `is_complete`: a backend of the pool that they lack
-    /// is gone. Returns those that are not ready after it, in the order of their ids.
+    /// Applies the entries of one update of `pool`'s endpoint list. `is_complete`: a backend of the pool without an entry
+    /// is gone. Returns the backends that are not ready afterwards, in the order of their ids.
     pub fn apply_update(
         &mut self, pool: PoolId, entries: &[BackendEntry], is_complete: bool,
     ) -> Vec<NotReadyBackend> {
@@ -88,7 +88,7 @@
         changed
     }
 
-    /// A pool cannot take away a backend that has moved to another pool since.
+    /// Ignores the removal of a backend that has since moved to another pool.
     fn apply_entry(&mut self, pool: PoolId, entry: &BackendEntry) {
         let is_of_other_pool = self.get(entry.id).is_some_and(|known| known.pool != pool);
         if entry.state == BackendState::Gone && is_of_other_pool {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,19 +1,19 @@
-//! The life of every request, attempt and connection as one state machine without I/O.
+//! The lifecycle of requests, attempts and connections as one state machine without I/O.
 //!
-//! A driver tells [`Engine::handle`] what happened ([`Event`]) with the time at which it did, and carries out the
-//! actions that come back ([`Action`]), in order and after the call has returned. The [`Policy`] selects backends and
-//! decides on retries and rejection, in a program [`shaletide_routing::Pools`]; the engine holds every request to the
-//! invariants whatever the policy asks for, by declining.
+//! A driver passes each [`Event`] to [`Engine::handle`] with the time at which it happened. It carries out the resulting
+//! [`Action`]s in order, after the call has returned. The [`Policy`] selects backends and decides on retries and
+//! rejection; in a program it is [`shaletide_routing::Pools`]. The engine enforces the invariants whatever the policy
+//! asks for: it declines an action that would break one.
 //!
 //! # What a driver guarantees
 //! - Every [`Action::Connect`] ends in one [`Event::Connected`] or [`Event::ConnectFailed`], unless the connection is
 //!   closed before.
 //! - Every [`Action::Send`] ends in one of [`Event::ResponseReceived`], [`Event::InvalidResponse`],
-//!   [`Event::ConnectionClosed`], [`Event::ConnectionUnusable`] or, where [`Action::Close`] came first,
+//!   [`Event::ConnectionClosed`], [`Event::ConnectionUnusable`] or, if [`Action::Close`] came first,
 //!   [`Event::CloseCompleted`].
-//! - [`Event::RequestWritten`] is told when the last byte of the request has been handed to the kernel, before anything
-//!   else of that connection.
-//! - [`Engine::wake_at`] is read after each call, and [`Event::Wake`] told then.
+//! - [`Event::RequestWritten`] is passed when the last byte of the request has been handed to the kernel, before any
+//!   further event of that connection.
+//! - The driver reads [`Engine::wake_at`] after each call and passes [`Event::Wake`] at that time.
 #![forbid(unsafe_code)]
 
 mod attempt_rules;
--- a/crates/engine/src/monitor/answers.rs
+++ b/crates/engine/src/monitor/answers.rs
@@ -1,14 +1,15 @@
-//! Exactly one final answer, in time, a rejection only where a retry is harmless, and nothing after it.
+//! A request receives exactly one final answer in time, is rejected only if a retry is harmless, and nothing follows the
+//! answer.
 
 use super::observed::{ObservedAttempt, ObservedState};
 use super::{violation, Rule, Rules, Verdict};
 use crate::event::FinalOutcome;
 use shaletide_types::*;
 
-/// In microseconds.
+/// One second, in microseconds.
 const SECOND_US: u64 = 1_000_000;
 
-/// No request is open after its deadline and the slack.
+/// Checks that no request is open after its deadline and the slack.
 pub(super) fn check_deadlines(observed: &mut ObservedState, now: Time, rules: &Rules) -> Verdict {
     let Some(&(deadline, id)) = observed.deadlines.first() else { return Ok(()) };
     if !is_late(observed, now, deadline, rules) {
@@ -23,13 +24,13 @@
     )
 }
 
-/// Whether an answer that no backend served is late at `now`. The time for which the driver had no processor since the
-/// deadline does not count.
+/// Whether an answer that no backend served is late at `now`. The time for which the driver waited for a processor since
+/// the deadline does not count.
 fn is_late(observed: &ObservedState, now: Time, deadline: Time, rules: &Rules) -> bool {
     now > deadline + rules.answer_slack + observed.processor_wait.growth_since(deadline)
 }
 
-/// How late that is, and how much of it the machine has to answer for.
+/// The lateness, and how much of it the driver waited for a processor.
 fn lateness_text(observed: &ObservedState, now: Time, deadline: Time) -> String {
     let late_us = (now - deadline).0;
     let waited_us = observed.processor_wait.growth_since(deadline).0;
@@ -68,17 +69,18 @@
     }
 }
 
-/// Nothing may have been executed, or a second execution does nothing: of a keyed request as long as its deduplication
-/// window lasts, which has to be open when the client comes back. `Retry-After` is in whole seconds.
+/// Checks that a retry by the client is harmless: no attempt may have been executed, or a second execution has no effect.
+/// For a keyed request, the deduplication window has to be open when the client retries; `Retry-After` is rounded up to
+/// whole seconds.
 fn check_harmless(
     observed: &ObservedState, now: Time, id: RequestId, retry_after: Micros, rules: &Rules,
 ) -> Verdict {
     let Some(r) = observed.requests.get(&id) else { return Ok(()) };
-    let client_back_at = now + Micros(retry_after.0.div_ceil(SECOND_US) * SECOND_US);
+    let client_retry_at = now + Micros(retry_after.0.div_ceil(SECOND_US) * SECOND_US);
     let is_discarded = |sent: &ObservedAttempt| match r.idempotency {
         Idempotency::Safe => true,
         Idempotency::Keyed(DeduplicationScope::All, window) => {
-            rules.has_only_one_deduplication_domain && client_back_at < sent.sent_at + window
+            rules.has_only_one_deduplication_domain && client_retry_at < sent.sent_at + window
         }
         Idempotency::Keyed(..) | Idempotency::NonIdempotent => false,
     };
@@ -104,13 +106,13 @@
     }
 }
 
-/// A request that ended in this step has no attempt left that could have been cancelled.
+/// Checks that every attempt of a request that ended in this step was cancelled, if cancellation is on.
 pub(super) fn check_nothing_running(observed: &ObservedState, now: Time, rules: &Rules) -> Verdict {
     if !rules.cancellation {
         return Ok(());
     }
-    let over = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
-    for (id, r) in over.filter(|(_, r)| !r.open) {
+    let ended_requests = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
+    for (id, r) in ended_requests.filter(|(_, r)| !r.open) {
         for connection in ObservedState::connections_of(r) {
             if observed.is_running_on(connection) {
                 let text = format!(
--- a/crates/engine/src/monitor/connections.rs
+++ b/crates/engine/src/monitor/connections.rs
@@ -1,5 +1,5 @@
-//! A connection is used only when it is open and idle, nothing but complete responses has come on it, and it leads to
-//! the address at which its backend listens now.
+//! A connection is used only if it is open and idle, has received nothing but complete responses, and leads to its
+//! backend's current address.
 
 use super::observed::{ObservedConnection, ObservedConnectionState, ObservedState};
 use super::{Rule, Rules, Violation};
@@ -8,8 +8,8 @@
 pub(super) fn may_use(
     observed: &ObservedState, now: Time, connection: ConnectionId, rules: &Rules,
 ) -> Result<ObservedConnection, Violation> {
-    let violation = |how: &str| {
-        let text = format!("connection {} was used though {how}", connection.0);
+    let violation = |reason: &str| {
+        let text = format!("connection {} was used though {reason}", connection.0);
         Err(Violation { rule: Rule::CleanConnection, at: now, text })
     };
     let Some(known) = observed.connections.get(&connection) else { return violation("it does not exist") };
--- a/crates/engine/src/monitor/draining.rs
+++ b/crates/engine/src/monitor/draining.rs
@@ -1,4 +1,4 @@
-//! Nothing new goes to a backend that is draining or gone, once the grace after that update has passed.
+//! No attempt is sent to a backend that is draining or gone, once the grace after that update has passed.
 
 use super::observed::ObservedState;
 use super::{violation, Rule, Rules, Verdict};
@@ -12,8 +12,9 @@
             Ok(())
         }
         Some(entry) => {
-            let ago = (now - entry.not_ready_since).0 / 1_000;
-            let text = format!("box {} is sent something new, {ago} ms after it was told not to be", to.0);
+            let elapsed_ms = (now - entry.not_ready_since).0 / 1_000;
+            let text =
+                format!("box {} is sent something new, {elapsed_ms} ms after it was told not to be", to.0);
             violation(Rule::Draining, now, text)
         }
         None => {
--- a/crates/engine/src/monitor/intents.rs
+++ b/crates/engine/src/monitor/intents.rs
@@ -1,4 +1,4 @@
-//! No byte of an attempt before its intent is durable; each intent is used, has failed or is withdrawn.
+//! No byte of an attempt is written before its intent is durable, and each intent is used, fails or is withdrawn.
 
 use super::observed::{IntentState, ObservedState};
 use super::{violation, Rule, Verdict};
@@ -50,10 +50,10 @@
     violation(Rule::DurableIntent, now, text)
 }
 
-/// A request that ended in this step has no intent that is neither used, failed nor withdrawn.
+/// Checks that every intent of a request that ended in this step was used, failed or was withdrawn.
 pub(super) fn check_none_open(observed: &ObservedState, now: Time) -> Verdict {
-    let over = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
-    for (id, r) in over.filter(|(_, r)| !r.open) {
+    let ended_requests = observed.ended.iter().filter_map(|id| Some((id, observed.requests.get(id)?)));
+    for (id, r) in ended_requests.filter(|(_, r)| !r.open) {
         if let Some(attempt) = r.intents.keys().next() {
             let text = format!(
                 "request {} has ended and the intent of its attempt {} was not withdrawn",
--- a/crates/engine/src/monitor/leftovers.rs
+++ b/crates/engine/src/monitor/leftovers.rs
@@ -1,5 +1,5 @@
-//! Nothing is kept of a request that has ended with all its attempts, and the deadline of an open one is awaited, so that
-//! all is answered in the end. This compares ids in the engine's state with what was observed.
+//! The engine keeps no state of a request that has ended with all its attempts, and keeps the deadline of every open
+//! request, so that each is answered at last. This module compares ids in the engine's state with the observed state.
 
 use super::observed::{ObservedRequest, ObservedState};
 use super::{violation, Monitor, Rule, Verdict};
@@ -9,10 +9,10 @@
 use shaletide_types::*;
 
 impl Monitor {
-    /// Compares what the engine keeps with what was observed. Costs a step for each request, deadline and connection.
+    /// Compares the engine's state with the observed state. The cost is linear in requests, deadlines and connections.
     ///
     /// # Errors
-    /// The first thing that the engine keeps and should not, or does not keep and should.
+    /// The first entry that the engine keeps and should have removed, or should keep and lacks.
     pub fn check_leftovers<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         self.check_requests(now, engine)?;
         self.check_deadlines(now, engine)?;
@@ -23,25 +23,29 @@
     fn check_requests<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for id in engine.requests().keys() {
             if !self.observed.requests.contains_key(id) {
-                return leftover(now, format!("request {} has ended and is still kept", id.0));
+                return leftover(
+                    now,
+                    format!("request {} has ended and is still in the request table", id.0),
+                );
             }
         }
         Ok(())
     }
 
-    /// The deadline is awaited of an open request, and of one whose attempts go on as cancellation is off; of no other.
+    /// Checks that deadlines are pending exactly for open requests and for those whose attempts continue because
+    /// cancellation is off.
     fn check_deadlines<P: Policy>(&self, now: Time, engine: &Engine<P>) -> Verdict {
         for (_, id) in engine.deadlines() {
-            let may_go_on = !self.rules.cancellation && self.observed.requests.contains_key(id);
-            if !self.is_open(*id) && !may_go_on {
-                let text = format!("request {} has ended and its deadline is still awaited", id.0);
+            let may_continue = !self.rules.cancellation && self.observed.requests.contains_key(id);
+            if !self.is_open(*id) && !may_continue {
+                let text = format!("request {} has ended and its deadline is still pending", id.0);
                 return leftover(now, text);
             }
         }
         for (id, request) in &self.observed.requests {
             let is_due = request.open || self.has_running_attempt(request);
             if is_due && !engine.deadlines().contains(&(request.deadline, *id)) {
-                let text = format!("request {} is open or in flight and its deadline is not awaited", id.0);
+                let text = format!("request {} is open or in flight and its deadline is not pending", id.0);
                 return violation(Rule::AllAnswered, now, text);
             }
         }
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -1,15 +1,17 @@
-//! The invariants of routing as monitors of what the engine is told and what it asks for.
+//! The invariants of routing as monitors of the engine's events and actions.
 //!
-//! Nothing here reads the engine's state or calls its code, but [`Monitor::check_leftovers`], which compares ids: [`ObservedState`] puts
-//! together from events and actions alone what may have been executed, and each rule is a question to it, a file for a
-//! rule or two. The model checker asks after every step of every model, the socket tests and `--self-check` while the
-//! program runs.
+//! A monitor neither reads the engine's state nor calls its code, except for [`Monitor::check_leftovers`], which compares
+//! ids. [`ObservedState`] derives from events and actions alone which attempts may have been executed, and each rule is
+//! checked against it; each submodule has one or two rules. The model checker checks after every step of every model, the
+//! socket tests and `--self-check` while the program runs.
 //!
-//! For each event: [`Monitor::observe_event`] before the engine handles it, [`Monitor::observe_action`] for each action in order,
-//! [`Monitor::finish_step`] after the last. Each returns the rule that is broken; the monitor goes on after it.
+//! For each event, call [`Monitor::observe_event`] before the engine handles it, [`Monitor::observe_action`] for each action
+//! in order, and [`Monitor::finish_step`] after the last action. Each returns the rule that is broken, if any; the monitor
+//! continues after a violation.
 //!
-//! Cost: a few look-ups an event or action, a walk over the attempts of one request where it is sent or ends. Requests,
-//! connections and backends that have ended are removed: what is observed is no larger than what is open, in flight or listed.
+//! Cost: a few look-ups for each event or action, and a walk over the attempts of one request when it is sent or ends.
+//! Ended requests, connections and backends are removed, so that the observed state is no larger than what is open, in
+//! flight or listed.
 
 mod answers;
 mod connections;
@@ -31,46 +33,46 @@
 use crate::event::{Action, Event};
 use shaletide_types::*;
 
-/// The settings of the rules.
+/// The parameters of the rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// A new attempt may still go to a backend for so long after the update by which it is draining or gone; zero: none may.
+    /// How long an attempt may still be sent to a backend after the update by which it is draining or gone; zero: never.
     pub drain_grace: Micros,
-    /// An answer that no backend served may come so long after the deadline: as late as the driver wakes. The time that it
-    /// waited for a processor since the deadline comes on top: see [`Monitor::observe_processor_wait`].
+    /// How long after the deadline an answer that no backend served may come, as the driver may wake late. The time for
+    /// which the driver waited for a processor since the deadline is added: see [`Monitor::observe_processor_wait`].
     pub answer_slack: Micros,
-    /// The reuse delay: a connection is idle for so long before its next request.
+    /// The reuse delay: how long a connection stays idle before its next request.
     pub reuse_delay: Micros,
-    /// Attempts whose result is not needed are cancelled.
+    /// Whether attempts whose result is not needed are cancelled.
     pub cancellation: bool,
-    /// All backends are of one deduplication domain: a keyed request of scope `all` may be rejected though it may have been
-    /// executed, as long as its deduplication window is open when the client comes back.
+    /// Whether all backends share one deduplication domain. A keyed request of scope `all` may then be rejected although it
+    /// may have been executed, if its deduplication window is still open when the client retries.
     pub has_only_one_deduplication_domain: bool,
 }
 
-/// An invariant.
+/// An invariant that the monitors check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Rule {
-    /// Exactly one final answer; a served one by a response that came.
+    /// A request receives exactly one final answer, and a served one only with a response that was received.
     OneAnswer,
-    /// The request is answered, and its attempts are sent, before its deadline.
+    /// A request is answered and its attempts are sent before its deadline.
     BeforeDeadline,
-    /// After the final answer or the client's disconnection nothing is sent and no attempt goes on.
+    /// After the final answer or the client's disconnection nothing is sent and no attempt continues.
     NothingAfter,
     /// A non-idempotent request is sent again only if no earlier attempt was executed.
     NonIdempotentOnce,
-    /// A keyed request is sent again only to backends that discard its repeats, and inside its deduplication window.
+    /// A keyed request is sent again only to backends that discard its repeats, and within its deduplication window.
     KeyedInScopeAndWindow,
-    /// A rejection only where a retry is harmless.
+    /// A request is rejected only if a retry is harmless.
     HarmlessRejection,
-    /// No new attempt to a backend that is draining or gone, once the grace has passed.
+    /// No attempt is sent to a backend that is draining or gone, once the grace has passed.
     Draining,
-    /// No connection with foreign bytes on it is used again.
+    /// No connection with excess bytes or an incomplete request on it is used again.
     CleanConnection,
     /// No attempt is sent before its intent is durable, and each intent is used, has failed or is withdrawn.
     DurableIntent,
-    /// Nothing is kept of a request that has ended.
+    /// No state is kept of a request that has ended.
     NoLeftovers,
     /// When nothing is in flight or due, every request is answered.
     AllAnswered,
@@ -103,14 +105,14 @@
     }
 }
 
-/// A break of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When it was observed.
+    /// When the violation was observed.
     pub at: Time,
-    /// Which request, connection or backend broke it, and how.
+    /// The request, connection or backend that broke the rule, and how.
     pub text: String,
 }
 
@@ -120,14 +122,14 @@
     }
 }
 
-/// The result of every check.
+/// The result of a check.
 pub type Verdict = Result<(), Violation>;
 
 fn violation(rule: Rule, at: Time, text: String) -> Verdict {
     Err(Violation { rule, at, text })
 }
 
-/// Checks all rules but the slow start budget, which is the balancer's: see [`SlowStartMonitor`].
+/// Checks all rules except the balancer's slow start budget: see [`SlowStartMonitor`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Monitor {
     rules: Rules,
@@ -135,46 +137,46 @@
 }
 
 impl Monitor {
-    /// A monitor that has observed nothing yet.
+    /// Creates a monitor without observations.
     pub fn new(rules: Rules) -> Monitor {
         Monitor { rules, observed: ObservedState::default() }
     }
 
-    /// Its settings.
+    /// The parameters of the rules.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// Changes the settings from now on.
+    /// Replaces the parameters of the rules.
     pub fn configure(&mut self, rules: Rules) {
         self.rules = rules;
     }
 
-    /// What it has observed.
+    /// The observed state.
     pub fn observed(&self) -> &ObservedState {
         &self.observed
     }
 
-    /// To be called before [`Monitor::observe_event`] where it is known for how long the driver's thread has waited for a
-    /// processor since its start: what the machine kept from it makes no answer late.
+    /// Records for how long the driver's thread has waited for a processor since its start. Called before
+    /// [`Monitor::observe_event`] if that time is known; an answer does not count as late because of it.
     pub fn observe_processor_wait(&mut self, now: Time, total: Micros) {
         self.observed.processor_wait.record(now, total);
     }
 
-    /// To be called before the engine handles the event.
+    /// Observes an event. Called before the engine handles it.
     ///
     /// # Errors
-    /// The rule that is broken by now. The event is recorded all the same.
+    /// The rule that is broken at this time. The event is recorded in any case.
     pub fn observe_event(&mut self, now: Time, event: &Event) -> Verdict {
-        let late = answers::check_deadlines(&mut self.observed, now, &self.rules);
+        let deadline_verdict = answers::check_deadlines(&mut self.observed, now, &self.rules);
         self.observed.observe_event(now, event, &self.rules);
-        late
+        deadline_verdict
     }
 
-    /// To be called for each action of the engine, in order.
+    /// Observes an action of the engine. Called for each action, in order.
     ///
     /// # Errors
-    /// The rule that it breaks. The action is recorded all the same.
+    /// The rule that the action breaks. The action is recorded in any case.
     pub fn observe_action(&mut self, now: Time, action: &Action) -> Verdict {
         let verdict = self.check_action(now, action);
         self.observed.observe_action(now, action);
@@ -209,10 +211,10 @@
         }
     }
 
-    /// To be called after the last action of an event.
+    /// Ends a step. Called after the last action of an event.
     ///
     /// # Errors
-    /// The rule that is broken after them.
+    /// The rule that is broken at the end of the step.
     pub fn finish_step(&mut self, now: Time) -> Verdict {
         let verdict = answers::check_nothing_running(&self.observed, now, &self.rules)
             .and_then(|()| intents::check_none_open(&self.observed, now));
@@ -220,24 +222,24 @@
         verdict
     }
 
-    /// Checks one event (none: a step without one) with all its actions.
+    /// Observes one event with all its actions; `None`: a step without an event.
     ///
     /// # Errors
     /// The first rule that is broken.
     pub fn observe_step(&mut self, now: Time, event: Option<&Event>, actions: &[Action]) -> Verdict {
         let mut verdict = event.map_or(Ok(()), |event| self.observe_event(now, event));
         for action in actions {
-            let next = self.observe_action(now, action);
-            verdict = verdict.and(next);
+            let action_verdict = self.observe_action(now, action);
+            verdict = verdict.and(action_verdict);
         }
-        let last = self.finish_step(now);
-        verdict.and(last)
+        let step_verdict = self.finish_step(now);
+        verdict.and(step_verdict)
     }
 
-    /// To be called when nothing is in flight and nothing is due.
+    /// Checks that every request is answered. Called when nothing is in flight or due.
     ///
     /// # Errors
-    /// A request that has no answer.
+    /// A request without an answer.
     pub fn check_quiescent(&self, now: Time) -> Verdict {
         answers::check_all_answered(&self.observed, now)
     }
--- a/crates/engine/src/monitor/observed.rs
+++ b/crates/engine/src/monitor/observed.rs
@@ -1,5 +1,5 @@
-//! What can be known from outside the engine: the listed backends, the open requests, the attempt on each connection, and
-//! which attempts may have been executed.
+//! The state that follows from the engine's events and actions: the listed backends, the open requests, the attempt on each
+//! connection, and which attempts may have been executed.
 
 use super::Rules;
 use crate::event::{Action, Event, RequestSpec};
@@ -10,113 +10,113 @@
 /// The deduplication scopes of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ObservedPlacement {
-    /// Its deduplication domain.
+    /// The deduplication domain.
     pub domain: u32,
-    /// Its zone.
+    /// The zone.
     pub zone: ZoneId,
-    /// Its deduplication group.
+    /// The deduplication group.
     pub group: DeduplicationGroupId,
 }
 
-/// What the lists said last of a backend.
+/// A backend by the latest updates of the endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedBackend {
-    /// The pool whose list it is in.
+    /// The pool whose endpoint list has the backend.
     pub pool: PoolId,
-    /// Its deduplication scopes.
+    /// The backend's deduplication scopes.
     pub placement: ObservedPlacement,
-    /// Whether it takes new requests.
+    /// The backend's state: ready, draining or gone.
     pub state: BackendState,
-    /// When it was first listed as not ready.
+    /// When the backend stopped being ready.
     pub not_ready_since: Time,
 }
 
-/// An attempt that was sent on a connection and, by all events since, may have been executed.
+/// An attempt that was sent on a connection and may have been executed, judging by all events since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedAttempt {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Time,
-    /// The backend's deduplication scopes then.
+    /// The backend's deduplication scopes when the attempt was sent.
     pub placement: ObservedPlacement,
-    /// The connection that it is on; none once it has ended.
+    /// The connection that the attempt is on; `None` once it has ended.
     pub connection: Option<ConnectionId>,
 }
 
-/// The state of an attempt's intent; one that is used, failed or withdrawn is not kept.
+/// The state of an attempt's intent. An intent that was used, has failed or was withdrawn is not kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum IntentState {
-    /// It was requested.
+    /// The intent was requested.
     Requested,
-    /// It is durable.
+    /// The intent is durable.
     Durable,
 }
 
-/// A request that is open, or ended with an attempt in flight.
+/// A request that is open or has an attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedRequest {
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
-    /// When it has to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
-    /// Its attempts need a durable intent.
+    /// Whether an attempt may be sent only once its intent is durable.
     pub requires_intent: bool,
-    /// Its answer is due.
+    /// Whether the request is open: its answer is due.
     pub open: bool,
-    /// Attempts that may have been executed; of a safe request only those in flight.
+    /// The attempts that may have been executed; for a safe request only those in flight.
     pub attempts: BTreeMap<AttemptNumber, ObservedAttempt>,
-    /// Intents that are neither used, failed nor withdrawn.
+    /// The intents that were neither used nor withdrawn and have not failed.
     pub intents: BTreeMap<AttemptNumber, IntentState>,
 }
 
 /// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObservedConnectionState {
-    /// It is being opened.
+    /// The connection is being opened.
     Connecting,
-    /// It is idle: since it was opened, or since a response at that time.
+    /// The connection is idle since the response at that time; `None`: it has not been used since it was opened.
     Idle(Option<Time>),
-    /// Bytes are on it that belong to no response, or a part of a request is.
+    /// The connection carries excess bytes or an incomplete request, or must not be reused after its last response.
     Dirty,
-    /// An attempt is on it.
+    /// An attempt is on the connection.
     Busy {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// Its last byte has been handed to the kernel.
+        /// Whether the last byte of the request has been handed to the kernel.
         written: bool,
-        /// The engine has asked to close it.
+        /// Whether the engine has asked to close the connection.
         close_requested: bool,
     },
 }
 
-/// A connection.
+/// A connection as observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ObservedConnection {
-    /// Its backend.
+    /// The backend that the connection leads to.
     pub backend: BackendId,
-    /// Its state.
+    /// The connection's state.
     pub state: ObservedConnectionState,
-    /// Its backend listens at another address by now.
+    /// Whether the connection leads to a previous address of its backend.
     pub address_outdated: bool,
 }
 
-/// All that has been observed and is still needed.
+/// The observed state, as far as it is still needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ObservedState {
-    /// Requests that are open or have an attempt in flight.
+    /// The requests that are open or have an attempt in flight.
     pub requests: BTreeMap<RequestId, ObservedRequest>,
     /// The connections.
     pub connections: BTreeMap<ConnectionId, ObservedConnection>,
-    /// The listed backends; one that is gone is kept for the drain grace.
+    /// The listed backends, and those that are gone for the drain grace.
     pub backends: BTreeMap<BackendId, ObservedBackend>,
-    /// How long the thread that drives the engine waited for a processor, all in all.
+    /// The total time for which the driver's thread has waited for a processor.
     pub(super) processor_wait: TotalHistory,
     /// The deadlines of open requests.
     pub(super) deadlines: BTreeSet<(Time, RequestId)>,
-    /// The attempt that got a served response by the present event.
+    /// The attempt that received a served response in the current step.
     pub(super) served: Option<(RequestId, AttemptNumber)>,
-    /// Requests that ended, or that an attempt ended of, in the present step.
+    /// The requests that ended, or of which an attempt ended, in the current step.
     pub(super) ended: Vec<RequestId>,
 }
 
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Ends the step: requests that have ended with all their attempts are removed.
+    /// Ends the step and removes the requests that have ended with all their attempts.
     pub(super) fn finish_step(&mut self) {
         self.served = None;
         for id in std::mem::take(&mut self.ended) {
@@ -201,13 +201,13 @@
         r.attempts.values().filter_map(|s| s.connection)
     }
 
-    /// Whether an attempt is on that connection and the engine has not asked to close it.
+    /// Whether an attempt is on the connection and the engine has not asked to close it.
     pub(super) fn is_running_on(&self, connection: ConnectionId) -> bool {
         let state = self.connections.get(&connection).map(|known| known.state);
         matches!(state, Some(ObservedConnectionState::Busy { close_requested: false, .. }))
     }
 
-    /// The last update counts; a pool cannot take away a backend that another pool has listed since.
+    /// Applies an update. A pool's update does not remove a backend that another pool has listed since.
     fn update_endpoints(
         &mut self, now: Time, pool: PoolId, update: EndpointUpdate, list: &[BackendEntry], rules: &Rules,
     ) {
@@ -218,9 +218,9 @@
             entry.state = BackendState::Gone;
         };
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
-            let named = |id: &BackendId| list.iter().any(|b| b.id == *id);
+            let is_listed = |id: &BackendId| list.iter().any(|b| b.id == *id);
             for (id, entry) in &mut self.backends {
-                if entry.pool == pool && !named(id) {
+                if entry.pool == pool && !is_listed(id) {
                     mark_gone(entry);
                 }
             }
@@ -288,10 +288,10 @@
     }
 
     fn remove_if_ended(&mut self, id: RequestId) {
-        let over = |r: &ObservedRequest| {
+        let has_ended = |r: &ObservedRequest| {
             !r.open && r.intents.is_empty() && ObservedState::connections_of(r).next().is_none()
         };
-        if self.requests.get(&id).is_some_and(over) {
+        if self.requests.get(&id).is_some_and(has_ended) {
             self.requests.remove(&id);
         }
     }
@@ -301,7 +301,7 @@
         match r.intents.get_mut(&attempt) {
             Some(intent) if persisted => *intent = IntentState::Durable,
             Some(_) => drop(r.intents.remove(&attempt)),
-            None => {} // it was withdrawn before the store's result came
+            None => {} // withdrawn before the store's result
         }
     }
 
@@ -324,15 +324,16 @@
             ObservedConnectionState::Busy { request, attempt, written: false, close_requested: false };
         let Some(r) = self.requests.get_mut(&request) else { return };
         r.intents.remove(&attempt);
-        let nowhere = ObservedPlacement { domain: 0, zone: ZoneId(0), group: DeduplicationGroupId(0) };
-        let place = self.backends.get(&known.backend).map_or(nowhere, |e| e.placement);
+        let unknown_placement =
+            ObservedPlacement { domain: 0, zone: ZoneId(0), group: DeduplicationGroupId(0) };
+        let place = self.backends.get(&known.backend).map_or(unknown_placement, |e| e.placement);
         r.attempts.insert(
             attempt,
             ObservedAttempt { sent_at: now, placement: place, connection: Some(connection) },
         );
     }
 
-    /// Nothing is kept of an attempt that was not executed, and of one of a safe request.
+    /// Ends an attempt. It is removed if it was not executed or its request is safe.
     fn on_attempt_ended(&mut self, request: RequestId, attempt: AttemptNumber, may_have_executed: bool) {
         let Some(r) = self.requests.get_mut(&request) else { return };
         if let Some(sent) = r.attempts.get_mut(&attempt) {
@@ -349,7 +350,7 @@
         let ObservedConnectionState::Busy { request, attempt, written, close_requested } = known.state else {
             return;
         };
-        // After a response to a part of a request the rest of it would go out ahead of the next request.
+        // If the request was not completely written, its rest would be sent ahead of the next request.
         known.state = if clean && written {
             ObservedConnectionState::Idle(Some(now))
         } else {
@@ -364,7 +365,7 @@
         self.on_attempt_ended(request, attempt, class != ResponseClass::NotExecuted);
     }
 
-    /// It ended, or is closed as asked. A request that was not completely written by then was not executed.
+    /// Handles a connection that ended or was closed. A request that was not completely written was not executed.
     fn on_connection_closed(&mut self, connection: ConnectionId, completely_written: bool) {
         let Some(known) = self.connections.remove(&connection) else { return };
         if let ObservedConnectionState::Busy { request, attempt, written, .. } = known.state {
@@ -372,7 +373,7 @@
         }
     }
 
-    /// No byte of a request was written on it: its intent is still unused.
+    /// Handles a connection on which no byte was written: the intent of its attempt stays unused.
     fn on_connection_unusable(&mut self, connection: ConnectionId) {
         let Some(known) = self.connections.remove(&connection) else { return };
         let ObservedConnectionState::Busy { request, attempt, .. } = known.state else { return };
--- a/crates/engine/src/monitor/retries.rs
+++ b/crates/engine/src/monitor/retries.rs
@@ -1,4 +1,5 @@
-//! A non-idempotent request is executed once; a keyed one is sent again only where and while repeats are discarded.
+//! A non-idempotent request is executed at most once. A keyed request is sent again only to backends that discard its
+//! repeats, and only within its deduplication window.
 
 use super::observed::{ObservedPlacement, ObservedRequest, ObservedState};
 use super::{violation, Rule, Verdict};
@@ -17,10 +18,10 @@
 }
 
 fn check_not_executed(now: Time, id: RequestId, request: &ObservedRequest) -> Verdict {
-    let Some(before) = request.attempts.keys().next() else { return Ok(()) };
+    let Some(earlier) = request.attempts.keys().next() else { return Ok(()) };
     let text = format!(
         "non-idempotent request {} was sent again though attempt {} may have been executed",
-        id.0, before.0
+        id.0, earlier.0
     );
     violation(Rule::NonIdempotentOnce, now, text)
 }
@@ -29,18 +30,18 @@
     now: Time, id: RequestId, request: &ObservedRequest, scope: DeduplicationScope, window: Micros,
     to: BackendId, place: ObservedPlacement,
 ) -> Verdict {
-    for (before, sent) in &request.attempts {
+    for (earlier, sent) in &request.attempts {
         if !shares_keys(scope, sent.placement, place) {
             let text = format!(
                 "keyed request {} was sent again to backend {}, which does not share the keys seen by attempt {}",
-                id.0, to.0, before.0
+                id.0, to.0, earlier.0
             );
             return violation(Rule::KeyedInScopeAndWindow, now, text);
         }
         if now >= sent.sent_at + window {
             let text = format!(
                 "keyed request {} was sent again after the deduplication window of attempt {}",
-                id.0, before.0
+                id.0, earlier.0
             );
             return violation(Rule::KeyedInScopeAndWindow, now, text);
         }
@@ -48,7 +49,7 @@
     Ok(())
 }
 
-/// Groups of different domains share no keys, whatever their names.
+/// Whether two backends share keys in a scope. Groups of different domains never do, even if they have the same name.
 fn shares_keys(scope: DeduplicationScope, one: ObservedPlacement, other: ObservedPlacement) -> bool {
     let in_scope = match scope {
         DeduplicationScope::All => true,
--- a/crates/engine/src/monitor/slow_start.rs
+++ b/crates/engine/src/monitor/slow_start.rs
@@ -1,27 +1,28 @@
-//! The slow start budget of a backend that has just started. The engine knows nothing of it: it is the balancer's, and
-//! checked on recorded streams and on sockets.
+//! The slow start budget of a backend that has just started. The balancer enforces it, not the engine; it is checked on
+//! recorded streams and on sockets.
 
 use super::{violation, Rule, Verdict};
 use crate::event::{Action, Event};
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much work a backend takes during its slow start.
+/// The parameters of the slow start budget: how much work a backend takes during its slow start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRules {
-    /// The part of its capacity that a backend has as it starts, from 0 to 1; it grows evenly to 1 ...
+    /// The fraction of its capacity that a backend has when it starts, from 0 to 1. It grows linearly to 1 over
+    /// `slow_start_window`.
     pub initial_capacity_fraction: f64,
-    /// ... within this time.
+    /// How long the slow start lasts.
     pub slow_start_window: Micros,
-    /// Work beyond this multiple of its capacity ...
+    /// A backend is overloaded by more work than this multiple of its capacity within any overload window.
     pub overload_multiple: f64,
-    /// ... within any span of this length overloads it.
+    /// The length of the overload window.
     pub overload_window: Micros,
-    /// Proxies that share its budget.
+    /// The number of proxies that share a backend's budget.
     pub proxies: u32,
-    /// Work that a core does, in seconds of a standard core per second.
+    /// The work that a core does per second, in seconds of a standard core.
     pub work_per_core_second: f64,
-    /// The work of a request without a hint, in time on a standard core.
+    /// The work of a request without a work hint, as time on a standard core.
     pub default_work: Micros,
 }
 
@@ -29,7 +30,7 @@
 struct WarmingBackend {
     started_at: Time,
     cores: u32,
-    /// When it was sent what work, within the last window.
+    /// The work that was sent within the last overload window, with its time.
     sent: VecDeque<(Time, Micros)>,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl SlowStartMonitor {
-    /// A monitor that has observed nothing yet.
+    /// Creates a monitor without observations.
     pub fn new(rules: SlowStartRules) -> SlowStartMonitor {
         SlowStartMonitor {
             rules,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// To be called before the engine handles the event.
+    /// Observes an event. Called before the engine handles it.
     pub fn observe_event(&mut self, now: Time, event: &Event) {
         match event {
             Event::EndpointsUpdated { backends, .. } => {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// To be called for each action of the engine, in order.
+    /// Observes an action of the engine. Called for each action, in order.
     ///
     /// # Errors
     /// A backend was sent more than its slow start budget.
@@ -110,7 +111,7 @@
     fn on_sent(&mut self, now: Time, backend: BackendId, work: Micros) -> Verdict {
         let rules = self.rules;
         let Some(warming) = self.warming.get_mut(&backend) else { return Ok(()) };
-        // A window counts if it begins during the slow start.
+        // An overload window counts if it starts during the slow start.
         let window_start = now - rules.overload_window;
         if window_start >= warming.started_at + rules.slow_start_window {
             self.warming.remove(&backend);
@@ -129,7 +130,7 @@
             * rules.overload_window.secs();
         let budget_s = rules.overload_multiple * capacity_s / f64::from(rules.proxies.max(1));
         let sent_s: f64 = warming.sent.iter().map(|s| s.1.secs()).sum();
-        // One request may always be sent: else a small backend would never warm up.
+        // One request may always be sent: otherwise a small backend would never warm up.
         if sent_s > budget_s && warming.sent.len() > 1 {
             let text = format!(
                 "backend {} was sent {sent_s:.3} s of work within its overload window; its budget is {budget_s:.3} s",
--- a/crates/engine/src/monitor/tests/answers.rs
+++ b/crates/engine/src/monitor/tests/answers.rs
@@ -1,4 +1,4 @@
-//! One final answer, in time, rejections only where harmless, nothing after it.
+//! Exactly one final answer in time, rejections only if harmless, and nothing after the answer.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     s.act(&[Action::PersistIntent { request, attempt }]);
     s.step(Event::IntentPersisted { request, attempt, persisted: true }, &[open(0, 0)]);
     s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
-    s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]); // before its last byte
+    s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]); // before the request's last byte
     s.act(&[Action::PersistIntent { request, attempt: AttemptNumber(1) }]);
     s.step(Event::IntentPersisted { request, attempt: AttemptNumber(1), persisted: true }, &[open(1, 1)]);
     s.step(Event::Connected { connection: connection(1) }, &[send(1, 1)]);
@@ -18,8 +18,10 @@
     s.step(Event::ConnectionUnusable { connection: connection(1) }, &[close(1)]);
     assert_eq!(s.broken_rules, []);
     assert_eq!(s.monitor.check_quiescent(s.now), Ok(()));
-    let record = s.monitor.observed();
-    assert!(record.requests.is_empty() && record.connections.is_empty() && record.deadlines.is_empty());
+    let remaining = s.monitor.observed();
+    assert!(
+        remaining.requests.is_empty() && remaining.connections.is_empty() && remaining.deadlines.is_empty()
+    );
 }
 
 #[test]
@@ -30,33 +32,33 @@
         s.act(&[answer(FinalOutcome::Failed)]);
     };
     assert_eq!(broken_rules(KEYED, RULES, twice), [Rule::OneAnswer]);
-    let none = |s: &mut Stream| {
+    let missing = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[answer(SERVED), close(0)]);
     };
-    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::OneAnswer]);
-    let after_leaving = |s: &mut Stream| {
+    assert_eq!(broken_rules(KEYED, RULES, missing), [Rule::OneAnswer]);
+    let after_disconnect = |s: &mut Stream| {
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
         s.act(&[answer(FinalOutcome::Failed)]);
     };
-    assert_eq!(broken_rules(KEYED, RULES, after_leaving), [Rule::OneAnswer]);
+    assert_eq!(broken_rules(KEYED, RULES, after_disconnect), [Rule::OneAnswer]);
 }
 
 #[test]
-fn late_or_early_answer_breaks_in_time() {
+fn late_or_early_answer_breaks_before_deadline() {
     let late = |s: &mut Stream| {
         s.sent(0, 0);
         s.now = s.now + Micros(5_000);
         s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
     };
     assert_eq!(broken_rules(KEYED, RULES, late), [Rule::BeforeDeadline]);
-    let none = |s: &mut Stream| {
+    let missing = |s: &mut Stream| {
         s.now = s.now + Micros(5_001);
         s.step(Event::Wake, &[]);
         s.step(Event::Wake, &[]);
     };
-    assert_eq!(broken_rules(KEYED, RULES, none), [Rule::BeforeDeadline], "said once");
-    assert_eq!(broken_rules(KEYED, Rules { answer_slack: Micros(1), ..RULES }, none), []);
+    assert_eq!(broken_rules(KEYED, RULES, missing), [Rule::BeforeDeadline], "reported once");
+    assert_eq!(broken_rules(KEYED, Rules { answer_slack: Micros(1), ..RULES }, missing), []);
     let in_time = |s: &mut Stream| {
         s.now = s.now + Micros(5_000);
         s.step(Event::Wake, &[answer(FinalOutcome::TimedOut)]);
@@ -66,11 +68,12 @@
     assert_eq!(broken_rules(KEYED, RULES, early), [Rule::BeforeDeadline]);
 }
 
-/// The self-check called answers late that the program could not give, as the machine gave it no processor.
+/// Guards against false reports by `--self-check`, which counted answers as late although the program had waited for a
+/// processor.
 #[test]
-fn wait_for_a_processor_since_the_deadline_makes_no_answer_late() {
+fn processor_wait_since_the_deadline_does_not_make_an_answer_late() {
     let deadline = Time(1_000_000) + Micros(5_000);
-    // Waited by the deadline, waited after it, lateness of the answer, whether that is late.
+    // Processor wait before the deadline, processor wait after it, lateness of the answer, whether it counts as late.
     let cases = [
         (0, 300_000, 300_000, false),
         (0, 300_000, 300_001, true),
@@ -80,14 +83,14 @@
     ];
     for (before, after, lateness, is_late) in cases {
         let expected = if is_late { vec![Rule::BeforeDeadline] } else { vec![] };
-        let held_up = |s: &mut Stream| {
+        let timed_out_late = |s: &mut Stream| {
             s.monitor.observe_processor_wait(Time(1_000_000), Micros(0));
             s.monitor.observe_processor_wait(deadline, Micros(before));
             s.now = deadline + Micros(lateness);
             s.monitor.observe_processor_wait(s.now, Micros(before + after));
             s.step(Event::Wake, &[answer(FinalOutcome::TimedOut)]);
         };
-        assert_eq!(broken_rules(KEYED, RULES, held_up), expected, "{before} {after} {lateness}");
+        assert_eq!(broken_rules(KEYED, RULES, timed_out_late), expected, "{before} {after} {lateness}");
         let served_late = |s: &mut Stream| {
             s.sent(0, 0);
             s.monitor.observe_processor_wait(deadline, Micros(before));
@@ -95,7 +98,7 @@
             s.monitor.observe_processor_wait(s.now, Micros(before + after));
             s.answered(0, ResponseClass::Served, false, false, &[answer(SERVED), close(0)]);
         };
-        // Late at once, whatever was waited; as it is written and as it is answered.
+        // A served answer is late regardless of the wait. A late one is reported twice: by the event and by the answer.
         let times = 1 + usize::from(is_late);
         assert_eq!(broken_rules(KEYED, RULES, served_late), vec![Rule::BeforeDeadline; times], "served");
     }
@@ -103,12 +106,12 @@
 
 #[test]
 fn attempt_in_flight_or_sent_after_the_answer_breaks_nothing_after() {
-    let running = |s: &mut Stream| {
+    let in_flight = |s: &mut Stream| {
         s.sent(0, 0);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
     };
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, running), [Rule::NothingAfter]);
-    assert_eq!(broken_rules(Idempotency::Safe, Rules { cancellation: false, ..RULES }, running), []);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, in_flight), [Rule::NothingAfter]);
+    assert_eq!(broken_rules(Idempotency::Safe, Rules { cancellation: false, ..RULES }, in_flight), []);
     let sent = |s: &mut Stream| {
         s.act(&[open(0, 0)]);
         s.step(Event::ClientDisconnected { request: RequestId(0) }, &[]);
@@ -118,40 +121,40 @@
 }
 
 #[test]
-fn rejection_after_possible_execution_breaks_harmless_refusal() {
-    let ran = |s: &mut Stream| {
+fn rejection_after_possible_execution_breaks_harmless_rejection() {
+    let executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.act(&[answer(REJECTED)]);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, ran), [Rule::HarmlessRejection]);
-    assert_eq!(broken_rules(KEYED, RULES, ran), [Rule::HarmlessRejection]);
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, ran), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, executed), [Rule::HarmlessRejection]);
+    assert_eq!(broken_rules(KEYED, RULES, executed), [Rule::HarmlessRejection]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, executed), []);
     let all = Idempotency::Keyed(DeduplicationScope::All, Micros(2_000));
-    assert_eq!(broken_rules(all, RULES, ran), [Rule::HarmlessRejection]);
-    let told_to_be_back = |s: &mut Stream| {
+    assert_eq!(broken_rules(all, RULES, executed), [Rule::HarmlessRejection]);
+    let retried_in_window = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::Error, false, false, &[close(0)]);
         s.now = s.now + Micros(1_999);
         s.act(&[answer(FinalOutcome::Rejected(Micros(0)))]);
     };
-    let one_realm = Rules { has_only_one_deduplication_domain: true, ..RULES };
-    assert_eq!(broken_rules(all, one_realm, told_to_be_back), []);
+    let one_domain = Rules { has_only_one_deduplication_domain: true, ..RULES };
+    assert_eq!(broken_rules(all, one_domain, retried_in_window), []);
     assert_eq!(
-        broken_rules(all, one_realm, ran),
+        broken_rules(all, one_domain, executed),
         [Rule::HarmlessRejection],
-        "back in a second, after the window"
+        "the client retries in a second, after the window"
     );
-    let did_not = |s: &mut Stream| {
+    let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
         s.act(&[answer(REJECTED)]);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, did_not), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, not_executed), []);
 }
 
 #[test]
-fn open_request_when_quiet_breaks_all_answered() {
+fn open_request_when_nothing_is_due_breaks_all_answered() {
     let mut s = Stream::new(RULES);
     s.request(Idempotency::Safe, false);
     assert_eq!(s.monitor.check_quiescent(s.now).map_err(|v| v.rule), Err(Rule::AllAnswered));
--- a/crates/engine/src/monitor/tests/connections.rs
+++ b/crates/engine/src/monitor/tests/connections.rs
@@ -1,10 +1,10 @@
-//! Which backends and connections may be used.
+//! Which backends and connections an attempt may use.
 
 use super::*;
 
 #[test]
-fn attempt_to_draining_backend_after_the_grace_breaks_drain() {
-    let whole = |backends: Vec<BackendEntry>| Event::EndpointsUpdated {
+fn attempt_to_draining_backend_after_the_grace_breaks_draining() {
+    let snapshot = |backends: Vec<BackendEntry>| Event::EndpointsUpdated {
         pool: PoolId(0),
         update: EndpointUpdate::Snapshot,
         backends,
@@ -12,7 +12,7 @@
     let drains: [&dyn Fn(&mut Stream); 4] = [
         &|s| s.list(0, 0, BackendState::Draining),
         &|s| s.list(0, 0, BackendState::Gone),
-        &|s| s.step(whole(vec![]), &[]),
+        &|s| s.step(snapshot(vec![]), &[]),
         &|s| s.step(Event::PoolClosed { pool: PoolId(0) }, &[]),
     ];
     for drain in drains {
@@ -28,18 +28,22 @@
         assert_eq!(broken_rules(Idempotency::Safe, grace, after(249)), []);
         assert_eq!(broken_rules(Idempotency::Safe, grace, after(250)), [Rule::Draining]);
     }
-    let back = |s: &mut Stream| {
+    let ready_again = |s: &mut Stream| {
         s.list(0, 0, BackendState::Draining);
         s.list(0, 0, BackendState::Ready);
         s.sent(0, 0);
     };
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, back), []);
-    let of_another = |s: &mut Stream| {
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, ready_again), []);
+    let moved = |s: &mut Stream| {
         s.step(Event::BackendMoved { backend: BackendId(0), from: PoolId(0), to: PoolId(1) }, &[]);
-        s.step(whole(vec![]), &[]);
+        s.step(snapshot(vec![]), &[]);
         s.sent(0, 0);
     };
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, of_another), [], "its old pool cannot give it up");
+    assert_eq!(
+        broken_rules(Idempotency::Safe, RULES, moved),
+        [],
+        "the previous pool's list does not remove it"
+    );
 }
 
 #[test]
@@ -65,21 +69,25 @@
         })
     };
     assert_eq!(after(true, false, true, 500), []);
-    assert_eq!(after(true, false, true, 499), [Rule::CleanConnection], "it rests");
+    assert_eq!(after(true, false, true, 499), [Rule::CleanConnection], "the reuse delay has not passed");
     assert_eq!(after(true, true, true, 500), [Rule::CleanConnection]);
     assert_eq!(after(false, false, true, 500), [Rule::CleanConnection]);
-    assert_eq!(after(true, false, false, 500), [Rule::CleanConnection], "half a request is still on it");
-    let never_up = |s: &mut Stream| s.act(&[open(0, 0), send(0, 0)]);
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, never_up), [Rule::CleanConnection]);
+    assert_eq!(
+        after(true, false, false, 500),
+        [Rule::CleanConnection],
+        "the request is not completely written"
+    );
+    let not_connected = |s: &mut Stream| s.act(&[open(0, 0), send(0, 0)]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, not_connected), [Rule::CleanConnection]);
     let busy = |s: &mut Stream| {
         s.sent(0, 0);
         s.act(&[send(0, 1)]);
     };
     assert_eq!(broken_rules(Idempotency::Safe, RULES, busy), [Rule::CleanConnection]);
-    let old = |s: &mut Stream| {
+    let outdated = |s: &mut Stream| {
         s.act(&[open(0, 0)]);
         s.step(Event::AddressChanged { backend: BackendId(0) }, &[]);
         s.step(Event::Connected { connection: connection(0) }, &[send(0, 0)]);
     };
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, old), [Rule::CleanConnection]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, outdated), [Rule::CleanConnection]);
 }
--- a/crates/engine/src/monitor/tests/mod.rs
+++ b/crates/engine/src/monitor/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Each rule reports a stream of events and actions that breaks it, and nothing on a correct one.
+//! Each rule reports a stream of events and actions that breaks it, and reports nothing for a correct one.
 
 mod answers;
 mod connections;
@@ -21,7 +21,7 @@
     has_only_one_deduplication_domain: false,
 };
 
-/// A stream of events and actions, and the rules that the monitor reported as broken.
+/// Feeds events and actions to a monitor and collects the rules that it reports as broken.
 struct Stream {
     monitor: Monitor,
     now: Time,
@@ -29,7 +29,7 @@
 }
 
 impl Stream {
-    /// Two backends in two deduplication groups are listed.
+    /// Creates a stream with two listed backends in two deduplication groups.
     fn new(rules: Rules) -> Stream {
         let mut s = Stream { monitor: Monitor::new(rules), now: Time(1_000_000), broken_rules: Vec::new() };
         s.list(0, 0, BackendState::Ready);
@@ -84,7 +84,7 @@
         );
     }
 
-    /// The attempt of that number is sent to that backend, on a connection of the same number.
+    /// Sends the attempt with that number to a backend, on a connection with the same number.
     fn sent(&mut self, number: u32, to: u32) {
         self.act(&[open(number, to)]);
         self.step(Event::Connected { connection: connection(number) }, &[send(number, number)]);
@@ -136,7 +136,7 @@
 const SERVED: FinalOutcome = FinalOutcome::Served(AttemptNumber(0));
 const REJECTED: FinalOutcome = FinalOutcome::Rejected(Micros(1));
 
-/// The rules broken by a stream that begins with a request of that idempotency.
+/// Returns the rules broken by a stream that begins with a request of the given idempotency.
 fn broken_rules(idempotency: Idempotency, rules: Rules, stream: impl Fn(&mut Stream)) -> Vec<Rule> {
     let mut s = Stream::new(rules);
     s.request(idempotency, false);
--- a/crates/engine/src/monitor/tests/retries.rs
+++ b/crates/engine/src/monitor/tests/retries.rs
@@ -1,10 +1,10 @@
-//! Retries of non-idempotent and keyed requests.
+//! Whether non-idempotent and keyed requests may be sent again.
 
 use super::*;
 
 #[test]
-fn non_idempotent_retry_after_possible_execution_breaks_unsafe_once() {
-    for (end, ran) in [
+fn non_idempotent_retry_after_possible_execution_breaks_non_idempotent_once() {
+    for (end, executed) in [
         (Event::ConnectionUnusable { connection: connection(0) }, false),
         (Event::ConnectionClosed { connection: connection(0) }, false),
         (Event::InvalidResponse { connection: connection(0) }, false),
@@ -29,34 +29,31 @@
         (Event::CloseCompleted { connection: connection(0), written: false }, false),
         (Event::CloseCompleted { connection: connection(0), written: true }, true),
     ] {
-        let again = |s: &mut Stream| {
+        let retry = |s: &mut Stream| {
             s.sent(0, 0);
             s.step(end.clone(), &[close(0)]);
             s.sent(1, 1);
         };
-        let expected = if ran { vec![Rule::NonIdempotentOnce] } else { vec![] };
-        assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, again), expected, "{end:?}");
+        let expected = if executed { vec![Rule::NonIdempotentOnce] } else { vec![] };
+        assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, retry), expected, "{end:?}");
     }
-    let after_its_last_byte = |s: &mut Stream| {
+    let after_last_byte = |s: &mut Stream| {
         s.sent(0, 0);
         s.step(Event::RequestWritten { connection: connection(0) }, &[]);
         s.step(Event::ConnectionClosed { connection: connection(0) }, &[close(0)]);
         s.sent(1, 1);
     };
-    assert_eq!(
-        broken_rules(Idempotency::NonIdempotent, RULES, after_its_last_byte),
-        [Rule::NonIdempotentOnce]
-    );
-    let beside = |s: &mut Stream| {
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, after_last_byte), [Rule::NonIdempotentOnce]);
+    let hedged = |s: &mut Stream| {
         s.sent(0, 0);
         s.sent(1, 1);
     };
-    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, beside), [Rule::NonIdempotentOnce]);
-    assert_eq!(broken_rules(Idempotency::Safe, RULES, beside), []);
+    assert_eq!(broken_rules(Idempotency::NonIdempotent, RULES, hedged), [Rule::NonIdempotentOnce]);
+    assert_eq!(broken_rules(Idempotency::Safe, RULES, hedged), []);
 }
 
 #[test]
-fn keyed_retry_outside_its_group_or_window_breaks_keyed_inside() {
+fn keyed_retry_outside_its_group_or_window_breaks_keyed_in_scope_and_window() {
     let to = |to: u32, after: u64| {
         broken_rules(KEYED, RULES, |s| {
             s.sent(0, 0);
@@ -68,12 +65,12 @@
     assert_eq!(to(0, 1_999), []);
     assert_eq!(to(0, 2_000), [Rule::KeyedInScopeAndWindow]);
     assert_eq!(to(1, 0), [Rule::KeyedInScopeAndWindow]);
-    let elsewhere = |s: &mut Stream| {
+    let regrouped = |s: &mut Stream| {
         s.sent(0, 0);
         s.list(0, 7, BackendState::Ready);
         s.sent(1, 0);
     };
-    assert_eq!(broken_rules(KEYED, RULES, elsewhere), [Rule::KeyedInScopeAndWindow]);
+    assert_eq!(broken_rules(KEYED, RULES, regrouped), [Rule::KeyedInScopeAndWindow]);
     let not_executed = |s: &mut Stream| {
         s.sent(0, 0);
         s.answered(0, ResponseClass::NotExecuted, false, false, &[close(0)]);
--- a/crates/engine/src/mutant.rs
+++ b/crates/engine/src/mutant.rs
@@ -1,38 +1,38 @@
 //! Faults that tests switch on to show that the checks find them.
 
-/// One fault. Without the feature `mutants` there is none and every check of it is constant, so that nothing of it is in a
-/// program.
+/// A fault that can be switched on. Without the feature `mutants` the type has no variants and every check for one is the
+/// constant `false`, so that programs contain none of this code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum Mutant {
-    /// A successful response that comes after the timeout is answered too.
+    /// A successful response that comes after the timeout is sent as a second answer.
     #[cfg(feature = "mutants")]
     LateSuccess,
-    /// A connection that ends after the last byte is taken to mean that the request was not executed.
+    /// A request counts as not executed if its connection ends after the last byte was written.
     #[cfg(feature = "mutants")]
     NotExecutedAfterLastByte,
     /// A key's deduplication window is measured from the end of the first attempt.
     #[cfg(feature = "mutants")]
     WindowStartsAtEnd,
-    /// Whether a backend is draining is checked at dispatch, and not again before the first byte.
+    /// The backend's state is checked at dispatch, but not again before the first byte.
     #[cfg(feature = "mutants")]
     StaleDrainState,
-    /// When a request is answered its other attempts are not cancelled.
+    /// The other attempts of an answered request are not cancelled.
     #[cfg(feature = "mutants")]
     HedgeNotCancelled,
-    /// A client that disconnects is answered all the same, when its attempt ends.
+    /// A request whose client has disconnected is still answered when its attempt ends.
     #[cfg(feature = "mutants")]
     AnswerAfterDisconnect,
-    /// The policy's rejection is answered though an attempt may have been executed.
+    /// A rejection by the policy is sent although an attempt may have been executed.
     #[cfg(feature = "mutants")]
     RejectedAfterExecution,
-    /// A connection is kept though bytes came after the response.
+    /// A connection is kept although further bytes came after the response.
     #[cfg(feature = "mutants")]
     ReusedWithExcessBytes,
-    /// A request's deadline is awaited when the request has ended.
+    /// A request's deadline stays pending after the request has ended.
     #[cfg(feature = "mutants")]
     TimerOutlivesRequest,
-    /// A backend that a snapshot lacks keeps the state that it had.
+    /// A backend that is missing from a snapshot keeps its state.
     #[cfg(feature = "mutants")]
     DrainMissedInSnapshot,
 }
--- a/crates/engine/src/request.rs
+++ b/crates/engine/src/request.rs
@@ -1,4 +1,4 @@
-//! The state of a request and of its attempts. Owned by [`crate::Engine`]'s request table.
+//! The state of a request and of its attempts. Owned by the request table of [`crate::Engine`].
 
 use shaletide_balancer::retry_deadline;
 use shaletide_types::*;
@@ -6,46 +6,47 @@
 /// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptState {
-    /// No connection has been taken; it may wait for its intent to be durable.
+    /// No connection is assigned; the attempt may be waiting for its intent to become durable.
     NotStarted,
-    /// It waits for its connection to be opened.
+    /// The attempt waits for its connection to open.
     Connecting(ConnectionId),
-    /// Its bytes are being written.
+    /// The request is being written.
     Writing(ConnectionId),
-    /// Its last byte has been handed to the kernel: it may be executed.
+    /// The last byte of the request has been handed to the kernel: it may be executed.
     Written(ConnectionId),
-    /// Its connection is being closed; whether all of it was written is not known yet. With the outcome if so.
+    /// The connection is being closed, and it is not known yet whether the request was completely written. With the
+    /// attempt's outcome if it was.
     Cancelling(ConnectionId, Outcome),
-    /// It has ended.
+    /// The attempt has ended.
     Ended(Outcome),
 }
 
-/// An attempt: one sending of a request to a backend.
+/// An attempt: a request sent once to one backend.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// The backend that it goes to.
+    /// The backend that the attempt is sent to.
     pub backend: BackendId,
-    /// The deduplication scopes of its backend, which discard its repeats.
+    /// The backend's deduplication scopes, within which repeats of the attempt are discarded.
     pub placement: DeduplicationPlacement,
-    /// When the policy asked for it. A deduplication window that begins with it begins here at the earliest.
+    /// When the policy dispatched the attempt. Its deduplication window starts at this time or later.
     pub dispatched_at: Time,
-    /// When it ended.
+    /// When the attempt ended.
     pub ended_at: Time,
-    /// It may begin only before then; none: no bound but the deadline.
+    /// The time before which the attempt has to start; `None`: only the deadline bounds it.
     pub start_by: Option<Time>,
-    /// Its intent was requested, and has neither failed nor been withdrawn.
+    /// Whether the intent was requested and has neither failed nor been withdrawn.
     pub intent_requested: bool,
-    /// Its state.
+    /// The attempt's state.
     pub state: AttemptState,
 }
 
 impl Attempt {
-    /// Whether it has not ended.
+    /// Whether the attempt has not ended.
     pub fn is_in_flight(&self) -> bool {
         !matches!(self.state, AttemptState::Ended(_))
     }
 
-    /// Whether it is not proved that it was not executed.
+    /// Whether the attempt may have been executed: there is no proof that it was not.
     pub fn may_have_executed(&self) -> bool {
         match self.state {
             AttemptState::Ended(outcome) => !outcome.not_executed(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The connection that it is on or waits for.
+    /// The connection that the attempt is on or waits for.
     pub fn connection(&self) -> Option<ConnectionId> {
         match self.state {
             AttemptState::Connecting(connection)
@@ -69,68 +70,69 @@
 /// The state of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestState {
-    /// No decision on its answer has been made.
+    /// The request waits for a response; its final outcome is not decided.
     Open,
-    /// It is given up, with the time for `Retry-After`, and answered when it is known which attempts may have been
-    /// executed.
+    /// The request was given up, with the time for `Retry-After`. It is answered once it is known which attempts may have
+    /// been executed.
     GivenUp(Micros),
-    /// Its deadline has passed; it is answered in the same step.
+    /// The deadline has passed; the request is answered in the same step.
     TimedOut,
-    /// It was answered, or its client disconnected. It is kept until its attempts have ended.
+    /// The request was answered, or its client disconnected. It is kept until its attempts have ended.
     Finished,
 }
 
-/// A request that has no answer yet, or whose attempts have not all ended.
+/// A request that has no answer yet or has an attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Request {
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
-    /// When it has to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
-    /// Its attempts may be sent only when their intent is durable.
+    /// Whether an attempt may be sent only once its intent is durable.
     pub requires_intent: bool,
-    /// The ends of its attempts are told by [`crate::Action::AttemptEnded`].
+    /// Whether [`crate::Action::AttemptEnded`] reports the end of each attempt.
     pub recorded: bool,
-    /// Its state.
+    /// The request's state.
     pub state: RequestState,
-    /// The attempt whose response came last, if no attempt has ended without one since.
+    /// The attempt with the latest response, unless an attempt has ended without a response since.
     pub last_response_attempt: Option<AttemptNumber>,
-    /// Its attempts by number.
+    /// The attempts by number.
     pub attempts: Vec<Attempt>,
 }
 
-/// What ending an attempt calls for.
+/// The result of ending an attempt.
 pub(crate) struct EndedAttempt {
-    /// Its intent was requested and no byte of it has been written.
+    /// Whether the intent has to be withdrawn: it was requested and no byte of the attempt was written.
     pub withdraw_intent: bool,
-    /// From its dispatch to its end.
+    /// The time from the attempt's dispatch to its end.
     pub latency: Micros,
 }
 
 impl Request {
-    /// Ends an attempt; `has_response`: by a complete response. None: there is no such attempt, or it has ended.
+    /// Ends an attempt, with a complete response if `has_response` is set. Returns `None` if there is no such attempt or
+    /// it has ended before.
     pub(crate) fn end_attempt(
         &mut self, now: Time, number: AttemptNumber, outcome: Outcome, has_response: bool,
     ) -> Option<EndedAttempt> {
         let attempt = self.attempts.get_mut(number.0 as usize).filter(|attempt| attempt.is_in_flight())?;
-        let not_begun = matches!(attempt.state, AttemptState::NotStarted | AttemptState::Connecting(_));
-        let withdraw_intent = not_begun && attempt.intent_requested;
+        let not_started = matches!(attempt.state, AttemptState::NotStarted | AttemptState::Connecting(_));
+        let withdraw_intent = not_started && attempt.intent_requested;
         let latency = now - attempt.dispatched_at;
         attempt.state = AttemptState::Ended(outcome);
         attempt.ended_at = now;
         match outcome {
-            Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // says nothing of the attempt before
+            Outcome::Ok | Outcome::Cancelled | Outcome::NotSent => {} // does not replace an earlier response
             _ => self.last_response_attempt = has_response.then_some(number),
         }
         Some(EndedAttempt { withdraw_intent, latency })
     }
 
-    /// Whether some attempt has not ended.
+    /// Whether an attempt has not ended.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Numbers of the attempts that have not ended.
+    /// The numbers of the attempts that have not ended.
     pub fn attempts_in_flight(&self) -> Vec<AttemptNumber> {
         let each = self.attempts.iter().enumerate();
         each.filter(|(_, attempt)| attempt.is_in_flight())
@@ -138,8 +140,8 @@
             .collect()
     }
 
-    /// Whether a retry by the client at `retry_at` is harmless: nothing may have been executed, or a second execution does
-    /// nothing. `only_deduplication_domain`: the one that all backends belong to, if they do.
+    /// Whether a retry by the client at `retry_at` is harmless: no attempt may have been executed, or a second execution
+    /// has no effect. `only_deduplication_domain`: the domain of all backends, if they share one.
     pub fn is_rejection_harmless(&self, retry_at: Time, only_deduplication_domain: Option<u32>) -> bool {
         let is_discarded = |attempt: &Attempt| match self.idempotency {
             Idempotency::Keyed(DeduplicationScope::All, window) => {
--- a/crates/engine/src/request_table.rs
+++ b/crates/engine/src/request_table.rs
@@ -1,7 +1,7 @@
-//! The requests that are open or whose attempts have not all ended, and the deadlines that are awaited for them.
+//! The requests that are open or have an attempt in flight, and their pending deadlines.
 //!
-//! Owned by [`crate::Engine`]. Bound: what the front has open, and requests that have ended until their last
-//! attempt has.
+//! Owned by [`crate::Engine`]. Bound: the requests that the front has open, and ended requests until their last attempt
+//! has ended.
 
 use crate::mutant::{mutant, ActiveMutant};
 use crate::request::{Attempt, Request, RequestState};
@@ -36,7 +36,7 @@
         self.requests.get_mut(&id)
     }
 
-    /// The request, if no decision on its answer has been made yet.
+    /// The request, if it is [`RequestState::Open`].
     pub fn open_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.get_mut(id).filter(|request| request.state == RequestState::Open)
     }
@@ -53,14 +53,14 @@
         self.get_mut(id)?.attempts.get_mut(number.0 as usize)
     }
 
-    /// Adds a request and awaits its deadline.
+    /// Adds a request and its deadline.
     pub fn insert(&mut self, id: RequestId, request: Request) {
         self.deadlines.insert((request.deadline, id));
         self.requests.insert(id, request);
     }
 
-    /// No answer is due any more. `cancellation`: its attempts are cancelled; else they go on, and still end
-    /// with the request's deadline.
+    /// Marks a request as finished: no answer is due any more. With `cancellation` its attempts are cancelled. Without
+    /// it they continue, and the deadline stays pending to end them.
     pub fn finish(&mut self, id: RequestId, cancellation: bool, active: ActiveMutant) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.state = RequestState::Finished;
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Removes a request that is finished and whose attempts have ended.
+    /// Removes a request if it is finished and all its attempts have ended.
     pub fn remove_if_ended(&mut self, id: RequestId, active: ActiveMutant) {
         let Some(request) = self.get(id) else { return };
         if request.state != RequestState::Finished || request.has_attempt_in_flight() {
@@ -83,14 +83,14 @@
         self.requests.remove(&id);
     }
 
-    /// The request's deadline is not awaited any more.
+    /// Removes a request's deadline.
     pub fn remove_deadline(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             self.deadlines.remove(&(request.deadline, id));
         }
     }
 
-    /// Takes the request whose deadline passed first, if any has by `now`.
+    /// Removes the earliest deadline if it has passed by `now`, and returns its request.
     pub fn take_expired(&mut self, now: Time) -> Option<RequestId> {
         let &(deadline, id) = self.deadlines.first()?;
         if deadline > now {
--- a/crates/engine/tests/counterexamples.rs
+++ b/crates/engine/tests/counterexamples.rs
@@ -1,4 +1,4 @@
-//! Counterexamples that the model checker found in the engine, each as the script of its events.
+//! Counterexamples that the model checker found in the engine, each as a sequence of events.
 
 use shaletide_balancer::{Arrival, GiveUpReason};
 use shaletide_engine::{Action, ConnectionLimits, Engine, Event, FinalOutcome, Policy, RequestSpec};
@@ -6,7 +6,7 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// Makes no decision by itself and records the ends of attempts.
+/// A policy that makes no decisions and records the ends of attempts.
 #[derive(Clone, Debug, Default)]
 struct RecordingPolicy {
     ends: Vec<shaletide_balancer::AttemptEnd>,
@@ -42,15 +42,15 @@
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.engine.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.engine.handle(self.now, event, &mut actions);
+        actions
     }
 
     fn apply(&mut self, action: pools::Action) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.engine.apply_policy_action(self.now, action, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.engine.apply_policy_action(self.now, action, &mut actions);
+        actions
     }
 
     fn list(&mut self, id: u32, group: u64, state: BackendState) -> Vec<Action> {
@@ -106,16 +106,16 @@
     Action::Answer { request: RequestId(0), answer, last_attempt: None }
 }
 
-fn sends(out: &[Action]) -> usize {
-    out.iter().filter(|a| matches!(a, Action::Send { .. })).count()
+fn sends(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
 fn withdrawn(attempt: u32) -> Action {
     Action::WithdrawIntent { request: RequestId(0), attempt: AttemptNumber(attempt) }
 }
 
-/// It was begun under a number that no attempt has: the attempt made for it stayed until the request ended, and its
-/// intent was withdrawn under the other number.
+/// Guards against starting an attempt under a number that is not the next one: the attempt was kept until the request
+/// ended, and its intent was withdrawn under the other number.
 #[test]
 fn attempt_with_a_number_that_is_not_the_next_is_declined() {
     let mut s = Script::new(true);
@@ -129,7 +129,8 @@
     assert!(s.engine.requests().is_empty());
 }
 
-/// No byte had been written, so that its intent was neither used nor withdrawn.
+/// Guards against an intent that is left open: when the connection was found unusable, no byte had been written, and the
+/// intent was neither used nor withdrawn.
 #[test]
 fn intent_is_withdrawn_when_connection_is_unusable() {
     for drained in [false, true] {
@@ -142,20 +143,20 @@
             persisted: true,
         });
         s.connect(0);
-        let unfit = Event::ConnectionUnusable { connection: ConnectionId(0) };
+        let unusable = Event::ConnectionUnusable { connection: ConnectionId(0) };
         if drained {
             s.list(0, 0, BackendState::Draining);
-            assert!(s.handle(unfit).contains(&withdrawn(0)), "it cannot begin again");
+            assert!(s.handle(unusable).contains(&withdrawn(0)), "the attempt cannot start again");
         } else {
             s.handle(Event::ClientDisconnected { request: RequestId(0) });
-            assert!(s.handle(unfit).contains(&withdrawn(0)), "it was called back meanwhile");
+            assert!(s.handle(unusable).contains(&withdrawn(0)), "the attempt was cancelled meanwhile");
             assert!(s.engine.requests().is_empty());
         }
     }
 }
 
-/// Both were dispatched while the backend was listed in the first group; the second would have been executed again in
-/// the other.
+/// Guards against a second execution in another deduplication group: both attempts were dispatched while the backend was
+/// listed in the first group, and the second was sent after the backend had moved to the other.
 #[test]
 fn keyed_retry_is_declined_when_backend_is_listed_in_another_group() {
     let mut s = Script::new(true);
@@ -168,7 +169,8 @@
     assert_eq!(s.engine.policy().ends.last().map(|e| e.outcome), Some(Outcome::NotSent));
 }
 
-/// Idle connections were closed, and a busy one became idle later and was used again.
+/// Guards against reuse of a connection to a previous address: idle connections were closed when the address changed, but
+/// a busy one became idle later and was used again.
 #[test]
 fn busy_connection_is_closed_after_response_when_backend_address_changed() {
     let mut s = Script::new(true);
@@ -182,8 +184,8 @@
     assert_eq!(s.engine.connection_count(), 0);
 }
 
-/// A repeat counts when its last byte has come: one that begins as the window ends comes too late. Here the window is
-/// 2 ms, of which an eighth is kept for the transfer.
+/// Guards against a retry that is executed after its deduplication window: a backend receives the last byte later than the
+/// first. The window is 2 ms here, and an eighth of it is reserved for the transfer.
 #[test]
 fn keyed_retry_does_not_begin_at_the_end_of_its_deduplication_window() {
     for (dispatched, connected, is_sent) in
@@ -191,44 +193,49 @@
     {
         let mut s = Script::new(true);
         s.request(KEYED, false);
-        let begun = s.now;
+        let start = s.now;
         s.dispatch(0);
         let first = s.connect(0);
         assert!(
             matches!(first[..], [Action::Send { write_deadline: None, .. }]),
-            "it is no repeat: {first:?}"
+            "a first attempt has no write deadline: {first:?}"
         );
         s.handle(Event::RequestWritten { connection: ConnectionId(0) });
         s.handle(Event::ConnectionClosed { connection: ConnectionId(0) });
-        s.now = begun + Micros(dispatched);
+        s.now = start + Micros(dispatched);
         s.dispatch(1);
-        s.now = begun + Micros(connected);
-        let out = s.connect(1);
-        assert_eq!(sends(&out), usize::from(is_sent), "dispatched at {dispatched}, connected at {connected}");
-        let end = begun + Micros(1_750);
+        s.now = start + Micros(connected);
+        let actions = s.connect(1);
+        assert_eq!(
+            sends(&actions),
+            usize::from(is_sent),
+            "dispatched at {dispatched}, connected at {connected}"
+        );
+        let end = start + Micros(1_750);
         assert!(
-            out.iter().all(|a| !matches!(a, Action::Send { write_deadline: by, .. } if *by != Some(end))),
-            "{out:?}"
+            actions.iter().all(|a| !matches!(a, Action::Send { write_deadline: by, .. } if *by != Some(end))),
+            "{actions:?}"
         );
     }
 }
 
-/// It begins first and is completely written last, after a hedged attempt that was executed meanwhile: it is a repeat of
-/// that one by then.
+/// Guards against a second execution by the first attempt: it can be completely written after a hedged attempt that was
+/// executed meanwhile, and then it is the repeat.
 #[test]
 fn first_keyed_attempt_has_write_deadline_from_its_window() {
     let mut s = Script::new(true);
     let window = Micros(400_000);
     s.request(Idempotency::Keyed(DeduplicationScope::Group, window), false);
     s.dispatch(0);
-    s.now = s.now + Micros(2_000); // the connection took so long
+    s.now = s.now + Micros(2_000); // the time to open the connection
     let end = s.now + Micros(380_000);
     assert!(matches!(s.connect(0)[..], [Action::Send { write_deadline: by, .. }] if by == Some(end)));
 }
 
-/// It was kept until its connection was open, with its intent not withdrawn.
+/// Guards against an attempt that outlives its request: it was kept until its connection was open, and its intent was not
+/// withdrawn.
 #[test]
-fn attempt_not_begun_ends_with_its_request_without_cancellation() {
+fn attempt_not_started_ends_with_its_request_without_cancellation() {
     let mut s = Script::new(false);
     s.request(KEYED, false);
     s.dispatch(0);
@@ -240,21 +247,22 @@
     assert!(s.engine.requests().is_empty());
 }
 
-/// The first of two attempts that had not begun ended, and the answer did not wait for the second.
+/// Guards against an answer that does not wait for all attempts: the first of two attempts that had not started ended, and
+/// the request was answered before the second ended.
 #[test]
-fn request_with_no_attempt_begun_is_rejected_without_cancellation() {
+fn request_with_no_attempt_started_is_rejected_without_cancellation() {
     let mut s = Script::new(false);
     s.request(KEYED, false);
     s.dispatch(0);
     s.dispatch(1);
     let (request, retry_after, reason) = (RequestId(0), Micros(7), GiveUpReason::Overloaded);
-    let out = s.apply(pools::Action::Reject { request, retry_after, reason });
+    let actions = s.apply(pools::Action::Reject { request, retry_after, reason });
     let given_up = Action::GivenUp { request, reason };
-    assert_eq!(out, [given_up, answer(FinalOutcome::Rejected(retry_after))]);
+    assert_eq!(actions, [given_up, answer(FinalOutcome::Rejected(retry_after))]);
     assert!(s.engine.requests().is_empty());
 }
 
-/// Each backend that was removed while an attempt was in flight there left an entry behind.
+/// Guards against a leak: every backend that was removed while it had an attempt in flight left an entry behind.
 #[test]
 fn response_of_a_gone_backend_leaves_no_entry_for_it() {
     let mut s = Script::new(true);
@@ -267,7 +275,7 @@
     assert_eq!((s.engine.last_responses().count(), s.engine.listed_backend_count()), (0, 0));
 }
 
-/// The model checker leaves this out: the store's result comes when nothing is known of the request any more.
+/// The model checker does not cover this case: the store's result comes after the request was removed.
 #[test]
 fn late_intent_result_of_an_ended_request_is_ignored() {
     let mut s = Script::new(true);
@@ -283,8 +291,8 @@
     }
 }
 
-/// Their requests ended before they were open. Eight of them took all connections that there may be, and a further
-/// request was not sent though none of them was needed.
+/// Guards against connections that block others: eight requests ended before their connections were open. These took the
+/// whole connection limit, and a further request was not sent although none of them was needed.
 #[test]
 fn oldest_unclaimed_connecting_connection_is_closed_at_the_limit() {
     let mut s = Script::new(true);
@@ -303,15 +311,16 @@
     assert_eq!(
         s.handle(Event::ConnectFailed { connection: ConnectionId(0), backend_at_fault: true }),
         [],
-        "it is gone"
+        "the connection was removed"
     );
     s.connect(1);
     s.handle(Event::ClientDisconnected { request: RequestId(0) });
     s.request(KEYED, false);
-    assert_eq!(sends(&s.dispatch(0)), 1, "on the one that came up for nobody");
+    assert_eq!(sends(&s.dispatch(0)), 1, "on the unclaimed connection that was opened");
 }
 
-/// A connection that is still being opened may serve the next attempt to its backend.
+/// At the connection limit an idle connection is closed first: one that is still being opened may serve the next attempt to
+/// its backend.
 #[test]
 fn idle_connection_is_closed_before_unclaimed_connecting_one() {
     let mut s = Script::new(true);
@@ -324,9 +333,9 @@
     s.connect(5);
     s.request(KEYED, false);
     let (request, attempt, backend) = (RequestId(0), AttemptNumber(0), BackendId(1));
-    let out = s.apply(pools::Action::Dispatch { request, attempt, backend, start_by: None });
+    let actions = s.apply(pools::Action::Dispatch { request, attempt, backend, start_by: None });
     assert_eq!(
-        out,
+        actions,
         [
             Action::Close { connection: ConnectionId(5) },
             Action::Connect { connection: ConnectionId(8), backend }
