--- a/crates/routing/benches/route_lookup.rs
+++ b/crates/routing/benches/route_lookup.rs
@@ -1,5 +1,5 @@
-//! The time to find a request's route among 1 to 1,000 routes, and to find shadowed routes.
-//! `cargo bench -p shaletide-routing`.
+//! Measures the time to find a request's route among 1 to 1,000 routes, and the time to find shadowed routes.
+//! Run with `cargo bench -p shaletide-routing`.
 
 use shaletide_routing::*;
 use shaletide_types::*;
@@ -8,19 +8,19 @@
 
 const TENANTS: usize = 10_000;
 
-fn route(at: usize, when: RouteMatch) -> Route {
+fn route(at: usize, route_match: RouteMatch) -> Route {
     Route {
         name: format!("r{at}"),
-        conditions: when,
+        conditions: route_match,
         pools: vec![PoolId(0)],
         response_rules: ResponseRules::operator_default(),
     }
 }
 
-/// Every kind of condition, spread over the routes; the last takes everything.
+/// A table with all kinds of condition, spread over the routes. The last route takes every request.
 fn table(routes: usize) -> RouteTable {
     let class = |at: usize| vec![ClassId(at % 8)];
-    let each = |at: usize| match at % 5 {
+    let route_match_at = |at: usize| match at % 5 {
         0 => {
             RouteMatch { classes: class(at), tenants: vec![TenantId(at % TENANTS)], ..RouteMatch::default() }
         }
@@ -34,19 +34,20 @@
             RouteMatch { zones: vec![format!("z{at}")], methods: vec!["GET".into()], ..RouteMatch::default() }
         }
     };
-    let mut all: Vec<Route> = (0..routes - 1).map(|at| route(at, each(at))).collect();
+    let mut all: Vec<Route> = (0..routes - 1).map(|at| route(at, route_match_at(at))).collect();
     all.push(route(routes - 1, RouteMatch::default()));
     RouteTable::new(all)
 }
 
-/// 64 classes and 10,000 tenants in each route: an index of pairs of values would not fit into memory.
+/// A table whose routes each name 64 classes and 9,990 of 10,000 tenants: an index of pairs of values would not fit into
+/// memory.
 fn broad_table(routes: usize) -> RouteTable {
-    let when = |at: usize| RouteMatch {
+    let route_match = |at: usize| RouteMatch {
         classes: (0..64).map(ClassId).collect(),
         tenants: (0..TENANTS).filter(|t| t % 1_000 != at % 1_000).map(TenantId).collect(),
         ..RouteMatch::default()
     };
-    RouteTable::new((0..routes).map(|at| route(at, when(at))).collect())
+    RouteTable::new((0..routes).map(|at| route(at, route_match(at))).collect())
 }
 
 fn time_once(work: impl FnOnce()) -> Duration {
@@ -55,7 +56,7 @@
     started_at.elapsed()
 }
 
-/// The best of five rounds, in nanoseconds.
+/// Returns the time of one call in nanoseconds, as the best of five rounds.
 fn per_call(mut call: impl FnMut()) -> f64 {
     const CALLS: u32 = 200_000;
     let round = |_| time_once(|| (0..CALLS).for_each(|_| call())).as_secs_f64() * 1e9 / f64::from(CALLS);
--- a/crates/routing/src/client_response.rs
+++ b/crates/routing/src/client_response.rs
@@ -1,4 +1,4 @@
-//! What the client gets at the end of a request: a backend's response unchanged, or one of the proxy's own.
+//! Decides what the client receives at the end of a request: a backend's response unchanged, or one by the proxy.
 
 #[cfg(test)]
 mod tests;
@@ -6,29 +6,29 @@
 use crate::ErrorResponses;
 use shaletide_types::Micros;
 
-/// How the balancer and the engine ended a request.
+/// The outcome with which the balancer and the engine ended a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalDecision {
-    /// An attempt was served.
+    /// A backend served an attempt.
     Served,
-    /// No attempt was executed, or a second execution does no harm; with the time for `Retry-After`.
+    /// No attempt was executed, or a second execution is harmless; with the time for `Retry-After`.
     Rejected(Micros),
-    /// Given up; an attempt may have been executed.
+    /// The request was given up; an attempt may have been executed.
     Failed,
-    /// Its deadline has passed.
+    /// The deadline has passed.
     TimedOut,
 }
 
-/// The response, not a served one, in which the last attempt ended.
+/// The response with which the last attempt ended, if it does not count as served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LastResponse {
-    /// Its status.
+    /// The response's status.
     pub status: u16,
-    /// It proves that this attempt was not executed; else it is an error.
+    /// Whether the response proves that the attempt was not executed; else it is an error.
     pub not_executed: bool,
 }
 
-/// What the client gets.
+/// The response that the client receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientResponse {
     /// The backend's response, unchanged.
@@ -41,11 +41,12 @@
     GatewayTimeout,
 }
 
-/// Decides what the client gets. `safe`: a second execution of its class does nothing. `last`: the response in which
-/// the last attempt ended, if in one.
+/// Decides which response the client receives. `safe`: a second execution of the request's class has no effect. `last`:
+/// the response with which the last attempt ended, if there was one.
 ///
-/// A served response is forwarded; a request that timed out gets a 504, as an older response is not its end. Without
-/// a response, or under [`ErrorResponses::Replace`], a rejection is the proxy's 503 and a failure its 502. Else:
+/// A served response is forwarded. A request that timed out gets a 504, because an earlier response did not end it.
+/// Without a response, or under [`ErrorResponses::Replace`], a rejection is the proxy's own 503 and a failure its own 502.
+/// Otherwise:
 ///
 /// | last response                    | rejected, safe | rejected, other | failed, safe | failed, other |
 /// |----------------------------------|----------------|-----------------|--------------|---------------|
@@ -55,8 +56,8 @@
 /// | below 400, not executed          | own 503        | own 503         | 502          | 502           |
 /// | any other, error                 | forwarded      | forwarded       | forwarded    | forwarded     |
 ///
-/// So a client gets 429 or 503 only where a retry does no harm (a safe class, or proof), and nothing that reads like
-/// success for what was not executed.
+/// Thus a client receives 429 or 503 only if a retry is harmless (a safe class, or proof that nothing was executed), and
+/// never a status below 400 for a request that was not executed.
 pub fn client_response(
     decision: FinalDecision, errors: ErrorResponses, safe: bool, last: Option<LastResponse>,
 ) -> ClientResponse {
@@ -72,7 +73,7 @@
     match last.not_executed {
         true if invites_retry && (rejected || safe) => ClientResponse::Forward,
         true if invites_retry => ClientResponse::BadGateway,
-        // This status would not tell the client that a retry is harmless.
+        // The status does not show the client that a retry is harmless.
         true if last.status < 400 || rejected && !safe => own_response,
         false if invites_retry && !safe => ClientResponse::BadGateway,
         _ => ClientResponse::Forward,
--- a/crates/routing/src/index.rs
+++ b/crates/routing/src/index.rs
@@ -1,10 +1,10 @@
-//! Which routes of a table a request's class, tenant, zone, deduplication group, method, path and most frequent header
-//! leave, without a walk over the routes: for each value that some route names there is a set of routes, and the sets
-//! of a request are intersected.
+//! Finds the routes whose conditions on class, tenant, zone, deduplication group, method, path and the most frequent
+//! header a request meets, without a walk over the routes. For each value that a route names there is a set of routes,
+//! and the sets for a request's values are intersected.
 //!
-//! Bounds: a set takes a bit a route, and there is one for each value that the routes name and one more for each kind
-//! of condition. Nothing is kept for pairs of values: 1,000 routes that name 64 classes and 10,000 tenants hold some
-//! 1.3 MB of sets, however they combine them. A look-up allocates nothing.
+//! Bounds: a set has one bit for each route. There is one set for each value that the routes name, and one more for each
+//! kind of condition. There are no sets for pairs of values: 1,000 routes that name 64 classes and 10,000 tenants need
+//! about 1.3 MB of sets, however they combine them. A look-up allocates nothing.
 
 use crate::route_bits::{empty, insert, RouteBits};
 use crate::route_match::{RequestAttributes, RouteMatch};
@@ -14,13 +14,13 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Kinds of condition, without the headers that are checked route by route.
+/// The number of kinds of condition, without the headers that are checked route by route.
 pub const CONDITION_KINDS: usize = 7;
 
-/// The routes that one kind of condition leaves, by the request's value.
+/// The routes that meet one kind of condition, by the request's value.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ValueIndex<K: Hash + Eq> {
-    /// For a value that no route names: the routes without such a condition.
+    /// The routes without such a condition; these match a value that no route names.
     unconditional: RouteBits,
     by_value: HashMap<K, RouteBits>,
 }
@@ -45,7 +45,7 @@
         ValueIndex { unconditional, by_value }
     }
 
-    /// For a request with that value, or without one.
+    /// The routes for a request with this value, or without one.
     fn routes_for<Q: Hash + Eq + ?Sized>(&self, value: Option<&Q>) -> &[u64]
     where
         K: Borrow<Q>,
@@ -53,7 +53,7 @@
         value.and_then(|value| self.by_value.get(value)).unwrap_or(&self.unconditional)
     }
 
-    /// For each of these values; where there are none, for any value.
+    /// The routes for each of these values; if there are none, the routes for any value.
     fn routes_for_each<'a>(&'a self, values: &[K]) -> Vec<&'a [u64]> {
         if values.is_empty() {
             return vec![&self.unconditional];
@@ -62,14 +62,14 @@
     }
 }
 
-/// The routes that a path leaves.
+/// The routes that match a path.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct PathIndex {
-    /// Those that take any path.
+    /// The routes that take any path.
     unconditional: RouteBits,
-    /// By prefix, those that take every path under it.
+    /// By prefix, the routes that take every path under it.
     by_prefix: HashMap<String, RouteBits>,
-    /// In bytes.
+    /// The length of the longest prefix, in bytes.
     longest_prefix: usize,
 }
 
@@ -85,7 +85,7 @@
         let longest_prefix = prefixes.iter().map(|prefix| prefix.len()).max().unwrap_or(0);
         let mut index = PathIndex { unconditional, by_prefix: HashMap::new(), longest_prefix };
         let mut distinct: Vec<&str> = prefixes.iter().copied().filter(|prefix| !prefix.is_empty()).collect();
-        // A prefix comes before all that lie under it, which start from the set of the nearest.
+        // A prefix sorts before those under it, whose sets start from the set of their nearest parent.
         distinct.sort_unstable();
         distinct.dedup();
         for prefix in distinct {
@@ -100,7 +100,7 @@
         index
     }
 
-    /// The set of the longest prefix that the path is or lies under. It holds those of all shorter ones.
+    /// The set of the longest prefix that the path equals or lies under. It includes the sets of all shorter ones.
     fn routes_for(&self, path: &str) -> &[u64] {
         if self.by_prefix.is_empty() {
             return &self.unconditional;
@@ -113,13 +113,13 @@
     }
 }
 
-/// The routes that the header leaves which most routes ask for; other headers are checked route by route.
+/// The routes that match the header that most routes require; other headers are checked route by route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct HeaderIndex {
     name: String,
-    /// Without the header: the routes that do not ask for it.
+    /// The routes for a request without the header: those that do not require it.
     absent: RouteBits,
-    /// For a value that no route names: those that do not ask for it or take any value.
+    /// The routes for a value that no route names: those that do not require the header or take any value.
     any_value: RouteBits,
     by_value: HashMap<String, RouteBits>,
 }
@@ -143,7 +143,7 @@
         for route in 0..routes.len() {
             let mut values = conditions(route).filter_map(|header| header.value.as_ref());
             let Some(value) = values.next() else { continue };
-            // Two values for one header: no request has both.
+            // A route that requires two values of one header matches no request.
             if values.all(|other| other == value) {
                 insert(by_value.entry(value.clone()).or_insert_with(|| any_value.clone()), route);
             }
@@ -159,17 +159,17 @@
     }
 }
 
-/// The first by name where there are several, so that the same routes give the same index.
+/// The header that most routes require. Of several, the first by name, so that the same routes give the same index.
 fn most_frequent_header<'a>(routes: &[&'a RouteMatch]) -> Option<&'a str> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     for header in routes.iter().flat_map(|conditions| &conditions.headers) {
         *counts.entry(&header.name).or_default() += 1;
     }
-    let most = counts.into_iter().max_by_key(|(name, count)| (*count, Reverse(*name)))?;
-    Some(most.0)
+    let most_frequent = counts.into_iter().max_by_key(|(name, count)| (*count, Reverse(*name)))?;
+    Some(most_frequent.0)
 }
 
-/// The sets of all kinds of condition.
+/// The sets of routes for all kinds of condition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Index {
     classes: ValueIndex<ClassId>,
@@ -194,8 +194,8 @@
         }
     }
 
-    /// The sets that a request leaves: a route that is in all of them takes it, but for the headers that
-    /// [`Self::decides_header`] denies.
+    /// The sets for a request. A route that is in all of them takes the request, unless a header that is not covered by
+    /// [`Self::decides_header`] excludes it.
     pub fn routes_for<'a>(&'a self, request: &RequestAttributes<'_>) -> [&'a [u64]; CONDITION_KINDS] {
         let classes = self.classes.routes_for(Some(&request.class));
         let header = match &self.header {
@@ -213,13 +213,13 @@
         ]
     }
 
-    /// Whether the sets include the conditions on that header.
+    /// Whether the sets cover the conditions on this header.
     pub fn decides_header(&self, name: &str) -> bool {
         self.header.as_ref().is_some_and(|header| header.name == name)
     }
 
-    /// Of each kind of condition but the headers, the sets of all values that `conditions` take. A route that is in all
-    /// of them covers these conditions, but for the headers.
+    /// For each kind of condition except headers, the sets of all values that `conditions` accept. A route that is in all
+    /// of them covers these conditions, except for the headers.
     pub fn routes_covering(&self, conditions: &RouteMatch) -> [Vec<&[u64]>; CONDITION_KINDS - 1] {
         [
             self.classes.routes_for_each(&conditions.classes),
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,5 +1,5 @@
-//! Which pools a request may go to and in which order, what a backend's response means, and what the client gets of
-//! it. No sockets, no clock, no configuration text: typed values in, decisions out.
+//! Selects the route and the pools of a request, classifies backend responses and decides what the client receives.
+//! There are no sockets, no clock and no configuration text: typed values in, decisions out.
 #![forbid(unsafe_code)]
 
 mod client_response;
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -1,8 +1,8 @@
-//! All pools of a proxy as one state machine: each has a balancer of its own, and a request that one of them can do
-//! nothing for is failed over to the next pool of its route. Attempts, deadline, retry budget and quotas go along.
+//! All pools of a proxy as one state machine. Each pool has its own balancer. A request that a pool cannot serve fails
+//! over to the next pool of its route and keeps its attempts, deadline, retry budget and quotas.
 //!
-//! The balancers select backends and decide on retries and rejection; here is only decided which balancer has a
-//! request. The engine calls [`Pools::handle`] and carries out the actions.
+//! The balancers select backends and decide on retries and rejection; this module only decides which balancer is
+//! responsible for a request. The engine calls [`Pools::handle`] and carries out the actions.
 
 mod event;
 mod failover;
@@ -19,17 +19,17 @@
 
 pub use event::{Action, Event};
 
-/// Bits of a timer token that are the balancer's own; the pool's number stands above them.
+/// The number of low bits of a timer token that hold the balancer's token. The bits above hold the pool's number.
 const BALANCER_TOKEN_BITS: u32 = 40;
 const BALANCER_TOKEN_MASK: u64 = (1 << BALANCER_TOKEN_BITS) - 1;
 
-/// Pools that there may ever be in the life of a program.
+/// The maximum number of pools over the lifetime of a process: the numbers that fit into a timer token.
 pub const MAX_POOLS: u32 = 1 << (64 - BALANCER_TOKEN_BITS);
 
-/// Spreads a pool's number over all bits of its random seed.
+/// The multiplier that spreads a pool's number over all bits of its random seed.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// An attempt that has not ended, and the pool that its backend belongs to.
+/// An attempt in flight, with the pool of its backend.
 #[derive(Clone, Copy, Debug)]
 struct InFlightAttempt {
     backend: BackendId,
@@ -38,41 +38,41 @@
 
 /// All pools, the requests that wait for an answer, and the attempts in flight.
 ///
-/// Bounds: the pools in the configuration and closed ones until their last attempt has ended; an entry for each
-/// request without an answer and for each attempt in flight.
+/// Bounds: the pools in the configuration, and closed pools until their last attempt has ended; an entry for each request
+/// without an answer and for each attempt in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Pools {
     pools: BTreeMap<PoolId, Pool>,
     shared: SharedLimits,
     requests: BTreeMap<RequestId, PendingRequest>,
     in_flight: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
-    /// What the balancers have not been told yet.
+    /// Events that the balancers have not handled yet.
     balancer_events: VecDeque<(PoolId, balancer::Event)>,
-    /// Empty between calls; kept for its memory.
+    /// Empty between calls; kept to reuse its allocation.
     balancer_actions: Vec<balancer::Action>,
 }
 
 impl Pools {
-    /// No pool yet.
+    /// Creates a state machine without pools.
     pub fn new() -> Pools {
         Pools::default()
     }
 
-    /// Adds a pool, or gives one that there is another configuration. `seed`: of its random numbers.
+    /// Adds a pool, or replaces the configuration of an existing one. `seed`: for the random numbers of a new pool.
     ///
     /// # Errors
-    /// The field that is invalid; nothing is changed then.
+    /// The invalid field; nothing is changed.
     pub fn configure(&mut self, pool: PoolId, config: Config, seed: u64) -> Result<(), ConfigError> {
         if let Some(known) = self.pools.get_mut(&pool) {
             return known.balancer.reconfigure(config);
         }
-        // With the same random numbers, pools would all select the backend at the same place.
+        // With the same random numbers, all pools would select the backend at the same position.
         let pool_seed = seed ^ u64::from(pool.0).wrapping_mul(SEED_MULTIPLIER);
         self.pools.insert(pool, Pool::new(Balancer::new(config, pool_seed)?));
         Ok(())
     }
 
-    /// Requests given up by the balancers of all pools since the last call, by reason.
+    /// The numbers of requests that the balancers of all pools have given up since the last call, by reason.
     pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
         let mut total = GiveUpCounts::default();
         for pool in self.pools.values_mut() {
@@ -86,23 +86,23 @@
         self.pools.iter().filter(|(_, pool)| !pool.closed).map(|(id, _)| *id)
     }
 
-    /// How many pools there are, with closed ones that have not ended yet.
+    /// The number of pools, including closed ones that still have pending requests or attempts in flight.
     pub fn retained_count(&self) -> usize {
         self.pools.len()
     }
 
-    /// How many requests have no answer yet.
+    /// The number of requests without an answer.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether a pool can take anything; none where there is no such pool or it is closed.
+    /// Whether a pool can take requests; `None` if there is no such pool or it is closed.
     pub fn health(&self, now: Time, pool: PoolId) -> Option<PoolHealth> {
         let open = self.pools.get(&pool).filter(|known| !known.closed)?;
         Some(open.balancer.health(now))
     }
 
-    /// Handles one event that happened at `now` and adds the actions it calls for.
+    /// Handles one event that happened at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { pool, update, backends } => {
@@ -141,13 +141,13 @@
         }
     }
 
-    /// Whether the pool became available by a backend that moved in: requests that are queued elsewhere are given to
-    /// it when its list is updated, not before.
+    /// Whether the pool became available through a backend that migrated into it; resets the flag. Requests queued in
+    /// other pools are transferred to the pool when its endpoint list is updated, not before.
     fn take_gained_backend(&mut self, pool: PoolId) -> bool {
         self.pools.get_mut(&pool).is_some_and(|known| std::mem::take(&mut known.gained_backend))
     }
 
-    /// The new pool's balancer takes over what the old one knows of the backend, and its attempts in flight.
+    /// Transfers a backend's state and its attempts in flight from the old pool's balancer to the new pool's.
     fn migrate_backend(&mut self, now: Time, backend: BackendId, from: PoolId, to: PoolId) {
         if from == to || !self.pools.contains_key(&to) {
             return;
@@ -168,7 +168,7 @@
         new_pool.balancer.migrate_in(migrated);
     }
 
-    /// Queued requests are given to other pools or given up; attempts in flight go on to their end.
+    /// Closes a pool. Queued requests are transferred to other pools or given up; attempts in flight continue to their end.
     fn close_pool(&mut self, now: Time, pool: PoolId) {
         let Some(closing) = self.pools.get_mut(&pool) else { return };
         closing.closed = true;
@@ -185,14 +185,15 @@
         self.balancer_events.push_back((pool, balancer::Event::Timer { token }));
     }
 
-    /// Tells the balancer that has to answer the request.
+    /// Passes an event to the balancer that has to answer the request.
     fn notify_owner(&mut self, request: RequestId, event: balancer::Event) {
         if let Some(pending) = self.requests.get(&request) {
             self.balancer_events.push_back((pending.pool, event));
         }
     }
 
-    /// The balancer of the request's pool goes on from it, and that of the backend's pool learns from it.
+    /// Reports the end of an attempt to the balancer of the request's pool, which decides how to continue, and to that of
+    /// the backend's pool, which updates its state of the backend.
     fn on_attempt_ended(&mut self, end: AttemptEnd) {
         let Some(attempt) = self.in_flight.remove(&(end.request, end.attempt)) else { return };
         if let Some(pool) = self.pools.get_mut(&attempt.pool) {
@@ -208,8 +209,8 @@
         self.balancer_events.push_back((attempt.pool, balancer::Event::AttemptEnded(end)));
     }
 
-    /// Tells the balancers what has happened until nothing is left. It ends, as each request is given to a pool of
-    /// its route once, and to one of them for a last time.
+    /// Passes pending events to the balancers until none are left. This terminates, because a request is given to each
+    /// pool of its route at most once, and then to one of them for a last time.
     fn run_balancers(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some((id, event)) = self.balancer_events.pop_front() {
             let Some(pool) = self.pools.get_mut(&id) else { continue };
--- a/crates/routing/src/pools/event.rs
+++ b/crates/routing/src/pools/event.rs
@@ -1,47 +1,47 @@
-//! What [`Pools`](super::Pools) is told and what it asks for.
+//! The inputs and outputs of [`Pools`](super::Pools).
 
 use shaletide_balancer::{Arrival, AttemptEnd, GiveUpReason};
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// What happened, as the engine tells it.
+/// An event that the engine reports.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of a pool's endpoint list.
     EndpointsUpdated {
         /// The pool.
         pool: PoolId,
-        /// A snapshot, a delta, and so on.
+        /// The kind of update, such as a snapshot or a delta.
         update: EndpointUpdate,
         /// The entries.
         backends: Vec<BackendEntry>,
     },
-    /// A backend belongs to another pool from now on; an update of that pool's list follows.
+    /// A backend moved to another pool; an update of that pool's endpoint list follows.
     BackendMoved {
         /// The backend.
         backend: BackendId,
-        /// The pool that it leaves.
+        /// The previous pool.
         from: PoolId,
-        /// The one that it joins.
+        /// The new pool.
         to: PoolId,
     },
-    /// A request and the pools of its route, the preferred first. It gets one final answer.
+    /// A request was accepted: it receives exactly one final answer.
     Request {
         /// The request.
         arrival: Arrival,
-        /// The pools; those that do not exist or are closed are skipped.
+        /// The pools of its route, in order of preference. Those that do not exist or are closed are skipped.
         pools: Rc<[PoolId]>,
     },
-    /// The response has begun to stream to the client.
+    /// The response started to stream to the client.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// What a backend reports of its load.
+    /// A backend reported its load.
     LoadReported {
-        /// The pool that it belongs to.
+        /// The backend's pool.
         pool: PoolId,
         /// The backend.
         backend: BackendId,
@@ -55,75 +55,75 @@
         /// The request.
         request: RequestId,
     },
-    /// A pool is closed: queued requests fail over or are given up at once, and attempts in flight go on to
-    /// their end.
+    /// A pool was closed: queued requests fail over or are given up at once, and attempts in flight continue to their
+    /// end.
     PoolClosed {
         /// The pool.
         pool: PoolId,
     },
     /// A timer is due.
     Timer {
-        /// The token of its [`Action::SetTimer`].
+        /// The token of the [`Action::SetTimer`].
         token: TimerToken,
     },
 }
 
-/// What the engine is to do, in order.
+/// An action that the engine carries out. Actions are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Its number within the request, from 0.
+        /// The attempt's number within the request, from 0.
         attempt: AttemptNumber,
-        /// The backend that it goes to.
+        /// The backend that the attempt is sent to.
         backend: BackendId,
-        /// The attempt may begin only before then; the engine sets the deadline for its last byte itself.
+        /// The time before which the attempt has to start. The engine sets the deadline for its last byte itself.
         start_by: Option<Time>,
     },
-    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
-    /// from [`Action::Fail`] is only what this balancer expects: that a retry by the client is harmless.
+    /// Give the request up. The engine answers `Rejected` or `Failed`, depending on whether an attempt may have been
+    /// executed. Unlike with [`Action::Fail`], the balancer expects that a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// For `Retry-After`, from now.
+        /// The value for `Retry-After`, from now.
         retry_after: Micros,
-        /// Why; for logs only.
+        /// The reason, for logs only.
         reason: GiveUpReason,
     },
-    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
-    /// from [`Action::Reject`] is only what this balancer expects: that the request may have been executed.
+    /// Give the request up. The engine answers `Rejected` or `Failed`, depending on whether an attempt may have been
+    /// executed. Unlike with [`Action::Reject`], the balancer expects that the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
-        /// For `Retry-After`, should it turn out that nothing was executed.
+        /// The value for `Retry-After`, in case nothing was executed.
         retry_after: Micros,
-        /// Why; for logs only.
+        /// The reason, for logs only.
         reason: GiveUpReason,
     },
-    /// Cancel an attempt: its result is not needed.
+    /// Cancel an attempt whose result is not needed.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer for an [`Event::Timer`].
     SetTimer {
-        /// The token it is to carry.
+        /// The token that the event carries.
         token: TimerToken,
-        /// When, from now.
+        /// The time until the event, from now.
         after: Micros,
     },
-    /// Subscribe to a pool's endpoint list from now on.
+    /// Subscribe to a pool's endpoint list.
     Subscribe {
         /// The pool.
         pool: PoolId,
     },
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log {
-        /// The pool that it is about.
+        /// The pool that the line is about.
         pool: PoolId,
         /// The line.
         text: String,
--- a/crates/routing/src/pools/failover.rs
+++ b/crates/routing/src/pools/failover.rs
@@ -1,4 +1,4 @@
-//! Which pool gets a request: at first, when a pool fails it over, when a pool closes, and when one is available again.
+//! Selects the pool of a request: on arrival, on failover, when a pool closes, and when one becomes available again.
 
 use super::pending::PendingRequest;
 use super::{Action, Pools};
@@ -6,13 +6,13 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// `Retry-After` where the route has no pool left: a later configuration may name one.
+/// The `Retry-After` if the route has no open pool; a later configuration may add one.
 const NO_POOL_RETRY_AFTER: Micros = Micros(1_000_000);
 
-/// The pool that a request is given to.
+/// The pool selected for a request.
 struct SelectedPool {
     pool: PoolId,
-    /// There is another pool that it could be given to afterwards.
+    /// Whether the request may fail over to another pool afterwards.
     may_fail_over: bool,
 }
 
@@ -26,7 +26,7 @@
         }
         let mut pending = PendingRequest::new(route);
         let Some(selected) = self.select_pool(now, &mut pending) else {
-            // It was sent nowhere, so that a retry does no harm.
+            // No attempt was sent, so a retry is harmless.
             let reason = GiveUpReason::NoEligibleBackend;
             actions.push(Action::Reject { request, retry_after: NO_POOL_RETRY_AFTER, reason });
             return;
@@ -36,14 +36,14 @@
         self.balancer_events.push_back((selected.pool, balancer::Event::Request(arrival)));
     }
 
-    /// Selects the first pool of the route that is available and has not been tried. Where there is none, the first
-    /// of those with the best health, tried or not, and it may not fail over any more.
+    /// Selects the first pool of the route that is available and has not been tried. If there is none, selects the first
+    /// pool with the best health, tried or not; the request may then not fail over any more.
     fn select_pool(&self, now: Time, pending: &mut PendingRequest) -> Option<SelectedPool> {
         let available =
             pending.untried().find(|(_, pool)| self.health(now, *pool) == Some(PoolHealth::Available));
         if let Some((position, pool)) = available {
             pending.mark_tried(position);
-            // Any open pool counts: it may be available by the time that this one is not.
+            // Every open pool counts: it may have become available by the time of a failover.
             let may_fail_over = pending.untried().any(|(_, other)| self.health(now, other).is_some());
             return Some(SelectedPool { pool, may_fail_over });
         }
@@ -65,7 +65,7 @@
         self.requests.insert(request, pending);
     }
 
-    /// The request has its answer, or is taken from its pool.
+    /// Removes a request that is answered or that leaves its pool.
     pub(super) fn remove_pending(&mut self, request: RequestId) -> Option<PendingRequest> {
         let pending = self.requests.remove(&request)?;
         if let Some(pool) = self.pools.get_mut(&pending.pool) {
@@ -74,7 +74,7 @@
         Some(pending)
     }
 
-    /// A balancer can do nothing for a request: the next pool gets it.
+    /// Gives a request that a balancer cannot serve to the next pool.
     pub(super) fn fail_over(
         &mut self, now: Time, from: PoolId, request: RequestId, transferred: TransferredRequest,
     ) {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Gives all requests that a pool has queued to a pool of their route, as if none had been tried.
+    /// Gives all requests queued in a pool to a pool of their route, as if no pool had been tried.
     pub(super) fn transfer_queued(&mut self, now: Time, from: PoolId) {
         let Some(pool) = self.pools.get_mut(&from) else { return };
         for (request, transferred) in pool.balancer.release_queued() {
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Where its route has no pool left the request goes back to `from`: an attempt in flight may still be answered.
+    /// Gives a request to a pool of its route. If the route has no open pool, the request returns to `from`, because an
+    /// attempt in flight may still be served.
     fn transfer(
         &mut self, now: Time, from: PoolId, request: RequestId, mut pending: PendingRequest,
         transferred: TransferredRequest,
@@ -106,7 +107,7 @@
         self.balancer_events.push_back((selected.pool, balancer::Event::FailedOver(request, transferred)));
     }
 
-    /// A pool is available again: requests that are queued in pools that are not are given to a pool anew.
+    /// Reselects the pool of all requests queued in unavailable pools, after a pool became available.
     pub(super) fn relieve_unavailable_pools(&mut self, now: Time) {
         let mut unavailable: Vec<PoolId> = Vec::new();
         for (id, pool) in &self.pools {
--- a/crates/routing/src/pools/pool.rs
+++ b/crates/routing/src/pools/pool.rs
@@ -1,4 +1,4 @@
-//! One pool: its balancer, and what still has to end before a closed one can be removed.
+//! A pool: its balancer, and the counts that have to reach zero before a closed pool can be removed.
 
 use shaletide_balancer::{Balancer, PoolHealth};
 use shaletide_types::Time;
@@ -6,13 +6,13 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pool {
     pub balancer: Balancer,
-    /// It is in no configuration any more and takes nothing new.
+    /// Whether the pool was removed from the configuration and takes no new requests.
     pub closed: bool,
-    /// Requests that its balancer has to answer.
+    /// The number of requests that the pool's balancer has to answer.
     pub pending_requests: u32,
-    /// Attempts in flight at its backends.
+    /// The number of attempts in flight at the pool's backends.
     pub in_flight_attempts: u32,
-    /// A backend has moved in while no other was available, and the pool's list has not been updated since.
+    /// Whether a backend migrated into the pool while it was unavailable, and its endpoint list has not been updated since.
     pub gained_backend: bool,
 }
 
@@ -25,7 +25,7 @@
         self.balancer.health(now) == PoolHealth::Available
     }
 
-    /// Closed, and nothing of it is left to end.
+    /// Whether the pool is closed and has neither pending requests nor attempts in flight.
     pub fn is_removable(&self) -> bool {
         self.closed && self.pending_requests == 0 && self.in_flight_attempts == 0
     }
--- a/crates/routing/src/request_format.rs
+++ b/crates/routing/src/request_format.rs
@@ -1,46 +1,44 @@
-//! Where in a request its class, tenant, key and other attributes stand.
+//! Where a request carries its class, tenant, key and other attributes.
 
 #[cfg(test)]
 mod tests;
 
 use shaletide_types::ClassId;
 
-/// A place in a request's head.
+/// A part of a request's head that carries an attribute.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum AttributeSource {
-    /// The path's segment of that number, from 1: in `/read/k7` segment 1 is `read`. Read as it stands, without
-    /// decoding.
+    /// The path segment with this number, from 1: in `/read/k7` segment 1 is `read`. It is not decoded.
     Path(usize),
-    /// A header, its name in lower case. A request that has it twice is rejected as malformed.
+    /// A header, by its name in lower case. A request that has the header twice is rejected as malformed.
     Header(String),
 }
 
-/// How a request is read.
+/// The sources of a request's attributes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestFormat {
-    /// The name of its class.
+    /// The source of the class name.
     pub class: AttributeSource,
-    /// The class of a request in which that place is empty or names no class; none: such a request is rejected as
-    /// malformed.
+    /// The class of a request that names no class or an unknown one; `None`: such a request is rejected as malformed.
     pub default_class: Option<ClassId>,
-    /// The name of its tenant.
+    /// The source of the tenant name.
     pub tenant: Option<AttributeSource>,
-    /// The idempotency key.
+    /// The source of the idempotency key.
     pub key: AttributeSource,
-    /// The deduplication group that it is about, for routes.
+    /// The source of the deduplication group that routes match.
     pub deduplication_group: Option<AttributeSource>,
-    /// The zone that it came from, for routes; none: the proxy's own.
+    /// The source of the zone that routes match; `None`: the proxy's own zone.
     pub zone: Option<AttributeSource>,
-    /// The header with the request's id.
+    /// The header that carries the request's id.
     pub id: String,
-    /// A request without that header is rejected as malformed; else it is given an id.
+    /// Whether a request without an id is rejected as malformed; otherwise the proxy assigns an id.
     pub id_required: bool,
-    /// The header with the seconds that its client will wait.
+    /// The header that carries the seconds for which the client will wait.
     pub time_left: String,
 }
 
 impl RequestFormat {
-    /// The platform's format, and the default of the operators' file but for `id_required`.
+    /// The platform's format. Except for `id_required`, it is also the default of the operators' configuration file.
     pub fn platform() -> RequestFormat {
         RequestFormat {
             class: AttributeSource::Path(1),
--- a/crates/routing/src/response_rules.rs
+++ b/crates/routing/src/response_rules.rs
@@ -1,11 +1,12 @@
-//! What a backend's response means: served, not executed, or an error.
+//! Classifies a backend's response as served, not executed, or an error.
 
 #[cfg(test)]
 mod tests;
 
 use crate::StatusSet;
 
-/// Statuses that are errors by [`ResponseRules::operator_default`]: too many requests, and failures of a server or gateway.
+/// The final statuses that [`ResponseRules::operator_default`] does not count as served: too many requests, and failures
+/// of a server or gateway.
 const DEFAULT_ERROR_STATUSES: [u16; 5] = [429, 500, 502, 503, 504];
 
 /// A status and a header that together prove that the request was not executed.
@@ -15,46 +16,46 @@
     pub status: u16,
     /// The header's name, in lower case.
     pub header: String,
-    /// Its value; none: any.
+    /// The header's value; `None`: any.
     pub value: Option<String>,
 }
 
-/// What a client gets where the last attempt ended in an error status.
+/// What a client receives when the last attempt ended with an error status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorResponses {
-    /// The backend's response unchanged, unless it is a 429 or 503 that proves nothing: then 502.
+    /// The backend's response unchanged, except that a 429 or 503 without proof that nothing was executed becomes a 502.
     Forward,
-    /// A response of the proxy's own, as on the platform.
+    /// The proxy's own response, as on the platform.
     Replace,
 }
 
-/// What a response means.
+/// The class of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// It is the answer to the request and goes to the client unchanged.
+    /// The response answers the request and is forwarded to the client unchanged.
     Served,
     /// The request has not been executed and never will be.
     NotExecuted,
-    /// An error; the request may have been executed.
+    /// The response is an error; the request may have been executed.
     Error,
 }
 
 /// How the responses of a route's backends are classified.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseRules {
-    /// These statuses count as served.
+    /// The statuses that count as served.
     pub served: StatusSet,
-    /// These prove that the request was not executed, whatever `served` says.
+    /// Responses that prove that the request was not executed. They take precedence over `served`.
     pub not_executed: Vec<NotExecutedProof>,
-    /// What the client gets of an error.
+    /// What the client receives for an error.
     pub error_responses: ErrorResponses,
-    /// The header in which a backend reports its load, in lower case; none: it reports nothing.
+    /// The header in which a backend reports its load, in lower case; `None`: backends report no load.
     pub load_report_header: Option<String>,
 }
 
 impl ResponseRules {
-    /// The operators' default: every final status is served but 429, 500, 502, 503 and 504; nothing proves that a
-    /// request was not executed.
+    /// The operators' default: every final status except 429, 500, 502, 503 and 504 counts as served, and no response
+    /// proves that a request was not executed.
     pub fn operator_default() -> ResponseRules {
         let mut served = StatusSet::empty();
         served.add(200, 599);
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The platform's rules: 200 is served; 503 and 504 with `X-Unprocessed: 1` were not executed.
+    /// The platform's rules: 200 counts as served; 503 and 504 with `X-Unprocessed: 1` prove that nothing was executed.
     pub fn platform() -> ResponseRules {
         let mut served = StatusSet::empty();
         served.add(200, 200);
@@ -83,8 +84,8 @@
         }
     }
 
-    /// What a response of that status means; `header` gives the value of a header by its lower-case name. A status
-    /// below 200 is not final, and neither served nor proof.
+    /// Classifies a response by its status and headers. `header` returns the value of a header by its lower-case name. A
+    /// status below 200 is not final, so it is neither served nor a proof.
     pub fn classify<'a>(&self, status: u16, header: impl Fn(&str) -> Option<&'a str>) -> ResponseClass {
         if status < 200 {
             return ResponseClass::Error;
--- a/crates/routing/src/response_rules/tests.rs
+++ b/crates/routing/src/response_rules/tests.rs
@@ -1,4 +1,4 @@
-//! How responses are classified.
+//! The classification of responses.
 
 use super::*;
 
@@ -10,33 +10,33 @@
 
 #[test]
 fn status_set_holds_added_statuses_from_100_to_599_only() {
-    let mut some = set(&[(0, 101), (204, 204), (300, 250), (598, 700)]);
-    let held: Vec<u16> = (0..=u16::MAX).filter(|s| some.contains(*s)).collect();
+    let mut statuses = set(&[(0, 101), (204, 204), (300, 250), (598, 700)]);
+    let held: Vec<u16> = (0..=u16::MAX).filter(|s| statuses.contains(*s)).collect();
     assert_eq!(held, [100, 101, 204, 598, 599]);
-    [204, 205, 0, 99, 600, u16::MAX].into_iter().for_each(|s| some.remove(s));
-    assert!(!some.contains(204) && some.contains(100) && some.contains(599));
-    assert_eq!(format!("{some:?}"), "{100, 101, 598, 599}");
+    [204, 205, 0, 99, 600, u16::MAX].into_iter().for_each(|s| statuses.remove(s));
+    assert!(!statuses.contains(204) && statuses.contains(100) && statuses.contains(599));
+    assert_eq!(format!("{statuses:?}"), "{100, 101, 598, 599}");
 }
 
 #[test]
 fn default_rules_serve_all_final_statuses_but_five() {
-    let plain = ResponseRules::operator_default();
-    let failing: Vec<u16> =
-        (200..600).filter(|s| plain.classify(*s, |_| None) != ResponseClass::Served).collect();
-    assert_eq!(failing, [429, 500, 502, 503, 504]);
-    assert_eq!(plain.error_responses, ErrorResponses::Forward);
+    let rules = ResponseRules::operator_default();
+    let not_served: Vec<u16> =
+        (200..600).filter(|s| rules.classify(*s, |_| None) != ResponseClass::Served).collect();
+    assert_eq!(not_served, [429, 500, 502, 503, 504]);
+    assert_eq!(rules.error_responses, ErrorResponses::Forward);
 }
 
 #[test]
 fn status_below_200_is_an_error() {
     let proof = NotExecutedProof { status: 103, header: "x-unprocessed".into(), value: None };
-    let answers = ResponseRules {
+    let response_rules = ResponseRules {
         served: set(&[(100, 599)]),
         not_executed: vec![proof],
         ..ResponseRules::operator_default()
     };
-    assert!((0..200).all(|s| answers.classify(s, |_| Some("1")) == ResponseClass::Error));
-    assert_eq!(answers.classify(200, |_| None), ResponseClass::Served);
+    assert!((0..200).all(|s| response_rules.classify(s, |_| Some("1")) == ResponseClass::Error));
+    assert_eq!(response_rules.classify(200, |_| None), ResponseClass::Served);
 }
 
 #[test]
@@ -61,7 +61,10 @@
 #[test]
 fn proof_comes_before_served_and_may_take_any_value() {
     let proof = NotExecutedProof { status: 404, header: "x-later".into(), value: None };
-    let answers = ResponseRules { not_executed: vec![proof], ..ResponseRules::operator_default() };
-    assert_eq!(answers.classify(404, |name| (name == "x-later").then_some("")), ResponseClass::NotExecuted);
-    assert_eq!(answers.classify(404, |_| None), ResponseClass::Served);
+    let response_rules = ResponseRules { not_executed: vec![proof], ..ResponseRules::operator_default() };
+    assert_eq!(
+        response_rules.classify(404, |name| (name == "x-later").then_some("")),
+        ResponseClass::NotExecuted
+    );
+    assert_eq!(response_rules.classify(404, |_| None), ResponseClass::Served);
 }
--- a/crates/routing/src/route_bits.rs
+++ b/crates/routing/src/route_bits.rs
@@ -1,9 +1,9 @@
-//! Sets of routes as a bit each: the first route's is the lowest of the first word.
+//! Sets of routes as bit sets. The first route is the lowest bit of the first word.
 
 /// A set of routes.
 pub type RouteBits = Box<[u64]>;
 
-/// An empty set with a place for so many routes.
+/// Returns an empty set for this number of routes.
 pub fn empty(routes: usize) -> RouteBits {
     vec![0; routes.div_ceil(64)].into()
 }
@@ -13,7 +13,7 @@
     bits[route / 64] |= 1 << (route % 64);
 }
 
-/// The routes of one word of a set, in order; `word`: its place in the set, `bits`: its value.
+/// Iterates in order over the routes in one word of a set. `word`: the word's position in the set, `bits`: its value.
 pub fn routes_in_word(word: usize, mut bits: u64) -> impl Iterator<Item = usize> {
     std::iter::from_fn(move || {
         if bits == 0 {
--- a/crates/routing/src/route_match.rs
+++ b/crates/routing/src/route_match.rs
@@ -1,76 +1,75 @@
-//! The conditions of a route, and whether one request meets them. The whole table is searched in
-//! [`crate::RouteTable`].
+//! The conditions of a route, and whether a request meets them. [`crate::RouteTable`] searches all routes.
 
 use shaletide_types::*;
 
-/// A header that a request must carry.
+/// A header that a request must have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeaderMatch {
-    /// Its name, in lower case.
+    /// The header's name, in lower case.
     pub name: String,
-    /// Its value; none: any.
+    /// The header's value; `None`: any.
     pub value: Option<String>,
 }
 
-/// Which requests a route takes. Every condition must hold; an empty list, or none, is no condition.
+/// The conditions on the requests that a route takes. Every condition must hold; an empty list or `None` is no condition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteMatch {
-    /// One of these classes.
+    /// The request has one of these classes.
     pub classes: Vec<ClassId>,
-    /// One of these tenants; a request without a tenant meets no such condition.
+    /// The request has one of these tenants. A request without a tenant never meets this condition.
     pub tenants: Vec<TenantId>,
-    /// From one of these zones.
+    /// The request comes from one of these zones.
     pub zones: Vec<String>,
-    /// About one of these deduplication groups.
+    /// The request names one of these deduplication groups.
     pub deduplication_groups: Vec<String>,
-    /// The path is this or lies under it, by whole segments: `/read` takes `/read` and `/read/k` and not
-    /// `/reader`. A slash at the end means nothing: `/read/` is `/read`, and `/` takes every path, `*` too.
+    /// The path equals this prefix or lies under it by whole segments: `/read` takes `/read` and `/read/k` but not
+    /// `/reader`. A trailing slash is ignored: `/read/` is the same as `/read`, and `/` takes every path, including `*`.
     pub path_prefix: Option<String>,
-    /// One of these methods, in capitals.
+    /// The request has one of these methods, in upper case.
     pub methods: Vec<String>,
-    /// All of these headers.
+    /// The request has all of these headers.
     pub headers: Vec<HeaderMatch>,
 }
 
-/// What the conditions are checked against.
+/// The attributes of a request that the conditions are checked against.
 pub struct RequestAttributes<'a> {
     /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if it has a known one.
+    /// The request's tenant, if it has a known one.
     pub tenant: Option<TenantId>,
-    /// Its zone.
+    /// The zone that the request comes from.
     pub zone: &'a str,
-    /// Its deduplication group, if it names one.
+    /// The request's deduplication group, if it names one.
     pub deduplication_group: Option<&'a str>,
-    /// Its path, without the query.
+    /// The request's path, without the query.
     pub path: &'a str,
-    /// Its method.
+    /// The request's method.
     pub method: &'a str,
-    /// The value of a header by its lower-case name.
+    /// Returns the value of a header by its lower-case name.
     pub header: &'a dyn Fn(&str) -> Option<&'a str>,
 }
 
-/// Why a route does not take a request: the first condition that it does not meet.
+/// The reason why a route does not take a request: the first condition that the request does not meet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
     /// The route takes other classes.
     Class,
-    /// It takes other tenants.
+    /// The route takes other tenants.
     Tenant,
-    /// It takes requests from other zones.
+    /// The route takes requests from other zones.
     Zone,
-    /// It takes requests about other deduplication groups.
+    /// The route takes requests of other deduplication groups.
     DeduplicationGroup,
-    /// The path lies elsewhere.
+    /// The path is not under the route's prefix.
     Path,
-    /// It takes other methods.
+    /// The route takes other methods.
     Method,
-    /// A header is missing or has another value; the index into [`RouteMatch::headers`].
+    /// A header is missing or has another value. Contains its index in [`RouteMatch::headers`].
     Header(usize),
 }
 
 impl RouteMatch {
-    /// Why the route does not take the request; none: it does.
+    /// The reason why the route does not take the request; `None` if it does.
     pub fn mismatch(&self, request: &RequestAttributes<'_>) -> Option<Mismatch> {
         if !is_listed_or_any(&self.classes, Some(&request.class)) {
             return Some(Mismatch::Class);
@@ -93,7 +92,7 @@
         self.headers.iter().position(|header| !header.matches(request)).map(Mismatch::Header)
     }
 
-    /// Whether it takes every request that `other` takes.
+    /// Whether these conditions hold for every request for which `other` holds.
     pub fn covers(&self, other: &RouteMatch) -> bool {
         covers_values(&self.classes, &other.classes)
             && covers_values(&self.tenants, &other.tenants)
@@ -104,12 +103,12 @@
             && self.headers_cover(other)
     }
 
-    /// Whether a request with all headers that `other` asks for has all that this asks for.
+    /// Whether every request with the headers that `other` requires has the headers that these conditions require.
     pub(crate) fn headers_cover(&self, other: &RouteMatch) -> bool {
-        self.headers.iter().all(|own| other.headers.iter().any(|theirs| own.covers(theirs)))
+        self.headers.iter().all(|own| other.headers.iter().any(|other_header| own.covers(other_header)))
     }
 
-    /// The path's prefix without a slash at its end; empty where every path is taken.
+    /// The path prefix without a trailing slash; empty if every path is taken.
     pub(crate) fn prefix(&self) -> &str {
         let prefix = self.path_prefix.as_deref().unwrap_or("");
         prefix.strip_suffix('/').unwrap_or(prefix)
@@ -119,12 +118,12 @@
 impl HeaderMatch {
     pub(crate) fn matches(&self, request: &RequestAttributes<'_>) -> bool {
         match (request.header)(&self.name) {
-            Some(value) => self.value.as_ref().is_none_or(|wanted| wanted == value),
+            Some(value) => self.value.as_ref().is_none_or(|required| required == value),
             None => false,
         }
     }
 
-    /// Whether a header that matches `other` matches this.
+    /// Whether every header that matches `other` matches this condition.
     fn covers(&self, other: &HeaderMatch) -> bool {
         self.name == other.name && (self.value.is_none() || self.value == other.value)
     }
@@ -142,7 +141,7 @@
     own.is_empty() || !others.is_empty() && others.iter().all(|other| own.contains(other))
 }
 
-/// Whether `path` is `prefix`, which has no slash at its end, or lies under it by whole segments.
+/// Whether `path` equals `prefix`, which has no trailing slash, or lies under it by whole segments.
 fn is_under(prefix: &str, path: &str) -> bool {
     if prefix.is_empty() {
         return true;
--- a/crates/routing/src/shadowed.rs
+++ b/crates/routing/src/shadowed.rs
@@ -1,22 +1,22 @@
-//! Which earlier routes take every request that a route takes, so that none reaches it.
+//! Finds the earlier routes that take every request of a route, so that no request reaches it.
 
 use crate::index::{Index, CONDITION_KINDS};
 use crate::route_bits::{insert, routes_in_word};
 use crate::route_match::RouteMatch;
 use std::collections::BTreeSet;
 
-/// The earlier routes of one route, by what they cover of it.
+/// The routes before one route, by the parts of its conditions that they cover.
 pub struct EarlierRoutes<'a> {
-    /// Of each kind of condition, the routes that take each of this route's values.
+    /// For each kind of condition and each of this route's values, the routes that take the value.
     by_value: [Vec<&'a [u64]>; CONDITION_KINDS - 1],
-    /// Of each kind of condition, the routes that take all of this route's values.
+    /// For each kind of condition, the routes that take all of this route's values.
     covering: [Vec<u64>; CONDITION_KINDS - 1],
-    /// The earlier routes with no header condition that this route does not have.
+    /// The earlier routes that have no header condition which this route lacks.
     earlier: Vec<u64>,
 }
 
 impl<'a> EarlierRoutes<'a> {
-    /// Of the route at place `route` in `all`, which `index` was made of.
+    /// For the route at position `route` in `all`, from which `index` was built.
     pub fn new(index: &'a Index, all: &[&RouteMatch], route: usize) -> EarlierRoutes<'a> {
         let conditions = all[route];
         let by_value = index.routes_covering(conditions);
@@ -33,12 +33,12 @@
         EarlierRoutes { by_value, covering, earlier }
     }
 
-    /// The first earlier route that covers this one alone.
+    /// The first earlier route that covers this one by itself.
     pub fn covering_alone(&self) -> Option<usize> {
         self.first_covering(|_| true, None)
     }
 
-    /// Earlier routes that cover this one together, if they share out the values of one kind of condition.
+    /// Earlier routes that together cover this one, each with some of its values of one kind of condition.
     pub fn covering_together(&self) -> Option<BTreeSet<usize>> {
         self.by_value.iter().enumerate().find_map(|(kind, sets)| {
             let first_of_each = sets.iter().map(|set| self.first_covering(|other| other != kind, Some(set)));
@@ -46,7 +46,8 @@
         })
     }
 
-    /// The first earlier route in `among` (none: any) that covers this one in every kind of condition that `is_checked`.
+    /// The first earlier route in `among` (`None`: any) that covers this one in every kind of condition for which
+    /// `is_checked` holds.
     fn first_covering(&self, is_checked: impl Fn(usize) -> bool, among: Option<&[u64]>) -> Option<usize> {
         for word in 0..self.earlier.len() {
             let mut bits = self.earlier[word] & among.map_or(u64::MAX, |set| set[word]);
--- a/crates/routing/src/status_set.rs
+++ b/crates/routing/src/status_set.rs
@@ -1,6 +1,6 @@
 //! A set of HTTP statuses.
 
-/// Statuses from 100 to 599.
+/// A set of statuses from 100 to 599.
 #[derive(Clone, PartialEq, Eq)]
 pub struct StatusSet([u64; 8]);
 
@@ -13,7 +13,7 @@
         StatusSet([0; 8])
     }
 
-    /// Adds those from `first` to `last`; what lies outside 100 to 599 is ignored.
+    /// Adds the statuses from `first` to `last`; statuses outside 100 to 599 are ignored.
     pub fn add(&mut self, first: u16, last: u16) {
         for status in first.max(FIRST)..=last.min(LAST) {
             let bit = usize::from(status - FIRST);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Takes out one.
+    /// Removes a status.
     pub fn remove(&mut self, status: u16) {
         if (FIRST..=LAST).contains(&status) {
             let bit = usize::from(status - FIRST);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Whether the status is one of them.
+    /// Whether the set has the status.
     pub fn contains(&self, status: u16) -> bool {
         if !(FIRST..=LAST).contains(&status) {
             return false;
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,4 +1,4 @@
-//! The routes in their order: the first that matches a request names its pools.
+//! The ordered table of routes: the first route that matches a request determines its pools.
 
 use crate::index::Index;
 use crate::route_bits::routes_in_word;
@@ -7,24 +7,24 @@
 use crate::ResponseRules;
 use shaletide_types::*;
 
-/// Place of a route in its table, from 0.
+/// The position of a route in its table, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(pub usize);
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs and `explain`.
+    /// The route's name, for logs and `explain`.
     pub name: String,
-    /// Which requests it takes.
+    /// The conditions on the requests that the route takes.
     pub conditions: RouteMatch,
-    /// Where they go, in order of preference; at least one.
+    /// The pools of the route, in order of preference; at least one.
     pub pools: Vec<PoolId>,
-    /// How the responses of its backends are classified.
+    /// The classification of the backends' responses.
     pub response_rules: ResponseRules,
 }
 
-/// All routes.
+/// All routes, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
     routes: Vec<Route>,
@@ -32,26 +32,26 @@
 }
 
 impl RouteTable {
-    /// The routes in their order. What the index for them takes stands in its module; it is built in one walk
-    /// over all values that they name.
+    /// Creates a table of ordered routes and its index, in one walk over all values that the routes name. The index's
+    /// memory is described in its module.
     pub fn new(routes: Vec<Route>) -> RouteTable {
         let index = Index::new(&conditions(&routes));
         RouteTable { routes, index }
     }
 
-    /// The route at that place.
+    /// The route with this id.
     pub fn get(&self, id: RouteId) -> Option<&Route> {
         self.routes.get(id.0)
     }
 
-    /// All of them, in order.
+    /// All routes, in order.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// The first route that takes the request. Costs a look-up for each kind of condition and a step for each 64
-    /// routes; only headers other than the one that most routes ask for are checked route by route, and only of
-    /// routes whose other conditions hold. Allocates nothing.
+    /// The first route that takes the request. The cost is a look-up for each kind of condition and a step for every 64
+    /// routes. Only headers other than the one that most routes require are checked route by route, and only for routes
+    /// whose other conditions hold. Allocates nothing.
     pub fn find(&self, request: &RequestAttributes<'_>) -> Option<RouteId> {
         let sets = self.index.routes_for(request);
         for word in 0..sets[0].len() {
@@ -65,25 +65,25 @@
         None
     }
 
-    /// Whether the conditions on headers that the index does not decide hold.
+    /// Whether a route's conditions hold for the headers that the index does not cover.
     fn other_headers_match(&self, route: usize, request: &RequestAttributes<'_>) -> bool {
         let headers = &self.routes[route].conditions.headers;
         headers.iter().all(|header| self.index.decides_header(&header.name) || header.matches(request))
     }
 
-    /// Why each route before the one that takes the request does not, in order, and that one. Walks over them all.
+    /// The route that takes the request, after the mismatch of each earlier route, in order. Checks the routes one by one.
     pub fn explain(&self, request: &RequestAttributes<'_>) -> (Vec<(RouteId, Mismatch)>, Option<RouteId>) {
         let mut mismatches = Vec::new();
-        for (place, route) in self.routes.iter().enumerate() {
+        for (position, route) in self.routes.iter().enumerate() {
             match route.conditions.mismatch(request) {
-                Some(mismatch) => mismatches.push((RouteId(place), mismatch)),
-                None => return (mismatches, Some(RouteId(place))),
+                Some(mismatch) => mismatches.push((RouteId(position), mismatch)),
+                None => return (mismatches, Some(RouteId(position))),
             }
         }
         (mismatches, None)
     }
 
-    /// Routes that no request can reach, each with the first earlier one that takes all of its requests.
+    /// The routes that no request can reach, each with the first earlier route that takes all of its requests.
     pub fn shadowed(&self) -> Vec<(RouteId, RouteId)> {
         let conditions = conditions(&self.routes);
         let mut shadowed = Vec::new();
@@ -96,10 +96,11 @@
         shadowed
     }
 
-    /// Routes that several earlier ones take all requests of and no single one does, with those. Found where they
-    /// share out one kind of condition: a route for two classes behind one for each. Routes covered by a mixture, or
-    /// because all classes that there are have been taken one by one, are not found: the table knows neither all
-    /// classes nor all tenants.
+    /// The routes whose requests are all taken by several earlier routes together, but not by a single one, with those
+    /// routes. Finds them if the earlier routes divide the values of one kind of condition between them, such as a route
+    /// for two classes after one route for each class. Does not find routes that are covered through several kinds of
+    /// condition, or because every existing class has an earlier route: the table knows neither all classes nor all
+    /// tenants.
     pub fn shadowed_by_several(&self) -> Vec<(RouteId, Vec<RouteId>)> {
         let conditions = conditions(&self.routes);
         let mut shadowed = Vec::new();
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Requests and routes for tests: owned values that are attributes about.
+//! Requests and routes for tests.
 #![allow(dead_code)]
 
 use shaletide_routing::*;
 use shaletide_types::*;
 
-/// A request as a test holds it.
+/// A request that owns its attributes.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub class: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Request {
-    /// Calls `with` on the attributes that the table is asked about.
+    /// Calls `with` with the request's attributes.
     pub fn with_attributes<T>(&self, with: impl FnOnce(&RequestAttributes<'_>) -> T) -> T {
         let header = |name: &str| self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
         with(&RequestAttributes {
@@ -32,10 +32,10 @@
     }
 }
 
-pub fn route(when: RouteMatch) -> Route {
+pub fn route(route_match: RouteMatch) -> Route {
     Route {
         name: String::new(),
-        conditions: when,
+        conditions: route_match,
         pools: vec![PoolId(0)],
         response_rules: ResponseRules::operator_default(),
     }
--- a/crates/routing/tests/matching.rs
+++ b/crates/routing/tests/matching.rs
@@ -1,11 +1,11 @@
-//! One route and one request.
+//! Whether one request meets the conditions of one route.
 
 mod common;
 use common::*;
 use shaletide_routing::*;
 use shaletide_types::*;
 
-fn get() -> Request {
+fn get_request() -> Request {
     let headers = vec![("x-canary".to_string(), "blue".to_string())];
     Request {
         class: 1,
@@ -18,29 +18,29 @@
     }
 }
 
-fn why(when: RouteMatch, request: &Request) -> Option<Mismatch> {
-    request.with_attributes(|attributes| when.mismatch(attributes))
+fn mismatch_of(route_match: RouteMatch, request: &Request) -> Option<Mismatch> {
+    request.with_attributes(|attributes| route_match.mismatch(attributes))
 }
 
 #[test]
 fn match_without_conditions_takes_every_request() {
-    assert_eq!(why(RouteMatch::default(), &get()), None);
-    assert_eq!(why(RouteMatch::default(), &Request::default()), None);
+    assert_eq!(mismatch_of(RouteMatch::default(), &get_request()), None);
+    assert_eq!(mismatch_of(RouteMatch::default(), &Request::default()), None);
 }
 
 #[test]
 fn failed_condition_is_named_as_mismatch() {
-    let texts = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
+    let strings = |list: &[&str]| list.iter().map(|t| t.to_string()).collect::<Vec<_>>();
     let cases = [
         (RouteMatch { classes: vec![ClassId(0), ClassId(3)], ..RouteMatch::default() }, Mismatch::Class),
         (RouteMatch { tenants: vec![TenantId(1)], ..RouteMatch::default() }, Mismatch::Tenant),
-        (RouteMatch { zones: texts(&["b", "c"]), ..RouteMatch::default() }, Mismatch::Zone),
+        (RouteMatch { zones: strings(&["b", "c"]), ..RouteMatch::default() }, Mismatch::Zone),
         (
-            RouteMatch { deduplication_groups: texts(&["b2"]), ..RouteMatch::default() },
+            RouteMatch { deduplication_groups: strings(&["b2"]), ..RouteMatch::default() },
             Mismatch::DeduplicationGroup,
         ),
         (RouteMatch { path_prefix: Some("/write".into()), ..RouteMatch::default() }, Mismatch::Path),
-        (RouteMatch { methods: texts(&["POST", "get"]), ..RouteMatch::default() }, Mismatch::Method),
+        (RouteMatch { methods: strings(&["POST", "get"]), ..RouteMatch::default() }, Mismatch::Method),
         (
             RouteMatch { headers: vec![header("x-canary", Some("green"))], ..RouteMatch::default() },
             Mismatch::Header(0),
@@ -53,9 +53,10 @@
             Mismatch::Header(1),
         ),
     ];
-    for (when, reason) in cases {
-        assert_eq!(why(when.clone(), &get()), Some(reason), "{when:?}");
-        let found = get().with_attributes(|attributes| table([when.clone()]).explain(attributes));
+    for (route_match, reason) in cases {
+        assert_eq!(mismatch_of(route_match.clone(), &get_request()), Some(reason), "{route_match:?}");
+        let found =
+            get_request().with_attributes(|attributes| table([route_match.clone()]).explain(attributes));
         assert_eq!(found, (vec![(RouteId(0), reason)], None));
     }
 }
@@ -71,41 +72,52 @@
         methods: vec!["GET".into()],
         headers: vec![header("x-canary", Some("blue")), header("x-canary", None)],
     };
-    assert_eq!(why(all.clone(), &get()), None);
+    assert_eq!(mismatch_of(all.clone(), &get_request()), None);
     let other = RouteMatch { classes: vec![ClassId(0)], tenants: vec![TenantId(0)], ..all };
-    assert_eq!(why(other, &get()), Some(Mismatch::Class), "class comes before tenant");
+    assert_eq!(mismatch_of(other, &get_request()), Some(Mismatch::Class), "class comes before tenant");
 }
 
 #[test]
 fn request_without_tenant_or_group_does_not_match_named_ones() {
-    let without = Request { tenant: None, group: None, ..get() };
+    let without = Request { tenant: None, group: None, ..get_request() };
     let tenants = RouteMatch { tenants: vec![TenantId(0)], ..RouteMatch::default() };
     let groups = RouteMatch { deduplication_groups: vec!["".into()], ..RouteMatch::default() };
-    assert_eq!(why(tenants, &without), Some(Mismatch::Tenant));
-    assert_eq!(why(groups, &without), Some(Mismatch::DeduplicationGroup));
+    assert_eq!(mismatch_of(tenants, &without), Some(Mismatch::Tenant));
+    assert_eq!(mismatch_of(groups, &without), Some(Mismatch::DeduplicationGroup));
 }
 
 #[test]
 fn path_prefix_matches_whole_segments() {
-    let takes = |prefix: &str, path: &str| {
-        let when = RouteMatch { path_prefix: Some(prefix.into()), ..RouteMatch::default() };
-        let request = Request { path: path.into(), ..get() };
-        let plain = why(when.clone(), &request).is_none();
+    let is_taken = |prefix: &str, path: &str| {
+        let route_match = RouteMatch { path_prefix: Some(prefix.into()), ..RouteMatch::default() };
+        let request = Request { path: path.into(), ..get_request() };
+        let is_match = mismatch_of(route_match.clone(), &request).is_none();
         assert_eq!(
-            plain,
-            request.with_attributes(|attributes| table([when]).find(attributes).is_some()),
+            is_match,
+            request.with_attributes(|attributes| table([route_match]).find(attributes).is_some()),
             "{prefix} {path}"
         );
-        plain
+        is_match
     };
     for prefix in ["/read", "/read/"] {
-        assert!(takes(prefix, "/read") && takes(prefix, "/read/") && takes(prefix, "/read/k/l"), "{prefix}");
-        assert!(!takes(prefix, "/reader") && !takes(prefix, "/rea") && !takes(prefix, "/"), "{prefix}");
-        assert!(!takes(prefix, "/x/read") && !takes(prefix, ""), "{prefix}");
+        assert!(
+            is_taken(prefix, "/read") && is_taken(prefix, "/read/") && is_taken(prefix, "/read/k/l"),
+            "{prefix}"
+        );
+        assert!(
+            !is_taken(prefix, "/reader") && !is_taken(prefix, "/rea") && !is_taken(prefix, "/"),
+            "{prefix}"
+        );
+        assert!(!is_taken(prefix, "/x/read") && !is_taken(prefix, ""), "{prefix}");
     }
     for prefix in ["/", ""] {
-        assert!(takes(prefix, "/") && takes(prefix, "/read") && takes(prefix, "") && takes(prefix, "*"));
+        assert!(
+            is_taken(prefix, "/")
+                && is_taken(prefix, "/read")
+                && is_taken(prefix, "")
+                && is_taken(prefix, "*")
+        );
     }
-    assert!(takes("/a/b", "/a/b/c") && !takes("/a/b", "/a") && !takes("/a/b", "/a/bc"));
-    assert!(takes("/ä", "/ä/ö") && !takes("/a", "/ä"));
+    assert!(is_taken("/a/b", "/a/b/c") && !is_taken("/a/b", "/a") && !is_taken("/a/b", "/a/bc"));
+    assert!(is_taken("/ä", "/ä/ö") && !is_taken("/a", "/ä"));
 }
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Several pools on a virtual clock: failover between them, and the invariants over all of them.
+//! Several pools on a virtual clock: failover between pools, and the invariants across all pools.
 
 mod simulation;
 
@@ -9,33 +9,33 @@
 #[test]
 fn unavailable_pool_is_skipped_at_once() {
     let mut simulation = two_pools();
-    for (class, pool) in [(SAFE, 0), (KEYED, 0), (UNSAFE, 0)] {
+    for (class, pool) in [(SAFE, 0), (KEYED, 0), (NON_IDEMPOTENT, 0)] {
         let id = simulation.send_request(class, SECOND, &[0, 1]);
-        assert_eq!(first_backend(&simulation, id) / 10, pool, "the first of the route is preferred");
+        assert_eq!(first_backend(&simulation, id) / 10, pool, "the first pool of the route is preferred");
         simulation.end_attempt(id, 0, Outcome::Ok);
     }
     for id in [0, 1] {
         simulation.set_state(0, id, BackendState::Draining);
     }
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
-    assert_eq!(first_backend(&simulation, id) / 10, 1, "all are draining");
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
+    assert_eq!(first_backend(&simulation, id) / 10, 1, "all backends of the first pool are draining");
     simulation.send_snapshot(0, Vec::new());
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
-    assert_eq!(first_backend(&simulation, id) / 10, 1, "the list is empty");
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
+    assert_eq!(first_backend(&simulation, id) / 10, 1, "the endpoint list of the first pool is empty");
     simulation.send_snapshot(0, vec![backend(2, 1, 0)]);
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
-    assert_eq!(first_backend(&simulation, id), 2, "and back, once one is ready");
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
+    assert_eq!(first_backend(&simulation, id), 2, "the first pool has a ready backend again");
 }
 
 #[test]
 fn pool_of_ejected_backends_is_skipped_and_probed_later() {
     let mut simulation = two_pools();
     simulation.eject_all(0);
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
     assert_eq!(first_backend(&simulation, id) / 10, 1);
     simulation.end_attempt(id, 0, Outcome::Ok);
     simulation.advance(8 * SECOND);
-    let non_idempotent = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
+    let non_idempotent = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
     assert_eq!(
         first_backend(&simulation, non_idempotent) / 10,
         1,
@@ -45,7 +45,7 @@
     assert_eq!(
         probes.iter().filter(|id| first_backend(&simulation, **id) / 10 == 0).count(),
         2,
-        "one probe for each"
+        "one probe for each ejected backend"
     );
     for id in probes {
         simulation.end_attempt(id, 0, Outcome::Ok);
@@ -54,16 +54,19 @@
         let id = simulation.send_request(SAFE, SECOND, &[0, 1]);
         simulation.end_attempt(id, 0, Outcome::Ok);
     }
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
-    assert_eq!(first_backend(&simulation, id) / 10, 0, "and available again");
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
+    assert_eq!(first_backend(&simulation, id) / 10, 0, "the pool is available again");
 }
 
 #[test]
 fn pool_without_capacity_queues_and_is_not_skipped() {
     let mut simulation = two_pools();
     let ids: Vec<RequestId> = (0..30).map(|_| simulation.send_request(SAFE, SECOND, &[0, 1])).collect();
-    let there = ids.iter().flat_map(|id| simulation.backends_tried(*id));
-    assert!(there.clone().count() < 30 && there.clone().all(|b| b < 10), "the rest is queued for capacity");
+    let dispatched_to = ids.iter().flat_map(|id| simulation.backends_tried(*id));
+    assert!(
+        dispatched_to.clone().count() < 30 && dispatched_to.clone().all(|b| b < 10),
+        "the other requests are queued for capacity"
+    );
     simulation.advance(2 * SECOND);
     assert!(ids.iter().all(|id| simulation.answer_of(*id).is_some()));
 }
@@ -72,7 +75,7 @@
 fn attempt_not_executed_fails_over_to_the_next_pool() {
     let mut simulation = two_pools();
     simulation.warm_up(40, &[0, 1]);
-    let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
+    let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
     simulation.end_attempt(id, 0, Outcome::ConnectFailed);
     simulation.end_attempt(id, 1, Outcome::Rejected);
     assert_eq!(simulation.backends_tried(id).iter().map(|b| b / 10).collect::<Vec<_>>(), [0, 0, 1]);
@@ -85,7 +88,7 @@
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::TimedOut] {
         let mut simulation = two_pools();
         simulation.warm_up(40, &[0, 1]);
-        let id = simulation.send_request(UNSAFE, SECOND, &[0, 1]);
+        let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
         let sent = first_backend(&simulation, id);
         for other in [0, 1] {
             simulation.set_state(0, other, BackendState::Gone);
@@ -112,7 +115,7 @@
         assert_eq!(
             simulation.backends_tried(id),
             expected,
-            "groups of the same name are one only in one domain"
+            "groups with the same name are equal only within one domain"
         );
         let answer = if domain == 0 { None } else { Some("failed") };
         assert_eq!(simulation.answer_of(id), answer);
@@ -122,7 +125,7 @@
 #[test]
 fn keyed_request_is_not_retried_after_its_window() {
     let pool = |from: u32| vec![backend(from, 1, 0)];
-    // 20 ms of it are kept for the transfer.
+    // 20 ms of the window are reserved for the transfer.
     for (after, attempts) in [(WINDOW.0 - 30_000, 2), (WINDOW.0 - 10_000, 1), (WINDOW.0 + 10_000, 1)] {
         let mut simulation = Simulation::new(config(), &[pool(0), pool(10)]);
         simulation.warm_up(40, &[0, 1]);
@@ -136,25 +139,25 @@
 #[test]
 fn retries_are_limited_over_all_pools() {
     let mut simulation = two_pools();
-    let (mut asked, mut sent) = (0, 0);
+    let (mut sent_requests, mut sent) = (0, 0);
     for _ in 0..300 {
         let id = simulation.send_request(SAFE, SECOND, &[0, 1]);
-        let mut no = 0;
-        while no < simulation.requests[&id].attempts.len() {
-            simulation.end_attempt(id, no, Outcome::Reset);
-            no += 1;
+        let mut number = 0;
+        while number < simulation.requests[&id].attempts.len() {
+            simulation.end_attempt(id, number, Outcome::Reset);
+            number += 1;
         }
         simulation.disconnect(id);
         simulation.advance(50_000);
-        (asked, sent) = (asked + 1, sent + no);
+        (sent_requests, sent) = (sent_requests + 1, sent + number);
     }
-    let further = sent - asked.min(sent);
-    assert!(further <= asked / 5 + 1, "{further} retries for {asked} requests");
+    let retries = sent - sent_requests.min(sent);
+    assert!(retries <= sent_requests / 5 + 1, "{retries} retries for {sent_requests} requests");
 }
 
-/// Requests at a hung pool are hedged to the next, and the response of either is the answer.
+/// Requests to a pool that does not respond are hedged to the next pool, and the first response of either is the answer.
 #[test]
-fn requests_of_a_hung_pool_are_hedged_to_the_next() {
+fn requests_to_a_hung_pool_are_hedged_to_the_next() {
     let mut simulation = Simulation::new(config(), &[vec![backend(0, 1, 0)], vec![backend(10, 1, 1)]]);
     simulation.warm_up(60, &[0, 1]);
     let ids: Vec<RequestId> = (0..3).map(|_| simulation.send_request(SAFE, 300_000, &[0, 1])).collect();
@@ -183,38 +186,36 @@
     assert!(ids.iter().all(|id| simulation.backends_tried(*id) == [10]));
 }
 
-/// Where no pool is available a request is queued in the first, which may be closed meanwhile.
-/// Its attempts in flight and its spent slow start budget go with it to the other pool's balancer.
 #[test]
 fn backend_with_more_cores_has_a_higher_concurrency_limit() {
-    let held = |cores| {
+    let dispatched = |cores| {
         let mut simulation = Simulation::new(config(), &[vec![BackendEntry { cores, ..backend(0, 1, 0) }]]);
         simulation.burst(100, &[0])
     };
-    assert_eq!((held(1), held(8)), (4, 32));
+    assert_eq!((dispatched(1), dispatched(8)), (4, 32));
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Arrive(usize, u64, u8),
-    End(usize, usize),
-    Leave(usize),
-    Set(u32, u32, usize),
-    Full(u32, u8),
-    Shift(u32, u32),
-    Close(u32),
+    EndAttempt(usize, usize),
+    Disconnect(usize),
+    SetState(u32, u32, usize),
+    SendSnapshot(u32, u8),
+    Migrate(u32, u32),
+    ClosePool(u32),
     Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..3usize, 50_000..3 * SECOND, 0..6u8).prop_map(|(c, left, route)| Step::Arrive(c, left, route)),
-        10 => (0..64usize, 0..6usize).prop_map(|(at, how)| Step::End(at, how)),
-        1 => (0..64usize).prop_map(Step::Leave),
-        2 => (0..3u32, 0..3u32, 0..3usize).prop_map(|(p, b, s)| Step::Set(p, b, s)),
-        1 => (0..3u32, any::<u8>()).prop_map(|(p, which)| Step::Full(p, which)),
-        1 => (0..3u32, 0..3u32).prop_map(|(from, to)| Step::Shift(from, to)),
-        1 => (0..60u32).prop_map(Step::Close),
+        10 => (0..64usize, 0..6usize).prop_map(|(at, outcome_index)| Step::EndAttempt(at, outcome_index)),
+        1 => (0..64usize).prop_map(Step::Disconnect),
+        2 => (0..3u32, 0..3u32, 0..3usize).prop_map(|(p, b, s)| Step::SetState(p, b, s)),
+        1 => (0..3u32, any::<u8>()).prop_map(|(p, which)| Step::SendSnapshot(p, which)),
+        1 => (0..3u32, 0..3u32).prop_map(|(from, to)| Step::Migrate(from, to)),
+        1 => (0..60u32).prop_map(Step::ClosePool),
         6 => (5_000..400_000u64).prop_map(Step::Advance),
     ]
 }
@@ -224,7 +225,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The simulation panics at the first broken invariant; in the end all is answered.
+    /// The simulation panics at the first broken invariant. At the end every request is answered or its client has
+    /// disconnected.
     #[test]
     fn random_events_break_no_invariant_over_all_pools(steps in proptest::collection::vec(step(), 1..150)) {
         let list = |pool: u32| -> Vec<BackendEntry> {
@@ -237,38 +239,38 @@
         for step in steps {
             match step {
                 Step::Arrive(class, left, route) => drop(simulation.send_request(class, left, ROUTES[usize::from(route)])),
-                Step::End(at, how) => {
+                Step::EndAttempt(at, outcome_index) => {
                     let out = simulation.attempts_in_flight();
-                    if let Some((id, no)) = out.get(at % out.len().max(1)) {
-                        simulation.end_attempt(*id, *no, outcomes[how]);
+                    if let Some((id, number)) = out.get(at % out.len().max(1)) {
+                        simulation.end_attempt(*id, *number, outcomes[outcome_index]);
                     }
                 }
-                Step::Leave(at) => {
+                Step::Disconnect(at) => {
                     let id = RequestId(at as u64 + 1);
                     if simulation.requests.contains_key(&id) {
                         simulation.disconnect(id);
                     }
                 }
-                Step::Set(pool, n, state) => {
+                Step::SetState(pool, n, state) => {
                     let known = simulation.lists.get(&PoolId(pool)).and_then(|l| l.keys().nth(n as usize).copied());
                     if let Some(id) = known {
                         simulation.set_state(pool, id.0, states[state]);
                     }
                 }
-                Step::Full(pool, which) if simulation.lists.contains_key(&PoolId(pool)) => {
+                Step::SendSnapshot(pool, which) if simulation.lists.contains_key(&PoolId(pool)) => {
                     let here: Vec<BackendEntry> = list(pool).into_iter().enumerate()
                         .filter(|(at, b)| which & (1 << at) != 0
                             && simulation.lists.iter().all(|(p, l)| p.0 == pool || !l.contains_key(&b.id)))
                         .map(|(_, b)| b).collect();
                     simulation.send_snapshot(pool, here);
                 }
-                Step::Shift(from, to) if from != to && simulation.lists.contains_key(&PoolId(to)) => {
+                Step::Migrate(from, to) if from != to && simulation.lists.contains_key(&PoolId(to)) => {
                     let some = simulation.lists.get(&PoolId(from)).and_then(|l| l.keys().next().copied());
                     if let Some(id) = some {
                         simulation.migrate(id.0, from, to);
                     }
                 }
-                Step::Close(pool) if simulation.lists.contains_key(&PoolId(pool)) => simulation.close_pool(pool),
+                Step::ClosePool(pool) if simulation.lists.contains_key(&PoolId(pool)) => simulation.close_pool(pool),
                 Step::Advance(span) => simulation.advance(span),
                 _ => {}
             }
@@ -282,12 +284,9 @@
     }
 }
 
-/// A new configuration replaces a pool by one of another domain: a key that the old one may have seen is unknown there,
-/// and the client must not be told to retry.
-/// A reload that puts thousands of backends into another pool is carried out between two requests.
-/// An operator may name a server type for each backend.
+/// Guards against costs that grow with the number of server types: an operator may name one for each backend.
 #[test]
-fn a_server_type_per_backend_costs_under_4_seconds() {
+fn burst_to_3000_server_types_takes_under_4_seconds() {
     let one = |id| BackendEntry { server_type: ServerTypeId(id), ..backend(id, u64::from(id), 0) };
     let mut simulation = Simulation::new(config(), &[(0..3_000).map(one).collect()]);
     simulation.send_request(SAFE, SECOND, &[0]);
@@ -296,21 +295,19 @@
     assert!(sent == 200 && start.elapsed().as_secs() < 4, "{sent} in {:?}", start.elapsed());
 }
 
-/// A backend that migrates takes its attempts along: the request waits for them, though it is queued in another pool
-/// meanwhile and its pools close.
-/// A request fails over from one pool of 512 backends to another.
+/// Requests prefer the first of two pools of 512 backends, and fail over to the second once the first is draining.
 #[test]
-fn two_pools_of_512_backends_are_one_route() {
+fn requests_fail_over_between_two_pools_of_512_backends() {
     let pool = |from: u32, domain| (from..from + 512).map(|id| backend(id, 1, domain)).collect::<Vec<_>>();
     let mut simulation = Simulation::new(config(), &[pool(0, 0), pool(512, 1)]);
-    let ask = |simulation: &mut Simulation| {
+    let first_backend_of_request = |simulation: &mut Simulation| {
         let id = simulation.send_request(SAFE, SECOND, &[0, 1]);
         simulation.end_attempt(id, 0, Outcome::Ok);
         first_backend(simulation, id)
     };
-    let preferred: Vec<u32> = (0..50).map(|_| ask(&mut simulation)).collect();
+    let preferred: Vec<u32> = (0..50).map(|_| first_backend_of_request(&mut simulation)).collect();
     assert!(preferred.iter().all(|id| *id < 512), "{preferred:?}");
     (0..512).for_each(|id| simulation.set_state(0, id, BackendState::Draining));
-    let next: Vec<u32> = (0..50).map(|_| ask(&mut simulation)).collect();
+    let next: Vec<u32> = (0..50).map(|_| first_backend_of_request(&mut simulation)).collect();
     assert!(next.iter().all(|id| *id >= 512), "{next:?}");
 }
--- a/crates/routing/tests/simulation/mod.rs
+++ b/crates/routing/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulation around [`Pools`] on a virtual clock: it carries out the actions and checks every invariant at each.
+//! A simulation of [`Pools`] on a virtual clock. It carries out the actions and checks the invariants at each action.
 #![allow(dead_code)]
 
 use shaletide_balancer::{Arrival, AttemptEnd, Class, Config, PoolHealth};
@@ -34,7 +34,7 @@
     pub cfg: Config,
     pub pools: Pools,
     pub now: Time,
-    /// What each pool's list says.
+    /// The endpoint list of each pool.
     pub lists: BTreeMap<PoolId, BTreeMap<BackendId, BackendEntry>>,
     pub requests: BTreeMap<RequestId, ClientRequest>,
     pub timers: Vec<(Time, TimerToken)>,
@@ -42,12 +42,12 @@
     next: u64,
 }
 
-/// In microseconds.
+/// One second, in microseconds.
 pub const SECOND: u64 = 1_000_000;
 
 pub const SAFE: usize = 0;
 pub const KEYED: usize = 1;
-pub const UNSAFE: usize = 2;
+pub const NON_IDEMPOTENT: usize = 2;
 pub const WINDOW: Micros = Micros(800_000);
 
 pub fn config() -> Config {
@@ -86,7 +86,7 @@
 }
 
 impl Simulation {
-    /// Pools numbered from 0, each with its list.
+    /// Creates pools with numbers from 0, each with its endpoint list.
     pub fn new(cfg: Config, pools: &[Vec<BackendEntry>]) -> Simulation {
         let mut simulation = Simulation {
             cfg,
@@ -120,7 +120,7 @@
         });
     }
 
-    /// A change of one entry's state.
+    /// Changes the state of one entry of a pool's endpoint list.
     pub fn set_state(&mut self, pool: u32, id: u32, state: BackendState) {
         let list = self.lists.get_mut(&PoolId(pool)).expect("a pool");
         let entry = list.get_mut(&BackendId(id)).expect("an entry");
@@ -161,10 +161,10 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Dispatch { request, attempt, backend, start_by } => {
-                let to = self.entry_of(backend).expect("sent to a listed backend").clone();
-                assert_eq!(to.state, BackendState::Ready, "sent to a draining or gone backend");
+                let to = self.entry_of(backend).expect("dispatched to a listed backend").clone();
+                assert_eq!(to.state, BackendState::Ready, "dispatched to a draining or gone backend");
                 let r = self.requests.get_mut(&request).expect("a known request");
-                assert!(r.answer.is_none() && !r.disconnected, "sent after its end");
+                assert!(r.answer.is_none() && !r.disconnected, "dispatched after the request ended");
                 assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered over all pools");
                 assert!(
                     r.attempts.len() < self.cfg.max_attempts as usize,
@@ -173,12 +173,12 @@
                 for t in r.attempts.iter().filter(|t| t.may_have_executed()) {
                     match self.cfg.classes[r.class].idempotency {
                         Idempotency::Safe => {}
-                        Idempotency::NonIdempotent => panic!("a non-idempotent request was sent twice"),
+                        Idempotency::NonIdempotent => panic!("a non-idempotent request was dispatched twice"),
                         Idempotency::Keyed(_, window) => {
                             assert!(self.now <= t.at + window, "a key was repeated after its window");
                             assert!(
                                 start_by.is_some_and(|by| by <= t.at + window),
-                                "no bound on the first byte"
+                                "no start bound for a retry of a key"
                             );
                             let is_same_group = (t.to.deduplication_domain, t.to.deduplication_group)
                                 == (to.deduplication_domain, to.deduplication_group);
@@ -192,7 +192,10 @@
                 assert!(retry_after > Micros(0), "rejected without Retry-After");
                 let r = self.requests.get_mut(&request).expect("a known request");
                 let may_have_executed = r.attempts.iter().any(Attempt::may_have_executed);
-                assert!(r.class == SAFE || !may_have_executed, "rejected what may have been executed");
+                assert!(
+                    r.class == SAFE || !may_have_executed,
+                    "rejected a request that may have been executed"
+                );
                 assert!(r.answer.replace("rejected").is_none() && !r.disconnected, "answered twice");
             }
             Action::Fail { request, .. } => {
@@ -302,13 +305,13 @@
         self.requests[&id].answer
     }
 
-    /// How many of so many simultaneous safe requests are dispatched at once.
+    /// Sends `count` safe requests at the same time and returns how many are dispatched at once.
     pub fn burst(&mut self, count: usize, route: &[u32]) -> usize {
         let ids: Vec<RequestId> = (0..count).map(|_| self.send_request(SAFE, 1_000_000, route)).collect();
         ids.into_iter().map(|id| self.backends_tried(id).len()).sum()
     }
 
-    /// Serves so many safe requests, one after the other: they fill the retry budget.
+    /// Serves `count` safe requests one after the other, which fills the retry budget.
     pub fn warm_up(&mut self, count: usize, route: &[u32]) {
         for _ in 0..count {
             let id = self.send_request(SAFE, 3_000_000, route);
@@ -320,7 +323,7 @@
         }
     }
 
-    /// Connections to a pool's backends fail until all are ejected.
+    /// Fails connections to a pool's backends until all are ejected.
     pub fn eject_all(&mut self, pool: u32) {
         for _ in 0..100 {
             if self.pools.health(self.now, PoolId(pool)) != Some(PoolHealth::Available) {
@@ -333,11 +336,11 @@
             self.disconnect(id);
             self.advance(120_000); // the balancer recomputes its weights every 0.1 s
         }
-        panic!("not all ejected");
+        panic!("pool {pool} is still available after 100 rounds of failed connections");
     }
 }
 
-/// Two pools of two backends, in groups 1 and 2, each in a deduplication domain of its own.
+/// Creates two pools, each with its own deduplication domain and a backend in each of groups 1 and 2.
 pub fn two_pools() -> Simulation {
     let pool = |from: u32, domain| vec![backend(from, 1, domain), backend(from + 1, 2, domain)];
     Simulation::new(config(), &[pool(0, 0), pool(10, 1)])
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! The index against a linear search, and which routes are reported as shadowed.
+//! Compares the index with a linear search, and checks which routes are reported as shadowed.
 
 mod common;
 use common::*;
@@ -16,7 +16,7 @@
 const PATHS: [&str; 12] =
     ["", "/", "//", "*", "/a", "/a/", "/a//", "/a/b", "/a/b/c", "/ab", "/b", "/a/b/c/d"];
 
-fn some(from: &'static [&'static str], at_most: usize) -> impl Strategy<Value = Vec<String>> {
+fn names_from(from: &'static [&'static str], at_most: usize) -> impl Strategy<Value = Vec<String>> {
     let named = vec(proptest::sample::select(from).prop_map(String::from), 0..=at_most);
     prop_oneof![3 => Just(Vec::new()), 1 => named]
 }
@@ -32,7 +32,7 @@
 
 fn conditions() -> impl Strategy<Value = RouteMatch> {
     let ids = (numbers(4), numbers(5));
-    let texts = (some(&ZONES, 3), some(&GROUPS, 2), some(&METHODS, 3));
+    let texts = (names_from(&ZONES, 3), names_from(&GROUPS, 2), names_from(&METHODS, 3));
     let path = prop_oneof![2 => Just(None), 1 => proptest::sample::select(&PATHS[..]).prop_map(Some)];
     let headers = prop_oneof![2 => Just(Vec::new()), 1 => vec(header_match(), 0..3)];
     (ids, texts, path, headers).prop_map(|((classes, tenants), (zones, groups, methods), path, headers)| {
@@ -75,11 +75,11 @@
         let table = table(routes.clone());
         for request in requests {
             request.with_attributes(|attributes| {
-                let naive = routes.iter().position(|when| when.mismatch(attributes).is_none()).map(RouteId);
-                prop_assert_eq!(table.find(attributes), naive);
-                let (passed, found) = table.explain(attributes);
-                prop_assert_eq!(found, naive);
-                prop_assert_eq!(passed.len(), naive.map_or(routes.len(), |id| id.0));
+                let linear = routes.iter().position(|route_match| route_match.mismatch(attributes).is_none()).map(RouteId);
+                prop_assert_eq!(table.find(attributes), linear);
+                let (mismatches, found) = table.explain(attributes);
+                prop_assert_eq!(found, linear);
+                prop_assert_eq!(mismatches.len(), linear.map_or(routes.len(), |id| id.0));
                 Ok(())
             })?;
         }
@@ -88,25 +88,25 @@
     #[test]
     fn shadowed_route_is_never_found(routes in vec(conditions(), 0..40), requests in vec(request(), 200)) {
         let table = table(routes.clone());
-        let (hidden, several) = (table.shadowed(), table.shadowed_by_several());
-        for (route, by) in &hidden {
+        let (shadowed_routes, several) = (table.shadowed(), table.shadowed_by_several());
+        for (route, by) in &shadowed_routes {
             let first = routes[..route.0].iter().position(|e| e.covers(&routes[route.0]));
             prop_assert_eq!(first, Some(by.0));
         }
         let covered = |at: usize| routes[..at].iter().any(|e| e.covers(&routes[at]));
-        prop_assert_eq!(hidden.len(), (0..routes.len()).filter(|at| covered(*at)).count());
+        prop_assert_eq!(shadowed_routes.len(), (0..routes.len()).filter(|at| covered(*at)).count());
         for (route, by) in &several {
             prop_assert!(by.len() > 1 && by.iter().all(|e| e < route));
-            prop_assert!(hidden.iter().all(|(alone, _)| alone != route));
+            prop_assert!(shadowed_routes.iter().all(|(alone, _)| alone != route));
         }
         for request in requests {
             let found = request.with_attributes(|attributes| table.find(attributes));
-            prop_assert!(hidden.iter().all(|(route, _)| Some(*route) != found));
+            prop_assert!(shadowed_routes.iter().all(|(route, _)| Some(*route) != found));
             prop_assert!(several.iter().all(|(route, _)| Some(*route) != found));
         }
     }
 
-    /// Each pair by itself: in a table of many the request would mostly go to a third.
+    /// Compares pairs of routes: in a table of many routes most requests would go to a third one.
     #[test]
     fn covering_match_takes_every_request_of_the_covered_one(
         a in conditions(), b in conditions(), requests in vec(request(), 200),
@@ -134,7 +134,7 @@
     assert_eq!(
         table([root, RouteMatch::default()]).shadowed(),
         [(RouteId(1), RouteId(0))],
-        "/ is every path"
+        "/ takes every path"
     );
 }
 
@@ -158,11 +158,13 @@
 
 #[test]
 fn empty_table_finds_no_route() {
-    let none = table([]);
+    let empty = table([]);
     Request::default().with_attributes(|attributes| {
-        assert_eq!((none.find(attributes), none.explain(attributes)), (None, (vec![], None)))
+        assert_eq!((empty.find(attributes), empty.explain(attributes)), (None, (vec![], None)))
     });
     assert!(
-        none.shadowed().is_empty() && none.shadowed_by_several().is_empty() && none.get(RouteId(0)).is_none()
+        empty.shadowed().is_empty()
+            && empty.shadowed_by_several().is_empty()
+            && empty.get(RouteId(0)).is_none()
     );
 }
