--- a/crates/body-limits/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -1,35 +1,35 @@
-//! Request bodies: those being read, those that wait to be read, and those of requests without a response yet.
+//! Request bodies that are being read, wait to be read, or belong to requests without a response.
 //!
-//! Room is reserved before the first byte is read, for the length that the head gives, so that whatever was admitted can
-//! be read completely: no body holds a part and waits for the rest. A body that does not fit is queued and not read.
+//! Memory for the length in the request's head is reserved before the first byte is read, so that every admitted body can
+//! be read completely: no body occupies memory while it waits for more. A body that does not fit is queued and not read.
 
 use crate::rate::{MinimumRate, RateTracker};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A body's number, in the order in which bodies began.
+/// The number of a body, in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BodyId(pub u64);
 
 /// The limits on bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyLimits {
-    /// How fast a body has to be sent.
+    /// The minimum rate at which a client has to send a body.
     pub rate: MinimumRate,
-    /// Bytes that all bodies may reserve together. A longer one is admitted when there is no other.
+    /// The number of bytes that all bodies may reserve together. A longer body is admitted if no bytes are reserved.
     pub max_buffered_bytes: usize,
-    /// A body is not evicted before it has been read for this long.
+    /// How long a body is read before it may be evicted.
     pub patience: Micros,
 }
 
-/// Whether a body may be read.
+/// The admission state of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyState {
-    /// It may be read.
+    /// The body may be read.
     Admitted,
-    /// It waits for room.
+    /// The body waits for memory.
     Queued,
-    /// It was evicted, or was removed.
+    /// The body was evicted or removed.
     Evicted,
 }
 
@@ -39,25 +39,25 @@
     received: usize,
     admitted_at: Time,
     rate: RateTracker,
-    /// It was read completely: it keeps its room until its request has a response.
+    /// Whether the body was read completely. Its memory stays reserved until the request has a response.
     complete: bool,
 }
 
-/// Admits, queues and evicts bodies. Bound: an entry for each body that the front reads or has waiting.
+/// Admits, queues and evicts bodies. Bound: an entry for each body that the front reads or has queued.
 #[derive(Clone, Debug)]
 pub struct BodyAdmission {
     limits: BodyLimits,
     admitted: BTreeMap<BodyId, Body>,
-    /// Waiting bodies with their lengths, in the order in which they came.
+    /// The queued bodies with their lengths, in the order of arrival.
     queue: VecDeque<(BodyId, usize)>,
     reserved_bytes: usize,
     next_id: u64,
-    /// Admitted from the queue since [`BodyAdmission::take_admitted`] was called last.
+    /// The bodies admitted from the queue since the last call of [`BodyAdmission::take_admitted`].
     newly_admitted: Vec<BodyId>,
 }
 
 impl BodyAdmission {
-    /// Without bodies.
+    /// Creates an admission without bodies.
     pub fn new(limits: BodyLimits) -> BodyAdmission {
         BodyAdmission {
             limits,
@@ -74,7 +74,7 @@
         self.limits = limits;
     }
 
-    /// A body of that many bytes is to be read: admits it, or queues it behind all others.
+    /// Adds a body of `length` bytes: admits it, or queues it after all others.
     pub fn begin(&mut self, now: Time, length: usize) -> BodyId {
         let id = BodyId(self.next_id);
         self.next_id += 1;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// That many bytes of a body have come.
+    /// Records received bytes of a body.
     pub fn on_bytes(&mut self, now: Time, id: BodyId, bytes: usize) {
         if let Some(body) = self.admitted.get_mut(&id) {
             body.received += bytes;
@@ -110,19 +110,19 @@
         }
     }
 
-    /// When a body is too slow if nothing more of it comes until then; `None`: never.
+    /// The time at which a body is too slow if nothing more of it is received before; `None`: never.
     pub fn due(&self, id: BodyId) -> Option<Time> {
         self.admitted.get(&id).filter(|body| !body.complete).and_then(|body| body.rate.due())
     }
 
-    /// A body was read completely: it is not evicted any more.
+    /// Marks a body as completely read, so that it is not evicted any more.
     pub fn on_complete(&mut self, id: BodyId) {
         if let Some(body) = self.admitted.get_mut(&id) {
             body.complete = true;
         }
     }
 
-    /// Forgets a body, whatever its state, and admits queued ones in its place.
+    /// Removes a body in any state, and admits queued bodies that now fit.
     pub fn remove(&mut self, now: Time, id: BodyId) {
         if let Some(body) = self.admitted.remove(&id) {
             self.reserved_bytes -= body.length;
@@ -131,7 +131,7 @@
         self.admit_queued(now);
     }
 
-    /// Evicts a body to make room for the first of the queue; `None`: none waits, or none may be evicted.
+    /// Evicts a body to free memory for the first queued one; `None`: no body is queued, or none may be evicted.
     pub fn evict_slowest(&mut self, now: Time) -> Option<BodyId> {
         self.admit_queued(now);
         self.queue.front()?;
@@ -140,8 +140,8 @@
         Some(slowest)
     }
 
-    /// The body that would be evicted first: of those that are not complete and had `patience`, the one with the fewest
-    /// bytes per second, and of several the longest.
+    /// The body that would be evicted first: of the incomplete bodies that have been read for `patience`, the one with the
+    /// fewest bytes per second, and of several the longest.
     pub fn slowest(&self, now: Time) -> Option<BodyId> {
         let patience = self.limits.patience;
         let evictable =
@@ -150,12 +150,12 @@
         evictable.min_by_key(|(_, body)| key(body)).map(|(id, _)| *id)
     }
 
-    /// Bytes that admitted bodies reserve.
+    /// The number of bytes that admitted bodies reserve.
     pub fn reserved_bytes(&self) -> usize {
         self.reserved_bytes
     }
 
-    /// How many bodies wait for room.
+    /// The number of queued bodies.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
@@ -179,7 +179,7 @@
     }
 }
 
-/// The average rate since the body was admitted.
+/// The average rate of a body since it was admitted.
 fn bytes_per_second(body: &Body, now: Time) -> u64 {
     (body.received as u64).saturating_mul(1_000_000) / (now - body.admitted_at).0.max(1)
 }
--- a/crates/body-limits/src/lib.rs
+++ b/crates/body-limits/src/lib.rs
@@ -1,8 +1,8 @@
-//! Admission of request bodies: which body may be read, which is too slow, and which is evicted to make room for others.
-//! Pure: events and times in, decisions out.
+//! Admission of request bodies: which body may be read, which is too slow, and which is evicted to free memory for others.
+//! There is no I/O and no clock: events and times in, decisions out.
 //!
-//! Called by a front: once for each body that it begins to read, with each part that comes, and when the request has its
-//! response.
+//! A front calls this crate once for each body that it starts to read, for each part that it receives, and when the request
+//! has a response.
 #![forbid(unsafe_code)]
 
 mod bodies;
