--- a/crates/net/src/connection_table.rs
+++ b/crates/net/src/connection_table.rs
@@ -1,4 +1,4 @@
-//! The sockets behind the engine's connections.
+//! The sockets and tasks of the engine's connections.
 
 use crate::stream::Stream;
 use shaletide_types::{BackendId, ConnectionId};
@@ -6,22 +6,22 @@
 use std::net::SocketAddr;
 use tokio::task::AbortHandle;
 
-/// A connection to a backend, and the task on it. Dropping it aborts the task.
+/// A connection to a backend, and the task that runs on it. Dropping the connection aborts the task.
 pub(crate) struct UpstreamConnection {
     pub backend: BackendId,
     pub to: SocketAddr,
-    /// `None` while it is being established.
+    /// The stream; `None` while the connection is being established.
     pub stream: Option<Stream>,
-    /// The connect or the exchange in progress.
+    /// The task of the connect or exchange in progress.
     pub task: Option<AbortHandle>,
-    /// An attempt is on it.
+    /// Whether an attempt is in progress on the connection.
     pub busy: bool,
-    /// It was established just now, and the engine has not had a chance to use it.
+    /// Whether the engine is still handling the event that the connection was established.
     pub just_established: bool,
 }
 
 impl UpstreamConnection {
-    /// One that `task` is establishing.
+    /// Returns a connection that `task` is establishing.
     pub fn connecting(backend: BackendId, to: SocketAddr, task: AbortHandle) -> UpstreamConnection {
         UpstreamConnection {
             backend,
@@ -33,14 +33,15 @@
         }
     }
 
-    /// It has been established.
+    /// Marks the connection as established.
     pub fn established(&mut self, stream: Stream) {
         self.stream = Some(stream);
         self.task = None;
         self.just_established = true;
     }
 
-    /// Its stream, unless it is not established yet, has input pending or was closed, as far as the event loop knows.
+    /// Returns the stream, unless the connection is not established yet, has pending input or was closed, by the readiness
+    /// that the event loop has cached.
     pub fn usable_stream(&self) -> Option<Stream> {
         self.stream.as_ref().filter(|stream| !stream.has_pending_input_as_polled()).cloned()
     }
@@ -58,16 +59,17 @@
     }
 }
 
-/// All connections to backends, by the engine's numbers.
+/// All connections to backends, by their numbers in the engine.
 #[derive(Default)]
 pub(crate) struct ConnectionTable {
     pub by_id: HashMap<ConnectionId, UpstreamConnection>,
-    /// Connects begun since the last report.
+    /// The number of connects begun since the last report.
     pub connects_begun: u64,
 }
 
 impl ConnectionTable {
-    /// The idle connections on which bytes have come or that the backend has closed, by what the kernel says now.
+    /// Returns the idle connections on which bytes have arrived or that the backend has closed, by the kernel's current
+    /// state.
     pub fn with_pending_input(&self) -> Vec<ConnectionId> {
         let unusable =
             self.by_id.iter().filter(|(_, upstream)| !upstream.busy && upstream.has_pending_input());
--- a/crates/net/src/drive_connection.rs
+++ b/crates/net/src/drive_connection.rs
@@ -1,4 +1,4 @@
-//! Drives hyper's client connections: the future that waits for something on one polls it meanwhile.
+//! Drives hyper's client connections: a connection is polled by the same task that uses it.
 
 use crate::stream::Stream;
 use bytes::Bytes;
@@ -7,9 +7,10 @@
 use std::pin::pin;
 use std::task::Poll;
 
-/// Runs `work` to its end while driving the connection that it uses. `None`: the connection ended first. As long as the
-/// connection's future is kept, hyper does not tell `work` of that end: waiting for the sender to be ready again would never
-/// end after a response with which the backend closes. Dropped midway, it has driven the connection as far as it got.
+/// Runs `work` to completion while driving the connection that it uses. Returns `None` if the connection ended first. That
+/// case is detected here because hyper does not report the end to `work` as long as the connection's future is kept:
+/// waiting for the sender to become ready would never end after a response with which the backend closes the connection.
+/// If the future is dropped, the connection stays as far as it was driven.
 pub async fn drive_connection<T>(
     connection: &mut http1::Connection<
         Stream,
@@ -28,12 +29,12 @@
         }
         if std::pin::Pin::new(&mut *connection).poll(cx).is_ready() {
             connection_ended = true;
-            cx.waker().wake_by_ref(); // `work` is polled once more, for what came before the end
+            cx.waker().wake_by_ref(); // poll `work` once more, as input may have arrived before the end
         }
         work.as_mut().poll(cx).map(Some)
     })
     .await
 }
 
-/// The error of any body.
+/// The error type of a message body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
--- a/crates/net/src/driver.rs
+++ b/crates/net/src/driver.rs
@@ -1,19 +1,19 @@
-//! The driver: the sole owner of the engine. It tells the engine what happens, carries out the actions that the engine
-//! returns, and owns the sockets, the requests' payloads and the timer that these need. It decides nothing.
+//! The driver: the sole owner of the engine. Passes events to the engine, executes the actions that the engine returns,
+//! and owns the sockets, the payloads of requests and the timer that these need. All decisions are the engine's.
 //!
 //! | Module | Concern |
 //! |---|---|
-//! | `setup` | pools at the start and at a reload |
-//! | `endpoints` | endpoint lists: to the engine, the record and the log |
+//! | `setup` | configuration of pools at startup and at a reload |
+//! | `endpoints` | endpoint lists, passed on to the engine, the record and the log |
 //! | `requests` | open requests, from [`Driver::submit`] to their final response |
 //! | `attempts` | connections to backends and the attempts on them |
-//! | `timers` | the engine's timer, the sweep of idle connections |
-//! | `recording` | what is recorded of requests and attempts |
-//! | `invariants` | the self-check |
-//! | `counters` | the periodic report |
+//! | `timers` | the engine's timer and the sweep of idle connections |
+//! | `recording` | events of requests and attempts, passed on to the record |
+//! | `invariants` | the self-check of the engine's invariants |
+//! | `counters` | the counters of the periodic report |
 //!
-//! All runs on one thread. An action may cause further events; they are queued in `State::pending_events` and handled
-//! after the actions of the present one, so that no borrow of the state lasts across a call of the engine.
+//! The driver runs on a single thread. An action may cause further events; they are queued in `State::pending_events` and
+//! handled after the actions of the current event, so that no borrow of the state lasts across a call of the engine.
 
 mod attempts;
 mod counters;
@@ -51,36 +51,36 @@
 
 /// Runs the engine on this thread's event loop.
 ///
-/// Invariant: the engine's events are handled one at a time, each with all its actions, in the order in which they came.
+/// Invariant: events are handled one at a time, each with all its actions, in the order of their arrival.
 pub struct Driver {
     state: RefCell<State>,
-    /// The clock of all times that the engine sees.
+    /// The source of all times that are passed to the engine.
     pub clock: Clock,
     upstream_config: Cell<UpstreamConfig>,
     timer: EngineTimer,
-    /// Failed system calls, by call and error.
+    /// Counts of failed system calls, by call and error.
     pub system_errors: SystemErrors,
 }
 
-/// What the driver's modules share. Borrowed for one step only, never across an await or an action.
+/// The state that the driver's modules share. Borrowed for a single step, never across an await or an action.
 struct State {
     engine: Engine<Pools>,
     directory: Directory,
     endpoint_lists: EndpointLists,
-    /// The number given to the request submitted last; the first gets 1.
+    /// The number of the request that was submitted last. The first request has number 1.
     last_request_id: u64,
-    /// Requests that await their final response.
+    /// Requests without a final response yet.
     open_requests: HashMap<RequestId, OpenRequest>,
     connections: ConnectionTable,
-    /// Events that the engine has still to handle.
+    /// Events that the engine has not handled yet.
     pending_events: VecDeque<Event>,
-    /// [`Driver::handle_event`] is running: what is queued meanwhile is handled by it.
+    /// Whether [`Driver::handle_event`] is running. It also handles the events that are queued meanwhile.
     dispatching: bool,
-    /// An empty buffer, kept to spare an allocation an event.
-    spare_actions: Vec<Action>,
-    /// The self-check, where it was asked for.
+    /// An empty buffer, reused to avoid an allocation for each event.
+    action_buffer: Vec<Action>,
+    /// The self-check, if it is enabled.
     checker: Option<InvariantChecker>,
-    /// The record, where there is one.
+    /// The record of requests, if one is configured.
     recorder: Option<Rc<dyn RequestRecorder>>,
     counters: Counters,
 }
@@ -96,14 +96,14 @@
             connections: ConnectionTable::default(),
             pending_events: VecDeque::new(),
             dispatching: false,
-            spare_actions: Vec::new(),
+            action_buffer: Vec::new(),
             checker: None,
             recorder: None,
             counters: Counters::default(),
         }
     }
 
-    /// Lets the engine handle the next pending event. Returns the actions to carry out; `None`: no event was pending.
+    /// Lets the engine handle the next pending event. Returns the actions to execute, or `None` if no event is pending.
     fn handle_next_event(&mut self, clock: &Clock) -> Option<Vec<Action>> {
         let Some(mut event) = self.pending_events.pop_front() else {
             self.dispatching = false;
@@ -111,7 +111,7 @@
         };
         let now = clock.now();
         self.set_time_left(now, &mut event);
-        let mut actions = std::mem::take(&mut self.spare_actions);
+        let mut actions = std::mem::take(&mut self.action_buffer);
         match &mut self.checker {
             None => self.engine.handle(now, event, &mut actions),
             Some(checker) => checker.handle(now, event, &mut self.engine, &mut actions),
@@ -119,8 +119,8 @@
         Some(actions)
     }
 
-    /// Sets a new request's time left by the reading of the clock that the engine gets, so that its deadline stays what it
-    /// is however late this reading is.
+    /// Computes the time left of a new request from the same clock reading that is passed to the engine, so that its
+    /// deadline does not move, however late the clock is read.
     fn set_time_left(&self, now: Time, event: &mut Event) {
         let Event::Request(spec) = event else { return };
         if let Some(open) = self.open_requests.get(&spec.arrival.request) {
@@ -130,7 +130,7 @@
 }
 
 impl Driver {
-    /// A driver without pools; [`Driver::setup`] adds them.
+    /// Returns a driver without pools. [`Driver::setup`] adds them.
     pub fn new(clock: Clock, config: UpstreamConfig) -> Rc<Driver> {
         Rc::new(Driver {
             state: RefCell::new(State::new(&config)),
@@ -141,8 +141,8 @@
         })
     }
 
-    /// Has the engine handle an event, and carries out all that follows from it. Called while an action is carried out,
-    /// it only queues the event: the outer call handles it.
+    /// Lets the engine handle an event, and executes the resulting actions and the events that follow from them. A nested
+    /// call, made while an action is executed, only queues the event: the outer call handles it.
     fn handle_event(self: &Rc<Self>, event: Event) {
         {
             let mut state = self.state.borrow_mut();
@@ -156,19 +156,19 @@
             let next = self.state.borrow_mut().handle_next_event(&self.clock);
             let Some(mut actions) = next else { break };
             for action in actions.drain(..) {
-                self.carry_out(action);
+                self.execute_action(action);
             }
-            self.state.borrow_mut().spare_actions = actions;
+            self.state.borrow_mut().action_buffer = actions;
         }
         let wake_at = self.state.borrow().engine.wake_at();
         self.timer.notify_if_earlier(wake_at);
     }
 
-    fn carry_out(self: &Rc<Self>, action: Action) {
+    fn execute_action(self: &Rc<Self>, action: Action) {
         match action {
             Action::Connect { connection, backend } => self.connect(connection, backend),
             Action::Send { connection, request, attempt, deadline, write_deadline } => {
-                self.record_unacknowledged_attempt(request, attempt);
+                self.record_attempt_without_intent(request, attempt);
                 self.dispatch(Dispatch { connection, request, attempt, deadline, write_deadline });
             }
             Action::Close { connection } => self.close(connection),
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Connections to backends and the attempts on them: established, written to and closed as the engine says.
+//! Connections to backends and the attempts on them: established, written to and closed as the engine decides.
 
 use super::{Driver, State};
 use crate::clock::span;
@@ -15,33 +15,34 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The part of the backends' idle timeout after which a connection is not used again: well below 1, as their clock may
-/// have started earlier than ours.
+/// The fraction of the backends' idle timeout after which a connection is not reused. It is well below 1, as the backend's
+/// idle timer may have started earlier than the proxy's.
 const USABLE_IDLE_FRACTION: f64 = 0.6;
-/// A connection is not used again this soon after a response. A response to a hedged attempt, or noise, may follow it
-/// some milliseconds later, and once the next request is on the connection nothing would tell it from the response to
-/// that one. Costs as many further connections as there are responses in this time.
+/// The time for which a connection is not reused after a response. A response to a hedged attempt, or excess bytes, may
+/// follow some milliseconds later, and could not be distinguished from the response to the next request once that request
+/// is on the connection. The delay costs as many additional connections as there are responses within it.
 pub(super) const REUSE_DELAY: Micros = Micros(10_000);
-/// A connect that failed for want of system resources is tried again after this time.
+/// The delay before a connect that failed for lack of system resources is retried.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// How connections to backends are established, used and kept.
+/// Settings of the connections to backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamConfig {
-    /// A connection that is not established within this time has failed.
+    /// The time after which a connect that has not completed counts as failed.
     pub connect_timeout: Micros,
-    /// Backends close connections that were idle for this long.
+    /// The time after which backends close idle connections.
     pub idle_timeout: Micros,
-    /// A response that is not complete this long after its first byte is invalid; `None`: no limit but the deadline.
+    /// The time after its first byte at which an incomplete response counts as invalid; `None` for no limit but the
+    /// deadline.
     pub response_stall_timeout: Option<Micros>,
     /// The longest body of a valid response, in bytes.
     pub max_body: usize,
-    /// The most connections at a time.
+    /// The maximum number of connections at the same time.
     pub max_connections: usize,
 }
 
 impl UpstreamConfig {
-    /// The engine's part of it.
+    /// Returns the limits that the engine enforces.
     pub(super) fn connection_limits(&self) -> ConnectionLimits {
         ConnectionLimits {
             max_connections: self.max_connections,
@@ -51,20 +52,20 @@
     }
 }
 
-/// An attempt that the engine wants sent.
+/// An attempt that the engine dispatches.
 pub(super) struct Dispatch {
     pub connection: ConnectionId,
     pub request: RequestId,
     pub attempt: AttemptNumber,
-    /// Until when its response is awaited.
+    /// The time until which the response is awaited.
     pub deadline: Time,
-    /// No byte of it is written after this time.
+    /// The time after which no byte of the request is written.
     pub write_deadline: Option<Time>,
 }
 
-/// The event for a connection on which no byte of an attempt was written. The engine looks for another connection, but
-/// not where this one was new: a backend that closes each new connection, or sends first on it, would be connected to
-/// for as long as the request has time.
+/// Returns the event for a connection on which no byte of an attempt was written. The engine uses another connection
+/// instead, except if this one was new: with a backend that closes each new connection, or sends first on it, the engine
+/// would otherwise reconnect until the request's deadline.
 fn unusable_event(connection: ConnectionId, just_established: bool) -> Event {
     if just_established {
         Event::ConnectionClosed { connection }
@@ -73,7 +74,7 @@
     }
 }
 
-/// How an attempt ended, for its trace.
+/// Returns the outcome of an attempt for its trace.
 fn traced_outcome(outcome: &ExchangeOutcome, stream: &Stream) -> AttemptOutcome {
     match outcome {
         ExchangeOutcome::Response { class, .. } => AttemptOutcome::Answered(*class),
@@ -84,7 +85,7 @@
 }
 
 impl Driver {
-    /// Begins to establish a connection. The task is aborted where the connection is closed before.
+    /// Starts to establish a connection. The task is aborted if the connection is closed before it is established.
     pub(super) fn connect(self: &Rc<Self>, connection: ConnectionId, backend: BackendId) {
         let mut state = self.state.borrow_mut();
         let Some(to) = state.directory.address(backend) else {
@@ -103,8 +104,8 @@
         state.connections.by_id.insert(connection, upstream);
     }
 
-    /// Connects within that time. A shortage of system resources is waited for, as it says nothing of the backend.
-    /// Dropped midway it leaves no socket behind.
+    /// Connects to `to` within the given time. Retries while system resources are short, as such a shortage is not a
+    /// failure of the backend. If the future is dropped, no socket is left open.
     async fn connect_within(&self, to: SocketAddr, within: Duration) -> Result<TcpStream, ConnectFailure> {
         let mut last_failure = ConnectFailure::Peer;
         let attempts = async {
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Tells the engine how a connect ended. A connection counts as never used until the engine has had this one chance
-    /// to use it.
+    /// Reports to the engine how a connect ended. The connection counts as just established while the engine handles this
+    /// event.
     fn connect_ended(self: &Rc<Self>, connection: ConnectionId, result: Result<TcpStream, ConnectFailure>) {
         let event = {
             let mut state = self.state.borrow_mut();
@@ -156,15 +157,16 @@
         }
     }
 
-    /// Begins an attempt on an established connection, unless that turns out to be unusable. The exchange is dropped
-    /// where the connection is closed before its end: see [`Driver::close`].
+    /// Starts an attempt on an established connection, unless the connection turns out to be unusable. The exchange is
+    /// dropped if the connection is closed before the exchange ends: see [`Driver::close`].
     pub(super) fn dispatch(self: &Rc<Self>, dispatch: Dispatch) {
         let Dispatch { connection, request, attempt, deadline, write_deadline } = dispatch;
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
         let upstream = state.connections.by_id.get_mut(&connection);
         let just_established = upstream.as_ref().is_some_and(|upstream| upstream.just_established);
-        // The first write asks the kernel itself: until then the event loop may do other things.
+        // The check of the cached readiness is enough here: the event loop may run other tasks before the first write, which
+        // checks the kernel's state itself.
         let stream = upstream.as_ref().and_then(|upstream| upstream.usable_stream());
         let open = state.open_requests.get(&request);
         let (Some(upstream), Some(stream), Some(open)) = (upstream, stream, open) else {
@@ -183,7 +185,7 @@
             stall_timeout: config.response_stall_timeout.map(span),
             max_body: config.max_body,
         };
-        stream.prepare_request(); // nothing is written until the exchange says what it writes
+        stream.prepare_request(); // the request counts as unwritten until the exchange begins it
         stream.set_write_deadline(write_deadline.map(|at| self.clock.instant(at).into_std()));
         stream.set_start_deadline(Some(self.clock.instant(open.deadline).into_std()));
         stream.set_client(open.upstream_request.client().cloned());
@@ -198,7 +200,7 @@
         upstream.busy = true;
     }
 
-    /// Tells the engine how an attempt ended.
+    /// Reports to the engine how an attempt ended.
     fn exchange_ended(
         self: &Rc<Self>, connection: ConnectionId, request: RequestId, outcome: ExchangeOutcome,
         stream: &Stream, just_established: bool,
@@ -206,7 +208,7 @@
         stream.end_trace(|| traced_outcome(&outcome, stream));
         let is_failed = !matches!(outcome, ExchangeOutcome::Response { .. });
         if is_failed && stream.is_unwritten() && stream.client_closed() && self.is_open(request) {
-            // The engine closes the connection for it, and does not blame the backend.
+            // The engine closes the connection, and does not count this as a failure of the backend.
             return self.client_disconnected(request);
         }
         let is_written = stream.request_written();
@@ -216,7 +218,7 @@
             upstream.busy = false;
             upstream.task = None;
             if is_failed && stream.is_unwritten() {
-                // What came or ended before the first byte is about an earlier request, if any.
+                // Input or a close before the first byte belongs to an earlier request, if to any.
                 state.counters.connections_unusable += 1;
                 unusable_event(connection, just_established && !stream.write_deadline_passed())
             } else {
@@ -229,8 +231,8 @@
         self.handle_event(event);
     }
 
-    /// Closes a connection. An attempt on it is cancelled: dropped, it writes nothing more, so that the engine can be told
-    /// for certain whether it was written.
+    /// Closes a connection. An attempt on it is cancelled: its exchange is dropped and writes nothing more, so that the
+    /// report to the engine whether the request was written is final.
     pub(super) fn close(&self, connection: ConnectionId) {
         let mut state = self.state.borrow_mut();
         let Some(upstream) = state.connections.by_id.remove(&connection) else { return };
@@ -244,12 +246,12 @@
         state.pending_events.push_back(Event::CloseCompleted { connection, written });
     }
 
-    /// How many connections to backends there are, established or being established.
+    /// Returns the number of connections to backends that are established or being established.
     pub fn upstream_connection_count(&self) -> usize {
         self.state.borrow().engine.connection_count()
     }
 
-    /// Closes an idle connection to free a descriptor for a client. Whether there was one.
+    /// Closes an idle connection to free a descriptor for a client. Returns whether there was an idle connection.
     pub fn close_idle_connection(self: &Rc<Self>) -> bool {
         let idle = self.state.borrow().engine.connection_to_evict();
         if let Some(connection) = idle {
@@ -260,7 +262,7 @@
 }
 
 impl State {
-    /// The event for an exchange of which at least a byte was written, or that got a response.
+    /// Returns the event for an exchange that has written at least one byte or received a response.
     fn outcome_event(&mut self, connection: ConnectionId, outcome: ExchangeOutcome) -> Event {
         match outcome {
             ExchangeOutcome::Response { class, reusable, has_excess_bytes, report } => {
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Traces the attempt for which a connection is being established.
+    /// Traces an event of the attempt for which a connection is being established, if there is one.
     fn trace_connecting(&self, connection: ConnectionId, event: AttemptEvent) {
         if !request_trace_enabled() {
             return;
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Traces an attempt that was given a connection that cannot be used.
+    /// Traces that an attempt was dispatched on a connection that is unusable.
     fn trace_unusable(&self, connection: ConnectionId, request: RequestId, attempt: AttemptNumber) {
         let backend = self.connections.by_id.get(&connection).map(|upstream| upstream.backend);
         let open = self.open_requests.get(&request);
--- a/crates/net/src/driver/counters.rs
+++ b/crates/net/src/driver/counters.rs
@@ -1,28 +1,30 @@
-//! What happened since the last periodic report, and that report.
+//! The counters of the periodic report, and the report itself.
 
 use super::Driver;
 use std::fmt;
 use tracing::{info, warn};
 
-/// Events since the last report.
+/// Numbers of events since the last report.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    /// Requests numbered. Not among them: those whose client had already closed.
+    /// Requests that were given a number. Requests whose client had already closed its connection are not included.
     pub requests: u64,
-    /// Requests by their final responses. Those that the record refuses are in none of the four.
+    /// This counter and the next three count requests by their final responses. Requests that the record refuses are in
+    /// none of the four.
     pub served: u64,
     pub rejected: u64,
     pub failed: u64,
     pub timed_out: u64,
-    /// Requests whose client closed its connection before the final response, also those that were not numbered for it.
+    /// Requests whose client closed its connection before the final response, including those that were given no number
+    /// because of that.
     pub client_disconnected: u64,
-    /// Attempts given to an established connection, also those of which no byte was written then.
+    /// Attempts dispatched on an established connection, including those of which no byte was written.
     pub dispatched: u64,
-    /// Attempts ended by an invalid response.
+    /// Attempts that ended with an invalid response.
     pub invalid_responses: u64,
-    /// Attempts ended by the end of the connection.
+    /// Attempts that ended because the connection was closed.
     pub connections_closed: u64,
-    /// Connections found unusable before the first byte of an attempt.
+    /// Connections that were found unusable before the first byte of an attempt.
     pub connections_unusable: u64,
     /// Connections that could not be established.
     pub connects_failed: u64,
@@ -50,8 +52,8 @@
 }
 
 impl Driver {
-    /// Logs one line of what happened since the last call, with `clients`, the front's own counters, in it; and one of
-    /// addresses that several lists claim, if there are any.
+    /// Logs one line with the counters since the last call, including `clients`, the counters of the front. If addresses
+    /// are in several lists, logs a second line with their number.
     pub fn report(&self, clients: &str) {
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
@@ -70,7 +72,7 @@
         drop(state);
         if let Some(first) = conflicts.first() {
             let first = self.describe_conflict(first);
-            warn!("{} addresses are brought by several lists, among them: {first}", conflicts.len());
+            warn!("{} addresses are in the lists of several pools, the first: {first}", conflicts.len());
         }
     }
 }
--- a/crates/net/src/driver/endpoints.rs
+++ b/crates/net/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists: what the directory makes of them is passed on to the engine, recorded and logged.
+//! Endpoint lists: the directory's changes are passed on to the engine, recorded and logged.
 
 use super::{Driver, State};
 use shaletide_engine::Event;
@@ -11,45 +11,46 @@
 use tokio::sync::Notify;
 use tracing::{debug, info, warn};
 
-/// A recorded list is cut after this many bytes: 1,024 backends with names of 248 bytes fit.
+/// The length in bytes at which the text of a recorded list is cut off. A list of 1,024 backends with names of 248 bytes
+/// fits.
 const MAX_RECORDED_LIST_BYTES: usize = 256 << 10;
-/// Conflicts between lists that are logged for one update.
+/// The number of conflicts between lists that are logged for one update.
 const MAX_LOGGED_CONFLICTS: usize = 5;
 
-/// What is kept of endpoint lists beside the directory.
+/// State of the endpoint lists that the directory does not have.
 #[derive(Default)]
 pub(super) struct EndpointLists {
     start_times: StartTimes,
     /// The version of each pool's list.
     versions: HashMap<PoolId, u64>,
-    /// Signalled when a pool's balancer asks its discovery for changes.
+    /// Signalled when a pool's balancer requests a poll of its discovery.
     polls: HashMap<PoolId, Rc<Notify>>,
-    /// Backends with lower numbers have been logged.
+    /// All backends with lower numbers have been logged.
     first_unlogged: u32,
 }
 
 impl EndpointLists {
-    /// The longest time that a backend of any pool takes to warm up.
+    /// Sets the longest slow-start window of all pools.
     pub fn set_slow_start_window(&mut self, window: Micros) {
         self.start_times.set_slow_start_window(window);
     }
 
-    /// The version of a pool's list; 0 where none is known.
+    /// Returns the version of a pool's list, or 0 if none is known.
     pub fn version(&self, pool: PoolId) -> u64 {
         self.versions.get(&pool).copied().unwrap_or_default()
     }
 
-    /// A pool's balancer wants its discovery to be polled.
+    /// Requests a poll of a pool's discovery.
     pub fn request_poll(&mut self, pool: PoolId) {
         self.polls.entry(pool).or_default().notify_one();
     }
 
-    /// A pool is no more.
+    /// Removes the state of a pool that is no longer configured.
     pub fn close_pool(&mut self, pool: PoolId) {
         self.polls.remove(&pool);
     }
 
-    /// Whether a backend has not been logged before. From now on it has.
+    /// Marks a backend as logged. Returns whether it had not been logged before.
     fn is_new(&mut self, backend: BackendId) -> bool {
         let is_new = backend.0 >= self.first_unlogged;
         self.first_unlogged = self.first_unlogged.max(backend.0 + 1);
@@ -60,7 +61,7 @@
 /// The backends of one update, counted for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct ListCounts {
-    /// Not seen before, in whatever state.
+    /// Backends that were not seen before, in any state.
     new: usize,
     ready: usize,
     draining: usize,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Whether it says more than that known backends are ready.
+    /// Whether any backend of the update is new, draining or gone.
     fn has_changes(self) -> bool {
         self.new + self.draining + self.gone > 0
     }
@@ -93,12 +94,12 @@
 }
 
 impl Driver {
-    /// Sets the version of a pool's list, before the update that brings it.
+    /// Sets the version of a pool's list. Called before the update that has this version is applied.
     pub fn set_list_version(&self, pool: PoolId, version: u64) {
         self.state.borrow_mut().endpoint_lists.versions.insert(pool, version);
     }
 
-    /// Takes an update of a pool's endpoint list. Called by the pool's subscription.
+    /// Applies an update of a pool's endpoint list. Called by the pool's subscription.
     pub fn update_endpoints(
         self: &Rc<Self>, pool: PoolId, update: EndpointUpdate, mut entries: Vec<Endpoint>,
     ) {
@@ -111,14 +112,14 @@
         self.apply_endpoint_changes(changes);
     }
 
-    /// Waits until a pool's balancer asks its discovery for changes. Dropped midway, it leaves the request for the next
-    /// call.
+    /// Waits until a pool's balancer requests a poll of its discovery. Cancel safe: if the future is dropped, the next call
+    /// returns the request.
     pub async fn poll_requested(&self, pool: PoolId) {
         let poll = self.state.borrow_mut().endpoint_lists.polls.entry(pool).or_default().clone();
         poll.notified().await;
     }
 
-    /// Passes on what the directory has changed, and forgets backends that are gone and have no connection.
+    /// Passes the directory's changes on to the engine, and removes backends that are gone and have no connection.
     pub(super) fn apply_endpoint_changes(self: &Rc<Self>, changes: DirectoryUpdate) {
         if changes.skipped > 0 {
             warn!("directory skipped {} backends: a pool's list is too long", changes.skipped);
@@ -144,7 +145,7 @@
         state.directory.retain(|backend| connected.contains(&backend));
     }
 
-    /// Records an update, so that what was known of the backends at an attempt can be read from the record.
+    /// Records an update, so that the record shows which state of the backends was known at each attempt.
     fn record_list(&self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry]) {
         let fact = {
             let state = self.state.borrow();
@@ -166,12 +167,12 @@
         self.record_event(shaletide_record::Event::RecordFact(fact));
     }
 
-    /// The pool's name, for logs.
+    /// Returns a pool's name for log lines.
     pub fn pool_name(&self, pool: PoolId) -> String {
         self.state.borrow().pool_name(pool).to_string()
     }
 
-    /// Which list has the address, and which waits for it.
+    /// Returns a description of a conflict: the pool that has the address, and the pool that waits for it.
     pub(super) fn describe_conflict(&self, conflict: &Conflict) -> String {
         let state = self.state.borrow();
         let owner = state.pool_name(conflict.owner);
@@ -182,11 +183,11 @@
 
 impl State {
     fn pool_name(&self, pool: PoolId) -> &str {
-        self.directory.pool_name(pool).unwrap_or("one that is gone")
+        self.directory.pool_name(pool).unwrap_or("(removed)")
     }
 
-    /// Logs an update; returns the backends that have connections to an earlier address, each once, as a second event
-    /// would close what the first has opened to the new address.
+    /// Logs an update. Returns the backends that have connections to an earlier address, each of them once: a second event
+    /// for the same backend would close the connections that the first one has opened to the new address.
     fn log_list(
         &mut self, pool: PoolId, update: EndpointUpdate, backends: &[BackendEntry],
     ) -> HashSet<BackendId> {
@@ -207,7 +208,7 @@
         self.with_changed_address(backends)
     }
 
-    /// Logs a backend's number, name and address at level DEBUG: other lines have its number only.
+    /// Logs a backend's number, name and address at level DEBUG. Other log lines have only the number.
     fn log_backend(&self, backend: &BackendEntry) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Those of the backends that have connections to another address than their present one.
+    /// Returns those of the backends that have connections to an address other than their current one.
     fn with_changed_address(&self, backends: &[BackendEntry]) -> HashSet<BackendId> {
         let updated: HashSet<BackendId> = backends.iter().map(|backend| backend.id).collect();
         let is_changed = |connection, backend| {
--- a/crates/net/src/driver/invariants.rs
+++ b/crates/net/src/driver/invariants.rs
@@ -1,4 +1,4 @@
-//! The self-check: the invariants of routing, checked on all events and actions of the engine.
+//! The self-check: checks the invariants of routing on all events and actions of the engine.
 
 use super::attempts::REUSE_DELAY;
 use super::Driver;
@@ -9,21 +9,21 @@
 use shaletide_types::{Micros, Time};
 use tracing::error;
 
-/// A final response may be this late in the eyes of the monitors, beside the time for which the event loop waited for a
-/// processor.
+/// How late a final response may be before the monitors report a violation, in addition to the time for which the event
+/// loop waited for a processor.
 const ANSWER_SLACK: Micros = Micros(100_000);
-/// How often that wait is read from the kernel: short beside the slack.
+/// The interval at which the time waited for a processor is read from the kernel: short compared with [`ANSWER_SLACK`].
 const WAIT_SAMPLE_INTERVAL: Micros = Micros(5_000);
-/// Violations of which the text is kept.
+/// The number of violations whose texts are kept.
 const MAX_RECORDED_VIOLATIONS: usize = 50;
 
-/// Observes the engine by monitors that share no code with it, and keeps what they find.
+/// Checks the engine with monitors that share no code with it, and keeps the violations that they report.
 pub(super) struct InvariantChecker {
     monitor: Monitor,
-    /// When the wait for a processor was last read.
+    /// When the time waited for a processor was last read.
     wait_sampled_at: Time,
     violations: Vec<String>,
-    /// All of them, also those whose text is not kept.
+    /// The number of all violations, including those whose texts are not kept.
     violation_count: u64,
 }
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// The pools were set up anew.
+    /// Updates the monitor's rules after a setup of the pools.
     pub fn configure(&mut self, may_cancel_attempts: bool, has_one_deduplication_domain: bool) {
         let rules = Rules {
             cancellation: may_cancel_attempts,
@@ -47,7 +47,7 @@
         self.monitor.configure(rules);
     }
 
-    /// Lets the engine handle an event, and checks the event and the actions that it returns.
+    /// Lets the engine handle an event, and checks the event and the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, engine: &mut Engine<Pools>, actions: &mut Vec<Action>) {
         self.sample_processor_wait(now);
         let verdict = self.monitor.observe_event(now, &event);
@@ -61,7 +61,7 @@
         self.record(verdict);
     }
 
-    /// Tells the monitor for how long this thread has waited for a processor, where the kernel shows it.
+    /// Reports to the monitor how long this thread has waited for a processor, if the kernel provides the figure.
     fn sample_processor_wait(&mut self, now: Time) {
         if now - self.wait_sampled_at < WAIT_SAMPLE_INTERVAL {
             return;
@@ -72,13 +72,13 @@
         }
     }
 
-    /// Checks that the engine keeps nothing of what is over.
-    pub fn check_kept(&mut self, now: Time, engine: &Engine<Pools>) {
+    /// Checks that the engine keeps no state of ended requests, closed connections and gone backends.
+    pub fn check_retained_state(&mut self, now: Time, engine: &Engine<Pools>) {
         let verdict = self.monitor.check_leftovers(now, engine);
         self.record(verdict);
     }
 
-    /// Logs a violation, unless the log has enough of them.
+    /// Counts a violation, and logs it if it is one of the first [`MAX_RECORDED_VIOLATIONS`].
     fn record(&mut self, verdict: Verdict) {
         let Err(violation) = verdict else { return };
         if self.violations.len() < MAX_RECORDED_VIOLATIONS {
@@ -96,9 +96,9 @@
 }
 
 impl Driver {
-    /// Begins the self-check: from now on each event and action is checked. A violation is logged, and kept for
-    /// [`Driver::violations`]. `drain_grace`: how long a backend may
-    /// still get new attempts after the event that it drains.
+    /// Enables the self-check: from now on each event and action is checked. Violations are logged, and kept for
+    /// [`Driver::violations`]. `drain_grace` is the time for which a backend may still get new attempts after the event
+    /// that reports it as draining.
     pub fn enable_self_check(&self, drain_grace: Micros) {
         let rules = Rules {
             drain_grace,
@@ -110,7 +110,7 @@
         self.state.borrow_mut().checker = Some(InvariantChecker::new(rules));
     }
 
-    /// Logs a violation that the caller has found itself, and keeps it where there is a self-check.
+    /// Logs a violation that the caller has found, and keeps it if the self-check is enabled.
     pub fn report_violation(&self, text: &str) {
         error!("self-check: {text}");
         if let Some(checker) = &mut self.state.borrow_mut().checker {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// How many violations there were since the self-check began, and the first 50 of them.
+    /// Returns the number of violations since the self-check was enabled, and the texts of the first 50.
     pub fn violations(&self) -> (u64, Vec<String>) {
         match &self.state.borrow().checker {
             Some(checker) => (checker.violation_count, checker.violations.clone()),
--- a/crates/net/src/driver/recording.rs
+++ b/crates/net/src/driver/recording.rs
@@ -1,4 +1,4 @@
-//! What is recorded of requests, attempts and endpoint lists, and what the record says of a request that is open.
+//! Events of requests, attempts and endpoint lists, passed on to the record, and the record's decisions on open requests.
 
 use super::Driver;
 use crate::recording::RequestRecorder;
@@ -8,17 +8,17 @@
 use std::rc::Rc;
 
 impl Driver {
-    /// Sets the recorder, which gets the events of requests of recorded classes from now on.
+    /// Sets the recorder, which is passed the events of requests of recorded classes from now on.
     pub fn set_recorder(&self, recorder: Rc<dyn RequestRecorder>) {
         self.state.borrow_mut().recorder = Some(recorder);
     }
 
-    /// The store has answered a write-ahead intent: the attempt may be sent if it is persisted.
+    /// Handles the store's reply to a write-ahead intent: the attempt may be sent if the intent is persisted.
     pub fn on_intent_persisted(self: &Rc<Self>, request: RequestId, attempt: AttemptNumber, persisted: bool) {
         self.handle_event(Event::IntentPersisted { request, attempt, persisted });
     }
 
-    /// Ends a request whose key may not be sent, as the record found out after it was submitted.
+    /// Ends a request whose idempotency key may not be sent, which the record found only after the request was submitted.
     pub fn end_by_record(self: &Rc<Self>, request: RequestId, decision: KeyDecision) {
         let retry_after = match decision {
             KeyDecision::Reject(retry_after) => retry_after,
@@ -33,7 +33,7 @@
         self.handle_event(Event::GiveUp { request, retry_after });
     }
 
-    /// Tells the recorder, where there is one.
+    /// Passes an event on to the recorder, if one is set.
     pub(super) fn record_event(&self, event: shaletide_record::Event) {
         let recorder = self.state.borrow().recorder.clone();
         if let Some(recorder) = recorder {
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Records an attempt that is about to be sent, where its request is recorded and no intent was: an intent says as
-    /// much.
-    pub(super) fn record_unacknowledged_attempt(&self, request: RequestId, attempt: AttemptNumber) {
+    /// Records that an attempt is about to be sent, if its request is recorded without intents. An intent already records
+    /// the same.
+    pub(super) fn record_attempt_without_intent(&self, request: RequestId, attempt: AttemptNumber) {
         let requires_intent =
             self.state.borrow().open_requests.get(&request).and_then(|open| open.requires_intent);
         if requires_intent == Some(false) {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Asks the store to persist the intent to send an attempt.
+    /// Requests that the store persists the intent to send an attempt.
     pub(super) fn record_intent(&self, request: RequestId, attempt: AttemptNumber) {
         let seen = self.backend_seen(request, attempt);
         self.record_event(shaletide_record::Event::IntentRequested { request, attempt, seen });
     }
 
-    /// What is known at this moment of the backend of an attempt.
+    /// Returns the current state of the backend of an attempt.
     fn backend_seen(&self, request: RequestId, attempt: AttemptNumber) -> BackendSnapshot {
         let state = self.state.borrow();
         let attempts = state.engine.requests().get(&request).map(|request| &request.attempts);
--- a/crates/net/src/driver/requests.rs
+++ b/crates/net/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests: submitted by a front, answered once, or withdrawn.
+//! Open requests: submitted by a front, then answered exactly once or withdrawn.
 
 use super::Driver;
 use crate::exchange::UpstreamRequest;
@@ -16,37 +16,37 @@
 /// The final response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinalResponse {
-    /// What was decided on it.
+    /// The decision on the request.
     pub decision: FinalDecision,
-    /// The attempt whose response is forwarded, or else the last that was answered.
+    /// The attempt whose response is forwarded, or, if none is, the last attempt that was answered.
     pub attempt: Option<AttemptNumber>,
-    /// Why its key is not sent, where that is so.
+    /// Why the idempotency key was not sent, if that is why the request ended.
     pub conflict: Option<KeyConflict>,
 }
 
-/// Why a request is not accepted.
+/// The reason why a request is not accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubmitError {
-    /// The record does not let its key be sent.
+    /// The record does not allow its idempotency key to be sent.
     Record(KeyDecision),
-    /// Its client has closed its connection.
+    /// The client has closed its connection.
     ClientClosed,
 }
 
-/// What is kept of a request until its final response.
+/// The state of a request until its final response.
 pub(super) struct OpenRequest {
     pub upstream_request: Rc<dyn UpstreamRequest>,
     response: oneshot::Sender<FinalResponse>,
-    /// By when it is to be answered.
+    /// The time by which the request has to be answered.
     pub deadline: Time,
-    /// `None`: it is not recorded; else whether each attempt needs a persisted intent.
+    /// Whether each attempt needs a persisted intent; `None` if the request is not recorded.
     pub requires_intent: Option<bool>,
-    /// Set where the record has ended it.
+    /// Set if the record has ended the request.
     pub conflict: Option<KeyConflict>,
 }
 
 impl OpenRequest {
-    /// The trace of one of its attempts, where requests are traced.
+    /// Returns a trace for one of the request's attempts, if requests are traced.
     pub fn attempt_trace(&self, attempt: AttemptNumber, backend: BackendId) -> Option<AttemptTrace> {
         let request = self.upstream_request.trace()?.clone();
         Some(AttemptTrace { request, attempt, backend })
@@ -54,18 +54,18 @@
 }
 
 impl Driver {
-    /// Accepts a request. `spec.arrival.request`, `spec.requires_intent` and `spec.recorded` are set here;
-    /// `spec.arrival.time_left` is set to what is left as the engine handles the request. Returns its number and the
-    /// receiver of its final response, which comes by its deadline. A caller that drops the receiver says so by
+    /// Accepts a request. Sets `spec.arrival.request`, `spec.requires_intent` and `spec.recorded`;
+    /// `spec.arrival.time_left` is set when the engine handles the request. Returns the request's number and the receiver
+    /// of its final response, which is sent by the deadline. A caller that drops the receiver has to call
     /// [`Driver::client_disconnected`].
     ///
     /// # Errors
-    /// Why it is not accepted. Nothing is kept of it then.
+    /// Returns the reason why the request is not accepted. No state of it is kept in that case.
     pub fn submit(
         self: &Rc<Self>, mut spec: RequestSpec, deadline: Time, identity: RequestIdentity<'_>,
         upstream_request: Rc<dyn UpstreamRequest>,
     ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
-        // Checked again before each attempt; here it saves a decision and a connection.
+        // This is checked again before each attempt; checking it here saves a decision and a connection.
         if upstream_request.client().is_some_and(PeerWatch::closed) {
             self.state.borrow_mut().counters.client_disconnected += 1;
             if let Some(trace) = upstream_request.trace() {
@@ -80,7 +80,8 @@
             state.counters.requests += 1;
             RequestId(state.last_request_id)
         };
-        let requires_intent = self.ask_recorder(now, id, identity, deadline).map_err(SubmitError::Record)?;
+        let requires_intent =
+            self.query_recorder(now, id, identity, deadline).map_err(SubmitError::Record)?;
         if let Some(trace) = upstream_request.trace() {
             trace.taken(id, deadline - now);
         }
@@ -94,9 +95,9 @@
         Ok((id, receiver))
     }
 
-    /// Asks the record about a request, where its class is recorded. `Ok(None)`: it is not; else whether each attempt
-    /// needs a persisted intent.
-    fn ask_recorder(
+    /// Asks the record whether a request may be sent. Returns whether each attempt needs a persisted intent, or `None` if
+    /// the request's class is not recorded.
+    fn query_recorder(
         &self, now: Time, id: RequestId, identity: RequestIdentity<'_>, deadline: Time,
     ) -> Result<Option<bool>, KeyDecision> {
         let recorder = self.state.borrow().recorder.clone();
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Whether its final response is still awaited.
+    /// Whether a request has no final response yet.
     pub(super) fn is_open(&self, request: RequestId) -> bool {
         self.state.borrow().open_requests.contains_key(&request)
     }
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Gives up all open requests: nothing of them is sent any more, and each gets a final response by what is known of
-    /// its attempts. Called at the end of the shutdown.
+    /// Gives up all open requests: no more bytes of them are sent, and each gets a final response that follows from the
+    /// state of its attempts. Called at the end of the shutdown.
     pub fn give_up_all(self: &Rc<Self>, retry_after: Micros) {
         let open: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
         for request in open {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Traces why the balancer gave a request up.
+    /// Traces the reason for which the balancer gave up a request.
     pub(super) fn trace_given_up(&self, request: RequestId, reason: GiveUpReason) {
         let state = self.state.borrow();
         let open = state.open_requests.get(&request);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Passes the engine's final response on to the front that awaits it.
+    /// Sends the engine's final response to the front that waits for it.
     pub(super) fn answer(
         &self, request: RequestId, outcome: FinalOutcome, last_attempt: Option<AttemptNumber>,
     ) {
@@ -177,7 +178,7 @@
             }
         };
         drop(state);
-        // Fails where the client has closed its connection at this moment.
+        // Fails if the client has just closed its connection and the front has dropped the receiver.
         let _ = open.response.send(FinalResponse { decision, attempt, conflict: open.conflict });
         if open.requires_intent.is_some() {
             self.record_event(shaletide_record::Event::RequestEnded { request, ending });
--- a/crates/net/src/driver/setup.rs
+++ b/crates/net/src/driver/setup.rs
@@ -1,4 +1,4 @@
-//! Pools and connection settings, at the start and at a reload.
+//! Configuration of pools and connection settings, at startup and at a reload.
 
 use super::attempts::UpstreamConfig;
 use super::{Driver, State};
@@ -9,33 +9,33 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A pool as it is configured.
+/// The configuration of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolSetup {
-    /// Its name, and where its endpoint list comes from.
+    /// The pool's name, and the source of its endpoint list.
     pub spec: PoolSpec,
-    /// Its balancer's configuration. [`Driver::setup`] sets the zone and the deduplication domain.
+    /// The configuration of the pool's balancer. [`Driver::setup`] sets the zone and the deduplication domain.
     pub config: Config,
 }
 
-/// What a setup changes beside the configurations.
+/// The changes that a setup brings beside the new configurations.
 struct SetupChanges {
     directory: DirectoryUpdate,
-    /// The pools, in the order of their setups.
+    /// The configured pools, in the order of their setups.
     pools: Vec<PoolId>,
-    /// Pools that are configured no more.
+    /// Pools that are no longer configured.
     closed: Vec<PoolId>,
 }
 
 impl Driver {
-    /// Sets the pools up, at the start or at a reload. `first`: at the start, the names of the zones and server types
-    /// that are numbered before all others. At a reload pools keep what they learned, backends that move to another pool
-    /// take what is known of them along, and a pool that is configured no more fails over or answers its requests. Returns
-    /// the pools' numbers in the order of `setups`.
+    /// Configures the pools, at startup or at a reload. At startup, `first` has the names of the zones and server types
+    /// that are numbered before all others; at a reload it is `None`. At a reload, pools keep their learned state, backends
+    /// that move to another pool keep theirs, and a pool that is no longer configured fails its requests over or answers
+    /// them. Returns the pools' numbers in the order of `setups`.
     ///
     /// # Errors
-    /// The field of a configuration that is invalid. Some pools may be configured by then: the caller checks the
-    /// configurations before.
+    /// Returns the invalid field of a configuration. Some pools may already be configured by then, so the caller has to
+    /// check the configurations beforehand.
     pub fn setup(
         self: &Rc<Self>, first: Option<(&[String], &[String])>, zone: &str, seed: u64,
         config: UpstreamConfig, setups: Vec<PoolSetup>,
@@ -66,7 +66,7 @@
 }
 
 impl State {
-    /// Configures the balancers, the engine and the self-check for pools that the directory has numbered.
+    /// Configures the balancers, the engine and the self-check for pools that are in the directory.
     fn configure_pools(
         &mut self, zone: &str, seed: u64, config: &UpstreamConfig, setups: Vec<PoolSetup>,
         directory: DirectoryUpdate,
@@ -90,7 +90,7 @@
         Ok(SetupChanges { directory, pools, closed })
     }
 
-    /// The deduplication domain of all these pools; `None` where one has none, or theirs differ.
+    /// Returns the deduplication domain that all these pools share, or `None` if a pool has none or their domains differ.
     fn only_deduplication_domain(&self, pools: &[PoolId]) -> Option<u32> {
         let domains: HashSet<Option<u32>> =
             pools.iter().map(|pool| self.directory.deduplication_domain(*pool)).collect();
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -15,7 +15,7 @@
 use shaletide_types::*;
 use std::time::Duration;
 
-/// A request that is never written and never answered.
+/// A request whose exchange writes nothing and never ends.
 struct NeverWritten;
 
 impl UpstreamRequest for NeverWritten {
@@ -27,19 +27,19 @@
     }
 }
 
-/// How long the process stands still over a request of that kind.
-const STANDSTILL: Duration = Duration::from_millis(100);
+/// How long a [`BlockingCallbacks`] request blocks the thread in each callback.
+const BLOCK_TIME: Duration = Duration::from_millis(100);
 
-/// The process stands still each time that the driver asks for its client or its trace.
-struct StandsStill;
+/// A request that blocks the thread each time the driver calls [`UpstreamRequest::client`] or [`UpstreamRequest::trace`].
+struct BlockingCallbacks;
 
-impl UpstreamRequest for StandsStill {
+impl UpstreamRequest for BlockingCallbacks {
     fn client(&self) -> Option<&PeerWatch> {
-        std::thread::sleep(STANDSTILL);
+        std::thread::sleep(BLOCK_TIME);
         None
     }
     fn trace(&self) -> Option<&Rc<RequestTrace>> {
-        std::thread::sleep(STANDSTILL);
+        std::thread::sleep(BLOCK_TIME);
         None
     }
     fn run(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
@@ -54,7 +54,7 @@
     std::future::poll_fn(|cx| stream.as_mut().poll_write(cx, b"GET / HTTP/1.1\r\n\r\n")).await
 }
 
-/// A request that is written and never answered. Where it cannot be written, its connection was closed.
+/// A request that is written and never answered. If it cannot be written, its exchange ends with a closed connection.
 struct NeverAnswered;
 
 impl UpstreamRequest for NeverAnswered {
@@ -71,7 +71,7 @@
     }
 }
 
-const NETWORK: UpstreamConfig = UpstreamConfig {
+const UPSTREAM_CONFIG: UpstreamConfig = UpstreamConfig {
     connect_timeout: Micros(1_000_000),
     idle_timeout: Micros(1_000_000),
     response_stall_timeout: None,
@@ -84,9 +84,9 @@
 }
 
 fn driver(pools: &[&str]) -> (Rc<Driver>, Vec<PoolId>) {
-    let driver = Driver::new(Clock::new(), NETWORK);
+    let driver = Driver::new(Clock::new(), UPSTREAM_CONFIG);
     let pools = pools.iter().map(|name| pool(name, Config::example())).collect();
-    let ids = driver.setup(Some((&[], &[])), "", 1, NETWORK, pools).unwrap();
+    let ids = driver.setup(Some((&[], &[])), "", 1, UPSTREAM_CONFIG, pools).unwrap();
     (driver, ids)
 }
 
@@ -114,14 +114,15 @@
     }
 }
 
-/// A deadline that no test comes to.
-fn in_a_minute(driver: &Driver) -> Time {
+/// Returns a deadline that no test reaches.
+fn distant_deadline(driver: &Driver) -> Time {
     driver.clock.now() + Micros(60_000_000)
 }
 
-/// The backend drains, or the client leaves, while the connection is being established. A backend that is gone is forgotten.
+/// The backend starts to drain, or the client disconnects, while the connection is being established. A backend that is gone
+/// is removed from the directory.
 #[tokio::test]
-async fn draining_or_gone_backend_is_sent_nothing_before_the_first_byte() {
+async fn attempt_is_not_started_on_draining_or_gone_backend() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -132,56 +133,56 @@
             let (_, answer) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
                 .unwrap();
-            assert_eq!(driver.upstream_connection_count(), 1, "it comes up");
+            assert_eq!(driver.upstream_connection_count(), 1, "no connection is being established");
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DRAINING", &at));
             assert_eq!(driver.upstream_connection_count(), 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &at));
-            let (left, _) = driver
+            let (disconnected, _) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
                 .unwrap();
-            driver.client_disconnected(left);
+            driver.client_disconnected(disconnected);
             assert_eq!(driver.state.borrow().counters.dispatched, 0);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("DELETED", &at));
-            assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "forgotten");
+            assert_eq!(driver.state.borrow().directory.address(BackendId(0)), None, "still in the directory");
             drop(answer);
         })
         .await;
 }
 
-/// The address is one event to the engine, whatever the number of connections to the old one: the attempt that waited for a
-/// connection gets one to the new address.
+/// Guards against one event for each connection to the old address: the second event would close the connection that the
+/// first one has opened to the new address for the waiting attempt.
 #[tokio::test]
-async fn address_change_is_told_once_for_all_connections_to_the_old_address() {
+async fn address_change_is_one_event_for_all_connections_to_the_old_address() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p"]);
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", "127.0.0.1:9"));
             for _ in 0..3 {
-                let (left, _) = driver
+                let (disconnected, _) = driver
                     .submit(
                         request_spec(&pools),
-                        in_a_minute(&driver),
+                        distant_deadline(&driver),
                         RequestIdentity::default(),
                         Rc::new(NeverWritten),
                     )
                     .unwrap();
-                driver.client_disconnected(left); // its connection comes up for others
+                driver.client_disconnected(disconnected); // its connection is still established, for other requests
             }
             let (_, answer) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
@@ -195,15 +196,15 @@
                 (driver.upstream_connection_count(), driver.state.borrow().connections.connects_begun),
                 (1, 5)
             );
-            assert!(answer.is_empty(), "it is on its way to the new address");
+            assert!(answer.is_empty(), "answered before the new connection is established");
         })
         .await;
 }
 
-/// A backend that closes each connection when it is established counts as unreachable: connecting again and again would last
-/// as long as the request has time. Here the first is closed before the event loop hears that it is established.
+/// Guards against reconnecting until the request's deadline to a backend that closes each connection when it is established:
+/// such a backend counts as unreachable. Here the first connection is closed before the event loop reports it established.
 #[tokio::test]
-async fn connection_closed_when_established_is_not_replaced_for_the_same_attempt() {
+async fn connection_closed_when_established_is_not_replaced_for_same_attempt() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
@@ -214,38 +215,42 @@
             let (_, answer) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverAnswered),
                 )
                 .unwrap();
-            tokio::task::yield_now().await; // the kernel is asked to connect
+            tokio::task::yield_now().await; // starts the connect
             drop(listener.accept().unwrap());
             let begun = std::time::Instant::now();
             while driver.state.borrow().counters.connections_unusable == 0 {
-                assert!(begun.elapsed().as_secs() < 20, "it is not found out");
+                assert!(begun.elapsed().as_secs() < 20, "the close was not detected");
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let opened = driver.state.borrow().connections.connects_begun;
-            assert_eq!((opened, driver.upstream_connection_count()), (1, 0), "none is opened in its place");
+            assert_eq!(
+                (opened, driver.upstream_connection_count()),
+                (1, 0),
+                "a connection was opened as a replacement"
+            );
             assert!(matches!(answer.await.unwrap().decision, FinalDecision::Rejected(_)));
         })
         .await;
 }
 
-/// Rounds of decisions that take longer than the interval between them leave time for everything else.
+/// Guards against an event loop that is blocked by rounds of decisions that take longer than the interval between them.
 #[tokio::test]
-async fn timers_that_are_always_due_do_not_block_the_event_loop() {
+async fn timers_that_are_always_due_do_not_block_event_loop() {
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p"]);
             let short_interval = pool("p", Config { min_timer_interval: Micros(1), ..Config::example() });
-            driver.setup(None, "", 1, NETWORK, vec![short_interval]).unwrap();
+            driver.setup(None, "", 1, UPSTREAM_CONFIG, vec![short_interval]).unwrap();
             let (id, queued) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
@@ -263,36 +268,37 @@
         .await;
 }
 
-/// Guards against a deadline that is set anew from a later reading of the clock while a request is submitted.
+/// Guards against a deadline that moves because it is computed from a later clock reading while a request is submitted.
 #[tokio::test]
-async fn deadline_is_kept_where_the_process_stands_still_while_a_request_is_submitted() {
+async fn deadline_is_kept_if_thread_blocks_while_request_is_submitted() {
     let (driver, pools) = driver(&["p"]);
-    let deadline = in_a_minute(&driver);
+    let deadline = distant_deadline(&driver);
     let (id, _answer) = driver
-        .submit(request_spec(&pools), deadline, RequestIdentity::default(), Rc::new(StandsStill))
+        .submit(request_spec(&pools), deadline, RequestIdentity::default(), Rc::new(BlockingCallbacks))
         .unwrap();
     assert_eq!(driver.state.borrow().engine.requests()[&id].deadline, deadline);
 }
 
-/// The wait for a processor is allowed for; an event loop that stands still or is busy is not.
+/// The self-check tolerates a response that is late because the thread waited for a processor, but not one that is late
+/// because the event loop was blocked or busy.
 #[tokio::test]
-async fn answer_that_is_late_as_the_event_loop_stood_still_breaks_a_rule() {
+async fn response_late_because_event_loop_blocked_is_a_violation() {
     const TIME_LEFT: Micros = Micros(50_000);
-    const STANDS_STILL: Duration = Duration::from_millis(300);
+    const BLOCKED_FOR: Duration = Duration::from_millis(300);
     let scope = tokio::task::LocalSet::new();
     scope
         .run_until(async {
             let (driver, pools) = driver(&["p"]);
             let mut config = Config::example();
-            config.classes[0].latency_objective = TIME_LEFT; // else it has too little time to wait for a backend
-            driver.setup(None, "", 1, NETWORK, vec![pool("p", config)]).unwrap();
+            config.classes[0].latency_objective = TIME_LEFT; // otherwise the request has too little time to be queued
+            driver.setup(None, "", 1, UPSTREAM_CONFIG, vec![pool("p", config)]).unwrap();
             driver.enable_self_check(Micros(0));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
             let deadline = driver.clock.now() + TIME_LEFT;
             let (_, answer) = driver
                 .submit(request_spec(&pools), deadline, RequestIdentity::default(), Rc::new(NeverWritten))
                 .unwrap();
-            std::thread::sleep(STANDS_STILL);
+            std::thread::sleep(BLOCKED_FOR);
             answer.await.unwrap();
             let (count, texts) = driver.violations();
             assert!(count > 0 && texts.iter().all(|text| text.contains("after its deadline")), "{texts:?}");
@@ -301,7 +307,8 @@
         .await;
 }
 
-/// By snapshots and deltas alike; and an update of one pool costs nothing for the backends of the others.
+/// Holds for snapshots and deltas. The cost of an update of one pool must not depend on the number of backends of the other
+/// pools.
 #[tokio::test]
 async fn endpoint_update_sets_backend_states_at_the_cost_of_its_own_entries() {
     let (driver, pools) = driver(&["p", "q"]);
@@ -318,13 +325,17 @@
     };
     assert_eq!(served([0, 29_999, 30_000]), [true, true, false]);
     driver.update_endpoints(pools[0], EndpointUpdate::Snapshot, many(1, 3));
-    assert_eq!(served([0, 1, 29_999]), [false, true, false], "what is absent is gone");
+    assert_eq!(
+        served([0, 1, 29_999]),
+        [false, true, false],
+        "a backend absent from the snapshot is still ready"
+    );
     let drains = Endpoint { state: BackendState::Draining, ..many(1, 2).remove(0) };
     driver.update_endpoints(pools[0], EndpointUpdate::Delta, vec![drains]);
     assert_eq!(served([0, 1, 2]), [false, false, true]);
 }
 
-/// At once, by whether its route has another pool.
+/// The request fails over if its route has another pool; otherwise it is rejected at once.
 #[tokio::test]
 async fn queued_request_is_answered_or_failed_over_when_its_pool_closes() {
     let scope = tokio::task::LocalSet::new();
@@ -334,21 +345,21 @@
             let (_, queued) = driver
                 .submit(
                     request_spec(&pools[..1]),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
                 .unwrap();
-            let (_, moves) = driver
+            let (_, failed_over) = driver
                 .submit(
                     request_spec(&pools),
-                    in_a_minute(&driver),
+                    distant_deadline(&driver),
                     RequestIdentity::default(),
                     Rc::new(NeverWritten),
                 )
                 .unwrap();
             let q = pool("q", Config::example());
-            assert_eq!(driver.setup(None, "", 1, NETWORK, vec![q]).unwrap(), pools[1..]);
+            assert_eq!(driver.setup(None, "", 1, UPSTREAM_CONFIG, vec![q]).unwrap(), pools[1..]);
             assert!(matches!(queued.await.unwrap().decision, FinalDecision::Rejected(_)));
             driver.update_endpoints(pools[1], EndpointUpdate::Snapshot, entries("SERVING", "127.0.0.1:9"));
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
@@ -356,22 +367,23 @@
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             timers.abort();
-            drop(moves);
+            drop(failed_over);
         })
         .await;
 }
 
-/// Writes its request, and stands still over the second question for its client, which the driver asks as it dispatches.
+/// A request that is written, and that blocks the thread in the second call of [`UpstreamRequest::client`], which the driver
+/// makes when it dispatches the attempt.
 #[derive(Default)]
-struct StandsStillAtDispatch {
-    questions: Cell<u32>,
+struct BlocksAtDispatch {
+    client_calls: Cell<u32>,
 }
 
-impl UpstreamRequest for StandsStillAtDispatch {
+impl UpstreamRequest for BlocksAtDispatch {
     fn client(&self) -> Option<&PeerWatch> {
-        self.questions.set(self.questions.get() + 1);
-        if self.questions.get() == 2 {
-            std::thread::sleep(2 * STANDSTILL);
+        self.client_calls.set(self.client_calls.get() + 1);
+        if self.client_calls.get() == 2 {
+            std::thread::sleep(2 * BLOCK_TIME);
         }
         None
     }
@@ -380,7 +392,7 @@
     }
 }
 
-/// Guards against a request that a backend gets after the client's deadline, as the process stood still between the engine's
+/// Guards against a request that is sent after the client's deadline because the process was suspended between the engine's
 /// decision and the first write.
 #[tokio::test]
 async fn request_is_not_begun_after_its_deadline() {
@@ -392,19 +404,23 @@
             let timers = tokio::task::spawn_local(driver.clone().run_timers());
             let address = listener.local_addr().unwrap().to_string();
             driver.update_endpoints(pools[0], EndpointUpdate::Delta, entries("SERVING", &address));
-            let deadline = driver.clock.now() + Micros(STANDSTILL.as_micros() as u64);
-            let request = Rc::new(StandsStillAtDispatch::default());
+            let deadline = driver.clock.now() + Micros(BLOCK_TIME.as_micros() as u64);
+            let request = Rc::new(BlocksAtDispatch::default());
             let (_, answer) = driver
                 .submit(request_spec(&pools), deadline, RequestIdentity::default(), request.clone())
                 .unwrap();
             answer.await.unwrap();
-            assert_eq!(request.questions.get(), 2, "it was dispatched");
+            assert_eq!(request.client_calls.get(), 2, "not dispatched");
             timers.abort();
             assert_eq!(driver.state.borrow().counters.dispatched, 1);
             let (mut peer, _) = listener.accept().unwrap();
             drop(driver);
-            peer.set_read_timeout(Some(STANDSTILL)).unwrap();
-            assert_eq!(std::io::Read::read(&mut peer, &mut [0; 64]).unwrap_or(0), 0, "it was written");
+            peer.set_read_timeout(Some(BLOCK_TIME)).unwrap();
+            assert_eq!(
+                std::io::Read::read(&mut peer, &mut [0; 64]).unwrap_or(0),
+                0,
+                "written after its deadline"
+            );
         })
         .await;
 }
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -1,5 +1,5 @@
-//! Clients that close their connection before an attempt begins. The end stands in the kernel and the event loop has
-//! not been polled since, so that only the socket itself can tell.
+//! Clients that close their connection before an attempt begins. The event loop has not been polled since the close, so that
+//! only a query of the socket detects it.
 
 use super::*;
 use shaletide_routing::ResponseClass;
@@ -13,15 +13,15 @@
 enum End {
     Close,
     Reset,
-    /// The platform's protocol knows no client that ends its sending and still wants an answer.
+    /// By the platform's protocol, a client that closes its sending side no longer waits for a response.
     HalfClose,
-    /// Bytes stand before the end, which hide it from a read.
+    /// Unread bytes before the close hide it from a read.
     CloseBehindBytes,
 }
 
 const ENDS: [End; 4] = [End::Close, End::Reset, End::HalfClose, End::CloseBehindBytes];
 
-/// A client's connection as the proxy has it, and the client's side.
+/// A client's connection: the proxy's side and the client's side.
 struct Client {
     accepted: Stream,
     socket: StdStream,
@@ -36,7 +36,7 @@
         Client { accepted: Stream::new(TcpStream::from_std(accepted).unwrap()), socket }
     }
 
-    /// Returns the socket that has to stay open for this kind of end.
+    /// Ends the connection. Returns the socket if it has to stay open for this kind of end.
     fn end(mut self, end: End) -> Option<StdStream> {
         match end {
             End::Close => None,
@@ -56,11 +56,11 @@
     }
 }
 
-/// A request that gets the same answer at each attempt.
+/// A request that gets a response of the same class at each attempt.
 struct Request {
     client: PeerWatch,
     class: ResponseClass,
-    /// The client that ends its connection in this way in the moment in which the first attempt is answered.
+    /// The client whose connection ends when the first attempt is answered, and the kind of end.
     ends: RefCell<Option<(Client, End)>>,
     written: Cell<u32>,
 }
@@ -97,7 +97,7 @@
     }
 }
 
-/// A driver of one pool, a client, and a backend's listener.
+/// A driver with one pool, a client, and a backend's listener.
 struct Setup {
     driver: Rc<Driver>,
     pools: Vec<PoolId>,
@@ -108,15 +108,15 @@
 impl Setup {
     fn new() -> Setup {
         let (driver, pools) = driver(&["p"]);
-        // The only proxy has the whole retry budget.
+        // A single proxy has the whole retry budget.
         let only = pool("p", Config { proxies: 1, ..Config::example() });
-        driver.setup(None, "", 1, NETWORK, vec![only]).unwrap();
+        driver.setup(None, "", 1, UPSTREAM_CONFIG, vec![only]).unwrap();
         let backend = TcpListener::bind("127.0.0.1:0").unwrap();
         backend.set_nonblocking(true).unwrap();
         Setup { driver, pools, client: Client::connect(), backend }
     }
 
-    /// Lists the backend under each of these names.
+    /// Adds the backend to the pool's list under each of these names.
     fn list_backends(&self, names: &[&str]) {
         let at = self.backend.local_addr().unwrap().to_string();
         let entry = |name: &&str| serde_json::json!({"name": name, "address": at, "status": "SERVING"});
@@ -124,7 +124,7 @@
         self.driver.update_endpoints(self.pools[0], EndpointUpdate::Delta, list.entries().0);
     }
 
-    /// Served requests fill the retry budget.
+    /// Sends requests that are served, which fills the retry budget.
     async fn fill_retry_budget(&self) {
         for _ in 0..30 {
             let request = Rc::new(Request::new(&self.client, ResponseClass::Served));
@@ -142,17 +142,18 @@
 fn submit(
     driver: &Rc<Driver>, pools: &[PoolId], request: Rc<Request>,
 ) -> Result<(RequestId, oneshot::Receiver<FinalResponse>), SubmitError> {
-    driver.submit(request_spec(pools), in_a_minute(driver), RequestIdentity::default(), request)
+    driver.submit(request_spec(pools), distant_deadline(driver), RequestIdentity::default(), request)
 }
 
-/// Lets the event loop come round until nothing more is to be done.
+/// Runs the event loop until no more work is pending.
 async fn settle() {
     for _ in 0..50 {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
 
-/// All bytes that came to the backend on any connection, each of which has been closed or is quiet by now.
+/// Returns the number of bytes that the backend has received on all its connections. Each connection is closed or idle by
+/// now.
 fn received(backend: &TcpListener) -> usize {
     let mut count = 0;
     while let Ok((mut connection, _)) = backend.accept() {
@@ -165,8 +166,8 @@
     count
 }
 
-/// Nothing of the request is left in the engine or the driver, and nothing was written to the backend.
-fn assert_forgotten(driver: &Driver, backend: &TcpListener, case: &str) {
+/// Asserts that the engine and the driver have no state of the request, and that nothing was written to the backend.
+fn assert_no_trace_left(driver: &Driver, backend: &TcpListener, case: &str) {
     assert_eq!(received(backend), 0, "{case}: written to the backend");
     let state = driver.state.borrow();
     assert!(state.open_requests.is_empty(), "{case}: still awaited");
@@ -184,64 +185,65 @@
         .await;
 }
 
-/// Request and end were both in the accept queue, or the end came after the head was read.
+/// The request and the close were both in the accept queue, or the client closed after the head was read.
 #[tokio::test]
-async fn request_is_not_accepted_after_its_client_closed() {
+async fn request_is_not_accepted_after_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let request = Request::new(&setup.client, ResponseClass::NotExecuted);
         let _open = setup.client.end(end);
-        let taken = submit(&setup.driver, &setup.pools, Rc::new(request));
-        assert_eq!(taken.map(|_| ()), Err(SubmitError::ClientClosed), "{end:?}");
+        let submitted = submit(&setup.driver, &setup.pools, Rc::new(request));
+        assert_eq!(submitted.map(|_| ()), Err(SubmitError::ClientClosed), "{end:?}");
         settle().await;
-        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
     })
     .await;
 }
 
-/// The connection to the backend is being established when the client closes; the event loop hears of both in one turn.
+/// The connection to the backend is being established when the client disconnects; both are reported in one turn of the event
+/// loop.
 #[tokio::test]
-async fn attempt_does_not_begin_on_a_late_connection_after_its_client_closed() {
+async fn attempt_does_not_begin_on_new_connection_after_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.driver.upstream_connection_count(), 1, "it comes up");
+        assert_eq!(setup.driver.upstream_connection_count(), 1, "no connection is being established");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
 }
 
-/// An idle connection is at hand: the attempt is decided on while the client is there, and its first byte is due after
-/// the client closed.
+/// An idle connection is available: the attempt is dispatched while the client is connected, and its first byte would be
+/// written after the client has closed.
 #[tokio::test]
-async fn first_byte_is_not_written_on_an_idle_connection_after_its_client_closed() {
+async fn first_byte_is_not_written_on_idle_connection_after_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         setup.list_backends(&["b"]);
         let (first, answer) = setup.request().unwrap();
-        setup.driver.client_disconnected(first); // the connection comes up for others
+        setup.driver.client_disconnected(first); // the connection is still established, for other requests
         drop(answer);
         settle().await;
         let (_, answer) = setup.request().unwrap();
-        assert_eq!(setup.driver.state.borrow().counters.dispatched, 1, "decided on");
+        assert_eq!(setup.driver.state.borrow().counters.dispatched, 1, "not dispatched");
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
 }
 
-/// Queued while there is no backend; the update that brings one is handled before the event loop hears of the close.
+/// The request is queued as there is no backend. The update that adds one is handled before the event loop reports the close.
 #[tokio::test]
-async fn queued_request_is_not_sent_after_its_client_closed() {
+async fn queued_request_is_not_sent_after_client_closed() {
     run(async |end| {
         let setup = Setup::new();
         let (_, answer) = setup.request().unwrap();
@@ -254,25 +256,26 @@
             entries("SERVING", &backend.to_string()),
         );
         settle().await;
-        assert_forgotten(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         timers.abort();
         drop((accepted, answer));
     })
     .await;
 }
 
-/// The first attempt is rejected unprocessed, and the client closes in that moment. One that stays gets another.
+/// The backend rejects the first attempt without executing it, and the client disconnects at that moment. Without the close, a
+/// second attempt follows.
 #[tokio::test]
-async fn retry_does_not_begin_after_its_client_closed() {
+async fn retry_does_not_begin_after_client_closed() {
     run(async |end| {
-        for closes in [false, true] {
+        for disconnects in [false, true] {
             let setup = Setup::new();
-            setup.list_backends(&["b", "c"]); // a further attempt goes to another one
+            setup.list_backends(&["b", "c"]); // a retry goes to another backend
             let timers = tokio::task::spawn_local(setup.driver.clone().run_timers());
             setup.fill_retry_budget().await;
             let request = Rc::new(Request::new(&setup.client, ResponseClass::NotExecuted));
             let accepted = setup.client.accepted.clone();
-            let stays = match closes {
+            let connected_client = match disconnects {
                 true => {
                     request.ends.replace(Some((setup.client, end)));
                     None
@@ -280,15 +283,19 @@
                 false => Some(setup.client),
             };
             let (id, answer) = submit(&setup.driver, &setup.pools, request.clone()).unwrap();
-            while request.written.get() < if closes { 1 } else { 2 } {
+            while request.written.get() < if disconnects { 1 } else { 2 } {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             settle().await;
-            assert!(!closes || request.written.get() == 1, "{end:?}: sent {} times", request.written.get());
+            assert!(
+                !disconnects || request.written.get() == 1,
+                "{end:?}: sent {} times",
+                request.written.get()
+            );
             setup.driver.client_disconnected(id);
             assert!(setup.driver.state.borrow().engine.requests().is_empty(), "{end:?}: still in the engine");
             timers.abort();
-            drop((accepted, answer, stays));
+            drop((accepted, answer, connected_client));
         }
     })
     .await;
--- a/crates/net/src/driver/timers.rs
+++ b/crates/net/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! Time: the one timer that the engine wants, and the sweep of idle connections.
+//! The engine's timer, and the sweep of idle connections.
 
 use super::Driver;
 use crate::processor_time::{ProcessorTime, ProcessorTimeHistory};
@@ -11,27 +11,28 @@
 use tokio::sync::Notify;
 use tracing::debug;
 
-/// Kept back of each client's time for the way of the response, on top of how late timers fire.
+/// The part of each client's deadline that is reserved for sending the response, in addition to the lateness of timers.
 const MIN_DEADLINE_MARGIN: Micros = Micros(3_000);
+/// The upper bound of the reserved part, the lateness of timers included.
 const MAX_DEADLINE_MARGIN: Micros = Micros(20_000);
-/// How often idle connections are examined.
+/// The interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The timer of [`shaletide_engine::Engine::wake_at`].
 #[derive(Default)]
 pub(super) struct EngineTimer {
-    /// When it is set to fire.
+    /// The time at which the timer is set to fire.
     timer_at: Cell<Option<Time>>,
-    /// Signalled when the engine wants it earlier than that.
+    /// Signalled when the engine needs the timer earlier than it is set.
     timer_changed: Notify,
-    /// How late it fires: the largest lateness seen, fading by a sixteenth with each timer that fires.
+    /// How late the timer fires: the largest lateness seen, decayed by one sixteenth each time the timer fires.
     timer_lateness: Cell<Micros>,
-    /// Sampled where late timers are logged.
+    /// The thread's processor time, sampled only if late timers are logged.
     processor_times: RefCell<ProcessorTimeHistory>,
 }
 
 impl EngineTimer {
-    /// Has [`Driver::run_timers`] set it anew if the engine wants it earlier than it is set.
+    /// Makes [`Driver::run_timers`] reset the timer if the engine needs it earlier than it is set.
     pub fn notify_if_earlier(&self, wake_at: Option<Time>) {
         let Some(wake_at) = wake_at else { return };
         if self.timer_at.get().is_none_or(|timer_at| wake_at < timer_at) {
@@ -43,7 +44,7 @@
         self.timer_lateness.get()
     }
 
-    fn note_lateness(&self, lateness: Micros) {
+    fn record_lateness(&self, lateness: Micros) {
         let faded = Micros(self.timer_lateness.get().0 * 15 / 16);
         self.timer_lateness.set(lateness.max(faded));
     }
@@ -55,16 +56,16 @@
 }
 
 impl Driver {
-    /// The engine's timer may fire this late; one that is later finds the process stopped for a time, or busy.
+    /// How late the engine's timer usually fires at most. A greater lateness means that the process was stopped or busy.
     pub const USUAL_TIMER_LATENESS: Micros = Micros(5_000);
 
-    /// How much of a client's time is kept back for the way of its response.
+    /// Returns the part of a client's deadline that is reserved for sending the response.
     pub fn deadline_margin(&self) -> Micros {
         Micros((MIN_DEADLINE_MARGIN.0 + self.timer.lateness().0).min(MAX_DEADLINE_MARGIN.0))
     }
 
-    /// Tells the engine of the time whenever it wants that. Runs as long as the program; dropping it stops all timers of
-    /// requests and decisions.
+    /// Wakes the engine at the times that it requests. Runs for the lifetime of the process; dropping the future stops all
+    /// timers of requests and decisions.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             if lateness_logged() {
@@ -81,14 +82,14 @@
                 _ = due => self.on_timer(wake_at).await,
                 _ = self.timer.timer_changed.notified() => {}
             }
-            // A round of decisions over large pools may last longer than the interval to the next.
+            // A round of decisions over large pools may take longer than the interval until the next round.
             tokio::task::yield_now().await;
         }
     }
 
-    /// The timer that was set to `wake_at` has fired.
+    /// Handles the firing of the timer that was set to `wake_at`.
     async fn on_timer(self: &Rc<Self>, wake_at: Time) {
-        // Responses that came meanwhile are read first: they are not late.
+        // Responses that arrived meanwhile are read first, so that they do not count as late.
         if self.clock.now() - wake_at > Driver::USUAL_TIMER_LATENESS {
             timeout::poll_sockets().await;
         }
@@ -97,11 +98,12 @@
             self.timer.processor_times.borrow_mut().sample(self.clock.now());
             self.log_lateness(wake_at, lateness);
         }
-        self.timer.note_lateness(lateness);
+        self.timer.record_lateness(lateness);
         self.handle_event(Event::Wake);
     }
 
-    /// Tells a machine that gave the event loop no processor from an event loop that was busy or stood still.
+    /// Logs the timer's lateness with the thread's processor time, which distinguishes a shortage of processors from an
+    /// event loop that was busy or suspended.
     fn log_lateness(&self, wake_at: Time, lateness: Micros) {
         let ProcessorTime { run, waited } = self.timer.processor_times.borrow().since(wake_at);
         let milliseconds = |span: Micros| span.0 as f64 / 1_000.0;
@@ -112,8 +114,8 @@
         );
     }
 
-    /// Closes idle connections that the backend has closed or on which bytes have come, every 500 ms. Runs as long as the
-    /// program.
+    /// Every 500 ms, closes the idle connections that the backend has closed or on which bytes have arrived. Runs for the
+    /// lifetime of the process.
     pub async fn sweep_idle_connections(self: Rc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -124,7 +126,7 @@
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
             if let Some(checker) = &mut state.checker {
-                checker.check_kept(self.clock.now(), &state.engine);
+                checker.check_retained_state(self.clock.now(), &state.engine);
             }
         }
     }
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The interface between the driver and a protocol: how one attempt of a request is carried out on a connection.
+//! The interface between the driver and a protocol: one attempt of a request, carried out on a connection.
 
 use crate::stream::{PeerWatch, Stream};
 use crate::trace::RequestTrace;
@@ -10,18 +10,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One attempt to be carried out.
+/// The input of an attempt.
 pub struct ExchangeSpec {
-    /// Its number, under which the protocol keeps the response.
+    /// The attempt's number, under which the protocol stores the response.
     pub attempt: AttemptNumber,
-    /// The connection, established and idle.
+    /// An established, idle connection.
     pub stream: Stream,
     /// The backend's address.
     pub to: SocketAddr,
-    /// Until when the response is awaited. The protocol tells the backend, in a header of the request, how much time is
-    /// left until then as the exchange begins.
+    /// The time until which the response is awaited. The protocol sends the backend, in a header of the request, the time
+    /// that is left until then when the exchange begins.
     pub deadline: Instant,
-    /// A response that is not complete this long after its first byte is invalid.
+    /// The time after its first byte at which an incomplete response counts as invalid; `None` for no limit.
     pub stall_timeout: Option<Duration>,
     /// The longest valid body, in bytes.
     pub max_body: usize,
@@ -32,35 +32,35 @@
 pub enum ExchangeOutcome {
     /// A complete response.
     Response {
-        /// What it means by the request's route.
+        /// The response's class by the rules of the request's route.
         class: ResponseClass,
-        /// The response allows the connection to be reused.
+        /// Whether the response allows the connection to be reused.
         reusable: bool,
-        /// Bytes followed the response.
+        /// Whether excess bytes followed the response.
         has_excess_bytes: bool,
-        /// The load that the backend reports.
+        /// The load that the backend reported, if any.
         report: Option<LoadReport>,
     },
-    /// What was received is no valid response, or took too long.
+    /// An invalid response, or one that took too long.
     InvalidResponse,
-    /// The connection was closed.
+    /// The connection was closed before a complete response.
     ConnectionClosed,
 }
 
-/// An attempt in progress. Where it is dropped midway, the driver closes the connection.
+/// An attempt in progress. If the driver drops it before its end, it also closes the connection.
 pub type ExchangeFuture = Pin<Box<dyn Future<Output = ExchangeOutcome>>>;
 
 /// A request that the driver sends to backends.
 pub trait UpstreamRequest {
-    /// The client's connection, if there is one: no attempt begins once the client has closed it.
+    /// Returns the client's connection, if there is one. No attempt begins once the client has closed it.
     fn client(&self) -> Option<&PeerWatch>;
 
-    /// Its trace, where requests are traced.
+    /// Returns the request's trace, if requests are traced.
     fn trace(&self) -> Option<&Rc<RequestTrace>> {
         None
     }
 
-    /// Writes the request and reads its response. Must call [`Stream::begin_request`] before the first byte, so that
-    /// the driver knows when the last one was written.
+    /// Writes the request and reads its response. Must call [`Stream::begin_request`] before the first byte is written, so
+    /// that the driver knows when the last byte was written.
     fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture;
 }
--- a/crates/net/src/hop_by_hop.rs
+++ b/crates/net/src/hop_by_hop.rs
@@ -1,14 +1,14 @@
-//! Headers that concern one connection only, and are not forwarded.
+//! Hop-by-hop headers, which apply to a single connection and are not forwarded.
 
 use hyper::header::*;
 
-/// The header names that the `Connection` headers list.
+/// Returns the header names that are listed in the `Connection` headers.
 pub fn connection_names(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).filter_map(|name| name.trim().parse().ok()).collect()
 }
 
-/// Removes the headers that concern one connection only, and `Content-Length`, which hyper sets by the body.
+/// Removes the hop-by-hop headers, and `Content-Length`, which hyper sets from the body.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     for name in connection_names(headers) {
         headers.remove(name);
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -1,13 +1,13 @@
-//! What an error of a system call on a connection or listener means. Callers match on the classes here and never on
-//! error numbers of their own. Elsewhere: files, `node::NodeError::may_pass`; the store, `opening::may_open_later`; the
-//! control socket, `control_socket`; discovery, every error fails the call.
+//! Classification of errors of system calls on connections and listeners. Callers match on these classes and never on error
+//! numbers. Other errors are classified elsewhere: those of files by `node::NodeError::may_pass`, those of the store by
+//! `opening::may_open_later`, those of the control socket by `control_socket`. In discovery, every error fails the call.
 //!
-//! - A read, write, peek or shutdown on a connection: EAGAIN waits for readiness, EINTR is tried again at once, and any
-//!   other error ends the connection (ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EPIPE and the like).
+//! - A read, write, peek or shutdown on a connection: EAGAIN waits for readiness, EINTR is retried at once, and any other
+//!   error ends the connection (ECONNRESET, ETIMEDOUT, EHOSTUNREACH, EPIPE and the like).
 //! - An accept: [`accept_failure`].
 //! - A connect: [`connect_failure`].
 //! - A bind or listen: [`listen_failure`].
-//! - A call at the start: [`retry_shortage`].
+//! - A call at startup: [`retry_shortage`].
 
 use crate::clock::span;
 use rustix::io::Errno;
@@ -19,22 +19,22 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// An error is logged at most this often, for each call and error number.
+/// The minimum interval between two log lines on the same call and error number.
 const LOG_INTERVAL: Micros = Micros(1_000_000);
-/// A call at the start that failed for want of system resources is repeated after this time.
+/// The delay before a call at startup that failed for lack of system resources is retried.
 const START_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Pairs of call and error number that are counted apart; further ones are counted together by call.
-const MAX_ERRORS: usize = 64;
+/// The number of pairs of call and error number that have a count of their own. Further ones share a count for each call.
+const MAX_ERROR_COUNTS: usize = 64;
 
-/// The call was interrupted by a signal before it did anything.
+/// Whether a call was interrupted by a signal before it did anything.
 pub fn is_interrupted(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::Interrupted
 }
 
-/// The same call, repeated as long as it is interrupted by signals before it did anything.
+/// Makes a call, and repeats it as long as it is interrupted by a signal before it did anything.
 ///
 /// # Errors
-/// Any other error of the call.
+/// Returns any other error of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -44,15 +44,15 @@
     }
 }
 
-/// What a failed accept calls for.
+/// The class of an error of an accept, by the reaction that it requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The connection at the head of the queue has failed, or a signal came: the next one is accepted at once. Linux
-    /// passes pending errors of the network on here (accept(2)).
+    /// The connection at the head of the queue has failed, or a signal interrupted the call: the next connection is accepted
+    /// at once. Linux also returns pending network errors of the connection from accept(2).
     Connection,
-    /// The system lacks memory or files for now: closing connections of this process frees neither.
+    /// The system is temporarily out of memory or files. Closing connections of this process frees neither.
     SystemShortage,
-    /// This process has as many descriptors open as it may: one has to be closed.
+    /// This process has reached its limit of open descriptors: one has to be closed.
     OutOfDescriptors,
 }
 
@@ -62,24 +62,24 @@
         Some(Errno::MFILE) => AcceptFailure::OutOfDescriptors,
         Some(Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::SystemShortage,
         // ECONNABORTED, EINTR, ENETDOWN, EPROTO, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH
-        // and EPERM (from a firewall), and what a later kernel may add.
+        // and EPERM (from a firewall), and any error that a later kernel may add.
         _ => AcceptFailure::Connection,
     }
 }
 
-/// What a failed connect says.
+/// The class of an error of a connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectFailure {
-    /// It was interrupted, or the system lacks memory, files, ports or watches of event loops (ENOSPC) for now: it is repeated
-    /// on a new socket, and says nothing of the backend.
+    /// The call was interrupted, or the system is temporarily out of memory, files, ports or epoll watches (ENOSPC). The
+    /// connect is retried on a new socket; the error is no sign of a failure of the backend.
     SystemShortage,
-    /// This process has as many descriptors open as it may, which says nothing of the backend either.
+    /// This process has reached its limit of open descriptors. This is no sign of a failure of the backend either.
     OutOfDescriptors,
-    /// The backend, or the way to it, does not work.
+    /// The backend, or the network path to it, has failed.
     Peer,
 }
 
-/// Classifies the error of a connect, or of making its socket.
+/// Classifies the error of a connect, or of the creation of its socket.
 pub fn connect_failure(error: &io::Error) -> ConnectFailure {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE) => ConnectFailure::OutOfDescriptors,
@@ -96,17 +96,17 @@
     }
 }
 
-/// What a failure to listen on an address says.
+/// The class of a failure to listen on an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenFailure {
-    /// Another socket has the address. Both bind and listen say so: two sockets may be bound to it, and the first to
-    /// listen wins.
+    /// Another socket has the address. Both bind and listen return this error: two sockets may be bound to the address, and
+    /// the first to listen gets it.
     AddressInUse,
-    /// This machine does not have the address, yet or any more.
+    /// This machine does not have the address, at least not now.
     AddressMissing,
-    /// The system, or this process, lacks memory, files or buffers for now.
+    /// The system, or this process, is temporarily out of memory, files or buffers.
     SystemShortage,
-    /// It will not pass by itself: EACCES, EAFNOSUPPORT, EINVAL and the like.
+    /// A permanent error: EACCES, EAFNOSUPPORT, EINVAL and the like.
     Permanent,
 }
 
@@ -127,9 +127,9 @@
     }
 }
 
-/// The system, or this process, lacks memory, files, buffers or threads for now, the user's event loops watch as many
-/// descriptors as they may (ENOSPC of epoll_ctl), or a signal interrupted the call (EINTR): the same call may succeed when it
-/// is repeated.
+/// Whether an error is a temporary shortage, so that the same call may succeed when it is repeated: the system, or this
+/// process, is out of memory, files, buffers or threads, the user has reached the limit of epoll watches (ENOSPC of
+/// epoll_ctl), or a signal interrupted the call (EINTR).
 pub fn is_shortage(error: &io::Error) -> bool {
     let errno = Errno::from_io_error(error);
     matches!(
@@ -146,14 +146,14 @@
     )
 }
 
-/// Repeats a call at the start every 20 ms while it fails for want of memory, files, buffers or threads, for `patience` at
-/// most; `None`: without limit. Blocks the thread: nothing is served yet. `sleep` is called between two attempts, `report` with
-/// a line on the shortage at once and then once a second.
+/// Makes a call at startup, and repeats it every 20 ms while [`is_shortage`] applies to its error, until it has failed for
+/// `time_limit`, or without limit if that is `None`. Blocks the thread, as nothing is served yet. Calls `sleep` between two
+/// attempts, and `report` with a line on the shortage after the first failure and then once a second.
 ///
 /// # Errors
-/// Any other error of the call, or the last one after `patience`.
+/// Returns any other error of the call, or its last error once `time_limit` has passed.
 pub fn retry_shortage<T>(
-    patience: Option<Duration>, sleep: impl Fn(Duration), report: impl Fn(fmt::Arguments<'_>),
+    time_limit: Option<Duration>, sleep: impl Fn(Duration), report: impl Fn(fmt::Arguments<'_>),
     mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let started_at = Instant::now();
@@ -163,7 +163,7 @@
             Err(error) if is_shortage(&error) => error,
             done => return done,
         };
-        if patience.is_some_and(|patience| started_at.elapsed() >= patience) {
+        if time_limit.is_some_and(|time_limit| started_at.elapsed() >= time_limit) {
             return Err(error);
         }
         if logged_at.is_none_or(|at| at.elapsed() >= span(LOG_INTERVAL)) {
@@ -197,12 +197,12 @@
     logged_at: Option<Time>,
 }
 
-/// Errors of system calls, counted by call and number and logged at most once a second each.
+/// Errors of system calls, counted by call and error number. Each pair of these is logged at most once a second.
 #[derive(Debug, Default)]
 pub struct SystemErrors(RefCell<BTreeMap<(SystemCall, i32), ErrorCount>>);
 
 impl SystemErrors {
-    /// Counts an error, and logs it with the number of those since it was logged last, at most once a second.
+    /// Counts an error, and logs it at most once a second, with the number of its occurrences since it was last logged.
     pub fn note(&self, now: Time, call: SystemCall, error: &io::Error) {
         let mut counts = self.0.borrow_mut();
         let count = entry(&mut counts, call, error);
@@ -223,22 +223,22 @@
         entry(&mut self.0.borrow_mut(), call, error).total += 1;
     }
 
-    /// How often a call failed.
+    /// Returns how often a call failed.
     pub fn count(&self, call: SystemCall) -> u64 {
         self.0.borrow().iter().filter(|((of, _), _)| *of == call).map(|(_, count)| count.total).sum()
     }
 }
 
-/// The count of an error; beyond [`MAX_ERRORS`] the one of all errors of the call.
+/// Returns the count of an error. Beyond [`MAX_ERROR_COUNTS`] counts, errors of the same call share a count.
 fn entry<'a>(
     counts: &'a mut BTreeMap<(SystemCall, i32), ErrorCount>, call: SystemCall, error: &io::Error,
 ) -> &'a mut ErrorCount {
     let key = (call, error.raw_os_error().unwrap_or_default());
-    let is_counted_apart = counts.len() < MAX_ERRORS || counts.contains_key(&key);
-    counts.entry(if is_counted_apart { key } else { (call, 0) }).or_default()
+    let has_own_count = counts.len() < MAX_ERROR_COUNTS || counts.contains_key(&key);
+    counts.entry(if has_own_count { key } else { (call, 0) }).or_default()
 }
 
-/// The counts since the start, by call; calls that never failed are left out.
+/// Shows the counts since startup, by call. Calls that never failed are left out.
 impl std::fmt::Display for SystemErrors {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut by_call: BTreeMap<SystemCall, u64> = BTreeMap::new();
--- a/crates/net/src/io_error/tests.rs
+++ b/crates/net/src/io_error/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::thread::sleep;
 
-fn unreported(_: fmt::Arguments<'_>) {}
+fn ignore_report(_: fmt::Arguments<'_>) {}
 
 fn error(errno: Errno) -> io::Error {
     io::Error::from(errno)
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn connect_failure_is_the_peers_unless_system_resources_are_short() {
+fn connect_failure_is_of_the_peer_unless_system_resources_are_short() {
     let shortages =
         [Errno::INTR, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::NOSPC];
     for errno in shortages {
@@ -60,9 +60,9 @@
 }
 
 #[test]
-fn shortage_at_the_start_is_retried_within_the_patience() {
+fn shortage_at_startup_is_retried_within_the_time_limit() {
     let mut calls = 0;
-    let done = retry_shortage(Some(Duration::from_secs(20)), sleep, unreported, || {
+    let done = retry_shortage(Some(Duration::from_secs(20)), sleep, ignore_report, || {
         calls += 1;
         if calls < 3 {
             Err(error(Errno::NFILE))
@@ -71,22 +71,24 @@
         }
     });
     assert!(done.is_ok() && calls == 3);
-    assert!(retry_shortage(Some(Duration::ZERO), sleep, unreported, || Err::<(), _>(error(Errno::NOBUFS)))
-        .is_err());
+    assert!(retry_shortage(Some(Duration::ZERO), sleep, ignore_report, || Err::<(), _>(error(
+        Errno::NOBUFS
+    )))
+    .is_err());
     let mut refused = 0;
-    let failed = retry_shortage(Some(Duration::from_secs(20)), sleep, unreported, || {
+    let failed = retry_shortage(Some(Duration::from_secs(20)), sleep, ignore_report, || {
         refused += 1;
         Err::<(), _>(error(Errno::ACCESS))
     });
     assert!(failed.is_err() && refused == 1);
 }
 
-/// Guards against a start that ends as the event loop takes no more descriptors (ENOSPC of epoll_ctl), which passes as other
-/// processes of the user close theirs.
+/// Guards against a startup that fails because the user's limit of epoll watches is reached (ENOSPC of epoll_ctl). The
+/// shortage ends when other processes of the user close descriptors.
 #[test]
-fn exhausted_event_loop_watches_at_the_start_are_retried() {
+fn exhausted_epoll_watches_at_startup_are_retried() {
     let mut calls = 0;
-    let done = retry_shortage(Some(Duration::from_secs(20)), sleep, unreported, || {
+    let done = retry_shortage(Some(Duration::from_secs(20)), sleep, ignore_report, || {
         calls += 1;
         if calls < 3 {
             Err(error(Errno::NOSPC))
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn listen_failure_may_pass_for_addresses_in_use_or_missing_and_shortages() {
+fn listen_failure_may_pass_for_address_in_use_or_missing_and_for_shortage() {
     assert_eq!(listen_failure(&error(Errno::ADDRINUSE)), ListenFailure::AddressInUse);
     assert_eq!(listen_failure(&error(Errno::ADDRNOTAVAIL)), ListenFailure::AddressMissing);
     for errno in [Errno::INTR, Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::NOSPC] {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! The shell around the machines: the clock, streams, connections to backends, and the driver that runs the engine. It
-//! translates between sockets and events, and decides nothing.
+//! The I/O shell around the state machines: the clock, streams, connections to backends, and the driver that runs the
+//! engine. Translates between sockets and events; all decisions are made by the state machines.
 #![forbid(unsafe_code)]
 
 mod clock;
--- a/crates/net/src/recording.rs
+++ b/crates/net/src/recording.rs
@@ -1,28 +1,29 @@
-//! The interface between the driver and the record: whether a request's key may be sent, and what happened to requests of
-//! recorded classes.
+//! The interface between the driver and the record: decisions on idempotency keys, and events of requests of recorded
+//! classes.
 
 use shaletide_record::{Event, KeyDecision, KeyRequest};
 use shaletide_types::Time;
 
-/// The record as the driver sees it. Called with no borrow of the driver's state; may call the driver back.
+/// The record's interface to the driver. Its methods are called without a borrow of the driver's state, and may call the
+/// driver.
 pub trait RequestRecorder {
-    /// Whether requests of that class are recorded. The recorder gets no events of others.
+    /// Whether requests of a class are recorded. The recorder is passed no events of other classes.
     fn records(&self, class: &str) -> bool;
 
-    /// Decides whether a request's key may be sent, before the engine gets the request.
+    /// Decides whether a request's key may be sent. Called before the request is passed to the engine.
     fn decide(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision;
 
-    /// What happened to a request that may be sent, or to an endpoint list.
+    /// Handles an event of a request that may be sent, or of an endpoint list.
     fn on_event(&self, now: Time, event: Event);
 }
 
-/// How the record identifies a request.
+/// The fields by which the record identifies a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestIdentity<'a> {
-    /// Its tenant; empty where there is none.
+    /// The tenant; empty if there is none.
     pub tenant: &'a str,
-    /// Its class.
+    /// The request class.
     pub class: &'a str,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key, if the request has one.
     pub key: Option<&'a [u8]>,
 }
--- a/crates/net/src/socket_table.rs
+++ b/crates/net/src/socket_table.rs
@@ -1,5 +1,5 @@
-//! Which sockets are at a TCP address, as far as the kernel tells an unprivileged process: the socket table in
-//! `/proc/net/tcp` and `/proc/net/tcp6`, and the descriptors of those processes that may be read.
+//! Finds the sockets at a TCP address, as far as the kernel lets an unprivileged process see them: in the socket table in
+//! `/proc/net/tcp` and `/proc/net/tcp6`, and among the descriptors of those processes that this process may inspect.
 //!
 //! A socket that is bound and neither listens nor is connected has no entry in the table.
 
@@ -12,22 +12,22 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Lines of a table; a longer one is an error.
+/// The maximum number of lines of a socket table. A longer table is an error.
 const MAX_LINES: usize = 1 << 18;
-/// Sockets kept of one address.
+/// The maximum number of sockets that are returned for an address.
 const MAX_HOLDERS: usize = 64;
-/// Processes whose descriptors are read.
+/// The maximum number of processes whose descriptors are read.
 const MAX_PROCESSES: usize = 4_096;
-/// The processor time that reading them may take: no time in which the thread waits for a processor, so that a busy
-/// machine does not cut the search short.
+/// The limit on the processor time of reading the descriptors. Time in which the thread waits for a processor does not
+/// count, so that a busy machine does not cut the search short.
 const SEARCH_TIME: Duration = Duration::from_millis(250);
 
-/// The state of a socket, by the kernel's number in the table.
+/// The state of a socket, as the kernel's number in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TcpState(u8);
 
 impl TcpState {
-    /// It accepts connections.
+    /// The socket accepts connections.
     pub const LISTEN: TcpState = TcpState(10);
 }
 
@@ -55,43 +55,43 @@
 /// A process that has a socket open.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// Its id.
+    /// The process id.
     pub id: u32,
-    /// Its name, without arguments.
+    /// The command name, without arguments.
     pub name: String,
 }
 
-/// A socket of the table.
+/// An entry of the socket table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SocketEntry {
-    /// Its own address.
+    /// The local address.
     pub local: SocketAddr,
-    /// The address of the other side; unspecified for a listener.
+    /// The address of the peer; unspecified for a listener.
     pub remote: SocketAddr,
-    /// Its state.
+    /// The state of the socket.
     pub state: TcpState,
-    /// The id of the user that owns it.
+    /// The id of the user that owns the socket.
     pub user: u32,
-    /// Its inode; 0 where no process has it open any more.
+    /// The inode; 0 if no process has the socket open any more.
     pub inode: u64,
-    /// A process that has it open, once [`Holders::find_processes`] has found one.
+    /// A process that has the socket open, if [`Holders::find_processes`] has found one.
     pub process: Option<Process>,
 }
 
 impl SocketEntry {
-    /// Parses a line of the table; `None` for its head, and for an unknown form.
+    /// Parses a line of the table. Returns `None` for the header line, and for an unknown format.
     fn parse(line: &str) -> Option<SocketEntry> {
         let mut fields = line.split_ascii_whitespace().skip(1);
         let local = parse_address(fields.next()?)?;
         let remote = parse_address(fields.next()?)?;
         let state = TcpState(u8::from_str_radix(fields.next()?, 16).ok()?);
-        // Queues, timer and retransmits stand between.
+        // Skips the fields of the queues, the timer and the retransmits.
         let user = fields.nth(3)?.parse().ok()?;
         let inode = fields.nth(1)?.parse().ok()?;
         Some(SocketEntry { local, remote, state, user, inode, process: None })
     }
 
-    /// Whether it is at that address: at the same port, and on the same address or on all of them.
+    /// Whether the socket occupies an address: the ports are equal, and the IP addresses are equal or one is unspecified.
     fn is_at(&self, at: SocketAddr) -> bool {
         let own = self.local.ip();
         let other = at.ip();
@@ -115,15 +115,16 @@
     }
 }
 
-/// The sockets at an address, 64 at most.
+/// The sockets at an address, at most 64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Holders(pub Vec<SocketEntry>);
 
 impl Holders {
-    /// Reads the kernel's table. Takes as long as the table is; not for the event loop's thread.
+    /// Reads the sockets at an address from the kernel's table. The time grows with the length of the table; not to be
+    /// called on the event loop's thread.
     ///
     /// # Errors
-    /// The table cannot be read, or is longer than 262,144 lines.
+    /// Returns an error if the table cannot be read or has more than 262,144 lines.
     pub fn of(at: SocketAddr) -> io::Result<Holders> {
         let mut holders = Holders::default();
         holders.add_from(BufReader::new(File::open("/proc/net/tcp")?), at)?;
@@ -136,7 +137,7 @@
     }
 
     fn add_from(&mut self, mut table: impl BufRead, at: SocketAddr) -> io::Result<()> {
-        // Most lines are of other ports, and are skipped unparsed.
+        // Most lines are of other ports, and are skipped without parsing.
         let port = format!(":{:04X} ", at.port());
         let mut line = String::new();
         for _ in 0..MAX_LINES {
@@ -148,11 +149,11 @@
                 self.0.extend(SocketEntry::parse(&line).filter(|entry| entry.is_at(at)));
             }
         }
-        Err(io::Error::other("the table of sockets is too long"))
+        Err(io::Error::other("socket table is too long"))
     }
 
-    /// Adds the processes that have the sockets open, where their descriptors may be read. Takes 250 ms of the thread's
-    /// processor time at most; not for the event loop's thread.
+    /// Adds the processes that have the sockets open, as far as their descriptors may be read. Takes at most 250 ms of the
+    /// thread's processor time; not to be called on the event loop's thread.
     pub fn find_processes(&mut self) {
         self.find_processes_within(SEARCH_TIME);
     }
@@ -169,7 +170,7 @@
     }
 }
 
-/// The first three sockets, and how many more there are.
+/// Shows the first three sockets and the number of the others.
 impl fmt::Display for Holders {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const MAX_SHOWN: usize = 3;
@@ -187,7 +188,8 @@
     }
 }
 
-/// Parses an address of the table: hexadecimal words in the machine's byte order, and a port. IPv4 within IPv6 is IPv4.
+/// Parses an address of the table: hexadecimal words in the machine's byte order, and a port. An IPv4-mapped IPv6 address
+/// is returned as IPv4.
 fn parse_address(field: &str) -> Option<SocketAddr> {
     let (ip, port) = field.split_once(':')?;
     let port = u16::from_str_radix(port, 16).ok()?;
@@ -206,7 +208,7 @@
     Some(SocketAddr::new(ip, port))
 }
 
-/// A limit on the processor time that a thread spends from now on.
+/// A limit on the processor time that the calling thread uses after [`ProcessorTimeLimit::begin`].
 struct ProcessorTimeLimit {
     ends_at: Duration,
 }
@@ -221,13 +223,14 @@
     }
 }
 
-/// The processor time that this thread has used.
+/// Returns the processor time that the calling thread has used.
 fn thread_processor_time() -> Duration {
     let used = clock_gettime(ClockId::ThreadCPUTime);
     Duration::try_from(used).unwrap_or_default() // never negative
 }
 
-/// The processes that have these sockets open, by inode; the first of several.
+/// Returns the processes that have these sockets open, by inode. Of several processes with the same socket it returns the
+/// first.
 fn processes_with(inodes: &[u64], search_time: Duration) -> BTreeMap<u64, Process> {
     let mut found = BTreeMap::new();
     let limit = ProcessorTimeLimit::begin(search_time);
@@ -248,7 +251,7 @@
     found
 }
 
-/// The inode of the socket that a descriptor in `/proc` refers to.
+/// Returns the inode of the socket that a descriptor in `/proc` refers to.
 fn socket_inode(descriptor: &Path) -> Option<u64> {
     let target = descriptor.read_link().ok()?;
     target.to_str()?.strip_prefix("socket:[")?.strip_suffix(']')?.parse().ok()
--- a/crates/net/src/socket_table/tests.rs
+++ b/crates/net/src/socket_table/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn table_is_read_in_both_families_and_other_addresses_are_left_out() {
+fn tables_of_both_address_families_yield_only_sockets_at_the_address() {
     let mut holders = Holders::default();
     holders.add_from(TABLE.as_bytes(), at("127.0.0.1:8443")).unwrap();
     holders.add_from(TABLE_6.as_bytes(), at("127.0.0.1:8443")).unwrap();
@@ -45,11 +45,11 @@
 }
 
 #[test]
-fn own_listener_is_found_with_its_process_and_a_bound_socket_is_not() {
+fn own_listener_is_found_with_its_process_and_bound_socket_is_not() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let here = listener.local_addr().unwrap();
     let mut holders = Holders::of(here).unwrap();
-    // On a busy machine with many processes the product's own limit may pass before this one is reached.
+    // On a busy machine with many processes, the search with the default limit might end before it reaches this process.
     holders.find_processes_within(Duration::from_secs(60));
     let [entry] = &holders.0[..] else { panic!("{holders}") };
     assert_eq!((entry.state, entry.local), (TcpState::LISTEN, here));
@@ -70,20 +70,20 @@
     assert_eq!(Holders::of(here).unwrap(), Holders::default());
 }
 
-/// On a busy machine a thread waits for a processor most of the time: that does not end the search.
+/// On a busy machine a thread waits for a processor most of the time. That time must not end the search.
 #[test]
-fn search_is_limited_by_the_processor_time_of_its_thread() {
+fn process_search_is_limited_by_processor_time_of_its_thread() {
     let limit = ProcessorTimeLimit::begin(Duration::from_millis(20));
     std::thread::sleep(Duration::from_millis(60));
-    assert!(!limit.is_over(), "it has only waited");
+    assert!(!limit.is_over(), "waiting counted as processor time");
     let begun = Instant::now();
     while !limit.is_over() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "no limit");
+        assert!(begun.elapsed() < Duration::from_secs(60), "the limit is never reached");
     }
 }
 
 #[test]
-fn table_that_is_too_long_is_an_error() {
+fn overlong_socket_table_is_an_error() {
     let long = "x\n".repeat(MAX_LINES + 1);
     assert!(Holders::default().add_from(long.as_bytes(), at("127.0.0.1:1")).is_err());
 }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,13 +1,13 @@
-//! A TCP stream that hyper reads and writes, and that can be asked meanwhile how much of a request was written, what has
-//! come of a message, and whether the other side has closed.
+//! A TCP stream that hyper reads and writes. Meanwhile the proxy can query how much of a request was written, how much of a
+//! message was received, and whether the peer has closed the connection.
 //!
 //! | Module | Concern |
 //! |---|---|
-//! | `socket` | the socket: reads, writes, questions to the kernel |
-//! | `written` | what was written of the request |
-//! | `received` | what was read of the message |
-//! | `head` | where a message's head ends |
-//! | `peer_watch` | whether the other side has closed |
+//! | `socket` | the socket: reads, writes, queries of the kernel's state |
+//! | `written` | how much of the request was written |
+//! | `received` | how much of the message was read |
+//! | `head` | the end of a message's head |
+//! | `peer_watch` | whether the peer has closed the connection |
 
 mod head;
 mod peer_watch;
@@ -32,14 +32,15 @@
 use tokio::net::TcpStream;
 use written::WrittenRequest;
 
-/// The most bytes that a client may send behind its request before it is answered; then its connection is closed.
+/// The maximum number of bytes that a client may send after its request before the request is answered. Beyond that, its
+/// connection is closed.
 const MAX_PIPELINED_BYTES: usize = 64 * 1024;
-/// The most bytes that are read and discarded before a connection is closed: a body of the longest usual length, and as
-/// much again.
+/// The maximum number of bytes that are read and discarded before a connection is closed: twice the length of the longest
+/// usual body.
 const MAX_DRAINED_BYTES: usize = 128 * 1024;
 
-/// A connection of a client or to a backend, shared by hyper's side and the proxy's. The last clone to be dropped closes
-/// it.
+/// A connection from a client or to a backend, shared by hyper and the proxy. The connection is closed when the last clone
+/// is dropped.
 #[derive(Clone)]
 pub struct Stream(Rc<Inner>);
 
@@ -47,12 +48,12 @@
     socket: Rc<Socket>,
     written: WrittenRequest,
     received: ReceivedMessage,
-    /// The attempt that is on it, where requests are traced.
+    /// The attempt in progress on the connection, if requests are traced.
     attempt: RefCell<Option<AttemptTrace>>,
 }
 
 impl Stream {
-    /// A stream on a connected socket, on which small writes are sent at once.
+    /// Returns a stream on a connected socket. Small writes are sent without delay.
     pub fn new(tcp: TcpStream) -> Stream {
         Stream(Rc::new(Inner {
             socket: Rc::new(Socket::new(tcp)),
@@ -62,62 +63,62 @@
         }))
     }
 
-    /// Its other side, to be asked later whether it is still there.
+    /// Returns a watch that shows whether the peer has closed the connection.
     pub fn watch(&self) -> PeerWatch {
         PeerWatch::new(Rc::downgrade(&self.0.socket))
     }
 }
 
-/// What is written.
+/// Writing.
 impl Stream {
-    /// Another request is to be written, of a length that is not known yet: none of it counts as written.
+    /// Prepares for another request whose length is not known yet: the request counts as unwritten.
     pub fn prepare_request(&self) {
         self.0.written.prepare();
     }
 
-    /// Counts the bytes of a new request with a body of `body` bytes from now on. Its first write fails where input is
+    /// Begins a new request with a body of `body` bytes and counts its bytes from now on. Its first write fails if input is
     /// pending by then.
     pub fn begin_request(&self, body: usize) {
         self.0.written.begin(body);
         self.0.received.begin_request();
     }
 
-    /// Lets every write after that time fail: a request whose last byte was not written by then is not executed.
+    /// Makes every write after the given time fail: a request whose last byte was not written by then is not executed.
     pub fn set_write_deadline(&self, until: Option<Instant>) {
         self.0.written.set_write_deadline(until);
     }
 
-    /// Lets the first write of a request fail after that time.
+    /// Makes the first write of a request fail after the given time.
     pub fn set_start_deadline(&self, until: Option<Instant>) {
         self.0.written.set_start_deadline(until);
     }
 
-    /// Lets the first write of a request fail once that client has closed its connection.
+    /// Makes the first write of a request fail once the given client has closed its connection.
     pub fn set_client(&self, client: Option<PeerWatch>) {
         self.0.written.set_client(client);
     }
 
-    /// The client that the request is written for has closed its connection.
+    /// Whether the client of the request has closed its connection.
     pub fn client_closed(&self) -> bool {
         self.0.written.client_closed()
     }
 
-    /// The write deadline has passed, or that of the first byte before it was written.
+    /// Whether the write deadline has passed, or the start deadline has passed before the first byte was written.
     pub fn write_deadline_passed(&self) -> bool {
         self.0.written.write_deadline_passed()
     }
 
-    /// No byte of the request was written.
+    /// Whether no byte of the request was written.
     pub fn is_unwritten(&self) -> bool {
         self.0.written.is_unwritten()
     }
 
-    /// The last byte of the request was written: from then on the backend may execute it.
+    /// Whether the last byte of the request was written. From then on the backend may execute the request.
     pub fn request_written(&self) -> bool {
         self.0.written.is_written()
     }
 
-    /// Traces the attempt that is written from now on, where requests are traced.
+    /// Sets the trace of the attempt that is written from now on; `None` if requests are not traced.
     pub(crate) fn begin_trace(&self, attempt: Option<AttemptTrace>) {
         if let Some(attempt) = &attempt {
             attempt.event(AttemptEvent::Dispatched);
@@ -125,24 +126,24 @@
         self.0.attempt.replace(attempt);
     }
 
-    /// That attempt has ended.
+    /// Traces the end of the attempt.
     pub(crate) fn end_trace(&self, outcome: impl FnOnce() -> AttemptOutcome) {
         if let Some(attempt) = self.0.attempt.take() {
             attempt.event(AttemptEvent::Ended(outcome()));
         }
     }
 
-    /// Whether bytes may be written now.
+    /// Returns an error if no bytes may be written now.
     fn check_write(&self) -> io::Result<()> {
         if self.is_unwritten() && self.client_closed() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        // Written after a close that lies unread there, the request would pass for one that may have been executed, and
-        // bytes that lie there for its response.
+        // If the request were written after a close that has not been read yet, it would be taken for one that may have been
+        // executed; unread bytes would be taken for its response.
         if self.is_unwritten() && self.has_pending_input() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
-        // Behind the calls above, in which the process may have stood still.
+        // Checked after the calls above, during which the process may have been suspended.
         if self.write_deadline_passed() {
             return Err(io::ErrorKind::TimedOut.into());
         }
@@ -162,9 +163,10 @@
     }
 }
 
-/// What is read.
+/// Reading.
 impl Stream {
-    /// What comes from now on is another message. Called when a message and its response are complete.
+    /// Marks the connection as idle: further bytes belong to another message. Called when a message and its response are
+    /// complete.
     pub fn mark_idle(&self) {
         self.0.received.begin();
     }
@@ -173,81 +175,83 @@
         self.0.received.advance(bytes, self.request_written());
     }
 
-    /// What came began before the request's last byte was written, and other requests preceded that one: it may answer
-    /// one of them.
+    /// Whether the received message may answer an earlier request: it began before the last byte of the current request was
+    /// written, and other requests were written on the connection before.
     pub fn may_answer_previous_request(&self) -> bool {
         self.0.received.began_before_request_end() && self.0.written.has_predecessor()
     }
 
-    /// Responses of status 1xx that have come: another response follows each of them.
+    /// Returns the number of responses of status 1xx received so far. Another response follows each of them.
     pub fn interim_responses(&self) -> u64 {
         self.0.received.interim_responses()
     }
 
-    /// Bytes have come since `mark_idle`, and behind the last response of status 1xx.
+    /// Whether bytes of the final response were received: bytes since `mark_idle` that follow the last response of status
+    /// 1xx.
     pub fn final_response_begun(&self) -> bool {
         self.0.received.final_response_begun()
     }
 
-    /// More has come than a message with a body of `body` bytes. The kernel is asked only where the last read may have
-    /// left bytes behind: what came after another read is for the next read to find.
+    /// Whether more was received than a message with a body of `body` bytes. Checks the kernel's buffer only if the last
+    /// read may have left bytes there; bytes that arrived later are left to the next read.
     pub fn has_excess_bytes(&self, body: usize) -> bool {
         let received = &self.0.received;
         received.bytes_after_head.get() > body
             || received.last_read_was_full() && self.0.socket.has_unread_bytes()
     }
 
-    /// Waits for the end of a connection whose other side has sent bytes behind a message with a body of `body` bytes:
-    /// until it has closed, or has sent far too much. hyper hears of a close only as long as nothing came behind the
-    /// message; then it leaves the stream alone, and what comes is read here and thrown away. The caller has to close the
-    /// connection then, as part of a later message may be gone: [`Stream::has_excess_bytes`] stays true.
+    /// Waits until the peer, having sent excess bytes after a message with a body of `body` bytes, has closed the connection
+    /// or has sent more than the limit. hyper detects a close only as long as no bytes follow the message. Once there are
+    /// excess bytes, hyper no longer reads the stream, and this function reads and discards the input. The caller then has
+    /// to close the connection, as part of a later message may have been discarded: [`Stream::has_excess_bytes`] stays true.
     pub async fn closed_after_excess(&self, body: usize) {
         let received = &self.0.received;
         received.excess_bytes(body).await;
-        // hyper and this are polled in one task, and the last to ask wakes it for both.
+        // hyper and this future are polled in the same task, so that the waker that was registered last wakes both.
         self.0.socket.discard(&received.bytes_after_head, body + MAX_PIPELINED_BYTES).await;
     }
 
-    /// Reads and throws away what still comes, until the other side has closed too or has sent far too much. For
-    /// connections that nobody reads any more: closing a socket with bytes unread resets the connection, which may discard
-    /// what was written before.
+    /// Reads and discards further input, until the peer has closed the connection too or has sent more than the limit. Used
+    /// before a connection is closed: closing a socket with unread bytes resets the connection, which may discard bytes that
+    /// were written before.
     pub async fn drain(&self) {
         self.0.socket.discard(&Cell::new(0), MAX_DRAINED_BYTES).await;
     }
 
-    /// Waits for the next read that brings bytes.
+    /// Waits for the next read that returns bytes.
     pub async fn next_bytes(&self) {
         self.0.received.next_bytes().await;
     }
 
-    /// Acknowledges what has come at once, as far as TCP is concerned.
+    /// Makes TCP acknowledge the received bytes without delay.
     pub fn acknowledge(&self) {
         self.0.socket.acknowledge();
     }
 
-    /// Bytes came since `mark_idle` or are unread, or the other side has closed, by what the kernel says now.
+    /// Whether bytes were received since `mark_idle` or are unread, or the peer has closed, by the kernel's current state.
     pub fn has_pending_input(&self) -> bool {
         self.0.received.is_received() || self.0.socket.has_input()
     }
 
-    /// The same as [`Stream::has_pending_input`] as far as the event loop has heard of it: no system call where it has
-    /// heard of nothing since the kernel was last found empty.
+    /// The same as [`Stream::has_pending_input`], by the readiness that the event loop has cached: makes no system call if
+    /// the event loop has reported no readiness since the input was last found empty.
     pub fn has_pending_input_as_polled(&self) -> bool {
         let has_input = self.0.socket.has_input_as_polled();
         self.0.received.is_received() || has_input
     }
 
-    /// Bytes are unread, by what the kernel says now: nobody knows yet what they are.
+    /// Whether there are unread bytes, by the kernel's current state.
     pub fn has_unread_bytes(&self) -> bool {
         self.0.socket.has_unread_bytes()
     }
 
-    /// The other side has closed the connection or its sending on it, or has reset it, by what the kernel says now.
+    /// Whether the peer has closed the connection or its sending side, or has reset it, by the kernel's current state.
     pub fn peer_closed(&self) -> bool {
         self.0.socket.peer_closed()
     }
 
-    /// How long ago the last bytes came to this machine, read or not; zero where the kernel does not tell.
+    /// Returns the time since the last bytes arrived at this machine, whether read or not; zero if the kernel does not
+    /// provide it.
     pub fn since_last_received(&self) -> Duration {
         self.0.socket.since_last_received()
     }
--- a/crates/net/src/stream/head.rs
+++ b/crates/net/src/stream/head.rs
@@ -1,25 +1,25 @@
-//! How far the head of an HTTP/1 message has got, byte by byte and without parsing it.
+//! Finds the end of the head of an HTTP/1 message, byte by byte and without parsing the head.
 
 use std::cell::Cell;
 
-/// The progress of a head. It ends where hyper lets it end: at the first empty line, whether lines end in CRLF or in a
-/// bare LF. Empty lines before it are skipped.
+/// The progress of a head. The head ends where hyper ends it: at the first empty line, whether lines end in CRLF or in a
+/// bare LF. Empty lines before the head are skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Head {
-    /// No byte of it has come.
+    /// No byte of the head was seen.
     NotBegun,
     /// Within a line that is not empty.
     InLine,
-    /// Such a line has just ended.
+    /// At the end of a line that was not empty.
     LineEnded,
-    /// A CR came after the end of such a line.
+    /// After the end of a line that was not empty and a CR.
     LineEndedCr,
-    /// It has ended; what follows is the body.
+    /// The head has ended; the body follows.
     Complete,
 }
 
 impl Head {
-    /// The progress after one more byte.
+    /// Returns the progress after one more byte.
     pub fn then(self, byte: u8) -> Head {
         match (self, byte) {
             (Head::Complete, _) | (Head::LineEnded | Head::LineEndedCr, b'\n') => Head::Complete,
@@ -31,8 +31,8 @@
     }
 }
 
-/// Takes bytes of a message whose head has got as far as `head` says. Returns how many of them lie behind the head.
-pub(super) fn count_behind_head(head: &Cell<Head>, bytes: &[u8]) -> usize {
+/// Advances `head` by the next bytes of the message. Returns the number of these bytes that follow the head.
+pub(super) fn count_after_head(head: &Cell<Head>, bytes: &[u8]) -> usize {
     for (at, byte) in bytes.iter().enumerate() {
         if head.get() == Head::Complete {
             return bytes.len() - at;
@@ -42,11 +42,11 @@
     0
 }
 
-/// How the status line of a response of status 1xx begins; `?` stands for any digit. No request line begins so: a method
+/// The beginning of the status line of a response of status 1xx; `?` matches any digit. No request line matches, as a method
 /// has no slash.
 const INTERIM_LINE: &[u8; 10] = b"HTTP/1.? 1";
 
-/// How many bytes of a head's first line match [`INTERIM_LINE`]; `None` after one that does not.
+/// The number of bytes of a head's first line that match [`INTERIM_LINE`]; `None` after a mismatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InterimLine(Option<u8>);
 
@@ -57,18 +57,18 @@
 }
 
 impl InterimLine {
-    /// The match after one more byte of the line.
+    /// Returns the match after one more byte of the line.
     pub fn then(self, byte: u8) -> InterimLine {
         let Some(matched) = self.0 else { return self };
         let is_match = match INTERIM_LINE.get(usize::from(matched)) {
-            None => return self, // it has matched; what follows does not matter
+            None => return self, // matched completely; the rest of the line does not matter
             Some(b'?') => byte.is_ascii_digit(),
             Some(expected) => byte == *expected,
         };
         InterimLine(is_match.then_some(matched + 1))
     }
 
-    /// Whether the line is that of a response of status 1xx.
+    /// Whether the line is the status line of a response of status 1xx.
     pub fn is_interim(self) -> bool {
         self.0 == Some(INTERIM_LINE.len() as u8)
     }
--- a/crates/net/src/stream/peer_watch.rs
+++ b/crates/net/src/stream/peer_watch.rs
@@ -1,9 +1,9 @@
-//! Whether the other side of a connection is still there, asked by those that do not own the connection.
+//! Detection of a closed connection by code that does not own the connection.
 
 use super::socket::Socket;
 use std::rc::Weak;
 
-/// The other side of a connection. Does not keep the connection open.
+/// A watch on the peer of a connection. Does not keep the connection open.
 #[derive(Clone)]
 pub struct PeerWatch(Weak<Socket>);
 
@@ -12,8 +12,8 @@
         PeerWatch(socket)
     }
 
-    /// The connection has ended, or its other side has closed it, its sending on it, or has reset it, by what the kernel
-    /// says now.
+    /// Whether the connection has ended, or the peer has closed it or its sending side, or has reset it, by the kernel's
+    /// current state.
     pub fn closed(&self) -> bool {
         self.0.upgrade().is_none_or(|socket| socket.peer_closed())
     }
--- a/crates/net/src/stream/received.rs
+++ b/crates/net/src/stream/received.rs
@@ -1,4 +1,4 @@
-//! What was read since [`ReceivedMessage::begin`]: where its head ends, and how many bytes lie behind it.
+//! The input that was read since [`ReceivedMessage::begin`]: the end of the head, and the number of bytes after it.
 
 use super::head::{Head, InterimLine};
 use std::cell::Cell;
@@ -7,23 +7,24 @@
 /// The message that is being read: a response, or on a client's connection a request.
 pub(super) struct ReceivedMessage {
     head: Cell<Head>,
-    /// Bytes behind the head, of the body and beyond it.
+    /// The number of bytes after the head, of the body and beyond it.
     pub bytes_after_head: Cell<usize>,
-    /// Whether the head's first line is that of a response of status 1xx.
+    /// The match of the head's first line with the status line of a response of status 1xx.
     interim_line: Cell<InterimLine>,
-    /// Responses of status 1xx on the connection so far.
+    /// The number of responses of status 1xx on the connection so far.
     interim_responses: Cell<u64>,
-    /// Bytes came behind the last of those.
+    /// Whether bytes were received after the last response of status 1xx.
     final_response_begun: Cell<bool>,
-    /// Bytes came.
+    /// Whether bytes were received.
     received: Cell<bool>,
-    /// The first bytes came before the last byte of the present request was written.
+    /// Whether bytes were received before the last byte of the current request was written.
     before_request_end: Cell<bool>,
-    /// The last read filled its buffer: more may be unread. Otherwise hardly anything was at that moment.
+    /// Whether the last read filled its buffer, so that more bytes may be unread. Otherwise, hardly any bytes can have been
+    /// unread at that moment.
     last_read_was_full: Cell<bool>,
-    /// Reads that brought bytes, on the connection so far.
+    /// The number of reads that returned bytes, on the connection so far.
     reads: Cell<u64>,
-    /// Signalled with each of them.
+    /// Signalled by each read that returned bytes.
     bytes_read: Notify,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl ReceivedMessage {
-    /// What comes from now on is another message.
+    /// Begins another message.
     pub fn begin(&self) {
         self.received.set(false);
         self.head.set(Head::NotBegun);
@@ -54,12 +55,12 @@
         self.final_response_begun.set(false);
     }
 
-    /// Another request begins: what comes may answer it.
+    /// Begins another request, which later input may answer.
     pub fn begin_request(&self) {
         self.before_request_end.set(false);
     }
 
-    /// Bytes were read. Wakes those that wait for them.
+    /// Counts bytes that were read, and wakes the tasks that wait for them.
     pub fn advance(&self, bytes: &[u8], request_is_written: bool) {
         self.advance_head(bytes);
         if bytes.is_empty() {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// A response of status 1xx is no response yet: another head follows it.
+    /// Advances the head by one byte. After a response of status 1xx, which is not final, another head begins.
     fn advance_head_by(&self, byte: u8) {
         let head = self.head.get().then(byte);
         if head != Head::NotBegun {
@@ -124,7 +125,7 @@
         self.final_response_begun.get()
     }
 
-    /// Waits for the next read that brings bytes.
+    /// Waits for the next read that returns bytes.
     pub async fn next_bytes(&self) {
         let seen = self.reads.get();
         while self.reads.get() == seen {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Waits until more than `body` bytes lie behind the head.
+    /// Waits until more than `body` bytes were received after the head.
     pub async fn excess_bytes(&self, body: usize) {
         while self.bytes_after_head.get() <= body {
             self.bytes_read.notified().await;
--- a/crates/net/src/stream/socket.rs
+++ b/crates/net/src/stream/socket.rs
@@ -1,5 +1,5 @@
-//! The TCP socket under a stream: reads and writes by readiness, and questions to the kernel itself, whose answers the
-//! event loop may not have heard of yet.
+//! The TCP socket of a stream: reads and writes by readiness, and direct queries of the kernel's state, which the event loop
+//! may not have been notified of yet.
 
 use crate::io_error::{is_interrupted, uninterrupted};
 use rustix::event::{PollFd, PollFlags, Timespec};
@@ -11,15 +11,16 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// How much of the kernel's `struct tcp_info` is read, in words of 32 bits.
+/// The length of the part of the kernel's `struct tcp_info` that is read, in words of 32 bits.
 const TCP_INFO_WORDS: usize = 16;
-/// The word of `tcpi_last_data_recv`, in milliseconds: behind eight fields of a byte and eleven of a word.
+/// The index of the word `tcpi_last_data_recv`, which is in milliseconds and follows eight fields of a byte and eleven of a
+/// word.
 const LAST_DATA_RECV: usize = 13;
-/// The most bytes of one read.
+/// The maximum number of bytes of one read.
 const READ_BUFFER_BYTES: usize = 8192;
 
 thread_local! {
-    /// Holds the bytes of one read; shared, as zeroing a buffer for each read costs more than the read itself.
+    /// The buffer of a read. It is shared, as zeroing a buffer for each read costs more than the read itself.
     static READ_BUFFER: RefCell<[u8; READ_BUFFER_BYTES]> = const { RefCell::new([0; READ_BUFFER_BYTES]) };
 }
 
@@ -27,13 +28,13 @@
 pub(super) struct Socket(TcpStream);
 
 impl Socket {
-    /// Small writes are sent at once from now on: here they are whole messages.
+    /// Returns a socket with Nagle's algorithm disabled, as small writes are complete messages here.
     pub fn new(tcp: TcpStream) -> Socket {
-        let _ = tcp.set_nodelay(true); // without it, they are only late
+        let _ = tcp.set_nodelay(true); // a failure only delays small writes
         Socket(tcp)
     }
 
-    /// Reads at most `max` bytes and hands them to `take`, with whether they filled the buffer.
+    /// Reads at most `max` bytes and passes them to `take`, together with whether they filled the buffer.
     pub fn poll_read(
         &self, cx: &mut Context<'_>, max: usize, take: impl FnOnce(&[u8], bool),
     ) -> Poll<io::Result<()>> {
@@ -45,8 +46,9 @@
         })
     }
 
-    /// Only a read that finds nothing waits for the event loop: one that brings less than it could may have left bytes
-    /// behind, and the event loop, which hears of each arrival once, would not tell of them.
+    /// Waits for the event loop only after a read that found nothing. After a read of fewer bytes than the buffer holds,
+    /// unread bytes may remain, and the event loop, which is notified once of each arrival (edge-triggered), would not
+    /// report them again.
     fn poll_read_into(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -62,7 +64,8 @@
         self.0.poll_write_ready(cx)
     }
 
-    /// Writes what the kernel takes. `Ok(None)`: nothing now; wait for it again.
+    /// Writes as many bytes as the kernel accepts. Returns `Ok(None)` if it accepts none now; the caller has to wait for
+    /// readiness again.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<Option<usize>> {
         match self.0.try_write(bytes) {
             Ok(written) => Ok(Some(written)),
@@ -71,14 +74,14 @@
         }
     }
 
-    /// Ends the sending.
+    /// Closes the sending side of the connection.
     pub fn shutdown_write(&self) -> io::Result<()> {
         let socket = socket2::SockRef::from(&self.0);
         uninterrupted(|| socket.shutdown(std::net::Shutdown::Write))
     }
 
-    /// Reads and throws away until the other side has ended its sending, or more has come when `count` is over `max`; it
-    /// goes up by what is read. Dropped midway, it leaves what came since in the kernel.
+    /// Reads and discards input, and adds its length to `count`, until the peer has closed its sending side, or input arrives
+    /// after `count` has exceeded `max`. If the future is dropped, further input stays in the kernel.
     pub async fn discard(&self, count: &Cell<usize>, max: usize) {
         std::future::poll_fn(|cx| {
             READ_BUFFER.with_borrow_mut(|buffer| loop {
@@ -95,30 +98,30 @@
         .await;
     }
 
-    /// How many bytes a read would find, one at most; 0: the other side has ended its sending.
+    /// Returns the number of bytes that a read of one byte would return; 0 if the peer has closed its sending side.
     pub fn peek(&self) -> io::Result<usize> {
         let socket = socket2::SockRef::from(&self.0);
         uninterrupted(|| socket.peek(&mut [std::mem::MaybeUninit::uninit()]))
     }
 
-    /// Bytes are unread, or the other side has closed.
+    /// Whether bytes are unread, or the peer has closed.
     pub fn has_input(&self) -> bool {
         !is_empty(&self.peek())
     }
 
-    /// The same as far as the event loop has heard of it: no system call where it has heard of nothing since the kernel
-    /// was last found empty.
+    /// The same as [`Socket::has_input`], by the readiness that the event loop has cached: makes no system call if the event
+    /// loop has reported no readiness since the input was last found empty.
     pub fn has_input_as_polled(&self) -> bool {
         !is_empty(&self.0.try_io(Interest::READABLE, || self.peek()))
     }
 
-    /// Bytes are unread.
+    /// Whether bytes are unread.
     pub fn has_unread_bytes(&self) -> bool {
         matches!(self.peek(), Ok(length) if length > 0)
     }
 
-    /// The other side has closed the connection or its sending on it, or has reset it. A client that ends its sending
-    /// counts as gone: so the platform's protocol has it.
+    /// Whether the peer has closed the connection or its sending side, or has reset it. By the platform's protocol, a client
+    /// that closes its sending side counts as disconnected.
     pub fn peer_closed(&self) -> bool {
         match self.peek() {
             Ok(0) => true,
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The same where bytes are unread, which hide the end behind them from a read.
+    /// The same as [`Socket::peer_closed`] while bytes are unread, which hide a later close from a peek.
     fn closed_behind_bytes(&self) -> bool {
         let mut polled = [PollFd::new(&self.0, PollFlags::RDHUP)];
         let result = uninterrupted(|| Ok(rustix::event::poll(&mut polled, Some(&Timespec::default()))?));
@@ -135,8 +138,8 @@
         result.is_ok() && polled[0].revents().intersects(closed)
     }
 
-    /// How long ago the last bytes came to this machine, read or not; zero where the kernel does not tell. Its clock has
-    /// steps of some milliseconds.
+    /// Returns the time since the last bytes arrived at this machine, whether read or not; zero if the kernel does not
+    /// provide it. The kernel's clock has a resolution of some milliseconds.
     pub fn since_last_received(&self) -> Duration {
         let mut info = [0u32; TCP_INFO_WORDS];
         let fd = self.0.as_raw_fd();
@@ -148,19 +151,19 @@
         }
     }
 
-    /// Acknowledges what has come. The kernel would wait 40 ms for something to send along with it, and a peer with
-    /// Nagle's algorithm holds the next part of its message back until then.
+    /// Acknowledges the received bytes. Otherwise the kernel would wait 40 ms for data to send along with the
+    /// acknowledgement, and a peer with Nagle's algorithm delays the next part of its message until then.
     pub fn acknowledge(&self) {
-        let _ = socket2::SockRef::from(&self.0).set_tcp_quickack(true); // without it, that part is only late
+        let _ = socket2::SockRef::from(&self.0).set_tcp_quickack(true); // a failure only delays that part
     }
 }
 
-/// The call is made again: at once after a signal, otherwise when the socket is ready.
+/// Whether a call is repeated: at once after a signal, otherwise when the socket is ready.
 fn is_retried(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::WouldBlock || is_interrupted(error)
 }
 
-/// There is nothing to be read and the connection is open.
+/// Whether a peek found no bytes on an open connection.
 fn is_empty(peeked: &io::Result<usize>) -> bool {
     peeked.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/crates/net/src/stream/tests.rs
+++ b/crates/net/src/stream/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `stream` that need its private items.
 
-use super::head::{count_behind_head, Head};
+use super::head::{count_after_head, Head};
 use super::*;
 use std::io::{Read as _, Write as _};
 use std::task::Waker;
@@ -19,9 +19,10 @@
     }
 }
 
-/// Before the last byte a request has not run, from it on it may have: one byte decides.
+/// A request cannot have been executed before its last byte was written, and may have been afterwards, so the exact byte
+/// matters.
 #[tokio::test]
-async fn request_is_written_with_its_last_byte() {
+async fn request_counts_as_written_from_its_last_byte() {
     let (mut stream, mut peer) = pair().await;
     for parts in [["POST / HTTP/1.1\r\nA: 1\r", "\n\r\nbod", "y"], ["GET / HTTP/1.1\r\n", "\r\nbo", "dy"]] {
         stream.begin_request(4);
@@ -39,12 +40,13 @@
     assert!(stream.request_written());
 }
 
-/// The backend reads half of it, and the rest only when its time is over: the last byte never comes.
+/// Guards against a request that is completed after its write deadline: the backend reads no more until the deadline has
+/// passed, and must never get the last byte.
 #[tokio::test]
-async fn request_incomplete_at_its_write_deadline_never_gets_its_last_byte() {
+async fn request_incomplete_at_write_deadline_is_never_completed() {
     for late in [false, true] {
         let (mut stream, mut peer) = pair().await;
-        let whole = vec![b'x'; 64 << 20]; // more than the kernel holds
+        let whole = vec![b'x'; 64 << 20]; // more than the kernel's buffers hold
         stream.begin_request(whole.len());
         stream.set_write_deadline(Some(Instant::now() + std::time::Duration::from_secs(600)));
         write(&mut stream, b"POST / HTTP/1.1\r\n\r\n").await;
@@ -67,13 +69,17 @@
         assert_eq!(failed, late.then_some(io::ErrorKind::TimedOut));
         assert_eq!(stream.request_written(), !late);
         drop(stream);
-        assert_eq!(reads.join().unwrap(), 19 + sent as u64, "what it has is what was written");
+        assert_eq!(
+            reads.join().unwrap(),
+            19 + sent as u64,
+            "the peer received other bytes than were written"
+        );
     }
 }
 
-/// Wherever the reads fall, the bytes behind the head are counted, and no other.
+/// Exactly the bytes after the head are counted, however the input is split into reads.
 #[test]
-fn head_ends_with_its_first_empty_line_for_crlf_and_lf() {
+fn head_ends_at_first_empty_line_for_crlf_and_lf() {
     let heads = [
         "GET / HTTP/1.1\r\nA: 1\r\n\r\n",
         "GET / HTTP/1.1\nA: 1\n\n",
@@ -83,28 +89,28 @@
         "\r\n\n\r\n\r\nGET / HTTP/1.1\n\n",
     ];
     for head in heads {
-        for behind in ["", "b", "\n", "\r\n\r\n", "body\n\nGET / HTTP/1.1\n\n"] {
-            let all = format!("{head}{behind}");
+        for after in ["", "b", "\n", "\r\n\r\n", "body\n\nGET / HTTP/1.1\n\n"] {
+            let all = format!("{head}{after}");
             let (one, end) = (Cell::new(Head::NotBegun), head.len());
             for (at, byte) in all.bytes().enumerate() {
-                assert_eq!(count_behind_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
+                assert_eq!(count_after_head(&one, &[byte]), usize::from(at >= end), "{at} of {all:?}");
                 assert_eq!(one.get() == Head::Complete, at + 1 >= end, "{at} of {all:?}");
             }
             for cut in 0..=all.len() {
                 let (state, (a, b)) = (Cell::new(Head::NotBegun), all.as_bytes().split_at(cut));
-                let counted = [a, b].map(|part| count_behind_head(&state, part));
-                assert_eq!(counted.iter().sum::<usize>(), behind.len(), "cut at {cut} of {all:?}");
+                let counted = [a, b].map(|part| count_after_head(&state, part));
+                assert_eq!(counted.iter().sum::<usize>(), after.len(), "cut at {cut} of {all:?}");
             }
         }
     }
     for open in ["\r\n\r\n", "\n\n", "GET / HTTP/1.1\r\nA: 1\r\n\r", "A\r\r\n", "A\n\r\r", "A\n \n"] {
         let state = Cell::new(Head::NotBegun);
-        assert_eq!(count_behind_head(&state, open.as_bytes()), 0, "{open:?}");
+        assert_eq!(count_after_head(&state, open.as_bytes()), 0, "{open:?}");
         assert_ne!(state.get(), Head::Complete, "{open:?}");
     }
 }
 
-/// However the reads fall, and however many there are of them.
+/// Holds for any number of interim responses, however the input is split into reads.
 #[tokio::test]
 async fn interim_response_does_not_begin_the_final_response() {
     let early = "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
@@ -138,9 +144,9 @@
     }
 }
 
-/// The kernel is asked, not the event loop, which has had no chance to hear of it here.
+/// The check has to query the kernel: the event loop has not been polled since the input arrived.
 #[tokio::test]
-async fn pending_input_is_seen_before_the_event_loop_polls() {
+async fn pending_input_is_detected_before_event_loop_polls() {
     let (stream, mut peer) = pair().await;
     assert!(!stream.has_pending_input());
     peer.write_all(b"x").unwrap();
--- a/crates/net/src/stream/written.rs
+++ b/crates/net/src/stream/written.rs
@@ -1,32 +1,32 @@
-//! What was written of the present request, and until when it may be written. Whether a request may have been executed
-//! is decided here: from its last byte on it may.
+//! How much of the current request was written, and until when it may be written. This determines whether a request may
+//! have been executed: from its last byte on, it may have.
 
-use super::head::{count_behind_head, Head};
+use super::head::{count_after_head, Head};
 use super::peer_watch::PeerWatch;
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 
-/// The request that is being written. Before the first one it counts as written.
+/// The request that is being written. Before the first request on the connection, the state is that of a written request.
 pub(super) struct WrittenRequest {
     head: Cell<Head>,
-    /// Bytes of the body still to be written after the head.
+    /// The number of bytes of the body that are still to be written.
     body_left: Cell<usize>,
-    /// No byte of it was written.
+    /// Whether no byte of the request was written.
     is_unwritten: Cell<bool>,
-    /// Requests begun on the connection.
+    /// The number of requests begun on the connection.
     request_count: Cell<u64>,
     write_deadline: Cell<Option<Instant>>,
-    /// Until when its first byte may be written.
+    /// The time until which the first byte may be written.
     start_deadline: Cell<Option<Instant>>,
-    /// The connection of the client that it is written for.
+    /// The connection of the request's client.
     client: RefCell<Option<PeerWatch>>,
 }
 
-/// What a write has brought about.
+/// The progress of a request by one write.
 pub(super) struct WriteProgress {
-    /// The request's first byte was in it.
+    /// Whether the write contained the request's first byte.
     pub has_first_byte: bool,
-    /// Its last byte was in it.
+    /// Whether the write contained the request's last byte.
     pub has_last_byte: bool,
 }
 
@@ -45,26 +45,26 @@
 }
 
 impl WrittenRequest {
-    /// Another request is to come, of a length that is not known yet.
+    /// Prepares for another request whose length is not known yet.
     pub fn prepare(&self) {
         self.head.set(Head::NotBegun);
         self.body_left.set(usize::MAX);
         self.is_unwritten.set(true);
     }
 
-    /// A request with a body of `body` bytes begins.
+    /// Begins a request with a body of `body` bytes.
     pub fn begin(&self, body: usize) {
         self.prepare();
         self.body_left.set(body);
         self.request_count.set(self.request_count.get() + 1);
     }
 
-    /// Bytes of it were handed to the kernel.
+    /// Counts bytes of the request that were passed to the kernel.
     pub fn advance(&self, bytes: &[u8]) -> WriteProgress {
         let was_unwritten = self.is_unwritten();
         let was_written = self.is_written();
         self.is_unwritten.set(was_unwritten && bytes.is_empty());
-        let body_bytes = count_behind_head(&self.head, bytes);
+        let body_bytes = count_after_head(&self.head, bytes);
         self.body_left.set(self.body_left.get().saturating_sub(body_bytes));
         WriteProgress {
             has_first_byte: was_unwritten && !self.is_unwritten(),
@@ -72,17 +72,17 @@
         }
     }
 
-    /// No byte of it was written.
+    /// Whether no byte of the request was written.
     pub fn is_unwritten(&self) -> bool {
         self.is_unwritten.get()
     }
 
-    /// Its last byte was written.
+    /// Whether the request's last byte was written.
     pub fn is_written(&self) -> bool {
         self.head.get() == Head::Complete && self.body_left.get() == 0
     }
 
-    /// Other requests were written on the connection before it.
+    /// Whether other requests were begun on the connection before this one.
     pub fn has_predecessor(&self) -> bool {
         self.request_count.get() > 1
     }
@@ -91,7 +91,7 @@
         self.write_deadline.set(until);
     }
 
-    /// A deadline for what is still to be written has passed: that of all of it, or of its first byte.
+    /// Whether the write deadline has passed, or the start deadline has passed before the first byte was written.
     pub fn write_deadline_passed(&self) -> bool {
         let start_deadline = self.start_deadline.get().filter(|_| self.is_unwritten());
         let deadlines = [self.write_deadline.get(), start_deadline];
@@ -106,7 +106,7 @@
         self.client.replace(client);
     }
 
-    /// Its client has closed its connection, by what the kernel says now.
+    /// Whether the request's client has closed its connection, by the kernel's current state.
     pub fn client_closed(&self) -> bool {
         self.client.borrow().as_ref().is_some_and(PeerWatch::closed)
     }
--- a/crates/net/src/thread_channel.rs
+++ b/crates/net/src/thread_channel.rs
@@ -1,5 +1,5 @@
-//! A channel from other threads to the event loop. The runtime's own wake-up ends the process where its write is
-//! interrupted by a signal; the one here repeats it.
+//! A channel from other threads to the event loop. The wake-up of the async runtime ends the process if its write is
+//! interrupted by a signal; the wake-up of this channel retries the write.
 
 use crate::io_error::{is_interrupted, uninterrupted};
 use std::io::{self, ErrorKind, Write};
@@ -9,19 +9,20 @@
 use tokio::net::UnixStream;
 use tracing::warn;
 
-/// Wake-ups that are read in one call.
+/// The maximum number of wake-ups that one call reads.
 const MAX_WAKEUPS_READ: usize = 64;
-/// The pause before a wake-up that the system has no memory for is written again.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(1);
-/// How often it is written again.
-const MAX_SHORTAGES: u32 = 1_000;
-/// The pause before values are looked for again where the event loop cannot wait for a wake-up.
-const WAIT_ERROR_PAUSE: Duration = Duration::from_millis(20);
+/// The delay before the write of a wake-up is retried after it failed for lack of memory.
+const WAKE_RETRY_DELAY: Duration = Duration::from_millis(1);
+/// The maximum number of attempts to write a wake-up.
+const MAX_WAKE_ATTEMPTS: u32 = 1_000;
+/// The delay before the receiver checks for values again after waiting for a wake-up has failed.
+const WAIT_ERROR_DELAY: Duration = Duration::from_millis(20);
 
-/// A channel without a bound: the sender's side has to bound what it sends. Within the event loop's context.
+/// Creates an unbounded channel: the senders have to bound the number of values. Must be called within the event loop's
+/// context.
 ///
 /// # Errors
-/// No descriptors: it takes two, until both sides are dropped.
+/// Returns an error if there are no descriptors left. A channel takes two, until both of its sides are dropped.
 pub fn thread_channel<T>() -> io::Result<(ThreadSender<T>, ThreadReceiver<T>)> {
     let (wake_tx, wake_rx) = std::os::unix::net::UnixStream::pair()?;
     wake_tx.set_nonblocking(true)?;
@@ -32,10 +33,10 @@
     Ok((sender, receiver))
 }
 
-/// The side of the other threads.
+/// The sending side, used by other threads.
 #[derive(Debug)]
 pub struct ThreadSender<T> {
-    // Dropped before `wake`, whose end wakes the receiver: it then finds that no sender is left.
+    // Dropped before `wake`, whose close wakes the receiver, which then finds that no sender is left.
     values: mpsc::Sender<T>,
     wake: Arc<std::os::unix::net::UnixStream>,
 }
@@ -47,7 +48,7 @@
 }
 
 impl<T> ThreadSender<T> {
-    /// Sends a value and wakes the event loop; the value is dropped where the receiver has ended.
+    /// Sends a value and wakes the event loop. The value is dropped if the receiver has been dropped.
     pub fn send(&self, value: T) {
         if self.values.send(value).is_ok() {
             self.wake();
@@ -56,21 +57,21 @@
 
     fn wake(&self) {
         let mut wake = &*self.wake;
-        for _ in 0..MAX_SHORTAGES {
+        for _ in 0..MAX_WAKE_ATTEMPTS {
             match uninterrupted(|| wake.write(&[0])) {
                 Ok(_) => return,
-                // So many wake-ups are unread that the next one finds no room.
+                // The socket's buffer is full of unread wake-ups, so that the receiver will wake anyway.
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                // The receiver has ended.
+                // The receiver has been dropped.
                 Err(error) if error.kind() == ErrorKind::BrokenPipe => return,
-                Err(_) => std::thread::sleep(SHORTAGE_PAUSE), // ENOBUFS, ENOMEM
+                Err(_) => std::thread::sleep(WAKE_RETRY_DELAY), // ENOBUFS, ENOMEM
             }
         }
-        warn!("the event loop could not be woken in {MAX_SHORTAGES} attempts, and hears of it later");
+        warn!("could not wake the event loop in {MAX_WAKE_ATTEMPTS} attempts; the value is received at the next wake-up");
     }
 }
 
-/// The side of the event loop.
+/// The receiving side, used by the event loop.
 #[derive(Debug)]
 pub struct ThreadReceiver<T> {
     values: mpsc::Receiver<T>,
@@ -78,23 +79,23 @@
 }
 
 impl<T> ThreadReceiver<T> {
-    /// The next value; `None` once no sender is left. Dropped midway, it has taken none.
+    /// Receives the next value; `None` once no sender is left. Cancel safe: a dropped future has received no value.
     pub async fn recv(&mut self) -> Option<T> {
         loop {
             match self.values.try_recv() {
                 Ok(value) => return Some(value),
                 Err(TryRecvError::Disconnected) => return None,
-                Err(TryRecvError::Empty) => self.woken().await,
+                Err(TryRecvError::Empty) => self.wait_for_wakeup().await,
             }
         }
     }
 
-    /// Waits for a wake-up, or for the end of the last sender.
-    async fn woken(&self) {
+    /// Waits for a wake-up, or until the last sender is dropped.
+    async fn wait_for_wakeup(&self) {
         let mut wakeups = [0; MAX_WAKEUPS_READ];
         loop {
             if self.wake.readable().await.is_err() {
-                tokio::time::sleep(WAIT_ERROR_PAUSE).await;
+                tokio::time::sleep(WAIT_ERROR_DELAY).await;
                 return;
             }
             match self.wake.try_read(&mut wakeups) {
--- a/crates/net/src/thread_channel/tests.rs
+++ b/crates/net/src/thread_channel/tests.rs
@@ -6,9 +6,9 @@
 }
 
 #[test]
-fn values_of_several_threads_arrive_each_once_and_in_the_order_of_each() {
+fn values_of_several_threads_arrive_once_and_in_order_of_each_thread() {
     const THREADS: usize = 4;
-    const VALUES: usize = 5_000; // more than the wake-ups that a socket holds
+    const VALUES: usize = 5_000; // more than the number of wake-ups that fit into the socket's buffer
     run(async {
         let (sender, mut receiver) = thread_channel().unwrap();
         for thread in 0..THREADS {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn receiver_hears_of_the_last_senders_end() {
+fn receiver_ends_when_last_sender_is_dropped() {
     run(async {
         let (sender, mut receiver) = thread_channel::<()>().unwrap();
         let second = sender.clone();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn value_is_kept_while_nobody_waits_for_it() {
+fn value_is_kept_while_no_receive_is_pending() {
     run(async {
         let (sender, mut receiver) = thread_channel().unwrap();
         tokio::select! {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn sender_outlives_its_receiver() {
+fn send_after_receiver_is_dropped_does_nothing() {
     run(async {
         let (sender, receiver) = thread_channel().unwrap();
         drop(receiver);
--- a/crates/net/src/trace.rs
+++ b/crates/net/src/trace.rs
@@ -1,7 +1,7 @@
-//! Log events by which a single request can be followed, from the accept of its connection to the response.
+//! Trace events that follow a single request from the accept of its connection to the response.
 //!
-//! All have the target [`REQUEST_TARGET`] and level TRACE. A [`RequestTrace`] exists only where these are logged, so that
-//! elsewhere a request costs one check of the level.
+//! All events have the target [`REQUEST_TARGET`] and level TRACE. A [`RequestTrace`] exists only if these events are logged;
+//! otherwise a request costs one check of the level.
 
 use crate::clock::Clock;
 use shaletide_balancer::GiveUpReason;
@@ -10,25 +10,25 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The target of the events.
+/// The target of the trace events.
 pub const REQUEST_TARGET: &str = "shaletide::request";
 
-/// The longest id that is logged, in bytes.
-const MAX_ID: usize = 128;
+/// The number of bytes after which a logged id is cut off.
+const MAX_ID_BYTES: usize = 128;
 
-/// Whether the events are logged.
+/// Whether trace events are logged.
 pub fn request_trace_enabled() -> bool {
     tracing::enabled!(target: REQUEST_TARGET, tracing::Level::TRACE)
 }
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
-    /// Its head was read.
+    /// The request's head was read.
     HeadRead,
-    /// Its body was read completely.
+    /// The request's body was read completely.
     BodyRead,
-    /// Its client closed the connection before it was answered.
+    /// The client closed its connection before the request was answered.
     ClientClosed,
 }
 
@@ -52,7 +52,7 @@
     request: Cell<Option<u64>>,
 }
 
-/// The fields that only some events have.
+/// Fields that only some events have.
 #[derive(Default)]
 struct Details<'a> {
     attempt: Option<u32>,
@@ -65,7 +65,8 @@
 }
 
 impl RequestTrace {
-    /// The trace of a request whose head has just been read from a connection; `id` is empty where it has none.
+    /// Returns the trace of a request whose head has just been read from a connection. `id` is empty if the request has
+    /// none.
     pub fn new(clock: Clock, id: &[u8], connection: u64, accepted_at: Time) -> RequestTrace {
         RequestTrace {
             clock,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// The request came without an id and was given this one, which its further events have.
+    /// Sets the id that was generated for a request without one. Later events have this id.
     pub fn set_id(&self, id: &[u8]) {
         self.id.replace(text(id));
     }
@@ -87,23 +88,24 @@
         self.emit(event.name(), Details::default());
     }
 
-    /// The request was rejected before the driver accepted it.
+    /// Emits the event that the request was rejected before the driver accepted it.
     pub fn rejected(&self, fault: impl std::fmt::Debug) {
         self.emit("rejected", Details { fault: Some(&format!("{fault:?}")), ..Details::default() });
     }
 
-    /// Its response was handed to the connection.
+    /// Emits the event that the response was passed to the client's connection.
     pub fn answered(&self, status: u16) {
         self.emit("answered", Details { status: Some(status), ..Details::default() });
     }
 
-    /// The driver accepted it under that number, which its further events have, with that much time to its deadline.
+    /// Emits the event that the driver accepted the request, with the time left until its deadline. Later events have the
+    /// request's number.
     pub(crate) fn taken(&self, request: RequestId, time_left: Micros) {
         self.request.set(Some(request.0));
         self.emit("taken", Details { time_left_us: Some(time_left.0), ..Details::default() });
     }
 
-    /// The balancer gave it up for that reason; its response follows.
+    /// Emits the event that the balancer gave up the request, with the reason. The response follows.
     pub(crate) fn given_up(&self, reason: GiveUpReason) {
         self.emit("given_up", Details { reason: Some(reason.name()), ..Details::default() });
     }
@@ -130,47 +132,47 @@
     }
 }
 
-/// An id as it is logged.
+/// Returns an id as text, cut off after [`MAX_ID_BYTES`] bytes.
 fn text(id: &[u8]) -> String {
-    String::from_utf8_lossy(&id[..id.len().min(MAX_ID)]).into_owned()
+    String::from_utf8_lossy(&id[..id.len().min(MAX_ID_BYTES)]).into_owned()
 }
 
-/// What happened to an attempt.
+/// An event of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptEvent {
-    /// It waits for a new connection to its backend.
+    /// The attempt waits for a new connection to its backend.
     Connecting,
-    /// That connection could not be established.
+    /// The new connection could not be established.
     ConnectFailed,
-    /// It was given an established connection.
+    /// The attempt was dispatched on an established connection.
     Dispatched,
-    /// Its first byte was handed to the kernel.
+    /// The request's first byte was passed to the kernel.
     FirstByteWritten,
-    /// Its last byte was handed to the kernel.
+    /// The request's last byte was passed to the kernel.
     Written,
-    /// The connection turned out to be unusable before its first byte: it needs another.
+    /// The connection turned out to be unusable before the first byte: the attempt needs another connection.
     ConnectionUnusable,
-    /// It has ended, in this way.
+    /// The attempt ended with this outcome.
     Ended(AttemptOutcome),
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOutcome {
-    /// By a response with this meaning.
+    /// A response of this class.
     Answered(ResponseClass),
-    /// By invalid bytes or a response that took too long.
+    /// An invalid response, or one that took too long.
     InvalidResponse,
-    /// By the end of the connection.
+    /// The connection was closed before a complete response.
     ConnectionClosed,
-    /// Nothing of it was written.
+    /// No byte of the request was written.
     NotWritten,
-    /// The proxy gave it up.
+    /// The proxy cancelled the attempt.
     Cancelled,
 }
 
 impl AttemptOutcome {
-    /// Its name in the log, which the pages list.
+    /// Returns the outcome's name in the log, which the documentation lists.
     fn name(self) -> &'static str {
         match self {
             AttemptOutcome::Answered(ResponseClass::Served) => "served",
