--- a/crates/discovery/src/call.rs
+++ b/crates/discovery/src/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery: its connection, its response, and why there is none.
+//! A call to discovery: its connection, its response and its errors.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -15,18 +15,18 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The longest body of a response, in bytes: 4 KiB for each of 1,024 backends, ten times what an indented entry takes.
-/// With a longer one the call fails, and the list stays as it is.
+/// The maximum length of a response's body, in bytes: 4 KiB for each of 1,024 backends, which is ten times the length of an
+/// indented entry. A call with a longer body fails, and the list stays unchanged.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Why a call brought no list.
+/// The reason why a call returned no list.
 #[derive(Debug)]
 pub(crate) enum PollError {
     Connect(std::io::Error),
     Http(BoxError),
     Status(u16),
     InvalidBody(serde_json::Error),
-    /// A delta, in response to a call for a snapshot.
+    /// The response to a call for a snapshot was a delta.
     NotASnapshot,
     ConnectionClosed,
     TimedOut,
@@ -39,9 +39,9 @@
             PollError::Http(error) => write!(f, "HTTP error: {error}"),
             PollError::Status(status) => write!(f, "response status {status}"),
             PollError::InvalidBody(error) => write!(f, "invalid response body: {error}"),
-            PollError::NotASnapshot => write!(f, "a delta in response to a call for a snapshot"),
-            PollError::ConnectionClosed => write!(f, "connection closed before the response"),
-            PollError::TimedOut => write!(f, "no response in time"),
+            PollError::NotASnapshot => write!(f, "response has a delta, expected a snapshot"),
+            PollError::ConnectionClosed => write!(f, "connection closed before the response was complete"),
+            PollError::TimedOut => write!(f, "response timed out"),
         }
     }
 }
@@ -62,30 +62,31 @@
         Ok(Connection { sender, conn })
     }
 
-    /// Whether it can take a call: a response may have closed it, and that shows when it is driven.
+    /// Whether the connection can be used for another call. The previous response may have closed it, which is detected only
+    /// when the connection is driven.
     async fn is_open(&mut self) -> bool {
         let is_done = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.conn).poll(cx).is_ready())).await;
         !is_done && !self.sender.is_closed()
     }
 }
 
-/// What one call may take.
+/// The timeouts of a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallTimeouts {
-    /// From the call to the whole head of its response.
+    /// The time from the call to the end of the response's head.
     pub(crate) head: Duration,
-    /// For a connection to be established, as until then no call is queued anywhere; and between two pieces of a
-    /// response's body.
+    /// The time between two pieces of a response's body. It also limits the connect, as no call is queued in discovery before
+    /// the connection is established.
     pub(crate) body_piece: Duration,
-    /// For the whole body.
+    /// The time for the complete body.
     pub(crate) body: Duration,
 }
 
-/// Makes one call, on the connection of the call before if that is still open. Leaves the connection in `reusable` if
-/// there was a complete response; dropped midway, it leaves none.
+/// Makes a call, on the connection of the previous call if that is still open. Stores the connection in `reusable` after a
+/// complete response. If the future is dropped, `reusable` has no connection.
 ///
 /// # Errors
-/// There is no valid list in the response, or no response.
+/// Returns an error if there is no response, or no valid list in it.
 pub(crate) async fn fetch(
     reusable: &mut Option<Connection>, address: SocketAddr, uri: &str, timeouts: CallTimeouts,
 ) -> Result<List, PollError> {
@@ -116,7 +117,7 @@
     List::read(&body).map_err(PollError::InvalidBody)
 }
 
-/// The whole body, no two pieces of which may lie further apart.
+/// Reads the complete body. The time between two of its pieces is limited to `max_gap`.
 async fn read_body(body: Incoming, max_gap: Duration) -> Result<Vec<u8>, PollError> {
     let mut body = Limited::new(body, MAX_BODY_BYTES);
     let mut bytes = Vec::new();
@@ -127,7 +128,7 @@
     Ok(bytes)
 }
 
-/// The connection of the call before, unless it has been closed.
+/// Takes the connection of the previous call, unless it has been closed.
 async fn take_open(reusable: &mut Option<Connection>) -> Option<Connection> {
     let mut connection = reusable.take()?;
     connection.is_open().await.then_some(connection)
--- a/crates/discovery/src/call/tests.rs
+++ b/crates/discovery/src/call/tests.rs
@@ -6,27 +6,34 @@
 use std::io::{BufRead, BufReader, Write};
 use std::time::Instant;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn with_runtime<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    runtime.block_on(async { tokio::time::timeout(PATIENCE, work).await }).expect("an end")
+    runtime
+        .block_on(async { tokio::time::timeout(TEST_TIMEOUT, work).await })
+        .expect("future not ready within the test timeout")
 }
 
 fn timeouts(piece: Duration) -> CallTimeouts {
-    CallTimeouts { head: PATIENCE, body_piece: piece, body: MAX_BODY_TIMEOUT }
+    CallTimeouts { head: TEST_TIMEOUT, body_piece: piece, body: MAX_BODY_TIMEOUT }
 }
 
 #[test]
 fn connect_timeout_fails_a_long_poll() {
-    let nobody = NeverUp::new();
+    let unreachable_server = NeverUp::new();
     let uri = "/api/targets?after=1&wait_ms=60000";
-    let failed = with_runtime(fetch(&mut None, nobody.address(), uri, timeouts(Duration::from_millis(50))));
+    let failed = with_runtime(fetch(
+        &mut None,
+        unreachable_server.address(),
+        uri,
+        timeouts(Duration::from_millis(50)),
+    ));
     assert!(matches!(failed, Err(PollError::Connect(_))), "{failed:?}");
 }
 
 #[test]
-fn response_that_closes_its_connection_does_not_fail_the_next_call() {
+fn response_that_closes_its_connection_does_not_fail_next_call() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     let served = std::thread::spawn(move || {
@@ -42,16 +49,17 @@
     with_runtime(async {
         let mut connection = None;
         for call in 0..5 {
-            let answer = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
+            let answer = fetch(&mut connection, at, "/api/targets", timeouts(TEST_TIMEOUT)).await;
             assert_eq!(answer.map(|list| list.index).map_err(|e| e.to_string()), Ok(7), "call {call}");
         }
     });
     served.join().unwrap();
 }
 
-/// Whatever form an answer has: it is read, and so is the next, on the same connection or another.
+/// A response of any valid form is read, and one of any form does not affect the next call, which uses the same connection or
+/// a new one.
 #[test]
-fn response_of_any_form_does_not_fail_the_next_call() {
+fn response_of_any_form_does_not_fail_next_call() {
     let list = r#"{"index":7,"snapshot":true,"endpoints":[]}"#.to_string();
     let entry = |n| {
         format!("\n    {{\n      \"name\": \"b{n}\",\n      \"address\": \"10.0.0.1:80\",\n      \"status\": \"SERVING\"\n    }}")
@@ -84,21 +92,21 @@
         "HTTP/1.1 101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x\r\n\r\n".to_string(),
         "HTTP/1.1 204 No Content\r\n\r\n".to_string(),
     ];
-    let whole = whole.into_iter().map(|(text, ends)| (text, ends, true));
+    let whole = whole.into_iter().map(|(text, closes)| (text, closes, true));
     let broken = broken.into_iter().map(|text| (text, true, false));
-    for (first, ends, sound) in whole.chain(broken) {
+    for (first, closes, is_valid) in whole.chain(broken) {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let at = listener.local_addr().unwrap();
         let (answer, next) = (first.clone(), plain(&list));
         let served = std::thread::spawn(move || {
-            let mut answers = [(answer, ends), (next, true)].into_iter();
+            let mut answers = [(answer, closes), (next, true)].into_iter();
             for tcp in listener.incoming() {
                 let mut tcp = tcp.unwrap();
                 let mut lines = BufReader::new(tcp.try_clone().unwrap()).lines().map_while(Result::ok);
                 while lines.by_ref().take_while(|line| !line.is_empty()).count() > 0 {
-                    let Some((text, ends)) = answers.next() else { return };
+                    let Some((text, closes)) = answers.next() else { return };
                     let _ = tcp.write_all(text.as_bytes());
-                    if ends {
+                    if closes {
                         break;
                     }
                 }
@@ -109,18 +117,18 @@
         });
         with_runtime(async {
             let mut connection = None;
-            let got = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
-            assert_eq!(got.is_ok(), sound, "{first:.200}: {:?}", got.map(|list| list.index));
-            connection = connection.filter(|_| sound); // as whoever follows does
-            let got = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await;
-            assert_eq!(got.map(|list| list.index).map_err(|e| e.to_string()), Ok(7), "{first:.200}");
+            let result = fetch(&mut connection, at, "/api/targets", timeouts(TEST_TIMEOUT)).await;
+            assert_eq!(result.is_ok(), is_valid, "{first:.200}: {:?}", result.map(|list| list.index));
+            connection = connection.filter(|_| is_valid); // as the caller does after a failed call
+            let result = fetch(&mut connection, at, "/api/targets", timeouts(TEST_TIMEOUT)).await;
+            assert_eq!(result.map(|list| list.index).map_err(|e| e.to_string()), Ok(7), "{first:.200}");
         });
         served.join().unwrap();
     }
 }
 
-/// An indented list of so many entries, of ordinary length.
-fn indented(index: u64, snapshot: bool, statuses: impl Iterator<Item = &'static str>) -> String {
+/// Returns an indented list with one entry of usual length for each status.
+fn indented_list(index: u64, snapshot: bool, statuses: impl Iterator<Item = &'static str>) -> String {
     let entry = |(n, status): (usize, &str)| {
         format!(
             "\n    {{\n      \"name\": \"backend-{n:04}\",\n      \"address\": \"10.0.{}.{}:8443\",\n      \
@@ -140,9 +148,9 @@
 
 const MANY_BACKENDS: usize = 1_024;
 
-/// A discovery that gives these answers in turn on one connection, each in pieces of so many bytes with a pause behind
-/// each.
-fn in_pieces(answers: Vec<String>, size: usize, pause: Duration) -> SocketAddr {
+/// Starts a discovery that sends these responses in turn on one connection, in pieces of `size` bytes with a pause after each
+/// piece. Returns its address.
+fn serve_in_pieces(answers: Vec<String>, size: usize, pause: Duration) -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -166,16 +174,16 @@
 
 #[test]
 fn indented_snapshot_and_delta_of_1024_backends_are_read() {
-    let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
-    let changes = indented(8, false, ["DRAINING", "DELETED"].into_iter().cycle().take(MANY_BACKENDS));
+    let whole = indented_list(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
+    let changes = indented_list(8, false, ["DRAINING", "DELETED"].into_iter().cycle().take(MANY_BACKENDS));
     assert!(whole.len() > 200_000, "{}", whole.len());
-    let at = in_pieces(vec![whole, changes], usize::MAX, Duration::ZERO);
+    let at = serve_in_pieces(vec![whole, changes], usize::MAX, Duration::ZERO);
     with_runtime(async {
         let (mut connection, begun) = (None, Instant::now());
-        let list = fetch(&mut connection, at, "/api/targets", timeouts(PATIENCE)).await.unwrap();
+        let list = fetch(&mut connection, at, "/api/targets", timeouts(TEST_TIMEOUT)).await.unwrap();
         let (entries, skipped) = list.entries();
         assert_eq!((list.index, list.snapshot, entries.len(), skipped), (7, true, MANY_BACKENDS, None));
-        let list = fetch(&mut connection, at, "/api/targets?after=7", timeouts(PATIENCE)).await.unwrap();
+        let list = fetch(&mut connection, at, "/api/targets?after=7", timeouts(TEST_TIMEOUT)).await.unwrap();
         let (entries, skipped) = list.entries();
         assert_eq!((list.index, list.snapshot, entries.len(), skipped), (8, false, MANY_BACKENDS, None));
         let serving = shaletide_balancer::BackendState::Ready;
@@ -184,16 +192,16 @@
     });
 }
 
-/// A discovery of 1,024 backends on a loaded machine writes its list in pieces, and all of them together take longer
-/// than it may take to begin. It is not silent.
+/// Guards against a call that times out while its list still arrives: on a loaded machine, discovery writes a list of 1,024
+/// backends in pieces, which together take longer than the time limit for the head.
 #[test]
 fn list_in_pieces_is_awaited_while_pieces_arrive() {
     let schedule = PollSchedule::pushing(Duration::from_secs(2));
     let (size, pause) = (16 << 10, schedule.response_timeout / 5);
-    let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
+    let whole = indented_list(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
     let pieces = whole.len().div_ceil(size) as u32;
     assert!(pause * pieces > schedule.response_timeout * 2, "{pieces} pieces");
-    let at = in_pieces(vec![whole], size, pause);
+    let at = serve_in_pieces(vec![whole], size, pause);
     with_runtime(async {
         let timeouts = CallTimeouts {
             head: schedule.immediate_timeout(false),
@@ -206,10 +214,10 @@
 }
 
 #[test]
-fn list_that_stops_midway_times_out_like_one_that_never_begins() {
+fn list_that_stops_midway_times_out() {
     let schedule = PollSchedule::pushing(Duration::from_secs(2));
-    let whole = indented(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
-    let at = in_pieces(vec![whole], 16 << 10, PATIENCE);
+    let whole = indented_list(7, true, std::iter::repeat_n("SERVING", MANY_BACKENDS));
+    let at = serve_in_pieces(vec![whole], 16 << 10, TEST_TIMEOUT);
     with_runtime(async {
         let timeouts = CallTimeouts {
             head: schedule.immediate_timeout(false),
@@ -223,10 +231,10 @@
     });
 }
 
-/// Whoever sends a byte now and then for ever holds no call for ever.
+/// Guards against a call that never ends because the server keeps sending a byte from time to time.
 #[test]
-fn endless_list_times_out_after_the_longest_transfer() {
-    let at = in_pieces(vec!["[".repeat(1 << 20)], 1, Duration::from_millis(20));
+fn endless_list_times_out_after_max_body_timeout() {
+    let at = serve_in_pieces(vec!["[".repeat(1 << 20)], 1, Duration::from_millis(20));
     with_runtime(async {
         let begun = Instant::now();
         let list = fetch(&mut None, at, "/api/targets", timeouts(Duration::from_millis(500))).await;
@@ -236,12 +244,12 @@
 }
 
 #[test]
-fn list_beyond_the_size_bound_fails_its_call() {
+fn list_over_max_body_size_fails_its_call() {
     let list = r#"{"index":7,"snapshot":true,"endpoints":[]}"#;
-    for (over, sound) in [(0, true), (1, false)] {
+    for (over, is_valid) in [(0, true), (1, false)] {
         let padded = format!("{list}{}", " ".repeat(MAX_BODY_BYTES + over - list.len()));
-        let at = in_pieces(vec![padded], usize::MAX, Duration::ZERO);
-        let got = with_runtime(fetch(&mut None, at, "/api/targets", timeouts(PATIENCE)));
-        assert_eq!(got.is_ok(), sound, "{over}");
+        let at = serve_in_pieces(vec![padded], usize::MAX, Duration::ZERO);
+        let result = with_runtime(fetch(&mut None, at, "/api/targets", timeouts(TEST_TIMEOUT)));
+        assert_eq!(result.is_ok(), is_valid, "{over}");
     }
 }
--- a/crates/discovery/src/poll_schedule/tests.rs
+++ b/crates/discovery/src/poll_schedule/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `schedule` that need its private items.
+//! Tests of `poll_schedule` that need its private items.
 
 use super::*;
 
 #[test]
-fn agent_that_was_silent_answers_within_two_thirds_of_the_grace() {
+fn silent_agent_is_called_again_within_two_thirds_of_the_grace() {
     for ms in [170, 200, 300, 500, 700, 1000, 1500, 2000, 3000, 60_000] {
         let grace = Duration::from_millis(ms);
         let schedule = PollSchedule::pushing(grace);
@@ -20,18 +20,19 @@
     assert_eq!((timeouts(longest), timeouts(least)), ([1000, 500, 50], [50, 40, 5]));
 }
 
-/// Found silent, asked for after 0.15 s at most, failed after half a second, asked for after 0.3 s.
+/// The worst case: the silence is detected, a call is requested after at most 0.15 s and fails after 0.5 s, and the next is
+/// requested after 0.3 s and answered within 0.5 s.
 #[test]
-fn silent_subscription_is_reopened_before_missed_changes_count() {
+fn silent_subscription_is_reopened_before_missed_changes_count_as_known() {
     for ms in [150, 300, 500, 1000, 2000, 10_000] {
         let (grace, schedule) = (Duration::from_millis(ms), PollSchedule::polling(Duration::from_millis(ms)));
-        let again = schedule.response_timeout + Duration::from_millis(150 + 500 + 300 + 500);
-        assert!(again <= Duration::from_secs(2) + grace, "{ms}: {schedule:?}");
+        let answered_after = schedule.response_timeout + Duration::from_millis(150 + 500 + 300 + 500);
+        assert!(answered_after <= Duration::from_secs(2) + grace, "{ms}: {schedule:?}");
     }
 }
 
-/// The watches of all proxies fall silent together. A service that needs 5 s for a call of each, however many they
-/// are, has answered each by the time at which what it missed counts.
+/// The subscriptions of all proxies become silent at the same time. A service that takes 5 s to process one call from each
+/// proxy, whatever the number of proxies, must have answered each of them before the missed changes count as known.
 #[test]
 fn proxies_that_lost_subscriptions_together_poll_spread_out() {
     let grace = Duration::from_millis(150);
@@ -46,8 +47,8 @@
             );
             let (work, mut free) = (Duration::from_secs(5) / proxies, Duration::ZERO);
             for end in ends {
-                let asked = end + schedule.response_timeout + Duration::from_millis(150);
-                free = free.max(asked) + work;
+                let requested_at = end + schedule.response_timeout + Duration::from_millis(150);
+                free = free.max(requested_at) + work;
                 let late = free - end;
                 assert!(late <= Duration::from_secs(2) + grace, "{proxies}, call {call}: {late:?}");
             }
@@ -55,27 +56,33 @@
     }
 }
 
-/// Discovery can be reached from just after a call failed, or was given up, whatever failed before. The next call is made,
-/// and answered in the time that the first to a service of all proxies may take, within the 6 s after which a change
-/// counts, and within 4 s after a move, which begins with no call given up.
+/// Discovery becomes reachable just after a call has failed or timed out, whatever failed before. The next call must be made,
+/// and answered within the time that the first call to a service shared by all proxies may take, within the 6 s after which
+/// a change counts as known; and within 4 s after a move, before which no call has timed out.
 #[test]
-fn call_after_any_failure_is_answered_before_a_change_counts() {
-    let (counts, moved, answer) =
+fn call_after_any_failure_is_answered_before_change_counts_as_known() {
+    let (known_after, known_after_move, answer) =
         (Duration::from_secs(6), Duration::from_secs(4), Duration::from_millis(850));
     for ms in [150, 300, 700, 1000, 2000, 10_000] {
         let grace = Duration::from_millis(ms);
         let (schedule, made) = (PollSchedule::polling(grace), Instant::now());
-        // From making a call that fails or is given up after that time to making the next.
-        let worst = |took: Duration| {
+        // The longest time from making a call that ends after `took` to making the next call.
+        let longest_interval = |took: Duration| {
             let next = |n: u32| schedule.latest_retry(made, made + took, n % 300, n / 300) - made;
             (0..9000).map(next).max().unwrap()
         };
-        assert!(worst(Duration::ZERO) + answer <= moved, "{ms}: refused, {schedule:?}");
-        assert!(worst(schedule.response_timeout) + answer <= moved, "{ms}: no connection, {schedule:?}");
-        assert!(worst(schedule.immediate_timeout(false)) + answer <= moved, "{ms}: given up, {schedule:?}");
+        assert!(longest_interval(Duration::ZERO) + answer <= known_after_move, "{ms}: refused, {schedule:?}");
         assert!(
-            worst(schedule.immediate_timeout(true)) + answer <= counts,
-            "{ms}: given up again, {schedule:?}"
+            longest_interval(schedule.response_timeout) + answer <= known_after_move,
+            "{ms}: no connection, {schedule:?}"
+        );
+        assert!(
+            longest_interval(schedule.immediate_timeout(false)) + answer <= known_after_move,
+            "{ms}: timed out, {schedule:?}"
+        );
+        assert!(
+            longest_interval(schedule.immediate_timeout(true)) + answer <= known_after,
+            "{ms}: timed out again, {schedule:?}"
         );
     }
 }
--- a/crates/discovery/src/subscription.rs
+++ b/crates/discovery/src/subscription.rs
@@ -1,4 +1,4 @@
-//! The subscription to one discovery: one call after the other, from a known version on or from a snapshot.
+//! The subscription to one discovery: consecutive calls, which begin with a known version or with a snapshot.
 
 use crate::call::{fetch, CallTimeouts, Connection, PollError};
 use crate::poll_schedule::PollSchedule;
@@ -15,46 +15,47 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// What a call asks for.
+/// The parameters of a call.
 struct Call {
     uri: String,
-    /// It is answered only when there are changes, or at the end of its wait.
+    /// Whether discovery responds only when there are changes or the call's wait is over.
     is_long_poll: bool,
     timeouts: CallTimeouts,
     made_at: Instant,
 }
 
-/// What the next call asks for, and how the last ones ended.
+/// The state of a subscription: the parameters of the next call, and the results of the previous ones.
 pub(crate) struct Subscription<'a> {
     driver: &'a Rc<Driver>,
     pool: PoolId,
     address: SocketAddr,
     config: SubscriptionConfig,
     schedule: PollSchedule,
-    /// Set once discovery has sent a list.
+    /// Set to true once discovery has sent a list.
     has_list: &'a Cell<bool>,
     connection: Option<Connection>,
-    /// The version of the list that the pool has.
+    /// The version of the pool's current list.
     version: u64,
     wants_snapshot: bool,
-    /// The next call is answered at once, by what was missed; only those behind it wait for changes.
-    catches_up: bool,
-    /// Failed calls in a row.
+    /// Whether the next call does not wait for changes: it returns the missed changes at once. Later calls are long polls.
+    is_catching_up: bool,
+    /// The number of failed calls in a row.
     failures: u32,
-    /// Long polls made.
+    /// The number of long polls made.
     long_polls: u32,
-    /// The last call timed out, though it waited for no changes.
+    /// Whether the last call timed out although it did not wait for changes.
     immediate_call_timed_out: bool,
 }
 
 impl<'a> Subscription<'a> {
-    /// `known`: the version of the list that the pool has; without one it begins with a snapshot.
+    /// Returns a subscription that begins with `known_version`, the version of the pool's current list, or with a snapshot if
+    /// that is `None`.
     pub(crate) fn new(
-        driver: &'a Rc<Driver>, pool: PoolId, address: SocketAddr, known: Option<u64>,
+        driver: &'a Rc<Driver>, pool: PoolId, address: SocketAddr, known_version: Option<u64>,
         config: SubscriptionConfig, has_list: &'a Cell<bool>,
     ) -> Subscription<'a> {
-        let polls = config.mode != DiscoveryMode::Push;
-        let schedule = match polls {
+        let is_polled = config.mode != DiscoveryMode::Push;
+        let schedule = match is_polled {
             true => PollSchedule::polling(config.grace),
             false => PollSchedule::pushing(config.grace),
         };
@@ -66,18 +67,18 @@
             schedule,
             has_list,
             connection: None,
-            version: known.unwrap_or(0),
-            wants_snapshot: known.is_none(),
-            catches_up: polls && known.is_some(),
+            version: known_version.unwrap_or(0),
+            wants_snapshot: known_version.is_none(),
+            is_catching_up: is_polled && known_version.is_some(),
             failures: 0,
             long_polls: 0,
             immediate_call_timed_out: false,
         }
     }
 
-    /// Calls discovery for ever. Dropped, it leaves the pool with the list that it has.
+    /// Calls discovery in an endless loop. If the future is dropped, the pool keeps its current list.
     pub(crate) async fn run(mut self) {
-        if self.catches_up {
+        if self.is_catching_up {
             self.driver.poll_requested(self.pool).await;
         }
         loop {
@@ -93,7 +94,7 @@
     }
 
     fn next_call(&mut self) -> Call {
-        let wait = match self.catches_up {
+        let wait = match self.is_catching_up {
             true => Duration::ZERO,
             false => self.schedule.long_poll_wait(self.config.position, self.long_polls),
         };
@@ -101,7 +102,7 @@
             true => "/api/targets".to_string(),
             false => format!("/api/targets?after={}&wait_ms={}", self.version, wait.as_millis()),
         };
-        let is_long_poll = !self.wants_snapshot && !self.catches_up;
+        let is_long_poll = !self.wants_snapshot && !self.is_catching_up;
         if is_long_poll {
             self.long_polls = self.long_polls.wrapping_add(1);
         }
@@ -125,9 +126,9 @@
             );
         }
         self.failures = 0;
-        self.catches_up = false;
+        self.is_catching_up = false;
         let is_unchanged = call.is_long_poll && list.index == self.version;
-        // A delta of an older version than the pool's: discovery began anew, so a snapshot is due.
+        // A delta that is older than the pool's list means that discovery was restarted, so a snapshot is needed.
         let is_older = !list.snapshot && list.index < self.version;
         if !is_older {
             let update = if list.snapshot { EndpointUpdate::Snapshot } else { EndpointUpdate::Delta };
@@ -136,7 +137,8 @@
             self.version = list.index;
         }
         self.wants_snapshot = is_older;
-        // One that does not wait for changes, or goes back each time, is not polled as fast as it answers.
+        // A discovery that does not wait for changes, or always returns an older version, would otherwise be polled without
+        // a pause.
         if is_unchanged || is_older {
             tokio::time::sleep(self.schedule.min_pause.saturating_sub(call.made_at.elapsed())).await;
         }
@@ -150,25 +152,25 @@
             let (name, address) = (self.driver.pool_name(self.pool), self.address);
             warn!("pool {name}: discovery at {address}: call failed, {failures} in a row: {error}");
         }
-        // It may not know that version any more, nor ever again.
+        // Such a status may mean that discovery no longer has the version, and will never have it again.
         self.wants_snapshot |= matches!(error, PollError::Status(..500));
         if self.config.mode == DiscoveryMode::Push {
             tokio::time::sleep(self.schedule.backoff(failures)).await;
         } else {
             discard_request(self.driver.poll_requested(self.pool)).await;
             self.driver.update_endpoints(self.pool, EndpointUpdate::SubscriptionLost, Vec::new());
-            // When to poll again is the balancer's decision, but not without bound.
+            // The balancer decides when to poll again, up to a maximum delay.
             let position = self.config.position;
             let latest = self.schedule.latest_retry(call.made_at, Instant::now(), position, failures);
             let requested = self.driver.poll_requested(self.pool);
             let _ = tokio::time::timeout_at(latest.into(), requested).await;
         }
-        // Whether it is back shows at once.
-        self.catches_up = true;
+        // A call without a wait shows at once whether discovery is reachable again.
+        self.is_catching_up = true;
     }
 }
 
-/// A call for a snapshot wants a snapshot.
+/// Returns an error if a call for a snapshot returned a delta.
 fn require_snapshot(list: List, wants_snapshot: bool) -> Result<List, PollError> {
     if wants_snapshot && !list.snapshot {
         return Err(PollError::NotASnapshot);
@@ -176,8 +178,8 @@
     Ok(list)
 }
 
-/// The balancer may have requested a call while one was in flight, or before the first: that one is made, and no other is
-/// due at once when it fails.
+/// Discards a pending request for a poll. The balancer may have made it while the call that has just failed was in flight, or
+/// before the first call; it must not cause another call at once.
 async fn discard_request(requested: impl Future<Output = ()>) {
     let mut requested = pin!(requested);
     let _ = poll_fn(|cx| Poll::Ready(requested.as_mut().poll(cx))).await;
