--- a/crates/net/src/driver/requests.rs
+++ b/crates/net/src/driver/requests.rs
@@ -20,7 +20,7 @@
     pub decision: FinalDecision,
     /// The attempt whose response is forwarded, or, if none is, the last attempt that was answered.
     pub attempt: Option<AttemptNumber>,
-    /// Why the idempotency key was not sent, if that is why the request ended.
+    /// The conflict of the idempotency key, if it is the reason why the request ended.
     pub conflict: Option<KeyConflict>,
 }
 
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -167,7 +167,7 @@
 }
 
 /// Asserts that the engine and the driver have no state of the request, and that nothing was written to the backend.
-fn assert_no_trace_left(driver: &Driver, backend: &TcpListener, case: &str) {
+fn assert_no_state_left(driver: &Driver, backend: &TcpListener, case: &str) {
     assert_eq!(received(backend), 0, "{case}: written to the backend");
     let state = driver.state.borrow();
     assert!(state.open_requests.is_empty(), "{case}: still awaited");
@@ -196,7 +196,7 @@
         let submitted = submit(&setup.driver, &setup.pools, Rc::new(request));
         assert_eq!(submitted.map(|_| ()), Err(SubmitError::ClientClosed), "{end:?}");
         settle().await;
-        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_state_left(&setup.driver, &setup.backend, &format!("{end:?}"));
     })
     .await;
 }
@@ -213,7 +213,7 @@
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_state_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
@@ -235,7 +235,7 @@
         let accepted = setup.client.accepted.clone();
         let _open = setup.client.end(end);
         settle().await;
-        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_state_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         drop((accepted, answer));
     })
     .await;
@@ -256,7 +256,7 @@
             entries("SERVING", &backend.to_string()),
         );
         settle().await;
-        assert_no_trace_left(&setup.driver, &setup.backend, &format!("{end:?}"));
+        assert_no_state_left(&setup.driver, &setup.backend, &format!("{end:?}"));
         timers.abort();
         drop((accepted, answer));
     })
