--- a/crates/net/src/driver/counters.rs
+++ b/crates/net/src/driver/counters.rs
@@ -72,7 +72,7 @@
         drop(state);
         if let Some(first) = conflicts.first() {
             let first = self.describe_conflict(first);
-            warn!("{} addresses are in the lists of several pools, the first: {first}", conflicts.len());
+            warn!("{} addresses are brought by several lists, among them: {first}", conflicts.len());
         }
     }
 }
