--- a/crates/config/examples/check.rs
+++ b/crates/config/examples/check.rs
@@ -1,4 +1,4 @@
-//! Reads an operators' file and prints what it says, or all that is wrong with it.
+//! Reads an operators' file and prints its configuration, or the report of all its problems.
 
 fn main() {
     let path = std::env::args().nth(1).unwrap_or_else(|| "deploy/operator.example.toml".into());
--- a/crates/config/src/diagnostic.rs
+++ b/crates/config/src/diagnostic.rs
@@ -1,37 +1,37 @@
-//! One diagnostic, before it is rendered.
+//! A diagnostic about the file before it is rendered.
 
 use std::ops::Range;
 
-/// Another place of the file that a diagnostic refers to.
+/// Another span of the file that a diagnostic refers to.
 #[derive(Clone, Debug)]
 pub(crate) struct RelatedSpan {
     pub span: Range<usize>,
-    /// Why it is shown.
+    /// Explains why the span is shown.
     pub label: String,
 }
 
-/// Something wrong with the file.
+/// One problem in the file.
 #[derive(Clone, Debug)]
 pub(crate) struct Diagnostic {
-    /// Where, in bytes; none: the file as a whole.
+    /// Byte range of the problem; `None` if it concerns the whole file.
     pub span: Option<Range<usize>>,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What was expected instead.
+    /// Description of the expected input.
     pub expected: String,
-    /// Other places that it refers to.
+    /// Other spans that the diagnostic refers to.
     pub related: Vec<RelatedSpan>,
-    /// A suggestion.
+    /// Hint for the operator.
     pub help: Option<String>,
 }
 
 impl Diagnostic {
-    /// A diagnostic of that place.
+    /// Creates a diagnostic for a span.
     pub fn at(span: Range<usize>, message: impl Into<String>, expected: impl Into<String>) -> Diagnostic {
         Diagnostic { span: Some(span), ..Diagnostic::for_file(message, expected) }
     }
 
-    /// A diagnostic of the whole file.
+    /// Creates a diagnostic for the whole file.
     pub fn for_file(message: impl Into<String>, expected: impl Into<String>) -> Diagnostic {
         Diagnostic {
             span: None,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Adds another place that it refers to.
+    /// Adds another span that the diagnostic refers to.
     pub fn with_related(mut self, span: Range<usize>, label: impl Into<String>) -> Diagnostic {
         self.related.push(RelatedSpan { span, label: label.into() });
         self
     }
 
-    /// Adds a suggestion.
+    /// Adds a hint for the operator.
     pub fn with_help(mut self, text: impl Into<String>) -> Diagnostic {
         self.help = Some(text.into());
         self
--- a/crates/config/src/diagnostics.rs
+++ b/crates/config/src/diagnostics.rs
@@ -1,5 +1,5 @@
-//! The diagnostics of one file, collected instead of stopping at the first. Knows which parts of the text syntax errors
-//! have made unreadable, so that nothing is reported that only follows from them.
+//! Collects all diagnostics of one file instead of stopping at the first. Tracks which parts of the text are unreadable
+//! because of syntax errors, so that mere consequences of a syntax error are not reported.
 
 use crate::diagnostic::Diagnostic;
 use crate::report::Report;
@@ -8,51 +8,51 @@
 use std::hash::Hash;
 use std::ops::Range;
 
-/// Names compared for all suggestions of a file together; each comparison costs time.
+/// Name comparisons for all suggestions of a file together. Bounds the time spent on suggestions.
 const MAX_COMPARISONS: usize = 200_000;
-/// Diagnostics that are kept; further ones are only counted.
+/// Diagnostics that are kept per file; further ones are only counted.
 const MAX_DIAGNOSTICS: usize = 10_000;
 
-/// What the syntax errors have made unreadable.
+/// The parts of the file that syntax errors make unreadable.
 #[derive(Debug, Default)]
 pub(crate) struct SyntaxDamage {
-    /// Where the syntax errors are, in bytes.
+    /// Byte offsets of the syntax errors.
     pub error_offsets: Vec<usize>,
-    /// Parts of the text that say nothing: a syntax error has cut or moved them.
+    /// Byte ranges whose content is unknown because a syntax error truncated or moved it.
     pub unreadable: Vec<Range<usize>>,
-    /// Sections of these names may be missing ...
+    /// Names of sections that a syntax error may hide.
     pub missing_sections: Vec<&'static str>,
-    /// ... or of any name.
+    /// Whether a syntax error may hide a section of any name.
     pub any_section_missing: bool,
-    /// Where section headers begin, ascending.
+    /// Byte offsets of the section headers, in ascending order.
     pub header_offsets: Vec<usize>,
 }
 
 impl SyntaxDamage {
-    /// Whether sections of that name may be missing.
+    /// Returns whether a syntax error may hide a section of that name.
     pub fn may_hide_section(&self, name: &str) -> bool {
         self.any_section_missing || self.missing_sections.contains(&name)
     }
 
-    /// Whether what lies there says nothing.
+    /// Returns whether the byte at `offset` is in unreadable text.
     pub fn is_unreadable(&self, offset: usize) -> bool {
         self.unreadable.iter().any(|range| range.contains(&offset))
     }
 }
 
-/// The diagnostics so far.
+/// The diagnostics collected so far.
 #[derive(Debug)]
 pub(crate) struct Diagnostics<'t> {
     pub source: &'t Source<'t>,
     pub damage: SyntaxDamage,
     entries: Vec<Diagnostic>,
-    /// Further ones, which were only counted.
+    /// Number of diagnostics beyond [`MAX_DIAGNOSTICS`], which were only counted.
     dropped: usize,
     comparisons_left: usize,
 }
 
 impl<'t> Diagnostics<'t> {
-    /// None yet.
+    /// Creates an empty collection for a source.
     pub fn new(source: &'t Source<'t>) -> Diagnostics<'t> {
         Diagnostics {
             source,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Adds a diagnostic wherever it lies.
+    /// Adds a diagnostic even if it lies in unreadable text.
     pub fn push_syntax_error(&mut self, diagnostic: Diagnostic) {
         if self.entries.len() < MAX_DIAGNOSTICS {
             self.entries.push(diagnostic);
@@ -80,17 +80,17 @@
         }
     }
 
-    /// Adds that something is missing from a table, unless a syntax error in the table may have hidden it.
+    /// Adds a diagnostic about a key missing from `table`, unless a syntax error in the table may hide the key.
     pub fn push_missing(&mut self, table: &Range<usize>, diagnostic: Diagnostic) {
         if !self.has_syntax_error_in(table) {
             self.push(diagnostic);
         }
     }
 
-    /// Whether a syntax error lies in this table.
+    /// Returns whether a syntax error lies in the table.
     pub fn has_syntax_error_in(&self, table: &Range<usize>) -> bool {
         let headers = &self.damage.header_offsets;
-        // An inline table ends before the next header; that of a section begins as its header does.
+        // The span of an inline table covers its content; that of a section covers only its header.
         let is_inline = headers.binary_search(&table.start).is_err();
         let end = if is_inline {
             table.end
@@ -101,15 +101,15 @@
         self.damage.error_offsets.iter().any(|error| (table.start..end).contains(error))
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no diagnostics.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// The known name that `name` was most likely meant to be.
+    /// Returns the known name that is most similar to `name`, if one is similar enough.
     pub fn suggest<'n>(&mut self, name: &str, known: impl IntoIterator<Item = &'n str>) -> Option<&'n str> {
         let length = name.chars().count();
-        // A third of the letters may be wrong; two in short names, and one in the shortest.
+        // Up to a third of the characters may differ, but at least two, or one in names of fewer than four.
         let max_distance = (length / 3).max(if length < 4 { 1 } else { 2 });
         let mut best: Option<(usize, &str)> = None;
         for candidate in known {
@@ -126,7 +126,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// Adds a diagnostic for each item that occurred before, with its first occurrence.
+    /// Adds a diagnostic for each repeated item and refers to its first occurrence.
     pub fn push_duplicates<K: Hash + Eq>(
         &mut self, items: impl IntoIterator<Item = (K, Range<usize>)>, message: impl Fn(&K) -> String,
         expected: &str,
@@ -145,10 +145,10 @@
         }
     }
 
-    /// The report on that file.
+    /// Turns the diagnostics into the result for the file.
     ///
     /// # Errors
-    /// All diagnostics, if there are any.
+    /// Returns the report of all diagnostics if there are any.
     pub fn into_report(self, file: &str) -> Result<(), Report> {
         if self.entries.is_empty() {
             return Ok(());
@@ -157,10 +157,10 @@
     }
 }
 
-/// Characters of a text from the file that a message quotes.
+/// Maximum number of characters of the file's text that a message quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// A text from the file as messages quote it.
+/// Quotes a text from the file for a message; truncates it after [`MAX_QUOTED_CHARS`].
 pub(crate) fn quoted(text: &str) -> String {
     let mut shown: String = text.chars().take(MAX_QUOTED_CHARS).collect();
     if shown.len() < text.len() {
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,4 @@
-//! The sections of a file: opened under their schemas; unknown ones are reported.
+//! Opens the sections of a file according to their schemas and reports unknown sections.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
@@ -10,30 +10,30 @@
 /// The sections of the file.
 pub(crate) struct Document<'v, 't> {
     table: &'v DeTable<'t>,
-    /// Sections that stand under a name near to theirs.
+    /// Sections that are present under a similar, unknown name.
     misspelled: Vec<&'static str>,
-    /// It adds to `NODE_CONFIG`, so that no section is required.
+    /// Whether the file extends `NODE_CONFIG`, so that no section is required.
     extends_node_config: bool,
 }
 
-/// The sections of one name.
+/// All sections of one name.
 pub(crate) struct Sections<'v, 't> {
     pub items: Vec<Section<'v, 't>>,
-    /// Whether all of them are here: none was lost to an error.
+    /// Whether `items` is complete: an error may hide sections.
     pub is_complete: bool,
 }
 
 impl<'v, 't> Document<'v, 't> {
-    /// Opens the file's tree; reports each section that no schema has, and keys outside of all sections.
+    /// Opens the file's tree. Reports each unknown section and each key outside of all sections.
     pub fn open(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> Document<'v, 't> {
         let mut misspelled = Vec::new();
         for (key, value) in table.iter().filter(|(key, _)| schema::section(key.get_ref()).is_none()) {
             let name = key.get_ref().as_ref();
             let is_key = !matches!(value.get_ref(), DeValue::Table(_) | DeValue::Array(_));
-            let home = SECTIONS.iter().find(|section| section.key(name).is_some()).filter(|_| is_key);
+            let owner = SECTIONS.iter().find(|section| section.key(name).is_some()).filter(|_| is_key);
             let meant = diagnostics.suggest(name, SECTIONS.iter().map(|section| section.name));
             misspelled.extend(meant.filter(|_| !is_key));
-            let expected = match (home, meant.and_then(schema::section)) {
+            let expected = match (owner, meant.and_then(schema::section)) {
                 (Some(section), _) => format!("it belongs to {}", section.header()),
                 (None, Some(section)) => format!("did you mean {}?", section.header()),
                 (None, None) => format!("expected one of {}", headers().join(", ")),
@@ -48,21 +48,21 @@
         Document { table, misspelled, extends_node_config: false }
     }
 
-    /// Opens the tree of a file that adds to `NODE_CONFIG`; reports also each key that `NODE_CONFIG` has a name for, or
-    /// for which the platform leaves no choice.
+    /// Opens the tree of a file that extends `NODE_CONFIG`. Also reports each key that `NODE_CONFIG` sets or that the
+    /// platform fixes.
     pub fn open_extension(diagnostics: &mut Diagnostics<'_>, table: &'v DeTable<'t>) -> Document<'v, 't> {
         let document = Document { extends_node_config: true, ..Document::open(diagnostics, table) };
         document.reject_node_config_keys(diagnostics);
         document
     }
 
-    /// Whether a section of that name is there, or may have been meant to be.
+    /// Returns whether the file has a section of that name, or may have one under a misspelled or unreadable header.
     pub fn may_contain(&self, diagnostics: &Diagnostics<'_>, name: &str) -> bool {
         let is_misspelled = self.misspelled.contains(&name);
         self.table.contains_key(name) || is_misspelled || diagnostics.damage.may_hide_section(name)
     }
 
-    /// A section that stands once, if it is there.
+    /// Opens a section that occurs at most once; `None` if it is absent or invalid.
     pub fn optional(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Option<Section<'v, 't>> {
         if !self.table.contains_key(name) {
             return None;
@@ -70,7 +70,7 @@
         Some(self.table(diagnostics, name)).filter(Section::is_present)
     }
 
-    /// A section that stands once; all defaults where it is absent.
+    /// Opens a section that occurs at most once; an absent or invalid one has all defaults.
     pub fn table(&self, diagnostics: &mut Diagnostics<'_>, name: &str) -> Section<'v, 't> {
         let schema = section_schema(name);
         let Some(value) = self.table.get(name) else { return Section::absent(schema) };
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A section that stands any number of times, at most `max`.
+    /// Opens the sections of that name; reports more than `max`, and a required one that is missing.
     pub fn list(&self, diagnostics: &mut Diagnostics<'_>, name: &str, max: usize) -> Sections<'v, 't> {
         let schema = section_schema(name);
         let mut list = Sections {
@@ -118,7 +118,7 @@
         }
         if let Some(excess) = items.get(max) {
             list.is_complete = false;
-            let message = format!("{} of {}", items.len(), schema.header());
+            let message = format!("{} {} sections", items.len(), schema.header());
             diagnostics.push(Diagnostic::at(excess.span(), message, format!("expected at most {max}")));
         }
         list
@@ -128,8 +128,9 @@
         for (name, value) in self.table {
             let Some(schema) = schema::section(name.get_ref()) else { continue };
             if let Some(node_config_name) = schema.node_config_name {
-                let message = format!("{} has no place in a file that adds to NODE_CONFIG", schema.header());
-                let expected = format!("NODE_CONFIG says this as {node_config_name}");
+                let message =
+                    format!("{} is not allowed in a file that extends NODE_CONFIG", schema.header());
+                let expected = format!("NODE_CONFIG sets this as {node_config_name}");
                 diagnostics.push(Diagnostic::at(name.span(), message, expected));
                 continue;
             }
@@ -138,11 +139,11 @@
                 let Some(key_schema) = schema.key(key.get_ref()) else { continue };
                 let expected = match key_schema.node_config {
                     NodeConfigKey::Extends => continue,
-                    NodeConfigKey::Named(name) => format!("NODE_CONFIG says this as {name}"),
-                    NodeConfigKey::Fixed => "the platform leaves no choice here".into(),
+                    NodeConfigKey::Named(name) => format!("NODE_CONFIG sets this as {name}"),
+                    NodeConfigKey::Fixed => "the platform fixes this value".into(),
                 };
                 let path = format!("{}.{}", schema.name, key_schema.name);
-                let message = format!("{path} has no place in a file that adds to NODE_CONFIG");
+                let message = format!("{path} is not allowed in a file that extends NODE_CONFIG");
                 diagnostics.push(Diagnostic::at(key.span(), message, expected));
             }
         }
@@ -150,7 +151,7 @@
 }
 
 fn wrong_type(schema: &SectionSchema, value: &DeValue<'_>) -> String {
-    format!("{}: {} does not fit here", schema.header(), describe(value))
+    format!("{}: {} is not allowed here", schema.header(), describe(value))
 }
 
 fn section_schema(name: &str) -> &'static SectionSchema {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,5 +1,7 @@
-//! Configuration: the operators' file and the platform's settings as typed values, and the names that go with them.
-//! Text in; values, or a report of all its problems, out. No files, no environment, no clock.
+//! Reads the configuration: parses the operators' file and the platform's settings into typed values and names.
+//!
+//! Each reader takes text and returns either the values or a report of all problems. This crate accesses no files, no
+//! environment variables and no clock.
 #![forbid(unsafe_code)]
 
 mod diagnostic;
@@ -14,4 +16,4 @@
 mod syntax;
 mod values;
 
-pub use report::{Problem, Report, SHOWN};
+pub use report::{Problem, Report, MAX_SHOWN_PROBLEMS};
--- a/crates/config/src/operator/basics.rs
+++ b/crates/config/src/operator/basics.rs
@@ -1,5 +1,5 @@
-//! The sections that stand once: the proxy, its limits, the rules of starting and draining backends, the objective; and
-//! the listeners.
+//! Reads the sections that occur once (the proxy, its limits, the rules for starting and draining backends, and the
+//! objective) and the listeners.
 
 use super::types::{ExtensionLimits, Limits, ProxyConfig};
 use crate::diagnostic::Diagnostic;
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// Addresses to listen on that a file may name: each takes a descriptor.
+/// Maximum number of listeners in a file; each takes a file descriptor.
 const MAX_LISTENERS: usize = 64;
 
 pub(super) fn proxy(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> ProxyConfig {
@@ -38,12 +38,12 @@
     let expected = format!("expected a whole number less than {count}");
     let diagnostic = Diagnostic::at(span.clone(), message, expected);
     diagnostics.push(match proxies.span.clone().filter(|other| *other != span) {
-        Some(other) => diagnostic.with_related(other, "so many share the work"),
+        Some(other) => diagnostic.with_related(other, "the number of proxies"),
         None => diagnostic,
     });
 }
 
-/// The listeners, with the place of each.
+/// Reads the listeners, each with the span of its address.
 pub(super) fn listeners(
     diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>,
 ) -> Vec<(SocketAddr, Range<usize>)> {
@@ -54,7 +54,7 @@
         let (Some(address), Some(span)) = (field.value, field.span) else { continue };
         let conflicting = listeners.iter().find(|(other, _)| in_conflict(&address, other));
         if let Some((_, first)) = conflicting {
-            let message = format!("listener.address: {address} is taken");
+            let message = format!("listener.address: {address} conflicts with another listener");
             let diagnostic = Diagnostic::at(span.clone(), message, "expected another address or port");
             diagnostics.push(diagnostic.with_related(first.clone(), "first here"));
         }
@@ -63,7 +63,7 @@
     listeners
 }
 
-/// Whether only one of the two can be listened on.
+/// Returns whether the process cannot listen on both addresses.
 fn in_conflict(one: &SocketAddr, other: &SocketAddr) -> bool {
     if one.port() != other.port() {
         return false;
@@ -91,7 +91,7 @@
     }
 }
 
-/// The limits that a file beside `NODE_CONFIG` may set.
+/// Reads the limits that a file that extends `NODE_CONFIG` may set.
 pub(super) fn extension_limits(
     diagnostics: &mut Diagnostics<'_>, limits: &Section<'_, '_>,
 ) -> ExtensionLimits {
@@ -105,7 +105,7 @@
     }
 }
 
-/// The sections that the balancer's configuration is made of, beside classes and tenants.
+/// The sections that the balancer's configuration is built from, in addition to classes and tenants.
 pub(super) struct BalancerSections<'s, 'v, 't> {
     pub proxy: &'s ProxyConfig,
     pub limits: &'s Section<'v, 't>,
@@ -113,7 +113,7 @@
     pub goal: &'s Section<'v, 't>,
 }
 
-/// The balancer's configuration, with placeholders for zone and discovery mode, which the caller knows.
+/// Builds the balancer's configuration. The zone and the discovery mode are placeholders for the caller to replace.
 pub(super) fn balancer_config(
     diagnostics: &mut Diagnostics<'_>, sections: &BalancerSections<'_, '_, '_>, classes: Vec<Class>,
     tenants: Vec<Tenant>,
@@ -136,11 +136,11 @@
         min_timer_interval: duration(diagnostics, limits, "tick"),
         initial_capacity_fraction: number(diagnostics, rules, "cold_from"),
         slow_start_window: duration(diagnostics, rules, "ramp"),
-        // These follow from the driver and the pools, which the daemon knows.
+        // The daemon sets these from its driver and its pools.
         timer_lateness: Micros(0),
         has_failover_pool: false,
         only_deduplication_domain: Some(0),
-        // The file has cores of their own, so that a weight is never one.
+        // The file has a separate key for cores, so weights never stand for cores or load.
         weights_report_load: false,
         weights_report_cores: false,
         overload_multiple: number(diagnostics, rules, "fall_multiple"),
@@ -156,7 +156,7 @@
     section.number(diagnostics, key).or_placeholder(0.0)
 }
 
-/// In bytes.
+/// Reads a size in bytes.
 fn size(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str) -> usize {
     section.read(diagnostics, key, values::size).or_placeholder(0)
 }
--- a/crates/config/src/operator/classes.rs
+++ b/crates/config/src/operator/classes.rs
@@ -1,4 +1,4 @@
-//! Classes and tenants.
+//! Reads the classes and the tenants.
 
 use super::names::NameIndex;
 use super::record::{self, RecordContext};
@@ -11,19 +11,19 @@
 use crate::values;
 use shaletide_balancer::{Class, DeduplicationScope, Idempotency, Micros, Tenant};
 
-/// Classes that a file may name: each has state of its own at every backend.
+/// Maximum number of classes in a file; each has its own state for every backend.
 const MAX_CLASSES: usize = 64;
-/// Tenants that a file may name: each has a token bucket.
+/// Maximum number of tenants in a file; each has a token bucket.
 const MAX_TENANTS: usize = 10_000;
 
-/// The classes as the daemon and as the balancer need them, in one order, and their names.
+/// The classes for the daemon, the classes for the balancer, and their names, all in the same order.
 pub(super) struct Classes {
     pub configs: Vec<ClassConfig>,
     pub balancer_classes: Vec<Class>,
     pub names: NameIndex,
 }
 
-/// What a class's own section says.
+/// The values of one class that do not depend on the store of record.
 struct ClassSection {
     class: Class,
     methods: Vec<String>,
@@ -82,18 +82,18 @@
     let span = objective.span.clone().or(deadline.span.clone()).unwrap_or(section.span.clone());
     let limit = duration_text(deadline_time.0);
     let expected = format!("expected an aim of at most {limit}");
-    let diagnostic = Diagnostic::at(span.clone(), "class.aim: it is over the deadline", expected);
+    let diagnostic = Diagnostic::at(span.clone(), "class.aim: the aim is above the deadline", expected);
     let deadline_span = deadline.span.clone().filter(|other| *other != span);
     diagnostics.push(match deadline_span {
         Some(deadline_span) => diagnostic.with_related(deadline_span, "the deadline"),
         None if objective.span.is_none() => {
-            diagnostic.with_help(format!("without `aim` it is {}", duration_text(objective_time.0)))
+            diagnostic.with_help(format!("`aim` defaults to {}", duration_text(objective_time.0)))
         }
-        None => diagnostic.with_help(format!("without `deadline` it is {limit}")),
+        None => diagnostic.with_help(format!("`deadline` defaults to {limit}")),
     });
 }
 
-/// What a second execution does. `key_scope` and `key_window` stand where the class is keyed, and only there.
+/// Reads the idempotency of a class. `key_scope` and `key_window` are required for a keyed class and not allowed otherwise.
 fn read_idempotency(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, effect: Option<&str>,
 ) -> Idempotency {
@@ -106,13 +106,13 @@
             (Some("keyed"), Some(_)) | (Some(_), None) | (None, _) => {}
             (Some(other), Some(span)) => {
                 let message = format!("class.{key}: the class is not keyed but {other}");
-                let expected = "expected in classes of effect = \"keyed\" only";
+                let expected = "expected only in a class with effect = \"keyed\"";
                 let diagnostic = Diagnostic::at(span, message, expected);
                 let diagnostic = match section.span_of("effect") {
-                    Some(effect) => diagnostic.with_related(effect, "its effect"),
-                    None => diagnostic.with_help("without `effect` a class is safe"),
+                    Some(effect) => diagnostic.with_related(effect, "the effect"),
+                    None => diagnostic.with_help("`effect` defaults to \"safe\""),
                 };
-                // `effect` itself may have been lost to a syntax error in the same table.
+                // A syntax error in the same table may hide `effect` itself.
                 diagnostics.push_missing(&section.span, diagnostic);
             }
         }
@@ -134,7 +134,7 @@
     }
 }
 
-/// The tenants and their names, in one order.
+/// The tenants and their names, in the same order.
 pub(super) struct Tenants {
     pub balancer_tenants: Vec<Tenant>,
     pub names: NameIndex,
--- a/crates/config/src/operator/extension.rs
+++ b/crates/config/src/operator/extension.rs
@@ -1,5 +1,5 @@
-//! The file that adds to `NODE_CONFIG` what the platform has no setting for: pools, routes, response rules and a few
-//! limits.
+//! Reads the file that extends `NODE_CONFIG` with settings that the platform does not have: pools, routes, response rules
+//! and a few limits.
 
 use super::names::NameIndex;
 use super::pools::{self, UsedAddresses};
@@ -14,38 +14,39 @@
 use shaletide_routing::{AttributeSource, ResponseRules, Route};
 use toml::de::DeTable;
 
-/// The pool of the backends that `NODE_CONFIG`'s discovery knows; its [`PoolId`](shaletide_balancer::PoolId) is 0.
+/// Name of the pool of backends from `NODE_CONFIG`'s discovery; its [`PoolId`](shaletide_balancer::PoolId) is 0.
 pub const PLATFORM_POOL: &str = "platform";
 
-/// The names that `NODE_CONFIG` gives, for the file to refer to.
+/// The names from `NODE_CONFIG` that the file may refer to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformNames {
-    /// The classes in their order.
+    /// The classes in order.
     pub classes: Vec<String>,
-    /// The tenants in their order.
+    /// The tenants in order.
     pub tenants: Vec<String>,
 }
 
-/// What such a file adds.
+/// The configuration that such a file adds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeConfigExtension {
     /// Timeouts, and limits on bodies.
     pub limits: ExtensionLimits,
-    /// Where in a request its deduplication group stands.
+    /// Where a request carries its deduplication group.
     pub deduplication_group: Option<AttributeSource>,
-    /// Where the zone stands that a request comes from; none: the proxy's own.
+    /// Where a request carries the zone it comes from; `None` for the proxy's own zone.
     pub zone: Option<AttributeSource>,
-    /// Pools beside [`PLATFORM_POOL`], which is pool 0: the first of these is pool 1.
+    /// Pools in addition to [`PLATFORM_POOL`], which is pool 0; the first of these is pool 1.
     pub pools: Vec<PoolConfig>,
-    /// The routes; at least one. Without any in the file: one that leads all to all pools, the platform's first.
+    /// The routes; at least one. Without any in the file there is one that leads all requests to all pools, the platform's
+    /// pool first.
     pub routes: Vec<Route>,
 }
 
-/// Reads a file that adds to `NODE_CONFIG`. Responses are read as on the platform where it does not say otherwise.
+/// Reads a file that extends `NODE_CONFIG`. The platform's response rules apply unless the file has its own.
 ///
 /// # Errors
 ///
-/// All that is wrong with the text; among that each key that `NODE_CONFIG` has a name for.
+/// Returns the report of all problems in the text, including each key that `NODE_CONFIG` sets.
 pub fn read_extension(
     file_name: &str, text: &str, names: &PlatformNames,
 ) -> Result<NodeConfigExtension, Report> {
@@ -61,7 +62,7 @@
     let mut addresses = UsedAddresses::new(Vec::new());
     let pools = pools::pools(diagnostics, &document, &mut addresses);
     for (number, _) in pools.names.in_order().enumerate().filter(|(_, name)| *name == PLATFORM_POOL) {
-        let message = "pool.name: the pool `platform` is there without being named";
+        let message = "pool.name: the name `platform` is reserved for the pool of NODE_CONFIG";
         diagnostics.push(Diagnostic::at(pools.names.span(number), message, "expected another name"));
     }
     let responses = document.table(diagnostics, "answers");
@@ -69,7 +70,7 @@
     let context = RouteContext {
         classes: &NameIndex::of_names("class", names.classes.iter().cloned()),
         tenants: &NameIndex::of_names("tenant", names.tenants.iter().cloned()),
-        pools: &pools.names.behind(PLATFORM_POOL),
+        pools: &pools.names.with_first(PLATFORM_POOL),
         responses: &responses,
     };
     let routes = routes::routes(diagnostics, &document, &context);
--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator/file.rs
@@ -1,4 +1,4 @@
-//! The operators' file as a whole.
+//! Reads the whole operators' file.
 
 use super::basics::{self, BalancerSections};
 use super::pools::{self, UsedAddresses};
@@ -14,20 +14,20 @@
 use shaletide_routing::ResponseRules;
 use toml::de::DeTable;
 
-/// Reads the operators' file. `file_name` stands in the messages and is not opened.
+/// Reads the operators' file. `file_name` is used in messages only; the file is not opened.
 ///
 /// # Errors
 ///
-/// All that is wrong with the text, in the order of its lines.
+/// Returns the report of all problems in the text.
 pub fn read(file_name: &str, text: &str) -> Result<OperatorConfig, Report> {
     checked(file_name, text, read_document)
 }
 
-/// Reads the operators' file as it came from the disk.
+/// Reads the operators' file from its raw bytes.
 ///
 /// # Errors
 ///
-/// Bytes that are not UTF-8; else as [`read`].
+/// Fails if the bytes are not UTF-8, and for the same reasons as [`read`].
 pub fn read_bytes(file_name: &str, bytes: &[u8]) -> Result<OperatorConfig, Report> {
     read(file_name, utf8(file_name, bytes)?)
 }
@@ -81,14 +81,14 @@
     })
 }
 
-/// The balancer has the last word on its configuration. The schema's ranges lie within its own, so that this finds
-/// nothing; should it, the whole file is rejected.
+/// Rejects the file if the balancer rejects its configuration. The ranges of the schema lie within those of the balancer,
+/// so this check is not expected to fail.
 fn check_balancer_config(diagnostics: &mut Diagnostics<'_>, config: &Config) {
     if !diagnostics.is_empty() {
         return;
     }
     if let Err(error) = config.validate() {
-        let message = format!("the decision module refuses {}", error.field);
+        let message = format!("the balancer rejects {}", error.field);
         diagnostics.push(Diagnostic::for_file(message, error.to_string()));
     }
 }
--- a/crates/config/src/operator/mod.rs
+++ b/crates/config/src/operator/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' file: raw text in; all that is wrong with it, or typed values that cannot be wrong, out.
-//! No files and no clock: the caller brings the text and its name.
+//! Reads the operators' file: turns its text into checked, typed values or into a report of all its problems.
+//! Accesses no files and no clock: the caller passes the text and the file's name.
 
 mod basics;
 mod classes;
--- a/crates/config/src/operator/names.rs
+++ b/crates/config/src/operator/names.rs
@@ -1,4 +1,4 @@
-//! The names of classes, tenants and pools, and what refers to them.
+//! The names of classes, tenants, pools and routes, and the lookup of references to them.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
@@ -7,30 +7,30 @@
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Up to so many names are listed where a name is not found.
+/// Maximum number of known names that the message about an unknown name lists.
 const MAX_LISTED_NAMES: usize = 8;
 
-/// Names in their order, and the number of each.
+/// Names in order, and the number of each.
 #[derive(Debug)]
 pub(crate) struct NameIndex {
-    /// What has these names, for messages.
+    /// The kind of item that has these names, for messages.
     noun: &'static str,
     names: Vec<(String, Range<usize>)>,
     numbers: HashMap<String, usize>,
-    /// Whether every name is known: if not, one that is not found may be among the lost.
+    /// Whether every name is known. If not, a name that is not found may be one that an error hides.
     is_complete: bool,
 }
 
 impl NameIndex {
-    /// Names that do not come from this file.
+    /// Creates an index of names that are not from the file.
     pub fn of_names(noun: &'static str, names: impl IntoIterator<Item = String>) -> NameIndex {
         let names: Vec<_> = names.into_iter().map(|name| (name, 0..0)).collect();
         let numbers = names.iter().enumerate().map(|(number, (name, _))| (name.clone(), number)).collect();
         NameIndex { noun, names, numbers, is_complete: true }
     }
 
-    /// The `name` of each section; duplicates are reported. An invalid name still counts as one, so that what refers to
-    /// it is not reported too.
+    /// Creates an index of the `name` of each section and reports duplicates. An invalid name is included, so that
+    /// references to it are not reported as well.
     pub fn of_sections(
         diagnostics: &mut Diagnostics<'_>, noun: &'static str, sections: &Sections<'_, '_>,
     ) -> NameIndex {
@@ -48,13 +48,13 @@
             }
         }
         let known = index.names.iter().filter(|(name, _)| !name.is_empty()).cloned();
-        let message = |name: &String| format!("the {noun} {} stands twice", quoted(name));
+        let message = |name: &String| format!("the {noun} {} is defined twice", quoted(name));
         diagnostics.push_duplicates(known, message, "expected another name");
         index
     }
 
-    /// The same names behind one more: each has the next number.
-    pub fn behind(&self, first: &str) -> NameIndex {
+    /// Returns the index with `first` put before the other names, whose numbers grow by one.
+    pub fn with_first(&self, first: &str) -> NameIndex {
         let mut names = vec![(first.to_string(), 0..0)];
         names.extend(self.names.iter().cloned());
         let mut numbers: HashMap<String, usize> =
@@ -63,22 +63,22 @@
         NameIndex { noun: self.noun, names, numbers, is_complete: self.is_complete }
     }
 
-    /// The names in their order; those that are lost are empty.
+    /// Returns the names in order; unknown names are empty.
     pub fn in_order(&self) -> impl Iterator<Item = &str> {
         self.names.iter().map(|(name, _)| name.as_str())
     }
 
-    /// Where the name of that number stands.
+    /// Returns the span of the name with that number.
     pub fn span(&self, number: usize) -> Range<usize> {
         self.names.get(number).map_or(0..0, |(_, span)| span.clone())
     }
 
-    /// How many there are.
+    /// Returns the number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// The number of a name; reports a name that nothing has. `path` is the key that refers to it.
+    /// Returns the number of a name; reports an unknown name. `path` is the key that refers to it.
     pub fn find(
         &self, diagnostics: &mut Diagnostics<'_>, path: &str, name: &str, span: Range<usize>,
     ) -> Option<usize> {
@@ -88,7 +88,7 @@
             let meant = diagnostics.suggest(name, self.in_order());
             let expected = match (meant, self.names.as_slice()) {
                 (Some(meant), _) => format!("did you mean \"{meant}\"?"),
-                (None, []) => format!("the file has no {} at all", self.noun),
+                (None, []) => format!("the file defines no {}", self.noun),
                 (None, names) if names.len() <= MAX_LISTED_NAMES => {
                     let known: Vec<&str> = self.in_order().collect();
                     format!("expected {}", one_of(&known))
--- a/crates/config/src/operator/pools.rs
+++ b/crates/config/src/operator/pools.rs
@@ -1,4 +1,4 @@
-//! Pools and their backends.
+//! Reads the pools and their backends.
 
 use super::names::NameIndex;
 use super::types::{PoolConfig, PoolSource, StaticBackend};
@@ -14,25 +14,26 @@
 use std::ops::Range;
 use toml::de::DeValue;
 
-/// Pools that a file may have.
+/// Maximum number of pools in a file.
 const MAX_POOLS: usize = 64;
-/// Backends that a file may have.
+/// Maximum number of backends in a file.
 const MAX_BACKENDS: usize = 10_000;
 
-/// Stands for an address that is missing or invalid, in a file that is rejected for it.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
+/// Replaces a missing or invalid address; the file is then rejected.
+const PLACEHOLDER_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED), 0);
 
-/// The addresses that stand in the file so far; none may stand twice, in any pool.
+/// The addresses read so far. An address may occur only once in the file, whatever the pool.
 pub(super) struct UsedAddresses {
     listeners: Vec<(SocketAddr, Range<usize>)>,
     backends: HashMap<SocketAddr, Range<usize>>,
     discoveries: HashMap<SocketAddr, Range<usize>>,
-    /// Further backends that the file may have.
+    /// Number of further backends that the file may have.
     backends_left: usize,
 }
 
 impl UsedAddresses {
-    /// Only the proxy's own.
+    /// Starts with the proxy's own listeners only.
     pub fn new(listeners: Vec<(SocketAddr, Range<usize>)>) -> UsedAddresses {
         UsedAddresses {
             listeners,
@@ -42,11 +43,11 @@
         }
     }
 
-    /// Adds a backend; reports one that stood before, and the proxy's own address.
+    /// Adds a backend's address; reports a duplicate and an address of the proxy itself.
     fn add_backend(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, span: &Range<usize>) {
         if let Some(first) = insert_or_first(&mut self.backends, address, span) {
-            let message = format!("pool.boxes: the address {address} stands twice");
-            let diagnostic = Diagnostic::at(span.clone(), message, "expected each box once in the file");
+            let message = format!("pool.boxes: the address {address} occurs twice");
+            let diagnostic = Diagnostic::at(span.clone(), message, "expected each backend once in the file");
             diagnostics.push(diagnostic.with_related(first, "first here"));
         }
         let listener = self.listeners.iter().find(|(listener, _)| is_reached_at(listener, &address));
@@ -58,18 +59,19 @@
         }
     }
 
-    /// Adds a discovery; reports one that stood before.
+    /// Adds the address of a discovery service; reports a duplicate.
     fn add_discovery(&mut self, diagnostics: &mut Diagnostics<'_>, address: SocketAddr, span: &Range<usize>) {
         if let Some(first) = insert_or_first(&mut self.discoveries, address, span) {
-            let message = format!("pool.discovery: the address {address} stands twice");
-            let expected = "expected each discovery in one pool, as its boxes may be in one only";
+            let message = format!("pool.discovery: the address {address} occurs twice");
+            let expected =
+                "expected each discovery service in one pool only, as a backend belongs to one pool";
             let diagnostic = Diagnostic::at(span.clone(), message, expected);
             diagnostics.push(diagnostic.with_related(first, "first here"));
         }
     }
 }
 
-/// Adds an address; returns where it stands already, if it does.
+/// Adds an address. Returns the span of its first occurrence if it is a duplicate.
 fn insert_or_first(
     known: &mut HashMap<SocketAddr, Range<usize>>, address: SocketAddr, span: &Range<usize>,
 ) -> Option<Range<usize>> {
@@ -80,13 +82,13 @@
     first
 }
 
-/// Whether a connection to that address would reach the listener.
+/// Returns whether a connection to the address would reach the listener.
 fn is_reached_at(listener: &SocketAddr, address: &SocketAddr) -> bool {
     let any_loopback = listener.ip().is_unspecified() && address.ip().is_loopback();
     listener.port() == address.port() && (any_loopback || listener.ip() == address.ip())
 }
 
-/// The pools and their names, in one order.
+/// The pools and their names, in the same order.
 pub(super) struct Pools {
     pub configs: Vec<PoolConfig>,
     pub names: NameIndex,
@@ -113,7 +115,7 @@
     PoolConfig { name: name.to_string(), deduplication_domain, source }
 }
 
-/// Where the backends come from: exactly one of a list and a discovery.
+/// Reads the source of the backends: exactly one of a static list and a discovery service.
 fn read_source(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, addresses: &mut UsedAddresses,
 ) -> PoolSource {
@@ -126,17 +128,18 @@
     if let Some((value, span)) = section.raw("boxes") {
         let backends = read_backends(diagnostics, section, value, span.clone(), addresses);
         if let Some(discovery) = discovery.span {
-            let message = "pool.discovery: the pool has a list of boxes too";
+            let message = "pool.discovery: the pool has `boxes` as well";
             let diagnostic = Diagnostic::at(discovery, message, expected);
             diagnostics.push(diagnostic.with_related(span, "the list"));
         }
         return PoolSource::Static(backends);
     }
     if discovery.span.is_some() {
-        return PoolSource::Discovery { address: discovery.value.unwrap_or(NO_ADDRESS), mode };
+        return PoolSource::Discovery { address: discovery.value.unwrap_or(PLACEHOLDER_ADDRESS), mode };
     }
     if section.misspelled("boxes").is_none() {
-        let diagnostic = Diagnostic::at(section.span.clone(), "a pool without boxes", expected);
+        let diagnostic =
+            Diagnostic::at(section.span.clone(), "the pool has neither `boxes` nor `discovery`", expected);
         diagnostics.push_missing(&section.span, diagnostic);
     }
     PoolSource::Static(Vec::new())
@@ -152,13 +155,13 @@
         let keys = [("discovery_mode", word.span), ("must_ask_within", poll_within.span.clone())];
         for (key, span) in keys {
             let Some(span) = span else { continue };
-            let message = format!("pool.{key}: the pool has no discovery");
-            let diagnostic = Diagnostic::at(span, message, "expected beside `discovery` only");
+            let message = format!("pool.{key}: the pool has no `discovery`");
+            let diagnostic = Diagnostic::at(span, message, "expected only together with `discovery`");
             diagnostics.push_missing(&section.span, diagnostic);
         }
     } else if let (true, Some(span)) = (is_push, poll_within.span.clone()) {
-        let message = "pool.must_ask_within: changes come unasked here";
-        let expected = "expected with discovery_mode = \"subscribe\" only";
+        let message = "pool.must_ask_within: the pool uses discovery_mode = \"push\"";
+        let expected = "expected only with discovery_mode = \"subscribe\"";
         let diagnostic = Diagnostic::at(span, message, expected);
         diagnostics.push(match word.span {
             Some(mode) => diagnostic.with_related(mode, "the mode"),
@@ -177,7 +180,7 @@
     addresses: &mut UsedAddresses,
 ) -> Vec<StaticBackend> {
     let DeValue::Array(items) = value else {
-        let found = format!("{} does not fit here", describe(value));
+        let found = format!("{} is not allowed here", describe(value));
         section.push_invalid(diagnostics, "boxes", span, &found);
         return Vec::new();
     };
@@ -186,7 +189,7 @@
     }
     let max = addresses.backends_left;
     addresses.backends_left = max.saturating_sub(items.len());
-    // Read once for all: the defaults of a backend that is an address alone.
+    // The defaults of a backend in short form, read once for all of them.
     let defaults = read_long_form(&mut Diagnostics::new(diagnostics.source), &Section::absent(&BACKEND));
     let mut backends = Vec::new();
     for item in items.iter().take(max) {
@@ -208,20 +211,24 @@
     }
     if let Some(excess) = items.get(max).filter(|_| max > 0 || addresses.backends_left == 0) {
         let expected = format!("expected at most {MAX_BACKENDS} in the file");
-        diagnostics.push(Diagnostic::at(excess.span(), format!("more than {MAX_BACKENDS} boxes"), expected));
+        diagnostics.push(Diagnostic::at(
+            excess.span(),
+            format!("more than {MAX_BACKENDS} backends"),
+            expected,
+        ));
     }
     backends
 }
 
-/// An address that can be connected to.
+/// Checks that an address can be connected to.
 fn connectable(address: SocketAddr) -> Result<SocketAddr, String> {
     if address.ip().is_unspecified() || address.ip().is_multicast() {
-        return Err(format!("one cannot connect to {}", address.ip()));
+        return Err(format!("{} cannot be connected to", address.ip()));
     }
     Ok(address)
 }
 
-/// A backend that is its address alone.
+/// Reads a backend in short form: its address alone.
 fn read_short_form(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, value: &DeValue<'_>, span: Range<usize>,
     defaults: &Option<StaticBackend>,
@@ -238,7 +245,7 @@
     }
 }
 
-/// A backend that is a table.
+/// Reads a backend in long form: a table.
 fn read_long_form(diagnostics: &mut Diagnostics<'_>, table: &Section<'_, '_>) -> Option<StaticBackend> {
     let address =
         table.read(diagnostics, "address", |kind, value| values::address(kind, value).and_then(connectable));
@@ -247,7 +254,7 @@
     let group = table.read(diagnostics, "bay", values::deduplication_group);
     let cores = table.count(diagnostics, "cores");
     let state = table.choice(diagnostics, "state");
-    let address = if address.span.is_some() { address.value? } else { NO_ADDRESS };
+    let address = if address.span.is_some() { address.value? } else { PLACEHOLDER_ADDRESS };
     Some(StaticBackend {
         address,
         server_type: server_type.or_placeholder(String::new()),
--- a/crates/config/src/operator/record.rs
+++ b/crates/config/src/operator/record.rs
@@ -1,4 +1,4 @@
-//! The store of record, what of each class is recorded, and the control socket.
+//! Reads the store of record, the record mode of each class, and the control socket.
 
 use super::types::{ClassConfig, RecordMode, RecordStoreConfig, WithoutKey};
 use crate::diagnostic::Diagnostic;
@@ -11,14 +11,14 @@
 use std::ops::Range;
 use std::path::PathBuf;
 
-/// The store, as far as the classes are checked against it.
+/// The parts of the store's section that the classes are checked against.
 #[derive(Clone, Debug)]
 pub(super) struct RecordContext {
-    /// What the file says; with placeholders where something in it is invalid.
+    /// The store; invalid values are placeholders. `None` if the section is absent.
     pub store: Option<RecordStoreConfig>,
-    /// There is certainly none.
+    /// Whether the file certainly has no store: no misspelled or unreadable section may be one.
     is_absent: bool,
-    /// How long a request waits for its intent, and where that stands.
+    /// Maximum time that a request waits for its intent, and the span of the value.
     intent_timeout: Option<(Micros, Option<Range<usize>>)>,
 }
 
@@ -43,14 +43,14 @@
     section.read(diagnostics, "socket", values::file_path).value
 }
 
-/// What is recorded of a class.
+/// Reads the record mode of a class.
 pub(super) fn record_mode(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &RecordContext,
     idempotency: Idempotency,
 ) -> RecordMode {
     let word = section.choice(diagnostics, "record");
-    let keyless = section.choice(diagnostics, "without_key");
-    let without_key = match keyless.value {
+    let key_rule = section.choice(diagnostics, "without_key");
+    let without_key = match key_rule.value {
         Some("record") => WithoutKey::Record,
         _ => WithoutKey::Reject,
     };
@@ -64,18 +64,18 @@
         None => RecordMode::None,
     };
     check_mode(diagnostics, section, record, idempotency, &word, mode);
-    // Which mode was meant is not known where the word is invalid, or where [record] may be lost.
+    // The intended mode is unknown if the value is invalid, or if a syntax error may hide [record].
     let is_mode_known =
         !word.is_invalid() && (word.span.is_some() || record.store.is_some() || record.is_absent);
-    if let (Some(span), true, RecordMode::None | RecordMode::Facts) = (keyless.span, is_mode_known, mode) {
-        let message = "class.without_key: the class asks for no permit";
-        let expected = "expected in classes of record = \"permit\" only";
+    if let (Some(span), true, RecordMode::None | RecordMode::Facts) = (key_rule.span, is_mode_known, mode) {
+        let message = "class.without_key: the class does not use permits";
+        let expected = "expected only in a class with record = \"permit\"";
         diagnostics.push_missing(&section.span, Diagnostic::at(span, message, expected));
     }
     mode
 }
 
-/// Reports a mode that wants a store where there is none, and intents of a class that is not unsafe.
+/// Reports a mode that requires a store if there is none, and intents for a class that is not unsafe.
 fn check_mode(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, record: &RecordContext,
     idempotency: Idempotency, word: &Field<&'static str>, mode: RecordMode,
@@ -85,7 +85,7 @@
         return;
     }
     if record.is_absent {
-        let message = format!("class.record: {} without a store to record in", quoted(value));
+        let message = format!("class.record: {} requires a store of record", quoted(value));
         let expected = "expected [record] with a `path`, or \"none\" here";
         diagnostics.push(Diagnostic::at(span.clone(), message, expected));
     }
@@ -93,15 +93,15 @@
         let expected = "expected \"none\" or \"facts\"";
         let diagnostic = Diagnostic::at(span, "class.record: the class is not unsafe", expected);
         let diagnostic = match section.span_of("effect") {
-            Some(effect) => diagnostic.with_related(effect, "its effect"),
-            None => diagnostic.with_help("without `effect` a class is safe"),
+            Some(effect) => diagnostic.with_related(effect, "the effect"),
+            None => diagnostic.with_help("`effect` defaults to \"safe\""),
         };
         diagnostics.push_missing(&section.span, diagnostic);
     }
 }
 
 impl RecordContext {
-    /// Reports a timeout of intents that would use up a class's deadline.
+    /// Reports an intent timeout that is not shorter than the deadline of a class with intents.
     pub fn check_intent_timeout(
         &self, diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, class: &ClassConfig,
     ) {
@@ -117,15 +117,15 @@
         let timeout = duration_text(timeout.0);
         let deadline = duration_text(class.deadline.0);
         let message = format!(
-            "record.wait: {timeout} is not under {deadline}, the deadline of the class {}",
+            "record.wait: {timeout} is not below {deadline}, the deadline of the class {}",
             quoted(&class.name)
         );
-        let expected = "expected a wait under the deadline of each class with permits";
+        let expected = "expected a time below the deadline of each class with record = \"permit\"";
         let diagnostic = Diagnostic::at(span.clone(), message, expected);
         diagnostics.push(match deadline_span.filter(|other| *other != span) {
             Some(other) => diagnostic.with_related(other, "the deadline"),
-            None if timeout_span.is_none() => diagnostic.with_help(format!("without `wait` it is {timeout}")),
-            None => diagnostic.with_help(format!("without `deadline` it is {deadline}")),
+            None if timeout_span.is_none() => diagnostic.with_help(format!("`wait` defaults to {timeout}")),
+            None => diagnostic.with_help(format!("`deadline` defaults to {deadline}")),
         });
     }
 }
--- a/crates/config/src/operator/reload.rs
+++ b/crates/config/src/operator/reload.rs
@@ -1,4 +1,4 @@
-//! What of a changed file takes effect only at a restart.
+//! Finds the changes of a file that take effect only after a restart.
 
 use super::types::{OperatorConfig, RecordMode};
 use shaletide_balancer::Idempotency;
@@ -6,15 +6,15 @@
 use std::path::Path;
 
 impl OperatorConfig {
-    /// The differences of `next` that need a restart, in words for a log, sorted; each begins with its key. All other
-    /// differences take effect at once.
+    /// Returns the changes in `next` that need a restart, as sorted texts for the log; each begins with its key. All other
+    /// changes take effect at once.
     pub fn needs_restart(&self, next: &OperatorConfig) -> Vec<String> {
         let mut changes = self.changed_keys(next);
         self.push_listener_changes(next, &mut changes);
         self.push_class_changes(next, &mut changes);
         let tenants: HashSet<&String> = next.tenants.iter().collect();
         for name in self.tenants.iter().filter(|name| !tenants.contains(name)) {
-            changes.push(format!("tenant.name: {name} is gone"));
+            changes.push(format!("tenant.name: {name} was removed"));
         }
         changes.sort();
         changes
@@ -39,10 +39,10 @@
 
     fn push_listener_changes(&self, next: &OperatorConfig, changes: &mut Vec<String>) {
         for address in self.listeners.iter().filter(|address| !next.listeners.contains(address)) {
-            changes.push(format!("listener.address: {address} is gone"));
+            changes.push(format!("listener.address: {address} was removed"));
         }
         for address in next.listeners.iter().filter(|address| !self.listeners.contains(address)) {
-            changes.push(format!("listener.address: {address} is new"));
+            changes.push(format!("listener.address: {address} was added"));
         }
     }
 
@@ -50,9 +50,9 @@
         let next_idempotency = next.idempotency_by_name();
         for (name, idempotency) in self.idempotency_by_name() {
             match next_idempotency.get(name) {
-                None => changes.push(format!("class.name: {name} is gone")),
+                None => changes.push(format!("class.name: {name} was removed")),
                 Some(other) if *other != idempotency => {
-                    changes.push(format!("class.effect: changed of {name}"));
+                    changes.push(format!("class.effect: changed for {name}"));
                 }
                 Some(_) => {}
             }
@@ -61,7 +61,7 @@
             next.classes.iter().map(|class| (class.name.as_str(), class.record)).collect();
         for class in &self.classes {
             if next_record.get(class.name.as_str()).is_some_and(|record| *record != class.record) {
-                changes.push(format!("class.record: changed of {}", class.name));
+                changes.push(format!("class.record: changed for {}", class.name));
             }
         }
     }
--- a/crates/config/src/operator/request.rs
+++ b/crates/config/src/operator/request.rs
@@ -1,4 +1,4 @@
-//! How a request is read, and what a response means.
+//! Reads the format of requests and the rules for responses.
 
 use super::names::NameIndex;
 use crate::diagnostic::Diagnostic;
@@ -12,13 +12,13 @@
 };
 use toml::de::{DeTable, DeValue};
 
-/// Stands for a source that is invalid, in a file that is rejected for it.
+/// Replaces an invalid source; the file is then rejected.
 const PLACEHOLDER: AttributeSource = AttributeSource::Path(1);
 
-/// Statuses that promise a client that a retry does no harm.
+/// Statuses that tell a client that a retry does no harm.
 const RETRYABLE_STATUSES: [u16; 2] = [429, 503];
 
-/// The whole format of a request.
+/// Reads the request format.
 pub(super) fn request_format(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, classes: &NameIndex,
 ) -> RequestFormat {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Where in a request an attribute stands, or the schema's default for it.
+/// Reads where a request carries an attribute, or returns the schema's default.
 pub(super) fn attribute_source(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str,
 ) -> Option<AttributeSource> {
@@ -48,7 +48,7 @@
         return section.read(diagnostics, key, default_attribute_source).value;
     };
     let DeValue::Table(table) = value else {
-        let found = format!("{} does not fit here", values::describe(value));
+        let found = format!("{} is not allowed here", values::describe(value));
         section.push_invalid(diagnostics, key, span, &found);
         return None;
     };
@@ -61,20 +61,20 @@
             source.read(diagnostics, "header", values::header).value.map(AttributeSource::Header)
         }
         (true, true) => {
-            section.push_invalid(diagnostics, key, span, "it says two places");
+            section.push_invalid(diagnostics, key, span, "`path` and `header` are both given");
             None
         }
         (false, false) => {
-            // An unknown key in it has been reported already.
+            // If the table is not empty, its unknown keys are already reported.
             if table.is_empty() {
-                section.push_invalid(diagnostics, key, span, "it says no place");
+                section.push_invalid(diagnostics, key, span, "neither `path` nor `header` is given");
             }
             None
         }
     }
 }
 
-/// A source as the schema's defaults have it.
+/// Parses the schema's default of an attribute source.
 fn default_attribute_source(_: &ValueKind, value: &DeValue<'_>) -> values::Parsed<AttributeSource> {
     let table: Option<&DeTable<'_>> = value.as_table();
     let get = |key: &str| table.and_then(|table| table.get(key)).map(|value| value.get_ref());
@@ -82,11 +82,11 @@
         (Some(part), None) => values::integer(&ValueKind::Integer(1, MAX_PATH_PART), part)
             .map(|part| AttributeSource::Path(part as usize)),
         (None, Some(name)) => values::header(&ValueKind::Header, name).map(AttributeSource::Header),
-        _ => Err("no place".into()),
+        _ => Err("neither `path` nor `header` is given".into()),
     }
 }
 
-/// What a response means. A key that is absent is as in `base`.
+/// Reads response rules. An absent key has its value from `base`.
 pub(super) fn response_rules(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, base: &ResponseRules,
 ) -> ResponseRules {
@@ -108,7 +108,7 @@
     rules
 }
 
-/// The statuses that are final; reports those among them that promise that a retry does no harm.
+/// Reads the statuses that count as served; reports a status that tells clients that a retry does no harm.
 fn served(diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>) -> StatusSet {
     let ranges = section.distinct_items(diagnostics, "served", values::statuses);
     let mut served = StatusSet::empty();
@@ -117,8 +117,8 @@
         let retryable = RETRYABLE_STATUSES.into_iter().find(|status| (first..=last).contains(&status));
         if let Some(status) = retryable {
             let path = section.path("served");
-            let message = format!("{path}: {status} tells a client that coming again does no harm");
-            let expected = "expected it under never_ran, with the header that proves it, or not at all";
+            let message = format!("{path}: {status} tells a client that a retry does no harm");
+            let expected = "expected it under never_ran with the header that proves it, or not at all";
             diagnostics.push(Diagnostic::at(span.clone(), message, expected));
         }
     }
--- a/crates/config/src/operator/routes.rs
+++ b/crates/config/src/operator/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, and what must hold between them and the pools.
+//! Reads the routes and checks them against the pools and against each other.
 
 use super::names::NameIndex;
 use super::request;
@@ -13,27 +13,28 @@
 use std::hash::Hash;
 use toml::de::DeValue;
 
-/// Routes that a file may have.
+/// Maximum number of routes in a file.
 const MAX_ROUTES: usize = 1_000;
-/// Names that the conditions of all routes may have together: the search for shadowed routes compares them all.
+/// Maximum number of names in the conditions of all routes together; bounds the search for shadowed routes, which compares
+/// them all.
 const MAX_CONDITIONS: usize = 20_000;
 
-/// What routes refer to.
+/// The names and defaults that routes refer to.
 pub(super) struct RouteContext<'k> {
     pub classes: &'k NameIndex,
     pub tenants: &'k NameIndex,
     pub pools: &'k NameIndex,
-    /// How responses are read where a route does not say.
+    /// The response rules of routes without their own.
     pub responses: &'k ResponseRules,
 }
 
-/// A value, and whether everything that it was read from was valid.
+/// A value, and whether every part of the file that it was read from was valid.
 struct Checked<T> {
     value: T,
     is_valid: bool,
 }
 
-/// The routes; where there are none, one that leads all requests to all pools.
+/// Reads the routes. Without any in the file, returns one that leads all requests to all pools.
 pub(super) fn routes(
     diagnostics: &mut Diagnostics<'_>, document: &Document<'_, '_>, context: &RouteContext<'_>,
 ) -> Vec<Route> {
@@ -46,8 +47,8 @@
     let mut valid = Vec::new();
     let mut conditions_left = MAX_CONDITIONS;
     for (section, name) in sections.items.iter().zip(names.in_order()) {
-        let when = conditions(diagnostics, section, context);
-        let Some(left) = conditions_left.checked_sub(condition_count(&when.value)) else {
+        let route_match = conditions(diagnostics, section, context);
+        let Some(left) = conditions_left.checked_sub(condition_count(&route_match.value)) else {
             let expected = format!("expected at most {MAX_CONDITIONS} names in the conditions of all routes");
             let message = "too many names in the conditions of routes";
             diagnostics.push(Diagnostic::at(section.span.clone(), message, expected));
@@ -55,14 +56,14 @@
         };
         conditions_left = left;
         let pools = numbers(diagnostics, section, "pools", context.pools, |n| PoolId(n as u32));
-        let answers = route_responses(diagnostics, section, context.responses);
+        let response_rules_of_route = route_responses(diagnostics, section, context.responses);
         routes.push(Route {
             name: name.to_string(),
-            conditions: when.value,
+            conditions: route_match.value,
             pools: pools.value,
-            response_rules: answers,
+            response_rules: response_rules_of_route,
         });
-        valid.push(when.is_valid && pools.is_valid);
+        valid.push(route_match.is_valid && pools.is_valid);
     }
     report_shadowed_routes(diagnostics, &routes, &valid, &names);
     if sections.is_complete && valid.iter().all(|valid| *valid) {
@@ -71,7 +72,7 @@
     routes
 }
 
-/// The route of a file that has none.
+/// Returns the route of a file without routes.
 fn default_route(context: &RouteContext<'_>) -> Route {
     Route {
         name: "default".into(),
@@ -81,11 +82,14 @@
     }
 }
 
-fn condition_count(when: &RouteMatch) -> usize {
-    when.classes.len() + when.tenants.len() + when.zones.len() + when.deduplication_groups.len()
+fn condition_count(route_match: &RouteMatch) -> usize {
+    route_match.classes.len()
+        + route_match.tenants.len()
+        + route_match.zones.len()
+        + route_match.deduplication_groups.len()
 }
 
-/// Which requests a route takes.
+/// Reads the conditions under which a route matches a request.
 fn conditions(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, context: &RouteContext<'_>,
 ) -> Checked<RouteMatch> {
@@ -111,13 +115,13 @@
     Checked { value, is_valid }
 }
 
-/// The numbers behind the names of a key.
+/// Reads the names of a key and returns their numbers.
 fn numbers<T: Hash + Eq>(
     diagnostics: &mut Diagnostics<'_>, section: &Section<'_, '_>, key: &str, index: &NameIndex,
     number: fn(usize) -> T,
 ) -> Checked<Vec<T>> {
     let path = section.path(key);
-    // Any text: what cannot be a name is not found either.
+    // Accepts any text: a text that is not a valid name is not found either.
     let names = section.distinct_items(diagnostics, key, |_, value| values::text(value).map(String::from));
     let name_count = names.items.len();
     let mut found = Vec::new();
@@ -141,7 +145,7 @@
             headers.push(HeaderMatch { name, value: value.value });
         }
     }
-    let message = |name: &String| format!("route.header: the header {} stands twice", quoted(name));
+    let message = |name: &String| format!("route.header: the header {} occurs twice", quoted(name));
     diagnostics.push_duplicates(names, message, "expected each header once");
     Checked { value: headers, is_valid }
 }
@@ -155,7 +159,7 @@
             request::response_rules(diagnostics, &section, base)
         }
         Some((other, span)) => {
-            let found = format!("{} does not fit here", values::describe(other));
+            let found = format!("{} is not allowed here", values::describe(other));
             section.push_invalid(diagnostics, "answers", span, &found);
             base.clone()
         }
@@ -163,7 +167,7 @@
     }
 }
 
-/// Reports routes that no request can reach. Invalid ones are left out, as what they take is not known.
+/// Reports routes that no request can reach. Ignores invalid routes, as their conditions are not known.
 fn report_shadowed_routes(
     diagnostics: &mut Diagnostics<'_>, routes: &[Route], valid: &[bool], names: &NameIndex,
 ) {
@@ -172,11 +176,11 @@
     for (later, earlier) in table.shadowed() {
         let later = compared[later.0];
         let earlier = compared[earlier.0];
-        let message = format!("the route {} takes no request", quoted(&routes[later].name));
+        let message = format!("no request can reach the route {}", quoted(&routes[later].name));
         let expected =
-            format!("{} stands before it and takes all of its requests", quoted(&routes[earlier].name));
+            format!("the earlier route {} takes all of its requests", quoted(&routes[earlier].name));
         let diagnostic = Diagnostic::at(names.span(later), message, expected);
-        diagnostics.push(diagnostic.with_related(names.span(earlier), "this one"));
+        diagnostics.push(diagnostic.with_related(names.span(earlier), "the earlier route"));
     }
 }
 
--- a/crates/config/src/operator/text.rs
+++ b/crates/config/src/operator/text.rs
@@ -1,4 +1,4 @@
-//! From the bytes of a file to its tree: what every reading shares.
+//! Turns the bytes of a file into its TOML tree. Shared by all readers.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::Diagnostics;
@@ -7,22 +7,22 @@
 use crate::syntax;
 use toml::de::DeTable;
 
-/// The longest file, in bytes.
+/// Maximum length of a file, in bytes.
 pub const MAX_FILE: usize = 4 << 20;
-/// Bytes behind an invalid one that are read for the line in which it stands.
+/// Number of bytes from the first invalid one that are used to show its line.
 const MAX_CONTEXT_BYTES: usize = 200;
 
-/// The text of a file.
+/// Returns the bytes of a file as text.
 ///
 /// # Errors
 ///
-/// A file that is too long, and bytes that are not UTF-8.
+/// Fails if the file is too long or is not UTF-8.
 pub fn utf8<'b>(file_name: &str, bytes: &'b [u8]) -> Result<&'b str, Report> {
     bounded(file_name, bytes.len())?;
     std::str::from_utf8(bytes).map_err(|error| not_utf8(file_name, bytes, error.valid_up_to()))
 }
 
-/// The report on the first byte that is not UTF-8, with the line in which it stands.
+/// Returns the report of the first byte that is not UTF-8; it shows the line with that byte.
 fn not_utf8(file_name: &str, bytes: &[u8], valid_up_to: usize) -> Report {
     let (valid, invalid) = bytes.split_at(valid_up_to);
     let valid = std::str::from_utf8(valid).unwrap_or_default();
@@ -47,7 +47,7 @@
     Err(Report::new(file_name, &Source::new(""), vec![diagnostic], 0))
 }
 
-/// What every reading shares: the bound, the tree, and that values come out only where nothing is wrong.
+/// Checks the length of the text, parses it and passes the tree to `read`. Returns the values only if there is no problem.
 pub(super) fn checked<T>(
     file_name: &str, text: &str, read: impl FnOnce(&mut Diagnostics<'_>, &DeTable<'_>) -> Option<T>,
 ) -> Result<T, Report> {
@@ -58,8 +58,13 @@
     let tree = recovered.as_deref().and_then(|text| syntax::parse(&mut diagnostics, text));
     let values = tree.and_then(|tree| read(&mut diagnostics, tree.get_ref()));
     diagnostics.into_report(file_name)?;
-    // Without a tree there is a diagnostic.
+    // Not reached in practice: without a tree there is at least one diagnostic.
     values.ok_or_else(|| {
-        Report::new(file_name, &source, vec![Diagnostic::for_file("not read", "expected TOML")], 0)
+        Report::new(
+            file_name,
+            &source,
+            vec![Diagnostic::for_file("the file could not be read", "expected TOML")],
+            0,
+        )
     })
 }
--- a/crates/config/src/operator/types.rs
+++ b/crates/config/src/operator/types.rs
@@ -1,154 +1,153 @@
-//! The operators' file as values that have been checked against each other.
+//! The values of the operators' file, checked individually and against each other.
 
 use shaletide_balancer::{BackendState, Config, DiscoveryMode, Micros};
 use shaletide_routing::{RequestFormat, Route};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The whole file.
+/// The configuration read from the whole file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OperatorConfig {
-    /// This proxy.
+    /// Settings of this proxy.
     pub proxy: ProxyConfig,
-    /// Where it listens; at least one address, none twice.
+    /// Addresses to listen on; at least one, without duplicates.
     pub listeners: Vec<SocketAddr>,
     /// Limits and timeouts.
     pub limits: Limits,
-    /// The balancer's configuration. Two fields are placeholders: `zone` is 0, as the caller numbers
-    /// zones, and `discovery` is [`DiscoveryMode::Push`], as it differs by pool.
+    /// The balancer's configuration. Two fields are placeholders: `zone` is 0 because the caller numbers the zones, and
+    /// `discovery` is [`DiscoveryMode::Push`] because it differs by pool.
     pub balancer: Config,
     /// The classes, in the order of `balancer.classes`.
     pub classes: Vec<ClassConfig>,
-    /// The tenants' names, in the order of `balancer.tenants`.
+    /// The names of the tenants, in the order of `balancer.tenants`.
     pub tenants: Vec<String>,
-    /// How a request is read.
+    /// Where a request carries its class, tenant, key and other attributes.
     pub request_format: RequestFormat,
     /// The pools; a [`PoolId`](shaletide_balancer::PoolId) in `routes` is an index into them.
     pub pools: Vec<PoolConfig>,
-    /// The routes in their order; at least one. None is hidden by an earlier one, and each pool is in one.
+    /// The routes in order; at least one. No route is shadowed by an earlier one, and each pool is in a route.
     pub routes: Vec<Route>,
-    /// The store of record; none: nothing is recorded.
+    /// The store of record; `None` if nothing is recorded.
     pub record: Option<RecordStoreConfig>,
-    /// The Unix socket for operators' commands.
+    /// Path of the Unix socket for operators' commands.
     pub control: Option<PathBuf>,
 }
 
-/// This proxy among the others.
+/// Identity of this proxy within its group of proxies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProxyConfig {
-    /// Its name, for logs.
+    /// Name of the proxy in logs.
     pub name: String,
-    /// Its zone; may be empty.
+    /// Zone of the proxy; may be empty.
     pub zone: String,
-    /// How many proxies share the work, this one included.
+    /// Number of proxies that share the traffic, including this one.
     pub proxies: u32,
-    /// Which of them it is, from 0.
+    /// Index of this proxy among them, from 0.
     pub position: u32,
-    /// The seed of its random numbers; none: drawn at the start.
+    /// Seed of the random number generator; `None` if it is drawn at start.
     pub seed: Option<u64>,
 }
 
 /// Limits and timeouts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// File descriptors that the process may use.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
-    /// A connection to a backend that is not established by then has failed.
+    /// Time after which a connection attempt to a backend has failed.
     pub connect_timeout: Micros,
-    /// Backends close connections that were idle for so long.
+    /// Time after which backends close an idle connection.
     pub idle_timeout: Micros,
-    /// The longest `Retry-After` sent to a client.
+    /// Maximum `Retry-After` sent to a client.
     pub max_retry_after: Micros,
-    /// A response that has begun and is not complete after this is invalid.
+    /// Maximum time for a response that has begun to be complete; a slower one is invalid. `None` for no limit.
     pub answer_stall: Option<Micros>,
-    /// A request's head is complete after this.
+    /// Maximum time until the head of a request is complete.
     pub head_timeout: Micros,
-    /// A request's body is complete after this.
+    /// Maximum time until the body of a request is complete.
     pub body_timeout: Micros,
-    /// A body comes at this rate at least, in bytes a second.
+    /// Minimum rate of a request body, in bytes per second.
     pub body_rate: usize,
-    /// How long a body may fall short of the rate, at its beginning or after it has kept to it.
+    /// Time for which a body may stay below the minimum rate, at its beginning and after each time it has kept to it.
     pub body_grace: Micros,
-    /// Bytes that bodies being read and those of open requests may hold together.
+    /// Maximum total of bytes held by bodies being read and bodies of open requests.
     pub held_bodies: usize,
-    /// The longest body of a request or a response, in bytes.
+    /// Maximum length of the body of a request or a response, in bytes.
     pub max_body: usize,
-    /// No new attempt goes to a backend later than this after the list says that it drains.
+    /// Time after a list reports a backend as draining beyond which no new attempt may go to it.
     pub drain_grace: Micros,
 }
 
-/// A class, beside the balancer's
-/// [`Class`](shaletide_balancer::Class).
+/// Settings of a class that are not part of the balancer's [`Class`](shaletide_balancer::Class).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassConfig {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// The methods that its requests may have; at least one, in capitals.
+    /// Allowed methods of its requests; at least one, in capital letters.
     pub methods: Vec<String>,
-    /// How long a client waits at most; no less than the latency objective.
+    /// Maximum time that a client waits; at least the latency objective.
     pub deadline: Micros,
-    /// What is recorded of its requests; [`RecordMode::None`] where there is no [`OperatorConfig::record`].
+    /// Record mode of its requests; [`RecordMode::None`] if there is no [`OperatorConfig::record`].
     pub record: RecordMode,
 }
 
-/// What is recorded of a class's requests.
+/// Determines which records are written for the requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordMode {
-    /// Nothing.
+    /// Nothing is recorded.
     None,
-    /// What was known and done, as far as the store keeps up.
+    /// Facts are recorded; they may be dropped if the store cannot keep up.
     Facts,
-    /// That too, and no attempt is sent before its intent is durable. Only of non-idempotent classes.
+    /// Facts are recorded, and no attempt is sent before its intent is durable. For non-idempotent classes only.
     Intent {
-        /// What becomes of a request without a key.
+        /// Handling of a request without a key.
         without_key: WithoutKey,
     },
 }
 
-/// What becomes of a request without a key where one is required.
+/// Handling of a request without a key in a class that records intents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
-    /// It is rejected.
+    /// The request is rejected.
     Reject,
-    /// It is sent, and recorded as one without a key.
+    /// The request is sent and recorded as one without a key.
     Record,
 }
 
-/// The store of record.
+/// Settings of the store of record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordStoreConfig {
-    /// The file. Whether its folder is there is for whoever opens it.
+    /// Path of the file. The existence of its folder is not checked here.
     pub path: PathBuf,
-    /// How long a served key is remembered.
+    /// Time for which the key of a served request is kept.
     pub retention: Micros,
-    /// How long a request waits for its intent to be durable; less than the deadline of each class with
+    /// Maximum time that a request waits for its intent to be durable; less than the deadline of each class with
     /// [`RecordMode::Intent`].
     pub intent_timeout: Micros,
-    /// The `Retry-After` of a rejection where nothing better is known.
+    /// `Retry-After` of a rejection if no better estimate is known.
     pub retry_after: Micros,
 }
 
 /// A pool of backends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolConfig {
-    /// Its name.
+    /// Name of the pool.
     pub name: String,
-    /// Pools of one domain share deduplication groups.
+    /// Deduplication domain; pools of the same domain share their deduplication groups.
     pub deduplication_domain: String,
-    /// Where its backends come from.
+    /// Source of its backends.
     pub source: PoolSource,
 }
 
-/// Where a pool's backends come from.
+/// Source of a pool's backends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PoolSource {
-    /// They stand in the file; at least one. No address stands in two pools.
+    /// The backends listed in the file; at least one. No address is in two pools.
     Static(Vec<StaticBackend>),
-    /// They come from a discovery service.
+    /// A discovery service provides the backends.
     Discovery {
-        /// Where it listens.
+        /// Address of the discovery service.
         address: SocketAddr,
-        /// How it sends lists.
+        /// How the service delivers changes of the list.
         mode: DiscoveryMode,
     },
 }
@@ -156,33 +155,34 @@
 /// A backend in a static list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StaticBackend {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// Backends of one server type are taken to be equally fast.
+    /// Server type; backends of the same server type are assumed to be equally fast.
     pub server_type: String,
-    /// Its zone; may be empty.
+    /// Zone of the backend; may be empty.
     pub zone: String,
-    /// Its deduplication group. A backend that names none is in one of its own, under its address.
+    /// Deduplication group; a backend without one in the file has its own, named by its address.
     pub deduplication_group: String,
-    /// Its cores.
+    /// Number of cores.
     pub cores: u32,
-    /// Ready or draining.
+    /// State: ready or draining.
     pub state: BackendState,
 }
 
 /// The limits that the platform has no setting for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ExtensionLimits {
-    /// An answer that has begun and is not whole after so long is spoilt; none: as without the file.
+    /// Maximum time for a response that has begun to be complete; a slower one is invalid. `None` if the file leaves the
+    /// platform's limit unchanged.
     pub answer_stall: Option<Micros>,
-    /// A request's head is complete after this.
+    /// Maximum time until the head of a request is complete.
     pub head_timeout: Micros,
-    /// A request's body is complete after this.
+    /// Maximum time until the body of a request is complete.
     pub body_timeout: Micros,
-    /// A body comes at this rate at least, in bytes a second.
+    /// Minimum rate of a request body, in bytes per second.
     pub body_rate: usize,
-    /// How long a body may fall short of the rate, at its beginning or after it has kept to it.
+    /// Time for which a body may stay below the minimum rate, at its beginning and after each time it has kept to it.
     pub body_grace: Micros,
-    /// Bytes that bodies being read and those of open requests may hold together.
+    /// Maximum total of bytes held by bodies being read and bodies of open requests.
     pub held_bodies: usize,
 }
--- a/crates/config/src/platform/error.rs
+++ b/crates/config/src/platform/error.rs
@@ -1,38 +1,38 @@
-//! What is wrong with the platform's settings.
+//! The error for invalid settings of the platform.
 
 use serde_json::Value;
 use std::fmt;
 
-/// The first key of the settings that cannot be used, by its path on the platform.
+/// The first invalid key of the settings, with its path on the platform.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// It is absent.
+    /// The key is absent.
     Missing {
-        /// The key.
+        /// Path of the key.
         path: String,
-        /// What it should hold.
+        /// Description of the expected value.
         expected: String,
     },
-    /// Its value has the wrong type or is out of range.
+    /// The value of the key has the wrong type or is out of range.
     Unexpected {
-        /// The key.
+        /// Path of the key.
         path: String,
-        /// What it should hold.
+        /// Description of the expected value.
         expected: String,
-        /// What it holds.
+        /// The value found.
         found: Value,
     },
     /// An earlier class has the same name.
     DuplicateName {
-        /// The key of the later class.
+        /// Path of the later class's name.
         path: String,
     },
-    /// A latency objective above the deadline.
+    /// The latency objective of a class is above its deadline.
     ObjectiveAboveDeadline {
-        /// The key of the objective.
+        /// Path of the objective.
         path: String,
-        /// The key of the deadline, beside it.
+        /// Name of the deadline's key in the same class.
         deadline_key: &'static str,
     },
 }
@@ -44,7 +44,7 @@
             SettingsError::Unexpected { path, expected, found } => {
                 write!(f, "{path}: expected {expected}, got {found}")
             }
-            SettingsError::DuplicateName { path } => write!(f, "{path}: the name stands twice"),
+            SettingsError::DuplicateName { path } => write!(f, "{path}: an earlier class has the same name"),
             SettingsError::ObjectiveAboveDeadline { path, deadline_key } => {
                 write!(f, "{path}: expected no more than {deadline_key}")
             }
--- a/crates/config/src/platform/mod.rs
+++ b/crates/config/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's settings: to the balancer's configuration and the names that go with it, for the proxy and the
-//! simulator's adapter, and to a whole configuration for the proxy.
+//! Reads the platform's settings: into the balancer's configuration and its names, for the proxy and the simulator's
+//! adapter, and into a whole configuration for the proxy.
 
 mod error;
 mod names;
--- a/crates/config/src/platform/node.rs
+++ b/crates/config/src/platform/node.rs
@@ -1,4 +1,4 @@
-//! From `NODE_CONFIG` to a configuration on the model of the operators' file.
+//! Turns `NODE_CONFIG` into the same configuration type as the operators' file.
 
 use super::error::SettingsError;
 use super::names::Names;
@@ -13,59 +13,60 @@
 use shaletide_routing::{RequestFormat, ResponseRules, Route, RouteMatch};
 use std::net::SocketAddr;
 
-/// A response that has begun is complete within this: the platform's backends write small ones at once, and an invalid
-/// one would hold its request to the deadline.
+/// Maximum time for a response that has begun to be complete. The platform's backends write small responses at once, and
+/// without the limit an incomplete response would hold its request until the deadline.
 const RESPONSE_STALL_TIMEOUT: Micros = Micros(40_000);
-/// A connection is closed when the head of a request, its first or its next, is not complete within this time.
+/// Maximum time until the head of a request is complete, whether the first on its connection or a later one. After it
+/// the connection is closed.
 const HEAD_TIMEOUT: Micros = Micros(2_100_000);
-/// The body of a request is complete within this: with [`HEAD_TIMEOUT`] under the 3 s in which any client is answered.
+/// Maximum time until the body of a request is complete. Together with [`HEAD_TIMEOUT`] it is below the 3 s within which
+/// every client is answered.
 const BODY_TIMEOUT: Micros = Micros(700_000);
-/// A body may fall short of [`BODY_RATE`] for so long.
+/// Time for which a body may stay below [`BODY_RATE`].
 const BODY_GRACE: Micros = Micros(500_000);
-/// Bytes a second; a slower body is not waited for.
+/// Minimum rate of a request body, in bytes per second; a slower body is not waited for.
 const BODY_RATE: usize = 1 << 10;
-/// Bytes that the bodies of all requests may hold together: a quarter of a process's 32 MB.
+/// Maximum total of bytes held by the bodies of all requests: a quarter of the 32 MB of a process.
 const HELD_BODIES: usize = 8 << 20;
-/// The longest body of a request or a response, in bytes.
+/// Maximum length of the body of a request or a response, in bytes.
 const MAX_BODY: usize = 64 << 10;
-/// Within what time nothing new may go to a draining backend where the settings do not say: the default of the
-/// operators' file.
+/// Drain grace if the settings have none: the same as the default in the operators' file.
 const DRAIN_GRACE: Micros = Micros(2_000_000);
 
-/// What `NODE_CONFIG` says beside the settings.
+/// The values of `NODE_CONFIG` outside of the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentity {
     /// The proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Maximum number of file descriptors of the process.
     pub descriptors: usize,
 }
 
-/// Whether the settings say within what time nothing new may go to a draining backend. Then what the agent has counts
-/// as known to the proxy before it is received.
+/// Returns whether the settings contain a drain grace. If they do, a change counts as known to the proxy from the moment
+/// that the agent has it, before the proxy receives it.
 pub fn has_drain_grace(settings: &Value) -> bool {
     settings.get(settings::RULES).and_then(|rules| rules.get(rules::DRAIN_GRACE)).is_some()
 }
 
-/// The platform's configuration on the model of the operators' file: one pool with a discovery, one route, and the
-/// platform's own response rules. The names are those for which the caller keeps numbers.
+/// Reads the platform's settings into the configuration type of the operators' file: one pool with discovery, one route,
+/// and the platform's own response rules. Also returns the names that the caller numbers.
 ///
 /// # Errors
 ///
-/// The first key that is missing, of the wrong type or out of its range, by its path in the settings.
+/// Returns the path of the first key that is missing, has the wrong type or is out of range.
 pub fn operator(node: NodeIdentity, settings: &Value) -> Result<(OperatorConfig, Names), SettingsError> {
     let (config, names) = read(settings)?;
     let root = Setting::root(settings);
     let drain_grace = root.get(settings::RULES).get(rules::DRAIN_GRACE);
     let drain_grace = if drain_grace.is_present() { drain_grace.micros()? } else { DRAIN_GRACE };
-    let classes = class_defs(&root, &config, &names)?;
-    let limits = limits_of(&root.get(settings::LIMITS), node.descriptors, drain_grace)?;
+    let classes = class_configs(&root, &config, &names)?;
+    let limits = read_limits(&root.get(settings::LIMITS), node.descriptors, drain_grace)?;
     let operator = OperatorConfig {
         proxy: ProxyConfig {
             name: node.name,
@@ -97,21 +98,25 @@
     Ok((operator, names))
 }
 
-fn class_defs(root: &Setting<'_>, config: &Config, names: &Names) -> Result<Vec<ClassConfig>, SettingsError> {
-    let mut defs = Vec::new();
+fn class_configs(
+    root: &Setting<'_>, config: &Config, names: &Names,
+) -> Result<Vec<ClassConfig>, SettingsError> {
+    let mut configs = Vec::new();
     for ((deadline, name), class) in deadlines(root)?.into_iter().zip(&names.classes).zip(&config.classes) {
         let method = if class.idempotency == Idempotency::Safe { "GET" } else { "POST" };
-        defs.push(ClassConfig {
+        configs.push(ClassConfig {
             name: name.clone(),
             methods: vec![method.into()],
             deadline,
             record: RecordMode::None,
         });
     }
-    Ok(defs)
+    Ok(configs)
 }
 
-fn limits_of(limits: &Setting<'_>, descriptors: usize, drain_grace: Micros) -> Result<Limits, SettingsError> {
+fn read_limits(
+    limits: &Setting<'_>, descriptors: usize, drain_grace: Micros,
+) -> Result<Limits, SettingsError> {
     Ok(Limits {
         descriptors,
         connect_timeout: limits.get(limits::CONNECT_TIMEOUT).micros()?,
--- a/crates/config/src/platform/settings.rs
+++ b/crates/config/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! From the settings to the balancer's configuration.
+//! Turns the settings into the balancer's configuration.
 
 use super::error::SettingsError;
 use super::names::{number, Names};
@@ -13,8 +13,8 @@
 ///
 /// # Errors
 ///
-/// The first key that is missing, of the wrong type or out of its range, by its path in the settings. The
-/// ranges are those of [`Config::validate`], which therefore finds nothing in what comes out.
+/// Returns the path of the first key that is missing, has the wrong type or is out of range. The ranges are those of
+/// [`Config::validate`], which therefore accepts the result.
 pub fn read(settings: &Value) -> Result<(Config, Names), SettingsError> {
     let root = Setting::root(settings);
     let mut names = Names::default();
@@ -58,7 +58,7 @@
         min_timer_interval: root.get(settings::MIN_TIMER_INTERVAL).positive_micros()?,
         initial_capacity_fraction: rules.get(rules::INITIAL_CAPACITY_FRACTION).fraction()?,
         slow_start_window: rules.get(rules::SLOW_START_WINDOW).micros()?,
-        timer_lateness: Micros(0), // the driver's, which the daemon knows
+        timer_lateness: Micros(0), // set by the daemon from its driver
         has_failover_pool: false,
         only_deduplication_domain: Some(0),
         overload_multiple: rules.get(rules::OVERLOAD_MULTIPLE).positive()?,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Whether an entry's weight is its cores, exactly, roughly, or less what load takes.
+/// Returns whether weights in endpoint lists stand for cores: the exact number, an estimate, or the cores left over by load.
 fn weights_report_cores(source: &str) -> bool {
     [word::WEIGHTS_ARE_CORES, word::WEIGHTS_ARE_ROUGH_CORES, word::WEIGHTS_ARE_LOAD].contains(&source)
 }
@@ -159,7 +159,7 @@
     }
 }
 
-/// The deadline of each class, in their order.
+/// Returns the deadline of each class in order.
 pub(super) fn deadlines(root: &Setting<'_>) -> Result<Vec<Micros>, SettingsError> {
     let classes = root.get(settings::CLASSES).list()?;
     classes.iter().map(|class| class.get(class::DEADLINE).micros()).collect()
--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -3,8 +3,8 @@
 use shaletide_balancer::{DeduplicationScope, Idempotency, Micros};
 
 fn node() -> NodeIdentity {
-    let at = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
-    NodeIdentity { name: "n0".into(), listen: at(1), discovery: at(2), seed: 3, descriptors: 256 }
+    let address = |port| std::net::SocketAddr::from(([127, 0, 0, 1], port));
+    NodeIdentity { name: "n0".into(), listen: address(1), discovery: address(2), seed: 3, descriptors: 256 }
 }
 
 fn settings() -> Value {
@@ -22,10 +22,10 @@
             "tip_after_us": 2}})
 }
 
-/// The settings with another value at that place.
-fn with(place: &str, value: Value) -> Value {
+/// Returns the settings with another value at that JSON pointer.
+fn settings_with(pointer_path: &str, value: Value) -> Value {
     let mut settings = settings();
-    *settings.pointer_mut(place).unwrap() = value;
+    *settings.pointer_mut(pointer_path).unwrap() = value;
     settings
 }
 
@@ -63,9 +63,9 @@
         (
             "/profiles/1/late_worth",
             json!(1.5),
-            "profiles[1].late_worth: expected a part from 0 to 1, got 1.5",
+            "profiles[1].late_worth: expected a number from 0 to 1, got 1.5",
         ),
-        ("/profiles/1/name", json!("read"), "profiles[1].name: the name stands twice"),
+        ("/profiles/1/name", json!("read"), "profiles[1].name: an earlier class has the same name"),
         (
             "/profiles/1/key_scope",
             json!("bay"),
@@ -81,20 +81,20 @@
             json!(-0.5),
             "customers[0].quota_rps: expected a finite number of at least 0, got -0.5",
         ),
-        ("/over_share_worth", json!(-0.1), "over_share_worth: expected a part from 0 to 1, got -0.1"),
-        ("/blend/whole", json!(2), "blend.whole: expected a part from 0 to 1, got 2"),
-        ("/blend/worst_class", json!(1.1), "blend.worst_class: expected a part from 0 to 1, got 1.1"),
+        ("/over_share_worth", json!(-0.1), "over_share_worth: expected a number from 0 to 1, got -0.1"),
+        ("/blend/whole", json!(2), "blend.whole: expected a number from 0 to 1, got 2"),
+        ("/blend/worst_class", json!(1.1), "blend.worst_class: expected a number from 0 to 1, got 1.1"),
         ("/costs/cross_zone", json!(-1), "costs.cross_zone: expected a number of at least 0, got -1"),
         ("/limits/max_attempts", zero(), "limits.max_attempts: expected a whole number, at least 1, got 0"),
         ("/granularity_us", zero(), "granularity_us: expected whole microseconds, at least 1, got 0"),
-        ("/rules/cold_from", json!(1.01), "rules.cold_from: expected a part from 0 to 1, got 1.01"),
+        ("/rules/cold_from", json!(1.01), "rules.cold_from: expected a number from 0 to 1, got 1.01"),
         ("/rules/fall_multiple", zero(), "rules.fall_multiple: expected a finite number above 0, got 0"),
         ("/rules/must_ask_in_us", json!("9"), "rules.must_ask_in_us: expected whole microseconds, got \"9\""),
         ("/discovery", json!("push"), "discovery: expected automatic or subscribe, got \"push\""),
         ("/my_zone", json!("north"), "my_zone: expected one of zones, got \"north\""),
     ];
-    for (place, value, message) in cases {
-        assert_eq!(read(&with(place, value)).unwrap_err().to_string(), message);
+    for (pointer_path, value, message) in cases {
+        assert_eq!(read(&settings_with(pointer_path, value)).unwrap_err().to_string(), message);
     }
 }
 
@@ -109,26 +109,30 @@
     assert_eq!(operator(node(), &settings).unwrap_err().to_string(), missing);
 }
 
-/// JSON does not tell 5 from 5.0, and the platform writes null where there is no value.
+/// JSON does not distinguish 5 from 5.0, and the platform writes null for an absent value.
 #[test]
 fn integral_floats_are_integers_and_null_is_absent() {
     let (plain, _) = read(&settings()).unwrap();
-    for (place, value) in [
+    for (pointer_path, value) in [
         ("/granularity_us", json!(5000.0)),
         ("/group_size", json!(1.0)),
         ("/limits/max_attempts", json!(3.0)),
         ("/rules/ramp_time_us", json!(9.0)),
         ("/profiles/1/window_us", json!(5.0)),
     ] {
-        assert_eq!(read(&with(place, value)).map(|r| r.0), Ok(plain.clone()), "{place}");
+        assert_eq!(
+            read(&settings_with(pointer_path, value)).map(|r| r.0),
+            Ok(plain.clone()),
+            "{pointer_path}"
+        );
     }
-    let (config, _) = read(&with("/profiles/1/aim_stretch", json!(null))).unwrap();
+    let (config, _) = read(&settings_with("/profiles/1/aim_stretch", json!(null))).unwrap();
     assert_eq!(config.classes[1].latency_objective_per_work_hint, 0.0);
-    let (operator, _) = operator(node(), &with("/limits/conn_idle_us", json!(2000.0))).unwrap();
+    let (operator, _) = operator(node(), &settings_with("/limits/conn_idle_us", json!(2000.0))).unwrap();
     assert_eq!(operator.limits.idle_timeout, Micros(2000));
 }
 
-/// Some sites have no tenants, and nothing hangs on the kinds being named ahead.
+/// Some sites have no tenants, and server types need not be listed in the settings.
 #[test]
 fn optional_lists_are_empty_when_absent() {
     for absent in [json!(null), json!([])] {
@@ -153,7 +157,7 @@
 
 #[test]
 fn bounds_are_inclusive() {
-    for (place, value) in [
+    for (pointer_path, value) in [
         ("/rules/cold_from", json!(0)),
         ("/rules/cold_from", json!(1)),
         ("/rules/ramp_time_us", json!(0)),
@@ -164,7 +168,7 @@
         ("/profiles/1/aim_us", json!(2)),
         ("/profiles/1/window_us", json!(0)),
     ] {
-        let (config, _) = read(&with(place, value)).unwrap();
+        let (config, _) = read(&settings_with(pointer_path, value)).unwrap();
         assert_eq!(config.validate(), Ok(()));
     }
 }
--- a/crates/config/src/platform/wire_names.rs
+++ b/crates/config/src/platform/wire_names.rs
@@ -1,7 +1,7 @@
-//! The platform's names for the settings and for the words in them, each under the name that the code has for it. No
-//! other module of this crate spells them but the schema, whose messages name them.
+//! The platform's names of the settings and of their values, as constants under the names that the code uses. Apart from
+//! the schema, whose messages contain them, no other module of this crate spells out these names.
 
-/// Keys of the settings as a whole.
+/// Keys at the top level of the settings.
 pub mod settings {
     pub const CLASSES: &str = "profiles";
     pub const COSTS: &str = "costs";
@@ -56,7 +56,7 @@
     pub const MAY_CANCEL_ATTEMPTS: &str = "cancel";
 }
 
-/// Keys of the rules of starting and draining backends.
+/// Keys of the rules for starting and draining backends.
 pub mod rules {
     pub const DRAIN_GRACE: &str = "stop_sending_within_us";
     pub const INITIAL_CAPACITY_FRACTION: &str = "cold_from";
@@ -66,7 +66,7 @@
     pub const SLOW_START_WINDOW: &str = "ramp_time_us";
 }
 
-/// Values that are words.
+/// Values that are one of a set of words.
 pub mod word {
     pub const DISCOVERY_PUSH: &str = "automatic";
     pub const DISCOVERY_SUBSCRIBE: &str = "subscribe";
--- a/crates/config/src/schema/define.rs
+++ b/crates/config/src/schema/define.rs
@@ -1,4 +1,4 @@
-//! Units, and constructors that keep the tables short.
+//! Units, and constructors that shorten the definitions of keys and sections.
 
 use super::types::{DefaultValue, KeySchema, NodeConfigKey, SectionSchema, Shape, TakesEffect, ValueKind};
 
--- a/crates/config/src/schema/mod.rs
+++ b/crates/config/src/schema/mod.rs
@@ -1,6 +1,6 @@
-//! The schema of the operators' file: every section and key once, with its meaning, range, default and when a change
-//! takes effect. The reader takes names, ranges, defaults and the words of its messages from here, and the operators'
-//! page is generated from it.
+//! The schema of the operators' file. It defines every section and key once, with its meaning, range and default and the
+//! event at which a change takes effect. The reader takes names, ranges, defaults and the texts of its messages from the
+//! schema, and the operators' page is generated from it.
 
 mod define;
 mod page;
--- a/crates/config/src/schema/page.rs
+++ b/crates/config/src/schema/page.rs
@@ -1,4 +1,4 @@
-//! The operators' page, made of the table.
+//! Generates the operators' page from the schema.
 
 use super::sections::{
     ATTRIBUTE_SOURCE, BACKEND, HEADER_MATCH, NOT_EXECUTED_PROOF, ROUTE_RESPONSES, SECTIONS,
@@ -7,7 +7,7 @@
 
 const HEAD: &str = include_str!("page_head.md");
 
-/// The whole of `docs/operator-file.md`.
+/// Returns the content of `docs/operator-file.md`.
 pub fn page() -> String {
     let mut page = String::from(HEAD);
     for section in SECTIONS {
@@ -23,16 +23,16 @@
             page += &chapter(part, "###");
         }
     }
-    page + &beside_node_config()
+    page + &node_config_section()
 }
 
-fn chapter(section: &SectionSchema, mark: &str) -> String {
+fn chapter(section: &SectionSchema, heading_mark: &str) -> String {
     let title = match (section.shape, section.name) {
-        (Shape::Inline, "place") => "A place".to_string(),
+        (Shape::Inline, "place") => "Attribute source".to_string(),
         _ => format!("`{}`", section.header()),
     };
-    let must = if section.required { " At least one must be there." } else { "" };
-    let mut chapter = format!("\n{mark} {title}\n\n{}{must}\n\n", section.meaning);
+    let required_note = if section.required { " At least one is required." } else { "" };
+    let mut chapter = format!("\n{heading_mark} {title}\n\n{}{required_note}\n\n", section.meaning);
     if section.name == ROUTE_RESPONSES.name {
         return chapter;
     }
@@ -45,7 +45,7 @@
 
 fn row(key: &KeySchema) -> String {
     let default = match key.default {
-        DefaultValue::Required => "must be given".into(),
+        DefaultValue::Required => "required".into(),
         DefaultValue::Value(text) => format!("`{text}`"),
         DefaultValue::Described(text) => text.to_string(),
     };
@@ -56,36 +56,37 @@
         key.takes_effect.text().into(),
         key.meaning.into(),
     ];
-    let safe = cells.map(|cell| cell.replace('|', "\\|"));
-    format!("| {} |\n", safe.join(" | "))
+    let escaped = cells.map(|cell| cell.replace('|', "\\|"));
+    format!("| {} |\n", escaped.join(" | "))
 }
 
-fn beside_node_config() -> String {
+fn node_config_section() -> String {
     let mut text = String::from(
-        "\n## Beside NODE_CONFIG\n\n`--with FILE` reads a file that adds to NODE_CONFIG only what the platform has \
-         no word for. It may hold `[[pool]]`, `[[route]]`, `[answers]` and these keys:\n\n",
+        "\n## Extending NODE_CONFIG\n\n`--with FILE` reads a file that extends NODE_CONFIG with settings that the \
+         platform does not have. It may contain `[[pool]]`, `[[route]]`, `[answers]` and these keys:\n\n",
     );
     let tables = || SECTIONS.iter().filter(|s| s.shape == Shape::Table && s.name != "answers");
     let keys = || tables().flat_map(|s| s.keys.iter().map(move |k| (s.name, k)));
     for (section, key) in keys().filter(|(_, k)| k.node_config == NodeConfigKey::Extends) {
         text += &format!("- `{section}.{}`\n", key.name);
     }
-    text += "\nThe pool `platform` is there without being named: the boxes that NODE_CONFIG's discovery tells of. \
-             Without any route all requests go to it first, and to the file's pools behind it. In `[answers]` a key \
-             that is absent is as on the platform: 200 is served, 503 and 504 with `X-Unprocessed: 1` never ran, and \
-             of errors clients get the proxy's own words. All other keys are refused:\n\n\
-             | Key | NODE_CONFIG's word |\n|---|---|\n";
+    text += "\nThe pool `platform` always exists: it has the backends from NODE_CONFIG's discovery. Without any route all \
+             requests go to this pool first and then to the file's pools. A key that is absent in `[answers]` has the \
+             platform's value: status 200 is served, 503 and 504 with `X-Unprocessed: 1` prove that the request was \
+             not executed, and clients get the proxy's own response instead of a backend's error. All other keys are \
+             rejected:\n\n\
+             | Key | Name in NODE_CONFIG |\n|---|---|\n";
     for section in SECTIONS {
-        if let Some(word) = section.node_config_name {
-            text += &format!("| `{}` | `{word}` |\n", section.header());
+        if let Some(setting) = section.node_config_name {
+            text += &format!("| `{}` | `{setting}` |\n", section.header());
         }
     }
     for (section, key) in keys() {
         match key.node_config {
             NodeConfigKey::Extends => {}
-            NodeConfigKey::Named(word) => text += &format!("| `{section}.{}` | `{word}` |\n", key.name),
+            NodeConfigKey::Named(setting) => text += &format!("| `{section}.{}` | `{setting}` |\n", key.name),
             NodeConfigKey::Fixed => {
-                text += &format!("| `{section}.{}` | none: the platform leaves no choice |\n", key.name)
+                text += &format!("| `{section}.{}` | none: the platform fixes this value |\n", key.name)
             }
         }
     }
--- a/crates/config/src/schema/process_keys.rs
+++ b/crates/config/src/schema/process_keys.rs
@@ -1,5 +1,5 @@
-//! Keys of the process: its place among the proxies, listeners, limits, the objective, the store of record, the control
-//! socket.
+//! Schema of the process's keys: its position among the proxies, listeners, limits, the objective, the store of record
+//! and the control socket.
 
 use super::define::*;
 use super::types::DefaultValue::{Described, Required, Value};
@@ -7,20 +7,34 @@
 use super::types::TakesEffect::{Reload, Restart};
 use super::types::{KeySchema, ValueKind};
 
-/// Proxies that may share the work. Nothing is kept for each, as the number is a divisor only: the bound catches a slip
-/// of the pen.
+/// Maximum number of proxies. The number is only a divisor and no state is kept per proxy, so the bound serves only to
+/// catch typing errors.
 const MAX_PROXIES: u64 = 100_000;
 
 pub(super) const PROXY_KEYS: &[KeySchema] = &[
-    key("name", ValueKind::Name, Value("\"shaletide\""), Restart, Named("name"), "Its name, for logs."),
-    key("zone", ValueKind::NameOrEmpty, Value("\"\""), Restart, Named("settings.my_zone"), "Its own zone."),
+    key(
+        "name",
+        ValueKind::Name,
+        Value("\"shaletide\""),
+        Restart,
+        Named("name"),
+        "Name of the proxy in logs.",
+    ),
+    key(
+        "zone",
+        ValueKind::NameOrEmpty,
+        Value("\"\""),
+        Restart,
+        Named("settings.my_zone"),
+        "Zone of the proxy.",
+    ),
     key(
         "proxies",
         ValueKind::Integer(1, MAX_PROXIES),
         Value("1"),
         Restart,
         Named("settings.group_size"),
-        "How many proxies share the work, this one included.",
+        "Number of proxies that share the traffic, including this one.",
     ),
     key(
         "position",
@@ -28,15 +42,15 @@
         Value("0"),
         Restart,
         Named("settings.position"),
-        "Which of them this one is, from 0; less than `proxies`. No two may have the same.",
+        "Index of this proxy among them, from 0; less than `proxies`. It must be different for each proxy.",
     ),
     key(
         "seed",
         ValueKind::Hex,
-        Described("drawn at start"),
+        Described("drawn at random at start"),
         Restart,
         Named("seed"),
-        "The seed of its random numbers, so that a run can be repeated.",
+        "Seed of the random number generator, to make a run repeatable.",
     ),
 ];
 
@@ -46,7 +60,8 @@
     Required,
     Restart,
     Named("listen"),
-    "Where it listens. `0.0.0.0` stands for all of the machine's addresses. One that is in use is waited for, 10 s at most.",
+    "Address to listen on. `0.0.0.0` means all addresses of the machine. If it is in use, the proxy waits for it for up to \
+     10 s.",
 )];
 
 pub(super) const LIMITS_KEYS: &[KeySchema] = &[
@@ -56,7 +71,7 @@
         Value("1024"),
         Restart,
         Named("limits.sockets"),
-        "File descriptors that the process may use. Each client and each connection to a backend takes one.",
+        "Maximum number of file descriptors. Each client and each connection to a backend takes one.",
     ),
     key(
         "max_attempts",
@@ -64,7 +79,7 @@
         Value("3"),
         Reload,
         Named("settings.limits.max_attempts"),
-        "Attempts of a request at most, the first included.",
+        "Maximum number of attempts of a request, including the first.",
     ),
     key(
         "second_copies",
@@ -88,7 +103,7 @@
         Value("\"300ms\""),
         Reload,
         Named("settings.limits.dial_timeout_us"),
-        "A connection to a backend that is not up by then has failed.",
+        "Time after which a connection attempt to a backend has failed.",
     ),
     key(
         "idle_timeout",
@@ -96,7 +111,7 @@
         Value("\"60s\""),
         Reload,
         Named("settings.limits.conn_idle_us"),
-        "Backends close connections that were idle for so long; the proxy uses none that is near it.",
+        "Time after which backends close an idle connection; the proxy does not use a connection that is close to it.",
     ),
     key(
         "max_retry_after",
@@ -104,7 +119,7 @@
         Value("\"2s\""),
         Reload,
         Named("settings.limits.max_retry_after_us"),
-        "The longest `Retry-After` sent to a client that is rejected.",
+        "Maximum `Retry-After` sent to a client whose request is rejected.",
     ),
     key(
         "tick",
@@ -112,15 +127,16 @@
         Value("\"1ms\""),
         Reload,
         Named("settings.granularity_us"),
-        "The least time between two rounds of decisions.",
+        "Minimum time between two rounds of decisions.",
     ),
     key(
         "answer_stall",
         ValueKind::Duration(MS, 60 * S),
-        Described("no such bound"),
+        Described("no limit"),
         Reload,
         Extends,
-        "A response that has begun and is not complete after this is invalid; the attempt has failed.",
+        "Maximum time for a response that has begun to be complete. After it the response is invalid and the attempt has \
+         failed.",
     ),
     key(
         "head_timeout",
@@ -128,7 +144,7 @@
         Value("\"2100ms\""),
         Reload,
         Extends,
-        "A request's head is complete within this, or its connection is closed.",
+        "Maximum time until the head of a request is complete. After it the connection is closed.",
     ),
     key(
         "body_timeout",
@@ -136,7 +152,7 @@
         Value("\"700ms\""),
         Reload,
         Extends,
-        "A request's body is complete within this, or the request is rejected.",
+        "Maximum time until the body of a request is complete. After it the request is rejected.",
     ),
     key(
         "body_rate",
@@ -144,7 +160,7 @@
         Value("\"1KiB\""),
         Reload,
         Extends,
-        "A body that comes more slowly than so many bytes a second is not waited for any longer: 408.",
+        "Minimum rate of a request body, in bytes per second. A request with a slower body is answered with 408.",
     ),
     key(
         "body_grace",
@@ -152,7 +168,7 @@
         Value("\"500ms\""),
         Reload,
         Extends,
-        "... but for so long, at its beginning or after it has kept to the rate.",
+        "Time for which a body may stay below `body_rate`, at its beginning and after each time it has kept to the rate.",
     ),
     key(
         "held_bodies",
@@ -160,7 +176,7 @@
         Value("\"8MiB\""),
         Reload,
         Extends,
-        "What bodies that are coming, and those of requests that have no answer yet, may hold together.",
+        "Maximum total size of the bodies being received and the bodies of requests without a response yet.",
     ),
     key(
         "max_body",
@@ -168,7 +184,7 @@
         Value("\"64KiB\""),
         Reload,
         Fixed,
-        "The longest body of a request or an answer.",
+        "Maximum size of the body of a request or a response.",
     ),
 ];
 
@@ -179,7 +195,7 @@
         Value("0.3"),
         Reload,
         Named("settings.rules.cold_from"),
-        "The part of its capacity that a backend has at least when it starts.",
+        "Minimum capacity of a backend that has just started, as a fraction of its full capacity.",
     ),
     key(
         "ramp",
@@ -187,7 +203,7 @@
         Value("\"10s\""),
         Reload,
         Named("settings.rules.ramp_time_us"),
-        "Slow start: a backend that has started is at full capacity after this at most.",
+        "Slow start: maximum time until a backend that has started reaches its full capacity.",
     ),
     key(
         "fall_multiple",
@@ -195,7 +211,8 @@
         Value("3.0"),
         Reload,
         Named("settings.rules.fall_multiple"),
-        "A cold backend that is sent more than this multiple of its present capacity ...",
+        "A backend in slow start is assumed to become overloaded if it is sent more than this multiple of its current \
+         capacity over `fall_window`.",
     ),
     key(
         "fall_window",
@@ -203,7 +220,7 @@
         Value("\"1s\""),
         Reload,
         Named("settings.rules.tip_after_us"),
-        "... over this time falls over.",
+        "The time over which `fall_multiple` applies.",
     ),
     key(
         "drain_grace",
@@ -211,8 +228,8 @@
         Value("\"2s\""),
         Reload,
         Named("settings.rules.stop_sending_within_us"),
-        "No new attempt goes to a backend later than this after the list says that it drains. The proxy stops at \
-         once; the figure is for its checks, and for how often discovery is polled.",
+        "Time after a list reports a backend as draining beyond which no new attempt may go to it. The proxy stops \
+         sending at once; the value is used for its checks and for how often discovery is polled.",
     ),
 ];
 
@@ -223,7 +240,7 @@
         Value("0.7"),
         Reload,
         Named("settings.blend.whole"),
-        "The weight of the whole of the traffic.",
+        "Weight of the total traffic in the objective.",
     ),
     key(
         "worst_class",
@@ -231,7 +248,7 @@
         Value("0.3"),
         Reload,
         Named("settings.blend.worst_class"),
-        "The weight of the class that is served worst.",
+        "Weight of the class that is served worst in the objective.",
     ),
     key(
         "cross_zone_cost",
@@ -239,7 +256,7 @@
         Value("0.0"),
         Reload,
         Named("settings.costs.cross_zone"),
-        "What it costs when every request crosses from one zone to another once.",
+        "Cost if every request crosses from one zone to another once.",
     ),
     key(
         "over_quota_worth",
@@ -247,7 +264,7 @@
         Value("0.1"),
         Reload,
         Named("settings.over_share_worth"),
-        "What a request past its tenant's quota is worth, as a part of its class's worth.",
+        "Priority weight of a request beyond its tenant's quota, as a fraction of its class's `worth`.",
     ),
 ];
 
@@ -258,7 +275,7 @@
         Required,
         Restart,
         Fixed,
-        "The file; its folder must be there, and hold others beside it that begin with the same name.",
+        "The file. Its folder must exist; further files whose names begin with the same name are created beside it.",
     ),
     key(
         "keep",
@@ -266,7 +283,7 @@
         Value("\"30d\""),
         Reload,
         Fixed,
-        "How long the key of a request that was served is remembered. One in flight or in doubt always is.",
+        "Time for which the key of a served request is kept. The key of a request in flight or in doubt is always kept.",
     ),
     key(
         "wait",
@@ -274,8 +291,8 @@
         Value("\"50ms\""),
         Reload,
         Fixed,
-        "How long a request waits until it is durable that it is about to be sent; it is refused after that. \
-         Less than the deadline of each class that has `record` \"permit\".",
+        "Maximum time that a request waits for its intent to be durable; after it the request is rejected. Less \
+         than the deadline of each class with `record` \"permit\".",
     ),
     key(
         "retry_after",
@@ -283,7 +300,7 @@
         Value("\"1s\""),
         Reload,
         Fixed,
-        "The `Retry-After` of a rejection, where nothing better is known.",
+        "`Retry-After` of a rejection if no better estimate is known.",
     ),
 ];
 
@@ -293,5 +310,5 @@
     Required,
     Restart,
     Fixed,
-    "The Unix socket; it is made at the start with mode 0600.",
+    "Path of the Unix socket; it is created at start with mode 0600.",
 )];
--- a/crates/config/src/schema/request_keys.rs
+++ b/crates/config/src/schema/request_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of requests: how a request is read, classes and tenants.
+//! Schema of the keys of the request format, classes and tenants.
 
 use super::define::{key, HOUR, MS};
 use super::types::DefaultValue::{Described, Required, Value};
@@ -13,15 +13,15 @@
         Value("{ path = 1 }"),
         Reload,
         Fixed,
-        "Where the class's name stands.",
+        "Where a request carries the name of its class.",
     ),
     key(
         "otherwise",
         ValueKind::Name,
-        Described("refused"),
+        Described("the request is rejected"),
         Reload,
         Fixed,
-        "The class of a request in which that place is empty or names no class.",
+        "Class of a request that carries no class name or an unknown one.",
     ),
     key(
         "tenant",
@@ -29,7 +29,7 @@
         Value("{ header = \"X-Account\" }"),
         Reload,
         Fixed,
-        "Where the tenant's name stands. A request that names none has none.",
+        "Where a request carries the name of its tenant. A request without a name has no tenant.",
     ),
     key(
         "key",
@@ -37,15 +37,15 @@
         Value("{ header = \"Idempotency-Key\" }"),
         Reload,
         Fixed,
-        "Where the key stands that keeps a keyed request from running twice.",
+        "Where a request carries its idempotency key, which prevents a keyed request from being executed twice.",
     ),
     key(
         "bay",
         ValueKind::AttributeSource,
-        Described("none: no request is about a bay"),
+        Described("no request has a bay"),
         Reload,
         Extends,
-        "Where the bay stands that the request is about, for routes.",
+        "Where a request carries the bay (deduplication group) that it is for; used by routes.",
     ),
     key(
         "zone",
@@ -53,7 +53,7 @@
         Described("the proxy's own zone"),
         Reload,
         Extends,
-        "Where the zone stands that the request comes from, for routes.",
+        "Where a request carries the zone that it comes from; used by routes.",
     ),
     key(
         "id",
@@ -61,7 +61,7 @@
         Value("\"X-Correlation-Id\""),
         Reload,
         Fixed,
-        "The header that names the request.",
+        "Header with the id of the request.",
     ),
     key(
         "id_required",
@@ -69,7 +69,7 @@
         Value("false"),
         Reload,
         Fixed,
-        "Whether a request without that header is refused; else it is given an id.",
+        "Whether a request without that header is rejected. Otherwise it is given an id.",
     ),
     key(
         "time_left",
@@ -77,42 +77,49 @@
         Value("\"X-Time-Left\""),
         Reload,
         Fixed,
-        "The header with the seconds that the client will wait, at most the class's deadline.",
+        "Header with the number of seconds that the client will wait; limited to the deadline of the class.",
     ),
 ];
 
-/// Parts of a path among which a class, a tenant or a key may stand.
+/// Maximum number of the part of a path that carries a class, a tenant or another attribute.
 pub(crate) const MAX_PATH_PART: u64 = 64;
 
 pub(super) const ATTRIBUTE_SOURCE_KEYS: &[KeySchema] = &[
     key(
         "path",
         ValueKind::Integer(1, MAX_PATH_PART),
-        Described("`header` must be given"),
+        Described("`header` is required"),
         Reload,
         Extends,
-        "The part of the path of that number: in `/read/k7` part 1 is `read`. Read as it stands, not decoded.",
+        "Number of the path's part: part 1 of `/read/k7` is `read`. The part is used as it is, without decoding.",
     ),
     key(
         "header",
         ValueKind::Header,
-        Described("`path` must be given"),
+        Described("`path` is required"),
         Reload,
         Extends,
-        "The header of that name. A request in which it stands twice is refused.",
+        "Name of the header. A request that has it twice is rejected.",
     ),
 ];
 
 pub(super) const CLASS_KEYS: &[KeySchema] = &[
-    key("name", ValueKind::Name, Required, RestartToRemove, Named("settings.profiles[].name"), "Its name, as requests give it."),
+    key(
+        "name",
+        ValueKind::Name,
+        Required,
+        RestartToRemove,
+        Named("settings.profiles[].name"),
+        "Name of the class, as requests carry it.",
+    ),
     key(
         "effect",
         ValueKind::Choice(&["safe", "keyed", "unsafe"]),
         Value("\"safe\""),
         Restart,
         Named("settings.profiles[].effect"),
-        "What a second run of a request would do. `safe`: nothing. `keyed`: nothing where the backends drop \
-         repeats of its key. `unsafe`: harm; it is sent again only when it is certain that it never ran.",
+        "Effect of executing a request twice. `safe`: none. `keyed`: none, as the backends discard repeated \
+         requests with the same key. `unsafe`: harmful; a request is retried only if it was certainly not executed.",
     ),
     key(
         "methods",
@@ -120,7 +127,7 @@
         Described("safe: GET and HEAD; keyed and unsafe: POST, PUT, PATCH and DELETE"),
         Reload,
         Fixed,
-        "The methods that its requests may have; others are refused.",
+        "Allowed methods of its requests; others are rejected.",
     ),
     key(
         "aim",
@@ -128,7 +135,7 @@
         Value("\"500ms\""),
         Reload,
         Named("settings.profiles[].aim_us"),
-        "An answer within this time earns the full worth; at most `deadline`.",
+        "Latency objective: a response within this time counts with the full `worth`. At most `deadline`.",
     ),
     key(
         "deadline",
@@ -136,7 +143,7 @@
         Value("\"2s\""),
         Reload,
         Named("settings.profiles[].deadline_us"),
-        "How long a client waits at most.",
+        "Maximum time that a client waits.",
     ),
     key(
         "worth",
@@ -144,7 +151,7 @@
         Value("1.0"),
         Reload,
         Named("settings.profiles[].gain"),
-        "What a request is worth against those of other classes.",
+        "Priority weight of a request relative to other classes.",
     ),
     key(
         "late_worth",
@@ -152,7 +159,7 @@
         Value("0.25"),
         Reload,
         Named("settings.profiles[].late_worth"),
-        "The part of the worth left after the aim.",
+        "Fraction of `worth` that remains after `aim`.",
     ),
     key(
         "aim_stretch",
@@ -160,34 +167,34 @@
         Value("0.0"),
         Reload,
         Named("settings.profiles[].aim_stretch"),
-        "The aim grows by this multiple of the request's work hint.",
+        "`aim` grows by this multiple of the request's work hint.",
     ),
     key(
         "key_scope",
         ValueKind::Choice(&["all", "zone", "bay"]),
-        Described("keyed: must be given; others: may not be"),
+        Described("keyed: required; others: not allowed"),
         Restart,
         Named("settings.profiles[].key_scope"),
-        "Which backends drop a key that one of them has seen: all of the pool, those of one zone, or those of one \
-         bay.",
+        "Which backends discard a key that one of them has received: all of the pool, those of the same zone, or \
+         those of the same bay.",
     ),
     key(
         "key_window",
         ValueKind::Duration(MS, 24 * HOUR),
-        Described("keyed: must be given; others: may not be"),
+        Described("keyed: required; others: not allowed"),
         Restart,
         Named("settings.profiles[].window_us"),
-        "For how long after a key was first sent they drop it.",
+        "Deduplication window: time after a key was first sent during which backends discard it.",
     ),
     key(
         "record",
         ValueKind::Choice(&["none", "facts", "permit"]),
-        Described("unsafe, and `[record]` is there: \"permit\"; else \"none\""),
+        Described("\"permit\" if the class is unsafe and the file has `[record]`; otherwise \"none\""),
         Restart,
         Fixed,
-        "What goes on record of its requests. `facts`: what was known and done, as far as the store keeps up. \
-         `permit`: that too, and no attempt is sent before it is durable that it will be, and no key twice; \
-         only for unsafe classes.",
+        "What is recorded of its requests. `facts`: what the proxy knew and did; facts may be dropped if the store \
+         cannot keep up. `permit`: also an intent, which must be durable before an attempt is sent, and no key is \
+         sent twice; only for unsafe classes.",
     ),
     key(
         "without_key",
@@ -195,8 +202,8 @@
         Value("\"refuse\""),
         Restart,
         Fixed,
-        "What becomes of a request that has no key: it is refused, or sent and recorded as one without. Only \
-         with `record` \"permit\".",
+        "Handling of a request without a key. `refuse`: it is rejected. `record`: it is sent and recorded as one \
+         without a key. Only with `record` \"permit\".",
     ),
 ];
 
@@ -207,7 +214,7 @@
         Required,
         RestartToRemove,
         Named("settings.customers[].name"),
-        "Its name, as requests give it.",
+        "Name of the tenant, as requests carry it.",
     ),
     key(
         "quota",
@@ -215,6 +222,6 @@
         Required,
         Reload,
         Named("settings.customers[].quota_rps"),
-        "Requests a second, over all proxies, that earn their full worth.",
+        "Requests per second over all proxies that count with their full `worth`.",
     ),
 ];
--- a/crates/config/src/schema/routing_keys.rs
+++ b/crates/config/src/schema/routing_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of pools and routes: pools and their backends, what responses mean, routes.
+//! Schema of the keys of pools, their backends, response rules and routes.
 
 use super::define::{key, HOUR, MS};
 use super::types::DefaultValue::{Described, Required, Value};
@@ -7,22 +7,22 @@
 use super::types::{KeySchema, ValueKind};
 
 pub(super) const POOL_KEYS: &[KeySchema] = &[
-    key("name", ValueKind::Name, Required, Reload, Extends, "Its name, for routes and logs."),
+    key("name", ValueKind::Name, Required, Reload, Extends, "Name of the pool in routes and logs."),
     key(
         "boxes",
         ValueKind::Backends,
-        Described("`discovery` must be given"),
+        Described("`discovery` is required"),
         Reload,
         Extends,
-        "Its backends; at least one. Exactly one of `boxes` and `discovery` stands.",
+        "Its backends; at least one. A pool has exactly one of `boxes` and `discovery`.",
     ),
     key(
         "discovery",
         ValueKind::Address,
-        Described("`boxes` must be given"),
+        Described("`boxes` is required"),
         Reload,
         Extends,
-        "Where the service listens that knows its backends.",
+        "Address of the discovery service that provides its backends.",
     ),
     key(
         "discovery_mode",
@@ -30,7 +30,8 @@
         Value("\"subscribe\""),
         Reload,
         Extends,
-        "Whether changes come unasked, or only after each time the proxy asks. Only with `discovery`.",
+        "How changes are delivered: `push` without a request, `subscribe` once for each request of the proxy. Only with \
+         `discovery`.",
     ),
     key(
         "must_ask_within",
@@ -38,7 +39,8 @@
         Value("\"9s\""),
         Reload,
         Extends,
-        "A proxy that has not asked for so long counts as told. Only with `discovery_mode` \"subscribe\".",
+        "Time without a request to the discovery service after which the proxy counts as informed of a change. Only with \
+         `discovery_mode` \"subscribe\".",
     ),
     key(
         "repeat_group",
@@ -46,7 +48,8 @@
         Described("the pool's own name"),
         Reload,
         Extends,
-        "Pools of one repeat group share bays: a key repeated in the same bay of either is dropped.",
+        "Deduplication domain. Pools with the same value share their bays: a key repeated in the same bay of any of them \
+         is discarded.",
     ),
 ];
 
@@ -57,7 +60,7 @@
         Required,
         Reload,
         Extends,
-        "Where it listens. No address stands in a file twice.",
+        "Address of the backend. An address may occur only once in the file.",
     ),
     key(
         "kind",
@@ -65,25 +68,26 @@
         Value("\"box\""),
         Reload,
         Extends,
-        "Its sort of machine: backends of one kind are taken as equally fast.",
+        "Server type. Backends of the same kind are assumed to be equally fast.",
     ),
-    key("zone", ValueKind::NameOrEmpty, Value("\"\""), Reload, Extends, "Its zone."),
+    key("zone", ValueKind::NameOrEmpty, Value("\"\""), Reload, Extends, "Zone of the backend."),
     key(
         "bay",
         ValueKind::DeduplicationGroup,
         Described("a bay of its own"),
         Reload,
         Extends,
-        "Backends of one bay drop each other's repeated keys. `1` and \"1\" are the same bay.",
+        "Deduplication group: backends of the same bay discard keys that any of them has received. `1` and \"1\" are the \
+         same bay.",
     ),
-    key("cores", ValueKind::Integer(1, 4096), Value("1"), Reload, Extends, "Its cores."),
+    key("cores", ValueKind::Integer(1, 4096), Value("1"), Reload, Extends, "Number of cores."),
     key(
         "state",
         ValueKind::Choice(&["serving", "draining"]),
         Value("\"serving\""),
         Reload,
         Extends,
-        "A draining backend finishes what it has and gets nothing new.",
+        "A draining backend completes its requests and gets no new ones.",
     ),
 ];
 
@@ -94,8 +98,8 @@
         Value("[\"200-428\", 430, \"431-499\", 501, \"505-599\"]"),
         Reload,
         Extends,
-        "The statuses that are the answer to the request and go to the client unchanged. All others are \
-         errors. 429 and 503 are never among them: they tell a client that coming again does no harm.",
+        "Statuses that count as served: such a response goes to the client unchanged. All others are errors. 429 \
+         and 503 are not allowed here, as they tell a client that a retry does no harm.",
     ),
     key(
         "never_ran",
@@ -103,8 +107,8 @@
         Value("[]"),
         Reload,
         Extends,
-        "The answers that prove that the request has not run and never will, whatever `served` says. Such a \
-         request may be sent again whatever its class.",
+        "Responses that prove that the request was not and will not be executed; they take precedence over \
+         `served`. Such a request may be retried whatever its class.",
     ),
     key(
         "errors",
@@ -112,26 +116,41 @@
         Value("\"as_they_are\""),
         Reload,
         Extends,
-        "What a client gets where the last attempt ended in an error: the backend's answer, or the proxy's own \
-         words. A 429 or 503 that proves nothing goes to a client of a safe class only: others get a 502.",
+        "Response to the client if the last attempt ended in an error: the backend's response, or one of the \
+         proxy's own. A 429 or 503 that does not prove that the request was not executed is sent only to clients of \
+         safe classes; others get a 502.",
     ),
 ];
 
 pub(super) const NOT_EXECUTED_PROOF_KEYS: &[KeySchema] = &[
-    key("status", ValueKind::Integer(200, 599), Required, Reload, Extends, "The answer's status ..."),
-    key("header", ValueKind::Header, Required, Reload, Extends, "... and a header that it carries ..."),
-    key("value", ValueKind::HeaderValue, Described("any value"), Reload, Extends, "... with this value."),
+    key("status", ValueKind::Integer(200, 599), Required, Reload, Extends, "Status of the response."),
+    key(
+        "header",
+        ValueKind::Header,
+        Required,
+        Reload,
+        Extends,
+        "Name of a header that the response must have.",
+    ),
+    key(
+        "value",
+        ValueKind::HeaderValue,
+        Described("any value"),
+        Reload,
+        Extends,
+        "Value that the header must have.",
+    ),
 ];
 
 pub(super) const ROUTE_KEYS: &[KeySchema] = &[
-    key("name", ValueKind::Name, Required, Reload, Extends, "Its name, for logs."),
+    key("name", ValueKind::Name, Required, Reload, Extends, "Name of the route in logs."),
     key(
         "class",
         ValueKind::Names,
         Described("any class"),
         Reload,
         Extends,
-        "It takes requests of these classes.",
+        "Matches requests of these classes.",
     ),
     key(
         "tenant",
@@ -139,7 +158,7 @@
         Described("any tenant, or none"),
         Reload,
         Extends,
-        "It takes requests of these tenants.",
+        "Matches requests of these tenants.",
     ),
     key(
         "zone",
@@ -147,7 +166,7 @@
         Described("any zone"),
         Reload,
         Extends,
-        "It takes requests from these zones.",
+        "Matches requests from these zones.",
     ),
     key(
         "bay",
@@ -155,7 +174,7 @@
         Described("any bay, or none"),
         Reload,
         Extends,
-        "It takes requests about these bays.",
+        "Matches requests for these bays.",
     ),
     key(
         "path",
@@ -163,7 +182,7 @@
         Described("any path"),
         Reload,
         Extends,
-        "It takes requests for this path and all under it, by whole parts: `/read` takes `/read/k` and not \
+        "Matches requests for this path and all paths below it, by whole parts: `/read` matches `/read/k` but not \
          `/reader`.",
     ),
     key(
@@ -172,7 +191,7 @@
         Described("any method"),
         Reload,
         Extends,
-        "It takes requests with these methods.",
+        "Matches requests with these methods.",
     ),
     key(
         "header",
@@ -180,7 +199,7 @@
         Described("any headers"),
         Reload,
         Extends,
-        "It takes requests that carry all of these headers.",
+        "Matches requests that have all of these headers.",
     ),
     key(
         "pools",
@@ -188,26 +207,26 @@
         Required,
         Reload,
         Extends,
-        "Where to: the pools in order of preference; at least one. Each pool is in some route.",
+        "The pools in order of preference; at least one. Each pool must be in a route.",
     ),
     key(
         "answers",
         ValueKind::ResponseRules,
-        Described("as `[answers]`"),
+        Described("same as `[answers]`"),
         Reload,
         Extends,
-        "What its backends' answers mean.",
+        "How responses of its backends are classified.",
     ),
 ];
 
 pub(super) const HEADER_MATCH_KEYS: &[KeySchema] = &[
-    key("name", ValueKind::Header, Required, Reload, Extends, "Its name."),
+    key("name", ValueKind::Header, Required, Reload, Extends, "Name of the header."),
     key(
         "value",
         ValueKind::HeaderValue,
         Described("any value"),
         Reload,
         Extends,
-        "Its value, letter for letter.",
+        "Exact value of the header.",
     ),
 ];
--- a/crates/config/src/schema/types.rs
+++ b/crates/config/src/schema/types.rs
@@ -1,29 +1,29 @@
-//! What a schema of the file consists of, and how its values are named in messages and on the page.
+//! The types of the schema, and the descriptions of values in messages and on the operators' page.
 
 /// A table of the file.
 #[derive(Debug)]
 pub struct SectionSchema {
-    /// Its name; that of a table inside another's key is the path to it.
+    /// Name of the section; for an inline table, the path to its key.
     pub name: &'static str,
-    /// How it is written.
+    /// Syntax of the section.
     pub shape: Shape,
-    /// Whether the file must have one.
+    /// Whether the file must have at least one.
     pub required: bool,
-    /// What it is for.
+    /// Description of the section on the page.
     pub meaning: &'static str,
-    /// The name in `NODE_CONFIG` of all of it, where it has one.
+    /// Name of the whole section in `NODE_CONFIG`, if it has one.
     pub node_config_name: Option<&'static str>,
-    /// Its keys.
+    /// Keys of the section.
     pub keys: &'static [KeySchema],
 }
 
 impl SectionSchema {
-    /// The key of that name.
+    /// Returns the key of that name.
     pub fn key(&self, name: &str) -> Option<&'static KeySchema> {
         self.keys.iter().find(|k| k.name == name)
     }
 
-    /// The header line.
+    /// Returns the header line.
     pub fn header(&self) -> String {
         match self.shape {
             Shape::Table => format!("[{}]", self.name),
@@ -33,7 +33,7 @@
     }
 }
 
-/// How a section is written.
+/// The syntax of a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
     /// `[name]`, once.
@@ -47,44 +47,44 @@
 /// A key of a section.
 #[derive(Debug)]
 pub struct KeySchema {
-    /// Its name.
+    /// Name of the key.
     pub name: &'static str,
-    /// What values it takes.
+    /// Kind of values that it takes.
     pub kind: ValueKind,
-    /// What holds where it is absent.
+    /// Default if the key is absent.
     pub default: DefaultValue,
-    /// When a change takes effect.
+    /// Event at which a change takes effect.
     pub takes_effect: TakesEffect,
-    /// Whether it may stand in a file that adds to NODE_CONFIG.
+    /// Whether the key is allowed in a file that extends NODE_CONFIG.
     pub node_config: NodeConfigKey,
-    /// What it means.
+    /// Description of the key on the page.
     pub meaning: &'static str,
 }
 
-/// What holds where a key is absent.
+/// The default of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DefaultValue {
-    /// It may not be absent.
+    /// The key is required.
     Required,
-    /// This value, as the file would have it.
+    /// A constant, in the syntax of the file.
     Value(&'static str),
-    /// Something that no constant says.
+    /// A default that is not a constant, described in words.
     Described(&'static str),
 }
 
-/// When a change takes effect.
+/// The event at which a change of a key takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakesEffect {
-    /// When the file is read again.
+    /// At the next reload of the file.
     Reload,
-    /// When the program starts again.
+    /// At the next start of the program.
     Restart,
-    /// One more: when the file is read again; one less or another name: when the program starts again.
+    /// An added item takes effect at the next reload, a removed or renamed one at the next start.
     RestartToRemove,
 }
 
 impl TakesEffect {
-    /// In words.
+    /// Returns the text for the page.
     pub fn text(self) -> &'static str {
         match self {
             TakesEffect::Reload => "SIGHUP",
@@ -94,25 +94,25 @@
     }
 }
 
-/// Whether a key may stand in a file that adds to NODE_CONFIG.
+/// Whether a key is allowed in a file that extends NODE_CONFIG.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeConfigKey {
-    /// It may.
+    /// The key is allowed.
     Extends,
-    /// NODE_CONFIG has this word for it.
+    /// Not allowed: NODE_CONFIG sets the key under this name.
     Named(&'static str),
-    /// The platform leaves no choice.
+    /// Not allowed: the platform fixes the value.
     Fixed,
 }
 
-/// What values a key takes. Numbers in pairs are the least and the most.
+/// The kind of values that a key takes. Pairs of numbers are the minimum and the maximum.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueKind {
     /// A name.
     Name,
     /// A name, or empty text.
     NameOrEmpty,
-    /// One of these words.
+    /// One of a set of words.
     Choice(&'static [&'static str]),
     /// True or false.
     Flag,
@@ -120,39 +120,39 @@
     Integer(u64, u64),
     /// A number.
     Number(f64, f64),
-    /// A number above 0 and up to this.
+    /// A number above 0, up to the given maximum.
     Positive(f64),
-    /// A time, in microseconds.
+    /// A time; the range is in microseconds.
     Duration(u64, u64),
-    /// A size, in bytes.
+    /// A size; the range is in bytes.
     Size(u64, u64),
     /// An IP address and a port.
     Address,
     /// Up to 16 hex digits.
     Hex,
-    /// A header's name.
+    /// A header name.
     Header,
-    /// A header's value.
+    /// A header value.
     HeaderValue,
-    /// Where in a request something stands.
+    /// The part of a request that carries an attribute.
     AttributeSource,
-    /// The beginning of a path.
+    /// A path prefix.
     Path,
-    /// The path of a file, of at most so many bytes.
+    /// The path of a file, with its maximum length in bytes.
     FilePath(usize),
     /// A name or whole number.
     DeduplicationGroup,
-    /// One name, or a list of them.
+    /// A name or a list of names.
     Names,
-    /// One bay, or a list of them.
+    /// A deduplication group (a bay in the file) or a list of them.
     DeduplicationGroups,
-    /// One method, or a list of them.
+    /// A method or a list of methods.
     Methods,
-    /// A list of statuses and ranges of them.
+    /// A list of statuses and ranges of statuses.
     Statuses,
-    /// A list of tables that each say what proves that a request was not executed.
+    /// A list of tables, each of a response that proves that a request was not executed.
     NotExecutedProofs,
-    /// One table that names a header, or a list of them.
+    /// A table that describes a header, or a list of such tables.
     HeaderMatches,
     /// A list of backends.
     Backends,
@@ -161,12 +161,12 @@
 }
 
 impl ValueKind {
-    /// What is expected, as it stands in messages and on the page.
+    /// Returns the description of the expected value for messages and for the page.
     pub fn expected(&self) -> String {
         match self {
-            ValueKind::Name => "a name: 1 to 64 of letters, digits, `-`, `_` and `.`".into(),
+            ValueKind::Name => "a name of 1 to 64 letters, digits, `-`, `_` and `.`".into(),
             ValueKind::NameOrEmpty => {
-                "a name: 1 to 64 of letters, digits, `-`, `_` and `.`; or empty text".into()
+                "a name of 1 to 64 letters, digits, `-`, `_` and `.`, or empty text".into()
             }
             ValueKind::Choice(words) => one_of(words),
             ValueKind::Flag => "true or false".into(),
@@ -187,21 +187,21 @@
                 "an IP address and a port, such as \"127.0.0.1:8080\" or \"[::1]:8080\"".into()
             }
             ValueKind::Hex => "up to 16 hex digits in quotes, such as \"8c1f30d27a5be964\"".into(),
-            ValueKind::Header => "a header's name, such as \"X-Account\"".into(),
-            ValueKind::HeaderValue => "visible ASCII characters, spaces only between them".into(),
+            ValueKind::Header => "a header name, such as \"X-Account\"".into(),
+            ValueKind::HeaderValue => "visible ASCII characters, with spaces only between them".into(),
             ValueKind::AttributeSource => "{ path = N } or { header = \"NAME\" }".into(),
-            ValueKind::Path => "a path that begins with `/`, without `?`, `#`, spaces and empty parts".into(),
+            ValueKind::Path => "a path that begins with `/`, without `?`, `#`, spaces or empty parts".into(),
             ValueKind::FilePath(most) => {
                 format!("the path of a file: 1 to {most} bytes, without control characters")
             }
             ValueKind::DeduplicationGroup => {
-                "a whole number, or a name: 1 to 64 of letters, digits, `-`, `_` and `.`".into()
+                "a whole number, or a name of 1 to 64 letters, digits, `-`, `_` and `.`".into()
             }
             ValueKind::Names => {
-                "a name or a list of names: each 1 to 64 of letters, digits, `-`, `_` and `.`".into()
+                "a name or a list of names, each of 1 to 64 letters, digits, `-`, `_` and `.`".into()
             }
             ValueKind::DeduplicationGroups => "a bay (a name or a whole number) or a list of bays".into(),
-            ValueKind::Methods => "a method in capitals, such as \"GET\", or a list of methods".into(),
+            ValueKind::Methods => "a method in capital letters, such as \"GET\", or a list of methods".into(),
             ValueKind::Statuses => {
                 "a list of statuses from 200 to 599 and ranges, such as [\"200-299\", 404]".into()
             }
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The unit and range in few words, for the page.
+    /// Returns a short description for the page.
     pub fn short(&self) -> String {
         match self {
             ValueKind::Name => "a name".into(),
@@ -236,7 +236,7 @@
     }
 }
 
-/// The words in quotes, with `or` before the last.
+/// Returns the words in quotes, with `or` before the last.
 pub fn one_of(words: &[&str]) -> String {
     let quoted: Vec<String> = words.iter().map(|w| format!("\"{w}\"")).collect();
     match quoted.split_last() {
@@ -246,7 +246,7 @@
     }
 }
 
-/// A time as the file would have it.
+/// Formats a time in the syntax of the file.
 pub fn duration_text(micros: u64) -> String {
     match micros {
         0 => "0s".into(),
@@ -259,7 +259,7 @@
     }
 }
 
-/// A size as the file would have it.
+/// Formats a size in the syntax of the file.
 pub fn size_text(bytes: u64) -> String {
     match bytes {
         n if n >= 1 << 20 && n % (1 << 20) == 0 => format!("{}MiB", n >> 20),
--- a/crates/config/src/section.rs
+++ b/crates/config/src/section.rs
@@ -1,5 +1,5 @@
-//! One table of the file under its schema: unknown keys are reported when it is opened, and each value is read by the
-//! kind, range and default that the schema has for it.
+//! Reads one table of the file according to its schema. Opening a table reports its unknown keys; each value is read
+//! with the kind, range and default that the schema defines.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
@@ -10,64 +10,64 @@
 use toml::de::{DeString, DeTable, DeValue};
 use toml::Spanned;
 
-/// What a key holds.
+/// The result of reading a key.
 #[derive(Clone, Debug)]
 pub(crate) struct Field<T> {
-    /// The value or its default; none where it is absent without a default, and where it is invalid.
+    /// The value or its default; `None` if it is invalid, or absent without a default.
     pub value: Option<T>,
-    /// Where it stands; none: it is absent.
+    /// Byte range of the value; `None` if the key is absent.
     pub span: Option<Range<usize>>,
 }
 
 impl<T> Field<T> {
-    /// The value; the placeholder where it is invalid, and the whole file is therefore rejected.
+    /// Returns the value, or the placeholder if it is invalid; the whole file is then rejected.
     pub fn or_placeholder(self, placeholder: T) -> T {
         self.value.unwrap_or(placeholder)
     }
 
-    /// Whether it stands in the file and is invalid.
+    /// Returns whether the key is present and its value invalid.
     pub fn is_invalid(&self) -> bool {
         self.span.is_some() && self.value.is_none()
     }
 }
 
-/// What a key holds that takes one item or a list of them.
+/// The result of reading a key that takes one item or a list of them.
 #[derive(Clone, Debug)]
 pub(crate) struct ListField<T> {
-    /// The valid items, each with its place.
+    /// The valid items, each with its byte range.
     pub items: Vec<(T, Range<usize>)>,
-    /// Whether no item was invalid, and none is missing.
+    /// Whether no item is invalid and no required list is missing.
     pub is_valid: bool,
-    /// Where the whole stands; none: it is absent.
+    /// Byte range of the whole value; `None` if the key is absent.
     pub span: Option<Range<usize>>,
 }
 
 impl<T> ListField<T> {
-    /// The items without their places.
+    /// Returns the items without their byte ranges.
     pub fn into_values(self) -> Vec<T> {
         self.items.into_iter().map(|(item, _)| item).collect()
     }
 }
 
-/// How a kind of value is parsed.
+/// A function that parses values of one kind.
 type Parse<T> = fn(&ValueKind, &DeValue<'_>) -> Parsed<T>;
 
-/// A table under its schema.
+/// A table of the file with its schema.
 #[derive(Clone, Debug)]
 pub(crate) struct Section<'v, 't> {
     schema: &'static SectionSchema,
-    /// The path to its keys.
+    /// Path that prefixes the names of its keys in messages.
     path: String,
-    /// None: it is absent, and all its keys have their defaults.
+    /// `None` if the table is absent; all its keys then have their defaults.
     table: Option<&'v DeTable<'t>>,
-    /// Keys that stand under a name near to theirs: they are neither missing nor at their defaults.
+    /// Keys that are present under a similar, unknown name, with its span. They count neither as missing nor as defaulted.
     misspelled: Vec<(&'static str, Range<usize>)>,
-    /// Where its header stands, or the whole of an inline table.
+    /// Byte range of its header, or of the whole inline table.
     pub span: Range<usize>,
 }
 
 impl<'v, 't> Section<'v, 't> {
-    /// Opens a table; reports each key that the schema does not have.
+    /// Opens a table and reports each key that the schema does not have.
     pub fn open(
         diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, table: &'v DeTable<'t>,
         span: Range<usize>,
@@ -75,7 +75,7 @@
         Section::open_at(diagnostics, schema, schema.name.into(), table, span)
     }
 
-    /// The same for a table that stands in more than one place: with the path to its keys.
+    /// Same as [`Section::open`] for a schema that several tables share; `path` prefixes the names of the keys.
     pub fn open_at(
         diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: String,
         table: &'v DeTable<'t>, span: Range<usize>,
@@ -89,22 +89,22 @@
         Section { schema, path, table: Some(table), misspelled, span }
     }
 
-    /// A table that is absent: all its keys have their defaults.
+    /// Creates the section of an absent table; all its keys have their defaults.
     pub fn absent(schema: &'static SectionSchema) -> Section<'v, 't> {
         Section { schema, path: schema.name.into(), table: None, misspelled: Vec::new(), span: 0..0 }
     }
 
-    /// Whether the file has it.
+    /// Returns whether the file has the table.
     pub fn is_present(&self) -> bool {
         self.table.is_some()
     }
 
-    /// Where a key stands under a wrong name.
+    /// Returns the span of the misspelled name that most likely means `key`.
     pub fn misspelled(&self, key: &str) -> Option<Range<usize>> {
         self.misspelled.iter().find(|(meant, _)| *meant == key).map(|(_, span)| span.clone())
     }
 
-    /// The name of a key with the path to it.
+    /// Returns the name of a key with the path to it.
     pub fn path(&self, key: &str) -> String {
         format!("{}.{key}", self.path)
     }
@@ -114,18 +114,18 @@
         schema.unwrap_or_else(|| unreachable!("the schema lacks {}.{key}", self.schema.name))
     }
 
-    /// The value of a key as it stands, and where.
+    /// Returns the unparsed value of a key and its span.
     pub fn raw(&self, key: &str) -> Option<(&'v DeValue<'t>, Range<usize>)> {
         let value = self.table?.get(key)?;
         Some((value.get_ref(), value.span()))
     }
 
-    /// Where a key stands, if it does.
+    /// Returns the span of a key's value, if the key is present.
     pub fn span_of(&self, key: &str) -> Option<Range<usize>> {
         self.raw(key).map(|(_, span)| span)
     }
 
-    /// Reports that a value is not what the schema expects; `found` says what it is instead.
+    /// Reports that a value is not what the schema expects; `found` describes the value.
     pub fn push_invalid(
         &self, diagnostics: &mut Diagnostics<'_>, key: &str, span: Range<usize>, found: &str,
     ) {
@@ -138,9 +138,9 @@
                 let meant = diagnostics.suggest(word, words.iter().copied());
                 meant.map(|meant| format!("did you mean \"{meant}\"?"))
             }
-            ValueKind::Address if word.starts_with("localhost") => Some("names are not looked up".into()),
+            ValueKind::Address if word.starts_with("localhost") => Some("host names are not resolved".into()),
             ValueKind::Methods if word.bytes().any(|b| b.is_ascii_lowercase()) => {
-                Some("methods stand in capitals".into())
+                Some("methods are written in capital letters".into())
             }
             _ => None,
         };
@@ -154,7 +154,7 @@
         diagnostics.push_missing(&self.span, Diagnostic::at(self.span.clone(), message, expected));
     }
 
-    /// Reads a key.
+    /// Reads the value of a key.
     pub fn read<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> Field<T> {
         let schema = self.key_schema(key);
         let Some((value, span)) = self.raw(key) else {
@@ -196,7 +196,7 @@
         self.read(diagnostics, key, values::choice)
     }
 
-    /// A whole number whose range in the schema fits.
+    /// Reads a whole number whose range in the schema fits `u32`.
     pub fn count(&self, diagnostics: &mut Diagnostics<'_>, key: &str) -> Field<u32> {
         let field = self.read(diagnostics, key, values::integer);
         let narrow =
@@ -204,7 +204,7 @@
         Field { value: field.value.map(narrow), span: field.span }
     }
 
-    /// One item or a list of them; an empty list and duplicates are reported.
+    /// Reads one item or a list of them; reports an empty list and duplicates.
     pub fn distinct_items<T: Clone + Eq + std::hash::Hash>(
         &self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>,
     ) -> ListField<T> {
@@ -217,11 +217,15 @@
         }
         let path = self.path(key);
         let items = list.items.iter().cloned();
-        diagnostics.push_duplicates(items, |_| format!("{path}: this stands twice"), "expected each once");
+        diagnostics.push_duplicates(
+            items,
+            |_| format!("{path}: duplicate value"),
+            "expected each value once",
+        );
         list
     }
 
-    /// One item or a list of them.
+    /// Reads one item or a list of them.
     pub fn items<T>(&self, diagnostics: &mut Diagnostics<'_>, key: &str, parse: Parse<T>) -> ListField<T> {
         let schema = self.key_schema(key);
         let Some((value, span)) = self.raw(key) else {
@@ -247,7 +251,7 @@
         list
     }
 
-    /// The tables of a key that takes one or a list of them, each under that schema, and whether all were tables.
+    /// Reads a key that takes one table or a list of tables of that schema. Also returns whether all items are tables.
     pub fn tables(
         &self, diagnostics: &mut Diagnostics<'_>, key: &str, schema: &'static SectionSchema,
     ) -> (Vec<Section<'v, 't>>, bool) {
@@ -258,7 +262,7 @@
             match value {
                 DeValue::Table(table) => tables.push(Section::open(diagnostics, schema, table, span)),
                 _ => {
-                    let found = format!("{} does not fit here", describe(value));
+                    let found = format!("{} is not allowed here", describe(value));
                     self.push_invalid(diagnostics, key, span, &found);
                     all_tables = false;
                 }
@@ -268,7 +272,7 @@
     }
 }
 
-/// The items of a list, or the value itself.
+/// Returns the items of a list, or the value itself if it is not a list.
 fn one_or_many<'v, 't>(value: &'v DeValue<'t>, span: Range<usize>) -> Vec<(&'v DeValue<'t>, Range<usize>)> {
     match value {
         DeValue::Array(items) => items.iter().map(|item| (item.get_ref(), item.span())).collect(),
@@ -276,14 +280,14 @@
     }
 }
 
-/// The schema's default, read as the file's own text would be.
+/// Parses the schema's default like a value of the file.
 fn default<T>(schema: &KeySchema, parse: Parse<T>) -> Option<T> {
     let DefaultValue::Value(text) = schema.default else { return None };
     let value = DeValue::parse(text).ok().and_then(|v| parse(&schema.kind, v.get_ref()).ok());
     Some(value.unwrap_or_else(|| unreachable!("the schema's default of {} is {text}", schema.name)))
 }
 
-/// Reports a key that the schema does not have; returns the one that was most likely meant.
+/// Reports a key that the schema does not have. Returns the key that was most likely meant.
 fn push_unknown_key(
     diagnostics: &mut Diagnostics<'_>, schema: &'static SectionSchema, path: &str,
     key: &Spanned<DeString<'_>>,
--- a/crates/config/src/source.rs
+++ b/crates/config/src/source.rs
@@ -1,54 +1,54 @@
-//! The text of a file by lines and columns, and the few lines of it that a message shows: made harmless for
-//! terminals, and cut around the place where a line is long.
+//! Maps byte offsets of a file to lines and columns, and extracts the lines that a message shows. Extracted lines are
+//! sanitized for terminals; long lines are truncated around the span of interest.
 
 use codespan_reporting::files::{Error, Files};
 use std::ops::Range;
 
-/// A line longer than this many characters is cut.
-const LINE: usize = 160;
-/// So many characters stand before the place in a line that is cut.
-const LEAD: usize = 60;
+/// Maximum number of characters shown of a line; longer lines are truncated.
+const MAX_LINE_CHARS: usize = 160;
+/// Number of characters shown before the span in a truncated line.
+const LEADING_CHARS: usize = 60;
 
-/// A text and where its lines begin.
+/// A text with the byte offsets of its lines.
 #[derive(Debug)]
 pub struct Source<'t> {
-    /// The text.
+    /// The text of the file.
     pub text: &'t str,
     starts: Vec<usize>,
 }
 
 impl<'t> Source<'t> {
-    /// Finds the lines. Their ends are `\n` or `\r\n`.
+    /// Finds the lines of `text`, which end with `\n` or `\r\n`.
     pub fn new(text: &'t str) -> Source<'t> {
         let after = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(at, _)| at + 1);
         Source { text, starts: std::iter::once(0).chain(after).collect() }
     }
 
-    /// The index of the line in which that byte stands.
+    /// Returns the index, from 0, of the line that contains the byte.
     pub fn line(&self, at: usize) -> usize {
         self.starts.partition_point(|start| *start <= at).saturating_sub(1)
     }
 
-    /// How many lines there are.
+    /// Returns the number of lines.
     pub fn lines(&self) -> usize {
         self.starts.len()
     }
 
-    /// Where a line begins and ends, without its end mark.
+    /// Returns the byte range of a line without its line ending.
     pub fn line_range(&self, line: usize) -> Range<usize> {
         let start = self.starts.get(line).copied().unwrap_or(self.text.len());
         let end = self.starts.get(line + 1).copied().unwrap_or(self.text.len());
-        let whole = self.text.get(start..end).unwrap_or("");
-        let bare = whole.strip_suffix('\n').unwrap_or(whole);
-        start..start + bare.strip_suffix('\r').unwrap_or(bare).len()
+        let with_line_ending = self.text.get(start..end).unwrap_or("");
+        let without_newline = with_line_ending.strip_suffix('\n').unwrap_or(with_line_ending);
+        start..start + without_newline.strip_suffix('\r').unwrap_or(without_newline).len()
     }
 
-    /// The text of a line.
+    /// Returns the text of a line without its line ending.
     pub fn line_text(&self, line: usize) -> &'t str {
         self.text.get(self.line_range(line)).unwrap_or("")
     }
 
-    /// The line and the column of a byte, both from 1; columns count characters.
+    /// Returns the line and column of a byte, both from 1; columns count characters.
     pub fn position(&self, at: usize) -> (usize, usize) {
         let line = self.line(at);
         let at = self.boundary(at);
@@ -56,21 +56,21 @@
         (line + 1, before.chars().count() + 1)
     }
 
-    /// The part of a span that lies in its first line.
+    /// Returns the part of a span that lies in the span's first line.
     pub fn first_line(&self, span: &Range<usize>) -> Range<usize> {
         let line = self.line_range(self.line(span.start));
         let start = self.boundary(span.start).min(line.end);
         start..self.boundary(span.end).clamp(start, line.end)
     }
 
-    /// That place, or the beginning of the character in which it lies.
+    /// Rounds an offset down to a character boundary.
     fn boundary(&self, at: usize) -> usize {
         (0..=at.min(self.text.len())).rev().find(|at| self.text.is_char_boundary(*at)).unwrap_or(0)
     }
 }
 
-/// The character that stands for `c` on a terminal: control characters and those that hide or turn round what
-/// follows get a visible one. Tabs stay.
+/// Returns the character to print for `c`. Replaces control characters and characters that hide or reorder the text
+/// after them by visible ones; keeps tabs.
 pub fn visible(c: char) -> char {
     match c {
         '\t' => '\t',
@@ -83,88 +83,93 @@
     }
 }
 
-/// A text made harmless for terminals; tabs too.
-pub fn harmless(text: &str) -> String {
+/// Replaces characters that are unsafe to print on a terminal; tabs become spaces.
+pub fn sanitize(text: &str) -> String {
     text.chars().map(|c| if c == '\t' { ' ' } else { visible(c) }).collect()
 }
 
-/// What a message shows of one line.
+/// The part of one line that a message shows.
 #[derive(Debug)]
-struct Piece {
+struct ExtractLine {
     line: usize,
-    /// Where it lies in the extract's text.
+    /// Byte range in the extract's text.
     at: Range<usize>,
-    /// The column of its first character, from 1, and whether a mark of omission stands before it.
+    /// Column of the first shown character, from 1. `has_ellipsis` is set if the text before it was left out.
     column: usize,
-    cut: bool,
+    has_ellipsis: bool,
 }
 
-/// The lines of a file that one message shows, under their own numbers.
+/// The lines of a file that one message shows, with their original line numbers.
 #[derive(Debug)]
 pub struct Extract<'n> {
     name: &'n str,
     text: String,
-    pieces: Vec<Piece>,
+    shown_lines: Vec<ExtractLine>,
 }
 
 impl<'n> Extract<'n> {
-    /// An extract without lines.
+    /// Creates an extract without lines.
     pub fn new(name: &'n str) -> Extract<'n> {
-        Extract { name, text: String::new(), pieces: Vec::new() }
+        Extract { name, text: String::new(), shown_lines: Vec::new() }
     }
 
-    /// Adds the lines of these places, and any line that alone lies between two. Gives each place inside the
-    /// extract, in the order asked; none for one that fell to a cut.
-    pub fn show(&mut self, source: &Source<'_>, places: &[Range<usize>]) -> Vec<Option<Range<usize>>> {
-        let mut lines: Vec<(usize, usize)> = places.iter().map(|p| (source.line(p.start), p.start)).collect();
-        let alone: Vec<usize> =
+    /// Adds the lines of the requested spans, and each single line between two of them. Returns the position of each
+    /// span in the extract, in the order of the request; `None` for a span outside the shown part of its line.
+    pub fn show(
+        &mut self, source: &Source<'_>, requested_spans: &[Range<usize>],
+    ) -> Vec<Option<Range<usize>>> {
+        let mut lines: Vec<(usize, usize)> =
+            requested_spans.iter().map(|p| (source.line(p.start), p.start)).collect();
+        let lines_between: Vec<usize> =
             lines.iter().map(|l| l.0 + 1).filter(|n| lines.iter().any(|l| l.0 == n + 1)).collect();
-        lines.extend(alone.into_iter().map(|n| (n, source.line_range(n).start)));
+        lines.extend(lines_between.into_iter().map(|n| (n, source.line_range(n).start)));
         lines.sort_by_key(|l| l.0);
         lines.dedup_by_key(|l| l.0);
-        // The first place asked for decides how its line is cut.
+        // The first requested span of a line decides which part of a long line is shown.
         for (line, start) in lines {
-            let first = places.iter().find(|p| source.line(p.start) == line).map_or(start, |p| p.start);
+            let first =
+                requested_spans.iter().find(|p| source.line(p.start) == line).map_or(start, |p| p.start);
             self.add(source, line, first);
         }
-        places.iter().map(|p| self.place(source, &source.first_line(p))).collect()
+        requested_spans.iter().map(|p| self.position_in_extract(source, &source.first_line(p))).collect()
     }
 
     fn add(&mut self, source: &Source<'_>, line: usize, around: usize) {
         let range = source.line_range(line);
         let text = source.line_text(line);
         let column = source.position(around).1;
-        let long = text.chars().nth(LINE).is_some();
-        let skip = if long { column.saturating_sub(LEAD + 1) } else { 0 };
-        let shown = text.chars().skip(skip).take(LINE);
+        let is_long = text.chars().nth(MAX_LINE_CHARS).is_some();
+        let skip = if is_long { column.saturating_sub(LEADING_CHARS + 1) } else { 0 };
+        let shown = text.chars().skip(skip).take(MAX_LINE_CHARS);
         let start = self.text.len();
         if skip > 0 {
             self.text.push('…');
         }
         self.text.extend(shown.map(visible));
-        if long && text.chars().nth(skip + LINE).is_some() {
+        if is_long && text.chars().nth(skip + MAX_LINE_CHARS).is_some() {
             self.text.push('…');
         }
         let at = start..self.text.len();
         self.text.push('\n');
         debug_assert!(range.start <= around);
-        self.pieces.push(Piece { line, at, column: skip + 1, cut: skip > 0 });
+        self.shown_lines.push(ExtractLine { line, at, column: skip + 1, has_ellipsis: skip > 0 });
     }
 
-    fn place(&self, source: &Source<'_>, span: &Range<usize>) -> Option<Range<usize>> {
-        let piece = self.piece(source.line(span.start))?;
-        let begin = source.position(span.start).1.checked_sub(piece.column)? + usize::from(piece.cut);
+    fn position_in_extract(&self, source: &Source<'_>, span: &Range<usize>) -> Option<Range<usize>> {
+        let shown_line = self.shown_line(source.line(span.start))?;
+        let begin = source.position(span.start).1.checked_sub(shown_line.column)?
+            + usize::from(shown_line.has_ellipsis);
         let chars = source.text.get(span.clone()).map_or(0, |t| t.chars().count());
-        let shown = self.text.get(piece.at.clone())?;
+        let shown = self.text.get(shown_line.at.clone())?;
         let bytes = |n: usize| shown.char_indices().nth(n).map_or(shown.len(), |(at, _)| at);
         let start = bytes(begin);
-        // Behind the end of the line is a place too.
+        // The position after the last character of the line is valid too.
         (begin <= shown.chars().count())
-            .then(|| piece.at.start + start..piece.at.start + bytes(begin + chars))
+            .then(|| shown_line.at.start + start..shown_line.at.start + bytes(begin + chars))
     }
 
-    fn piece(&self, line: usize) -> Option<&Piece> {
-        self.pieces.iter().find(|p| p.line == line)
+    fn shown_line(&self, line: usize) -> Option<&ExtractLine> {
+        self.shown_lines.iter().find(|p| p.line == line)
     }
 }
 
@@ -182,19 +187,22 @@
     }
 
     fn line_index(&'a self, (): (), at: usize) -> Result<usize, Error> {
-        let piece = self.pieces.iter().find(|p| at <= p.at.end);
-        piece.map(|p| p.line).ok_or(Error::IndexTooLarge { given: at, max: self.text.len() })
+        let shown_line = self.shown_lines.iter().find(|p| at <= p.at.end);
+        shown_line.map(|p| p.line).ok_or(Error::IndexTooLarge { given: at, max: self.text.len() })
     }
 
     fn line_range(&'a self, (): (), line: usize) -> Result<Range<usize>, Error> {
-        let piece = self.piece(line);
-        piece.map(|p| p.at.clone()).ok_or(Error::LineTooLarge { given: line, max: self.pieces.len() })
+        let shown_line = self.shown_line(line);
+        shown_line
+            .map(|p| p.at.clone())
+            .ok_or(Error::LineTooLarge { given: line, max: self.shown_lines.len() })
     }
 
     fn column_number(&'a self, (): (), line: usize, at: usize) -> Result<usize, Error> {
-        let piece = self.piece(line).ok_or(Error::LineTooLarge { given: line, max: self.pieces.len() })?;
-        let before = self.text.get(piece.at.start..at).map_or(0, |t| t.chars().count());
-        Ok(piece.column + before - usize::from(piece.cut && before > 0))
+        let shown_line =
+            self.shown_line(line).ok_or(Error::LineTooLarge { given: line, max: self.shown_lines.len() })?;
+        let before = self.text.get(shown_line.at.start..at).map_or(0, |t| t.chars().count());
+        Ok(shown_line.column + before - usize::from(shown_line.has_ellipsis && before > 0))
     }
 }
 
--- a/crates/config/src/syntax.rs
+++ b/crates/config/src/syntax.rs
@@ -1,8 +1,8 @@
-//! From text to TOML's tree, with several syntax errors at once, and what they have made unreadable.
+//! Parses a text into a TOML tree, reports several syntax errors at once and records which parts they make unreadable.
 
 use crate::diagnostic::Diagnostic;
 use crate::diagnostics::{quoted, Diagnostics};
-use crate::report::SHOWN;
+use crate::report::MAX_SHOWN_PROBLEMS;
 use crate::schema::{section, SectionSchema};
 use crate::source::Source;
 use std::borrow::Cow;
@@ -12,24 +12,24 @@
 use toml_parser::parser::{parse_document, RecursionGuard};
 use toml_parser::{ErrorSink, ParseError};
 
-/// A text with more syntax errors than this is not TOML, and none of it is read.
+/// A text with more syntax errors than this is reported as not being TOML, and nothing in it is read.
 const MAX_SYNTAX_ERRORS: usize = 1_000;
-/// So much of a long text is checked for [`MAX_SYNTAX_ERRORS`] before the whole.
+/// Length of the prefix of a long text that is checked for [`MAX_SYNTAX_ERRORS`] before the whole text, in bytes.
 const EARLY_CHECK_BYTES: usize = 256 << 10;
-/// Levels of nesting, as in `toml` itself.
+/// Maximum nesting depth, the same as in the `toml` crate.
 const MAX_DEPTH: u32 = 80;
-/// Values without an end that are removed; each costs a parse.
+/// Maximum number of unclosed values that are removed; each costs a parse.
 const MAX_UNCLOSED_VALUES: usize = 16;
-/// A header that no schema has, in the place of a broken one.
+/// The header that replaces a broken one; no schema has a section of this name.
 const UNKNOWN_SECTION_HEADER: &str = "[[_]]";
 
-/// A syntax error as the library has it.
+/// A syntax error as reported by the TOML library.
 struct SyntaxError {
     span: Range<usize>,
     message: String,
 }
 
-/// Keeps the first errors: each takes some hundred bytes, and a text that is not TOML has one in each word.
+/// Keeps only the first errors: each takes a few hundred bytes, and a text that is not TOML has one in every word.
 #[derive(Default)]
 struct BoundedErrors(Vec<SyntaxError>);
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// The text without what would hide the rest of it from the library: a key without a value hides all that follows, a
-/// broken header its section, a list without an end the sections behind it. Each is reported and replaced by spaces, so
-/// that all places stay. None: this is not TOML at all.
+/// Returns the text without the errors that would hide the rest of it from the library: a key without a value hides
+/// everything after it, a broken header hides its section, and an unclosed list hides the sections after it. Each such
+/// error is reported and replaced by spaces, so that byte offsets are unchanged. Returns `None` if the text is not TOML.
 pub(crate) fn recover<'t>(diagnostics: &mut Diagnostics<'t>) -> Option<Cow<'t, str>> {
     let source = diagnostics.source;
     if let Some(errors) = check_early(source) {
@@ -52,7 +52,7 @@
         return None;
     }
     let mut errors = parse_errors(source.text);
-    // Text without an end is found only when it is decoded, and only that of several lines is long.
+    // An unclosed string is detected only when it is decoded; only a multi-line string can run over sections.
     let has_long_text = source.text.contains("\"\"\"") || source.text.contains("'''");
     if errors.is_empty() && !has_long_text {
         return Some(Cow::Borrowed(source.text));
@@ -71,7 +71,7 @@
     Some(Cow::Owned(text))
 }
 
-/// The errors of a long text that is not TOML: it shows in a small part, which costs little.
+/// Returns the errors of a long text that is not TOML. A small prefix is enough to detect this and is cheap to parse.
 fn check_early(source: &Source<'_>) -> Option<Vec<SyntaxError>> {
     if source.text.len() <= EARLY_CHECK_BYTES {
         return None;
@@ -83,14 +83,14 @@
     (errors.len() > MAX_SYNTAX_ERRORS).then_some(errors)
 }
 
-/// Reports an error that would hide what follows it, and replaces its line by spaces.
+/// Reports an error that would hide the text after it, and replaces its line by spaces.
 fn blank_error(diagnostics: &mut Diagnostics<'_>, text: &mut String, error: SyntaxError) {
     let source = diagnostics.source;
     let line = source.line_range(source.line(error.span.start));
     let is_header =
         error.message.starts_with("unclosed table") || error.message.starts_with("unclosed array table");
     if is_header {
-        // Its keys must not fall to the section before it.
+        // Its keys must not be read as keys of the previous section.
         let is_long_enough = line.len() >= UNKNOWN_SECTION_HEADER.len();
         blank(text, line.clone(), if is_long_enough { UNKNOWN_SECTION_HEADER } else { "" });
         let headers = &diagnostics.damage.header_offsets;
@@ -107,7 +107,7 @@
     }
 }
 
-/// The errors that show before anything is decoded, bounded.
+/// Returns the errors that are found before any value is decoded; their number is bounded.
 fn parse_errors(text: &str) -> Vec<SyntaxError> {
     let mut errors = BoundedErrors::default();
     let tokens = toml_parser::Source::new(text).lex().into_vec();
@@ -116,7 +116,7 @@
     errors.0
 }
 
-/// The tree of a text from [`recover`]; its other syntax errors are reported. None: this is not TOML at all.
+/// Parses the text returned by [`recover`] and reports its remaining syntax errors. Returns `None` if it is not TOML.
 pub(crate) fn parse<'m>(
     diagnostics: &mut Diagnostics<'_>, recovered: &'m str,
 ) -> Option<Spanned<DeTable<'m>>> {
@@ -127,7 +127,7 @@
         return None;
     }
     errors.retain(|error| !diagnostics.damage.is_unreadable(error.span.start));
-    // Of several in a line the first says most.
+    // Of several errors in a line, only the first is reported: it is the most specific.
     errors.dedup_by_key(|error| source.line(error.span.start));
     if !errors.is_empty() {
         find_headers(diagnostics);
@@ -141,7 +141,7 @@
     Some(tree)
 }
 
-/// Finds where sections begin.
+/// Records the byte offsets of the section headers.
 fn find_headers(diagnostics: &mut Diagnostics<'_>) {
     let source = diagnostics.source;
     let mut offsets = Vec::new();
@@ -153,10 +153,10 @@
     diagnostics.damage.header_offsets = offsets;
 }
 
-/// A text as the library decodes it.
+/// The result of decoding a text with the library.
 struct Decoded<'t> {
     tree: Spanned<DeTable<'t>>,
-    /// In the order of the text, bounded.
+    /// Sorted by position; their number is bounded.
     errors: Vec<SyntaxError>,
 }
 
@@ -171,14 +171,14 @@
     Decoded { tree, errors }
 }
 
-/// Reports an error and marks what it makes unreadable.
+/// Reports an error and marks the range that it makes unreadable.
 fn report_unreadable(diagnostics: &mut Diagnostics<'_>, error: SyntaxError, unreadable: Range<usize>) {
     diagnostics.damage.error_offsets.push(error.span.start);
     diagnostics.damage.unreadable.push(unreadable);
     report_error(diagnostics, error);
 }
 
-/// Replaces a range by spaces and, at its beginning, by `instead`. Line ends stay.
+/// Overwrites a range with `instead` followed by spaces. Line endings are kept.
 fn blank(text: &mut String, range: Range<usize>, instead: &str) {
     let Some(old) = text.get(range.clone()) else { return };
     let rest = old.bytes().skip(instead.len());
@@ -186,7 +186,7 @@
     text.replace_range(range, &format!("{instead}{spaces}"));
 }
 
-/// Replaces values without an end, which therefore run over sections, and reports each at its beginning.
+/// Reports each unclosed value that runs over the next section header, and replaces it by spaces.
 fn blank_unclosed_values(diagnostics: &mut Diagnostics<'_>, text: &mut String) {
     let source = diagnostics.source;
     for _ in 0..MAX_UNCLOSED_VALUES {
@@ -195,13 +195,14 @@
         let mut unclosed = Vec::new();
         find_unclosed_values(source, tree.get_ref().values(), &offsets, &mut unclosed);
         drop(tree);
-        // Whatever seems unclosed behind the first may be so because of it.
+        // Values after the first may seem unclosed only because of it.
         let Some(first) = unclosed.into_iter().min() else { return };
         let line = source.line(first.header) + 1;
-        let expected = format!("expected its end before the section that begins in line {line}");
+        let expected = format!("expected its end before the section in line {line}");
         let span = first.start..first.start + 1;
-        let diagnostic = Diagnostic::at(span, "this begins here and is not closed", expected);
-        diagnostics.push_syntax_error(diagnostic.with_related(source.line_range(line - 1), "a new section"));
+        let diagnostic = Diagnostic::at(span, "this value begins here and is not closed", expected);
+        diagnostics
+            .push_syntax_error(diagnostic.with_related(source.line_range(line - 1), "the next section"));
         let begin = source.line_range(source.line(first.start)).start;
         blank(text, begin..first.header, "");
         diagnostics.damage.error_offsets.push(first.start);
@@ -209,19 +210,19 @@
     }
 }
 
-/// Reports the first errors of a text that is not TOML at all.
+/// Reports the first errors of a text that is not TOML.
 fn report_not_toml(diagnostics: &mut Diagnostics<'_>, mut errors: Vec<SyntaxError>) {
     let source = diagnostics.source;
     errors.dedup_by_key(|error| source.line(error.span.start));
-    errors.truncate(SHOWN - 1);
+    errors.truncate(MAX_SHOWN_PROBLEMS - 1);
     for error in errors {
         report_error(diagnostics, error);
     }
     let message = format!("more than {MAX_SYNTAX_ERRORS} syntax errors: this is not TOML");
-    diagnostics.push_syntax_error(Diagnostic::for_file(message, "nothing else was looked at"));
+    diagnostics.push_syntax_error(Diagnostic::for_file(message, "nothing else was checked"));
 }
 
-/// The section that a line seems to be the header of.
+/// Returns the schema of the section whose header the line appears to be.
 fn header_of(source: &Source<'_>, line: usize) -> Option<&'static SectionSchema> {
     let text = source.line_text(line).trim_start().strip_prefix('[')?;
     let text = text.strip_prefix('[').unwrap_or(text).trim_start();
@@ -233,22 +234,22 @@
     header_of(source, line).is_some()
 }
 
-/// A value that runs over the header of a section.
+/// A value that runs over a section header.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct UnclosedValue {
     start: usize,
-    /// Where the header begins.
+    /// Byte offset of the line with the header.
     header: usize,
 }
 
-/// Finds values that run over the header of a section, where a syntax error shows that they should not.
+/// Finds the values that run over a section header and contain a syntax error, which shows that they are unclosed.
 fn find_unclosed_values<'v, 't: 'v>(
     source: &Source<'_>, values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize],
     unclosed: &mut Vec<UnclosedValue>,
 ) {
     for value in values {
         let span = value.span();
-        // A section's own span is that of its header.
+        // The span of a section is that of its header.
         let is_section = is_header(source, source.line(span.start));
         let has_error = has_error_in(errors, &span);
         let mut lines = source.line(span.start) + 1..=source.line(span.end);
@@ -265,7 +266,7 @@
     }
 }
 
-/// Marks where values begin that have a syntax error in them: such a value as a whole is not reported on.
+/// Marks the first byte of each value that contains a syntax error, so that no problem of the whole value is reported.
 fn mark_damaged_values<'v, 't: 'v>(
     values: impl Iterator<Item = &'v Spanned<DeValue<'t>>>, errors: &[usize],
     unreadable: &mut Vec<Range<usize>>,
@@ -283,22 +284,22 @@
     }
 }
 
-/// Whether one of the errors, ascending, lies in that span or at its end.
+/// Returns whether one of the errors, sorted by offset, lies in the span or at its end.
 fn has_error_in(errors: &[usize], span: &Range<usize>) -> bool {
     let first = errors.partition_point(|error| *error < span.start);
     errors.get(first).is_some_and(|error| *error <= span.end)
 }
 
-/// Reports a syntax error, in words of our own where those of the library are too near to its grammar.
+/// Reports a syntax error. Replaces messages of the library that use the terms of its grammar.
 fn report_error(diagnostics: &mut Diagnostics<'_>, error: SyntaxError) {
     let source = diagnostics.source;
     let SyntaxError { span, message } = error;
     let found = source.text.get(span.clone()).unwrap_or("");
-    let (what, expected) = match message.split_once(", expected ") {
-        Some((what, expected)) => (what, format!("expected {expected}")),
+    let (summary, expected) = match message.split_once(", expected ") {
+        Some((summary, expected)) => (summary, format!("expected {expected}")),
         None => (message.as_str(), String::new()),
     };
-    let diagnostic = match what {
+    let diagnostic = match summary {
         "string values must be quoted" if found.is_empty() => {
             Diagnostic::at(span, "there is no value here", "expected a value")
         }
@@ -309,7 +310,7 @@
             Diagnostic::at(span, "this text is not closed", expected)
         }
         "invalid basic string" | "invalid literal string" => {
-            Diagnostic::at(span, "this character may not stand in text", "expected an escape such as \\u001b")
+            Diagnostic::at(span, "this character may not occur in text", "expected an escape such as \\u001b")
         }
         "unclosed table" | "unclosed array table" => {
             Diagnostic::at(span, "this header is not closed", "expected `]`")
@@ -319,12 +320,12 @@
         "cannot recurse further; max recursion depth met" | "recursion limit" => {
             Diagnostic::at(span, "too deeply nested", format!("expected at most {MAX_DEPTH} levels"))
         }
-        _ => Diagnostic::at(span, what, expected),
+        _ => Diagnostic::at(span, summary, expected),
     };
     diagnostics.push_syntax_error(diagnostic);
 }
 
-/// A key or table that stands a second time. The tree no longer has the first: it is searched in the text.
+/// Creates the diagnostic of a duplicate key or table. The tree does not keep the first, so it is searched in the text.
 fn duplicate_key(source: &Source<'_>, span: Range<usize>, name: &str) -> Diagnostic {
     let line = source.line(span.start);
     let is_table = source.line_text(line).trim_start().starts_with('[');
@@ -337,14 +338,15 @@
             text.strip_prefix(name).is_some_and(|rest| rest.trim_start().starts_with('='))
         }
     });
-    let diagnostic = Diagnostic::at(span, format!("{} stands twice", quoted(name)), "expected it once");
+    let diagnostic =
+        Diagnostic::at(span, format!("{} is defined twice", quoted(name)), "expected a single definition");
     let Some(first) = first else { return diagnostic };
     let range = source.line_range(first);
     let start = range.end - source.line_text(first).trim_start().len();
     diagnostic.with_related(start..range.end, "first here")
 }
 
-/// Whether a line is the header of a table of that name.
+/// Returns whether a line is the header of a table of that name.
 fn is_header_of(line: &str, name: &str) -> bool {
     let header = line.trim_start_matches('[').trim_start();
     let rest = header.strip_prefix(name);
