--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -1,5 +1,4 @@
-//! Files that are too long, too deep, too many of something, or not meant to be read at all; and the time that a
-//! large one takes.
+//! Files that are too long, too deeply nested, have too many items or are not TOML, and the time to read a large file.
 
 use proptest::prelude::*;
 use serde_json::json;
@@ -8,18 +7,18 @@
 use shaletide_config::{platform, Report};
 use std::time::{Duration, Instant};
 
-/// A build without optimisation takes ten times as long.
-const LONG: usize = if cfg!(debug_assertions) { 1 << 20 } else { MAX_FILE };
+/// Length of a long text in bytes. An unoptimised build takes ten times as long, so it uses a shorter text.
+const LONG_TEXT_BYTES: usize = if cfg!(debug_assertions) { 1 << 20 } else { MAX_FILE };
 const SAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
-/// Far more than any of these takes, and far less than a quadratic loop would.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Far more than any of these files takes, and far less than a quadratic loop would take.
+const MAX_READ_TIME: Duration = Duration::from_secs(20);
 
-fn refused(text: &str) -> Report {
+fn read_invalid(text: &str) -> Report {
     let started = Instant::now();
-    let report = read("f.toml", text).expect_err("it has mistakes");
+    let report = read("f.toml", text).expect_err("the text has problems");
     let printed = report.to_string();
     assert!(printed.len() < 500_000, "{}", printed.len());
-    assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
+    assert!(started.elapsed() < MAX_READ_TIME, "{:?}", started.elapsed());
     report
 }
 
@@ -29,25 +28,25 @@
     let started = Instant::now();
     let report = read_bytes("f.toml", &noise).expect_err("too long");
     assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
-    assert_eq!(report.problems()[0].what, "the file is too long");
+    assert_eq!(report.problems()[0].summary, "the file is too long");
     assert!(read("f.toml", &" ".repeat(MAX_FILE + 1)).is_err());
 }
 
 #[test]
 fn random_bytes_are_reported_as_not_toml() {
     for noise in ["%$#@\n", "=", "\"\n", "a=\n", "[\n", "a b\n", "a=\"\\q\"\n", "{"] {
-        let report = refused(&noise.repeat(LONG / noise.len()));
+        let report = read_invalid(&noise.repeat(LONG_TEXT_BYTES / noise.len()));
         assert!(
-            report.problems().iter().any(|p| p.what.contains("this is not TOML")) || report.total() < 100,
+            report.problems().iter().any(|p| p.summary.contains("this is not TOML")) || report.total() < 100,
             "{report}"
         );
     }
-    assert!(refused(&"a=1\n".repeat(100_000)).to_string().contains("not TOML"));
+    assert!(read_invalid(&"a=1\n".repeat(100_000)).to_string().contains("not TOML"));
 }
 
 #[test]
 fn deep_nesting_does_not_overflow_the_stack() {
-    let most = LONG - 100;
+    let most = LONG_TEXT_BYTES - 100;
     for text in [
         format!("[limits]\ntick = {}", "[".repeat(most)),
         format!("[limits]\ntick = {}{}", "[".repeat(most / 2), "]".repeat(most / 2)),
@@ -56,18 +55,18 @@
         format!("{}a = 1", "a.".repeat(most / 2)),
         "[[a]]\n[[a.b]]\n[[a.b.c]]\n".repeat(1000),
     ] {
-        // A test's thread has 2 MiB of stack, a quarter of a program's.
-        refused(&text);
+        // The thread of a test has a stack of 2 MiB, a quarter of that of a program.
+        read_invalid(&text);
     }
     let deep = |n: usize| format!("[limits]\ntick = {}1{}", "[".repeat(n), "]".repeat(n));
-    assert!(refused(&deep(200)).to_string().contains("too deeply nested"));
+    assert!(read_invalid(&deep(200)).to_string().contains("too deeply nested"));
 }
 
-fn pool(name: &str, boxes: impl Iterator<Item = usize>) -> String {
-    let boxes = boxes.map(|n| {
+fn pool(name: &str, backend_numbers: impl Iterator<Item = usize>) -> String {
+    let backend_numbers = backend_numbers.map(|n| {
         format!("  {{ address = \"10.{}.{}.{}:80\", bay = {} }},\n", n >> 16, (n >> 8) & 255, n & 255, n / 4)
     });
-    format!("[[pool]]\nname = \"{name}\"\nboxes = [\n{}]\n", boxes.collect::<String>())
+    format!("[[pool]]\nname = \"{name}\"\nboxes = [\n{}]\n", backend_numbers.collect::<String>())
 }
 
 fn head() -> String {
@@ -87,40 +86,46 @@
     let text = head() + &pools + &(0..200).map(route).collect::<String>();
     let started = Instant::now();
     let operator = read("f.toml", &text).unwrap_or_else(|report| panic!("{report}"));
-    let took = started.elapsed();
+    let elapsed_time = started.elapsed();
     assert_eq!((operator.pools.len(), operator.routes.len()), (50, 200));
-    eprintln!("{} bytes in {took:?}", text.len());
-    assert!(took < Duration::from_secs(if cfg!(debug_assertions) { 5 } else { 1 }), "{took:?}");
+    eprintln!("{} bytes in {elapsed_time:?}", text.len());
+    assert!(
+        elapsed_time < Duration::from_secs(if cfg!(debug_assertions) { 5 } else { 1 }),
+        "{elapsed_time:?}"
+    );
 }
 
 #[test]
 fn each_exceeded_bound_is_one_problem() {
     let many = |n: usize, line: &dyn Fn(usize) -> String| (0..n).map(line).collect::<String>();
-    let fine = head() + &pool("p", 0..1);
+    let valid_file = head() + &pool("p", 0..1);
     let cases = [
-        (fine.clone() + &many(64, &|n| format!("[[class]]\nname = \"c{n}\"\n")), "65 of [[class]]"),
         (
-            fine.clone() + &many(64, &|n| format!("[[listener]]\naddress = \"127.0.0.2:{}\"\n", n + 1)),
-            "65 of [[listener]]",
+            valid_file.clone() + &many(64, &|n| format!("[[class]]\nname = \"c{n}\"\n")),
+            "65 [[class]] sections",
         ),
         (
-            fine.clone() + &many(10_001, &|n| format!("[[tenant]]\nname = \"t{n}\"\nquota = 1\n")),
-            "10001 of [[tenant]]",
+            valid_file.clone() + &many(64, &|n| format!("[[listener]]\naddress = \"127.0.0.2:{}\"\n", n + 1)),
+            "65 [[listener]] sections",
         ),
-        (fine.clone() + &many(64, &|n| pool(&format!("p{n}"), n + 1..n + 2)), "65 of [[pool]]"),
-        (head() + &pool("p", 0..5000) + &pool("q", 5000..10_001), "more than 10000 boxes"),
         (
-            fine.clone()
+            valid_file.clone() + &many(10_001, &|n| format!("[[tenant]]\nname = \"t{n}\"\nquota = 1\n")),
+            "10001 [[tenant]] sections",
+        ),
+        (valid_file.clone() + &many(64, &|n| pool(&format!("p{n}"), n + 1..n + 2)), "65 [[pool]] sections"),
+        (head() + &pool("p", 0..5000) + &pool("q", 5000..10_001), "more than 10000 backends"),
+        (
+            valid_file.clone()
                 + &many(1_001, &|n| format!("[[route]]\nname = \"r{n}\"\npath = \"/{n}\"\npools = \"p\"\n")),
-            "1001 of [[route]]",
+            "1001 [[route]] sections",
         ),
     ];
-    for (text, what) in cases {
-        let report = refused(&text);
-        assert_eq!((report.total(), report.problems()[0].what.as_str()), (1, what), "{report}");
+    for (text, summary) in cases {
+        let report = read_invalid(&text);
+        assert_eq!((report.total(), report.problems()[0].summary.as_str()), (1, summary), "{report}");
     }
-    let fits = head() + &pool("p", 0..5000) + &pool("q", 5000..10_000);
-    assert!(read("f.toml", &fits).is_ok());
+    let at_limit = head() + &pool("p", 0..5000) + &pool("q", 5000..10_000);
+    assert!(read("f.toml", &at_limit).is_ok());
 }
 
 #[test]
@@ -129,16 +134,18 @@
         let proxy = format!("[proxy]\nproxies = 1024\nposition = {position}\n");
         let operator = read("f.toml", &(proxy + &head() + &pool("p", 0..1_024))).unwrap();
         assert_eq!((operator.proxy.proxies, operator.proxy.position), (1_024, position));
-        let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("a pool of the file") };
+        let PoolSource::Static(backends) = &operator.pools[0].source else {
+            panic!("the pool is not static")
+        };
         assert_eq!(backends.len(), 1_024);
         assert_eq!(operator.balancer.validate(), Ok(()));
     }
 }
 
-/// The platform names no proxies and backends in its settings; that another release might does no harm.
+/// The platform's settings have no lists of proxies or backends; a later release that adds such lists must still be read.
 #[test]
 fn settings_of_350_proxies_and_1024_names_of_each_list_are_read() {
-    let names = |what: &str| (0..1_024).map(|n| format!("{what}{n}")).collect::<Vec<_>>();
+    let names = |prefix: &str| (0..1_024).map(|n| format!("{prefix}{n}")).collect::<Vec<_>>();
     let profiles: Vec<_> = names("class")
         .into_iter()
         .map(|name| {
@@ -174,16 +181,18 @@
     let route = |n: usize, list: &str| {
         format!("[[route]]\nname = \"r{n}\"\npath = \"/{n}\"\ntenant = [{list}]\npools = \"p\"\n")
     };
-    let fits: String = (0..200).map(|n| route(n, &names(0, 100))).collect();
-    assert!(read("f.toml", &(text.clone() + &fits)).is_ok());
-    let over: String = (0..201).map(|n| route(n, &names(0, 100))).collect();
-    assert!(refused(&(text.clone() + &over)).to_string().contains("too many names in the conditions"));
+    let at_limit: String = (0..200).map(|n| route(n, &names(0, 100))).collect();
+    assert!(read("f.toml", &(text.clone() + &at_limit)).is_ok());
+    let above_limit: String = (0..201).map(|n| route(n, &names(0, 100))).collect();
+    assert!(read_invalid(&(text.clone() + &above_limit))
+        .to_string()
+        .contains("too many names in the conditions"));
     let unknown: String = (0..200).map(|n| route(n, &names(10_000, 10_100))).collect();
-    assert_eq!(refused(&(text + &unknown)).total(), 20_000);
+    assert_eq!(read_invalid(&(text + &unknown)).total(), 20_000);
 }
 
-/// Whatever the text: a report that can be printed, or values that the decision module takes.
-fn holds(bytes: &[u8]) {
+/// Checks that any text gives a report that can be printed, or values that the balancer accepts.
+fn check_result(bytes: &[u8]) {
     match read_bytes("f.toml", bytes) {
         Ok(operator) => {
             assert_eq!(operator.balancer.validate(), Ok(()));
@@ -196,7 +205,7 @@
         }
         Err(report) => {
             assert!(report.total() > 0 && !report.problems().is_empty());
-            assert!(report.problems().iter().all(|p| !p.what.is_empty() && !p.block.is_empty()));
+            assert!(report.problems().iter().all(|p| !p.summary.is_empty() && !p.block.is_empty()));
             assert!(report.problems().iter().is_sorted_by_key(|p| (p.line, p.column)), "{report}");
             let printed = report.to_string();
             assert!(!printed.chars().any(|c| c.is_control() && c != '\n'), "{printed:?}");
@@ -208,8 +217,8 @@
     }
 }
 
-/// A change to a text: a place in it as a part of its length, how much goes, and what comes.
-fn change() -> impl Strategy<Value = (f64, usize, Vec<u8>)> {
+/// A change to a text: its position as a fraction of the length, the number of bytes removed, and the bytes inserted.
+fn text_change() -> impl Strategy<Value = (f64, usize, Vec<u8>)> {
     let piece = prop_oneof![
         prop::collection::vec(any::<u8>(), 0..8),
         "[\\[\\]{}\"'=,.#\n\r\t \\\\a-z0-9-]{0,6}".prop_map(String::into_bytes),
@@ -236,33 +245,33 @@
 
     #[test]
     fn random_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        holds(&bytes);
+        check_result(&bytes);
     }
 
     #[test]
-    fn random_text_in_the_letters_of_toml_never_panics(text in "[\\[\\]{}\"'=,.#\n\r\t \\\\a-z0-9_é-]{0,300}") {
-        holds(text.as_bytes());
+    fn random_text_of_toml_characters_never_panics(text in "[\\[\\]{}\"'=,.#\n\r\t \\\\a-z0-9_é-]{0,300}") {
+        check_result(text.as_bytes());
     }
 
     #[test]
-    fn random_changes_to_the_sample_never_panic(changes in prop::collection::vec(change(), 1..6)) {
+    fn random_changes_to_the_sample_never_panic(changes in prop::collection::vec(text_change(), 1..6)) {
         let mut bytes = SAMPLE.as_bytes().to_vec();
-        for (part, gone, piece) in changes {
-            let at = (bytes.len() as f64 * part) as usize;
-            let end = (at + gone).min(bytes.len());
+        for (fraction, removed, piece) in changes {
+            let at = (bytes.len() as f64 * fraction) as usize;
+            let end = (at + removed).min(bytes.len());
             bytes.splice(at..end, piece);
         }
-        holds(&bytes);
+        check_result(&bytes);
     }
 
     #[test]
-    fn any_line_of_the_sample_may_be_missing_or_stand_twice(line in 0usize..130, twice: bool) {
+    fn sample_with_a_removed_or_repeated_line_never_panics(line in 0usize..130, twice: bool) {
         let mut lines: Vec<&str> = SAMPLE.lines().collect();
         let line = line % lines.len();
         match twice {
             true => lines.insert(line, lines[line]),
             false => { lines.remove(line); }
         }
-        holds(lines.join("\n").as_bytes());
+        check_result(lines.join("\n").as_bytes());
     }
 }
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A file that is right, and how a mistake in it is looked at.
-#![allow(dead_code)] // each test program uses a part of it
+//! A valid file, and checks of the problem that a single change to it causes.
+#![allow(dead_code)] // each test program uses only some of the items
 
 use shaletide_config::operator::read;
 use shaletide_config::Problem;
 
-/// A file that is right. Cases replace a piece of it.
+/// A valid file. Each case replaces a part of it.
 pub const BASE: &str = r#"[proxy]
 name = "quay-1"
 zone = "east"
@@ -73,17 +73,18 @@
     }
 }
 
-/// What is replaced, by what, the line and column of the mistake, and the beginnings of what is said.
+/// The replaced text, its replacement, the line and column of the problem, and the beginnings of its summary and of the
+/// expected input.
 pub type Case = (&'static str, &'static str, (usize, usize), &'static str, &'static str);
 
 pub fn check(cases: &[Case]) {
-    for (from, to, place, what, expected) in cases {
-        assert!(BASE.contains(from), "{from}");
-        let found = problems(&BASE.replacen(from, to, 1));
+    for (original, replacement, position, summary, expected) in cases {
+        assert!(BASE.contains(original), "{original}");
+        let found = problems(&BASE.replacen(original, replacement, 1));
         let blocks: Vec<&str> = found.iter().map(|p| p.block.as_str()).collect();
-        assert_eq!(found.len(), 1, "{from} -> {to}\n{}", blocks.join("\n"));
-        assert_eq!((found[0].line, found[0].column), *place, "{}", found[0].block);
-        assert!(found[0].what.starts_with(what), "{what}\n{}", found[0].block);
+        assert_eq!(found.len(), 1, "{original} -> {replacement}\n{}", blocks.join("\n"));
+        assert_eq!((found[0].line, found[0].column), *position, "{}", found[0].block);
+        assert!(found[0].summary.starts_with(summary), "{summary}\n{}", found[0].block);
         assert!(found[0].expected.starts_with(expected), "{expected}\n{}", found[0].block);
     }
 }
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,4 +1,4 @@
-//! The page and the sample hold what the schema holds.
+//! The operators' page and the sample file agree with the schema.
 
 use shaletide_config::operator::read;
 use shaletide_config::schema::{
@@ -13,10 +13,10 @@
     SECTIONS.iter().chain([&BACKEND, &ATTRIBUTE_SOURCE, &NOT_EXECUTED_PROOF, &HEADER_MATCH, &ROUTE_RESPONSES])
 }
 
-/// `cargo run -q -p shaletide-config --example operator_page > docs/operator-file.md` makes it true again.
+/// `cargo run -q -p shaletide-config --example operator_page > docs/operator-file.md` updates the page.
 #[test]
 fn page_is_generated_from_the_schema() {
-    assert!(page() == PAGE, "docs/operator-file.md is not what the schema says");
+    assert!(page() == PAGE, "docs/operator-file.md differs from the page generated from the schema");
 }
 
 #[test]
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn first_file_of_the_page_is_valid_and_its_first_problem_reads_as_shown() {
+fn example_file_of_the_page_is_valid_and_its_example_problem_is_reported_as_shown() {
     let blocks: Vec<&str> = PAGE.split("```").collect();
     let file = blocks[1].strip_prefix("toml\n").unwrap();
     assert!(read("operator.toml", file).is_ok());
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn meanings_are_sentences_of_their_own() {
+fn meanings_end_with_a_period() {
     for key in sections().flat_map(|s| s.keys) {
         assert!(key.meaning.ends_with('.'), "{}", key.name);
     }
--- a/crates/config/tests/glossary.rs
+++ b/crates/config/tests/glossary.rs
@@ -1,4 +1,4 @@
-//! The glossary says which field each key of the operators' file and each setting of the platform becomes.
+//! The glossary maps each key of the operators' file and each setting of the platform to its field.
 
 use shaletide_config::operator::read;
 use shaletide_config::schema::{
@@ -12,7 +12,7 @@
 const TITLE: &str = "## Keys of the operators' file and settings of the platform";
 const SAME_NAME: &str = "Keys whose field has the same name";
 
-/// What stands between backquotes in that text.
+/// Returns the parts of a text that are in backquotes.
 fn quoted(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
@@ -21,14 +21,14 @@
     GLOSSARY.split_once(TITLE).expect("the chapter").1
 }
 
-/// The cells of each row of the chapter's first table, by key.
+/// Returns the cells of each row of the chapter's first table, by key.
 fn table() -> BTreeMap<&'static str, (&'static str, &'static str)> {
     let table = chapter().split_once(SAME_NAME).expect("the list of equal names").0;
     let mut rows = BTreeMap::new();
     for line in table.lines().filter(|line| line.starts_with("| `")) {
         let cells: Vec<&str> =
             line.trim_matches('|').split('|').map(|cell| cell.trim().trim_matches('`')).collect();
-        assert!(rows.insert(cells[0], (cells[1], cells[2])).is_none(), "{} stands twice", cells[0]);
+        assert!(rows.insert(cells[0], (cells[1], cells[2])).is_none(), "{} occurs twice", cells[0]);
     }
     rows
 }
@@ -39,7 +39,7 @@
     quoted(list.split_once("\n\n").expect("its end").0).collect()
 }
 
-/// Every section whose keys are its own: `route.answers` has those of `answers`.
+/// Returns every section with its own keys: `route.answers` has those of `answers`.
 fn sections() -> impl Iterator<Item = &'static SectionSchema> {
     SECTIONS.iter().chain([&BACKEND, &ATTRIBUTE_SOURCE, &NOT_EXECUTED_PROOF, &HEADER_MATCH])
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn each_row_names_the_platforms_setting_as_the_schema_does() {
+fn each_row_has_the_platform_setting_of_the_schema() {
     let table = table();
     for section in sections() {
         for key in section.keys {
@@ -78,13 +78,13 @@
     }
 }
 
-/// A pool whose list comes from a discovery: the sample has static ones.
+/// A file with a discovery pool; the pools of the sample are static.
 const DISCOVERY: &str = "[[listener]]\naddress = \"127.0.0.1:8080\"\n[[class]]\nname = \"read\"\n\
                          [[pool]]\nname = \"all\"\ndiscovery = \"127.0.0.1:8500\"\n";
 
-/// What the reader makes of these files has the fields that the glossary names.
+/// The configuration read from these files has the fields that the glossary names.
 #[test]
-fn fields_exist_in_what_the_file_becomes() {
+fn fields_of_the_glossary_exist_in_the_configuration() {
     let read = |text| format!("{:#?}", read("file", text).expect("the file is valid"));
     let operator = read(SAMPLE) + &read(DISCOVERY);
     for (key, (_, field)) in table() {
@@ -99,9 +99,9 @@
     }
 }
 
-/// The platform's settings in the chapter are those of the table in the code.
+/// The platform's settings in the chapter are defined in `wire_names.rs`.
 #[test]
-fn settings_of_the_platform_stand_in_the_one_table_of_wire_names() {
+fn platform_settings_are_defined_in_wire_names() {
     let settings = table().into_values().map(|(setting, _)| setting);
     for setting in settings.filter(|setting| setting.starts_with("settings.")) {
         let name = setting.rsplit('.').next().expect("a name");
--- a/crates/config/tests/mistakes.rs
+++ b/crates/config/tests/mistakes.rs
@@ -1,5 +1,5 @@
-//! Mistakes of syntax, of names and of what does not fit together, each alone in a file that is right otherwise:
-//! its place, what is said of it, and that nothing else is said.
+//! Problems of syntax, of names and of conflicting values, each alone in an otherwise valid file: the report has this
+//! problem at the right position and no other.
 
 mod common;
 
@@ -17,14 +17,20 @@
         ("tick = \"1ms\"", "tick =", (13, 7), "there is no value here", "expected a value"),
         ("tick = \"1ms\"", "tick = \"1ms", (13, 12), "this text is not closed", "expected `\"`"),
         ("tick = \"1ms\"", "tick", (13, 5), "this key has no value", "expected `=`"),
-        ("tick = \"1ms\"", "tick = \"\u{7}\"", (13, 9), "this character may not", "expected an escape"),
-        ("tick = \"1ms\"", "max_attempts = 4", (13, 1), "`max_attempts` stands twice", "expected it once"),
+        ("tick = \"1ms\"", "tick = \"\u{7}\"", (13, 9), "this character may not occur", "expected an escape"),
+        (
+            "tick = \"1ms\"",
+            "max_attempts = 4",
+            (13, 1),
+            "`max_attempts` is defined twice",
+            "expected a single definition",
+        ),
         (
             "whole = 0.7",
             "whole = 0.7\n[rules]\nramp = \"1s\"",
             (20, 2),
-            "`rules` stands twice",
-            "expected it once",
+            "`rules` is defined twice",
+            "expected a single definition",
         ),
         ("[goal]", "[goal", (18, 6), "this header is not closed", "expected `]`"),
         ("[[pool]]", "[[pool]", (37, 8), "this header is not closed", "expected `]`"),
@@ -32,15 +38,15 @@
             "cores = 4 }]",
             "cores = 4 }",
             (39, 9),
-            "this begins here and is not closed",
-            "expected its end before the section that begins in line 40",
+            "this value begins here and is not closed",
+            "expected its end before the section in line 40",
         ),
         (
             "name = \"old\"",
             "name = \"\"\"old",
             (41, 8),
-            "this begins here and is not closed",
-            "expected its end before the section that begins in line 44",
+            "this value begins here and is not closed",
+            "expected its end before the section in line 44",
         ),
         ("\"settle\"", "\"sett", (30, 13), "this text is not closed", "expected `\"`"),
     ]);
@@ -122,53 +128,53 @@
 fn conflicting_values_are_reported() {
     check(&[
         ("position = 1", "position = 2", (5, 12), "proxy.position: 2 is not less than proxies", "expected a whole number less than 2"),
-        ("aim = \"400ms\"", "aim = \"2s\"", (26, 7), "class.aim: it is over the deadline", "expected an aim of at most 1s"),
-        ("aim = \"400ms\"\ndeadline = \"1s\"", "deadline = \"300ms\"", (26, 12), "class.aim: it is over", "expected an aim of at most 300ms"),
+        ("aim = \"400ms\"", "aim = \"2s\"", (26, 7), "class.aim: the aim is above the deadline", "expected an aim of at most 1s"),
+        ("aim = \"400ms\"\ndeadline = \"1s\"", "deadline = \"300ms\"", (26, 12), "class.aim: the aim is above", "expected an aim of at most 300ms"),
         ("key_scope = \"bay\"\n", "", (29, 1), "class.key_scope is missing", "expected `key_scope`: \"all\""),
         ("key_window = \"1.2s\"\n", "", (29, 1), "class.key_window is missing", "expected `key_window`: a time"),
-        ("key_window = \"1.2s\"", "key_window = \"1.2\"", (33, 14), "class.key_window: `1.2` is no time", "expected a time"),
-        ("methods = [\"GET\"]", "key_scope = \"all\"", (28, 13), "class.key_scope: the class is not keyed but safe", "expected in classes of effect"),
-        ("discovery = \"127.0.0.1:8500\"", "discovery = \"127.0.0.1:8500\"\nboxes = [\"127.0.0.1:1\"]", (42, 13), "pool.discovery: the pool has a list of boxes too", "expected exactly one"),
-        ("discovery = \"127.0.0.1:8500\"\nmust_ask_within = \"9s\"\n", "", (40, 1), "a pool without boxes", "expected exactly one"),
-        ("discovery = \"127.0.0.1:8500\"", "boxes = [\"127.0.0.1:1\"]", (43, 19), "pool.must_ask_within: the pool has no discovery", "expected beside"),
-        ("must_ask_within = \"9s\"", "must_ask_within = \"9s\"\ndiscovery_mode = \"push\"", (43, 19), "pool.must_ask_within: changes come unasked", "expected with"),
+        ("key_window = \"1.2s\"", "key_window = \"1.2\"", (33, 14), "class.key_window: `1.2` is not a valid time", "expected a time"),
+        ("methods = [\"GET\"]", "key_scope = \"all\"", (28, 13), "class.key_scope: the class is not keyed but safe", "expected only in a class with effect"),
+        ("discovery = \"127.0.0.1:8500\"", "discovery = \"127.0.0.1:8500\"\nboxes = [\"127.0.0.1:1\"]", (42, 13), "pool.discovery: the pool has `boxes` as well", "expected exactly one"),
+        ("discovery = \"127.0.0.1:8500\"\nmust_ask_within = \"9s\"\n", "", (40, 1), "the pool has neither `boxes` nor `discovery`", "expected exactly one"),
+        ("discovery = \"127.0.0.1:8500\"", "boxes = [\"127.0.0.1:1\"]", (43, 19), "pool.must_ask_within: the pool has no `discovery`", "expected only together"),
+        ("must_ask_within = \"9s\"", "must_ask_within = \"9s\"\ndiscovery_mode = \"push\"", (43, 19), "pool.must_ask_within: the pool uses discovery_mode", "expected only with"),
         ("discovery = \"127.0.0.1:8500\"\nmust_ask_within = \"9s\"", "boxes = []", (42, 9), "pool.boxes: this list is empty", "expected a list"),
-        ("\"new\", \"old\"", "\"new\", \"new\"", (55, 17), "route.pools: this stands twice", "expected each once"),
+        ("\"new\", \"old\"", "\"new\", \"new\"", (55, 17), "route.pools: duplicate value", "expected each value once"),
         ("pools = [\"old\"]", "", (56, 1), "route.pools is missing", "expected `pools`: a name"),
         ("pools = [\"old\"]", "pools = []", (59, 9), "route.pools: this list is empty", "expected a name"),
         ("pools = [\"new\", \"old\"]", "pools = [\"old\"]", (38, 8), "no route leads to the pool `new`", "expected it in the `pools`"),
-        ("bay = 7", "class = [\"settle\"]\ntenant = \"milford\"\npath = \"/eu/x\"\nmethod = \"POST\"\nheader = { name = \"x-kind\", value = \"eu\" }", (57, 8), "the route `b` takes no request", "`a` stands before it"),
-        ("name = \"b\"", "name = \"a\"", (57, 8), "the route `a` stands twice", "expected another name"),
+        ("bay = 7", "class = [\"settle\"]\ntenant = \"milford\"\npath = \"/eu/x\"\nmethod = \"POST\"\nheader = { name = \"x-kind\", value = \"eu\" }", (57, 8), "no request can reach the route `b`", "the earlier route `a`"),
+        ("name = \"b\"", "name = \"a\"", (57, 8), "the route `a` is defined twice", "expected another name"),
     ]);
 }
 
 #[test]
 fn missing_keys_are_reported() {
-    for (gone, what) in [
+    for (missing, summary) in [
         ("listener", "[[listener]] is missing"),
         ("pool", "[[pool]] is missing"),
         ("class", "[[class]] is missing"),
     ] {
         let small = "[[listener]]\naddress = \"127.0.0.1:1\"\n[[class]]\nname = \"c\"\n[[pool]]\nname = \"p\"\nboxes = [\"127.0.0.1:2\"]\n";
-        let start = small.find(&format!("[[{gone}]]")).unwrap();
+        let start = small.find(&format!("[[{missing}]]")).unwrap();
         let end = small[start + 1..].find("\n[[").map_or(small.len(), |at| start + at + 2);
         let found = problems(&format!("{}{}", &small[..start], &small[end..]));
         assert_eq!(found.len(), 1, "{found:?}");
-        assert_eq!((found[0].line, found[0].what.as_str()), (0, what));
+        assert_eq!((found[0].line, found[0].summary.as_str()), (0, summary));
     }
-    for empty in ["", "\n \n", "# only words\n", "\u{feff}"] {
+    for empty in ["", "\n \n", "# only a comment\n", "\u{feff}"] {
         let found = problems(empty);
         assert_eq!(found.len(), 1);
-        assert_eq!(found[0].what, "the file is empty");
+        assert_eq!(found[0].summary, "the file is empty");
     }
     check(&[("name = \"milford\"\n", "", (34, 1), "tenant.name is missing", "expected `name`: a name")]);
 }
 
-/// One line and the section that it spoils, and mistakes elsewhere: nothing follows from the one, and the others
-/// are found.
+/// A syntax error in one section, and problems in other sections: the report has the syntax error without its
+/// consequences, and the other problems.
 #[test]
 fn syntax_error_hides_no_problem_elsewhere() {
-    let rest = "[goal]\nwhole = 2\n[[class]]\nname = \"c\"\n[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\n\
+    let other_sections = "[goal]\nwhole = 2\n[[class]]\nname = \"c\"\n[[listener]]\naddress = \"127.0.0.1:1\"\n[[pool]]\n\
                 name = \"p\"\nboxes = [\"127.0.0.1:2\"]\n[[route]]\nname = \"r\"\npools = \"p\"\nclass = \"d\"\n";
     let cases = [
         "  [[tenant]]\n  name\n  quota = 1\n",
@@ -189,14 +195,19 @@
         "[]\nname = 1\n",
     ];
     for broken in cases {
-        for text in [format!("{broken}{rest}"), format!("{rest}{broken}")] {
+        for text in [format!("{broken}{other_sections}"), format!("{other_sections}{broken}")] {
             let found = problems(&text);
-            let said: Vec<&str> = found.iter().map(|p| p.what.as_str()).collect();
-            assert!(said.contains(&"goal.whole: `2` is out of range"), "{text}{said:#?}");
-            // A header that could be any may have been that of the class.
-            let unknown = usize::from(!broken.starts_with("[ten ant]"));
-            let classes = said.iter().filter(|what| **what == "route.class: there is no class `d`").count();
-            assert_eq!((classes, said.len()), (unknown, 2 + unknown), "{text}{said:#?}");
+            let summaries: Vec<&str> = found.iter().map(|p| p.summary.as_str()).collect();
+            assert!(summaries.contains(&"goal.whole: `2` is out of range"), "{text}{summaries:#?}");
+            // The unreadable header may be that of a class, so the unknown class is not reported.
+            let unknown_classes = usize::from(!broken.starts_with("[ten ant]"));
+            let classes =
+                summaries.iter().filter(|summary| **summary == "route.class: there is no class `d`").count();
+            assert_eq!(
+                (classes, summaries.len()),
+                (unknown_classes, 2 + unknown_classes),
+                "{text}{summaries:#?}"
+            );
         }
     }
 }
--- a/crates/config/tests/reading.rs
+++ b/crates/config/tests/reading.rs
@@ -1,4 +1,4 @@
-//! What a right file says: the smallest, the sample, and each key that differs from its default.
+//! Valid files: the smallest one, the sample, and one in which each key differs from its default.
 
 use shaletide_balancer::{
     BackendState, ClassId, DeduplicationScope, DiscoveryMode, Idempotency, Micros, PoolId, TenantId,
@@ -21,18 +21,18 @@
 "#;
 const SAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
 
-fn good(text: &str) -> OperatorConfig {
+fn read_valid(text: &str) -> OperatorConfig {
     read("f.toml", text).unwrap_or_else(|report| panic!("{report}"))
 }
 
-/// The smallest file with more behind it.
-fn with(more: &str) -> OperatorConfig {
-    good(&format!("{SMALLEST}\n{more}"))
+/// Reads the smallest file with more text appended.
+fn smallest_with(more: &str) -> OperatorConfig {
+    read_valid(&format!("{SMALLEST}\n{more}"))
 }
 
 #[test]
 fn smallest_file_has_all_defaults() {
-    let operator = good(SMALLEST);
+    let operator = read_valid(SMALLEST);
     assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!((operator.proxy.name.as_str(), operator.proxy.seed), ("shaletide", None));
     assert_eq!((operator.proxy.proxies, operator.proxy.position), (1, 0));
@@ -55,28 +55,28 @@
 }
 
 #[test]
-fn default_of_served_is_the_plain_set() {
+fn default_response_rules_are_the_listed_statuses() {
     let served = "[answers]\nserved = [\"200-428\", 430, \"431-499\", 501, \"505-599\"]\nnever_ran = []\n";
     assert_eq!(
-        with(&format!("{served}errors = \"as_they_are\"")).routes[0].response_rules,
+        smallest_with(&format!("{served}errors = \"as_they_are\"")).routes[0].response_rules,
         ResponseRules::operator_default()
     );
 }
 
 #[test]
 fn backend_in_short_form_has_its_own_deduplication_group() {
-    let operator = good(SMALLEST);
-    let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
-    assert_eq!(boxes.len(), 2);
-    assert_eq!((boxes[1].deduplication_group.as_str(), boxes[1].zone.as_str()), ("127.0.0.1:9002", ""));
-    assert_eq!((boxes[1].server_type.as_str(), boxes[1].cores), ("box", 1));
-    assert_eq!(boxes[1].state, BackendState::Ready);
+    let operator = read_valid(SMALLEST);
+    let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("the pool is not static") };
+    assert_eq!(backends.len(), 2);
+    assert_eq!((backends[1].deduplication_group.as_str(), backends[1].zone.as_str()), ("127.0.0.1:9002", ""));
+    assert_eq!((backends[1].server_type.as_str(), backends[1].cores), ("box", 1));
+    assert_eq!(backends[1].state, BackendState::Ready);
     assert_eq!(operator.pools[0].deduplication_domain, "all");
 }
 
 #[test]
 fn sample_is_valid() {
-    let operator = good(SAMPLE);
+    let operator = read_valid(SAMPLE);
     assert_eq!(operator.balancer.validate(), Ok(()));
     assert_eq!(operator.proxy.seed, Some(0x8c1f_30d2_7a5b_e964));
     assert_eq!(
@@ -88,8 +88,8 @@
     assert_eq!(operator.request_format.default_class, Some(ClassId(0)));
     assert_eq!(operator.request_format.deduplication_group, Some(AttributeSource::Path(3)));
     assert_eq!(operator.request_format.zone, Some(AttributeSource::Header("x-zone".into())));
-    let PoolSource::Static(boxes) = &operator.pools[0].source else { panic!("a list") };
-    assert_eq!((boxes[2].deduplication_group.as_str(), boxes[2].state), ("1", BackendState::Draining));
+    let PoolSource::Static(backends) = &operator.pools[0].source else { panic!("the pool is not static") };
+    assert_eq!((backends[2].deduplication_group.as_str(), backends[2].state), ("1", BackendState::Draining));
     let route = &operator.routes[0];
     assert_eq!(
         (&route.conditions.classes[..], &route.conditions.tenants[..]),
@@ -101,7 +101,7 @@
     );
     assert_eq!(route.conditions.headers, [HeaderMatch { name: "x-kind".into(), value: Some("eu".into()) }]);
     assert_eq!(route.pools, [PoolId(0), PoolId(1)]);
-    // Its own `served` and `errors`, and `never_ran` of [answers].
+    // The route has its own `served` and `errors`, and `never_ran` of [answers].
     assert!(route.response_rules.served.contains(299) && !route.response_rules.served.contains(300));
     assert_eq!(route.response_rules.error_responses, ErrorResponses::Replace);
     let proof = NotExecutedProof { status: 503, header: "x-unprocessed".into(), value: Some("1".into()) };
@@ -111,11 +111,13 @@
 
 #[test]
 fn commented_lines_of_the_sample_are_valid() {
-    let boxes = "boxes = [\"127.0.0.1:9011\", \"127.0.0.1:9012\"]\n";
+    let backends = "boxes = [\"127.0.0.1:9011\", \"127.0.0.1:9012\"]\n";
     let text =
-        SAMPLE.replace(boxes, "").replace("# discovery", "discovery").replace("# must_ask", "must_ask");
+        SAMPLE.replace(backends, "").replace("# discovery", "discovery").replace("# must_ask", "must_ask");
     assert_ne!(text, SAMPLE);
-    let PoolSource::Discovery { address, mode } = good(&text).pools[1].source else { panic!("a discovery") };
+    let PoolSource::Discovery { address, mode } = read_valid(&text).pools[1].source else {
+        panic!("the pool has no discovery")
+    };
     assert_eq!((address.port(), mode), (8500, DiscoveryMode::Subscribe(Micros(9_000_000))));
 }
 
@@ -156,7 +158,7 @@
         cross_zone_cost = 2
         over_quota_worth = 0
     "#;
-    let OperatorConfig { proxy, limits, balancer: config, .. } = with(text);
+    let OperatorConfig { proxy, limits, balancer: config, .. } = smallest_with(text);
     assert_eq!((proxy.name.as_str(), proxy.zone.as_str(), proxy.seed), ("q.1_a-B", "z", Some(255)));
     assert_eq!((config.proxies, config.position), (7, 6));
     assert_eq!((limits.descriptors, config.max_attempts), (128, 16));
@@ -179,10 +181,10 @@
 #[test]
 fn store_of_record_and_control_socket_are_off_by_default() {
     let pay = "[[class]]\nname = \"pay\"\neffect = \"unsafe\"\n";
-    let off = with(&format!("{pay}record = \"none\"\n"));
+    let off = smallest_with(&format!("{pay}record = \"none\"\n"));
     assert_eq!((off.record, off.control), (None, None));
     assert!(off.classes.iter().all(|class| class.record == RecordMode::None));
-    let on = with(&format!("{pay}[record]\npath = \"/var/lib/r.db\"\n[control]\nsocket = \"c\"\n"));
+    let on = smallest_with(&format!("{pay}[record]\npath = \"/var/lib/r.db\"\n[control]\nsocket = \"c\"\n"));
     let expected = RecordStoreConfig {
         path: "/var/lib/r.db".into(),
         retention: Micros(30 * 86_400_000_000),
@@ -190,19 +192,19 @@
         retry_after: Micros(1_000_000),
     };
     assert_eq!((on.record, on.control), (Some(expected), Some("c".into())));
-    let refuse = RecordMode::Intent { without_key: WithoutKey::Reject };
-    assert_eq!([on.classes[0].record, on.classes[1].record], [RecordMode::None, refuse]);
+    let reject_without_key = RecordMode::Intent { without_key: WithoutKey::Reject };
+    assert_eq!([on.classes[0].record, on.classes[1].record], [RecordMode::None, reject_without_key]);
     let record = "[record]\npath = \"r\"\nkeep = \"1h\"\nwait = \"1s\"\nretry_after = \"3s\"\n";
-    let chosen = with(&format!(
+    let explicit = smallest_with(&format!(
         "{pay}without_key = \"record\"\n[[class]]\nname = \"b\"\nrecord = \"facts\"\n[[class]]\nname = \"c\"\n\
          effect = \"unsafe\"\nrecord = \"none\"\n{record}"
     ));
-    let records: Vec<RecordMode> = chosen.classes.iter().skip(1).map(|class| class.record).collect();
+    let records: Vec<RecordMode> = explicit.classes.iter().skip(1).map(|class| class.record).collect();
     let record = RecordMode::Intent { without_key: WithoutKey::Record };
     assert_eq!(records, [record, RecordMode::Facts, RecordMode::None]);
-    let def = chosen.record.unwrap();
+    let store = explicit.record.unwrap();
     assert_eq!(
-        (def.retention, def.intent_timeout, def.retry_after),
+        (store.retention, store.intent_timeout, store.retry_after),
         (Micros(3_600_000_000), Micros(1_000_000), Micros(3_000_000))
     );
 }
@@ -213,7 +215,7 @@
         [("1.2s", 1_200_000), ("999.999ms", 999_999), ("0.000101s", 101), ("1s", 1_000_000), ("123us", 123)]
     {
         assert_eq!(
-            with(&format!("[rules]\ndrain_grace = \"{text}\"")).limits.drain_grace,
+            smallest_with(&format!("[rules]\ndrain_grace = \"{text}\"")).limits.drain_grace,
             Micros(micros),
             "{text}"
         );
@@ -225,15 +227,17 @@
     let one = "class = \"read\"\nzone = \"a\"\nbay = 7\nmethod = \"GET\"\nheader = { name = \"X-A\" }\npools = \"all\"";
     let list = "class = [\"read\"]\nzone = [\"a\"]\nbay = [\"7\"]\nmethod = [\"GET\"]\nheader = [{ name = \"x-a\" }]\n\
                 pools = [\"all\"]";
-    let route = |text| with(&format!("[[route]]\nname = \"r\"\n{text}")).routes[0].clone();
+    let route = |text| smallest_with(&format!("[[route]]\nname = \"r\"\n{text}")).routes[0].clone();
     assert_eq!(route(one), route(list));
 }
 
 #[test]
 fn discovery_mode_push_is_read() {
     let pool = "[[pool]]\nname = \"d\"\ndiscovery = \"[::1]:8500\"\ndiscovery_mode = \"push\"";
-    let operator = with(pool);
-    let PoolSource::Discovery { address, mode } = operator.pools[1].source else { panic!("a discovery") };
+    let operator = smallest_with(pool);
+    let PoolSource::Discovery { address, mode } = operator.pools[1].source else {
+        panic!("the pool has no discovery")
+    };
     assert_eq!((address.to_string().as_str(), mode), ("[::1]:8500", DiscoveryMode::Push));
     assert_eq!(operator.routes[0].pools, [PoolId(0), PoolId(1)]);
 }
@@ -241,12 +245,12 @@
 #[test]
 fn windows_line_ends_and_byte_order_mark_change_nothing() {
     let windows = format!("\u{feff}{}", SAMPLE.replace('\n', "\r\n"));
-    assert_eq!(read_bytes("f.toml", windows.as_bytes()).unwrap(), good(SAMPLE));
+    assert_eq!(read_bytes("f.toml", windows.as_bytes()).unwrap(), read_valid(SAMPLE));
 }
 
 #[test]
 fn needs_restart_names_exactly_the_changed_keys() {
-    let old = good(SAMPLE);
+    let old = read_valid(SAMPLE);
     assert_eq!(old.needs_restart(&old), [""; 0]);
     let changes = [
         ("name = \"quay-1\"", "name = \"quay-2\"", "proxy.name: changed"),
@@ -256,21 +260,21 @@
         (
             "127.0.0.1:8080",
             "127.0.0.1:8081",
-            "listener.address: 127.0.0.1:8080 is gone,listener.address: 127.0.0.1:8081 is new",
+            "listener.address: 127.0.0.1:8080 was removed,listener.address: 127.0.0.1:8081 was added",
         ),
-        ("name = \"pay\"", "name = \"spend\"", "class.name: pay is gone"),
+        ("name = \"pay\"", "name = \"spend\"", "class.name: pay was removed"),
         (
             "effect = \"unsafe\"",
             "effect = \"safe\"",
-            "class.effect: changed of pay,class.record: changed of pay",
+            "class.effect: changed for pay,class.record: changed for pay",
         ),
-        ("key_window = \"1.2s\"", "key_window = \"1.3s\"", "class.effect: changed of settle"),
+        ("key_window = \"1.2s\"", "key_window = \"1.3s\"", "class.effect: changed for settle"),
         ("[[tenant]]", "[[tenant]]\nname = \"other\"\nquota = 1\n[[tenant]]", ""),
         ("quota = 180.0", "quota = 1", ""),
         ("path = \"record.db\"", "path = \"other.db\"", "record.path: changed"),
         ("socket = \"control.sock\"", "socket = \"other.sock\"", "control.socket: changed"),
         ("record = \"permit\"", "record = \"permit\" # ", "same"),
-        ("without_key = \"refuse\"", "without_key = \"record\"", "class.record: changed of pay"),
+        ("without_key = \"refuse\"", "without_key = \"record\"", "class.record: changed for pay"),
         ("keep = \"30d\"", "keep = \"1d\"", ""),
         ("aim = \"400ms\"", "aim = \"300ms\"", ""),
         ("\"127.0.0.1:9001\"", "\"127.0.0.1:9091\"", ""),
@@ -285,7 +289,7 @@
             text =
                 text.replacen("record = \"permit\"", "# \"permit\"", 1).replacen("without_key = ", "# ", 1);
         }
-        let new = good(&text);
+        let new = read_valid(&text);
         if expected == "same" {
             assert_eq!(new, old, "{from}");
             continue;
@@ -293,8 +297,8 @@
         assert_ne!(new, old, "{from}");
         assert_eq!(old.needs_restart(&new).join(","), expected, "{from}");
     }
-    let gone = SAMPLE
+    let without_tenant = SAMPLE
         .replace("tenant = [\"milford\"]", "")
         .replace("[[tenant]]\nname = \"milford\"", "[[tenant]]\nname = \"x\"");
-    assert_eq!(old.needs_restart(&good(&gone)), ["tenant.name: milford is gone"]);
+    assert_eq!(old.needs_restart(&read_valid(&without_tenant)), ["tenant.name: milford was removed"]);
 }
--- a/crates/config/tests/report.rs
+++ b/crates/config/tests/report.rs
@@ -1,30 +1,30 @@
-//! How a report looks, and what of the file reaches the terminal.
+//! The format of a report, and the removal of unsafe characters from it.
 
 use shaletide_config::operator::{read, read_bytes, utf8};
-use shaletide_config::{Report, SHOWN};
+use shaletide_config::{Report, MAX_SHOWN_PROBLEMS};
 
-const PLANTED: &str = include_str!("planted/operator.toml");
-const PRINTED: &str = include_str!("planted/report.txt");
+const INVALID_FILE: &str = include_str!("planted/operator.toml");
+const EXPECTED_REPORT: &str = include_str!("planted/report.txt");
 
 fn report(text: &str) -> Report {
-    read("f.toml", text).expect_err("it has mistakes")
+    read("f.toml", text).expect_err("the text has problems")
 }
 
-/// `PRINT=1 cargo test -p shaletide-config --test report` writes what is printed now.
+/// `PRINT=1 cargo test -p shaletide-config --test report` updates the expected report.
 #[test]
 fn fifteen_problems_are_reported_in_one_report() {
-    let report = read("operator.toml", PLANTED).expect_err("it has mistakes");
+    let report = read("operator.toml", INVALID_FILE).expect_err("the text has problems");
     let printed = format!("{report}\n");
     if std::env::var_os("PRINT").is_some() {
         let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/planted/report.txt");
         std::fs::write(path, &printed).unwrap();
     }
-    assert_eq!(printed, PRINTED);
-    // Each line with a mistake says so itself.
-    let lines = PLANTED.lines().enumerate();
-    let planted: Vec<usize> = lines.filter(|(_, l)| l.contains("# MISTAKE")).map(|(n, _)| n + 1).collect();
+    assert_eq!(printed, EXPECTED_REPORT);
+    // Each line with a problem is marked by a comment.
+    let lines = INVALID_FILE.lines().enumerate();
+    let marked: Vec<usize> = lines.filter(|(_, l)| l.contains("# MISTAKE")).map(|(n, _)| n + 1).collect();
     let found: Vec<usize> = report.problems().iter().map(|p| p.line).collect();
-    assert_eq!((found, report.total()), (planted, 15));
+    assert_eq!((found, report.total()), (marked, 15));
 }
 
 #[test]
@@ -40,9 +40,9 @@
 fn first_problems_are_shown_and_the_rest_counted() {
     let keys: String = (0..1000).map(|n| format!("unknown_{n} = 1\n")).collect();
     let report = report(&format!("[limits]\n{keys}"));
-    assert_eq!((report.problems().len(), report.total()), (SHOWN, 1003));
+    assert_eq!((report.problems().len(), report.total()), (MAX_SHOWN_PROBLEMS, 1003));
     assert!(report.to_string().contains("... and 803 more that are not shown"), "{report}");
-    assert_eq!(report.problems()[SHOWN - 1].line, 1 + SHOWN - 3, "in the order of the lines");
+    assert_eq!(report.problems()[MAX_SHOWN_PROBLEMS - 1].line, 1 + MAX_SHOWN_PROBLEMS - 3, "sorted by line");
 }
 
 #[test]
@@ -54,7 +54,7 @@
         format!("\u{feff}{text}"),
         format!("\u{feff}{}", text.replace('\n', "\r\n")),
     ] {
-        let other = read_bytes("f.toml", other.as_bytes()).expect_err("it has mistakes");
+        let other = read_bytes("f.toml", other.as_bytes()).expect_err("the text has problems");
         assert_eq!(other, plain);
         assert!(!other.to_string().contains('\r'));
     }
@@ -66,7 +66,7 @@
     let wide = &report.problems()[3];
     assert_eq!((wide.line, wide.column), (2, 9));
     let lines: Vec<&str> = wide.block.lines().collect();
-    // Two columns each for the wide ones: the mark is as wide as what it marks.
+    // Wide characters take two columns: the mark is as wide as the text that it marks.
     assert_eq!(lines[3], "2 |     name = \"漢字é\"  # ü");
     assert!(lines[4].starts_with("  |            ^^^^^^^ expected a name"), "{}", lines[4]);
     let tabs = &report.problems()[4];
@@ -77,23 +77,23 @@
 
 #[test]
 fn control_characters_are_not_printed() {
-    let odd = "\u{1b}[31m\u{7}\u{9b}2J\u{202e}\u{200b}\u{feff}\u{2028}";
+    let control_characters = "\u{1b}[31m\u{7}\u{9b}2J\u{202e}\u{200b}\u{feff}\u{2028}";
     let cases = [
-        format!("[proxy]\nname = '{odd}'\n"),
-        format!("[proxy]\n'{odd}' = 1\n"),
-        format!("['{odd}']\n"),
-        odd.to_string(),
-        format!("[limits]\ntick = {odd}\n"),
+        format!("[proxy]\nname = '{control_characters}'\n"),
+        format!("[proxy]\n'{control_characters}' = 1\n"),
+        format!("['{control_characters}']\n"),
+        control_characters.to_string(),
+        format!("[limits]\ntick = {control_characters}\n"),
         "[[class]]\nname = \"a\"\n[request]\notherwise = \"\\u001b[31m\"\n".to_string(),
-        format!("# {odd}\n[goal]\nwhole = 2 # {odd}\n"),
+        format!("# {control_characters}\n[goal]\nwhole = 2 # {control_characters}\n"),
     ];
     for text in cases {
-        let report = read(&format!("f{odd}.toml"), &text).expect_err("it has mistakes");
+        let report = read(&format!("f{control_characters}.toml"), &text).expect_err("the text has problems");
         let printed = report.to_string();
-        let bad = printed
+        let unsafe_character = printed
             .chars()
             .find(|c| c.is_control() && *c != '\n' || "\u{202e}\u{200b}\u{feff}\u{2028}".contains(*c));
-        assert_eq!(bad, None, "{printed:?}");
+        assert_eq!(unsafe_character, None, "{printed:?}");
     }
 }
 
@@ -101,7 +101,7 @@
 fn long_line_is_cut_around_the_problem() {
     let many = "\"127.0.0.1:1\", ".repeat(50_000);
     let text = format!("[[pool]]\nname = \"p\"\nboxes = [{many}\"x\"]\n");
-    let report = read("f.toml", &text).expect_err("it has mistakes");
+    let report = read("f.toml", &text).expect_err("the text has problems");
     let block = &report.problems().iter().find(|p| p.line == 3).unwrap().block;
     assert!(block.len() < 1_000, "{block}");
     let long = "a".repeat(100_000);
@@ -111,17 +111,17 @@
 
 #[test]
 fn invalid_utf8_is_shown_with_its_position() {
-    for (bytes, place) in [
+    for (bytes, position) in [
         (&b"[proxy]\r\nname = \"a\xffb\"\r\n"[..], (2, 10)),
         (b"\xef\xbb\xbf[proxy]\nname = \"\xc3\"", (2, 9)),
         (b"\xff", (1, 1)),
         (b"\xef\xbb\xbf\xff\n", (1, 1)),
         (b"a\xe6\xbc", (1, 2)),
     ] {
-        let report = read_bytes("f.toml", bytes).expect_err("no UTF-8");
+        let report = read_bytes("f.toml", bytes).expect_err("not UTF-8");
         let problem = &report.problems()[0];
-        assert_eq!((problem.line, problem.column, report.total()), (place.0, place.1, 1), "{report}");
-        assert!(problem.what.contains("is not UTF-8"), "{report}");
+        assert_eq!((problem.line, problem.column, report.total()), (position.0, position.1, 1), "{report}");
+        assert!(problem.summary.contains("is not UTF-8"), "{report}");
     }
     assert!(utf8("f.toml", b"plain").is_ok());
 }
--- a/crates/shaletide/src/setup/tests.rs
+++ b/crates/shaletide/src/setup/tests.rs
@@ -27,7 +27,7 @@
     let when = &next.operator.routes[0].conditions;
     assert_eq!((&when.classes[..], &when.tenants[..]), (&[ClassId(1)][..], &[TenantId(0)][..]));
     let fewer = old.prepare_reload(setup("a b", "x")).unwrap_err();
-    assert_eq!(fewer, ["tenant.name: y is gone"]);
+    assert_eq!(fewer, ["tenant.name: y was removed"]);
 }
 
 /// Without it requests are given up too late to be told 503 or 502: the balancer takes timers for exact.
--- a/crates/shaletide/tests/operator_file.rs
+++ b/crates/shaletide/tests/operator_file.rs
@@ -71,14 +71,14 @@
         "class.aim: a time has a unit",
         "class.effect: `kyed`",
         "pool.boxes: `localhost:80`",
-        "127.0.0.1:9 stands twice",
+        "127.0.0.1:9 occurs twice",
         "limits.max_attempts: `99` is out of range",
         "did you mean `tick`?",
         "route.pools: there is no pool `q`",
     ];
     refused("nine", nine, &nine_reasons);
     let twice = sound.clone() + "[[pool]]\nname = \"q\"\nboxes = [{ address = \"127.0.0.1:9\" }]\n";
-    refused("twice", twice, &["the address 127.0.0.1:9 stands twice", "first here", "1 problem"]);
+    refused("twice", twice, &["the address 127.0.0.1:9 occurs twice", "first here", "1 problem"]);
     refused("empty", "", &["the file is empty"]);
     refused("port", sound.replace(&door.address().to_string(), "127.0.0.1:0"), &["listener.address"]);
     let noise: Vec<u8> = (0..10_000_000u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 24) as u8).collect();
--- a/crates/shaletide/tests/reload.rs
+++ b/crates/shaletide/tests/reload.rs
@@ -64,7 +64,7 @@
             )
             .into_bytes(),
             &["proxy.name", "proxy.zone", "proxy.proxies", "proxy.position", "proxy.seed", "limits.descriptors",
-              "127.0.0.2:1 is new", "is gone", "class.effect: changed of pay", "tenant.name: milford is gone", "restart"],
+              "127.0.0.2:1 was added", "was removed", "class.effect: changed for pay", "tenant.name: milford was removed", "restart"],
         ),
     ];
     for (text, reasons) in cases {
