--- a/crates/record/src/chain.rs
+++ b/crates/record/src/chain.rs
@@ -1,59 +1,59 @@
-//! The checksum chain over the rows of one store: an edited row, a missing one or a cut end shows.
+//! The checksum chain over the rows of one store. It detects an edited row, a missing row and truncation.
 //!
-//! The sum of a row is SHA-256 over the sum of the row before it and the row's canonical bytes; before the first
-//! row it is all zeros. The canonical bytes are, in this order, with numbers as eight bytes, the highest first:
+//! The sum of a row is the SHA-256 of the preceding row's sum followed by the row's canonical bytes. The sum that precedes
+//! the first row is all zeros. The canonical bytes are the following fields in this order; a number is eight bytes, big-endian:
 //!
 //! - `seq`, `at`, `run`;
-//! - `kind`: its length in bytes, its bytes;
-//! - `request`: one byte, 0 where there is none, else 1 and the number;
-//! - `key`: one byte, 0 where there is none, else 1 and tenant, class and key, each as length and bytes;
-//! - `backend`: one byte, 0 where there is none, else 1, length and bytes;
+//! - `kind`: length in bytes, then the bytes;
+//! - `request`: a 0 byte if there is none, else a 1 byte and the number;
+//! - `key`: a 0 byte if there is none, else a 1 byte and tenant, class and key, each as length and bytes;
+//! - `backend`: a 0 byte if there is none, else a 1 byte, length and bytes;
 //! - `body`: length and bytes.
 //!
-//! Read from the front, each field says where it ends, so that two different rows never have the same bytes.
+//! Every field is self-delimiting, so two different rows never have the same bytes.
 
 use crate::fact::Fact;
 use crate::row::Row;
 use sha2::{Digest, Sha256};
 
-/// How far a chain has got; the default is one without rows.
+/// The last row of a chain. The default is a chain without rows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Chain {
-    /// The number of its last row; the first is 1.
+    /// The number of the last row, counted from 1.
     pub seq: u64,
-    /// That row's sum.
+    /// The sum of the last row.
     pub head: [u8; 32],
 }
 
-/// Where a chain is broken.
+/// The place and the cause of a break in a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken {
-    /// The first row that does not fit, or that is missing.
+    /// The number of the first invalid or missing row.
     pub seq: u64,
-    /// What is wrong with it.
+    /// Why the row is invalid.
     pub why: BreakCause,
 }
 
-/// What is wrong with a row.
+/// Why a row is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BreakCause {
-    /// Another row is in its place.
+    /// The row is missing and another one is in its place.
     Missing {
-        /// The number of that one.
+        /// The number of the row found instead.
         found: u64,
     },
-    /// Its sum is not that of its content and of the rows before it.
+    /// The sum does not match the row's content and the preceding rows.
     Sum,
-    /// Its sum is a true one, but not the one that was known.
+    /// The sum matches the content, but differs from the known head.
     Known,
-    /// The rows end before it, though it was known.
+    /// The rows end before the known head.
     Cut,
-    /// No row says that the chain was cut at the anchor behind which this one comes.
+    /// The rows start after an anchor, but no row records a prune up to that anchor.
     Anchor,
 }
 
 impl Chain {
-    /// Numbers the next row and gives it its sum.
+    /// Appends a row: sets its number and its sum.
     pub fn add(&mut self, row: &mut Row) {
         row.seq = self.seq + 1;
         row.sum = sum(&self.head, row);
@@ -61,47 +61,47 @@
     }
 }
 
-/// The sum of a row behind one with the sum `before`. The row's own `sum` is not looked at.
+/// Returns the sum of a row that follows one with the sum `before`. The row's own `sum` is not read.
 pub fn sum(before: &[u8; 32], row: &Row) -> [u8; 32] {
     Sha256::new().chain_update(before).chain_update(canonical(row)).finalize().into()
 }
 
-/// The bytes of a row that its sum is over.
+/// Returns the canonical bytes of a row, over which its sum is computed.
 pub fn canonical(row: &Row) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(64 + row.kind.len() + row.body.len());
     [row.seq, row.at.0, row.run].iter().for_each(|n| bytes.extend(n.to_be_bytes()));
-    put(&mut bytes, row.kind.as_bytes());
+    push_field(&mut bytes, row.kind.as_bytes());
     bytes.push(row.request.is_some().into());
     row.request.iter().for_each(|n| bytes.extend(n.to_be_bytes()));
     bytes.push(row.key.is_some().into());
     if let Some(key) = &row.key {
-        put(&mut bytes, key.tenant.as_bytes());
-        put(&mut bytes, key.class.as_bytes());
-        put(&mut bytes, &key.key);
+        push_field(&mut bytes, key.tenant.as_bytes());
+        push_field(&mut bytes, key.class.as_bytes());
+        push_field(&mut bytes, &key.key);
     }
     bytes.push(row.backend.is_some().into());
-    row.backend.iter().for_each(|name| put(&mut bytes, name.as_bytes()));
-    put(&mut bytes, row.body.as_bytes());
+    row.backend.iter().for_each(|name| push_field(&mut bytes, name.as_bytes()));
+    push_field(&mut bytes, row.body.as_bytes());
     bytes
 }
 
-/// Length and bytes.
-pub(crate) fn put(bytes: &mut Vec<u8>, field: &[u8]) {
+/// Appends the length and the bytes of a field.
+pub(crate) fn push_field(bytes: &mut Vec<u8>, field: &[u8]) {
     bytes.extend((field.len() as u64).to_be_bytes());
     bytes.extend(field);
 }
 
-/// Holds rows against their sums, from `anchor` on: the default, or where the rows before were pruned. `known` is
-/// a head that was logged or exported before; the rows must have it.
+/// Verifies the sums of the rows that follow `anchor`, which is the default or the last pruned row. `known` is a head that
+/// was logged or exported earlier and that the rows must contain.
 ///
 /// # Errors
-/// The first row that does not fit.
+/// Returns the first invalid or missing row.
 pub fn verify(
     anchor: Chain, rows: impl IntoIterator<Item = Row>, known: Option<Chain>,
 ) -> Result<Chain, Broken> {
     let mut chain = anchor;
     let mut anchored = anchor == Chain::default();
-    fits(&chain, known)?;
+    check_known_head(&chain, known)?;
     for row in rows {
         let seq = chain.seq + 1;
         if row.seq != seq {
@@ -111,8 +111,8 @@
             return Err(Broken { seq, why: BreakCause::Sum });
         }
         chain = Chain { seq, head: row.sum };
-        fits(&chain, known)?;
-        anchored |= names(&row, &anchor);
+        check_known_head(&chain, known)?;
+        anchored |= records_prune_to(&row, &anchor);
     }
     if known.is_some_and(|k| k.seq > chain.seq) {
         return Err(Broken { seq: chain.seq + 1, why: BreakCause::Cut });
@@ -123,7 +123,7 @@
     Ok(chain)
 }
 
-fn fits(chain: &Chain, known: Option<Chain>) -> Result<(), Broken> {
+fn check_known_head(chain: &Chain, known: Option<Chain>) -> Result<(), Broken> {
     match known {
         Some(known) if known.seq == chain.seq && known.head != chain.head => {
             Err(Broken { seq: chain.seq, why: BreakCause::Known })
@@ -132,15 +132,15 @@
     }
 }
 
-/// The row says that all up to the anchor was pruned.
-fn names(row: &Row, anchor: &Chain) -> bool {
+/// Returns whether the row records a prune of all rows up to the anchor.
+fn records_prune_to(row: &Row, anchor: &Chain) -> bool {
     if row.kind != "pruned" {
         return false;
     }
     matches!(Fact::of(row), Fact::Pruned { through, sum, .. } if through == anchor.seq && sum == hex(&anchor.head))
 }
 
-/// In hexadecimal digits.
+/// Formats bytes as lower-case hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -1,68 +1,69 @@
-//! What the operator chooses.
+//! The recorder's configuration.
 
 use shaletide_types::Micros;
 use std::collections::BTreeMap;
 
-/// What is recorded, how long keys are kept, how long an attempt waits for its intent, and the bounds.
+/// The recorder's settings: the recorded classes, the retention of keys, the wait for intents, and the memory bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordConfig {
-    /// How long a served key is remembered, counted from the commit of its end. Keys in flight or in doubt are
-    /// kept until they are neither.
+    /// How long a served key is remembered, counted from the commit of the row that marks it as served. Keys in flight or in
+    /// doubt do not expire.
     pub keep: Micros,
-    /// How long an attempt waits for its intent to be durable; well inside the deadlines of its class.
+    /// How long an attempt waits for its intent to be durable. It should be well below the deadlines of the classes.
     pub intent_timeout: Micros,
-    /// The `Retry-After` of a rejected request, where nothing better is known.
+    /// The least `Retry-After` of a rejected request; longer while the store is down and may be back later than that.
     pub retry_after: Micros,
-    /// Classes by name. One that is not named is neither recorded nor delayed.
+    /// The rules of the recorded classes, by name. A class that is not listed is neither recorded nor delayed.
     pub classes: BTreeMap<String, ClassRule>,
-    /// What may be kept in memory.
+    /// The memory bounds.
     pub bounds: Bounds,
 }
 
 impl RecordConfig {
-    /// No attempt of that class may be sent before its intent is durable.
+    /// Returns whether an attempt of that class may be sent only after its intent is durable.
     pub fn requires_intent(&self, class: &str) -> bool {
         self.classes.get(class).is_some_and(|rule| rule.requires_intent)
     }
 }
 
-/// What is done with the requests of a class.
+/// How the requests of a class are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassRule {
-    /// No byte is sent before its intent is durable, and its keys are unique. Such a class is recorded in any
-    /// case; another as far as the queue has room.
+    /// No byte of an attempt is sent before its intent is durable, and keys are unique. Accepted requests of such a class are
+    /// always recorded; facts about requests of other classes are dropped when the queue is full.
     pub requires_intent: bool,
-    /// What becomes of a request without a key, where an intent is needed.
+    /// How a request without a key is handled if the class requires intents.
     pub without_key: WithoutKey,
 }
 
-/// What becomes of a request without a key.
+/// How a request without a key is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
-    /// It is rejected: the client is to send one.
+    /// The request is rejected; the client has to send a key.
     Refuse,
-    /// It is sent, and recorded as one without a key: a repeat of it cannot be recognized.
+    /// The request is sent and recorded without a key. A repeat of it cannot be recognized.
     Record,
 }
 
-/// What may be kept in memory. A bound that is reached rejects requests (503), except that of served keys: the oldest are
-/// then left to the store, whose constraint rejects them as well.
+/// Bounds on what is kept in memory. When a bound is reached, requests are rejected (503), with these exceptions: a key that
+/// is too long is rejected with 400; beyond `served`, the oldest keys are left to the store, whose constraint rejects their
+/// repeats as well; beyond the bounds of droppable facts, facts are dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Requests that wait for their intent to be durable.
+    /// Maximum number of attempts that wait for their intent to be durable.
     pub awaiting_intent: usize,
-    /// Open requests in classes that need an intent, and as many keys that are not settled (requested, in flight, in
-    /// doubt, being freed).
+    /// Maximum number of open requests in classes that require intents, and likewise of unsettled keys (requested, in flight,
+    /// in doubt, being freed).
     pub unsettled: usize,
-    /// Served keys, 16 bytes each and what an ordered set of them costs.
+    /// Maximum number of served keys. Each takes 16 bytes and the overhead of an ordered set.
     pub served: usize,
-    /// Bytes in a key.
+    /// Maximum length of a key, in bytes.
     pub key_bytes: usize,
-    /// Facts that may be dropped and are not durable yet.
+    /// Maximum number of droppable facts that are not durable yet.
     pub droppable_facts: usize,
-    /// Their bytes.
+    /// Maximum total size of the droppable facts that are not durable yet, in bytes.
     pub droppable_bytes: usize,
-    /// Facts that must not be lost and are not durable yet, beyond which nothing new is taken.
+    /// Number of non-droppable facts that are not durable yet at which new requests are rejected.
     pub required_facts: usize,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl Default for RecordConfig {
-    /// A day, 50 ms, 1 s, no class.
+    /// Keeps keys for a day, waits 50 ms for an intent, has a `Retry-After` of 1 s, and records no class.
     fn default() -> RecordConfig {
         RecordConfig {
             keep: Micros(86_400_000_000),
--- a/crates/record/src/event.rs
+++ b/crates/record/src/event.rs
@@ -4,37 +4,37 @@
 use crate::row::{ClaimRejection, KeyId, KeyState, Write};
 use shaletide_types::{AttemptNumber, Micros, Outcome, RequestId, Time};
 
-/// Names a write to the one who asked for it; they count up, and each is used for one write.
+/// Identifies a write in the events that report its result. Tickets ascend, and each is used for one write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Names a command to the one who gave it.
+/// Identifies an operator's command, so that the reply can be matched to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplyId(pub u64);
 
-/// A request as a front has read it, before it goes to the engine.
+/// A request as read by a front, before it is passed to the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyRequest<'a> {
-    /// Which.
+    /// The request's id.
     pub request: RequestId,
-    /// The tenant's name; empty where there is none.
+    /// The tenant's name; empty if there is none.
     pub tenant: &'a str,
     /// The class's name.
     pub class: &'a str,
-    /// Its key, any bytes. An empty one names nothing and counts as none.
+    /// The idempotency key, which may contain any bytes. An empty key counts as none.
     pub key: Option<&'a [u8]>,
-    /// When its time is up.
+    /// The request's deadline.
     pub deadline: Time,
 }
 
-/// Why a key is not sent again.
+/// Why a request with a known key is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyConflict {
-    /// An attempt of it is in flight.
+    /// An attempt with this key is in flight.
     InFlight,
-    /// An attempt of it may have been executed.
+    /// An attempt with this key may have been executed.
     InDoubt,
-    /// It was served.
+    /// The key was served.
     Served,
 }
 
@@ -48,70 +48,74 @@
     }
 }
 
-/// What a front does with a request, and the status of the response if it does not go to the engine.
+/// Whether a front passes a request to the engine, and the status of the response if it does not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum KeyDecision {
-    /// It goes to the engine; with this for `requires_intent` in its specification.
+    /// The request is passed to the engine, with this value for `requires_intent` in its specification.
     Proceed {
-        /// Its attempts wait for their intents, and events report the end of each of them and of the request.
+        /// The attempts wait for their intents, and events report the end of each attempt and of the request.
         requires_intent: bool,
     },
-    /// 503: nothing was sent, and it may come again after this time.
+    /// 503: nothing was sent, and the client may retry after this time.
     Reject(Micros),
-    /// 409: it is not sent, now or by a retry.
+    /// 409: the request is not sent, and neither is a retry of it.
     Conflict(KeyConflict),
-    /// 400: its class wants a key.
+    /// 400: the class requires a key.
     KeyRequired,
-    /// 400: its key, or its tenant's name, is longer than is kept.
+    /// 400: the key or the tenant's name exceeds its maximum length.
     KeyTooLong,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestEnding {
-    /// By the answer to this attempt.
+    /// Served by the answer to this attempt.
     Served(AttemptNumber),
     /// Rejected: a retry is harmless.
     Rejected,
-    /// Failed: nothing is promised.
+    /// Failed: it may have been executed.
     Failed,
-    /// Its time was up.
+    /// The deadline passed.
     TimedOut,
-    /// Its client disconnected; it got no response.
+    /// The client disconnected and got no response.
     ClientDisconnected,
 }
 
-/// Why a store takes no writes.
+/// Why a store accepts no writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StoreFailure {
-    /// It does not answer in time.
+    /// The store does not answer in time.
     Slow,
-    /// Its file or server is gone.
+    /// The store's file or server is gone.
     Gone,
-    /// There is no room.
+    /// The store has no space left.
     Full,
-    /// It may not be written.
+    /// The store is read-only.
     ReadOnly,
-    /// Another process holds it.
+    /// Another process has locked the store.
     Locked,
-    /// What it holds is no store.
+    /// The content is not that of a store.
     Corrupt,
-    /// Anything else.
+    /// Any other failure.
     Failed,
 }
 
-/// What happened.
+/// The input of the recorder.
 ///
-/// What the shell owes: each [`KeyDecision::Proceed`] ends in one [`Event::RequestEnded`]; each attempt whose intent was
-/// persisted in one [`Event::IntentWithdrawn`] or [`Event::AttemptEnded`] (both is harmless), before or after that. Each
-/// [`Action::Write`] ends in one [`Event::Committed`], [`Event::ClaimRejected`] or [`Event::WriteFailed`], in the order of
-/// tickets; once one has failed, all that were sent behind it fail too, and all of these events come before an
-/// [`Event::StoreUp`], which follows each failure. A write that failed may be on record all the same; it comes once more
-/// then, and its fact is on record twice.
+/// The caller guarantees the following:
+/// - Each [`KeyDecision::Proceed`] is followed by one [`Event::RequestEnded`].
+/// - Each attempt whose intent was persisted is followed by one [`Event::IntentWithdrawn`] or [`Event::AttemptEnded`], before
+///   or after the request's end. Both together are harmless.
+/// - Each [`Action::Write`] is followed by one [`Event::Committed`], [`Event::ClaimRejected`] or [`Event::WriteFailed`], in
+///   the order of tickets.
+/// - Once a write has failed, all writes sent after it fail too. An [`Event::StoreUp`] follows each failure, after the events
+///   of all these writes.
+///
+/// A write that failed may be on record all the same. It is sent again nevertheless, so its fact may be on record twice.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The engine asks whether an attempt may be sent; answered by one [`Action::IntentPersisted`] within
-    /// [`RecordConfig::intent_timeout`](crate::RecordConfig::intent_timeout), unless it is withdrawn before.
+    /// The engine asks whether an attempt may be sent. The answer is one [`Action::IntentPersisted`] within
+    /// [`RecordConfig::intent_timeout`](crate::RecordConfig::intent_timeout), unless the intent is withdrawn before.
     IntentRequested {
         /// The request.
         request: RequestId,
@@ -120,7 +124,7 @@
         /// What was known of its backend.
         seen: BackendSnapshot,
     },
-    /// An attempt of a recorded class that needs no intent was sent.
+    /// An attempt of a recorded class that requires no intents was sent.
     AttemptStarted {
         /// The request.
         request: RequestId,
@@ -129,103 +133,103 @@
         /// What was known of its backend.
         seen: BackendSnapshot,
     },
-    /// An attempt whose intent was requested was not sent and never will be.
+    /// An attempt whose intent was requested has not been sent and never will be.
     IntentWithdrawn {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
     },
-    /// A request is over: nothing is owed to its client, and no further attempt begins.
+    /// A request has ended: its client gets no further response, and no further attempt begins.
     RequestEnded {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How the request ended.
         ending: RequestEnding,
     },
     /// A write is durable.
     Committed {
-        /// Which.
+        /// The write.
         ticket: Ticket,
         /// The number of its row.
         seq: u64,
     },
-    /// A row was not taken though the store is well: nothing of it is on record.
+    /// The store works, but rejected a row because of its key: nothing of the row is on record.
     ClaimRejected {
-        /// Which.
+        /// The write.
         ticket: Ticket,
-        /// Why.
+        /// Why the row was rejected.
         why: ClaimRejection,
     },
     /// A write failed, or its outcome is unknown.
     WriteFailed {
-        /// Which.
+        /// The write.
         ticket: Ticket,
-        /// Why.
+        /// Why the write failed.
         why: StoreFailure,
     },
-    /// The store takes nothing. When it is tried again is up to the store's writer, which has a backoff of its own.
+    /// The store accepts no writes. The store's writer decides by its own backoff when it tries the store again.
     StoreDown {
-        /// Why.
+        /// Why the store accepts no writes.
         why: StoreFailure,
-        /// Clients are told to come again after this time; the store may be tried earlier or later.
+        /// The time after which clients are asked to retry. The store may be tried earlier or later.
         retry_after_hint: Micros,
     },
-    /// The store takes writes again.
+    /// The store accepts writes again.
     StoreUp,
-    /// An operator says whether the attempt in doubt was executed.
+    /// An operator states whether the attempt in doubt was executed.
     Resolve {
         /// The operator's command, for the reply.
         reply: ReplyId,
         /// The key.
         key: KeyId,
-        /// It was executed.
+        /// Whether the attempt was executed.
         ran: bool,
         /// The operator's name.
         by: String,
-        /// Why they think so.
+        /// The operator's reason.
         note: String,
     },
-    /// A fact that is about no request: a start, a configuration, a list, a correction, a cut.
+    /// Records a fact that is about no request: a start, a configuration, a list, a correction, a prune.
     RecordFact(Fact),
-    /// What a wall clock shows now: facts bear its time. Nothing is decided by it.
+    /// The present time of the wall clock, with which facts are stamped. During a run nothing is decided by it.
     Clock(Time),
-    /// The time for which [`crate::Recorder::wake_at`] asked has come.
+    /// The time returned by [`crate::Recorder::wake_at`] has come.
     Wake,
 }
 
 /// The result of a resolution.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResolveResult {
-    /// It is durable, and the key is free or served accordingly.
+    /// The resolution is durable, and the key is free or served accordingly.
     Done,
     /// The key is free or unknown.
     Unknown,
-    /// It is in flight: wait for its end.
+    /// The key is in flight and can be resolved only after its end.
     InFlight,
-    /// It was served.
+    /// The key was served.
     Served,
-    /// Its last fact or an earlier resolution is not durable yet: try again.
+    /// The key's last fact or an earlier resolution is not durable yet; the operator may retry.
     NotYet,
-    /// The store takes nothing: nothing was resolved, or that is not known yet.
+    /// The store accepts no writes: nothing was resolved, or the result is not known yet.
     StoreDown,
 }
 
-/// What the shell is to do, in order.
+/// The output of the recorder, carried out by the caller in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Make a write durable, behind all that were asked for before it.
+    /// Make a write durable, after all writes that were requested before it.
     Write {
-        /// Its name.
+        /// Identifies the write in the events that report its result.
         ticket: Ticket,
         /// The write.
         write: Box<Write>,
@@ -236,10 +240,10 @@
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
-        /// It may: its intent is durable.
+        /// The intent is durable and the attempt may be sent.
         persisted: bool,
     },
-    /// No attempt of this request was sent and none will be: end it at once with this decision.
+    /// End a request at once with this decision. No attempt of it may have been executed, and none will be sent.
     EndRequest {
         /// The request.
         request: RequestId,
--- a/crates/record/src/fact.rs
+++ b/crates/record/src/fact.rs
@@ -1,7 +1,7 @@
-//! The facts, and how each is kept as a row.
+//! The facts, and their conversion to and from rows.
 //!
-//! A row is the truth and a [`Fact`] a view of it: what this version does not know of a row, be it a kind or a
-//! field, stays in the row, and rows are never written anew.
+//! The row is authoritative and a [`Fact`] is a view of it. A kind or a field that this version does not know stays in the
+//! row, and rows are never rewritten.
 
 use crate::row::{KeyId, Row};
 use serde::{Deserialize, Serialize};
@@ -10,27 +10,27 @@
 /// What the proxy knew of a backend when it chose it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendSnapshot {
-    /// The backend, by name; kept in the row's own column.
+    /// The backend's name, which is stored in a column of its own.
     #[serde(skip)]
     pub backend: String,
-    /// The pool whose list brought it.
+    /// The pool whose list contains the backend.
     pub pool: String,
-    /// That list's version.
+    /// The version of that list.
     pub list: u64,
-    /// Its state by the list.
+    /// The backend's state according to the list.
     pub state: String,
-    /// It was taken to be ready.
+    /// Whether the proxy considered the backend ready.
     pub ready: bool,
-    /// Attempts that this proxy had in flight to it.
+    /// Attempts that this proxy had in flight to the backend.
     #[serde(rename = "out")]
     pub in_flight: u32,
 }
 
-/// Something that was known or done. Facts are added and never edited.
+/// Something that the proxy knew or did. Facts are appended and never edited.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", content = "body", rename_all = "snake_case")]
 pub enum Fact {
-    /// A run begins.
+    /// A run of the proxy started.
     Start {
         /// The proxy's name.
         proxy: String,
@@ -38,14 +38,14 @@
         version: String,
         /// The configuration's version.
         config: u64,
-        /// Its digest.
+        /// The configuration's digest.
         digest: String,
     },
-    /// Another configuration is in effect.
+    /// A new configuration took effect.
     Config {
-        /// Its version.
+        /// The configuration's version.
         version: u64,
-        /// Its digest.
+        /// The configuration's digest.
         digest: String,
     },
     /// An update of a pool's list.
@@ -54,117 +54,117 @@
         pool: String,
         /// The list's version.
         version: u64,
-        /// What it changed, as text.
+        /// The changes, as text.
         news: String,
     },
-    /// A request was taken.
+    /// A request was accepted.
     Asked {
         /// The tenant's name.
         tenant: String,
         /// The class's name.
         class: String,
-        /// It came with a key, which is in the row's own column.
+        /// Whether the request has a key, which is stored in a column of its own.
         keyed: bool,
-        /// Microseconds until its time is up.
+        /// Microseconds until the deadline.
         time_left: u64,
     },
-    /// A request was rejected unsent, because of its key.
+    /// A request was rejected unsent because of its key.
     Turned {
         /// `in_flight`, `doubt` or `served`.
         why: String,
     },
-    /// An attempt is about to be sent.
+    /// An attempt is about to be sent, or was sent if its class requires no intents.
     Intent {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
-        /// What was known of its backend.
+        /// What was known of the attempt's backend.
         seen: BackendSnapshot,
     },
     /// An attempt was not sent and never will be.
     Withdrawn {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
     },
-    /// How an attempt ended.
+    /// An attempt ended.
     Outcome {
-        /// Its number.
+        /// The attempt's number.
         attempt: u32,
-        /// In a word.
+        /// The outcome, as one word.
         outcome: String,
-        /// It may have been executed.
+        /// Whether the attempt may have been executed.
         may_have_run: bool,
     },
-    /// How a request ended.
+    /// A request ended.
     Answer {
         /// `served`, `refused`, `failed`, `timed_out` or `left`.
         ending: String,
-        /// The attempt that served it.
+        /// The attempt that served the request.
         attempt: Option<u32>,
     },
     /// A key that was in flight when an earlier run ended is in doubt.
     Doubted {
-        /// The last row that changed its state.
+        /// The last row that changed the key's state.
         seq: u64,
     },
-    /// An operator ended a doubt.
+    /// An operator resolved a key in doubt.
     Resolved {
-        /// Their name.
+        /// The operator's name.
         by: String,
-        /// It was executed.
+        /// Whether the attempt was executed.
         ran: bool,
-        /// Why they think so.
+        /// The operator's reason.
         note: String,
     },
-    /// Served keys whose time is up are free again.
+    /// Served keys expired and are free again.
     Expired {
-        /// Those whose last row is this one or an earlier.
+        /// The highest row number: all served keys whose last row is this one or an earlier one expired.
         through: u64,
     },
-    /// Facts that may be dropped were not kept, for want of room.
+    /// Droppable facts were not recorded, for lack of room.
     Dropped {
-        /// How many.
+        /// The number of dropped facts.
         facts: u64,
     },
-    /// An earlier fact is wrong; it stays, and so does this.
+    /// An operator corrects an earlier fact. Both stay on record.
     Correction {
-        /// Its row.
+        /// The row of the corrected fact.
         of: u64,
-        /// Who says so.
+        /// The operator's name.
         by: String,
-        /// What is right.
+        /// The correction.
         text: String,
     },
-    /// Rows up to one were taken out of the store.
+    /// Rows were removed from the store, from the first one up to the one named here.
     Pruned {
-        /// The last of them.
+        /// The last removed row.
         through: u64,
-        /// Its checksum, in hexadecimal digits.
+        /// The checksum of that row, in hexadecimal digits.
         sum: String,
-        /// Who had it done.
+        /// The name of the operator who requested the prune.
         by: String,
     },
-    /// One of a kind, or of a form, that this version does not know, unchanged.
+    /// A fact of a kind or form that this version does not know, kept unchanged.
     #[serde(skip)]
     Unknown {
-        /// Its kind.
+        /// The kind.
         kind: String,
-        /// Its body.
+        /// The body.
         body: String,
     },
 }
 
-/// What a fact is about: columns of its row.
+/// The columns of a row that name what its fact is about.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RowSubject {
-    /// The request, within its run.
+    /// The request, numbered within its run.
     pub request: Option<u64>,
     /// The key.
     pub key: Option<KeyId>,
-    /// The backend, by name.
+    /// The backend's name.
     pub backend: Option<String>,
 }
 
-/// A fact between its two forms.
+/// The intermediate form of a fact between [`Fact`] and [`Row`].
 #[derive(Serialize, Deserialize)]
 struct Tagged {
     kind: String,
@@ -172,14 +172,14 @@
 }
 
 impl Fact {
-    /// Its row; number, run and checksum are given by the store's writer.
+    /// Returns the fact's row, whose number, run and checksum are set later by the store's writer.
     pub fn row(&self, at: Time, about: RowSubject) -> Row {
         let (kind, body) = self.parts();
         let RowSubject { request, key, backend } = about;
         Row { seq: 0, at, run: 0, kind, request, key, backend, body, sum: [0; 32] }
     }
 
-    /// What a row says.
+    /// Returns the fact that a row contains.
     pub fn of(row: &Row) -> Fact {
         let unknown = || Fact::Unknown { kind: row.kind.clone(), body: row.body.clone() };
         let Ok(body) = serde_json::from_str(&row.body) else { return unknown() };
@@ -194,7 +194,7 @@
         }
     }
 
-    /// It may be left out, and counted, where there is no room.
+    /// Returns whether the fact may be dropped, and counted instead, if there is no room.
     pub fn is_droppable(&self) -> bool {
         matches!(self, Fact::List { .. } | Fact::Turned { .. })
     }
--- a/crates/record/src/lib.rs
+++ b/crates/record/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the proxy knew and did, as facts that are added and never edited; and the decisions that rest on them: which keys
-//! are taken, which attempts may have been executed, which are in doubt. No database, no clock, no thread.
+//! Append-only facts about what the proxy knew and did, and the decisions derived from them: which keys are taken, which
+//! attempts may have been executed, and which are in doubt. This crate does no I/O, reads no clock and starts no thread.
 //!
-//! [`Recorder`] is the state machine, driven by `record-service`; [`Fact`] and [`Row`] are the form of what is stored;
-//! [`chain`] is the checksum chain over the rows.
+//! [`Recorder`] is the state machine, driven by `record-service`. [`Fact`] and [`Row`] define the stored format, and
+//! [`chain`] the checksum chain over the rows.
 #![forbid(unsafe_code)]
 
 pub mod chain;
--- a/crates/record/src/pending_writes.rs
+++ b/crates/record/src/pending_writes.rs
@@ -1,4 +1,4 @@
-//! Writes that are not known to be durable, in their order, and whether the store takes any.
+//! The writes that are not known to be durable, in order, and whether the store accepts writes.
 
 use crate::config::Bounds;
 use crate::event::{Action, ReplyId, Ticket};
@@ -7,15 +7,15 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// What a row takes besides its strings, roughly, in bytes.
+/// Approximate size of a row without its strings, in bytes.
 const ROW_BYTES: usize = 400;
 
-/// What follows once a write is durable.
+/// The effect of a write once it is durable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum OnCommit {
-    /// Nothing, and the write may be left out where there is no room.
+    /// No effect, and the write may be dropped if there is no room.
     Droppable,
-    /// Nothing.
+    /// No effect.
     Nothing,
     /// The attempt may be sent.
     IntentPersisted(AttemptId),
@@ -23,11 +23,11 @@
     KeyFree(KeyId),
     /// The key was served.
     KeyServed(KeyId),
-    /// An operator's resolution is in effect: the key was served if its attempt was executed, else it is free.
+    /// An operator's resolution is in effect: the key is served if its attempt was executed, else it is free.
     Resolved {
         /// The key.
         key: KeyId,
-        /// Its attempt was executed.
+        /// Whether the attempt was executed.
         ran: bool,
         /// The operator's command.
         reply: ReplyId,
@@ -38,26 +38,26 @@
 struct PendingWrite {
     on_commit: OnCommit,
     bytes: usize,
-    /// When it was sent to the store; none while that takes nothing.
+    /// When the write was sent to the store; `None` while it waits for the store to accept writes.
     sent_at: Option<Time>,
-    /// What is sent once more if it fails; an intent is not.
+    /// The write to send again after a failure; `None` for an intent, which is not sent again.
     resend: Option<Box<Write>>,
 }
 
-/// Everything that was to be written and is not known to be durable.
+/// The writes that are not known to be durable.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingWrites {
     writes: BTreeMap<Ticket, PendingWrite>,
     last_ticket: Ticket,
     droppable: usize,
     droppable_bytes: usize,
-    /// The store takes nothing; when clients are told that it may be back. Nothing here tries it then: the writer has its
-    /// own backoff.
+    /// While the store accepts no writes: the time from which clients are asked to retry. The store itself is tried again by
+    /// its writer, which has its own backoff.
     store_retry_hint: Option<Time>,
 }
 
 impl PendingWrites {
-    /// Has it written; at once, or once the store takes writes again.
+    /// Queues a write. It is sent at once, or when the store accepts writes again.
     pub fn push(&mut self, now: Time, write: Write, on_commit: OnCommit, actions: &mut Vec<Action>) {
         let bytes = bytes(&write);
         let is_intent = matches!(on_commit, OnCommit::IntentPersisted(..));
@@ -75,23 +75,24 @@
         }
     }
 
-    /// There is room for one that may be left out.
+    /// Returns whether there is room for a droppable write.
     pub fn has_room(&self, write: &Write, bounds: &Bounds) -> bool {
         self.droppable < bounds.droppable_facts
             && self.droppable_bytes + bytes(write) <= bounds.droppable_bytes
     }
 
-    /// How many must not be lost.
+    /// Returns the number of writes that must not be lost.
     pub fn required_count(&self) -> usize {
         self.writes.len() - self.droppable
     }
 
-    /// The write is durable, or was rejected: it is over. What follows.
+    /// Removes a write that is durable or was rejected, and returns its effect.
     pub fn complete(&mut self, ticket: Ticket) -> Option<OnCommit> {
         self.remove(ticket).map(|pending| pending.on_commit)
     }
 
-    /// The write failed: it waits for the store to come back. An intent does not; its attempt is returned.
+    /// Marks a failed write to be sent again when the store is back. An intent is removed instead, and its attempt is
+    /// returned.
     pub fn fail(&mut self, ticket: Ticket) -> Option<AttemptId> {
         let pending = self.writes.get_mut(&ticket)?;
         if let OnCommit::IntentPersisted(attempt) = pending.on_commit {
@@ -102,12 +103,12 @@
         None
     }
 
-    /// The store takes nothing; clients are told to come again at `retry_hint` or later.
+    /// Records that the store accepts no writes and that clients are asked to retry at `retry_hint` or later.
     pub fn set_store_down(&mut self, retry_hint: Time) {
         self.store_retry_hint = Some(retry_hint);
     }
 
-    /// The store takes writes again: those that wait are sent, in their order and with new tickets.
+    /// Records that the store accepts writes again, and sends the unsent ones in their order, with new tickets.
     pub fn resend(&mut self, now: Time, actions: &mut Vec<Action>) {
         self.store_retry_hint = None;
         let unsent = self.writes.iter().filter(|(_, pending)| pending.sent_at.is_none());
@@ -120,17 +121,17 @@
         }
     }
 
-    /// The store takes nothing.
+    /// Returns whether the store accepts no writes.
     pub fn is_store_down(&self) -> bool {
         self.store_retry_hint.is_some()
     }
 
-    /// While the store takes nothing: when clients are told that it may be back.
+    /// Returns the time from which clients are asked to retry, while the store accepts no writes.
     pub fn store_retry_hint(&self) -> Option<Time> {
         self.store_retry_hint
     }
 
-    /// The oldest write was sent so long ago that an intent would not wait for it.
+    /// Returns whether the oldest write was sent at least `intent_timeout` ago, so that a new intent is likely to time out.
     pub fn is_stalled(&self, now: Time, intent_timeout: Micros) -> bool {
         let oldest = self.writes.first_key_value();
         oldest.and_then(|(_, pending)| pending.sent_at).is_some_and(|sent_at| now - sent_at >= intent_timeout)
@@ -146,7 +147,7 @@
     }
 }
 
-/// The memory that a write takes, roughly.
+/// Returns the approximate memory use of a write.
 fn bytes(write: &Write) -> usize {
     let row = &write.row;
     let key = row.key.as_ref().map_or(0, |key| key.tenant.len() + key.class.len() + key.key.len());
--- a/crates/record/src/recorder.rs
+++ b/crates/record/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The state machine that decides about keys and says what is written.
+//! The state machine that decides whether a request with a key may be sent, and which facts are written.
 
 mod attempts;
 mod decide;
@@ -15,7 +15,7 @@
 use shaletide_types::{Micros, RequestId, Time, MAX_WALL_CLOCK_ERROR};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the wall clock showed at a moment of the monotonic clock.
+/// A reading of the wall clock at a time of the monotonic clock.
 #[derive(Clone, Copy, Debug)]
 struct WallClock {
     at: Time,
@@ -28,32 +28,32 @@
     }
 }
 
-/// Decides about keys, and says what is written.
+/// Decides whether a request with a key may be sent, and which facts are written.
 ///
-/// A key that is not settled is kept as it is, with the state of its request; one that was served is kept as a
-/// fingerprint; one that is neither is free, as far as is known: the store's constraint has the last word.
+/// An unsettled key is kept in full, with the state of its request. A served key is kept as a fingerprint. Any other key is
+/// presumed free; the store's constraint is authoritative.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     config: RecordConfig,
     wall_clock: WallClock,
     pending_writes: PendingWrites,
-    /// Requests that need intents.
+    /// Requests whose class requires intents.
     requests: BTreeMap<RequestId, IntentRequest>,
     /// Requests that are only recorded.
     recorded: BTreeMap<RequestId, RecordedRequest>,
     unsettled_keys: BTreeMap<KeyId, UnsettledKey>,
     served: ServedKeys,
-    /// Until when attempts wait for their intents.
+    /// The times until which attempts wait for their intents.
     intent_deadlines: BTreeSet<(Time, AttemptId)>,
-    /// Facts that were left out.
+    /// Number of facts dropped since the start.
     dropped: u64,
-    /// Those of them that no fact counts yet.
+    /// Number of dropped facts that no [`Fact::Dropped`] counts yet.
     dropped_unrecorded: u64,
 }
 
 impl Recorder {
-    /// A recorder that knows of no key. `wall`: what a wall clock shows at `now`. `secret`: any number that clients do
-    /// not know; it goes into the fingerprints of served keys.
+    /// Returns a recorder without keys. `wall` is the time of the wall clock at `now`. `secret` goes into the fingerprints of
+    /// served keys and must be unknown to clients.
     pub fn new(config: RecordConfig, secret: [u8; 16], now: Time, wall: Time) -> Recorder {
         Recorder {
             config,
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Another configuration; what is waited for and kept already stays as it is.
+    /// Sets the configuration for new events. Running waits and kept keys are not changed.
     pub fn configure(&mut self, config: RecordConfig) {
         self.config = config;
     }
 
-    /// Takes over what the store has from earlier runs, before any request is decided.
+    /// Restores the keys that the store holds from earlier runs, before any request is decided.
     ///
-    /// A key in flight is in doubt: its intent was durable, and its first byte may have been sent. How long a served
-    /// one is still kept goes by the wall clock, the only one that outlives a restart, which may be wrong: a key is
-    /// taken for younger by [`MAX_WALL_CLOCK_ERROR`] than the clock says, and kept no longer than its whole time from
-    /// now. So none is free too early, and one may be known that much longer.
+    /// A key in flight becomes in doubt: its intent was durable, and its first byte may have been sent. The age of a served
+    /// key is taken from the wall clock, the only clock that continues across a restart. As that clock may be wrong, a key
+    /// counts as younger by [`MAX_WALL_CLOCK_ERROR`], but is kept no longer than one whole retention period from now. So no
+    /// key is freed too early, and a key may be kept longer by that error.
     pub fn restore(&mut self, now: Time, mut stored: Vec<StoredKey>, actions: &mut Vec<Action>) {
         stored.sort_by_key(|key| key.seq);
         let wall = self.wall_clock.at(now);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes one event that happened at `now` and adds the actions it calls for.
+    /// Handles an event that happened at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         self.expire_intent_waits(now, actions);
         match event {
@@ -143,33 +143,33 @@
         self.expire_served(now, actions);
     }
 
-    /// When [`Event::Wake`] is due at the latest.
+    /// Returns the time at which [`Event::Wake`] is due at the latest.
     pub fn wake_at(&self) -> Option<Time> {
         let intent_deadline = self.intent_deadlines.first().map(|(deadline, _)| *deadline);
         [intent_deadline, self.served.next_expiry()].into_iter().flatten().min()
     }
 
-    /// Facts that were left out for want of room since the start.
+    /// Returns the number of facts dropped since the start for lack of room.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// Keys that are not settled: requested, in flight, in doubt, being freed, served and not durable as such.
+    /// Returns the number of unsettled keys: requested, in flight, in doubt, being freed, or served but not yet durably so.
     pub fn unsettled(&self) -> usize {
         self.unsettled_keys.len()
     }
 
-    /// Keys that are remembered as served.
+    /// Returns the number of keys that are remembered as served.
     pub fn served(&self) -> usize {
         self.served.len()
     }
 
-    /// Facts that must not be lost and are not known to be durable.
+    /// Returns the number of facts that must not be lost and are not known to be durable.
     pub fn pending_fact_count(&self) -> usize {
         self.pending_writes.required_count()
     }
 
-    /// Has a fact written that must not be lost.
+    /// Queues a fact that must not be lost.
     fn write(
         &mut self, now: Time, fact: Fact, about: RowSubject, claim: Claim, on_commit: OnCommit,
         actions: &mut Vec<Action>,
@@ -178,8 +178,8 @@
         self.pending_writes.push(now, Write { row, claim }, on_commit, actions);
     }
 
-    /// Has a fact written that nothing waits for, if there is room. Once one was left out, all are until that is
-    /// recorded, so that the gap has one place.
+    /// Queues a droppable fact if there is room. Once a fact has been dropped, all further ones are dropped until their count
+    /// is recorded, so that each gap is in one place.
     fn write_droppable(&mut self, now: Time, fact: Fact, about: RowSubject, actions: &mut Vec<Action>) {
         let row = fact.row(self.wall_clock.at(now), about);
         let write = Write { row, claim: Claim::None };
@@ -194,7 +194,7 @@
         self.dropped_unrecorded += 1;
     }
 
-    /// Records how many facts were left out, as soon as there is room for that.
+    /// Records the number of dropped facts as soon as there is room.
     fn record_dropped(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.dropped_unrecorded == 0 {
             return;
@@ -208,8 +208,7 @@
         }
     }
 
-    /// Frees served keys whose time is up. In the store they are free behind this row: what takes one of them comes
-    /// later still.
+    /// Frees the expired served keys. The store frees them with the row written here; a row that takes one of them follows it.
     fn expire_served(&mut self, now: Time, actions: &mut Vec<Action>) {
         if let Some(through) = self.served.expire(now) {
             let claim = Claim::FreeServed { through };
--- a/crates/record/src/recorder/attempts.rs
+++ b/crates/record/src/recorder/attempts.rs
@@ -1,4 +1,4 @@
-//! Requests that need intents, from their first attempt to their end.
+//! Requests that require intents, from their first attempt to their end.
 
 use super::Recorder;
 use crate::event::{Action, KeyDecision, RequestEnding};
@@ -30,8 +30,8 @@
         self.write(now, fact, about, claim, OnCommit::IntentPersisted(id), actions);
     }
 
-    /// The request goes on, and its key is its own or not even claimed. While the store may
-    /// yet reject an intent, the key's state is not known.
+    /// Returns whether a request may have another attempt: it continues, and the store has its key for it or no claim of the
+    /// key is pending. The key's state is unknown while the store may still reject an intent.
     fn may_request_intent(&self, now: Time, id: AttemptId) -> bool {
         self.requests.get(&id.request).is_some_and(|request| {
             !request.ended
@@ -42,21 +42,21 @@
         })
     }
 
-    /// The store does not write, or too many attempts wait for it already.
+    /// Returns whether the store is down or stalled, or too many attempts wait for their intents.
     fn cannot_take_intent(&self, now: Time) -> bool {
         self.pending_writes.is_store_down()
             || self.pending_writes.is_stalled(now, self.config.intent_timeout)
             || self.intent_deadlines.len() >= self.config.bounds.awaiting_intent
     }
 
-    /// An attempt is not sent. Where no attempt of its request may have been executed, that ends the request at once.
+    /// Denies an attempt. If no attempt of its request may have been executed, the request ends at once.
     pub(super) fn deny_attempt(&mut self, id: AttemptId, decision: KeyDecision, actions: &mut Vec<Action>) {
-        // The decision first: the end of its only attempt would have the engine answer without it.
+        // The decision comes first: the engine would answer the request without it once its only attempt has ended.
         self.reject_request(id.request, decision, actions);
         answer_intent(id, false, actions);
     }
 
-    /// No further attempt of a request is sent, if none may have been executed.
+    /// Rejects a request if none of its attempts may have been executed. No further attempt of it is sent then.
     pub(super) fn reject_request(
         &mut self, request: RequestId, decision: KeyDecision, actions: &mut Vec<Action>,
     ) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Attempts whose intents took too long are not sent.
+    /// Denies the attempts whose intents were not durable in time.
     pub(super) fn expire_intent_waits(&mut self, now: Time, actions: &mut Vec<Action>) {
         while let Some(&(deadline, id)) = self.intent_deadlines.first().filter(|(at, _)| *at <= now) {
             self.intent_deadlines.remove(&(deadline, id));
@@ -88,8 +88,8 @@
 
     pub(super) fn intent_withdrawn(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
         match self.attempt_state(id) {
-            // Whether its intent takes the key is not known: what frees it waits for that, or it would free what
-            // another request has.
+            // It is not known whether the intent takes the key. The row that frees the key waits for that, or it could
+            // free a key that another request has taken.
             Some(AttemptState::AwaitingIntent(deadline)) => {
                 self.intent_deadlines.remove(&(deadline, id));
                 self.set_attempt_state(id, AttemptState::IntentTooLate);
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Its intent is on record, or may be, and it was not sent.
+    /// Records that an attempt was not sent, whose intent is on record or may be.
     pub(super) fn record_withdrawn(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
         self.set_attempt_state(id, AttemptState::NotExecuted);
         self.record_end(now, id.request, Fact::Withdrawn { attempt: id.attempt.0 }, actions);
@@ -143,7 +143,7 @@
         self.record_end(now, request, fact, actions);
     }
 
-    /// Records the end of an attempt or a request, with what that makes of the key.
+    /// Records the end of an attempt or a request, together with the change to the key's state.
     fn record_end(&mut self, now: Time, request: RequestId, fact: Fact, actions: &mut Vec<Action>) {
         let Some(ended) = self.requests.get_mut(&request) else { return };
         let claim = ended.claim();
@@ -158,7 +158,7 @@
         self.forget_if_done(request);
     }
 
-    /// Keeps or frees the key of a request that no longer decides what becomes of it.
+    /// Keeps or frees a request's key once its state no longer depends on the request.
     fn release_key(&mut self, request: RequestId) {
         let Some(request) = self.requests.get_mut(&request).filter(|request| request.owns_key) else {
             return;
@@ -176,7 +176,7 @@
         request.owns_key = false;
     }
 
-    /// Nothing is kept of a request of which nothing more is to come.
+    /// Removes a request of which no further event is expected.
     pub(super) fn forget_if_done(&mut self, request: RequestId) {
         if self.requests.get(&request).is_some_and(IntentRequest::is_done) {
             self.requests.remove(&request);
@@ -189,7 +189,7 @@
     actions.push(Action::IntentPersisted { request: id.request, attempt: id.attempt, persisted });
 }
 
-/// The word for an outcome in the facts on disk.
+/// Returns the stored word for an outcome.
 fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "served",
@@ -203,7 +203,7 @@
     }
 }
 
-/// The word for a request's ending in the facts on disk.
+/// Returns the stored word for a request's ending.
 fn ending_word(ending: RequestEnding) -> &'static str {
     match ending {
         RequestEnding::Served(_) => "served",
--- a/crates/record/src/recorder/decide.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -1,4 +1,4 @@
-//! What fronts and operators ask: may a request of this key be sent, and was the attempt in doubt executed.
+//! Decisions about new requests, and operators' resolutions of keys in doubt.
 
 use super::Recorder;
 use crate::config::{ClassRule, WithoutKey};
@@ -10,36 +10,36 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// The longest name of a tenant, in bytes: as long as operators' commands take.
+/// Maximum length of a tenant's name in bytes, which is the limit of the operators' commands.
 const MAX_TENANT: usize = 256;
 
 impl Recorder {
-    /// Requests of that class go on record.
+    /// Returns whether requests of that class are recorded.
     pub fn records(&self, class: &str) -> bool {
         self.config.classes.contains_key(class)
     }
 
-    /// Decides what a front does with a request, before the engine hears of it.
-    pub fn decide(&mut self, now: Time, asked: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
+    /// Decides whether a front passes a request to the engine.
+    pub fn decide(&mut self, now: Time, key_request: KeyRequest, actions: &mut Vec<Action>) -> KeyDecision {
         self.expire_intent_waits(now, actions);
         self.expire_served(now, actions);
-        let Some(rule) = self.config.classes.get(asked.class).copied() else {
+        let Some(rule) = self.config.classes.get(key_request.class).copied() else {
             return KeyDecision::Proceed { requires_intent: false };
         };
-        // Each row has it, and operators have to be able to give it.
-        if asked.tenant.len() > MAX_TENANT {
+        // The name is in every row of the request, and operators' commands have to be able to carry it.
+        if key_request.tenant.len() > MAX_TENANT {
             return KeyDecision::KeyTooLong;
         }
-        let key = asked.key.filter(|key| !key.is_empty());
+        let key = key_request.key.filter(|key| !key.is_empty());
         if !rule.requires_intent {
-            self.accept_recorded(now, &asked, key, actions);
+            self.accept_recorded(now, &key_request, key, actions);
             return KeyDecision::Proceed { requires_intent: false };
         }
-        self.ask_with_intent(now, &asked, rule, key, actions)
+        self.decide_with_intent(now, &key_request, rule, key, actions)
     }
 
-    fn ask_with_intent(
-        &mut self, now: Time, asked: &KeyRequest, rule: ClassRule, key: Option<&[u8]>,
+    fn decide_with_intent(
+        &mut self, now: Time, key_request: &KeyRequest, rule: ClassRule, key: Option<&[u8]>,
         actions: &mut Vec<Action>,
     ) -> KeyDecision {
         if key.is_some_and(|key| key.len() > self.config.bounds.key_bytes) {
@@ -48,19 +48,19 @@
         if key.is_none() && rule.without_key == WithoutKey::Refuse {
             return KeyDecision::KeyRequired;
         }
-        let key = key.map(|key| key_id(asked, key));
+        let key = key.map(|key| key_id(key_request, key));
         if let Some(decision) = key.as_ref().and_then(|key| self.decision_against(now, key)) {
-            self.record_conflict(now, asked, key, decision, actions);
+            self.record_conflict(now, key_request, key, decision, actions);
             return decision;
         }
-        if self.cannot_take_request(now) || self.requests.contains_key(&asked.request) {
+        if self.cannot_take_request(now) || self.requests.contains_key(&key_request.request) {
             return KeyDecision::Reject(self.retry_after(now));
         }
-        self.accept(now, asked, key, actions);
+        self.accept(now, key_request, key, actions);
         KeyDecision::Proceed { requires_intent: true }
     }
 
-    /// Why a request of this key is not sent now; none where it may be.
+    /// Returns why a request with this key may not be sent now, or `None` if it may.
     fn decision_against(&self, now: Time, key: &KeyId) -> Option<KeyDecision> {
         let conflict = match self.unsettled_keys.get(key) {
             Some(UnsettledKey::Requested(request)) => {
@@ -72,11 +72,11 @@
             None if self.served.has(key) => Some(KeyConflict::Served),
             None => return None,
         };
-        // Without a conflict no attempt was executed, but what becomes of the key is open: harmless, a little later.
+        // Without a conflict no attempt has been executed, but the key's state is still open, so a later retry is harmless.
         Some(conflict.map_or(KeyDecision::Reject(self.retry_after(now)), KeyDecision::Conflict))
     }
 
-    /// Nothing new is taken: the store does not write, or a bound is reached.
+    /// Returns whether new requests are rejected: the store is down or stalled, or a bound is reached.
     fn cannot_take_request(&self, now: Time) -> bool {
         let bounds = &self.config.bounds;
         self.pending_writes.is_store_down()
@@ -87,50 +87,51 @@
             || self.unsettled_keys.len() >= bounds.unsettled
     }
 
-    /// What a client is told: to come again after this time, and not before the store may be back.
+    /// Returns the time after which a client is asked to retry, which is not before the store may be back.
     pub(super) fn retry_after(&self, now: Time) -> Micros {
         let until_store_retry = self.pending_writes.store_retry_hint().map_or(Micros(0), |at| at - now);
         until_store_retry.max(self.config.retry_after)
     }
 
-    fn accept(&mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, actions: &mut Vec<Action>) {
+    fn accept(&mut self, now: Time, key_request: &KeyRequest, key: Option<KeyId>, actions: &mut Vec<Action>) {
         if let Some(key) = &key {
-            self.unsettled_keys.insert(key.clone(), UnsettledKey::Requested(asked.request));
+            self.unsettled_keys.insert(key.clone(), UnsettledKey::Requested(key_request.request));
         }
         let is_keyed = key.is_some();
-        let about = RowSubject { request: Some(asked.request.0), key: key.clone(), backend: None };
+        let about = RowSubject { request: Some(key_request.request.0), key: key.clone(), backend: None };
         let request = IntentRequest {
             key,
-            deadline: asked.deadline,
+            deadline: key_request.deadline,
             attempts: BTreeMap::new(),
             ended: false,
             rejected_with: None,
             key_claimed: false,
             owns_key: is_keyed,
         };
-        self.requests.insert(asked.request, request);
-        let fact = asked_fact(now, asked, is_keyed);
+        self.requests.insert(key_request.request, request);
+        let fact = asked_fact(now, key_request, is_keyed);
         self.write(now, fact, about, Claim::None, OnCommit::Nothing, actions);
     }
 
     fn accept_recorded(
-        &mut self, now: Time, asked: &KeyRequest, key: Option<&[u8]>, actions: &mut Vec<Action>,
+        &mut self, now: Time, key_request: &KeyRequest, key: Option<&[u8]>, actions: &mut Vec<Action>,
     ) {
         if self.recorded.len() >= self.config.bounds.unsettled {
             self.count_dropped();
             return;
         }
-        let key = key.filter(|key| key.len() <= self.config.bounds.key_bytes).map(|key| key_id(asked, key));
+        let key =
+            key.filter(|key| key.len() <= self.config.bounds.key_bytes).map(|key| key_id(key_request, key));
         let recorded = RecordedRequest { key: key.clone(), ..RecordedRequest::default() };
-        self.recorded.insert(asked.request, recorded);
-        let fact = asked_fact(now, asked, key.is_some());
-        let about = RowSubject { request: Some(asked.request.0), key, backend: None };
+        self.recorded.insert(key_request.request, recorded);
+        let fact = asked_fact(now, key_request, key.is_some());
+        let about = RowSubject { request: Some(key_request.request.0), key, backend: None };
         self.write_droppable(now, fact, about, actions);
     }
 
     /// Records that a request was rejected unsent because of its key.
     fn record_conflict(
-        &mut self, now: Time, asked: &KeyRequest, key: Option<KeyId>, decision: KeyDecision,
+        &mut self, now: Time, key_request: &KeyRequest, key: Option<KeyId>, decision: KeyDecision,
         actions: &mut Vec<Action>,
     ) {
         let KeyDecision::Conflict(conflict) = decision else { return };
@@ -139,11 +140,12 @@
             KeyConflict::InDoubt => "doubt",
             KeyConflict::Served => "served",
         };
-        let about = RowSubject { request: Some(asked.request.0), key, backend: None };
+        let about = RowSubject { request: Some(key_request.request.0), key, backend: None };
         self.write_droppable(now, Fact::Turned { why: why.into() }, about, actions);
     }
 
-    /// An operator says whether the attempt in doubt was executed. In memory the doubt lasts until that is durable.
+    /// Handles an operator's statement whether the attempt in doubt was executed. In memory the key stays in doubt until the
+    /// resolution is durable.
     pub(super) fn resolve(
         &mut self, now: Time, reply: ReplyId, key: KeyId, fact: Fact, ran: bool, actions: &mut Vec<Action>,
     ) {
@@ -160,7 +162,7 @@
         self.write(now, fact, about, claim, OnCommit::Resolved { key, ran, reply }, actions);
     }
 
-    /// Why a key cannot be resolved now; none where it can.
+    /// Returns why a key cannot be resolved now, or `None` if it can.
     fn cannot_resolve(&self, key: &KeyId) -> Option<ResolveResult> {
         match self.unsettled_keys.get(key) {
             Some(UnsettledKey::InDoubt { resolving: false }) => {
@@ -182,15 +184,15 @@
     }
 }
 
-fn key_id(asked: &KeyRequest, key: &[u8]) -> KeyId {
-    KeyId { tenant: asked.tenant.into(), class: asked.class.into(), key: key.into() }
+fn key_id(key_request: &KeyRequest, key: &[u8]) -> KeyId {
+    KeyId { tenant: key_request.tenant.into(), class: key_request.class.into(), key: key.into() }
 }
 
-fn asked_fact(now: Time, asked: &KeyRequest, keyed: bool) -> Fact {
+fn asked_fact(now: Time, key_request: &KeyRequest, keyed: bool) -> Fact {
     Fact::Asked {
-        tenant: asked.tenant.into(),
-        class: asked.class.into(),
+        tenant: key_request.tenant.into(),
+        class: key_request.class.into(),
         keyed,
-        time_left: (asked.deadline - now).0,
+        time_left: (key_request.deadline - now).0,
     }
 }
--- a/crates/record/src/recorder/recorded.rs
+++ b/crates/record/src/recorder/recorded.rs
@@ -1,4 +1,4 @@
-//! Requests that are only recorded: their facts may be left out, and no attempt of theirs waits for one.
+//! Requests that are only recorded: their facts are droppable, and their attempts do not wait for intents.
 
 use super::Recorder;
 use crate::event::Action;
@@ -16,7 +16,7 @@
         self.write_recorded(now, id.request, Fact::Intent { attempt: id.attempt.0, seen }, actions);
     }
 
-    /// An attempt ended; it may be that its request did before.
+    /// Handles the end of an attempt, which may come after the end of its request.
     pub(super) fn recorded_attempt_ended(
         &mut self, now: Time, id: AttemptId, fact: Fact, actions: &mut Vec<Action>,
     ) {
--- a/crates/record/src/recorder/store_events.rs
+++ b/crates/record/src/recorder/store_events.rs
@@ -1,4 +1,4 @@
-//! What the store says of writes.
+//! The results of writes, as reported by the store.
 
 use super::attempts::answer_intent;
 use super::Recorder;
@@ -27,7 +27,8 @@
         self.record_dropped(now, actions);
     }
 
-    /// An intent is durable, and the key is the request's. If that comes too late for its attempt, it is withdrawn.
+    /// Handles a durable intent: the store has the key for the request. An intent that is too late for its attempt is
+    /// withdrawn.
     fn intent_persisted(&mut self, now: Time, id: AttemptId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.get_mut(&id.request) {
             request.key_claimed = true;
@@ -49,15 +50,15 @@
         }
     }
 
-    /// The key is remembered as served, for its time from now on.
+    /// Marks a key as served for the retention period from now on.
     fn mark_served(&mut self, now: Time, key: &KeyId, seq: u64) {
         self.unsettled_keys.remove(key);
         let keep = self.config.keep;
         self.served.add(key, seq, now + keep, keep, self.config.bounds.served);
     }
 
-    /// The store has this key for another. In doubt it is kept, so that an operator can end that; else the store is
-    /// asked anew each time, as no event reports here when it is free again.
+    /// Handles a row that was rejected because another request has its key. A key in doubt is kept, so that an operator can
+    /// resolve it. Any other key is left to the store, because no event reports when it is free again.
     pub(super) fn claim_rejected(
         &mut self, now: Time, ticket: Ticket, why: ClaimRejection, actions: &mut Vec<Action>,
     ) {
@@ -85,7 +86,8 @@
             }
             request.owns_key = false;
         }
-        // Also where the attempt was withdrawn meanwhile: another one would take the key that another request has.
+        // The request is rejected even if the attempt was withdrawn meanwhile: a further attempt would set the state of a
+        // key that another request has.
         self.reject_request(id.request, KeyDecision::Conflict(state.into()), actions);
         if let Some(AttemptState::AwaitingIntent(deadline)) = before {
             self.intent_deadlines.remove(&(deadline, id));
@@ -94,8 +96,8 @@
         self.forget_if_done(id.request);
     }
 
-    /// A write failed, as far as is known. An intent may be on record all the same: it is withdrawn, and its key
-    /// stays taken until that is durable. All else is written once more when the store is back.
+    /// Handles a write that failed or whose outcome is unknown. An intent may be on record all the same: it is withdrawn, and
+    /// its key stays taken until the withdrawal is durable. Any other write is sent again when the store is back.
     pub(super) fn write_failed(&mut self, now: Time, ticket: Ticket, actions: &mut Vec<Action>) {
         if !self.pending_writes.is_store_down() {
             self.pending_writes.set_store_down(now + self.config.retry_after);
@@ -108,13 +110,13 @@
             self.set_attempt_state(id, AttemptState::IntentTooLate);
             self.deny_attempt(id, decision, actions);
         } else if !was_claimed {
-            // Whether the store has the key for it is not known: no other attempt may rely on that.
+            // It is not known whether the store has the key for this request, so no further attempt may rely on that.
             self.reject_request(id.request, decision, actions);
         }
         self.record_withdrawn(now, id, actions);
     }
 
-    /// The store may have the request's key from now on; whether it was known to have it before.
+    /// Records that the store may have the request's key, and returns whether that was recorded before.
     fn assume_key_claimed(&mut self, id: AttemptId) -> bool {
         let Some(request) = self.requests.get_mut(&id.request) else { return false };
         std::mem::replace(&mut request.key_claimed, true)
--- a/crates/record/src/request.rs
+++ b/crates/record/src/request.rs
@@ -1,36 +1,37 @@
-//! What is kept of a request that needs intents, and what that makes of its key.
+//! The state of open requests, and the state of their keys that follows from it.
 
 use crate::event::{KeyConflict, KeyDecision};
 use crate::row::{Claim, KeyId, KeyState};
 use shaletide_types::{AttemptNumber, Outcome, RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptId {
     pub request: RequestId,
     pub attempt: AttemptNumber,
 }
 
-/// How far an attempt has got, for all that the recorder knows.
+/// The state of an attempt, as far as the recorder knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Its intent is not known to be durable, and it waits for that until this time at most.
+    /// The attempt waits, until this time at most, for its intent to be durable.
     AwaitingIntent(Time),
-    /// The same, and nothing will be sent: if its intent turns out to be durable, it is withdrawn.
+    /// The attempt will not be sent, and its intent is not known to be durable. If the intent becomes durable, it is
+    /// withdrawn.
     IntentTooLate,
-    /// Its intent is durable and the engine knows: it may have been executed.
+    /// The intent is durable and the engine was notified: the attempt may have been executed.
     IntentPersisted,
-    /// It was not executed and never will be.
+    /// The attempt was not executed and never will be.
     NotExecuted,
-    /// It has ended and may have been executed.
+    /// The attempt has ended and may have been executed.
     MayHaveExecuted,
-    /// It was served.
+    /// The attempt was served.
     Served,
 }
 
 impl AttemptState {
-    /// The state of an attempt that ended so after its intent was durable.
+    /// Returns the state of an attempt that ended with this outcome after its intent was durable.
     pub fn ended(outcome: Outcome) -> AttemptState {
         match outcome {
             Outcome::Ok => AttemptState::Served,
@@ -40,18 +41,18 @@
     }
 }
 
-/// What the attempts of a request make of it, and of its key.
+/// The state of a request and its key, which follows from the states of its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestState {
-    /// None may have been executed, and one may yet be sent.
+    /// No attempt may have been executed, and one may still be sent.
     Pending,
-    /// One is in flight.
+    /// An attempt is in flight.
     InFlight,
-    /// None is in flight, and one may have been executed.
+    /// No attempt is in flight, and one may have been executed.
     InDoubt,
-    /// One was served.
+    /// An attempt was served.
     Served,
-    /// None was executed or ever will be.
+    /// No attempt was executed or ever will be.
     NotExecuted,
 }
 
@@ -61,23 +62,23 @@
     pub key: Option<KeyId>,
     /// Attempts that were sent and have not ended.
     pub in_flight: BTreeSet<AttemptNumber>,
-    /// Its client has its answer.
+    /// The request has ended for its client.
     pub ended: bool,
 }
 
-/// A request that needs intents.
+/// A request whose class requires intents.
 #[derive(Clone, Debug)]
 pub(crate) struct IntentRequest {
     pub key: Option<KeyId>,
     pub deadline: Time,
     pub attempts: BTreeMap<AttemptNumber, AttemptState>,
-    /// No further attempt begins.
+    /// The request has ended, and no further attempt begins.
     pub ended: bool,
-    /// No further attempt may be sent, and its front was told this.
+    /// The decision with which the request was ended early; no further attempt may be sent.
     pub rejected_with: Option<KeyDecision>,
-    /// The store has its key for it, or may have.
+    /// The store has the key for this request, or may have.
     pub key_claimed: bool,
-    /// What becomes of its key still depends on it.
+    /// The key's state still depends on this request.
     pub owns_key: bool,
 }
 
@@ -90,12 +91,12 @@
         self.any(|state| *state == AttemptState::IntentPersisted)
     }
 
-    /// It is not known of an intent whether it is durable.
+    /// Returns whether an intent is not known to be durable or rejected.
     pub fn awaits_intent(&self) -> bool {
         self.any(|state| matches!(state, AttemptState::AwaitingIntent(_) | AttemptState::IntentTooLate))
     }
 
-    /// An attempt may have been executed.
+    /// Returns whether an attempt may have been executed.
     pub fn may_have_executed(&self) -> bool {
         self.any(|state| {
             matches!(
@@ -105,7 +106,7 @@
         })
     }
 
-    /// Nothing more is to come of it.
+    /// Returns whether no further event of this request is expected.
     pub fn is_done(&self) -> bool {
         self.ended && !self.awaits_intent() && !self.any_in_flight()
     }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// What the next row about its end does to its key.
+    /// Returns the change to the key's state that goes with the next row about an end.
     pub fn claim(&self) -> Claim {
         let Some(key) = self.key.clone().filter(|_| self.owns_key && self.key_claimed) else {
             return Claim::None;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// What its next intent does to its key.
+    /// Returns the change to the key's state that goes with the next intent.
     pub fn claim_of_intent(&self) -> Claim {
         match self.key.clone() {
             None => Claim::None,
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Why its key is not sent again; none where that does no harm a little later.
+    /// Returns why the key may not be sent again, or `None` if a later retry is harmless.
     pub fn conflict(&self) -> Option<KeyConflict> {
         match self.state() {
             RequestState::Pending | RequestState::NotExecuted => None,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// What becomes of its key.
+    /// Returns whether the key still depends on this request, and how it is kept if it does not.
     pub fn key_fate(&self) -> KeyFate {
         match self.state() {
             RequestState::Pending | RequestState::InFlight => KeyFate::Open,
@@ -169,26 +170,26 @@
     }
 }
 
-/// What becomes of a request's key.
+/// Whether a key still depends on its request, and how it is kept if it does not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum KeyFate {
-    /// That still depends on the request.
+    /// The key's state still depends on the request.
     Open,
-    /// It depends on the request no longer, and is kept so until that is durable or resolved.
+    /// The key no longer depends on the request, and is kept in this state until that is durable or resolved.
     Kept(UnsettledKey),
-    /// It is free: the store never had it.
+    /// The key is free: the store never had it.
     Free,
 }
 
-/// A key that is not settled.
+/// The state of an unsettled key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum UnsettledKey {
-    /// Its state is that of its request.
+    /// The state is that of the key's request.
     Requested(RequestId),
-    /// It is free once that is durable; no attempt of it was executed.
+    /// No attempt was executed, and the key is free once that is durable.
     Freeing,
-    /// An attempt may have been executed. `resolving`: an operator said whether, which is not durable yet.
+    /// An attempt may have been executed. `resolving`: an operator has resolved the key, which is not durable yet.
     InDoubt { resolving: bool },
-    /// It was served, which is not durable yet.
+    /// The key was served, which is not durable yet.
     Served,
 }
--- a/crates/record/src/row.rs
+++ b/crates/record/src/row.rs
@@ -1,87 +1,87 @@
-//! What goes to a store and comes back: plain rows, of which the store knows no more than it needs to keep and find them.
+//! The types exchanged with a store: plain rows, with only the columns that the store needs to keep and find them.
 
 use shaletide_types::Time;
 
-/// What identifies a keyed request: another with the same, by whatever front, is a repeat of it.
+/// Identifies a keyed request. Another request with the same `KeyId` is a repeat of it, whichever front it came through.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId {
-    /// The tenant's name; empty where there is none.
+    /// The tenant's name; empty if there is none.
     pub tenant: String,
     /// The class's name.
     pub class: String,
-    /// The key as it came, any bytes.
+    /// The key as received; it may contain any bytes.
     pub key: Vec<u8>,
 }
 
 /// The state of a key that is not free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum KeyState {
-    /// An attempt has its intent on record and no end yet.
+    /// The intent of an attempt is on record, and its end is not.
     InFlight,
     /// An attempt may have been executed, and it is not known whether it was.
     InDoubt,
-    /// It was served.
+    /// The key was served.
     Served,
 }
 
-/// A fact as a store keeps it. Rows are added in the order of their numbers and never changed.
+/// A fact in its stored form. Rows are appended in the order of their numbers and never changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
-    /// Its number: one more than that of the row before it in the same store.
+    /// The row's number: one more than that of the preceding row in the same store.
     pub seq: u64,
-    /// When it happened, by the proxy's clock.
+    /// When the fact happened, by the proxy's clock.
     pub at: Time,
-    /// Which start of the proxy wrote it.
+    /// The number of the proxy's run that wrote the row.
     pub run: u64,
-    /// The kind of fact, in a word: `intent`, `outcome`, `answer`, ...
+    /// The kind of fact, as one word: `intent`, `outcome`, `answer`, ...
     pub kind: String,
-    /// The request that it is about, within its run.
+    /// The request that the fact is about, numbered within its run.
     pub request: Option<u64>,
-    /// The key that it is about.
+    /// The key that the fact is about.
     pub key: Option<KeyId>,
-    /// The backend that it is about, by name.
+    /// The name of the backend that the fact is about.
     pub backend: Option<String>,
-    /// All that it says, as JSON.
+    /// The content of the fact, as JSON.
     pub body: String,
-    /// The checksum of this row and, through that of the row before, of all before it.
+    /// The checksum of this row and, through the preceding row's checksum, of all rows before it.
     pub sum: [u8; 32],
 }
 
-/// What becomes of a key together with a row.
+/// The change to a key's state that is committed together with a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// Nothing.
+    /// No change.
     None,
-    /// Takes the key if it is free. If not, this row alone is rejected; the rows after it are not affected.
+    /// Takes the key if it is free. If it is not, this row alone is rejected; the rows after it are not affected.
     Take(KeyId),
-    /// The key is taken already, by this proxy, and has this state from now on.
+    /// Sets the state of a key that this proxy has taken already.
     Set(KeyId, KeyState),
-    /// The key is free again, whoever took it. One that is free already stays so: a row that failed may be on
-    /// record all the same, and is written once more.
+    /// Frees the key, whichever request took it. A key that is already free stays free: a row whose write failed may be on
+    /// record all the same, and is written again.
     Free(KeyId),
-    /// The key is free again, if the last row that changed its state is of this row's run and request: a row
-    /// that failed may or may not have taken it, and what another took stays taken.
+    /// Frees the key if the last row that changed its state belongs to this row's run and request. A row whose write failed
+    /// may or may not have taken the key, and a key that another request took must stay taken.
     FreeOwn(KeyId),
-    /// All keys are free again that were served and whose last row has this number or a lower one.
+    /// Frees all served keys whose last row has this number or a lower one.
     FreeServed {
-        /// That number.
+        /// The highest row number that is freed.
         through: u64,
     },
 }
 
-/// One thing to be made durable. All of a batch become durable at once, in their order.
+/// A row to be made durable. All writes of a batch become durable at once, in their order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Write {
-    /// The row; its `seq`, `run` and `sum` are given by the store's writer.
+    /// The row; its `seq`, `run` and `sum` are set by the store's writer.
     pub row: Row,
-    /// What becomes of its key.
+    /// The change to its key's state.
     pub claim: Claim,
 }
 
-/// Why a row was not taken though the store is well.
+/// Why a row was rejected although the store works.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimRejection {
-    /// Its key is taken, and has this state.
+    /// The row's key is taken and has this state.
     Taken(KeyState),
 }
 
@@ -90,10 +90,10 @@
 pub struct StoredKey {
     /// The key.
     pub key: KeyId,
-    /// Its state.
+    /// The key's state.
     pub state: KeyState,
-    /// Since when.
+    /// When the key entered this state.
     pub since: Time,
-    /// The last row that changed its state.
+    /// The number of the last row that changed the state.
     pub seq: u64,
 }
--- a/crates/record/src/served_keys.rs
+++ b/crates/record/src/served_keys.rs
@@ -1,35 +1,36 @@
-//! Keys that were served, up to millions of them.
+//! The set of served keys, which may hold millions of them.
 //!
-//! Of each only a fingerprint of 128 bits is kept: SHA-256 over a secret and the key. Two keys that share one would
-//! make the recorder call a key served that was not, and it would be rejected unsent: that costs an operator a
-//! look, and never a second execution. With a million keys it happens to one new key in 10^32. Whatever is not
-//! settled is kept as it is, elsewhere: what frees a key never goes by a fingerprint.
+//! Only a 128-bit fingerprint is kept of each key: SHA-256 over a secret and the key. If two keys share a fingerprint, the
+//! recorder takes an unserved key for a served one and rejects its request unsent. An operator then has to look into it, but
+//! nothing is executed twice. With a million keys this happens to one new key in 10^32. Unsettled keys are kept in full
+//! elsewhere, so that no key is ever freed by its fingerprint.
 
-use crate::chain::put;
+use crate::chain::push_field;
 use crate::row::KeyId;
 use sha2::{Digest, Sha256};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Slices into which the time that keys are kept is divided: the store learns of the end of one, not of each key.
+/// Number of slices into which the retention period is divided. Keys expire by slice, so that the store gets one row per
+/// slice instead of one per key.
 const SLICES: u64 = 256;
 
 type Fingerprint = [u8; 16];
 
-/// Keys whose time is up together.
+/// Keys that expire together.
 #[derive(Clone, Debug)]
 struct ExpirySlice {
-    /// When the time of its first key is up.
+    /// The expiry time of the first key.
     from: Time,
-    /// When that of its last is.
+    /// The expiry time of the last key, at which the whole slice expires.
     until: Time,
-    /// The highest row that one of them has.
+    /// The highest row number among the keys.
     through: u64,
-    /// The keys, but for those that were left to the store.
+    /// The fingerprints of the keys, without those that are left to the store.
     fingerprints: VecDeque<Fingerprint>,
 }
 
-/// The keys that were served and whose time is not up.
+/// The served keys that have not expired.
 #[derive(Clone, Debug)]
 pub(crate) struct ServedKeys {
     secret: [u8; 16],
@@ -50,8 +51,8 @@
         self.fingerprints.len()
     }
 
-    /// A key whose row `seq` is durable. Rows come in ascending order. `until` is raised to the last key's if it is
-    /// earlier: the store frees keys by row number, so a later row cannot expire first.
+    /// Adds a key whose row `seq` is durable. Rows are added in ascending order. An `until` earlier than that of the last
+    /// key is raised to it: the store frees keys by row number, so a later row cannot expire first.
     pub fn add(&mut self, key: &KeyId, seq: u64, until: Time, keep: Micros, max_keys: usize) {
         let fingerprint = self.fingerprint(key);
         let until = self.slices.back().map_or(until, |slice| slice.until.max(until));
@@ -68,15 +69,15 @@
             }
         }
         self.fingerprints.insert(fingerprint);
-        self.forget_beyond(max_keys);
+        self.evict_beyond(max_keys);
     }
 
-    /// When the next keys are free again.
+    /// Returns when the next keys expire.
     pub fn next_expiry(&self) -> Option<Time> {
         self.slices.front().map(|slice| slice.until)
     }
 
-    /// Frees the keys whose time is up; the highest row among theirs.
+    /// Removes the expired keys and returns the highest row number among them.
     pub fn expire(&mut self, now: Time) -> Option<u64> {
         let mut through = None;
         while self.slices.front().is_some_and(|slice| slice.until <= now) {
@@ -89,8 +90,9 @@
         through
     }
 
-    /// The oldest are left to the store; their slices stay, as it has to learn when their time is up.
-    fn forget_beyond(&mut self, max_keys: usize) {
+    /// Drops the fingerprints of the oldest keys beyond `max_keys`; the store's constraint still rejects these keys. Their
+    /// slices stay, as the store has to be told when they expire.
+    fn evict_beyond(&mut self, max_keys: usize) {
         while self.fingerprints.len() > max_keys {
             let oldest = self.slices.iter_mut().find_map(|slice| slice.fingerprints.pop_front());
             let Some(fingerprint) = oldest else { return };
@@ -101,9 +103,9 @@
     fn fingerprint(&self, key: &KeyId) -> Fingerprint {
         let mut bytes = Vec::with_capacity(64 + key.key.len());
         bytes.extend(self.secret);
-        put(&mut bytes, key.tenant.as_bytes());
-        put(&mut bytes, key.class.as_bytes());
-        put(&mut bytes, &key.key);
+        push_field(&mut bytes, key.tenant.as_bytes());
+        push_field(&mut bytes, key.class.as_bytes());
+        push_field(&mut bytes, &key.key);
         let mut fingerprint = Fingerprint::default();
         fingerprint.copy_from_slice(&Sha256::digest(bytes)[..16]);
         fingerprint
