--- a/crates/record-service/src/lib.rs
+++ b/crates/record-service/src/lib.rs
@@ -1,8 +1,8 @@
-//! The recorder at work: what the driver does of requests on record goes in, writes go to the store's own thread, and their
-//! commit outcomes come back. A thin shell; what is decided about keys is decided in `shaletide-record`.
+//! Runs the recorder: passes the driver's events to it, sends its writes to the store's own thread, and returns their commit
+//! outcomes to it. This is a thin layer; all decisions about keys are made in `shaletide-record`.
 //!
-//! [`Record`] is what the daemon holds: it opens the store, again and again if need be, and starts a [`RecordService`]
-//! once that is open.
+//! [`Record`] is held by the daemon. It opens the store, repeatedly if necessary, and starts a [`RecordService`] once the
+//! store is open.
 #![forbid(unsafe_code)]
 
 mod opening;
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening the store and reading its keys, on a thread of its own: a disk may fail, or hang.
+//! Opens the store and reads its keys on a separate thread, because a disk may fail or hang.
 
 use crate::StoreError;
 use shaletide_net::{thread_channel, ThreadReceiver};
@@ -7,18 +7,18 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// So many keys are read at a time.
+/// Number of keys read per call to the store.
 const PAGE: usize = 10_000;
-/// A store that another process owns is waited for so long.
+/// How long to wait for a store that another process owns.
 const MAX_OWNER_WAIT: Duration = Duration::from_secs(5);
-/// The pause between two attempts to take the lock.
+/// The pause between two attempts to take the lock of an owned store.
 const LOCK_PAUSE: Duration = Duration::from_millis(50);
-/// A store that reads as corrupt so often in a row, on a disk that can be read, is corrupt.
+/// Number of consecutive corrupt readings, on a disk that can be read, after which a store is reported as corrupt.
 const CORRUPT_TRIES: u32 = 4;
-/// The pause between two such readings.
+/// The pause before a store that was read as corrupt is read again.
 const CORRUPT_PAUSE: Duration = Duration::from_millis(250);
 
-/// An open store and what it has.
+/// An open store with its head and its keys.
 pub(crate) struct StoreContents {
     pub store: SqliteStore,
     pub head: Head,
@@ -26,11 +26,11 @@
 }
 
 impl StoreContents {
-    /// Opens a store and reads it whole. Blocks. A store that reads as corrupt is read again: a disk that fails in the
-    /// middle of a reading makes one look so.
+    /// Opens a store and reads its head and all of its keys. Blocks. A store that reads as corrupt is read again, because a
+    /// disk that fails during a reading makes a sound store look corrupt.
     ///
     /// # Errors
-    /// Of any kind; see [`may_open_later`].
+    /// Returns the store's error; [`may_open_later`] tells whether another attempt may succeed.
     pub fn read(path: &Path) -> Result<StoreContents, StoreError> {
         let mut tries = 1;
         loop {
@@ -40,7 +40,7 @@
                     std::thread::sleep(CORRUPT_PAUSE);
                 }
                 Err(StoreError::Corrupt(cause)) if !is_readable(path) => return Err(StoreError::Io(cause)),
-                done => return done,
+                result => return result,
             }
         }
     }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Whether every byte of the store's files can be read now.
+/// Returns whether every byte of the store's files can be read now.
 fn is_readable(path: &Path) -> bool {
     let mut log = path.as_os_str().to_owned();
     log.push("-wal");
@@ -70,7 +70,8 @@
     })
 }
 
-/// Opens a store. One that is owned is waited for: a command that resolves a key owns it for a moment while no proxy runs.
+/// Opens a store. Waits for a store that another process owns: a command that resolves a key owns the store briefly while no
+/// proxy runs.
 fn open_when_released(path: &Path) -> Result<SqliteStore, StoreError> {
     let begun = Instant::now();
     loop {
@@ -78,34 +79,34 @@
             Err(StoreError::Owned { .. }) if begun.elapsed() < MAX_OWNER_WAIT => {
                 std::thread::sleep(LOCK_PAUSE)
             }
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// The disk may work again by itself. Everything else needs an operator: another store, another program, another owner,
-/// a setting that is not in force, a folder that is not there.
+/// Returns whether the store may open later without an operator, as a disk may recover by itself. All other errors need an
+/// operator: not a store of this program, a newer format, another owner, a setting that is not in force, a missing folder.
 pub(crate) fn may_open_later(error: &StoreError) -> bool {
     matches!(error, StoreError::Slow(_) | StoreError::Busy(_) | StoreError::Full(_) | StoreError::Io(_))
 }
 
-/// An opening in progress on a thread of its own.
+/// An attempt to open the store that runs on a thread of its own.
 pub(crate) struct OpeningAttempt(ThreadReceiver<Result<StoreContents, StoreError>>);
 
 impl OpeningAttempt {
-    /// Begins one. Within the event loop's context.
+    /// Starts the attempt. Must be called within the event loop's context.
     ///
     /// # Errors
-    /// The system gives no thread, or no descriptors to hear of it by.
+    /// Fails if the system provides no thread, or no descriptors for the channel on which it reports.
     pub fn begin(path: PathBuf) -> Result<OpeningAttempt, StoreError> {
         let (sender, receiver) = thread_channel().map_err(|error| StoreError::Io(error.into()))?;
-        let read = move || sender.send(StoreContents::read(&path)); // whoever waited may have ended
+        let read = move || sender.send(StoreContents::read(&path)); // the receiver may have been dropped
         let thread = std::thread::Builder::new().name("store-open".into()).spawn(read);
         thread.map(|_| OpeningAttempt(receiver)).map_err(|error| StoreError::Io(error.into()))
     }
 
-    /// What comes of it, however long that takes. Dropped midway, it has taken nothing.
-    pub async fn done(&mut self) -> Result<StoreContents, StoreError> {
+    /// Waits for the result without a limit. Cancellation-safe: a dropped future has consumed nothing.
+    pub async fn result(&mut self) -> Result<StoreContents, StoreError> {
         self.0.recv().await.unwrap_or_else(|| Err(thread_ended()))
     }
 }
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -1,4 +1,4 @@
-//! The record as the daemon holds it: at work, or waiting until its store opens.
+//! The record as held by the daemon: either in service, or waiting for its store to open.
 
 use crate::opening::{may_open_later, OpeningAttempt, StoreContents};
 use crate::service::STORE_RETRY_AFTER;
@@ -12,14 +12,14 @@
 use std::time::Duration;
 use tracing::{error, info};
 
-/// The start waits so long for the store, then goes on without it.
+/// How long the start waits for the store before it continues without it.
 const MAX_START_WAIT: Duration = Duration::from_secs(6);
-/// The pause after the first opening that failed; it doubles with each.
+/// The pause after the first failed attempt to open the store. It doubles with each failure.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest pause between two openings.
+/// The longest pause between two attempts to open the store.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What a run begins with.
+/// The configuration and the identity of the run that starts when the store opens.
 #[derive(Clone)]
 struct NextRun {
     config: RecordConfig,
@@ -31,17 +31,17 @@
     path: PathBuf,
     driver: Rc<Driver>,
     service: RefCell<Option<Rc<RecordService>>>,
-    /// What the next run begins with, as long as there is no service.
+    /// The settings of the next run; used only while there is no service.
     next: RefCell<NextRun>,
 }
 
 impl Record {
-    /// Opens the store and begins, or goes on without it where its disk fails: then requests that need the record are
-    /// rejected, and the store is opened again and again. Waits for some seconds at most, and holds up nothing else on the
-    /// event loop. Dropped midway, it leaves the opening to its thread. Within a `LocalSet`.
+    /// Opens the store and starts the service. If the disk fails, continues without the store: requests that need the record
+    /// are rejected, and opening is retried. Waits at most [`MAX_START_WAIT`] and does not block the event loop. A dropped
+    /// future leaves the attempt running on its thread. Must be called within a `LocalSet`.
     ///
     /// # Errors
-    /// The store cannot be right, whatever becomes of its disk.
+    /// Fails if the store cannot be opened without an operator, even if its disk recovers.
     pub async fn open(
         path: &Path, config: RecordConfig, driver: &Rc<Driver>, run: Run,
     ) -> Result<Rc<Record>, StoreError> {
@@ -54,7 +54,9 @@
         match record.open_once().await {
             Ok(None) => {}
             Ok(Some(attempt)) => {
-                error!("store: not open after {MAX_START_WAIT:?}: what needs the record is refused");
+                error!(
+                    "store: not open after {MAX_START_WAIT:?}: requests that need the record are rejected"
+                );
                 record.wait_for_store(Some(attempt));
             }
             Err(error) if may_open_later(&error) => {
@@ -66,27 +68,27 @@
         Ok(record)
     }
 
-    /// Opens the store and begins; returns the opening where it takes longer than a start waits. If the system gives no
-    /// thread for now, that is a failure like one of the disk.
+    /// Opens the store and starts the service. Returns the attempt if it takes longer than [`MAX_START_WAIT`]. If the system
+    /// provides no thread at present, that is handled like a failure of the disk.
     async fn open_once(&self) -> Result<Option<OpeningAttempt>, StoreError> {
         let mut attempt = OpeningAttempt::begin(self.path.clone())?;
-        match tokio::time::timeout(MAX_START_WAIT, attempt.done()).await {
+        match tokio::time::timeout(MAX_START_WAIT, attempt.result()).await {
             Ok(opened) => self.begin(opened?).map(|()| None),
             Err(_) => Ok(Some(attempt)),
         }
     }
 
-    /// Where the store is.
+    /// Returns the path of the store.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// The service, once the store is open.
+    /// Returns the service, or `None` until the store is open.
     pub fn service(&self) -> Option<Rc<RecordService>> {
         self.service.borrow().clone()
     }
 
-    /// Another configuration, and the digest of the file that says it.
+    /// Sets the configuration, with the digest of the file that it was read from.
     pub fn configure(&self, config: RecordConfig, digest: String) {
         match self.service() {
             Some(service) => service.configure(config, digest),
@@ -102,35 +104,35 @@
         let NextRun { config, run } = self.next.borrow().clone();
         let (service, writer_events) =
             RecordService::begin(&self.path, contents, config, self.driver.clock, run)?;
-        service.serve(&self.driver);
-        tokio::task::spawn_local(service.clone().work(writer_events));
+        service.attach_to(&self.driver);
+        tokio::task::spawn_local(service.clone().process_events(writer_events));
         self.service.replace(Some(service));
         Ok(())
     }
 
     fn report_failure(&self, error: &StoreError) {
         error!(
-            "store: {}: {} does not open, what needs the record is refused: {}",
+            "store: {}: cannot open {}, requests that need the record are rejected: {}",
             error.code(),
             self.path.display(),
             causes(error)
         );
     }
 
-    /// Rejects requests that need the record until the store opens; `attempt` may be in progress already.
+    /// Rejects requests that need the record until the store opens. `attempt` is one that is in progress already.
     fn wait_for_store(self: &Rc<Record>, attempt: Option<OpeningAttempt>) {
         self.driver.set_recorder(self.clone());
-        tokio::task::spawn_local(self.clone().open_later(attempt));
+        tokio::task::spawn_local(self.clone().retry_opening(attempt));
     }
 
-    async fn open_later(self: Rc<Record>, mut attempt: Option<OpeningAttempt>) {
+    async fn retry_opening(self: Rc<Record>, mut attempt: Option<OpeningAttempt>) {
         let mut backoff = FIRST_BACKOFF;
         let mut reported = "";
         loop {
             let opened = self.next_opening(attempt.take()).await;
             match opened.and_then(|contents| self.begin(contents)) {
-                Ok(()) => return info!("store: open, what needs the record is taken again"),
-                // Each kind of failure once.
+                Ok(()) => return info!("store: open, requests that need the record are accepted again"),
+                // A failure is logged only if its code differs from that of the failure logged last.
                 Err(error) if error.code() != reported => {
                     self.report_failure(&error);
                     reported = error.code();
@@ -142,19 +144,20 @@
         }
     }
 
-    /// The outcome of the opening in progress, or of a new one.
+    /// Waits for the result of the attempt in progress, or of a new one if there is none.
     async fn next_opening(&self, attempt: Option<OpeningAttempt>) -> Result<StoreContents, StoreError> {
         let mut attempt = match attempt {
             Some(attempt) => attempt,
             None => OpeningAttempt::begin(self.path.clone())?,
         };
-        attempt.done().await
+        attempt.result().await
     }
 }
 
-/// As long as the store is not open.
+/// The recorder used by the driver while the store is not open.
 impl RequestRecorder for Record {
-    /// Classes of which only facts are kept are served: their facts are lost meanwhile.
+    /// Returns whether requests of that class have to be rejected. Classes that are only recorded are served, and their facts
+    /// are lost meanwhile.
     fn records(&self, class: &str) -> bool {
         self.next.borrow().config.requires_intent(class)
     }
--- a/crates/record-service/src/service.rs
+++ b/crates/record-service/src/service.rs
@@ -1,4 +1,4 @@
-//! The recorder and its writer: events in, actions out, in turn.
+//! Runs the recorder and the store's writer: handles events one after the other and carries out the resulting actions.
 
 mod commands;
 mod writer_events;
@@ -19,14 +19,14 @@
 use tokio::sync::{oneshot, Notify};
 use tracing::{info, warn};
 
-/// Writes are sent again after this time where the writer's queue was full.
+/// The delay before writes are sent again after the writer's queue was full.
 const QUEUE_RETRY: Duration = Duration::from_millis(20);
 /// The `Retry-After` of requests that are rejected while the store is down.
 pub(crate) const STORE_RETRY_AFTER: Micros = Micros(1_000_000);
-/// A store that works on one operation for so long is reported as slow; also how often that is checked.
+/// The duration of one operation after which the store is reported as slow, and the interval between the checks.
 const SLOW_AFTER: Duration = Duration::from_secs(1);
 
-/// Who begins a run, for the first fact of it.
+/// The identity of a run, which its first fact records.
 #[derive(Clone, Debug, Default)]
 pub struct Run {
     /// The proxy's name.
@@ -37,41 +37,41 @@
     pub digest: String,
 }
 
-/// The recorder and its writer.
+/// Connects the recorder to the driver and to the store's writer.
 pub struct RecordService {
     recorder: RefCell<Recorder>,
-    /// None once it was stopped.
+    /// The writer; `None` once it was stopped.
     writer: RefCell<Option<Writer>>,
     driver: RefCell<Weak<Driver>>,
     clock: Clock,
-    /// Events that came up while others were handled.
+    /// Events that arose while others were handled.
     pending_events: RefCell<VecDeque<Event>>,
-    /// Events are being handled, further up the stack.
+    /// Whether events are being handled by a caller further up the stack.
     handling: Cell<bool>,
-    /// Wakes [`RecordService::work`]: the timer is due earlier, or the queue was full.
+    /// Wakes [`RecordService::process_events`] when the timer is due earlier or the queue was full.
     timer_changed: Notify,
-    /// When the timer of [`RecordService::work`] is due.
+    /// The time at which the timer of [`RecordService::process_events`] is due.
     timer_at: Cell<Option<Time>>,
-    /// Who waits for a resolution.
+    /// The channels of callers that wait for a resolution.
     replies: RefCell<HashMap<ReplyId, oneshot::Sender<ResolveResult>>>,
     next_reply: Cell<u64>,
-    /// Who waits for a prune, by its ticket.
+    /// The channels of callers that wait for a prune, by ticket.
     prunes: RefCell<HashMap<u64, oneshot::Sender<Result<u64, PruneError>>>>,
-    /// The store takes nothing, as far as is known.
+    /// Whether the last event from the writer about its state was that the store accepts no writes.
     store_down: Cell<bool>,
-    /// The writer's queue was full: what it did not take is sent again a little later.
+    /// Whether the writer's queue was full. The rejected writes are sent again after [`QUEUE_RETRY`].
     queue_full: Cell<bool>,
-    /// The operation that the store works on was reported as slow.
+    /// Whether the store's present operation was reported as slow.
     slow_reported: Cell<bool>,
-    /// Of the configuration, counted in this run.
+    /// The version of the configuration, counted from the start of this run.
     config_version: Cell<u64>,
 }
 
 impl RecordService {
-    /// Takes over what a store that was opened has, and starts its writer. The receiver is for [`RecordService::work`].
+    /// Restores the state from an open store and starts its writer. The receiver is for [`RecordService::process_events`].
     ///
     /// # Errors
-    /// The system gives no thread, or no descriptors to hear of it by.
+    /// Fails if the system provides no thread, or no descriptors for the channel on which it reports.
     pub(crate) fn begin(
         path: &Path, contents: StoreContents, config: RecordConfig, clock: Clock, run: Run,
     ) -> Result<(Rc<RecordService>, ThreadReceiver<WriterEvent>), StoreError> {
@@ -79,11 +79,12 @@
         info!("the store of record has {} rows and {} keys, head {}", head.seq, keys.len(), head);
         if head.seq == 0 && keys.is_empty() {
             let path = path.canonicalize().unwrap_or_else(|_| path.to_path_buf());
-            warn!("a new store of record begins at {}: no key is known", path.display());
+            warn!("created a new store of record at {}: no key is known", path.display());
         }
         let now = clock.now();
         let mut recorder = Recorder::new(config, random_secret(), now, now);
-        // Bounded all the same: one or two events a ticket, and the recorder bounds its tickets.
+        // The channel has no bound of its own, but there are only one or two events per ticket, and the recorder bounds its
+        // tickets.
         let channel = thread_channel();
         let (sender, receiver) = channel.map_err(|error| StoreError::Io(error.into()))?;
         let writer = start_writer(path.to_path_buf(), store, &head, sender);
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Works for this driver from now on.
-    pub fn serve(self: &Rc<Self>, driver: &Rc<Driver>) {
+    /// Becomes the recorder of this driver.
+    pub fn attach_to(self: &Rc<Self>, driver: &Rc<Driver>) {
         self.driver.replace(Rc::downgrade(driver));
         driver.set_recorder(self.clone());
     }
 
-    /// Handles what the writer reports and runs the recorder's timer, for as long as the program runs.
-    pub async fn work(self: Rc<Self>, mut writer_events: ThreadReceiver<WriterEvent>) {
+    /// Handles the writer's events and runs the recorder's timer, until the writer ends.
+    pub async fn process_events(self: Rc<Self>, mut writer_events: ThreadReceiver<WriterEvent>) {
         let mut check = tokio::time::interval(SLOW_AFTER);
         loop {
             let timer_at = self.recorder.borrow().wake_at();
@@ -150,30 +151,29 @@
         }
     }
 
-    /// The writer's queue may have room again.
+    /// Has the recorder send unsent writes again, as the writer's queue may have room.
     fn retry_queue(&self) {
         self.queue_full.set(false);
         if !self.store_down.get() {
-            self.handle(Event::StoreUp); // else the writer reports when the store is back
+            self.handle(Event::StoreUp); // otherwise the writer reports when the store is back
         }
     }
 
-    /// Tells the recorder the wall clock's time, and reports a store that is slow, once.
+    /// Updates the recorder's wall clock, and logs once if the store is slow.
     fn check_store(&self) {
-        // Facts bear the wall clock's time, which may be set while the program runs.
+        // Facts are stamped with the wall clock's time, which may be set while the program runs.
         self.handle(Event::Clock(Clock::new().now()));
         let working_for = self.writer.borrow().as_ref().and_then(Writer::working_for);
         match working_for.filter(|span| *span >= SLOW_AFTER) {
             Some(span) if !self.slow_reported.replace(true) => {
-                warn!("store: slow: one operation has taken {span:?} and has not ended");
+                warn!("store: slow: an operation is still running after {span:?}");
             }
             Some(_) => {}
             None => self.slow_reported.set(false),
         }
     }
 
-    /// Has the recorder handle an event, and carries out what it asks for. An event that comes up meanwhile waits for
-    /// its turn.
+    /// Passes an event to the recorder and carries out the resulting actions. An event that arises meanwhile is queued.
     fn handle(&self, event: Event) {
         self.pending_events.borrow_mut().push_back(event);
         self.handle_pending();
@@ -181,7 +181,7 @@
 
     fn handle_pending(&self) {
         if self.handling.replace(true) {
-            return; // whoever handles events already does these too
+            return; // the caller that is handling events already handles these too
         }
         loop {
             let Some(event) = self.pending_events.borrow_mut().pop_front() else { break };
@@ -212,7 +212,7 @@
                 }
                 Action::Reply { reply, result } => {
                     if let Some(sender) = self.replies.borrow_mut().remove(&reply) {
-                        let _ = sender.send(result); // whoever asked may have left
+                        let _ = sender.send(result); // the receiver may have been dropped
                     }
                 }
             }
@@ -228,8 +228,8 @@
         let is_full = error == SendError::QueueFull;
         let why = if is_full { StoreFailure::Slow } else { StoreFailure::Failed };
         self.pending_events.borrow_mut().push_back(Event::WriteFailed { ticket, why });
-        // The queue has room again soon, and no event reports that. Not at once: on a disk that hangs that would be a busy
-        // loop.
+        // The queue has room again soon, but no event reports that. The retry is delayed: an immediate one would be a busy
+        // loop while the disk hangs.
         if is_full && !self.queue_full.replace(true) {
             self.timer_changed.notify_one();
         }
@@ -241,10 +241,10 @@
         self.recorder.borrow().records(class)
     }
 
-    fn decide(&self, now: Time, asked: &KeyRequest<'_>) -> KeyDecision {
+    fn decide(&self, now: Time, key_request: &KeyRequest<'_>) -> KeyDecision {
         let mut actions = Vec::new();
-        let decision = self.recorder.borrow_mut().decide(now, *asked, &mut actions);
-        // Events that these actions cause wait until all are carried out: writes are sent in the order of their tickets.
+        let decision = self.recorder.borrow_mut().decide(now, *key_request, &mut actions);
+        // Events caused by these actions wait until all of them are carried out, so that writes are sent in ticket order.
         let is_nested = self.handling.replace(true);
         self.carry_out(actions);
         self.handling.set(is_nested);
@@ -257,7 +257,7 @@
     }
 }
 
-/// A number that clients do not know, from the standard library's own random state.
+/// Returns a number that clients do not know, drawn from the standard library's random state.
 fn random_secret() -> [u8; 16] {
     use std::hash::{BuildHasher, Hasher};
     let mut secret = [0; 16];
--- a/crates/record-service/src/service/commands.rs
+++ b/crates/record-service/src/service/commands.rs
@@ -1,4 +1,4 @@
-//! What operators and the daemon have done: resolutions, pruning, facts, another configuration, the end.
+//! Commands of operators and the daemon: resolving keys, pruning, recording facts, reconfiguring, flushing and stopping.
 
 use super::RecordService;
 use shaletide_record::{chain, Event, Fact, KeyId, RecordConfig, ReplyId, ResolveResult, RowSubject};
@@ -10,40 +10,40 @@
 use tokio::sync::oneshot;
 use tracing::{error, info};
 
-/// The facts that a command asks for have so long to become durable.
+/// How long a command waits for its facts to become durable.
 const COMMAND_FLUSH: Duration = Duration::from_secs(5);
-/// How often it is checked whether they are.
+/// The interval at which a flush checks whether all facts are durable.
 const FLUSH_POLL: Duration = Duration::from_millis(5);
 
 /// Why rows were not pruned.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum PruneError {
-    /// The store takes nothing.
+    /// The store accepts no writes.
     StoreDown,
-    /// The writer took no ticket.
+    /// The writer did not accept the command.
     NotQueued(SendError),
-    /// The store failed; how.
+    /// The store failed with this error.
     Failed(String),
-    /// The store was closed before its turn came.
+    /// The store was closed before the command was carried out.
     Lost,
-    /// The service ended first.
+    /// The service ended before the command was carried out.
     Stopping,
 }
 
 impl fmt::Display for PruneError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PruneError::StoreDown => f.write_str("the store takes nothing now"),
+            PruneError::StoreDown => f.write_str("the store accepts no writes now"),
             PruneError::NotQueued(error) => write!(f, "{error}"),
             PruneError::Failed(error) => f.write_str(error),
-            PruneError::Lost => f.write_str("the store did not get to it"),
-            PruneError::Stopping => f.write_str("the proxy stops"),
+            PruneError::Lost => f.write_str("the store was closed before the prune was done"),
+            PruneError::Stopping => f.write_str("the proxy is stopping"),
         }
     }
 }
 
 impl RecordService {
-    /// Another configuration, and the digest of the file that has it.
+    /// Sets the configuration, with the digest of the file that it was read from.
     pub fn configure(&self, config: RecordConfig, digest: String) {
         self.recorder.borrow_mut().configure(config);
         let version = self.config_version.get() + 1;
@@ -56,7 +56,7 @@
         self.handle(Event::RecordFact(fact));
     }
 
-    /// An operator says whether the attempt in doubt was executed.
+    /// Resolves a key in doubt by an operator's statement whether the attempt was executed.
     pub async fn resolve(self: &Rc<Self>, key: KeyId, ran: bool, by: String, note: String) -> ResolveResult {
         let reply = ReplyId(self.next_number());
         let (sender, receiver) = oneshot::channel();
@@ -65,10 +65,10 @@
         receiver.await.unwrap_or(ResolveResult::StoreDown)
     }
 
-    /// Has rows pruned that are older than `before`, and returns how many.
+    /// Prunes rows that are older than `before`, and returns how many.
     ///
     /// # Errors
-    /// Why none were pruned, or it is not known whether any were.
+    /// Returns why no rows were pruned, or why it is not known whether any were.
     pub async fn prune(&self, before: Time, by: String) -> Result<u64, String> {
         self.prune_rows(before, by).await.map_err(|error| error.to_string())
     }
@@ -77,7 +77,7 @@
         if self.store_down.get() {
             return Err(PruneError::StoreDown);
         }
-        // Counted down from the highest number. The recorder's own tickets count up from 0: the two never meet.
+        // Counted down from the highest number, as the recorder's tickets count up from 0: the two never collide.
         let ticket = u64::MAX - self.next_number();
         let at = self.clock.now();
         let note: FactEncoder = Box::new(move |anchor: &Anchor| {
@@ -94,22 +94,22 @@
         receiver.await.unwrap_or(Err(PruneError::Stopping))
     }
 
-    /// A number for a reply or a prune, each used once.
+    /// Returns an unused number for a reply or a prune.
     fn next_number(&self) -> u64 {
         self.next_reply.replace(self.next_reply.get() + 1)
     }
 
-    /// The store takes nothing, as far as is known.
+    /// Returns whether the writer reported that the store accepts no writes.
     pub fn is_store_down(&self) -> bool {
         self.store_down.get()
     }
 
-    /// Waits until all facts that may not be lost are durable; false where that takes too long for a command.
+    /// Waits until all facts that must not be lost are durable. Returns false if that takes longer than [`COMMAND_FLUSH`].
     pub async fn flush(&self) -> bool {
         self.flush_until(Instant::now() + COMMAND_FLUSH).await
     }
 
-    /// The same until that time.
+    /// Waits until all facts that must not be lost are durable. Returns false if they are not at time `end`.
     pub async fn flush_until(&self, end: Instant) -> bool {
         while self.recorder.borrow().pending_fact_count() > 0 {
             if Instant::now() >= end {
@@ -120,8 +120,8 @@
         true
     }
 
-    /// Ends the writer: what is queued is written until that time, and what is left is logged. An attempt that was sent
-    /// has its intent on record, so what is left of its key is in doubt at the next start. Blocks.
+    /// Stops the writer. Queued facts are written until `end`, and the number of the remaining ones is logged. An attempt that
+    /// was sent has its intent on record, so a key whose end was not written is in doubt at the next start. Blocks.
     pub fn stop(&self, end: Instant) {
         let Some(writer) = self.writer.borrow_mut().take() else { return };
         let ended = writer.stop(end.saturating_duration_since(Instant::now()));
@@ -137,7 +137,7 @@
     pub fn log_status(&self) {
         let recorder = self.recorder.borrow();
         info!(
-            "record: keys unsettled {} served {}, facts on their way {}, left out {}",
+            "record: {} keys unsettled, {} keys served, {} facts pending, {} facts dropped",
             recorder.unsettled(),
             recorder.served(),
             recorder.pending_fact_count(),
--- a/crates/record-service/src/service/writer_events.rs
+++ b/crates/record-service/src/service/writer_events.rs
@@ -1,4 +1,4 @@
-//! What the writer reports, passed on to the recorder or to whoever waits for a prune.
+//! Passes the writer's events to the recorder, or to the caller that waits for a prune.
 
 use super::{PruneError, RecordService, STORE_RETRY_AFTER};
 use crate::store_error::store_failure;
@@ -38,11 +38,11 @@
                 });
             }
             WriterEvent::Back { head } => {
-                info!("store: at work, head {}", head);
+                info!("store: back, head {}", head);
                 self.store_down.set(false);
                 self.handle(Event::StoreUp);
             }
-            other => warn!("store: event not known: {other:?}"),
+            other => warn!("store: unknown event of the writer: {other:?}"),
         }
     }
 
@@ -52,8 +52,8 @@
         } else if outcome != CommitOutcome::Unknown {
             self.handle(Event::WriteFailed { ticket: Ticket(ticket), why: store_failure(error) });
         }
-        // Of what may be durable all the same, another event reports as soon as the store is back: the recorder's own
-        // limit answers whoever waits for it.
+        // A write that may be durable all the same is reported by another event as soon as the store is back. Until then the
+        // recorder's intent timeout answers the attempts that wait for it.
     }
 
     fn write_lost(&self, ticket: u64) {
@@ -70,6 +70,6 @@
 
     fn answer_prune(&self, ticket: u64, result: Result<u64, PruneError>) {
         let Some(sender) = self.prunes.borrow_mut().remove(&ticket) else { return };
-        let _ = sender.send(result); // whoever asked may have left
+        let _ = sender.send(result); // the receiver may have been dropped
     }
 }
--- a/crates/record-service/src/store_error.rs
+++ b/crates/record-service/src/store_error.rs
@@ -1,9 +1,9 @@
-//! The store's errors in the recorder's terms.
+//! Maps the store's errors to the recorder's.
 
 use shaletide_record::StoreFailure;
 use shaletide_store::StoreError;
 
-/// What is wrong with the store, by who can repair it.
+/// Returns the kind of a store's failure, grouped by the remedy that it needs.
 pub(crate) fn store_failure(error: &StoreError) -> StoreFailure {
     match error {
         StoreError::Slow(_) => StoreFailure::Slow,
--- a/crates/record-service/src/store_writer.rs
+++ b/crates/record-service/src/store_writer.rs
@@ -1,4 +1,4 @@
-//! The store's writer as the service starts it.
+//! Starts the store's writer for the service.
 
 use crate::StoreError;
 use shaletide_net::ThreadSender;
@@ -7,15 +7,15 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// So many rows may wait for the store's thread: as many as the recorder's own bounds, which come first; a row a ticket.
+/// Maximum number of rows that wait for the store's thread, one per ticket. The recorder's own bounds are reached first.
 const QUEUE_ROWS: usize = 80_000;
-/// And so many bytes: above what the recorder's own bounds allow.
+/// Maximum size of the rows that wait for the store's thread, in bytes; more than the recorder's own bounds allow.
 const QUEUE_BYTES: usize = 512 << 20;
 
-/// Starts the thread on a store that is open already; after a failure the thread opens it again itself.
+/// Starts the writer's thread with a store that is open already. After a failure the thread reopens the store itself.
 ///
 /// # Errors
-/// The system gives no thread.
+/// Fails if the system provides no thread.
 pub(crate) fn start_writer(
     path: PathBuf, store: SqliteStore, head: &Head, events: ThreadSender<WriterEvent>,
 ) -> std::io::Result<Writer> {
--- a/crates/shaletide/tests/store_of_record.rs
+++ b/crates/shaletide/tests/store_of_record.rs
@@ -735,7 +735,7 @@
         assert!(std::net::TcpStream::connect(start.listener.address()).is_err(), "it listens too early");
         std::thread::sleep(Duration::from_millis(50));
     }
-    start.log.expect(0, "store: not open after 6s: what needs the record is refused");
+    start.log.expect(0, "store: not open after 6s: requests that need the record are rejected");
     start.log.expect(0, "SIGHUP: taken");
     let mut client = Client::connect(start.listener.address());
     assert_eq!(client.ask(&request("/read", 15.0, "")).status(), 200);
@@ -743,6 +743,6 @@
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1")));
     assert_eq!(backend.count(), 1);
     let _reader = std::fs::File::open(&lock).unwrap();
-    start.log.expect(0, "store: open, what needs the record is taken again");
+    start.log.expect(0, "store: open, requests that need the record are accepted again");
     assert_eq!(Client::connect(start.listener.address()).ask(&paid("k")).status(), 200);
 }
