--- a/crates/membership/benches/list_updates.rs
+++ b/crates/membership/benches/list_updates.rs
@@ -1,4 +1,4 @@
-//! What news of a list costs. `cargo bench -p shaletide-membership`.
+//! Measures the cost of endpoint list updates. Run with `cargo bench -p shaletide-membership`.
 
 use shaletide_membership::*;
 use shaletide_types::*;
@@ -25,22 +25,23 @@
         let pools = vec![PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered }];
         let (mut directory, _) = Directory::new(&[], &[], pools);
         let list = |generation| (0..backends).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
-        let (first, second, one) = (list(0), list(1), vec![endpoint(backends / 2, 1)]);
+        let (first, second, changed) = (list(0), list(1), vec![endpoint(backends / 2, 1)]);
         let began = Instant::now();
-        let held = allocation_counter::measure(|| {
+        let memory = allocation_counter::measure(|| {
             drop(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, first))
         });
-        let whole = began.elapsed();
+        let snapshot = began.elapsed();
         let began = Instant::now();
-        drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Delta, one)));
-        let single = began.elapsed();
+        drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Delta, changed)));
+        let one_changed = began.elapsed();
         let began = Instant::now();
         drop(black_box(directory.apply_update(PoolId(0), EndpointUpdate::Snapshot, second)));
         directory.retain(|_| false);
-        let renewed = began.elapsed();
-        let each = held.bytes_current / backends as i64;
+        let all_replaced = began.elapsed();
+        let backend_bytes = memory.bytes_current / backends as i64;
         println!(
-            "{backends:6} backends: whole {whole:?}, one {single:?}, all renewed {renewed:?}, ~{each} B each"
+            "{backends:6} backends: snapshot {snapshot:?}, one changed {one_changed:?}, \
+             all replaced {all_replaced:?}, ~{backend_bytes} B per backend"
         );
     }
 }
--- a/crates/membership/src/address_owners.rs
+++ b/crates/membership/src/address_owners.rs
@@ -1,26 +1,26 @@
-//! Which pools' lists have an address, and in which order: the first owns it.
+//! The pools whose lists contain an address, in the order of their claims. The first one owns the address.
 
 use shaletide_types::PoolId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What identifies an entry within its pool.
+/// Identifies an entry within its pool.
 pub type EntryKey = Arc<str>;
 
-/// An address that two pools' lists have at once. It stays with the pool that had it first until that pool's list has
-/// no entry there.
+/// An address that is in the lists of two pools. It stays with the pool that claimed it first until that pool's list has no
+/// entry at the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Conflict {
     /// The address.
     pub address: SocketAddr,
     /// The pool that owns it.
     pub owner: PoolId,
-    /// The pool that gets it only when those that claimed it earlier have released it.
+    /// The pool that owns the address only after all earlier claimants have released it.
     pub waiting: PoolId,
 }
 
-/// The pools that claim each address. Several entries of one pool at one address are one claim.
+/// The pools that claim each address. Several entries of a pool at one address count as one claim.
 #[derive(Clone, Debug, Default)]
 pub struct AddressOwners {
     claimants: BTreeMap<SocketAddr, Vec<PoolId>>,
@@ -30,24 +30,24 @@
 }
 
 impl AddressOwners {
-    /// The pool that owns the address.
+    /// Returns the pool that owns the address.
     pub fn owner(&self, address: SocketAddr) -> Option<PoolId> {
         self.claimants(address).first().copied()
     }
 
-    /// The pools whose lists have the address, the owner first.
+    /// Returns the pools whose lists contain the address, the owner first.
     pub fn claimants(&self, address: SocketAddr) -> &[PoolId] {
         self.claimants.get(&address).map_or(&[], Vec::as_slice)
     }
 
-    /// The pool's entries at the address.
+    /// Returns the pool's entries at the address.
     pub fn entries(&self, address: SocketAddr, pool: PoolId) -> impl Iterator<Item = &EntryKey> {
         let from = (address, pool, EntryKey::from(""));
         let here = self.entries.range(from..).take_while(move |(at, by, _)| (*at, *by) == (address, pool));
         here.map(|(_, _, key)| key)
     }
 
-    /// The pool's list has an entry there. The pool becomes the last claimant if it is not one already.
+    /// Adds an entry of the pool at the address. The pool becomes the last claimant if it is not a claimant already.
     pub fn add(&mut self, address: SocketAddr, pool: PoolId, key: &EntryKey) {
         self.entries.insert((address, pool, key.clone()));
         let claimants = self.claimants.entry(address).or_default();
@@ -59,9 +59,8 @@
         }
     }
 
-    /// The pool's list has that entry there no longer. After its last one the pool is no claimant any more; of those
-    /// behind it, the first that has precedence takes its place, before any that claimed earlier. Returns the new owner
-    /// if there is one.
+    /// Removes an entry of the pool at the address. With its last entry the pool loses its claim. Its position goes to the
+    /// first of the later claimants that has precedence, if there is one. Returns the new owner if the owner changed.
     pub fn remove(
         &mut self, address: SocketAddr, pool: PoolId, key: &EntryKey, has_precedence: impl Fn(PoolId) -> bool,
     ) -> Option<PoolId> {
@@ -86,7 +85,7 @@
         owner.filter(|_| position == 0)
     }
 
-    /// All claimants that do not own their address now.
+    /// Returns all claimants that do not own their address.
     pub fn conflicts(&self) -> BTreeSet<Conflict> {
         let mut conflicts = BTreeSet::new();
         for address in &self.contested {
--- a/crates/membership/src/address_owners/tests.rs
+++ b/crates/membership/src/address_owners/tests.rs
@@ -10,10 +10,14 @@
     }
     address_owners.add(at, PoolId(1), &other);
     assert_eq!(address_owners.conflicts().len(), 3);
-    assert_eq!(address_owners.remove(at, PoolId(1), &key, |_| false), None, "its other entry is still there");
+    assert_eq!(
+        address_owners.remove(at, PoolId(1), &key, |_| false),
+        None,
+        "its other entry still claims the address"
+    );
     assert_eq!(address_owners.remove(at, PoolId(1), &other, |p| p == PoolId(3)), Some(PoolId(3)));
     assert_eq!(address_owners.claimants(at), [PoolId(3), PoolId(2), PoolId(4)]);
-    assert_eq!(address_owners.remove(at, PoolId(2), &key, |_| false), None, "it only waited");
+    assert_eq!(address_owners.remove(at, PoolId(2), &key, |_| false), None, "it did not own the address");
     assert_eq!(address_owners.remove(at, PoolId(3), &key, |_| false), Some(PoolId(4)));
     assert!(address_owners.conflicts().is_empty());
     assert_eq!(address_owners.remove(at, PoolId(4), &key, |_| true), None);
--- a/crates/membership/src/directory.rs
+++ b/crates/membership/src/directory.rs
@@ -1,4 +1,4 @@
-//! All pools: which backend belongs to which, under which number, and what the balancers are notified of.
+//! The directory of all pools: their backends with their numbers, and the updates for the balancers.
 
 use crate::address_owners::{AddressOwners, Conflict, EntryKey};
 use crate::interner::Interner;
@@ -8,28 +8,27 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// A backend that moved from one static pool to another and is still the same process.
+/// A backend that moved from one static pool to another and is the same process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendMove {
-    /// Its number, before and after.
+    /// The backend's number, which does not change.
     pub id: BackendId,
-    /// The pool that it left; its balancer is notified that the backend is gone.
+    /// The pool that the backend left; its balancer is notified that the backend is gone.
     pub from: PoolId,
-    /// The pool that it belongs to now.
+    /// The pool that the backend belongs to now.
     pub to: PoolId,
 }
 
-/// What follows from an update of a list or from a reload, to be carried out in the order of the fields.
+/// The result of a list update or a reload, to be applied in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectoryUpdate {
-    /// Backends whose slow start budget, counts and drain go along to another pool.
+    /// Backends that moved to another pool, with their slow start budget, counts and drain.
     pub moved: Vec<BackendMove>,
-    /// What each pool's balancer is notified of, in this order: the pool that lost a backend before the one that
-    /// got it.
+    /// The notifications of the pools' balancers, in order: a pool that lost a backend comes before the pool that gained it.
     pub notifications: Vec<(PoolId, EndpointUpdate, Vec<BackendEntry>)>,
     /// Conflicts that did not exist before.
     pub conflicts: Vec<Conflict>,
-    /// How many entries were left out, beyond [`crate::MAX_ENTRIES`] of a pool.
+    /// Number of entries that were skipped, beyond [`crate::MAX_ENTRIES`] of a pool.
     pub skipped: usize,
 }
 
@@ -44,7 +43,7 @@
     last_notified: BackendEntry,
 }
 
-/// What a deduplication domain belongs to.
+/// The owner of a deduplication domain.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DomainKey {
     /// A pool without a repeat group, by name.
@@ -53,48 +52,48 @@
     RepeatGroup(String),
 }
 
-/// What the changes of one pool's list are, as [`Directory::apply`] takes them.
+/// The changes of the pools' lists, as [`Directory::apply`] takes them.
 pub(crate) type ChangesByPool = Vec<(PoolId, ListChanges)>;
 
-/// An entry of a list at an address that it no longer has.
+/// An entry of a list and an address that it no longer has.
 struct ReleasedAddress {
     address: SocketAddr,
     pool: PoolId,
     key: EntryKey,
 }
 
-/// What the lists of all pools say, and which pool each address belongs to.
+/// The lists of all pools, and the pool that owns each address.
 ///
-/// Between pools: an address that the lists of several pools have stays with the pool that had it first, draining or
-/// not, until its list has no entry there; then it goes at once to the next claimant. Within a pool any number of names
-/// may share an address: a successor at the address of one that has gone, or has not gone yet, is a backend of its own.
+/// An address in the lists of several pools stays with the pool that claimed it first, draining or not, until that pool's
+/// list has no entry at the address. It then goes at once to the next claimant. Within a pool any number of names may share
+/// an address: a successor at the address of another backend is a backend of its own, whether that one is gone or not.
 ///
-/// A backend of a discovered pool is identified by its name, one of a static pool by its address. It keeps its number
-/// while its list has it, also at another address: what the balancer has learned of it goes along, and connections to
-/// the old address are for the driver to drop. One that returns after it was gone has a new number once the old one is
-/// forgotten, see [`Directory::forget`].
+/// A backend of a discovered pool is identified by its name, one of a static pool by its address. It keeps its number while
+/// it is listed, even if its address changes: the balancer keeps its state of the backend, and the driver has to drop the
+/// connections to the old address. A backend that returns after it was gone gets a new number once the old one is forgotten,
+/// see [`Directory::forget`].
 ///
-/// Bounds: [`crate::MAX_ENTRIES`] entries a pool, some 650 bytes each, the backends gone that the driver has not let be
-/// forgotten, [`crate::MAX_NUMBERED`] names of zones and as many of server types. Numbers of backends and pools are
-/// used once: 2^32 of them.
+/// Bounds: [`crate::MAX_ENTRIES`] entries per pool of some 650 bytes each, the gone backends that the driver has not
+/// forgotten yet, and [`crate::MAX_NUMBERED`] names of zones and as many of server types. The numbers of backends and pools
+/// are never reused; there are 2^32 of each.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     pub(crate) pools: BTreeMap<PoolId, Pool>,
     pub(crate) address_owners: AddressOwners,
     pub(crate) names: NameTables,
-    /// Deduplication domains.
+    /// The numbers of the deduplication domains.
     pub(crate) domains: BTreeMap<DomainKey, u32>,
     pub(crate) next_domain: u32,
     pub(crate) next_pool_id: u32,
     next_backend_id: u32,
     backends: BTreeMap<BackendId, TrackedBackend>,
-    /// Backends that may be forgotten.
+    /// Gone backends that are not forgotten yet.
     gone: BTreeSet<BackendId>,
 }
 
 impl Directory {
-    /// At the start of the program, with names of zones and server types that are numbered from 0. The backends of
-    /// static pools started when the configuration says.
+    /// Returns the directory at the start of the program. The given names of zones and of server types are numbered from 0.
+    /// Backends of static pools have the start times of the configuration.
     pub fn new(
         zones: &[String], server_types: &[String], pools: Vec<PoolSpec>,
     ) -> (Directory, DirectoryUpdate) {
@@ -104,15 +103,15 @@
         (directory, result)
     }
 
-    /// The configuration was read again. Pools keep their numbers by name. In static pools a backend whose address is
-    /// new counts as started now, one taken out is gone, and one that went to another static pool keeps its number and
-    /// its start time. A pool that was static and is discovered now keeps its backends until its list comes.
+    /// Applies a reloaded configuration. Pools keep their numbers by name. In static pools a backend with a new address
+    /// counts as started now, a removed one is gone, and one that moved to another static pool keeps its number and its start
+    /// time. A pool that changed from static to discovered keeps its backends until its list arrives.
     pub fn reload(&mut self, now: Time, pools: Vec<PoolSpec>) -> DirectoryUpdate {
         self.configure(Some(now), pools)
     }
 
-    /// An update of a discovered pool's list; of other pools it is ignored. Other pools than that one are notified of a
-    /// delta, which answers no subscription of theirs.
+    /// Applies an update of a discovered pool's list; an update for any other pool is ignored. Other pools that are affected
+    /// are notified of a delta, which does not answer a subscription of theirs.
     pub fn apply_update(
         &mut self, pool: PoolId, update: EndpointUpdate, entries: Vec<Endpoint>,
     ) -> DirectoryUpdate {
@@ -132,7 +131,7 @@
         let new_owners = self.apply(vec![(pool, changes)], |_| false);
         let mut notified = self.take_notifications(pool, &keys);
         if is_whole {
-            notified.retain(|entry| entry.state != BackendState::Gone); // absence from a snapshot says so
+            notified.retain(|entry| entry.state != BackendState::Gone); // absence from a snapshot means gone
         }
         result.notifications.push((pool, update, notified));
         for (owner, gained) in self.gained_entries(&new_owners) {
@@ -153,9 +152,9 @@
         pool.changes(is_whole, entries)
     }
 
-    /// Takes over what the lists say, and returns the addresses that went to another pool. All entries that came claim
-    /// their addresses before any that went releases its own, so that a pool keeps its claim when one name follows
-    /// another, in whatever order they are listed. `has_precedence` is that of [`AddressOwners::remove`].
+    /// Applies changes of lists, and returns the addresses that went to another pool. All added entries claim their addresses
+    /// before any removed entry releases its own, so that a pool keeps its claim when one name replaces another, in whatever
+    /// order they are listed. `has_precedence` is passed to [`AddressOwners::remove`].
     pub(crate) fn apply(
         &mut self, changes_by_pool: ChangesByPool, has_precedence: impl Fn(PoolId) -> bool,
     ) -> BTreeMap<SocketAddr, PoolId> {
@@ -174,7 +173,7 @@
         new_owners
     }
 
-    /// Takes over one entry and claims its address. Returns the one that it no longer has.
+    /// Applies the change of one entry and claims its address. Returns the address that the entry no longer has.
     fn apply_change(
         &mut self, id: PoolId, key: EntryKey, change: Option<ListedBackend>,
     ) -> Option<ReleasedAddress> {
@@ -194,7 +193,7 @@
         old_address.map(|address| ReleasedAddress { address, pool: id, key })
     }
 
-    /// What pools are notified of that now own these addresses.
+    /// Returns the notifications of the pools that now own these addresses.
     fn gained_entries(
         &mut self, new_owners: &BTreeMap<SocketAddr, PoolId>,
     ) -> BTreeMap<PoolId, Vec<BackendEntry>> {
@@ -211,8 +210,8 @@
         keys.iter().filter_map(|key| self.take_notification(pool, key)).collect()
     }
 
-    /// The entry that its pool is to be notified of now, and notes it as notified: as its list has it where the pool
-    /// owns the address, else gone if it was not notified as gone before.
+    /// Returns the entry of which the pool is to be notified, and marks it as notified. The entry is as listed if the pool
+    /// owns its address; otherwise it is gone, unless that was notified before.
     pub(crate) fn take_notification(&mut self, pool: PoolId, key: &EntryKey) -> Option<BackendEntry> {
         let to = self.pools.get_mut(&pool)?;
         let owned =
@@ -240,7 +239,7 @@
         Some(entry)
     }
 
-    /// The backend is gone: the entry that says so, where its balancer was not notified before.
+    /// Marks a backend as gone. Returns the entry for its balancer, unless that was notified before.
     fn mark_gone(&mut self, id: BackendId) -> Option<BackendEntry> {
         let backend = self.backends.get_mut(&id)?;
         if backend.last_notified.state == BackendState::Gone {
@@ -251,7 +250,7 @@
         Some(backend.last_notified.clone())
     }
 
-    /// Moves the backend of that entry to another pool. Returns it with the entry for the pool that it left.
+    /// Moves the backend of that entry to another pool. Returns the move and the entry for the pool that the backend left.
     pub(crate) fn move_backend(
         &mut self, key: &EntryKey, from: PoolId, to: PoolId,
     ) -> Option<(BackendMove, BackendEntry)> {
@@ -262,7 +261,7 @@
         Some((BackendMove { id, from, to }, entry))
     }
 
-    /// What the balancer was last notified of a backend.
+    /// Returns the entry of which the balancer was last notified.
     pub(crate) fn last_notified(&self, pool: PoolId, key: &EntryKey) -> Option<&BackendEntry> {
         let id = self.pools.get(&pool)?.backend_ids.get(key)?;
         self.backends.get(id).map(|backend| &backend.last_notified)
@@ -272,8 +271,8 @@
         self.address_owners.conflicts().difference(before).copied().collect()
     }
 
-    /// The driver has nothing of that backend any more, no attempt above all. Does nothing unless the backend is gone;
-    /// returns whether it was.
+    /// Forgets a gone backend, of which the driver must hold nothing any more, in particular no attempt. Does nothing if the
+    /// backend is not gone. Returns whether it was gone.
     pub fn forget(&mut self, id: BackendId) -> bool {
         if !self.gone.remove(&id) {
             return false;
@@ -287,13 +286,13 @@
         true
     }
 
-    /// The backends gone that are not forgotten.
+    /// Returns the gone backends that are not forgotten.
     pub fn gone(&self) -> impl Iterator<Item = BackendId> + '_ {
         self.gone.iter().copied()
     }
 
-    /// Forgets all backends gone that are not in use by the driver. To be called after all updates; costs a step for
-    /// each backend gone.
+    /// Forgets all gone backends that are not in use by the driver. It is called after all updates; its cost is linear in the
+    /// number of gone backends.
     pub fn retain(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
         let unused: Vec<BackendId> = self.gone.iter().copied().filter(|id| !is_in_use(*id)).collect();
         for id in unused {
@@ -301,54 +300,54 @@
         }
     }
 
-    /// Where the backend listens; also of one gone, until it is forgotten.
+    /// Returns the backend's address; also for a gone backend until it is forgotten.
     pub fn address(&self, id: BackendId) -> Option<SocketAddr> {
         self.backends.get(&id).map(|backend| backend.address)
     }
 
-    /// What the backend may be sent; gone where it is not known.
+    /// Returns the backend's state; an unknown backend is gone.
     pub fn state(&self, id: BackendId) -> BackendState {
         self.backends.get(&id).map_or(BackendState::Gone, |backend| backend.last_notified.state)
     }
 
-    /// The pool that the backend belongs to, or did.
+    /// Returns the pool that the backend belongs to, or belonged to before it was gone.
     pub fn pool(&self, id: BackendId) -> Option<PoolId> {
         self.backends.get(&id).map(|backend| backend.pool)
     }
 
-    /// The backend's name, for logs.
+    /// Returns the backend's name, for logs.
     pub fn name(&self, id: BackendId) -> Option<&str> {
         self.backends.get(&id).map(|backend| &*backend.name)
     }
 
-    /// The pool's backends as its balancer was last notified of them, but for those gone.
+    /// Returns the pool's backends as last notified to its balancer, without gone ones.
     pub fn backends(&self, pool: PoolId) -> impl Iterator<Item = &BackendEntry> {
         let ids = self.pools.get(&pool).into_iter().flat_map(|pool| pool.backend_ids.values());
         let entries = ids.filter_map(|id| self.backends.get(id)).map(|backend| &backend.last_notified);
         entries.filter(|entry| entry.state != BackendState::Gone)
     }
 
-    /// The pool's name, while there is such a pool.
+    /// Returns the pool's name, or `None` if the pool does not exist.
     pub fn pool_name(&self, pool: PoolId) -> Option<&str> {
         self.pools.get(&pool).map(|pool| pool.name.as_str())
     }
 
-    /// The pool of that name.
+    /// Returns the pool of that name.
     pub fn pool_named(&self, name: &str) -> Option<PoolId> {
         self.pools.iter().find(|(_, pool)| pool.name == name).map(|(id, _)| *id)
     }
 
-    /// The pool's deduplication domain. Backends of different domains never discard each other's repeats.
+    /// Returns the pool's deduplication domain. Backends of different domains never discard each other's repeats.
     pub fn deduplication_domain(&self, pool: PoolId) -> Option<u32> {
         self.pools.get(&pool).map(|pool| pool.domain)
     }
 
-    /// The number of a zone's name, over all pools.
+    /// Returns the number of a zone's name, which is the same for all pools.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(self.names.zones.intern(name))
     }
 
-    /// The addresses that several pools' lists have now.
+    /// Returns the present conflicts about addresses in the lists of several pools.
     pub fn conflicts(&self) -> BTreeSet<Conflict> {
         self.address_owners.conflicts()
     }
--- a/crates/membership/src/hash/tests.rs
+++ b/crates/membership/src/hash/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Other proxies and earlier releases draw the same order.
+/// All proxies and releases must order backends in the same way.
 #[test]
 fn stable_hash_of_a_name_never_changes() {
     assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325 >> 20);
--- a/crates/membership/src/interner.rs
+++ b/crates/membership/src/interner.rs
@@ -1,10 +1,10 @@
-//! Numbers for names that lists use.
+//! Numbers for the names in lists.
 
 use crate::hash::fnv1a;
 use std::collections::BTreeMap;
 
-/// So many names of zones, and as many of server types, keep numbers of their own. Each has [`crate::MAX_NAME`] bytes
-/// at most.
+/// Maximum number of names of zones, and likewise of server types, that get a number of their own. Each name has at most
+/// [`crate::MAX_NAME`] bytes.
 pub const MAX_NUMBERED: usize = 10_000;
 
 /// Numbers in the order in which names were first seen; a name keeps its number for the life of the process.
@@ -22,8 +22,8 @@
         interner
     }
 
-    /// The name's number. Beyond [`MAX_NUMBERED`] it is a hash of the name, in the upper half of all numbers: the same
-    /// each time, and hardly ever that of another name.
+    /// Returns the name's number. Beyond [`MAX_NUMBERED`] names it is a hash of the name in the upper half of all numbers,
+    /// which is the same each time and collides with another name very rarely.
     pub fn intern(&mut self, name: &str) -> u32 {
         if let Some(number) = self.by_name.get(name) {
             return *number;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! What the endpoint lists say of backends, and which pool each backend belongs to. No sockets, no clock, no logging:
-//! the driver reads the lists and passes the time, hands on what comes out and logs it.
+//! Endpoint lists, and the assignment of backends to pools. This crate has no sockets, reads no clock and logs nothing: the
+//! driver reads the lists, passes the time, and forwards and logs the results.
 //!
-//! [`List`] reads a list in the platform's form. [`Directory`] holds what the list of each pool says, numbers the
-//! backends, gives an address that several lists have to one of them, and says what each pool's balancer is notified of.
-//! [`StartTimes`] turns listed start times into those of the local clock.
+//! [`List`] parses a list in the platform's format. [`Directory`] holds the list of each pool, numbers the backends, assigns
+//! an address in several lists to one pool, and produces the updates for each pool's balancer. [`StartTimes`] converts listed
+//! start times to the local clock.
 #![forbid(unsafe_code)]
 
 mod address_owners;
--- a/crates/membership/src/list.rs
+++ b/crates/membership/src/list.rs
@@ -1,5 +1,5 @@
-//! An endpoint list in the platform's JSON form, and the entries of any list. The only place that spells the form's
-//! field names and states.
+//! Endpoint lists in the platform's JSON format, and the entries of any list. No other module knows the format's field names
+//! and statuses.
 
 use crate::hash::deduplication_group_hash;
 use serde::Deserialize;
@@ -9,59 +9,59 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A pool's list may hold so many entries; more are skipped.
+/// Maximum number of entries in a pool's list; further entries are skipped.
 pub const MAX_ENTRIES: usize = 100_000;
-/// An entry with a longer name, zone or server type, in bytes, is invalid.
+/// Maximum length of a name, zone or server type, in bytes. An entry with a longer one is invalid.
 pub const MAX_NAME: usize = 1_024;
 
-/// A larger weight counts as none.
+/// Maximum weight. A larger weight is ignored.
 const MAX_WEIGHT: f64 = 1e6;
 
-/// A list, or the changes to one. Entries are read one by one, so that an invalid one does not hide others.
+/// A list, or the changes to a list. Entries are parsed one by one, so that an invalid entry does not hide others.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct List {
     /// The version after which to poll for changes.
     pub index: u64,
-    /// Whether it is the whole list.
+    /// Whether this is a whole list and not a list of changes.
     pub snapshot: bool,
-    /// The entries as they came.
+    /// The unparsed entries.
     pub endpoints: Vec<Value>,
 }
 
-/// Entries that were invalid, or of which no more could be read than that their backend takes no new requests.
+/// Invalid entries, including those of which only the status could be read that ends new requests to their backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Skipped {
-    /// How many.
+    /// The number of invalid entries.
     pub count: usize,
-    /// What was wrong with the first of them, and its beginning.
+    /// The error of the first invalid entry, and the beginning of the entry.
     pub first: String,
 }
 
 /// A valid entry of a list, with its names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name, the same at every proxy.
+    /// The backend's name, which is the same at every proxy.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The zone's name.
     pub zone: String,
-    /// Its server type's name.
+    /// The server type's name.
     pub server_type: String,
-    /// Its deduplication group; for groups with names see [`crate::deduplication_group_hash`].
+    /// The deduplication group; for groups with names see [`crate::deduplication_group_hash`].
     pub deduplication_group: u64,
-    /// How many cores it has.
+    /// Number of cores.
     pub cores: u32,
-    /// Its weight in thousandths; 0 where the list has none, or none that is valid.
+    /// The weight in thousandths; 0 if the list has no valid weight.
     pub weight: u32,
-    /// What it may be sent.
+    /// Whether the backend is ready, draining or gone.
     pub state: BackendState,
-    /// When it last started, by the clock of whoever made the list, until [`crate::StartTimes`] has put the local
-    /// clock's time there; `None` means long ago.
+    /// When the backend last started; `None` means long ago. The time is by the clock of the list's source until
+    /// [`crate::StartTimes`] replaces it by the local clock's.
     pub started_at: Option<Time>,
 }
 
-/// A list of which each entry is still text.
+/// A list whose entries are unparsed JSON text.
 #[derive(Deserialize)]
 struct RawList<'a> {
     index: u64,
@@ -70,14 +70,14 @@
     endpoints: Vec<&'a RawValue>,
 }
 
-/// The least that an entry has to say.
+/// The minimal fields of an entry.
 #[derive(Deserialize)]
 struct NameAndStatus {
     name: String,
     status: String,
 }
 
-/// An entry by the platform's field names.
+/// An entry with the platform's field names.
 #[derive(Deserialize)]
 struct WireEntry {
     name: String,
@@ -85,9 +85,9 @@
     zone: Option<String>,
     #[serde(rename = "type")]
     server_type: Option<String>,
-    /// Without one it shares the keys it has seen with no other backend.
+    /// The deduplication group. A backend without one shares its known keys with no other backend.
     group: Option<u64>,
-    /// Read leniently: an entry without it is valid.
+    /// Parsed leniently: an entry without a valid number of cores is valid.
     #[serde(default)]
     cores: Value,
     #[serde(default)]
@@ -99,12 +99,12 @@
 /// Why an entry is skipped.
 #[derive(Debug)]
 enum EntryError {
-    /// It does not have the form of an entry.
+    /// The entry does not have the format of an entry.
     Form(serde_json::Error),
     UnknownStatus(String),
     BadAddress(String),
     NameTooLong,
-    /// The list holds [`MAX_ENTRIES`] before it.
+    /// The list already has [`MAX_ENTRIES`] valid entries.
     ListFull,
 }
 
@@ -113,9 +113,9 @@
         match self {
             EntryError::Form(error) => write!(f, "{error}"),
             EntryError::UnknownStatus(status) => write!(f, "unknown status {status:?}"),
-            EntryError::BadAddress(address) => write!(f, "bad address {address:?}"),
-            EntryError::NameTooLong => write!(f, "a name of more than {MAX_NAME} bytes"),
-            EntryError::ListFull => write!(f, "more than {MAX_ENTRIES} entries"),
+            EntryError::BadAddress(address) => write!(f, "invalid address {address:?}"),
+            EntryError::NameTooLong => write!(f, "name, zone or type is longer than {MAX_NAME} bytes"),
+            EntryError::ListFull => write!(f, "list has more than {MAX_ENTRIES} entries"),
         }
     }
 }
@@ -130,18 +130,18 @@
         }
     }
 
-    /// How many cores it has; 1 where that is absent or invalid.
+    /// Returns the number of cores; 1 if it is absent or invalid.
     fn cores(&self) -> u32 {
         self.cores.as_u64().and_then(|cores| u32::try_from(cores).ok()).unwrap_or(1).max(1)
     }
 
-    /// Its weight in thousandths; 0 where that is absent or invalid.
+    /// Returns the weight in thousandths; 0 if it is absent or invalid.
     fn weight(&self) -> u32 {
         let weight = self.weight.as_f64().filter(|weight| (0.0..=MAX_WEIGHT).contains(weight));
         (weight.unwrap_or(0.0) * 1e3).round() as u32
     }
 
-    /// When it last started, by the list's clock.
+    /// Returns the time of the last start, by the list's clock.
     fn started_at(&self) -> Option<Time> {
         let since_ms = self.since_ms.unwrap_or_default();
         (since_ms > 0.0).then_some(Time((since_ms * 1e3) as u64))
@@ -175,12 +175,12 @@
         })
     }
 
-    /// Of an invalid entry: that its backend takes no new requests, if it says so. The backend counts as gone, as its
-    /// address is not known.
+    /// Returns a gone backend for an invalid entry whose status says that its backend takes no new requests. The backend
+    /// counts as gone because its address is not known.
     fn gone_backend(value: &Value) -> Option<Endpoint> {
         let NameAndStatus { name, status } = NameAndStatus::deserialize(value).ok()?;
-        let takes_nothing_new = matches!(status.as_str(), "DRAINING" | "DELETED");
-        if !takes_nothing_new || name.len() > MAX_NAME {
+        let takes_no_new_requests = matches!(status.as_str(), "DRAINING" | "DELETED");
+        if !takes_no_new_requests || name.len() > MAX_NAME {
             return None;
         }
         Some(Endpoint {
@@ -198,11 +198,11 @@
 }
 
 impl List {
-    /// Reads a list. One that is not UTF-8, or has a number that JSON's numbers cannot hold, is read entry by entry:
-    /// what is wrong with one hides no other.
+    /// Parses a list. A list that is not valid UTF-8, or has a number out of range, is parsed entry by entry, so that an
+    /// invalid entry does not hide others.
     ///
     /// # Errors
-    /// It does not have the form of a list.
+    /// Returns an error if the bytes do not have the format of a list.
     pub fn read(bytes: &[u8]) -> Result<List, serde_json::Error> {
         serde_json::from_slice(bytes).or_else(|_| {
             let text = String::from_utf8_lossy(bytes);
@@ -212,7 +212,7 @@
         })
     }
 
-    /// The valid entries, [`MAX_ENTRIES`] at most, and what was skipped.
+    /// Returns the valid entries, at most [`MAX_ENTRIES`], and a summary of the skipped ones.
     pub fn entries(&self) -> (Vec<Endpoint>, Option<Skipped>) {
         let mut entries = Vec::with_capacity(self.endpoints.len().min(MAX_ENTRIES));
         let mut skipped: Option<Skipped> = None;
@@ -235,7 +235,7 @@
     }
 }
 
-/// One entry from its text; of one that cannot be read, what it says at the least.
+/// Parses an entry from its text. If that fails, returns its name and status alone, if those can be parsed.
 fn entry_value(text: &str) -> Value {
     serde_json::from_str(text).unwrap_or_else(|_| match serde_json::from_str(text) {
         Ok(NameAndStatus { name, status }) => json!({ "name": name, "status": status }),
--- a/crates/membership/src/list/tests.rs
+++ b/crates/membership/src/list/tests.rs
@@ -9,8 +9,8 @@
 fn entry_is_parsed_with_all_its_fields() {
     let full = json!({"name": "b7", "address": "10.0.0.7:80", "zone": "a", "type": "big", "group": 9,
         "cores": 4, "weight": 1.5, "status": "DRAINING", "since_ms": 12.5, "more": []});
-    let bare = json!({"name": "b8", "address": "[::1]:80", "status": "SERVING"});
-    let (entries, skipped) = list(vec![full, bare]).entries();
+    let minimal = json!({"name": "b8", "address": "[::1]:80", "status": "SERVING"});
+    let (entries, skipped) = list(vec![full, minimal]).entries();
     assert_eq!(skipped, None);
     let first = Endpoint {
         name: "b7".into(),
@@ -23,12 +23,12 @@
         state: BackendState::Draining,
         started_at: Some(Time(12_500)),
     };
-    let plain = ("b8".to_string(), "[::1]:80".parse().unwrap(), String::new());
+    let minimal_fields = ("b8".to_string(), "[::1]:80".parse().unwrap(), String::new());
     let second = Endpoint {
-        name: plain.0,
-        address: plain.1,
-        zone: plain.2.clone(),
-        server_type: plain.2,
+        name: minimal_fields.0,
+        address: minimal_fields.1,
+        zone: minimal_fields.2.clone(),
+        server_type: minimal_fields.2,
         deduplication_group: deduplication_group_hash("b8"),
         cores: 1,
         weight: 0,
@@ -40,17 +40,17 @@
 
 #[test]
 fn invalid_entries_are_skipped_counted_and_the_first_is_reported() {
-    let good = |name: &str| json!({"name": name, "address": "10.0.0.7:80", "status": "DELETED"});
+    let valid = |name: &str| json!({"name": name, "address": "10.0.0.7:80", "status": "DELETED"});
     let bad = [
         json!({"name": "x", "address": "10.0.0.7:80", "status": "UNSURE"}),
         json!({"name": "x", "address": "here", "status": "SERVING"}),
         json!({"name": "x", "status": "SERVING"}),
         json!(["x"]),
-        good(&"n".repeat(MAX_NAME + 1)),
+        valid(&"n".repeat(MAX_NAME + 1)),
     ];
-    let mut all = vec![good("a")];
+    let mut all = vec![valid("a")];
     all.extend(bad);
-    all.push(good("b"));
+    all.push(valid("b"));
     let (entries, skipped) = list(all).entries();
     assert_eq!(entries.iter().map(|e| e.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
     assert!(entries.iter().all(|e| e.state == BackendState::Gone));
@@ -66,7 +66,7 @@
         entry.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
         entry
     };
-    let odd = [
+    let invalid_fields = [
         json!({"address": "here"}),
         json!({"address": null}),
         json!({"zone": 7}),
@@ -74,36 +74,40 @@
         json!({"since_ms": "soon"}),
         json!({"group": -1}),
     ];
-    for more in odd {
+    for more in invalid_fields {
         for status in ["DRAINING", "DELETED"] {
             let (entries, skipped) = list(vec![bad(status, more.clone())]).entries();
-            let told: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.state)).collect();
-            assert_eq!(told, [("x", BackendState::Gone)], "{status} {more}");
-            assert_eq!(skipped.unwrap().count, 1, "and it is said");
+            let backends: Vec<_> = entries.iter().map(|e| (e.name.as_str(), e.state)).collect();
+            assert_eq!(backends, [("x", BackendState::Gone)], "{status} {more}");
+            assert_eq!(skipped.unwrap().count, 1, "the skipped entry is reported");
         }
         assert_eq!(list(vec![bad("SERVING", more)]).entries().0, []);
     }
     let absent = json!({"zone": null, "type": null, "group": null, "weight": null, "since_ms": null});
     let (entries, skipped) = list(vec![bad("SERVING", absent)]).entries();
-    assert_eq!((entries.len(), skipped), (1, None), "what is null is absent");
+    assert_eq!((entries.len(), skipped), (1, None), "a field that is null counts as absent");
 }
 
 #[test]
 fn invalid_utf8_or_number_in_one_entry_does_not_hide_others() {
-    let drain = |more: &[u8]| {
+    let list_with = |more: &[u8]| {
         let head = br#"{"index":9,"snapshot":false,"endpoints":[{"name":"a","address":"10.0.0.7:80","#;
         let tail = br#""status":"DRAINING"},{"name":"b","address":"10.0.0.8:80","status":"DRAINING"}]}"#;
         [&head[..], more, &tail[..]].concat()
     };
     for more in [&b"\"zone\":\"\xff\xfe\","[..], b"\"since_ms\":1e999,", b"\"weight\":-1e999,\n\t"] {
-        let list = List::read(&drain(more)).unwrap();
-        let told: Vec<_> = list.entries().0.into_iter().map(|e| (e.name, e.state)).collect();
-        let left = told.iter().all(|(_, state)| *state != BackendState::Ready);
-        assert_eq!((list.index, list.snapshot, told.len(), left), (9, false, 2, true), "{told:?}");
+        let list = List::read(&list_with(more)).unwrap();
+        let backends: Vec<_> = list.entries().0.into_iter().map(|e| (e.name, e.state)).collect();
+        let none_ready = backends.iter().all(|(_, state)| *state != BackendState::Ready);
+        assert_eq!(
+            (list.index, list.snapshot, backends.len(), none_ready),
+            (9, false, 2, true),
+            "{backends:?}"
+        );
     }
-    let whole = drain(b"");
-    for cut in 0..whole.len() {
-        assert!(List::read(&whole[..cut]).is_err(), "cut after {cut} bytes");
+    let complete = list_with(b"");
+    for cut in 0..complete.len() {
+        assert!(List::read(&complete[..cut]).is_err(), "cut after {cut} bytes");
     }
 }
 
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -1,4 +1,4 @@
-//! One pool: what its list says.
+//! A pool and its list.
 
 use crate::address_owners::EntryKey;
 use crate::hash::stable_hash;
@@ -9,29 +9,29 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A pool as the configuration has it.
+/// The configuration of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolSpec {
-    /// Its name; no two have the same.
+    /// The pool's name, which is unique.
     pub name: String,
-    /// Pools that name the same group are one deduplication domain: their backends discard each other's repeats.
-    /// `None`: no other pool's backends do.
+    /// The repeat group. Pools with the same group form one deduplication domain: their backends discard each other's
+    /// repeats. With `None` the pool is a domain of its own.
     pub repeat_group: Option<String>,
-    /// Where its backends come from.
+    /// The source of the pool's backends.
     pub source: Source,
 }
 
-/// Where a pool's backends come from.
+/// The source of a pool's backends.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// The configuration. A backend is identified by its address here, whatever its name; its `started_at` holds only
-    /// at the start of the program.
+    /// The configuration. A backend is identified by its address, whatever its name. Its `started_at` is used only at the
+    /// start of the program.
     Static(Vec<Endpoint>),
     /// An endpoint list from discovery. A backend is identified by its name.
     Discovered,
 }
 
-/// A backend as a pool's list has it, with names turned into numbers.
+/// A backend in a pool's list, with numbers in place of names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedBackend {
     pub name: EntryKey,
@@ -39,15 +39,15 @@
     pub started_at: Option<Time>,
     zone: ZoneId,
     server_type: ServerTypeId,
-    /// The deduplication group as the list numbers it, within the pool's domain.
+    /// The deduplication group by the list's number, which is valid within the pool's domain.
     group: u64,
     cores: u32,
-    /// In thousandths.
+    /// The weight in thousandths.
     weight: u32,
     state: BackendState,
 }
 
-/// The numbers of names, over all pools.
+/// The numbers of names, shared by all pools.
 #[derive(Clone, Debug, Default)]
 pub struct NameTables {
     pub zones: Interner,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The entry that a balancer is notified of.
+    /// Returns the entry of which a balancer is notified.
     pub fn entry(&self, id: BackendId, domain: u32) -> BackendEntry {
         BackendEntry {
             id,
@@ -87,8 +87,8 @@
     }
 }
 
-/// The name under which a server type is numbered. Backends of one server type are taken as equally fast: with more
-/// cores it is another one, whatever its name.
+/// Returns the name under which a server type is numbered. Backends of one server type are assumed to be equally fast, so the
+/// same type with another number of cores counts as another server type.
 fn server_type_name(endpoint: &Endpoint) -> Cow<'_, str> {
     match endpoint.cores {
         0 | 1 => endpoint.server_type.as_str().into(),
@@ -96,46 +96,46 @@
     }
 }
 
-/// The group's number among those of all domains: two groups of one domain never share one, and those of two domains
-/// hardly ever. The first domain's groups keep their own numbers.
+/// Returns a group's number that is valid across all domains. Two groups of one domain never have the same number, and those
+/// of two domains very rarely. Groups of the first domain keep the list's numbers.
 fn group_in_domain(group: u64, domain: u32) -> DeduplicationGroupId {
     if domain == 0 {
         return DeduplicationGroupId(group);
     }
-    // One to one for a given domain: each step is invertible.
+    // Injective for a given domain, as each step is invertible.
     let spread = group ^ u64::from(domain).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (spread ^ (spread >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     DeduplicationGroupId(mixed ^ (mixed >> 31))
 }
 
-/// What becomes of the entries named; `None`: gone.
+/// The new states of changed entries; `None` for an entry that is gone.
 pub type ListChanges = BTreeMap<EntryKey, Option<ListedBackend>>;
 
-/// What an update changes of a pool's list.
+/// The changes that an update makes to a pool's list.
 #[derive(Clone, Debug, Default)]
 pub struct PoolChanges {
     pub changes: ListChanges,
-    /// How many entries were left out, beyond [`MAX_ENTRIES`].
+    /// Number of entries that were skipped, beyond [`MAX_ENTRIES`].
     pub skipped: usize,
 }
 
-/// A pool and what its list says now.
+/// A pool and its present list.
 #[derive(Clone, Debug)]
 pub struct Pool {
     pub name: String,
-    /// Its deduplication domain.
+    /// The pool's deduplication domain.
     pub domain: u32,
-    /// Its backends come from the configuration.
+    /// Whether the backends come from the configuration.
     pub is_static: bool,
     pub listed: BTreeMap<EntryKey, ListedBackend>,
-    /// The entries' numbers, also of backends gone that are not forgotten yet.
+    /// The numbers of the entries' backends, including gone ones that are not forgotten yet.
     pub backend_ids: BTreeMap<EntryKey, BackendId>,
 }
 
 impl Pool {
-    /// What the entries change; `is_whole`: what is absent is gone. Of a name that is listed twice the last entry
-    /// counts.
+    /// Returns the changes that the entries make. If `is_whole`, entries that are absent are gone. Of several entries with
+    /// one name the last one counts.
     pub fn changes(
         &self, is_whole: bool, entries: impl Iterator<Item = (EntryKey, Option<ListedBackend>)>,
     ) -> PoolChanges {
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,4 +1,4 @@
-//! The pools as the configuration has them, at the start and whenever it is read again.
+//! Applies the pools of the configuration, at the start and after each reload.
 
 use crate::address_owners::EntryKey;
 use crate::directory::{ChangesByPool, Directory, DirectoryUpdate, DomainKey};
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The entries that each pool's balancer is notified of.
+/// The entries of which each pool's balancer is notified.
 type EntriesByPool = BTreeMap<PoolId, Vec<BackendEntry>>;
 
-/// Each pool from before the configuration was read, and whether it was static.
+/// The pools before the configuration is applied, and whether each was static.
 type EarlierPools = BTreeMap<PoolId, bool>;
 
-/// The pools that a configuration names, before anything of it is applied.
+/// The pools of a configuration that is not applied yet.
 #[derive(Default)]
 struct ConfiguredPools {
     ids: BTreeSet<PoolId>,
@@ -22,7 +22,7 @@
     skipped: usize,
 }
 
-/// Entries that differ from what was last notified.
+/// Entries that differ from those last notified.
 #[derive(Default)]
 struct Differences {
     gone: EntriesByPool,
@@ -30,7 +30,7 @@
 }
 
 impl Directory {
-    /// Takes over a configuration. `now`: none at the start of the program.
+    /// Applies a configuration. `now` is `None` at the start of the program.
     pub(crate) fn configure(&mut self, now: Option<Time>, specs: Vec<PoolSpec>) -> DirectoryUpdate {
         let conflicts_before = self.address_owners.conflicts();
         let static_owners = self.static_owners();
@@ -38,7 +38,8 @@
         let mut configured = self.configured_pools(now, specs, &earlier);
         self.empty_unconfigured(&mut configured);
         let static_pools = self.static_pools();
-        // The configuration comes first: a static pool takes what another gives up here before any list that waits.
+        // The configuration has precedence: an address that one pool releases here goes to a static pool before any
+        // discovered pool that waits for it.
         let new_static = |id: PoolId| static_pools.contains(&id) && configured.ids.contains(&id);
         self.apply(std::mem::take(&mut configured.changes), new_static);
 
@@ -47,7 +48,7 @@
         self.move_between_static_pools(&static_owners, &static_pools, &mut result, &mut differences);
         self.find_differences(&mut differences);
         self.drop_unconfigured(&configured.ids);
-        // A new static pool has its whole list; of a new discovered one nothing is known yet.
+        // A new static pool has its whole list, which may be empty. The list of a new discovered pool is not known yet.
         for id in configured.ids.iter().filter(|id| static_pools.contains(id) && !earlier.contains_key(id)) {
             differences.listed.entry(*id).or_default();
         }
@@ -80,7 +81,7 @@
         configured
     }
 
-    /// Pools that the configuration does not name any more lose all their backends.
+    /// Removes all backends of pools that are no longer configured.
     fn empty_unconfigured(&self, configured: &mut ConfiguredPools) {
         for (id, pool) in self.pools.iter().filter(|(id, _)| !configured.ids.contains(id)) {
             let all_gone = pool.listed.keys().map(|key| (key.clone(), None)).collect();
@@ -94,7 +95,7 @@
         self.domains.retain(|_, domain| domains.contains(domain));
     }
 
-    /// The pool of that name, made if there is none, as the configuration has it; its list is left as it is.
+    /// Creates or updates the pool of that name according to the configuration, and returns it. Its list is not changed.
     fn ensure_pool(&mut self, spec: &PoolSpec) -> PoolId {
         let domain = self.domain_of(spec);
         let is_static = matches!(spec.source, Source::Static(_));
@@ -114,7 +115,7 @@
         id
     }
 
-    /// The deduplication domain of the pool's repeat group; without one it is the pool's alone.
+    /// Returns the deduplication domain of the pool's repeat group, or a domain of the pool's own if it has none.
     fn domain_of(&mut self, spec: &PoolSpec) -> u32 {
         let key = match &spec.repeat_group {
             Some(group) => DomainKey::RepeatGroup(group.clone()),
@@ -126,8 +127,8 @@
         })
     }
 
-    /// The endpoints, each with the time at which it last started. At the start of the program that is what the
-    /// configuration says; later it is what is known of a backend at that address, or now.
+    /// Returns the endpoints with their start times. At the start of the program these are from the configuration. After a
+    /// reload it is the start time of the known backend at that address, or `now` if there is none.
     fn with_start_times(
         &self, now: Option<Time>, id: PoolId, endpoints: Vec<Endpoint>, earlier: &EarlierPools,
     ) -> Vec<Endpoint> {
@@ -140,7 +141,7 @@
         endpoints.into_iter().map(with_start_time).collect()
     }
 
-    /// The backend that this pool, or else one that was static before the reload, has at that address.
+    /// Returns the backend at that address in this pool, or else in a pool that was static before the reload.
     fn known_backend(
         &self, id: PoolId, address: SocketAddr, earlier: &EarlierPools,
     ) -> Option<&ListedBackend> {
@@ -154,7 +155,7 @@
         in_pool(&id).or_else(in_static_pool)
     }
 
-    /// What changes of a static pool's backends.
+    /// Returns the changes to a static pool's backends.
     fn static_changes(&mut self, id: PoolId, endpoints: Vec<Endpoint>) -> PoolChanges {
         let Some(pool) = self.pools.get(&id) else { return PoolChanges::default() };
         let names = &mut self.names;
@@ -170,7 +171,7 @@
         self.pools.iter().filter(|(_, pool)| pool.is_static).map(|(id, _)| *id).collect()
     }
 
-    /// The addresses that belong to static pools.
+    /// Returns the addresses that are owned by static pools.
     fn static_owners(&self) -> BTreeMap<SocketAddr, PoolId> {
         let static_pools = self.pools.iter().filter(|(_, pool)| pool.is_static);
         let claims =
@@ -178,7 +179,7 @@
         claims.filter(|(address, id)| self.address_owners.owner(*address) == Some(*id)).collect()
     }
 
-    /// Backends that went from one static pool to another: the same process, so the same number.
+    /// Moves backends whose address went from one static pool to another. They keep their numbers, as each is the same process.
     fn move_between_static_pools(
         &mut self, owners_before: &BTreeMap<SocketAddr, PoolId>, static_pools: &BTreeSet<PoolId>,
         result: &mut DirectoryUpdate, differences: &mut Differences,
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Adds all entries that are not as they were last notified.
+    /// Adds all entries that differ from those last notified.
     fn find_differences(&mut self, differences: &mut Differences) {
         let pools: Vec<PoolId> = self.pools.keys().copied().collect();
         for id in pools {
@@ -216,7 +217,7 @@
     }
 }
 
-/// What identifies a backend of a static pool.
+/// Returns the key of a backend in a static pool.
 fn static_key(address: SocketAddr) -> EntryKey {
     address.to_string().into()
 }
--- a/crates/membership/src/start_times.rs
+++ b/crates/membership/src/start_times.rs
@@ -1,19 +1,19 @@
-//! When backends started, by this process's own clock. Pure: the time is an argument.
+//! Converts the start times of backends to this process's own clock. Reads no clock: the time is an argument.
 //!
-//! A list says when a backend last started by the wall clock of another machine. The wall clock of this one may have
-//! been wrong as the process started, by seconds or by an hour, so the two are never compared directly. What is certain:
+//! A list gives the last start of a backend by the wall clock of another machine. The wall clock of this machine may have
+//! been wrong when the process started, by seconds or by an hour, so the two are never compared directly. Instead:
 //!
-//! - A start lies before the moment at which this process first learns of it. So the local clock is ahead of the lists'
-//!   clock by no more than the difference between the two, for each start ever listed. The smallest such bound gives the
+//! - A start is earlier than the moment at which this process first learns of it. So for each listed start the difference
+//!   between the two is an upper bound on how far the local clock is ahead of the lists' clock. The smallest bound gives the
 //!   least age of a start.
-//! - A backend's own start time may be wrong too. The smallest bound of all but one backend is used: one backend with a
-//!   start time in the future makes none of the others look older than it is.
-//! - From then on age is a span of the monotonic clock.
+//! - A backend's own start time may be wrong too. Therefore the smallest bound of all but one backend is used: a single
+//!   backend with a start time in the future makes no other backend look older than it is.
+//! - After that the age advances with the monotonic clock.
 //!
-//! So a backend is never taken for older than it is, and none for younger than the time since it was first listed,
-//! whatever the wall clocks say: none is in slow start for longer than its window from then on. The price: after a
-//! restart of this process the backends that started last are taken for new ones for a window, unless they started so
-//! long ago that no plausible clock error makes them new.
+//! So whatever the wall clocks show, no backend is taken for older than it is, or for younger than the time since it was
+//! first listed, and none is in slow start for longer than its window from then on. The drawback: after a restart of this
+//! process the backends that started last are taken for new ones for one window, unless they started so long ago that no
+//! plausible clock error makes them new.
 
 use crate::list::Endpoint;
 use shaletide_types::{BackendState, EndpointUpdate, Micros, PoolId, Time, MAX_WALL_CLOCK_ERROR};
@@ -22,21 +22,21 @@
 /// A backend in the list of a pool.
 type BackendName = (PoolId, String);
 
-/// A start as it was listed, and by the local clock; `None` means long ago.
+/// A start time by the lists' clock and by the local clock; a local time of `None` means long ago.
 #[derive(Clone, Copy, Debug)]
 struct Start {
     listed: Time,
     local: Option<Time>,
 }
 
-/// An upper bound on how far the local clock is ahead of the lists' clock, µs.
+/// An upper bound on how far the local clock is ahead of the lists' clock, in µs.
 #[derive(Clone, Debug)]
 struct LeadBound {
     backend: BackendName,
     lead: i64,
 }
 
-/// The smallest bound, and the smallest of any other backend.
+/// The smallest bound, and the smallest bound of any other backend.
 #[derive(Clone, Debug, Default)]
 struct ClockLead {
     least: Option<LeadBound>,
@@ -58,22 +58,22 @@
     }
 }
 
-/// The starts of all listed backends.
+/// The start times of all listed backends.
 #[derive(Clone, Debug, Default)]
 pub struct StartTimes {
     starts: BTreeMap<BackendName, Start>,
     lead: ClockLead,
-    /// The longest of all pools.
+    /// The longest slow start window of any pool.
     slow_start_window: Micros,
 }
 
 impl StartTimes {
-    /// The longest slow start window of any pool. A backend that surely started before it has no start time.
+    /// Sets the longest slow start window of any pool. A backend that certainly started longer ago has no start time.
     pub fn set_slow_start_window(&mut self, slow_start_window: Micros) {
         self.slow_start_window = slow_start_window;
     }
 
-    /// Replaces the listed start times by the local clock's. Cost: a look-up for each entry.
+    /// Replaces the listed start times by those of the local clock. The cost is one look-up per entry.
     pub fn to_local_clock(
         &mut self, now: Time, pool: PoolId, update: EndpointUpdate, entries: &mut [Endpoint],
     ) {
@@ -95,9 +95,10 @@
             return start.local;
         }
         let lead = clock_lead(now, listed);
-        let is_surely_warm = lead > (self.slow_start_window.0.saturating_add(MAX_WALL_CLOCK_ERROR.0)) as i64;
+        let is_certainly_warm =
+            lead > (self.slow_start_window.0.saturating_add(MAX_WALL_CLOCK_ERROR.0)) as i64;
         let least_age = self.lead.second.as_ref().map_or(0, |second| lead.saturating_sub(second.lead));
-        let local = (!is_surely_warm).then(|| now - Micros(least_age.max(0) as u64));
+        let local = (!is_certainly_warm).then(|| now - Micros(least_age.max(0) as u64));
         self.starts.insert(backend, Start { listed, local });
         local
     }
@@ -119,7 +120,7 @@
     }
 }
 
-/// The local time less a listed one, µs.
+/// Returns the local time minus a listed time, in µs.
 fn clock_lead(now: Time, listed: Time) -> i64 {
     (now.0 as i64).saturating_sub(listed.0 as i64)
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Entries, pools, and a mirror of what the balancers know from what they were told.
+//! Entries, pools, and a mirror of the balancers' view that follows from their notifications.
 #![allow(dead_code)]
 
 use shaletide_membership::*;
@@ -28,17 +28,17 @@
     }
 }
 
-pub fn listed(name: &str) -> PoolSpec {
+pub fn discovered_pool(name: &str) -> PoolSpec {
     PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }
 }
 
 /// A static pool of backends at these addresses.
-pub fn fixed(name: &str, addresses: &[u8]) -> PoolSpec {
+pub fn static_pool(name: &str, addresses: &[u8]) -> PoolSpec {
     let backends = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
     PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(backends) }
 }
 
-/// What each pool's balancer makes of what it was told.
+/// The view of each pool's balancer, built from its notifications, and checks of the directory against it.
 pub struct Mirror {
     pub directory: Directory,
     pub pools: BTreeMap<PoolId, BTreeMap<BackendId, (BackendEntry, SocketAddr)>>,
@@ -58,7 +58,7 @@
         self.apply(update);
     }
 
-    pub fn changes(&mut self, pool: PoolId, entries: Vec<Endpoint>) {
+    pub fn apply_delta(&mut self, pool: PoolId, entries: Vec<Endpoint>) {
         self.update(pool, EndpointUpdate::Delta, entries);
     }
 
@@ -77,22 +77,25 @@
                 if row.state == GONE {
                     known.remove(&row.id);
                 } else {
-                    let address = self.directory.address(row.id).expect("a backend told of has an address");
+                    let address = self.directory.address(row.id).expect("a notified backend has an address");
                     known.insert(row.id, (row.clone(), address));
                 }
             }
-            self.no_address_is_in_two_pools();
+            self.check_address_owners();
         }
         for moved in &update.moved {
             assert_eq!(self.directory.pool(moved.id), Some(moved.to));
-            assert!(!self.pools[&moved.from].contains_key(&moved.id), "its old pool hears that it is gone");
-            assert!(self.pools[&moved.to].contains_key(&moved.id), "its new pool hears of it");
+            assert!(
+                !self.pools[&moved.from].contains_key(&moved.id),
+                "its old pool was not notified that it is gone"
+            );
+            assert!(self.pools[&moved.to].contains_key(&moved.id), "its new pool was not notified of it");
         }
         self.last = update;
-        self.look_ups_match_the_notifications();
+        self.check_look_ups();
     }
 
-    fn no_address_is_in_two_pools(&self) {
+    fn check_address_owners(&self) {
         let mut owners: BTreeMap<SocketAddr, PoolId> = BTreeMap::new();
         for (pool, backends) in &self.pools {
             for (row, address) in backends.values() {
@@ -102,14 +105,14 @@
         }
     }
 
-    fn look_ups_match_the_notifications(&self) {
+    fn check_look_ups(&self) {
         let mut ids = BTreeSet::new();
         for (pool, backends) in &self.pools {
             let mut rows: Vec<BackendEntry> = self.directory.backends(*pool).cloned().collect();
             rows.sort_by_key(|row| row.id);
             assert_eq!(rows, backends.values().map(|(row, _)| row.clone()).collect::<Vec<_>>());
             for (id, (row, address)) in backends {
-                assert!(ids.insert(*id), "one number, one backend");
+                assert!(ids.insert(*id), "a number belongs to one backend");
                 assert_eq!(row.id, *id);
                 assert_eq!(self.directory.address(*id), Some(*address));
                 assert_eq!(self.directory.state(*id), row.state);
@@ -119,7 +122,7 @@
         }
     }
 
-    /// The pool's backends: number, last part of the address, state.
+    /// Returns the pool's backends: number, last byte of the address, state.
     pub fn backends(&self, pool: PoolId) -> Vec<(u32, u8, BackendState)> {
         let last = |address: &SocketAddr| match address {
             SocketAddr::V4(v4) => v4.ip().octets()[3],
--- a/crates/membership/tests/large_list.rs
+++ b/crates/membership/tests/large_list.rs
@@ -1,4 +1,4 @@
-//! Lists of 1,024 backends, as they come and as they change.
+//! Snapshots and deltas of lists with 1,024 backends.
 
 mod common;
 
@@ -12,10 +12,10 @@
 const BACKENDS: usize = 1_024;
 const HALF: usize = BACKENDS / 2;
 const POOL: PoolId = PoolId(0);
-/// Far more than a build without optimisation takes.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time limit for five updates; far more than an unoptimised build needs.
+const TIME_LIMIT: Duration = Duration::from_secs(5);
 
-/// An indented list of these backends, read and checked entry by entry.
+/// Returns the entries of an indented list of these backends, all of which have to be valid.
 fn listed_entries(numbers: std::ops::Range<usize>, status: &str) -> Vec<Endpoint> {
     let count = numbers.len();
     let entry = |n: usize| {
@@ -42,40 +42,41 @@
 #[test]
 fn list_of_1024_backends_is_applied_changed_and_replaced() {
     let started = Instant::now();
-    let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
+    let (mut directory, _) = Directory::new(&[], &[], vec![discovered_pool("p")]);
     for update in [EndpointUpdate::Cached, EndpointUpdate::Snapshot] {
-        let told = directory.apply_update(POOL, update, listed_entries(0..BACKENDS, "SERVING"));
-        assert_eq!((told.skipped, told.conflicts.len(), told.notifications.len()), (0, 0, 1));
-        assert_eq!((told.notifications[0].2.len(), in_state(&directory, READY)), (BACKENDS, BACKENDS));
+        let result = directory.apply_update(POOL, update, listed_entries(0..BACKENDS, "SERVING"));
+        assert_eq!((result.skipped, result.conflicts.len(), result.notifications.len()), (0, 0, 1));
+        assert_eq!((result.notifications[0].2.len(), in_state(&directory, READY)), (BACKENDS, BACKENDS));
     }
     let before = numbers(&directory);
 
-    let told = directory.apply_update(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DRAINING"));
-    assert_eq!((told.skipped, told.notifications[0].2.len()), (0, HALF));
+    let result = directory.apply_update(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DRAINING"));
+    assert_eq!((result.skipped, result.notifications[0].2.len()), (0, HALF));
     assert_eq!((in_state(&directory, DRAINING), in_state(&directory, READY)), (HALF, HALF));
-    assert_eq!(numbers(&directory), before, "each keeps its number");
+    assert_eq!(numbers(&directory), before, "each backend keeps its number");
 
     directory.apply_update(POOL, EndpointUpdate::Delta, listed_entries(0..HALF, "DELETED"));
     assert_eq!((in_state(&directory, READY), directory.gone().count()), (HALF, HALF));
     directory.retain(|_| false);
 
-    let told = directory.apply_update(POOL, EndpointUpdate::Snapshot, listed_entries(0..BACKENDS, "SERVING"));
+    let result =
+        directory.apply_update(POOL, EndpointUpdate::Snapshot, listed_entries(0..BACKENDS, "SERVING"));
     assert_eq!(
-        (told.skipped, told.notifications[0].2.len(), in_state(&directory, READY)),
+        (result.skipped, result.notifications[0].2.len(), in_state(&directory, READY)),
         (0, BACKENDS, BACKENDS)
     );
     println!("five lists in {:?}", started.elapsed());
-    assert!(started.elapsed() < PATIENCE, "{:?}", started.elapsed());
+    assert!(started.elapsed() < TIME_LIMIT, "{:?}", started.elapsed());
 }
 
-/// Some 2 KiB each at most, of the 32 MB that a process has.
+/// The limit is 2 KiB per backend, as a process has 32 MB.
 #[test]
 fn directory_of_1024_backends_uses_less_than_2_mib() {
-    let (mut directory, _) = Directory::new(&[], &[], vec![listed("p")]);
+    let (mut directory, _) = Directory::new(&[], &[], vec![discovered_pool("p")]);
     let entries = listed_entries(0..BACKENDS, "SERVING");
-    let held =
+    let memory =
         allocation_counter::measure(|| drop(directory.apply_update(POOL, EndpointUpdate::Snapshot, entries)));
-    println!("{} B, at the most {} B", held.bytes_current, held.bytes_max);
-    assert!(held.bytes_current < 2 << 20, "{} B", held.bytes_current);
-    assert!(held.bytes_max < 4 << 20, "{} B", held.bytes_max);
+    println!("{} B, at the most {} B", memory.bytes_current, memory.bytes_max);
+    assert!(memory.bytes_current < 2 << 20, "{} B", memory.bytes_current);
+    assert!(memory.bytes_max < 4 << 20, "{} B", memory.bytes_max);
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Random news and reloads against a naive copy of the lists.
+//! Random list updates and reloads, checked against a naive model of the lists.
 
 mod common;
 use common::*;
@@ -41,10 +41,10 @@
     ]
 }
 
-/// What the lists say, kept in the plainest way: by pool, then by name or static address.
+/// A naive model of the lists: entries by pool, then by name or static address.
 type Lists = BTreeMap<PoolId, BTreeMap<String, Endpoint>>;
 
-fn take(lists: &mut Lists, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
+fn apply_to_model(lists: &mut Lists, pool: PoolId, update: EndpointUpdate, entries: &[Endpoint]) {
     let list = lists.entry(pool).or_default();
     match update {
         EndpointUpdate::SubscriptionLost => return,
@@ -67,12 +67,12 @@
 
 type Owners = BTreeMap<SocketAddr, PoolId>;
 
-/// Each address that some list has is told to exactly one pool, with all that its list has there and as it has
-/// it; an address that one list alone has is that one's; an owner that is still listed stays.
+/// Checks that each listed address belongs to exactly one pool, with all entries of that pool's list at the address, and that
+/// an owner keeps an address while its list has it. Returns the owners.
 fn check(m: &Mirror, lists: &Lists, before: &Owners) -> Owners {
     let mut owners = Owners::new();
     for address in (1..5).map(at) {
-        let wanted = at_address(lists, address);
+        let listed_by_pool = at_address(lists, address);
         let mut got: BTreeMap<PoolId, Vec<(String, BackendState, Option<Time>)>> = BTreeMap::new();
         for (pool, backends) in &m.pools {
             for (row, _) in backends.values().filter(|(_, at)| *at == address) {
@@ -80,16 +80,21 @@
                 got.entry(*pool).or_default().push((name, row.state, row.started_at));
             }
         }
-        assert_eq!(got.len(), usize::from(!wanted.is_empty()), "{address}: {wanted:?} {got:?}");
-        let Some((owner, mut told)) = got.pop_first() else { continue };
+        assert_eq!(
+            got.len(),
+            usize::from(!listed_by_pool.is_empty()),
+            "{address}: {listed_by_pool:?} {got:?}"
+        );
+        let Some((owner, mut notified)) = got.pop_first() else { continue };
         let fixed = owner.0 > 1;
-        told.sort_by(|a, b| a.0.cmp(&b.0));
-        // The age of a static backend is the directory's to say.
-        let age = |e: &Endpoint, at: usize| if fixed { told[at].2 } else { e.started_at };
-        let listed = wanted[&owner].iter().enumerate().map(|(at, e)| (e.name.clone(), e.state, age(e, at)));
-        assert_eq!(listed.collect::<Vec<_>>(), told, "{address} in {owner:?}");
-        if let Some(old) = before.get(&address).filter(|old| wanted.contains_key(old)) {
-            assert_eq!(*old, owner, "{address} was taken from a pool that still has it");
+        notified.sort_by(|a, b| a.0.cmp(&b.0));
+        // The directory decides the start time of a static backend.
+        let age = |e: &Endpoint, at: usize| if fixed { notified[at].2 } else { e.started_at };
+        let listed =
+            listed_by_pool[&owner].iter().enumerate().map(|(at, e)| (e.name.clone(), e.state, age(e, at)));
+        assert_eq!(listed.collect::<Vec<_>>(), notified, "{address} in {owner:?}");
+        if let Some(old) = before.get(&address).filter(|old| listed_by_pool.contains_key(old)) {
+            assert_eq!(*old, owner, "{address} was taken from a pool that still lists it");
         }
         owners.insert(address, owner);
     }
@@ -98,7 +103,7 @@
     owners
 }
 
-/// The numbers by pool and name.
+/// Returns the backends' numbers by pool and name.
 fn numbers(m: &Mirror) -> BTreeMap<(PoolId, String), BackendId> {
     let each = m.pools.iter().flat_map(|(pool, backends)| backends.keys().map(move |id| (*pool, *id)));
     each.map(|(pool, id)| ((pool, m.directory.name(id).expect("known").to_string()), id)).collect()
@@ -109,15 +114,17 @@
 
     #[test]
     fn every_listed_backend_is_in_exactly_one_pool(steps in vec(step(), 1..40)) {
-        let pools = |p: &[u8], q: &[u8]| vec![listed("a"), listed("b"), fixed("p", p), fixed("q", q)];
+        let pools = |p: &[u8], q: &[u8]| vec![
+            discovered_pool("a"), discovered_pool("b"), static_pool("p", p), static_pool("q", q)
+        ];
         let mut m = Mirror::new(pools(&[], &[]));
         let (mut lists, mut owners) = (Lists::new(), Owners::new());
         let mut forgotten: BTreeSet<BackendId> = BTreeSet::new();
         for (clock, step) in steps.into_iter().enumerate() {
-            let (before, held) = (numbers(&m), owners.clone());
+            let (before, owners_before) = (numbers(&m), owners.clone());
             match step {
                 Step::Update(pool, update, entries) => {
-                    take(&mut lists, PoolId(pool), update, &entries);
+                    apply_to_model(&mut lists, PoolId(pool), update, &entries);
                     m.update(PoolId(pool), update, entries);
                     prop_assert!(m.last.moved.is_empty());
                 }
@@ -125,14 +132,14 @@
                     for (pool, addresses) in [(2, &p), (3, &q)] {
                         let backends: Vec<Endpoint> =
                             addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-                        take(&mut lists, PoolId(pool), EndpointUpdate::Snapshot, &backends);
+                        apply_to_model(&mut lists, PoolId(pool), EndpointUpdate::Snapshot, &backends);
                     }
                     m.reload(100 + clock as u64, pools(&p, &q));
                 }
                 Step::Forget(mask) => {
-                    let met: Vec<BackendId> = (0..1_000).map(BackendId).collect();
+                    let all_ids: Vec<BackendId> = (0..1_000).map(BackendId).collect();
                     let known = |m: &Mirror| -> BTreeSet<BackendId> {
-                        met.iter().copied().filter(|id| m.directory.address(*id).is_some()).collect()
+                        all_ids.iter().copied().filter(|id| m.directory.address(*id).is_some()).collect()
                     };
                     let all = known(&m);
                     m.directory.retain(|id| mask >> (id.0 % 32) & 1 == 1);
@@ -142,13 +149,13 @@
             owners = check(&m, &lists, &owners);
             let after = numbers(&m);
             for (key, id) in &after {
-                prop_assert!(!forgotten.contains(id), "a number is used once");
-                // A backend told of before and after under one name has one number.
+                prop_assert!(!forgotten.contains(id), "a number was used twice");
+                // A name that is listed before and after a step keeps its number.
                 prop_assert!(before.get(key).is_none_or(|old| old == id));
             }
-            // Between static pools the backend goes along.
+            // A backend moves with its address from one static pool to another.
             for (address, owner) in &owners {
-                let Some(from) = held.get(address).filter(|from| from.0 > 1 && owner.0 > 1 && *from != owner)
+                let Some(from) = owners_before.get(address).filter(|from| from.0 > 1 && owner.0 > 1 && *from != owner)
                 else { continue };
                 let moved = m.last.moved.iter().find(|moved| m.directory.address(moved.id) == Some(*address));
                 prop_assert_eq!(moved.map(|moved| (moved.from, moved.to)), Some((*from, *owner)));
--- a/crates/membership/tests/start_times.rs
+++ b/crates/membership/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Who is cold by a clock that is wrong, and by stamps that are.
+//! Start times under a wrong local clock and with wrong listed start times.
 
 use shaletide_membership::{Endpoint, StartTimes};
 use shaletide_types::{BackendState, EndpointUpdate, Micros, PoolId, Time};
@@ -6,8 +6,8 @@
 const POOL: PoolId = PoolId(0);
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3600 * SECOND;
-/// The true time as the process starts.
-const BEGUN: u64 = 1_000_000 * SECOND;
+/// The true time at which the process starts.
+const PROCESS_START: u64 = 1_000_000 * SECOND;
 
 fn entry(name: &str, started_at: u64) -> Endpoint {
     Endpoint {
@@ -23,7 +23,8 @@
     }
 }
 
-/// How old each is taken for, in seconds, at a true time, by a clock that is so many µs ahead; `None` for long ago.
+/// Returns the assumed age of each backend in seconds at the true time `now`, by a clock that is `ahead` µs ahead. `None`
+/// means long ago.
 fn ages(
     starts: &mut StartTimes, now: u64, ahead: i64, update: EndpointUpdate, listed: &[(&str, u64)],
 ) -> Vec<Option<f64>> {
@@ -47,19 +48,19 @@
     for ahead in CLOCKS {
         let mut starts = starts();
         let known = [("a", 0), ("b", 0)];
-        assert_eq!(ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &known), [None, None]);
-        let at = BEGUN + 60 * SECOND;
-        let heard = ages(&mut starts, at, ahead, EndpointUpdate::Delta, &[("a", at - SECOND)]);
-        assert_eq!(heard, [Some(0.0)], "{ahead}");
-        // The same start, listed again: its age is that of the monotonic clock, wherever the wall clock is.
-        let again = ages(
+        assert_eq!(ages(&mut starts, PROCESS_START, ahead, EndpointUpdate::Snapshot, &known), [None, None]);
+        let at = PROCESS_START + 60 * SECOND;
+        let first_listed = ages(&mut starts, at, ahead, EndpointUpdate::Delta, &[("a", at - SECOND)]);
+        assert_eq!(first_listed, [Some(0.0)], "{ahead}");
+        // The same start listed again: its age has advanced with the monotonic clock, whatever the wall clock shows.
+        let listed_again = ages(
             &mut starts,
             at + 9 * SECOND,
             ahead,
             EndpointUpdate::Snapshot,
             &[("a", at - SECOND), ("b", 0)],
         );
-        assert_eq!(again, [Some(9.0), None], "{ahead}");
+        assert_eq!(listed_again, [Some(9.0), None], "{ahead}");
     }
 }
 
@@ -67,10 +68,14 @@
 fn backends_of_the_first_list_have_the_least_age_the_latest_starts_prove() {
     for ahead in CLOCKS {
         let mut starts = starts();
-        let listed =
-            [("a", BEGUN - 2 * SECOND), ("b", BEGUN - 3 * SECOND), ("c", BEGUN - 60 * SECOND), ("d", 0)];
-        let ages = ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &listed);
-        // By the second of the last starts, as one stamp alone is not trusted.
+        let listed = [
+            ("a", PROCESS_START - 2 * SECOND),
+            ("b", PROCESS_START - 3 * SECOND),
+            ("c", PROCESS_START - 60 * SECOND),
+            ("d", 0),
+        ];
+        let ages = ages(&mut starts, PROCESS_START, ahead, EndpointUpdate::Snapshot, &listed);
+        // The second latest start is the reference, as a single start time is not trusted.
         assert_eq!(ages, [Some(0.0), Some(0.0), Some(57.0), None], "{ahead}");
     }
 }
@@ -78,22 +83,25 @@
 #[test]
 fn single_start_time_in_the_future_does_not_age_other_backends() {
     let mut starts = starts();
-    let listed = [("wrong", BEGUN + HOUR), ("a", BEGUN - 30 * SECOND)];
-    assert_eq!(ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed), [Some(0.0), Some(0.0)]);
-    let at = BEGUN + 20 * SECOND;
+    let listed = [("wrong", PROCESS_START + HOUR), ("a", PROCESS_START - 30 * SECOND)];
+    assert_eq!(
+        ages(&mut starts, PROCESS_START, 0, EndpointUpdate::Snapshot, &listed),
+        [Some(0.0), Some(0.0)]
+    );
+    let at = PROCESS_START + 20 * SECOND;
     assert_eq!(ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("b", at - SECOND)]), [Some(0.0)]);
-    // And it is itself warm after its ramp.
-    let later = ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("wrong", BEGUN + HOUR)]);
+    // The age of the backend with the wrong start time advances as well, so its slow start ends.
+    let later = ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("wrong", PROCESS_START + HOUR)]);
     assert_eq!(later, [Some(20.0)]);
 }
 
 #[test]
 fn backend_listed_late_gets_the_age_proved_by_others() {
     let mut starts = starts();
-    let first = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
-    ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &first);
-    // After an outage of discovery: it started 8 s ago, and others' lists came 1 s late.
-    let at = BEGUN + 100 * SECOND;
+    let first = [("a", PROCESS_START - SECOND), ("b", PROCESS_START - SECOND)];
+    ages(&mut starts, PROCESS_START, 0, EndpointUpdate::Snapshot, &first);
+    // After an outage of discovery: the backend started 8 s ago, and the starts of the others were listed 1 s late.
+    let at = PROCESS_START + 100 * SECOND;
     assert_eq!(ages(&mut starts, at, 0, EndpointUpdate::Delta, &[("c", at - 8 * SECOND)]), [Some(7.0)]);
 }
 
@@ -101,9 +109,9 @@
 fn backend_started_hours_ago_has_no_start_time() {
     for ahead in CLOCKS {
         let mut starts = starts();
-        let listed = [("a", BEGUN - 4 * HOUR), ("b", BEGUN - 5 * HOUR)];
+        let listed = [("a", PROCESS_START - 4 * HOUR), ("b", PROCESS_START - 5 * HOUR)];
         assert_eq!(
-            ages(&mut starts, BEGUN, ahead, EndpointUpdate::Snapshot, &listed),
+            ages(&mut starts, PROCESS_START, ahead, EndpointUpdate::Snapshot, &listed),
             [None, None],
             "{ahead}"
         );
@@ -113,9 +121,15 @@
 #[test]
 fn returning_backend_is_not_taken_for_older_than_it_is() {
     let mut starts = starts();
-    let listed = [("a", BEGUN - SECOND), ("b", BEGUN - SECOND)];
-    ages(&mut starts, BEGUN, 0, EndpointUpdate::Snapshot, &listed);
-    ages(&mut starts, BEGUN + SECOND, 0, EndpointUpdate::Snapshot, &[("b", BEGUN - SECOND)]);
-    let back = ages(&mut starts, BEGUN + 5 * SECOND, 0, EndpointUpdate::Delta, &[("a", BEGUN - SECOND)]);
-    assert_eq!(back, [Some(5.0)]);
+    let listed = [("a", PROCESS_START - SECOND), ("b", PROCESS_START - SECOND)];
+    ages(&mut starts, PROCESS_START, 0, EndpointUpdate::Snapshot, &listed);
+    ages(&mut starts, PROCESS_START + SECOND, 0, EndpointUpdate::Snapshot, &[("b", PROCESS_START - SECOND)]);
+    let returned = ages(
+        &mut starts,
+        PROCESS_START + 5 * SECOND,
+        0,
+        EndpointUpdate::Delta,
+        &[("a", PROCESS_START - SECOND)],
+    );
+    assert_eq!(returned, [Some(5.0)]);
 }
--- a/crates/record-service/src/opening.rs
+++ b/crates/record-service/src/opening.rs
@@ -40,7 +40,7 @@
                     std::thread::sleep(CORRUPT_PAUSE);
                 }
                 Err(StoreError::Corrupt(cause)) if !is_readable(path) => return Err(StoreError::Io(cause)),
-                result => return result,
+                opening_result => return opening_result,
             }
         }
     }
@@ -79,7 +79,7 @@
             Err(StoreError::Owned { .. }) if begun.elapsed() < MAX_OWNER_WAIT => {
                 std::thread::sleep(LOCK_PAUSE)
             }
-            result => return result,
+            opening_result => return opening_result,
         }
     }
 }
@@ -106,7 +106,7 @@
     }
 
     /// Waits for the result without a limit. Cancellation-safe: a dropped future has consumed nothing.
-    pub async fn result(&mut self) -> Result<StoreContents, StoreError> {
+    pub async fn opening_result(&mut self) -> Result<StoreContents, StoreError> {
         self.0.recv().await.unwrap_or_else(|| Err(thread_ended()))
     }
 }
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -37,7 +37,7 @@
 
 impl Record {
     /// Opens the store and starts the service. If the disk fails, continues without the store: requests that need the record
-    /// are rejected, and opening is retried. Waits at most [`MAX_START_WAIT`] and does not block the event loop. A dropped
+    /// are rejected, and opening is retried. Waits at most `MAX_START_WAIT` and does not block the event loop. A dropped
     /// future leaves the attempt running on its thread. Must be called within a `LocalSet`.
     ///
     /// # Errors
@@ -72,7 +72,7 @@
     /// provides no thread at present, that is handled like a failure of the disk.
     async fn open_once(&self) -> Result<Option<OpeningAttempt>, StoreError> {
         let mut attempt = OpeningAttempt::begin(self.path.clone())?;
-        match tokio::time::timeout(MAX_START_WAIT, attempt.result()).await {
+        match tokio::time::timeout(MAX_START_WAIT, attempt.opening_result()).await {
             Ok(opened) => self.begin(opened?).map(|()| None),
             Err(_) => Ok(Some(attempt)),
         }
@@ -150,7 +150,7 @@
             Some(attempt) => attempt,
             None => OpeningAttempt::begin(self.path.clone())?,
         };
-        attempt.result().await
+        attempt.opening_result().await
     }
 }
 
--- a/crates/record-service/src/service/commands.rs
+++ b/crates/record-service/src/service/commands.rs
@@ -104,7 +104,7 @@
         self.store_down.get()
     }
 
-    /// Waits until all facts that must not be lost are durable. Returns false if that takes longer than [`COMMAND_FLUSH`].
+    /// Waits until all facts that must not be lost are durable. Returns false if that takes longer than `COMMAND_FLUSH`.
     pub async fn flush(&self) -> bool {
         self.flush_until(Instant::now() + COMMAND_FLUSH).await
     }
--- a/crates/record/tests/chain.rs
+++ b/crates/record/tests/chain.rs
@@ -1,4 +1,4 @@
-//! Facts to rows and back; the chain over them.
+//! Conversion of facts to rows and back, and verification of the checksum chain.
 
 use proptest::prelude::*;
 use shaletide_record::chain::{canonical, hex, verify, BreakCause, Broken, Chain};
@@ -12,7 +12,7 @@
         let key = KeyId { tenant: "t".into(), class: "settle".into(), key: vec![0, n as u8] };
         fact.row(
             Time(n.into()),
-            RowSubject { request: Some(n.into()), key: Some(key), backend: Some("box".into()) },
+            RowSubject { request: Some(n.into()), key: Some(key), backend: Some("backend".into()) },
         )
     };
     let mut rows: Vec<Row> = (0..n as u32).map(row).collect();
@@ -44,7 +44,7 @@
         Fact::Resolved { by: "ann".into(), ran: true, note: "n".into() },
         Fact::Expired { through: 5 },
         Fact::Dropped { facts: 6 },
-        Fact::Correction { of: 3, by: "ann".into(), text: "it was box 2".into() },
+        Fact::Correction { of: 3, by: "ann".into(), text: "it was backend 2".into() },
         Fact::Pruned { through: 8, sum: "00".into(), by: "ann".into() },
         Fact::Unknown { kind: "of_tomorrow".into(), body: "{ \"a\":1 }".into() },
         Fact::Unknown { kind: "intent".into(), body: "of another form".into() },
@@ -70,7 +70,7 @@
         |r| r.at.0 += 1,
         |r| r.request = None,
         |r| r.key.as_mut().unwrap().key.push(0),
-        |r| r.backend = Some("box-2".into()),
+        |r| r.backend = Some("backend-2".into()),
         |r| r.sum[31] ^= 1,
     ];
     for edit in edits {
@@ -85,7 +85,11 @@
         Err(Broken { seq: 8, why: BreakCause::Missing { found: 9 } })
     );
     let cut = good[..15].to_vec();
-    assert_eq!(verify(Chain::default(), cut.clone(), None).map(|c| c.seq), Ok(15), "by itself it is sound");
+    assert_eq!(
+        verify(Chain::default(), cut.clone(), None).map(|c| c.seq),
+        Ok(15),
+        "without a known head a cut chain is valid"
+    );
     assert_eq!(verify(Chain::default(), cut, Some(head)), Err(Broken { seq: 16, why: BreakCause::Cut }));
     let known = Chain { head: [9; 32], ..head };
     assert_eq!(verify(Chain::default(), good, Some(known)), Err(Broken { seq: 20, why: BreakCause::Known }));
@@ -95,19 +99,23 @@
 fn chain_continues_after_an_anchor_and_names_it() {
     let (mut all, mut chain) = rows(10);
     let anchor = Chain { seq: 6, head: all[5].sum };
-    let unsaid = verify(anchor, all[6..].to_vec(), None);
-    assert_eq!(unsaid, Err(Broken { seq: 7, why: BreakCause::Anchor }));
+    let unrecorded = verify(anchor, all[6..].to_vec(), None);
+    assert_eq!(unrecorded, Err(Broken { seq: 7, why: BreakCause::Anchor }));
     let pruned = Fact::Pruned { through: 6, sum: hex(&anchor.head), by: "ann".into() };
     let mut row = pruned.row(Time(0), RowSubject::default());
     chain.add(&mut row);
     all.push(row);
     assert_eq!(verify(anchor, all[6..].to_vec(), Some(chain)), Ok(chain));
-    assert_eq!(verify(Chain::default(), all.clone(), None), Ok(chain), "or nothing was taken out");
+    assert_eq!(
+        verify(Chain::default(), all.clone(), None),
+        Ok(chain),
+        "without an anchor all rows are present"
+    );
     let wrong = Chain { head: [1; 32], ..anchor };
     assert_eq!(verify(wrong, all[6..].to_vec(), None), Err(Broken { seq: 7, why: BreakCause::Sum }));
 }
 
-/// The sum of a known row, so that no later version changes the form by accident.
+/// Compares the sum of a fixed row, so that a later version does not change the canonical form by accident.
 #[test]
 fn canonical_form_of_a_row_never_changes() {
     let mut row = Fact::Withdrawn { attempt: 1 }.row(Time(2), RowSubject::default());
--- a/crates/record/tests/common/store.rs
+++ b/crates/record/tests/common/store.rs
@@ -1,11 +1,11 @@
-//! A store in memory: rows in a chain, keys under a constraint.
+//! An in-memory store: a chain of rows, and keys with a uniqueness constraint.
 
 use shaletide_record::chain::Chain;
 use shaletide_record::*;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct KeyEntry {
     state: KeyState,
     since: shaletide_types::Time,
     seq: u64,
@@ -17,45 +17,45 @@
 pub struct Store {
     pub rows: Vec<Row>,
     pub queue: VecDeque<(Ticket, Write)>,
-    keys: BTreeMap<KeyId, Kept>,
+    keys: BTreeMap<KeyId, KeyEntry>,
     chain: Chain,
 }
 
 impl Store {
-    pub fn commit(&mut self, run: u64, most: usize) -> Vec<Event> {
-        let batch = self.queue.len().min(most);
+    pub fn commit(&mut self, run: u64, max_writes: usize) -> Vec<Event> {
+        let batch = self.queue.len().min(max_writes);
         let batch: Vec<(Ticket, Write)> = self.queue.drain(..batch).collect();
-        let tell = |(ticket, write): (Ticket, Write)| match self.apply(run, write) {
+        let to_event = |(ticket, write): (Ticket, Write)| match self.apply(run, write) {
             Ok(seq) => Event::Committed { ticket, seq },
             Err(why) => Event::ClaimRejected { ticket, why },
         };
-        batch.into_iter().map(tell).collect()
+        batch.into_iter().map(to_event).collect()
     }
 
-    pub fn fail(&mut self, run: u64, durable: usize) -> Vec<Event> {
+    pub fn fail_writes(&mut self, run: u64, durable: usize) -> Vec<Event> {
         let batch: Vec<(Ticket, Write)> = self.queue.drain(..).collect();
-        let mut told = Vec::new();
+        let mut events = Vec::new();
         for (n, (ticket, write)) in batch.into_iter().enumerate() {
             if n < durable {
                 let _ = self.apply(run, write);
             }
-            told.push(Event::WriteFailed { ticket, why: StoreFailure::Failed });
+            events.push(Event::WriteFailed { ticket, why: StoreFailure::Failed });
         }
-        told
+        events
     }
 
-    /// The row and what it does to its key, both or neither.
+    /// Applies a row together with the change to its key's state, or neither.
     fn apply(&mut self, run: u64, write: Write) -> Result<u64, ClaimRejection> {
         let Write { mut row, claim } = write;
         let (seq, since, request) = (self.chain.seq + 1, row.at, row.request);
-        let kept = |state| Kept { state, since, seq, run, request };
+        let key_entry = |state| KeyEntry { state, since, seq, run, request };
         match claim {
             Claim::None => {}
             Claim::Take(key) => match self.keys.get(&key) {
-                Some(held) => return Err(ClaimRejection::Taken(held.state)),
-                None => drop(self.keys.insert(key, kept(KeyState::InFlight))),
+                Some(taken) => return Err(ClaimRejection::Taken(taken.state)),
+                None => drop(self.keys.insert(key, key_entry(KeyState::InFlight))),
             },
-            Claim::Set(key, state) => drop(self.keys.insert(key, kept(state))),
+            Claim::Set(key, state) => drop(self.keys.insert(key, key_entry(state))),
             Claim::Free(key) => drop(self.keys.remove(&key)),
             Claim::FreeOwn(key) => {
                 if self.keys.get(&key).is_some_and(|k| (k.run, k.request) == (run, request)) {
@@ -72,15 +72,15 @@
         Ok(seq)
     }
 
-    pub fn remembered(&self) -> Vec<StoredKey> {
-        let each = self.keys.iter();
-        let one = |(key, k): (&KeyId, &Kept)| StoredKey {
+    pub fn stored_keys(&self) -> Vec<StoredKey> {
+        let entries = self.keys.iter();
+        let to_stored_key = |(key, k): (&KeyId, &KeyEntry)| StoredKey {
             key: key.clone(),
             state: k.state,
             since: k.since,
             seq: k.seq,
         };
-        each.map(one).collect()
+        entries.map(to_stored_key).collect()
     }
 
     pub fn state(&self, key: &KeyId) -> Option<KeyState> {
@@ -89,6 +89,6 @@
 
     pub fn set(&mut self, key: KeyId, state: KeyState) {
         let since = shaletide_types::Time(0);
-        self.keys.insert(key, Kept { state, since, seq: 0, run: 0, request: None });
+        self.keys.insert(key, KeyEntry { state, since, seq: 0, run: 0, request: None });
     }
 }
--- a/crates/record/tests/unknown_claims.rs
+++ b/crates/record/tests/unknown_claims.rs
@@ -1,4 +1,4 @@
-//! What may not be concluded from a write of which nobody knows whether it is on record.
+//! Claims of keys by writes whose commit outcome is unknown.
 
 use shaletide_record::*;
 use shaletide_types::*;
@@ -7,30 +7,34 @@
     Time(1_000_000_000 + ms * 1_000)
 }
 
-/// A recorder that has let one settle go, and what it asked for.
-fn one_settle() -> (Recorder, RequestId, Vec<Action>) {
+/// Returns a recorder that has accepted one request of class `settle`, the request, and the resulting actions.
+fn recorder_with_request() -> (Recorder, RequestId, Vec<Action>) {
     let mut config = RecordConfig::default();
     config
         .classes
         .insert("settle".into(), ClassRule { requires_intent: true, without_key: WithoutKey::Refuse });
     let mut recorder = Recorder::new(config, [1; 16], at(0), at(0));
     let (mut actions, request) = (Vec::new(), RequestId(1));
-    let asked = KeyRequest { request, tenant: "", class: "settle", key: Some(b"k"), deadline: at(2_000) };
-    assert_eq!(recorder.decide(at(1), asked, &mut actions), KeyDecision::Proceed { requires_intent: true });
+    let key_request =
+        KeyRequest { request, tenant: "", class: "settle", key: Some(b"k"), deadline: at(2_000) };
+    assert_eq!(
+        recorder.decide(at(1), key_request, &mut actions),
+        KeyDecision::Proceed { requires_intent: true }
+    );
     (recorder, request, actions)
 }
 
-/// The intent of an attempt that was called back fails: whether the key is taken is not known, and the next attempt
-/// of the same request may not set it whoever holds it.
+/// The write of a withdrawn attempt's intent fails, so it is not known whether the key is taken. The next attempt of the
+/// same request must not set the key's state, because another request may hold the key.
 #[test]
 fn key_whose_claim_is_unknown_is_not_set() {
-    let (mut recorder, request, mut actions) = one_settle();
-    let wanted = |attempt| Event::IntentRequested {
+    let (mut recorder, request, mut actions) = recorder_with_request();
+    let intent_requested = |attempt| Event::IntentRequested {
         request,
         attempt: AttemptNumber(attempt),
         seen: BackendSnapshot::default(),
     };
-    recorder.handle(at(2), wanted(0), &mut actions);
+    recorder.handle(at(2), intent_requested(0), &mut actions);
     recorder.handle(at(3), Event::IntentWithdrawn { request, attempt: AttemptNumber(0) }, &mut actions);
     let tickets: Vec<Ticket> = actions
         .iter()
@@ -45,25 +49,25 @@
         recorder.handle(at(4), Event::WriteFailed { ticket, why: StoreFailure::Locked }, &mut actions);
     }
     recorder.handle(at(50), Event::StoreUp, &mut actions);
-    recorder.handle(at(60), wanted(1), &mut actions);
-    let sets = |action: &Action| matches!(action, Action::Write { write, .. } if matches!(write.claim, Claim::Set(..)));
-    assert!(!actions.iter().any(sets), "{actions:?}");
+    recorder.handle(at(60), intent_requested(1), &mut actions);
+    let sets_key = |action: &Action| matches!(action, Action::Write { write, .. } if matches!(write.claim, Claim::Set(..)));
+    assert!(!actions.iter().any(sets_key), "{actions:?}");
 }
 
-/// A verdict comes before the permit that is not given: the end of its only attempt ends a request.
+/// The decision must come before the denial of the intent: the engine ends a request once its only attempt has ended.
 #[test]
 fn decision_precedes_the_denied_intent() {
-    let (mut recorder, request, mut actions) = one_settle();
+    let (mut recorder, request, mut actions) = recorder_with_request();
     actions.clear();
-    let wanted =
+    let intent_requested =
         Event::IntentRequested { request, attempt: AttemptNumber(0), seen: BackendSnapshot::default() };
-    recorder.handle(at(2), wanted, &mut actions);
+    recorder.handle(at(2), intent_requested, &mut actions);
     let Some(Action::Write { ticket, .. }) = actions.first() else { panic!("{actions:?}") };
-    let refused = Event::ClaimRejected { ticket: *ticket, why: ClaimRejection::Taken(KeyState::Served) };
+    let rejected = Event::ClaimRejected { ticket: *ticket, why: ClaimRejection::Taken(KeyState::Served) };
     actions.clear();
-    recorder.handle(at(3), refused, &mut actions);
-    let place =
+    recorder.handle(at(3), rejected, &mut actions);
+    let position_of =
         |is: fn(&Action) -> bool| actions.iter().position(is).unwrap_or_else(|| panic!("{actions:?}"));
-    let end = place(|a| matches!(a, Action::EndRequest { decision: KeyDecision::Conflict(_), .. }));
-    assert!(end < place(|a| matches!(a, Action::IntentPersisted { persisted: false, .. })));
+    let end = position_of(|a| matches!(a, Action::EndRequest { decision: KeyDecision::Conflict(_), .. }));
+    assert!(end < position_of(|a| matches!(a, Action::IntentPersisted { persisted: false, .. })));
 }
