--- a/crates/record-service/src/service/commands.rs
+++ b/crates/record-service/src/service/commands.rs
@@ -137,7 +137,7 @@
     pub fn log_status(&self) {
         let recorder = self.recorder.borrow();
         info!(
-            "record: {} keys unsettled, {} keys served, {} facts pending, {} facts dropped",
+            "record: keys unsettled {} served {}, facts on their way {}, left out {}",
             recorder.unsettled(),
             recorder.served(),
             recorder.pending_fact_count(),
