--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,44 +1,46 @@
-//! Admission control: whether a new request is rejected at once because too much is in flight. That does no harm, and
-//! waiting would bring no capacity. Off with 4 proxies or fewer.
+//! Admission control: decides whether a new request is rejected at once because too much is in flight. Rejecting a new
+//! request is harmless, and queueing it would bring no capacity. Off with 4 proxies or fewer.
 
 use crate::load_reports::{LoadReports, TARGET_MEAN_IN_FLIGHT_PER_CORE};
 use crate::request::PriorityLevel;
 
-/// Requests of all proxies in flight on a core of a backend: a shared processor at four fifths of its capacity has four
-/// in flight on average, and more only makes each of them later.
+/// Target for the requests of all proxies in flight on one core of a backend. A processor-sharing core at 80 % of its
+/// capacity has four requests in flight on average; more of them only make each one slower.
 pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 4.0;
-/// Multiple of the target from which requests of normal priority are rejected: 8 in flight on a core. With u / (1 - u)
-/// in flight at utilization u, this is a utilization of eight ninths, ...
+/// Multiple of the target above which requests of normal priority are rejected: 8 in flight on a core. At utilization
+/// u there are u / (1 - u) in flight, so that this is a utilization of eight ninths.
 const NORMAL_PRIORITY_LIMIT_FACTOR: f64 = 2.0;
-/// ... and from which those of low priority are: 2 in flight on a core, a utilization of two thirds.
+/// Multiple of the target above which requests of low priority are rejected: 2 in flight on a core, a utilization of
+/// two thirds.
 const LOW_PRIORITY_LIMIT_FACTOR: f64 = 0.5;
-/// Where backends have little in flight by their reports, the estimate by what this proxy has may be over its limit by
-/// this factor.
+/// Largest factor by which the estimate from this proxy's own requests in flight may exceed its limit while the
+/// backends report a low load.
 const MAX_OVERLOAD_SLACK: f64 = 4.0;
-/// A lower load does not raise the slack further, requests in flight on a core.
+/// Lower bound of the load that the slack is computed from, requests in flight on a core.
 const MIN_IN_FLIGHT_PER_CORE: f64 = 0.1;
 
-/// With more proxies than requests in flight that a core should have (5 or more), one proxy cannot judge the load by
-/// what it has in flight itself. Only then: admission control, load reports, zone reachability.
-pub(crate) fn sees_too_little_alone(proxies: u32) -> bool {
+/// Returns whether there are more proxies than a core should have requests in flight (5 or more). One proxy then cannot
+/// judge the load by its own requests in flight. Admission control, load reports and zone reachability are used only in
+/// such a fleet.
+pub(crate) fn is_large_fleet(proxies: u32) -> bool {
     f64::from(proxies) > TARGET_IN_FLIGHT_PER_CORE
 }
 
-/// What admission goes by at one moment.
+/// The inputs of admission control at one moment.
 pub(crate) struct AdmissionControl<'a> {
-    /// How many proxies share the traffic.
+    /// Number of proxies that share the traffic.
     pub proxies: u32,
     pub load_reports: &'a LoadReports,
-    /// Requests of all proxies in flight, if all are like this one.
+    /// Requests of all proxies in flight, estimated as if every proxy had as many as this one.
     pub estimated_in_flight: f64,
-    /// Cores of all backends, each times its backend's capacity factor.
+    /// Sum over all backends of their cores times their capacity factor.
     pub effective_cores: f64,
-    /// Requests in flight on a core by this proxy's latencies; `None` where reports are to be waited for.
+    /// Requests in flight on a core, estimated from this proxy's latencies; `None` where load reports are expected.
     pub in_flight_per_core_by_latency: Option<f64>,
 }
 
 impl AdmissionControl<'_> {
-    /// Whether a new request is to be rejected. `admission_roll` is the request's random number from 0 to 1.
+    /// Returns whether to reject a new request. `admission_roll` is the request's random number from 0 to 1.
     pub fn is_overloaded(&self, priority: PriorityLevel, admission_roll: f64) -> bool {
         if admission_roll > self.load_reports.admitted_fraction(priority) {
             return true;
@@ -48,11 +50,12 @@
             PriorityLevel::Normal => TARGET_IN_FLIGHT_PER_CORE * NORMAL_PRIORITY_LIMIT_FACTOR,
         };
         let limit = max_per_core * self.slack(priority) * self.effective_cores;
-        sees_too_little_alone(self.proxies) && self.estimated_in_flight > limit
+        is_large_fleet(self.proxies) && self.estimated_in_flight > limit
     }
 
-    /// The factor by which the estimate may be over its limit: what backends report goes before the guess that the
-    /// other proxies are like this one. Without reports latencies speak for requests of low priority.
+    /// Returns the factor by which the estimate may exceed its limit. Load that backends report takes precedence over
+    /// the assumption that all proxies have the same load. Without reports, this proxy's latencies serve as evidence,
+    /// for requests of low priority only.
     fn slack(&self, priority: PriorityLevel) -> f64 {
         let by_latency = match priority {
             PriorityLevel::Low => self.in_flight_per_core_by_latency,
--- a/crates/balancer/src/availability.rs
+++ b/crates/balancer/src/availability.rs
@@ -1,15 +1,15 @@
-//! Whether a pool can take a request at all.
+//! Whether a pool can take any request: counts its backends in use and knows when the next probe is due.
 
 use crate::backend_stats::BackendStats;
 use crate::interface::PoolHealth;
 use shaletide_types::*;
 
-/// The backends that requests can be sent to, counted.
+/// Counts of the backends that requests can be sent to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Availability {
     /// Backends that are ready and not ejected.
     in_use: u32,
-    /// When the first ejected backend is due for a probe; `None` where none is ejected.
+    /// When the next probe of an ejected backend is due; `None` where no backend is ejected.
     next_probe_at: Option<Time>,
 }
 
@@ -22,7 +22,7 @@
         availability
     }
 
-    /// Counts one more backend.
+    /// Adds a backend to the counts.
     pub fn add(&mut self, backend: &BackendStats) {
         if !backend.is_ready() {
             return;
@@ -30,14 +30,14 @@
         match backend.outlier.ejected_until {
             None => self.in_use += 1,
             Some(until) => {
-                // The next probe is due when the one in flight has ended.
+                // A backend has one probe at a time: the next one is due only after the one in flight has ended.
                 let probe_at = if backend.in_flight > 0 { Time(u64::MAX) } else { until };
                 self.next_probe_at = Some(self.next_probe_at.map_or(probe_at, |first| first.min(probe_at)));
             }
         }
     }
 
-    /// Counts a backend that was in use no more.
+    /// Removes a backend that was in use from the counts.
     pub fn remove_in_use(&mut self) {
         self.in_use = self.in_use.saturating_sub(1);
     }
--- a/crates/balancer/src/backend_stats.rs
+++ b/crates/balancer/src/backend_stats.rs
@@ -1,40 +1,40 @@
-//! What this proxy knows of a backend.
+//! The state that this proxy keeps for each backend.
 
 use crate::outlier::OutlierState;
 use crate::reported_load::ReportedLoad;
 use crate::slow_start::SentWork;
 use shaletide_types::*;
 
-/// What this proxy knows of a backend, and the part of the traffic that follows from it.
+/// The state of one backend as this proxy knows it, and the weights derived from it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct BackendStats {
-    /// The backend by the endpoint list; `cores` may have been raised by its weight.
+    /// The backend's entry in the endpoint list; `cores` may have been raised to the number that its weight implies.
     pub entry: BackendEntry,
     /// (1 - error rate) x warm-up x load factor, 0 to 1.2; 0 where the backend is not ready, ejected or in an
-    /// unreachable zone. (Where too many are ejected they are used after all, with an error rate of 0.)
+    /// unreachable zone. Where too many backends are ejected, they are used anyway, with an error rate of 0.
     pub capacity_factor: f64,
-    /// Part of this proxy's traffic that the backend should have.
+    /// Share of this proxy's traffic that the backend should receive.
     pub selection_weight: f64,
-    /// Weight within the server type for the draw: the backend's length inside this proxy's arc, times its selection
-    /// weight where backends report.
+    /// Weight for the random draw among the backends of its server type: the part of the backend's length that lies in
+    /// this proxy's subset, times its selection weight where backends report their load.
     pub subset_weight: f64,
-    /// Attempts of this proxy that may be in flight at the backend.
+    /// Maximum number of this proxy's attempts in flight at the backend.
     pub concurrency_limit: f64,
-    /// Attempts of this proxy that are in flight at the backend.
+    /// This proxy's attempts in flight at the backend.
     pub in_flight: u32,
-    /// Of these, how many are so much older than expected that they take up no capacity.
+    /// Number of those attempts that are so much older than expected that they no longer count against capacity.
     pub suspected_lost: u32,
-    /// Errors, silence and ejections.
+    /// Error rates, unanswered attempts and ejections.
     pub outlier: OutlierState,
-    /// Work sent lately, for the slow start budget.
+    /// Work sent recently, for the slow start budget.
     pub sent_work: SentWork,
-    /// Load that the backend reports.
+    /// The load that the backend reports.
     pub reported_load: ReportedLoad,
 }
 
 impl BackendStats {
-    /// Forgets all that was known of the process before a restart. What is in flight and what was sent stay: they are
-    /// this proxy's own.
+    /// Discards what was learned of the backend's process before its restart. The attempts in flight and the work sent
+    /// are this proxy's own and stay.
     pub fn reset_after_restart(&mut self) {
         *self = BackendStats {
             in_flight: self.in_flight,
@@ -43,17 +43,17 @@
         };
     }
 
-    /// Whether the endpoint list lets the backend take new requests.
+    /// Returns whether the endpoint list allows new requests at the backend.
     pub fn is_ready(&self) -> bool {
         self.entry.state == BackendState::Ready
     }
 
-    /// Whether the backend is ready and not ejected.
+    /// Returns whether the backend is ready and not ejected.
     pub fn is_in_use(&self) -> bool {
         self.is_ready() && !self.outlier.is_ejected()
     }
 
-    /// Whether one more attempt may be in flight, within the given part of the concurrency limit.
+    /// Returns whether the attempts in flight that count against capacity are fewer than `limit`.
     pub fn has_capacity(&self, limit: f64) -> bool {
         f64::from(self.in_flight.saturating_sub(self.suspected_lost)) < limit
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,19 +1,19 @@
-//! The balancer of one pool: it takes events and gives actions. Its interface is `crates/balancer/src/interface.rs`.
+//! The balancer of one pool: turns events into actions. Its interface is `crates/balancer/src/interface.rs`.
 //!
-//! In ordinary operation [`weights`] turn the arrival rate and the learned speeds into a part of the
-//! traffic for each server type (HALB) and each backend, and an attempt goes to a server type and a backend of it at
-//! random by these weights. Everything else is for faults and overload. Each such rule stands in a module of the crate
-//! with a type that owns its state (outliers, slow start, admission control, retries and so on); the modules below this
-//! one call them:
+//! In normal operation, [`weights`] computes a share of the traffic for each server type (HALB) and each backend from
+//! the arrival rate and the learned speeds. Each attempt goes to a server type and one of its backends, drawn at random
+//! by these weights. Everything else handles faults and overload. Each such rule has a module of the crate with a type
+//! that owns its state (outliers, slow start, admission control, retries and so on). The submodules of this one call
+//! them:
 //!
 //! | Module | What it does |
 //! |---|---|
-//! | `endpoints` | takes in endpoint lists and backends that move between pools |
+//! | `endpoints` | applies updates of the endpoint list, and moves backends between pools |
 //! | `requests` | accepts requests and ends them |
-//! | `dispatch` | decides for each queued request: send, wait, fail over or give up |
-//! | `outcomes` | learns from the end of an attempt |
+//! | `dispatch` | decides whether each queued request is sent, waits, fails over or is given up |
+//! | `outcomes` | updates the statistics when an attempt ends |
 //! | `timers` | polls discovery, finds lost attempts, expires and hedges requests |
-//! | `weights` | recomputes the backends' parts of the traffic |
+//! | `weights` | recomputes the backends' shares of the traffic |
 
 mod dispatch;
 mod endpoints;
@@ -24,7 +24,7 @@
 
 pub use endpoints::MigratedBackend;
 
-use crate::admission::{sees_too_little_alone, AdmissionControl};
+use crate::admission::{is_large_fleet, AdmissionControl};
 use crate::availability::Availability;
 use crate::backend_stats::BackendStats;
 use crate::discovery::DiscoveryPoll;
@@ -43,71 +43,72 @@
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// Window of the arrival rate, s: short compared with a slow start or a failure.
+/// Window over which the arrival rate is averaged, s: short compared with a slow start or a failure.
 const RATE_WINDOW_S: f64 = 2.0;
-/// Longest window of what this proxy has in flight, s. Attempts that hung while a zone was unreachable are forgotten as
-/// soon as others come back.
+/// Longest window over which this proxy's requests in flight are averaged, s. It is short so that attempts that hung
+/// while a zone was unreachable stop counting soon after responses arrive again.
 const IN_FLIGHT_WINDOW_S: f64 = 5.0;
-/// Shortest time between two log lines.
+/// Minimum time between two log lines.
 const LOG_INTERVAL: Micros = Micros(500_000);
 
-/// The decisions of one pool. Give it every event in order; it answers with actions.
+/// The balancer of one pool: a state machine that takes every event in order and returns actions.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     config: Config,
     rng: Rng,
 
     backends: BTreeMap<BackendId, BackendStats>,
-    /// The backends by stable hash, an order that all proxies share.
+    /// The backends ordered by stable hash, which is the same order at every proxy.
     hash_order: Vec<BackendId>,
     server_types: BTreeMap<ServerTypeId, ServerTypeStats>,
     availability: Availability,
 
     requests: BTreeMap<RequestId, RequestState>,
     queue: RequestQueue,
-    /// Attempts at this pool's backends, whoever has their requests now.
+    /// Attempts in flight at this pool's backends, also those of requests that failed over to another pool.
     in_flight_attempts: BTreeMap<(RequestId, AttemptNumber), InFlightAttempt>,
 
     latencies: LatencyModel,
-    /// Requests a second that came to this proxy.
+    /// Requests a second that arrive at this proxy.
     arrival_rate: DecayingRate,
-    /// Attempts that this proxy has in flight, on average.
+    /// Average number of this proxy's attempts in flight at this pool's backends.
     in_flight_level: DecayingRate,
-    /// Seconds that served attempts took, for each second: by Little's law what this proxy has in flight at backends.
+    /// Sum of the latencies of served attempts, in seconds for each second. By Little's law this is the average number
+    /// of this proxy's requests in flight at backends.
     service_time_rate: DecayingRate,
     load_reports: LoadReports,
     zone_reachability: ZoneReachability,
-    /// The part of the ready backends that this proxy can reach: the proxies of an unreachable zone reach the others.
+    /// Fraction of the ready backends that this proxy can reach. Proxies in an unreachable zone serve the rest.
     reachable_fraction: f64,
-    /// Attempts in flight that are taken for lost in unreachable zones.
+    /// Attempts in flight that are presumed lost in unreachable zones.
     lost_to_unreachable_zones: u32,
-    /// The median of the backends' error rates: what is common to all is no fault of any.
+    /// Median of the backends' error rates: errors common to all backends are not held against any one of them.
     median_error_rate: f64,
 
     recompute_at: Time,
     timer: Timer,
     discovery_poll: DiscoveryPoll,
-    /// The pool was closed: nothing is queued.
+    /// The pool is closed: no request is queued.
     closed: bool,
     next_log_at: Time,
     give_up_counts: GiveUpCounts,
-    /// Actions of the event at hand.
+    /// Actions that the current event has produced so far.
     actions: Vec<Action>,
 }
 
-/// What an event calls for in addition to its own effect.
+/// What has to follow after an event has been applied.
 enum FollowUp {
     /// Nothing.
     None,
-    /// The timers that are due, and another look at the queue.
+    /// Run the timers that are due, then dispatch queued requests.
     Dispatch,
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet but its configuration. All random choices follow from `seed`.
+    /// Creates a balancer without backends. `seed` determines all of its random choices.
     ///
     /// # Errors
-    /// The first field of the configuration that is out of its range.
+    /// Returns the first field of the configuration that is out of its range.
     pub fn new(config: Config, seed: u64) -> Result<Balancer, ConfigError> {
         config.validate()?;
         Ok(Balancer {
@@ -139,10 +140,11 @@
         })
     }
 
-    /// Replaces the configuration. Classes and tenants keep their numbers; new ones may follow them.
+    /// Replaces the configuration. Existing classes and tenants keep their indices; new ones may be appended.
     ///
     /// # Errors
-    /// The field at fault, where one is out of its range or there are fewer classes; nothing is changed then.
+    /// Returns the invalid field, where one is out of its range or there are fewer classes than before. Nothing is
+    /// changed then.
     pub fn reconfigure(&mut self, config: Config) -> Result<(), ConfigError> {
         config.validate()?;
         if config.classes.len() < self.config.classes.len() {
@@ -150,7 +152,7 @@
         }
         self.latencies.set_classes(&config.classes);
         if config.proxies != self.config.proxies {
-            // The size of the fleet was learned relative to the former number.
+            // The fleet size was learned relative to the previous number of proxies.
             self.load_reports = LoadReports::new(config.proxies);
             self.zone_reachability = ZoneReachability::default();
         }
@@ -160,29 +162,29 @@
         Ok(())
     }
 
-    /// Whether the pool can take a request at all.
+    /// Returns whether the pool can take requests.
     pub fn health(&self, now: Time) -> PoolHealth {
         self.availability.health(now)
     }
 
-    /// Requests given up since the last call, by reason.
+    /// Returns how many requests were given up since the last call, by reason.
     pub fn take_give_up_counts(&mut self) -> GiveUpCounts {
         std::mem::take(&mut self.give_up_counts)
     }
 
-    /// Takes one event that happened at `now` and adds the actions that it calls for. `shared` is one value for all
-    /// pools of the process.
+    /// Handles one event that happened at `now` and appends the resulting actions to `actions`. All balancers of the
+    /// process share one `shared`.
     pub fn handle(&mut self, now: Time, event: Event, shared: &mut SharedLimits, actions: &mut Vec<Action>) {
         if may_free_capacity(&event) {
             self.queue.unblock();
         }
         self.record_in_flight_level(now);
-        // Not for an idle proxy: a thousand of them would use up the processor.
-        let has_requests = brings_request(&event) || !self.queue.is_empty();
+        // An idle proxy does not recompute weights: a thousand idle proxies would saturate the processor.
+        let has_requests = carries_request(&event) || !self.queue.is_empty();
         if has_requests && now >= self.recompute_at {
             self.recompute_weights(now);
         }
-        match self.take_event(now, event, shared) {
+        match self.apply_event(now, event, shared) {
             FollowUp::None => return,
             FollowUp::Dispatch => {}
         }
@@ -197,7 +199,7 @@
         actions.append(&mut self.actions);
     }
 
-    fn take_event(&mut self, now: Time, event: Event, shared: &mut SharedLimits) -> FollowUp {
+    fn apply_event(&mut self, now: Time, event: Event, shared: &mut SharedLimits) -> FollowUp {
         match event {
             Event::EndpointsUpdated { update, backends } => self.update_endpoints(now, update, backends),
             Event::Request(arrival) => self.accept(now, arrival, shared),
@@ -226,7 +228,7 @@
     }
 
     fn record_load_report(&mut self, now: Time, backend: BackendId, report: &LoadReport) {
-        if !self.sees_too_little_alone() {
+        if !self.is_large_fleet() {
             return;
         }
         if let Some(backend) = self.backends.get_mut(&backend) {
@@ -236,15 +238,16 @@
 
     fn on_pool_closed(&mut self) {
         self.closed = true;
-        // Where clients' next requests go is not known here: no rejection relies on their being discarded.
+        // The destination of a client's retry is unknown once the pool is closed, so that no rejection may rely on a
+        // backend discarding the repeat.
         self.config.only_deduplication_domain = None;
     }
 
-    fn sees_too_little_alone(&self) -> bool {
-        sees_too_little_alone(self.config.proxies)
+    fn is_large_fleet(&self) -> bool {
+        is_large_fleet(self.config.proxies)
     }
 
-    /// Whether a new request is to be rejected because too much is in flight.
+    /// Returns whether admission control rejects a new request.
     fn is_overloaded(&self, request: &RequestState) -> bool {
         let own_in_flight = self.in_flight_level.per_second().unwrap_or(0.0);
         let in_flight_per_core_by_latency = if self.config.weights_report_load {
@@ -262,7 +265,7 @@
         admission.is_overloaded(request.priority_level(), request.admission_roll)
     }
 
-    /// Adds a line for the operators, two a second at most.
+    /// Writes a log line, at most one every [`LOG_INTERVAL`].
     fn log(&mut self, now: Time, text: String) {
         if now >= self.next_log_at {
             self.next_log_at = now + LOG_INTERVAL;
@@ -271,7 +274,7 @@
     }
 }
 
-/// Whether backends may have capacity after the event that they had not before.
+/// Returns whether the event may free capacity at a backend.
 fn may_free_capacity(event: &Event) -> bool {
     match event {
         Event::Request(_) | Event::FailedOver(..) | Event::Timer { .. } | Event::LoadReported(..) => false,
@@ -283,6 +286,7 @@
     }
 }
 
-fn brings_request(event: &Event) -> bool {
+/// Returns whether the event adds a request to the queue.
+fn carries_request(event: &Event) -> bool {
     matches!(event, Event::Request(_) | Event::FailedOver(..))
 }
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: for each queued request a decision, which is then carried out.
+//! Dispatch: decides what happens to each queued request, and carries the decision out.
 
 use super::Balancer;
 use crate::give_up::GiveUpReason;
@@ -10,32 +10,32 @@
 use crate::slow_start::SlowStart;
 use shaletide_types::*;
 
-/// What becomes of a queued request.
+/// The decision on a queued request.
 enum Decision {
-    /// An attempt goes to the backend.
+    /// An attempt is sent to the backend.
     Send(BackendId),
-    /// It stays in the queue until a backend has capacity.
+    /// The request stays in the queue until a backend has capacity.
     Wait,
-    /// No further attempt can be made; one in flight may still bring the answer.
+    /// No further attempt can be sent; one in flight may still bring the answer.
     AwaitAttempt,
-    /// The next pool is asked.
+    /// The request moves to the next pool.
     FailOver,
-    /// It will not be served.
+    /// The request will not be served.
     GiveUp(GiveUpReason),
 }
 
-/// A place in the order of dispatch.
+/// A queued request with its sort keys for the dispatch order.
 struct QueuedRequest {
     id: RequestId,
     arrived_at: Time,
-    /// Priority weight for each unit of work.
+    /// Priority weight per unit of work.
     weight_per_work: f64,
-    /// No attempt has been made yet.
+    /// No attempt has been sent yet.
     is_new: bool,
 }
 
 impl Balancer {
-    /// Sends what is queued, as far as there is capacity.
+    /// Dispatches the queued requests as far as there is capacity.
     pub(super) fn dispatch_queued(&mut self, now: Time, shared: &mut SharedLimits) {
         if self.queue.is_empty() || self.queue.is_blocked_for_all() && !self.closed {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Empties the queue into the order of dispatch: the most priority weight for each unit of work first, then the
-    /// newest, which has the best chance to be in time.
+    /// Empties the queue and returns its requests in the order of dispatch: highest priority weight per unit of work
+    /// first, then the newest, which is the most likely to meet its deadline.
     fn queue_by_priority(&mut self) -> Vec<QueuedRequest> {
         let mut ordered = Vec::new();
         for id in self.queue.take_all() {
@@ -69,7 +69,7 @@
 
     fn dispatch(&mut self, now: Time, queued: QueuedRequest, shared: &mut SharedLimits) {
         let id = queued.id;
-        // It is taken out while it is decided on, as the decision draws random numbers.
+        // The request is removed from the map during the decision, which borrows `self` mutably to draw random numbers.
         let Some(mut request) = self.requests.remove(&id) else { return };
         if queued.is_new && self.queue.is_blocked(request.priority_level()) {
             self.queue.push(id);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// What becomes of a queued request. Admission control is for new requests, the retry budget for the others.
+    /// Decides on a queued request. Admission control applies to new requests, the retry budget to the others.
     fn decide(&mut self, now: Time, request: &RequestState, shared: &SharedLimits) -> Decision {
         let is_retry = request.was_sent();
         if !may_send_attempt(&self.config, now, request) {
@@ -119,7 +119,7 @@
         match self.select_backend(now, request) {
             Selection::Backend(backend) => Decision::Send(backend),
             Selection::AllEjected | Selection::NoneEligible if request.may_fail_over => Decision::FailOver,
-            // Waiting is in vain: a backend that comes back was tried before.
+            // Waiting is useless: every listed backend has been tried already.
             Selection::NoneEligible if self.closed || !request.attempts.is_empty() => {
                 decide_unsendable(request, GiveUpReason::NoEligibleBackend)
             }
@@ -175,7 +175,7 @@
     }
 }
 
-/// A request for which no attempt can be made now waits for one in flight, if any.
+/// Decides on a request for which no attempt can be sent now: it waits for one in flight, if there is one.
 fn decide_unsendable(request: &RequestState, reason: GiveUpReason) -> Decision {
     if request.has_attempt_in_flight() {
         Decision::AwaitAttempt
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists, and backends that move between pools.
+//! Applies updates of the endpoint list, and moves backends between pools.
 
 use super::Balancer;
 use crate::availability::Availability;
@@ -8,7 +8,7 @@
 use shaletide_types::*;
 use std::collections::BTreeSet;
 
-/// What one balancer knows of a backend, on its way to another with the attempts in flight at the backend.
+/// The state of a backend and its attempts in flight, on the way from one balancer to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MigratedBackend {
     stats: BackendStats,
@@ -16,7 +16,7 @@
 }
 
 impl Balancer {
-    /// Takes in a message about the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(super) fn update_endpoints(&mut self, now: Time, update: EndpointUpdate, entries: Vec<BackendEntry>) {
         self.update_discovery(now, update);
         if matches!(update, EndpointUpdate::Snapshot | EndpointUpdate::Cached) {
@@ -51,7 +51,7 @@
     }
 
     fn update_entry(&mut self, now: Time, entry: BackendEntry) {
-        let weight_is_load = self.config.weights_report_load && self.sees_too_little_alone();
+        let weight_is_load = self.config.weights_report_load && self.is_large_fleet();
         let backend = self.backends.entry(entry.id).or_default();
         if backend.entry.started_at != entry.started_at {
             backend.reset_after_restart();
@@ -60,7 +60,7 @@
         if weight_is_load {
             self.load_reports.record_list_weight(now, backend);
         }
-        // The list itself may not know the number of cores.
+        // The list may carry no number of cores.
         let min_cores = if self.config.weights_report_cores {
             let server_type = self.server_types.entry(backend.entry.server_type).or_default();
             server_type.core_count_from_weight(&backend.entry)
@@ -70,14 +70,14 @@
         backend.entry.cores = backend.entry.cores.max(min_cores);
     }
 
-    /// Counts the backends in use anew: to be called when one was ejected, restored or listed otherwise, or when a
-    /// probe has begun or ended.
+    /// Recounts the backends in use. Has to be called after a backend was ejected or restored, its list entry changed,
+    /// or a probe began or ended.
     pub(super) fn recount_availability(&mut self) {
         self.availability = Availability::of(self.backends.values());
     }
 
-    /// Gives a backend away to the balancer of another pool, with the attempts in flight there. An endpoint update has
-    /// to follow here and there: by that the order of the backends is made anew, once for all that move.
+    /// Removes a backend that moves to the balancer of another pool, and returns it with its attempts in flight. Both
+    /// balancers need an endpoint update afterwards: it rebuilds the order of the backends, once for all that move.
     pub fn migrate_out(&mut self, id: BackendId) -> Option<MigratedBackend> {
         let stats = self.backends.remove(&id)?;
         let mut attempts = Vec::new();
@@ -86,7 +86,7 @@
             attempts.extend(there.map(|(key, attempt)| (*key, *attempt)));
             self.in_flight_attempts.retain(|_, attempt| attempt.backend != id);
         }
-        // Thousands may move at once: all are counted anew only where that cannot be helped.
+        // Thousands of backends may move at once: a full recount is done only where it is unavoidable.
         if stats.is_in_use() {
             self.availability.remove_in_use();
         } else if stats.is_ready() {
@@ -96,7 +96,7 @@
         Some(MigratedBackend { stats, attempts })
     }
 
-    /// Takes in a backend that the balancer of another pool gave away.
+    /// Adds a backend that [`Balancer::migrate_out`] removed from the balancer of another pool.
     pub fn migrate_in(&mut self, moved: MigratedBackend) {
         self.in_flight_attempts.extend(moved.attempts);
         self.availability.add(&moved.stats);
--- a/crates/balancer/src/balancer/outcomes.rs
+++ b/crates/balancer/src/balancer/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its backend, its server type, its class and its zone.
+//! Updates the statistics of backend, server type, class and zone when an attempt ends.
 
 use super::Balancer;
 use crate::interface::AttemptEnd;
@@ -8,15 +8,16 @@
 use crate::zone_reachability::{ReachabilityChange, Response};
 use shaletide_types::*;
 
-/// Samples in a server type's latency where backends report their own: each is a mean over many requests.
+/// Samples in a server type's mean latency where backends report their latency: each report is a mean over many
+/// requests.
 const REPORTED_LATENCY_SAMPLES: f64 = 30.0;
-/// A shorter latency is taken for this, s.
+/// Lower bound of a measured latency, s.
 const MIN_LATENCY_S: f64 = 1e-6;
 
 impl Balancer {
-    /// Learns from the end of an attempt.
+    /// Records the end of an attempt.
     pub(super) fn record_outcome(&mut self, now: Time, attempt: InFlightAttempt, end: &AttemptEnd) {
-        // By what was known when it ended.
+        // Read before the attempt itself changes the model.
         let expected_latency = self.latencies.expected(attempt.class);
         let lost_after = self.latencies.lost_after(attempt.class);
         self.latencies.record_overdue(now, attempt.class, attempt.sent_at, end.outcome);
@@ -39,7 +40,7 @@
         self.recount_after_probe(attempt.backend);
     }
 
-    /// Where no backend is in use, or this one is ejected, the next probe may be due.
+    /// Recounts the availability where no backend is in use or this one is ejected, as the next probe may then be due.
     fn recount_after_probe(&mut self, id: BackendId) {
         let is_ejected = self.backends.get(&id).is_some_and(|backend| backend.outlier.is_ejected());
         if is_ejected || !self.availability.has_backend_in_use() {
@@ -47,13 +48,12 @@
         }
     }
 
-    /// What came back says whether the backend's zone is reachable. Counted only where a proxy sees little of each
+    /// Records whether the backend's zone responded. Used only in a large fleet, where one proxy sees little of each
     /// backend.
     fn record_reachability(
         &mut self, now: Time, attempt: InFlightAttempt, outcome: Outcome, silent_after: Micros,
     ) {
-        let Some(backend) = self.backends.get(&attempt.backend).filter(|_| self.sees_too_little_alone())
-        else {
+        let Some(backend) = self.backends.get(&attempt.backend).filter(|_| self.is_large_fleet()) else {
             return;
         };
         let was_silent =
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Latencies are those of served attempts only: errors, timeouts and rejections say nothing of a backend's speed.
+    /// Records a served attempt. Only served attempts count in latencies: the duration of an error, a timeout or a
+    /// rejection does not show a backend's speed.
     fn record_served(&mut self, now: Time, attempt: InFlightAttempt, latency: Micros) -> Verdict {
         let latency_s = latency.secs().max(MIN_LATENCY_S);
         self.service_time_rate.record(now, latency_s);
@@ -91,7 +92,8 @@
             None => (self.latencies.normalize(attempt.class, latency_s), LATENCY_SAMPLES),
         };
         server_type.latency.record(type_latency_s, samples);
-        // The load of the same attempts: a type that gets less now is not taken to be as slow as it was under more.
+        // Latency and load have to be of the same attempts: else a type with less traffic than before would be taken to
+        // be as slow as it was under the higher load.
         server_type.arrivals_when_served_per_s.record(server_type.arrivals_per_s, samples);
         backend.outlier.record_success(now, attempt.class)
     }
@@ -148,14 +150,14 @@
         self.log(
             now,
             format!(
-                "backend {} gets no requests of class {class} for {term_s:.1} s: error rate {percent:.0} %",
+                "backend {} excluded from class {class} for {term_s:.1} s: error rate {percent:.0} %",
                 id.0
             ),
         );
     }
 }
 
-/// The last outcome before an ejection, for the log.
+/// Describes the outcome that led to an ejection, for the log.
 fn describe(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "request served",
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: accepted, handed to other pools, ended.
+//! Accepts requests, passes them to other pools and ends them.
 
 use super::Balancer;
 use crate::give_up::GiveUpReason;
@@ -9,12 +9,12 @@
 use crate::retry::is_rejection_harmless;
 use shaletide_types::*;
 
-/// Multiple of the expected latency after which a client had better come again: what is in flight now has freed
-/// capacity by then.
+/// `Retry-After` as a multiple of the expected latency: the attempts in flight now have ended by then and freed their
+/// capacity.
 const RETRY_AFTER_LATENCIES: f64 = 2.0;
 
 impl Balancer {
-    /// A client's request: it is queued, and owed an answer.
+    /// Accepts a client's request and queues it.
     pub(super) fn accept(&mut self, now: Time, arrival: Arrival, shared: &mut SharedLimits) {
         let Some(class) = self.config.classes.get(arrival.class.0) else { return };
         if self.requests.contains_key(&arrival.request) {
@@ -39,7 +39,8 @@
         self.queue.push(arrival.request);
     }
 
-    /// Takes a request from its tenant's quota, of which this proxy has its part.
+    /// Takes a token for the request from this proxy's part of the tenant's quota. Returns whether the quota is
+    /// exceeded.
     fn is_over_quota(&self, now: Time, tenant: Option<TenantId>, shared: &mut SharedLimits) -> bool {
         shared.set_tenant_count(self.config.tenants.len());
         let Some(id) = tenant else { return false };
@@ -48,18 +49,18 @@
         !shared.take_from_quota(now, id, rate_per_s)
     }
 
-    /// Priority relative to that of a new request within its quota. A client that sends a request again has waited
-    /// already: what is left to earn is mostly the late weight, and serving it before a new request would make both
-    /// late.
+    /// Returns the priority relative to that of a new request within its quota. A client's retry has used up time
+    /// already, so that its answer mostly counts with the late weight only, and serving it before a new request would
+    /// make both late.
     fn priority(&self, class: &Class, is_client_retry: bool, is_over_quota: bool) -> f64 {
         let by_lateness = if is_client_retry { class.late_weight_fraction } else { 1.0 };
         let by_quota = if is_over_quota { self.config.over_quota_weight_fraction } else { 1.0 };
         by_lateness * by_quota
     }
 
-    /// Random only where reports may decide on a part of the requests.
+    /// Draws the random number for admission control, or returns 0 where load reports cannot limit admission.
     fn admission_roll(&mut self) -> f64 {
-        let expects_reports = self.sees_too_little_alone() && self.config.weights_report_load;
+        let expects_reports = self.is_large_fleet() && self.config.weights_report_load;
         if self.load_reports.mean_in_flight_per_core().is_some() || expects_reports {
             self.rng.next_unit()
         } else {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// A request that the balancer of another pool gave up, as it stands.
+    /// Accepts a request that failed over from the balancer of another pool, with its state unchanged.
     pub(super) fn accept_failed_over(&mut self, now: Time, id: RequestId, request: TransferredRequest) {
         if self.requests.contains_key(&id) || request.state.class >= self.config.classes.len() {
             return;
@@ -78,7 +79,7 @@
         self.timer.set_due(now);
     }
 
-    /// Gives up all queued requests to the balancers of other pools, one of which can take them now.
+    /// Removes all queued requests and returns them, for another pool that can take them now.
     pub fn release_queued(&mut self) -> Vec<(RequestId, TransferredRequest)> {
         let mut released = Vec::new();
         for id in self.queue.take_all() {
@@ -89,7 +90,7 @@
         released
     }
 
-    /// The answer streams from now on, if that attempt is still in flight.
+    /// Records that the response of an attempt started to stream, if the attempt is still in flight.
     pub(super) fn on_stream_started(&mut self, id: RequestId, attempt: AttemptNumber) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if request.attempts.get(attempt.0 as usize).is_some_and(|attempt| attempt.in_flight) {
@@ -97,10 +98,10 @@
         }
     }
 
-    /// An attempt ended: what is known of its backend changes, and its request is answered or queued again.
+    /// Handles the end of an attempt: updates the statistics, and removes its request or queues it again.
     pub(super) fn on_attempt_ended(&mut self, now: Time, end: AttemptEnd) {
         let id = end.request;
-        // The backend may be another pool's by now, and so may the request.
+        // The backend or the request may have moved to another pool meanwhile.
         if let Some(attempt) = self.in_flight_attempts.remove(&(id, end.attempt)) {
             self.record_outcome(now, attempt, &end);
         }
@@ -113,11 +114,11 @@
         if end.request_answered || end.outcome == Outcome::Ok {
             self.remove_request(id);
         } else if !request.has_attempt_in_flight() {
-            self.queue.push_if_absent(id); // it is sent again or given up by `dispatch_queued`
+            self.queue.push_if_absent(id); // `dispatch_queued` retries it or gives it up
         }
     }
 
-    /// The final answer to a request that will not be served: rejected where that is harmless, else failed.
+    /// Ends a request that will not be served: rejects it where that is harmless, else fails it.
     pub(super) fn give_up(&mut self, now: Time, id: RequestId, reason: GiveUpReason) {
         let Some(request) = self.requests.get(&id) else { return };
         self.give_up_counts.add(reason);
@@ -126,10 +127,10 @@
         let retry_after = if has_backend {
             self.latencies.expected(request.class).times(RETRY_AFTER_LATENCIES)
         } else {
-            // By then an ejected backend is probed.
+            // An ejected backend is probed after about this time.
             Micros::from_secs(BASE_EJECTION_S)
         };
-        // `Retry-After` is in whole seconds.
+        // The header `Retry-After` has whole seconds.
         let client_returns_at = now + Micros::from_secs(retry_after.secs().ceil());
         let answer = if is_rejection_harmless(&self.config, request, client_returns_at) {
             Action::Reject { request: id, retry_after, reason }
@@ -140,7 +141,7 @@
         self.remove_request(id);
     }
 
-    /// Forgets a request that is owed no answer any more, and cancels its attempts.
+    /// Removes a request that needs no answer any more, and cancels its attempts in flight.
     pub(super) fn remove_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         self.queue.remove(id);
@@ -155,7 +156,8 @@
     }
 }
 
-/// Within which time an answer earns the class's whole priority weight: longer for more work.
+/// Returns the time within which an answer has its full priority weight: the class's objective, extended for the
+/// request's work.
 fn latency_objective(class: &Class, work_hint: Option<Micros>) -> Micros {
     let for_work = work_hint.unwrap_or_default().times(class.latency_objective_per_work_hint);
     Micros(class.latency_objective.0.saturating_add(for_work.0))
--- a/crates/balancer/src/balancer/timers.rs
+++ b/crates/balancer/src/balancer/timers.rs
@@ -1,4 +1,4 @@
-//! What time alone calls for: polls of discovery, attempts that are too old, requests that expire, hedges.
+//! Time-driven work: polls of discovery, lost attempts, expiry of requests, hedges.
 
 use super::{Balancer, IN_FLIGHT_WINDOW_S};
 use crate::give_up::GiveUpReason;
@@ -8,36 +8,36 @@
 use crate::retry::may_send_attempt;
 use shaletide_types::*;
 
-/// A queued request that is not worth answering late, or was certainly not executed, is given up after this part of its
-/// time, so that its client can still turn elsewhere.
+/// Fraction of its time after which a queued request is given up, if a late answer has no value or no attempt was
+/// executed. Its client still has time to try elsewhere then.
 const QUEUE_TIME_FRACTION: f64 = 0.5;
-/// A request is given up before its deadline by the usual lateness of timers, but by no more than its time over this
-/// number, as a time may be short.
+/// A request is given up earlier than its deadline by the usual lateness of timers, but by no more than its time
+/// divided by this number, as its time may be short.
 const GIVE_UP_LEAD_TIME_DIVISOR: u64 = 8;
 
-/// What time calls for at a request.
+/// The action that is due for a request.
 enum DueAction {
     Nothing,
-    /// Another attempt, in addition to those in flight.
+    /// Sends another attempt in addition to those in flight.
     Hedge,
-    /// The attempt in flight makes way for the next.
+    /// Cancels the attempt in flight, so that another one can be sent.
     Cancel(AttemptNumber),
-    /// The request is given up.
+    /// Gives the request up.
     Expire,
 }
 
-/// How long a request may wait.
+/// The time limit of a request.
 struct RequestLimit {
-    /// An answer after this time is in vain.
+    /// An answer after this time is useless.
     answer_by: Time,
     /// The request is given up this long before `answer_by`.
     lead_time: Micros,
 }
 
 impl Balancer {
-    /// Does what time calls for, and finds out when it next may.
+    /// Runs the timers that are due, and sets the time at which the next one is.
     pub(super) fn run_timers(&mut self, now: Time, shared: &SharedLimits) {
-        // Where nothing else is due.
+        // Applies where nothing is due earlier.
         let mut next_at = now + Micros::from_secs(IN_FLIGHT_WINDOW_S);
         if self.discovery_poll.poll_if_due(now, self.config.discovery) {
             self.actions.push(Action::Subscribe);
@@ -48,8 +48,8 @@
         self.timer.set_due(next_at.max(now + self.config.min_timer_interval));
     }
 
-    /// Counts anew which attempts in flight no longer take up capacity or speak of a silent backend. Gives the time at
-    /// which the next one will, or the end of time.
+    /// Recounts the attempts in flight that are presumed lost or overdue without a response. Returns the time at which
+    /// the next attempt reaches one of these ages, or the maximum time if there is none.
     fn mark_lost_attempts(&mut self, now: Time) -> Time {
         for backend in self.backends.values_mut() {
             backend.suspected_lost = 0;
@@ -77,7 +77,8 @@
         next_at
     }
 
-    /// Gives the time at which a request next has to be looked at, or the end of time.
+    /// Hedges, cancels or expires the requests for which that is due. Returns the time at which the next request
+    /// expires, or the maximum time if there is none.
     fn hedge_or_expire_requests(&mut self, now: Time, shared: &SharedLimits) -> Time {
         let mut next_at = Time(u64::MAX);
         let mut due = Vec::new();
@@ -109,7 +110,7 @@
         if request.has_attempt_in_flight() {
             return RequestLimit { answer_by: request.deadline, lead_time };
         }
-        // What waited so long that it cannot make it is rejected while that is harmless.
+        // A queued request that can no longer be answered in time is rejected while that is harmless.
         let expected = self.latencies.expected(request.class);
         if self.may_be_late(request) {
             return RequestLimit { answer_by: request.deadline, lead_time: expected.max(lead_time) };
@@ -121,14 +122,14 @@
         RequestLimit { answer_by, lead_time: expected.max(min_interval) }
     }
 
-    /// How long before its deadline a request is given up at the latest: from the deadline on it can only time out.
+    /// Returns how long before its deadline a request is given up at the latest: at the deadline it can only time out.
     pub(super) fn give_up_lead(&self, request: &RequestState) -> Micros {
         let part_of_time = (request.deadline - request.arrived_at).0 / GIVE_UP_LEAD_TIME_DIVISOR;
         self.config.timer_lateness.min(Micros(part_of_time)).max(self.config.min_timer_interval)
     }
 
-    /// Whether it is kept after its latency objective: its late answer earns something, and its client may not simply
-    /// go elsewhere, as it may have been executed.
+    /// Returns whether a request is kept after its latency objective: a late answer still has weight, and the client
+    /// cannot safely try elsewhere, as the request may have been executed.
     fn may_be_late(&self, request: &RequestState) -> bool {
         self.config.classes[request.class].late_weight_fraction > 0.0 && !request.is_not_executed()
     }
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Whether all attempts in flight are worth replacing, and another one can still be in time.
+    /// Returns whether all attempts in flight are worth replacing and another one can still be answered in time.
     fn needs_another_attempt(&self, now: Time, request: &RequestState) -> bool {
         let mut in_flight = request.attempts.iter().filter(|attempt| attempt.in_flight);
         let all_worth_replacing =
@@ -169,8 +170,9 @@
         answered_at < request.objective_at || self.may_be_late(request) && answered_at < request.deadline
     }
 
-    /// Whether the attempt's answer is not to be relied on. Age alone counts only where attempts are being lost: hedges
-    /// of requests that are merely heavy would overload every backend.
+    /// Returns whether the attempt is unlikely to be answered: its backend is gone or ejected, or the attempt is old
+    /// while attempts are being lost. Age alone is not enough: hedges of requests that merely take long would overload
+    /// every backend.
     fn is_worth_replacing(&self, now: Time, class: usize, attempt: &Attempt) -> bool {
         let backend = self.backends.get(&attempt.backend.id);
         let is_backend_ejected = backend.is_none_or(|backend| backend.outlier.is_ejected());
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -1,6 +1,6 @@
-//! Weights: each backend's part of the traffic, recomputed a few times a second. Errors, warm-up and load reports say
-//! what a backend can take, the arrival rate and the learned speeds give each server type its share (HALB), and zone
-//! affinity and subsetting say which part of it comes from this proxy.
+//! Weights: each backend's share of the traffic, recomputed a few times a second. Errors, warm-up and load reports
+//! determine how much a backend can take. The arrival rate and the learned speeds determine the share of each server
+//! type (HALB). Zone affinity and subsetting determine the part of it that this proxy sends.
 
 use super::{Balancer, IN_FLIGHT_WINDOW_S};
 use crate::admission::TARGET_IN_FLIGHT_PER_CORE;
@@ -15,27 +15,29 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Weights are recomputed this often at most, s: far more often than the arrival rate changes ...
+/// Minimum interval between two recomputations of the weights, s: far shorter than the time in which the arrival rate
+/// changes.
 const RECOMPUTE_INTERVAL_S: f64 = 0.1;
-/// ... and not before this many requests have come, as fewer are chance.
+/// The weights are recomputed at most once per this many requests, as fewer are dominated by chance.
 const MIN_RECOMPUTE_REQUESTS: f64 = 5.0;
-/// Where no backend reports its load, the window of what this proxy has in flight is the time of this many requests.
+/// Where no backend reports its load, this proxy's requests in flight are averaged over the time in which this many
+/// requests arrive.
 const IN_FLIGHT_WINDOW_REQUESTS: f64 = 150.0;
-/// Half of a backend's concurrency limit goes by zone affinity, the rest is the same for all proxies.
+/// Fraction of a backend's concurrency limit that depends on zone affinity; the rest is the same for all proxies.
 const AFFINITY_LIMIT_FRACTION: f64 = 0.5;
-/// Added to every weight, times capacity, so that a backend without a part of the traffic is drawn only when all others
-/// are at their limits.
+/// Multiple of the capacity factor that is added to every selection weight, so that a backend without a share of the
+/// traffic is drawn only when all others are at their limits.
 const LEFTOVER_FACTOR: f64 = 1e-6;
 
 impl Balancer {
-    /// Recomputes the capacity factor and the part of the traffic of every backend and server type.
+    /// Recomputes the capacity factor and the share of the traffic of every backend and server type.
     pub(super) fn recompute_weights(&mut self, now: Time) {
         self.recompute_at = now + self.recompute_interval();
         self.queue.unblock();
         let unreachable = self.update_unreachable_zones(now);
         let uses_ejected = self.uses_ejected_backends(&unreachable);
         self.median_error_rate = self.compute_median_error_rate();
-        if self.sees_too_little_alone() {
+        if self.is_large_fleet() {
             self.aggregate_load_reports(now);
         }
         self.recompute_capacity_factors(now, &unreachable, uses_ejected);
@@ -53,8 +55,8 @@
         Micros::from_secs(RECOMPUTE_INTERVAL_S.max(MIN_RECOMPUTE_REQUESTS / rate))
     }
 
-    /// The zones whose backends are sent nothing, and the part of the ready backends that is reachable. Where no ready
-    /// backend is in a reachable zone all are used.
+    /// Updates the fraction of reachable backends, and returns the zones whose backends are not used. Where no ready
+    /// backend is in a reachable zone, the zones are all used.
     fn update_unreachable_zones(&mut self, now: Time) -> BTreeSet<ZoneId> {
         let unreachable = self.zone_reachability.unreachable_zones(now);
         let ready = self.backends.values().filter(|backend| backend.is_ready());
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Whether so many reachable backends are ejected that they are used after all.
+    /// Returns whether so many of the reachable backends are ejected that the ejected ones are used anyway.
     fn uses_ejected_backends(&self, unreachable: &BTreeSet<ZoneId>) -> bool {
         let mut all = 0.0;
         let mut ejected = 0.0;
@@ -91,7 +93,8 @@
         ejected > all * MAX_EJECTED_FRACTION
     }
 
-    /// 0 where another pool can be asked: then a cause common to all is a reason to eject them.
+    /// Returns the median error rate of the ready backends, or 0 where there is a failover pool: a fault common to all
+    /// backends is then a reason to eject them all.
     fn compute_median_error_rate(&self) -> f64 {
         if self.config.has_failover_pool {
             return 0.0;
@@ -110,7 +113,7 @@
         self.load_reports.rebalance(now, &mut self.backends);
     }
 
-    /// A backend's capacity factor is 1 less its error rate, times its warm-up, times its load factor.
+    /// Sets each backend's capacity factor to (1 - error rate) x warm-up x load factor.
     fn recompute_capacity_factors(&mut self, now: Time, unreachable: &BTreeSet<ZoneId>, uses_ejected: bool) {
         for server_type in self.server_types.values_mut() {
             server_type.total_capacity_factor = 0.0;
@@ -142,16 +145,16 @@
         self.in_flight_level.set_window(window_s, IN_FLIGHT_WINDOW_S);
     }
 
-    /// Requests a second that all proxies bring to the reachable backends, if all are like this one; without those that
-    /// are rejected.
+    /// Returns the requests a second that all proxies send to the reachable backends, estimated as if every proxy had
+    /// this one's traffic. Requests that admission control rejects are not counted.
     fn fleet_arrival_rate(&self) -> Option<f64> {
         let admitted = self.load_reports.admitted_fraction(PriorityLevel::Normal);
         let proxies = self.load_reports.fleet_size() * self.reachable_fraction * admitted;
         self.arrival_rate.per_second().map(|own| own * proxies)
     }
 
-    /// A backend that answers in time T under an arrival rate of A serves 1 / T + A requests a second: it is taken for
-    /// a shared processor.
+    /// Estimates each server type's capacity. A backend is modelled as a processor-sharing queue: with latency T at
+    /// arrival rate A it can serve 1 / T + A requests a second.
     fn recompute_capacities(&mut self, now: Time, fleet_rate: Option<f64>) {
         let is_reporting = self.load_reports.is_reporting(now);
         for server_type in self.server_types.values_mut() {
@@ -169,8 +172,10 @@
         }
     }
 
-    /// Types without a latency are taken to be as fast as the others on average, by the list's relative speeds. Where
-    /// none has one there is no rate to go by but the most that all can take: then traffic goes by speed, or by number.
+    /// Computes each server type's share of the traffic. Types without a measured latency are assumed to be as fast as
+    /// the others on average, scaled by the list's relative speeds. Where no type has a latency, the arrival rate
+    /// cannot be compared with capacities, and the total of the relative speeds takes its place: traffic is then
+    /// divided by speed, or by the number of backends where the list has no weights.
     fn recompute_traffic_shares(&mut self, fleet_rate: Option<f64>) {
         let mut known_speed = 0.0;
         let mut known_types = 0.0;
@@ -199,10 +204,11 @@
         }
     }
 
-    /// Gives each backend its concurrency limit, its selection weight and its weight in this proxy's subset.
+    /// Sets each backend's concurrency limit, selection weight and weight in this proxy's subset.
     fn distribute_weights(&mut self, now: Time) {
-        // Live weights come from the start on: a zone's clients alone would fill its backends.
-        let expects_weights = self.sees_too_little_alone() && self.config.weights_report_load;
+        // Where live weights are configured, zone affinity is off from the start, before the first report: a zone's own
+        // clients could otherwise fill its backends.
+        let expects_weights = self.is_large_fleet() && self.config.weights_report_load;
         let are_reporting = self.load_reports.is_reporting(now) || expects_weights;
         let reachable = self.recompute_selection_weights(are_reporting);
         let subset = Subset::new(
@@ -215,7 +221,8 @@
         self.recompute_subset_weights(subset, are_reporting);
     }
 
-    /// Gives the number of backends that have a part of this proxy's traffic.
+    /// Sets the concurrency limits and selection weights. Returns the number of backends with a share of this proxy's
+    /// traffic.
     fn recompute_selection_weights(&mut self, are_reporting: bool) -> f64 {
         let affinity = ZoneAffinity::new(self.config.zone, self.traffic_due_by_zone());
         let has_affinity = !are_reporting && self.config.cross_zone_cost > 0.0;
@@ -248,7 +255,8 @@
         due
     }
 
-    /// Where backends report, selection weights change all the time: there a subset goes by number, so that it stays.
+    /// Sets each backend's weight in this proxy's subset. Where backends report their load, selection weights change
+    /// constantly: every usable backend then has the same length on the circle, so that the subset stays stable.
     fn recompute_subset_weights(&mut self, subset: Subset, are_reporting: bool) {
         let length = |backend: &BackendStats| match are_reporting {
             true if backend.capacity_factor > 0.0 => 1.0,
@@ -275,21 +283,22 @@
     }
 }
 
-/// The part of all traffic that a backend is due: that of its server type by capacity factor.
+/// Returns the fraction of all traffic that a backend should receive: its server type's share, divided by capacity
+/// factor.
 fn traffic_part(server_types: &BTreeMap<ServerTypeId, ServerTypeStats>, backend: &BackendStats) -> f64 {
     let Some(server_type) = server_types.get(&backend.entry.server_type) else { return 0.0 };
     server_type.traffic_share * backend.capacity_factor / server_type.total_capacity_factor.max(1e-9)
 }
 
-/// A number from 0 to 1, different for each proxy at a backend, so that the limits of all proxies add up to the target
-/// when each rounds its own.
+/// Returns a number from 0 to 1 that differs between the proxies at each backend, so that the limits that the proxies
+/// round separately add up to the target.
 fn rounding_offset(position: u32, proxies: u32, entry: &BackendEntry) -> f64 {
     let turn = entry.stable_hash.wrapping_add(u64::from(position)) % u64::from(proxies);
     (turn as f64 + 0.5) / f64::from(proxies)
 }
 
-/// Attempts of this proxy that may be in flight at a backend. At least one: with more proxies than the target they
-/// would have to take turns, and there admission control keeps to the target.
+/// Returns this proxy's concurrency limit at a backend, at least 1. With more proxies than the target, a limit below 1
+/// would make proxies take turns; admission control enforces the target there instead.
 fn concurrency_limit(even_limit: f64, affinity_factor: f64, rounding: f64) -> f64 {
     let even_fraction = 1.0 - AFFINITY_LIMIT_FRACTION;
     let limit = even_limit * (even_fraction + AFFINITY_LIMIT_FRACTION * affinity_factor);
--- a/crates/balancer/src/give_up.rs
+++ b/crates/balancer/src/give_up.rs
@@ -1,26 +1,27 @@
-//! Why requests are given up, counted for the operators.
+//! The reasons for which requests are given up, and their counts for operators.
 
-/// Why a request will not be served. Whether it is rejected or failed depends on its attempts alone.
+/// Why a request is given up. Whether it is rejected or failed depends only on its attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[non_exhaustive]
 pub enum GiveUpReason {
-    /// Admission control rejected it.
+    /// Admission control rejected the request.
     Overloaded,
-    /// It waited in the queue for half of its time, or cannot meet its latency objective or deadline any more.
+    /// The request waited in the queue for half of its time, or can no longer meet its latency objective or deadline.
     OutOfTime,
-    /// There is no backend that it may go to: attempts were made at all of them, none is listed, or none that is left
-    /// shares the keys of the earlier attempts.
+    /// No backend is eligible: all were tried, none is listed, or none of the remaining ones shares idempotency keys
+    /// with the earlier attempts' backends.
     NoEligibleBackend,
-    /// The pool was closed while the request waited for capacity. (A full open pool queues; it ends as `OutOfTime`.)
+    /// The pool was closed while the request waited for capacity. (In an open pool without capacity a request stays
+    /// queued and ends as `OutOfTime`.)
     PoolClosed,
-    /// A further attempt might be executed a second time, or is over the number allowed.
+    /// A further attempt could cause a second execution, or would exceed the maximum number of attempts.
     NotRepeatable,
-    /// A further attempt is over the retry budget.
+    /// A further attempt would exceed the retry budget.
     RetryBudget,
 }
 
 impl GiveUpReason {
-    /// All of them, in the order of [`GiveUpCounts`].
+    /// All reasons, in the order of [`GiveUpCounts`].
     pub const ALL: [GiveUpReason; 6] = [
         GiveUpReason::Overloaded,
         GiveUpReason::OutOfTime,
@@ -30,7 +31,7 @@
         GiveUpReason::RetryBudget,
     ];
 
-    /// The reason in a log line.
+    /// Returns the reason as it appears in log lines.
     pub fn name(self) -> &'static str {
         match self {
             GiveUpReason::Overloaded => "overloaded",
@@ -48,17 +49,17 @@
 pub struct GiveUpCounts([u64; GiveUpReason::ALL.len()]);
 
 impl GiveUpCounts {
-    /// How many were given up for that reason.
+    /// Returns the number of requests given up for the reason.
     pub fn of(&self, reason: GiveUpReason) -> u64 {
         self.0[reason as usize]
     }
 
-    /// Counts one more.
+    /// Counts one more request for the reason.
     pub fn add(&mut self, reason: GiveUpReason) {
         self.0[reason as usize] += 1;
     }
 
-    /// Adds those of another count.
+    /// Adds the counts of `other`.
     pub fn merge(&mut self, other: GiveUpCounts) {
         for (own, other) in self.0.iter_mut().zip(other.0) {
             *own += other;
@@ -67,7 +68,7 @@
 }
 
 impl std::fmt::Display for GiveUpCounts {
-    /// The reasons that there were, such as `overloaded 3, retry budget 1`; `none` where there were none.
+    /// Writes the reasons with a count above 0, such as `overloaded 3, retry budget 1`, or `none`.
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut separator = "";
         for reason in GiveUpReason::ALL.into_iter().filter(|reason| self.of(*reason) > 0) {
--- a/crates/balancer/src/halb.rs
+++ b/crates/balancer/src/halb.rs
@@ -1,16 +1,16 @@
 //! HALB (heterogeneity-aware load balancing): the optimal division of traffic between servers of different speeds.
 //!
-//! Source: heterogeneity-aware load balancing with each server as an M/G/1 queue with processor sharing. With service
-//! rates mu of n servers of each type and an arrival rate lambda, the mean latency is least where a type gets
-//! n mu - n sqrt(mu) (sum of n mu - lambda) / (sum of n sqrt(mu)); types for which this is negative get nothing, and
-//! the rest is solved again without them.
+//! Each server is modelled as an M/G/1 queue with processor sharing, as in the literature on heterogeneity-aware load
+//! balancing. With n servers of each type at service rate mu and an arrival rate lambda, the mean latency is minimal
+//! where a type receives n mu - n sqrt(mu) (sum of n mu - lambda) / (sum of n sqrt(mu)). Types for which this is
+//! negative receive nothing, and the shares of the others are solved again without them.
 
-/// Below this part of the total capacity the arrival rate is taken for 0.
+/// Fraction of the total capacity below which the arrival rate counts as 0.
 const MIN_UTILIZATION: f64 = 1e-6;
 
-/// The part of the traffic, from 0 to 1, for each server type of (number of ready servers, requests a second that one
-/// serves). `rate` is the arrival rate, requests a second; without it traffic is divided by the number of servers. All
-/// parts are 0 where no server is ready.
+/// Returns the fraction of the traffic, from 0 to 1, for each server type. A server type is given as the number of its
+/// ready servers and the requests a second that one of them can serve. `rate` is the arrival rate in requests a second;
+/// without it, traffic is divided by the number of servers. All fractions are 0 where no server is ready.
 pub fn halb_shares(server_types: &[(f64, f64)], rate: Option<f64>) -> Vec<f64> {
     let Some(rate) = rate else { return shares_by_count(server_types, |_| true) };
     let mut used = server_types.to_vec();
@@ -41,7 +41,7 @@
     }
 }
 
-/// Divides the traffic between the types whose capacity is selected, by their number of servers.
+/// Divides the traffic between the server types whose capacity satisfies `is_used`, by their number of servers.
 fn shares_by_count(server_types: &[(f64, f64)], is_used: impl Fn(f64) -> bool) -> Vec<f64> {
     let used = server_types.iter().filter(|(_, capacity)| is_used(*capacity));
     let total: f64 = used.map(|(count, _)| count).sum();
--- a/crates/balancer/src/interface.rs
+++ b/crates/balancer/src/interface.rs
@@ -1,4 +1,4 @@
-//! The whole interface of the balancer: configuration, events, actions. No decisions here.
+//! The public interface of the balancer: configuration, events, actions. It contains no decisions.
 
 use crate::give_up::GiveUpReason;
 use shaletide_types::*;
@@ -6,60 +6,63 @@
 /// Settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// How many proxies share the traffic, this one included; at least 1.
+    /// Number of proxies that share the traffic, including this one; at least 1.
     pub proxies: u32,
-    /// Which of them this one is: from 0, less than `proxies`.
+    /// This proxy's index among them: from 0, less than `proxies`.
     pub position: u32,
-    /// The proxy's own zone.
+    /// This proxy's zone.
     pub zone: ZoneId,
     /// The classes of requests, at least one; a [`ClassId`] is an index into them.
     pub classes: Vec<Class>,
     /// The tenants, if any; a [`TenantId`] is an index into them.
     pub tenants: Vec<Tenant>,
-    /// Priority weight of a request over its tenant's quota, as a part of its class's weight, from 0 to 1.
+    /// Priority weight of a request over its tenant's quota, as a fraction of its class's weight, from 0 to 1.
     pub over_quota_weight_fraction: f64,
-    /// Weight that the operator's objective gives to the traffic as a whole, from 0 to 1. Accepted from the file; no
-    /// decision uses it yet.
+    /// Weight of the traffic as a whole in the operator's objective, from 0 to 1. Accepted from the configuration file;
+    /// no decision uses it yet.
     pub total_objective_weight: f64,
-    /// Weight that the operator's objective gives to the worst-served class, from 0 to 1. Accepted from the file; no
-    /// decision uses it yet.
+    /// Weight of the worst-served class in the operator's objective, from 0 to 1. Accepted from the configuration file;
+    /// no decision uses it yet.
     pub worst_class_objective_weight: f64,
-    /// What it costs the objective when every request crosses zones once; at least 0. Above 0: zone affinity is on; the
-    /// amount is not used.
+    /// Cost in the objective if every request crossed zones once; at least 0. Zone affinity is on if it is above 0; the
+    /// amount itself is not used.
     pub cross_zone_cost: f64,
-    /// How the endpoint list is had.
+    /// How the endpoint list is received.
     pub discovery: DiscoveryMode,
-    /// The list's weights report load: a backend's size over one plus its requests in flight on a core.
+    /// The list's weights report load: a weight is the backend's size divided by (1 + its requests in flight on a
+    /// core).
     pub weights_report_load: bool,
     /// Weights, live or not, are sizes in thousandths of a standard core: the number of cores times the speed of one.
+    /// Live weights are scaled down by the load.
     pub weights_report_cores: bool,
-    /// Attempts allowed for a request, the first included; at least 1.
+    /// Maximum number of attempts of a request, including the first; at least 1.
     pub max_attempts: u32,
     /// Attempts may be cancelled.
     pub may_cancel_attempts: bool,
     /// Further attempts may start while earlier ones are in flight, up to `max_attempts`.
     pub hedging: bool,
-    /// The shortest time for which a timer is set; above 0.
+    /// Minimum time for which a timer is set; above 0.
     pub min_timer_interval: Micros,
-    /// A timer may come so much later than it is due with nothing wrong.
+    /// Delay with which a timer may fire in normal operation.
     pub timer_lateness: Micros,
-    /// Part of its capacity that a backend has at least when it starts, from 0 to 1.
+    /// Minimum fraction of its capacity that a backend has when it starts, from 0 to 1.
     pub initial_capacity_fraction: f64,
-    /// A backend is warm after this time at most.
+    /// Maximum time that a backend takes to warm up.
     pub slow_start_window: Micros,
-    /// Another pool can take what this one cannot: where all backends fail alike, all are ejected.
+    /// Another pool can take requests that this one cannot serve. Where all backends fail alike, all are ejected.
     pub has_failover_pool: bool,
-    /// The deduplication domain of all backends that a request may ever reach, if it is one: each of them discards
-    /// repeats of what another has executed.
+    /// The deduplication domain of all backends that a request can ever reach, if they are all of one domain. Each of
+    /// them then discards repeats of requests that another has executed.
     pub only_deduplication_domain: Option<u32>,
-    /// A warming backend that is sent more than this multiple of its present capacity ...
+    /// A warming backend is overloaded if it is sent more than this multiple of its current capacity within
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... within this time is overloaded.
+    /// The window of `overload_multiple`.
     pub overload_window: Micros,
 }
 
 impl Config {
-    /// A small valid configuration: one zone, three proxies, one class of safe requests.
+    /// Returns a small valid configuration: one zone, three proxies, one class of safe requests.
     pub fn example() -> Config {
         Config {
             proxies: 3,
@@ -97,13 +100,13 @@
     /// Checks that every field is in its range.
     ///
     /// # Errors
-    /// The first field that is not.
+    /// Returns the first field that is out of its range.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let is_fraction = |x: f64| (0.0..=1.0).contains(&x);
         let is_positive = |x: f64| x > 0.0 && x.is_finite();
         let is_amount = |x: f64| x >= 0.0 && x.is_finite();
         let classes = &self.classes;
-        // By the names that operators know the settings by.
+        // Errors name the settings as operators know them.
         let checks = [
             (self.proxies > 0, "proxies", "at least 1"),
             (self.position < self.proxies, "position", "less than proxies"),
@@ -136,41 +139,41 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the whole priority weight; above 0.
+    /// An answer within this time has the full priority weight; above 0.
     pub latency_objective: Micros,
     /// The latency objective grows by this multiple of the request's work hint; at least 0.
     pub latency_objective_per_work_hint: f64,
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
-    /// What a request counts in the operator's objective; finite, at least 0.
+    /// Weight of a request in the operator's objective; finite, at least 0.
     pub priority_weight: f64,
-    /// The part of the priority weight that is left after the latency objective, from 0 to 1.
+    /// Fraction of the priority weight that an answer after the latency objective has, from 0 to 1.
     pub late_weight_fraction: f64,
 }
 
 /// A tenant: a customer with a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxies, at full priority; finite, at least 0.
+    /// Requests a second that have full priority, over all proxies; finite, at least 0.
     pub quota_per_s: f64,
 }
 
-/// How the endpoint list is had.
+/// How the endpoint list is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Changes arrive without a poll.
     Push,
-    /// Changes arrive after [`Action::Subscribe`]; a proxy that does not poll is assumed to know of them after this
-    /// time.
+    /// Changes arrive after [`Action::Subscribe`]. Even a proxy that does not poll is assumed to know of a change after
+    /// this time.
     Subscribe(Micros),
 }
 
-/// Why a configuration was not accepted.
+/// Why a configuration was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// The setting at fault, by the name that operators know it by.
+    /// The invalid setting, by the name that operators know.
     pub field: &'static str,
-    /// Its range.
+    /// The range of valid values.
     pub expected: &'static str,
 }
 
@@ -185,160 +188,160 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The request's id.
     pub request: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if any.
+    /// The request's tenant, if any.
     pub tenant: Option<TenantId>,
-    /// When the client gives up, from now.
+    /// Time from now after which the client gives up.
     pub time_left: Micros,
-    /// The work expected, on a standard core.
+    /// Expected processing time on a standard core.
     pub work_hint: Option<Micros>,
-    /// The client says that it sent the request before.
+    /// The client marked the request as a retry.
     pub is_client_retry: bool,
-    /// Another pool can be asked where this one can do nothing: see [`Action::FailOver`].
+    /// The request can fail over to another pool: see [`Action::FailOver`].
     pub may_fail_over: bool,
 }
 
-/// A request that fails over from one pool to the next, with its attempts so far. It is owed its final answer by the
-/// balancer that takes it; attempts in flight go on and end as ever.
+/// A request that fails over from one pool to the next, with its attempts so far. The balancer that accepts it has to
+/// give the final answer. Attempts in flight continue, and their ends are reported as usual.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransferredRequest {
     pub(crate) state: crate::request::RequestState,
 }
 
 impl TransferredRequest {
-    /// Sets whether a further pool can be asked after the one that takes it.
+    /// Sets whether the request can fail over once more, from the pool that accepts it.
     pub fn with_failover(mut self, may_fail_over: bool) -> TransferredRequest {
         self.state.may_fail_over = may_fail_over;
         self
     }
 }
 
-/// Whether a pool can take a request at all.
+/// Whether a pool can take requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PoolHealth {
     /// There is no backend, or all are draining.
     Empty,
     /// All backends that are ready are ejected, and none is due for a probe.
     AllEjected,
-    /// Some backend is in use or due for a probe.
+    /// At least one backend is in use or due for a probe.
     Available,
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since its dispatch.
+    /// Time since the attempt's dispatch.
     pub latency: Micros,
-    /// The request has had its final answer: none is owed any more.
+    /// The request has its final answer already.
     pub request_answered: bool,
 }
 
-/// What happened, in order.
+/// An event that the driver reports, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A message about the endpoint list.
+    /// The endpoint list changed, or the subscription to it was lost.
     EndpointsUpdated {
-        /// What kind of message.
+        /// The kind of update.
         update: EndpointUpdate,
-        /// The entries.
+        /// The entries of the update.
         backends: Vec<BackendEntry>,
     },
-    /// A client's request: it is owed one final answer.
+    /// A client's request arrived: it needs one final answer.
     Request(Arrival),
-    /// A request that another pool's balancer gave up: it is owed its final answer here.
+    /// A request failed over from another pool's balancer: this one has to give its final answer.
     FailedOver(RequestId, Box<TransferredRequest>),
-    /// The response of an attempt streams to the client from now on: no deadline applies to the request any more.
+    /// The response of an attempt started to stream to the client: no deadline applies to the request any more.
     StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// A load report of a backend.
+    /// A backend reported its load.
     LoadReported(BackendId, LoadReport),
     /// An attempt ended.
     AttemptEnded(AttemptEnd),
-    /// The client disconnected: no answer is owed.
+    /// The client disconnected: the request needs no answer.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// The pool was closed: what cannot be sent at once fails over or is given up.
+    /// The pool was closed: a request that cannot be sent at once fails over or is given up.
     PoolClosed,
     /// A timer fired.
     Timer {
-        /// The token that it was set with.
+        /// The token from [`Action::SetTimer`].
         token: TimerToken,
     },
 }
 
-/// What is to be done, in order.
+/// An action that the driver has to carry out, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; it may last until the request's deadline.
+    /// Sends an attempt, which may last until the request's deadline.
     Dispatch {
         /// The request.
         request: RequestId,
-        /// Which of its attempts this is.
+        /// The number of the attempt.
         attempt: AttemptNumber,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
-        /// The attempt may begin only before then; the engine sets the deadline for its last byte itself.
+        /// The attempt may start only before this time. The engine sets the deadline for its last byte itself.
         start_by: Option<Time>,
     },
-    /// No answer: this pool can do nothing for the request, and the next is to be asked. The balancer forgets the
-    /// request, but the ends of its attempts are still to be reported.
+    /// Moves the request to the next pool, as this one cannot serve it; the client gets no answer yet. The balancer
+    /// drops the request, but still has to be notified of the ends of its attempts.
     FailOver {
         /// The request.
         request: RequestId,
-        /// What the next balancer takes over.
+        /// The request's state, for the next pool's balancer.
         transferred: Box<TransferredRequest>,
     },
-    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
-    /// from [`Action::Fail`] is only what this balancer expects: that a retry by the client is harmless.
+    /// Gives the request up. The engine answers `Rejected` or `Failed`, depending on what the attempts prove. Unlike
+    /// [`Action::Fail`], this balancer expects that a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should come again, from now.
+        /// Time from now after which the client should retry.
         retry_after: Micros,
-        /// Why; for logs only.
+        /// Why the request is given up; for logs only.
         reason: GiveUpReason,
     },
-    /// Gives the request up; the engine answers `Rejected` or `Failed` by what its attempts prove. The difference
-    /// from [`Action::Reject`] is only what this balancer expects: that the request may have been executed.
+    /// Gives the request up. The engine answers `Rejected` or `Failed`, depending on what the attempts prove. Unlike
+    /// [`Action::Reject`], this balancer expects that the request may have been executed.
     Fail {
         /// The request.
         request: RequestId,
-        /// When the client should come again, should it turn out that nothing was executed.
+        /// Time from now after which the client should retry, if the engine finds that nothing was executed.
         retry_after: Micros,
-        /// Why; for logs only.
+        /// Why the request is given up; for logs only.
         reason: GiveUpReason,
     },
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Set a timer that brings an [`Event::Timer`].
+    /// Sets a timer that raises an [`Event::Timer`].
     SetTimer {
-        /// The token that it is to carry.
+        /// The token of the event.
         token: TimerToken,
-        /// When, from now.
+        /// Time from now until the timer fires.
         after: Micros,
     },
-    /// Poll discovery for changes from now on.
+    /// Polls discovery for changes from now on.
     Subscribe,
-    /// A line for the operators.
+    /// Writes a log line.
     Log(String),
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Load-balancing decisions for a proxy in front of a fleet of HTTP servers.
 //!
-//! [`Balancer`] is a state machine without clock, network or threads: its driver gives it [`Event`]s with the time at
-//! which they happened and carries out the [`Action`]s that it returns. The same seed, configuration and events give
-//! the same actions. A process has a balancer for each pool and one [`SharedLimits`] for all of them.
+//! [`Balancer`] is a state machine without clock, network or threads: its driver passes it [`Event`]s with the time at
+//! which they happened and carries out the [`Action`]s that it returns. The same seed, configuration and events always
+//! produce the same actions. A process has one balancer for each pool and one [`SharedLimits`] for all of them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -40,7 +40,7 @@
 pub use retry::{first_retry_deadline, retry_deadline};
 pub use shaletide_types::*;
 
-/// The README's example, kept true by the documentation tests.
+/// Runs the README's example as a documentation test.
 #[cfg(doctest)]
 #[doc = include_str!("../../../README.md")]
 struct Readme;
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -1,9 +1,9 @@
-//! What follows from the load that backends report: the size of the fleet of proxies, which backends get less than an
-//! even part, and which part of the requests is admitted. Where so many proxies share the backends that each alone sees
-//! next to nothing of them, this is how one learns of the load that the others bring.
+//! Evaluates the load that backends report: estimates the size of the fleet of proxies, reduces the traffic of loaded
+//! backends and computes the admitted fraction of the requests. In a large fleet, each proxy sees too little of the
+//! backends to judge their load alone; load reports show the load that the other proxies bring.
 //!
-//! A backend may report anything, late or never. Its report is held to what can be, counts as one among all in the
-//! fleet's mean, and is not used when it is old.
+//! A backend may report anything, late or never. Its report is clamped to a plausible range, is one sample among all in
+//! the fleet's mean, and is not used when it is old.
 
 use crate::backend_stats::BackendStats;
 use crate::reported_load::LoadSample;
@@ -12,62 +12,65 @@
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// Load that backends should have on average where they report it, requests in flight on a core: the fullest have far
-/// more than the average.
+/// Target for the average load of backends that report it, requests in flight on a core. It is below the target for one
+/// core, as the most loaded backends have far more than the average.
 pub(crate) const TARGET_MEAN_IN_FLIGHT_PER_CORE: f64 = 2.2;
-/// A longer reported latency is not used, ms.
+/// Longest reported latency that is used, ms.
 const MAX_REPORTED_LATENCY_MS: f64 = 60_000.0;
-/// A report counts in the fleet's mean as this many times the target at most, so that one wrong or overloaded backend
-/// moves it little.
+/// Upper bound of a report in the fleet's mean, as a multiple of the target, so that one wrong or overloaded backend
+/// changes the mean little.
 const MAX_SAMPLE_OVER_TARGET: f64 = 2.0;
-/// The list is used where it has reports of this many backends and of half of those in use, ...
+/// Number of backends that need a report in the list before the list is used; it also has to cover half of the backends
+/// in use.
 const MIN_LIST_SAMPLES: f64 = 12.0;
-/// ... and the responses where this many backends have sent reports.
+/// Number of backends that need a report in their responses before these reports are used.
 const MIN_RESPONSE_SAMPLES: f64 = 3.0;
-/// Up to this factor the list and the responses differ by chance; beyond it the list is out of date.
+/// Factor up to which the list and the responses may differ by chance; beyond it the list is out of date.
 const MAX_LIST_DEVIATION: f64 = 1.6;
-/// For this long after the last report, s, backends count as ones that report.
+/// Time after the last usable report during which backends still count as reporting, s.
 const REPORTING_TIMEOUT_S: f64 = 30.0;
-/// Exponent a second by which the admitted fraction follows the ratio of wanted and actual utilization: reports are a
-/// second or two old.
+/// Exponent a second with which the admitted fraction follows the ratio of target to actual utilization. A higher gain
+/// would overshoot, as reports are one or two seconds old.
 const ADMISSION_GAIN_PER_S: f64 = 4.0;
-/// Rate at which the admitted fraction grows where reports have ended, a second.
+/// Exponential growth rate of the admitted fraction after reports have ended, per second.
 const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
-/// Lower bound of `admitted`: 53 % of requests of normal priority, none of low. Backends that report to be full may be
-/// wrong.
+/// Lower bound of `admitted`: 53 % of the requests of normal priority and none of low priority. It limits the effect of
+/// backends that wrongly report to be full.
 const MIN_ADMITTED_FRACTION: f64 = 0.4;
-/// The first part of the rejections falls on requests of low priority alone.
+/// Fraction of the requests that is rejected from low priority alone, before normal priority is affected.
 const LOW_PRIORITY_RANGE: f64 = 0.25;
-/// Rate at which the part of a backend falls that has twice the mean load, a second.
+/// Rate at which the rebalancing factor of a backend with twice the target load falls, per second.
 const REBALANCING_RATE_PER_S: f64 = 0.5;
-/// Bounds of a backend's rebalancing factor.
+/// Lower bound of a backend's rebalancing factor.
 const MIN_REBALANCING_FACTOR: f64 = 0.1;
+/// Upper bound of a backend's rebalancing factor.
 const MAX_REBALANCING_FACTOR: f64 = 1.2;
-/// The least that a report takes a backend's part to at once.
+/// Lower bound of the factor by which a report reduces a backend's traffic at once.
 const MIN_LOAD_FACTOR: f64 = 0.2;
-/// Window over which the size of the fleet is learned, s: a while without responses here says nothing of it.
+/// Window over which the fleet size is learned, s. It is long, as a short time without responses at this proxy says
+/// nothing about the fleet.
 const FLEET_SIZE_WINDOW_S: f64 = 15.0;
-/// ... and at first, s, as the configured size is a guess.
+/// Initial window over which the fleet size is learned, s. It is short, as the configured size is a guess.
 const INITIAL_FLEET_SIZE_WINDOW_S: f64 = 2.0;
-/// The fleet is at least the configured size over this, and at most ...
+/// The learned fleet size is at least the configured size divided by this.
 const MAX_FLEET_SHRINK_FACTOR: f64 = 4.0;
-/// ... the configured size times this.
+/// The learned fleet size is at most the configured size times this.
 const MAX_FLEET_GROWTH_FACTOR: f64 = 2.0;
-/// Aggregates are at most this far apart in their effect, s.
+/// Upper bound of the interval between two aggregates that enters the control steps, s.
 const MAX_INTERVAL_S: f64 = 1.0;
-/// Utilization is not taken to be below that of this load, requests in flight on a core.
+/// Lower bound of the load from which utilization is computed, requests in flight on a core.
 const MIN_IN_FLIGHT_PER_CORE: f64 = 0.1;
 
-/// What is known of the fleet by its load reports.
+/// The state that is derived from load reports.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadReports {
-    /// The largest weight of any backend of a type, by core: that of one with nothing in flight.
+    /// By server type, the largest weight per core of any backend: the weight of an idle one.
     weight_per_core: BTreeMap<ServerTypeId, f64>,
-    /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
+    /// Average requests in flight on a core of a backend in use; `None` where too few backends report.
     mean_in_flight_per_core: Option<f64>,
-    /// The part of all requests that there is capacity for, at least [`MIN_ADMITTED_FRACTION`].
+    /// Fraction of all requests that there is capacity for, at least [`MIN_ADMITTED_FRACTION`].
     admitted: f64,
-    /// As many proxies like this one would bring all the traffic.
+    /// Number of proxies with this one's traffic that would add up to all traffic.
     fleet_size: f64,
     fleet_size_learned_s: f64,
     aggregated_at: Option<Time>,
@@ -76,17 +79,19 @@
     interval_s: f64,
 }
 
-/// Reports of the backends in use, added up.
+/// Sums and means over the reports of the backends in use.
 #[derive(Default)]
 struct Aggregate {
     backends_in_use: f64,
-    /// Requests a core by the latest reports, by source.
+    /// Requests in flight on a core by the latest reports in the list.
     list: MovingAverage,
+    /// Requests in flight on a core by the latest reports in responses.
     responses: MovingAverage,
-    /// Requests in flight at all backends of the list's reports.
+    /// Requests in flight at all backends that have a report in the list.
     list_in_flight: f64,
-    /// Requests a core of backends with reports from both sources, added up by source.
+    /// Sum of the list's reports over the backends with reports from both sources, requests in flight on a core.
     list_where_both: f64,
+    /// Sum of the responses' reports over the same backends.
     responses_where_both: f64,
 }
 
@@ -122,7 +127,7 @@
         self.responses.count >= MIN_RESPONSE_SAMPLES
     }
 
-    /// Whether the list has reports of enough backends, and those that responded do not show it to be out of date.
+    /// Returns whether the list has reports of enough backends, and the responses do not show it to be out of date.
     fn has_usable_list(&self) -> bool {
         let is_complete =
             self.list.count >= MIN_LIST_SAMPLES && self.list.count * 2.0 >= self.backends_in_use;
@@ -149,14 +154,14 @@
     }
 }
 
-/// How busy a shared processor is with so many requests in flight on a core: m / (1 + m).
+/// Returns the utilization of a processor-sharing core with m requests in flight: m / (1 + m).
 fn utilization(in_flight_per_core: f64) -> f64 {
     let in_flight = in_flight_per_core.max(MIN_IN_FLIGHT_PER_CORE);
     in_flight / (1.0 + in_flight)
 }
 
 impl LoadReports {
-    /// Without reports: all requests are admitted, and `proxies` bring the traffic.
+    /// Creates the state without reports: all requests are admitted, and the fleet size is `proxies`.
     pub fn new(proxies: u32) -> LoadReports {
         LoadReports {
             weight_per_core: BTreeMap::new(),
@@ -170,17 +175,19 @@
         }
     }
 
-    /// As many proxies like this one would bring all the traffic: the configured number where reports say nothing.
+    /// Returns the number of proxies with this one's traffic that would add up to all traffic: the configured number
+    /// where there are no reports.
     pub fn fleet_size(&self) -> f64 {
         self.fleet_size
     }
 
-    /// Requests in flight on a core of a backend in use, on average; `None` where too few report.
+    /// Returns the average requests in flight on a core of a backend in use; `None` where too few backends report.
     pub fn mean_in_flight_per_core(&self) -> Option<f64> {
         self.mean_in_flight_per_core
     }
 
-    /// Records a live weight of the endpoint list: a backend's size over one plus its requests in flight on a core.
+    /// Records a live weight of the endpoint list: the backend's size divided by (1 + its requests in flight on a
+    /// core).
     pub fn record_list_weight(&mut self, now: Time, backend: &mut BackendStats) {
         let weight = f64::from(backend.entry.weight) / f64::from(backend.entry.cores.max(1));
         if weight > 0.0 {
@@ -190,9 +197,9 @@
         }
     }
 
-    /// Records a load report of a response.
+    /// Records the load report of a response.
     pub fn record_report(&mut self, now: Time, backend: &mut BackendStats, report: &LoadReport) {
-        // A backend that served nothing lately reports a latency of 0.
+        // A backend that has served nothing recently reports a latency of 0.
         if let Some(ms) = report.latency_ms.filter(|ms| *ms > 0.0 && *ms <= MAX_REPORTED_LATENCY_MS) {
             backend.reported_load.record_latency(now, ms / 1e3);
         }
@@ -202,8 +209,8 @@
         }
     }
 
-    /// Takes the reports together: the fleet's mean load, its size and the admitted fraction follow. `own_in_flight` is
-    /// what this proxy's served requests have in flight at all backends, if known.
+    /// Recomputes the mean load, the fleet size and the admitted fraction from all reports. `own_in_flight` is the
+    /// average number of this proxy's requests in flight at all backends, if known.
     pub fn aggregate<'a>(
         &mut self, now: Time, backends: impl Iterator<Item = &'a BackendStats>, proxies: u32,
         own_in_flight: Option<f64>,
@@ -213,7 +220,7 @@
         self.aggregated_at = Some(now);
         self.mean_in_flight_per_core = total.mean_in_flight_per_core();
         let Some(mean) = self.mean_in_flight_per_core else {
-            // What old reports made of it does not last.
+            // Without reports, the admitted fraction recovers to 1.
             let growth = (interval_s * ADMISSION_RECOVERY_PER_S).exp();
             self.admitted = (self.admitted * growth).min(1.0);
             return;
@@ -229,7 +236,7 @@
         self.admitted = (self.admitted * step).clamp(MIN_ADMITTED_FRACTION, 1.0);
     }
 
-    /// The size of the fleet is what all proxies have in flight over what this one has.
+    /// Updates the fleet size: the requests in flight of all proxies divided by those of this one.
     fn learn_fleet_size(
         &mut self, interval_s: f64, all_in_flight: f64, own_in_flight: Option<f64>, proxies: f64,
     ) {
@@ -240,29 +247,29 @@
         let min = proxies / MAX_FLEET_SHRINK_FACTOR;
         let max = proxies * MAX_FLEET_GROWTH_FACTOR;
         let observed = observed.clamp(min, max).max(1.0);
-        // The two are counted over different seconds: a slow mean, which is quicker at first.
+        // The two numbers cover different times, so that their ratio is averaged over a long window, shorter at first.
         self.fleet_size_learned_s += interval_s;
         let window_s = self.fleet_size_learned_s.clamp(INITIAL_FLEET_SIZE_WINDOW_S, FLEET_SIZE_WINDOW_S);
         let step = 1.0 - (-interval_s / window_s).exp();
         self.fleet_size *= (observed / self.fleet_size).powf(step);
     }
 
-    /// Whether backends have reported their load not long ago, even if nothing is fresh now.
+    /// Returns whether backends have reported their load recently, even if no report is fresh now.
     pub fn is_reporting(&self, now: Time) -> bool {
         self.last_usable_at.is_some_and(|at| (now - at).secs() < REPORTING_TIMEOUT_S)
     }
 
-    /// Whether the list says how fast the backends of some type are.
+    /// Returns whether the list has weights, which show the relative speed of a server type.
     pub fn has_weights(&self) -> bool {
         !self.weight_per_core.is_empty()
     }
 
-    /// How fast the list says that a backend of the type is relative to those of others; 1 where it says nothing.
+    /// Returns the speed of the type's backends relative to other types by the list's weights; 1 where it has none.
     pub fn relative_speed(&self, server_type: ServerTypeId) -> f64 {
         self.weight_per_core.get(&server_type).copied().unwrap_or(1.0)
     }
 
-    /// The part of the requests of a priority that is admitted, from 0 to 1: those of low priority are rejected first.
+    /// Returns the admitted fraction of the requests of a priority, from 0 to 1. Low priority is rejected first.
     pub fn admitted_fraction(&self, priority: PriorityLevel) -> f64 {
         let normal_range = 1.0 - LOW_PRIORITY_RANGE;
         match priority {
@@ -271,8 +278,8 @@
         }
     }
 
-    /// After [`LoadReports::aggregate`]: moves each backend's rebalancing factor down where it has more in flight than
-    /// the mean, and up where it has less.
+    /// Lowers the rebalancing factor of each backend with more in flight than the mean, and raises it where it has
+    /// less. Has to be called after [`LoadReports::aggregate`].
     pub fn rebalance(&self, now: Time, backends: &mut BTreeMap<BackendId, BackendStats>) {
         let Some(mean) = self.mean_in_flight_per_core else { return };
         let wanted = mean.max(TARGET_MEAN_IN_FLIGHT_PER_CORE / 2.0);
@@ -288,8 +295,8 @@
             sum += factor;
             count += 1.0;
         }
-        // Relative to the mean of all: a server type that is fuller than others gets less, however fast it is taken to
-        // be.
+        // Factors are normalized over all types, not within each: a server type with a higher load than others receives
+        // less traffic, whatever its estimated speed.
         for backend in backends.values_mut() {
             if let Some(factor) = &mut backend.reported_load.rebalancing_factor {
                 let normalized = *factor * count / f64::max(sum, 1e-9);
@@ -298,8 +305,9 @@
         }
     }
 
-    /// The part of an even share that a backend gets by its reports: its rebalancing factor, and less at once where it
-    /// has more in flight than the mean. One that looks idle gets no more for that: nothing may reach it.
+    /// Returns the factor on a backend's traffic that follows from its reports: its rebalancing factor, reduced at once
+    /// where it has more in flight than the mean. It is not raised for a backend that seems idle, as the cause may be
+    /// that no request reaches it.
     pub fn load_factor(&self, now: Time, backend: &BackendStats) -> f64 {
         let in_flight = backend.reported_load.in_flight_per_core(now);
         let immediate = match (self.mean_in_flight_per_core, in_flight) {
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,102 +1,106 @@
-//! Outlier detection: when a backend is ejected, for all requests or for one class, and when it is restored.
+//! Outlier detection: decides when a backend is ejected, for all requests or for one class, and when it is restored.
 //!
-//! A backend's error rate is an exponential mean over the outcomes of its attempts. Beyond a limit it is ejected for a
-//! time that doubles with each ejection in a row, and then probed by new requests, one at a time: of safe classes, or
-//! of any class where none is safe. Silence ejects it at once. A rejection is no error: an overloaded backend is left
-//! alone for a moment.
+//! A backend's error rate is an exponential mean over the outcomes of its attempts. A backend with an error rate above
+//! the limit is ejected for a term that doubles with each consecutive ejection. It is then probed by new requests, one
+//! at a time: of safe classes, or of any class where none is safe. A silent backend is ejected at once. A rejection is
+//! not an error: an overloaded backend is only backed off from for a short time.
 
 use shaletide_types::*;
 
-/// Error rate beyond which a backend is ejected: four errors close together reach it. Broken connections come from all
-/// backends alike, a few in a hundred: two are chance.
+/// Error rate above which a backend is ejected: four errors in quick succession exceed it. Two can be chance, as a few
+/// percent of the connections to any backend break.
 const MAX_ERROR_RATE: f64 = 0.3;
-/// Multiple of the median error rate of all backends that is added to the limit: what is common to all is no fault of
-/// any.
+/// Multiple of the median error rate of all backends that is added to the limit, as errors common to all backends are
+/// not the fault of any one of them.
 const MEDIAN_ERROR_RATE_FACTOR: f64 = 2.0;
-/// A class is served where its error rate is below this: half of what one failure adds to a rate of 0.
+/// Error rate below which a class counts as served: half of what one failure adds to a rate of 0.
 const MAX_SERVED_ERROR_RATE: f64 = ERROR_RATE_STEP / 2.0;
-/// ... and its last response is no older than this, s.
+/// Maximum age of the last response to a class that counts as served, s.
 const SERVED_WINDOW_S: f64 = BASE_EJECTION_S;
 /// Weight of the newest outcome in an error rate.
 const ERROR_RATE_STEP: f64 = 0.1;
-/// First term of an ejection, s; it doubles with each ejection in a row ...
+/// Mean first term of an ejection, s; the term doubles with each consecutive ejection.
 pub(crate) const BASE_EJECTION_S: f64 = 1.0;
-/// ... this many times at most.
+/// Maximum number of doublings of the ejection term.
 const MAX_EJECTION_DOUBLINGS: u32 = 2;
-/// A term is drawn between this part of its length and as much over it, so that proxies do not probe in step.
+/// Lower bound of the random factor on the first term, which keeps proxies from probing in step.
 const MIN_EJECTION_JITTER: f64 = 0.75;
+/// Width of the range of that factor.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
-/// Served probes after which an ejected backend is restored.
+/// Number of served probes after which an ejected backend is restored.
 const PROBES_TO_RESTORE: u32 = 3;
-/// Overdue attempts without a response since that make a backend silent; one may be an answer that never comes.
+/// Number of overdue attempts, without a response since they were sent, from which a backend counts as silent. A single
+/// lost response is not enough.
 const SILENT_ATTEMPTS: u32 = 2;
-/// Longest backoff after a rejection, s; it begins at the expected latency and doubles ...
+/// Maximum backoff after a rejection, s. The backoff starts at the expected latency and doubles with each consecutive
+/// rejection.
 const MAX_BACKOFF_S: f64 = BASE_EJECTION_S / 2.0;
-/// ... this many times at most.
+/// Maximum number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Where more than this part of the backends is ejected they are used after all: the cause is not in them.
+/// Fraction of ejected backends above which ejected backends are used anyway, as the cause is then unlikely to be in
+/// the backends.
 pub(crate) const MAX_EJECTED_FRACTION: f64 = 0.5;
 
-/// What an outcome calls for.
+/// The consequence of an outcome for its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// Nothing: the backend stays as it is.
+    /// The backend stays as it is.
     Keep,
-    /// The backend is in use again; this has been done.
+    /// The backend has been restored and is in use again.
     Restored,
-    /// It is to be ejected: see [`OutlierState::eject`].
+    /// The backend has to be ejected by [`OutlierState::eject`].
     Eject,
-    /// It is to get no requests of the class: see [`OutlierState::eject_for_class`].
+    /// The backend has to be ejected for the class by [`OutlierState::eject_for_class`].
     EjectForClass,
 }
 
-/// An attempt that was not served, with what its backend is judged by in addition to its own state.
+/// An attempt that was not served, with the context that its backend is judged by.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnservedAttempt {
     pub class: usize,
     pub sent_at: Time,
     /// The age from which an unanswered attempt counts as silence.
     pub silent_after: Micros,
-    /// The error rate that is common to all backends.
+    /// The median error rate of all backends.
     pub median_error_rate: f64,
-    /// Another pool can do without the backend.
+    /// Another pool can take the requests.
     pub has_failover_pool: bool,
 }
 
-/// Errors, silence and ejections of one backend.
+/// Error rates, unanswered attempts and ejections of one backend.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct OutlierState {
-    /// Part of the attempts that failed, from 0 to 1, the latest counting most.
+    /// Exponential mean of the fraction of attempts that failed, from 0 to 1.
     pub error_rate: f64,
-    /// When the backend last answered anything, errors included, rejections excepted.
+    /// When the backend last responded, including errors but not rejections.
     last_response_at: Time,
-    /// Overdue attempts in flight without a response of the backend since they were sent.
+    /// Overdue attempts in flight since whose dispatch the backend has not responded.
     overdue_without_response: u32,
-    /// Ejected, until this time and the end of its probes.
+    /// End of the ejection's term; `None` where the backend is not ejected. It stays ejected until its probes succeed.
     pub ejected_until: Option<Time>,
-    /// Ejections since an attempt was last served outside of them.
+    /// Ejections since an attempt was last served while the backend was not ejected.
     consecutive_ejections: u32,
     /// Attempts served since the last ejection.
     successful_probes: u32,
-    /// By class, as far as the backend got requests of them.
+    /// By class, as far as requests of the classes were sent to the backend.
     by_class: Vec<ClassOutlierState>,
 }
 
-/// The same for one class: a backend may fail at one and serve the others.
+/// The state of one class at the backend, which may fail for one class and serve the others.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ClassOutlierState {
     error_rate: f64,
-    /// When the backend last answered one of the class, errors included, rejections excepted.
+    /// When the backend last responded to a request of the class, including errors but not rejections.
     last_response_at: Time,
-    /// Overdue attempts in flight without a response to one of the class since they were sent.
+    /// Overdue attempts in flight since whose dispatch the backend has responded to no request of the class.
     overdue_without_response: u32,
-    /// The backend rejected one of the class, and gets no more until then.
+    /// End of the backoff after a rejection: no request of the class is sent before.
     backoff_until: Time,
-    /// Rejections since it last served one of the class.
+    /// Rejections since the backend last served a request of the class.
     consecutive_rejections: u32,
-    /// It gets none of the class until then.
+    /// End of the ejection for the class.
     ejected_until: Time,
-    /// Ejections for the class since it last served one.
+    /// Ejections for the class since the backend last served a request of it.
     consecutive_ejections: u32,
 }
 
@@ -109,7 +113,7 @@
 }
 
 impl ClassOutlierState {
-    /// Whether the class was served just now.
+    /// Returns whether the class is served without errors and has had a response recently.
     fn is_served(&self, now: Time) -> bool {
         let is_recent = now < self.last_response_at + Micros::from_secs(SERVED_WINDOW_S);
         self.error_rate < MAX_SERVED_ERROR_RATE && is_recent
@@ -117,7 +121,7 @@
 }
 
 impl OutlierState {
-    /// What is known of the backend for one class.
+    /// Returns the state of one class, which is created if needed.
     fn class_mut(&mut self, class: usize) -> &mut ClassOutlierState {
         if self.by_class.len() <= class {
             self.by_class.resize_with(class + 1, ClassOutlierState::default);
@@ -125,7 +129,7 @@
         &mut self.by_class[class]
     }
 
-    /// Forgets the overdue attempts, which are counted anew.
+    /// Resets the counts of overdue attempts before a recount.
     pub fn clear_overdue(&mut self) {
         self.overdue_without_response = 0;
         for class in &mut self.by_class {
@@ -133,8 +137,8 @@
         }
     }
 
-    /// Looks at an attempt in flight: it counts as overdue where it is older than `silent_after` and nothing came back
-    /// since it was sent.
+    /// Counts an attempt in flight as overdue if it is older than `silent_after` and no response has arrived since it
+    /// was sent.
     pub fn count_if_overdue(&mut self, now: Time, class: usize, sent_at: Time, silent_after: Micros) {
         let is_overdue = now >= sent_at + silent_after;
         if is_overdue && self.last_response_at <= sent_at {
@@ -146,34 +150,34 @@
         }
     }
 
-    /// Whether the backend is out of use, or in use for probes only.
+    /// Returns whether the backend is ejected; it is then used for probes at most.
     pub fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Whether the backend has answered nothing since `sent_at`.
+    /// Returns whether the backend has not responded since `sent_at`.
     pub fn is_silent_since(&self, sent_at: Time) -> bool {
         self.last_response_at <= sent_at
     }
 
-    /// Whether the backend answers nothing, for the class at least.
+    /// Returns whether the backend is silent, for all requests or for the class.
     pub fn is_silent(&self, class: usize) -> bool {
         let class = self.by_class.get(class);
         self.overdue_without_response >= SILENT_ATTEMPTS
             || class.is_some_and(|class| class.overdue_without_response >= SILENT_ATTEMPTS)
     }
 
-    /// Whether the backend rejected a request of the class just now.
+    /// Returns whether the backend is backed off from after it rejected a request of the class.
     pub fn is_backing_off(&self, now: Time, class: usize) -> bool {
         self.by_class.get(class).is_some_and(|class| now < class.backoff_until)
     }
 
-    /// Whether the backend fails at the class, though not at others.
+    /// Returns whether the backend is ejected for the class.
     pub fn is_ejected_for_class(&self, now: Time, class: usize) -> bool {
         self.by_class.get(class).is_some_and(|class| now < class.ejected_until)
     }
 
-    /// An attempt was served.
+    /// Records a served attempt.
     pub fn record_success(&mut self, now: Time, class: usize) -> Verdict {
         self.last_response_at = now;
         decrease(&mut self.error_rate);
@@ -196,8 +200,8 @@
         Verdict::Restored
     }
 
-    /// The backend rejected an attempt: it gets none of the class until it may have finished one, and for twice as long
-    /// each time that it still rejects.
+    /// Records a rejection. No request of the class is sent to the backend for the expected latency, within which it
+    /// may finish a request. The backoff doubles with each consecutive rejection.
     pub fn record_rejection(&mut self, now: Time, class: usize, expected_latency: Micros) {
         let class = self.class_mut(class);
         let doublings = class.consecutive_rejections.min(MAX_BACKOFF_DOUBLINGS);
@@ -206,8 +210,8 @@
         class.consecutive_rejections += 1;
     }
 
-    /// An attempt was cancelled. A long silence before it speaks against the backend, where it is not the only one or
-    /// another pool can do without the backend.
+    /// Records a cancelled attempt. The backend is ejected if it was silent for long before, and either other attempts
+    /// are overdue, too, or another pool can take its requests.
     pub fn record_cancellation(&mut self, now: Time, attempt: UnservedAttempt) -> Verdict {
         let was_silent =
             now >= attempt.sent_at + attempt.silent_after && self.is_silent_since(attempt.sent_at);
@@ -219,8 +223,8 @@
         }
     }
 
-    /// An attempt timed out. Where others of its class were answered meanwhile it was a heavy request; where nothing
-    /// came back at all the backend is silent.
+    /// Records a timed-out attempt. It is taken for an expensive request if the backend has responded to others of its
+    /// class meanwhile. The backend is silent, and is ejected, if it has not responded at all.
     pub fn record_timeout(&mut self, now: Time, attempt: UnservedAttempt) -> Verdict {
         if self.class_mut(attempt.class).last_response_at >= attempt.sent_at {
             return Verdict::Keep;
@@ -231,15 +235,15 @@
         self.record_failure(now, attempt)
     }
 
-    /// The backend answered with an error.
+    /// Records an error response.
     pub fn record_error_response(&mut self, now: Time, attempt: UnservedAttempt) -> Verdict {
         self.last_response_at = now;
         self.class_mut(attempt.class).last_response_at = now;
         self.record_failure(now, attempt)
     }
 
-    /// An attempt failed: the backend is ejected where its error rate is beyond the limit, for the class alone where
-    /// another one was served just now.
+    /// Records a failed attempt. The backend is ejected if its error rate is above the limit, or for the class alone if
+    /// another class was served recently.
     pub fn record_failure(&mut self, now: Time, attempt: UnservedAttempt) -> Verdict {
         increase(&mut self.error_rate);
         increase(&mut self.class_mut(attempt.class).error_rate);
@@ -255,12 +259,12 @@
         }
     }
 
-    /// The first term of an ejection, s. `roll` is a random number from 0 to 1.
+    /// Returns the first term of an ejection, s. `roll` is a random number from 0 to 1.
     pub fn first_term_s(roll: f64) -> f64 {
         BASE_EJECTION_S * (MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * roll)
     }
 
-    /// Ejects the backend, unless a term is still running; gives the term that begins, in seconds.
+    /// Ejects the backend, unless a term is still running. Returns the new term, s.
     pub fn eject(&mut self, now: Time, first_term_s: f64) -> Option<f64> {
         if self.ejected_until.is_some_and(|until| now < until) {
             return None;
@@ -273,7 +277,7 @@
         Some(term_s)
     }
 
-    /// Ejects the backend for one class, unless a term is still running; gives the term that begins, in seconds.
+    /// Ejects the backend for one class, unless a term is still running. Returns the new term, s.
     pub fn eject_for_class(&mut self, now: Time, class: usize) -> Option<f64> {
         let class = self.class_mut(class);
         if now < class.ejected_until {
@@ -286,7 +290,7 @@
         Some(term_s)
     }
 
-    /// The part of the class's attempts that failed, from 0 to 1.
+    /// Returns the class's error rate, from 0 to 1.
     pub fn class_error_rate(&self, class: usize) -> f64 {
         self.by_class.get(class).map_or(0.0, |class| class.error_rate)
     }
--- a/crates/balancer/src/request_queue.rs
+++ b/crates/balancer/src/request_queue.rs
@@ -1,20 +1,20 @@
-//! The queue of requests that wait for capacity.
+//! The queue of requests that wait for capacity at a backend.
 
 use crate::request::PriorityLevel;
 use shaletide_types::*;
 
-/// New requests that found no capacity, and for which none is sought until something has changed: trying a long queue
-/// in vain costs too much processor time.
+/// The new requests that are not tried again until capacity may have become free: trying a long queue in vain costs too
+/// much processor time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 enum Blocked {
     #[default]
     None,
     LowPriority,
-    /// All but retries.
+    /// All requests but retries.
     AllNew,
 }
 
-/// Requests that no attempt is sent for until a backend has capacity, in the order in which they were queued.
+/// Requests that wait until a backend has capacity, in the order in which they were queued.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestQueue {
     requests: Vec<RequestId>,
@@ -26,7 +26,7 @@
         self.requests.push(id);
     }
 
-    /// Adds a request that may be queued already.
+    /// Adds a request unless it is queued already.
     pub fn push_if_absent(&mut self, id: RequestId) {
         if !self.requests.contains(&id) {
             self.requests.push(id);
@@ -41,13 +41,13 @@
         self.requests.is_empty()
     }
 
-    /// Empties the queue.
+    /// Empties the queue and returns its requests.
     pub fn take_all(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.requests)
     }
 
-    /// A new request of this priority found no capacity: none is sought for others of it, or of a lower one, until
-    /// [`RequestQueue::unblock`], though one that may go elsewhere might find some.
+    /// Records that a new request of this priority found no capacity. Others of this or a lower priority are not tried
+    /// until [`RequestQueue::unblock`], although one with other eligible backends might find capacity.
     pub fn block(&mut self, priority: PriorityLevel) {
         let blocked = match priority {
             PriorityLevel::Low => Blocked::LowPriority,
@@ -56,12 +56,12 @@
         self.blocked = self.blocked.max(blocked);
     }
 
-    /// Capacity may have become free.
+    /// Allows all requests again, as capacity may have become free.
     pub fn unblock(&mut self) {
         self.blocked = Blocked::None;
     }
 
-    /// Whether new requests of this priority would find no capacity.
+    /// Returns whether new requests of this priority are assumed to find no capacity.
     pub fn is_blocked(&self, priority: PriorityLevel) -> bool {
         match self.blocked {
             Blocked::None => false,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether no new request at all would find capacity.
+    /// Returns whether new requests of any priority are assumed to find no capacity.
     pub fn is_blocked_for_all(&self) -> bool {
         self.blocked == Blocked::AllNew
     }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,30 +1,30 @@
-//! Retries: whether a request may be sent again, until when, and whether its rejection would be harmless.
+//! Retries: whether and until when a request may be sent again, and whether it can be rejected harmlessly.
 
 use crate::interface::Config;
 use crate::request::{Attempt, RequestState};
 use shaletide_types::*;
 
-/// The last byte of a retry has to go out this long before the end of its key's deduplication window, for its way to
-/// the backend, ...
+/// Time before the end of the key's deduplication window by which the last byte of a retry has to be written, which
+/// allows for its transmission to the backend.
 const RETRY_MARGIN: Micros = Micros(20_000);
-/// ... but no more than the window's length over this number, as a window may be short.
+/// Upper bound of that margin, as the window's length divided by this number: a window may be short.
 const RETRY_MARGIN_WINDOW_DIVISOR: u64 = 8;
 
-/// Until when the last byte of a retry may go out after an attempt that was sent at the earliest at `sent`, where
-/// backends discard repeats for `window`.
+/// Returns the time until which the last byte of a retry may be written, after an attempt that was sent no earlier than
+/// `sent`, where backends discard repeats for `window`.
 pub fn retry_deadline(window: Micros, sent: Time) -> Time {
     let margin = (window.0 / RETRY_MARGIN_WINDOW_DIVISOR).min(RETRY_MARGIN.0);
     sent + Micros(window.0 - margin)
 }
 
-/// The same after the first of the attempts that may have been executed or may be yet, each with the earliest time at
-/// which it was sent. `None` where there is no such attempt.
+/// Returns the earliest [`retry_deadline`] of the attempts that may have been executed or may still be. `sent` has the
+/// earliest time at which each of them can have been sent. `None` where there is no such attempt.
 pub fn first_retry_deadline(window: Micros, sent: impl Iterator<Item = Time>) -> Option<Time> {
     sent.min().map(|first| retry_deadline(window, first))
 }
 
-/// Whether a further attempt of the request does no harm and is within its number of attempts. Another one may be in
-/// flight only where requests are hedged.
+/// Returns whether a further attempt of the request is harmless and within the maximum number of attempts. While
+/// another attempt is in flight, it is allowed only if hedging is.
 pub(crate) fn may_send_attempt(config: &Config, now: Time, request: &RequestState) -> bool {
     if request.has_attempt_in_flight() && !config.hedging {
         return false;
@@ -36,7 +36,7 @@
     request.attempts.iter().all(|attempt| may_repeat(idempotency, now, attempt))
 }
 
-/// Whether a second execution of the attempt does no harm, or cannot come about.
+/// Returns whether a repeat of the attempt is harmless or cannot be a second execution.
 fn may_repeat(idempotency: Idempotency, now: Time, attempt: &Attempt) -> bool {
     match idempotency {
         Idempotency::Safe => true,
@@ -47,8 +47,8 @@
     }
 }
 
-/// Whether a further attempt may go to `backend` after the earlier ones: the backend shares the keys that it has seen
-/// with those of each earlier attempt that may have been executed. Always so without a key.
+/// Returns whether a further attempt may go to `backend` after the earlier ones. A keyed request needs a backend that
+/// shares its known keys with the backend of each earlier attempt that may have been executed.
 pub(crate) fn may_follow_at(
     idempotency: Idempotency, request: &RequestState, backend: &BackendEntry,
 ) -> bool {
@@ -59,15 +59,15 @@
     })
 }
 
-/// Before when the request's next attempt has to begin; `None` where any time will do.
+/// Returns the time before which the request's next attempt has to start; `None` where there is no limit.
 pub(crate) fn start_by(config: &Config, request: &RequestState) -> Option<Time> {
     let Idempotency::Keyed(_, window) = config.classes[request.class].idempotency else { return None };
     let may_be_executed = request.attempts.iter().filter(|attempt| !attempt.not_executed);
     first_retry_deadline(window, may_be_executed.map(|attempt| attempt.sent_at))
 }
 
-/// Whether the request's rejection is harmless: a client that sends it again at `client_returns_at` causes no second
-/// execution.
+/// Returns whether the request can be rejected harmlessly: a client that sends it again at `client_returns_at` causes
+/// no second execution.
 pub(crate) fn is_rejection_harmless(
     config: &Config, request: &RequestState, client_returns_at: Time,
 ) -> bool {
--- a/crates/balancer/src/rng.rs
+++ b/crates/balancer/src/rng.rs
@@ -1,9 +1,9 @@
-//! Random numbers of the decisions.
+//! The random number generator of the balancer.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// A generator that gives the same numbers on every machine for the same seed.
+/// A generator that returns the same numbers on every machine for the same seed.
 #[derive(Clone, Debug)]
 pub(crate) struct Rng(Pcg32);
 
@@ -12,13 +12,13 @@
         Rng(Pcg32::seed_from_u64(seed))
     }
 
-    /// A number from 0 up to, but not including, 1.
+    /// Returns a number from 0 up to, but not including, 1.
     pub fn next_unit(&mut self) -> f64 {
         f64::from(self.0.next_u32()) / 4_294_967_296.0
     }
 
-    /// One of the items, each with a probability in proportion to its weight. One number is drawn, even where there is
-    /// no item.
+    /// Returns one of the items, each with a probability in proportion to its weight. Draws exactly one number, even
+    /// where there is no item.
     pub fn pick_weighted<T: Copy>(&mut self, weighted: &[(T, f64)]) -> Option<T> {
         let total: f64 = weighted.iter().map(|(_, weight)| weight).sum();
         let mut remaining = self.next_unit() * total;
@@ -28,7 +28,7 @@
                 return Some(*item);
             }
         }
-        // All weights are 0, or the sum was rounded.
+        // Reached if all weights are 0, or by rounding of the sum.
         weighted.last().map(|(item, _)| *item)
     }
 }
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,5 +1,5 @@
-//! Selection: which backend an attempt goes to. A server type is drawn by its part of the traffic, then a backend of it
-//! by subset weight. An ejected backend that is due for a probe goes first.
+//! Selection: chooses the backend of an attempt. A server type is drawn by its share of the traffic, then one of its
+//! backends by subset weight. An ejected backend that is due for a probe takes precedence.
 
 use crate::backend_stats::BackendStats;
 use crate::interface::Config;
@@ -12,30 +12,30 @@
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// Part of its selection weight with which a backend outside of the subset is drawn: a last resort, where all those
-/// inside are at their limit.
+/// Fraction of its selection weight with which a backend outside of the subset is drawn: it is used only where all
+/// those inside are at their limits.
 const OUTSIDE_SUBSET_WEIGHT: f64 = 1e-6;
 
-/// What the selection found.
+/// The result of a selection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Selection {
-    /// The attempt goes there.
+    /// The attempt goes to this backend.
     Backend(BackendId),
-    /// Backends are in use that the request may go to, but none has capacity now.
+    /// Eligible backends are in use, but none of them has capacity now.
     NoCapacity,
-    /// All that the request may go to are ejected or silent.
+    /// All eligible backends are ejected or silent.
     AllEjected,
-    /// There is none that the request may go to: it was at all of them, or none is listed.
+    /// No backend is eligible: the request was sent to all of them, or none is listed.
     NoneEligible,
 }
 
-/// What a backend can do for a request.
+/// Whether a backend can take a request now.
 enum Suitability {
-    /// It gets nothing now.
+    /// The backend cannot take the request.
     None,
-    /// It is ejected and due for a probe, which the request may be.
+    /// The backend is ejected and due for a probe, and the request may be the probe.
     Probe,
-    /// It has capacity.
+    /// The backend has capacity.
     Capacity,
 }
 
@@ -46,7 +46,7 @@
     weight: f64,
 }
 
-/// What selections go by at one moment.
+/// The inputs of a selection at one moment.
 pub(crate) struct Selector<'a> {
     pub config: &'a Config,
     pub now: Time,
@@ -56,11 +56,11 @@
 }
 
 impl Selector<'_> {
-    /// A backend for the request, which is of so much work relative to the mean. Two random numbers are drawn where a
-    /// backend has capacity, one where none has, none for a probe.
+    /// Selects a backend for the request. `work` is the request's work relative to the mean. Draws two random numbers
+    /// if a backend has capacity, one if none has, and none for a probe.
     pub fn select(&self, rng: &mut Rng, request: &RequestState, work: f64) -> Selection {
         let may_probe = self.may_probe(request);
-        let heeds_class_ejections = self.heeds_class_ejections(request.class);
+        let applies_class_ejections = self.applies_class_ejections(request.class);
         let mut candidates: Vec<Candidate> = Vec::new();
         let mut any_eligible = false;
         let mut any_in_use = false;
@@ -73,7 +73,7 @@
             any_in_use |= !backend.outlier.is_ejected() && !is_silent;
             let is_backing_off = backend.outlier.is_backing_off(self.now, request.class);
             let is_class_ejected = backend.outlier.is_ejected_for_class(self.now, request.class);
-            if is_silent || is_backing_off || heeds_class_ejections && is_class_ejected {
+            if is_silent || is_backing_off || applies_class_ejections && is_class_ejected {
                 continue;
             }
             if self.slow_start.budget(&backend.entry, &backend.sent_work).is_exceeded_by(work) {
@@ -97,15 +97,16 @@
         }
     }
 
-    /// Probes are requests that may fail without harm, where there are such classes.
+    /// Returns whether the request may be a probe: a first attempt of a safe class, or of any class if none is safe.
     fn may_probe(&self, request: &RequestState) -> bool {
         let is_safe = self.config.classes[request.class].idempotency == Idempotency::Safe;
         let any_safe = self.config.classes.iter().any(|class| class.idempotency == Idempotency::Safe);
         request.attempts.is_empty() && (is_safe || !any_safe)
     }
 
-    /// Where most backends fail at a class they are used for it after all: the cause is not in them.
-    fn heeds_class_ejections(&self, class: usize) -> bool {
+    /// Returns whether ejections for the class apply. Where most backends are ejected for it, they are used anyway, as
+    /// the cause is then unlikely to be in the backends.
+    fn applies_class_ejections(&self, class: usize) -> bool {
         let mut usable = 0.0;
         let mut ejected = 0.0;
         for backend in self.backends.values().filter(|backend| backend.capacity_factor > 0.0) {
@@ -117,8 +118,8 @@
         ejected <= usable * MAX_EJECTED_FRACTION
     }
 
-    /// Whether the request may go to the backend at all: it is ready, no attempt was sent there, and it discards what
-    /// an earlier attempt may have executed.
+    /// Returns whether the request may go to the backend: the backend is ready, was sent no attempt of the request, and
+    /// discards repeats of earlier attempts that may have been executed.
     fn is_eligible(&self, request: &RequestState, backend: &BackendStats) -> bool {
         let is_new = |earlier: &Attempt| earlier.not_sent || earlier.backend.id != backend.entry.id;
         backend.is_ready()
@@ -127,7 +128,7 @@
     }
 
     fn suitability(&self, request: &RequestState, backend: &BackendStats, may_probe: bool) -> Suitability {
-        // Ejected backends are in use where too many are ejected, unless another pool can be asked instead.
+        // Where too many backends are ejected they are used anyway, unless the request can fail over.
         let is_used_if_ejected = backend.capacity_factor > 0.0 && !request.may_fail_over;
         match backend.outlier.ejected_until {
             Some(until) if !is_used_if_ejected => {
@@ -152,10 +153,10 @@
         }
     }
 
-    /// Draws a server type by its selection weight, and one of its candidates by theirs.
+    /// Draws a server type by its selection weight, then one of its candidates by their weights.
     fn draw(&self, rng: &mut Rng, candidates: &[Candidate]) -> Option<BackendId> {
         let mut types: Vec<ServerTypeId> = candidates.iter().map(|candidate| candidate.server_type).collect();
-        types.dedup(); // most neighbours are of one type: less is left to sort
+        types.dedup(); // most neighbours are of one type, so that less is left to sort
         types.sort_unstable();
         types.dedup();
         let mut weighted_types: Vec<(ServerTypeId, f64)> = Vec::with_capacity(types.len());
--- a/crates/balancer/src/server_type.rs
+++ b/crates/balancer/src/server_type.rs
@@ -1,37 +1,38 @@
-//! What is known of a server type: its backends are taken to be equally fast.
+//! The state of a server type, whose backends are assumed to be equally fast.
 
 use crate::statistics::MovingAverage;
 use shaletide_types::*;
 
-/// Weight of a core at most, in thousandths of a standard core: a larger weight is that of more cores.
+/// Maximum weight of one core, in thousandths of a standard core: a larger weight is that of several cores.
 const MAX_WEIGHT_PER_CORE: u32 = 2_000;
 
-/// What is known of a server type, and its part of the traffic.
+/// The state of a server type, and its share of the traffic.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServerTypeStats {
-    /// Seconds from dispatch to response, of served attempts, as requests of average work would have had them.
+    /// Mean time from dispatch to response of served attempts, scaled to requests of average work, s.
     pub latency: MovingAverage,
-    /// Requests a second that came to one backend of the type when those attempts were served.
+    /// Mean arrival rate at one backend of the type when those attempts were served, requests a second.
     pub arrivals_when_served_per_s: MovingAverage,
-    /// Requests a second that come to one backend of the type.
+    /// Current arrival rate at one backend of the type, requests a second.
     pub arrivals_per_s: f64,
-    /// Requests a second that one backend of the type could serve.
+    /// Requests a second that one backend of the type can serve.
     pub capacity_per_s: f64,
-    /// Sum of the capacity factors of the type's backends, ...
+    /// Sum of the capacity factors of the type's backends.
     pub total_capacity_factor: f64,
-    /// ... and of their cores, each times its backend's capacity factor.
+    /// Sum over the type's backends of their cores times their capacity factor.
     pub effective_cores: f64,
-    /// The largest weight of any of its backends, in thousandths, where weights are sizes.
+    /// The largest weight of any of the type's backends, in thousandths, where weights are sizes.
     largest_weight: u32,
-    /// Part of the traffic of all proxies.
+    /// Share of the traffic of all proxies.
     pub traffic_share: f64,
-    /// Sum of its backends' selection weights: its part of this proxy's traffic.
+    /// Sum of the backends' selection weights: the type's share of this proxy's traffic.
     pub selection_weight: f64,
 }
 
 impl ServerTypeStats {
-    /// The least number of cores that a backend of the type has, by the largest weight that the list gave one. Live
-    /// weights are sizes of idle backends only, and smaller than the size of others.
+    /// Returns the minimum number of cores of the type's backends, by the largest weight that the list had for any of
+    /// them. The largest is used because a live weight equals the size only for an idle backend and is smaller
+    /// otherwise.
     pub fn core_count_from_weight(&mut self, entry: &BackendEntry) -> u32 {
         self.largest_weight = self.largest_weight.max(entry.weight);
         (self.largest_weight / MAX_WEIGHT_PER_CORE).max(1)
--- a/crates/balancer/src/timer.rs
+++ b/crates/balancer/src/timer.rs
@@ -1,21 +1,21 @@
-//! The one timer of a balancer: it is set for the earliest time at which time alone calls for anything.
+//! The single timer of a balancer, set for the earliest time at which time-driven work is due.
 
 use crate::interface::Action;
 use shaletide_types::*;
 
-/// Each time that it is set it gets a token of its own: one set before has no effect when it fires.
+/// Each time the timer is set it has a new token, so that a timer that was set earlier has no effect when it fires.
 #[derive(Clone, Debug)]
 pub(crate) struct Timer {
-    /// When time alone may next call for something.
+    /// When time-driven work is next due.
     due_at: Time,
-    /// Token of the timer that was set last, ...
+    /// Token of the timer that was set last.
     token: u64,
-    /// ... and when it fires; the end of time where none is set.
+    /// When that timer fires; the maximum time where none is set.
     set_for: Time,
 }
 
 impl Timer {
-    /// Due at once, and not set.
+    /// Creates a timer that is due at once and not set.
     pub fn new() -> Timer {
         Timer { due_at: Time(0), token: 0, set_for: Time(u64::MAX) }
     }
@@ -24,17 +24,17 @@
         now >= self.due_at
     }
 
-    /// Makes the timer due at that time, whatever it was due at before.
+    /// Makes the timer due at this time, whatever it was due at before.
     pub fn set_due(&mut self, at: Time) {
         self.due_at = at;
     }
 
-    /// Makes the timer due at that time or earlier.
+    /// Makes the timer due at this time or earlier.
     pub fn due_by(&mut self, at: Time) {
         self.due_at = self.due_at.min(at);
     }
 
-    /// Whether the token is that of the timer that was set last; that timer has fired then.
+    /// Handles a timer that fired. Returns whether the token is that of the timer that was set last.
     pub fn fire(&mut self, token: TimerToken) -> bool {
         let is_current = token == TimerToken(self.token);
         if is_current {
@@ -43,7 +43,8 @@
         is_current
     }
 
-    /// Sets a timer, `min_interval` from now at the earliest, unless one is set that fires early enough.
+    /// Returns the action that sets the timer, unless one is set that fires early enough. The timer fires after
+    /// `min_interval` at the earliest.
     pub fn set_if_needed(&mut self, now: Time, min_interval: Micros) -> Option<Action> {
         if self.due_at >= self.set_for {
             return None;
--- a/crates/balancer/src/zone_affinity.rs
+++ b/crates/balancer/src/zone_affinity.rs
@@ -1,31 +1,32 @@
-//! Zone affinity: where crossing zones costs, traffic stays in this proxy's zone as far as all proxies together still
-//! give every backend the same part. A zone whose backends are due less than its proxies bring sends its surplus to the
-//! zones that are due more. Every zone is taken to bring the same part of the traffic.
+//! Zone affinity: where crossing zones has a cost, traffic stays in this proxy's zone as far as all proxies together
+//! still give every backend its share. A zone whose proxies bring more traffic than the share of its backends sends the
+//! surplus to zones where it is the other way round. Every zone is assumed to bring the same traffic.
 
 use shaletide_types::*;
 use std::collections::BTreeMap;
 
-/// How the traffic is divided between zones.
+/// The division of this proxy's traffic between zones.
 pub(crate) struct ZoneAffinity {
     own_zone: ZoneId,
-    /// Part of all traffic that the zone's backends are due.
+    /// By zone, the share of all traffic that the zone's backends should receive.
     due: BTreeMap<ZoneId, f64>,
     /// Number of zones with backends.
     zones: f64,
-    /// What zones are due beyond what their proxies bring, added up, in multiples of what one zone brings.
+    /// Sum over the zones of the traffic that their backends should receive beyond that of their own proxies, in
+    /// multiples of one zone's traffic.
     total_deficit: f64,
 }
 
 impl ZoneAffinity {
-    /// By the part of all traffic that each zone's backends are due.
+    /// Creates the division from the share of all traffic that each zone's backends should receive.
     pub fn new(own_zone: ZoneId, due: BTreeMap<ZoneId, f64>) -> ZoneAffinity {
         let zones = due.len() as f64;
         let total_deficit = due.values().map(|due| (due * zones - 1.0).max(0.0)).sum();
         ZoneAffinity { own_zone, due, zones, total_deficit }
     }
 
-    /// What this proxy sends to a backend of the zone, in multiples of what it would send without affinity; 1 where the
-    /// zone is due nothing.
+    /// Returns the traffic that this proxy sends to a backend of the zone, in multiples of what it would send without
+    /// affinity; 1 where the zone's share is 0.
     pub fn factor(&self, zone: ZoneId) -> f64 {
         let due = self.due.get(&zone).map_or(0.0, |due| due.max(1e-9));
         if due <= 0.0 {
@@ -34,7 +35,7 @@
         self.sent_to(zone, due) / due
     }
 
-    /// The part of this proxy's traffic that goes to the zone.
+    /// Returns the fraction of this proxy's traffic that goes to the zone.
     fn sent_to(&self, zone: ZoneId, due: f64) -> f64 {
         let own_due = self.due.get(&self.own_zone).copied().unwrap_or(0.0);
         if zone == self.own_zone {
--- a/crates/balancer/src/zone_reachability.rs
+++ b/crates/balancer/src/zone_reachability.rs
@@ -1,27 +1,27 @@
-//! Zones that nothing comes back from. Where a zone is cut off each of its backends looks dead, one after the other,
-//! and each costs four attempts before it is ejected: here they are known by their zone.
+//! Detection of unreachable zones. Where a zone is cut off, each of its backends would be found dead one after the
+//! other, at four attempts each before its ejection. Counting silence by zone avoids this.
 
 use crate::statistics::MovingAverage;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Attempts in a zone's silent fraction.
+/// Number of attempts that a zone's silent fraction is averaged over.
 const SILENCE_SAMPLES: f64 = 4.0;
-/// From this silent fraction on a zone is unreachable: four silent attempts in a row reach it.
+/// Silent fraction above which a zone can be unreachable: four silent attempts in a row exceed it.
 const UNREACHABLE_SILENT_FRACTION: f64 = 0.6;
-/// A zone below this silent fraction responds.
+/// Silent fraction below which a zone counts as responsive.
 const RESPONSIVE_SILENT_FRACTION: f64 = 0.3;
-/// An unreachable zone is used again after this time, s; it doubles each time that the zone is still silent ...
+/// Time after which an unreachable zone is used again, s. It doubles each time the zone is still silent.
 const BASE_TERM_S: f64 = 1.0;
-/// ... this many times at most.
+/// Maximum number of doublings of that time.
 const MAX_TERM_DOUBLINGS: i32 = 2;
 
-/// Whether anything came back of an attempt.
+/// Whether an attempt got any response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// The backend answered, even if with an error.
+    /// The backend responded, possibly with an error.
     Received,
-    /// No connection was made, or it ended before the last byte of the request was written, or nothing came back in
+    /// No connection was made, or it ended before the last byte of the request was written, or no response arrived in
     /// time.
     Silence,
 }
@@ -35,11 +35,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct ZoneHealth {
-    /// The part of the last attempts that were silent.
+    /// Fraction of the last attempts that were silent.
     silent_fraction: MovingAverage,
-    /// The first backend that was silent since the zone's last response, ...
+    /// The first backend that was silent since the zone's last response.
     first_silent: Option<BackendId>,
-    /// ... and whether others have been silent, too: one dead backend is no unreachable zone.
+    /// Another backend was silent since the zone's last response: a single dead backend does not make the zone
+    /// unreachable.
     several_silent: bool,
     unreachable_until: Option<Time>,
     consecutive_terms: i32,
@@ -76,12 +77,12 @@
     }
 }
 
-/// What came back from each zone that this proxy sent attempts to.
+/// The health of each zone that this proxy has sent attempts to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneReachability(BTreeMap<ZoneId, ZoneHealth>);
 
 impl ZoneReachability {
-    /// Records an attempt at `backend`. `own` is this proxy's zone.
+    /// Records the response of an attempt at `backend`, or its silence. `own` is this proxy's zone.
     pub fn record(
         &mut self, now: Time, own: ZoneId, backend: &BackendEntry, response: Response,
     ) -> ReachabilityChange {
@@ -105,25 +106,25 @@
         ReachabilityChange::None
     }
 
-    /// Whether nothing comes back from a zone.
+    /// Returns whether the zone is unreachable.
     pub fn is_unreachable(&self, now: Time, zone: ZoneId) -> bool {
         self.0.get(&zone).is_some_and(|zone| zone.is_unreachable(now))
     }
 
-    /// The zones that nothing comes back from.
+    /// Returns the unreachable zones.
     pub fn unreachable_zones(&self, now: Time) -> BTreeSet<ZoneId> {
         self.0.iter().filter(|(_, zone)| zone.is_unreachable(now)).map(|(id, _)| *id).collect()
     }
 
-    /// Whether a zone other than `zone` responds. This proxy's own zone is near: it counts as responding until it was
-    /// found silent.
+    /// Returns whether a zone other than `zone` responds. This proxy's own zone counts as responding until it is found
+    /// silent, as it is unlikely to be cut off from this proxy.
     fn another_zone_responds(&self, own: ZoneId, zone: ZoneId) -> bool {
         let own_silence = self.0.get(&own).map_or(0.0, |health| health.silent_fraction.value);
         let own_responds = zone != own && own_silence < UNREACHABLE_SILENT_FRACTION;
         own_responds || self.0.iter().any(|(id, health)| *id != zone && health.is_responsive())
     }
 
-    /// Where all zones are silent it is this proxy that is cut off, or the load: none counts as unreachable.
+    /// Marks all zones as reachable: where all are silent, the cause is this proxy's own connection or overload.
     fn clear_unreachable(&mut self, now: Time) -> ReachabilityChange {
         let mut change = ReachabilityChange::None;
         for zone in self.0.values_mut() {
