--- a/crates/balancer/benches/decision/main.rs
+++ b/crates/balancer/benches/decision/main.rs
@@ -1,9 +1,10 @@
-//! What one decision costs, in instructions, with 12 to 2,000 backends: `cargo bench -p shaletide-balancer`. Callgrind
-//! counts a long run and a short one of this program itself; without `valgrind` it says so.
+//! Measures the cost of one decision in instructions, with 12 to 2,000 backends: `cargo bench -p shaletide-balancer`.
+//! Callgrind counts the instructions of a long and a short run of this program; their difference is the cost. Without
+//! `valgrind` the program prints that and ends.
 //!
-//! *Alone* is a request and its answer while the clock stands, so that no weights are recomputed meanwhile; *in all* is
-//! the same at 14 requests a second, as one of 300 proxies gets them, with timers and a whole list each second; *a list*
-//! is such an update by itself.
+//! *Alone* is a request and its answer while the clock stands still, so that no weights are recomputed. *In all* is the
+//! same at 14 requests a second, as one of 300 proxies receives them, with timers and an update of the whole list every
+//! second. *A list* is such an update on its own.
 
 mod reports;
 
@@ -12,13 +13,13 @@
 use std::process::Command;
 
 const BACKENDS: [u32; 3] = [12, 200, 2_000];
-/// Requests of the long run and of the short one.
-const COUNTED: [u64; 2] = [600, 200];
+/// Number of operations in the long and in the short run.
+const RUN_LENGTHS: [u64; 2] = [600, 200];
 const WARM_UP: u64 = 300;
 const INTERVAL: Micros = Micros(71_000);
 const LATENCY: Micros = Micros(60_000);
 
-/// What is counted.
+/// The operation whose instructions are counted.
 #[derive(Clone, Copy, PartialEq)]
 enum Workload {
     Alone,
@@ -26,7 +27,7 @@
     List,
 }
 
-/// A proxy among 300, its backends and its last actions.
+/// One of 300 proxies, with its backends and its last actions.
 struct Driver {
     balancer: Balancer,
     limits: SharedLimits,
@@ -37,7 +38,7 @@
     list: Vec<BackendEntry>,
     listed_at: Time,
     reports_load: bool,
-    last: u64,
+    last_request: u64,
     served: u64,
 }
 
@@ -55,7 +56,7 @@
             ..BackendEntry::default()
         };
         let mut driver = Driver {
-            balancer: Balancer::new(cfg, 5).expect("a sound configuration"),
+            balancer: Balancer::new(cfg, 5).expect("a valid configuration"),
             limits: SharedLimits::default(),
             actions: Vec::new(),
             now: Time(1_000_000_000),
@@ -64,7 +65,7 @@
             list: (0..backends).map(list).collect(),
             listed_at: Time(0),
             reports_load,
-            last: 0,
+            last_request: 0,
             served: 0,
         };
         driver.update_endpoints(EndpointUpdate::Snapshot);
@@ -86,16 +87,16 @@
         self.listed_at = self.now;
         let mut backends = self.list.clone();
         if self.reports_load {
-            let turn = self.last;
-            backends.iter_mut().for_each(|b| reports::set_live_weight(b, turn));
+            let round = self.last_request;
+            backends.iter_mut().for_each(|b| reports::set_live_weight(b, round));
         }
         self.handle(Event::EndpointsUpdated { update, backends });
     }
 
-    /// One request, served.
+    /// Sends one request and serves it.
     fn request(&mut self) {
-        self.last += 1;
-        let request = RequestId(self.last);
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
         let arrival = Arrival {
             request,
             class: ClassId(0),
@@ -109,7 +110,7 @@
         let Some((attempt, backend)) = self.dispatched.take() else { return };
         self.served += 1;
         if self.reports_load {
-            if let Some(event) = reports::report(backend, self.last) {
+            if let Some(event) = reports::report(backend, self.last_request) {
                 self.handle(event);
             }
         }
@@ -118,7 +119,7 @@
         self.handle(Event::AttemptEnded(end));
     }
 
-    /// Time passes until the next request.
+    /// Advances the time to the next request and fires the timers on the way.
     fn advance_to_next_request(&mut self) {
         let then = self.now + INTERVAL;
         while let Some((at, token)) = self.timer.filter(|(at, _)| *at <= then) {
@@ -133,13 +134,13 @@
     }
 }
 
-fn run(backends: u32, reports_load: bool, workload: Workload, times: u64) {
+fn run(backends: u32, reports_load: bool, workload: Workload, operations: u64) {
     let mut driver = Driver::new(backends, reports_load);
     for _ in 0..WARM_UP {
         driver.advance_to_next_request();
         driver.request();
     }
-    for _ in 0..times {
+    for _ in 0..operations {
         match workload {
             Workload::Alone => driver.request(),
             Workload::All => {
@@ -149,36 +150,46 @@
             Workload::List => driver.update_endpoints(EndpointUpdate::Delta),
         }
     }
-    assert!(driver.served * 20 >= driver.last * 19, "{} of {} sent", driver.served, driver.last);
+    assert!(
+        driver.served * 20 >= driver.last_request * 19,
+        "only {} of {} served",
+        driver.served,
+        driver.last_request
+    );
 }
 
-/// The instructions of one, by callgrind.
+/// Returns the instructions of one operation, as callgrind counts them.
 fn instructions(backends: u32, reports_load: bool, workload: Workload) -> Option<f64> {
-    let [long, short] = COUNTED.map(|times| counted(backends, reports_load, workload, times));
-    Some((long? - short?) as f64 / (COUNTED[0] - COUNTED[1]) as f64)
+    let [long, short] =
+        RUN_LENGTHS.map(|operations| count_instructions(backends, reports_load, workload, operations));
+    Some((long? - short?) as f64 / (RUN_LENGTHS[0] - RUN_LENGTHS[1]) as f64)
 }
 
-fn counted(backends: u32, reports_load: bool, workload: Workload, times: u64) -> Option<i64> {
+/// Returns the instructions of a whole run, or `None` if callgrind cannot count them.
+fn count_instructions(backends: u32, reports_load: bool, workload: Workload, operations: u64) -> Option<i64> {
     let out = std::env::temp_dir().join(format!("shaletide-decision-{}", std::process::id()));
-    let own = std::env::current_exe().ok()?;
+    let program = std::env::current_exe().ok()?;
     let mut command = Command::new("valgrind");
-    command.args(["-q", "--tool=callgrind"]).arg(format!("--callgrind-out-file={}", out.display())).arg(own);
+    command
+        .args(["-q", "--tool=callgrind"])
+        .arg(format!("--callgrind-out-file={}", out.display()))
+        .arg(program);
     let workload = workload as u64;
-    command.args(["run", &format!("{backends} {} {workload} {times}", u64::from(reports_load))]);
-    let done = command.status().ok()?.success();
+    command.args(["run", &format!("{backends} {} {workload} {operations}", u64::from(reports_load))]);
+    let succeeded = command.status().ok()?.success();
     let text = std::fs::read_to_string(&out).ok()?;
     let _ = std::fs::remove_file(&out);
-    let total = text.lines().find_map(|line| line.strip_prefix("totals:")).filter(|_| done)?;
+    let total = text.lines().find_map(|line| line.strip_prefix("totals:")).filter(|_| succeeded)?;
     total.trim().parse().ok()
 }
 
 fn main() {
     let args: Vec<String> = std::env::args().collect();
-    if args.get(1).is_some_and(|word| word == "run") {
-        let given: Vec<u64> =
-            args[2].split(' ').map(|n| n.parse().expect("a number of `counted`'s")).collect();
-        let workload = [Workload::Alone, Workload::All, Workload::List][given[2] as usize];
-        return run(given[0] as u32, given[1] == 1, workload, given[3]);
+    if args.get(1).is_some_and(|argument| argument == "run") {
+        let values: Vec<u64> =
+            args[2].split(' ').map(|n| n.parse().expect("a number from `count_instructions`")).collect();
+        let workload = [Workload::Alone, Workload::All, Workload::List][values[2] as usize];
+        return run(values[0] as u32, values[1] == 1, workload, values[3]);
     }
     println!(
         "instructions of a request and its answer, and of an update of the whole list; one of 300 proxies"
@@ -190,7 +201,7 @@
             let [alone, all, list] = [Workload::Alone, Workload::All, Workload::List]
                 .map(|w| instructions(backends, reports_load, w));
             let (Some(alone), Some(all), Some(list)) = (alone, all, list) else {
-                return println!("passed over: no valgrind that counts");
+                return println!("skipped: valgrind is missing or failed");
             };
             let reporting = if reports_load { "load reports" } else { "no load reports" };
             println!(
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A harness for one balancer that carries out its actions and checks every rule as it goes.
+//! A harness for one balancer that carries out its actions and checks the invariants on each of them.
 #![allow(dead_code)]
 
 use shaletide_balancer::*;
@@ -14,7 +14,7 @@
 }
 
 impl SentAttempt {
-    /// No outcome proves that it was not executed.
+    /// Returns whether no outcome proves that the attempt was not executed.
     pub fn may_have_been_executed(&self) -> bool {
         self.outcome.is_none_or(|o| !o.not_executed())
     }
@@ -40,9 +40,9 @@
     pub timers_set: usize,
     pub cancelled: Vec<(RequestId, usize)>,
     pub logs: Vec<String>,
-    pub last: Vec<Action>,
+    pub last_actions: Vec<Action>,
     pub is_client_retry: bool,
-    next: u64,
+    last_request_id: u64,
 }
 
 pub fn backend(id: u32, zone: u32, server_type: u32) -> BackendEntry {
@@ -69,7 +69,7 @@
 
 impl Harness {
     pub fn new(cfg: Config, seed: u64) -> Harness {
-        let balancer = Balancer::new(cfg.clone(), seed).expect("sound");
+        let balancer = Balancer::new(cfg.clone(), seed).expect("a valid configuration");
         Harness {
             cfg,
             balancer,
@@ -82,16 +82,16 @@
             timers_set: 0,
             cancelled: Vec::new(),
             logs: Vec::new(),
-            last: Vec::new(),
+            last_actions: Vec::new(),
             is_client_retry: false,
-            next: 0,
+            last_request_id: 0,
         }
     }
 
     pub fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut self.shared, &mut actions);
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         for action in actions {
             self.apply(action);
         }
@@ -99,7 +99,7 @@
 
     fn apply(&mut self, action: Action) {
         match action {
-            Action::FailOver { .. } => panic!("failed over where there is no other pool"),
+            Action::FailOver { .. } => panic!("failed over without another pool"),
             Action::Dispatch { request, attempt, backend, .. } => self.on_dispatch(request, attempt, backend),
             Action::Reject { request, retry_after, .. } => self.on_reject(request, retry_after),
             Action::Fail { request, .. } => {
@@ -107,9 +107,9 @@
                 assert!(r.answer.replace("failed").is_none(), "answered twice");
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.cfg.may_cancel_attempts, "cancel is not allowed");
+                assert!(self.cfg.may_cancel_attempts, "cancelled an attempt although that is not allowed");
                 let r = &self.requests[&request];
-                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled what was never sent");
+                assert!((attempt.0 as usize) < r.attempts.len(), "cancelled an attempt that was never sent");
                 self.cancelled.push((request, attempt.0 as usize));
             }
             Action::SetTimer { token, after } => {
@@ -124,27 +124,27 @@
         }
     }
 
-    /// Checks every rule on where an attempt may go.
+    /// Checks the invariants on whether and where an attempt may be sent.
     fn on_dispatch(&mut self, request: RequestId, attempt: AttemptNumber, backend: BackendId) {
         let r = self.requests.get_mut(&request).expect("dispatch of a known request");
-        assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are numbered in their order");
+        assert_eq!(attempt.0 as usize, r.attempts.len(), "attempts are not numbered in order");
         assert!(r.answer.is_none(), "sent after the final answer");
         let b = self.list.get(&backend).expect("a listed backend");
-        assert_eq!(b.state, BackendState::Ready, "sent to a backend that drains or is gone");
+        assert_eq!(b.state, BackendState::Ready, "sent to a backend that is draining or gone");
         assert!(r.attempts.len() < self.cfg.max_attempts as usize, "too many attempts");
-        assert!(self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()), "two at once");
+        assert!(self.cfg.hedging || r.attempts.iter().all(|t| t.outcome.is_some()), "hedged without hedging");
         for t in r.attempts.iter().filter(|t| t.may_have_been_executed()) {
             match self.cfg.classes[r.class].idempotency {
                 Idempotency::Safe => {}
                 Idempotency::NonIdempotent => panic!("a non-idempotent request was sent twice"),
                 Idempotency::Keyed(scope, window) => {
-                    assert!(self.now <= t.at + window, "a key was repeated after its window");
-                    let same = match scope {
+                    assert!(self.now <= t.at + window, "a key was repeated after its deduplication window");
+                    let is_in_scope = match scope {
                         DeduplicationScope::All => true,
                         DeduplicationScope::Zone => t.zone == b.zone,
                         DeduplicationScope::Group => t.deduplication_group == b.deduplication_group,
                     };
-                    assert!(same, "a key was repeated outside its scope");
+                    assert!(is_in_scope, "a key was repeated outside its deduplication scope");
                 }
             }
         }
@@ -161,12 +161,12 @@
     fn on_reject(&mut self, request: RequestId, retry_after: Micros) {
         assert!(retry_after > Micros(0), "rejected without Retry-After");
         let r = self.requests.get_mut(&request).expect("a known request");
-        let may_have_run = r.attempts.iter().any(SentAttempt::may_have_been_executed);
+        let may_have_been_executed_before = r.attempts.iter().any(SentAttempt::may_have_been_executed);
         let is_safe = matches!(
             self.cfg.classes[r.class].idempotency,
             Idempotency::Safe | Idempotency::Keyed(DeduplicationScope::All, _)
         );
-        assert!(is_safe || !may_have_run, "rejected what may have been executed");
+        assert!(is_safe || !may_have_been_executed_before, "rejected a request that may have been executed");
         assert!(r.answer.replace("rejected").is_none(), "answered twice");
     }
 
@@ -180,21 +180,21 @@
         self.event(Event::EndpointsUpdated { update, backends });
     }
 
-    pub fn send_request(&mut self, class: usize, left: u64) -> RequestId {
-        self.send_request_of(class, left, None)
+    pub fn send_request(&mut self, class: usize, remaining: u64) -> RequestId {
+        self.send_request_of(class, remaining, None)
     }
 
-    pub fn send_request_of(&mut self, class: usize, left: u64, tenant: Option<TenantId>) -> RequestId {
-        self.next += 1;
-        let id = RequestId(self.next);
-        let deadline = self.now + Micros(left);
+    pub fn send_request_of(&mut self, class: usize, remaining: u64, tenant: Option<TenantId>) -> RequestId {
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
+        let deadline = self.now + Micros(remaining);
         let open = OpenRequest { class, deadline, attempts: Vec::new(), streaming: false, answer: None };
         self.requests.insert(id, open);
         self.event(Event::Request(Arrival {
             request: id,
             class: ClassId(class),
             tenant,
-            time_left: Micros(left),
+            time_left: Micros(remaining),
             work_hint: None,
             is_client_retry: self.is_client_retry,
             may_fail_over: false,
@@ -202,12 +202,12 @@
         id
     }
 
-    /// Sends so many requests at once.
-    pub fn send_requests(&mut self, count: usize, class: usize, left: u64) -> Vec<RequestId> {
-        (0..count).map(|_| self.send_request(class, left)).collect()
+    /// Sends `count` requests at once.
+    pub fn send_requests(&mut self, count: usize, class: usize, remaining: u64) -> Vec<RequestId> {
+        (0..count).map(|_| self.send_request(class, remaining)).collect()
     }
 
-    /// Sends one event of each kind with ids that no action had.
+    /// Sends one event of each kind with ids that occur in no action.
     pub fn send_events_with_unknown_ids(
         &mut self, request: RequestId, attempt: AttemptNumber, token: TimerToken,
     ) {
@@ -224,18 +224,18 @@
         }));
     }
 
-    /// Ends an attempt that is in flight.
-    pub fn end(&mut self, id: RequestId, no: usize, outcome: Outcome) {
+    /// Ends an attempt, if it is in flight.
+    pub fn end(&mut self, id: RequestId, number: usize, outcome: Outcome) {
         let now = self.now;
         let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(t) = r.attempts.get_mut(no).filter(|t| t.outcome.is_none()) else { return };
+        let Some(t) = r.attempts.get_mut(number).filter(|t| t.outcome.is_none()) else { return };
         t.outcome = Some(outcome);
         let latency = now - t.at;
         if outcome == Outcome::Ok && r.answer.is_none() {
             r.answer = Some("served");
         }
         let request_answered = r.answer.is_some();
-        let attempt = AttemptNumber(no as u32);
+        let attempt = AttemptNumber(number as u32);
         self.event(Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
@@ -245,17 +245,17 @@
         }));
     }
 
-    pub fn start_stream(&mut self, id: RequestId, no: usize) {
+    pub fn start_stream(&mut self, id: RequestId, number: usize) {
         let Some(r) = self.requests.get_mut(&id).filter(|r| r.answer.is_none() && !r.streaming) else {
             return;
         };
-        if r.attempts.get(no).is_some_and(|t| t.outcome.is_none()) {
+        if r.attempts.get(number).is_some_and(|t| t.outcome.is_none()) {
             r.streaming = true;
-            self.event(Event::StreamStarted { request: id, attempt: AttemptNumber(no as u32) });
+            self.event(Event::StreamStarted { request: id, attempt: AttemptNumber(number as u32) });
         }
     }
 
-    /// Lets time pass; timers fire and attempts time out when due, and every deadline is checked.
+    /// Advances the time: fires timers, times attempts out when due, and checks every deadline.
     pub fn advance(&mut self, span: u64) {
         let until = self.now + Micros(span);
         while self.now < until {
@@ -266,13 +266,13 @@
             for (_, token) in due {
                 self.event(Event::Timer { token });
             }
-            for (id, no) in std::mem::take(&mut self.cancelled) {
-                self.end(id, no, Outcome::Cancelled);
+            for (id, number) in std::mem::take(&mut self.cancelled) {
+                self.end(id, number, Outcome::Cancelled);
             }
-            for (id, no) in self.in_flight() {
+            for (id, number) in self.in_flight() {
                 let r = &self.requests[&id];
                 if r.deadline <= self.now && !r.streaming {
-                    self.end(id, no, Outcome::TimedOut);
+                    self.end(id, number, Outcome::TimedOut);
                 }
             }
             for (id, r) in &self.requests {
@@ -286,19 +286,23 @@
         self.requests[&id].attempts.iter().map(|t| t.backend.0).collect()
     }
 
-    /// Serves every attempt in flight after `span`.
+    /// Advances the time by `span`, then serves every attempt in flight.
     pub fn serve_all_in_flight(&mut self, span: u64) {
         self.advance(span);
-        for (id, no) in self.in_flight() {
-            self.end(id, no, Outcome::Ok);
+        for (id, number) in self.in_flight() {
+            self.end(id, number, Outcome::Ok);
         }
     }
 
     pub fn in_flight(&self) -> Vec<(RequestId, usize)> {
-        let each = self.requests.iter().flat_map(|(id, r)| {
-            r.attempts.iter().enumerate().filter(|(_, t)| t.outcome.is_none()).map(|(no, _)| (*id, no))
+        let in_flight_attempts = self.requests.iter().flat_map(|(id, r)| {
+            r.attempts
+                .iter()
+                .enumerate()
+                .filter(|(_, t)| t.outcome.is_none())
+                .map(|(number, _)| (*id, number))
         });
-        each.collect()
+        in_flight_attempts.collect()
     }
 }
 
@@ -316,7 +320,7 @@
     harness
 }
 
-/// Sends requests one by one, each served after a time that may depend on its backend. Gives the backends.
+/// Sends requests one by one and serves each after a time that may depend on its backend. Returns the backends.
 pub fn serve(harness: &mut Harness, count: usize, class: usize, time: impl Fn(u32) -> u64) -> Vec<u32> {
     let mut chosen = Vec::new();
     for _ in 0..count {
--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The rules as invariants over generated sequences of events; `common::Harness` checks each action.
+//! Invariants over generated sequences of events; `common::Harness` checks each action.
 
 mod common;
 use common::{backend, class, Harness};
@@ -76,7 +76,7 @@
     cfg
 }
 
-/// Runs the steps and gives every action as text, for the test of determinism.
+/// Runs the steps and returns the actions of each as text, for the test of determinism.
 fn run_steps(bits: u32, seed: u64, steps: &[Step]) -> Vec<String> {
     let mut harness = Harness::new(config(bits), seed);
     let mut trace = Vec::new();
@@ -84,17 +84,17 @@
     harness.update_endpoints(EndpointUpdate::Cached, fleet(0b0111_1011));
     for step in steps {
         match *step {
-            Step::Arrive(c, left, t) => {
-                harness.send_request_of(c, left, t.map(TenantId));
+            Step::Arrive(c, remaining, t) => {
+                harness.send_request_of(c, remaining, t.map(TenantId));
             }
             Step::End(n, o) => {
-                if let Some((id, no)) = nth(&harness.in_flight(), n) {
-                    harness.end(id, no, o);
+                if let Some((id, number)) = nth(&harness.in_flight(), n) {
+                    harness.end(id, number, o);
                 }
             }
             Step::Stream(n) => {
-                if let Some((id, no)) = nth(&harness.in_flight(), n) {
-                    harness.start_stream(id, no);
+                if let Some((id, number)) = nth(&harness.in_flight(), n) {
+                    harness.start_stream(id, number);
                 }
             }
             Step::Disconnect(n) => {
@@ -125,15 +125,15 @@
                 );
             }
         }
-        trace.push(format!("{:?}", harness.last));
+        trace.push(format!("{:?}", harness.last_actions));
     }
     harness.advance(3_000_000);
     let answered = |r: &common::OpenRequest| r.answer.is_some() || r.streaming;
-    assert!(harness.requests.values().all(answered), "a request was left without an answer");
+    assert!(harness.requests.values().all(answered), "a request has no answer");
     trace
 }
 
-/// Some item of the list, if it holds any.
+/// Returns the item at `n` modulo the list's length, if the list is not empty.
 fn nth<T: Copy>(list: &[T], n: usize) -> Option<T> {
     list.get(n % list.len().max(1)).copied()
 }
--- a/crates/balancer/tests/large_fleet.rs
+++ b/crates/balancer/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! 350 proxies before 1,024 backends: no backend and no proxy is beyond a bound.
+//! 350 proxies in front of 1,024 backends: subsets cover all backends, and large list updates are applied completely.
 
 mod common;
 
@@ -9,14 +9,14 @@
 
 const PROXIES: u32 = 350;
 const BACKENDS: u32 = 1_024;
-/// Far more than a build without optimisation takes, and far less than a cost that grows with the square would.
+/// Far more than an unoptimised build takes, and far less than an algorithm with quadratic cost would.
 const MAX_DURATION: Duration = Duration::from_secs(60);
 
 fn backends(numbers: std::ops::Range<u32>, state: BackendState) -> Vec<BackendEntry> {
     numbers.map(|id| BackendEntry { state, ..backend(id, id % 4, id % 2) }).collect()
 }
 
-/// One of the proxies, with the whole list.
+/// Creates one of the proxies, with the whole list.
 fn proxy(position: u32) -> Harness {
     let cfg = Config { proxies: PROXIES, position, cross_zone_cost: 0.0, ..Config::example() };
     let mut harness = Harness::new(cfg, u64::from(position));
@@ -24,7 +24,7 @@
     harness
 }
 
-/// Sends requests one after the other, all of which are served. Gives the backends that they went to.
+/// Sends requests one by one, all of which are served. Returns the backends that they were sent to.
 fn used(harness: &mut Harness, requests: usize) -> BTreeSet<u32> {
     let mut used = BTreeSet::new();
     for _ in 0..requests {
@@ -36,7 +36,7 @@
     used
 }
 
-/// Each proxy uses a subset, twenty proxies share a backend, and all subsets together cover all backends.
+/// Each proxy uses a subset, about twenty proxies share a backend, and together the subsets cover all backends.
 #[test]
 fn subsets_of_350_proxies_cover_1024_backends() {
     let started = Instant::now();
@@ -47,11 +47,11 @@
         subset.into_iter().for_each(|id| users[id as usize] += 1);
     }
     let unused = users.iter().filter(|n| **n == 0).count();
-    assert_eq!(unused, 0, "{unused} backends are used by nobody: {users:?}");
+    assert_eq!(unused, 0, "{unused} backends are used by no proxy: {users:?}");
     assert!(started.elapsed() < MAX_DURATION, "{:?}", started.elapsed());
 }
 
-/// [`Harness`] checks that nothing goes to a backend that is draining or gone.
+/// [`Harness`] checks that no attempt is sent to a backend that is draining or gone.
 #[test]
 fn deltas_and_snapshots_of_1024_backends_are_applied_completely() {
     for position in [0, 174, 349] {
@@ -63,7 +63,7 @@
         assert!(used(&mut harness, 40).iter().all(|id| *id < BACKENDS / 2));
         harness.update_endpoints(EndpointUpdate::Delta, backends(0..BACKENDS / 2, BackendState::Gone));
         let id = harness.send_request(0, 900_000);
-        assert!(harness.backends_tried(id).is_empty(), "none is left");
+        assert!(harness.backends_tried(id).is_empty(), "sent although no backend is left");
         harness.update_endpoints(EndpointUpdate::Snapshot, backends(0..BACKENDS, BackendState::Ready));
         assert!(!used(&mut harness, 40).is_empty());
     }
--- a/crates/balancer/tests/retries.rs
+++ b/crates/balancer/tests/retries.rs
@@ -5,9 +5,9 @@
 use common::{backend, class, config, fleet, harness, serve};
 use shaletide_balancer::*;
 
-/// Where responses are lost a request would otherwise wait until its deadline.
+/// Where responses are lost, a request would otherwise wait until its deadline.
 #[test]
-fn old_attempt_is_hedged_only_where_most_of_its_age_are_lost() {
+fn old_attempt_is_hedged_only_while_most_attempts_of_its_age_are_lost() {
     for lost in [true, false] {
         let mut harness = harness(config(vec![class(Idempotency::Safe)]), fleet(6));
         serve(&mut harness, 100, 0, |_| 10_000);
@@ -24,11 +24,11 @@
                 harness.end(id, harness.backends_tried(id).len() - 1, Outcome::Ok);
             }
         }
-        assert!(!hedged[..5].contains(&true), "not before it is known: {hedged:?}");
+        assert!(!hedged[..5].contains(&true), "hedged before any loss was measured: {hedged:?}");
         assert_eq!(
             hedged[10..].contains(&true),
             lost,
-            "slow attempts that are answered are not hedged: {hedged:?}"
+            "hedged if and only if old attempts are lost: {hedged:?}"
         );
         assert_eq!(hedged[10..].contains(&false), !lost, "{hedged:?}");
     }
@@ -41,14 +41,14 @@
         let mut harness = harness(cfg, fleet(1));
         serve(&mut harness, 100, 0, |_| 10_000);
         harness.advance(5_000);
-        let two = [harness.send_request(0, 900_000), harness.send_request(0, 900_000)];
+        let ids = [harness.send_request(0, 900_000), harness.send_request(0, 900_000)];
         harness.update_endpoints(EndpointUpdate::Snapshot, fleet(6));
         harness.advance(20_000);
-        harness.end(two[0], 0, Outcome::TimedOut);
+        harness.end(ids[0], 0, Outcome::TimedOut);
         harness.advance(20_000);
-        assert_eq!(harness.backends_tried(two[1]).len(), 2, "hedging {hedging}");
-        let cancelled = harness.requests[&two[1]].attempts[0].outcome == Some(Outcome::Cancelled);
-        assert_eq!(cancelled, !hedging, "without hedging the first is cancelled");
+        assert_eq!(harness.backends_tried(ids[1]).len(), 2, "hedging {hedging}");
+        let cancelled = harness.requests[&ids[1]].attempts[0].outcome == Some(Outcome::Cancelled);
+        assert_eq!(cancelled, !hedging, "the first attempt is cancelled only without hedging");
     }
 }
 
@@ -76,7 +76,7 @@
     let id = harness.send_request(0, 900_000);
     harness.advance(175_000);
     harness.end(id, 0, Outcome::Error);
-    assert_eq!(harness.backends_tried(id).len(), 2, "20 ms are kept for its way, and no more");
+    assert_eq!(harness.backends_tried(id).len(), 2, "not retried 25 ms before the end of the window");
     for at in [185_000, 210_000] {
         let id = harness.send_request(0, 900_000);
         harness.advance(at);
@@ -84,7 +84,7 @@
         assert_eq!(
             harness.backends_tried(id).len(),
             1,
-            "retried after {at}: that is too near the end of its window"
+            "retried after {at} us, too close to the end of the window"
         );
         assert_eq!(harness.requests[&id].answer, Some("failed"));
     }
@@ -100,16 +100,17 @@
     assert_eq!(harness.backends_tried(id).len(), 1);
 }
 
-/// The address changed while the connection came up, say: the backend is still there, and may be the only one.
+/// An attempt can end as not sent, for example, because the backend's address changed while the connection was being made.
+/// The backend is still listed, and may be the only one.
 #[test]
 fn attempt_not_sent_is_repeated_at_same_backend_up_to_max_attempts() {
     let mut harness = harness(config(vec![class(Idempotency::NonIdempotent)]), fleet(1));
     let id = harness.send_request(0, 700_000);
-    let most = Config::example().max_attempts;
-    for attempt in 0..most {
+    let limit = Config::example().max_attempts;
+    for attempt in 0..limit {
         assert_eq!(harness.backends_tried(id).len() as u32, attempt + 1);
         harness.end(id, attempt as usize, Outcome::NotSent);
     }
-    assert_eq!(harness.backends_tried(id).len() as u32, most);
+    assert_eq!(harness.backends_tried(id).len() as u32, limit);
     assert_eq!(harness.requests[&id].answer, Some("rejected"));
 }
--- a/crates/balancer/tests/size.rs
+++ b/crates/balancer/tests/size.rs
@@ -1,17 +1,17 @@
-//! The operators review the decision module file by file: each is bounded, names its concern first and is no wider than a
-//! page.
+//! Limits on the files of the decision module, which operators review file by file: each has a bounded number of lines and
+//! a bounded width, and starts with its purpose.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Lines that are not empty, in any one file.
+/// Maximum number of non-empty lines in a file.
 const MAX_LINES: usize = 400;
-/// A file with fewer lines that are not empty is no concern of its own.
+/// Minimum number of non-empty lines in a file; a smaller one does not deserve a file of its own.
 const MIN_LINES: usize = 20;
-/// Characters in a line.
+/// Maximum number of characters in a line.
 const MAX_WIDTH: usize = 120;
-/// The surface of the crate, which holds no decisions; all other files are the decision module.
-const SURFACE: [&str; 2] = ["lib.rs", "interface.rs"];
+/// The files of the crate's public interface, which contain no decisions; all others are the decision module.
+const INTERFACE_FILES: [&str; 2] = ["lib.rs", "interface.rs"];
 
 fn crate_folder() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
@@ -21,12 +21,12 @@
     std::fs::read_to_string(crate_folder().join(path)).unwrap()
 }
 
-/// Paths below `src`, as `balancer/timers.rs`.
-fn files_of_the_decision_module() -> BTreeSet<String> {
+/// Returns paths relative to `src`, such as `balancer/timers.rs`.
+fn decision_module_files() -> BTreeSet<String> {
     let source = crate_folder().join("src");
     let mut files = BTreeSet::new();
     collect_files(&source, &source, &mut files);
-    files.retain(|file| !SURFACE.contains(&file.as_str()));
+    files.retain(|file| !INTERFACE_FILES.contains(&file.as_str()));
     files
 }
 
@@ -43,19 +43,19 @@
 
 #[test]
 fn decision_module_files_stay_within_review_budget() {
-    for file in files_of_the_decision_module() {
+    for file in decision_module_files() {
         let text = read(&format!("src/{file}"));
-        assert!(text.starts_with("//! "), "{file} names its concern first");
+        assert!(text.starts_with("//! "), "{file} does not start with its purpose");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
         assert!((MIN_LINES..=MAX_LINES).contains(&lines), "{file}: {lines} lines");
         for (number, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= MAX_WIDTH, "{file}: line {} is too wide", number + 1);
         }
     }
-    let first = read("src/balancer.rs");
+    let balancer_source = read("src/balancer.rs");
     assert!(
-        first.lines().take(3).any(|line| line.contains("crates/balancer/src/interface.rs")),
-        "the interface is named first"
+        balancer_source.lines().take(3).any(|line| line.contains("crates/balancer/src/interface.rs")),
+        "balancer.rs does not name the interface in its first lines"
     );
 }
 
@@ -68,5 +68,5 @@
         .filter_map(|part| part.strip_prefix("crates/balancer/src/"))
         .map(str::to_string)
         .collect();
-    assert_eq!(listed, files_of_the_decision_module());
+    assert_eq!(listed, decision_module_files());
 }
--- a/crates/balancer/tests/timers.rs
+++ b/crates/balancer/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timers, and polls of discovery.
+//! Timers and discovery polls.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn request_with_short_deadline_after_idle_period_is_answered_in_time() {
-    // The timer of the idle period is far away.
+    // The timer that was set while the proxy was idle fires much later.
     let mut harness = harness(Config::example(), Vec::new());
     harness.advance(1_000_000);
     let id = harness.send_request(0, 6_000);
@@ -15,12 +15,13 @@
     assert_eq!(harness.requests[&id].answer, Some("rejected"));
 }
 
-/// With the tick of an operators' file timers that fired a millisecond late left nothing but the deadline: 504 for 503 or 502.
+/// With a short timer interval from the configuration file, a timer that fired a millisecond late missed the time to give
+/// the request up: the request ran into its deadline, and its answer was 504 instead of 503 or 502.
 #[test]
-fn request_at_a_silent_backend_is_given_up_before_a_usual_timer_is_too_late() {
+fn request_at_silent_backend_is_given_up_early_enough_for_late_timers() {
     const TICK: u64 = 1_000;
-    // The time of a request, and how long before its end it is given up.
-    for (time, lead) in [(1_000_000, 5_000), (16_000, 2_000), (6_000, TICK)] {
+    // The time left of a request, and how long before its deadline it is given up.
+    for (time_left, lead) in [(1_000_000, 5_000), (16_000, 2_000), (6_000, TICK)] {
         for (idempotency, expected) in
             [(Idempotency::Safe, "rejected"), (Idempotency::NonIdempotent, "failed")]
         {
@@ -31,24 +32,24 @@
             };
             let mut harness = harness(cfg, fleet(1));
             serve(&mut harness, 20, 0, |_| TICK);
-            let id = harness.send_request(0, time);
+            let id = harness.send_request(0, time_left);
             assert_eq!(harness.in_flight(), [(id, 0)]);
-            harness.advance(time - lead - TICK);
-            assert_eq!(harness.requests[&id].answer, None, "{time}: all of its time but that");
+            harness.advance(time_left - lead - TICK);
+            assert_eq!(harness.requests[&id].answer, None, "{time_left}: given up too early");
             harness.advance(TICK);
-            assert_eq!(harness.requests[&id].answer, Some(expected), "{time}");
+            assert_eq!(harness.requests[&id].answer, Some(expected), "{time_left}");
         }
     }
 }
 
 #[test]
 fn idle_proxy_sets_few_timers() {
-    // A timer at each interval, at each of a thousand proxies, would use up the processor.
+    // A timer at every interval, at each of a thousand proxies, would saturate the processor.
     let mut harness = harness(config(vec![class(Idempotency::Safe)]), fleet(100));
     serve(&mut harness, 20, 0, |_| 10_000);
     harness.timers_set = 0;
     harness.advance(10_000_000);
-    assert!(harness.timers_set <= 5, "{} timers in ten idle seconds", harness.timers_set);
+    assert!(harness.timers_set <= 5, "{} timers were set in ten idle seconds", harness.timers_set);
 }
 
 #[test]
@@ -59,10 +60,10 @@
     assert_eq!(harness.polls, 1);
     harness.update_endpoints(EndpointUpdate::Delta, fleet(3));
     harness.advance(8_000_000);
-    assert_eq!(harness.polls, 1, "a subscription in place is not polled for again");
+    assert_eq!(harness.polls, 1, "polled again although the subscription is in place");
     harness.event(Event::EndpointsUpdated { update: EndpointUpdate::SubscriptionLost, backends: Vec::new() });
     harness.advance(400_000);
     assert_eq!(harness.polls, 2);
     harness.advance(6_000_000);
-    assert_eq!(harness.polls, 3, "an unanswered poll is repeated");
+    assert_eq!(harness.polls, 3, "the unanswered poll was not repeated once");
 }
--- a/crates/balancer/tests/zones.rs
+++ b/crates/balancer/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Unreachable zones and load reports, in fleets so large that one proxy sees little of each backend.
+//! Unreachable zones and load reports, in fleets so large that each proxy sees little of each backend.
 
 mod common;
 
@@ -8,33 +8,34 @@
 const OWN: u32 = 0;
 const FAR: u32 = 1;
 
-/// One of a hundred proxies in the own zone, before twenty backends of each zone.
-fn one_of_a_hundred() -> Harness {
+/// Creates one of a hundred proxies, in zone `OWN`, with twenty backends in each of two zones.
+fn proxy_among_hundred() -> Harness {
     let cfg = Config { proxies: 100, zone: ZoneId(OWN), ..Config::example() };
     let mut harness = Harness::new(cfg, 7);
     harness.update_endpoints(EndpointUpdate::Snapshot, (0..40).map(|id| backend(id, id % 2, 0)).collect());
     harness
 }
 
-/// Requests, one each 20 ms, with the given end of an attempt at a backend; how many attempts went to the far zone.
-fn ask(harness: &mut Harness, count: usize, end: impl Fn(&BackendEntry) -> Outcome) -> usize {
+/// Sends `count` requests, one after the other, whose attempts end with the outcome that `end` returns for their backend.
+/// Returns the number of attempts sent to the far zone.
+fn send(harness: &mut Harness, count: usize, end: impl Fn(&BackendEntry) -> Outcome) -> usize {
     let mut far = 0;
     for _ in 0..count {
         let id = harness.send_request(0, 900_000);
-        for no in 0..harness.cfg.max_attempts as usize {
-            let Some(to) = harness.backends_tried(id).get(no).copied() else { break };
-            let to = harness.list[&BackendId(to)].clone();
-            far += usize::from(to.zone == ZoneId(FAR));
+        for number in 0..harness.cfg.max_attempts as usize {
+            let Some(b) = harness.backends_tried(id).get(number).copied() else { break };
+            let b = harness.list[&BackendId(b)].clone();
+            far += usize::from(b.zone == ZoneId(FAR));
             harness.advance(5_000);
-            harness.end(id, no, end(&to));
+            harness.end(id, number, end(&b));
         }
         harness.advance(20_000);
     }
     far
 }
 
-fn far_zone_unreachable(to: &BackendEntry) -> Outcome {
-    if to.zone == ZoneId(FAR) {
+fn far_zone_unreachable(b: &BackendEntry) -> Outcome {
+    if b.zone == ZoneId(FAR) {
         Outcome::ConnectFailed
     } else {
         Outcome::Ok
@@ -43,38 +44,38 @@
 
 #[test]
 fn unreachable_zone_gets_no_attempts_and_is_used_again_later() {
-    let mut harness = one_of_a_hundred();
-    assert!(ask(&mut harness, 60, |_| Outcome::Ok) > 10, "the far zone is in use");
+    let mut harness = proxy_among_hundred();
+    assert!(send(&mut harness, 60, |_| Outcome::Ok) > 10, "the far zone is not in use");
     // Ejecting its twenty backends one by one would take four attempts each.
-    let lost = ask(&mut harness, 200, far_zone_unreachable);
+    let lost = send(&mut harness, 200, far_zone_unreachable);
     assert!((4..=30).contains(&lost), "{lost} attempts to an unreachable zone");
     harness.advance(4_000_000);
-    assert!(ask(&mut harness, 100, |_| Outcome::Ok) > 10, "the far zone is in use again");
+    assert!(send(&mut harness, 100, |_| Outcome::Ok) > 10, "the far zone is not in use again");
 }
 
 #[test]
 fn single_dead_backend_does_not_make_zone_unreachable() {
-    let mut harness = one_of_a_hundred();
-    ask(&mut harness, 60, |_| Outcome::Ok);
-    let before = ask(&mut harness, 100, |_| Outcome::Ok);
+    let mut harness = proxy_among_hundred();
+    send(&mut harness, 60, |_| Outcome::Ok);
+    let before = send(&mut harness, 100, |_| Outcome::Ok);
     let mut dead = None;
     for id in (0..40).filter(|id| id % 2 == FAR) {
         dead = dead.or(Some(BackendId(id)));
     }
     let after =
-        ask(&mut harness, 100, |to| if Some(to.id) == dead { Outcome::ConnectFailed } else { Outcome::Ok });
+        send(&mut harness, 100, |b| if Some(b.id) == dead { Outcome::ConnectFailed } else { Outcome::Ok });
     assert!(after * 2 > before, "{after} attempts to the far zone, {before} before");
 }
 
 #[test]
 fn all_zones_stay_in_use_where_none_responds() {
-    let mut harness = one_of_a_hundred();
-    ask(&mut harness, 60, |_| Outcome::Ok);
-    let far = ask(&mut harness, 40, |_| Outcome::ConnectFailed);
+    let mut harness = proxy_among_hundred();
+    send(&mut harness, 60, |_| Outcome::Ok);
+    let far = send(&mut harness, 40, |_| Outcome::ConnectFailed);
     assert!(far > 10, "{far} attempts to the far zone");
 }
 
-/// The number of proxies that use a backend bounds its load: with six, and one request of each, it stays fast.
+/// The number of proxies that use a backend bounds its load: with six proxies and one request of each, it stays fast.
 #[test]
 fn subsets_are_smaller_and_cover_all_backends_where_load_is_reported() {
     let (proxies, backends) = (300, 60);
@@ -99,12 +100,12 @@
     }
     assert!(
         pairs < 3 * proxies as usize,
-        "{pairs} pairs of a proxy and a backend: 360 and the edges would do"
+        "{pairs} pairs of a proxy and a backend: 360 and those at the ends of the arcs are enough"
     );
-    assert!(users.iter().all(|n| (3..=20).contains(n)), "some six each expected: {users:?}");
+    assert!(users.iter().all(|n| (3..=20).contains(n)), "expected about six each: {users:?}");
 }
 
-/// The admitted fraction that the last reports led to does not last, nor does a backend's small part.
+/// Neither the reduced admitted fraction nor a backend's reduced traffic may outlast the reports that led to them.
 #[test]
 fn all_requests_are_admitted_again_after_load_reports_end() {
     let cfg = Config { proxies: 100, weights_report_load: true, ..Config::example() };
@@ -121,16 +122,16 @@
             })
             .count()
     };
-    // All have nine in flight on a core, for five seconds: fewer are admitted.
-    let mut full = 50;
+    // All backends have nine in flight on a core for five seconds: fewer requests are admitted.
+    let mut admitted = 50;
     for round in 0..5 {
         harness.update_endpoints(EndpointUpdate::Delta, list(100 + round % 2));
-        full = served(&mut harness);
+        admitted = served(&mut harness);
     }
-    assert!(full < 40, "{full} of 50 admitted where all are overloaded");
+    assert!(admitted < 40, "{admitted} of 50 admitted while all backends are overloaded");
     harness.advance(3_000_000);
     for _ in 0..6 {
         served(&mut harness);
     }
-    assert_eq!(served(&mut harness), 50, "some six seconds after the last report");
+    assert_eq!(served(&mut harness), 50, "about ten seconds after the last report");
 }
