--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a line.
+//! Errors of input lines.
 
 use serde_json::Value;
 use std::fmt;
 
-/// A line that the adapter cannot take: the process ends with it.
+/// An invalid input line, which ends the process.
 #[derive(Debug)]
 pub enum WireError {
     NotJson(serde_json::Error),
     NotAnArray,
     NoName,
     UnknownMessage(String),
-    /// A message with another number of values than it has.
+    /// A message with the wrong number of values.
     Arity {
         message: String,
         expected: usize,
@@ -20,14 +20,14 @@
     OutsideBatch {
         message: String,
     },
-    /// A value of the wrong type, out of its range or unknown.
+    /// A value that has the wrong type, is out of its range or is unknown.
     Value {
         message: String,
         index: usize,
         expected: String,
         got: Value,
     },
-    /// An entry of a list that is malformed.
+    /// A malformed entry of a list.
     Entry {
         entry: Value,
         expected: String,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer of the simulation: messages to its events, its actions to replies.
+//! One balancer of the simulation: translates messages to its events, and its actions to replies.
 
 use crate::error::WireError;
 use crate::line::Line;
@@ -12,7 +12,7 @@
 use std::collections::HashMap;
 use std::io::Write;
 
-/// The lists that messages refer to, by number.
+/// The endpoint lists by number, as messages refer to them.
 pub type Lists = HashMap<u64, Vec<NamedEntry>>;
 
 /// A balancer, with its own numbers for backends and names.
@@ -22,16 +22,16 @@
     shared: SharedLimits,
     names: Names,
     ids: HashMap<String, BackendId>,
-    /// By the backend's number.
+    /// Addresses, indexed by the backend's number.
     addresses: Vec<String>,
     actions: Vec<Action>,
 }
 
 impl Instance {
-    /// A balancer by the platform's settings.
+    /// Creates a balancer from the platform's settings.
     ///
     /// # Errors
-    /// The first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(name: &str, seed: u64, settings: &Value) -> Result<Instance, String> {
         let (config, names) = platform::read(settings).map_err(|error| error.to_string())?;
         let balancer = Balancer::new(config, seed).map_err(|error| error.to_string())?;
@@ -46,10 +46,10 @@
         })
     }
 
-    /// Handles a message and appends the replies to it.
+    /// Handles a message and appends the replies to `replies`.
     ///
     /// # Errors
-    /// A value that cannot be used; nothing was handled.
+    /// Returns the first invalid value; the message has no effect then.
     pub fn handle(
         &mut self, now: Time, line: &Line<'_>, lists: &Lists, replies: &mut Vec<u8>,
     ) -> Result<(), WireError> {
@@ -59,7 +59,7 @@
         for action in actions.drain(..) {
             self.write_reply(&action, replies);
         }
-        self.actions = actions; // keeps its room
+        self.actions = actions; // keeps the allocated capacity
         Ok(())
     }
 
@@ -110,14 +110,14 @@
         })
     }
 
-    /// The tenant that a value names; anything but text: none.
+    /// Returns the tenant that a value names, or none if the value is not text.
     fn tenant(&self, line: &Line<'_>, index: usize) -> Result<Option<TenantId>, WireError> {
         let Value::String(name) = line.value(index) else { return Ok(None) };
         let tenant = self.names.tenant(name).ok_or_else(|| line.error(index, "a known tenant"))?;
         Ok(Some(tenant))
     }
 
-    /// The number of a backend; an address that is new gets the next.
+    /// Returns the number of a backend. A new address is assigned the next number.
     fn backend_id(&mut self, address: &str) -> BackendId {
         if let Some(id) = self.ids.get(address) {
             return *id;
@@ -130,8 +130,7 @@
 
     fn write_reply(&self, action: &Action, replies: &mut Vec<u8>) {
         let instance = &self.name;
-        // Names of instances and addresses were checked to hold nothing that JSON would escape. Writing to a vector does
-        // not fail.
+        // Names of instances and addresses are known to need no escapes in JSON. Writing to a vector does not fail.
         let _ = match action {
             Action::Dispatch { request, backend, .. } => {
                 let address = &self.addresses[backend.0 as usize];
@@ -152,7 +151,7 @@
             Action::SetTimer { token, after } => {
                 writeln!(replies, "[\"{}\",\"{instance}\",{},{}]", reply::SET_TIMER, token.0, after.0)
             }
-            Action::FailOver { .. } => Ok(()), // only where a request may fail over, and here none may
+            Action::FailOver { .. } => Ok(()), // never returned: `may_fail_over` is false for every request
             Action::Subscribe => writeln!(replies, "[\"{}\",\"{instance}\",true]", reply::SUBSCRIBE),
             Action::Log(text) => writeln!(replies, "{}", json!([reply::LOG, instance, text])),
         };
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,11 +1,11 @@
-//! One line of the simulator's: a message and its values.
+//! One input line from the simulator: a message and its values.
 
 use crate::error::WireError;
 use crate::messages::{outcome, Message};
 use serde_json::Value;
 use shaletide_balancer::{Outcome, RequestId};
 
-/// A message and its values, as many as it has.
+/// A message and its values, whose number has been checked.
 pub struct Line<'a> {
     pub message: Message,
     name: &'a str,
@@ -13,10 +13,10 @@
 }
 
 impl<'a> Line<'a> {
-    /// Reads the message from the line's array.
+    /// Parses the message from the line's array.
     ///
     /// # Errors
-    /// No array, an unknown message, or another number of values.
+    /// The line is not an array, or has an unknown message or the wrong number of values.
     pub fn new(line: &'a Value) -> Result<Line<'a>, WireError> {
         let items = line.as_array().ok_or(WireError::NotAnArray)?;
         let name = items.first().and_then(Value::as_str).ok_or(WireError::NoName)?;
@@ -29,12 +29,12 @@
         Ok(Line { message, name, values })
     }
 
-    /// The error of a message that stands outside of a batch.
+    /// Returns the error for a message outside of a batch.
     pub fn outside_batch(&self) -> WireError {
         WireError::OutsideBatch { message: self.name.into() }
     }
 
-    /// The error of the value at `index`, from 0.
+    /// Returns the error for the value at `index`, counted from 0.
     pub fn error(&self, index: usize, expected: &str) -> WireError {
         WireError::Value {
             message: self.name.into(),
@@ -52,7 +52,7 @@
         self.value(index).as_str().ok_or_else(|| self.error(index, expected))
     }
 
-    /// A whole number of at least 0.
+    /// Returns the value as a whole number of at least 0.
     pub fn integer(&self, index: usize, expected: &str) -> Result<u64, WireError> {
         self.value(index).as_u64().ok_or_else(|| self.error(index, expected))
     }
--- a/crates/simulator-adapter/src/list_entry.rs
+++ b/crates/simulator-adapter/src/list_entry.rs
@@ -1,4 +1,4 @@
-//! One entry of an endpoint list.
+//! Parses the entries of endpoint lists.
 
 use crate::error::WireError;
 use crate::messages::backend_state;
@@ -6,17 +6,17 @@
 use shaletide_balancer::{BackendEntry, DeduplicationGroupId, Time};
 use shaletide_config::platform::NamedEntry;
 
-/// Values of an entry: zone, deduplication group, server type, address, state, weight, start time.
+/// Number of values in an entry: zone, deduplication group, server type, address, state, weight, start time.
 const VALUES: usize = 7;
-/// A larger weight, or a negative one, counts as 0.
+/// Maximum weight on the wire; a larger or a negative weight counts as 0.
 const MAX_WEIGHT: f64 = 1e6;
-/// The balancer's weights are whole: thousandths of the simulator's.
+/// Factor from the simulator's weights to the balancer's, which are whole numbers in thousandths.
 const WEIGHT_SCALE: f64 = 1e3;
 
-/// Reads an entry.
+/// Parses an entry.
 ///
 /// # Errors
-/// Another number of values, or one that cannot be used.
+/// The entry has the wrong number of values, or an invalid one.
 pub fn read_entry(entry: &Value) -> Result<NamedEntry, WireError> {
     let error = |expected: &str| WireError::Entry { entry: entry.clone(), expected: expected.into() };
     let values = entry
@@ -49,7 +49,7 @@
     weight.map_or(0, |weight| (weight * WEIGHT_SCALE).round() as u32)
 }
 
-/// Whether a text holds nothing that JSON would escape.
+/// Returns whether a text is not empty and needs no escapes in JSON.
 fn is_plain(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|b| b.is_ascii_graphic() && b != b'"' && b != b'\\')
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the simulator's wire on standard input and output: one [`shaletide_balancer::Balancer`] per instance.
-//! Translation only; every decision is the balancer's.
+//! Connects balancers to the simulator by its line protocol on standard input and output, with one
+//! [`shaletide_balancer::Balancer`] per instance. The adapter only translates; all decisions are the balancer's.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Handles lines until the input ends; the text of an error names the line.
+/// Handles lines until the input ends. The text of an error has the line number.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), String> {
     let mut simulation = Simulation::default();
     let mut line = String::new();
--- a/crates/simulator-adapter/src/messages.rs
+++ b/crates/simulator-adapter/src/messages.rs
@@ -1,20 +1,20 @@
-//! The simulator's names: its messages with the number of their values, and the words in them, each under the name that
-//! the code has for it. No other module spells them but in what an error expects.
+//! The names on the simulator's wire: its messages with the number of their values, its replies, and the words in the
+//! values, each mapped to the name in this code. Other modules spell them only in the texts of errors.
 
 use shaletide_balancer::{BackendState, EndpointUpdate, Outcome};
 
-/// A message of the simulator's.
+/// A message from the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A batch of messages begins, at this time.
+    /// Begins a batch of messages, with its time.
     BatchBegins,
-    /// The batch has ended: a reply is due.
+    /// Ends the batch; the replies have to be sent.
     BatchEnds,
-    /// An endpoint list, for later [`Message::EndpointsUpdated`].
+    /// Defines an endpoint list, to which later [`Message::EndpointsUpdated`] refer.
     ListRows,
-    /// A new balancer.
+    /// Creates a balancer.
     Create,
-    /// A balancer has ended.
+    /// Removes a balancer.
     Killed,
     EndpointsUpdated,
     Request,
@@ -22,13 +22,13 @@
     AttemptEnded,
     ClientDisconnected,
     Timer,
-    /// A word of another balancer: ours send none, so that it never comes.
+    /// A note from another balancer. These balancers send none, so that it never arrives.
     PeerNote,
-    /// The result of a probe: ours send none.
+    /// The result of a probe message. These balancers send none, so that it never arrives.
     ProbeEnded,
 }
 
-/// Each message under its name on the wire, with the number of values behind the name.
+/// Each message with its name on the wire and the number of values after the name.
 const MESSAGES: [(&str, usize, Message); 13] = [
     ("TICK", 1, Message::BatchBegins),
     ("END", 0, Message::BatchEnds),
@@ -46,14 +46,14 @@
 ];
 
 impl Message {
-    /// The message of that name, with the number of its values.
+    /// Returns the message with this name on the wire, and the number of its values.
     pub fn named(name: &str) -> Option<(Message, usize)> {
         let entry = MESSAGES.iter().find(|(wire_name, ..)| *wire_name == name);
         entry.map(|(_, arity, message)| (*message, *arity))
     }
 }
 
-/// Names of the replies.
+/// Names of the replies on the wire.
 pub mod reply {
     pub const BATCH_DONE: &str = "YIELD";
     pub const CANCEL: &str = "RECALL";
@@ -66,7 +66,7 @@
     pub const SUBSCRIBE: &str = "FOLLOW";
 }
 
-/// How a list changes what was known before.
+/// Returns the kind of an endpoint update.
 pub fn endpoint_update(word: &str) -> Option<EndpointUpdate> {
     match word {
         "incr" => Some(EndpointUpdate::Delta),
@@ -77,7 +77,7 @@
     }
 }
 
-/// A backend's state in an entry of a list.
+/// Returns a backend's state from its word in a list entry.
 pub fn backend_state(word: &str) -> Option<BackendState> {
     match word {
         "IN" => Some(BackendState::Ready),
@@ -87,7 +87,7 @@
     }
 }
 
-/// How an attempt ended.
+/// Returns the outcome of an attempt from its code.
 pub fn outcome(code: u64) -> Option<Outcome> {
     match code {
         0 => Some(Outcome::Error),
@@ -102,10 +102,10 @@
     }
 }
 
-/// The flags of a request.
+/// Bits of a request's flags.
 pub mod request_flags {
-    /// Its work hint is to be used.
+    /// The request's work hint is valid.
     pub const HAS_WORK_HINT: u64 = 1;
-    /// The client sends it again.
+    /// The request is a retry by the client.
     pub const IS_CLIENT_RETRY: u64 = 2;
 }
--- a/crates/simulator-adapter/src/simulation.rs
+++ b/crates/simulator-adapter/src/simulation.rs
@@ -1,4 +1,4 @@
-//! All balancers of this process, and the lists that messages refer to.
+//! All balancers of this process, and the endpoint lists that messages refer to.
 
 use crate::error::WireError;
 use crate::instance::{Instance, Lists};
@@ -10,10 +10,10 @@
 use std::collections::HashMap;
 use std::io::Write;
 
-/// The largest number of a list.
+/// Largest number of a list.
 const MAX_LIST_NUMBER: u64 = 15;
 
-/// What the caller has to do after a line.
+/// What the caller has to do after a line has been handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// Read the next line.
@@ -24,7 +24,7 @@
 
 #[derive(Default)]
 pub struct Simulation {
-    /// `None`: its settings were rejected, and that was replied.
+    /// By name; `None` where the settings were rejected, which has been reported in a reply.
     instances: HashMap<String, Option<Instance>>,
     lists: Lists,
     /// `None` outside of a batch.
@@ -32,10 +32,10 @@
 }
 
 impl Simulation {
-    /// Handles one line and appends the replies to it.
+    /// Handles one line and appends the replies to `replies`.
     ///
     /// # Errors
-    /// A line that is malformed or refers to what is not known.
+    /// The line is malformed, or refers to an unknown instance, list or name.
     pub fn handle(&mut self, line: &str, replies: &mut Vec<u8>) -> Result<Progress, WireError> {
         let line: Value = serde_json::from_str(line).map_err(WireError::NotJson)?;
         let line = Line::new(&line)?;
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire lines of our own.
+//! The adapter, tested with handwritten lines of the wire protocol.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -22,7 +22,7 @@
 ["VIEW","proxy-3",0,4,"warm_copy"]
 "#;
 
-/// Runs the adapter on `input`; gives its output, its error text and whether it ended well.
+/// Runs the adapter on `input`. Returns its standard output, its standard error and whether it exited with status 0.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_shaletide-adapter"))
         .stdin(Stdio::piped())
@@ -31,11 +31,11 @@
         .spawn()
         .unwrap();
     let mut stdin = child.stdin.take().unwrap();
-    let _ = stdin.write_all(input.as_bytes()); // it may have ended on an early line
+    let _ = stdin.write_all(input.as_bytes()); // fails if the adapter has ended at an early line
     drop(stdin);
-    let out = child.wait_with_output().unwrap();
+    let output = child.wait_with_output().unwrap();
     let text = |bytes| String::from_utf8(bytes).unwrap();
-    (text(out.stdout), text(out.stderr), out.status.success())
+    (text(output.stdout), text(output.stderr), output.status.success())
 }
 
 #[test]
@@ -46,45 +46,49 @@
 
 #[test]
 fn request_is_dispatched_and_its_response_ends_it() {
-    let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
-    let done = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
+    let request = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"read"]"#;
+    let end = r#"["RETURNED","proxy-3","00000000000000ab",0,"10.0.0.1:80",1,900,true,{"active":3,"new":1}]"#;
     let input = format!(
-        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{job}\n[\"END\"]\n[\"TICK\",3000]\n{done}\n[\"END\"]\n",
+        "[\"TICK\",1000]\n{}{LIST}[\"END\"]\n[\"TICK\",2000]\n{request}\n[\"END\"]\n[\"TICK\",3000]\n{end}\n[\"END\"]\n",
         create(SETTINGS)
     );
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
-    let sent = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
-    assert_eq!(out.matches(sent).count(), 1, "{out}");
-    assert_eq!(out.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
+    let (output, errors, succeeded) = run(&input);
+    assert!(succeeded, "{errors}");
+    let expected_reply = "[\"HAND_OFF\",\"proxy-3\",\"00000000000000ab\",\"10.0.0.1:80\",0]";
+    assert_eq!(output.matches(expected_reply).count(), 1, "{output}");
+    assert_eq!(output.lines().filter(|l| *l == "[\"YIELD\"]").count(), 3);
 }
 
 #[test]
 fn request_without_backend_is_rejected_in_time() {
-    let job = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
-    let mut input = format!("[\"TICK\",1000]\n{}{job}\n[\"END\"]\n", create(SETTINGS));
+    let request = r#"["JOB_IN","proxy-3","00000000000000ab",null,900000,null,"north",0,"pay"]"#;
+    let mut input = format!("[\"TICK\",1000]\n{}{request}\n[\"END\"]\n", create(SETTINGS));
     for (at, token) in (1..200).map(|n| (1000 + n * 5000, n)) {
         input += &format!("[\"TICK\",{at}]\n[\"TIMEOUT_FIRED\",\"proxy-3\",{token}]\n[\"END\"]\n");
     }
-    let (out, err, good) = run(&input);
-    assert!(good, "{err}");
-    let refusals = out.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
-    assert_eq!(refusals, 1, "once, with the term after which an ejected backend is tried again: {out}");
+    let (output, errors, succeeded) = run(&input);
+    assert!(succeeded, "{errors}");
+    let rejections = output.matches("[\"BOUNCE\",\"proxy-3\",\"00000000000000ab\",1000000]").count();
+    assert_eq!(
+        rejections, 1,
+        "expected one rejection, with the base term of an ejection as the retry delay: {output}"
+    );
 }
 
 #[test]
 fn killed_instance_is_removed_and_can_be_created_again() {
-    let (first, kill) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
-    let (out, _, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{first}{LIST}[\"END\"]\n"));
-    assert!(good && out.ends_with("[\"YIELD\"]\n"), "{out}");
-    let (_, err, good) = run(&format!("[\"TICK\",5]\n{first}{kill}{LIST}[\"END\"]\n"));
-    assert!(!good && err.contains("known instance"), "{err}");
+    let (create_line, kill_line) = (create(SETTINGS), "[\"KILLED\",\"proxy-3\"]\n");
+    let (output, _, succeeded) =
+        run(&format!("[\"TICK\",5]\n{create_line}{kill_line}{create_line}{LIST}[\"END\"]\n"));
+    assert!(succeeded && output.ends_with("[\"YIELD\"]\n"), "{output}");
+    let (_, errors, succeeded) = run(&format!("[\"TICK\",5]\n{create_line}{kill_line}{LIST}[\"END\"]\n"));
+    assert!(!succeeded && errors.contains("known instance"), "{errors}");
 }
 
-/// Each is told with its line number and what was expected, and ends the process.
+/// Each malformed line ends the process, with its line number and the expected form on standard error.
 #[test]
 fn malformed_line_is_reported_and_ends_the_process() {
-    let job = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
+    let request = |rest: &str| format!("[\"JOB_IN\",\"proxy-3\",{rest}]");
     let cases = [
         ("no json".into(), "JSON"),
         ("{\"TICK\":1}".into(), "array"),
@@ -98,10 +102,10 @@
         ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0]]]".into(), "7 values"),
         ("[\"SNAPSHOT_ROWS\",1,[[\"east\",0,\"big\",\"a:1\",\"UP\",1,null]]]".into(), "IN, LAME or OUT"),
         ("[\"TIMEOUT_FIRED\",\"proxy-3\",\"7\"]".into(), "token"),
-        (job("\"xyz\",null,900,null,null,0,\"read\""), "16 lower-case hex"),
-        (job("\"00000000000000ab\",null,-4,null,null,0,\"read\""), "time left"),
-        (job("\"00000000000000ab\",null,900,null,null,0,\"none\""), "known class"),
-        (job("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""), "known tenant"),
+        (request("\"xyz\",null,900,null,null,0,\"read\""), "16 lower-case hex"),
+        (request("\"00000000000000ab\",null,-4,null,null,0,\"read\""), "time left"),
+        (request("\"00000000000000ab\",null,900,null,null,0,\"none\""), "known class"),
+        (request("\"00000000000000ab\",null,900,null,\"none\",0,\"read\""), "known tenant"),
         ("[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",8,1,true,null]".into(), "0 to 7"),
         (
             "[\"RETURNED\",\"proxy-3\",\"00000000000000ab\",0,\"10.0.0.1:80\",1,1,1,null]".into(),
@@ -111,13 +115,14 @@
     ];
     for (line, expected) in cases {
         let line: String = line;
-        let (_, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
-        assert!(!good, "accepted {line}");
-        assert!(err.contains("line 5:") && err.contains(expected), "{line}: {err}");
-        assert!(!err.contains("panicked"), "{err}");
+        let (_, errors, succeeded) =
+            run(&format!("[\"TICK\",1]\n{}{LIST}{line}\n[\"END\"]\n", create(SETTINGS)));
+        assert!(!succeeded, "accepted {line}");
+        assert!(errors.contains("line 5:") && errors.contains(expected), "{line}: {errors}");
+        assert!(!errors.contains("panicked"), "{errors}");
     }
-    let (_, err, good) = run("[\"END\"]\n");
-    assert!(!good && err.contains("TICK first"), "{err}");
+    let (_, errors, succeeded) = run("[\"END\"]\n");
+    assert!(!succeeded && errors.contains("TICK first"), "{errors}");
 }
 
 #[test]
@@ -137,8 +142,9 @@
     for (from, to, key) in cases {
         assert!(SETTINGS.contains(from));
         let settings = SETTINGS.replacen(from, to, 1);
-        let (out, err, good) = run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
-        assert!(good, "{err}");
-        assert!(out.starts_with("[\"BROKEN\",\"proxy-3\",") && out.contains(key), "{to}: {out}");
+        let (output, errors, succeeded) =
+            run(&format!("[\"TICK\",1]\n{}{LIST}[\"END\"]\n", create(&settings)));
+        assert!(succeeded, "{errors}");
+        assert!(output.starts_with("[\"BROKEN\",\"proxy-3\",") && output.contains(key), "{to}: {output}");
     }
 }
--- a/crates/types/src/backend.rs
+++ b/crates/types/src/backend.rs
@@ -1,35 +1,36 @@
-//! An entry of an endpoint list, with names turned into numbers.
+//! Entries of endpoint lists, with numeric identifiers in place of names.
 
 use crate::{BackendId, DeduplicationGroupId, DeduplicationPlacement, ServerTypeId, Time, ZoneId};
 
-/// What an endpoint list says of a backend, as a balancer is notified of it.
+/// A backend's entry in an endpoint list, as balancers receive it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// Which backend.
+    /// The backend's number.
     pub id: BackendId,
-    /// A hash of its name, the same at every proxy.
+    /// A hash of the backend's name, the same at every proxy.
     pub stable_hash: u64,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: ZoneId,
-    /// Its deduplication group.
+    /// The backend's deduplication group.
     pub deduplication_group: DeduplicationGroupId,
-    /// Backends of different domains never discard each other's repeats, whatever their zones and groups.
+    /// The backend's deduplication domain. Backends of different domains never discard each other's repeats, whatever
+    /// their zones and groups.
     pub deduplication_domain: u32,
-    /// Its server type.
+    /// The backend's server type.
     pub server_type: ServerTypeId,
-    /// How many cores it has, at least 1; its concurrency limit grows with it.
+    /// Number of cores, at least 1; the concurrency limit grows with it.
     pub cores: u32,
-    /// The weight that the list gives it; 0 where the list says none. Where weights are sizes it is in thousandths of a
-    /// standard core, else only the ratio of two weights counts.
+    /// Weight in the list; 0 where the list has none. Where weights are sizes it is in thousandths of a standard core,
+    /// else only the ratio of two weights has a meaning.
     pub weight: u32,
-    /// What it may be sent.
+    /// Whether the backend may be sent new requests.
     pub state: BackendState,
-    /// When it last started; `None` means long ago.
+    /// When the backend last started; `None` means long ago.
     pub started_at: Option<Time>,
 }
 
 impl BackendEntry {
-    /// Where the backend stands in each deduplication scope.
+    /// Returns the backend's place in each deduplication scope.
     pub fn deduplication_placement(&self) -> DeduplicationPlacement {
         DeduplicationPlacement {
             domain: self.deduplication_domain,
@@ -40,7 +41,7 @@
 }
 
 impl Default for BackendEntry {
-    /// Number 0 of everything, one core, gone, started long ago.
+    /// Returns an entry with all numbers 0, one core, state `Gone` and a start long ago.
     fn default() -> BackendEntry {
         BackendEntry {
             id: BackendId(0),
@@ -57,14 +58,14 @@
     }
 }
 
-/// What a backend may be sent.
+/// Whether a backend may be sent new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackendState {
-    /// New requests.
+    /// The backend takes new requests.
     Ready,
-    /// Nothing new: it finishes what it has.
+    /// The backend takes no new requests and finishes those in flight.
     Draining,
-    /// Nothing: it has left.
+    /// The backend has left the list.
     #[default]
     Gone,
 }
@@ -72,12 +73,12 @@
 /// The kind of an update of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointUpdate {
-    /// The entries that changed.
+    /// Contains the entries that changed.
     Delta,
-    /// The whole list; what is absent is gone.
+    /// Contains the whole list; absent backends are gone.
     Snapshot,
-    /// The whole list as an earlier process had it, perhaps out of date.
+    /// Contains the whole list as an earlier process had it, possibly out of date.
     Cached,
-    /// The call or the subscription failed; the list stays as it was.
+    /// The call or the subscription failed; the list is unchanged.
     SubscriptionLost,
 }
--- a/crates/types/src/error_chain.rs
+++ b/crates/types/src/error_chain.rs
@@ -1,6 +1,6 @@
-//! Errors as text for a log line.
+//! Formats errors for log lines.
 
-/// The error's text, then that of its source, of the source's source and so on, joined by `: `.
+/// Returns the texts of the error and of all its sources, from the outermost to the root cause, joined by `: `.
 pub fn causes(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/types/src/idempotency.rs
+++ b/crates/types/src/idempotency.rs
@@ -1,50 +1,50 @@
-//! What repeating a request does, and which backends discard each other's repeats.
+//! The effect of repeating a request, and the backends that discard each other's repeats.
 
 use crate::{DeduplicationGroupId, Micros, ZoneId};
 
-/// What executing a request twice would do.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated and rejected at will.
+    /// A second execution has no effect: the request may be repeated and rejected at will.
     Safe,
-    /// The request carries an idempotency key. Backends within the scope discard repeats of it for the given window,
-    /// which begins with the first attempt.
+    /// The request carries an idempotency key. Backends within the scope discard repeats of it during the deduplication
+    /// window, which begins with the first attempt.
     Keyed(DeduplicationScope, Micros),
-    /// A second execution does harm.
+    /// A second execution is harmful.
     NonIdempotent,
 }
 
-/// Which backends of one deduplication domain discard each other's repeats.
+/// The backends of one deduplication domain that discard each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All backends of the domain.
     All,
-    /// Those of one zone.
+    /// Backends of the same zone.
     Zone,
-    /// Those of one deduplication group.
+    /// Backends of the same deduplication group.
     Group,
 }
 
-/// Where a backend stands in each deduplication scope.
+/// A backend's place in each deduplication scope.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DeduplicationPlacement {
-    /// Backends of different domains never discard each other's repeats.
+    /// The backend's deduplication domain. Backends of different domains never discard each other's repeats.
     pub domain: u32,
-    /// Its zone.
+    /// The backend's zone.
     pub zone: ZoneId,
-    /// Its deduplication group.
+    /// The backend's deduplication group.
     pub group: DeduplicationGroupId,
 }
 
 impl DeduplicationScope {
-    /// Whether backends at these two places share the keys they have seen, so that one discards a repeat of what the
-    /// other has executed.
-    pub fn is_shared(self, one: DeduplicationPlacement, other: DeduplicationPlacement) -> bool {
+    /// Returns whether backends at these two places share the keys they have seen, so that each discards repeats of
+    /// requests that the other has executed.
+    pub fn is_shared(self, first: DeduplicationPlacement, second: DeduplicationPlacement) -> bool {
         let within_domain = match self {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => one.zone == other.zone,
-            DeduplicationScope::Group => one.group == other.group,
+            DeduplicationScope::Zone => first.zone == second.zone,
+            DeduplicationScope::Group => first.group == second.group,
         };
-        within_domain && one.domain == other.domain
+        within_domain && first.domain == second.domain
     }
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Each is a type of its own, so that none is taken for another.
+//! Identifiers. Each has its own type, so that the compiler rejects one in place of another.
 
 macro_rules! ids {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
@@ -9,17 +9,17 @@
 }
 
 ids! {
-    /// One client request; never used again.
+    /// Identifies a client request; never reused.
     RequestId(u64);
-    /// One backend, numbered by the directory; never used again.
+    /// Identifies a backend, numbered by the directory; never reused.
     BackendId(u32);
-    /// A place in the network.
+    /// Identifies a zone of the network.
     ZoneId(u32);
-    /// Backends that share the keys they have seen.
+    /// Identifies a deduplication group: backends that share the keys they have seen.
     DeduplicationGroupId(u64);
-    /// A named set of backends with a balancer of its own.
+    /// Identifies a pool: a named set of backends with a balancer of its own.
     PoolId(u32);
-    /// Backends of one server type are taken as equally fast.
+    /// Identifies a server type, whose backends are assumed to be equally fast.
     ServerTypeId(u32);
     /// Index into the configured classes.
     ClassId(usize);
@@ -27,8 +27,8 @@
     TenantId(usize);
     /// Number of an attempt within its request, from 0 in the order of dispatch.
     AttemptNumber(u32);
-    /// A connection to a backend; never used again.
+    /// Identifies a connection to a backend; never reused.
     ConnectionId(u64);
-    /// Names a timer to its owner.
+    /// Identifies a timer to its owner.
     TimerToken(u64);
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,5 +1,5 @@
-//! The types that all crates of shaletide share: time, identifiers, entries of endpoint lists, outcomes of attempts. Plain
-//! values, no decisions.
+//! The types that all crates of shaletide share: time, identifiers, entries of endpoint lists, outcomes of attempts. They
+//! are plain values without decisions.
 
 mod backend;
 mod error_chain;
--- a/crates/types/src/load_report.rs
+++ b/crates/types/src/load_report.rs
@@ -1,9 +1,9 @@
-//! What a backend reports of its own load.
+//! Load reports of backends.
 
-/// What a backend reports of its own load in a response, unchecked: any number is possible.
+/// The load that a backend reports in a response. The numbers are not validated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight at it.
+    /// Requests in flight at the backend.
     pub in_flight: Option<f64>,
     /// Errors a second.
     pub errors_per_s: Option<f64>,
@@ -12,8 +12,8 @@
 }
 
 impl LoadReport {
-    /// Reads `TEXT name=value, name=value`, by the names that the field and the platform have for the three; unknown
-    /// names and invalid numbers are ignored, and so is all beyond the first [`LoadReport::MAX_BYTES`] bytes.
+    /// Parses `TEXT name=value, name=value`. Each of the three values has two names, the usual one and the platform's.
+    /// Unknown names, invalid numbers and everything after the first [`LoadReport::MAX_BYTES`] bytes are ignored.
     pub fn parse(text: &str) -> LoadReport {
         let mut report = LoadReport::default();
         let end = (0..=text.len().min(LoadReport::MAX_BYTES)).rev().find(|at| text.is_char_boundary(*at));
@@ -30,6 +30,6 @@
         report
     }
 
-    /// A longer report is read so far, in bytes.
+    /// Maximum number of bytes of a report that are parsed; the rest is ignored.
     pub const MAX_BYTES: usize = 512;
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -3,26 +3,27 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The attempt was served.
     Ok,
-    /// An error response; it may have been executed.
+    /// The backend sent an error response; the attempt may have been executed.
     Error,
-    /// Rejected by the backend without being executed.
+    /// The backend rejected the attempt without executing it.
     Rejected,
-    /// No response in time; it may have been executed or still be.
+    /// No response arrived in time; the attempt may have been executed or may still be.
     TimedOut,
-    /// No connection was made, or it ended before the last byte of the request was written; not executed.
+    /// No connection was made, or it ended before the last byte of the request was written; the attempt was not
+    /// executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// Cancelled; it may have been executed.
+    /// The attempt was cancelled; it may have been executed.
     Cancelled,
-    /// Its last byte was not written, and the backend is not at fault; not executed.
+    /// The last byte of the request was not written, and the backend is not at fault; the attempt was not executed.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt was not executed.
+    /// Returns whether this outcome proves that the attempt was not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,10 +1,10 @@
-//! Points in time and spans of it, in microseconds.
+//! Points in time and durations, in microseconds.
 
-/// A point in time, in microseconds of the driver's clock; its zero has no meaning.
+/// A point in time, in microseconds of the driver's clock, whose zero is arbitrary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
-/// A span of time in microseconds.
+/// A duration in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Micros(pub u64);
 
@@ -17,7 +17,7 @@
 
 impl std::ops::Sub for Time {
     type Output = Micros;
-    /// The span since `earlier`; zero where that lies ahead.
+    /// Returns the duration since `earlier`, or zero if that is later.
     fn sub(self, earlier: Time) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -31,20 +31,20 @@
 }
 
 impl Micros {
-    /// The span of so many seconds; negative ones give zero.
+    /// Returns the duration of `secs` seconds; a negative number gives zero.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
-    /// The span in seconds.
+    /// Returns the duration in seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// The span times a factor; negative factors give zero.
+    /// Returns the duration times a factor; a negative factor gives zero.
     pub fn times(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
 }
 
-/// The largest error of wall clocks that is allowed for, all machines' errors together: two steps of an hour. Two wall
-/// clocks' times are compared only with this much to spare; all else goes by a monotonic clock.
+/// The maximum error of wall clocks that is allowed for, summed over all machines: two steps of an hour. Times of two wall
+/// clocks are compared only with this margin; everything else uses a monotonic clock.
 pub const MAX_WALL_CLOCK_ERROR: Micros = Micros(2 * 3_600_000_000);
--- a/crates/types/src/total_history.rs
+++ b/crates/types/src/total_history.rs
@@ -1,23 +1,23 @@
-//! The history of a total that only grows: by how much it has grown since a past moment.
+//! The history of a total that only grows, which tells by how much it has grown since a past moment.
 
 use crate::{Micros, Time};
 use std::collections::VecDeque;
 
-/// Growth that gets a step of its own; what is less counts with the next.
+/// Minimum growth that is recorded as a step; smaller growth counts with the next step.
 const MIN_STEP: Micros = Micros(1_000);
-/// Steps that are kept; the oldest makes room.
+/// Maximum number of steps that are kept; the oldest is dropped for a new one.
 const MAX_STEPS: usize = 256;
 
-/// A total, and the last moments at which it had grown.
+/// A total and its recent growth.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TotalHistory {
     latest: Micros,
-    /// Each with the total at that moment.
+    /// The moments at which the total had grown by a step, each with the total at that moment.
     steps: VecDeque<(Time, Micros)>,
 }
 
 impl TotalHistory {
-    /// The total at a moment that is no earlier than that of the last call.
+    /// Records the total at `now`, which must not be earlier than in the last call.
     pub fn record(&mut self, now: Time, total: Micros) {
         self.latest = total;
         if self.steps.back().is_some_and(|(_, last)| total.0 < last.0 + MIN_STEP.0) {
@@ -29,7 +29,8 @@
         self.steps.push_back((now, total));
     }
 
-    /// How much it has grown from the last step at or before `moment`, or from the first that is kept, to the last call.
+    /// Returns the growth from the last step at or before `moment` to the last call. Counts from the oldest step that is kept
+    /// if all are later.
     pub fn growth_since(&self, moment: Time) -> Micros {
         let earlier = self.steps.iter().rev().find(|(at, _)| *at <= moment).or(self.steps.front());
         earlier.map_or(Micros(0), |(_, earlier)| Micros(self.latest.0.saturating_sub(earlier.0)))
--- a/crates/types/tests/total_history.rs
+++ b/crates/types/tests/total_history.rs
@@ -1,4 +1,4 @@
-//! `TotalHistory`: how much a total has grown since a past moment.
+//! `TotalHistory`: the growth of a total since a past moment.
 
 use shaletide_types::{Micros, Time, TotalHistory};
 
@@ -11,11 +11,11 @@
 }
 
 #[test]
-fn growth_counts_from_the_last_step_at_or_before_the_moment() {
+fn growth_counts_from_last_step_at_or_before_moment() {
     let history = history(&[(10, 100), (20, 130), (30, 130), (40, 170)]);
     let growth = [10, 15, 20, 25, 35, 40, 50].map(|ms| history.growth_since(Time(ms * MS)).0 / MS);
     assert_eq!(growth, [70, 70, 40, 40, 40, 0, 0]);
-    assert_eq!(history.growth_since(Time(0)), Micros(70 * MS), "before the first");
+    assert_eq!(history.growth_since(Time(0)), Micros(70 * MS), "before the first step");
     assert_eq!(TotalHistory::default().growth_since(Time(0)), Micros(0));
 }
 
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn oldest_steps_make_room() {
+fn oldest_steps_are_dropped() {
     let records: Vec<(u64, u64)> = (0..1_000).map(|n| (n, 2 * n)).collect();
     let history = history(&records);
     assert_eq!(history.growth_since(Time(990 * MS)), Micros(18 * MS));
-    assert_eq!(history.growth_since(Time(0)), Micros(510 * MS), "from the oldest of 256");
+    assert_eq!(history.growth_since(Time(0)), Micros(510 * MS), "from the oldest of 256 steps");
 }
