--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -40,9 +40,9 @@
 }
 
 impl AdmissionControl<'_> {
-    /// Returns whether to reject a new request. `admission_roll` is the request's random number from 0 to 1.
-    pub fn is_overloaded(&self, priority: PriorityLevel, admission_roll: f64) -> bool {
-        if admission_roll > self.load_reports.admitted_fraction(priority) {
+    /// Returns whether to reject a new request. `admission_random` is the request's random number from 0 to 1.
+    pub fn is_overloaded(&self, priority: PriorityLevel, admission_random: f64) -> bool {
+        if admission_random > self.load_reports.admitted_fraction(priority) {
             return true;
         }
         let max_per_core = match priority {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -262,7 +262,7 @@
             effective_cores: self.server_types.values().map(|server_type| server_type.effective_cores).sum(),
             in_flight_per_core_by_latency,
         };
-        admission.is_overloaded(request.priority_level(), request.admission_roll)
+        admission.is_overloaded(request.priority_level(), request.admission_random)
     }
 
     /// Writes a log line, at most one every [`LOG_INTERVAL`].
--- a/crates/balancer/src/balancer/dispatch.rs
+++ b/crates/balancer/src/balancer/dispatch.rs
@@ -119,7 +119,7 @@
         match self.select_backend(now, request) {
             Selection::Backend(backend) => Decision::Send(backend),
             Selection::AllEjected | Selection::NoneEligible if request.may_fail_over => Decision::FailOver,
-            // Waiting is useless: every listed backend has been tried already.
+            // Waiting is useless: a backend that becomes ready again has been tried before.
             Selection::NoneEligible if self.closed || !request.attempts.is_empty() => {
                 decide_unsendable(request, GiveUpReason::NoEligibleBackend)
             }
--- a/crates/balancer/src/balancer/endpoints.rs
+++ b/crates/balancer/src/balancer/endpoints.rs
@@ -41,8 +41,8 @@
     fn update_discovery(&mut self, now: Time, update: EndpointUpdate) {
         match (update, self.config.discovery) {
             (EndpointUpdate::SubscriptionLost, DiscoveryMode::Subscribe(assumed_known_after)) => {
-                let roll = self.rng.next_unit();
-                let wait_s = self.discovery_poll.on_subscription_lost(now, assumed_known_after, roll);
+                let random = self.rng.next_unit();
+                let wait_s = self.discovery_poll.on_subscription_lost(now, assumed_known_after, random);
                 self.log(now, format!("discovery subscription lost: polling again in {wait_s:.1} s"));
             }
             (EndpointUpdate::Delta | EndpointUpdate::Snapshot, _) => self.discovery_poll.on_list(),
@@ -82,8 +82,9 @@
         let stats = self.backends.remove(&id)?;
         let mut attempts = Vec::new();
         if stats.in_flight > 0 {
-            let there = self.in_flight_attempts.iter().filter(|(_, attempt)| attempt.backend == id);
-            attempts.extend(there.map(|(key, attempt)| (*key, *attempt)));
+            let attempts_at_backend =
+                self.in_flight_attempts.iter().filter(|(_, attempt)| attempt.backend == id);
+            attempts.extend(attempts_at_backend.map(|(key, attempt)| (*key, *attempt)));
             self.in_flight_attempts.retain(|_, attempt| attempt.backend != id);
         }
         // Thousands of backends may move at once: a full recount is done only where it is unavoidable.
--- a/crates/balancer/src/balancer/requests.rs
+++ b/crates/balancer/src/balancer/requests.rs
@@ -30,7 +30,7 @@
             objective_at: now + objective.min(arrival.time_left),
             deadline: now + arrival.time_left,
             priority: self.priority(class, arrival.is_client_retry, is_over_quota),
-            admission_roll: self.admission_roll(),
+            admission_random: self.admission_random(),
             streaming: false,
             may_fail_over: arrival.may_fail_over,
             attempts: Vec::new(),
@@ -59,7 +59,7 @@
     }
 
     /// Draws the random number for admission control, or returns 0 where load reports cannot limit admission.
-    fn admission_roll(&mut self) -> f64 {
+    fn admission_random(&mut self) -> f64 {
         let expects_reports = self.is_large_fleet() && self.config.weights_report_load;
         if self.load_reports.mean_in_flight_per_core().is_some() || expects_reports {
             self.rng.next_unit()
--- a/crates/balancer/src/balancer/timers.rs
+++ b/crates/balancer/src/balancer/timers.rs
@@ -8,8 +8,8 @@
 use crate::retry::may_send_attempt;
 use shaletide_types::*;
 
-/// Fraction of its time after which a queued request is given up, if a late answer has no value or no attempt was
-/// executed. Its client still has time to try elsewhere then.
+/// Fraction of its time after which a queued request is given up, if a late answer has no value or it is certain that
+/// no attempt was executed. Its client still has time to try elsewhere then.
 const QUEUE_TIME_FRACTION: f64 = 0.5;
 /// A request is given up earlier than its deadline by the usual lateness of timers, but by no more than its time
 /// divided by this number, as its time may be short.
--- a/crates/balancer/src/balancer/weights.rs
+++ b/crates/balancer/src/balancer/weights.rs
@@ -224,7 +224,7 @@
     /// Sets the concurrency limits and selection weights. Returns the number of backends with a share of this proxy's
     /// traffic.
     fn recompute_selection_weights(&mut self, are_reporting: bool) -> f64 {
-        let affinity = ZoneAffinity::new(self.config.zone, self.traffic_due_by_zone());
+        let affinity = ZoneAffinity::new(self.config.zone, self.traffic_share_by_zone());
         let has_affinity = !are_reporting && self.config.cross_zone_cost > 0.0;
         for server_type in self.server_types.values_mut() {
             server_type.selection_weight = 0.0;
@@ -247,12 +247,12 @@
         reachable
     }
 
-    fn traffic_due_by_zone(&self) -> BTreeMap<ZoneId, f64> {
-        let mut due: BTreeMap<ZoneId, f64> = BTreeMap::new();
+    fn traffic_share_by_zone(&self) -> BTreeMap<ZoneId, f64> {
+        let mut zone_shares: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for backend in self.backends.values().filter(|backend| backend.capacity_factor > 0.0) {
-            *due.entry(backend.entry.zone).or_default() += traffic_part(&self.server_types, backend);
+            *zone_shares.entry(backend.entry.zone).or_default() += traffic_part(&self.server_types, backend);
         }
-        due
+        zone_shares
     }
 
     /// Sets each backend's weight in this proxy's subset. Where backends report their load, selection weights change
@@ -293,8 +293,8 @@
 /// Returns a number from 0 to 1 that differs between the proxies at each backend, so that the limits that the proxies
 /// round separately add up to the target.
 fn rounding_offset(position: u32, proxies: u32, entry: &BackendEntry) -> f64 {
-    let turn = entry.stable_hash.wrapping_add(u64::from(position)) % u64::from(proxies);
-    (turn as f64 + 0.5) / f64::from(proxies)
+    let residue = entry.stable_hash.wrapping_add(u64::from(position)) % u64::from(proxies);
+    (residue as f64 + 0.5) / f64::from(proxies)
 }
 
 /// Returns this proxy's concurrency limit at a backend, at least 1. With more proxies than the target, a limit below 1
--- a/crates/balancer/src/discovery.rs
+++ b/crates/balancer/src/discovery.rs
@@ -39,12 +39,12 @@
         self.backoff_s = 0.0;
     }
 
-    /// Schedules the next poll after a lost subscription, with a backoff that doubles each time. `roll` is a random
+    /// Schedules the next poll after a lost subscription, with a backoff that doubles each time. `random` is a random
     /// number from 0 to 1 that keeps proxies from polling in step. Returns the wait, s.
-    pub fn on_subscription_lost(&mut self, now: Time, assumed_known_after: Micros, roll: f64) -> f64 {
+    pub fn on_subscription_lost(&mut self, now: Time, assumed_known_after: Micros, random: f64) -> f64 {
         let max_s = (assumed_known_after.secs() / MAX_BACKOFF_DIVISOR).max(MIN_BACKOFF_S);
         self.backoff_s = (self.backoff_s * 2.0).clamp(MIN_BACKOFF_S, max_s);
-        let wait_s = self.backoff_s * (0.5 + roll);
+        let wait_s = self.backoff_s * (0.5 + random);
         self.due_at = Some(now + Micros::from_secs(wait_s));
         wait_s
     }
--- a/crates/balancer/src/limits.rs
+++ b/crates/balancer/src/limits.rs
@@ -101,10 +101,10 @@
 
     /// Refills the bucket at `rate_per_s` and takes a token, if there is a whole one. Returns whether it took one.
     fn try_take(&mut self, now: Time, rate_per_s: f64) -> bool {
-        let due = rate_per_s * QUOTA_WINDOW_S;
+        let burst = rate_per_s * QUOTA_WINDOW_S;
         self.tokens = match self.refilled_at {
-            None => due.max(1.0),
-            Some(at) => (self.tokens + rate_per_s * (now - at).secs()).min(due.max(MIN_QUOTA_BURST)),
+            None => burst.max(1.0),
+            Some(at) => (self.tokens + rate_per_s * (now - at).secs()).min(burst.max(MIN_QUOTA_BURST)),
         };
         self.refilled_at = Some(now);
         if self.tokens < 1.0 {
--- a/crates/balancer/src/load_reports.rs
+++ b/crates/balancer/src/load_reports.rs
@@ -29,8 +29,8 @@
 const MAX_LIST_DEVIATION: f64 = 1.6;
 /// Time after the last usable report during which backends still count as reporting, s.
 const REPORTING_TIMEOUT_S: f64 = 30.0;
-/// Exponent a second with which the admitted fraction follows the ratio of target to actual utilization. A higher gain
-/// would overshoot, as reports are one or two seconds old.
+/// Exponent a second with which the admitted fraction follows the ratio of target to actual utilization. It allows for
+/// reports that are one or two seconds old.
 const ADMISSION_GAIN_PER_S: f64 = 4.0;
 /// Exponential growth rate of the admitted fraction after reports have ended, per second.
 const ADMISSION_RECOVERY_PER_S: f64 = 0.5;
@@ -39,7 +39,7 @@
 const MIN_ADMITTED_FRACTION: f64 = 0.4;
 /// Fraction of the requests that is rejected from low priority alone, before normal priority is affected.
 const LOW_PRIORITY_RANGE: f64 = 0.25;
-/// Rate at which the rebalancing factor of a backend with twice the target load falls, per second.
+/// Rate at which the rebalancing factor of a backend with twice the mean load falls, per second.
 const REBALANCING_RATE_PER_S: f64 = 0.5;
 /// Lower bound of a backend's rebalancing factor.
 const MIN_REBALANCING_FACTOR: f64 = 0.1;
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -3,7 +3,7 @@
 //! A backend's error rate is an exponential mean over the outcomes of its attempts. A backend with an error rate above
 //! the limit is ejected for a term that doubles with each consecutive ejection. It is then probed by new requests, one
 //! at a time: of safe classes, or of any class where none is safe. A silent backend is ejected at once. A rejection is
-//! not an error: an overloaded backend is only backed off from for a short time.
+//! not an error: it only causes a short backoff, as the backend is overloaded.
 
 use shaletide_types::*;
 
@@ -167,7 +167,7 @@
             || class.is_some_and(|class| class.overdue_without_response >= SILENT_ATTEMPTS)
     }
 
-    /// Returns whether the backend is backed off from after it rejected a request of the class.
+    /// Returns whether the backoff after a rejection of a request of the class is still in effect.
     pub fn is_backing_off(&self, now: Time, class: usize) -> bool {
         self.by_class.get(class).is_some_and(|class| now < class.backoff_until)
     }
@@ -259,9 +259,9 @@
         }
     }
 
-    /// Returns the first term of an ejection, s. `roll` is a random number from 0 to 1.
-    pub fn first_term_s(roll: f64) -> f64 {
-        BASE_EJECTION_S * (MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * roll)
+    /// Returns the first term of an ejection, s. `random` is a random number from 0 to 1.
+    pub fn first_term_s(random: f64) -> f64 {
+        BASE_EJECTION_S * (MIN_EJECTION_JITTER + EJECTION_JITTER_RANGE * random)
     }
 
     /// Ejects the backend, unless a term is still running. Returns the new term, s.
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -45,7 +45,7 @@
     /// Priority relative to that of a new request within its tenant's quota, from 0 to 1.
     pub priority: f64,
     /// Random number from 0 to 1, drawn once: the request is admitted while it is no larger than the admitted fraction.
-    pub admission_roll: f64,
+    pub admission_random: f64,
     /// The response has started to stream: no deadline applies any more.
     pub streaming: bool,
     /// The request can fail over to another pool where this one cannot serve it.
--- a/crates/balancer/src/zone_reachability.rs
+++ b/crates/balancer/src/zone_reachability.rs
@@ -116,8 +116,8 @@
         self.0.iter().filter(|(_, zone)| zone.is_unreachable(now)).map(|(id, _)| *id).collect()
     }
 
-    /// Returns whether a zone other than `zone` responds. This proxy's own zone counts as responding until it is found
-    /// silent, as it is unlikely to be cut off from this proxy.
+    /// Returns whether a zone other than `zone` responds. This proxy's own zone is near and counts as responding until
+    /// it is found silent.
     fn another_zone_responds(&self, own: ZoneId, zone: ZoneId) -> bool {
         let own_silence = self.0.get(&own).map_or(0.0, |health| health.silent_fraction.value);
         let own_responds = zone != own && own_silence < UNREACHABLE_SILENT_FRACTION;
