--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop: admits connections up to the limit, and serves each in a task of its own.
+//! Accepts connections up to the limit and serves each one in its own task.
 
 use crate::connection::Client;
 use crate::limits::EXTRA_CONNECTIONS;
@@ -10,20 +10,21 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Turns of the event loop after which the first request on a new connection has been read, if it had come.
+/// Turns of the event loop after which the first request on a new connection has been read, if it has arrived.
 pub(crate) const READ_TURNS: usize = 4;
-/// After this many failures in a row accepts are tried with pauses, whatever the error.
+/// Number of consecutive accept failures after which every retry is delayed, whatever the error.
 const MAX_IMMEDIATE_ACCEPTS: u32 = 64;
-/// How long evicted connections have to end before others are evicted.
+/// Time that evicted connections have to end before others are evicted.
 const EVICTION_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause after an accept that failed for want of system resources.
+/// Delay after an accept that failed because of a shortage of system resources.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 impl Server {
-    /// Accepts one connection, after evicting others where the limit is reached. Dropped midway, it has accepted none.
+    /// Accepts one connection, after evicting others if the limit is reached. Cancellation safe: if the future is dropped
+    /// before it completes, no connection has been accepted.
     pub(crate) async fn accept(self: &Rc<Self>, listeners: &[TcpListener]) {
         while self.clients() >= self.max_clients + EXTRA_CONNECTIONS {
-            // They may all have been accepted in one turn, unread: each may have sent a request.
+            // All of them may have been accepted in one turn and not been read yet: each may have sent a request.
             for _ in 0..READ_TURNS {
                 while self.active() > self.max_clients && self.evict_one() {}
                 if self.active() <= self.max_clients {
@@ -31,8 +32,8 @@
                 }
                 tokio::task::yield_now().await;
             }
-            self.log_crowd_before_ready();
-            // Evicted connections need time to end; evicting more would not free a slot sooner.
+            self.log_full_before_ready();
+            // Evicted connections need time to end. Evicting more would not free a slot sooner.
             let _ = tokio::time::timeout(EVICTION_INTERVAL, self.connection_ended.notified()).await;
         }
         match accept_any(listeners, self.next_connection.get()).await {
@@ -44,7 +45,8 @@
         }
     }
 
-    /// Does what a failed accept calls for; never fatal.
+    /// Handles a failed accept. An error of a single connection is retried at once; a shortage of resources is retried after a
+    /// delay, and one of descriptors after freeing one. No accept error is fatal.
     async fn accept_failed(self: &Rc<Self>, error: &std::io::Error) {
         self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, error);
         let failures = self.accept_failures.get().saturating_add(1);
@@ -57,14 +59,14 @@
         tokio::time::sleep(ACCEPT_PAUSE).await;
     }
 
-    /// Closes a connection that nobody uses, of a client or to a backend.
+    /// Closes an idle connection to free its descriptor: a client's if one can be evicted, otherwise one to a backend.
     pub(crate) fn free_descriptor(&self) {
         if !self.evict_one() {
-            self.driver.close_idle_connection(); // where there is none, one ends by itself
+            self.driver.close_idle_connection(); // if there is none, a descriptor is freed when a connection ends
         }
     }
 
-    /// Admits a connection and serves it in a task of its own, which ends with the connection.
+    /// Admits a connection and serves it in its own task, which ends with the connection.
     pub(crate) fn admit(self: &Rc<Self>, tcp: TcpStream) {
         if self.active() >= self.max_clients {
             self.evict_one();
@@ -79,7 +81,7 @@
         let server = self.clone();
         tokio::task::spawn_local(async move {
             let ServeEnd { reason, is_response_written } = server.serve(&client).await;
-            server.note_closed(&client, reason);
+            server.record_close(&client, reason);
             client.release_slot();
             server.clients.borrow_mut().remove(&key);
             server.connection_ended.notify_one();
--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -1,5 +1,5 @@
-//! Reads request bodies: a thin shell over [`shaletide_body_limits::BodyAdmission`], which decides which body is read and
-//! which is evicted.
+//! Reads request bodies. [`shaletide_body_limits::BodyAdmission`] decides which body is read and which is evicted; this
+//! module performs the I/O.
 
 use crate::connection::Client;
 use crate::request_error::RequestError;
@@ -13,19 +13,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a waiting request asks whether another body can be evicted for its own.
+/// Interval at which a queued request checks whether another body can be evicted to make room for its own.
 const EVICTION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why a body was not read completely.
 pub(crate) enum BodyError {
-    /// It is invalid or too slow, or was evicted.
+    /// The body is invalid or too slow, or was evicted.
     Invalid(RequestError),
-    /// No byte of it was read, as there was no room in time: a retry is harmless.
+    /// No room became free in time and no byte of the body was read, so a retry is harmless.
     NoRoom,
 }
 
-/// A body being read, and the memory that it reserves until its request is answered. Dropping it frees that memory, whatever
-/// state it is in, and admits others.
+/// A request body and the memory reserved for it until the request is answered. Dropping it in any state frees that memory
+/// and admits queued bodies.
 pub(crate) struct IncomingBody {
     server: Rc<Server>,
     client: Rc<Client>,
@@ -34,10 +34,10 @@
 }
 
 impl IncomingBody {
-    /// Reserves room for a body of the length that the request's head gives.
+    /// Reserves room for a body of the length given in the request's head.
     ///
     /// # Errors
-    /// Where it gives none; heads are checked for that before.
+    /// If the head gives no length. Heads are checked for that earlier.
     pub fn new(server: &Rc<Server>, client: &Rc<Client>, body: &Incoming) -> Result<IncomingBody, BodyError> {
         let length =
             body.size_hint().exact().ok_or(BodyError::Invalid(RequestError::LengthMismatch))? as usize;
@@ -46,10 +46,11 @@
         Ok(IncomingBody { server: server.clone(), client: client.clone(), id, length })
     }
 
-    /// Reads it completely by `until`. Dropped midway, it leaves the rest on the connection, which has to be closed.
+    /// Reads the whole body by `until`. If the future is dropped before it completes, the rest of the body is left on the
+    /// connection, which must then be closed.
     ///
     /// # Errors
-    /// Why it was not read completely.
+    /// If the body was not read completely.
     pub async fn read_all(&self, until: Time, mut body: Incoming) -> Result<Bytes, BodyError> {
         self.wait_for_admission(until).await?;
         self.client.body_since.set(Some(self.now()));
@@ -64,7 +65,7 @@
         self.server.driver.clock.now()
     }
 
-    /// Waits until it may be read.
+    /// Waits until the body is admitted for reading.
     async fn wait_for_admission(&self, until: Time) -> Result<(), BodyError> {
         loop {
             let now = self.now();
@@ -80,13 +81,13 @@
         }
     }
 
-    /// Reads it as long as it is admitted and keeps to the minimum rate.
+    /// Reads the body as long as it stays admitted and keeps to the minimum rate.
     async fn read(&self, until: Time, body: &mut Incoming) -> Result<Bytes, RequestError> {
         let mut parts = BytesMut::new();
         loop {
             let due = self.server.bodies.borrow().due(self.id).map_or(until, |due| due.min(until));
             let frame = tokio::select! {
-                biased; // bytes that are there are read before the time is checked, and set no timer
+                biased; // received bytes are read before the deadline is checked, and without setting a timer
                 frame = body.frame() => frame,
                 () = self.client.body_changed.notified() => {
                     let is_admitted = self.server.bodies.borrow().state(self.id) == BodyState::Admitted;
@@ -104,7 +105,7 @@
                 return Ok(part);
             }
             if parts.is_empty() {
-                parts.reserve(self.length); // the kernel maps its pages as they are written
+                parts.reserve(self.length); // the kernel maps the pages only as they are written
             }
             parts.extend_from_slice(&part);
             if parts.len() == self.length {
@@ -123,7 +124,7 @@
 }
 
 impl Server {
-    /// Wakes the readers of the bodies that were admitted, and of the one that was evicted.
+    /// Wakes the readers of the bodies that were admitted and of the body that was evicted, if any.
     fn notify_senders(&self, evicted: Option<BodyId>) {
         let admitted = self.bodies.borrow_mut().take_admitted();
         let body_senders = self.body_senders.borrow();
--- a/crates/http/src/close_reason.rs
+++ b/crates/http/src/close_reason.rs
@@ -1,23 +1,23 @@
-//! Why clients' connections end, counted for the operators.
+//! Reasons for which client connections end, and their counts for the periodic report.
 
 use std::cell::Cell;
 
-/// Why a connection has ended.
+/// The reason for which a connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// The client has closed, reset or half-closed it.
+    /// The client closed, reset or half-closed the connection.
     Client,
-    /// Its last response said so.
+    /// The last response had `Connection: close`.
     Announced,
-    /// It was idle, and the program shuts down.
+    /// The connection was idle during shutdown.
     Stopping,
-    /// It was idle, and was evicted to make room for another.
+    /// The connection was idle and was evicted to make room for another.
     Evicted,
     /// The head of a request was not complete in time.
     HeadTimeout,
-    /// What came is no valid request.
+    /// The received bytes are not a valid request.
     Malformed,
-    /// An evicted client did not read its response.
+    /// The client of an evicted connection did not read its response.
     NotRead,
 }
 
@@ -32,7 +32,7 @@
         CloseReason::NotRead,
     ];
 
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub(crate) fn name(self) -> &'static str {
         match self {
             CloseReason::Client => "client",
@@ -45,19 +45,19 @@
         }
     }
 
-    /// The reason of a connection that ended with an error of hyper's.
+    /// Returns the reason for a connection that ended with an error from hyper.
     pub(crate) fn of_error(error: &hyper::Error) -> CloseReason {
         if error.is_timeout() {
             CloseReason::HeadTimeout
         } else if error.is_parse() {
             CloseReason::Malformed
         } else {
-            CloseReason::Client // an I/O error, or an end within a message
+            CloseReason::Client // an I/O error, or the end of the stream within a message
         }
     }
 }
 
-/// Connections that have ended, by reason, since the last report.
+/// Number of connections that have ended since the last report, by reason.
 #[derive(Debug, Default)]
 pub(crate) struct CloseCounts([Cell<u64>; CloseReason::ALL.len()]);
 
@@ -67,7 +67,7 @@
         count.set(count.get() + 1);
     }
 
-    /// The reasons that there were, such as `client 3 announced 1`; `none` where there were none. Begins anew.
+    /// Returns the counts that are not zero, such as `client 3 announced 1`, or `none`, and resets them.
     pub(crate) fn take(&self) -> String {
         let mut texts = Vec::new();
         for reason in CloseReason::ALL {
--- a/crates/http/src/connection.rs
+++ b/crates/http/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection, its state and the counters that all connections share.
+//! The state of a client connection, and the slot counters that all connections share.
 
 use shaletide_balancer::Time;
 use shaletide_net::{RequestTrace, Stream};
@@ -6,46 +6,46 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// How many connections hold a slot.
+/// Numbers of connections that hold a slot.
 #[derive(Default)]
 pub(crate) struct SlotCounters {
-    /// All of them.
+    /// All connections that hold a slot.
     pub(crate) active: Cell<usize>,
-    /// Those that have sent a complete and valid request.
+    /// Connections that hold a slot and have sent a complete and valid request.
     pub(crate) proven: Cell<usize>,
 }
 
-/// A client's connection.
+/// A client connection.
 pub(crate) struct Client {
-    /// Counts accepted connections.
+    /// The connection's number in the order of acceptance.
     pub(crate) number: u64,
     pub(crate) accepted_at: Time,
     pub(crate) stream: Stream,
-    /// The trace of its present request, where requests are traced.
+    /// The trace of the current request, if requests are traced.
     pub(crate) trace: RefCell<Option<Rc<RequestTrace>>>,
     slots: Rc<SlotCounters>,
-    /// A request of it is being answered.
+    /// Whether a request on the connection is being answered.
     pub(crate) busy: Cell<bool>,
-    /// It has sent a complete and valid request.
+    /// Whether the client has sent a complete and valid request.
     pub(crate) proven: Cell<bool>,
-    /// At least one request on it was answered.
+    /// Whether at least one request on the connection was answered.
     pub(crate) answered: Cell<bool>,
-    /// Its last response said `Connection: close`.
+    /// Whether the last response had `Connection: close`.
     pub(crate) announced_close: Cell<bool>,
-    /// When it was accepted or last answered.
+    /// When the connection was accepted or last answered.
     pub(crate) idle_since: Cell<Time>,
-    /// It holds no slot any more: it was chosen for eviction, or has ended.
+    /// Whether the connection has released its slot: it was chosen for eviction or has ended.
     pub(crate) slot_released: Cell<bool>,
-    /// Wakes the task that serves it to close it, now or after its next response.
+    /// Wakes the task that serves the connection, to close it now or after its next response.
     pub(crate) close_requested: Notify,
-    /// When reading the body of its request began; `None` once that is complete.
+    /// When reading the current request's body began; `None` while no body is being read.
     pub(crate) body_since: Cell<Option<Time>>,
-    /// Wakes the reader of that body: it was admitted or evicted.
+    /// Wakes the reader of that body when the body is admitted or evicted.
     pub(crate) body_changed: Notify,
 }
 
 impl Client {
-    /// A connection that takes a slot.
+    /// Creates a connection that takes a slot.
     pub(crate) fn new(number: u64, stream: Stream, accepted_at: Time, slots: Rc<SlotCounters>) -> Client {
         slots.active.set(slots.active.get() + 1);
         Client {
@@ -66,19 +66,19 @@
         }
     }
 
-    /// Notes that it has sent a complete and valid request.
-    pub(crate) fn prove(&self) {
+    /// Marks the client as having sent a complete and valid request.
+    pub(crate) fn mark_proven(&self) {
         if !self.proven.replace(true) && !self.slot_released.get() {
             self.slots.proven.set(self.slots.proven.get() + 1);
         }
     }
 
-    /// Whether it holds no slot any more: while it is open that means that it was chosen for eviction.
+    /// Returns whether the slot is released. While the connection is open, this means that it was chosen for eviction.
     pub(crate) fn is_slot_released(&self) -> bool {
         self.slot_released.get()
     }
 
-    /// Frees its slot, once, while it may still be open.
+    /// Releases the slot if it is still held. The connection itself may stay open.
     pub(crate) fn release_slot(&self) {
         if !self.slot_released.replace(true) {
             self.slots.active.set(self.slots.active.get() - 1);
--- a/crates/http/src/counters.rs
+++ b/crates/http/src/counters.rs
@@ -1,4 +1,4 @@
-//! What happened on clients' connections since the last periodic report.
+//! Counts of events on client connections since the last periodic report.
 
 use crate::close_reason::CloseCounts;
 use std::cell::Cell;
@@ -24,19 +24,19 @@
     pub(crate) accepted: Counter,
     /// Connections chosen for eviction.
     pub(crate) evicted: Counter,
-    /// Requests rejected by a check of the front.
+    /// Requests rejected by a check before they reach the driver.
     pub(crate) rejected: Counter,
-    /// Bodies that did not come in time, or made room for others.
+    /// Request bodies that arrived too slowly or were evicted to make room for others.
     pub(crate) slow_bodies: Counter,
-    /// Requests rejected as there was no room for their bodies.
+    /// Requests rejected because there was no room for their bodies.
     pub(crate) bodies_without_room: Counter,
-    /// Connections that have ended, by reason.
+    /// Connections that ended, by reason.
     pub(crate) closed: CloseCounts,
 }
 
 impl Counters {
-    /// The part of the periodic log line that is about clients; `clients` and `unproven` are connections now. Begins
-    /// anew.
+    /// Returns the part of the periodic log line that is about clients, and resets the counts. `clients` and `unproven`
+    /// are the current numbers of connections.
     pub(crate) fn take_report(&self, clients: usize, unproven: usize) -> String {
         format!(
             "clients {clients} unproven {unproven} accepted {} evicted {} rejected {} \
--- a/crates/http/src/eviction.rs
+++ b/crates/http/src/eviction.rs
@@ -1,94 +1,94 @@
-//! Which connection is closed to make room for another: [`eviction_order`] decides by plain data, and the sockets of its
-//! candidates are asked one after the other.
+//! Chooses the connection that is closed to make room for another. [`eviction_order`] ranks the candidates by their recorded
+//! state; the sockets are then checked one by one in that order.
 
 use crate::connection::Client;
 use crate::rules::MIN_AGE_FOR_EVICTION;
 use crate::server::Server;
 use shaletide_balancer::Time;
 
-/// Connections that never sent a complete request may take one part in so many of the connection limit; while they take more,
-/// they are evicted first at any age.
+/// Connections that never sent a complete request may use the connection limit divided by this number. While they use more,
+/// they are evicted first, whatever their age.
 const UNPROVEN_DIVISOR: usize = 4;
 
-/// A connection, as far as the choice depends on it without its socket.
+/// The state of a connection by which it is ranked for eviction. The state of its socket is not part of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Candidate<K> {
     /// The connection.
     pub key: K,
-    /// One of its requests is being answered.
+    /// Whether a request on the connection is being answered.
     pub busy: bool,
-    /// It has sent a complete and valid request.
+    /// Whether the client has sent a complete and valid request.
     pub proven: bool,
-    /// It was chosen before, and holds no slot any more.
+    /// Whether the connection was already chosen and has released its slot.
     pub slot_released: bool,
-    /// When it was accepted or last answered.
+    /// When the connection was accepted or last answered.
     pub idle_since: Time,
-    /// The body of its request is being read since then.
+    /// When reading the body of its request began; `None` while no body is being read.
     pub body_since: Option<Time>,
 }
 
 impl<K> Candidate<K> {
-    /// Its first request may still be on its way.
+    /// Returns whether the connection's first request may still be on its way.
     fn is_new(&self, now: Time) -> bool {
         now - self.idle_since < MIN_AGE_FOR_EVICTION
     }
 
-    /// The body that it is sending has taken long enough to be evicted.
-    fn sends_slowly(&self, now: Time, crowded_by_unproven: bool) -> bool {
-        let at_once = crowded_by_unproven && !self.proven;
+    /// Returns whether the connection is sending a body that has taken long enough for the connection to be evicted.
+    fn sends_slowly(&self, now: Time, too_many_unproven: bool) -> bool {
+        let at_once = too_many_unproven && !self.proven;
         self.body_since.is_some_and(|since| at_once || now - since >= MIN_AGE_FOR_EVICTION)
     }
 
-    /// Its rank, and since when it has been idle or sending a body.
-    fn rank(&self, now: Time, crowded_by_unproven: bool) -> (EvictionRank, Time) {
+    /// Returns the rank, and the time since which the connection has been idle or sending a body.
+    fn rank(&self, now: Time, too_many_unproven: bool) -> (EvictionRank, Time) {
         if let Some(since) = self.body_since {
             return (EvictionRank::Unproductive, since);
         }
-        let is_protected_by_age = !crowded_by_unproven && self.is_new(now);
+        let is_protected_by_age = !too_many_unproven && self.is_new(now);
         let rank =
             if self.proven || is_protected_by_age { EvictionRank::Idle } else { EvictionRank::Unproductive };
         (rank, self.idle_since)
     }
 
-    /// Bytes that were read protect it, as they may be part of a request.
+    /// Returns whether bytes already read protect the connection, as they may be part of a request.
     fn is_protected_by_input(&self, now: Time) -> bool {
         self.proven || self.is_new(now)
     }
 }
 
-/// In which order connections are evicted.
+/// Rank of a connection; lower ranks are evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// Their bodies come slowly, or they never sent a complete request though they had the time.
+    /// The connection sends a body slowly, or has not sent a complete request although it had time to.
     Unproductive,
-    /// All others.
+    /// All other connections.
     Idle,
 }
 
-/// The connections that may be evicted, first choice first, by their rank and how long they have been idle or sending a
-/// body. `crowded_by_unproven`: connections that never sent a complete request take too many slots, so that their age
-/// protects none of them.
+/// Returns the connections that may be evicted, first choice first, ordered by rank and by how long they have been idle or
+/// sending a body. `too_many_unproven` means that connections that never sent a complete request hold too many slots; none
+/// of them is then protected by its age.
 fn eviction_order<K>(
-    now: Time, crowded_by_unproven: bool, candidates: impl Iterator<Item = Candidate<K>>,
+    now: Time, too_many_unproven: bool, candidates: impl Iterator<Item = Candidate<K>>,
 ) -> Vec<Candidate<K>> {
     let may_be_evicted =
-        |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, crowded_by_unproven)) && !c.slot_released;
+        |c: &Candidate<K>| (!c.busy || c.sends_slowly(now, too_many_unproven)) && !c.slot_released;
     let mut order: Vec<_> = candidates.filter(may_be_evicted).collect();
-    order.sort_by_key(|c| c.rank(now, crowded_by_unproven));
+    order.sort_by_key(|c| c.rank(now, too_many_unproven));
     order
 }
 
 impl Server {
-    /// Closes the connection that [`eviction_order`] names first and on which no request waits to be read. Whether
-    /// there was one.
+    /// Evicts the first connection in [`eviction_order`] on which no request is waiting to be read. Returns whether there
+    /// was one.
     pub(crate) fn evict_one(&self) -> bool {
         let now = self.driver.clock.now();
-        let crowded_by_unproven = self.unproven() > self.max_clients / UNPROVEN_DIVISOR;
+        let too_many_unproven = self.unproven() > self.max_clients / UNPROVEN_DIVISOR;
         let clients = self.clients.borrow();
         let candidates = clients.values().map(|client| client.candidate());
-        // The kernel is asked of one candidate after the other, and not of all clients: a system call for each of
-        // some hundred clients at each eviction took all the processor time that there was.
-        let order = eviction_order(now, crowded_by_unproven, candidates);
+        // Sockets are checked one by one in order, not all in advance: one system call for each of several hundred
+        // clients at each eviction used up all the processor time.
+        let order = eviction_order(now, too_many_unproven, candidates);
         let Some(chosen) =
             order.into_iter().find(|c| !c.key.has_request_waiting(c.is_protected_by_input(now)))
         else {
@@ -96,9 +96,9 @@
         };
         let client = chosen.key;
         self.counters.evicted.increment();
-        client.release_slot(); // another call at the same moment chooses another
+        client.release_slot(); // the next call chooses another connection
         match client.body_since.get() {
-            Some(_) => client.body_changed.notify_one(), // its request is answered: too slow
+            Some(_) => client.body_changed.notify_one(), // its request is answered with 408
             None => client.close_requested.notify_one(),
         }
         true
@@ -117,8 +117,8 @@
         }
     }
 
-    /// By what its socket says at this moment: bytes that were read count only with `any_input`, bytes that were not
-    /// always do.
+    /// Checks the socket for a request that is waiting to be read. Unread bytes always count; bytes that were already read
+    /// count only with `any_input`.
     fn has_request_waiting(&self, any_input: bool) -> bool {
         self.stream.has_pending_input() && (any_input || self.stream.has_unread_bytes())
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,6 @@
-//! The HTTP front: accepts clients' connections, reads and checks their requests, hands them to the driver and writes the
-//! responses; and carries out the exchange with a backend for the driver. It holds no pool and decides nothing on one.
+//! The HTTP server side of the proxy: accepts client connections, reads and checks requests, submits them to the driver and
+//! writes the responses. It also performs the HTTP exchange with a backend on behalf of the driver. It holds no pools and
+//! makes no balancing decisions.
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: how they are opened and in which order they are asked for the next connection.
+//! Opens listening sockets, and accepts connections from them in rotation.
 
 use shaletide_net::listen_failure;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 /// Length of the kernel's accept queue.
 const BACKLOG: u32 = 1024;
 
-/// The call in which listening failed.
+/// The system call that failed when a listener was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenCall {
-    /// Making the socket and setting its options.
+    /// Creating the socket and setting its options.
     Socket,
-    /// Binding it to its address.
+    /// Binding the socket to its address.
     Bind,
-    /// Listening on it.
+    /// Listening on the socket.
     Listen,
 }
 
-/// Why an address is not listened on.
+/// A failure to listen on an address.
 #[derive(Debug)]
 pub struct ListenError {
     /// The address.
@@ -32,7 +32,7 @@
 }
 
 impl ListenError {
-    /// Whether the same call may succeed later.
+    /// Returns whether the same call may succeed later.
     pub fn may_pass(&self) -> bool {
         listen_failure(&self.source).may_pass()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-/// A socket that is bound to its address and does not listen yet.
+/// A socket that is bound to its address but does not listen yet.
 #[derive(Debug)]
 pub struct BoundSocket {
     socket: TcpSocket,
@@ -63,20 +63,20 @@
 }
 
 impl BoundSocket {
-    /// Binds an address, also while connections of an earlier process linger there.
+    /// Binds an address, even while connections of an earlier process linger in the kernel.
     ///
     /// # Errors
-    /// Those of the system calls.
+    /// If a system call fails.
     pub fn bind(address: SocketAddr) -> Result<BoundSocket, ListenError> {
         BoundSocket::bind_with(address, false)
     }
 
-    /// The same for an address that another socket has reserved: bound with `SO_REUSEPORT`, by the same user. The kernel
-    /// deals connections out among all sockets that listen on such an address, so the caller makes sure that no other
-    /// does.
+    /// Binds an address that another socket of the same user has reserved by binding it with `SO_REUSEPORT`. The kernel
+    /// distributes connections among all sockets that listen on such an address, so the caller must ensure that no other
+    /// socket listens on it.
     ///
     /// # Errors
-    /// Those of the system calls.
+    /// If a system call fails.
     pub fn bind_reserved(address: SocketAddr) -> Result<BoundSocket, ListenError> {
         BoundSocket::bind_with(address, true)
     }
@@ -93,10 +93,10 @@
         Ok(BoundSocket { socket, address })
     }
 
-    /// Begins to listen.
+    /// Starts to listen.
     ///
     /// # Errors
-    /// Those of the system call: another socket may have begun to listen meanwhile.
+    /// If the system call fails, for example because another socket has started to listen on the address.
     pub fn listen(self) -> Result<TcpListener, ListenError> {
         let address = self.address;
         let listener = self.socket.listen(BACKLOG);
@@ -104,15 +104,15 @@
     }
 }
 
-/// Opens a listening socket, also while connections of an earlier process linger in the kernel.
+/// Opens a listening socket, even while connections of an earlier process linger in the kernel.
 ///
 /// # Errors
-/// Those of the system calls.
+/// If a system call fails.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     BoundSocket::bind(address)?.listen()
 }
 
-/// Accepts the next connection from any of the listeners. They are asked in rotation by `count`, so that one busy
+/// Accepts the next connection from any of the listeners. They are polled in rotation, starting at `count`, so that one busy
 /// address does not starve the others.
 pub(crate) async fn accept_any(
     listeners: &[TcpListener], count: u64,
--- a/crates/http/src/outgoing.rs
+++ b/crates/http/src/outgoing.rs
@@ -1,4 +1,4 @@
-//! A checked request as it is handed to the driver.
+//! Prepares a checked request for the driver.
 
 use crate::connection::Client;
 use crate::request::{number, ParsedHead};
@@ -27,10 +27,10 @@
 }
 
 impl Server {
-    /// Prepares a request for the driver, by its head, its body and the time by which it has to be answered.
+    /// Prepares a request for the driver from its head, its body and its deadline.
     ///
     /// # Errors
-    /// Its target or its route cannot be used, though the head has been checked.
+    /// If the target or the route cannot be used although the head has been checked.
     pub(crate) fn outgoing(
         &self, client: &Client, rules: &Rules, head: Parts, parsed: ParsedHead, body: Bytes, deadline: Time,
     ) -> Result<OutgoingRequest, RequestError> {
@@ -64,7 +64,7 @@
         Ok(OutgoingRequest { id, deadline, spec, tenant: parsed.tenant_name, key: parsed.key, forwarded })
     }
 
-    /// Gives an id to a request that came without one.
+    /// Generates an id for a request that arrived without one, and adds it to the headers.
     fn add_id(
         &self, client: &Client, rules: &Rules, headers: &mut HeaderMap,
     ) -> Result<HeaderValue, RequestError> {
@@ -75,7 +75,8 @@
     }
 }
 
-/// What the balancer decides by. The driver sets the number and the time left, the engine whether the request may fail over.
+/// The data by which the balancer decides. The driver sets the request's number and the time left; the engine sets whether
+/// the request may fail over.
 fn arrival(headers: &HeaderMap, parsed: &ParsedHead) -> Arrival {
     let work_hint_us = headers.get(WEIGHT_HINT_HEADER).and_then(number);
     Arrival {
@@ -89,7 +90,7 @@
     }
 }
 
-/// Path and query of a target.
+/// Returns the path and the query of a target.
 fn origin_form(target: &Uri) -> Result<Uri, RequestError> {
     let origin = target.path_and_query().ok_or(RequestError::InvalidTarget)?;
     origin.as_str().parse().map_err(|_| RequestError::InvalidTarget)
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,4 +1,4 @@
-//! The checks of a request's head before the request is accepted, and what is read from it.
+//! Checks a request's head before the request is accepted, and reads its attributes.
 
 mod attributes;
 mod class;
@@ -23,29 +23,29 @@
 use shaletide_routing::{RequestAttributes, RouteId};
 use std::collections::HashSet;
 
-/// The longest id of a request, in bytes.
+/// Maximum length of a request id in bytes.
 const MAX_ID: usize = 128;
 
-/// What is read from a request's head.
+/// The attributes read from a request's head.
 pub struct ParsedHead {
     pub class: ClassId,
-    /// `None`: it names none, or one that is not known.
+    /// `None` if the request names no tenant or an unknown one.
     pub tenant: Option<TenantId>,
-    /// As the request names it, known or not. Only where requests are recorded.
+    /// The tenant's name as in the request, known or not. Set only if requests are recorded.
     pub tenant_name: Option<String>,
-    /// Of a class that is not safe, if the request has one. Only where requests are recorded.
+    /// The idempotency key of a request whose class is not safe. Set only if requests are recorded.
     pub key: Option<String>,
-    /// `None`: the proxy has to generate one.
+    /// `None` if the proxy has to generate the id.
     pub id: Option<HeaderValue>,
-    /// How long its client waits, at most its class's deadline.
+    /// How long the client waits, at most the deadline of the class.
     pub time_left: Micros,
     pub route: RouteId,
 }
 
-/// Checks a readiness probe, which has to be a GET without a body.
+/// Checks a readiness probe, which must be a GET without a body.
 ///
 /// # Errors
-/// It is not.
+/// If the method is not GET, or if there is a body or an invalid length.
 pub fn check_probe(rules: &Rules, head: &Parts, body: &Incoming) -> Result<(), RequestError> {
     if head.method != Method::GET {
         return Err(RequestError::ProbeMethod);
@@ -53,10 +53,10 @@
     check_length(rules, head, body)
 }
 
-/// Reads and checks a head. Its target has been checked before: see [`check_target`].
+/// Reads and checks a head. The caller has checked the target with [`check_target`].
 ///
 /// # Errors
-/// The first check that fails.
+/// Returns the error of the first check that fails.
 pub fn read_head(rules: &Rules, head: &Parts, body: &Incoming) -> Result<ParsedHead, RequestError> {
     let class = class_of(rules, head)?;
     let rule = rules.classes.get(class.0).ok_or(RequestError::UnknownClass)?;
@@ -86,7 +86,7 @@
     Ok(id.cloned())
 }
 
-/// The idempotency key of a request of a class that is not safe. A keyed class requires one.
+/// Returns the idempotency key of a request whose class is not safe. A keyed class requires a key.
 fn idempotency_key<'a>(
     rules: &Rules, rule: &ClassRule, head: &'a Parts,
 ) -> Result<Option<&'a str>, RequestError> {
@@ -101,7 +101,7 @@
     Ok(key)
 }
 
-/// How long the client waits.
+/// Returns how long the client waits, at most the deadline of the class.
 fn time_left(rules: &Rules, rule: &ClassRule, headers: &HeaderMap) -> Result<Micros, RequestError> {
     let given = single_header(headers, &rules.time_left_header).map_err(|_| RequestError::InvalidTimeLeft)?;
     let Some(given) = given else { return Ok(rule.deadline) };
@@ -124,7 +124,7 @@
     rules.routes.find(&attributes).ok_or(RequestError::NoRoute)
 }
 
-/// An attribute that requests of this format may not have.
+/// Returns an attribute that the request format may not define.
 fn optional_attribute<'a>(
     location: &Option<AttributeLocation>, head: &'a Parts,
 ) -> Result<Option<&'a str>, RequestError> {
@@ -149,7 +149,8 @@
     Ok(())
 }
 
-/// Hop-by-hop headers are not forwarded: none that the request was checked by may be one of them.
+/// Rejects a `Connection` header that names a header by which the request was checked: headers named there are hop-by-hop
+/// and are not forwarded.
 fn check_connection_header(headers: &HeaderMap, required: &HashSet<HeaderName>) -> Result<(), RequestError> {
     if connection_names(headers).iter().any(|name| required.contains(name)) {
         return Err(RequestError::RequiredHeaderDropped);
--- a/crates/http/src/request/attributes.rs
+++ b/crates/http/src/request/attributes.rs
@@ -1,4 +1,4 @@
-//! Single values read from a head.
+//! Reads single values from a request's head.
 
 use crate::request_error::RequestError;
 use crate::rules::AttributeLocation;
@@ -6,11 +6,11 @@
 use hyper::http::request::Parts;
 use hyper::HeaderMap;
 
-/// A header was given more than once.
+/// Error for a header that was given more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct RepeatedHeader;
 
-/// The text at a location; `None`: there is none.
+/// Returns the text at a location, or `None` if there is none.
 pub(super) fn attribute<'a>(
     location: &AttributeLocation, head: &'a Parts,
 ) -> Result<Option<&'a str>, RequestError> {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A header that may be given once.
+/// Returns the value of a header that may be given at most once.
 pub(super) fn single_header<'a>(
     headers: &'a HeaderMap, name: &HeaderName,
 ) -> Result<Option<&'a HeaderValue>, RepeatedHeader> {
@@ -39,7 +39,7 @@
     }
 }
 
-/// A number that can be a time span or an amount: finite and not negative.
+/// Parses a number that can be a duration or an amount: finite and not negative.
 pub fn number(value: &HeaderValue) -> Option<f64> {
     let text = value.to_str().ok()?;
     text.trim().parse().ok().filter(|number: &f64| number.is_finite() && *number >= 0.0)
--- a/crates/http/src/request/class.rs
+++ b/crates/http/src/request/class.rs
@@ -1,4 +1,4 @@
-//! Which class a request is of, by its path or a header.
+//! Determines the class of a request from its path or a header.
 
 use super::attributes::attribute;
 use super::path::percent_decoded;
@@ -7,11 +7,11 @@
 use hyper::http::request::Parts;
 use shaletide_balancer::ClassId;
 
-/// The class that a request names: of the names with several segments the longest that the path has there, otherwise the
-/// single segment, otherwise the default class.
+/// Returns the class of a request. In a path, the longest matching class name of several segments is preferred, then the
+/// name of a single segment, then the default class.
 ///
 /// # Errors
-/// There is no such class, or a backend could find another one in the path.
+/// If there is no such class, or if a backend could find a different class in the path.
 pub(super) fn class_of(rules: &Rules, head: &Parts) -> Result<ClassId, RequestError> {
     let named = attribute(&rules.class, head)?.and_then(|name| rules.class_by_name.get(name)).copied();
     match rules.class {
@@ -20,7 +20,7 @@
             let path = head.uri.path();
             let multi = multi_segment_class(rules, path.split('/').skip(segment).map(str::as_bytes));
             let class = multi.or(named).or(rules.default_class).ok_or(RequestError::UnknownClass)?;
-            if other_readings(rules, path, segment).any(|other| other != class) {
+            if alternative_classes(rules, path, segment).any(|other| other != class) {
                 return Err(RequestError::AmbiguousPath);
             }
             Ok(class)
@@ -28,7 +28,7 @@
     }
 }
 
-/// The class whose name has several segments, with which these segments of a path begin.
+/// Returns the class whose name has several segments and is a prefix of these path segments.
 fn multi_segment_class<'a>(
     rules: &Rules, segments: impl Iterator<Item = &'a [u8]> + Clone,
 ) -> Option<ClassId> {
@@ -36,9 +36,11 @@
     rules.multi_segment_classes.iter().find(|(name, _)| is_prefix(name)).map(|(_, class)| *class)
 }
 
-/// The classes that a backend could find at that segment of the path if it decodes paths, skips empty segments or removes
-/// parameters.
-fn other_readings<'a>(rules: &'a Rules, path: &'a str, segment: usize) -> impl Iterator<Item = ClassId> + 'a {
+/// Returns the classes that a backend could find at that segment of the path if it decodes paths, skips empty segments or
+/// removes parameters.
+fn alternative_classes<'a>(
+    rules: &'a Rules, path: &'a str, segment: usize,
+) -> impl Iterator<Item = ClassId> + 'a {
     let empty_segments_matter = segment > 1 || !rules.multi_segment_classes.is_empty();
     let is_ambiguous = path.contains(['%', ';']) || empty_segments_matter && path.contains("//");
     let readings = is_ambiguous.then(|| {
@@ -49,7 +51,7 @@
     readings.into_iter().flatten().filter_map(move |path| class_without_parameters(rules, &path, segment))
 }
 
-/// The class at that segment of a path, without empty segments and parameters.
+/// Returns the class at that segment of a path, ignoring empty segments and parameters.
 fn class_without_parameters(rules: &Rules, path: &[u8], segment: usize) -> Option<ClassId> {
     let segments = path.split(|byte| *byte == b'/').filter(|segment| !segment.is_empty());
     let segments: Vec<&[u8]> = segments
--- a/crates/http/src/request/path.rs
+++ b/crates/http/src/request/path.rs
@@ -1,24 +1,24 @@
-//! Paths that every backend reads alike.
+//! Detects paths that backends may interpret differently.
 
 use std::borrow::Cow;
 
-/// Whether every backend finds the same first segment in the path, be it that it normalizes or decodes paths or not: the
-/// path has no `.` or `..` segment, no backslash and no leading `//`, neither as it stands nor decoded once or twice. It is
-/// not decoded more often: no backend does that, and a client could have it done without end.
-pub(super) fn is_plain(path: &str) -> bool {
+/// Returns whether every backend finds the same first segment in the path, whether or not it normalizes or decodes paths.
+/// Such a path has no `.` or `..` segment, no backslash and no leading `//`, in its original form and decoded once or twice.
+/// It is not decoded more often: no backend does that, and a client could choose the number of rounds.
+pub(super) fn is_unambiguous(path: &str) -> bool {
     let once = percent_decoded(path.as_bytes());
     let twice = percent_decoded(&once);
-    !leads_elsewhere(path.as_bytes()) && !leads_elsewhere(&once) && !leads_elsewhere(&twice)
+    !is_ambiguous(path.as_bytes()) && !is_ambiguous(&once) && !is_ambiguous(&twice)
 }
 
-fn leads_elsewhere(path: &[u8]) -> bool {
-    // What follows a semicolon is a parameter to some, and no part of the name.
+fn is_ambiguous(path: &[u8]) -> bool {
+    // Some backends treat the text after a semicolon as a parameter and not as a part of the segment's name.
     let is_dot_segment =
         |segment: &[u8]| matches!(segment.split(|byte| *byte == b';').next(), Some(b"." | b".."));
     path.starts_with(b"//") || path.contains(&b'\\') || path.split(|byte| *byte == b'/').any(is_dot_segment)
 }
 
-/// The path with each `%` and two hexadecimal digits replaced by the byte that they stand for.
+/// Replaces each `%` with two hexadecimal digits by the byte that it encodes.
 pub(super) fn percent_decoded(path: &[u8]) -> Cow<'_, [u8]> {
     if !path.contains(&b'%') {
         return path.into();
--- a/crates/http/src/request/target.rs
+++ b/crates/http/src/request/target.rs
@@ -1,50 +1,50 @@
-//! The request's target and its host: both have to be read by everybody alike.
+//! Checks the request's target and host, which the proxy and all backends must interpret in the same way.
 
 use super::attributes::single_header;
-use super::path::is_plain;
+use super::path::is_unambiguous;
 use crate::request_error::RequestError;
 use hyper::header::HOST;
 use hyper::http::request::Parts;
 use hyper::Version;
 use std::net::Ipv6Addr;
 
-/// The longest name of a host, in bytes.
+/// Maximum length of a host name in bytes.
 const MAX_NAME: usize = 254;
 
-/// Checks that the target has a path that all backends read alike, and that there is one valid host, the target's where
-/// that has one.
+/// Checks that all backends interpret the target's path in the same way and that there is exactly one valid host, which
+/// equals the target's host if the target has one.
 ///
 /// # Errors
-/// The first check that fails.
+/// Returns the error of the first check that fails.
 pub fn check_target(head: &Parts) -> Result<(), RequestError> {
     let path = head.uri.path();
     if !path.starts_with('/') {
         return Err(RequestError::InvalidTarget);
     }
-    if !is_plain(path) {
+    if !is_unambiguous(path) {
         return Err(RequestError::AmbiguousPath);
     }
     let host = single_header(&head.headers, &HOST).map_err(|_| RequestError::InvalidHost)?;
     let host = match host {
         Some(host) => host.to_str().ok().filter(|host| is_valid_host(host)),
-        None if head.version == Version::HTTP_10 => return Ok(()), // Host is optional there
+        None if head.version == Version::HTTP_10 => return Ok(()), // HTTP/1.0 does not require Host
         None => None,
     };
     let host = host.ok_or(RequestError::InvalidHost)?;
     match head.uri.authority() {
-        Some(authority) if comparable(authority.as_str()) != comparable(host) => {
+        Some(authority) if normalized_host(authority.as_str()) != normalized_host(host) => {
             Err(RequestError::InvalidHost)
         }
         _ => Ok(()),
     }
 }
 
-/// A host in lower case, without the default port.
-fn comparable(host: &str) -> String {
+/// Returns a host in lower case and without the default port.
+fn normalized_host(host: &str) -> String {
     host.strip_suffix(":80").unwrap_or(host).to_ascii_lowercase()
 }
 
-/// A name, an IPv4 address or an IPv6 address in brackets, with a port or without.
+/// Accepts a name, an IPv4 address or an IPv6 address in brackets, with or without a port.
 pub(super) fn is_valid_host(host: &str) -> bool {
     let colon = host.rfind(':').filter(|at| !host[*at..].contains(']'));
     let (name, port) = match colon {
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `request` that need its private items.
 
-use super::path::is_plain;
+use super::path::is_unambiguous;
 use super::target::is_valid_host;
 use super::*;
 use crate::rules::RulesConfig;
@@ -18,10 +18,10 @@
 }
 
 fn rules() -> Rules {
-    Rules::new(def())
+    Rules::new(config())
 }
 
-fn def() -> RulesConfig {
+fn config() -> RulesConfig {
     let class = |name: &str, effect, methods: &[Method]| ClassRule {
         name: name.into(),
         idempotency: effect,
@@ -54,9 +54,9 @@
     }
 }
 
-/// `Connection` may name headers that nobody goes by.
+/// `Connection` may name headers that neither the proxy nor a backend uses.
 #[test]
-fn connection_header_may_not_name_required_headers() {
+fn connection_header_that_names_a_required_header_is_rejected() {
     let required_headers = &rules().required_headers;
     for line in ["close", "keep-alive, x-private", "", " , ,", "te", "x-account-2", "idempotency key"] {
         assert_eq!(
@@ -76,12 +76,12 @@
         "x-time-left",
         "x-weight-hint",
     ] {
-        let odd = format!("close,\t{} ", name.to_uppercase());
-        for line in [name, &odd] {
-            let mut two = headers(&[("connection", "close")]);
-            two.append("connection", HeaderValue::from_str(line).unwrap());
+        let with_close = format!("close,\t{} ", name.to_uppercase());
+        for line in [name, &with_close] {
+            let mut combined = headers(&[("connection", "close")]);
+            combined.append("connection", HeaderValue::from_str(line).unwrap());
             assert_eq!(
-                check_connection_header(&two, required_headers),
+                check_connection_header(&combined, required_headers),
                 Err(RequestError::RequiredHeaderDropped),
                 "{line:?}"
             );
@@ -92,41 +92,45 @@
 #[test]
 fn repeated_routing_header_is_rejected() {
     let key = AttributeLocation::Header(HeaderName::from_static("idempotency-key"));
-    let at = |lines: &[(&'static str, &'static str)], place: &AttributeLocation| {
+    let read = |lines: &[(&'static str, &'static str)], location: &AttributeLocation| {
         let mut parts = hyper::Request::builder().uri("/read//k9").body(()).unwrap().into_parts().0;
         parts.headers = headers(lines);
-        attribute(place, &parts).map(|text| text.map(String::from))
+        attribute(location, &parts).map(|text| text.map(String::from))
     };
     let name = "idempotency-key";
-    assert_eq!(at(&[(name, "k")], &key), Ok(Some("k".into())));
-    assert_eq!(at(&[], &key), Ok(None));
-    assert_eq!(at(&[(name, "k"), (name, "k")], &key), Err(RequestError::InvalidAttribute));
-    assert_eq!(at(&[(name, "")], &key), Ok(Some(String::new())));
-    for (part, found) in [(1, Some("read")), (2, None), (3, Some("k9")), (4, None)] {
-        assert_eq!(at(&[], &AttributeLocation::Path(part)), Ok(found.map(String::from)));
+    assert_eq!(read(&[(name, "k")], &key), Ok(Some("k".into())));
+    assert_eq!(read(&[], &key), Ok(None));
+    assert_eq!(read(&[(name, "k"), (name, "k")], &key), Err(RequestError::InvalidAttribute));
+    assert_eq!(read(&[(name, "")], &key), Ok(Some(String::new())));
+    for (segment, expected) in [(1, Some("read")), (2, None), (3, Some("k9")), (4, None)] {
+        assert_eq!(read(&[], &AttributeLocation::Path(segment)), Ok(expected.map(String::from)));
     }
 }
 
 #[test]
-fn retry_after_is_never_rounded_down() {
+fn retry_after_is_rounded_up_to_whole_seconds() {
     let rules = rules();
     assert_eq!(rules.retry_after(Micros(1)), "1");
     assert_eq!(rules.retry_after(Micros(1_200_000)), "2");
-    assert_eq!(rules.retry_after(Micros(9_000_000)), "2", "the longest advice given");
+    assert_eq!(rules.retry_after(Micros(9_000_000)), "2", "limited to max_retry_after");
 }
 
-/// The longest class name that a path begins with is taken.
+/// The longest class name that is a prefix of the path is used.
 #[test]
 fn class_name_may_span_several_path_segments() {
-    let mut def = def();
+    let mut config = config();
     for (name, effect) in [
         ("read/all", Idempotency::Safe),
         ("read/all/pay", Idempotency::NonIdempotent),
         ("a//b", Idempotency::Safe),
     ] {
-        def.classes.push(ClassRule { name: name.into(), idempotency: effect, ..def.classes[0].clone() });
+        config.classes.push(ClassRule {
+            name: name.into(),
+            idempotency: effect,
+            ..config.classes[0].clone()
+        });
     }
-    let rules = Rules::new(def);
+    let rules = Rules::new(config);
     let class = |path: &str| {
         let parts = hyper::Request::builder().uri(path).body(()).unwrap().into_parts().0;
         class_of(&rules, &parts).map(|class| rules.classes[class.0].name.clone())
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn path_with_dot_segments_or_backslashes_is_not_plain() {
+fn path_with_dot_segments_or_backslashes_is_ambiguous() {
     for path in [
         "/",
         "/read",
@@ -184,7 +188,7 @@
         "/read/%25",
         "/read/\u{e9}",
     ] {
-        assert!(is_plain(path), "{path}");
+        assert!(is_unambiguous(path), "{path}");
     }
     let dots = [".", "..", "%2e", "%2E", ".%2e", "%2e.", "%2E%2e", "..;", "..;a=b", "..%3b", "%252e%252E"];
     for dots in dots {
@@ -198,17 +202,17 @@
             format!("/read/a%2F{dots}"),
             format!("/read/{dots}%252fpay"),
         ] {
-            assert!(!is_plain(&path), "{path}");
+            assert!(!is_unambiguous(&path), "{path}");
         }
     }
     for path in ["//", "//pay", "/%2fpay", "/\\pay", "/read\\k", "/read/a%5cb", "/read/a%5Cb", "/read/%255cb"]
     {
-        assert!(!is_plain(path), "{path}");
+        assert!(!is_unambiguous(path), "{path}");
     }
 }
 
 #[test]
-fn host_header_is_a_name_or_address_with_optional_port() {
+fn host_is_valid_only_as_name_or_address_with_optional_port() {
     for host in ["s", "service.internal", "S-1.a_b.", "10.1.0.18:8443", "s:0", "[::1]", "[fd00::1]:80"] {
         assert!(is_valid_host(host), "{host}");
     }
@@ -255,7 +259,7 @@
 }
 
 #[test]
-fn absolute_target_must_match_the_host_header() {
+fn absolute_target_that_differs_from_the_host_header_is_rejected() {
     let check = |target: &str, host: Option<&str>, version: Version| {
         let mut request = hyper::Request::builder().uri(target).version(version);
         if let Some(host) = host {
--- a/crates/http/src/request_error.rs
+++ b/crates/http/src/request_error.rs
@@ -1,59 +1,61 @@
-//! Why a request is rejected before the driver gets it, and the response to it: the one place that turns an error of a
-//! client's into a status and a text.
+//! Reasons for which a request is rejected before it reaches the driver. Client errors are mapped to a status and a text
+//! only here.
 
 use crate::rules::Rules;
 use hyper::StatusCode;
 use shaletide_balancer::ClassId;
 use std::borrow::Cow;
 
-/// Why a request is rejected. The connection ends with the response, as what follows may be no request at all.
+/// The reason for which a request is rejected. The connection ends after the response, because the bytes that follow may not
+/// be a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// It names no class that there is.
+    /// The request names no known class.
     UnknownClass,
-    /// No route matches it.
+    /// No route matches the request.
     NoRoute,
-    /// It has no id, more than one, or one that is empty or too long.
+    /// The request has no id, several ids, or an id that is empty or too long.
     InvalidId,
-    /// Another open request has this id.
+    /// Another open request has the same id.
     IdInUse,
-    /// Its class does not allow its method: taken for more idempotent than it is, it would be retried to its harm.
+    /// The class does not allow the method. If such a request were accepted, it could be treated as more idempotent than it
+    /// is and be executed twice by a retry.
     MethodNotAllowed(ClassId),
-    /// Its class requires exactly one idempotency key, not empty.
+    /// The class requires exactly one idempotency key that is not empty.
     InvalidKey,
-    /// Its key, or its tenant's name, is longer than the record keeps.
+    /// The key or the tenant's name is longer than the record can store.
     KeyTooLong,
-    /// An attribute that it is routed by is given twice, or is not plain text.
+    /// An attribute used for routing is given twice or is not plain text.
     InvalidAttribute,
-    /// The time left is no number of seconds, or is given twice.
+    /// The time left is not a number of seconds, or is given twice.
     InvalidTimeLeft,
-    /// It has a transfer encoding: hyper hides the length where both are given, and a second request may be hidden in
+    /// The request has a transfer encoding. If a length is given too, hyper hides it, and a second request may be hidden in
     /// the body.
     TransferEncoding,
-    /// The length is not that of the request.
+    /// The length does not match the request.
     LengthMismatch,
-    /// Its body is longer than allowed.
+    /// The body is longer than allowed.
     BodyTooLong,
-    /// Its body cannot be read.
+    /// The body cannot be read.
     MalformedBody,
-    /// Its body did not come in time, or made room for others.
+    /// The body arrived too slowly, or was evicted to make room for another.
     BodyTooSlow,
-    /// Its client has closed the connection, or its sending on it, before it was accepted.
+    /// The client closed the connection, or its sending side, before the request was accepted.
     ClientClosed,
-    /// Its target has no path.
+    /// The target has no path.
     InvalidTarget,
-    /// `Connection` names a header that has to go on to the backend.
+    /// `Connection` names a header that must be forwarded to the backend.
     RequiredHeaderDropped,
-    /// The readiness probe is answered to GET only.
+    /// The readiness probe has a method other than GET.
     ProbeMethod,
-    /// A backend that normalizes paths could find another class in it.
+    /// A backend that normalizes paths could find a different class in the path.
     AmbiguousPath,
-    /// The host is missing, given twice, invalid or not that of the target.
+    /// The host is missing, given twice, invalid or different from the target's host.
     InvalidHost,
 }
 
 impl RequestError {
-    /// The status and the text of the response to it.
+    /// Returns the status and the body of the response.
     pub(crate) fn answer(self, rules: &Rules) -> (StatusCode, String) {
         (self.status(), format!("{}\n", self.text(rules)))
     }
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Clients read these: they stay as they are.
+    /// Returns the text of the response. Clients may match these texts, so they must not change.
     fn text(self, rules: &Rules) -> Cow<'static, str> {
         let text = match self {
             RequestError::InvalidId => return format!("{}: expected exactly one", rules.id_header).into(),
@@ -116,7 +118,7 @@
         text.into()
     }
 
-    /// The methods that the response has in its `Allow` header, if it has one.
+    /// Returns the value of the response's `Allow` header, if it has one.
     pub(crate) fn allowed_methods(self, rules: &Rules) -> Option<String> {
         match self {
             RequestError::ProbeMethod => Some("GET".into()),
--- a/crates/http/src/request_id.rs
+++ b/crates/http/src/request_id.rs
@@ -1,4 +1,4 @@
-//! Request ids: generated for requests without one, and unique among open requests.
+//! Generates ids for requests that have none, and keeps ids unique among open requests.
 
 use crate::server::Server;
 use hyper::header::HeaderValue;
@@ -6,9 +6,9 @@
 use std::collections::HashSet;
 
 impl Server {
-    /// Generates an id for a request without one, different from all generated before.
+    /// Generates an id that differs from all ids generated before.
     pub(crate) fn generate_id(&self) -> Option<HeaderValue> {
-        // SplitMix64 is a bijection of its state: no value repeats.
+        // SplitMix64 is a bijection of its state, so no value repeats.
         let next = self.id_state.get().wrapping_add(0x9e37_79b9_7f4a_7c15);
         self.id_state.set(next);
         let mixed = (next ^ (next >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -17,17 +17,17 @@
     }
 }
 
-/// Keeps the id of an open request from being used twice.
+/// Reserves the id of an open request until dropped, so that no other request can use it.
 pub(crate) struct OpenIdGuard<'a> {
     ids: &'a RefCell<HashSet<HeaderValue>>,
     id: HeaderValue,
 }
 
 impl<'a> OpenIdGuard<'a> {
-    /// `None` where a request of that id is open.
+    /// Reserves `id`. Returns `None` if a request with that id is open.
     pub(crate) fn new(ids: &'a RefCell<HashSet<HeaderValue>>, id: HeaderValue) -> Option<OpenIdGuard<'a>> {
-        let fresh = ids.borrow_mut().insert(id.clone());
-        fresh.then_some(OpenIdGuard { ids, id })
+        let is_unused = ids.borrow_mut().insert(id.clone());
+        is_unused.then_some(OpenIdGuard { ids, id })
     }
 }
 
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,4 +1,4 @@
-//! Responses that the proxy generates, and the choice between them and a backend's as the final response.
+//! Builds the responses that the proxy generates, and selects the final response: a generated one or a backend's.
 
 use crate::request_error::RequestError;
 use crate::rules::Rules;
@@ -12,8 +12,8 @@
 use shaletide_record::{KeyConflict, KeyDecision};
 use shaletide_routing::{client_response, ClientResponse, FinalDecision};
 
-/// The response to a request that the record does not let be sent.
-pub(crate) fn record_rejection(
+/// Returns the response to a request that the record does not allow to be sent.
+pub(crate) fn key_decision_response(
     rules: &Rules, decision: KeyDecision,
 ) -> Result<Response<Full<Bytes>>, RequestError> {
     match decision {
@@ -24,26 +24,26 @@
     }
 }
 
-/// 409 for a key that is not sent to any backend.
+/// Returns 409 for a request that is not sent to any backend because of its key.
 fn key_conflict(conflict: KeyConflict) -> Response<Full<Bytes>> {
     let text = match conflict {
         KeyConflict::InFlight => "a request of this key is under way\n",
         KeyConflict::InDoubt => "a request of this key may have run; an operator has to say whether it did\n",
         KeyConflict::Served => "a request of this key was served\n",
     };
-    plain(StatusCode::CONFLICT, text)
+    text_response(StatusCode::CONFLICT, text)
 }
 
-/// 503 with `Retry-After`: the request was not executed.
+/// Returns 503 with `Retry-After` for a request that was not executed.
 pub(crate) fn rejection(rules: &Rules, after: Micros) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
     if let Ok(retry_after) = HeaderValue::try_from(rules.retry_after(after)) {
         response.headers_mut().insert(RETRY_AFTER, retry_after);
     }
     response
 }
 
-/// The response to a request that the driver has answered.
+/// Returns the response to a request that the driver has answered.
 pub(crate) fn final_response(
     rules: &Rules, answer: FinalResponse, forwarded: &ForwardedRequest, is_safe: bool,
 ) -> Response<Full<Bytes>> {
@@ -55,11 +55,11 @@
     match client_response(answer.decision, error_responses, is_safe, last) {
         ClientResponse::Forward => match backend_response {
             Some(response) => forward(response),
-            None => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            None => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
         },
         ClientResponse::Reject(after) => rejection(rules, after),
-        ClientResponse::GatewayTimeout => plain(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
-        ClientResponse::BadGateway => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+        ClientResponse::GatewayTimeout => text_response(StatusCode::GATEWAY_TIMEOUT, "timed out\n"),
+        ClientResponse::BadGateway => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     }
 }
 
@@ -70,8 +70,8 @@
     response
 }
 
-/// A response with a text body.
-pub(crate) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+/// Returns a response with a text body.
+pub(crate) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -1,4 +1,4 @@
-//! The rules by which requests are read and checked: made of a configuration once, and replaced as a whole at a reload.
+//! The rules by which requests are read and checked. They are built from a configuration and replaced as a whole at a reload.
 
 use hyper::header::{HeaderName, CONTENT_LENGTH, HOST};
 use hyper::Method;
@@ -8,77 +8,77 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Up to this age a connection that has sent no request ranks with the idle ones, and bytes of it that were read protect
-/// it; a body that is being read is not chosen at all. While connections that never sent a request are too many, their age
-/// gives none of them that rank, and those that send a body may be chosen at once.
+/// Minimum age for eviction. Below this age, a connection that has sent no request ranks with the idle ones, bytes already
+/// read from it protect it, and a connection whose body is being read is not evicted. While too many connections have never
+/// sent a request, their age does not give them that rank, and those that send a body may be evicted at once.
 pub(crate) const MIN_AGE_FOR_EVICTION: Micros = Micros(100_000);
 
-/// What is checked of the requests of a class.
+/// The checks that apply to the requests of a class.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// What a second execution of a request would do.
+    /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The methods that its requests may have.
+    /// The methods that requests may have.
     pub methods: Vec<Method>,
-    /// How long a client waits at most.
+    /// The longest time that a client waits.
     pub deadline: Micros,
 }
 
 /// The configuration of [`Rules`].
 #[derive(Clone, Debug)]
 pub struct RulesConfig {
-    /// Where a request has its attributes.
+    /// Where the attributes are in a request.
     pub format: RequestFormat,
-    /// The classes in the order of their numbers.
+    /// The classes in the order of their ids.
     pub classes: Vec<ClassRule>,
-    /// The tenants in the order of their numbers.
+    /// The tenants in the order of their ids.
     pub tenants: Vec<String>,
-    /// The routes, of which the first that matches is taken.
+    /// The routes; the first match is used.
     pub routes: Vec<Route>,
-    /// The proxy's own zone, for requests that name none.
+    /// The proxy's own zone, used for requests that name none.
     pub zone: String,
     /// The longest `Retry-After`.
     pub max_retry_after: Micros,
-    /// `Retry-After` in whole seconds, as HTTP has it; otherwise with three decimals.
+    /// Whether `Retry-After` is in whole seconds, as HTTP defines it, or with three decimals.
     pub retry_after_in_whole_seconds: bool,
-    /// How long reading a request's head may take.
+    /// The longest time to read a request's head.
     pub head_timeout: Micros,
-    /// How long reading its body may take.
+    /// The longest time to read a request's body.
     pub body_timeout: Micros,
-    /// The minimum rate of a body, in bytes per second; 0: none.
+    /// The minimum rate of a body in bytes per second; 0 means no minimum.
     pub min_body_bytes_per_s: u64,
     /// How far a body may fall behind that rate.
     pub body_grace: Micros,
-    /// What all bodies being read and those of open requests may reserve together, in bytes.
+    /// The total memory, in bytes, that bodies being read and bodies of open requests may reserve.
     pub max_buffered_body_bytes: usize,
     /// The longest body, in bytes.
     pub max_body: usize,
-    /// Requests are recorded: their tenants' names and their keys are needed.
+    /// Whether requests are recorded, so that tenant names and keys are needed.
     pub records_requests: bool,
-    /// The longest that a shutdown waits for open requests; `None`: as long as the longest deadline.
+    /// The longest time that shutdown waits for open requests; `None` means the longest deadline.
     pub max_stop_duration: Option<Micros>,
 }
 
-/// Where in a head an attribute is.
+/// The location of an attribute in a request's head.
 #[derive(Clone, Debug)]
 pub(crate) enum AttributeLocation {
-    /// The segment of that number of the path; the first has the number 1.
+    /// A path segment by its number, counted from 1.
     Path(usize),
     Header(HeaderName),
 }
 
-/// Where the requests of a route go, and how the responses are judged.
+/// The pools of a route, and how responses from them are classified.
 #[derive(Clone, Debug)]
 pub(crate) struct RouteTarget {
-    /// Its pools, the preferred first.
+    /// The pools in order of preference.
     pub pools: Rc<[PoolId]>,
-    /// What a response means.
+    /// How responses are classified.
     pub response_rules: Rc<ResponseRules>,
 }
 
-/// See the module. Open requests keep the rules by which they were accepted.
+/// The rules by which requests are read and checked. Open requests keep the rules by which they were accepted.
 pub struct Rules {
     pub(crate) class: AttributeLocation,
     pub(crate) default_class: Option<ClassId>,
@@ -89,8 +89,8 @@
     pub(crate) id_header: HeaderName,
     pub(crate) id_required: bool,
     pub(crate) time_left_header: HeaderName,
-    /// Headers that the proxy or a backend goes by. A `Connection` header that names one would remove it on the way,
-    /// after it was checked: a keyed request would lose its key and be retried all the same.
+    /// Headers that the proxy or a backend relies on. A `Connection` header that names one of them would remove it after it
+    /// was checked: a keyed request would lose its key and still be retried.
     pub(crate) required_headers: HashSet<HeaderName>,
     pub(crate) class_by_name: HashMap<String, ClassId>,
     /// The classes whose names have several path segments, the longest first.
@@ -98,7 +98,7 @@
     pub(crate) classes: Vec<ClassRule>,
     pub(crate) tenants: HashMap<String, TenantId>,
     pub(crate) routes: RouteTable,
-    /// By the routes' numbers.
+    /// Indexed by route id.
     pub(crate) route_targets: Vec<RouteTarget>,
     pub(crate) zone: String,
     pub(crate) max_retry_after: Micros,
@@ -111,14 +111,14 @@
     pub(crate) max_stop_duration: Option<Micros>,
 }
 
-/// The platform's header for facts about a request. The proxy passes it on and does not read it.
+/// The platform's header for facts about a request. The proxy forwards it without reading it.
 const FACTS_HEADER: &str = "x-facts";
-/// `1`: the client has sent the request before, and repeats it.
+/// Header with the value `1` if the client is repeating an earlier request.
 pub(crate) const REPEAT_HEADER: &str = "x-repeat";
-/// How much work the client expects the request to be, in microseconds.
+/// Header with the work that the client expects the request to take, in microseconds.
 pub(crate) const WEIGHT_HINT_HEADER: &str = "x-weight-hint";
 
-/// Headers that the platform's backends go by, beside those of the format.
+/// Headers that the platform's backends rely on, in addition to those of the request format.
 const PLATFORM_HEADERS: [HeaderName; 3] = [
     HeaderName::from_static(FACTS_HEADER),
     HeaderName::from_static(REPEAT_HEADER),
@@ -126,7 +126,8 @@
 ];
 
 impl Rules {
-    /// The rules of a configuration, which has been checked: a header's name that is not valid is found in no request.
+    /// Builds the rules from a configuration that has been checked, so that its header names are valid. An invalid name would
+    /// be read as `x-unnamed`.
     pub fn new(config: RulesConfig) -> Rules {
         let format = &config.format;
         Rules {
@@ -140,9 +141,9 @@
             id_required: format.id_required,
             time_left_header: header_name(&format.time_left),
             required_headers: required_headers(format, &config.routes),
-            class_by_name: numbered(config.classes.iter().map(|class| &class.name), ClassId),
+            class_by_name: ids_by_name(config.classes.iter().map(|class| &class.name), ClassId),
             multi_segment_classes: multi_segment_classes(&config.classes),
-            tenants: numbered(config.tenants.iter(), TenantId),
+            tenants: ids_by_name(config.tenants.iter(), TenantId),
             route_targets: config.routes.iter().map(RouteTarget::new).collect(),
             routes: RouteTable::new(config.routes),
             classes: config.classes,
@@ -162,20 +163,20 @@
         }
     }
 
-    /// The longest time that a request may be open.
+    /// Returns the longest time that a request may be open.
     pub(crate) fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 
-    /// The `Allow` header of a class.
+    /// Returns the value of the `Allow` header for a class.
     pub(crate) fn allowed_methods(&self, class: ClassId) -> String {
         let Some(class) = self.classes.get(class.0) else { return String::new() };
         let methods: Vec<&str> = class.methods.iter().map(Method::as_str).collect();
         methods.join(", ")
     }
 
-    /// The `Retry-After` header for that span, at most `max_retry_after`: whole seconds, rounded up, from 1 on, or seconds
-    /// with three decimals.
+    /// Returns the `Retry-After` value for a delay, which is limited to `max_retry_after`: whole seconds, rounded up and at
+    /// least 1, or seconds with three decimals.
     pub(crate) fn retry_after(&self, after: Micros) -> String {
         let seconds = after.min(self.max_retry_after).secs();
         if self.retry_after_in_whole_seconds {
@@ -206,7 +207,7 @@
     }
 }
 
-/// The headers that a request is read, routed or deduplicated by.
+/// Returns the headers by which a request is read, routed or deduplicated.
 fn required_headers(format: &RequestFormat, routes: &[Route]) -> HashSet<HeaderName> {
     let always = [HOST, CONTENT_LENGTH, header_name(&format.id), header_name(&format.time_left)];
     let sources = [
@@ -225,8 +226,8 @@
     always.into_iter().chain(attributes).chain(matched).chain(PLATFORM_HEADERS).collect()
 }
 
-/// Numbers by name, in the order of the names.
-fn numbered<'a, T>(
+/// Maps each name to the id of its position.
+fn ids_by_name<'a, T>(
     names: impl Iterator<Item = &'a String>, number: impl Fn(usize) -> T,
 ) -> HashMap<String, T> {
     names.enumerate().map(|(at, name)| (name.clone(), number(at))).collect()
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one connection until it ends.
+//! Serves the requests on one connection until it ends.
 
 use crate::close_reason::CloseReason;
 use crate::connection::Client;
@@ -18,29 +18,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long the input of a lingering connection is read and discarded.
+/// Time during which the input of a lingering connection is read and discarded.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest request head in bytes; hyper's read buffer is limited to it.
+/// Maximum length of a request head in bytes, set as the limit of hyper's read buffer.
 const MAX_HEAD: usize = 16 * 1024;
-/// An evicted connection that is still open after this time is closed: its client does not read its response.
+/// Time after which an evicted connection that is still open is closed because its client does not read the response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a connection ended.
 pub(crate) struct ServeEnd {
     pub reason: CloseReason,
-    /// Its last response was written completely.
+    /// Whether the last response was written completely.
     pub is_response_written: bool,
 }
 
 impl ServeEnd {
-    fn cut(reason: CloseReason) -> ServeEnd {
+    fn aborted(reason: CloseReason) -> ServeEnd {
         ServeEnd { reason, is_response_written: false }
     }
 }
 
 impl Server {
-    /// Keeps a connection open for some time after its last response. Closing a socket with unread input resets it,
-    /// which could discard the response before the client has read it.
+    /// Keeps a connection open for up to [`LINGER_TIMEOUT`] after its last response. Closing a socket with unread input
+    /// resets the connection, and the client could lose the response before reading it.
     pub(crate) async fn linger(&self, client: &Client) {
         if self.lingering.get() < MAX_LINGERING {
             self.lingering.set(self.lingering.get() + 1);
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Counts a connection that has ended, and checks that no request on it was left without an answer by the proxy's
-    /// doing.
-    pub(crate) fn note_closed(&self, client: &Client, reason: CloseReason) {
+    /// Counts a connection that has ended, and reports a violation if the proxy closed it while a request on it had no
+    /// response.
+    pub(crate) fn record_close(&self, client: &Client, reason: CloseReason) {
         self.counters.closed.add(reason);
         client.trace_closed(self.driver.clock, reason);
         if let Some(begun) = self.stop_begun.get() {
@@ -62,15 +62,15 @@
             let number = client.number;
             let reason = reason.name();
             self.driver.report_violation(&format!(
-                "connection {number} was closed ({reason}) while a request on it had no answer"
+                "connection {number} was closed ({reason}) while a request on it had no response"
             ));
         }
     }
 
-    /// Why a connection that ended without an error has ended.
+    /// Returns the reason for the end of a connection that ended without an error.
     fn reason_of_end(&self, client: &Client) -> CloseReason {
         if client.busy.get() {
-            CloseReason::Client // only its end drops a request that is being answered
+            CloseReason::Client // a request being answered is dropped only when the client ends the connection
         } else if client.announced_close.get() {
             CloseReason::Announced
         } else if client.is_slot_released() {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Serves requests until the connection ends. Not to be dropped midway: requests that are being answered would be
-    /// withdrawn.
+    /// Serves requests until the connection ends. Dropping the future before it completes withdraws the requests being
+    /// answered, so callers must not do that.
     pub(crate) async fn serve(self: &Rc<Self>, client: &Rc<Client>) -> ServeEnd {
         let service = service_fn(|request| self.respond(client, request));
         let mut builder = http1::Builder::new();
@@ -94,12 +94,13 @@
             tokio::select! {
                 ended = connection.as_mut() => return match ended {
                     Ok(()) => ServeEnd { reason: self.reason_of_end(client), is_response_written: true },
-                    Err(error) => ServeEnd::cut(CloseReason::of_error(&error)),
+                    Err(error) => ServeEnd::aborted(CloseReason::of_error(&error)),
                 },
-                // Checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout starts anew.
+                // Idleness is checked when the timeout fires: a request that arrived meanwhile is answered, and the timeout
+                // restarts.
                 _ = close_timeout.as_mut(), if client.slot_released.get() => {
                     if self.is_response_unread(client) {
-                        return ServeEnd::cut(CloseReason::NotRead);
+                        return ServeEnd::aborted(CloseReason::NotRead);
                     }
                     close_timeout.as_mut().reset(tokio::time::Instant::now() + CLOSE_TIMEOUT);
                 }
@@ -109,9 +110,9 @@
                     }
                     let is_idle = client.is_idle();
                     if client.slot_released.get() && !client.proven.get() && is_idle {
-                        return ServeEnd::cut(CloseReason::Evicted); // no request of it is unanswered
+                        return ServeEnd::aborted(CloseReason::Evicted); // no request is unanswered
                     }
-                    // A request that has just arrived is answered first; `answer` then ends the connection.
+                    // A request that has just arrived is answered first; `answer` then sets `Connection: close`.
                     if client.busy.get() || !client.stream.has_pending_input() {
                         connection.as_mut().graceful_shutdown();
                     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Answers a request and notes that its connection is idle again.
+    /// Answers a request, then marks the connection as idle.
     async fn respond(
         self: &Rc<Self>, client: &Rc<Client>, request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -134,7 +135,7 @@
         Ok(response)
     }
 
-    /// Whether the client of an evicted connection has not read its last response for [`CLOSE_TIMEOUT`].
+    /// Returns whether the client of an evicted connection has not read the last response within [`CLOSE_TIMEOUT`].
     fn is_response_unread(&self, client: &Client) -> bool {
         let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
         is_late && client.is_idle()
@@ -142,7 +143,7 @@
 }
 
 impl Client {
-    /// No request of it is being answered or waits to be read, by what the kernel says now.
+    /// Returns whether no request is being answered and the kernel has no unread bytes.
     fn is_idle(&self) -> bool {
         !self.busy.get() && !self.stream.has_unread_bytes()
     }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,5 +1,5 @@
-//! The server's state: connections, request bodies, request ids and counters. The modules beside this one implement
-//! what it does: accept, serve, proxy, evict, shut down.
+//! The server's state: connections, request bodies, request ids and counters. The sibling modules implement its operations:
+//! accept, serve, proxy, evict, shut down.
 
 use crate::connection::{Client, SlotCounters};
 use crate::counters::Counters;
@@ -14,41 +14,42 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The HTTP server in front of the driver.
+/// The HTTP server that submits clients' requests to the driver.
 pub struct Server {
     pub(crate) driver: Rc<Driver>,
     pub(crate) slots: Rc<SlotCounters>,
     pub(crate) rules: RefCell<Rc<Rules>>,
     pub(crate) max_clients: usize,
     pub(crate) clients: RefCell<HashMap<u64, Rc<Client>>>,
-    /// The admission of request bodies, and the connections that send them.
+    /// Admits and evicts request bodies.
     pub(crate) bodies: RefCell<BodyAdmission>,
+    /// The connections that send request bodies.
     pub(crate) body_senders: RefCell<HashMap<BodyId, Rc<Client>>>,
     /// The ids of open requests.
     pub(crate) open_ids: RefCell<HashSet<HeaderValue>>,
-    /// State of the generator of ids for requests without one.
+    /// State of the generator of request ids.
     pub(crate) id_state: Cell<u64>,
     pub(crate) next_connection: Cell<u64>,
-    /// What the log was told of readiness probes.
+    /// State of the log lines about readiness probes.
     pub(crate) readiness_log: ReadinessLog,
-    /// Set during shutdown: when it began.
+    /// When shutdown began; set only during shutdown.
     pub(crate) stop_begun: Cell<Option<Time>>,
-    /// Set during shutdown: no request's deadline is later.
+    /// The upper bound of all requests' deadlines; set only during shutdown.
     pub(crate) stop_deadline: Cell<Option<Time>>,
     /// The latest deadline of all requests accepted so far.
     pub(crate) latest_deadline: Cell<Time>,
     /// Signalled when a connection has ended.
     pub(crate) connection_ended: Notify,
-    /// Connections that linger after their last response.
+    /// Number of connections that linger after their last response.
     pub(crate) lingering: Cell<usize>,
-    /// Accepts that failed since the last that did not.
+    /// Number of consecutive accept failures.
     pub(crate) accept_failures: Cell<u32>,
-    /// Events since the last report.
+    /// Counts of events since the last report.
     pub(crate) counters: Counters,
 }
 
 impl Server {
-    /// A server with a limit on connections; `seed` starts its generator of request ids.
+    /// Creates a server with a limit on connections. `seed` initializes the generator of request ids.
     pub fn new(driver: Rc<Driver>, rules: Rules, max_clients: usize, seed: u64) -> Rc<Server> {
         Rc::new(Server {
             driver,
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Replaces the rules at a reload. Open requests keep the ones by which they were accepted.
+    /// Replaces the rules. Open requests keep the rules by which they were accepted.
     pub fn reload(&self, rules: Rules) {
         self.bodies.borrow_mut().configure(rules.bodies);
         self.rules.replace(Rc::new(rules));
@@ -82,22 +83,22 @@
         self.rules.borrow().clone()
     }
 
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub fn clients(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// How many of them hold a slot.
+    /// Returns the number of connections that hold a slot.
     pub(crate) fn active(&self) -> usize {
         self.slots.active.get()
     }
 
-    /// How many of those have never sent a complete request.
+    /// Returns the number of connections that hold a slot and have never sent a complete request.
     pub(crate) fn unproven(&self) -> usize {
         self.slots.active.get() - self.slots.proven.get()
     }
 
-    /// The part of the periodic log line that is about clients; the counters of events start anew.
+    /// Returns the part of the periodic log line that is about clients, and resets the counts of events.
     pub fn report(&self) -> String {
         self.counters.take_report(self.clients(), self.unproven())
     }
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -15,23 +15,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// How long connections are still accepted after SIGTERM: clients may hear of it up to 0.4 s later.
+/// Time during which connections are still accepted after SIGTERM. Clients may learn of the shutdown up to 0.4 s later.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
-/// The server returns at most this long after SIGTERM plus the longest deadline. SIGKILL follows 0.2 s later at the
-/// soonest, a reserve for a loaded machine.
+/// The server returns within this time after SIGTERM plus the longest deadline. SIGKILL follows at least 0.2 s later; that
+/// is the reserve for a loaded machine.
 const STOP_MARGIN: Micros = Micros(500_000);
-/// The part of that margin that is kept for writing the last responses.
+/// The part of [`STOP_MARGIN`] that is reserved for writing the last responses.
 const FLUSH_TIME: Micros = Micros(100_000);
-/// Accepts of a listener's queue in one turn of the event loop.
+/// Maximum number of connections accepted from one listener's queue in one turn of the event loop.
 const MAX_BACKLOG_ACCEPTS: usize = 4096;
-/// How often idle connections are closed during shutdown.
+/// Interval at which idle connections are closed during shutdown.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A connection without a request is not closed before this age: its request may be on the way.
+/// Minimum age at which a connection without a request is closed, as its first request may still be on its way.
 const NEW_CONNECTION_GRACE: Micros = Micros(300_000);
 
 impl Server {
-    /// Accepts and serves on the listeners that come in until `stop` completes, then answers all accepted requests and
-    /// returns: at once where there is neither a listener nor a connection.
+    /// Serves on the listeners received from `incoming` until `stop` completes, then answers all accepted requests and
+    /// returns. Returns at once if there is neither a listener nor a connection.
     pub async fn run(
         self: Rc<Self>, mut incoming: mpsc::Receiver<TcpListener>, stop: impl Future<Output = ()>,
     ) {
@@ -44,17 +44,17 @@
                 _ = &mut stop => break,
             }
         }
-        // A listener that came in just now may have connections in its queue already.
+        // A listener that was just received may already have connections in its queue.
         incoming.close();
         listeners.extend(std::iter::from_fn(|| incoming.try_recv().ok()));
         self.shut_down(listeners).await;
     }
 
-    /// Accepts for a little longer, answers all accepted requests and returns.
+    /// Accepts connections for [`ACCEPT_AFTER_STOP`], answers all accepted requests and returns.
     async fn shut_down(self: Rc<Self>, mut listeners: Vec<TcpListener>) {
         let begun = self.driver.clock.now();
         let rules = self.rules();
-        // Requests accepted by earlier rules may have later deadlines; where the time to stop is limited, they are
+        // Requests accepted by earlier rules may have later deadlines. If the duration of the shutdown is limited, they are
         // answered before it ends.
         let longest = rules.longest_deadline().max(self.latest_deadline.get() - begun);
         let end = begun + longest.min(rules.max_stop_duration.unwrap_or(longest)) + STOP_MARGIN;
@@ -65,7 +65,7 @@
         self.answer_open_requests(&mut listeners, deadline, rules.max_retry_after).await;
     }
 
-    /// Accepts for [`ACCEPT_AFTER_STOP`], and closes idle connections meanwhile.
+    /// Accepts connections for [`ACCEPT_AFTER_STOP`] and closes idle ones in the meantime.
     async fn accept_after_stop(self: &Rc<Self>, listeners: &[TcpListener]) {
         let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
         let mut accept_end = pin!(tokio::time::sleep(ACCEPT_AFTER_STOP));
@@ -78,10 +78,11 @@
         }
     }
 
-    /// Serves the connections in the accept queues, and returns when all requests have their responses. A client that
-    /// sends half of a request, or does not read its response, does not delay that: at the deadline open requests are given
-    /// up once; then their responses have [`FLUSH_TIME`], and at least some turns of the event loop, as a process that was
-    /// not scheduled for long may find both times over. A listener is closed only once its queue is empty.
+    /// Serves the connections in the accept queues and returns when all requests have their responses. A client that sends
+    /// an incomplete request or does not read its response cannot delay this: at the deadline, the open requests are given
+    /// up, once. Their responses then have [`FLUSH_TIME`] to be written, and at least [`READ_TURNS`] turns of the event loop,
+    /// because both times may have passed while the process was not scheduled. A listener is closed only when its queue is
+    /// empty.
     async fn answer_open_requests(
         self: &Rc<Self>, listeners: &mut Vec<TcpListener>, deadline: Time, retry_after: Micros,
     ) {
@@ -89,7 +90,7 @@
         loop {
             let now = self.driver.clock.now();
             if flush_until.is_none() && now >= deadline {
-                flush_until = Some(now + FLUSH_TIME); // requests that come later have no later deadline
+                flush_until = Some(now + FLUSH_TIME); // requests that arrive later have no later deadline
                 self.driver.give_up_all(retry_after);
             }
             self.close_idle();
@@ -107,18 +108,19 @@
         }
     }
 
-    /// Reports a violation if a request that was read has no response as the program ends.
+    /// Reports a violation if a request that was read has no response when the process exits.
     fn check_all_answered(&self) {
         let clients = self.clients.borrow();
         let is_unanswered = |client: &&Rc<Client>| client.busy.get() && !client.stream.peer_closed();
         let open = clients.values().filter(is_unanswered).count();
         if open > 0 {
-            self.driver.report_violation(&format!("the program ends while {open} requests have no answer"));
+            self.driver
+                .report_violation(&format!("the process exits while {open} requests have no response"));
         }
     }
 
-    /// Admits the connections in a listener's accept queue up to the limit. Whether the queue is empty. The kernel itself
-    /// is asked: the event loop may not have heard of the last ones.
+    /// Admits the connections in a listener's accept queue up to the limit. Returns whether the queue is empty. Calls
+    /// `accept` directly, because the event loop may not have been notified of the most recent connections.
     fn drain_backlog(self: &Rc<Self>, listener: &TcpListener) -> bool {
         let socket = SockRef::from(listener);
         for _ in 0..MAX_BACKLOG_ACCEPTS {
@@ -132,10 +134,10 @@
                     self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, &e);
                     match accept_failure(&e) {
                         AcceptFailure::Connection => {}
-                        AcceptFailure::SystemShortage => return false, // tried again soon
+                        AcceptFailure::SystemShortage => return false, // retried at the next check
                         AcceptFailure::OutOfDescriptors => {
                             self.free_descriptor();
-                            return false; // tried again when a connection has ended
+                            return false; // retried when a connection has ended
                         }
                     }
                 }
@@ -144,16 +146,16 @@
         false
     }
 
-    /// Admits a connection that the event loop does not know yet.
+    /// Registers a connection with the event loop and admits it.
     fn admit_accepted(self: &Rc<Self>, accepted: std::net::TcpStream) {
         match accepted.set_nonblocking(true).and_then(|()| TcpStream::from_std(accepted)) {
             Ok(tcp) => self.admit(tcp),
-            // The event loop has no memory for it: it cannot be served.
+            // The connection cannot be served: the kernel has no memory to register it.
             Err(e) => self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Register, &e),
         }
     }
 
-    /// Closes the connections that have no request open, except new ones. The others end with their response.
+    /// Closes the connections without an open request, except new ones. The others end after their response.
     fn close_idle(&self) {
         let now = self.driver.clock.now();
         for client in self.clients.borrow().values() {
--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests of several modules.
+//! Helpers for the tests of several modules.
 
 use crate::{listen, ClassRule, Rules, RulesConfig, Server};
 use hyper::Method;
@@ -11,8 +11,8 @@
 
 pub(crate) const DEADLINE: Micros = Micros(6_000_000);
 
-/// A front with `max` connection slots, whose one class has a pool without backends: requests wait for one until they time
-/// out.
+/// Returns a server with `max` connection slots and one class, whose pool has no backends: requests are queued until they
+/// time out.
 pub(crate) fn server_without_backends(max: usize) -> Rc<Server> {
     let network = UpstreamConfig {
         connect_timeout: DEADLINE,
@@ -24,21 +24,22 @@
     let driver = Driver::new(Clock::new(), network);
     let spec = PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered };
     let mut config = Config::example();
-    config.classes[0].latency_objective = Micros(2_000_000); // without a backend it is rejected well before that, and after 1 s
+    // Without a backend, a request is rejected after 1 s and well before this time.
+    config.classes[0].latency_objective = Micros(2_000_000);
     let setup = PoolSetup { spec, config };
     let pools = driver.setup(Some((&[], &[])), "a", 1, network, vec![setup]).unwrap();
     tokio::task::spawn_local(driver.clone().run_timers());
-    Server::new(driver, Rules::new(rules_of_one_class(pools)), max, 1)
+    Server::new(driver, Rules::new(single_class_rules(pools)), max, 1)
 }
 
-fn rules_of_one_class(pools: Vec<PoolId>) -> RulesConfig {
+fn single_class_rules(pools: Vec<PoolId>) -> RulesConfig {
     let class = ClassRule {
         name: "pay".into(),
         idempotency: Idempotency::NonIdempotent,
         methods: vec![Method::POST],
         deadline: DEADLINE,
     };
-    let answers = ResponseRules::platform();
+    let platform_rules = ResponseRules::platform();
     RulesConfig {
         format: RequestFormat::platform(),
         classes: vec![class],
@@ -47,7 +48,7 @@
             name: "r".into(),
             conditions: RouteMatch::default(),
             pools,
-            response_rules: answers,
+            response_rules: platform_rules,
         }],
         zone: "a".into(),
         max_retry_after: DEADLINE,
@@ -63,21 +64,21 @@
     }
 }
 
-/// A connection that was just accepted, and its client's end.
+/// Returns a newly accepted connection and the client's end of it.
 pub(crate) async fn accepted() -> (TcpStream, std::net::TcpStream) {
     let listener = listen(([127, 0, 0, 1], 0).into()).unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (listener.accept().await.unwrap().0, client)
 }
 
-/// A client's end of a connection that the front has admitted.
+/// Returns the client's end of a connection that the server has admitted.
 pub(crate) async fn connect_client(server: &Rc<Server>) -> std::net::TcpStream {
     let (tcp, client) = accepted().await;
     server.admit(tcp);
     client
 }
 
-/// All that comes on it until it ends.
+/// Returns all bytes received until the connection ends.
 pub(crate) async fn read_to_end(client: std::net::TcpStream) -> String {
     client.set_nonblocking(true).unwrap();
     let client = TcpStream::from_std(client).unwrap();
@@ -94,5 +95,6 @@
     }
 }
 
-pub(crate) const PAY: &str =
+/// A complete request with a body.
+pub(crate) const PAY_REQUEST: &str =
     "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\nContent-Length: 4\r\n\r\ncash";
--- a/crates/http/src/timer.rs
+++ b/crates/http/src/timer.rs
@@ -1,5 +1,6 @@
-//! hyper's timer on tokio's clock. It fires hyper's timeout for reading request heads, which closes the connection: it
-//! fires only after the sockets were polled, so that hyper reads what has come before it checks the time.
+//! Implements hyper's timer on tokio's clock. hyper uses it for the timeout for reading request heads, after which it closes
+//! the connection. The timer fires only after the sockets were polled, so that hyper reads the received bytes before it
+//! checks the time.
 
 use shaletide_net::timeout;
 use std::future::Future;
@@ -7,11 +8,11 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// Fires hyper's timeout for reading request heads.
+/// The timer for hyper's timeout for reading request heads.
 #[derive(Clone, Copy)]
 pub(crate) struct Timer;
 
-/// hyper requires sleeps that are `Send` and `Sync`.
+/// A sleep that is `Send` and `Sync`, as hyper requires.
 struct Sleep(Pin<Box<dyn Future<Output = ()> + Send + Sync>>);
 
 impl Future for Sleep {
--- a/crates/http/src/timer/tests.rs
+++ b/crates/http/src/timer/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `timer` that need its private items.
 
 use super::*;
-use crate::response::plain;
-use crate::testing::{accepted, PAY};
+use crate::response::text_response;
+use crate::testing::{accepted, PAY_REQUEST};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::StatusCode;
@@ -12,31 +12,31 @@
 use std::io::Write;
 use std::pin::pin;
 
-/// The event loop is late, and hears of a request and of the timeout of its head at once: the request is served.
+/// If the event loop is late and sees a request and its head timeout in the same turn, the request is served.
 #[tokio::test]
 async fn received_request_is_served_although_its_head_timeout_has_passed() {
-    for asked in [0, 1] {
+    for answered in [0, 1] {
         let (tcp, mut client) = accepted().await;
         let stream = Stream::new(tcp);
         let calls = Cell::new(0);
         let service = service_fn(|_| async {
             calls.set(calls.get() + 1);
-            Ok::<_, Infallible>(plain(StatusCode::OK, "x"))
+            Ok::<_, Infallible>(text_response(StatusCode::OK, "x"))
         });
-        let patience = Duration::from_millis(300);
+        let head_timeout = Duration::from_millis(300);
         let mut builder = http1::Builder::new();
-        builder.timer(Timer).header_read_timeout(patience);
+        builder.timer(Timer).header_read_timeout(head_timeout);
         let mut conn = pin!(builder.serve_connection(stream.clone(), service));
-        (0..asked).for_each(|_| client.write_all(PAY.as_bytes()).unwrap());
+        (0..answered).for_each(|_| client.write_all(PAY_REQUEST.as_bytes()).unwrap());
         for _ in 0..100 {
             let poll = std::future::poll_fn(|cx| Poll::Ready(conn.as_mut().poll(cx).is_pending()));
-            assert!(poll.await, "it has ended");
+            assert!(poll.await, "the connection has ended");
             tokio::task::yield_now().await;
         }
-        assert_eq!(calls.get(), asked);
-        client.write_all(PAY.as_bytes()).unwrap();
-        std::thread::sleep(patience * 2); // the loop stands still
-        assert!(conn.await.is_err(), "nothing more comes");
-        assert_eq!(calls.get(), asked + 1, "after {asked}");
+        assert_eq!(calls.get(), answered);
+        client.write_all(PAY_REQUEST.as_bytes()).unwrap();
+        std::thread::sleep(head_timeout * 2); // blocks the event loop
+        assert!(conn.await.is_err(), "the head of the next request times out");
+        assert_eq!(calls.get(), answered + 1, "after {answered} earlier requests");
     }
 }
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The exchange with a backend: writes a client's request on a connection, reads the response and classifies it.
+//! Performs the exchange with a backend: writes a client's request to a connection, reads the response and classifies it.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -19,28 +19,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The longest head of a response in bytes; hyper's read buffer is limited to it.
+/// Maximum length of a response head in bytes, set as the limit of hyper's read buffer.
 const MAX_HEAD: usize = 32 * 1024;
 
-/// A client's request as it is forwarded to backends, and their responses.
+/// A client's request as forwarded to backends, and their responses.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Path and query.
+    /// The path and the query.
     pub uri: Uri,
-    /// Its headers without the hop-by-hop ones.
+    /// The headers without the hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The whole body.
     pub body: Bytes,
-    /// The connection of its client.
+    /// The client's connection.
     pub client: Option<PeerWatch>,
-    /// Its trace, where requests are traced.
+    /// The trace, if requests are traced.
     pub trace: Option<Rc<RequestTrace>>,
-    /// The header that tells a backend how long the proxy waits, in seconds.
+    /// The header that gives a backend the time that the proxy waits, in seconds.
     pub time_left_header: HeaderName,
-    /// How the request's route judges responses.
+    /// How the route classifies responses.
     pub response_rules: Rc<ResponseRules>,
-    /// The responses that may be forwarded, one an attempt at most.
+    /// The responses that may be forwarded, at most one per attempt.
     pub responses: RefCell<Vec<AttemptResponse>>,
 }
 
@@ -54,16 +54,16 @@
 /// A backend's complete response.
 #[derive(Debug)]
 pub struct BackendResponse {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers without the hop-by-hop ones.
+    /// The headers without the hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its whole body.
+    /// The whole body.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// Takes the response to an attempt, and what it counts as if it is the last.
+    /// Removes and returns the response to an attempt, with its summary for the choice of the final response.
     pub fn take(&self, attempt: AttemptNumber) -> Option<(LastResponse, BackendResponse)> {
         let mut responses = self.responses.borrow_mut();
         let at = responses.iter().position(|response| response.attempt == attempt)?;
@@ -72,7 +72,7 @@
         Some((LastResponse { status, not_executed: class == ResponseClass::NotExecuted }, response))
     }
 
-    /// Classifies a response, and keeps it where it may be forwarded.
+    /// Classifies a response, and keeps it if it may be forwarded.
     fn on_response(&self, attempt: AttemptNumber, answered: Answered) -> ExchangeOutcome {
         let Answered { response, reusable, has_excess_bytes } = answered;
         let rules = &self.response_rules;
@@ -109,7 +109,8 @@
     }
 }
 
-/// A header's value; `None` where several differ, as one of them may be the proof that a request was not executed.
+/// Returns a header's value, or `None` if there are several different values, as the header may be the proof that a request
+/// was not executed.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next()?;
@@ -119,7 +120,7 @@
     first.to_str().ok()
 }
 
-/// The request as it is written on a connection to the backend at `to`.
+/// Returns the request to be written to a connection to the backend at `to`.
 fn request_to_backend(
     forwarded: &ForwardedRequest, to: SocketAddr, time_left: Duration,
 ) -> Request<Full<Bytes>> {
@@ -130,7 +131,7 @@
     if let Ok(text) = format!("{:.3}", time_left.as_secs_f64()).parse() {
         request.headers_mut().insert(forwarded.time_left_header.clone(), text);
     }
-    // HTTP/1.1 requires a Host header, which an HTTP/1.0 client need not send.
+    // HTTP/1.1 requires a Host header, which HTTP/1.0 clients may omit.
     if !forwarded.headers.contains_key(HOST) {
         if let Ok(host) = HeaderValue::try_from(to.to_string()) {
             request.headers_mut().insert(HOST, host);
@@ -139,19 +140,19 @@
     request
 }
 
-/// A complete response, and the state of its connection.
+/// A complete response and the state of its connection.
 struct Answered {
     response: BackendResponse,
-    /// The response allows the connection to be reused.
+    /// Whether the response allows the connection to be reused.
     reusable: bool,
-    /// Bytes followed the response.
+    /// Whether bytes followed the response.
     has_excess_bytes: bool,
 }
 
-/// Why there is no complete response. The request may have been executed all the same.
+/// The reason why there is no complete response. The request may have been executed nevertheless.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ExchangeError {
-    /// What was received is no valid response, or took too long.
+    /// The received bytes are not a valid response, or the response took too long.
     InvalidResponse,
     /// The connection was closed.
     Closed,
@@ -167,17 +168,17 @@
     }
 }
 
-/// A response as hyper has read it.
+/// A response as read by hyper.
 struct ReceivedResponse {
     head: Parts,
     body: Bytes,
-    /// A response of this kind has no body, whatever its headers say.
+    /// Whether a response of this kind has no body, regardless of its headers.
     is_bodiless: bool,
 }
 
-/// Writes one request and reads its response. Each exchange uses a new hyper connection on the stream, which returns
-/// excess bytes, so that they cannot pass for the next response. Dropped midway, it leaves a part of either on the
-/// connection, which has to be closed.
+/// Writes one request and reads its response. Each exchange uses a new hyper connection on the stream. That connection
+/// returns excess bytes, so that they cannot be taken for the next response. If the future is dropped before it completes, a
+/// part of the request or response remains on the stream, which must then be closed.
 async fn exchange(
     stream: &Stream, request: Request<Full<Bytes>>, stall: Option<Duration>, max_body: usize,
 ) -> Result<Answered, ExchangeError> {
@@ -204,13 +205,13 @@
 ) -> Result<ReceivedResponse, ExchangeError> {
     let is_head_request = request.method() == Method::HEAD;
     let (head, body) = sender.send_request(request).await?.into_parts();
-    // An unrequested upgrade, and the end of HTTP on this connection: no response to the request.
+    // An unrequested upgrade ends HTTP on this connection and is not a response to the request.
     if head.status.is_informational() {
         return Err(ExchangeError::InvalidResponse);
     }
     let is_bodiless =
         is_head_request || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
-    // Only a length tells a complete body from a truncated one, and two indications may differ.
+    // A body without a length cannot be distinguished from a truncated one, and two length indications may differ.
     let has_length = head.headers.contains_key(CONTENT_LENGTH);
     let has_encoding = head.headers.contains_key(TRANSFER_ENCODING);
     if !is_bodiless && (has_length == has_encoding || body.size_hint().lower() > max_body as u64) {
@@ -223,18 +224,18 @@
     }
 }
 
-/// Whether the backend keeps the connection open after this response.
+/// Returns whether the backend keeps the connection open after this response.
 fn is_reusable(head: &Parts) -> bool {
     let mut options = head.headers.get_all(CONNECTION).iter();
     let closes = options.any(|value| !value.as_bytes().eq_ignore_ascii_case(b"keep-alive"));
     head.version == Version::HTTP_11 && !closes
 }
 
-/// The response without hop-by-hop headers.
+/// Returns the response without hop-by-hop headers.
 fn forwardable(received: ReceivedResponse) -> BackendResponse {
     let status = received.head.status;
     let mut headers = received.head.headers;
-    // Without a body the length is that of the response to GET, and is forwarded.
+    // If a response has no body, its length is that of the response to GET and is forwarded.
     let length = headers.get(CONTENT_LENGTH).filter(|_| received.is_bodiless).cloned();
     strip_hop_by_hop(&mut headers);
     if let Some(length) = length.filter(|_| status != StatusCode::NO_CONTENT) {
@@ -243,9 +244,9 @@
     BackendResponse { status, headers, body: received.body }
 }
 
-/// Acknowledges the parts of a response as they arrive, and returns when a response that has begun is not complete
-/// within `stall`. Invalid bytes, an endless head or a truncated body would otherwise hold the request until its
-/// deadline. Interim responses (1xx) do not begin a response.
+/// Acknowledges the parts of a response as they arrive, and returns when a response that has begun is not complete within
+/// `stall`. Otherwise invalid bytes, an endless head or a truncated body would keep the request open until its deadline.
+/// Interim responses (1xx) do not count as the beginning of a response.
 async fn watch_response(stream: &Stream, stall: Option<Duration>) {
     loop {
         while !stream.final_response_begun() {
@@ -255,7 +256,7 @@
         // Most responses are complete by the next turn of the event loop.
         tokio::task::yield_now().await;
         let parts = async {
-            // Until it turns out to be an interim response.
+            // Ends when the response turns out to be an interim response.
             while stream.interim_responses() == interim {
                 stream.acknowledge();
                 stream.next_bytes().await;
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::io::{Read, Write};
 
-/// A response that stalls is given up only where there is a stall timeout.
+/// A stalled response is given up only if a stall timeout is set.
 #[tokio::test]
 async fn stalled_response_is_invalid_only_when_a_stall_timeout_is_set() {
     for stall in [None, Some(Duration::from_millis(40))] {
@@ -47,10 +47,10 @@
 }
 
 fn request(body: impl Into<Bytes>) -> Rc<ForwardedRequest> {
-    Rc::new(plain(body))
+    Rc::new(forwarded_request(body))
 }
 
-fn plain(body: impl Into<Bytes>) -> ForwardedRequest {
+fn forwarded_request(body: impl Into<Bytes>) -> ForwardedRequest {
     ForwardedRequest {
         method: Method::POST,
         uri: Uri::from_static("/pay/k"),
@@ -64,7 +64,7 @@
     }
 }
 
-async fn connected() -> (Stream, SocketAddr, std::net::TcpStream) {
+async fn connect_pair() -> (Stream, SocketAddr, std::net::TcpStream) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let to = listener.local_addr().unwrap();
     let stream = Stream::new(tokio::net::TcpStream::connect(to).await.unwrap());
@@ -76,15 +76,16 @@
     ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall_timeout: stall, max_body: 64 }
 }
 
-const WHOLE: &[u8] = b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ncash";
+const COMPLETE_RESPONSE: &[u8] = b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ncash";
 
-/// The event loop has not heard of them yet: the kernel has them, and no byte is written.
+/// The bytes, or the end of the stream, are in the kernel, and the event loop has not been notified of them yet. The exchange
+/// fails before a byte is written.
 #[tokio::test]
 async fn bytes_received_before_the_request_is_written_are_not_its_response() {
     for closes in [false, true] {
-        let (stream, to, mut peer) = connected().await;
+        let (stream, to, mut peer) = connect_pair().await;
         match closes {
-            false => peer.write_all(WHOLE).unwrap(),
+            false => peer.write_all(COMPLETE_RESPONSE).unwrap(),
             true => peer.shutdown(std::net::Shutdown::Write).unwrap(),
         }
         let outcome = request("cash").run(spec(&stream, to, None)).await;
@@ -95,20 +96,20 @@
         assert!(stream.is_unwritten());
         drop(stream);
         peer.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        assert_eq!(peer.read(&mut [0; 64]).unwrap_or(0), 0, "nothing was written");
+        assert_eq!(peer.read(&mut [0; 64]).unwrap_or(0), 0, "no byte was written");
     }
 }
 
-/// The body is longer than the kernel takes, so that its last byte is not written when the response comes. On a connection
-/// that has carried another request the response may be to that one; on a new one it cannot.
+/// The body is longer than the kernel's buffers, so that its last byte is not written when the response arrives. On a reused
+/// connection the response may belong to the earlier request; on a new connection it cannot.
 #[tokio::test]
 async fn response_begun_before_the_request_is_written_is_invalid_on_a_reused_connection() {
     for used in [false, true] {
-        let (stream, to, mut peer) = connected().await;
+        let (stream, to, mut peer) = connect_pair().await;
         let backend = std::thread::spawn(move || {
             for _ in 0..=usize::from(used) {
                 let _ = peer.read(&mut [0; 1024]);
-                peer.write_all(WHOLE).unwrap();
+                peer.write_all(COMPLETE_RESPONSE).unwrap();
             }
             peer
         });
@@ -123,34 +124,34 @@
     }
 }
 
-/// The event loop does other things while the rest of a response comes: what the kernel has by then is read before the time
-/// is checked. A response that comes byte by byte gets no more than the timeout from its first byte on.
+/// If the event loop is busy while the rest of a response arrives, the bytes in the kernel are read before the timeout is
+/// checked. A response that arrives byte by byte has no more than the timeout, counted from its first byte.
 #[tokio::test]
 async fn stall_timeout_is_checked_after_reading_what_the_kernel_has() {
     let stall = Some(Duration::from_millis(40));
-    let (stream, to, mut peer) = connected().await;
+    let (stream, to, mut peer) = connect_pair().await;
     let run = tokio::task::LocalSet::new();
     let mut outcome = run
         .run_until(async {
             let task = tokio::task::spawn_local(request("cash").run(spec(&stream, to, stall)));
-            tokio::task::yield_now().await; // it is written
+            tokio::task::yield_now().await; // writes the request
             let _ = peer.read(&mut [0; 1024]);
-            peer.write_all(&WHOLE[..WHOLE.len() - 2]).unwrap();
+            peer.write_all(&COMPLETE_RESPONSE[..COMPLETE_RESPONSE.len() - 2]).unwrap();
             while !stream.final_response_begun() {
                 stream.next_bytes().await;
             }
             for _ in 0..4 {
-                tokio::task::yield_now().await; // its time runs
+                tokio::task::yield_now().await; // starts the timeout
             }
             std::thread::sleep(Duration::from_millis(80));
-            peer.write_all(&WHOLE[WHOLE.len() - 2..]).unwrap();
+            peer.write_all(&COMPLETE_RESPONSE[COMPLETE_RESPONSE.len() - 2..]).unwrap();
             task.await.unwrap()
         })
         .await;
     assert!(matches!(outcome, ExchangeOutcome::Response { .. }), "{outcome:?}");
-    let (stream, to, mut peer) = connected().await;
+    let (stream, to, mut peer) = connect_pair().await;
     std::thread::spawn(move || {
-        for byte in WHOLE.chunks(1) {
+        for byte in COMPLETE_RESPONSE.chunks(1) {
             std::thread::sleep(Duration::from_millis(30));
             let _ = peer.write_all(byte);
         }
@@ -159,24 +160,27 @@
     assert!(matches!(outcome, ExchangeOutcome::InvalidResponse), "{outcome:?}");
 }
 
-/// In whatever parts they come: an interim response starts no timeout, and a final response that has begun gets no more than
-/// the timeout. That once ran from the interim response, and the rest of the final one was not read any more.
+/// An interim response does not start the timeout, and a final response that has begun has no more than the timeout, however
+/// the bytes are split. Guards against a fault in which the timeout ran from the interim response and the rest of the final
+/// response was not read.
 #[tokio::test]
 async fn stall_timeout_covers_a_response_after_interim_responses() {
-    const EARLY: &str = "HTTP/1.1 103 X\r\n\r\n";
-    const HALF: &str = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca";
+    const INTERIM: &str = "HTTP/1.1 103 X\r\n\r\n";
+    const INCOMPLETE: &str = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca";
     let stall = Some(Duration::from_millis(40));
-    for parts in
-        [vec![[EARLY, HALF].concat()], vec![EARLY.into(), HALF.into()], vec![EARLY.repeat(2), HALF.into()]]
-    {
-        let (stream, to, mut peer) = connected().await;
+    for parts in [
+        vec![[INTERIM, INCOMPLETE].concat()],
+        vec![INTERIM.into(), INCOMPLETE.into()],
+        vec![INTERIM.repeat(2), INCOMPLETE.into()],
+    ] {
+        let (stream, to, mut peer) = connect_pair().await;
         let backend = std::thread::spawn(move || {
             let _ = peer.read(&mut [0; 1024]);
             for part in parts {
                 peer.write_all(part.as_bytes()).unwrap();
-                std::thread::sleep(Duration::from_millis(5)); // it may come as one all the same
+                std::thread::sleep(Duration::from_millis(5)); // the parts may still arrive together
             }
-            let _ = peer.read(&mut [0; 1]); // until the proxy gives it up
+            let _ = peer.read(&mut [0; 1]); // until the proxy closes the connection
         });
         let mut outcome = request("cash").run(spec(&stream, to, stall));
         let found = tokio::time::timeout(Duration::from_secs(20), &mut outcome).await;
@@ -184,13 +188,13 @@
         drop((outcome, stream));
         backend.join().unwrap();
     }
-    // An interim response alone starts no timeout.
-    let (stream, to, mut peer) = connected().await;
+    // An interim response alone does not start the timeout.
+    let (stream, to, mut peer) = connect_pair().await;
     let backend = std::thread::spawn(move || {
         let _ = peer.read(&mut [0; 1024]);
-        peer.write_all(EARLY.as_bytes()).unwrap();
+        peer.write_all(INTERIM.as_bytes()).unwrap();
         std::thread::sleep(Duration::from_millis(120));
-        peer.write_all(WHOLE).unwrap();
+        peer.write_all(COMPLETE_RESPONSE).unwrap();
         peer
     });
     let outcome = request("cash").run(spec(&stream, to, stall)).await;
@@ -198,7 +202,8 @@
     drop(backend.join().unwrap());
 }
 
-/// The first of two was once believed: a non-idempotent request that may have been executed was sent again.
+/// Guards against a fault in which the first of two contradicting headers was used: a non-idempotent request that may have
+/// been executed was sent again.
 #[tokio::test]
 async fn contradicting_unprocessed_headers_are_ignored() {
     for (header, class) in [
@@ -210,14 +215,16 @@
         ("X-Unprocessed: \r\n", ResponseClass::Error),
         ("", ResponseClass::Error),
     ] {
-        let (stream, to, mut peer) = connected().await;
+        let (stream, to, mut peer) = connect_pair().await;
         let backend = std::thread::spawn(move || {
             let _ = peer.read(&mut [0; 1024]);
             write!(peer, "HTTP/1.1 503 X\r\n{header}Content-Length: 0\r\n\r\n").unwrap();
             peer
         });
-        let forwarded =
-            Rc::new(ForwardedRequest { response_rules: Rc::new(ResponseRules::platform()), ..plain("cash") });
+        let forwarded = Rc::new(ForwardedRequest {
+            response_rules: Rc::new(ResponseRules::platform()),
+            ..forwarded_request("cash")
+        });
         let outcome = forwarded.run(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::Response { class: c, .. } if c == class),
@@ -227,11 +234,11 @@
     }
 }
 
-/// The event loop may be late between the decision to send and the write: the backend gets the time left at the write.
+/// The event loop may be late between the decision to send and the write: the backend must get the time left at the write.
 #[tokio::test]
 async fn time_left_header_is_computed_when_the_request_is_written() {
-    let (stream, to, mut peer) = connected().await;
-    let run = request("cash").run(spec(&stream, to, None)); // of 20 s
+    let (stream, to, mut peer) = connect_pair().await;
+    let run = request("cash").run(spec(&stream, to, None)); // the deadline is 20 s away
     std::thread::sleep(Duration::from_millis(300));
     let served = std::thread::spawn(move || {
         let mut head = Vec::new();
@@ -240,7 +247,7 @@
             peer.read_exact(&mut byte).unwrap();
             head.push(byte[0]);
         }
-        peer.write_all(WHOLE).unwrap();
+        peer.write_all(COMPLETE_RESPONSE).unwrap();
         String::from_utf8(head).unwrap()
     });
     assert!(matches!(run.await, ExchangeOutcome::Response { class: ResponseClass::Served, .. }));
--- a/crates/shaletide/tests/readiness_probe.rs
+++ b/crates/shaletide/tests/readiness_probe.rs
@@ -64,8 +64,8 @@
             client
         })
         .collect();
-    let line = proxy.log.expect(0, "not ready: no connection is accepted for now");
-    assert!(line.contains("places are taken; 0 of them without a request"), "{line}");
+    let line = proxy.log.expect(0, "not ready: no connection can be accepted");
+    assert!(line.contains("connections are in use, 0 of them without a complete request"), "{line}");
     gate.open();
     drop(clients);
 }
