--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -1,4 +1,4 @@
-//! The command line's side of the socket; it blocks.
+//! The client side of the control socket, for the command line. All calls block.
 
 use crate::command::{Command, Reply, MAX_LINE};
 use crate::socket_file::io_error;
@@ -8,38 +8,39 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Somewhat longer than the other side gives a command.
+/// Time to wait for a reply; somewhat longer than the server's timeout for a command.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(65);
 
-/// Sends a command to a running proxy, and waits for its reply for about a minute.
+/// Sends a command to a running proxy and waits about a minute for its reply.
 ///
 /// # Errors
-/// If no proxy listens there, or no valid reply comes; each error says whether the command may have been carried out.
+/// If no proxy listens on the socket, or no valid reply arrives. Each error states whether the command may have been carried
+/// out.
 pub fn ask(path: &Path, command: &Command) -> Result<Reply, ControlError> {
     ask_within(path, command, REPLY_TIMEOUT)
 }
 
-/// The same; `wait`: what each step of it may take.
+/// Sends a command to a running proxy and waits for its reply. Each read and write takes at most `wait`.
 ///
 /// # Errors
-/// As [`ask`].
+/// The same as for [`ask`].
 pub fn ask_within(path: &Path, command: &Command, wait: Duration) -> Result<Reply, ControlError> {
     command.check().map_err(|error| ControlError::Command(error.to_string()))?;
     let mut line = serde_json::to_vec(command).map_err(|error| ControlError::Command(error.to_string()))?;
     line.push(b'\n');
     if line.len() > MAX_LINE {
-        return Err(ControlError::Command(format!("a command has at most {MAX_LINE} bytes")));
+        return Err(ControlError::Command(format!("the command is longer than {MAX_LINE} bytes")));
     }
     let mut stream = UnixStream::connect(path).map_err(|error| match error.kind() {
         ErrorKind::NotFound | ErrorKind::ConnectionRefused => ControlError::Absent { path: path.into() },
         _ => io_error(path, "connect to", error),
     })?;
     let set = stream.set_read_timeout(Some(wait)).and_then(|()| stream.set_write_timeout(Some(wait)));
-    set.map_err(|error| io_error(path, "talk at", error))?;
+    set.map_err(|error| io_error(path, "set timeouts on", error))?;
     stream.write_all(&line).map_err(|error| no_reply(&error))?;
     let mut answer = Vec::new();
-    let mut bounded = BufReader::new(&stream).take(MAX_LINE as u64);
-    bounded.read_until(b'\n', &mut answer).map_err(|error| no_reply(&error))?;
+    let mut limited = BufReader::new(&stream).take(MAX_LINE as u64);
+    limited.read_until(b'\n', &mut answer).map_err(|error| no_reply(&error))?;
     serde_json::from_slice(&answer).map_err(|error| ControlError::NoReply(error.to_string()))
 }
 
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,16 +1,16 @@
-//! Commands and replies, and their form on the wire: one line of JSON each.
+//! Commands and replies, and their wire format: one line of JSON each.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The longest line, its end included.
+/// Maximum length of a line in bytes, including the line feed.
 pub const MAX_LINE: usize = 64 << 10;
-/// The longest name of an operator, a tenant or a class, in bytes.
+/// Maximum length of the name of an operator, a tenant or a class, in bytes.
 pub const MAX_NAME: usize = 256;
-/// The longest note or text, in bytes.
+/// Maximum length of a note or a text, in bytes.
 pub const MAX_TEXT: usize = 4 << 10;
 
-/// An idempotency key, any bytes; hexadecimal digits on the wire.
+/// An idempotency key of arbitrary bytes, encoded as hexadecimal digits on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(pub Vec<u8>);
@@ -29,64 +29,64 @@
             let digit = |at: usize| char::from(*pair.get(at)?).to_digit(16);
             u8::try_from(digit(0)? * 16 + digit(1)?).ok()
         };
-        digits.map(byte).collect::<Option<Vec<u8>>>().map(Key).ok_or("a key stands in pairs of hex digits")
+        digits.map(byte).collect::<Option<Vec<u8>>>().map(Key).ok_or("a key must be pairs of hex digits")
     }
 }
 
-/// What an operator may ask of a running proxy.
+/// A command from an operator to a running proxy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "command", rename_all = "snake_case", deny_unknown_fields)]
 #[non_exhaustive]
 pub enum Command {
-    /// Is a proxy running?
+    /// Checks that a proxy is running.
     Ping {},
-    /// Whether the attempt of a key in doubt was executed.
+    /// Resolves a key in doubt by stating whether its attempt was executed.
     Resolve {
-        /// The tenant; empty where there is none.
+        /// The tenant; empty if there is none.
         tenant: String,
         /// The class.
         class: String,
         /// The key.
         key: Key,
-        /// It was executed.
+        /// Whether the attempt was executed.
         ran: bool,
-        /// Who says so.
+        /// The operator's name.
         by: String,
-        /// Why.
+        /// The reason for the decision.
         note: String,
     },
-    /// Prune the oldest rows.
+    /// Prunes the oldest rows.
     Prune {
-        /// Those before this time, in microseconds since 1970.
+        /// Rows before this time are pruned; in microseconds since 1970.
         before: u64,
         /// The operator's name.
         by: String,
     },
-    /// Record a correction of an earlier row.
+    /// Records a correction of an earlier row.
     Correct {
-        /// The row.
+        /// The sequence number of the corrected row.
         of: u64,
-        /// Who says so.
+        /// The operator's name.
         by: String,
-        /// What is right.
+        /// The correction.
         text: String,
     },
 }
 
-/// What is wrong with a command's texts.
+/// An invalid text field of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum CommandError {
     /// A field is empty.
     Empty {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
     },
-    /// A field is longer than its bound.
+    /// A field is longer than its maximum.
     TooLong {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
-        /// Its bound, in bytes.
+        /// Its maximum length in bytes.
         max: usize,
     },
 }
@@ -102,7 +102,7 @@
 
 impl std::error::Error for CommandError {}
 
-/// A text of a command, with what it has to keep to.
+/// A text field of a command, with its constraints.
 struct Field<'a> {
     name: &'static str,
     value: &'a str,
@@ -111,22 +111,22 @@
 }
 
 impl Field<'_> {
-    /// The name of an operator or a class.
+    /// Creates a field for the name of an operator or a class.
     fn name<'a>(name: &'static str, value: &'a str) -> Field<'a> {
         Field { name, value, max: MAX_NAME, may_be_empty: false }
     }
 
-    /// A note or a text.
+    /// Creates a field for a note or a text.
     fn text<'a>(name: &'static str, value: &'a str) -> Field<'a> {
         Field { name, value, max: MAX_TEXT, may_be_empty: false }
     }
 }
 
 impl Command {
-    /// Checks that all texts are within their bounds, and that none is empty that may not be.
+    /// Checks that no text field exceeds its maximum length and that no required field is empty.
     ///
     /// # Errors
-    /// The first field that is wrong: an empty one before one that is too long.
+    /// Returns the first empty field, or else the first field that is too long.
     pub fn check(&self) -> Result<(), CommandError> {
         let fields = self.fields();
         let is_missing = |field: &&Field<'_>| !field.may_be_empty && field.value.trim().is_empty();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Names first, then texts.
+    /// Returns the text fields of the command: names first, then notes and texts.
     fn fields(&self) -> Vec<Field<'_>> {
         match self {
             Command::Ping {} => Vec::new(),
@@ -155,15 +155,15 @@
     }
 }
 
-/// What came of a command.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "reply", content = "said", rename_all = "snake_case")]
 #[non_exhaustive]
 pub enum Reply {
-    /// It was done.
+    /// The command was carried out.
     Done(String),
-    /// It was not done, and nothing was changed, or that is not known.
+    /// The command was not carried out and nothing was changed, or its outcome is unknown.
     Refused(String),
-    /// The command is invalid; nothing was changed.
+    /// The command is invalid and nothing was changed.
     Senseless(String),
 }
--- a/crates/control/src/error.rs
+++ b/crates/control/src/error.rs
@@ -1,42 +1,42 @@
-//! What can be wrong with the socket.
+//! Errors of the control socket.
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a socket is not served, or a command not answered.
+/// An error on either side of the control socket.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum ControlError {
-    /// Another process serves it. Nothing was changed.
+    /// Another process serves the socket. Nothing was changed.
     InUse {
-        /// The socket.
+        /// The path of the socket.
         path: PathBuf,
     },
-    /// Something else lies in its place. It was left alone.
+    /// The path is not a socket. The file was not changed.
     NotASocket {
-        /// What lies there.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// No process serves it.
+    /// No process serves the socket.
     Absent {
-        /// Where it would be.
+        /// The path of the socket.
         path: PathBuf,
     },
-    /// The system refused.
+    /// A system call failed.
     Io {
-        /// The socket.
+        /// The path of the file.
         path: PathBuf,
         /// The operation that failed.
         operation: &'static str,
-        /// Why not.
+        /// The error of the system call.
         error: io::Error,
     },
-    /// The command is longer than a line may be, or says too little. It was not sent.
+    /// The command is too long or a field of it is invalid. It was not sent.
     Command(String),
-    /// No answer in time; the command may be carried out yet.
+    /// No reply arrived in time. The command may still be carried out.
     TimedOut,
-    /// The connection was closed, or the reply is invalid; the command may have been carried out.
+    /// The connection was closed or the reply is invalid. The command may have been carried out.
     NoReply(String),
 }
 
@@ -44,15 +44,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ControlError::InUse { path } => write!(f, "another process serves {}", path.display()),
-            ControlError::NotASocket { path } => write!(f, "{} is no socket", path.display()),
+            ControlError::NotASocket { path } => write!(f, "{} is not a socket", path.display()),
             ControlError::Absent { path } => write!(f, "no proxy listens at {}", path.display()),
             ControlError::Io { path, operation, .. } => write!(f, "cannot {operation} {}", path.display()),
-            ControlError::Command(why) => f.write_str(why),
+            ControlError::Command(reason) => f.write_str(reason),
             ControlError::TimedOut => {
-                f.write_str("the proxy does not answer; it may carry the command out yet")
+                f.write_str("the proxy did not reply in time; it may still carry out the command")
             }
-            ControlError::NoReply(why) => {
-                write!(f, "no reply that makes sense ({why}); the command may have been carried out")
+            ControlError::NoReply(reason) => {
+                write!(f, "no valid reply ({reason}); the command may have been carried out")
             }
         }
     }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,8 @@
-//! Operators' commands to a running proxy: one Unix socket for the owner alone, a line of JSON each way.
+//! The control socket, over which operators send commands to a running proxy: a Unix socket that only its owner can open.
+//! Each command and each reply is one line of JSON.
 //!
-//! [`Control::bind`] and [`Control::serve`] are the daemon's side, on its own thread; [`ask`] is the command line's.
-//! What a command does is up to whoever serves; nothing is decided here.
+//! [`Control::bind`] and [`Control::serve`] are the server side, which the proxy runs on its own thread. [`ask`] is the client
+//! side for the command line. The handler passed to [`Control::serve`] carries out the commands.
 #![forbid(unsafe_code)]
 
 mod client;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,4 @@
-//! The daemon's side of the socket.
+//! The server side of the control socket.
 
 use crate::command::{Command, Reply, MAX_LINE};
 use crate::socket_file::{io_error, SocketFile};
@@ -12,16 +12,16 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// So many connections at once; more wait until one is closed.
+/// Maximum number of open connections. Further ones wait until one is closed.
 const MAX_CONNECTIONS: usize = 8;
-/// A line is complete, or a reply written, after this, or the connection is closed.
+/// Time to receive a complete line or to write a reply, after which the connection is closed.
 const LINE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A command that takes longer is answered as one of unknown outcome; it goes on.
+/// Time after which a command is answered with an unknown outcome. The command may still be carried out.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(60);
-/// The pause after a failed accept, such as for want of descriptors.
+/// Delay after a failed accept, for example for lack of file descriptors.
 const ACCEPT_RETRY: Duration = Duration::from_millis(100);
 
-/// A socket that this process holds and does not serve yet. Dropped, it removes the socket.
+/// A socket that this process owns but does not serve yet. Dropping it removes the socket.
 #[derive(Debug)]
 pub struct BoundSocket {
     listener: std::os::unix::net::UnixListener,
@@ -29,18 +29,18 @@
 }
 
 impl BoundSocket {
-    /// Makes the socket, with mode 0600 from the first moment on. What lies beside it under the name with `.lock` says
-    /// whose it is, and stays. Blocks where the disk hangs.
+    /// Creates the socket, with mode 0600 from its creation on. The lock file, whose name is that of the socket with `.lock`
+    /// appended, marks the owner and is not removed. Blocks if the disk hangs.
     ///
     /// # Errors
-    /// If another process serves it, something else lies there, or the system refuses.
+    /// If another process serves the socket, the path is not a socket, or a system call fails.
     pub fn bind(path: &Path) -> Result<BoundSocket, ControlError> {
         let (file, listener) = SocketFile::take(path)?;
         Ok(BoundSocket { listener, file })
     }
 }
 
-/// A socket that this process holds.
+/// A socket that this process owns and listens on.
 #[derive(Debug)]
 pub struct Control {
     listener: UnixListener,
@@ -48,35 +48,36 @@
 }
 
 impl Control {
-    /// As [`BoundSocket::bind`]. To be called within a tokio runtime.
+    /// Creates the socket as [`BoundSocket::bind`] does, and listens on it. Must be called within a tokio runtime.
     ///
     /// # Errors
-    /// If another process serves it, something else lies there, or the system refuses.
+    /// If another process serves the socket, the path is not a socket, or a system call fails.
     pub fn bind(path: &Path) -> Result<Control, ControlError> {
         Control::new(BoundSocket::bind(path)?)
     }
 
-    /// Begins to listen at that socket. To be called within a tokio runtime; makes no call on a disk.
+    /// Listens on a bound socket. Must be called within a tokio runtime. Does not access the disk.
     ///
     /// # Errors
-    /// The system refuses.
+    /// If a system call fails.
     pub fn new(bound: BoundSocket) -> Result<Control, ControlError> {
         let listener = UnixListener::from_std(bound.listener);
-        let listener = listener.map_err(|error| io_error(bound.file.path(), "listen at", error))?;
+        let listener = listener.map_err(|error| io_error(bound.file.path(), "listen on", error))?;
         Ok(Control { listener, _socket_file: bound.file })
     }
 
-    /// Serves for ever, within a `LocalSet`. On one connection one command runs at a time, and its client may disconnect:
-    /// it is carried out all the same. Dropped, this removes the socket, and drops commands in progress.
+    /// Serves the socket and never returns. Must be called within a `LocalSet`. Each connection runs one command at a time,
+    /// which is carried out even if its client disconnects. Dropping the future removes the socket and drops the commands in
+    /// progress.
     pub async fn serve<F: Future<Output = Reply> + 'static>(self, handler: impl Fn(Command) -> F + 'static) {
         let handler = Rc::new(handler);
         let mut open = JoinSet::new();
         loop {
             tokio::select! {
                 accepted = self.listener.accept(), if open.len() < MAX_CONNECTIONS => match accepted {
-                    Ok((stream, _)) => drop(open.spawn_local(connection(stream, Rc::clone(&handler)))),
+                    Ok((stream, _)) => drop(open.spawn_local(serve_connection(stream, Rc::clone(&handler)))),
                     Err(error) => {
-                        tracing::warn!("control: no connection taken: {error}");
+                        tracing::warn!("control: cannot accept a connection: {error}");
                         tokio::time::sleep(ACCEPT_RETRY).await;
                     }
                 },
@@ -86,13 +87,13 @@
     }
 }
 
-async fn connection<F: Future<Output = Reply>>(stream: UnixStream, handler: Rc<impl Fn(Command) -> F>) {
-    let mut read = Vec::new();
+async fn serve_connection<F: Future<Output = Reply>>(stream: UnixStream, handler: Rc<impl Fn(Command) -> F>) {
+    let mut unparsed = Vec::new();
     loop {
-        let Ok(Ok(Some(line))) = timeout(LINE_TIMEOUT, line(&stream, &mut read)).await else { return };
+        let Ok(Ok(Some(line))) = timeout(LINE_TIMEOUT, line(&stream, &mut unparsed)).await else { return };
         let (reply, last) = match line {
-            Line::Whole(line) => (answer(&line, &*handler).await, false),
-            Line::TooLong => (Reply::Senseless(format!("a line has at most {MAX_LINE} bytes")), true),
+            Line::Complete(line) => (handle_line(&line, &*handler).await, false),
+            Line::TooLong => (Reply::Senseless(format!("the line is longer than {MAX_LINE} bytes")), true),
         };
         let Ok(mut text) = serde_json::to_vec(&reply) else { return };
         text.push(b'\n');
@@ -102,7 +103,7 @@
     }
 }
 
-async fn answer<F: Future<Output = Reply>>(line: &[u8], handler: &impl Fn(Command) -> F) -> Reply {
+async fn handle_line<F: Future<Output = Reply>>(line: &[u8], handler: &impl Fn(Command) -> F) -> Reply {
     let command: Command = match serde_json::from_slice(line) {
         Ok(command) => command,
         Err(error) => return Reply::Senseless(error.to_string()),
@@ -110,44 +111,41 @@
     if let Err(error) = command.check() {
         return Reply::Senseless(error.to_string());
     }
-    let late = || {
-        Reply::Refused(format!(
-            "not done within {} s: nobody can tell whether it will be",
-            COMMAND_TIMEOUT.as_secs()
-        ))
-    };
-    timeout(COMMAND_TIMEOUT, handler(command)).await.unwrap_or_else(|_| late())
+    let timed_out =
+        || Reply::Refused(format!("not done within {} s: the outcome is unknown", COMMAND_TIMEOUT.as_secs()));
+    timeout(COMMAND_TIMEOUT, handler(command)).await.unwrap_or_else(|_| timed_out())
 }
 
-/// The socket is not ready, or a signal came first: the call is repeated.
+/// Returns whether the call must be repeated: the socket is not ready, or a signal interrupted the call.
 fn is_transient(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
 
 enum Line {
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     TooLong,
 }
 
-/// The next line without its end; none where the other side has closed. `read`: what has come and is not used up.
-async fn line(stream: &UnixStream, read: &mut Vec<u8>) -> Result<Option<Line>, Error> {
+/// Reads the next line, without the line feed. Returns `None` if the client has closed the connection. `unparsed` holds the
+/// received bytes that follow the last line.
+async fn line(stream: &UnixStream, unparsed: &mut Vec<u8>) -> Result<Option<Line>, Error> {
     let mut searched = 0;
     loop {
-        if let Some(end) = read[searched..].iter().position(|byte| *byte == b'\n') {
-            let mut line: Vec<u8> = read.drain(..=searched + end).collect();
+        if let Some(end) = unparsed[searched..].iter().position(|byte| *byte == b'\n') {
+            let mut line: Vec<u8> = unparsed.drain(..=searched + end).collect();
             line.pop();
-            return Ok(Some(Line::Whole(line)));
+            return Ok(Some(Line::Complete(line)));
         }
-        searched = read.len();
+        searched = unparsed.len();
         if searched >= MAX_LINE {
             return Ok(Some(Line::TooLong));
         }
         stream.readable().await?;
-        let mut some = [0; 4096];
-        let space = some.len().min(MAX_LINE - searched);
-        match stream.try_read(&mut some[..space]) {
+        let mut chunk = [0; 4096];
+        let space = chunk.len().min(MAX_LINE - searched);
+        match stream.try_read(&mut chunk[..space]) {
             Ok(0) => return Ok(None),
-            Ok(count) => read.extend_from_slice(&some[..count]),
+            Ok(count) => unparsed.extend_from_slice(&chunk[..count]),
             Err(error) if is_transient(&error) => {}
             Err(error) => return Err(error),
         }
--- a/crates/control/tests/socket.rs
+++ b/crates/control/tests/socket.rs
@@ -1,4 +1,4 @@
-//! The socket: who gets in, what is refused, what is bounded.
+//! Tests of the control socket: access, rejected commands and bounds.
 
 use rustix::net::{socket_with, AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
 use shaletide_control::{ask, ask_within, Command, Control, ControlError, Key, Reply, MAX_LINE, MAX_TEXT};
@@ -11,56 +11,56 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// What is due at once has come by then, on a loaded machine too.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for an event that is due at once; long enough for a loaded machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A folder of its own, gone at the end.
-struct Folder(PathBuf);
+/// A temporary directory that is removed on drop.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempFolder {
+    fn new() -> TempFolder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let name =
             format!("shaletide-control-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
     fn socket(&self) -> PathBuf {
         self.0.join("c")
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn within<T>(work: impl std::future::Future<Output = T>) -> T {
+fn run_local<T>(work: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, work)
 }
 
-/// Serves on a thread of its own until dropped; what it was told comes back.
-struct Served {
-    told: mpsc::Receiver<Command>,
+/// A control socket server on its own thread until dropped. Received commands are sent to `received`.
+struct TestServer {
+    received: mpsc::Receiver<Command>,
     end: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Served {
-    fn at(path: &Path) -> Served {
-        let (tell, told) = mpsc::channel();
+impl TestServer {
+    fn at(path: &Path) -> TestServer {
+        let (command_sender, received) = mpsc::channel();
         let (end, ended) = tokio::sync::oneshot::channel::<()>();
         let (ready, is_ready) = mpsc::channel();
         let path = path.to_path_buf();
         let thread = std::thread::spawn(move || {
-            within(async move {
+            run_local(async move {
                 let control = Control::bind(&path).unwrap();
                 ready.send(()).unwrap();
                 let handler = move |command: Command| {
-                    tell.send(command.clone()).unwrap();
+                    command_sender.send(command.clone()).unwrap();
                     async move {
                         match command {
                             Command::Ping {} => Reply::Done("here".into()),
@@ -76,11 +76,11 @@
             });
         });
         is_ready.recv().unwrap();
-        Served { told, end: Some(end), thread: Some(thread) }
+        TestServer { received, end: Some(end), thread: Some(thread) }
     }
 }
 
-impl Drop for Served {
+impl Drop for TestServer {
     fn drop(&mut self) {
         drop(self.end.take());
         self.thread.take().unwrap().join().unwrap();
@@ -94,77 +94,77 @@
         key: Key(key.to_vec()),
         ran: false,
         by: "jo".into(),
-        note: "box-7 has no run of it\nsays its log, \"x\"".into(),
+        note: "no execution on backend-7\naccording to its log, \"x\"".into(),
     }
 }
 
 #[test]
-fn command_is_answered_and_only_the_owner_may_connect() {
-    let folder = Folder::new();
-    let served = Served::at(&folder.socket());
+fn command_is_answered_and_socket_is_private_to_its_owner() {
+    let folder = TempFolder::new();
+    let server = TestServer::at(&folder.socket());
     let mode = folder.socket().symlink_metadata().unwrap().permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
     assert_eq!(ask(&folder.socket(), &Command::Ping {}).unwrap(), Reply::Done("here".into()));
-    assert_eq!(served.told.recv().unwrap(), Command::Ping {});
+    assert_eq!(server.received.recv().unwrap(), Command::Ping {});
     let all: Vec<u8> = (0..=255).collect();
     assert!(matches!(ask(&folder.socket(), &resolve(&all)).unwrap(), Reply::Refused(_)));
-    assert_eq!(served.told.recv().unwrap(), resolve(&all));
-    drop(served);
-    assert!(!folder.socket().exists(), "it is taken away");
+    assert_eq!(server.received.recv().unwrap(), resolve(&all));
+    drop(server);
+    assert!(!folder.socket().exists(), "the socket is removed");
 }
 
 #[test]
 fn socket_mode_is_0600_under_any_umask() {
-    // As seen by whoever looks at the folder all the time.
-    let folder = Folder::new();
+    // A thread checks the mode all the time while sockets are created.
+    let folder = TempFolder::new();
     let (stop, stopped) = mpsc::channel::<()>();
-    let (first_sight, sighted) = mpsc::channel::<()>();
+    let (first_seen, is_seen) = mpsc::channel::<()>();
     let path = folder.socket();
-    let looker = std::thread::spawn(move || {
+    let watcher = std::thread::spawn(move || {
         let mut seen = 0;
         while stopped.try_recv() == Err(mpsc::TryRecvError::Empty) {
             let Ok(found) = path.symlink_metadata() else { continue };
             assert_eq!(found.permissions().mode() & 0o077, 0);
             seen += 1;
             if seen == 1 {
-                first_sight.send(()).unwrap();
+                first_seen.send(()).unwrap();
             }
         }
         seen
     });
     for _ in 0..200 {
-        within(async { drop(Control::bind(&folder.socket()).unwrap()) });
+        run_local(async { drop(Control::bind(&folder.socket()).unwrap()) });
     }
-    let _held = Served::at(&folder.socket());
-    // On a busy machine the looker may not have run at all until now.
-    sighted.recv_timeout(Duration::from_secs(20)).unwrap();
+    let _held = TestServer::at(&folder.socket());
+    // On a busy machine, the thread may not have run until now.
+    is_seen.recv_timeout(Duration::from_secs(20)).unwrap();
     std::thread::sleep(Duration::from_millis(5));
     drop(stop);
-    assert!(looker.join().unwrap() > 0);
+    assert!(watcher.join().unwrap() > 0);
 }
 
 #[test]
-fn live_socket_is_in_use_and_a_dead_one_is_replaced() {
-    let folder = Folder::new();
-    let served = Served::at(&folder.socket());
-    within(async {
+fn socket_of_a_live_process_is_in_use_and_that_of_a_dead_one_is_replaced() {
+    let folder = TempFolder::new();
+    let server = TestServer::at(&folder.socket());
+    run_local(async {
         assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::InUse { .. })));
     });
-    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok(), "the first one still serves");
-    drop(served);
-    // A program that knows nothing of our lock.
+    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok(), "the first process still serves");
+    drop(server);
+    // A program that does not use the lock.
     let other = UnixListener::bind(folder.socket()).unwrap();
-    within(async {
+    run_local(async {
         assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::InUse { .. })));
     });
     drop(other);
-    assert!(folder.socket().exists(), "a dead one's file");
+    assert!(folder.socket().exists(), "the file of the closed socket remains");
     assert!(matches!(ask(&folder.socket(), &Command::Ping {}), Err(ControlError::Absent { .. })));
-    let _served = Served::at(&folder.socket());
+    let _served = TestServer::at(&folder.socket());
     assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
 }
 
-/// A listener that accepts nobody, with a queue that takes no more.
+/// Returns a listener that accepts no connections and whose queue is full, and the connections in that queue.
 fn full_listener(path: &Path) -> (OwnedFd, Vec<OwnedFd>) {
     let address = SocketAddrUnix::new(path).unwrap();
     let socket =
@@ -185,66 +185,68 @@
     }
 }
 
-/// Guards against a program that stands still, start, service and stop, as it waits until another one, which listens there and
-/// accepts nobody, takes its connection.
+/// Guards against a proxy that blocks in start, service and stop because its connect to the socket waits for another process
+/// that listens there but accepts no connections.
 #[test]
-fn socket_whose_queue_is_full_is_in_use_at_once() {
-    let folder = Folder::new();
+fn socket_with_full_queue_is_reported_in_use_without_delay() {
+    let folder = TempFolder::new();
     let _full = full_listener(&folder.socket());
     let (done, is_done) = mpsc::channel();
     let path = folder.socket();
     std::thread::spawn(move || {
-        let bound = within(async { Control::bind(&path).map(drop) });
+        let bound = run_local(async { Control::bind(&path).map(drop) });
         done.send(matches!(bound, Err(ControlError::InUse { .. }))).unwrap();
     });
-    assert_eq!(is_done.recv_timeout(PATIENCE), Ok(true));
+    assert_eq!(is_done.recv_timeout(EVENT_TIMEOUT), Ok(true));
 }
 
 #[test]
-fn file_that_is_no_socket_is_left_unchanged() {
-    let folder = Folder::new();
+fn file_that_is_not_a_socket_is_left_unchanged() {
+    let folder = TempFolder::new();
     std::fs::write(folder.socket(), "mine").unwrap();
-    within(async {
+    run_local(async {
         assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::NotASocket { .. })));
-        let nowhere = folder.0.join("no/c");
-        assert!(matches!(Control::bind(&nowhere), Err(ControlError::Io { .. })));
+        let missing_folder = folder.0.join("no/c");
+        assert!(matches!(Control::bind(&missing_folder), Err(ControlError::Io { .. })));
     });
     assert_eq!(std::fs::read(folder.socket()).unwrap(), b"mine");
 }
 
 #[test]
 fn invalid_lines_are_answered_and_the_next_line_is_read() {
-    let folder = Folder::new();
-    let _served = Served::at(&folder.socket());
+    let folder = TempFolder::new();
+    let _served = TestServer::at(&folder.socket());
     let mut stream = UnixStream::connect(folder.socket()).unwrap();
     let mut answers = BufReader::new(stream.try_clone().unwrap()).lines();
-    let mut say = |line: &[u8]| {
+    let mut exchange = |line: &[u8]| {
         stream.write_all(line).unwrap();
         answers.next().unwrap().unwrap()
     };
     for line in ["", "{}", "[1]", "{\"command\":\"dance\"}", "{\"command\":\"ping\",\"more\":1}", "\u{0}"] {
-        assert!(say(format!("{line}\n").as_bytes()).contains("\"senseless\""), "{line}");
+        assert!(exchange(format!("{line}\n").as_bytes()).contains("\"senseless\""), "{line}");
     }
-    assert!(say(b"\xff\xfe\n").contains("\"senseless\""));
-    let odd = "{\"command\":\"resolve\",\"tenant\":\"\",\"class\":\"s\",\"key\":\"0g\",\"ran\":true,\"by\":\"b\",\"note\":\"n\"}\n";
-    assert!(say(odd.as_bytes()).contains("hex digits"));
-    assert!(say(odd.replace("0g", "0a").replace("\"b\"", "\" \"").as_bytes()).contains("by may not be empty"));
-    assert_eq!(say(b"{\"command\":\"ping\"}\n"), "{\"reply\":\"done\",\"said\":\"here\"}");
+    assert!(exchange(b"\xff\xfe\n").contains("\"senseless\""));
+    let invalid_key = "{\"command\":\"resolve\",\"tenant\":\"\",\"class\":\"s\",\
+        \"key\":\"0g\",\"ran\":true,\"by\":\"b\",\"note\":\"n\"}\n";
+    assert!(exchange(invalid_key.as_bytes()).contains("hex digits"));
+    assert!(exchange(invalid_key.replace("0g", "0a").replace("\"b\"", "\" \"").as_bytes())
+        .contains("by may not be empty"));
+    assert_eq!(exchange(b"{\"command\":\"ping\"}\n"), "{\"reply\":\"done\",\"said\":\"here\"}");
 }
 
 #[test]
-fn endless_line_is_rejected_at_the_bound() {
-    let folder = Folder::new();
-    let _served = Served::at(&folder.socket());
+fn line_longer_than_the_maximum_is_rejected() {
+    let folder = TempFolder::new();
+    let _served = TestServer::at(&folder.socket());
     let mut stream = UnixStream::connect(folder.socket()).unwrap();
     stream.write_all(&vec![b' '; MAX_LINE]).unwrap();
-    let said: Vec<String> = BufReader::new(stream).lines().map(Result::unwrap).collect();
-    assert!(said.len() == 1 && said[0].contains("at most"), "answered, and closed: {said:?}");
+    let replies: Vec<String> = BufReader::new(stream).lines().map(Result::unwrap).collect();
+    assert!(replies.len() == 1 && replies[0].contains("longer than"), "answered and closed: {replies:?}");
 }
 
 #[test]
 fn command_that_is_too_long_is_not_sent() {
-    let folder = Folder::new();
+    let folder = TempFolder::new();
     let long = Command::Correct { of: 1, by: "jo".into(), text: "x".repeat(MAX_TEXT + 1) };
     assert!(matches!(ask(&folder.socket(), &long), Err(ControlError::Command(_))));
     assert!(matches!(ask(&folder.socket(), &resolve(&vec![0; MAX_LINE])), Err(ControlError::Command(_))));
@@ -253,16 +255,22 @@
 }
 
 #[test]
-fn hanging_client_delays_no_other_and_excess_connections_wait() {
-    let folder = Folder::new();
-    let served = Served::at(&folder.socket());
-    let hangs = Command::Prune { before: 1, by: "jo".into() };
-    let short = Duration::from_millis(50);
-    assert!(matches!(ask_within(&folder.socket(), &hangs, short), Err(ControlError::TimedOut)));
-    assert_eq!(served.told.recv().unwrap(), hangs);
+fn command_in_progress_delays_no_other_and_excess_connections_wait() {
+    let folder = TempFolder::new();
+    let server = TestServer::at(&folder.socket());
+    let pending_command = Command::Prune { before: 1, by: "jo".into() };
+    let short_timeout = Duration::from_millis(50);
+    assert!(matches!(
+        ask_within(&folder.socket(), &pending_command, short_timeout),
+        Err(ControlError::TimedOut)
+    ));
+    assert_eq!(server.received.recv().unwrap(), pending_command);
     assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
     let idle: Vec<UnixStream> = (0..8).map(|_| UnixStream::connect(folder.socket()).unwrap()).collect();
-    assert!(matches!(ask_within(&folder.socket(), &Command::Ping {}, short), Err(ControlError::TimedOut)));
+    assert!(matches!(
+        ask_within(&folder.socket(), &Command::Ping {}, short_timeout),
+        Err(ControlError::TimedOut)
+    ));
     drop(idle);
     assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
 }
--- a/crates/control/tests/socket_mode.rs
+++ b/crates/control/tests/socket_mode.rs
@@ -1,4 +1,5 @@
-//! The socket's mode while several threads of one process bind. A file of its own: the umask is the process's.
+//! Tests the socket's mode while several threads of one process bind sockets. The test has its own file because the umask is
+//! shared by the whole process.
 
 use shaletide_control::Control;
 use std::os::unix::fs::PermissionsExt;
@@ -13,7 +14,7 @@
     status.lines().find(|line| line.starts_with("Umask:")).unwrap().to_string()
 }
 
-/// Binds a socket in a folder of the thread's own, again and again, and checks its mode each time.
+/// Binds a socket repeatedly in a folder used by this thread only, and checks its mode each time.
 async fn bind_repeatedly(folder: PathBuf) {
     std::fs::create_dir(&folder).unwrap();
     let path = folder.join("socket");
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn sockets_bound_by_several_threads_are_private_and_leave_the_umask_as_it_was() {
+fn sockets_bound_by_several_threads_are_private_and_the_umask_is_restored() {
     let umask_before = umask();
     let start = Barrier::new(THREADS);
     std::thread::scope(|scope| {
