--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -111,8 +111,12 @@
     if let Err(error) = command.check() {
         return Reply::Senseless(error.to_string());
     }
-    let timed_out =
-        || Reply::Refused(format!("not done within {} s: the outcome is unknown", COMMAND_TIMEOUT.as_secs()));
+    let timed_out = || {
+        Reply::Refused(format!(
+            "not done within {} s: the outcome of the command is unknown",
+            COMMAND_TIMEOUT.as_secs()
+        ))
+    };
     timeout(COMMAND_TIMEOUT, handler(command)).await.unwrap_or_else(|_| timed_out())
 }
 
--- a/crates/http/src/request/tests.rs
+++ b/crates/http/src/request/tests.rs
@@ -102,8 +102,8 @@
     assert_eq!(read(&[], &key), Ok(None));
     assert_eq!(read(&[(name, "k"), (name, "k")], &key), Err(RequestError::InvalidAttribute));
     assert_eq!(read(&[(name, "")], &key), Ok(Some(String::new())));
-    for (segment, expected) in [(1, Some("read")), (2, None), (3, Some("k9")), (4, None)] {
-        assert_eq!(read(&[], &AttributeLocation::Path(segment)), Ok(expected.map(String::from)));
+    for (segment, segment_text) in [(1, Some("read")), (2, None), (3, Some("k9")), (4, None)] {
+        assert_eq!(read(&[], &AttributeLocation::Path(segment)), Ok(segment_text.map(String::from)));
     }
 }
 
