--- a/crates/store/examples/child.rs
+++ b/crates/store/examples/child.rs
@@ -1,4 +1,4 @@
-//! A process for the tests to trace, to limit and to kill: it does one thing with a store and says how far it got.
+//! A process that the tests trace, limit and kill. It does one operation on a store and prints its progress.
 
 use std::io::{Read, Write as _};
 use std::time::Instant;
@@ -19,14 +19,14 @@
         ["commit", db, from, count] => commit(db, number(from), number(count)),
         ["prune", db, before, step] => prune(db, number(before), number(step) as usize),
         ["backup", db, to] => open(db).and_then(|store| {
-            say("backup begins");
+            print_line("backup begins");
             store.backup(to.as_ref())
         }),
         _ => panic!("child open|hold|lock|commit|prune|backup DB ..."),
     };
     match done {
-        Ok(()) => say("done"),
-        Err(error) => say(&format!("failed {}: {error}", error.code())),
+        Ok(()) => print_line("done"),
+        Err(error) => print_line(&format!("failed {}: {error}", error.code())),
     }
 }
 
@@ -34,35 +34,35 @@
     text.parse().expect("a number")
 }
 
-/// Says it at once: what is said is what the test knows after a kill.
-fn say(what: &str) {
+/// Prints a line and flushes it at once: after a kill, the test knows only the lines that were printed.
+fn print_line(line: &str) {
     let mut out = std::io::stdout().lock();
-    out.write_all(format!("{what}\n").as_bytes()).and_then(|()| out.flush()).expect("stdout");
+    out.write_all(format!("{line}\n").as_bytes()).and_then(|()| out.flush()).expect("stdout");
 }
 
 fn open(db: &str) -> Result<SqliteStore, StoreError> {
     let began = Instant::now();
     let store = SqliteStore::open(&SqliteOptions::new(db))?;
-    say(&format!("open {}", began.elapsed().as_micros()));
+    print_line(&format!("open {}", began.elapsed().as_micros()));
     Ok(store)
 }
 
-fn wait_for_the_end_of_input() {
+fn wait_for_end_of_input() {
     let _ = std::io::stdin().read(&mut [0]);
 }
 
 fn hold(db: &str) -> Result<(), StoreError> {
     let _store = open(db)?;
-    wait_for_the_end_of_input();
+    wait_for_end_of_input();
     Ok(())
 }
 
-/// Holds the lock of SQLite's writer, as some other program might.
+/// Holds SQLite's write lock, as another program might.
 fn lock(db: &str) -> Result<(), StoreError> {
     let other = Connection::open(db).expect("opens");
     other.execute_batch("BEGIN IMMEDIATE").expect("locks");
-    say("locked");
-    wait_for_the_end_of_input();
+    print_line("locked");
+    wait_for_end_of_input();
     Ok(())
 }
 
@@ -72,7 +72,7 @@
         let key = key(format!("key-{at}"));
         let batch = [take(at, &key), set(at, &key, KeyState::Served)];
         let rows = store.commit(&batch, &plain_sum).map_err(|failed| failed.error)?;
-        say(&format!("acknowledged {}", rows[1].expect("a new key")));
+        print_line(&format!("acknowledged {}", rows[1].expect("a new key")));
     }
     Ok(())
 }
@@ -81,7 +81,7 @@
     let mut store = open(db)?;
     loop {
         let pruned = store.prune(Time(before), step, &pruned, &plain_sum)?;
-        say(&format!("pruned {}", pruned.rows));
+        print_line(&format!("pruned {}", pruned.rows));
         if !pruned.more {
             return Ok(());
         }
--- a/crates/store/examples/commits.rs
+++ b/crates/store/examples/commits.rs
@@ -1,5 +1,5 @@
-//! Commits a second, together against one by one, and how long one takes: `cargo run --release -p shaletide-store
-//! --example commits [DIRECTORY]`. Figures are of the disk that the directory lies on.
+//! Measures the commits per second, grouped and one by one, and the duration of a commit: `cargo run --release -p
+//! shaletide-store --example commits [DIRECTORY]`. The figures depend on the disk of the directory.
 
 use std::path::Path;
 use std::sync::mpsc::channel;
@@ -11,8 +11,8 @@
 use shaletide_store::{SqliteOptions, SqliteStore, Store, Writer, WriterConfig, WriterEvent};
 
 const ROUNDS: usize = 5;
-const ONE_BY_ONE: usize = 2_000;
-const TOGETHER: usize = 20_000;
+const SINGLE_COMMITS: usize = 2_000;
+const GROUPED_COMMITS: usize = 20_000;
 
 fn intent(name: String) -> Vec<Write> {
     let mut write = take(1, &key(name));
@@ -20,9 +20,9 @@
     vec![write]
 }
 
-/// Commits a second by a writer with so many callers, each of which waits for its answer before it asks again, and
-/// how long each waited.
-fn settle(db: &Path, callers: usize, count: usize, batch_rows: usize) -> (f64, Vec<Duration>) {
+/// Returns the commits per second of a writer with this many callers, and how long each request waited. A caller sends its
+/// next request when the previous one is committed.
+fn run_writer(db: &Path, callers: usize, count: usize, batch_rows: usize) -> (f64, Vec<Duration>) {
     let options = SqliteOptions::new(db);
     let (sender, events) = channel();
     let config = WriterConfig { batch_rows, ..WriterConfig::new(1) };
@@ -38,20 +38,20 @@
         writer.send(n as u64, intent(format!("key-{n}"))).expect("queued");
     };
     (0..callers).for_each(|n| send(n, &mut sent));
-    let mut waited = Vec::with_capacity(count);
+    let mut waits = Vec::with_capacity(count);
     for next in callers..count + callers {
         let Ok(WriterEvent::Committed { ticket, .. }) = events.recv() else { panic!("not committed") };
-        waited.push(sent[ticket as usize].elapsed());
+        waits.push(sent[ticket as usize].elapsed());
         if next < count {
             send(next, &mut sent);
         }
     }
     let rate = count as f64 / began.elapsed().as_secs_f64();
     writer.stop(Duration::from_secs(60)).expect("stops");
-    (rate, waited)
+    (rate, waits)
 }
 
-/// The store alone: one commit of so many rows after the other.
+/// Returns the durations of consecutive commits of this many rows, without a writer thread.
 fn commits(db: &Path, rows: usize, count: usize) -> Vec<Duration> {
     let mut store = SqliteStore::open(&SqliteOptions::new(db)).expect("opens");
     let each = (0..count).map(|n| {
@@ -77,22 +77,22 @@
     let mut ratios = Vec::new();
     for round in 0..ROUNDS {
         let file = |name: &str| directory.join(format!("{name}-{round}.db"));
-        let (single, _) = settle(&file("single"), 64, ONE_BY_ONE, 1);
-        let (grouped, waited) = settle(&file("grouped"), 64, TOGETHER, 256);
+        let (single, _) = run_writer(&file("single"), 64, SINGLE_COMMITS, 1);
+        let (grouped, waits) = run_writer(&file("grouped"), 64, GROUPED_COMMITS, 256);
         ratios.push(grouped / single);
         println!(
-            "64 callers: one commit each {single:.0}/s, together {grouped:.0}/s, {:.1} times",
+            "64 callers: one by one {single:.0}/s, grouped {grouped:.0}/s, ratio {:.1}",
             grouped / single
         );
-        println!("  waited, together: {}", quantiles(waited));
-        let (alone, waited) = settle(&file("alone"), 1, ONE_BY_ONE, 256);
-        println!("1 caller: {alone:.0}/s; {}", quantiles(waited));
+        println!("  wait, grouped: {}", quantiles(waits));
+        let (one_caller, waits) = run_writer(&file("alone"), 1, SINGLE_COMMITS, 256);
+        println!("1 caller: {one_caller:.0}/s; {}", quantiles(waits));
     }
     ratios.sort_by(f64::total_cmp);
-    println!("together against one each, in the middle: {:.1} times", ratios[ROUNDS / 2]);
+    println!("grouped to one by one, median ratio: {:.1}", ratios[ROUNDS / 2]);
     for rows in [1, 10, 100] {
         println!(
-            "a commit of {rows}: {}",
+            "a commit of {rows} rows: {}",
             quantiles(commits(&directory.join(format!("rows-{rows}.db")), rows, 2_000))
         );
     }
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -1,13 +1,13 @@
-//! What every store must do, as tests that any of them can be put through.
+//! The conformance suite: tests that every implementation of a store must pass.
 //!
-//! A store's crate calls [`run`] with a way to make an empty one; a failure is a panic that names what was asked.
+//! A test of the implementation calls [`run`] with a function that creates an empty store. A failure is a panic.
 
 use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
 use shaletide_types::Time;
 
 use crate::{holds, verify, Anchor, Broken, CommitOutcome, Head, Query, Store, StoreError, Sums};
 
-/// A sum for tests: it depends on all of the row and of the one before. It is no protection against forgery.
+/// A checksum for tests. It depends on the whole row and on the checksum before it; it does not protect against forgery.
 pub fn plain_sum(before: &[u8; 32], row: &Row) -> [u8; 32] {
     let content = format!(
         "{:?}",
@@ -24,12 +24,12 @@
     sum
 }
 
-/// A key of one tenant and one class.
+/// A key of the tenant `acme` and the class `settle`.
 pub fn key(name: impl Into<Vec<u8>>) -> KeyId {
     KeyId { tenant: "acme".into(), class: "settle".into(), key: name.into() }
 }
 
-/// A row of a kind about a key.
+/// A row of the given kind, with its key and claim.
 pub fn write(at: u64, kind: &str, key: Option<&KeyId>, claim: Claim) -> Write {
     let row = Row {
         seq: 0,
@@ -45,48 +45,48 @@
     Write { row, claim }
 }
 
-/// An intent: a row that takes its key.
+/// An intent row, which takes its key.
 pub fn take(at: u64, key: &KeyId) -> Write {
     write(at, "intent", Some(key), Claim::Take(key.clone()))
 }
 
-/// A row that sets its key's state.
+/// An outcome row, which sets the state of its key.
 pub fn set(at: u64, key: &KeyId, state: KeyState) -> Write {
     write(at, "outcome", Some(key), Claim::Set(key.clone(), state))
 }
 
-/// A row that frees its key.
+/// A withdrawn row, which frees its key.
 pub fn free(at: u64, key: &KeyId) -> Write {
     write(at, "withdrawn", Some(key), Claim::Free(key.clone()))
 }
 
-/// The row that records pruning.
+/// The row that records a pruning step.
 pub fn pruned(anchor: &Anchor) -> Row {
     write(anchor.through.seq, "pruned", None, Claim::None).row
 }
 
-/// All rows behind one.
+/// All rows after the number `after_seq`.
 pub fn all_rows(store: &dyn Store, after_seq: u64) -> Vec<Row> {
     store.rows(&Query { after_seq, limit: usize::MAX, ..Query::default() }).expect("rows")
 }
 
-/// Puts stores that `make` makes, each of them empty, through all of it.
+/// Runs each test of the suite on a new store from `make`, which must return an empty one.
 pub fn run(make: impl Fn() -> Box<dyn Store>) {
     let tests: [fn(&mut dyn Store); 14] = [
-        begins_empty,
-        numbers_and_sums,
-        refuses_a_key_that_is_taken,
-        refuses_within_a_batch,
-        keys_are_apart_by_tenant_and_class,
-        states_of_a_key,
-        keeps_any_bytes,
-        takes_nothing_of_a_batch_with_an_unstorable_row,
-        pages_of_keys,
-        asks_for_rows,
-        forgets_served_keys_only,
-        frees_its_own_and_served_ones,
-        prunes_and_stays_verifiable,
-        backs_up_once,
+        new_store_is_empty,
+        rows_are_numbered_and_chained,
+        taken_key_is_rejected,
+        key_taken_within_a_batch_is_rejected,
+        keys_are_distinct_by_tenant_and_class,
+        key_state_follows_its_writes,
+        any_bytes_are_stored_unchanged,
+        batch_with_an_unstorable_row_is_not_written,
+        keys_are_paged_in_order,
+        query_selects_matching_rows,
+        only_served_keys_are_forgotten,
+        free_own_and_free_served_free_only_their_keys,
+        pruned_record_stays_verifiable,
+        backup_does_not_replace_a_file,
     ];
     for test in tests {
         test(&mut *make());
@@ -101,7 +101,7 @@
     store.keys(None, usize::MAX).expect("keys")
 }
 
-fn begins_empty(store: &mut dyn Store) {
+fn new_store_is_empty(store: &mut dyn Store) {
     assert_eq!(store.head().expect("head"), Head::default());
     assert_eq!(store.anchor().expect("anchor"), None);
     assert!(stored_keys(store).is_empty() && all_rows(store, 0).is_empty());
@@ -109,7 +109,7 @@
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 0);
 }
 
-fn numbers_and_sums(store: &mut dyn Store) {
+fn rows_are_numbered_and_chained(store: &mut dyn Store) {
     let mut odd = write(5, "note", None, Claim::None);
     odd.row = Row { seq: 77, run: u64::MAX, request: Some(u64::MAX), backend: None, sum: [9; 32], ..odd.row };
     assert_eq!(commit(store, &[odd.clone(), write(4, "note", None, Claim::None)]), [Ok(1), Ok(2)]);
@@ -120,7 +120,7 @@
     assert_eq!(
         rows[0],
         Row { sum, ..first },
-        "a row comes back as it was given, with its number and its sum"
+        "a row is read as it was written, with its number and checksum"
     );
     assert_eq!(rows[1].sum, plain_sum(&rows[0].sum, &rows[1]));
     assert_eq!(store.head().expect("head"), Head { seq: 3, sum: rows[2].sum, run: 1 });
@@ -131,7 +131,7 @@
     assert!(matches!(verify(store, &plain_sum, Some(noted)), Err(Broken::Cut { .. })));
 }
 
-fn refuses_a_key_that_is_taken(store: &mut dyn Store) {
+fn taken_key_is_rejected(store: &mut dyn Store) {
     let k = key("k");
     assert_eq!(commit(store, &[take(1, &k)]), [Ok(1)]);
     for (seq, state) in [(2, KeyState::InDoubt), (3, KeyState::Served), (4, KeyState::InFlight)] {
@@ -139,20 +139,20 @@
         assert_eq!(commit(store, &[take(9, &k)]), [Err(ClaimRejection::Taken(state))]);
     }
     assert_eq!(commit(store, &[free(5, &k), take(6, &k)]), [Ok(5), Ok(6)]);
-    assert_eq!(all_rows(store, 0).len(), 6, "of what was refused there is no row");
+    assert_eq!(all_rows(store, 0).len(), 6, "rejected rows are not stored");
 }
 
-fn refuses_within_a_batch(store: &mut dyn Store) {
+fn key_taken_within_a_batch_is_rejected(store: &mut dyn Store) {
     let (a, b) = (key("a"), key("b"));
     let batch =
         [take(1, &a), take(2, &a), take(3, &b), free(4, &b), take(5, &b), set(6, &b, KeyState::InDoubt)];
     let taken = Err(ClaimRejection::Taken(KeyState::InFlight));
     assert_eq!(commit(store, &batch), [Ok(1), taken, Ok(2), Ok(3), Ok(4), Ok(5)]);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 5);
-    assert_eq!(commit(store, &[take(7, &a)]), [taken], "a batch of which nothing is taken");
+    assert_eq!(commit(store, &[take(7, &a)]), [taken], "a batch whose rows are all rejected");
 }
 
-fn keys_are_apart_by_tenant_and_class(store: &mut dyn Store) {
+fn keys_are_distinct_by_tenant_and_class(store: &mut dyn Store) {
     let a = key("k");
     let b = KeyId { tenant: "other".into(), ..a.clone() };
     let c = KeyId { class: "other".into(), ..a.clone() };
@@ -161,22 +161,22 @@
     assert_eq!(stored_keys(store).len(), 4);
 }
 
-fn states_of_a_key(store: &mut dyn Store) {
+fn key_state_follows_its_writes(store: &mut dyn Store) {
     let k = key("k");
-    let is = |state, since, seq| Some(StoredKey { key: key("k"), state, since: Time(since), seq });
+    let expected_key = |state, since, seq| Some(StoredKey { key: key("k"), state, since: Time(since), seq });
     assert_eq!(store.key(&k).expect("key"), None);
     commit(store, &[take(10, &k)]);
-    assert_eq!(store.key(&k).expect("key"), is(KeyState::InFlight, 10, 1));
-    // The clock may be set back meanwhile.
+    assert_eq!(store.key(&k).expect("key"), expected_key(KeyState::InFlight, 10, 1));
+    // The clock may be set back between two writes.
     commit(store, &[write(11, "note", None, Claim::None), set(7, &k, KeyState::InDoubt)]);
-    assert_eq!(store.key(&k).expect("key"), is(KeyState::InDoubt, 7, 3));
+    assert_eq!(store.key(&k).expect("key"), expected_key(KeyState::InDoubt, 7, 3));
     commit(store, &[free(12, &k), free(13, &k)]);
     assert_eq!(store.key(&k).expect("key"), None);
     commit(store, &[set(14, &k, KeyState::Served)]);
-    assert_eq!(stored_keys(store), [is(KeyState::Served, 14, 6).expect("some")]);
+    assert_eq!(stored_keys(store), [expected_key(KeyState::Served, 14, 6).expect("some")]);
 }
 
-fn keeps_any_bytes(store: &mut dyn Store) {
+fn any_bytes_are_stored_unchanged(store: &mut dyn Store) {
     let keys = [
         vec![],
         vec![0],
@@ -202,7 +202,7 @@
     }
 }
 
-fn takes_nothing_of_a_batch_with_an_unstorable_row(store: &mut dyn Store) {
+fn batch_with_an_unstorable_row_is_not_written(store: &mut dyn Store) {
     let (mut late, mut large) = (take(1, &key("late")), take(1, &key("large")));
     late.row.at = Time(u64::MAX);
     large.row.body = "x".repeat(crate::MAX_ROW_BYTES);
@@ -213,7 +213,7 @@
     }
 }
 
-fn pages_of_keys(store: &mut dyn Store) {
+fn keys_are_paged_in_order(store: &mut dyn Store) {
     let batch: Vec<Write> = (0..25u8).rev().map(|n| take(1, &key([n]))).collect();
     commit(store, &batch);
     let mut seen: Vec<StoredKey> = Vec::new();
@@ -230,61 +230,64 @@
 
 const NONE: [u64; 0] = [];
 
-fn asks_for_rows(store: &mut dyn Store) {
+fn query_selects_matching_rows(store: &mut dyn Store) {
     let (a, b) = (key("a"), KeyId { tenant: "other".into(), ..key("b") });
     let mut note = write(8, "note", None, Claim::None);
     note.row.backend = Some("box-2".into());
-    // The third is of a time before the second: the clock was set back.
+    // The third row has an earlier time than the second: the clock was set back.
     commit(
         store,
         &[take(10, &a), take(20, &b), note, set(15, &b, KeyState::InDoubt), set(30, &a, KeyState::Served)],
     );
-    let ask = |query: Query| {
+    let matching_seqs = |query: Query| {
         let limit = if query.limit == 0 { 99 } else { query.limit };
         let rows = store.rows(&Query { limit, ..query }).expect("rows");
         rows.into_iter().map(|row| row.seq).collect::<Vec<_>>()
     };
     let any = Query::default;
-    assert_eq!(ask(any()), [1, 2, 3, 4, 5]);
-    assert_eq!(ask(Query { after_seq: 2, limit: 2, ..any() }), [3, 4]);
-    assert_eq!(ask(Query { after_seq: u64::MAX, ..any() }), NONE);
-    assert_eq!(ask(Query { key: Some(b"a".to_vec()), ..any() }), [1, 5]);
-    assert_eq!(ask(Query { key: Some(b"a".to_vec()), tenant: Some("other".into()), ..any() }), NONE);
-    assert_eq!(ask(Query { tenant: Some("other".into()), ..any() }), [2, 4]);
-    assert_eq!(ask(Query { class: Some("settle".into()), ..any() }), [1, 2, 4, 5]);
-    assert_eq!(ask(Query { request: Some((1, 15)), ..any() }), [4]);
-    assert_eq!(ask(Query { request: Some((2, 15)), ..any() }), NONE);
-    assert_eq!(ask(Query { since: Some(Time(15)), ..any() }), [2, 4, 5]);
-    assert_eq!(ask(Query { since: Some(Time(15)), after_seq: 2, ..any() }), [4, 5]);
-    assert_eq!(ask(Query { until: Some(Time(15)), ..any() }), [1, 3]);
-    assert_eq!(ask(Query { since: Some(Time(u64::MAX)), ..any() }), NONE);
-    assert_eq!(ask(Query { backend: Some("box-2".into()), ..any() }), [3]);
-    assert_eq!(ask(Query { kind: Some("outcome".into()), ..any() }), [4, 5]);
-    assert_eq!(ask(Query { in_doubt: true, ..any() }), [2, 4]);
+    assert_eq!(matching_seqs(any()), [1, 2, 3, 4, 5]);
+    assert_eq!(matching_seqs(Query { after_seq: 2, limit: 2, ..any() }), [3, 4]);
+    assert_eq!(matching_seqs(Query { after_seq: u64::MAX, ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { key: Some(b"a".to_vec()), ..any() }), [1, 5]);
     assert_eq!(
-        ask(Query { in_doubt: true, kind: Some("intent".into()), since: Some(Time(11)), ..any() }),
+        matching_seqs(Query { key: Some(b"a".to_vec()), tenant: Some("other".into()), ..any() }),
+        NONE
+    );
+    assert_eq!(matching_seqs(Query { tenant: Some("other".into()), ..any() }), [2, 4]);
+    assert_eq!(matching_seqs(Query { class: Some("settle".into()), ..any() }), [1, 2, 4, 5]);
+    assert_eq!(matching_seqs(Query { request: Some((1, 15)), ..any() }), [4]);
+    assert_eq!(matching_seqs(Query { request: Some((2, 15)), ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { since: Some(Time(15)), ..any() }), [2, 4, 5]);
+    assert_eq!(matching_seqs(Query { since: Some(Time(15)), after_seq: 2, ..any() }), [4, 5]);
+    assert_eq!(matching_seqs(Query { until: Some(Time(15)), ..any() }), [1, 3]);
+    assert_eq!(matching_seqs(Query { since: Some(Time(u64::MAX)), ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { backend: Some("box-2".into()), ..any() }), [3]);
+    assert_eq!(matching_seqs(Query { kind: Some("outcome".into()), ..any() }), [4, 5]);
+    assert_eq!(matching_seqs(Query { in_doubt: true, ..any() }), [2, 4]);
+    assert_eq!(
+        matching_seqs(Query { in_doubt: true, kind: Some("intent".into()), since: Some(Time(11)), ..any() }),
         [2]
     );
 }
 
-fn forgets_served_keys_only(store: &mut dyn Store) {
+fn only_served_keys_are_forgotten(store: &mut dyn Store) {
     let names = ["old", "new", "doubt", "flying", "old too"];
-    let [old, new, doubt, flying, too] = names.map(key);
+    let [old, new, doubt, flying, also_old] = names.map(key);
     commit(
         store,
         &[set(1, &old, KeyState::Served), set(9, &new, KeyState::Served), set(1, &doubt, KeyState::InDoubt)],
     );
-    commit(store, &[take(1, &flying), set(2, &too, KeyState::Served)]);
+    commit(store, &[take(1, &flying), set(2, &also_old, KeyState::Served)]);
     assert_eq!(store.forget_served(Time(5), 1).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 0);
     let left: Vec<KeyId> = stored_keys(store).into_iter().map(|stored| stored.key).collect();
     assert_eq!(left, [doubt, flying, new]);
     assert_eq!(commit(store, &[take(9, &old)]), [Ok(6)]);
-    assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 6, "a forgotten key's rows stay");
+    assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 6, "the rows of a forgotten key stay");
 }
 
-fn prunes_and_stays_verifiable(store: &mut dyn Store) {
+fn pruned_record_stays_verifiable(store: &mut dyn Store) {
     let (served, doubt) = (key("served"), key("doubt"));
     commit(
         store,
@@ -296,13 +299,17 @@
     let step = prune(6, 1);
     assert_eq!((step.rows, step.more), (1, true));
     let step = prune(6, 9);
-    assert_eq!((step.rows, step.more), (1, false), "the third row is not older, so nothing behind it goes");
+    assert_eq!(
+        (step.rows, step.more),
+        (1, false),
+        "the third row is not older, so no row after it is pruned"
+    );
     assert_eq!(prune(6, 9).rows, 0);
     let step = prune(99, 9);
     assert_eq!(
         (step.rows, step.more),
         (2, false),
-        "the fifth is of a key in doubt, so nothing behind it goes"
+        "the key of the fifth row is in doubt, so no row after it is pruned"
     );
     let anchor = step.anchor.expect("an anchor");
     assert_eq!((anchor.through.seq, anchor.rows), (4, 4));
@@ -311,27 +318,27 @@
     assert_eq!(
         (verified.rows, verified.pruned, verified.head.seq),
         (5, 4, 9),
-        "three steps, each with its row"
+        "three steps, each recorded by a row"
     );
-    assert_eq!(all_rows(store, 8)[0].request, Some(4), "which names the anchor");
-    prunes_all(store, &served, &doubt);
+    assert_eq!(all_rows(store, 8)[0].request, Some(4), "the row names the anchor");
+    all_rows_can_be_pruned(store, &served, &doubt);
 }
 
-fn prunes_all(store: &mut dyn Store, served: &KeyId, doubt: &KeyId) {
+fn all_rows_can_be_pruned(store: &mut dyn Store, served: &KeyId, doubt: &KeyId) {
     assert_eq!(
         commit(store, &[take(10, served)]),
         [Err(ClaimRejection::Taken(KeyState::Served))],
-        "keys outlive rows"
+        "a key remains when its rows are pruned"
     );
     commit(store, &[free(11, doubt)]);
     let head = store.head().expect("head");
     assert_eq!(store.prune(Time(99), 99, &pruned, &plain_sum).expect("prune").rows, 6);
-    assert!(holds(store, &head).expect("holds"), "all rows pruned, where they ended is still known");
+    assert!(holds(store, &head).expect("holds"), "the anchor keeps the head when all rows are pruned");
     assert_eq!(commit(store, &[write(12, "note", None, Claim::None)]), [Ok(12)]);
     assert_eq!(verify(store, &plain_sum, Some(head)).expect("verify").rows, 2);
 }
 
-fn frees_its_own_and_served_ones(store: &mut dyn Store) {
+fn free_own_and_free_served_free_only_their_keys(store: &mut dyn Store) {
     let [a, b, c] = ["a", "b", "c"].map(key);
     let free_own = |request, run, key: &KeyId| {
         let mut free = write(50, "withdrawn", Some(key), Claim::FreeOwn(key.clone()));
@@ -348,7 +355,7 @@
             free_own(Some(1), 1, &c),
         ],
     );
-    assert_eq!(stored_keys(store).len(), 2, "of another request, another run, no request, or free already");
+    assert_eq!(stored_keys(store).len(), 2, "another request, another run, no request, or a free key");
     commit(store, &[free_own(Some(1), 1, &a), take(3, &c), free_own(Some(3), 1, &c)]);
     assert_eq!(
         stored_keys(store).into_iter().map(|stored| stored.key).collect::<Vec<_>>(),
@@ -362,7 +369,7 @@
     assert_eq!(store.key(&c).expect("key"), None);
 }
 
-fn backs_up_once(store: &mut dyn Store) {
+fn backup_does_not_replace_a_file(store: &mut dyn Store) {
     commit(store, &[take(1, &key("k"))]);
     let name = format!("shaletide-backup-{}-{:?}", std::process::id(), std::thread::current().id());
     let path = std::env::temp_dir().join(name);
@@ -370,7 +377,7 @@
     store.backup(&path).expect("backup");
     let size = path.metadata().expect("a file").len();
     assert!(size > 0);
-    assert!(store.backup(&path).is_err(), "a backup replaces no file");
+    assert!(store.backup(&path).is_err(), "a backup must not replace a file");
     assert_eq!(path.metadata().expect("a file").len(), size);
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a store, by what an operator has to do about it.
+//! The errors of a store, divided by what an operator has to do about them.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -9,72 +9,72 @@
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// It took too long.
+    /// An operation took too long.
     Slow(Cause),
-    /// Another process has the lock that it needs.
+    /// Another process holds a lock that the operation needs.
     Busy(Cause),
     /// Another proxy owns the store.
     Owned {
-        /// The file that the owner holds locked.
+        /// The lock file that the owner holds.
         lock: PathBuf,
     },
-    /// A file of the store was removed, or another lies in its place.
+    /// A file of the store was removed or replaced.
     Gone {
-        /// The file.
+        /// The path of the missing or replaced file.
         path: PathBuf,
     },
-    /// No room: on the disk, within the quota, or within the store's own limit.
+    /// No space is left on the disk, in the quota, or within the store's own limit.
     Full(Cause),
-    /// It cannot be written to.
+    /// The store cannot be written to.
     ReadOnly(Cause),
-    /// What is there is not what a store wrote.
+    /// The file's contents are not those that a store wrote.
     Corrupt(Cause),
-    /// What was acknowledged once is not there any more: a file cut short, or another store's.
+    /// Rows that were acknowledged are missing: the file was truncated, or belongs to another store.
     Cut {
         /// The head that was acknowledged.
         expected: Head,
         /// The head that was found.
         found: Head,
     },
-    /// A newer program wrote it.
+    /// A newer version of the program wrote the store.
     Newer {
-        /// Its version.
+        /// The version of the store.
         found: u32,
-        /// The newest version that this program knows.
+        /// The newest version that this program supports.
         known: u32,
     },
     /// A setting that durability depends on is not in force.
     NotInForce {
-        /// Its name.
+        /// The name of the setting.
         pragma: &'static str,
-        /// What was asked for.
+        /// The required value.
         expected: String,
-        /// What it is.
+        /// The actual value.
         found: String,
     },
-    /// The disk or the network failed.
+    /// An I/O operation failed on the disk or the network.
     Io(Cause),
-    /// A row that no store can keep: see [`storable`](crate::storable). The caller's fault.
+    /// A row that no store can hold: see [`storable`](crate::storable). A bug of the caller.
     Unstorable,
     /// Anything else.
     Other(Cause),
 }
 
-/// What a commit that failed left behind.
+/// Whether a failed commit wrote its batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// Nothing, for certain: the transaction was never asked to commit.
+    /// Nothing was written: the transaction was not asked to commit.
     Nothing,
-    /// All of the batch or nothing; which, shows when the store is opened again.
+    /// Either the whole batch or nothing was written; the next opening of the store shows which.
     Unknown,
 }
 
-/// A commit that failed.
+/// The error of a failed commit.
 #[derive(Debug)]
 pub struct CommitError {
-    /// Why.
+    /// The reason of the failure.
     pub error: StoreError,
-    /// What it left behind.
+    /// Whether the batch was written.
     pub outcome: CommitOutcome,
 }
 
@@ -82,7 +82,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.outcome {
             CommitOutcome::Nothing => write!(f, "nothing was written"),
-            CommitOutcome::Unknown => write!(f, "it is not known whether it was written"),
+            CommitOutcome::Unknown => write!(f, "it is unknown whether the batch was written"),
         }
     }
 }
@@ -93,11 +93,11 @@
     }
 }
 
-/// What lies under an error.
+/// The underlying cause of an error.
 pub type Cause = Box<dyn std::error::Error + Send + Sync>;
 
 impl StoreError {
-    /// One word for a log and a counter.
+    /// Returns a short code of the error for logs and counters.
     pub fn code(&self) -> &'static str {
         match self {
             StoreError::Slow(_) => "slow",
@@ -120,8 +120,8 @@
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoreError::Slow(_) => write!(f, "the store is too slow"),
-            StoreError::Busy(_) => write!(f, "the store is locked by another"),
+            StoreError::Slow(_) => write!(f, "the store took too long"),
+            StoreError::Busy(_) => write!(f, "the store is locked by another process"),
             StoreError::Owned { lock } => {
                 write!(f, "another proxy owns the store: it holds {}", lock.display())
             }
@@ -130,20 +130,27 @@
             StoreError::ReadOnly(_) => write!(f, "the store is read-only"),
             StoreError::Corrupt(_) => write!(f, "the store is corrupt"),
             StoreError::Cut { expected, found } => {
-                write!(f, "row {} was on record; what is there now ends at row {}", expected.seq, found.seq)?;
+                write!(
+                    f,
+                    "row {} was acknowledged, but the store now ends at row {}",
+                    expected.seq, found.seq
+                )?;
                 if found.seq >= expected.seq {
-                    write!(f, " and tells another story")?;
+                    write!(f, " with different rows")?;
                 }
                 Ok(())
             }
             StoreError::Newer { found, known } => {
-                write!(f, "the store has version {found}; this program knows versions up to {known}")
+                write!(
+                    f,
+                    "the store has schema version {found}; this program supports versions up to {known}"
+                )
             }
             StoreError::NotInForce { pragma, expected, found } => {
-                write!(f, "the store has {pragma} = {found}; needed is {expected}")
+                write!(f, "the store has {pragma} = {found}, but {expected} is required")
             }
-            StoreError::Io(_) => write!(f, "the store's disk failed"),
-            StoreError::Unstorable => write!(f, "a row that no store can keep"),
+            StoreError::Io(_) => write!(f, "an I/O operation on the store failed"),
+            StoreError::Unstorable => write!(f, "the row exceeds the store's limits on size or time"),
             StoreError::Other(_) => write!(f, "the store failed"),
         }
     }
--- a/crates/store/src/faults.rs
+++ b/crates/store/src/faults.rs
@@ -1,4 +1,4 @@
-//! A store that is slow, fails or hangs on command, and logs in which order things happened. For tests.
+//! A store for tests that is slow, fails or hangs on command, and records the order of events.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -9,111 +9,112 @@
 use shaletide_types::Time;
 
 use crate::{
-    Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader, Sums,
+    Anchor, CommitError, CommitOutcome, Head, NoteEncoder, Pruned, Query, Store, StoreError, StoreReader,
+    Sums,
 };
 
-/// How a commit fails.
+/// The way in which a commit fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It does not.
+    /// The commit does not fail.
     None,
-    /// Before anything is written, and it says so.
+    /// The commit fails before anything is written, with the outcome `Nothing`.
     Before,
-    /// Nothing is durable, and the outcome is unknown.
+    /// Nothing is durable, and the outcome is `Unknown`.
     Lost,
-    /// All of it is durable, and the outcome is unknown.
+    /// The whole batch is durable, and the outcome is `Unknown`.
     Landed,
 }
 
-/// One thing that happened.
+/// A recorded event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A commit of so many rows began.
+    /// A commit of this many rows began.
     Began(usize),
-    /// It was done, and the rows are durable.
+    /// A commit succeeded; this many rows are durable.
     Durable(usize),
-    /// It failed.
+    /// A commit failed.
     Failed,
-    /// Whatever the test noted, such as a reply.
+    /// An event that the test noted, such as a reply.
     Noted(String),
 }
 
 #[derive(Debug, Default)]
-struct Plan {
+struct FaultState {
     delay: Duration,
-    frozen: bool,
+    hanging: bool,
     script: VecDeque<Fault>,
     steps: Vec<Step>,
 }
 
-/// Commands the stores that a test made.
+/// Controls the faults of the stores that a test creates.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    plan: Arc<(Mutex<Plan>, Condvar)>,
+    state: Arc<(Mutex<FaultState>, Condvar)>,
 }
 
 impl Faults {
-    /// No faults yet.
+    /// Creates a control without faults.
     pub fn new() -> Faults {
         Faults::default()
     }
 
-    fn plan(&self) -> MutexGuard<'_, Plan> {
-        self.plan.0.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, FaultState> {
+        self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Each commit takes this much longer from now on.
-    pub fn slow(&self, delay: Duration) {
-        self.plan().delay = delay;
+    /// Delays each commit from now on by this time.
+    pub fn delay_commits(&self, delay: Duration) {
+        self.state().delay = delay;
     }
 
-    /// The next commits end so, in this order.
+    /// Sets the faults of the next commits, in this order.
     pub fn script(&self, faults: impl IntoIterator<Item = Fault>) {
-        self.plan().script.extend(faults);
+        self.state().script.extend(faults);
     }
 
-    /// Commits hang from now on.
-    pub fn freeze(&self) {
-        self.plan().frozen = true;
+    /// Makes commits hang from now on.
+    pub fn hang_commits(&self) {
+        self.state().hanging = true;
     }
 
-    /// Those that hang go on.
-    pub fn thaw(&self) {
-        self.plan().frozen = false;
-        self.plan.1.notify_all();
+    /// Lets commits that hang continue.
+    pub fn resume_commits(&self) {
+        self.state().hanging = false;
+        self.state.1.notify_all();
     }
 
-    /// Writes down something else that happened now.
-    pub fn note(&self, what: impl Into<String>) {
-        self.plan().steps.push(Step::Noted(what.into()));
+    /// Records an event of the test.
+    pub fn note(&self, event: impl Into<String>) {
+        self.state().steps.push(Step::Noted(event.into()));
     }
 
-    /// What happened until now.
+    /// Returns the events recorded so far.
     pub fn steps(&self) -> Vec<Step> {
-        self.plan().steps.clone()
+        self.state().steps.clone()
     }
 
-    /// A store with these faults around another.
-    pub fn around(&self, inner: Box<dyn Store>) -> Box<dyn Store> {
+    /// Wraps a store in a layer with these faults.
+    pub fn wrap(&self, inner: Box<dyn Store>) -> Box<dyn Store> {
         Box::new(FaultyStore { faults: self.clone(), inner })
     }
 
-    /// Waits while frozen, then for the delay; says how the commit ends.
+    /// Waits while commits hang, then for the delay. Returns how the commit ends.
     fn begin(&self, rows: usize) -> Fault {
-        let mut plan = self.plan();
-        plan.steps.push(Step::Began(rows));
-        while plan.frozen {
-            plan = self.plan.1.wait(plan).unwrap_or_else(PoisonError::into_inner);
+        let mut state = self.state();
+        state.steps.push(Step::Began(rows));
+        while state.hanging {
+            state = self.state.1.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
-        let delay = plan.delay;
-        let fault = plan.script.pop_front().unwrap_or(Fault::None);
-        drop(plan);
+        let delay = state.delay;
+        let fault = state.script.pop_front().unwrap_or(Fault::None);
+        drop(state);
         std::thread::sleep(delay);
         fault
     }
 
     fn end(&self, step: Step) {
-        self.plan().steps.push(step);
+        self.state().steps.push(step);
     }
 }
 
@@ -168,7 +169,7 @@
     }
 
     fn prune(
-        &mut self, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
+        &mut self, before: Time, limit: usize, note: NoteEncoder<'_>, sums: &dyn Sums,
     ) -> Result<Pruned, StoreError> {
         self.inner.prune(before, limit, note, sums)
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The store of record: rows and keys made durable, read, and forgotten when their time is over. [`Store`] is the trait,
-//! `conformance` its suite, [`SqliteStore`] its implementation; [`Writer`] is the thread that owns a store, so that
-//! nothing else ever waits for a disk.
+//! The store of record: makes rows and keys durable, reads them, and deletes them when their retention is over. [`Store`]
+//! is the trait, `conformance` its test suite, and [`SqliteStore`] its implementation. [`Writer`] is the thread that owns a
+//! store, so that no other thread waits for a disk.
 //!
-//! The store decides one thing only: whether a key is free, by a constraint of the database and never by time. What a row
-//! means, when a key is in doubt and what follows from it is decided in `shaletide-record`.
+//! The store makes one decision: whether a key is free. A constraint of the database makes it, never a time. The crate
+//! `shaletide-record` decides what a row means, when a key is in doubt and what follows from it.
 #![forbid(unsafe_code)]
 
 mod error;
@@ -21,6 +21,8 @@
 
 pub use error::{Cause, CommitError, CommitOutcome, StoreError};
 pub use sqlite::{SqliteOptions, SqliteReader, SqliteStore};
-pub use store::{storable, Anchor, Head, Note, Pruned, Query, Store, StoreReader, Sums, MAX_ROW_BYTES};
+pub use store::{
+    storable, Anchor, Head, NoteEncoder, Pruned, Query, Store, StoreReader, Sums, MAX_ROW_BYTES,
+};
 pub use verify::{holds, verify, Broken, Verified};
 pub use writer::{FactEncoder, Opener, Opening, SendError, StillBusy, Writer, WriterConfig, WriterEvent};
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory, for tests: what the conformance suite asks for, in the fewest words. Nothing of it is durable.
+//! A store in memory, for tests: the shortest implementation that passes the conformance suite. It is not durable.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -8,8 +8,8 @@
 use shaletide_types::Time;
 
 use crate::{
-    storable, Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader,
-    Sums,
+    storable, Anchor, CommitError, CommitOutcome, Head, NoteEncoder, Pruned, Query, Store, StoreError,
+    StoreReader, Sums,
 };
 
 #[derive(Clone, Debug, Default)]
@@ -19,14 +19,14 @@
     anchor: Option<Anchor>,
 }
 
-/// A store in memory. Its clones are the same store, as if it were opened again.
+/// A store in memory. A clone shares the contents, as if the same store were opened again.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryStore {
     state: Arc<Mutex<State>>,
 }
 
 impl MemoryStore {
-    /// An empty one.
+    /// Creates an empty store.
     pub fn new() -> MemoryStore {
         MemoryStore::default()
     }
@@ -45,22 +45,22 @@
 
     fn matches(&self, row: &Row, query: &Query) -> bool {
         let key = row.key.as_ref();
-        let doubt = || {
+        let key_is_in_doubt = || {
             let stored = key.and_then(|key| self.keys.get(key));
             stored.is_some_and(|stored| stored.state == KeyState::InDoubt)
         };
-        let is = |wanted: &Option<String>, found: Option<&String>| {
+        let equals = |wanted: &Option<String>, found: Option<&String>| {
             wanted.as_ref().is_none_or(|wanted| Some(wanted) == found)
         };
         query.key.as_ref().is_none_or(|wanted| key.is_some_and(|key| key.key == *wanted))
-            && is(&query.tenant, key.map(|key| &key.tenant))
-            && is(&query.class, key.map(|key| &key.class))
+            && equals(&query.tenant, key.map(|key| &key.tenant))
+            && equals(&query.class, key.map(|key| &key.class))
             && query.request.is_none_or(|(run, request)| row.run == run && row.request == Some(request))
             && query.since.is_none_or(|since| row.at >= since)
             && query.until.is_none_or(|until| row.at < until)
-            && is(&query.backend, row.backend.as_ref())
-            && is(&query.kind, Some(&row.kind))
-            && (!query.in_doubt || doubt())
+            && equals(&query.backend, row.backend.as_ref())
+            && equals(&query.kind, Some(&row.kind))
+            && (!query.in_doubt || key_is_in_doubt())
             && row.seq > query.after_seq
     }
 
@@ -116,8 +116,8 @@
     }
     fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError> {
         let state = self.state();
-        let behind = state.keys.values().filter(|stored| after.is_none_or(|after| stored.key > *after));
-        Ok(behind.take(limit).cloned().collect())
+        let following = state.keys.values().filter(|stored| after.is_none_or(|after| stored.key > *after));
+        Ok(following.take(limit).cloned().collect())
     }
     fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError> {
         Ok(self.state().keys.get(key).cloned())
@@ -170,7 +170,7 @@
     }
 
     fn prune(
-        &mut self, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
+        &mut self, before: Time, limit: usize, note: NoteEncoder<'_>, sums: &dyn Sums,
     ) -> Result<Pruned, StoreError> {
         let mut state = self.state();
         let old = state.rows.values().take_while(|row| row.at < before && !state.is_unsettled(row));
--- a/crates/store/src/sqlite/convert.rs
+++ b/crates/store/src/sqlite/convert.rs
@@ -1,10 +1,10 @@
-//! Numbers and states as the tables have them.
+//! Conversion of numbers and states to and from the values in the tables.
 
 use shaletide_record::KeyState;
 use shaletide_types::Time;
 
-/// The state's number in the table. A state that the table does not know is refused by its constraint.
-pub(super) fn state_number(state: KeyState) -> i64 {
+/// Returns the code of a state in the table. The table's constraint rejects any other code.
+pub(super) fn state_code(state: KeyState) -> i64 {
     match state {
         KeyState::InFlight => 0,
         KeyState::InDoubt => 1,
@@ -12,30 +12,30 @@
     }
 }
 
-pub(super) fn state_of(number: i64) -> KeyState {
+pub(super) fn state_from_code(number: i64) -> KeyState {
     match number {
         0 => KeyState::InFlight,
         2 => KeyState::Served,
-        // Also for what no store writes: a doubt never sends anything.
+        // Codes that no store writes are read as in doubt too: a request whose key is in doubt is never sent.
         _ => KeyState::InDoubt,
     }
 }
 
-/// Numbers go into the table bit by bit, so that each of them comes back as it was.
+/// Reinterprets the bits as a signed number, so that every value is read back unchanged.
 pub(super) fn to_sql(number: u64) -> i64 {
     number as i64
 }
 
-pub(super) fn of_sql(number: i64) -> u64 {
+pub(super) fn number_from_sql(number: i64) -> u64 {
     number as u64
 }
 
-/// A limit as a statement takes it.
+/// Converts a limit to a statement's parameter.
 pub(super) fn limit_to_sql(limit: usize) -> i64 {
     i64::try_from(limit).unwrap_or(i64::MAX)
 }
 
-/// A time to compare with the table's; one that the table cannot hold is later than all of them.
+/// Converts a time for a comparison with the table's times. A time that the table cannot hold is later than all of them.
 pub(super) fn time_to_sql(time: Time) -> i64 {
     i64::try_from(time.0).unwrap_or(i64::MAX)
 }
--- a/crates/store/src/sqlite/errors.rs
+++ b/crates/store/src/sqlite/errors.rs
@@ -1,17 +1,17 @@
-//! The errors of SQLite and of the file system as those of the store.
+//! Conversion of the errors of SQLite and of the file system to errors of the store.
 
 use std::io::{ErrorKind, Seek, SeekFrom, Write};
 use std::path::Path;
 
 use rusqlite::{Error, ErrorCode};
 
-use super::paths::beside;
+use super::paths::with_suffix;
 use crate::StoreError;
 
-/// `SQLITE_READONLY_DBMOVED`.
-const MOVED: i32 = 1032;
+/// The extended code `SQLITE_READONLY_DBMOVED`: the database file was renamed or removed.
+const READONLY_DBMOVED: i32 = 1032;
 
-/// The kind of an error of the database.
+/// Returns the store error for an error of the database.
 pub(super) fn classify(error: Error) -> StoreError {
     let Error::SqliteFailure(failure, _) = &error else { return StoreError::Other(error.into()) };
     let extended = failure.extended_code;
@@ -20,7 +20,7 @@
             StoreError::Busy(error.into())
         }
         ErrorCode::OperationInterrupted => StoreError::Slow(error.into()),
-        ErrorCode::ReadOnly if extended == MOVED => StoreError::Io(error.into()),
+        ErrorCode::ReadOnly if extended == READONLY_DBMOVED => StoreError::Io(error.into()),
         ErrorCode::ReadOnly | ErrorCode::PermissionDenied => StoreError::ReadOnly(error.into()),
         ErrorCode::DiskFull => StoreError::Full(error.into()),
         ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase => StoreError::Corrupt(error.into()),
@@ -29,7 +29,7 @@
     }
 }
 
-/// The kind of an error of the file system.
+/// Returns the store error for an error of the file system.
 pub(super) fn classify_io(error: std::io::Error) -> StoreError {
     match error.kind() {
         ErrorKind::StorageFull | ErrorKind::QuotaExceeded | ErrorKind::FileTooLarge => {
@@ -40,11 +40,12 @@
     }
 }
 
-/// SQLite calls a quota or a limit on a file's size an I/O error, and keeps to itself which one. So a block is
-/// written where the next one of the log would go, in a file beside it: if there is no room, the system says why.
+/// Finds the reason of an I/O error. SQLite reports an exceeded quota or file size limit as a plain I/O error. So this
+/// writes a block to a probe file next to the database, at the offset of the next block of the log. If there is no room,
+/// the system returns the reason.
 pub(super) fn refine(error: StoreError, db: &Path) -> StoreError {
     let StoreError::Io(_) = error else { return error };
-    match probe(db) {
+    match write_probe(db) {
         Err(found) => match classify_io(found) {
             full @ (StoreError::Full(_) | StoreError::ReadOnly(_)) => full,
             _ => error,
@@ -53,20 +54,20 @@
     }
 }
 
-fn probe(db: &Path) -> std::io::Result<()> {
+fn write_probe(db: &Path) -> std::io::Result<()> {
     const BLOCK: usize = 64 << 10;
-    let largest = [db.to_path_buf(), beside(db, "-wal")]
+    let largest = [db.to_path_buf(), with_suffix(db, "-wal")]
         .iter()
         .filter_map(|path| path.metadata().ok())
         .map(|found| found.len())
         .max();
-    let path = beside(db, ".probe");
+    let path = with_suffix(db, ".probe");
     let written = std::fs::File::create(&path).and_then(|mut file| {
         file.seek(SeekFrom::Start(largest.unwrap_or(0)))?;
         file.write_all(&[0; BLOCK])?;
         file.sync_all()
     });
-    // Left behind, it would only be in the way: it is created anew each time.
+    // The probe file is created anew each time, so it is not kept.
     let _ = std::fs::remove_file(&path);
     written
 }
--- a/crates/store/src/sqlite/files.rs
+++ b/crates/store/src/sqlite/files.rs
@@ -1,4 +1,4 @@
-//! The files of a store: one owner, and the same files under their names as those that are open.
+//! The files of a store: the owner's lock, and the check that the open files still have their names.
 
 use std::fs::{File, Metadata, OpenOptions};
 use std::io::{ErrorKind, Write};
@@ -9,13 +9,13 @@
 use rustix::io::Errno;
 
 use super::errors::classify_io;
-use super::paths::beside;
+use super::paths::with_suffix;
 use crate::StoreError;
 
-/// Only the proxy's user reads a store.
-const MODE: u32 = 0o600;
+/// The permissions of a store's files: only the proxy's user may read them.
+const FILE_MODE: u32 = 0o600;
 
-/// A file, whatever its name.
+/// The identity of a file, independent of its name.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 struct Inode {
     device: u64,
@@ -28,25 +28,26 @@
     }
 }
 
-/// The database's path without links, so that there is one lock file whatever way leads to it; with `create`, the
-/// file is made where there is none.
+/// Returns the path of the database with symbolic links resolved, so that every path to it leads to the same lock file.
+/// With `create`, creates the file if it does not exist.
 pub(super) fn locate(path: &Path, create: bool) -> Result<PathBuf, StoreError> {
     if create {
-        // What was there once is not begun anew without a word: what it knew would be sent again.
-        let left = [beside(path, "-wal"), beside(path, ".lock")];
+        // If the database is missing but its log or its lock file has content, it was lost. A new store would not have its
+        // keys, and their requests would be sent again.
+        let left = [with_suffix(path, "-wal"), with_suffix(path, ".lock")];
         if !path.exists() && left.iter().any(|at| at.metadata().is_ok_and(|found| found.len() > 0)) {
             return Err(StoreError::Gone { path: path.to_path_buf() });
         }
-        match OpenOptions::new().write(true).create_new(true).mode(MODE).open(path) {
-            // The name must be durable before anything in the file is.
+        match OpenOptions::new().write(true).create_new(true).mode(FILE_MODE).open(path) {
+            // The file's name must be durable before its contents are.
             Ok(_) => sync_parent(path)?,
-            // An earlier opening may have made the file and have failed before its name was durable.
+            // An earlier opening may have created the file and failed before its name was durable.
             Err(error) if error.kind() == ErrorKind::AlreadyExists => {
                 if path.metadata().is_ok_and(|found| found.len() == 0) {
                     sync_parent(path)?;
                 }
             }
-            // The folder is not there.
+            // The directory does not exist.
             Err(error) if error.kind() == ErrorKind::NotFound => {
                 return Err(StoreError::Gone { path: path.to_path_buf() });
             }
@@ -59,28 +60,28 @@
     })
 }
 
-/// Makes the names in a file's directory durable.
+/// Syncs the parent directory of a file, which makes the file's name durable.
 pub(super) fn sync_parent(path: &Path) -> Result<(), StoreError> {
     let parent = path.parent().filter(|parent| !parent.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(parent).and_then(|directory| directory.sync_all()).map_err(classify_io)
 }
 
-/// Holds the lock of a store's owner, as long as it lives and no longer than its process.
+/// The lock of a store's owner, held until this value is dropped or the process ends.
 ///
-/// A file of its own, as SQLite's exclusive mode would shut out readers too, and as closing any descriptor of the
-/// database itself would drop SQLite's locks on it.
+/// The lock has a file of its own for two reasons: SQLite's exclusive mode would lock out readers too, and closing any
+/// descriptor of the database itself would release SQLite's locks on it.
 pub(super) struct Owner {
     locked: File,
 }
 
 impl Owner {
     pub(super) fn take(db: &Path) -> Result<Owner, StoreError> {
-        let path = beside(db, ".lock");
+        let path = with_suffix(db, ".lock");
         let mut file = OpenOptions::new()
             .write(true)
             .create(true)
             .truncate(false)
-            .mode(MODE)
+            .mode(FILE_MODE)
             .open(&path)
             .map_err(classify_io)?;
         match flock(&file, FlockOperation::NonBlockingLockExclusive) {
@@ -88,12 +89,12 @@
             Err(Errno::WOULDBLOCK) => return Err(StoreError::Owned { lock: path }),
             Err(error) => return Err(classify_io(error.into())),
         }
-        // A lock on a file that was removed meanwhile is no ownership.
+        // A lock on a file that was removed in the meantime does not prove ownership.
         let locked = Inode::of(&file.metadata().map_err(classify_io)?);
-        if named(&path) != Some(locked) {
+        if inode_at(&path) != Some(locked) {
             return Err(StoreError::Owned { lock: path });
         }
-        // For whoever looks who it is; the lock is what counts.
+        // The process id is information for operators; only the lock decides.
         let _ = file.set_len(0).and_then(|()| writeln!(file, "{}", std::process::id()));
         Ok(Owner { locked: file })
     }
@@ -101,56 +102,56 @@
 
 impl Drop for Owner {
     fn drop(&mut self) {
-        // Not left to closing it: a process that was just forked from this one may have it open still.
+        // Unlocked explicitly: a process just forked from this one may still have the descriptor open, which would keep the lock.
         let _ = flock(&self.locked, FlockOperation::Unlock);
     }
 }
 
-fn named(path: &Path) -> Option<Inode> {
+fn inode_at(path: &Path) -> Option<Inode> {
     path.symlink_metadata().ok().map(|found| Inode::of(&found))
 }
 
-/// The files that were there when the store was opened.
+/// The files of the store as they were when it was opened.
 ///
-/// SQLite goes on writing into a file that has lost its name, and all of that is lost with the process. So the names
-/// are looked at before and after each commit; that costs a few microseconds.
+/// SQLite keeps writing to a file that was removed, and these writes are lost when the process ends. So the names are
+/// checked before and after each commit, which costs a few microseconds.
 pub(super) struct WatchedFiles {
     files: Vec<(PathBuf, Inode)>,
 }
 
 impl WatchedFiles {
-    /// What is there now, under all the names that the open store uses.
+    /// Records the files that now have the names that the open store uses.
     pub(super) fn note(db: &Path) -> Result<WatchedFiles, StoreError> {
-        let files = ["", "-wal", "-shm", ".lock"].map(|suffix| beside(db, suffix));
-        let noted = files.into_iter().map(|path| match named(&path) {
+        let files = ["", "-wal", "-shm", ".lock"].map(|suffix| with_suffix(db, suffix));
+        let identified = files.into_iter().map(|path| match inode_at(&path) {
             Some(inode) => Ok((path, inode)),
             None => Err(StoreError::Gone { path }),
         });
-        Ok(WatchedFiles { files: noted.collect::<Result<_, _>>()? })
+        Ok(WatchedFiles { files: identified.collect::<Result<_, _>>()? })
     }
 
-    /// Whether they are all there still.
+    /// Checks that all files still have their names.
     pub(super) fn check(&self) -> Result<(), StoreError> {
-        match self.files.iter().find(|(path, inode)| named(path) != Some(*inode)) {
+        match self.files.iter().find(|(path, inode)| inode_at(path) != Some(*inode)) {
             None => Ok(()),
             Some((path, _)) => Err(StoreError::Gone { path: path.clone() }),
         }
     }
 }
 
-/// Which file the database is, to compare before and after it is opened.
+/// The identity of the database file, compared before and after it is opened.
 #[derive(PartialEq, Eq)]
 pub(super) struct FileIdentity(Option<Inode>);
 
 impl FileIdentity {
-    /// Of the file that has this name now.
+    /// Returns the identity of the file that now has this name.
     ///
     /// # Errors
-    /// If it has several names: SQLite would keep a log for each.
+    /// If the file has several hard links: SQLite would keep a log for each name.
     pub(super) fn of(db: &Path) -> Result<FileIdentity, StoreError> {
         let found = db.symlink_metadata().ok();
         if found.as_ref().is_some_and(|found| found.nlink() > 1) {
-            return Err(StoreError::Other("the database has more than one name (hard links)".into()));
+            return Err(StoreError::Other("the database file has more than one hard link".into()));
         }
         Ok(FileIdentity(found.as_ref().map(Inode::of)))
     }
--- a/crates/store/src/sqlite/mod.rs
+++ b/crates/store/src/sqlite/mod.rs
@@ -1,4 +1,4 @@
-//! SQLite: one file, one owner, readers beside it.
+//! The store in an SQLite database: one file, one owner, and any number of concurrent readers.
 
 mod convert;
 mod errors;
--- a/crates/store/src/sqlite/options.rs
+++ b/crates/store/src/sqlite/options.rs
@@ -1,30 +1,30 @@
-//! How a store is opened.
+//! The options for opening a store.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-use super::schema::KNOWN;
+use super::schema::LATEST_VERSION;
 
-/// How to open a store.
+/// Options for opening a store.
 #[derive(Clone, Debug)]
 pub struct SqliteOptions {
-    /// The database; its log, its index and its lock lie beside it. On a local disk: the locks and the shared
-    /// memory of the log do not work over a network file system.
+    /// The path of the database. Its log, its index and its lock file are in the same directory. It must be on a local
+    /// disk: the locks and the shared memory of the log do not work on a network file system.
     pub path: PathBuf,
-    /// Whether it is made where there is none. To be false when a store that was open is opened again: a new one
-    /// would know nothing. Default: true.
+    /// Whether the store is created if it does not exist. Must be false when a store is opened again after a failure: a
+    /// new store would be empty. Default: true.
     pub create: bool,
-    /// How long to wait for another process's lock. Default: 250 ms.
+    /// How long to wait for a lock of another process. Default: 250 ms.
     pub busy_timeout: Duration,
-    /// At most so many pages of 4 KiB; none for what the disk holds. Default: none.
+    /// The maximum size in pages of 4 KiB; `None` for no limit but that of the disk. Default: `None`.
     pub max_pages: Option<u32>,
-    /// The version to which the tables are brought; for tests of migrations.
+    /// The version to which the tables are migrated; for tests of migrations.
     #[cfg(any(test, feature = "conformance"))]
     pub target_version: Option<u32>,
 }
 
 impl SqliteOptions {
-    /// The defaults, for this path.
+    /// Returns the default options for this path.
     pub fn new(path: impl Into<PathBuf>) -> SqliteOptions {
         SqliteOptions {
             path: path.into(),
@@ -38,8 +38,8 @@
 
     pub(super) fn target(&self) -> u32 {
         #[cfg(any(test, feature = "conformance"))]
-        return self.target_version.unwrap_or(KNOWN);
+        return self.target_version.unwrap_or(LATEST_VERSION);
         #[cfg(not(any(test, feature = "conformance")))]
-        KNOWN
+        LATEST_VERSION
     }
 }
--- a/crates/store/src/sqlite/paths.rs
+++ b/crates/store/src/sqlite/paths.rs
@@ -1,9 +1,9 @@
-//! Names of the files beside a database.
+//! The names of the files that belong to a database.
 
 use std::path::{Path, PathBuf};
 
-/// A file next to the database, named after it.
-pub(super) fn beside(db: &Path, suffix: &str) -> PathBuf {
+/// Returns the path of the database with `suffix` appended to the file name.
+pub(super) fn with_suffix(db: &Path, suffix: &str) -> PathBuf {
     let mut name = db.as_os_str().to_owned();
     name.push(suffix);
     PathBuf::from(name)
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -1,4 +1,4 @@
-//! Reading: the head, the keys, the rows of a query, and a backup.
+//! Read operations: the head, the keys, the rows of a query, and the backup.
 
 use std::fs::File;
 use std::os::unix::fs::OpenOptionsExt;
@@ -10,11 +10,11 @@
 use shaletide_record::{KeyId, KeyState, Row, StoredKey};
 use shaletide_types::Time;
 
-use super::convert::{limit_to_sql, of_sql, state_number, state_of, time_to_sql, to_sql};
+use super::convert::{limit_to_sql, number_from_sql, state_code, state_from_code, time_to_sql, to_sql};
 use super::errors::{classify, classify_io};
 use super::files::sync_parent;
-use super::open::{open_reading, READER_TIMEOUT};
-use super::paths::beside;
+use super::open::{open_read_only, READER_BUSY_TIMEOUT};
+use super::paths::with_suffix;
 use crate::{Anchor, Head, Query, StoreError};
 
 pub(super) fn head(db: &Connection) -> Result<Head, StoreError> {
@@ -28,12 +28,13 @@
 }
 
 fn head_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<Head> {
-    Ok(Head { seq: of_sql(row.get(0)?), sum: row.get(1)?, run: of_sql(row.get(2)?) })
+    Ok(Head { seq: number_from_sql(row.get(0)?), sum: row.get(1)?, run: number_from_sql(row.get(2)?) })
 }
 
 pub(super) fn anchor(db: &Connection) -> Result<Option<Anchor>, StoreError> {
     let mut found = db.prepare_cached("SELECT seq, sum, run, rows FROM anchor").map_err(classify)?;
-    let of = |row: &rusqlite::Row<'_>| Ok(Anchor { through: head_of(row)?, rows: of_sql(row.get(3)?) });
+    let of =
+        |row: &rusqlite::Row<'_>| Ok(Anchor { through: head_of(row)?, rows: number_from_sql(row.get(3)?) });
     found.query_row([], of).optional().map_err(classify)
 }
 
@@ -62,9 +63,9 @@
 fn stored_key_of(row: &rusqlite::Row<'_>) -> rusqlite::Result<StoredKey> {
     Ok(StoredKey {
         key: KeyId { tenant: row.get(0)?, class: row.get(1)?, key: row.get(2)? },
-        state: state_of(row.get(3)?),
-        since: Time(of_sql(row.get(4)?)),
-        seq: of_sql(row.get(5)?),
+        state: state_from_code(row.get(3)?),
+        since: Time(number_from_sql(row.get(4)?)),
+        seq: number_from_sql(row.get(5)?),
     })
 }
 
@@ -75,38 +76,38 @@
     rows.collect::<Result<_, _>>().map_err(classify)
 }
 
-/// The statement for what is asked, with its values.
+/// Returns the statement for a query, with its parameters.
 fn select(query: &Query) -> (String, Vec<Value>) {
     let time = |time: Time| Value::Integer(time_to_sql(time));
     let after = Value::Integer(i64::try_from(query.after_seq).unwrap_or(i64::MAX));
     let mut sql = "SELECT seq, at, run, kind, request, tenant, class, key, backend, body, sum FROM rows AS r
          WHERE seq > "
         .to_owned();
-    // The index on times finds where to begin, if the plus keeps SQLite from looking for it row by row. It serves
-    // for no more: in the order of times, all of them would have to be sorted for each page.
+    // The index on times finds the first row. The plus sign keeps SQLite from searching for it row by row. The index is
+    // not used any further: rows read in the order of times would all have to be sorted for each page.
     let first = query.since.filter(|_| query.after_seq == 0);
     let begin = "ifnull((SELECT min(+f.seq) - 1 FROM rows AS f WHERE f.at >= ?), 9223372036854775807)";
     sql.push_str(if first.is_some() { begin } else { "?" });
     let mut values = vec![first.map_or(after, time)];
-    let mut and = |condition: &str, value: Option<Value>| {
+    let mut add_condition = |condition: &str, value: Option<Value>| {
         if let Some(value) = value {
             sql.push_str(" AND ");
             sql.push_str(condition);
             values.push(value);
         }
     };
-    and("key = ?", query.key.clone().map(Value::Blob));
-    and("+tenant = ?", query.tenant.clone().map(Value::Text));
-    and("+class = ?", query.class.clone().map(Value::Text));
-    and("request = ?", query.request.map(|(_, request)| Value::Integer(to_sql(request))));
-    and("run = ?", query.request.map(|(run, _)| Value::Integer(to_sql(run))));
-    // Clocks are set back: behind the first such row, each is looked at.
-    and("+at >= ?", query.since.map(time));
-    and("+at < ?", query.until.map(time));
-    and("+backend = ?", query.backend.clone().map(Value::Text));
-    and("+kind = ?", query.kind.clone().map(Value::Text));
-    let doubt = Value::Integer(state_number(KeyState::InDoubt));
-    and(
+    add_condition("key = ?", query.key.clone().map(Value::Blob));
+    add_condition("+tenant = ?", query.tenant.clone().map(Value::Text));
+    add_condition("+class = ?", query.class.clone().map(Value::Text));
+    add_condition("request = ?", query.request.map(|(_, request)| Value::Integer(to_sql(request))));
+    add_condition("run = ?", query.request.map(|(run, _)| Value::Integer(to_sql(run))));
+    // The clock may have been set back, so the time of each row after the first match is checked too.
+    add_condition("+at >= ?", query.since.map(time));
+    add_condition("+at < ?", query.until.map(time));
+    add_condition("+backend = ?", query.backend.clone().map(Value::Text));
+    add_condition("+kind = ?", query.kind.clone().map(Value::Text));
+    let doubt = Value::Integer(state_code(KeyState::InDoubt));
+    add_condition(
         "seq IN (SELECT d.seq FROM keys AS k CROSS JOIN rows AS d ON d.key = k.key AND d.tenant = k.tenant
              AND d.class = k.class WHERE k.state = ? AND k.state < 2)",
         query.in_doubt.then_some(doubt),
@@ -123,11 +124,11 @@
         None => None,
     };
     Ok(Row {
-        seq: of_sql(row.get(0)?),
-        at: Time(of_sql(row.get(1)?)),
-        run: of_sql(row.get(2)?),
+        seq: number_from_sql(row.get(0)?),
+        at: Time(number_from_sql(row.get(1)?)),
+        run: number_from_sql(row.get(2)?),
         kind: row.get(3)?,
-        request: row.get::<_, Option<i64>>(4)?.map(of_sql),
+        request: row.get::<_, Option<i64>>(4)?.map(number_from_sql),
         key,
         backend: row.get(8)?,
         body: row.get(9)?,
@@ -135,7 +136,7 @@
     })
 }
 
-/// SQLite's own check of all pages, and of the indexes against the tables.
+/// Runs SQLite's own check of all pages, and of the indexes against the tables.
 pub(super) fn check(db: &Connection) -> Result<(), StoreError> {
     let found: String = db.query_row("PRAGMA integrity_check(1)", [], |row| row.get(0)).map_err(classify)?;
     if found == "ok" {
@@ -144,13 +145,13 @@
     Err(StoreError::Corrupt(found.into()))
 }
 
-/// Copies the database through a connection of its own, which sees it as it was when it began.
+/// Copies the database through a separate connection, which sees a snapshot of the time when the copy began.
 pub(super) fn backup(path: &Path, to: &Path) -> Result<(), StoreError> {
     if to.symlink_metadata().is_ok() {
         return Err(StoreError::Other(format!("{} is there already", to.display()).into()));
     }
-    let part = beside(to, ".part");
-    // Of a backup that was killed.
+    let part = with_suffix(to, ".part");
+    // Removes what a killed backup may have left.
     let _ = std::fs::remove_file(&part);
     let copied = copy(path, &part, to);
     let _ = std::fs::remove_file(&part);
@@ -160,11 +161,12 @@
 fn copy(path: &Path, part: &Path, to: &Path) -> Result<(), StoreError> {
     let file = std::fs::OpenOptions::new().write(true).create_new(true).mode(0o600).open(part);
     drop(file.map_err(classify_io)?);
-    let db = open_reading(path, READER_TIMEOUT)?;
-    let name = part.to_str().ok_or_else(|| StoreError::Other("a path that is not UTF-8".into()))?;
+    let db = open_read_only(path, READER_BUSY_TIMEOUT)?;
+    let name =
+        part.to_str().ok_or_else(|| StoreError::Other("the path of the backup is not valid UTF-8".into()))?;
     db.execute("VACUUM INTO ?1", [name]).map_err(classify)?;
     File::open(part).and_then(|file| file.sync_all()).map_err(classify_io)?;
-    // Never in the place of what came there meanwhile; and a link would leave two names if it ended here.
+    // Does not replace a file that was created in the meantime. A hard link would leave two names if the process ended here.
     renameat_with(CWD, part, CWD, to, RenameFlags::NOREPLACE).map_err(|error| classify_io(error.into()))?;
     sync_parent(to)
 }
--- a/crates/store/src/sqlite/schema.rs
+++ b/crates/store/src/sqlite/schema.rs
@@ -1,16 +1,16 @@
-//! The tables, and the way from one version of them to the next: forward only, each step in a transaction of its own.
+//! The tables and their migrations. Migrations only go forward; each step is a transaction of its own.
 
 use rusqlite::{Connection, TransactionBehavior};
 
 use super::errors::classify;
 use crate::StoreError;
 
-/// "SHLT": says that the file is a store of shaletide.
+/// "SHLT": marks the file as a store of shaletide.
 pub(super) const APPLICATION_ID: i32 = 0x5348_4c54;
 
-/// The steps; the version of a file is how many of them it has behind it.
+/// The migration steps. The version of a file is the number of steps that were applied to it.
 const MIGRATIONS: &[&str] = &[
-    // `keys` decides by its PRIMARY KEY whether a key is free. `meta` is written at each opening.
+    // The PRIMARY KEY of `keys` decides whether a key is free. `meta` is written at each opening.
     "CREATE TABLE rows (
          seq INTEGER PRIMARY KEY, at INTEGER NOT NULL, run INTEGER NOT NULL, kind TEXT NOT NULL, request INTEGER,
          tenant TEXT, class TEXT, key BLOB, backend TEXT, body TEXT NOT NULL, sum BLOB NOT NULL) STRICT;
@@ -23,7 +23,7 @@
          rows INTEGER NOT NULL) STRICT;
      CREATE TABLE meta (one INTEGER PRIMARY KEY CHECK (one = 1), openings INTEGER NOT NULL) STRICT;
      INSERT INTO meta VALUES (1, 0);",
-    // For reading, expiry and pruning. Open keys are few, served ones many: hence the conditions.
+    // Indexes for reading, expiry and pruning. They are partial, as few keys are open and many are served.
     "CREATE INDEX rows_key ON rows (key) WHERE key IS NOT NULL;
      CREATE INDEX rows_request ON rows (request, run) WHERE request IS NOT NULL;
      CREATE INDEX rows_at ON rows (at);
@@ -32,18 +32,18 @@
      CREATE INDEX keys_served_seq ON keys (seq) WHERE state = 2;",
 ];
 
-/// The newest version that this program knows.
-pub(super) const KNOWN: u32 = MIGRATIONS.len() as u32;
+/// The newest version that this program supports.
+pub(super) const LATEST_VERSION: u32 = MIGRATIONS.len() as u32;
 
-/// The version of the file; 0 for an empty one.
+/// Returns the version of the file; 0 for an empty file.
 pub(super) fn version(db: &Connection) -> Result<u32, StoreError> {
-    let application: i32 = number(db, "application_id")?;
-    let version: u32 = number(db, "user_version")?;
+    let application: i32 = pragma_number(db, "application_id")?;
+    let version: u32 = pragma_number(db, "user_version")?;
     if application == APPLICATION_ID {
-        return if version <= KNOWN {
+        return if version <= LATEST_VERSION {
             Ok(version)
         } else {
-            Err(StoreError::Newer { found: version, known: KNOWN })
+            Err(StoreError::Newer { found: version, known: LATEST_VERSION })
         };
     }
     let tables: i64 =
@@ -51,15 +51,15 @@
     if application == 0 && version == 0 && tables == 0 {
         return Ok(0);
     }
-    Err(StoreError::Corrupt("a database, but not a store of shaletide".into()))
+    Err(StoreError::Corrupt("the file is an SQLite database but not a store of shaletide".into()))
 }
 
-fn number<T: rusqlite::types::FromSql>(db: &Connection, pragma: &str) -> Result<T, StoreError> {
+fn pragma_number<T: rusqlite::types::FromSql>(db: &Connection, pragma: &str) -> Result<T, StoreError> {
     db.pragma_query_value(None, pragma, |row| row.get(0)).map_err(classify)
 }
 
-/// Brings the file from the version it has to `target`, a step at a time. A kill between two leaves a store of the
-/// version before; the next opening goes on from there.
+/// Migrates the file from its version to `target`, one step at a time. A process killed between two steps leaves a store of
+/// the version reached; the next opening continues from there.
 pub(super) fn migrate(db: &mut Connection, target: u32) -> Result<(), StoreError> {
     loop {
         let tx = db.transaction_with_behavior(TransactionBehavior::Immediate).map_err(classify)?;
--- a/crates/store/src/sqlite/store.rs
+++ b/crates/store/src/sqlite/store.rs
@@ -1,4 +1,4 @@
-//! The store in an SQLite database, and its reader.
+//! The store in an SQLite database and its reader.
 
 use std::path::{Path, PathBuf};
 
@@ -10,45 +10,46 @@
 use super::errors::classify;
 use super::errors::refine;
 use super::files::{Owner, WatchedFiles};
-use super::open::{check_in_force, open, open_reading, setting, Opened, READER_TIMEOUT};
+use super::open::{check_required_pragmas, open, open_read_only, setting, Opened, READER_BUSY_TIMEOUT};
 use super::options::SqliteOptions;
 use super::{read, write};
 use crate::{
-    Anchor, CommitError, CommitOutcome, Head, Note, Pruned, Query, Store, StoreError, StoreReader, Sums,
+    Anchor, CommitError, CommitOutcome, Head, NoteEncoder, Pruned, Query, Store, StoreError, StoreReader,
+    Sums,
 };
 
-/// A store in an SQLite database, of which this is the only writer.
+/// A store in an SQLite database. It is the only writer of the database.
 pub struct SqliteStore {
     db: Connection,
     path: PathBuf,
     watched: WatchedFiles,
-    // Dropped last: the lock outlives the connection.
+    // Declared last, so that the lock is released after the connection is closed.
     _owner: Owner,
 }
 
 impl SqliteStore {
-    /// Opens it, makes it or brings it to this program's version, checks the settings that durability rests on, and
-    /// shows by writing that it can be written to.
+    /// Opens the store. Creates it or migrates it to this program's version if need be, checks the settings that
+    /// durability depends on, and makes a test write.
     ///
     /// # Errors
-    /// Of any kind. A step of a migration that was done stays done.
+    /// Any [`StoreError`]. Completed migration steps are kept.
     pub fn open(options: &SqliteOptions) -> Result<SqliteStore, StoreError> {
         let Opened { db, path, watched, owner } = open(options)?;
         Ok(SqliteStore { db, path, watched, _owner: owner })
     }
 
-    /// A setting as the database reports it.
+    /// Returns a setting as the database reports it.
     ///
     /// # Errors
-    /// If it cannot be read.
+    /// If the setting cannot be read.
     pub fn setting(&self, pragma: &str) -> Result<String, StoreError> {
         setting(&self.db, pragma)
     }
 
-    /// Runs a statement on the connection, to cause a fault.
+    /// Runs statements on the connection, to inject a fault in a test.
     ///
     /// # Errors
-    /// As the database says.
+    /// If the database rejects a statement.
     #[cfg(any(test, feature = "conformance"))]
     pub fn plant(&self, sql: &str) -> Result<(), StoreError> {
         self.db.execute_batch(sql).map_err(classify)
@@ -92,7 +93,7 @@
             return Err(nothing(StoreError::Unstorable));
         }
         self.watched.check().map_err(nothing)?;
-        check_in_force(&self.db).map_err(nothing)?;
+        check_required_pragmas(&self.db).map_err(nothing)?;
         let result = write::commit(&mut self.db, batch, sums);
         let result = result.map_err(|failed| CommitError { error: self.refined(failed.error), ..failed })?;
         self.watched.check().map_err(|error| CommitError { error, outcome: CommitOutcome::Unknown })?;
@@ -101,34 +102,34 @@
 
     fn forget_served(&mut self, before: Time, limit: usize) -> Result<usize, StoreError> {
         self.watched.check()?;
-        check_in_force(&self.db)?;
+        check_required_pragmas(&self.db)?;
         write::forget_served(&self.db, before, limit).map_err(|error| self.refined(error))
     }
 
     fn prune(
-        &mut self, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
+        &mut self, before: Time, limit: usize, note: NoteEncoder<'_>, sums: &dyn Sums,
     ) -> Result<Pruned, StoreError> {
         self.watched.check()?;
-        check_in_force(&self.db)?;
+        check_required_pragmas(&self.db)?;
         let pruned = write::prune(&mut self.db, before, limit, note, sums);
         pruned.map_err(|error| self.refined(error))
     }
 }
 
-/// Reads a store, beside a running proxy or without one.
+/// Reads a store, whether a proxy is using it or not.
 pub struct SqliteReader {
     db: Connection,
     path: PathBuf,
 }
 
 impl SqliteReader {
-    /// Opens it for reading only.
+    /// Opens the store for reading only.
     ///
     /// # Errors
-    /// Of any kind; nothing is made or changed.
+    /// Any [`StoreError`]; nothing is created or changed.
     pub fn open(path: impl Into<PathBuf>) -> Result<SqliteReader, StoreError> {
         let path = path.into();
-        Ok(SqliteReader { db: open_reading(&path, READER_TIMEOUT)?, path })
+        Ok(SqliteReader { db: open_read_only(&path, READER_BUSY_TIMEOUT)?, path })
     }
 }
 
--- a/crates/store/src/sqlite/write.rs
+++ b/crates/store/src/sqlite/write.rs
@@ -1,41 +1,43 @@
-//! Writing: the batch, the expiry of keys, pruning. Each in one transaction.
+//! Write operations: batches, expiry of keys, and pruning. Each is one transaction.
 
 use rusqlite::{params, Connection, OptionalExtension, Transaction, TransactionBehavior};
 use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, Write};
 use shaletide_types::Time;
 
-use super::convert::{limit_to_sql, state_number, state_of, time_to_sql, to_sql};
+use super::convert::{limit_to_sql, state_code, state_from_code, time_to_sql, to_sql};
 use super::errors::classify;
 use super::read::{anchor, head};
-use crate::{Anchor, CommitError, CommitOutcome, Head, Note, Pruned, StoreError, Sums};
+use crate::{Anchor, CommitError, CommitOutcome, Head, NoteEncoder, Pruned, StoreError, Sums};
 
-type Taken = Vec<Result<u64, ClaimRejection>>;
+type RowResults = Vec<Result<u64, ClaimRejection>>;
 
-pub(super) fn commit(db: &mut Connection, batch: &[Write], sums: &dyn Sums) -> Result<Taken, CommitError> {
+pub(super) fn commit(
+    db: &mut Connection, batch: &[Write], sums: &dyn Sums,
+) -> Result<RowResults, CommitError> {
     let nothing = |error| CommitError { error, outcome: CommitOutcome::Nothing };
     let begun = db.transaction_with_behavior(TransactionBehavior::Immediate);
     let tx = begun.map_err(|error| nothing(classify(error)))?;
-    let taken = add_all(&tx, batch, sums).map_err(nothing)?;
+    let results = add_all(&tx, batch, sums).map_err(nothing)?;
     tx.commit().map_err(|error| CommitError { error: classify(error), outcome: CommitOutcome::Unknown })?;
-    Ok(taken)
+    Ok(results)
 }
 
-fn add_all(tx: &Transaction<'_>, batch: &[Write], sums: &dyn Sums) -> Result<Taken, StoreError> {
+fn add_all(tx: &Transaction<'_>, batch: &[Write], sums: &dyn Sums) -> Result<RowResults, StoreError> {
     let mut last = head(tx)?;
-    let mut taken = Vec::with_capacity(batch.len());
+    let mut results = Vec::with_capacity(batch.len());
     for write in batch {
         let seq = last.seq + 1;
         if let Err(refused) = claim(tx, write, seq)? {
-            taken.push(Err(refused));
+            results.push(Err(refused));
             continue;
         }
         last = append(tx, last, &write.row, sums)?;
-        taken.push(Ok(seq));
+        results.push(Ok(seq));
     }
-    Ok(taken)
+    Ok(results)
 }
 
-/// Adds a row behind the last one, and gives the new last.
+/// Appends a row after the last one, and returns the new head.
 fn append(tx: &Transaction<'_>, last: Head, row: &Row, sums: &dyn Sums) -> Result<Head, StoreError> {
     let mut row = Row { seq: last.seq + 1, ..row.clone() };
     row.sum = sums.sum(&last.sum, &row);
@@ -43,7 +45,7 @@
     Ok(Head { seq: row.seq, sum: row.sum, run: row.run })
 }
 
-/// What becomes of the key. The table's constraint decides whether it is free.
+/// Applies the claim of a write to its key. The table's constraint decides whether the key is free.
 fn claim(tx: &Transaction<'_>, write: &Write, seq: u64) -> Result<Result<(), ClaimRejection>, StoreError> {
     let row = &write.row;
     match &write.claim {
@@ -89,13 +91,13 @@
     let mut holder = tx.prepare_cached(sql).map_err(classify)?;
     let state =
         holder.query_row(params![key.tenant, key.class, key.key], |row| row.get(0)).map_err(classify)?;
-    Ok(Err(ClaimRejection::Taken(state_of(state))))
+    Ok(Err(ClaimRejection::Taken(state_from_code(state))))
 }
 
 type KeyValues<'a> = (&'a str, &'a str, &'a [u8], i64, i64, i64);
 
 fn key_values(key: &KeyId, state: KeyState, at: Time, seq: u64) -> KeyValues<'_> {
-    (&key.tenant, &key.class, &key.key, state_number(state), to_sql(at.0), to_sql(seq))
+    (&key.tenant, &key.class, &key.key, state_code(state), to_sql(at.0), to_sql(seq))
 }
 
 fn insert(tx: &Transaction<'_>, row: &Row) -> Result<(), StoreError> {
@@ -128,7 +130,7 @@
 }
 
 pub(super) fn prune(
-    db: &mut Connection, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
+    db: &mut Connection, before: Time, limit: usize, note: NoteEncoder<'_>, sums: &dyn Sums,
 ) -> Result<Pruned, StoreError> {
     let tx = db.transaction_with_behavior(TransactionBehavior::Immediate).map_err(classify)?;
     let old = anchor(&tx)?;
@@ -145,16 +147,16 @@
     Ok(Pruned { rows, anchor: Some(anchor), more })
 }
 
-/// What one step of pruning takes.
+/// The rows that one pruning step deletes.
 struct Prunable {
-    /// The last row that goes.
+    /// The last row to delete.
     last: Head,
     rows: u64,
-    /// Another step would find more.
+    /// Whether more rows can be pruned in another step.
     more: bool,
 }
 
-/// What may be pruned in this step; none if the oldest row has to stay.
+/// Returns the rows that this step may prune; `None` if the oldest row has to stay.
 fn prunable(tx: &Transaction<'_>, before: Time, limit: usize) -> Result<Option<Prunable>, StoreError> {
     let first_kept = first_unsettled(tx)?;
     let sql = "SELECT seq, sum, run, at FROM rows ORDER BY seq LIMIT ?1";
@@ -179,7 +181,7 @@
     Ok(prunable)
 }
 
-/// The first row of a key that is in flight or in doubt.
+/// Returns the number of the first row of any key that is in flight or in doubt.
 fn first_unsettled(tx: &Transaction<'_>) -> Result<Option<i64>, StoreError> {
     let sql = "SELECT min(min(k.seq), min(ifnull(r.seq, k.seq))) FROM keys AS k LEFT JOIN rows AS r
          ON r.key = k.key AND r.tenant = k.tenant AND r.class = k.class WHERE k.state < 2";
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The interface of every store.
+//! The interface that every store implements.
 
 use std::path::Path;
 
@@ -7,12 +7,12 @@
 
 use crate::{CommitError, StoreError};
 
-/// The most bytes that the texts and keys of one write may have together.
+/// The maximum total size of the texts and keys of one write, in bytes.
 pub const MAX_ROW_BYTES: usize = 4 << 20;
 
-/// The sum of a row, given that of the row before it. The row's own `sum` is not looked at.
+/// Computes the checksum of a row from the checksum of the row before it. The row's own `sum` is ignored.
 pub trait Sums: Send + Sync {
-    /// The sum of `row`, which has its number and its run already.
+    /// Returns the checksum of `row`, whose number and run are already set.
     fn sum(&self, before: &[u8; 32], row: &Row) -> [u8; 32];
 }
 
@@ -22,156 +22,157 @@
     }
 }
 
-/// The end of a store: the last row, and the sum that verifies all up to it.
+/// The end of a store: the last row, with the checksum that verifies all rows up to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Head {
-    /// The number of the last row; 0 before the first.
+    /// The number of the last row; 0 before the first row.
     pub seq: u64,
-    /// Its sum; zeros before the first.
+    /// The checksum of the last row; zeros before the first row.
     pub sum: [u8; 32],
-    /// The run that wrote it; 0 before the first. The next start of the proxy takes a higher one.
+    /// The run that wrote the last row; 0 before the first row. The next start of the proxy takes a higher number.
     pub run: u64,
 }
 
-/// `ROW:SUM`, as `shaletide record verify --head` takes it.
+/// Writes `ROW:SUM`, the form that `shaletide record verify --head` accepts.
 impl std::fmt::Display for Head {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}:{}", self.seq, chain::hex(&self.sum))
     }
 }
 
-/// What is left of rows that were pruned: enough to verify those behind them.
+/// The remains of the pruned rows: enough to verify the rows after them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Anchor {
-    /// The last row pruned, as a head of what was there.
+    /// The last pruned row, as the head of the pruned rows.
     pub through: Head,
-    /// How many rows were pruned, ever.
+    /// How many rows have been pruned since the store was created.
     pub rows: u64,
 }
 
-/// What one step of pruning did.
+/// The result of one pruning step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pruned {
     /// How many rows were pruned in this step.
     pub rows: u64,
-    /// The anchor of all rows ever pruned; none if none were.
+    /// The anchor of all rows that have been pruned since the store was created; `None` if there are none.
     pub anchor: Option<Anchor>,
-    /// Whether another step would find more.
+    /// Whether more rows can be pruned in another step.
     pub more: bool,
 }
 
-/// Makes the row that records an anchor; its `seq` and `sum` are not looked at.
-pub type Note<'a> = &'a dyn Fn(&Anchor) -> Row;
+/// Encodes an anchor as a row. The `seq` and `sum` of that row are ignored.
+pub type NoteEncoder<'a> = &'a dyn Fn(&Anchor) -> Row;
 
-/// Which rows are wanted: those that match all that is given here. In the order of their numbers.
+/// Selects the rows that match all conditions given here, in the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Query {
-    /// Of this key, whatever the tenant and the class.
+    /// Rows of this key, of any tenant and class.
     pub key: Option<Vec<u8>>,
-    /// Of this tenant.
+    /// Rows of this tenant.
     pub tenant: Option<String>,
-    /// Of this class.
+    /// Rows of this class.
     pub class: Option<String>,
-    /// Of this run and, within it, of this request.
+    /// Rows of this run and, within it, of this request.
     pub request: Option<(u64, u64)>,
-    /// Of this time or later.
+    /// Rows written at this time or later.
     pub since: Option<Time>,
-    /// Earlier than this time.
+    /// Rows written before this time.
     pub until: Option<Time>,
-    /// About this backend.
+    /// Rows about this backend.
     pub backend: Option<String>,
-    /// Of this kind.
+    /// Rows of this kind.
     pub kind: Option<String>,
-    /// Of keys that are in doubt now.
+    /// Only rows of keys that are in doubt now.
     pub in_doubt: bool,
-    /// Behind this row; 0 for all.
+    /// Rows after this number; 0 for all.
     pub after_seq: u64,
-    /// At most so many; the next page begins after the last one's number.
+    /// The maximum number of rows. The next page begins after the number of the last row returned.
     pub limit: usize,
 }
 
-/// Reads a store, beside its writer.
+/// Reads a store, concurrently with its writer.
 pub trait StoreReader: Send {
-    /// The last row.
+    /// Returns the number, checksum and run of the last row.
     ///
     /// # Errors
-    /// Of any kind; reading changes nothing.
+    /// Any [`StoreError`]; reading changes nothing.
     fn head(&self) -> Result<Head, StoreError>;
 
-    /// The anchor of the rows that were pruned.
+    /// Returns the anchor of the pruned rows.
     ///
     /// # Errors
-    /// Of any kind; reading changes nothing.
+    /// Any [`StoreError`]; reading changes nothing.
     fn anchor(&self) -> Result<Option<Anchor>, StoreError>;
 
-    /// At most `limit` of the keys that are not free, in the order of [`KeyId`], behind `after`.
+    /// Returns at most `limit` keys that are not free, in the order of [`KeyId`], after the key `after`.
     ///
     /// # Errors
-    /// Of any kind; reading changes nothing.
+    /// Any [`StoreError`]; reading changes nothing.
     fn keys(&self, after: Option<&KeyId>, limit: usize) -> Result<Vec<StoredKey>, StoreError>;
 
-    /// A key's state; none if it is free.
+    /// Returns the state of a key; `None` if the key is free.
     ///
     /// # Errors
-    /// Of any kind; reading changes nothing.
+    /// Any [`StoreError`]; reading changes nothing.
     fn key(&self, key: &KeyId) -> Result<Option<StoredKey>, StoreError>;
 
-    /// The rows that match, at most [`Query::limit`] of them.
+    /// Returns the rows that match, at most [`Query::limit`].
     ///
     /// # Errors
-    /// Of any kind; reading changes nothing.
+    /// Any [`StoreError`]; reading changes nothing.
     fn rows(&self, query: &Query) -> Result<Vec<Row>, StoreError>;
 
-    /// Checks that all parts of it are consistent, its indexes too, as far as it can tell. Takes time in proportion to its
-    /// size.
+    /// Checks that the store is consistent, its indexes included, as far as the store can tell. Takes time in proportion
+    /// to its size.
     ///
     /// # Errors
-    /// `Corrupt` if they do not, and any other.
+    /// `Corrupt` if the store is inconsistent; any other if it cannot be read.
     fn check(&self) -> Result<(), StoreError>;
 
-    /// Copies all of it, as it is at one moment, into a new file, which exists only once it is complete and durable.
-    /// Blocks, perhaps for long; the writer is not delayed.
+    /// Copies a consistent snapshot of the store into a new file. The file appears only when it is complete and durable.
+    /// May block for long; the writer is not delayed.
     ///
     /// # Errors
-    /// Of any kind, and if the file is there already. What was there is left alone.
+    /// Any [`StoreError`]; also if the file exists already, in which case it is left unchanged.
     fn backup(&self, to: &Path) -> Result<(), StoreError>;
 }
 
 /// A store with one writer.
 pub trait Store: StoreReader {
-    /// Makes the whole batch durable, in order, in one transaction, before it returns. Gives each row its number
-    /// and its sum; the caller's `seq` and `sum` are not looked at, its `run` is kept.
+    /// Makes the whole batch durable, in order, in one transaction, before it returns. Sets the number and the checksum
+    /// of each row: the caller's `seq` and `sum` are ignored, its `run` is kept.
     ///
-    /// A [`Claim::Take`] of a key that is taken, by an earlier row of the batch too, rejects its row and no other.
-    /// [`Claim::Set`] of a key that is not there puts it there; [`Claim::Free`] of one that is not does nothing.
-    /// For [`Claim::FreeOwn`], a key whose last row was pruned is another's.
+    /// A [`Claim::Take`] of a key that is taken, also by an earlier row of the batch, rejects only its own row.
+    /// [`Claim::Set`] of a key that is not stored inserts it; [`Claim::Free`] of a key that is not stored does nothing.
+    /// [`Claim::FreeOwn`] does not free a key whose last row was pruned: the owner of that key is no longer known.
     ///
     /// # Errors
-    /// Of any kind. All of the batch is on record or nothing: see [`CommitOutcome`](crate::CommitOutcome). The store is not to be used
-    /// for writing again, but opened anew.
+    /// Any [`StoreError`]. Either the whole batch is stored or none of it: see [`CommitOutcome`](crate::CommitOutcome).
+    /// After an error the store must be opened again before the next write.
     fn commit(
         &mut self, batch: &[Write], sums: &dyn Sums,
     ) -> Result<Vec<Result<u64, ClaimRejection>>, CommitError>;
 
-    /// Forgets at most `limit` keys that were served before that time, and returns how many. Fewer: that was all.
+    /// Deletes at most `limit` keys that were served before `before`, and returns how many. A result below `limit` means
+    /// that no more are left.
     ///
     /// # Errors
-    /// Of any kind; all of the step was done or nothing.
+    /// Any [`StoreError`]; either the whole step was done or none of it.
     fn forget_served(&mut self, before: Time, limit: usize) -> Result<usize, StoreError>;
 
-    /// Prunes at most `limit` rows from the beginning of the record, up to the first that is not older than
-    /// `before` or whose key is in doubt or in flight. What is left stays verifiable: no row is missing in between,
-    /// and in the same transaction, if any were pruned, `note` makes the row that records it, which is added at the end.
+    /// Prunes at most `limit` rows from the beginning of the record, up to the first row that is not older than `before`
+    /// or whose key is in doubt or in flight. The remaining rows stay verifiable, as there is no gap between them. If any
+    /// rows were pruned, the row that `note` makes is appended in the same transaction.
     ///
     /// # Errors
-    /// Of any kind; all of the step was done or nothing.
+    /// Any [`StoreError`]; either the whole step was done or none of it.
     fn prune(
-        &mut self, before: Time, limit: usize, note: Note<'_>, sums: &dyn Sums,
+        &mut self, before: Time, limit: usize, note: NoteEncoder<'_>, sums: &dyn Sums,
     ) -> Result<Pruned, StoreError>;
 }
 
-/// Whether every store can keep it: times and bytes within what databases hold. The rest is the caller's bug, and
-/// must not spoil the batch of others.
+/// Returns whether any store can hold the write: its time and its size are within the limits of a database. A write
+/// beyond them is a bug of the caller and must not make the batch fail for other callers.
 pub fn storable(write: &Write) -> bool {
     let row = &write.row;
     let claimed = match &write.claim {
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -1,4 +1,4 @@
-//! Whether a record is as it was written: every row's sum, from the anchor to the head.
+//! Verification that a record is as it was written: checks the checksum of every row from the anchor to the head.
 
 use std::fmt;
 
@@ -6,41 +6,41 @@
 
 use crate::{Head, Query, StoreError, StoreReader, Sums};
 
-/// Rows read at a time.
+/// How many rows are read at a time.
 const PAGE: usize = 1000;
 
-/// A record whose sums are right.
+/// A record whose checksums are all correct.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verified {
-    /// How many rows there are.
+    /// How many rows the record has.
     pub rows: u64,
-    /// How many were pruned, ever.
+    /// How many rows have been pruned since the store was created.
     pub pruned: u64,
-    /// Its last row.
+    /// The last row.
     pub head: Head,
 }
 
-/// Where a record is not as it was written.
+/// The reason why a record failed verification.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum Broken {
-    /// It cannot be read.
+    /// The record cannot be read.
     Unreadable(StoreError),
     /// A row is missing.
     Missing {
-        /// Its number.
+        /// The number of the missing row.
         seq: u64,
     },
-    /// A row, or one before it, is not as it was written.
+    /// A row, or a row before it, is not as it was written.
     Changed {
-        /// The first such.
+        /// The number of the first row whose checksum does not match.
         seq: u64,
     },
-    /// A head that was noted elsewhere is not part of it: the end was cut off, or all of it written anew.
+    /// A head that was noted elsewhere is not part of the record: its end was cut off, or all of it was rewritten.
     Cut {
         /// The head that was noted.
         noted: Head,
-        /// Where the record ends.
+        /// The head of the record.
         found: Head,
     },
 }
@@ -74,11 +74,12 @@
     }
 }
 
-/// Has the store check itself, reads all rows and compares their sums; with a head noted elsewhere, also that this
-/// one is still part of it. May run beside a writer: it ends at what was the head when it began.
+/// Runs the store's own check, reads all rows and compares their checksums. If `noted`, a head that was noted elsewhere,
+/// is given, also checks that it is still part of the record. May run concurrently with a writer: it reads up to the head
+/// of the time when it started.
 ///
 /// # Errors
-/// The first thing that is wrong.
+/// The first difference found.
 pub fn verify<R: StoreReader + ?Sized>(
     store: &R, sums: &dyn Sums, noted: Option<Head>,
 ) -> Result<Verified, Broken> {
@@ -95,7 +96,7 @@
     while last.seq < end.seq {
         let page = store.rows(&Query { after_seq: last.seq, limit: PAGE, ..Query::default() })?;
         if page.first().is_none_or(|row| row.seq != last.seq + 1) {
-            // Pruned meanwhile, or missing.
+            // The row was pruned in the meantime, or it is missing.
             let now = store.anchor()?;
             match now.filter(|now| now.through.seq > last.seq) {
                 Some(pruned) => {
@@ -112,7 +113,7 @@
     Ok(Verified { rows, pruned: anchor.map_or(0, |anchor| anchor.rows), head: last })
 }
 
-/// Compares the sums of rows that follow `last`, and gives the new last.
+/// Compares the checksums of the rows after `last`, and returns the new last row.
 fn check_page(mut last: Head, page: &[Row], sums: &dyn Sums) -> Result<Head, Broken> {
     for row in page {
         if row.seq != last.seq + 1 {
@@ -126,10 +127,10 @@
     Ok(last)
 }
 
-/// Whether the record still has the row of that head, or had it until it was pruned.
+/// Returns whether the record has the row of the head `noted`, or had it until the row was pruned.
 ///
 /// # Errors
-/// If it cannot be read.
+/// If the record cannot be read.
 pub fn holds<R: StoreReader + ?Sized>(store: &R, noted: &Head) -> Result<bool, StoreError> {
     if noted.seq == 0 {
         return Ok(true);
--- a/crates/store/src/writer/commit_outcome.rs
+++ b/crates/store/src/writer/commit_outcome.rs
@@ -1,14 +1,14 @@
-//! What became of a commit that failed when it may have been done: read from the store, once it is back.
+//! The result of a commit that failed with an unknown outcome, read from the store once it is open again.
 
 use shaletide_record::{Claim, ClaimRejection, KeyState, Row, Write};
 
 use crate::{Head, Query, Store, StoreError};
 
-/// What a ticket's rows have become; none if nothing of the transaction is on record.
+/// The result of each row of a ticket; `None` if no row of the transaction is stored.
 pub(super) type FoundRows = Option<Vec<Result<u64, ClaimRejection>>>;
 
-/// Looks for the writes behind the last row that was acknowledged. They were one transaction, so all of them are
-/// there, but those that were rejected, or none.
+/// Searches for the writes after the last acknowledged row. They were one transaction, so either all rows that were not
+/// rejected are stored, or none.
 ///
 /// # Errors
 /// If the store cannot be read.
@@ -18,35 +18,35 @@
     let limit = tickets.iter().map(|writes| writes.len()).sum();
     let rows = store.rows(&Query { after_seq: acknowledged.seq, limit, ..Query::default() })?;
     let mut rows = rows.iter().peekable();
-    let mut any = false;
+    let mut any_found = false;
     let mut found = Vec::with_capacity(tickets.len());
     for writes in tickets {
         let mut result = Vec::with_capacity(writes.len());
         for write in *writes {
-            match rows.next_if(|row| same(row, &write.row)) {
+            match rows.next_if(|row| is_same_row(row, &write.row)) {
                 Some(row) => {
-                    any = true;
+                    any_found = true;
                     result.push(Ok(row.seq));
                 }
-                None => result.push(Err(holder(store, write)?)),
+                None => result.push(Err(rejection_of(store, write)?)),
             }
         }
         found.push(Some(result));
     }
-    if !any {
+    if !any_found {
         found.fill(None);
     }
     Ok(found)
 }
 
-/// Whether it is this row, now that it has its number.
-fn same(found: &Row, written: &Row) -> bool {
+/// Returns whether `found` is the row `written`, apart from the number and checksum that the store has set.
+fn is_same_row(found: &Row, written: &Row) -> bool {
     let Row { seq, sum, .. } = *found;
     *found == Row { seq, sum, ..written.clone() }
 }
 
-/// Why a row of a transaction that was done is not there: its key was taken.
-fn holder(store: &dyn Store, write: &Write) -> Result<ClaimRejection, StoreError> {
+/// Returns why a row is missing from a transaction that is stored: its key was taken.
+fn rejection_of(store: &dyn Store, write: &Write) -> Result<ClaimRejection, StoreError> {
     let state = match &write.claim {
         Claim::Take(key) => store.key(key)?.map(|found| found.state),
         _ => None,
--- a/crates/store/src/writer/config.rs
+++ b/crates/store/src/writer/config.rs
@@ -1,4 +1,4 @@
-//! How the writer works, and how it opens its store.
+//! The configuration of the writer, and the function that opens its store.
 
 use std::time::Duration;
 
@@ -6,31 +6,32 @@
 
 use crate::{Anchor, Store, StoreError};
 
-/// How the writer works.
+/// The configuration of the writer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriterConfig {
-    /// The number of this start of the proxy, which each row is given: higher than [`Head::run`](crate::Head::run) as it was before.
+    /// The run number of this start of the proxy, which is set in each row. It must be higher than
+    /// [`Head::run`](crate::Head::run) before the start.
     pub run: u64,
-    /// At most so many tickets are queued; one more is rejected. Default: 1024.
+    /// The maximum number of queued tickets; further ones are rejected. Default: 1024.
     pub queue: usize,
-    /// At most so many bytes of rows are queued, by an upper estimate. Default: 16 MiB.
+    /// The maximum size of the queued rows in bytes, by an upper estimate. Default: 16 MiB.
     pub queue_bytes: usize,
-    /// A commit begins with so many rows at the latest; a ticket is never divided. Default: 256.
+    /// The number of rows at which a commit begins without waiting for more. A ticket is never divided. Default: 256.
     pub batch_rows: usize,
-    /// How long a commit waits for more tickets. Default: not at all; what was queued while the one before it ran is
+    /// How long a commit waits for more tickets. Default: zero, as tickets that were queued during the previous commit are
     /// committed together anyway.
     pub linger: Duration,
-    /// After a failure the store is opened again after this time, and after twice that each time that it fails.
+    /// The time between a failure and the next opening of the store. It doubles after each opening that fails.
     /// Default: 50 ms.
     pub backoff: Duration,
-    /// The longest time between two openings. Default: 2 s.
+    /// The maximum time between two openings. Default: 2 s.
     pub max_backoff: Duration,
-    /// So many keys are forgotten, or rows pruned, between two commits. Default: 500.
+    /// The maximum number of keys deleted, or rows pruned, between two commits. Default: 500.
     pub maintenance_step: usize,
 }
 
 impl WriterConfig {
-    /// The defaults, for this run.
+    /// Returns the default configuration for this run.
     pub fn new(run: u64) -> WriterConfig {
         WriterConfig {
             run,
@@ -45,18 +46,18 @@
     }
 }
 
-/// Whether the store is opened for the first time.
+/// Whether the writer opens the store for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Opening {
-    /// It may be made where there is none.
+    /// The store may be created if it does not exist.
     First,
-    /// It was open before: it may not be made, as a new one would know nothing.
+    /// The store was open before. It must not be created, as a new store would be empty.
     Again,
 }
 
-/// Opens the store, in the writer's thread. A store that was opened before, to read the keys at the start, may be
-/// handed over at the first call.
+/// Opens the store, in the writer's thread. The first call may return a store that was opened before, to read the keys at
+/// the start.
 pub type Opener = Box<dyn FnMut(Opening) -> Result<Box<dyn Store>, StoreError> + Send>;
 
-/// Makes the row that records an anchor, in the writer's thread; the run is set by the writer.
+/// Encodes an anchor as a row, in the writer's thread. The writer sets the run of that row.
 pub type FactEncoder = Box<dyn Fn(&Anchor) -> Row + Send>;
--- a/crates/store/src/writer/event.rs
+++ b/crates/store/src/writer/event.rs
@@ -1,4 +1,4 @@
-//! What the writer reports, and why it takes no ticket.
+//! The writer's events, and the errors of sending to it.
 
 use std::sync::Arc;
 
@@ -6,74 +6,75 @@
 
 use crate::{CommitOutcome, Head, Pruned, StoreError};
 
-/// What became of a ticket, or of the store. Sent from the writer's thread, which waits meanwhile.
+/// The result of a ticket, or a change of the store's state. Sent from the writer's thread, which waits until the receiver
+/// returns.
 ///
-/// Each ticket that was taken has one end: one of its events, but after a `Failed` with [`CommitOutcome::Unknown`] another
-/// one, `Committed`, `ClaimsRejected` or `Lost`, as soon as the store is back. There is none if the writer ends before.
-/// Forgetting and pruning that fail are not taken up again, and what was done of them stays done.
+/// Each accepted ticket has one event, with one exception. After a `Failed` with [`CommitOutcome::Unknown`] another one
+/// follows as soon as the store is open again: `Committed`, `ClaimsRejected` or `Lost`. It is not sent if the writer ends
+/// before. Key expiry and pruning that fail are not resumed; their completed steps are kept.
 #[derive(Clone, Debug)]
 #[non_exhaustive]
 pub enum WriterEvent {
-    /// All of it is durable.
+    /// All rows of the ticket are durable.
     Committed {
-        /// Which.
+        /// The ticket.
         ticket: u64,
         /// The rows' numbers.
         seqs: Vec<u64>,
     },
-    /// Some of its rows were rejected; the others are durable.
+    /// Some rows of the ticket were rejected; the others are durable.
     ClaimsRejected {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// What became of each row.
+        /// The result of each row.
         rows: Vec<Result<u64, ClaimRejection>>,
     },
-    /// It was not acknowledged.
+    /// The ticket failed and was not acknowledged.
     Failed {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// Why.
+        /// The reason of the failure.
         error: Arc<StoreError>,
-        /// Whether it may be on record nevertheless.
+        /// Whether its rows may be stored nevertheless.
         outcome: CommitOutcome,
     },
-    /// It had failed with an unknown outcome; now it is certain that nothing of it is on record or ever will be.
+    /// A ticket that failed with an unknown outcome was not stored and never will be.
     Lost {
-        /// Which.
+        /// The ticket.
         ticket: u64,
     },
-    /// So many keys were forgotten.
+    /// Expired keys were deleted.
     Forgotten {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// How many keys.
+        /// The number of deleted keys.
         keys: usize,
     },
     /// Rows were pruned.
     Pruned {
-        /// Which.
+        /// The ticket.
         ticket: u64,
-        /// How many in all, and the anchor.
+        /// The total number of pruned rows, and the anchor.
         pruned: Pruned,
     },
-    /// The store failed; it is opened again and again. Sent once for each kind of failure.
+    /// The store failed; the writer keeps trying to open it again. Sent once for a series of failures of the same kind.
     Down {
-        /// What is wrong.
+        /// The reason of the failure.
         error: Arc<StoreError>,
     },
-    /// The store works: at first, and after each `Down`.
+    /// The store is open: the first time, or again after `Down`.
     Back {
-        /// Where it ends.
+        /// The head of the store.
         head: Head,
     },
 }
 
-/// Why a ticket was not taken. Nothing was queued.
+/// Why a ticket was not accepted. Nothing was queued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
     /// The queue is full.
     QueueFull,
-    /// A row that no store can keep: see [`storable`](crate::storable).
+    /// A row that no store can hold: see [`storable`](crate::storable).
     Unstorable,
     /// The writer has ended.
     Ended,
@@ -82,8 +83,8 @@
 impl std::fmt::Display for SendError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            SendError::QueueFull => "too much waits for the store",
-            SendError::Unstorable => "a row that no store can keep",
+            SendError::QueueFull => "the store's write queue is full",
+            SendError::Unstorable => "the row exceeds the store's limits on size or time",
             SendError::Ended => "the store's writer has ended",
         })
     }
@@ -91,6 +92,6 @@
 
 impl std::error::Error for SendError {}
 
-/// The writer did not end in time: the store blocks it. What is queued will still be written if that ends.
+/// The writer did not end in time, as the store blocks it. Queued writes are still written once the store continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StillBusy;
--- a/crates/store/src/writer/maintenance.rs
+++ b/crates/store/src/writer/maintenance.rs
@@ -1,4 +1,4 @@
-//! What the writer's thread does a step at a time, between commits: forgetting served keys and pruning rows.
+//! Maintenance that the writer's thread does step by step between commits: deletion of served keys and pruning of rows.
 
 use shaletide_record::Row;
 use shaletide_types::Time;
@@ -7,21 +7,21 @@
 use super::event::WriterEvent;
 use crate::{Anchor, Pruned, Store, StoreError, Sums};
 
-/// A task that is done a step at a time.
+/// A task that is done step by step.
 pub(super) enum Maintenance {
     Forget { ticket: u64, before: Time, keys: usize },
     Prune { ticket: u64, before: Time, note: FactEncoder, rows: u64 },
 }
 
 impl Maintenance {
-    /// The number that its caller knows it by.
+    /// Returns the ticket of the task.
     pub(super) fn ticket(&self) -> u64 {
         match self {
             Maintenance::Forget { ticket, .. } | Maintenance::Prune { ticket, .. } => *ticket,
         }
     }
 
-    /// One step of it, of at most `limit` keys or rows; what to report if it was the last.
+    /// Does one step of at most `limit` keys or rows. Returns the event to report if it was the last step.
     pub(super) fn step(
         &mut self, store: &mut dyn Store, sums: &dyn Sums, run: u64, limit: usize,
     ) -> Result<Option<WriterEvent>, StoreError> {
--- a/crates/store/src/writer/mod.rs
+++ b/crates/store/src/writer/mod.rs
@@ -1,4 +1,4 @@
-//! The one thread that writes, behind a bounded queue: no other thread ever waits for a disk.
+//! The writer: the only thread that writes, behind a bounded queue, so that no other thread waits for a disk.
 
 mod commit_outcome;
 mod config;
@@ -22,20 +22,20 @@
 use queue::{queued_size, Job, Shared};
 use worker::Worker;
 
-/// The caller's side of the writer. Dropped, the thread writes what waits and ends by itself.
+/// The caller's handle of the writer. After it is dropped, the thread writes what is queued and ends.
 pub struct Writer {
     jobs: SyncSender<Job>,
     shared: Arc<Shared>,
-    // In a lock only so that several threads may send.
+    // The mutex only makes the handle `Sync`, so that several threads can send.
     ended: Mutex<Receiver<()>>,
     queue_bytes: usize,
 }
 
 impl Writer {
-    /// Starts the thread, which opens the store and reports [`WriterEvent::Back`] or [`WriterEvent::Down`].
+    /// Starts the thread. It opens the store and reports [`WriterEvent::Back`] or [`WriterEvent::Down`].
     ///
     /// # Errors
-    /// If the system gives no thread.
+    /// If the system cannot start a thread.
     pub fn start(
         config: WriterConfig, opener: Opener, sums: Arc<dyn Sums>, notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> std::io::Result<Writer> {
@@ -45,13 +45,13 @@
         let worker = Worker::new(config.clone(), waiting, Arc::clone(&shared), opener, sums, notify);
         std::thread::Builder::new().name("store".to_owned()).spawn(move || {
             worker.run();
-            // Nobody may be waiting for it.
+            // The handle may have been dropped, so that nothing receives this.
             let _ = end.try_send(());
         })?;
         Ok(Writer { jobs, shared, ended: Mutex::new(ended), queue_bytes: config.queue_bytes })
     }
 
-    /// Has these made durable, in order, in one transaction. Never waits.
+    /// Queues writes to be made durable, in order, in one transaction. Never waits.
     ///
     /// # Errors
     /// See [`SendError`].
@@ -63,7 +63,7 @@
         self.enqueue(Job::Write { ticket, writes, bytes }, bytes)
     }
 
-    /// Has the keys forgotten that were served before that time, some between each two commits. Never waits.
+    /// Queues the deletion of the keys that were served before this time, a step between each two commits. Never waits.
     ///
     /// # Errors
     /// See [`SendError`].
@@ -71,8 +71,8 @@
         self.enqueue(Job::Forget { ticket, before }, 0)
     }
 
-    /// Has rows pruned that are older, some between each two commits; `note` makes the row that records each step.
-    /// Never waits.
+    /// Queues the pruning of the rows that are older than this time, a step between each two commits. `note` makes the row
+    /// that records each step. Never waits.
     ///
     /// # Errors
     /// See [`SendError`].
@@ -80,16 +80,16 @@
         self.enqueue(Job::Prune { ticket, before, note }, 0)
     }
 
-    /// How long the store has been at work on one thing; none if it is not. A store that is slow, or that hangs,
-    /// reports nothing.
+    /// Returns how long the current operation of the store has been running; `None` if there is none. The only sign of a
+    /// store that is slow or hangs, as it sends no events.
     pub fn working_for(&self) -> Option<Duration> {
         self.shared.working_for()
     }
 
-    /// Ends the thread once all that waits is written or has failed.
+    /// Ends the thread once all queued writes are written or have failed.
     ///
     /// # Errors
-    /// If that takes longer than given; the thread goes on by itself.
+    /// If that takes longer than `within`; the thread then continues on its own.
     pub fn stop(self, within: Duration) -> Result<(), StillBusy> {
         drop(self.jobs);
         let ended = self.ended.into_inner().unwrap_or_else(PoisonError::into_inner);
@@ -101,7 +101,7 @@
 
     fn enqueue(&self, job: Job, bytes: usize) -> Result<(), SendError> {
         let queued = self.shared.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
-        // One that is larger than the bound alone may go when nothing waits, else it never could.
+        // A job larger than the bound is accepted when the queue is empty; otherwise it never could be.
         let sent = if queued > 0 && queued.saturating_add(bytes) > self.queue_bytes {
             Err(SendError::QueueFull)
         } else {
--- a/crates/store/src/writer/queue.rs
+++ b/crates/store/src/writer/queue.rs
@@ -1,4 +1,4 @@
-//! What goes through the queue to the writer's thread, and what both sides look at.
+//! The jobs in the queue to the writer's thread, and the state that both sides share.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -9,28 +9,32 @@
 
 use super::config::FactEncoder;
 
-/// What the thread is to do.
+/// A job for the writer's thread.
 pub(super) enum Job {
     Write { ticket: u64, writes: Vec<Write>, bytes: usize },
     Forget { ticket: u64, before: Time },
     Prune { ticket: u64, before: Time, note: FactEncoder },
 }
 
-/// What the caller's side and the thread both look at.
+/// The state that the caller's handle and the writer's thread share.
 pub(super) struct Shared {
-    /// Bytes that wait.
+    /// The size of the queued writes in bytes.
     pub(super) queued_bytes: AtomicUsize,
-    /// Since when the store has been at work, in microseconds from `began`, plus one; 0 if it is not.
+    /// When the current operation of the store began, in microseconds since `created_at`, plus one; 0 if there is none.
     working_since: AtomicU64,
-    began: Instant,
+    created_at: Instant,
 }
 
 impl Shared {
     pub(super) fn new() -> Shared {
-        Shared { queued_bytes: AtomicUsize::new(0), working_since: AtomicU64::new(0), began: Instant::now() }
+        Shared {
+            queued_bytes: AtomicUsize::new(0),
+            working_since: AtomicU64::new(0),
+            created_at: Instant::now(),
+        }
     }
 
-    /// How long the store has been at work; none if it is not.
+    /// Returns how long the current operation of the store has been running; `None` if there is none.
     pub(super) fn working_for(&self) -> Option<Duration> {
         match self.working_since.load(Ordering::Relaxed) {
             0 => None,
@@ -38,18 +42,18 @@
         }
     }
 
-    /// The store is at work until the guard is dropped.
+    /// Marks the beginning of an operation of the store, which ends when the guard is dropped.
     pub(super) fn begin_work(self: &Arc<Shared>) -> WorkGuard {
         self.working_since.store(self.now(), Ordering::Relaxed);
         WorkGuard { shared: Arc::clone(self) }
     }
 
     fn now(&self) -> u64 {
-        u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX - 1) + 1
+        u64::try_from(self.created_at.elapsed().as_micros()).unwrap_or(u64::MAX - 1) + 1
     }
 }
 
-/// As long as it lives the store is at work.
+/// Marks an operation of the store as running until it is dropped.
 pub(super) struct WorkGuard {
     shared: Arc<Shared>,
 }
@@ -60,14 +64,14 @@
     }
 }
 
-/// The bytes that a write takes while it is queued.
+/// Returns the estimated size of a queued write in bytes.
 pub(super) fn queued_size(write: &Write) -> usize {
-    let of = |key: &KeyId| key.tenant.len() + key.class.len() + key.key.len();
+    let key_size = |key: &KeyId| key.tenant.len() + key.class.len() + key.key.len();
     let claimed = match &write.claim {
         Claim::None | Claim::FreeServed { .. } => 0,
-        Claim::Take(key) | Claim::Set(key, _) | Claim::Free(key) | Claim::FreeOwn(key) => of(key),
+        Claim::Take(key) | Claim::Set(key, _) | Claim::Free(key) | Claim::FreeOwn(key) => key_size(key),
     };
     let row = &write.row;
     let texts = row.kind.len() + row.body.len() + row.backend.as_ref().map_or(0, String::len);
-    size_of::<Write>() + texts + row.key.as_ref().map_or(0, of) + claimed
+    size_of::<Write>() + texts + row.key.as_ref().map_or(0, key_size) + claimed
 }
--- a/crates/store/src/writer/recovery.rs
+++ b/crates/store/src/writer/recovery.rs
@@ -1,4 +1,4 @@
-//! The writer's thread when the store fails, until it is open again.
+//! Recovery of the writer's thread after a failure of the store, until the store is open again.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 use super::worker::{Access, Worker};
 use crate::{holds, Head, Store, StoreError};
 
-/// A store that was opened again, compared with what was acknowledged.
+/// A store that was opened again and contains all acknowledged rows.
 struct Reopened {
     store: Box<dyn Store>,
     head: Head,
-    /// What became of each unresolved ticket.
+    /// The result of each unresolved ticket.
     found: Vec<FoundRows>,
 }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Opens the store; it must have what was acknowledged, and shows what became of what was not.
+    /// Opens the store and checks that it has the acknowledged rows. Finds the result of each unresolved ticket.
     fn reopen(&mut self) -> Result<Reopened, StoreError> {
         let opening = if self.acknowledged.is_some() { Opening::Again } else { Opening::First };
         let store = (self.opener)(opening)?;
--- a/crates/store/src/writer/worker.rs
+++ b/crates/store/src/writer/worker.rs
@@ -1,4 +1,4 @@
-//! The writer's thread: takes what is queued, commits it together, reports what became of it.
+//! The writer's thread: takes the queued jobs, commits their writes together and reports the results.
 
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
@@ -20,23 +20,23 @@
     pub(super) writes: Vec<Write>,
 }
 
-/// The store, or why there is none.
+/// The open store, or why it is not open.
 pub(super) enum Access {
     Open(Box<dyn Store>),
     Down {
         error: Arc<StoreError>,
         retry_at: Instant,
-        /// The wait before `retry_at`; zero before the store was opened for the first time.
+        /// The backoff that led to `retry_at`; zero before the first opening.
         backoff: Duration,
     },
 }
 
-/// What the thread does next.
+/// The thread's next action.
 enum Next {
     Job(Job),
-    /// No job is queued: a step of maintenance, or an opening of the store.
+    /// No job is queued: do a maintenance step, or open the store.
     Idle,
-    /// The caller's side was dropped and nothing is queued.
+    /// The caller's handle was dropped and nothing is queued.
     End,
 }
 
@@ -48,9 +48,9 @@
     pub(super) sums: Arc<dyn Sums>,
     pub(super) notify: Box<dyn FnMut(WriterEvent) + Send>,
     pub(super) access: Access,
-    /// The last head that the store has shown; none before it was open.
+    /// The last known head of the store; `None` before the first opening.
     pub(super) acknowledged: Option<Head>,
-    /// Tickets of a commit that failed and may be durable all the same.
+    /// The tickets of a commit that failed with an unknown outcome.
     pub(super) unresolved: Vec<Ticket>,
     pub(super) maintenance: VecDeque<Maintenance>,
 }
@@ -60,7 +60,7 @@
         config: WriterConfig, jobs: Receiver<Job>, shared: Arc<Shared>, opener: Opener, sums: Arc<dyn Sums>,
         notify: Box<dyn FnMut(WriterEvent) + Send>,
     ) -> Worker {
-        let error = Arc::new(StoreError::Other("not open yet".into()));
+        let error = Arc::new(StoreError::Other("the store has not been opened yet".into()));
         Worker {
             config,
             jobs,
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Works until the caller's side is dropped and all that was queued is written or has failed. What is left of the
-    /// maintenance then may be asked for again after the next start.
+    /// Runs until the caller's handle is dropped and all queued writes are written or have failed. Maintenance that is not
+    /// complete then can be requested again after the next start.
     pub(super) fn run(mut self) {
         loop {
             self.open_if_due();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The next job. Waits for one while there is nothing else to do.
+    /// Returns the next action. Waits for a job while there is nothing else to do.
     fn next(&self) -> Next {
         match &self.access {
             Access::Open(_) if self.maintenance.is_empty() => self.jobs.recv().map_or(Next::End, Next::Job),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Takes this job and what is queued behind it, and commits what of that is to be written.
+    /// Takes this job and the jobs queued after it, and commits their writes.
     fn process(&mut self, job: Job) {
         let commit_at = Instant::now() + self.config.linger;
         let mut tickets = Vec::new();
@@ -133,7 +133,7 @@
         self.jobs.recv_timeout(left).ok()
     }
 
-    /// Puts a job with the tickets or the maintenance, and returns how many rows it adds to the commit.
+    /// Adds a job to the tickets or to the maintenance tasks, and returns how many rows it adds to the commit.
     fn accept(&mut self, job: Job, tickets: &mut Vec<Ticket>) -> usize {
         match job {
             Job::Write { ticket, mut writes, bytes } => {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// One step of the first task.
+    /// Does one step of the first maintenance task.
     fn maintain(&mut self) {
         let Access::Open(store) = &mut self.access else { return };
         let Some(task) = self.maintenance.front_mut() else { return };
@@ -228,7 +228,7 @@
         let work = self.shared.begin_work();
         let stepped = task.step(&mut **store, &*self.sums, self.config.run, limit);
         drop(work);
-        // A note was added behind the last row.
+        // The step may have appended a row that records the pruning.
         let stepped = stepped.and_then(|done| Ok((done, store.head()?)));
         match stepped {
             Ok((done, head)) => {
@@ -242,7 +242,7 @@
         }
     }
 
-    /// A task may be asked for again at any time: what is left of them is given up, not kept for later.
+    /// Reports all maintenance tasks as failed. They are not kept for later, as they can be requested again at any time.
     fn maintenance_failed(&mut self, error: Arc<StoreError>) {
         for task in std::mem::take(&mut self.maintenance) {
             (self.notify)(WriterEvent::Failed {
--- a/crates/store/tests/chain.rs
+++ b/crates/store/tests/chain.rs
@@ -1,4 +1,4 @@
-//! The store under the chain that `shaletide-record` keeps and verifies.
+//! The store with the hash chain of `shaletide-record`.
 
 mod common;
 
@@ -44,6 +44,6 @@
     let known = Some(Chain { seq: head.seq, head: head.sum });
     let rows = all_rows(&store, 0);
     assert_eq!(chain::verify(from, rows, known), Ok(Chain { seq: head.seq, head: head.sum }));
-    assert_eq!((head.seq, head.run), (54, 3), "four steps, each with its fact");
-    verify(&store, &chain::sum, Some(head)).expect("by the store's rules too");
+    assert_eq!((head.seq, head.run), (54, 3), "four steps, each recorded by a fact");
+    verify(&store, &chain::sum, Some(head)).expect("the store verifies it too");
 }
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Places for stores, and children to kill.
+//! Test directories for stores, and child processes that work on them.
 #![allow(dead_code, reason = "each test file uses some of it")]
 
 pub mod writer_harness;
@@ -10,15 +10,15 @@
 use shaletide_store::conformance::plain_sum;
 use shaletide_store::{verify, SqliteOptions, SqliteStore, Verified};
 
-/// A directory of one test, gone with it.
+/// A directory for one test, removed when dropped.
 pub struct TestDirectory {
     path: PathBuf,
 }
 
 impl TestDirectory {
     pub fn new(name: &str) -> TestDirectory {
-        static MADE: AtomicU32 = AtomicU32::new(0);
-        let number = MADE.fetch_add(1, Ordering::Relaxed);
+        static CREATED: AtomicU32 = AtomicU32::new(0);
+        let number = CREATED.fetch_add(1, Ordering::Relaxed);
         let name = format!("shaletide-store-{name}-{}-{number}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&path).expect("a directory");
@@ -51,7 +51,7 @@
     verify(store, &plain_sum, None).expect("verifies")
 }
 
-/// The example `child`, which `cargo test` builds beside the tests, but not `cargo test --test NAME`.
+/// Returns the path of the example `child`. `cargo test` builds it with the tests, `cargo test --test NAME` does not.
 pub fn child_program() -> PathBuf {
     let tests = std::env::current_exe().expect("a path");
     let program = tests.parent().and_then(Path::parent).expect("target").join("examples/child");
@@ -65,6 +65,6 @@
     command
 }
 
-pub fn has(program: &str) -> bool {
+pub fn is_installed(program: &str) -> bool {
     Command::new(program).arg("--version").output().is_ok_and(|out| out.status.success())
 }
--- a/crates/store/tests/common/writer_harness.rs
+++ b/crates/store/tests/common/writer_harness.rs
@@ -1,4 +1,4 @@
-//! A writer under test, and what it said.
+//! A writer under test, with its events.
 
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A writer, and what it said.
+/// A writer with the events that it sent.
 pub struct WriterHarness {
     pub writer: Writer,
     pub events: Receiver<WriterEvent>,
@@ -29,13 +29,13 @@
         WriterHarness { writer, events }
     }
 
-    /// Around a store in memory, which fails as told; open already.
+    /// Starts a writer on a store in memory with these faults, and waits until the store is open.
     pub fn in_memory(config: WriterConfig, store: &MemoryStore, faults: &Faults) -> WriterHarness {
         let (store, faults) = (store.clone(), faults.clone());
-        let host =
-            WriterHarness::start(config, Box::new(move |_| Ok(faults.around(Box::new(store.clone())))));
-        host.back();
-        host
+        let harness =
+            WriterHarness::start(config, Box::new(move |_| Ok(faults.wrap(Box::new(store.clone())))));
+        harness.back();
+        harness
     }
 
     pub fn next(&self) -> WriterEvent {
@@ -80,8 +80,8 @@
     }
 }
 
-/// Until a commit has begun that hangs.
-pub fn until_it_hangs(faults: &Faults) {
+/// Waits until a commit has begun and hangs.
+pub fn wait_until_commit_hangs(faults: &Faults) {
     while !matches!(faults.steps().last(), Some(Step::Began(_))) {
         std::thread::yield_now();
     }
--- a/crates/store/tests/conformance.rs
+++ b/crates/store/tests/conformance.rs
@@ -1,4 +1,4 @@
-//! The suite that every store must pass, on each of them.
+//! Runs the conformance suite on each implementation of a store.
 
 mod common;
 
@@ -15,15 +15,15 @@
 #[test]
 fn sqlite_store_conforms() {
     let directory = TestDirectory::new("conformance");
-    let made = std::cell::Cell::new(0);
+    let stores_made = std::cell::Cell::new(0);
     conformance::run(|| {
-        made.set(made.get() + 1);
-        let options = SqliteOptions::new(directory.file(&format!("{}.db", made.get())));
+        stores_made.set(stores_made.get() + 1);
+        let options = SqliteOptions::new(directory.file(&format!("{}.db", stores_made.get())));
         Box::new(SqliteStore::open(&options).expect("opens"))
     });
 }
 
 #[test]
 fn store_in_the_fault_layer_conforms_without_faults() {
-    conformance::run(|| Faults::new().around(Box::new(MemoryStore::new())));
+    conformance::run(|| Faults::new().wrap(Box::new(MemoryStore::new())));
 }
--- a/crates/store/tests/earlier_version.rs
+++ b/crates/store/tests/earlier_version.rs
@@ -1,10 +1,10 @@
-//! Files that the build from before the renames wrote, read by today's code.
+//! Compatibility: the present code reads the files that an earlier build wrote, from before the names were changed.
 //!
 //! `record.db` is the store of two runs of `shaletide serve`: the first was killed with an attempt of key `hang-1` in
-//! flight, the second was stopped cleanly. `verify.txt` is what the old `record verify` printed of it, `rows.tsv` what
-//! the old `record export` did: number, run, time, kind, request, tenant, class, key, backend, sum, body.
-//! `pruned.db.sparse` is the same store after the old `record prune`, without its zeros: the file's length, then
-//! offset, length and bytes of each part, the numbers as 32 bits in little-endian order.
+//! flight, the second was stopped cleanly. `verify.txt` is the output of the earlier `record verify` for it, and `rows.tsv`
+//! that of the earlier `record export`: number, run, time, kind, request, tenant, class, key, backend, sum, body.
+//! `pruned.db.sparse` is the same store after the earlier `record prune`, without its zeros: the file's length, then the
+//! offset, length and bytes of each part. These numbers are 32 bits in little-endian order.
 
 mod common;
 
@@ -18,14 +18,14 @@
 use shaletide_store::{verify, Anchor, Head, Query, SqliteReader, SqliteStore, Store, StoreReader, Verified};
 use shaletide_types::Time;
 
-/// Just after the last row of the fixture.
+/// A time just after the last row of the fixture.
 const NOW: Time = Time(1_796_289_921_000_000);
 
 fn fixture(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/before-renames").join(name)
 }
 
-/// A copy of the old build's store, in a place of its own.
+/// Copies the earlier build's store into the test's directory.
 fn copy_of_record(directory: &TestDirectory) {
     std::fs::copy(fixture("record.db"), directory.db()).expect("copied");
 }
@@ -47,8 +47,8 @@
     KeyId { tenant: tenant.into(), class: "settle".into(), key: key.into() }
 }
 
-/// What the old `record show` said of each key that is not free: its state and the row that says so.
-fn old_keys() -> Vec<(KeyId, KeyState, u64)> {
+/// The output of the earlier `record show` for each key that is not free: its state and the last row that changed it.
+fn keys_by_earlier_build() -> Vec<(KeyId, KeyState, u64)> {
     vec![
         (key_of("milford", "error-1"), KeyState::InDoubt, 27),
         (key_of("milford", "good-1"), KeyState::Served, 5),
@@ -70,8 +70,8 @@
     store.rows(&Query { after_seq, limit: 1000, ..Query::default() }).expect("rows")
 }
 
-/// A row as a line of `rows.tsv`.
-fn line(row: &Row) -> String {
+/// Formats a row as a line of `rows.tsv`.
+fn tsv_line(row: &Row) -> String {
     let text = |value: Option<String>| value.unwrap_or_else(|| "-".into());
     let key = row.key.as_ref();
     [
@@ -94,12 +94,12 @@
     verify(store, &chain::sum, None).expect("verifies")
 }
 
-fn old_verify_output(verified: &Verified) -> String {
+fn verify_output(verified: &Verified) -> String {
     let Verified { rows, pruned, head } = verified;
     format!("whole: {rows} rows, {pruned} taken out before them\nhead {head}\n")
 }
 
-/// Gives the recorder an event and carries out what it asks for, as `shaletide record` does.
+/// Passes an event to the recorder and executes the actions that it returns, as `shaletide record` does.
 fn handle(store: &mut SqliteStore, recorder: &mut Recorder, event: Event, run: u64) -> Option<ResolveResult> {
     let mut actions = Vec::new();
     recorder.handle(NOW, event, &mut actions);
@@ -109,7 +109,7 @@
             Action::Write { ticket, write } => {
                 let write = Write { row: Row { run, ..write.row }, claim: write.claim };
                 let rows = store.commit(&[write], &chain::sum).expect("commits");
-                let seq = rows[0].expect("not refused");
+                let seq = rows[0].expect("not rejected");
                 recorder.handle(NOW, Event::Committed { ticket, seq }, &mut actions);
             }
             Action::Reply { result, .. } => resolved = Some(result),
@@ -124,17 +124,17 @@
     let directory = TestDirectory::new("earlier");
     copy_of_record(&directory);
     let reader = SqliteReader::open(directory.db()).expect("opens");
-    let said = std::fs::read_to_string(fixture("verify.txt")).expect("reads");
-    assert_eq!(old_verify_output(&verified(&reader)), said);
+    let earlier_output = std::fs::read_to_string(fixture("verify.txt")).expect("reads");
+    assert_eq!(verify_output(&verified(&reader)), earlier_output);
     let rows = rows_after(&reader, 0);
-    let lines: Vec<String> = rows.iter().map(line).collect();
+    let lines: Vec<String> = rows.iter().map(tsv_line).collect();
     let exported = std::fs::read_to_string(fixture("rows.tsv")).expect("reads");
     assert_eq!(lines, exported.lines().collect::<Vec<_>>());
-    assert_eq!(keys(&reader), old_keys());
+    assert_eq!(keys(&reader), keys_by_earlier_build());
     let in_doubt = reader.rows(&Query { in_doubt: true, limit: 100, ..Query::default() }).expect("rows");
     let in_doubt: std::collections::BTreeSet<KeyId> =
         in_doubt.into_iter().filter_map(|row| row.key).collect();
-    let expected = old_keys().into_iter().filter(|(_, state, _)| *state == KeyState::InDoubt);
+    let expected = keys_by_earlier_build().into_iter().filter(|(_, state, _)| *state == KeyState::InDoubt);
     assert_eq!(in_doubt, expected.map(|(key, _, _)| key).collect());
 }
 
@@ -196,19 +196,20 @@
     let anchor: Anchor = store.anchor().expect("reads").expect("an anchor");
     assert_eq!((anchor.through.seq, anchor.through.run, anchor.rows), (23, 1, 23));
     let Verified { rows, pruned, head } = verified(&store);
-    let old_rows = std::fs::read_to_string(fixture("rows.tsv")).expect("reads");
-    let old_rows: Vec<&str> = old_rows.lines().collect();
-    let lines: Vec<String> = rows_after(&store, 0).iter().map(line).collect();
+    let earlier_rows = std::fs::read_to_string(fixture("rows.tsv")).expect("reads");
+    let earlier_rows: Vec<&str> = earlier_rows.lines().collect();
+    let lines: Vec<String> = rows_after(&store, 0).iter().map(tsv_line).collect();
     let kept = lines.iter().take(57 - 23).map(String::as_str).collect::<Vec<_>>();
-    assert_eq!(kept, old_rows[23..], "what was not pruned is as it was");
-    assert_eq!(old_rows[22].split('\t').nth(9), Some(hex(&anchor.through.sum).as_str()));
+    assert_eq!(kept, earlier_rows[23..], "the remaining rows are unchanged");
+    assert_eq!(earlier_rows[22].split('\t').nth(9), Some(hex(&anchor.through.sum).as_str()));
     assert_eq!((rows, pruned, head), (lines.len() as u64, 23, store.head().expect("head")));
-    assert_eq!(keys(&store), old_keys());
-    let old_head: Head = verified(&{
+    assert_eq!(keys(&store), keys_by_earlier_build());
+    let earlier_head: Head = verified(&{
         let whole = TestDirectory::new("earlier-whole");
         copy_of_record(&whole);
         SqliteReader::open(whole.db()).expect("opens")
     })
     .head;
-    verify(&store, &chain::sum, Some(old_head)).expect("the head that was noted before is part of it");
+    verify(&store, &chain::sum, Some(earlier_head))
+        .expect("the head noted before pruning is part of the record");
 }
--- a/crates/store/tests/edited_rows.rs
+++ b/crates/store/tests/edited_rows.rs
@@ -1,4 +1,4 @@
-//! What somebody does to the file behind the program's back shows.
+//! Verification detects changes that another program makes to the file.
 
 mod common;
 
@@ -7,8 +7,8 @@
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{verify, Broken, Head, SqliteReader, Store, StoreReader};
 
-/// Six rows, then this statement; gives what `verify` says with the head noted before.
-fn after(edit: &str) -> Result<Head, Broken> {
+/// Writes six rows, runs the statement `edit`, and returns the result of `verify` with the head noted before the edit.
+fn verify_after(edit: &str) -> Result<Head, Broken> {
     let directory = TestDirectory::new("edits");
     let mut store = directory.open();
     for name in ["a", "b", "c"] {
@@ -23,24 +23,27 @@
 }
 
 #[test]
-fn edited_missing_and_cut_rows_break_the_chain() {
-    assert_eq!(after("").expect("as it was").seq, 6);
+fn changed_missing_and_truncated_rows_fail_verification() {
+    assert_eq!(verify_after("").expect("an unchanged record").seq, 6);
     for column in ["at", "run", "request"] {
         let edit = format!("UPDATE rows SET {column} = {column} + 1 WHERE seq = 3");
-        assert!(matches!(after(&edit), Err(Broken::Changed { seq: 3 })), "{column}");
+        assert!(matches!(verify_after(&edit), Err(Broken::Changed { seq: 3 })), "{column}");
     }
     for column in ["kind", "tenant", "class", "backend", "body"] {
         let edit = format!("UPDATE rows SET {column} = {column} || ' ' WHERE seq = 3");
-        assert!(matches!(after(&edit), Err(Broken::Changed { seq: 3 })), "{column}");
+        assert!(matches!(verify_after(&edit), Err(Broken::Changed { seq: 3 })), "{column}");
     }
-    assert!(matches!(after("UPDATE rows SET key = x'00' WHERE seq = 3"), Err(Broken::Changed { seq: 3 })));
-    assert!(matches!(after("DELETE FROM rows WHERE seq = 3"), Err(Broken::Missing { seq: 3 })));
-    assert!(matches!(after("DELETE FROM rows WHERE seq = 1"), Err(Broken::Missing { seq: 1 })));
-    assert!(matches!(after("DELETE FROM rows WHERE seq > 4"), Err(Broken::Cut { .. })));
-    assert!(matches!(after("DELETE FROM rows"), Err(Broken::Cut { .. })));
+    assert!(matches!(
+        verify_after("UPDATE rows SET key = x'00' WHERE seq = 3"),
+        Err(Broken::Changed { seq: 3 })
+    ));
+    assert!(matches!(verify_after("DELETE FROM rows WHERE seq = 3"), Err(Broken::Missing { seq: 3 })));
+    assert!(matches!(verify_after("DELETE FROM rows WHERE seq = 1"), Err(Broken::Missing { seq: 1 })));
+    assert!(matches!(verify_after("DELETE FROM rows WHERE seq > 4"), Err(Broken::Cut { .. })));
+    assert!(matches!(verify_after("DELETE FROM rows"), Err(Broken::Cut { .. })));
     let swapped = "UPDATE rows SET seq = 9 WHERE seq = 3; UPDATE rows SET seq = 3 WHERE seq = 4;
          UPDATE rows SET seq = 4 WHERE seq = 9";
-    assert!(matches!(after(swapped), Err(Broken::Changed { seq: 3 })));
+    assert!(matches!(verify_after(swapped), Err(Broken::Changed { seq: 3 })));
     let anchored = "DELETE FROM rows WHERE seq < 3; INSERT INTO anchor VALUES (1, 2, zeroblob(32), 1, 2)";
-    assert!(matches!(after(anchored), Err(Broken::Changed { seq: 3 })), "an anchor cannot be made up");
+    assert!(matches!(verify_after(anchored), Err(Broken::Changed { seq: 3 })), "a forged anchor is detected");
 }
--- a/crates/store/tests/errors.rs
+++ b/crates/store/tests/errors.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a store on a disk: each told apart, nothing acknowledged lost, and back when it is over.
+//! Faults of a store on a disk: each has its own error code, no acknowledged row is lost, and the store works again after it.
 
 mod common;
 
@@ -9,14 +9,14 @@
 use std::process::{Child, Stdio};
 use std::time::{Duration, Instant};
 
-use common::{child, child_program, has, verified, TestDirectory};
+use common::{child, child_program, is_installed, verified, TestDirectory};
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::{
     CommitError, CommitOutcome, SqliteOptions, SqliteReader, SqliteStore, Store, StoreError, StoreReader,
 };
 
-/// A child that has said its first word.
-fn started(args: &[&str]) -> Child {
+/// Starts a child and waits for its first line of output.
+fn start_child(args: &[&str]) -> Child {
     let mut child = child(args)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -28,7 +28,7 @@
     child
 }
 
-fn end(mut child: Child) {
+fn kill_child(mut child: Child) {
     child.kill().expect("killed");
     child.wait().expect("ended");
 }
@@ -53,15 +53,19 @@
 #[test]
 fn second_owner_is_rejected_and_readers_are_not() {
     let directory = TestDirectory::new("owners");
-    let holder = started(&["hold", path(&directory.db())]);
+    let holder = start_child(&["hold", path(&directory.db())]);
     assert_eq!(error_code(SqliteStore::open(&directory.options())), "owned");
     let link = directory.file("link.db");
     std::os::unix::fs::symlink(directory.db(), &link).expect("a link");
-    assert_eq!(error_code(SqliteStore::open(&SqliteOptions::new(link))), "owned", "by another name either");
+    assert_eq!(
+        error_code(SqliteStore::open(&SqliteOptions::new(link))),
+        "owned",
+        "also through a symbolic link"
+    );
     assert_eq!(SqliteReader::open(directory.db()).expect("reads beside").head().expect("head").seq, 0);
-    end(holder);
+    kill_child(holder);
     let mut store = directory.open();
-    assert_eq!(error_code(SqliteStore::open(&directory.options())), "owned", "within one process either");
+    assert_eq!(error_code(SqliteStore::open(&directory.options())), "owned", "also within one process");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
     let reader = SqliteReader::open(directory.db()).expect("reads beside");
     assert_eq!(reader.head().expect("head").seq, 1);
@@ -85,18 +89,18 @@
 fn store_locked_by_another_process_is_busy_and_writes_nothing() {
     let directory = TestDirectory::new("busy");
     let mut store = directory.open();
-    let other = started(&["lock", path(&directory.db())]);
+    let other = start_child(&["lock", path(&directory.db())]);
     let began = Instant::now();
     let failed = commit(&mut store, "a").expect_err("locked");
-    assert!(began.elapsed() >= Duration::from_millis(200), "it waits for a while");
+    assert!(began.elapsed() >= Duration::from_millis(200), "the commit waits for the busy timeout");
     assert_eq!((failed.error.code(), failed.outcome), ("busy", CommitOutcome::Nothing));
     assert!(std::error::Error::source(&failed.error).is_some());
-    end(other);
+    kill_child(other);
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
 }
 
 #[test]
-fn removed_or_replaced_file_is_gone() {
+fn removed_or_replaced_file_is_reported_as_gone() {
     for name in ["record.db", "record.db-wal", "record.db-shm", "record.db.lock"] {
         let directory = TestDirectory::new("gone");
         let mut store = directory.open();
@@ -110,12 +114,12 @@
         fs::copy(&kept, &lost).expect("copied");
         assert_eq!(commit(&mut store, "b").expect_err("replaced").error.code(), "gone");
         fs::rename(&kept, &lost).expect("renamed");
-        assert_eq!(commit(&mut store, "b").expect("as it was"), 2);
+        assert_eq!(commit(&mut store, "b").expect("the original file"), 2);
     }
 }
 
 #[test]
-fn store_that_was_open_is_not_created_again() {
+fn missing_store_is_not_created_when_opened_again() {
     let directory = TestDirectory::new("anew");
     let again = SqliteOptions { create: false, ..directory.options() };
     assert_eq!(error_code(SqliteStore::open(&again)), "gone");
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn file_that_is_no_store_is_rejected_and_left_unchanged() {
+fn file_that_is_not_a_store_is_rejected_and_left_unchanged() {
     let directory = TestDirectory::new("other");
     fs::write(directory.db(), "no database at all, but long enough to be looked at ".repeat(100))
         .expect("written");
@@ -142,7 +146,7 @@
     assert_eq!(
         error_code(SqliteStore::open(&SqliteOptions::new(&twice))),
         "other",
-        "two names would be two logs"
+        "SQLite would keep a log for each name"
     );
 }
 
@@ -154,12 +158,12 @@
     drop(store);
     let before = fs::read(directory.db()).expect("read");
     let error = SqliteStore::open(&directory.options()).err().expect("refused");
-    assert_eq!(error.to_string(), "the store has version 99; this program knows versions up to 2");
+    assert_eq!(error.to_string(), "the store has schema version 99; this program supports versions up to 2");
     assert!(SqliteReader::open(directory.db()).is_err_and(|error| error.code() == "newer"));
     assert_eq!(fs::read(directory.db()).expect("read"), before);
 }
 
-/// Root may write to anything, so the connection is made to refuse; another user is tried below.
+/// Root may write to any file, so this test makes the connection read-only. The next test uses another user.
 #[test]
 fn connection_without_write_access_is_read_only() {
     let directory = TestDirectory::new("query-only");
@@ -171,7 +175,7 @@
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
 }
 
-/// As root through `setpriv`, with a copy of the program that the other user may run.
+/// Needs root: runs a copy of the child as another user through `setpriv`.
 #[test]
 fn file_without_write_permission_is_read_only() {
     let directory = TestDirectory::new("read-only");
@@ -188,13 +192,13 @@
         other.args(["--reuid=65534", "--regid=65534", "--clear-groups"]).arg(&program);
         other.args(["open", path(&directory.db())]).output().map(stdout_of).unwrap_or_default()
     };
-    if !has("setpriv") || run(0o777).is_empty() {
-        eprintln!("skipped: it takes root and setpriv to be somebody else");
+    if !is_installed("setpriv") || run(0o777).is_empty() {
+        eprintln!("skipped: running as another user needs root and setpriv");
         return;
     }
     for dir_mode in [0o555, 0o777] {
-        let said = run(dir_mode);
-        assert!(said.starts_with("failed read-only"), "{dir_mode:o}: {said}");
+        let printed = run(dir_mode);
+        assert!(printed.starts_with("failed read-only"), "{dir_mode:o}: {printed}");
     }
     mode(directory.dir(), 0o755);
 }
@@ -224,21 +228,24 @@
 fn file_size_limit_is_full_and_loses_nothing() {
     let directory = TestDirectory::new("ulimit");
     drop(directory.open());
-    // In blocks of 512 bytes. The signal ignored, a write beyond it fails.
+    // The limit is in blocks of 512 bytes. As the signal is ignored, a write beyond the limit fails.
     let script = "trap '' XFSZ; ulimit -f 600; exec \"$0\" commit \"$1\" 0 10000";
     let mut shell = std::process::Command::new("sh");
     let output =
         shell.args(["-c", script, path(&child_program()), path(&directory.db())]).output().expect("sh");
-    let said = stdout_of(output);
-    let last = said.lines().last().expect("something");
+    let printed = stdout_of(output);
+    let last = printed.lines().last().expect("some output");
     assert!(last.starts_with("failed full"), "{last}");
-    let acknowledged: u64 =
-        said.lines().filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok()).max().expect("some");
+    let acknowledged: u64 = printed
+        .lines()
+        .filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok())
+        .max()
+        .expect("some");
     let mut store = directory.open();
     let found = verified(&store).rows;
     assert!(
         found == acknowledged || found == acknowledged + 2,
-        "the commit that failed is there as a whole or not: {acknowledged} {found}"
+        "the failed commit is stored whole or not at all: {acknowledged} acknowledged, {found} found"
     );
     assert_eq!(commit(&mut store, "more").expect("room"), found + 1);
 }
@@ -266,8 +273,8 @@
     let mut store = directory.open();
     assert_eq!(store.setting("synchronous").expect("read"), "2");
     assert_eq!(store.setting("journal_mode").expect("read"), "wal");
-    for planted in ["OFF", "NORMAL"] {
-        store.plant(&format!("PRAGMA synchronous = {planted}")).expect("planted");
+    for value in ["OFF", "NORMAL"] {
+        store.plant(&format!("PRAGMA synchronous = {value}")).expect("planted");
         let failed = commit(&mut store, "a").expect_err("not in force");
         assert!(matches!(failed.error, StoreError::NotInForce { pragma: "synchronous", .. }), "{failed:?}");
         assert_eq!(failed.outcome, CommitOutcome::Nothing);
--- a/crates/store/tests/power_loss.rs
+++ b/crates/store/tests/power_loss.rs
@@ -1,5 +1,5 @@
-//! A power cut: the files as they were at some moment, cut and torn. Nothing acknowledged is lost past the last
-//! acknowledged commit; below it the store is refused, or what is missing shows against the head that was noted.
+//! Power loss: the files of a store truncated or torn. Damage after the last acknowledged commit loses no acknowledged row.
+//! After damage before it, the store is rejected, or verification against the noted head reports the missing rows.
 
 mod common;
 
@@ -14,7 +14,7 @@
     holds, verify, Broken, Head, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader,
 };
 
-/// The files of a store as they lie on the disk.
+/// The contents of a store's files on the disk.
 #[derive(Clone)]
 struct Files {
     db: Vec<u8>,
@@ -27,7 +27,7 @@
         Files { db: fs::read(db).expect("read"), wal }
     }
 
-    fn put(&self, db: &Path) {
+    fn write_to(&self, db: &Path) {
         for suffix in ["-shm", "-wal", ".lock"] {
             let _ = fs::remove_file(format!("{}{suffix}", db.display()));
         }
@@ -42,8 +42,9 @@
     store.head().expect("head")
 }
 
-/// A place without a disk below it where there is one: what is cut here was synced by nobody anyway.
-fn fast_place(name: &str) -> (TestDirectory, PathBuf) {
+/// Creates a directory in shared memory where the system has it. A disk is not needed, as the tests truncate the files
+/// themselves.
+fn memory_directory(name: &str) -> (TestDirectory, PathBuf) {
     let directory = TestDirectory::new(name);
     let shared = Path::new("/dev/shm");
     let dir = if shared.is_dir() { shared } else { directory.dir() };
@@ -52,8 +53,8 @@
     (directory, dir)
 }
 
-/// Runs `check(number, path)` for each number, on some threads, each with a path of its own.
-fn for_each(dir: &Path, numbers: &[usize], check: impl Fn(usize, &Path) + Sync) {
+/// Runs `check(number, path)` for each number, on four threads, each with its own path.
+fn for_each_number(dir: &Path, numbers: &[usize], check: impl Fn(usize, &Path) + Sync) {
     let next = AtomicUsize::new(0);
     std::thread::scope(|scope| {
         for thread in 0..4 {
@@ -69,64 +70,64 @@
     fs::remove_dir_all(dir).expect("removed");
 }
 
-/// The store reads, its sums are right, and it ends at `acknowledged` or at the one commit behind it.
-fn nothing_lost(path: &Path, acknowledged: &Head, behind: &Head, what: &str) {
-    let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{what}: {error}"));
-    verify(&reader, &plain_sum, Some(*acknowledged)).unwrap_or_else(|broken| panic!("{what}: {broken}"));
-    ends_well(&reader, acknowledged, behind, what);
+/// Asserts that the store can be read, its checksums are correct, and it ends at `acknowledged` or one commit after it.
+fn assert_nothing_lost(path: &Path, acknowledged: &Head, after_last: &Head, case: &str) {
+    let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{case}: {error}"));
+    verify(&reader, &plain_sum, Some(*acknowledged)).unwrap_or_else(|broken| panic!("{case}: {broken}"));
+    assert_end_and_keys(&reader, acknowledged, after_last, case);
 }
 
-/// As above without a look at each row.
-fn ends_well(reader: &SqliteReader, acknowledged: &Head, behind: &Head, what: &str) {
-    let head = reader.head().unwrap_or_else(|error| panic!("{what}: {error}"));
-    assert!(head == *acknowledged || head == *behind, "{what}: ends at {}", head.seq);
+/// Asserts the same without reading each row.
+fn assert_end_and_keys(reader: &SqliteReader, acknowledged: &Head, after_last: &Head, case: &str) {
+    let head = reader.head().unwrap_or_else(|error| panic!("{case}: {error}"));
+    assert!(head == *acknowledged || head == *after_last, "{case}: ends at {}", head.seq);
     let keys = reader.keys(None, usize::MAX).expect("keys");
-    assert_eq!(keys.len() as u64 * 2, head.seq, "{what}: a key for each two rows");
+    assert_eq!(keys.len() as u64 * 2, head.seq, "{case}: a key for each two rows");
 }
 
-/// Ten commits, then one more that nobody was told of: the files before it and behind it.
-fn history(directory: &TestDirectory) -> (Files, Head, Files, Head, SqliteStore) {
+/// Makes ten commits, then one more that counts as not acknowledged. Returns the files before and after the last one.
+fn store_with_unacknowledged_commit(directory: &TestDirectory) -> (Files, Head, Files, Head, SqliteStore) {
     let mut store = directory.open();
     for at in 0..9 {
         settle(&mut store, at);
     }
     let acknowledged = settle(&mut store, 9);
     let before = Files::of(&directory.db());
-    let behind = settle(&mut store, 10);
+    let after_last = settle(&mut store, 10);
     let after = Files::of(&directory.db());
     assert_eq!(before.db, after.db, "no checkpoint in between");
-    (before, acknowledged, after, behind, store)
+    (before, acknowledged, after, after_last, store)
 }
 
 #[test]
-fn log_cut_at_any_length_after_the_last_commit_loses_nothing_acknowledged() {
-    let (directory, dir) = fast_place("power-cut");
-    let (before, acknowledged, after, behind, _store) = history(&directory);
+fn log_truncated_in_the_last_commit_loses_no_acknowledged_row() {
+    let (directory, dir) = memory_directory("power-cut");
+    let (before, acknowledged, after, after_last, _store) = store_with_unacknowledged_commit(&directory);
     let (from, to) = (before.wal.len(), after.wal.len());
     assert_eq!(before.wal, after.wal[..from]);
     assert!(to > from);
     let lengths: Vec<usize> = (from..=to).collect();
-    for_each(&dir, &lengths, |length, path| {
-        Files { wal: after.wal[..length].to_vec(), ..after.clone() }.put(path);
-        let what = format!("cut at {length}");
+    for_each_number(&dir, &lengths, |length, path| {
+        Files { wal: after.wal[..length].to_vec(), ..after.clone() }.write_to(path);
+        let case = format!("cut at {length}");
         if length % 64 == 0 {
-            return nothing_lost(path, &acknowledged, &behind, &what);
+            return assert_nothing_lost(path, &acknowledged, &after_last, &case);
         }
-        let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{what}: {error}"));
-        ends_well(&reader, &acknowledged, &behind, &what);
+        let reader = SqliteReader::open(path).unwrap_or_else(|error| panic!("{case}: {error}"));
+        assert_end_and_keys(&reader, &acknowledged, &after_last, &case);
     });
     eprintln!("{} lengths", lengths.len());
 }
 
 #[test]
-fn log_torn_after_the_last_commit_loses_nothing_acknowledged_and_can_be_written() {
-    let (directory, dir) = fast_place("power-torn");
-    let (before, acknowledged, after, behind, _store) = history(&directory);
+fn log_torn_in_the_last_commit_loses_no_acknowledged_row_and_is_writable() {
+    let (directory, dir) = memory_directory("power-torn");
+    let (before, acknowledged, after, after_last, _store) = store_with_unacknowledged_commit(&directory);
     let (from, to) = (before.wal.len(), after.wal.len());
-    // Each sector of the last commit not written, alone or with all behind it: zeros or garbage in its place.
+    // Each sector of the last commit, alone or with all sectors after it, is replaced by zeros or garbage.
     let sectors: Vec<usize> = (from..to).step_by(128).collect();
-    for_each(&dir, &sectors, |start, path| {
-        for (what, end, byte) in [
+    for_each_number(&dir, &sectors, |start, path| {
+        for (case, end, byte) in [
             ("one zeroed", start + 512, 0),
             ("one garbage", start + 512, 0xa5),
             ("rest zeroed", to, 0),
@@ -134,14 +135,14 @@
         ] {
             let mut files = after.clone();
             files.wal[start..end.min(to)].fill(byte);
-            files.put(path);
-            let what = format!("{what} from {start}");
-            nothing_lost(path, &acknowledged, &behind, &what);
-            let mut store = SqliteStore::open(&SqliteOptions::new(path)).expect("opens to write");
+            files.write_to(path);
+            let case = format!("{case} from {start}");
+            assert_nothing_lost(path, &acknowledged, &after_last, &case);
+            let mut store = SqliteStore::open(&SqliteOptions::new(path)).expect("opens for writing");
             let head = settle(&mut store, 99);
             assert!(
                 holds(&store, &acknowledged).expect("reads") && head.seq >= acknowledged.seq + 2,
-                "{what}"
+                "{case}"
             );
             verify(&store, &plain_sum, Some(acknowledged)).expect("verifies");
         }
@@ -149,17 +150,17 @@
 }
 
 #[test]
-fn cut_during_a_checkpoint_loses_nothing() {
-    let (directory, dir) = fast_place("power-checkpoint");
-    let (_, _, before, head, store) = history(&directory);
+fn power_loss_during_a_checkpoint_loses_nothing() {
+    let (directory, dir) = memory_directory("power-checkpoint");
+    let (_, _, before, head, store) = store_with_unacknowledged_commit(&directory);
     store.plant("PRAGMA wal_checkpoint(PASSIVE)").expect("checkpoint");
     let after = Files::of(&directory.db());
     assert_ne!(before.db, after.db);
     assert_eq!(before.wal, after.wal, "the log stays until the database is synced");
     let sectors: Vec<usize> = (0..=after.db.len()).step_by(512).collect();
     let holes = AtomicUsize::new(0);
-    for_each(&dir, &sectors, |sector, path| {
-        // Written so far in order; or all but one sector, of a page that the checkpoint writes: others it leaves alone.
+    for_each_number(&dir, &sectors, |sector, path| {
+        // Case 1: all sectors before this one are written. Case 2: all but this one, if the checkpoint writes its page.
         let mut early = before.db.clone();
         early.resize(after.db.len().max(early.len()), 0);
         early[..sector].copy_from_slice(&after.db[..sector]);
@@ -170,45 +171,45 @@
             holed[sector..end].fill(0xa5);
             holes.fetch_add(1, Ordering::Relaxed);
         }
-        for (what, db) in [("in order", early), ("but one", holed)] {
-            Files { db, wal: before.wal.clone() }.put(path);
-            nothing_lost(path, &head, &head, &format!("{what}, {sector}"));
+        for (case, db) in [("in order", early), ("but one", holed)] {
+            Files { db, wal: before.wal.clone() }.write_to(path);
+            assert_nothing_lost(path, &head, &head, &format!("{case}, {sector}"));
         }
     });
     assert!(holes.load(Ordering::Relaxed) > 40, "{holes:?}");
 }
 
 #[test]
-fn log_cut_before_the_last_commit_is_rejected_or_fails_against_the_noted_head() {
-    let (directory, dir) = fast_place("power-below");
-    let (before, acknowledged, _, _, store) = history(&directory);
+fn log_truncated_before_the_last_commit_is_rejected_or_fails_against_the_noted_head() {
+    let (directory, dir) = memory_directory("power-below");
+    let (before, acknowledged, _, _, store) = store_with_unacknowledged_commit(&directory);
     let lengths: Vec<usize> = (0..before.wal.len()).step_by(509).collect();
-    let (cut, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let check = |path: &Path, what: &str| match SqliteReader::open(path) {
-        Err(_) => refused.fetch_add(1, Ordering::Relaxed),
+    let (cut, rejected) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let check = |path: &Path, case: &str| match SqliteReader::open(path) {
+        Err(_) => rejected.fetch_add(1, Ordering::Relaxed),
         Ok(reader) => match verify(&reader, &plain_sum, Some(acknowledged)) {
-            Ok(_) => panic!("{what}: whole, though something is missing"),
+            Ok(_) => panic!("{case}: verified, though rows are missing"),
             Err(Broken::Cut { noted, found }) => {
-                assert!(noted == acknowledged && found.seq < acknowledged.seq, "{what}");
+                assert!(noted == acknowledged && found.seq < acknowledged.seq, "{case}");
                 cut.fetch_add(1, Ordering::Relaxed)
             }
-            Err(_) => refused.fetch_add(1, Ordering::Relaxed),
+            Err(_) => rejected.fetch_add(1, Ordering::Relaxed),
         },
     };
-    for_each(&dir, &lengths, |length, path| {
-        Files { wal: before.wal[..length].to_vec(), ..before.clone() }.put(path);
+    for_each_number(&dir, &lengths, |length, path| {
+        Files { wal: before.wal[..length].to_vec(), ..before.clone() }.write_to(path);
         check(path, &format!("log cut at {length}"));
     });
     assert!(cut.load(Ordering::Relaxed) > 100, "most of them open");
 
-    // The database itself, once the log is in it: only where all of its pages are there may it be whole.
+    // The database without a log, after a checkpoint: it may verify only if all of its pages are there.
     drop(store);
     let whole = Files::of(&directory.db());
-    let (_, dir) = fast_place("power-below-db");
+    let (_, dir) = memory_directory("power-below-db");
     let lengths: Vec<usize> = (0..whole.db.len()).step_by(509).collect();
-    for_each(&dir, &lengths, |length, path| {
-        Files { db: whole.db[..length].to_vec(), wal: Vec::new() }.put(path);
+    for_each_number(&dir, &lengths, |length, path| {
+        Files { db: whole.db[..length].to_vec(), wal: Vec::new() }.write_to(path);
         check(path, &format!("database cut at {length}"));
     });
-    eprintln!("{cut:?} opened and showed what is missing, {refused:?} refused");
+    eprintln!("{cut:?} opened and reported missing rows, {rejected:?} rejected");
 }
--- a/crates/store/tests/system_calls.rs
+++ b/crates/store/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! Below SQLite: the order of the system calls, and what happens when one of them fails. With strace where it is.
+//! The order of the system calls below SQLite, and the effect of a failed one. These tests need strace.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process::Output;
 
-use common::{child_program, has, verified, TestDirectory};
+use common::{child_program, is_installed, verified, TestDirectory};
 use shaletide_store::conformance::{key, plain_sum, take};
 use shaletide_store::{SqliteOptions, SqliteStore, Store, StoreReader};
 
@@ -19,10 +19,11 @@
     path.to_str().expect("UTF-8")
 }
 
-/// The child commits under strace with these arguments; none if there is no strace that may trace.
+/// Runs the child's commits under strace with these arguments. Returns its output and the trace; `None` if strace is not
+/// installed or may not trace.
 fn traced(directory: &TestDirectory, arguments: &[&str], commits: &str) -> Option<(String, String)> {
-    if !has("strace") {
-        eprintln!("skipped: no strace here");
+    if !is_installed("strace") {
+        eprintln!("skipped: strace is not installed");
         return None;
     }
     let trace = directory.file("trace");
@@ -37,20 +38,21 @@
     if fs::File::open(&trace).and_then(|mut file| file.read_to_string(&mut calls)).is_err()
         || calls.is_empty()
     {
-        eprintln!("skipped: strace may not trace here");
+        eprintln!("skipped: strace may not trace on this machine");
         return None;
     }
     Some((stdout_of(output), calls))
 }
 
-/// A killed process does not lose what the system has in memory, so the order of the calls is what shows.
+/// The system keeps the written pages of a killed process, so a kill cannot reveal a missing sync. The order of the calls
+/// does.
 #[test]
 fn log_is_synced_before_the_acknowledgement() {
     let directory = TestDirectory::new("strace");
     let trace = ["-e", "trace=write,pwrite64,pwritev,fsync,fdatasync"];
-    let Some((said, calls)) = traced(&directory, &trace, "20") else { return };
-    assert!(said.ends_with("done\n"));
-    let (mut written, mut synced, mut answers) = (false, false, 0);
+    let Some((printed, calls)) = traced(&directory, &trace, "20") else { return };
+    assert!(printed.ends_with("done\n"));
+    let (mut written, mut synced, mut acknowledgements) = (false, false, 0);
     for call in calls.lines() {
         let log = call.contains("record.db-wal>");
         if log && call.contains("write") {
@@ -58,40 +60,44 @@
         } else if log && call.contains("sync(") && call.ends_with("= 0") {
             synced = true;
         } else if call.contains("\"acknowledged ") {
-            assert!(written && synced, "answer {answers} came before the sync");
-            (written, synced, answers) = (false, false, answers + 1);
+            assert!(written && synced, "acknowledgement {acknowledgements} came before the sync");
+            (written, synced, acknowledgements) = (false, false, acknowledgements + 1);
         }
     }
-    assert_eq!(answers, 20);
+    assert_eq!(acknowledgements, 20);
 }
 
 #[test]
-fn failed_system_call_has_its_error_code_and_loses_nothing_acknowledged() {
+fn failed_system_call_is_reported_and_loses_no_acknowledged_row() {
     let errors =
         [("fsync,fdatasync", "EIO", "io"), ("pwrite64", "EIO", "io"), ("pwrite64", "ENOSPC", "full")];
-    for (call, error, word) in errors {
+    for (call, error, expected_code) in errors {
         for when in [12, 25, 38] {
             let directory = TestDirectory::new("inject");
             drop(directory.open());
             let inject = format!("inject={call}:error={error}:when={when}+");
-            let Some((said, _)) = traced(&directory, &["-e", &format!("trace={call}"), "-e", &inject], "100")
+            let Some((printed, _)) =
+                traced(&directory, &["-e", &format!("trace={call}"), "-e", &inject], "100")
             else {
                 return;
             };
-            let what = format!("{call} {error} {when}: {said}");
+            let case = format!("{call} {error} {when}: {printed}");
             assert!(
-                said.lines().last().is_some_and(|last| last.starts_with(&format!("failed {word}"))),
-                "{what}"
+                printed
+                    .lines()
+                    .last()
+                    .is_some_and(|last| last.starts_with(&format!("failed {expected_code}"))),
+                "{case}"
             );
-            let acknowledged = said
+            let acknowledged = printed
                 .lines()
                 .filter_map(|line| line.strip_prefix("acknowledged ")?.parse().ok())
                 .max()
                 .unwrap_or(0);
             let mut store = directory.open();
             let found = verified(&store).rows;
-            assert!(found == acknowledged || found == acknowledged + 2, "{what}: {found}");
-            store.commit(&[take(1, &key("more"))], &plain_sum).expect("works on");
+            assert!(found == acknowledged || found == acknowledged + 2, "{case}: {found}");
+            store.commit(&[take(1, &key("more"))], &plain_sum).expect("the store works again");
         }
     }
 }
@@ -102,8 +108,8 @@
     let mut store = directory.open();
     store.commit(&[take(1, &key("a"))], &plain_sum).expect("commits");
     let other = rusqlite::Connection::open(directory.db()).expect("opens");
-    other.execute_batch("BEGIN; SELECT count(*) FROM rows").expect("reads on");
-    store.commit(&[take(1, &key("b"))], &plain_sum).expect("a reader is not in the way of that");
+    other.execute_batch("BEGIN; SELECT count(*) FROM rows").expect("begins to read");
+    store.commit(&[take(1, &key("b"))], &plain_sum).expect("a reader does not block commits");
     drop(store);
     let again = SqliteOptions { create: false, ..directory.options() };
     assert!(SqliteStore::open(&again).is_err_and(|error| error.code() == "busy"));
