--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -228,7 +228,7 @@
     assert_eq!(seen.iter().map(|stored| stored.key.key[0]).collect::<Vec<_>>(), (0..25).collect::<Vec<u8>>());
 }
 
-const NONE: [u64; 0] = [];
+const NO_SEQS: [u64; 0] = [];
 
 fn query_selects_matching_rows(store: &mut dyn Store) {
     let (a, b) = (key("a"), KeyId { tenant: "other".into(), ..key("b") });
@@ -247,20 +247,20 @@
     let any = Query::default;
     assert_eq!(matching_seqs(any()), [1, 2, 3, 4, 5]);
     assert_eq!(matching_seqs(Query { after_seq: 2, limit: 2, ..any() }), [3, 4]);
-    assert_eq!(matching_seqs(Query { after_seq: u64::MAX, ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { after_seq: u64::MAX, ..any() }), NO_SEQS);
     assert_eq!(matching_seqs(Query { key: Some(b"a".to_vec()), ..any() }), [1, 5]);
     assert_eq!(
         matching_seqs(Query { key: Some(b"a".to_vec()), tenant: Some("other".into()), ..any() }),
-        NONE
+        NO_SEQS
     );
     assert_eq!(matching_seqs(Query { tenant: Some("other".into()), ..any() }), [2, 4]);
     assert_eq!(matching_seqs(Query { class: Some("settle".into()), ..any() }), [1, 2, 4, 5]);
     assert_eq!(matching_seqs(Query { request: Some((1, 15)), ..any() }), [4]);
-    assert_eq!(matching_seqs(Query { request: Some((2, 15)), ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { request: Some((2, 15)), ..any() }), NO_SEQS);
     assert_eq!(matching_seqs(Query { since: Some(Time(15)), ..any() }), [2, 4, 5]);
     assert_eq!(matching_seqs(Query { since: Some(Time(15)), after_seq: 2, ..any() }), [4, 5]);
     assert_eq!(matching_seqs(Query { until: Some(Time(15)), ..any() }), [1, 3]);
-    assert_eq!(matching_seqs(Query { since: Some(Time(u64::MAX)), ..any() }), NONE);
+    assert_eq!(matching_seqs(Query { since: Some(Time(u64::MAX)), ..any() }), NO_SEQS);
     assert_eq!(matching_seqs(Query { backend: Some("box-2".into()), ..any() }), [3]);
     assert_eq!(matching_seqs(Query { kind: Some("outcome".into()), ..any() }), [4, 5]);
     assert_eq!(matching_seqs(Query { in_doubt: true, ..any() }), [2, 4]);
@@ -272,17 +272,17 @@
 
 fn only_served_keys_are_forgotten(store: &mut dyn Store) {
     let names = ["old", "new", "doubt", "flying", "old too"];
-    let [old, new, doubt, flying, also_old] = names.map(key);
+    let [old, new, doubt, in_flight_key, also_old] = names.map(key);
     commit(
         store,
         &[set(1, &old, KeyState::Served), set(9, &new, KeyState::Served), set(1, &doubt, KeyState::InDoubt)],
     );
-    commit(store, &[take(1, &flying), set(2, &also_old, KeyState::Served)]);
+    commit(store, &[take(1, &in_flight_key), set(2, &also_old, KeyState::Served)]);
     assert_eq!(store.forget_served(Time(5), 1).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 1);
     assert_eq!(store.forget_served(Time(5), 9).expect("forget"), 0);
     let left: Vec<KeyId> = stored_keys(store).into_iter().map(|stored| stored.key).collect();
-    assert_eq!(left, [doubt, flying, new]);
+    assert_eq!(left, [doubt, in_flight_key, new]);
     assert_eq!(commit(store, &[take(9, &old)]), [Ok(6)]);
     assert_eq!(verify(store, &plain_sum, None).expect("verify").rows, 6, "the rows of a forgotten key stay");
 }
--- a/crates/store/src/sqlite/files.rs
+++ b/crates/store/src/sqlite/files.rs
@@ -102,7 +102,8 @@
 
 impl Drop for Owner {
     fn drop(&mut self) {
-        // Unlocked explicitly: a process just forked from this one may still have the descriptor open, which would keep the lock.
+        // Closing the file is not enough: a process just forked from this one may still have the descriptor open, which would
+        // keep the lock.
         let _ = flock(&self.locked, FlockOperation::Unlock);
     }
 }
--- a/crates/store/src/sqlite/read.rs
+++ b/crates/store/src/sqlite/read.rs
@@ -166,7 +166,8 @@
         part.to_str().ok_or_else(|| StoreError::Other("the path of the backup is not valid UTF-8".into()))?;
     db.execute("VACUUM INTO ?1", [name]).map_err(classify)?;
     File::open(part).and_then(|file| file.sync_all()).map_err(classify_io)?;
-    // Does not replace a file that was created in the meantime. A hard link would leave two names if the process ended here.
+    // Does not replace a file that was created in the meantime. A hard link would leave two names if the process ended
+    // before the old one was removed.
     renameat_with(CWD, part, CWD, to, RenameFlags::NOREPLACE).map_err(|error| classify_io(error.into()))?;
     sync_parent(to)
 }
--- a/crates/store/src/writer/maintenance.rs
+++ b/crates/store/src/writer/maintenance.rs
@@ -33,8 +33,8 @@
                 Ok((forgotten < limit).then_some(done))
             }
             Maintenance::Prune { ticket, before, note, rows } => {
-                let note_of_run = |anchor: &Anchor| Row { run, ..note(anchor) };
-                let pruned = store.prune(*before, limit, &note_of_run, sums)?;
+                let note_with_run = |anchor: &Anchor| Row { run, ..note(anchor) };
+                let pruned = store.prune(*before, limit, &note_with_run, sums)?;
                 *rows += pruned.rows;
                 let done = WriterEvent::Pruned { ticket: *ticket, pruned: Pruned { rows: *rows, ..pruned } };
                 Ok((!pruned.more).then_some(done))
--- a/crates/store/tests/large_stores.rs
+++ b/crates/store/tests/large_stores.rs
@@ -44,7 +44,7 @@
     }
 }
 
-fn print_time<T>(operation: &str, run: impl FnOnce() -> T) -> T {
+fn timed<T>(operation: &str, run: impl FnOnce() -> T) -> T {
     let began = Instant::now();
     let result = run();
     eprintln!("{operation}: {:.1} ms", began.elapsed().as_secs_f64() * 1e3);
@@ -73,36 +73,29 @@
     let directory = TestDirectory::new("many");
     let mut store = directory.open();
     eprintln!("{rows} rows, {settles} keys");
-    print_time("filled, 1000 rows a commit", || fill(&mut store, rows));
+    timed("filled, 1000 rows a commit", || fill(&mut store, rows));
     drop(store);
     eprintln!("on disk: {:.1} MiB", mib(&directory, "record.db"));
-    let mut store = print_time("opened", || directory.open());
-    assert_eq!(print_time("all keys read, 1000 a page", || all_keys(&store)) as u64, settles);
-    let reader = print_time("opened to read", || SqliteReader::open(directory.db()).expect("opens"));
-    let query_rows = |query: Query| reader.rows(&Query { limit: 1000, ..query }).expect("rows");
+    let mut store = timed("opened", || directory.open());
+    assert_eq!(timed("all keys read, 1000 a page", || all_keys(&store)) as u64, settles);
+    let reader = timed("opened to read", || SqliteReader::open(directory.db()).expect("opens"));
+    let select = |query: Query| reader.rows(&Query { limit: 1000, ..query }).expect("rows");
     let shown = settlement_key(settles / 2).key;
-    let found = print_time("show a key", || query_rows(Query { key: Some(shown), ..Query::default() }));
+    let found = timed("show a key", || select(Query { key: Some(shown), ..Query::default() }));
     assert_eq!(found.len() as u64, ROWS_EACH);
-    let found = print_time("list in doubt", || query_rows(Query { in_doubt: true, ..Query::default() }));
+    let found = timed("list in doubt", || select(Query { in_doubt: true, ..Query::default() }));
     assert_eq!(found.len() as u64, (settles / 10_000 * ROWS_EACH).min(1000));
     let since = Some(Time((settles - 10) * 1000));
-    let found = print_time("list the last ten settlements by time", || {
-        query_rows(Query { since, ..Query::default() })
-    });
+    let found = timed("list the last 10 by time", || select(Query { since, ..Query::default() }));
     assert_eq!(found.len() as u64, 10 * ROWS_EACH);
     let tenant = Some("tenant-7".to_owned());
-    print_time("list a tenant, one page", || {
-        query_rows(Query { tenant: tenant.clone(), ..Query::default() })
-    });
-    print_time("list a tenant that has none", || {
-        query_rows(Query { tenant: Some("none".into()), ..Query::default() })
-    });
-    let verified = print_time("verify, with SQLite's own check", || {
-        verify(&reader, &chain::sum, None).expect("verifies")
-    });
+    timed("list a tenant, one page", || select(Query { tenant: tenant.clone(), ..Query::default() }));
+    timed("list an absent tenant", || select(Query { tenant: Some("none".into()), ..Query::default() }));
+    let verified =
+        timed("verify, with SQLite's own check", || verify(&reader, &chain::sum, None).expect("verifies"));
     assert_eq!(verified.rows, rows);
-    print_time("SQLite's own check alone", || reader.check().expect("whole"));
-    print_time("backup", || reader.backup(&directory.file("copy.db")).expect("backup"));
+    timed("SQLite's own check alone", || reader.check().expect("whole"));
+    timed("backup", || reader.backup(&directory.file("copy.db")).expect("backup"));
     eprintln!("backup on disk: {:.1} MiB", mib(&directory, "copy.db"));
     measure_pruning(&mut store, settles);
 }
@@ -128,7 +121,7 @@
         steps[steps.len() - 1]
     );
     let forgotten =
-        print_time("500 keys forgotten", || store.forget_served(Time(u64::MAX), 500).expect("forgets"));
+        timed("500 keys forgotten", || store.forget_served(Time(u64::MAX), 500).expect("forgets"));
     assert_eq!(forgotten, 500);
     verify(store, &|before: &[u8; 32], row: &Row| chain::sum(before, row), None).expect("verifies");
 }
--- a/crates/store/tests/writer.rs
+++ b/crates/store/tests/writer.rs
@@ -176,13 +176,11 @@
         assert_eq!(harness.failed(), (ticket, "io", CommitOutcome::Unknown));
     }
     harness.down();
-    assert!(
-        matches!(harness.next(), WriterEvent::ClaimsRejected { ticket: 3, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InDoubt))])
-    );
+    assert!(matches!(harness.next(), WriterEvent::ClaimsRejected { ticket: 3, rows }
+            if rows == [Err(ClaimRejection::Taken(KeyState::InDoubt))]));
     assert_eq!(harness.committed(), (4, vec![3]));
-    assert!(
-        matches!(harness.next(), WriterEvent::ClaimsRejected { ticket: 5, rows } if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))])
-    );
+    assert!(matches!(harness.next(), WriterEvent::ClaimsRejected { ticket: 5, rows }
+            if rows == [Err(ClaimRejection::Taken(KeyState::InFlight))]));
     assert_eq!(harness.back(), 3);
 }
 
