--- a/crates/discovery/src/call/tests.rs
+++ b/crates/discovery/src/call/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::poll_schedule::{PollSchedule, MAX_BODY_TIMEOUT};
-use shaletide_testkit::NeverUp;
+use shaletide_testkit::FullBacklogListener;
 use std::io::{BufRead, BufReader, Write};
 use std::time::Instant;
 
@@ -21,7 +21,7 @@
 
 #[test]
 fn connect_timeout_fails_a_long_poll() {
-    let unreachable_server = NeverUp::new();
+    let unreachable_server = FullBacklogListener::new();
     let uri = "/api/targets?after=1&wait_ms=60000";
     let failed = with_runtime(fetch(
         &mut None,
--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -2,7 +2,7 @@
 //! it takes, and what it says of its load.
 
 use crate::scenario::{BackendLimits, LoadReporting};
-use shaletide_testkit::{Admitted, Demand, Power, SeededRng, Station, Step};
+use shaletide_testkit::{Admission, CpuCapacity, Demand, SeededRng, ServiceEvent, ServiceModel};
 use shaletide_types::*;
 use std::collections::VecDeque;
 
@@ -28,8 +28,8 @@
 }
 
 pub struct SimulatedBackend {
-    pub station: Station,
-    pub power: Power,
+    pub station: ServiceModel,
+    pub power: CpuCapacity,
     pub booted: Option<Time>,
     /// Counts its lives: connections of an earlier one are no more.
     pub life: u32,
@@ -56,14 +56,14 @@
 
 impl SimulatedBackend {
     pub fn new(
-        number: u32, seed: u64, power: Power, booted: Option<Time>, common: &BackendLimits,
+        number: u32, seed: u64, power: CpuCapacity, booted: Option<Time>, common: &BackendLimits,
         reports: &Option<LoadReporting>,
     ) -> SimulatedBackend {
-        let mut rng = SeededRng::of(seed, &format!("site {number}"));
-        let (lies, mute) = (rng.part(), rng.part());
-        let first = Micros((rng.part() * reports.as_ref().map_or(1.0, |r| r.period.0 as f64)) as u64);
+        let mut rng = SeededRng::named(seed, &format!("site {number}"));
+        let (lies, mute) = (rng.uniform(), rng.uniform());
+        let first = Micros((rng.uniform() * reports.as_ref().map_or(1.0, |r| r.period.0 as f64)) as u64);
         SimulatedBackend {
-            station: Station::new(power, booted, common.slots.0, common.slots.1),
+            station: ServiceModel::new(power, booted, common.slots.0, common.slots.1),
             power,
             booted,
             life: 0,
@@ -89,7 +89,7 @@
     /// All that it holds is lost, and so are its connections.
     pub fn dies(&mut self) {
         (self.dead, self.connections, self.life) = (true, 0, self.life + 1);
-        self.station = Station::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
+        self.station = ServiceModel::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
         (self.crowd, self.busy, self.crowded_since, self.served) = (0.0, 0.0, None, (0.0, 0.0));
     }
 
@@ -97,7 +97,7 @@
     pub fn returns(&mut self, now: Time) {
         (self.dead, self.booted) = (false, Some(now));
         self.said.clear();
-        self.station = Station::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
+        self.station = ServiceModel::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
         self.apply(now);
     }
 
@@ -110,11 +110,11 @@
         (self.station.in_service() + self.station.queued()) as f64
     }
 
-    pub fn arrive(&mut self, now: Time, id: u64, demand: Demand) -> Admitted {
+    pub fn arrive(&mut self, now: Time, id: u64, demand: Demand) -> Admission {
         self.station.arrive(now, id, demand)
     }
 
-    pub fn advance(&mut self, now: Time) -> Vec<Step> {
+    pub fn advance(&mut self, now: Time) -> Vec<ServiceEvent> {
         self.station.advance(now)
     }
 
@@ -131,7 +131,7 @@
 
     fn apply(&mut self, now: Time) {
         let crowd = if self.crowded_since.is_some() { self.common.slower } else { 1.0 };
-        self.station.slow(now, self.slowed * crowd);
+        self.station.set_slowdown(now, self.slowed * crowd);
     }
 
     /// Looks at itself, once every [`LOOK`].
@@ -159,14 +159,14 @@
             None => {}
         }
         let Some(reports) = self.reports.as_ref().filter(|_| now >= self.next_report) else { return };
-        let noise = 1.0 + (self.rng.part() * 2.0 - 1.0) * reports.noise;
+        let noise = 1.0 + (self.rng.uniform() * 2.0 - 1.0) * reports.noise;
         let latency = if self.served.1 > 0.0 { self.served.0 / self.served.1 * 1e3 } else { 0.0 };
         let honest = LoadReport {
             in_flight: Some(held * noise),
             errors_per_s: Some(0.0),
             latency_ms: Some(latency * noise),
         };
-        let lie = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.rng.word() % 6) as usize];
+        let lie = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.rng.next_u64() % 6) as usize];
         let report = match () {
             () if self.lies => {
                 LoadReport { in_flight: Some(lie), errors_per_s: Some(lie), latency_ms: Some(lie) }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,7 +1,7 @@
 //! What a scenario is made of.
 
 use shaletide_balancer::{Class, Config, DiscoveryMode, Tenant};
-use shaletide_testkit::{Law, Power, SeededRng};
+use shaletide_testkit::{CpuCapacity, Distribution, SeededRng};
 use shaletide_types::*;
 
 /// A sort of request.
@@ -16,9 +16,9 @@
     /// A client waits so long at most.
     pub deadline: Micros,
     /// Work, ms of a standard core.
-    pub work_ms: Law,
+    pub work_ms: Distribution,
     /// Waiting that needs no core, ms.
-    pub io_ms: Law,
+    pub io_ms: Distribution,
 }
 
 /// A kind of backend.
@@ -27,7 +27,7 @@
     /// Its part of all backends.
     pub share: f64,
     /// The speed of its core; each backend draws its own.
-    pub speed: Law,
+    pub speed: Distribution,
     /// The list's size of one that holds nothing.
     pub size: f64,
     /// The part of its speed that a backend has as it starts, and how long it takes to warm.
@@ -223,8 +223,8 @@
                 late_weight_fraction: 0.25,
             },
             deadline: ms(deadline),
-            work_ms: Law::LogNormal(work, 0.55),
-            io_ms: Law::Even(20.0, 36.0),
+            work_ms: Distribution::LogNormal(work, 0.55),
+            io_ms: Distribution::Even(20.0, 36.0),
         };
         let keyed = Idempotency::Keyed(DeduplicationScope::Group, ms(1_800));
         Scenario {
@@ -246,8 +246,18 @@
                 sort("settle", 0.18, 8.0, 600, 1_500, Idempotency::NonIdempotent, 52.0),
             ],
             kinds: vec![
-                Kind { share: 0.6, speed: Law::LogNormal(1.8, 0.17), size: 2.0, cold: (0.25, ms(16_000)) },
-                Kind { share: 0.4, speed: Law::LogNormal(0.88, 0.12), size: 1.0, cold: (0.25, ms(14_000)) },
+                Kind {
+                    share: 0.6,
+                    speed: Distribution::LogNormal(1.8, 0.17),
+                    size: 2.0,
+                    cold: (0.25, ms(16_000)),
+                },
+                Kind {
+                    share: 0.4,
+                    speed: Distribution::LogNormal(0.88, 0.12),
+                    size: 1.0,
+                    cold: (0.25, ms(14_000)),
+                },
             ],
             common: BackendLimits {
                 slots: (7, 16),
@@ -345,9 +355,9 @@
 
     /// Each proxy's part of the traffic.
     pub(crate) fn parts(&self) -> Vec<f64> {
-        let mut rng = SeededRng::of(self.seed, "front");
-        let law = Law::LogNormal(1.0, self.uneven.max(1e-9));
-        let mut parts: Vec<f64> = (0..self.proxies).map(|_| law.draw(&mut rng)).collect();
+        let mut rng = SeededRng::named(self.seed, "front");
+        let law = Distribution::LogNormal(1.0, self.uneven.max(1e-9));
+        let mut parts: Vec<f64> = (0..self.proxies).map(|_| law.sample(&mut rng)).collect();
         let last = f64::from(self.zones.saturating_sub(1).max(1));
         for (position, part) in (0u32..).zip(&mut parts) {
             let zone = f64::from(position % self.zones);
@@ -362,9 +372,9 @@
     }
 
     /// The kind, power and warm-up of the backend of that number.
-    pub(crate) fn draw_box(&self, number: u32) -> (usize, Power) {
-        let mut rng = SeededRng::of(self.seed, &format!("box {number}"));
-        let mut left = rng.part();
+    pub(crate) fn draw_box(&self, number: u32) -> (usize, CpuCapacity) {
+        let mut rng = SeededRng::named(self.seed, &format!("box {number}"));
+        let mut left = rng.uniform();
         let last = self.kinds.len() - 1;
         let kind = self.kinds.iter().position(|k| {
             left -= k.share;
@@ -373,7 +383,15 @@
         let kind = kind.unwrap_or(last);
         let k = &self.kinds[kind];
         let (initial_capacity_fraction, ramp) = k.cold;
-        (kind, Power { cores: 1, speed: k.speed.draw(&mut rng).max(0.1), initial_capacity_fraction, ramp })
+        (
+            kind,
+            CpuCapacity {
+                cores: 1,
+                speed: k.speed.sample(&mut rng).max(0.1),
+                initial_capacity_fraction,
+                ramp,
+            },
+        )
     }
 }
 
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -106,7 +106,7 @@
             attempts: Vec::new(),
             out: BTreeMap::new(),
             todo: VecDeque::new(),
-            rng: SeededRng::of(scenario.seed, "day"),
+            rng: SeededRng::named(scenario.seed, "day"),
             burst: 1.0,
             faults: Faults::new(scenario.seed),
             statistics: Statistics::new(scenario.sorts.len()),
@@ -195,7 +195,7 @@
         config.position %= config.proxies;
         let mut pools = Pools::new();
         let life = u64::from(self.proxies[proxy].life);
-        let seed = SeededRng::of(self.scenario.seed ^ life << 32, &format!("proxy {proxy}")).word();
+        let seed = SeededRng::named(self.scenario.seed ^ life << 32, &format!("proxy {proxy}")).next_u64();
         // The configuration is the emulator's own.
         pools.configure(POOL, config, seed).expect("a sound configuration");
         let p = &mut self.proxies[proxy];
@@ -207,7 +207,7 @@
         let as_of = self.faults.stopped.unwrap_or(self.now);
         self.tell_list(proxy, EndpointUpdate::Snapshot, as_of);
         let period = self.period();
-        let first = Micros((self.rng.part() * period.0 as f64) as u64);
+        let first = Micros((self.rng.uniform() * period.0 as f64) as u64);
         self.at(self.now + first, Ev::List { proxy });
     }
 
--- a/crates/emulator/src/simulation/attempts.rs
+++ b/crates/emulator/src/simulation/attempts.rs
@@ -6,7 +6,7 @@
 use crate::invariants::Violation;
 use shaletide_balancer::AttemptEnd;
 use shaletide_routing::pools::Event;
-use shaletide_testkit::{Admitted, Demand, Step};
+use shaletide_testkit::{Admission, Demand, ServiceEvent};
 use shaletide_types::*;
 
 impl World<'_> {
@@ -26,7 +26,7 @@
         let crosses = self.rows[backend].zone != self.proxies[proxy].zone;
         self.statistics.crossed += u64::from(crosses);
         let attempt = self.attempts.len();
-        let work_ms = sort.work_ms.draw(&mut self.rng);
+        let work_ms = sort.work_ms.sample(&mut self.rng);
         let (life, sent) = (self.proxies[proxy].life, self.now);
         let (wait, fresh) = self.connects(proxy, backend);
         let connected = fresh.is_some().then_some(self.backends[backend].life);
@@ -44,7 +44,7 @@
         }
         self.at(self.now + wait, Ev::AtBox { attempt });
         if self.faults.reset > 0.0 && self.faults.rng.chance(self.faults.reset) {
-            let breaks = Micros(wait.0 + (self.faults.rng.part() * BREAKS) as u64);
+            let breaks = Micros(wait.0 + (self.faults.rng.uniform() * BREAKS) as u64);
             self.at(self.now + breaks, Ev::Back { attempt, outcome: Outcome::Reset });
         }
     }
@@ -98,8 +98,8 @@
         }
         let s = &self.backends[backend];
         let window = Micros(1_000_000);
-        if s.power.warmth(s.booted, self.now) < 1.0 {
-            let bears = 3.0 * s.power.capacity(s.booted, self.now) * window.secs();
+        if s.power.speed_fraction(s.booted, self.now) < 1.0 {
+            let bears = 3.0 * s.power.available_cores(s.booted, self.now) * window.secs();
             let work = (work_ms / 1e3, self.scenario.work_ms() / 1e3);
             self.watch.came(self.now, id, work, bears, window);
         }
@@ -107,15 +107,15 @@
             return;
         }
         let sort = &self.scenario.sorts[self.clients_sort(attempt)];
-        let io = Micros::from_secs(sort.io_ms.draw(&mut self.rng) / 1e3);
+        let io = Micros::from_secs(sort.io_ms.sample(&mut self.rng) / 1e3);
         self.wake(backend);
         let s = &mut self.backends[backend];
         match s.arrive(self.now, attempt as u64, Demand { work_ms, io }) {
-            Admitted::Full => {
+            Admission::Full => {
                 let way = self.way(attempt);
                 self.at(self.now + way, Ev::Back { attempt, outcome: Outcome::Rejected });
             }
-            Admitted::Began | Admitted::Queued => self.set_wake(backend),
+            Admission::Began | Admission::Queued => self.set_wake(backend),
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     pub(super) fn set_wake(&mut self, backend: usize) {
-        let Some(at) = self.backends[backend].station.next(self.now) else { return };
+        let Some(at) = self.backends[backend].station.next_event(self.now) else { return };
         let at = at.max(self.now);
         if self.wakes[backend].is_none_or(|set| at < set) {
             self.wakes[backend] = Some(at);
@@ -149,7 +149,7 @@
     pub(super) fn wake(&mut self, backend: usize) {
         let steps = self.backends[backend].advance(self.now);
         for step in steps {
-            let Step::Served(done) = step else { continue };
+            let ServiceEvent::Served(done) = step else { continue };
             let attempt = done.id as usize;
             let took = self.now - self.attempts[attempt].sent;
             self.backends[backend].told_served(took);
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -12,7 +12,7 @@
 
 /// One of them, by their shares.
 fn pick(rng: &mut SeededRng, shares: &[f64]) -> usize {
-    let mut left = rng.part() * shares.iter().sum::<f64>();
+    let mut left = rng.uniform() * shares.iter().sum::<f64>();
     let hit = shares.iter().position(|s| {
         left -= s;
         left < 0.0
@@ -26,7 +26,7 @@
             return;
         }
         let rate = self.scenario.load * self.scenario.capacity() * self.burst;
-        let gap = -self.rng.part().ln() / rate;
+        let gap = -self.rng.uniform().ln() / rate;
         self.at(self.now + Micros::from_secs(gap), Ev::Comes);
         let sort = pick(&mut self.rng, &self.scenario.sorts.iter().map(|s| s.share).collect::<Vec<_>>());
         let tenant = pick(&mut self.rng, &self.scenario.tenants.iter().map(|t| t.1).collect::<Vec<_>>());
@@ -93,7 +93,7 @@
     /// Random choice.
     pub(super) fn draws(&mut self, proxy: usize, id: RequestId) {
         let ready = &self.proxies[proxy].ready;
-        let at = (self.rng.part() * ready.len() as f64) as usize;
+        let at = (self.rng.uniform() * ready.len() as f64) as usize;
         match ready.keys().nth(at).copied() {
             Some(backend) => self.dispatch(proxy, id, AttemptNumber(0), backend),
             None => self.rejected(id, Micros(0)),
@@ -115,7 +115,7 @@
         }
         let c = &mut self.clients[client];
         if (rejected || lost) && c.tries <= self.scenario.retries {
-            let wait = Micros((self.rng.part() * 70_000.0) as u64 + 10_000).max(advice.min(MOST_ADVICE));
+            let wait = Micros((self.rng.uniform() * 70_000.0) as u64 + 10_000).max(advice.min(MOST_ADVICE));
             self.at(self.now + wait, Ev::Again { client });
         }
     }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -10,7 +10,7 @@
 impl World<'_> {
     pub(super) fn begins(&mut self, fault: usize) {
         let (from, to, what) = &self.scenario.faults[fault];
-        let mut rng = SeededRng::of(self.scenario.seed, &format!("trouble {fault}"));
+        let mut rng = SeededRng::named(self.scenario.seed, &format!("trouble {fault}"));
         match what {
             Fault::Burst(factor) => self.burst = *factor,
             Fault::Slow(factor) => {
@@ -75,7 +75,7 @@
     }
 
     fn draw_zone(&self, rng: &mut SeededRng) -> ZoneId {
-        ZoneId((rng.part() * f64::from(self.scenario.zones)) as u32)
+        ZoneId((rng.uniform() * f64::from(self.scenario.zones)) as u32)
     }
 
     /// Whether a proxy and a backend do not hear each other. One that sees all is in none of the zones: it loses the
@@ -91,7 +91,7 @@
     fn cut_ends(&mut self) {
         self.faults.cut = None;
         for attempt in std::mem::take(&mut self.faults.stalled) {
-            let wait = Micros((self.faults.rng.part() * SENT_AGAIN) as u64);
+            let wait = Micros((self.faults.rng.uniform() * SENT_AGAIN) as u64);
             self.at(self.now + wait, Ev::AtBox { attempt });
         }
     }
@@ -122,7 +122,7 @@
         let p = &mut self.proxies[proxy];
         (p.pools, p.life) = (None, p.life + 1);
         let (least, most) = self.scenario.front_notices;
-        let notices = least.0 as f64 + self.faults.rng.part() * most.0.saturating_sub(least.0) as f64;
+        let notices = least.0 as f64 + self.faults.rng.uniform() * most.0.saturating_sub(least.0) as f64;
         p.noticed = self.now + Micros(notices as u64);
         let open = std::mem::take(&mut p.open);
         let idle = std::mem::take(&mut p.idle);
--- a/crates/emulator/src/simulation/world.rs
+++ b/crates/emulator/src/simulation/world.rs
@@ -161,7 +161,7 @@
         let (cut, stopped, late) = (None, None, Micros(0));
         let (stalled, dead) = (Vec::new(), Vec::new());
         Faults {
-            rng: SeededRng::of(seed, "faults"),
+            rng: SeededRng::named(seed, "faults"),
             cut,
             stalled,
             stopped,
--- a/crates/emulator/tests/slow_start.rs
+++ b/crates/emulator/tests/slow_start.rs
@@ -3,14 +3,15 @@
 
 use shaletide_emulator::scenario::{Fault, Kind};
 use shaletide_emulator::{simulation, Policy, Scenario};
-use shaletide_testkit::Law;
+use shaletide_testkit::Distribution;
 use shaletide_types::Micros;
 
 /// A backend bears so many requests of mean work in the window as it starts, and is as cold as the settings say at least.
 fn small(backends: u32, bears: f64, load: f64, seed: u64) -> Scenario {
     let mut scenario = Scenario::calm(300, backends, load, seed);
     let initial_capacity_fraction = 0.14;
-    let speed = Law::LogNormal(bears * scenario.work_ms() / 1e3 / 3.0 / initial_capacity_fraction, 0.15);
+    let speed =
+        Distribution::LogNormal(bears * scenario.work_ms() / 1e3 / 3.0 / initial_capacity_fraction, 0.15);
     scenario.kinds =
         vec![Kind { share: 1.0, speed, size: 1.0, cold: (initial_capacity_fraction, Micros(24_000_000)) }];
     scenario.length = Micros(10_000_000);
--- a/crates/lab/src/clients/mod.rs
+++ b/crates/lab/src/clients/mod.rs
@@ -8,7 +8,7 @@
 use crate::experiment::Experiment;
 use crate::front::FrontBalancer;
 use crate::samples::{Sample, TryEnd};
-use shaletide_testkit::{Clock, Exchange, Kept, Law, Message, Pacer, SeededRng};
+use shaletide_testkit::{Clock, Distribution, Exchange, KeptConnection, Message, Pacer, SeededRng};
 use shaletide_types::{Micros, Time};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -151,7 +151,7 @@
 
 /// An idle connection, kept for the next request.
 struct PooledConnection {
-    connection: Kept,
+    connection: KeptConnection,
     proxy: usize,
     /// Requests that it still carries before it is closed.
     requests_left: u32,
@@ -184,7 +184,7 @@
         let notices = Micros(front.notices_after.as_micros() as u64);
         let balancer = FrontBalancer::new(&zones, front.uneven, front.own_zone, notices, seed);
         let idle = experiment.fleet.zones.iter().map(|_| RefCell::default()).collect();
-        let rng = RefCell::new(SeededRng::of(seed, "clients"));
+        let rng = RefCell::new(SeededRng::named(seed, "clients"));
         ClientPool { controls, balancer: RefCell::new(balancer), rng, idle, open: Cell::new(0), start }
     }
 
@@ -204,8 +204,8 @@
     async fn arrivals(self: Rc<Self>, pacer: &Pacer, due_now: &Notify) {
         let experiment = &self.start.experiment;
         let (begun, mut after) = (Instant::now(), 0.0);
-        let (mut number, mut gaps) = (0, SeededRng::of(self.start.seed, "arrivals"));
-        let usual = Law::Exponential(1.0 / experiment.load.requests_per_s);
+        let (mut number, mut gaps) = (0, SeededRng::named(self.start.seed, "arrivals"));
+        let usual = Distribution::Exponential(1.0 / experiment.load.requests_per_s);
         while !self.controls.stop.load(Ordering::Relaxed) {
             let times = f64::from_bits(self.controls.times.load(Ordering::Relaxed));
             if times <= 0.0 {
@@ -213,7 +213,7 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
                 continue;
             }
-            after += usual.draw(&mut gaps) / times;
+            after += usual.sample(&mut gaps) / times;
             if after >= experiment.length.as_secs_f64() {
                 break;
             }
@@ -250,9 +250,9 @@
             let begun = tokio::time::Instant::now();
             let until = begun + every;
             let ready = async {
-                let mut connection = Kept::open(self.start.proxies[proxy], until).await.ok()?;
+                let mut connection = KeptConnection::open(self.start.proxies[proxy], until).await.ok()?;
                 let ask = b"GET /-/ready HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
-                match connection.ask(ask, "GET", until).await {
+                match connection.send_request(ask, "GET", until).await {
                     Exchange::Answer(answer) => Some(answer.status() == 200),
                     _ => None,
                 }
@@ -325,11 +325,11 @@
         }
         let bytes = render(&self.start.experiment, spec, id, left, nth > 0);
         let method = method(&self.start.experiment.classes[spec.class]);
-        match pooled.connection.ask(&bytes, method, deadline.into()).await {
+        match pooled.connection.send_request(&bytes, method, deadline.into()).await {
             Exchange::Answer(answer) => {
                 let closing = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
                 pooled.requests_left = pooled.requests_left.saturating_sub(1);
-                if !closing && pooled.requests_left > 0 && !pooled.connection.overfull() {
+                if !closing && pooled.requests_left > 0 && !pooled.connection.has_excess_bytes() {
                     self.return_to_pool(spec.zone, pooled);
                 }
                 (proxy, end(answer.status()), Some(answer))
@@ -351,20 +351,22 @@
         loop {
             let kept = {
                 let mut idle = self.idle[zone].borrow_mut();
-                let place = (self.rng.borrow_mut().part() * idle.len() as f64) as usize;
+                let place = (self.rng.borrow_mut().uniform() * idle.len() as f64) as usize;
                 (place < idle.len()).then(|| idle.swap_remove(place))
             };
             match kept {
-                Some(pooled) if pooled.connection.at_rest() => return Ok(pooled),
+                Some(pooled) if pooled.connection.is_idle() => return Ok(pooled),
                 Some(_) => {}
                 None => break,
             }
         }
         let Some(proxy) = self.balancer.borrow_mut().select_proxy(zone) else { return Err(()) };
-        let connection = Kept::open(self.start.proxies[proxy], deadline.into()).await.map_err(drop)?;
+        let connection =
+            KeptConnection::open(self.start.proxies[proxy], deadline.into()).await.map_err(drop)?;
         let mean = self.start.experiment.load.requests_per_connection;
         let requests_left =
-            Law::Even(mean * 0.5, mean * 1.5).draw(&mut self.rng.borrow_mut()).round().max(1.0) as u32;
+            Distribution::Even(mean * 0.5, mean * 1.5).sample(&mut self.rng.borrow_mut()).round().max(1.0)
+                as u32;
         Ok(PooledConnection { connection, proxy, requests_left })
     }
 }
--- a/crates/lab/src/clients/request.rs
+++ b/crates/lab/src/clients/request.rs
@@ -28,12 +28,12 @@
 /// the same seed, whatever became of earlier ones.
 pub fn draw_request(experiment: &Experiment, seed: u64, request: u64) -> RequestSpec {
     // The stream's name is part of what a seed gives: it stays.
-    let mut rng = SeededRng::of(seed, &format!("wish {request}"));
-    let class = pick(rng.part(), experiment.classes.iter().map(|c| c.share));
-    let tenant = pick(rng.part(), experiment.tenants.iter().map(|t| t.share));
+    let mut rng = SeededRng::named(seed, &format!("wish {request}"));
+    let class = pick(rng.uniform(), experiment.classes.iter().map(|c| c.share));
+    let tenant = pick(rng.uniform(), experiment.tenants.iter().map(|t| t.share));
     let zones = experiment.fleet.zones.len();
-    let zone = ((rng.part() * zones as f64) as usize).min(zones - 1);
-    RequestSpec { request, class: class.unwrap_or(0), tenant, zone, subject: rng.word() }
+    let zone = ((rng.uniform() * zones as f64) as usize).min(zones - 1);
+    RequestSpec { request, class: class.unwrap_or(0), tenant, zone, subject: rng.next_u64() }
 }
 
 /// The index of the share that a number from 0 to 1 falls into.
--- a/crates/lab/src/experiment/groups.rs
+++ b/crates/lab/src/experiment/groups.rs
@@ -109,7 +109,7 @@
         if table.has("share") && table.has("first") {
             table.wrong_key("first", "it stands beside `share`", "expected one of the two");
         }
-        let mut rng = SeededRng::of(seed, &name);
+        let mut rng = SeededRng::named(seed, &name);
         for list in [&mut members.proxies, &mut members.backends] {
             if let Some(first) = first {
                 list.truncate(first as usize);
@@ -117,7 +117,7 @@
             if let Some(share) = share {
                 let wanted = (list.len() as f64 * share).round() as usize;
                 while list.len() > wanted {
-                    list.remove((rng.part() * list.len() as f64) as usize);
+                    list.remove((rng.uniform() * list.len() as f64) as usize);
                 }
             }
         }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -17,7 +17,7 @@
 use crate::samples::Idempotency;
 use findings::Findings;
 use reader::Table;
-use shaletide_testkit::Law;
+use shaletide_testkit::Distribution;
 use std::cell::RefCell;
 use std::time::Duration;
 use toml::de::DeTable;
@@ -167,9 +167,9 @@
     /// Keyed: for so long backends of a deduplication group discard repeats.
     pub key_window: Duration,
     /// Work, ms of a standard core.
-    pub work_ms: Law,
+    pub work_ms: Distribution,
     /// Waiting time after the work, ms.
-    pub io_ms: Law,
+    pub io_ms: Distribution,
     /// Size of a response body, bytes.
     pub body: usize,
 }
--- a/crates/lab/src/experiment/parts.rs
+++ b/crates/lab/src/experiment/parts.rs
@@ -91,13 +91,13 @@
 }
 
 /// `work_ms`, `work_spread` and the like: a mean and the ratio of deviation to it.
-fn law(table: &Table<'_>, mean: &'static str, spread: &'static str, default: (f64, f64)) -> Law {
+fn law(table: &Table<'_>, mean: &'static str, spread: &'static str, default: (f64, f64)) -> Distribution {
     let mean = table.number_or(mean, (0.0, 60_000.0), default.0);
     let spread = table.number_or(spread, (0.0, 10.0), default.1);
     if spread > 0.0 {
-        Law::LogNormal(mean, spread)
+        Distribution::LogNormal(mean, spread)
     } else {
-        Law::Fixed(mean)
+        Distribution::Fixed(mean)
     }
 }
 
--- a/crates/lab/src/fleet/files.rs
+++ b/crates/lab/src/fleet/files.rs
@@ -22,7 +22,7 @@
 /// The text of a proxy's file, with `more` appended. Sections that `more` contains are left out of the rest.
 pub fn operator(experiment: &Experiment, settings: ProxySettings, more: &str) -> String {
     let mut text = String::new();
-    let seed = SeededRng::of(settings.seed, &format!("p{}", settings.proxy)).word();
+    let seed = SeededRng::named(settings.seed, &format!("p{}", settings.proxy)).next_u64();
     let zone = &experiment.fleet.zones[experiment.zone_of_proxy(settings.proxy)];
     let _ = write!(
         text,
--- a/crates/lab/src/front/mod.rs
+++ b/crates/lab/src/front/mod.rs
@@ -1,7 +1,7 @@
 //! The load balancer in front of the proxies: it spreads clients' connections unevenly, by zone, and by health checks that
 //! lag behind. Pure: time is an argument.
 
-use shaletide_testkit::{Law, SeededRng};
+use shaletide_testkit::{Distribution, SeededRng};
 use shaletide_types::{Micros, Time};
 
 /// The state of a proxy at the front.
@@ -29,11 +29,11 @@
     pub fn new(
         zones: &[usize], uneven: f64, own_zone: f64, notices_after: Micros, seed: u64,
     ) -> FrontBalancer {
-        let mut rng = SeededRng::of(seed, "front");
-        let law = if uneven > 0.0 { Law::LogNormal(1.0, uneven) } else { Law::Fixed(1.0) };
+        let mut rng = SeededRng::named(seed, "front");
+        let law = if uneven > 0.0 { Distribution::LogNormal(1.0, uneven) } else { Distribution::Fixed(1.0) };
         let proxies = zones.iter().map(|zone| ProxyState {
             zone: *zone,
-            weight: law.draw(&mut rng).max(1e-3),
+            weight: law.sample(&mut rng).max(1e-3),
             failing: None,
             out: false,
         });
@@ -60,11 +60,11 @@
 
     /// The proxy for a connection of a client of that zone; none where all are out of rotation. Linear in the proxies.
     pub fn select_proxy(&mut self, zone: usize) -> Option<usize> {
-        let stays = self.rng.part() < self.own_zone;
+        let stays = self.rng.uniform() < self.own_zone;
         let here = self.proxies.iter().any(|p| !p.out && p.zone == zone);
         let fits = |p: &ProxyState| !p.out && (!(stays && here) || p.zone == zone);
         let all: f64 = self.proxies.iter().filter(|p| fits(p)).map(|p| p.weight).sum();
-        let mut left = self.rng.part() * all;
+        let mut left = self.rng.uniform() * all;
         let mut last = None;
         for (number, state) in self.proxies.iter().enumerate().filter(|(_, p)| fits(p)) {
             last = Some(number);
--- a/crates/lab/src/judge/rules.rs
+++ b/crates/lab/src/judge/rules.rs
@@ -4,8 +4,8 @@
 use super::facts::{BackendRun, Facts, Try};
 use super::process_state::ProcessTimeline;
 use crate::samples::{BackendEnd, Idempotency, PowerInfo, TryEnd, MAX_SAMPLES};
-use shaletide_testkit::checks::{self, Push, Violation};
-use shaletide_testkit::{Boot, BoxInfo, Ended, Ledger, Power, Record, Repeat};
+use shaletide_testkit::checks::{self, SlowStartLimit, Violation};
+use shaletide_testkit::{BackendInfo, Boot, CpuCapacity, Ended, Ledger, Record, Repeat};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 pub const DRAIN_GRACE_US: u64 = 2_000_000;
 
 /// What a backend may be sent during warm-up: three times its capacity in any second, and a tenth for chance.
-pub const PUSH: Push = Push { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
+pub const PUSH: SlowStartLimit = SlowStartLimit { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
 
 /// All rules over a run, in a fixed order.
 pub(crate) fn all(facts: &Facts<'_>, timelines: &[ProcessTimeline]) -> Vec<Check> {
@@ -100,7 +100,7 @@
         let class = classes.iter().find(|c| c.name == name);
         Micros(class.map_or(0, |c| c.window_us))
     };
-    add_violations(&mut check, facts, checks::keyed_ran_in_one_bay(ledger, window));
+    add_violations(&mut check, facts, checks::keyed_ran_in_one_group(ledger, window));
     check
 }
 
@@ -177,7 +177,7 @@
     let known = |backend: &u32| facts.backends.get(backend).is_some_and(|b| b.power.is_some());
     let cold = facts.boots.iter().filter(|((backend, _), boot)| boot.at_us.is_some() && known(backend));
     check.judged = cold.count() as u64;
-    add_violations(&mut check, facts, checks::cold_not_pushed_over(ledger, PUSH));
+    add_violations(&mut check, facts, checks::slow_start_limit_kept(ledger, PUSH));
     check
 }
 
@@ -205,20 +205,20 @@
     for violation in found {
         let last = violation.records.last().and_then(|place| facts.runs.get(*place));
         let proxy = last.and_then(|run| facts.try_of(run.id)).and_then(|one| one.proxy);
-        check.breach(last.map(|run| run.began_us), proxy, || violation.what);
+        check.breach(last.map(|run| run.began_us), proxy, || violation.description);
     }
 }
 
 /// The runs in the form of the test kit's rules. A run has the id of its request, so that all tries are one request.
 fn ledger(facts: &Facts<'_>) -> Ledger {
     let places: BTreeMap<u32, usize> = facts.backends.keys().enumerate().map(|(n, b)| (*b, n)).collect();
-    let backends = facts.backends.iter().map(|(number, b)| BoxInfo {
+    let backends = facts.backends.iter().map(|(number, b)| BackendInfo {
         name: b.name.to_owned(),
-        bay: u64::from(b.deduplication_group),
-        power: b.power.map_or(Power::warm(1, 1.0), power),
+        deduplication_group: u64::from(b.deduplication_group),
+        cpu_capacity: b.power.map_or(CpuCapacity::warm(1, 1.0), power),
         boots: boots(facts, *number),
     });
-    let mut ledger = Ledger { boxes: backends.collect(), ..Ledger::new(MAX_SAMPLES) };
+    let mut ledger = Ledger { backends: backends.collect(), ..Ledger::new(MAX_SAMPLES) };
     let classes = facts.header.map_or(&[][..], |h| h.classes);
     let names: Vec<Arc<str>> = classes.iter().map(|c| Arc::from(&*c.name)).collect();
     for run in &facts.runs {
@@ -241,14 +241,14 @@
     };
     let ended = ended(run.end).map(|how| (Time(run.ended_us.unwrap_or(run.began_us)), how));
     Record {
-        at_box: backend,
+        backend: backend,
         boot: run.boot as usize,
         id,
         key: run.key.map(Into::into),
         class,
         repeat,
-        came: Time(run.came_us),
-        began: Time(run.began_us),
+        first_byte_at: Time(run.came_us),
+        last_byte_at: Time(run.began_us),
         ended,
         draining: None,
         work_ms: run.work_ms,
@@ -267,8 +267,8 @@
     boots
 }
 
-fn power(info: PowerInfo) -> Power {
-    Power {
+fn power(info: PowerInfo) -> CpuCapacity {
+    CpuCapacity {
         cores: info.cores,
         speed: info.speed,
         initial_capacity_fraction: info.initial_capacity_fraction,
--- a/crates/lab/src/links/core.rs
+++ b/crates/lab/src/links/core.rs
@@ -120,7 +120,7 @@
 
     /// The random numbers of a flow in one direction.
     pub fn rng(&self, flow: &str, way: Way) -> SeededRng {
-        SeededRng::of(self.seed, &format!("{}/{flow}/{way:?}", self.name))
+        SeededRng::named(self.seed, &format!("{}/{flow}/{way:?}", self.name))
     }
 
     pub fn tallies(&self) -> [Tally; 2] {
--- a/crates/lab/src/links/fault.rs
+++ b/crates/lab/src/links/fault.rs
@@ -1,6 +1,6 @@
 //! The faults of one direction of a link, and the valid ranges of their values.
 
-use shaletide_testkit::Law;
+use shaletide_testkit::Distribution;
 use std::fmt;
 
 /// Maximum delay of a chunk or datagram, ms; longer drawn delays are clamped.
@@ -38,7 +38,7 @@
     pub cut: Cut,
     /// Added delay of each chunk or datagram, ms, from 0 to [`MAX_DELAY_MS`]. A stream keeps its order, datagrams
     /// may overtake each other.
-    pub delay_ms: Law,
+    pub delay_ms: Distribution,
     /// Probability that a datagram is dropped. On a stream: that a chunk (up to 16 KiB, as read) and all after
     /// it are delayed as by a retransmission (200 ms, doubled for each further loss, 5 at most).
     pub loss: f64,
@@ -59,7 +59,7 @@
     fn default() -> Fault {
         Fault {
             cut: Cut::None,
-            delay_ms: Law::Fixed(0.0),
+            delay_ms: Distribution::Fixed(0.0),
             loss: 0.0,
             duplicate: 0.0,
             reorder: 0.0,
@@ -77,7 +77,7 @@
     }
 
     /// A fault with only a delay.
-    pub fn delay_ms(delay_ms: Law) -> Fault {
+    pub fn delay_ms(delay_ms: Distribution) -> Fault {
         Fault { delay_ms, ..Fault::default() }
     }
 
@@ -97,10 +97,10 @@
             return Err(FaultError::Chance { name, value });
         }
         let bounds = match self.delay_ms {
-            Law::Fixed(ms) | Law::Exponential(ms) => [ms, ms],
-            Law::Even(from, to) => [from, to],
+            Distribution::Fixed(ms) | Distribution::Exponential(ms) => [ms, ms],
+            Distribution::Even(from, to) => [from, to],
             // The ratio of deviation to mean has its own, generous range.
-            Law::LogNormal(mean, ratio) => [mean, ratio],
+            Distribution::LogNormal(mean, ratio) => [mean, ratio],
         };
         if let Some(value) = bounds.into_iter().find(|ms| !(0.0..=MAX_DELAY_MS).contains(ms)) {
             return Err(FaultError::Delay { value });
--- a/crates/lab/src/links/flow_queue.rs
+++ b/crates/lab/src/links/flow_queue.rs
@@ -192,7 +192,7 @@
     }
 
     fn delay(&mut self, line: &Line) -> Micros {
-        let ms = line.fault().delay_ms.draw(&mut self.rng);
+        let ms = line.fault().delay_ms.sample(&mut self.rng);
         Micros((ms.min(super::fault::MAX_DELAY_MS) * 1000.0).ceil() as u64)
     }
 
@@ -202,7 +202,7 @@
     }
 
     fn below(&mut self, bound: u64) -> u64 {
-        self.rng.word() % bound
+        self.rng.next_u64() % bound
     }
 
     fn insert(&mut self, due: Time, line: &mut Line, departure: Departure) {
--- a/crates/lab/src/links/measure/added.rs
+++ b/crates/lab/src/links/measure/added.rs
@@ -3,7 +3,7 @@
 use super::{histogram, HERE};
 use crate::links::Links;
 use hdrhistogram::Histogram;
-use shaletide_testkit::{Clock, PATIENCE};
+use shaletide_testkit::{Clock, WAIT_LIMIT};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::time::Instant;
@@ -51,7 +51,7 @@
         let (mut server, _) = listener.accept()?;
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
-        client.set_read_timeout(Some(PATIENCE))?;
+        client.set_read_timeout(Some(WAIT_LIMIT))?;
         std::thread::spawn(move || -> io::Result<()> {
             let mut bytes = [0; SIZE];
             loop {
@@ -75,7 +75,7 @@
     for address in [direct, link.address()] {
         let socket = UdpSocket::bind((HERE, 0))?;
         socket.connect(address)?;
-        socket.set_read_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(WAIT_LIMIT))?;
         sockets.push(socket);
     }
     by_turns("UDP, clean link", turns, |through| {
@@ -87,7 +87,7 @@
 /// Sends back what comes, until nothing does for long.
 fn echo() -> io::Result<SocketAddr> {
     let socket = UdpSocket::bind((HERE, 0))?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_read_timeout(Some(WAIT_LIMIT))?;
     let address = socket.local_addr()?;
     std::thread::spawn(move || -> io::Result<()> {
         let mut bytes = [0; SIZE];
--- a/crates/lab/src/links/measure/datagrams.rs
+++ b/crates/lab/src/links/measure/datagrams.rs
@@ -2,7 +2,7 @@
 
 use super::{histogram, micros, percent, set, spread_ms, until, Row, HERE};
 use crate::links::{Cut, Direction, Fault, Link, Links, Peer};
-use shaletide_testkit::{Law, PATIENCE};
+use shaletide_testkit::{Distribution, WAIT_LIMIT};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::UdpSocket;
@@ -29,7 +29,7 @@
 
 fn socket() -> io::Result<UdpSocket> {
     let socket = UdpSocket::bind((HERE, 0))?;
-    socket.set_read_timeout(Some(PATIENCE))?;
+    socket.set_read_timeout(Some(WAIT_LIMIT))?;
     Ok(socket)
 }
 
@@ -98,8 +98,8 @@
 pub(super) fn faults(links: &Links) -> io::Result<Vec<Row>> {
     let bench = Bench::new(links)?;
     let mut rows = chances(&bench)?;
-    rows.push(delay(&bench, "50 ms", Law::Fixed(50.0))?);
-    rows.push(delay(&bench, "20 to 80 ms", Law::Even(20.0, 80.0))?);
+    rows.push(delay(&bench, "50 ms", Distribution::Fixed(50.0))?);
+    rows.push(delay(&bench, "20 to 80 ms", Distribution::Even(20.0, 80.0))?);
     rows.push(rate(&bench)?);
     rows.push(cut(&bench)?);
     rows.push(mesh(links)?);
@@ -142,7 +142,7 @@
     overtaken
 }
 
-fn delay(bench: &Bench, asked: &str, law: Law) -> io::Result<Row> {
+fn delay(bench: &Bench, asked: &str, law: Distribution) -> io::Result<Row> {
     let (sent, came) = bench.run(500, Duration::from_millis(1), Fault::delay_ms(law))?;
     let mut delays = histogram();
     for came in came {
--- a/crates/lab/src/links/measure/mod.rs
+++ b/crates/lab/src/links/measure/mod.rs
@@ -9,7 +9,7 @@
 
 use super::{Direction, Fault, Links};
 use hdrhistogram::Histogram;
-use shaletide_testkit::{Clock, PATIENCE};
+use shaletide_testkit::{Clock, WAIT_LIMIT};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::{Duration, Instant};
@@ -79,7 +79,7 @@
 fn until(so: impl Fn() -> bool) -> io::Result<()> {
     let began = Instant::now();
     while !so() {
-        if began.elapsed() > PATIENCE {
+        if began.elapsed() > WAIT_LIMIT {
             return Err(io::ErrorKind::TimedOut.into());
         }
         std::thread::yield_now();
--- a/crates/lab/src/links/measure/streams.rs
+++ b/crates/lab/src/links/measure/streams.rs
@@ -3,7 +3,7 @@
 use super::{histogram, micros, percent, set, spread_ms, until, Row, HERE};
 use crate::links::{Cut, Direction, Fault, Link, Links};
 use hdrhistogram::Histogram;
-use shaletide_testkit::{Law, PATIENCE};
+use shaletide_testkit::{Distribution, WAIT_LIMIT};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
@@ -22,7 +22,7 @@
         let (server, _) = listener.accept()?;
         for stream in [&client, &server] {
             stream.set_nodelay(true)?;
-            stream.set_read_timeout(Some(PATIENCE))?;
+            stream.set_read_timeout(Some(WAIT_LIMIT))?;
         }
         Ok(Bench { link, client, server })
     }
@@ -46,7 +46,7 @@
 
 pub(super) fn faults(links: &Links) -> io::Result<Vec<Row>> {
     let mut bench = Bench::new(links, "measured-stream")?;
-    let (delays, _) = bench.chunks(40, Fault::delay_ms(Law::Fixed(50.0)))?;
+    let (delays, _) = bench.chunks(40, Fault::delay_ms(Distribution::Fixed(50.0)))?;
     let (_, changed) = bench.chunks(2_000, Fault { corrupt: 0.1, ..Fault::default() })?;
     let (stalls, _) = bench.chunks(100, Fault { loss: 0.1, ..Fault::default() })?;
     let stalled = stalls.count_between(190_000, u64::MAX) as usize;
--- a/crates/lab/src/links/mod.rs
+++ b/crates/lab/src/links/mod.rs
@@ -14,7 +14,7 @@
 //!
 //! ```
 //! use shaletide_lab::links::{Cut, Direction, Fault, Links};
-//! use shaletide_testkit::{Clock, Law};
+//! use shaletide_testkit::{Clock, Distribution};
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let links = Links::start(Clock::start(), 7)?;
@@ -22,7 +22,7 @@
 //! let link = links.tcp("p1>box4", ["p1", "box4"], "127.0.0.1".parse()?, target)?;
 //! links.group("west", &["p1", "p2"]);
 //! println!("for p1's file: {}", link.address());
-//! link.set(Direction::Both, Fault::delay_ms(Law::Even(2.0, 5.0)))?;
+//! link.set(Direction::Both, Fault::delay_ms(Distribution::Even(2.0, 5.0)))?;
 //! let met = links.set_between(&["west"], &["box4"], Direction::Forth, Fault::cut(Cut::Silent))?;
 //! assert_eq!((met, links.leaks()), (1, vec![]));
 //! # Ok(())
--- a/crates/lab/src/links/planted.rs
+++ b/crates/lab/src/links/planted.rs
@@ -1,7 +1,7 @@
 //! Tests with a mutant whose cuts are ignored: the tally at the write has to show it.
 
 use super::{Cut, Direction, Fault, Link, Links, Peer};
-use shaletide_testkit::{Clock, PATIENCE};
+use shaletide_testkit::{Clock, WAIT_LIMIT};
 use std::io::{Read, Write};
 use std::net::{IpAddr, Ipv4Addr, TcpListener, TcpStream, UdpSocket};
 
@@ -13,7 +13,7 @@
 
 fn udp() -> UdpSocket {
     let socket = UdpSocket::bind((HERE, 0)).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     socket
 }
 
--- a/crates/lab/src/links/replay.rs
+++ b/crates/lab/src/links/replay.rs
@@ -37,7 +37,7 @@
     pub fn draw(&mut self, now: Time, rng: &mut SeededRng) -> Option<Vec<u8>> {
         self.forget_old(now);
         let count = self.kept.len() as u64;
-        let at = rng.word().checked_rem(count)?;
+        let at = rng.next_u64().checked_rem(count)?;
         Some(self.kept[at as usize].1.clone())
     }
 
--- a/crates/lab/src/paths.rs
+++ b/crates/lab/src/paths.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Addresses;
 use crate::links::{Cut, Direction, Fault, FaultError, Link, Links, Tally};
 use crate::samples::Sample;
-use shaletide_testkit::{Clock, Fleet, Law, ListServer, View};
+use shaletide_testkit::{Clock, Distribution, Fleet, ListServer, View};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -43,14 +43,14 @@
         let mut backends = Vec::new();
         for proxy in 0..experiment.fleet.proxies {
             let near = format!("p{proxy}");
-            let create_link = |b: &shaletide_testkit::BoxHandle| {
+            let create_link = |b: &shaletide_testkit::BackendHandle| {
                 let far = &b.spec.name;
                 links.tcp(&format!("{near}-{far}"), [&near, far], ip, b.address)
             };
-            backends.push(fleet.boxes().iter().map(create_link).collect::<io::Result<_>>()?);
+            backends.push(fleet.backends().iter().map(create_link).collect::<io::Result<_>>()?);
         }
         let paths = Paths { links, backends, lists: Vec::new(), fronts: Vec::new(), before: BTreeMap::new() };
-        for spare in experiment.backends.count..fleet.boxes().len() {
+        for spare in experiment.backends.count..fleet.backends().len() {
             paths.refuse_backend(spare, true);
         }
         Ok(paths)
@@ -58,7 +58,7 @@
 
     /// The addresses that each proxy is given for the backends: those of its links.
     pub fn views(&self, fleet: &Fleet) -> Vec<View> {
-        let names = || fleet.boxes().iter().map(|b| b.spec.name.clone());
+        let names = || fleet.backends().iter().map(|b| b.spec.name.clone());
         let view = |links: &Vec<Link>| names().zip(links.iter().map(Link::address)).collect();
         self.backends.iter().map(view).collect()
     }
@@ -141,7 +141,7 @@
             Some(false) => Cut::Silent,
             None => Cut::None,
         };
-        let (delay_ms, loss) = (Law::Fixed(fault.delay_ms), fault.loss);
+        let (delay_ms, loss) = (Distribution::Fixed(fault.delay_ms), fault.loss);
         let (rate, corrupt) = (fault.rate, fault.corrupt);
         let put = if on {
             Fault { cut, delay_ms, loss, rate, corrupt, ..Fault::default() }
--- a/crates/lab/src/run/collect.rs
+++ b/crates/lab/src/run/collect.rs
@@ -66,11 +66,11 @@
 pub fn records(experiment: &Experiment, site: &Site, zero: Time, samples: &mut Vec<Sample>) {
     let us = |time: Time| (time - zero).0;
     let ledger = site.fleet.ledger();
-    if ledger.missed > 0 {
-        let reason = format!("the backends had no room to record {} requests", ledger.missed);
+    if ledger.unrecorded > 0 {
+        let reason = format!("the backends had no room to record {} requests", ledger.unrecorded);
         samples.push(Sample::Void { reason });
     }
-    for (backend, info) in ledger.boxes.iter().enumerate() {
+    for (backend, info) in ledger.backends.iter().enumerate() {
         for (boot, start) in info.boots.iter().enumerate() {
             let (at_us, died_us) = (start.at.map(us), start.died.map(us));
             samples.push(Sample::Boot { backend: backend as u32, boot: boot as u32, at_us, died_us });
@@ -80,13 +80,13 @@
     for record in &ledger.records {
         let Some(class) = class(&record.class) else { continue };
         samples.push(Sample::BackendRun {
-            backend: record.at_box as u32,
+            backend: record.backend as u32,
             boot: record.boot as u32,
             id: record.id.to_string(),
             key: record.key.as_deref().map(str::to_string),
             class: class as u32,
-            came_us: Some(us(record.came)),
-            began_us: us(record.began),
+            came_us: Some(us(record.first_byte_at)),
+            began_us: us(record.last_byte_at),
             ended_us: record.ended.map(|(at, _)| us(at)),
             end: end(record.ended),
             draining_since_us: record.draining.map(us),
@@ -94,7 +94,7 @@
         });
     }
     let number = |name: &str| (0..backend_count(experiment)).find(|n| experiment.backend_name(*n) == name);
-    for update in site.list.told() {
+    for update in site.list.deliveries() {
         let state = match update.status {
             Status::Serving => "serving",
             Status::Draining => "draining",
--- a/crates/lab/src/run/driver.rs
+++ b/crates/lab/src/run/driver.rs
@@ -10,7 +10,7 @@
 use crate::samples::{ProcessEvent, Sample, Touched, MAX_SAMPLES};
 use crate::site::{backend_count, Site};
 use crate::timeline::{ends, plan, Action, Due};
-use shaletide_testkit::{BoxStats, Clock};
+use shaletide_testkit::{BackendStats, Clock};
 use shaletide_types::{Micros, Time};
 use std::collections::VecDeque;
 use std::sync::atomic::Ordering;
@@ -35,7 +35,7 @@
     site: Site,
     samples: Vec<Sample>,
     cpu: Cpu,
-    before: Vec<BoxStats>,
+    before: Vec<BackendStats>,
     calls: u64,
     /// The driver's own worst lateness in this second.
     late: Micros,
@@ -147,7 +147,7 @@
         let proxies = 0..self.experiment.fleet.proxies;
         let addresses = proxies.map(|p| self.paths.front(p).unwrap_or(self.processes.address(p))).collect();
         self.zero = self.clock.now();
-        self.before = self.site.fleet.boxes().iter().map(|b| b.stats()).collect();
+        self.before = self.site.fleet.backends().iter().map(|b| b.stats()).collect();
         self.calls = self.site.list.calls();
         self.cpu.taken(&self.processes.pids());
         let start = clients::Start {
@@ -210,7 +210,7 @@
                 self.site.start(*place);
             }
             Action::Replace(place) => {
-                (0..self.site.fleet.boxes().len())
+                (0..self.site.fleet.backends().len())
                     .filter(|b| b % self.experiment.backends.count == *place)
                     .for_each(|b| self.paths.refuse_backend(b, false));
                 self.site.replace(*place);
@@ -313,7 +313,7 @@
     /// Takes the samples of the past second.
     fn sample(&mut self, second: u32) {
         let at_us = u64::from(second) * 1_000_000;
-        let now: Vec<BoxStats> = self.site.fleet.boxes().iter().map(|b| b.stats()).collect();
+        let now: Vec<BackendStats> = self.site.fleet.backends().iter().map(|b| b.stats()).collect();
         let mut requests = 0;
         for (backend, (now, before)) in now.iter().zip(&self.before).enumerate() {
             let grown = |now: u64, before: u64| now.saturating_sub(before) as u32;
--- a/crates/lab/src/samples.rs
+++ b/crates/lab/src/samples.rs
@@ -50,7 +50,7 @@
     pub window_us: u64,
 }
 
-/// The capacity of a backend, as in [`shaletide_testkit::Power`].
+/// The capacity of a backend, as in [`shaletide_testkit::CpuCapacity`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PowerInfo {
     /// Cores.
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -2,8 +2,8 @@
 
 use crate::experiment::{BackendFault, Experiment, ListState};
 use shaletide_testkit::{
-    BoxHandle, BoxSpec, Clock, Crowd, Entry, Fault, Fleet, FleetSpec, ListServer, ListService, Power,
-    Service, View,
+    BackendHandle, BackendSpec, Clock, CongestionConfig, CpuCapacity, Entry, Fault, Fleet, FleetSpec,
+    ListServer, ListService, Service, View,
 };
 use shaletide_types::{Micros, Time};
 use std::collections::VecDeque;
@@ -24,10 +24,10 @@
 }
 
 /// The capacity of a backend.
-pub fn power(experiment: &Experiment) -> Power {
+pub fn power(experiment: &Experiment) -> CpuCapacity {
     let backends = &experiment.backends;
     let ramp = Micros(backends.ramp.as_micros() as u64);
-    Power {
+    CpuCapacity {
         cores: backends.cores,
         speed: backends.speed,
         initial_capacity_fraction: backends.initial_capacity_fraction,
@@ -35,18 +35,20 @@
     }
 }
 
-fn spec(experiment: &Experiment, number: usize) -> BoxSpec {
+fn spec(experiment: &Experiment, number: usize) -> BackendSpec {
     let backends = &experiment.backends;
-    BoxSpec {
+    BackendSpec {
         zone: experiment.fleet.zones[experiment.zone_of(number)].clone(),
-        bay: deduplication_group_of(experiment, number) as u64,
+        deduplication_group: deduplication_group_of(experiment, number) as u64,
         slots: backends.slots,
         queue: backends.queue,
-        grace: backends.grace,
-        idle: backends.idle,
+        drain_grace: backends.grace,
+        idle_timeout: backends.idle,
         handshake_ms: backends.handshake_ms,
-        crowd: backends.crowded.map(|held| Crowd { held, slower: backends.crowded_slower }),
-        ..BoxSpec::new(&experiment.backend_name(number), power(experiment))
+        congestion: backends
+            .crowded
+            .map(|held| CongestionConfig { in_flight_threshold: held, slowdown: backends.crowded_slower }),
+        ..BackendSpec::new(&experiment.backend_name(number), power(experiment))
     }
 }
 
@@ -60,12 +62,12 @@
         class: c.name.clone(),
         work_ms: c.work_ms,
         io_ms: c.io_ms,
-        body: c.body,
+        body_bytes: c.body,
     };
     let services = experiment.classes.iter().map(service).collect();
     let max_records = MAX_RUNS_KEPT;
     let fleet = Fleet::with(FleetSpec { services, seed, clock, max_records, ..FleetSpec::new(backends) })?;
-    for spare in &fleet.boxes()[experiment.backends.count..] {
+    for spare in &fleet.backends()[experiment.backends.count..] {
         spare.kill();
     }
     Ok(fleet)
@@ -103,7 +105,7 @@
     /// No port, no thread, or no descriptors.
     pub fn new(experiment: &Experiment, fleet: Fleet, views: Vec<View>) -> io::Result<Site> {
         let count = experiment.backends.count;
-        let entries = fleet.boxes()[..count].iter().map(BoxHandle::entry).collect();
+        let entries = fleet.backends()[..count].iter().map(BackendHandle::entry).collect();
         let names: Vec<String> = (0..experiment.fleet.proxies).map(|p| format!("p{p}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let list = ListServer::with_views(fleet.clock(), &names, entries, views)?;
@@ -128,8 +130,8 @@
     }
 
     /// The active backend of a slot.
-    pub fn active(&self, slot: usize) -> &BoxHandle {
-        &self.fleet.boxes()[self.active[slot]]
+    pub fn active(&self, slot: usize) -> &BackendHandle {
+        &self.fleet.backends()[self.active[slot]]
     }
 
     fn change(&mut self, change: Change) {
@@ -166,7 +168,7 @@
             // Delayed changes become known at once.
             self.pending.iter_mut().for_each(|(due, _)| *due = Time(0));
         }
-        self.list.serve(service);
+        self.list.set_service(service);
         self.tick();
     }
 
@@ -184,7 +186,7 @@
 
     /// Restarts the active backend of a slot, cold, and lists it.
     pub fn start(&mut self, slot: usize) {
-        self.active(slot).revive();
+        self.active(slot).restart();
         let entry = self.active(slot).entry();
         self.change(Change::Put(entry));
     }
@@ -194,7 +196,7 @@
         self.drain(slot);
         let (count, old) = (self.active.len(), self.active[slot]);
         self.active[slot] = if old < count { old + count } else { old - count };
-        if self.active[slot] < self.fleet.boxes().len() {
+        if self.active[slot] < self.fleet.backends().len() {
             self.start(slot);
         } else {
             self.active[slot] = old;
@@ -205,7 +207,7 @@
     pub fn replaced(&mut self, slot: usize) -> Option<usize> {
         let (count, new) = (self.active.len(), self.active[slot]);
         let old = if new < count { new + count } else { new - count };
-        let handle = self.fleet.boxes().get(old)?;
+        let handle = self.fleet.backends().get(old)?;
         handle.kill();
         let name = handle.spec.name.clone();
         self.change(Change::Delete(name));
@@ -216,10 +218,10 @@
     pub fn fault(&mut self, slot: usize, fault: BackendFault) {
         let backend = self.active(slot);
         match fault {
-            BackendFault::Slow(times) => backend.set(Fault::Slow(times)),
-            BackendFault::Silent(part) => backend.set(Fault::Hang(part)),
-            BackendFault::Fail(part) => backend.set(Fault::Fail(part)),
-            BackendFault::Well => backend.set(Fault::Cleared),
+            BackendFault::Slow(times) => backend.set_fault(Fault::Slow(times)),
+            BackendFault::Silent(part) => backend.set_fault(Fault::Hang(part)),
+            BackendFault::Fail(part) => backend.set_fault(Fault::Fail(part)),
+            BackendFault::Well => backend.set_fault(Fault::Cleared),
         };
     }
 }
--- a/crates/lab/tests/flow_queue.rs
+++ b/crates/lab/tests/flow_queue.rs
@@ -5,7 +5,7 @@
     Cut, Departure, End, Fault, FlowQueue, Line, MAX_CHUNK, MAX_HELD_DATAGRAMS, MAX_HELD_DATAGRAM_BYTES,
     MAX_HELD_STREAM_BYTES, STALL,
 };
-use shaletide_testkit::{Law, SeededRng};
+use shaletide_testkit::{Distribution, SeededRng};
 use shaletide_types::{Micros, Time};
 
 const SECOND: u64 = 1_000_000;
@@ -73,7 +73,7 @@
     world.offer(b"a");
     assert_eq!(world.flow_queue.due(&world.line), Some(Time(0)));
     world.pass(Micros(10));
-    world.set(Fault::delay_ms(Law::Fixed(50.0)));
+    world.set(Fault::delay_ms(Distribution::Fixed(50.0)));
     world.offer(b"b");
     world.pass(Micros(SECOND));
     let times: Vec<u64> = world.out.iter().map(|(at, _)| at.0).collect();
@@ -136,7 +136,7 @@
 
 #[test]
 fn what_was_under_way_when_a_cut_came_is_dropped_even_if_the_cut_healed_before_it_was_due() {
-    let mut world = World::datagrams(Fault::delay_ms(Law::Fixed(100.0)));
+    let mut world = World::datagrams(Fault::delay_ms(Distribution::Fixed(100.0)));
     world.offer(b"under way");
     world.set(Fault::cut(Cut::Silent));
     world.set(Fault::default());
@@ -169,7 +169,7 @@
 
 #[test]
 fn queues_end_at_their_bounds() {
-    let held = Fault::delay_ms(Law::Fixed(1000.0));
+    let held = Fault::delay_ms(Distribution::Fixed(1000.0));
     let mut world = World::datagrams(held);
     (0..2000).for_each(|_| world.offer(&[0; 4]));
     let tally = world.line.tally();
@@ -189,7 +189,7 @@
 
 fn fault() -> impl Strategy<Value = Fault> {
     let cut = prop_oneof![4 => Just(Cut::None), 1 => Just(Cut::Silent)];
-    let law = (0.0..30.0, 30.0..90.0).prop_map(|(from, to)| Law::Even(from, to));
+    let law = (0.0..30.0, 30.0..90.0).prop_map(|(from, to)| Distribution::Even(from, to));
     let chance = || prop_oneof![2 => Just(0.0), 1 => 0.0..1.0];
     let rate = prop::option::of(1_000..1_000_000u64);
     (cut, law, chance(), chance(), chance(), rate, chance()).prop_map(
@@ -271,7 +271,7 @@
 
     #[test]
     fn no_delay_is_shorter_than_the_shortest_asked(from in 0.0..50.0f64, more in 0.0..50.0f64, count in 1..50u64) {
-        let mut world = World::datagrams(Fault::delay_ms(Law::Even(from, from + more)));
+        let mut world = World::datagrams(Fault::delay_ms(Distribution::Even(from, from + more)));
         for nth in 0..count {
             world.offer(&nth.to_be_bytes());
             world.pass(Micros(1000));
--- a/crates/lab/tests/links/datagrams.rs
+++ b/crates/lab/tests/links/datagrams.rs
@@ -2,7 +2,7 @@
 
 use super::{links, lossy, udp, HERE};
 use shaletide_lab::links::{Cut, Direction, Fault, Link, Links, MAX_SENDERS};
-use shaletide_testkit::Law;
+use shaletide_testkit::Distribution;
 use std::collections::BTreeMap;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -99,11 +99,11 @@
 fn a_delay_is_never_shorter_than_asked_and_a_spread_lets_datagrams_overtake() {
     let ends = ends();
     let sent = Instant::now();
-    let came = ends.send(0..50, Fault::delay_ms(Law::Even(10.0, 60.0)));
+    let came = ends.send(0..50, Fault::delay_ms(Distribution::Even(10.0, 60.0)));
     assert!(sent.elapsed() >= Duration::from_millis(10));
     assert!(!came.is_sorted(), "{came:?}");
     assert_eq!(times(&came), (0..50).map(|number| (number, 1)).collect());
-    ends.link.set(Direction::Forth, Fault::delay_ms(Law::Fixed(20.0))).unwrap();
+    ends.link.set(Direction::Forth, Fault::delay_ms(Distribution::Fixed(20.0))).unwrap();
     for number in 0..10u16 {
         let sent = Instant::now();
         ends.client.send(&number.to_be_bytes()).unwrap();
@@ -169,7 +169,7 @@
 fn a_cut_drops_all_in_its_direction_and_those_under_way_and_heals() {
     let ends = ends();
     assert_eq!(ends.send(0..10, Fault::default()).len(), 10);
-    ends.link.set(Direction::Forth, Fault::delay_ms(Law::Fixed(200.0))).unwrap();
+    ends.link.set(Direction::Forth, Fault::delay_ms(Distribution::Fixed(200.0))).unwrap();
     ends.client.send(&[0, 77]).unwrap();
     super::until("under way", || ends.link.stats().forth.held == 1);
     for cut in [Cut::Silent, Cut::Reset] {
--- a/crates/lab/tests/links/main.rs
+++ b/crates/lab/tests/links/main.rs
@@ -5,7 +5,7 @@
 mod streams;
 
 use shaletide_lab::links::{Fault, Links};
-use shaletide_testkit::{Clock, PATIENCE};
+use shaletide_testkit::{Clock, WAIT_LIMIT};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 
 /// An address of the tests' own, besides 127.0.0.1.
@@ -23,14 +23,14 @@
 fn until(what: &str, mut so: impl FnMut() -> bool) {
     let began = std::time::Instant::now();
     while !so() {
-        assert!(began.elapsed() < PATIENCE, "never came: {what}");
+        assert!(began.elapsed() < WAIT_LIMIT, "never came: {what}");
         std::thread::yield_now();
     }
 }
 
 fn udp() -> (UdpSocket, SocketAddr) {
     let socket = UdpSocket::bind((HERE, 0)).unwrap();
-    socket.set_read_timeout(Some(PATIENCE)).unwrap();
+    socket.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let address = socket.local_addr().unwrap();
     (socket, address)
 }
@@ -46,7 +46,7 @@
     let client = TcpStream::connect(link).unwrap();
     let (target, _) = listener.accept().unwrap();
     for stream in [&client, &target] {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     }
     (client, target)
 }
--- a/crates/lab/tests/links/streams.rs
+++ b/crates/lab/tests/links/streams.rs
@@ -2,7 +2,7 @@
 
 use super::{connect, links, listener, until, HERE};
 use shaletide_lab::links::{Cut, Direction, Fault, MAX_HELD_STREAM_BYTES};
-use shaletide_testkit::{Law, PATIENCE};
+use shaletide_testkit::{Distribution, WAIT_LIMIT};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
@@ -193,13 +193,13 @@
         TcpStream::connect_timeout(&link.address(), short).is_err_and(|e| e.kind() == ErrorKind::TimedOut)
     });
     link.set(Direction::Back, Fault::default()).unwrap();
-    let mut client = TcpStream::connect_timeout(&link.address(), PATIENCE).unwrap();
+    let mut client = TcpStream::connect_timeout(&link.address(), WAIT_LIMIT).unwrap();
     client.write_all(b"hello").unwrap();
     listener.set_nonblocking(true).unwrap();
     // Those given up before may come first, and are at their end.
     until("served", || {
         let Ok((mut server, _)) = listener.accept() else { return false };
-        server.set_read_timeout(Some(PATIENCE)).unwrap();
+        server.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let mut got = [0; 5];
         server.read_exact(&mut got).is_ok() && got == *b"hello"
     });
@@ -230,7 +230,7 @@
     let (links, (listener, target)) = (links(), listener());
     let link = links.tcp("web", ["client", "box"], HERE, target).unwrap();
     let (mut client, mut server) = connect(link.address(), &listener);
-    link.set(Direction::Forth, Fault::delay_ms(Law::Even(5.0, 20.0))).unwrap();
+    link.set(Direction::Forth, Fault::delay_ms(Distribution::Even(5.0, 20.0))).unwrap();
     for nth in 0..20u8 {
         let sent = Instant::now();
         client.write_all(&[nth]).unwrap();
@@ -260,7 +260,7 @@
     drop(gone);
     let link = links.tcp("web", ["client", "box"], HERE, nobody).unwrap();
     let mut client = TcpStream::connect(link.address()).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     assert_eq!(client.read(&mut [0]).unwrap_err().kind(), ErrorKind::ConnectionReset);
     until("counted", || link.stats().failed == 1 && link.stats().open == 0);
     link.aim(target);
--- a/crates/shaletide/benches/front/calls.rs
+++ b/crates/shaletide/benches/front/calls.rs
@@ -3,7 +3,7 @@
 use super::earlier::Version;
 use super::process::there;
 use super::stock::{Folder, Stock};
-use super::{a_read, entry, quick, Client, Program};
+use super::{a_read, endpoint_json, quick, Client, Program};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::process::Command;
@@ -42,7 +42,7 @@
 
 /// By name, how often each is called for one request of a client that asks in turn.
 fn counted(version: &Version, to: SocketAddr, request: &dyn Fn() -> String) -> BTreeMap<String, f64> {
-    let proxy = Program::at(&version.path).start(&[entry("b0", to, "SERVING")]);
+    let proxy = Program::at(&version.path).start(&[endpoint_json("b0", to, "SERVING")]);
     let mut client = proxy.client();
     let mut ask = |count: usize| (0..count).for_each(|_| one(&mut client, request));
     ask(100);
@@ -72,5 +72,5 @@
 }
 
 fn one(client: &mut Client, request: &dyn Fn() -> String) {
-    assert_eq!(client.ask(&request()).status(), 200);
+    assert_eq!(client.request(&request()).status(), 200);
 }
--- a/crates/shaletide/benches/front/footprint.rs
+++ b/crates/shaletide/benches/front/footprint.rs
@@ -3,7 +3,7 @@
 
 use super::earlier::Version;
 use super::process::{descriptors, size, status};
-use super::{a_read, entry, median, quick, Program};
+use super::{a_read, endpoint_json, median, quick, Program};
 use std::time::Duration;
 
 const REQUESTS: usize = 20_000;
@@ -41,19 +41,19 @@
 
 /// Peak, memory, what of it is its own, threads and descriptors, idle and after the requests.
 fn one(version: &Version) -> [Vec<f64>; 2] {
-    let proxy = Program::at(&version.path).start(&[entry("b0", quick(), "SERVING")]);
+    let proxy = Program::at(&version.path).start(&[endpoint_json("b0", quick(), "SERVING")]);
     let pid = proxy.child.id();
     let figures = || {
         let memory = ["VmHWM", "VmRSS", "RssAnon", "Threads"].map(|name| status(pid, name) as f64);
         memory.into_iter().chain([descriptors(pid) as f64]).collect()
     };
-    assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     let idle = figures();
     let clients = (0..CLIENTS).map(|_| {
         let mut client = proxy.client();
         std::thread::spawn(move || {
             for _ in 0..REQUESTS / CLIENTS {
-                assert_eq!(client.ask(&a_read()).status(), 200);
+                assert_eq!(client.request(&a_read()).status(), 200);
                 std::thread::sleep(PAUSE);
             }
         })
--- a/crates/shaletide/benches/front/latency.rs
+++ b/crates/shaletide/benches/front/latency.rs
@@ -76,7 +76,7 @@
 
 fn ask(client: &mut Client, number: usize) -> f64 {
     let begun = Instant::now();
-    let answer = client.ask(&request(number));
+    let answer = client.request(&request(number));
     let took = begun.elapsed();
     assert_eq!(answer.status(), 200, "request {number}");
     took.as_secs_f64() * 1e6
--- a/crates/shaletide/benches/front/load.rs
+++ b/crates/shaletide/benches/front/load.rs
@@ -4,7 +4,7 @@
 use super::earlier::Version;
 use super::latency::alternating;
 use super::process::{processor_time, Cores};
-use super::{a_read, entry, median, quantile, quick, Program, Proxy};
+use super::{a_read, endpoint_json, median, quantile, quick, Program, Proxy};
 use std::time::Instant;
 
 const CLIENTS: usize = 32;
@@ -19,7 +19,8 @@
 }
 
 pub fn measure(cores: &Cores, versions: &[Version]) {
-    let start = |version: &Version| Program::at(&version.path).start(&[entry("b0", quick(), "SERVING")]);
+    let start =
+        |version: &Version| Program::at(&version.path).start(&[endpoint_json("b0", quick(), "SERVING")]);
     let proxies: Vec<Proxy> = versions.iter().map(start).collect();
     proxies.iter().for_each(|proxy| cores.pin(proxy.child.id(), 0));
     let mut rushes: Vec<Vec<Rush>> = vec![Vec::new(); versions.len()];
@@ -66,7 +67,9 @@
     let (begun, before) = (Instant::now(), processor_time(proxy.child.id()));
     let clients = (0..CLIENTS).map(|_| {
         let mut client = proxy.client();
-        std::thread::spawn(move || (0..REQUESTS).filter(|_| client.ask(&a_read()).status() != 200).count())
+        std::thread::spawn(move || {
+            (0..REQUESTS).filter(|_| client.request(&a_read()).status() != 200).count()
+        })
     });
     let clients: Vec<_> = clients.collect();
     let others = clients.into_iter().map(|client| client.join().expect("a client")).sum();
--- a/crates/shaletide/benches/front/main.rs
+++ b/crates/shaletide/benches/front/main.rs
@@ -58,7 +58,7 @@
 
 /// A request of the class `read`, with an id of its own.
 fn a_read() -> String {
-    read(2.0)
+    read_request(2.0)
 }
 
 /// The median of some figures; 0 of none.
@@ -77,7 +77,7 @@
 
 /// A stand-in that answers at once, each connection on a thread, and remembers nothing.
 fn quick() -> std::net::SocketAddr {
-    BackendServer::start(|_| ok("x")).address
+    BackendServer::start(|_| ok_reply("x")).address
 }
 
 /// An operators' file with one class and one backend.
--- a/crates/shaletide/benches/front/record.rs
+++ b/crates/shaletide/benches/front/record.rs
@@ -111,7 +111,7 @@
 
 fn took(client: &mut Client, request: &str) -> (u16, f64) {
     let begun = Instant::now();
-    let status = client.ask(request).status();
+    let status = client.request(request).status();
     (status, begun.elapsed().as_secs_f64() * 1e6)
 }
 
@@ -142,7 +142,7 @@
             scope.spawn(|| {
                 let mut client = Client::connect(at);
                 while !stop.load(Ordering::Relaxed) {
-                    if client.ask(&settle()).status() == 200 {
+                    if client.request(&settle()).status() == 200 {
                         done.fetch_add(1, Ordering::Relaxed);
                     }
                 }
--- a/crates/shaletide/benches/front/routes.rs
+++ b/crates/shaletide/benches/front/routes.rs
@@ -53,7 +53,7 @@
 }
 
 fn ask(client: &mut Client) {
-    assert_eq!(client.ask(&a_read()).status(), 200);
+    assert_eq!(client.request(&a_read()).status(), 200);
 }
 
 /// Instructions of one request: those of a long run less those of a short one.
--- a/crates/shaletide/benches/front/stock.rs
+++ b/crates/shaletide/benches/front/stock.rs
@@ -1,6 +1,6 @@
 //! What stands behind the program here: the project's own backends, and folders for what a part writes.
 
-use super::{BoxSpec, Fault, Fleet, Power, Sending};
+use super::{BackendSpec, CpuCapacity, Fault, Fleet, Sending};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -40,11 +40,11 @@
 impl Stock {
     /// One that answers in one segment, or head and body apart.
     pub fn new(apart: bool) -> Stock {
-        let fleet = Fleet::start(vec![BoxSpec::new("s", Power::warm(64, 100.0))]).expect("a box");
+        let fleet = Fleet::start(vec![BackendSpec::new("s", CpuCapacity::warm(64, 100.0))]).expect("a box");
         if apart {
-            fleet.boxes()[0].set(Fault::Send(Sending::TwoSegments));
+            fleet.backends()[0].set_fault(Fault::Send(Sending::TwoSegments));
         }
         let name = if apart { "head and body apart" } else { "at once" };
-        Stock { name, address: fleet.boxes()[0].address, _fleet: fleet }
+        Stock { name, address: fleet.backends()[0].address, _fleet: fleet }
     }
 }
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -36,12 +36,12 @@
     writeln!(text, "  {}", row(head.map(String::from)))?;
     let measured = measured_by_class(run);
     for ((class, measured), load_class) in run.result.by_class().iter().zip(&measured).zip(classes()) {
-        writeln!(text, "  {}", row(class_row(run, class, measured, load_class.effect)))?;
+        writeln!(text, "  {}", row(class_row(run, class, measured, load_class.idempotency)))?;
     }
     writeln!(text, "  Refused: 429 or 503, coming again does no harm. Failed: any other end but 200.")?;
     writeln!(text, "  Late: answered when its client's {} s were over.", DEADLINE.as_secs())?;
-    if run.result.left_out > 0 {
-        let count = run.result.left_out;
+    if run.result.skipped > 0 {
+        let count = run.result.skipped;
         writeln!(
             text,
             "  {count} more were not sent: the machine was behind. Shares and latencies then say little."
--- a/crates/shaletide/src/demo/report/tests.rs
+++ b/crates/shaletide/src/demo/report/tests.rs
@@ -4,22 +4,27 @@
 use crate::demo::status;
 use shaletide_balancer::Micros;
 use shaletide_testkit::checks::Drained;
-use shaletide_testkit::{Boot, BoxInfo, Ended, Ledger, Power, Record, Repeat, Sent};
+use shaletide_testkit::{BackendInfo, Boot, CpuCapacity, Ended, Ledger, Record, Repeat, Sent};
 
 const SECOND: Micros = Micros(1_000_000);
 
 /// Two backends in two bays, the second started at 10 s, the first drains at 10 s; and a request of each class.
 fn sound() -> DemoRun {
     let info = |name: &str, bay, at| {
-        let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.3, ramp: RAMP };
-        BoxInfo { name: name.into(), bay, power, boots: vec![Boot { at, died: None }] }
+        let power = CpuCapacity { cores: 1, speed: 1.0, initial_capacity_fraction: 0.3, ramp: RAMP };
+        BackendInfo {
+            name: name.into(),
+            deduplication_group: bay,
+            cpu_capacity: power,
+            boots: vec![Boot { at, died: None }],
+        }
     };
     let boxes = vec![info("fast-1", 1, None), info("slow-1", 2, Some(Time(10_000_000)))];
     let classes = ["read", "settle", "pay"].map(String::from).to_vec();
     let mut run = DemoRun {
-        ledger: Ledger { boxes, ..Ledger::new(1000) },
+        ledger: Ledger { backends: boxes, ..Ledger::new(1000) },
         result: LoadResult { classes, ..LoadResult::default() },
-        drained: vec![Drained { name: "fast-1".into(), told: Time(10_000_000) }],
+        drained: vec![Drained { name: "fast-1".into(), delivered_at: Time(10_000_000) }],
         server_types: vec!["fast".into(), "slow".into()],
         begun: Time(1_000_000),
         measured: Some(MeasuredPart { from: Time(2_000_000), to: Time(4_000_000) }),
@@ -53,14 +58,14 @@
 fn ran(run: &mut DemoRun, at_box: usize, class: usize, number: u32, at: Time) {
     let id = run.result.id(number);
     let record = Record {
-        at_box,
+        backend: at_box,
         boot: 0,
         key: (class == 1).then(|| format!("k-{id}").into()),
         id: id.into(),
         class: run.result.classes[class].as_str().into(),
         repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][class],
-        came: at,
-        began: at,
+        first_byte_at: at,
+        last_byte_at: at,
         ended: None,
         draining: None,
         work_ms: 16.0,
@@ -98,9 +103,9 @@
             Box::new(|p| (0..200).for_each(|_| ran(p, 1, 0, 0, Time(10_000_000) + SECOND))),
         ),
         ("Each request gets one answer within its time", Box::new(|p| asked(p, 2, 9, End::GaveUp))),
-        ("Each request gets one answer within its time", Box::new(|p| p.result.overfull = 1)),
+        ("Each request gets one answer within its time", Box::new(|p| p.result.excess_bytes = 1)),
         ("Each 200 is a box's answer to that request", Box::new(|p| asked(p, 0, 9, End::Status(200)))),
-        ("All was written down", Box::new(|p| p.ledger.missed = 1)),
+        ("All was written down", Box::new(|p| p.ledger.unrecorded = 1)),
     ];
     for (rule, break_rule) in breaks {
         let mut run = sound();
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -27,17 +27,17 @@
         Rule {
             what: "A keyed one runs again in its bay only",
             checked_on: keyed(ledger),
-            violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| WINDOW)),
+            violations: described(run, checks::keyed_ran_in_one_group(ledger, |_| WINDOW)),
         },
         Rule {
             what: "Nothing new to a box 2 s after it drains",
             checked_on: drained(run),
-            violations: described(run, checks::nothing_after_drain(ledger, &run.drained, GRACE)),
+            violations: described(run, checks::no_requests_after_drain(ledger, &run.drained, GRACE)),
         },
         Rule {
             what: "A cold box is not pushed over",
             checked_on: cold(ledger),
-            violations: described(run, checks::cold_not_pushed_over(ledger, PUSH)),
+            violations: described(run, checks::slow_start_limit_kept(ledger, PUSH)),
         },
         one_answer(run),
         Rule {
@@ -82,9 +82,9 @@
     let ledger = &run.ledger;
     let mut texts = Vec::new();
     for drain in &run.drained {
-        let here = |r: &&Record| ledger.place(&drain.name) == Some(r.at_box);
+        let here = |r: &&Record| ledger.backend_index(&drain.name) == Some(r.backend);
         let (before, after): (Vec<&Record>, Vec<&Record>) =
-            ledger.records.iter().filter(here).partition(|r| r.came <= drain.told);
+            ledger.records.iter().filter(here).partition(|r| r.first_byte_at <= drain.delivered_at);
         texts.push(format!("{}: {} before it, {} after", drain.name, before.len(), after.len()));
     }
     if texts.is_empty() {
@@ -97,9 +97,9 @@
 fn cold(ledger: &Ledger) -> String {
     let mut starts = 0;
     let mut sent = 0;
-    for (place, info) in ledger.boxes.iter().enumerate() {
+    for (place, info) in ledger.backends.iter().enumerate() {
         for (boot, at) in info.boots.iter().enumerate().filter_map(|(n, boot)| Some((n, boot.at?))) {
-            let here = |r: &&Record| r.at_box == place && r.boot == boot && r.came < at + RAMP;
+            let here = |r: &&Record| r.backend == place && r.boot == boot && r.first_byte_at < at + RAMP;
             starts += 1;
             sent += ledger.records.iter().filter(here).count();
         }
@@ -127,28 +127,28 @@
             sent.latency.secs()
         ));
     }
-    if result.overfull > 0 {
-        violations.push(format!("more came than the answer, {} times", result.overfull));
+    if result.excess_bytes > 0 {
+        violations.push(format!("more came than the answer, {} times", result.excess_bytes));
     }
     let checked_on = many(result.sent.len(), "request", "requests");
     Rule { what: "Each request gets one answer within its time", checked_on, violations }
 }
 
 fn foreign_answers(run: &DemoRun) -> Vec<String> {
-    let mut violations = described(run, checks::answers_come_from_boxes(&run.ledger, &run.result));
-    if run.result.mixed_up > 0 {
-        violations.push(format!("{} were another request's", run.result.mixed_up));
+    let mut violations = described(run, checks::answers_come_from_backends(&run.ledger, &run.result));
+    if run.result.mismatched_answers > 0 {
+        violations.push(format!("{} were another request's", run.result.mismatched_answers));
     }
     violations
 }
 
 fn lost_records(run: &DemoRun) -> Vec<String> {
     let mut violations = Vec::new();
-    if run.ledger.missed > 0 {
-        violations.push(format!("the boxes had no room for {}", run.ledger.missed));
+    if run.ledger.unrecorded > 0 {
+        violations.push(format!("the boxes had no room for {}", run.ledger.unrecorded));
     }
-    if run.result.missed > 0 {
-        violations.push(format!("the clients had no room for {}", run.result.missed));
+    if run.result.unrecorded > 0 {
+        violations.push(format!("the clients had no room for {}", run.result.unrecorded));
     }
     violations
 }
@@ -157,15 +157,15 @@
 fn described(run: &DemoRun, cases: Vec<Violation>) -> Vec<String> {
     let place = |place: &usize| {
         let record = run.ledger.records.get(*place)?;
-        let name = &run.ledger.boxes.get(record.at_box)?.name;
-        Some(format!("{name} at {:.3} s", (record.came - run.begun).secs()))
+        let name = &run.ledger.backends.get(record.backend)?.name;
+        Some(format!("{name} at {:.3} s", (record.first_byte_at - run.begun).secs()))
     };
     let text = |case: Violation| {
         let places: Vec<String> = case.records.iter().take(2).filter_map(place).collect();
         if places.is_empty() {
-            case.what
+            case.description
         } else {
-            format!("{} ({})", case.what, places.join(", "))
+            format!("{} ({})", case.description, places.join(", "))
         }
     };
     cases.into_iter().map(text).collect()
--- a/crates/shaletide/src/demo/script.rs
+++ b/crates/shaletide/src/demo/script.rs
@@ -4,7 +4,7 @@
 use super::run::{DemoRun, MeasuredPart};
 use super::stage::{classes, Stage, COLD_FROM, GRACE, RAMP, RATE};
 use shaletide_balancer::{Micros, Time};
-use shaletide_testkit::{BoxHandle, Fault, Load};
+use shaletide_testkit::{BackendHandle, Fault, Load};
 use std::io;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -31,8 +31,8 @@
 /// # Errors
 /// No thread or descriptors for the clients.
 pub fn play(stage: &Stage, seconds: Duration, stop: watch::Receiver<bool>) -> io::Result<DemoRun> {
-    let backends = stage.fleet.boxes();
-    if !stage.discovery.wait_told(1) {
+    let backends = stage.fleet.backends();
+    if !stage.discovery.wait_delivered(1) {
         return Err(io::Error::new(io::ErrorKind::TimedOut, "the proxy did not ask for the list"));
     }
     print_line(&format!(
@@ -45,7 +45,7 @@
     let load = Load {
         clock,
         connections: MAX_OPEN_REQUESTS,
-        leave_out: true,
+        skip_when_busy: true,
         ..Load::new(RATE, classes(), seconds)
     };
     let mut ending = stop.clone();
@@ -98,7 +98,7 @@
         Ok(())
     }
 
-    fn steps(&mut self, drains: &BoxHandle, fails: &BoxHandle, dies: &BoxHandle) -> Option<()> {
+    fn steps(&mut self, drains: &BackendHandle, fails: &BackendHandle, dies: &BackendHandle) -> Option<()> {
         self.say("the load begins; the proxy knows nothing of the backends' speeds");
         self.wait(MEASURED_FROM, Duration::ZERO)?;
         self.say("from here on the shares are measured");
@@ -107,16 +107,16 @@
         self.say("the shares are measured; faults begin");
         self.drain(drains);
         self.wait(ERRORS_FROM, Duration::ZERO)?;
-        fails.set(Fault::Fail(1.0));
+        fails.set_fault(Fault::Fail(1.0));
         self.say(&format!("{} fails: it answers 500 to everything", fails.spec.name));
         self.wait(ERRORS_UNTIL, Duration::ZERO)?;
-        fails.set(Fault::Cleared);
+        fails.set_fault(Fault::Cleared);
         self.say(&format!("{} is well again", fails.spec.name));
         self.wait(CRASH_AT, Duration::ZERO)?;
         dies.kill();
         self.say(&format!("{} dies: what it had is lost, connections to it are refused", dies.spec.name));
         self.wait(CRASH_AT, DOWN_TIME)?;
-        dies.revive();
+        dies.restart();
         self.stage.discovery.put(dies.entry());
         let name = &dies.spec.name;
         let cold = COLD_FROM * 100.0;
@@ -127,10 +127,10 @@
         Some(())
     }
 
-    fn drain(&mut self, drains: &BoxHandle) {
+    fn drain(&mut self, drains: &BackendHandle) {
         let name = &drains.spec.name;
         let version = self.stage.discovery.drain(name);
-        if !self.stage.discovery.wait_told(version) {
+        if !self.stage.discovery.wait_delivered(version) {
             self.missing.push(format!("the proxy was not told that {name} drains"));
             return;
         }
--- a/crates/shaletide/src/demo/shares.rs
+++ b/crates/shaletide/src/demo/shares.rs
@@ -36,18 +36,18 @@
 /// The server types by name, with the requests of a part of the run.
 fn type_shares<'a>(run: &'a DemoRun, part: &[&Record]) -> BTreeMap<&'a str, TypeShare> {
     let mut types: BTreeMap<&str, TypeShare> = BTreeMap::new();
-    for (info, name) in run.ledger.boxes.iter().zip(&run.server_types) {
+    for (info, name) in run.ledger.backends.iter().zip(&run.server_types) {
         let share = types.entry(name).or_default();
         share.backends += 1;
-        share.capacity_cores = f64::from(info.power.cores) * info.power.speed;
+        share.capacity_cores = f64::from(info.cpu_capacity.cores) * info.cpu_capacity.speed;
     }
     for record in part {
-        let name = run.server_types.get(record.at_box);
+        let name = run.server_types.get(record.backend);
         let Some(share) = name.and_then(|name| types.get_mut(name.as_str())) else { continue };
         share.requests += 1;
         if let Some((at, Ended::Served)) = record.ended {
             share.served += 1;
-            share.latency_s += (at - record.began).secs();
+            share.latency_s += (at - record.last_byte_at).secs();
         }
     }
     types
@@ -67,8 +67,12 @@
     };
     let since = |at: Time| (at - run.begun).secs();
     writeln!(text, "\nShares by kind, from {:.1} s to {:.1} s of the run", since(from), since(to))?;
-    let part: Vec<&Record> =
-        run.ledger.records.iter().filter(|record| record.began >= from && record.began < to).collect();
+    let part: Vec<&Record> = run
+        .ledger
+        .records
+        .iter()
+        .filter(|record| record.last_byte_at >= from && record.last_byte_at < to)
+        .collect();
     let work_ms = part.iter().map(|record| record.work_ms).sum::<f64>() / part.len() as f64;
     if part.is_empty() || work_ms <= 0.0 {
         return writeln!(text, "  no request came to a backend then");
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/stage.rs
@@ -24,7 +24,8 @@
 /// ... and when it has all of it.
 pub const RAMP: Micros = Micros(3_000_000);
 /// What a cold backend may be sent.
-pub const PUSH: checks::Push = checks::Push { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
+pub const PUSH: checks::SlowStartLimit =
+    checks::SlowStartLimit { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
 
 /// The stand-ins at work.
 pub struct Stage {
@@ -41,9 +42,9 @@
 impl Stage {
     /// Starts all but the proxy and the clients.
     pub fn set() -> io::Result<Stage> {
-        let services = vec![Service::new("", Law::Even(0.5 * WORK_MS, 1.5 * WORK_MS))];
+        let services = vec![Service::new("", Distribution::Even(0.5 * WORK_MS, 1.5 * WORK_MS))];
         let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backends()) })?;
-        let entries = fleet.boxes().iter().map(BoxHandle::entry).collect();
+        let entries = fleet.backends().iter().map(BackendHandle::entry).collect();
         let discovery = ListServer::start(fleet.clock(), &["demo"], entries)?;
         let port = TcpSocket::new_v4()?;
         port.set_reuseaddr(true)?;
@@ -54,23 +55,23 @@
     }
 
     /// The backend of that name.
-    pub fn named(&self, name: &str) -> io::Result<&BoxHandle> {
-        let found = self.fleet.boxes().iter().find(|b| b.spec.name == name);
+    pub fn named(&self, name: &str) -> io::Result<&BackendHandle> {
+        let found = self.fleet.backends().iter().find(|b| b.spec.name == name);
         found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("no backend {name}")))
     }
 }
 
 /// The backends: of each server type the first half is in deduplication group 1, the others in 2.
-fn backends() -> Vec<BoxSpec> {
+fn backends() -> Vec<BackendSpec> {
     let of_kind = |(kind, count, speed): (&'static str, u32, f64)| {
         (1..=count).map(move |n| {
-            let power = Power { cores: 1, speed, initial_capacity_fraction: COLD_FROM, ramp: RAMP };
-            BoxSpec {
+            let power = CpuCapacity { cores: 1, speed, initial_capacity_fraction: COLD_FROM, ramp: RAMP };
+            BackendSpec {
                 kind: kind.into(),
                 zone: "hall".into(),
-                bay: if n <= count / 2 { 1 } else { 2 },
-                grace: Duration::from_micros(GRACE.0),
-                ..BoxSpec::new(&format!("{kind}-{n}"), power)
+                deduplication_group: if n <= count / 2 { 1 } else { 2 },
+                drain_grace: Duration::from_micros(GRACE.0),
+                ..BackendSpec::new(&format!("{kind}-{n}"), power)
             }
         })
     };
@@ -79,8 +80,11 @@
 
 /// What clients ask for; the same classes stand in the file.
 pub fn classes() -> Vec<LoadClass> {
-    let class =
-        |name, share, effect, body| LoadClass { share, body, ..LoadClass::new(name, effect, DEADLINE) };
+    let class = |name, share, effect, body| LoadClass {
+        share,
+        body_bytes: body,
+        ..LoadClass::new(name, effect, DEADLINE)
+    };
     vec![
         class("read", 6.0, Idempotency::Safe, 0),
         class("settle", 2.0, Idempotency::Keyed(DeduplicationScope::Group, WINDOW), 20),
--- a/crates/shaletide/src/demo/stage/tests.rs
+++ b/crates/shaletide/src/demo/stage/tests.rs
@@ -9,7 +9,7 @@
     let asked = classes();
     assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
     for (def, class) in operator.balancer.classes.iter().zip(asked) {
-        assert_eq!(def.idempotency, class.effect);
+        assert_eq!(def.idempotency, class.idempotency);
     }
     assert_eq!(operator.balancer.slow_start_window, RAMP);
     assert_eq!(
--- a/crates/shaletide/tests/build_flag.rs
+++ b/crates/shaletide/tests/build_flag.rs
@@ -17,9 +17,9 @@
 /// Guards against a build without the flag that says nothing of it, and against a warning in one that has it.
 #[test]
 fn start_warns_of_the_wake_up_only_in_a_build_without_the_flag() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     let lines = proxy.log.since(0);
     let warnings = lines.iter().filter(|line| line.contains("WARN") && line.contains(FLAG_IS_MISSING));
     let expected = usize::from(!cfg!(mio_unsupported_force_waker_pipe));
--- a/crates/shaletide/tests/client_close_before_read.rs
+++ b/crates/shaletide/tests/client_close_before_read.rs
@@ -31,9 +31,9 @@
 fn arrivals(backend: BackendServer) -> mpsc::Receiver<(String, Instant)> {
     let (tell, arrivals) = mpsc::channel();
     std::thread::spawn(move || {
-        while let Ok(seen) = backend.seen.recv() {
+        while let Ok(seen) = backend.events.recv() {
             let at = Instant::now();
-            if let Seen::Request(message) = seen {
+            if let BackendEvent::Request(message) = seen {
                 let id = message.header("x-correlation-id").unwrap_or_default().to_string();
                 let _ = tell.send((id, at));
             }
@@ -44,7 +44,7 @@
 
 /// Sends a request, closes, and returns the request's id and when it closed.
 fn ask_and_close(proxy: SocketAddr, sent: SentParts) -> (String, Instant) {
-    let request = pay(3.0);
+    let request = pay_request(3.0);
     let mut client = Client::connect(proxy);
     match sent {
         SentParts::Whole => client.send(&request),
@@ -63,10 +63,10 @@
 #[test]
 fn request_is_not_sent_when_its_client_closes_before_the_loop_reads_it() {
     for sent in [SentParts::Whole, SentParts::InParts] {
-        let backend = BackendServer::start(|_| ok("x"));
-        let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+        let backend = BackendServer::start(|_| ok_reply("x"));
+        let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
         let arrivals = arrivals(backend);
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200); // a connection to the backend is at hand
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200); // a connection to the backend is at hand
         let output = std::env::temp_dir().join(format!("shaletide-client-gone-{}", proxy.child.id()));
         let delay = format!("inject=epoll_wait:delay_exit={}", HELD_BACK.as_micros());
         let filter = ["-e", "trace=epoll_wait", "-e", &delay];
@@ -84,7 +84,7 @@
         });
         std::thread::sleep(HELD_BACK * 3); // what was read goes on its way
         drop(strace);
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
         let _ = std::fs::remove_file(&output);
         let late: Vec<_> = arrivals
             .try_iter()
--- a/crates/shaletide/tests/client_disconnects.rs
+++ b/crates/shaletide/tests/client_disconnects.rs
@@ -37,7 +37,7 @@
 /// The program has come round to all that was written to it before.
 fn come_round(proxy: &Proxy) {
     for _ in 0..3 {
-        assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+        assert_eq!(proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     }
 }
 
@@ -51,7 +51,7 @@
 fn sent(backend: &BackendServer, left: &HashMap<String, Instant>, last: &str) -> Vec<Duration> {
     let mut late = Vec::new();
     loop {
-        let message = backend.request();
+        let message = backend.next_request();
         let id = message.header("x-correlation-id").unwrap_or_default().to_string();
         if id == last {
             return late;
@@ -69,14 +69,14 @@
 
 /// The proxy is told that there is no backend: what it takes is held until the answer to the call that is out brings one.
 fn without_boxes(proxy: &Proxy) -> mpsc::Sender<(u16, String)> {
-    let (_, first) = proxy.discovery.call();
-    first.send((200, list(5, true, &[]))).unwrap();
-    proxy.discovery.call().1
+    let (_, first) = proxy.discovery.next_call();
+    first.send((200, endpoint_list_json(5, true, &[]))).unwrap();
+    proxy.discovery.next_call().1
 }
 
 /// A client that asks, by turns for something unsafe and for something safe, and the id of its request.
 fn asks(proxy: &Proxy, n: usize) -> (Client, String) {
-    let request = if n % 2 == 0 { pay(3.0) } else { read(3.0) };
+    let request = if n % 2 == 0 { pay_request(3.0) } else { read_request(3.0) };
     let mut client = proxy.client();
     client.send(&request);
     (client, id(&request))
@@ -96,7 +96,7 @@
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Disconnect::Close, Disconnect::Reset] {
-            let backend = BackendServer::start(|_| ok("x"));
+            let backend = BackendServer::start(|_| ok_reply("x"));
             let proxy = Proxy::start(&[]);
             let news = without_boxes(&proxy);
             let mut clients = Vec::new();
@@ -104,7 +104,7 @@
                 clients.push(asks(&proxy, n));
             }
             // One stays: what comes after it at the backend has come after all of them.
-            let (mut stays, last) = (proxy.client(), read(3.0));
+            let (mut stays, last) = (proxy.client(), read_request(3.0));
             stays.send(&last);
             come_round(&proxy);
             if stopping {
@@ -119,12 +119,13 @@
             }
             let left = all_leave(clients, how);
             std::thread::sleep(LEFT);
-            news.send((200, list(6, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
+            news.send((200, endpoint_list_json(6, true, &[endpoint_json("b0", backend.address, "SERVING")])))
+                .unwrap();
             assert_eq!(stays.answer().expect("its answer").status(), 200, "{how:?} {behind:?}");
             late.extend(sent(&backend, &left, &id(&last)));
             std::thread::sleep(Duration::from_millis(20)); // what was behind it comes now
-            late.extend(std::iter::from_fn(|| match backend.seen.try_recv() {
-                Ok(Seen::Request(message)) => {
+            late.extend(std::iter::from_fn(|| match backend.events.try_recv() {
+                Ok(BackendEvent::Request(message)) => {
                     message.header("x-correlation-id").and_then(|id| left.get(id)).map(Instant::elapsed)
                 }
                 _ => None,
@@ -151,7 +152,7 @@
 fn burst_that_disconnects_from_slots_and_queue_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for how in [Disconnect::Close, Disconnect::Reset] {
-        let backend = BackendServer::start(|_| ok("x"));
+        let backend = BackendServer::start(|_| ok_reply("x"));
         let proxy = Proxy::launched(&[], 256, SETTINGS, 256);
         let news = without_boxes(&proxy);
         let (mut stay, mut go) = (Vec::new(), Vec::new());
@@ -160,12 +161,13 @@
         }
         let left = all_leave(go, how);
         std::thread::sleep(LEFT);
-        news.send((200, list(6, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
+        news.send((200, endpoint_list_json(6, true, &[endpoint_json("b0", backend.address, "SERVING")])))
+            .unwrap();
         for (client, _) in &mut stay {
             assert!(client.answer().is_some(), "{how:?}: one who stayed has no answer");
         }
-        let last = read(3.0);
-        assert_eq!(proxy.ask(&last).status(), 200);
+        let last = read_request(3.0);
+        assert_eq!(proxy.request(&last).status(), 200);
         late.extend(sent(&backend, &left, &id(&last)));
         cases += left.len();
     }
@@ -177,7 +179,7 @@
 fn burst_that_disconnects_while_it_is_read_is_not_sent() {
     let (mut late, mut cases) = (Vec::new(), 0);
     for how in [Disconnect::Close, Disconnect::Reset, Disconnect::Close, Disconnect::Reset] {
-        let backend = BackendServer::start(|_| ok("x"));
+        let backend = BackendServer::start(|_| ok_reply("x"));
         let proxy = Proxy::start(&[]);
         let news = without_boxes(&proxy);
         proxy.signal("STOP");
@@ -188,10 +190,11 @@
         proxy.signal("CONT");
         let left = all_leave(clients, how);
         std::thread::sleep(LEFT);
-        news.send((200, list(6, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-        let _hold = proxy.discovery.call(); // by now the list is taken in
-        let last = read(3.0);
-        assert_eq!(proxy.ask(&last).status(), 200);
+        news.send((200, endpoint_list_json(6, true, &[endpoint_json("b0", backend.address, "SERVING")])))
+            .unwrap();
+        let _hold = proxy.discovery.next_call(); // by now the list is taken in
+        let last = read_request(3.0);
+        assert_eq!(proxy.request(&last).status(), 200);
         late.extend(sent(&backend, &left, &id(&last)));
         cases += left.len();
     }
@@ -206,33 +209,34 @@
     for behind in BEHIND {
         for how in [Disconnect::Close, Disconnect::Reset] {
             let silent = BackendServer::start(|_| Reply::Silence);
-            let good = BackendServer::start(|_| ok("x"));
-            let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
+            let good = BackendServer::start(|_| ok_reply("x"));
+            let proxy = Proxy::start(&[endpoint_json("b0", silent.address, "SERVING")]);
             let mut clients = Vec::new();
             for _ in 0..4 {
-                let request = pay(3.0);
+                let request = pay_request(3.0);
                 let mut client = proxy.client();
                 client.send(&request);
-                silent.request();
+                silent.next_request();
                 client.send(behind);
                 clients.push((client, id(&request)));
             }
             come_round(&proxy);
-            let (_, news) = proxy.discovery.call();
+            let (_, news) = proxy.discovery.next_call();
             let left = all_leave(clients, how);
             let start = Instant::now();
-            (0..4).for_each(|_| silent.closed()); // each attempt was given up
+            (0..4).for_each(|_| silent.wait_closed()); // each attempt was given up
             assert!(
                 start.elapsed() < LEFT,
                 "{how:?} {behind:?}: attempts given up after {:?}",
                 start.elapsed()
             );
-            news.send((200, list(6, true, &[entry("b1", good.address, "SERVING")]))).unwrap();
-            let _hold = proxy.discovery.call(); // by now the list is taken in
-            let last = read(3.0);
-            assert_eq!(proxy.ask(&last).status(), 200);
+            news.send((200, endpoint_list_json(6, true, &[endpoint_json("b1", good.address, "SERVING")])))
+                .unwrap();
+            let _hold = proxy.discovery.next_call(); // by now the list is taken in
+            let last = read_request(3.0);
+            assert_eq!(proxy.request(&last).status(), 200);
             late.extend(sent(&good, &left, &id(&last)));
-            assert_eq!(silent.count(), 4);
+            assert_eq!(silent.request_count(), 4);
             cases += 4;
         }
     }
@@ -245,25 +249,25 @@
     let (mut late, mut cases) = (Vec::new(), 0);
     for behind in BEHIND {
         for how in [Disconnect::Close, Disconnect::Reset] {
-            let backend = BackendServer::start(|_| ok("x"));
-            let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+            let backend = BackendServer::start(|_| ok_reply("x"));
+            let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
             let mut kept: Vec<Client> = (0..10).map(|_| proxy.client()).collect();
             for client in &mut kept {
-                assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+                assert_eq!(client.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
             }
             proxy.signal("STOP");
             kept.extend((0..BURST - 10).map(|_| proxy.client()));
             let mut left = HashMap::new();
             for (n, mut client) in kept.into_iter().enumerate() {
-                let request = if n % 2 == 0 { pay(3.0) } else { read(3.0) };
+                let request = if n % 2 == 0 { pay_request(3.0) } else { read_request(3.0) };
                 client.send(&(request.clone() + behind));
                 disconnect(client, how);
                 left.insert(id(&request), Instant::now());
             }
             std::thread::sleep(LEFT);
             proxy.signal("CONT");
-            let last = read(3.0);
-            assert_eq!(proxy.ask(&last).status(), 200);
+            let last = read_request(3.0);
+            assert_eq!(proxy.request(&last).status(), 200);
             late.extend(sent(&backend, &left, &id(&last)));
             cases += BURST;
         }
@@ -280,7 +284,7 @@
             let gate = Arc::new(Gate::default());
             let wait = gate.clone();
             let backend =
-                BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok("x") });
+                BackendServer::start(move |n| if n == 0 { Reply::Gate(wait.clone()) } else { ok_reply("x") });
             let limits = "[limits]\nheld_bodies = \"64KiB\"\n";
             let proxy =
                 program().serve(&format!("{limits}{CLASSES}{}", pool("p", &[(backend.address, "a")])));
@@ -292,7 +296,7 @@
             // What was taken keeps its room until it has its answer.
             let mut taken = proxy.client();
             taken.send(&post(60_000));
-            backend.request();
+            backend.next_request();
             let mut left = HashMap::new();
             for _ in 0..10 {
                 let request = post(9_000);
@@ -305,7 +309,7 @@
             gate.open();
             assert_eq!(taken.answer().expect("its answer").body, b"gated");
             let last = post(9_000);
-            assert_eq!(proxy.ask(&last).status(), 200);
+            assert_eq!(proxy.request(&last).status(), 200);
             late.extend(sent(&backend, &left, &id(&last)));
             cases += 10;
         }
@@ -329,12 +333,12 @@
             let _full: Vec<TcpStream> =
                 std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
             let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":2900000");
-            let proxy = Proxy::with(&[entry("b0", address, "SERVING")], 1024, &settings);
+            let proxy = Proxy::with(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
             let mut clients = Vec::new();
             for n in 0..10 {
                 clients.push(asks(&proxy, n));
             }
-            let (mut stays, last) = (proxy.client(), pay(3.0));
+            let (mut stays, last) = (proxy.client(), pay_request(3.0));
             stays.send(&last);
             come_round(&proxy);
             clients.iter_mut().for_each(|(client, _)| client.send(behind));
@@ -369,15 +373,15 @@
 #[test]
 fn client_that_sends_endless_excess_bytes_is_disconnected() {
     let silent = BackendServer::start(|_| Reply::Silence);
-    let proxy = Proxy::start(&[entry("b0", silent.address, "SERVING")]);
+    let proxy = Proxy::start(&[endpoint_json("b0", silent.address, "SERVING")]);
     let mut client = proxy.client();
-    client.send(&pay(3.0));
-    silent.request();
+    client.send(&pay_request(3.0));
+    silent.next_request();
     let mut out = client.0.get_ref().try_clone().unwrap();
     let start = Instant::now();
     std::thread::spawn(move || while out.write_all(&[b'x'; 4096]).is_ok() {});
-    silent.closed();
+    silent.wait_closed();
     assert!(start.elapsed() < Duration::from_secs(2), "not at its deadline: {:?}", start.elapsed());
-    assert_eq!(silent.count(), 1);
+    assert_eq!(silent.request_count(), 1);
     drop(client);
 }
--- a/crates/shaletide/tests/command_signals.rs
+++ b/crates/shaletide/tests/command_signals.rs
@@ -101,7 +101,7 @@
 fn wait_for_write(process: &Child, descriptor: i32) {
     let write = format!("{} {descriptor:#x} ", libc::SYS_write);
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < WAIT_LIMIT {
         let call = std::fs::read_to_string(format!("/proc/{}/syscall", process.id())).unwrap();
         if call.starts_with(&write) {
             return;
--- a/crates/shaletide/tests/connection_close.rs
+++ b/crates/shaletide/tests/connection_close.rs
@@ -14,7 +14,7 @@
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&to.into()).unwrap();
     let tcp: TcpStream = socket.into();
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     tcp
 }
 
@@ -41,28 +41,28 @@
         let wait = gate.clone();
         let backend = BackendServer::start(move |_| {
             wait.wait();
-            ok(&"x".repeat(LENGTH))
+            ok_reply(&"x".repeat(LENGTH))
         });
-        let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+        let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
         let mut client = narrow(proxy.address);
-        client.write_all(pay(3.0).as_bytes()).unwrap();
-        backend.request();
-        client.write_all(read(3.0).as_bytes()).unwrap();
+        client.write_all(pay_request(3.0).as_bytes()).unwrap();
+        backend.next_request();
+        client.write_all(read_request(3.0).as_bytes()).unwrap();
         gate.open();
         let mut first = [0; 1];
         client.read_exact(&mut first).unwrap();
         client.write_all(&[b'y'; 20_000]).unwrap(); // its answer is on its way
         let got = all(&mut client, "after its answer");
         assert!(got.ends_with(&[b'x'; LENGTH]) && got.len() < LENGTH + 1000, "round {round}: {}", got.len());
-        assert_eq!(backend.count(), 1);
+        assert_eq!(backend.request_count(), 1);
     }
 }
 
 /// A body that is too long is answered before all of it came.
 #[test]
 fn rejection_reaches_client_that_still_sends_its_body() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     for _ in 0..20 {
         let mut client = narrow(proxy.address);
         let head = "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\nContent-Length: 100000\r\n\r\n";
@@ -77,19 +77,19 @@
 /// Its reader takes its time, and its place is wanted meanwhile: the rest is waited for.
 #[test]
 fn response_in_transit_is_complete_when_its_connection_is_evicted() {
-    let backend = BackendServer::start(|_| ok(&"x".repeat(LENGTH)));
-    let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(LENGTH)));
+    let proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
     for round in 0..2 {
         let mut slow: Vec<TcpStream> = (0..4).map(|_| narrow(proxy.address)).collect();
         for client in &mut slow {
-            client.write_all(pay(3.0).as_bytes()).unwrap();
+            client.write_all(pay_request(3.0).as_bytes()).unwrap();
             client.read_exact(&mut [0; 1]).unwrap();
         }
         // There are eight places.
         let mut others: Vec<Client> = Vec::new();
         for _ in 0..30 {
             let mut client = proxy.client();
-            assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+            assert_eq!(client.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
             others.push(client);
         }
         for client in &mut slow {
@@ -106,11 +106,11 @@
 /// Or the program stops, before or after it was asked, and closes what is at rest every few milliseconds.
 #[test]
 fn response_in_transit_is_complete_during_shutdown() {
-    let backend = BackendServer::start(|_| ok(&"x".repeat(LENGTH)));
-    let mut proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(LENGTH)));
+    let mut proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let ask = |n: u32| {
         let mut client = narrow(proxy.address);
-        client.write_all((if n % 2 == 0 { pay(3.0) } else { read(3.0) }).as_bytes()).unwrap();
+        client.write_all((if n % 2 == 0 { pay_request(3.0) } else { read_request(3.0) }).as_bytes()).unwrap();
         client.read_exact(&mut [0; 1]).unwrap();
         client
     };
@@ -128,8 +128,8 @@
 /// They hold no place, and there are never many of them: others are served as if they were not there.
 #[test]
 fn slowly_closing_connections_do_not_block_new_clients() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
     let mut ending: Vec<TcpStream> = (0..200)
         .map(|_| {
             let mut client = TcpStream::connect(proxy.address).unwrap();
@@ -138,10 +138,10 @@
         })
         .collect();
     for _ in 0..50 {
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
     for client in &mut ending {
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
+        client.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let _ = client.read(&mut [0; 256]);
     }
 }
--- a/crates/shaletide/tests/control_socket.rs
+++ b/crates/shaletide/tests/control_socket.rs
@@ -24,7 +24,7 @@
     folder: PathBuf,
     process: KilledOnDrop,
     log: Log,
-    listener: Refusing,
+    listener: RefusingPort,
 }
 
 impl ControlStart {
@@ -33,7 +33,7 @@
         let folder = std::env::temp_dir().join(format!("shaletide-control-{name}-{}", std::process::id()));
         std::fs::create_dir(&folder).unwrap();
         make_fifo(&folder.join("control.sock.lock"));
-        let (file, listener) = (folder.join("start.toml"), Refusing::new());
+        let (file, listener) = (folder.join("start.toml"), RefusingPort::new());
         let socket = folder.join("control.sock").display().to_string();
         let control = format!("[control]\nsocket = {socket:?}\n");
         let address = listener.address();
@@ -59,7 +59,7 @@
 /// Guards against a start that cannot be stopped while the disk of its control socket hangs.
 #[test]
 fn stop_signal_ends_a_start_whose_control_socket_hangs() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     for signal in ["TERM", "INT"] {
         let mut start = ControlStart::hanging(signal, &backend);
         send_signal(&start.process.0, signal);
@@ -71,11 +71,11 @@
 /// Guards against a start that waits for the disk of its control socket without end, and serves nobody.
 #[test]
 fn start_whose_control_socket_hangs_serves_without_it() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let start = ControlStart::hanging("serves", &backend);
     start.log.expect(0, "listens on ");
     let mut client = Client::connect(start.listener.address());
-    assert_eq!(client.ask(&request("/read/k", 3.0, "")).status(), 200);
+    assert_eq!(client.request(&request("/read/k", 3.0, "")).status(), 200);
 }
 
 /// Guards against a control socket that is bound on the event loop once requests are served: its folder may lie on a disk that
@@ -87,7 +87,7 @@
     let (socket, lock_path) = (folder.join("control.sock"), folder.join("control.sock.lock"));
     let lock = std::fs::File::create(&lock_path).unwrap();
     flock(&lock, FlockOperation::NonBlockingLockExclusive).unwrap(); // as a process that serves it
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let control = format!("[control]\nsocket = {:?}\n", socket.display().to_string());
     let mut proxy = program().serve(&format!("{CLASSES}{control}{}", pool("p", &[(backend.address, "a")])));
     proxy.log.expect(0, "no control socket yet");
@@ -95,7 +95,7 @@
     let arguments = ["-e", "trace=openat", "-P", &lock_name, "-e", HELD_UP];
     let Some(strace) = Strace::attach(proxy.child.id(), &output, &arguments) else { return };
     for _ in 0..REQUESTS {
-        assert_eq!(proxy.ask(&request("/read/k", 3.0, "")).status(), 200);
+        assert_eq!(proxy.request(&request("/read/k", 3.0, "")).status(), 200);
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(thread_names(&proxy.child).contains(&"control-socket".to_string()), "nothing is opened");
--- a/crates/shaletide/tests/crash_recovery.rs
+++ b/crates/shaletide/tests/crash_recovery.rs
@@ -45,7 +45,7 @@
 /// One request on a connection that may break at any moment.
 fn try_one(to: SocketAddr, key: &str) -> Option<u16> {
     let mut tcp = TcpStream::connect(to).ok()?;
-    tcp.set_read_timeout(Some(PATIENCE)).ok()?;
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
     tcp.write_all(paid(key).as_bytes()).ok()?;
     Message::read(&mut BufReader::new(tcp)).map(|answer| answer.status())
 }
@@ -80,15 +80,15 @@
     let (store, socket) = (place.0.join("record.db"), place.0.join("control.sock"));
     let backend = BackendServer::start(|n| match n % 8 {
         0 => Reply::Reset, // it ran, and nobody is told
-        _ => ok("done"),
+        _ => ok_reply("done"),
     });
     let runs = Runs::default();
     let address = backend.address;
     std::thread::spawn({
         let runs = runs.clone();
         move || loop {
-            let key = match backend.seen.recv() {
-                Ok(Seen::Request(message)) => key_of(&message),
+            let key = match backend.events.recv() {
+                Ok(BackendEvent::Request(message)) => key_of(&message),
                 Ok(_) => continue,
                 Err(_) => return,
             };
@@ -106,7 +106,7 @@
     // A backend tells of a request before it answers; whoever counts may be a little behind.
     let has_run = |key: &str| {
         let begun = Instant::now();
-        while ran(key) == 0 && begun.elapsed() < PATIENCE {
+        while ran(key) == 0 && begun.elapsed() < WAIT_LIMIT {
             std::thread::sleep(Duration::from_millis(1));
         }
         ran(key) == 1
@@ -121,7 +121,7 @@
         for key in std::mem::take(&mut left) {
             let mut status = try_one(proxy.address, &key).expect("an answer");
             let begun = Instant::now();
-            while status == 503 && begun.elapsed() < PATIENCE {
+            while status == 503 && begun.elapsed() < WAIT_LIMIT {
                 std::thread::sleep(Duration::from_millis(5));
                 status = try_one(proxy.address, &key).expect("an answer");
             }
--- a/crates/shaletide/tests/crash_windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -97,7 +97,7 @@
 
     /// Until the backend has so much of that key.
     fn has(&self, key: &str, whole: bool) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_LIMIT;
         while self.seen.recv_timeout(end - Instant::now()).expect("at the box") != (key.to_string(), whole) {}
     }
 }
@@ -176,7 +176,7 @@
 }
 
 fn status_of(tcp: TcpStream) -> Option<u16> {
-    tcp.set_read_timeout(Some(PATIENCE)).ok()?;
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
     Message::read(&mut BufReader::new(tcp)).map(|answer| answer.status())
 }
 
@@ -188,7 +188,7 @@
 
 /// Asked until it is no longer told to come again.
 fn finally(to: SocketAddr, key: &str) -> u16 {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_LIMIT;
     loop {
         let status = try_one(to, key).expect("an answer");
         if status != 503 || Instant::now() >= end {
@@ -212,7 +212,7 @@
 }
 
 fn until(what: &str, is: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_LIMIT;
     while !is() {
         assert!(Instant::now() < end, "{what}");
         std::thread::sleep(Duration::from_millis(1));
@@ -260,10 +260,10 @@
     }
 
     /// Brings a settle of that key into the window, kills the program there, and shows that it was there.
-    fn kill_in(&self, window: Window, key: &str, proxy: &mut Serving) {
+    fn kill_in(&self, window: Window, key: &str, proxy: &mut ServingProgram) {
         let store = self.store();
         *self.backend.gate.lock().unwrap() = Arc::new(Gate::default());
-        let kill = |proxy: &mut Serving| {
+        let kill = |proxy: &mut ServingProgram| {
             proxy.signal("KILL");
             proxy.child.wait().unwrap();
         };
@@ -289,7 +289,7 @@
             BeforeIntent => {}
             // Its place in the queue cannot be seen from outside: whoever came later has an answer by now.
             IntentQueued => {
-                proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
+                proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
             }
             DurableNotSent => until("the intent", || on_record(&store, key).1),
             HalfSent => self.backend.has(key, false),
@@ -315,7 +315,7 @@
         self.backend.gate.lock().unwrap().open();
         // All that the system still held is delivered by now, or never will be.
         let mut rest = Vec::new();
-        client.set_read_timeout(Some(PATIENCE)).unwrap();
+        client.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let _ = client.read_to_end(&mut rest);
         let (_, intent, outcome) = on_record(&store, key);
         let ran = matches!(window, Sent | ReadNotRecorded | RecordedNotAnswered | Answered);
--- a/crates/shaletide/tests/graceful_shutdown.rs
+++ b/crates/shaletide/tests/graceful_shutdown.rs
@@ -15,7 +15,7 @@
 const KILL: Duration = Duration::from_millis(3700);
 
 fn one(backend: &BackendServer) -> Proxy {
-    Proxy::start(&[entry("b0", backend.address, "SERVING")])
+    Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")])
 }
 
 fn terminate(proxy: &Proxy) -> Instant {
@@ -34,19 +34,19 @@
 fn requests_with_long_deadlines_are_answered_before_sigkill() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":8000000");
-    let mut proxy = Proxy::with(&[entry("b0", silent.address, "SERVING")], 1024, &settings);
-    let mut clients: Vec<Client> = [pay(8.0), read(8.0), vote(8.0)]
+    let mut proxy = Proxy::with(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
+    let mut clients: Vec<Client> = [pay_request(8.0), read_request(8.0), vote_request(8.0)]
         .map(|request| {
             let mut client = proxy.client();
             client.send(&request);
-            silent.request();
+            silent.next_request();
             client
         })
         .into();
     let mut half = proxy.client();
-    let late = pay(8.0);
+    let late = pay_request(8.0);
     half.send(&late[..late.len() - 1]);
-    assert_eq!(proxy.ask(READY).status(), 200);
+    assert_eq!(proxy.request(READY).status(), 200);
     let at = terminate(&proxy);
     half.send(&late[late.len() - 1..]);
     clients.push(half);
@@ -67,15 +67,15 @@
 fn sleeps_over_its_end(from: u64) {
     let silent = BackendServer::start(|_| Reply::Silence);
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":8000000");
-    let mut proxy = Proxy::with(&[entry("b0", silent.address, "SERVING")], 1024, &settings);
+    let mut proxy = Proxy::with(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
     let asking = |request: String| {
         let mut client = proxy.client();
         client.send(&request);
         client
     };
-    let requests = || [pay(8.0), read(8.0), vote(8.0)];
+    let requests = || [pay_request(8.0), read_request(8.0), vote_request(8.0)];
     let mut clients: Vec<Client> = requests().map(asking).into();
-    (0..3).for_each(|_| drop(silent.request()));
+    (0..3).for_each(|_| drop(silent.next_request()));
     let at = terminate(&proxy);
     let after =
         |ms| std::thread::sleep((at + Duration::from_millis(ms)).saturating_duration_since(Instant::now()));
@@ -104,29 +104,29 @@
 /// What is idle is closed while connections are still accepted; what has begun to come, or was just accepted, is not.
 #[test]
 fn shutdown_closes_idle_connections_first_and_partial_requests_last() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let mut proxy = one(&backend);
     let mut idle: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     let mut half = proxy.client();
     for client in idle.iter_mut().chain([&mut half]) {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
-    let (request, body) = (read(3.0), pay(3.0));
+    let (request, body) = (read_request(3.0), pay_request(3.0));
     half.send(&request[..20]);
     let mut coming = proxy.client();
     coming.send(&body[..body.len() - 2]);
-    assert_eq!(proxy.ask(READY).status(), 200);
+    assert_eq!(proxy.request(READY).status(), 200);
     terminate(&proxy);
     let mut new = proxy.client();
-    assert!(idle.iter_mut().all(Client::ended));
-    assert_eq!(new.ask(&pay(2.0)).status(), 200, "a new one is waited for");
-    assert_eq!(proxy.ask(&pay(2.0)).status(), 200, "connections are still accepted");
+    assert!(idle.iter_mut().all(Client::is_closed));
+    assert_eq!(new.request(&pay_request(2.0)).status(), 200, "a new one is waited for");
+    assert_eq!(proxy.request(&pay_request(2.0)).status(), 200, "connections are still accepted");
     half.send(&request[20..]);
     coming.send(&body[body.len() - 2..]);
     for client in [&mut half, &mut coming] {
         let answer = client.answer().expect("the answer that is owed");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     ends_well(&mut proxy);
 }
@@ -140,8 +140,8 @@
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
         let mut proxy = one(&backend);
         let mut client = proxy.client();
-        client.send(&pay(3.0));
-        backend.request();
+        client.send(&pay_request(3.0));
+        backend.next_request();
         // Both are there before the program looks.
         proxy.signal("STOP");
         signals.iter().for_each(|name| proxy.signal(name));
@@ -158,10 +158,10 @@
 #[test]
 fn process_without_a_list_exits() {
     let mut proxy = Proxy::start(&[]);
-    let (_, _silent) = proxy.discovery.call();
+    let (_, _silent) = proxy.discovery.next_call();
     let mut client = proxy.client();
-    client.send(&pay(1.0));
-    assert_eq!(proxy.ask(READY).status(), 200);
+    client.send(&pay_request(1.0));
+    assert_eq!(proxy.request(READY).status(), 200);
     let at = terminate(&proxy);
     assert!(matches!(client.answer().expect("an answer").status(), 502..=504));
     ends_well(&mut proxy);
@@ -171,12 +171,12 @@
 /// Who holds half of a request, or reads nothing, does not keep the program.
 #[test]
 fn stalled_clients_do_not_delay_exit() {
-    let backend = BackendServer::start(|_| ok(&"x".repeat(60_000)));
+    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(60_000)));
     let mut proxy = one(&backend);
     let (mut half, mut deaf) = (proxy.client(), proxy.client());
-    half.send(&read(3.0)[..30]);
-    deaf.send(&read(3.0));
-    backend.request();
+    half.send(&read_request(3.0)[..30]);
+    deaf.send(&read_request(3.0));
+    backend.next_request();
     let at = terminate(&proxy);
     ends_well(&mut proxy);
     assert!(at.elapsed() < KILL, "{:?}", at.elapsed());
@@ -186,13 +186,13 @@
 /// Connections that stood in the kernel's queue as it was told to end.
 #[test]
 fn requests_in_the_accept_queue_are_answered_at_shutdown() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let mut proxy = one(&backend);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     proxy.signal("STOP");
     proxy.signal("TERM");
     let mut clients: Vec<Client> = (0..50).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|client| client.send(&pay(2.0)));
+    clients.iter_mut().for_each(|client| client.send(&pay_request(2.0)));
     proxy.signal("CONT");
     for client in &mut clients {
         assert_eq!(client.answer().expect("an answer").status(), 200);
@@ -207,14 +207,14 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = Proxy::launched(&[entry("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let mut proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
     let asking = |_| {
         let mut client = proxy.client();
-        client.send(&read(3.0));
+        client.send(&read_request(3.0));
         client
     };
     let mut clients: Vec<Client> = (0..120).map(asking).collect();
-    backend.request();
+    backend.next_request();
     let at = terminate(&proxy);
     std::thread::sleep(Duration::from_millis(700)); // by now it would have closed its listener
     gate.open();
@@ -229,7 +229,7 @@
 /// a backend that hangs. Whatever was taken is answered whole; only a connection that was answered before may end instead.
 #[test]
 fn clients_that_keep_sending_get_every_response() {
-    let backend = BackendServer::start(|n| if n % 3 == 2 { Reply::Silence } else { ok("x") });
+    let backend = BackendServer::start(|n| if n % 3 == 2 { Reply::Silence } else { ok_reply("x") });
     let mut proxy = one(&backend);
     let (answered, lost) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
     let address = proxy.address;
@@ -238,10 +238,10 @@
             let (answered, lost) = (answered.clone(), lost.clone());
             std::thread::spawn(move || {
                 while let Ok(tcp) = TcpStream::connect(address) {
-                    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+                    tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
                     let mut client = Client(BufReader::new(tcp));
                     for before in 0.. {
-                        let request = if n % 2 == 0 { pay(3.0) } else { read(1.0) };
+                        let request = if n % 2 == 0 { pay_request(3.0) } else { read_request(1.0) };
                         let sent = client.0.get_mut().write_all(request.as_bytes()).is_ok();
                         match client.answer() {
                             Some(answer) => {
@@ -274,8 +274,8 @@
 /// configuration comes by a pipe, which holds the reading until the test lets go.
 #[test]
 fn sighup_before_the_configuration_is_read_is_handled() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let door = Refusing::new();
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let door = RefusingPort::new();
     let path = std::env::temp_dir().join(format!("shaletide-stop-{}.toml", std::process::id()));
     let _ = std::fs::remove_file(&path);
     assert!(std::process::Command::new("mkfifo").arg(&path).status().unwrap().success());
@@ -298,7 +298,7 @@
     drop(pipe);
     assert!(log.any(|line| line.contains("listens on ")), "it has ended");
     assert!(log.any(|line| line.contains("SIGHUP: "))); // a pipe is not read again, but it was looked at
-    assert_eq!(Client::connect(door.address()).ask(&request("/read/k", 3.0, "")).status(), 200);
+    assert_eq!(Client::connect(door.address()).request(&request("/read/k", 3.0, "")).status(), 200);
     signal("TERM");
     assert!(child.wait().unwrap().success());
     std::fs::remove_file(&path).unwrap();
@@ -310,7 +310,7 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let door = Refusing::new();
+    let door = RefusingPort::new();
     let path = std::env::temp_dir().join(format!("shaletide-log-{}.toml", std::process::id()));
     let pool = pool("p", &[(backend.address, "a")]);
     std::fs::write(&path, format!("[[listener]]\naddress = \"{}\"\n{CLASSES}{pool}", door.address()))
@@ -323,7 +323,7 @@
     drop(log);
     let mut client = Client::connect(door.address());
     client.send(&request("/pay/k", 3.0, ""));
-    backend.request();
+    backend.next_request();
     for name in ["HUP", "TERM"] {
         let id = child.id().to_string();
         assert!(std::process::Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
@@ -337,12 +337,12 @@
 /// Its log is on a disk that is full, or has reached the limit on files' sizes, from its first line on: it serves.
 #[test]
 fn full_log_ends_nothing() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let name = std::env::temp_dir().join(format!("shaletide-full-{}", std::process::id()));
     let (path, full) = (name.with_extension("toml"), name.with_extension("log"));
     std::fs::write(&full, [b'x'; 8192]).unwrap();
     for log in [std::path::Path::new("/dev/full"), &full] {
-        let door = Refusing::new();
+        let door = RefusingPort::new();
         let pool = pool("p", &[(backend.address, "a")]);
         std::fs::write(&path, format!("[[listener]]\naddress = \"{}\"\n{CLASSES}{pool}", door.address()))
             .unwrap();
@@ -357,7 +357,7 @@
         }
         let mut client = Client::connect(door.address());
         for name in ["HUP", "TERM"] {
-            assert_eq!(client.ask(&request("/read/k", 3.0, "")).status(), 200, "{}", log.display());
+            assert_eq!(client.request(&request("/read/k", 3.0, "")).status(), 200, "{}", log.display());
             client = Client::connect(door.address());
             let id = child.id().to_string();
             assert!(std::process::Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
--- a/crates/shaletide/tests/harness/mod.rs
+++ b/crates/shaletide/tests/harness/mod.rs
@@ -23,11 +23,11 @@
         program().start(known)
     }
     fn with(known: &[String], sockets: u32, settings: &str) -> Proxy {
-        program().with(known, sockets, settings)
+        program().start_with(known, sockets, settings)
     }
     /// With a limit on descriptors that need not be the one it is told.
     fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
-        program().launched(known, sockets, settings, descriptors)
+        program().start_with_limits(known, sockets, settings, descriptors)
     }
 }
 
@@ -96,14 +96,14 @@
 /// The module saves up its further attempts from the requests that come: so many pay for several.
 pub fn fill_retry_budget(client: &mut Client, path: &str) {
     for _ in 0..30 {
-        assert_eq!(client.ask(&request(path, 3.0, "")).status(), 200);
+        assert_eq!(client.request(&request(path, 3.0, "")).status(), 200);
     }
 }
 
 /// Holds SQLite's writing lock, as another program might: nothing else becomes durable meanwhile.
 pub fn lock_store(store: &std::path::Path) -> rusqlite::Connection {
     let db = rusqlite::Connection::open(store).unwrap();
-    db.busy_timeout(PATIENCE).unwrap();
+    db.busy_timeout(WAIT_LIMIT).unwrap();
     db.execute_batch("BEGIN IMMEDIATE").unwrap();
     db
 }
--- a/crates/shaletide/tests/harness/start.rs
+++ b/crates/shaletide/tests/harness/start.rs
@@ -10,8 +10,8 @@
 const END_INTERVAL: Duration = Duration::from_millis(2);
 
 /// A configuration as the platform writes it.
-pub fn platform_configuration(discovery: &DiscoveryServer, listener: &Refusing) -> String {
-    let known = list(4, true, &[]);
+pub fn platform_configuration(discovery: &DiscoveryServer, listener: &RefusingPort) -> String {
+    let known = endpoint_list_json(4, true, &[]);
     format!(
         r#"{{"name":"n0","listen":"{}","discovery":"{}","seed":"8c1f30d27a5be964","known":{known},
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":256}},"settings":{SETTINGS}}}"#,
--- a/crates/shaletide/tests/harness/strace.rs
+++ b/crates/shaletide/tests/harness/strace.rs
@@ -1,6 +1,6 @@
 //! System calls of a running program, watched or delayed from outside by strace.
 
-use shaletide_testkit::Running;
+use shaletide_testkit::RunningProgram;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -38,7 +38,7 @@
     }
 
     /// Stops the traced program, whose clients have left: it says so within that time, and ends with status 0.
-    pub fn expect_quiet_stop(self, proxy: &mut Running, limit: Duration) {
+    pub fn expect_quiet_stop(self, proxy: &mut RunningProgram, limit: Duration) {
         let begun = Instant::now();
         proxy.signal("TERM");
         proxy.log.expect(0, "shaletide: stopped");
--- a/crates/shaletide/tests/harness/trace.rs
+++ b/crates/shaletide/tests/harness/trace.rs
@@ -1,6 +1,6 @@
 //! The lines of NODE_LOG=trace by which a request is followed.
 
-use shaletide_testkit::Running;
+use shaletide_testkit::RunningProgram;
 use std::collections::{HashMap, HashSet};
 
 /// How the lines of the trace begin, behind time and level.
@@ -41,18 +41,18 @@
 }
 
 /// All events so far, in order.
-pub fn events(proxy: &Running) -> Vec<Event> {
+pub fn events(proxy: &RunningProgram) -> Vec<Event> {
     proxy.log.since(0).iter().filter_map(|line| Event::parse(line)).collect()
 }
 
 /// Waits until the log has the answer to the request with that id.
-pub fn expect_answered(proxy: &Running, id: &str) {
+pub fn expect_answered(proxy: &RunningProgram, id: &str) {
     proxy.log.expect(0, &format!("event=\"answered\" id=\"{id}\""));
 }
 
 /// The longest time from the end of a request's only open attempt to what the proxy does next for the request: the next
 /// attempt, or its answer. The proxy waits for nothing meanwhile.
-pub fn longest_indecision_us(proxy: &Running) -> u64 {
+pub fn longest_indecision_us(proxy: &RunningProgram) -> u64 {
     let mut open: HashMap<String, HashSet<u64>> = HashMap::new();
     let mut undecided_since: HashMap<String, u64> = HashMap::new();
     let mut longest = 0;
@@ -74,7 +74,7 @@
 
 /// How long after its head a request was given up, and why, in the proxy's own time: less what its event loop waited for a
 /// processor as the timer came late.
-pub fn given_up(proxy: &Running, id: &str) -> (u64, String) {
+pub fn given_up(proxy: &RunningProgram, id: &str) -> (u64, String) {
     expect_answered(proxy, id);
     let lines = proxy.log.since(0);
     let of_request = |event: &Event| event.name() == "given_up" && event.get("id") == Some(id);
--- a/crates/shaletide/tests/hostile_input.rs
+++ b/crates/shaletide/tests/hostile_input.rs
@@ -54,7 +54,7 @@
     /// Waits until its log says this.
     fn said(&self, what: &str) -> String {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("a line in the log");
+            let line = self.log.recv_timeout(WAIT_LIMIT).expect("a line in the log");
             if line.contains(what) {
                 return line;
             }
@@ -91,10 +91,10 @@
 fn attempt_that_may_not_be_cancelled_ends_at_its_deadline() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let served = ServedProxy::by(&file(&format!("[limits]\ncancel = false\n{CLASSES}"), &[&silent]));
-    let answer = served.client().ask(&read(0.3));
+    let answer = served.client().request(&read_request(0.3));
     assert!(matches!(answer.status(), 502..=504), "{}", answer.status());
     let start = Instant::now();
-    silent.closed();
+    silent.wait_closed();
     assert!(start.elapsed() < Duration::from_secs(1));
 }
 
@@ -109,8 +109,8 @@
     let classes = |deadline: &str| classes(deadline).replace("\"read\"", "\"read\"\ndeadline = \"500ms\"");
     let mut served = ServedProxy::by(&file(&classes("10s"), &[&slow]));
     let mut client = served.client();
-    client.send(&pay(9.0));
-    slow.request();
+    client.send(&pay_request(9.0));
+    slow.next_request();
     served.reload(&file(&classes("500ms"), &[&slow]));
     served.signal("TERM");
     std::thread::sleep(Duration::from_millis(1500)); // over the linger and all times of the new file
@@ -122,7 +122,7 @@
 /// A file that cannot be read to its end holds up nobody: neither one that nobody writes to nor one without end.
 #[test]
 fn endless_file_does_not_block_reload() {
-    let good = BackendServer::start(|_| ok("x"));
+    let good = BackendServer::start(|_| ok_reply("x"));
     let text = file(CLASSES, &[&good]);
     let served = ServedProxy::by(&text);
     std::fs::remove_file(&served.path).unwrap();
@@ -130,7 +130,7 @@
     assert!(made.success());
     served.signal("HUP");
     served.said("SIGHUP: nothing changes");
-    assert_eq!(served.client().ask(&read(2.0)).status(), 200);
+    assert_eq!(served.client().request(&read_request(2.0)).status(), 200);
     std::fs::remove_file(&served.path).unwrap();
     let endless = std::fs::File::create(&served.path).unwrap();
     endless.set_len(1 << 40).unwrap();
@@ -139,13 +139,13 @@
     served.said("SIGHUP: nothing changes");
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     served.reload(&text.replace("\"p\"", "\"q\""));
-    assert_eq!(served.client().ask(&read(2.0)).status(), 200);
+    assert_eq!(served.client().request(&read_request(2.0)).status(), 200);
 }
 
 /// Signals that come while a file is read are one more reading, and the last file counts.
 #[test]
 fn last_of_many_reloads_is_applied() {
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+    let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
     let served = ServedProxy::by(&file(CLASSES, &[&old]));
     for _ in 0..50 {
         std::fs::write(&served.path, "{").unwrap();
@@ -156,20 +156,20 @@
     served.signal("HUP");
     served.said("SIGHUP: taken");
     let mut client = served.client();
-    (0..5).for_each(|_| assert_eq!(client.ask(&read(2.0)).body, b"new"));
+    (0..5).for_each(|_| assert_eq!(client.request(&read_request(2.0)).body, b"new"));
 }
 
 /// A request that belongs to no class as its path stands, but to one by another way to read it, is not taken for one of
 /// the class for all others: that may be repeated.
 #[test]
 fn ambiguous_path_to_unsafe_class_is_rejected() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let ask = |form: &str, path: &str| {
         let any = "[[class]]\nname = \"any\"\nmethods = [\"GET\", \"POST\"]\n";
         let form = format!("[request]\notherwise = \"any\"\n{form}{CLASSES}{any}");
         let served = ServedProxy::by(&file(&form, &[&backend]));
         let post = format!("POST {path} HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n");
-        served.client().ask(&post).status()
+        served.client().request(&post).status()
     };
     for path in ["/%70ay/x", "/%2570ay/x", "/pay;a=1/x", "/pay%3Ba/x", "/pay%2Fx", "/pay%252fx"] {
         assert_eq!(ask("", path), 400, "{path}");
@@ -193,7 +193,7 @@
         let pieces = vec![format!("HTTP/1.1 101 X\r\n{more}")];
         let backend = BackendServer::start(move |_| Reply::Pieces(pieces.clone()));
         let served = ServedProxy::by(&file(CLASSES, &[&backend]));
-        assert_eq!(served.client().ask(&pay(1.0)).status(), 502, "{more:?}");
+        assert_eq!(served.client().request(&pay_request(1.0)).status(), 502, "{more:?}");
     }
 }
 
@@ -201,50 +201,54 @@
 #[test]
 fn max_body_limits_request_and_response() {
     let length = |n: u32| if n == 0 { 2000 } else { 2001 };
-    let backend = BackendServer::start(move |n| ok(&"x".repeat(length(n))));
+    let backend = BackendServer::start(move |n| ok_reply(&"x".repeat(length(n))));
     let text = file(&format!("[limits]\nmax_body = \"2KB\"\n{CLASSES}"), &[&backend]);
     let served = ServedProxy::by(&text);
     let post = |length: usize| {
         let body = "y".repeat(length);
         format!("POST /pay/x HTTP/1.1\r\nHost: s\r\nContent-Length: {length}\r\n\r\n{body}")
     };
-    assert_eq!(served.client().ask(&post(2000)).body.len(), 2000);
-    assert_eq!(served.client().ask(&post(2001)).status(), 413);
-    assert_eq!(served.client().ask(&post(0)).status(), 502, "the answer is too long");
+    assert_eq!(served.client().request(&post(2000)).body.len(), 2000);
+    assert_eq!(served.client().request(&post(2001)).status(), 413);
+    assert_eq!(served.client().request(&post(0)).status(), 502, "the answer is too long");
     served.reload(&text.replace("2KB", "3KB"));
-    assert_eq!(served.client().ask(&post(2001)).body.len(), 2001);
+    assert_eq!(served.client().request(&post(2001)).body.len(), 2001);
 }
 
 /// A hint of the work that no machine could do is a hint.
 #[test]
 fn overflowing_work_hint_is_ignored() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let classes = CLASSES.replace("\"read\"", "\"read\"\naim_stretch = 2.0");
     let served = ServedProxy::by(&file(&classes, &[&backend]));
     for hint in ["1e300", "1e19", "9223372036854775808", "0"] {
         let get = format!("GET /read/x HTTP/1.1\r\nHost: s\r\nX-Weight-Hint: {hint}\r\n\r\n");
-        assert_eq!(served.client().ask(&get).status(), 200, "{hint}");
+        assert_eq!(served.client().request(&get).status(), 200, "{hint}");
     }
 }
 
 /// Asked for news with time to wait, a discovery that answers at once that there is none is not asked without a pause.
 #[test]
 fn discovery_that_answers_at_once_is_polled_with_pauses() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
-    let (_, answer) = proxy.discovery.call();
-    answer.send((200, list(7, true, &[entry("b0", backend.address, "SERVING")]))).unwrap();
-    let (_, answer) = proxy.discovery.call();
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
+    let (_, answer) = proxy.discovery.next_call();
+    answer
+        .send((200, endpoint_list_json(7, true, &[endpoint_json("b0", backend.address, "SERVING")])))
+        .unwrap();
+    let (_, answer) = proxy.discovery.next_call();
     let start = Instant::now();
-    answer.send((200, list(7, false, &[]))).unwrap();
+    answer.send((200, endpoint_list_json(7, false, &[]))).unwrap();
     for _ in 0..9 {
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         assert!(target.contains("after=7&"), "{target}");
-        answer.send((200, list(7, false, &[]))).unwrap();
+        answer.send((200, endpoint_list_json(7, false, &[]))).unwrap();
     }
     assert!(start.elapsed() > Duration::from_millis(300), "{:?}", start.elapsed());
-    let (_, answer) = proxy.discovery.call();
-    answer.send((200, list(8, false, &[entry("b0", backend.address, "DRAINING")]))).unwrap();
-    let (_, _waits) = proxy.discovery.call();
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 503, "and news is taken in at once");
+    let (_, answer) = proxy.discovery.next_call();
+    answer
+        .send((200, endpoint_list_json(8, false, &[endpoint_json("b0", backend.address, "DRAINING")])))
+        .unwrap();
+    let (_, _waits) = proxy.discovery.next_call();
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 503, "and news is taken in at once");
 }
--- a/crates/shaletide/tests/idle_eviction.rs
+++ b/crates/shaletide/tests/idle_eviction.rs
@@ -14,8 +14,8 @@
 /// clients all of its processor time, so that new connections waited in the accept queue for seconds.
 #[test]
 fn evicting_an_idle_connection_does_not_query_every_client_socket() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let mut idle = Vec::new();
     for _ in 0..600 {
         let mut client = proxy.client();
@@ -29,7 +29,7 @@
     let Some(strace) = Strace::attach(proxy.child.id(), &folder, &filter) else { return };
     for _ in 0..ARRIVALS {
         let mut client = proxy.client();
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
         idle.push(client);
     }
     let calls = strace.finish();
--- a/crates/shaletide/tests/idle_timeout.rs
+++ b/crates/shaletide/tests/idle_timeout.rs
@@ -15,18 +15,18 @@
 /// same. The bad order is made to happen each time.
 #[test]
 fn request_during_a_suspension_is_answered_on_its_idle_connection() {
-    let backend = BackendServer::start(|_| ok("done"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply("done"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     for round in 0..3 {
         let mut client = proxy.client();
-        assert_eq!(client.ask(&pay(3.0)).status(), 200);
+        assert_eq!(client.request(&pay_request(3.0)).status(), 200);
         std::thread::sleep(BEFORE_THE_CLOSE);
         proxy.signal("STOP");
-        client.send(&pay(3.0));
+        client.send(&pay_request(3.0));
         std::thread::sleep(BEHIND_THE_CLOSE);
         proxy.signal("CONT");
         let answer = client.answer().map(|answer| answer.status());
         assert_eq!(answer, Some(200), "round {round}: closed over a request that had arrived");
     }
-    assert_eq!(backend.count(), 6);
+    assert_eq!(backend.request_count(), 6);
 }
--- a/crates/shaletide/tests/large_fleet.rs
+++ b/crates/shaletide/tests/large_fleet.rs
@@ -30,7 +30,7 @@
 /// Entries of these numbers, indented: those of the first half are at the first address, the others at the second.
 fn entries(at: [SocketAddr; 2], numbers: std::ops::Range<usize>, status: &str) -> Vec<String> {
     let one = |n: usize| {
-        let compact = entry(&format!("backend-{n:04}"), at[n / HALF], status);
+        let compact = endpoint_json(&format!("backend-{n:04}"), at[n / HALF], status);
         let value: serde_json::Value = serde_json::from_str(&compact).unwrap();
         serde_json::to_string_pretty(&value).unwrap()
     };
@@ -42,13 +42,13 @@
     discovery: &DiscoveryServer, version: u64, whole: &[String], changes: Option<&[String]>,
 ) -> impl Sized {
     loop {
-        let (target, answer) = discovery.call();
+        let (target, answer) = discovery.next_call();
         if target.contains(&format!("after={version}&")) && !target.contains("wait_ms=0 ") {
             return answer;
         }
         let body = match changes.filter(|_| target.contains("after=")) {
-            Some(changes) => list(version, false, changes),
-            None => list(version, true, whole),
+            Some(changes) => endpoint_list_json(version, false, changes),
+            None => endpoint_list_json(version, true, whole),
         };
         let _ = answer.send((200, body)); // the call may have been given up
     }
@@ -76,7 +76,7 @@
 /// So many requests, all of which are served, by no backends but these. A proxy's slice may be of one half only.
 fn served_by(proxy: &Proxy, backends: &[&str], requests: usize) {
     for n in 0..requests {
-        let answer = proxy.ask(&if n % 2 == 0 { read(3.0) } else { pay(3.0) });
+        let answer = proxy.request(&if n % 2 == 0 { read_request(3.0) } else { pay_request(3.0) });
         let body = String::from_utf8_lossy(&answer.body).into_owned();
         assert!(answer.status() == 200 && backends.contains(&body.as_str()), "{} {body}", answer.status());
     }
@@ -85,11 +85,12 @@
 #[test]
 fn one_of_350_proxies_serves_from_1024_backends_by_snapshot_and_delta() {
     for mode in ["automatic", "subscribe"] {
-        let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
+        let (low, high) =
+            (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
         let at = [low.address, high.address];
         let all = entries(at, 0..BACKENDS, "SERVING");
         let program = program().log_level("debug");
-        let proxy = program.launched(&all, DESCRIPTORS, &settings(mode), DESCRIPTORS);
+        let proxy = program.start_with_limits(&all, DESCRIPTORS, &settings(mode), DESCRIPTORS);
         proxy.log.expect(0, &format!("{BACKENDS} new, {BACKENDS} ready"));
         proxy.log.expect(0, &format!("{BACKENDS} backends known"));
         served_by(&proxy, &["low", "high"], 100);
@@ -161,12 +162,13 @@
 #[test]
 fn idle_clients_leave_descriptors_for_discovery_reload_and_backends() {
     for mode in ["automatic", "subscribe"] {
-        let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
+        let (low, high) =
+            (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
         let at = [low.address, high.address];
         let proxy = Proxy::launched(&[], DESCRIPTORS, &settings(mode), DESCRIPTORS);
         let _idle = IdleClients::start(proxy.address, 400);
         for _ in 0..6 {
-            drop(proxy.discovery.call()); // it breaks the connection
+            drop(proxy.discovery.next_call()); // it breaks the connection
         }
         let most = open_descriptors(&proxy);
         let upstreams = 96;
@@ -188,7 +190,7 @@
 /// The system may grant less than the configuration says: the reserve is kept out of what it grants.
 #[test]
 fn idle_clients_leave_descriptors_for_backends_under_a_lower_system_limit() {
-    let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
+    let (low, high) = (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
     let at = [low.address, high.address];
     let proxy = Proxy::launched(&[], 1_024, &settings("automatic"), DESCRIPTORS);
     let said =
@@ -196,7 +198,7 @@
     assert!(said, "it says so");
     let _idle = IdleClients::start(proxy.address, 400);
     for _ in 0..6 {
-        drop(proxy.discovery.call());
+        drop(proxy.discovery.next_call());
     }
     let _waits = tell(&proxy.discovery, 7, &entries(at, 0..BACKENDS, "SERVING"), None);
     served_by(&proxy, &["low", "high"], 40);
@@ -206,9 +208,9 @@
 /// A line for each of 1,024 backends is more than a pipe takes. Whoever collects the log may be slow, or gone.
 #[test]
 fn unread_log_delays_neither_start_nor_requests_nor_shutdown() {
-    let (low, high) = (BackendServer::start(|_| ok("low")), BackendServer::start(|_| ok("high")));
-    let (discovery, door) = (DiscoveryServer::start(), Refusing::new());
-    let known = list(4, true, &entries([low.address, high.address], 0..BACKENDS, "SERVING"));
+    let (low, high) = (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
+    let (discovery, door) = (DiscoveryServer::start(), RefusingPort::new());
+    let known = endpoint_list_json(4, true, &entries([low.address, high.address], 0..BACKENDS, "SERVING"));
     let config = format!(
         r#"{{"name":"n0","listen":"{}","discovery":"{}","seed":1,"limits":{{"sockets":{DESCRIPTORS}}},"known":{known},
         "settings":{}}}"#,
@@ -219,11 +221,11 @@
     let mut child = program_command(Some(&config)).spawn().unwrap();
     let begun = std::time::Instant::now();
     while TcpStream::connect(door.address()).is_err() {
-        assert!(begun.elapsed() < PATIENCE, "it does not listen");
+        assert!(begun.elapsed() < WAIT_LIMIT, "it does not listen");
         std::thread::sleep(Duration::from_millis(5));
     }
     for n in 0..20 {
-        let answer = Client::connect(door.address()).ask(&read(3.0));
+        let answer = Client::connect(door.address()).request(&read_request(3.0));
         assert_eq!(answer.status(), 200, "request {n}");
     }
     let pid = child.id().to_string();
@@ -231,7 +233,7 @@
     let ended = loop {
         match child.try_wait().unwrap() {
             Some(ended) => break ended,
-            None if begun.elapsed() < PATIENCE => std::thread::sleep(Duration::from_millis(5)),
+            None if begun.elapsed() < WAIT_LIMIT => std::thread::sleep(Duration::from_millis(5)),
             None => panic!("it does not end"),
         }
     };
--- a/crates/shaletide/tests/late_response.rs
+++ b/crates/shaletide/tests/late_response.rs
@@ -52,7 +52,7 @@
         let mut wrong = 0;
         for n in 0..60 {
             let request = request(["/read/k", "/settle/k", "/pay/k"][n % 3], 3.0, "");
-            let answer = client.ask(&request);
+            let answer = client.request(&request);
             assert_eq!(answer.status(), 200);
             wrong += u32::from(answer.body != id_of(&request).as_bytes());
             std::thread::sleep(Duration::from_millis(3)); // how long a client takes before its next
--- a/crates/shaletide/tests/list_log.rs
+++ b/crates/shaletide/tests/list_log.rs
@@ -7,15 +7,15 @@
 
 /// Lists of wholly new backends, one after the other; returns the lines of the log and the peak of memory in KiB.
 fn lines_and_memory(backends: usize, lists: u64, pause: Duration) -> (Vec<String>, u64) {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let generation = |number: u64| -> Vec<String> {
         let name = |place: usize| format!("b-{number}-{place}");
-        (0..backends).map(|place| entry(&name(place), backend.address, "SERVING")).collect()
+        (0..backends).map(|place| endpoint_json(&name(place), backend.address, "SERVING")).collect()
     };
     let proxy = Proxy::with(&[], 1024, SETTINGS);
     for number in 1..=lists {
-        let (_, answer) = proxy.discovery.call();
-        answer.send((200, list(number, true, &generation(number)))).expect("a call that waits");
+        let (_, answer) = proxy.discovery.next_call();
+        answer.send((200, endpoint_list_json(number, true, &generation(number)))).expect("a call that waits");
         proxy.log.expect(0, &format!("list {number} "));
         std::thread::sleep(pause);
     }
--- a/crates/shaletide/tests/listen_address.rs
+++ b/crates/shaletide/tests/listen_address.rs
@@ -96,14 +96,14 @@
 
 /// Starts the program at an address that is held, and waits until it says so.
 fn launch_at(at: SocketAddr, backend: &BackendServer) -> Proxy {
-    let proxy = program().launch_at(at, &[entry("b0", backend.address, "SERVING")]);
+    let proxy = program().spawn_at(at, &[endpoint_json("b0", backend.address, "SERVING")]);
     proxy.log.expect(0, &format!("{WAITS}{at}"));
     proxy
 }
 
 #[test]
 fn serves_once_its_held_address_is_released() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     for holder in HOLDERS {
         let held = holder.hold();
         let mut proxy = launch_at(held.at, &backend);
@@ -113,8 +113,8 @@
         assert!(proxy.child.try_wait().unwrap().is_none(), "{holder:?}: it ended while its address was held");
         assert!(!proxy.log.since(0).iter().any(|line| line.contains(SERVES)), "{holder:?}");
         drop(held);
-        assert!(proxy.until_ready().is_some(), "{holder:?}");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 200, "{holder:?}");
+        assert!(proxy.wait_ready().is_some(), "{holder:?}");
+        assert_eq!(proxy.request(&pay_request(3.0)).status(), 200, "{holder:?}");
         proxy.signal("TERM");
         assert!(proxy.child.wait().unwrap().success(), "{holder:?}");
     }
@@ -122,7 +122,7 @@
 
 #[test]
 fn handles_signals_while_its_address_is_held() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     for signals in [&["TERM"][..], &["INT"], &["HUP", "TERM"], &["HUP", "HUP", "HUP", "TERM", "TERM"]] {
         let held = Holder::Listening.hold();
         let mut proxy = launch_at(held.at, &backend);
@@ -148,26 +148,26 @@
 
 #[test]
 fn serves_at_a_reserved_address_while_it_is_reserved() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let (_holder, at) = reserved();
-    let mut proxy = program().launch_at(at, &[entry("b0", backend.address, "SERVING")]);
-    assert!(proxy.until_ready().is_some());
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+    let mut proxy = program().spawn_at(at, &[endpoint_json("b0", backend.address, "SERVING")]);
+    assert!(proxy.wait_ready().is_some());
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
 }
 
 /// Two programs of ours want one reserved address: the second waits until the first has ended.
 #[test]
 fn only_one_of_two_listens_at_a_reserved_address() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     for _ in 0..4 {
         let (_holder, at) = reserved();
-        let start = || program().launch_at(at, &[entry("b0", backend.address, "SERVING")]);
+        let start = || program().spawn_at(at, &[endpoint_json("b0", backend.address, "SERVING")]);
         let mut proxies = [start(), start()];
-        assert!(proxies[0].until_ready().is_some());
+        assert!(proxies[0].wait_ready().is_some());
         let serves = |proxy: &Proxy| proxy.log.since(0).iter().any(|line| line.contains(SERVES));
         // The log comes through a thread of its own.
         let begun = Instant::now();
-        while !proxies.iter().any(serves) && begun.elapsed() < PATIENCE {
+        while !proxies.iter().any(serves) && begun.elapsed() < WAIT_LIMIT {
             std::thread::sleep(Duration::from_millis(1));
         }
         let first = usize::from(!serves(&proxies[0]));
@@ -176,7 +176,7 @@
         proxies[first].signal("TERM");
         assert!(proxies[first].child.wait().unwrap().success());
         proxies[1 - first].log.expect(0, SERVES);
-        assert_eq!(proxies[1 - first].ask(&pay(3.0)).status(), 200);
+        assert_eq!(proxies[1 - first].request(&pay_request(3.0)).status(), 200);
     }
 }
 
@@ -187,15 +187,15 @@
     let gate = std::sync::Arc::new(Gate::default());
     let waiting = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(waiting.clone()));
-    let known = [entry("b0", backend.address, "SERVING")];
+    let known = [endpoint_json("b0", backend.address, "SERVING")];
     let mut earlier = program().start(&known);
-    let next = program().launch_at(earlier.address, &known);
+    let next = program().spawn_at(earlier.address, &known);
     next.log.expect(0, WAITS);
     let mut open: Vec<Client> = (0..3)
         .map(|_| {
             let mut client = earlier.client();
-            client.send(&pay(3.0));
-            backend.request();
+            client.send(&pay_request(3.0));
+            backend.next_request();
             client
         })
         .collect();
@@ -207,21 +207,21 @@
     }
     // New connections reach one of the two at any time, or are refused in the moment between.
     next.log.expect(0, SERVES);
-    assert_eq!(next.ask(&pay(3.0)).status(), 200);
+    assert_eq!(next.request(&pay_request(3.0)).status(), 200);
     assert!(earlier.child.wait().unwrap().success());
 }
 
 /// Each listener waits for itself: one that is held keeps no other from its work.
 #[test]
 fn serves_at_its_other_address_and_gives_a_held_one_of_a_file_up_after_ten_seconds() {
-    let backend = BackendServer::start(|_| ok("done"));
-    let (held, free) = (Holder::Listening.hold(), Refusing::new());
+    let backend = BackendServer::start(|_| ok_reply("done"));
+    let (held, free) = (Holder::Listening.hold(), RefusingPort::new());
     let listener = |at: SocketAddr| format!("[[listener]]\naddress = \"{at}\"\n");
     let text =
         listener(held.at) + &listener(free.address()) + CLASSES + &pool("p", &[(backend.address, "a")]);
-    let mut proxy = program().serve_text(free.address(), &text);
+    let mut proxy = program().spawn_serving(free.address(), &text);
     proxy.log.expect(0, WAITS);
-    assert!(proxy.until_ready().is_some(), "the free one serves");
+    assert!(proxy.wait_ready().is_some(), "the free one serves");
     let begun = Instant::now();
     let code = proxy.child.wait().unwrap().code();
     assert_eq!(code, Some(1));
@@ -232,7 +232,7 @@
 /// Says who holds the address, its process too, and how often it has tried.
 #[test]
 fn names_the_holder_of_its_address() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let named = [
         (Holder::Listening, "held by a listening socket"),
         (Holder::Bound, "held by a socket that is bound and neither listens nor is connected"),
@@ -254,7 +254,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn time_from_release_to_first_answer() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let mut times: Vec<Duration> = Vec::new();
     for number in 0..50 {
         let held = HOLDERS[number % HOLDERS.len()].hold();
@@ -262,7 +262,7 @@
         std::thread::sleep(Duration::from_millis(200 + 7 * number as u64));
         drop(held);
         let begun = Instant::now();
-        let answered = proxy.until_ready().expect("it serves");
+        let answered = proxy.wait_ready().expect("it serves");
         times.push(answered - begun);
     }
     times.sort();
--- a/crates/shaletide/tests/operator_file.rs
+++ b/crates/shaletide/tests/operator_file.rs
@@ -35,7 +35,7 @@
 }
 
 /// A sound file with a listener, a class and a pool.
-fn sound(listener: &Refusing) -> String {
+fn sound(listener: &RefusingPort) -> String {
     let at = listener.address();
     format!("[[listener]]\naddress = \"{at}\"\n{CLASSES}[[pool]]\nname = \"p\"\nboxes = [\"127.0.0.1:9\"]\n")
 }
@@ -55,12 +55,12 @@
         assert!(bad.iter().all(|bad| !text.contains(bad)), "{name}: {text:.2000}");
         assert!(text.len() < 500_000, "{name}: {} bytes", text.len());
     }
-    assert!(begun.elapsed() < PATIENCE, "{name}: {:?}", begun.elapsed());
+    assert!(begun.elapsed() < WAIT_LIMIT, "{name}: {:?}", begun.elapsed());
 }
 
 #[test]
 fn check_reports_all_problems_at_once() {
-    let door = Refusing::new();
+    let door = RefusingPort::new();
     let sound = sound(&door);
     let nine = sound
         .replace("aim = \"900ms\"", "aim = 900")
@@ -102,7 +102,7 @@
 
 #[test]
 fn check_confirms_a_valid_file() {
-    let door = Refusing::new();
+    let door = RefusingPort::new();
     let file = sound(&door);
     let windows = file.replace('\n', "\r\n");
     let marked = format!("\u{feff}{file}");
@@ -125,17 +125,17 @@
 /// As it comes from other systems, it is served and read again all the same.
 #[test]
 fn windows_line_ends_and_byte_order_mark_are_accepted() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let text = CLASSES.to_string() + &pool("p", &[(backend.address, "1")]);
     let windows = |text: &str| format!("\u{feff}{}", text.replace('\n', "\r\n"));
     let proxy = program().serve(&text);
-    proxy.rewrite(0, windows(&proxy.whole(&text)));
-    assert!(proxy.read_again().taken);
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).status(), 200);
-    proxy.rewrite(0, windows(&proxy.whole(&text.replace("boxes", "boxen"))));
-    let reload = proxy.read_again();
-    assert!(!reload.taken);
-    let line = proxy.log.expect(reload.at, "boxen");
+    proxy.replace_file(0, windows(&proxy.file_text(&text)));
+    assert!(proxy.reload_files().accepted);
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).status(), 200);
+    proxy.replace_file(0, windows(&proxy.file_text(&text.replace("boxes", "boxen"))));
+    let reload = proxy.reload_files();
+    assert!(!reload.accepted);
+    let line = proxy.log.expect(reload.line, "boxen");
     assert!(!line.contains('\r'), "{line:?}");
 }
 
@@ -143,7 +143,7 @@
 /// all goes on.
 #[test]
 fn large_file_is_served_and_reloaded() {
-    let backends = ["first", "last"].map(|name| BackendServer::start(move |_| ok(name)));
+    let backends = ["first", "last"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let file = |at: usize, moved: usize| {
         // The client at rest is waited for, however long the file takes.
         let mut text = format!("[limits]\nhead_timeout = \"1min\"\n[rules]\ncold_from = 1.0\n{CLASSES}");
@@ -166,25 +166,28 @@
     for round in 0..6 {
         // A connection of its own each round: one that is idle while the file is read is closed.
         let mut client = proxy.client();
-        assert_eq!(client.ask(&request("/read/199", 3.0, "")).body, ["first", "last"][round % 2].as_bytes());
-        assert_eq!(client.ask(&request("/pay/k", 3.0, "")).status(), 200);
-        assert_eq!(proxy.ask(&request("/read/200", 3.0, "")).status(), 404);
+        assert_eq!(
+            client.request(&request("/read/199", 3.0, "")).body,
+            ["first", "last"][round % 2].as_bytes()
+        );
+        assert_eq!(client.request(&request("/pay/k", 3.0, "")).status(), 200);
+        assert_eq!(proxy.request(&request("/read/200", 3.0, "")).status(), 404);
         let begun = Instant::now();
-        proxy.take(&file((round + 1) % 2, round / 2));
+        proxy.reload_accepted(&file((round + 1) % 2, round / 2));
         println!("started in {started:?}, read again in {:?}", begun.elapsed());
     }
-    assert_eq!(proxy.ask(&request("/read/k", 3.0, "").replace("/read/k", "/read/49/x")).body, b"first");
+    assert_eq!(proxy.request(&request("/read/k", 3.0, "").replace("/read/k", "/read/49/x")).body, b"first");
 }
 
 #[test]
 fn all_listeners_serve_and_drain() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let text = CLASSES.to_string() + &pool("p", &[(backend.address, "1")]);
-    let mut proxy = program().serve_at((0..3).map(|_| Refusing::new()).collect(), &text);
+    let mut proxy = program().serve_on((0..3).map(|_| RefusingPort::new()).collect(), &text);
     let mut clients: Vec<Client> = proxy.addresses().into_iter().map(Client::connect).collect();
     for client in &mut clients {
         for _ in 0..3 {
-            assert_eq!(client.ask(&request("/pay/k", 3.0, "")).status(), 200);
+            assert_eq!(client.request(&request("/pay/k", 3.0, "")).status(), 200);
         }
     }
     let from = proxy.log.len();
@@ -198,7 +201,7 @@
             Some(answer) => assert_eq!((answer.status(), answer.header("connection")), (200, Some("close"))),
             None => assert!(asked.is_ok() || asked.is_err(), "it was closed at rest"),
         }
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
     assert!(proxy.child.wait().unwrap().success());
     assert!(proxy.addresses().into_iter().all(|at| std::net::TcpStream::connect(at).is_err()));
@@ -210,54 +213,54 @@
 
 /// A request of the platform's class.
 fn vote() -> String {
-    harness::vote(3.0)
+    harness::vote_request(3.0)
 }
 
 #[test]
 fn extension_file_adds_pools_and_routes() {
-    let [near, far] = ["near", "far"].map(|name| BackendServer::start(move |_| ok(name)));
+    let [near, far] = ["near", "far"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let clock = Clock::start();
     let entry = Entry::new("b0", near.address, "east", "big", 1);
     let discovery = ListServer::start(clock, &["n0"], vec![entry]).expect("a discovery");
     let routes = route("votes", "class = \"vote\"\ntenant = \"north\"", &["far"])
         + &route("rest", "", &["platform", "far"]);
-    let proxy = program().joined_with(discovery.address(0), SETTINGS, &with(&far, &routes));
+    let proxy = program().start_with_extension(discovery.address(0), SETTINGS, &with(&far, &routes));
     let of_north = || vote().replace("X-Time-Left", "X-Account: north\r\nX-Time-Left");
     let begun = Instant::now();
-    while proxy.ask(&read(3.0)).body != b"near" {
-        assert!(begun.elapsed() < PATIENCE, "the platform's pool is preferred");
+    while proxy.request(&read_request(3.0)).body != b"near" {
+        assert!(begun.elapsed() < WAIT_LIMIT, "the platform's pool is preferred");
     }
-    assert_eq!(proxy.ask(&of_north()).body, b"far");
-    assert_eq!(proxy.ask(&vote()).body, b"near");
+    assert_eq!(proxy.request(&of_north()).body, b"far");
+    assert_eq!(proxy.request(&vote()).body, b"near");
     // What both say is refused, by the platform's word for it.
-    proxy.rewrite(1, with(&far, "[limits]\nmax_attempts = 2\n[[class]]\nname = \"x\"\n"));
-    let reload = proxy.read_again();
-    assert!(!reload.taken);
-    proxy.log.expect(reload.at, "settings.limits.max_attempts");
-    proxy.log.expect(reload.at, "settings.profiles");
-    assert_eq!(proxy.ask(&of_north()).body, b"far");
+    proxy.replace_file(1, with(&far, "[limits]\nmax_attempts = 2\n[[class]]\nname = \"x\"\n"));
+    let reload = proxy.reload_files();
+    assert!(!reload.accepted);
+    proxy.log.expect(reload.line, "settings.limits.max_attempts");
+    proxy.log.expect(reload.line, "settings.profiles");
+    assert_eq!(proxy.request(&of_north()).body, b"far");
     // Without a route, all go to the platform's pool first.
-    proxy.rewrite(1, with(&far, ""));
-    assert!(proxy.read_again().taken);
-    assert_eq!(proxy.ask(&of_north()).body, b"near");
+    proxy.replace_file(1, with(&far, ""));
+    assert!(proxy.reload_files().accepted);
+    assert_eq!(proxy.request(&of_north()).body, b"near");
     let version = discovery.drain("b0");
-    assert!(discovery.wait_told(version));
+    assert!(discovery.wait_delivered(version));
     let begun = Instant::now();
-    while proxy.ask(&pay(3.0)).body != b"far" {
-        assert!(begun.elapsed() < PATIENCE, "the other pool serves where the platform's drains");
+    while proxy.request(&pay_request(3.0)).body != b"far" {
+        assert!(begun.elapsed() < WAIT_LIMIT, "the other pool serves where the platform's drains");
     }
     // Nothing is left of a pool that the file names no more, and the platform's goes on.
-    proxy.rewrite(1, "# nothing\n");
-    assert!(proxy.read_again().taken);
-    let before = far.count();
-    assert_eq!(proxy.ask(&pay(1.0)).status(), 503);
+    proxy.replace_file(1, "# nothing\n");
+    assert!(proxy.reload_files().accepted);
+    let before = far.request_count();
+    assert_eq!(proxy.request(&pay_request(1.0)).status(), 503);
     let version = discovery.put(Entry::new("b0", near.address, "east", "big", 1));
-    assert!(discovery.wait_told(version));
+    assert!(discovery.wait_delivered(version));
     let begun = Instant::now();
-    while proxy.ask(&pay(3.0)).body != b"near" {
-        assert!(begun.elapsed() < PATIENCE, "it serves again");
+    while proxy.request(&pay_request(3.0)).body != b"near" {
+        assert!(begun.elapsed() < WAIT_LIMIT, "it serves again");
     }
-    assert_eq!(far.count(), before);
+    assert_eq!(far.request_count(), before);
 }
 
 #[test]
@@ -287,7 +290,7 @@
 #[test]
 fn extension_is_rejected_beside_a_command() {
     let (file, add) =
-        (ConfigFile::new("alone", sound(&Refusing::new())), ConfigFile::new("beside", "# nothing\n"));
+        (ConfigFile::new("alone", sound(&RefusingPort::new())), ConfigFile::new("beside", "# nothing\n"));
     let add = add.0.to_str().expect("a path");
     for command in [&["--with", add, "check"][..], &["--with", add, "serve", "--config"]] {
         let output = run(command, &file);
@@ -303,17 +306,18 @@
         BackendServer::start(|_| Reply::Pieces(vec!["HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca".into()]));
     let entries = vec![Entry::new("b0", stalling.address, "east", "big", 1)];
     let discovery = ListServer::start(Clock::start(), &["n0"], entries).expect("a discovery");
-    let proxy = program().joined_with(discovery.address(0), SETTINGS, "[limits]\nanswer_stall = \"1min\"\n");
+    let proxy =
+        program().start_with_extension(discovery.address(0), SETTINGS, "[limits]\nanswer_stall = \"1min\"\n");
     let begun = Instant::now();
-    while proxy.ask(&read(0.05)).status() == 503 && stalling.count() == 0 {
-        assert!(begun.elapsed() < PATIENCE, "the list comes");
+    while proxy.request(&read_request(0.05)).status() == 503 && stalling.request_count() == 0 {
+        assert!(begun.elapsed() < WAIT_LIMIT, "the list comes");
     }
     let begun = Instant::now();
-    proxy.ask(&pay(1.5));
+    proxy.request(&pay_request(1.5));
     assert!(begun.elapsed() > Duration::from_secs(1), "the answer may take its time: {:?}", begun.elapsed());
-    proxy.rewrite(1, "");
-    assert!(proxy.read_again().taken);
+    proxy.replace_file(1, "");
+    assert!(proxy.reload_files().accepted);
     let begun = Instant::now();
-    assert_eq!(proxy.ask(&pay(3.0)).status(), 502);
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 502);
     assert!(begun.elapsed() < Duration::from_secs(2), "40 ms, as the platform has it: {:?}", begun.elapsed());
 }
--- a/crates/shaletide/tests/platform_settings.rs
+++ b/crates/shaletide/tests/platform_settings.rs
@@ -14,16 +14,16 @@
 }
 
 fn started(backend: &BackendServer, settings: &str) -> Proxy {
-    Proxy::with(&[entry("b0", backend.address, "SERVING")], 1024, settings)
+    Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 1024, settings)
 }
 
 /// Each effect is served, with a tenant that is known, unknown or not named.
 fn serves(proxy: &Proxy, changes: &[(&str, &str)]) {
-    for request in [read(3.0), pay(3.0), vote(3.0)] {
+    for request in [read_request(3.0), pay_request(3.0), vote_request(3.0)] {
         for tenant in ["", "X-Account: north\r\n", "X-Account: nobody knows\r\n"] {
             let id = format!("X-Correlation-Id: {}", tenant.len());
             let request = request.replacen("X-Correlation-Id: ", &format!("{tenant}{id}"), 1);
-            assert_eq!(proxy.ask(&request).status(), 200, "{changes:?} {request}");
+            assert_eq!(proxy.request(&request).status(), 200, "{changes:?} {request}");
         }
     }
 }
@@ -62,7 +62,7 @@
         ],
         &[(r#""zones":["east"]"#, r#""zones":["x","y/z","Z","east","4","5","6"]"#)],
     ] {
-        let backend = BackendServer::start(|_| ok("x"));
+        let backend = BackendServer::start(|_| ok_reply("x"));
         serves(&started(&backend, &settings(changes)), changes);
     }
 }
@@ -70,23 +70,23 @@
 /// The first part of a path names the class, and a name may itself have several parts.
 #[test]
 fn class_name_with_slash_has_its_own_rules() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = started(&backend, &settings(&[(r#""name":"pay""#, r#""name":"read/PAY.1:a@b+c""#)]));
     let own = |request: String| request.replacen("/pay/k1", "/read/PAY.1:a@b+c/k1", 1);
-    assert_eq!(proxy.ask(&own(pay(3.0))).status(), 200);
-    assert_eq!(backend.request().first, "POST /read/PAY.1:a@b+c/k1?q=1 HTTP/1.1");
+    assert_eq!(proxy.request(&own(pay_request(3.0))).status(), 200);
+    assert_eq!(backend.next_request().first, "POST /read/PAY.1:a@b+c/k1?q=1 HTTP/1.1");
     assert_eq!(
-        proxy.ask(&own(pay(3.0)).replacen("POST", "GET", 1)).status(),
+        proxy.request(&own(pay_request(3.0)).replacen("POST", "GET", 1)).status(),
         405,
         "it is not taken for read"
     );
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200);
-    assert_eq!(backend.request().first, "GET /read/k1 HTTP/1.1");
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
+    assert_eq!(backend.next_request().first, "GET /read/k1 HTTP/1.1");
     for disguised in ["/read%2FPAY.1:a@b+c/k1", "/read/PAY.1%3Aa@b+c/k1", "/read//PAY.1:a@b+c/k1"] {
-        let request = read(3.0).replacen("/read/k1", disguised, 1);
-        assert!(matches!(proxy.ask(&request).status(), 400 | 404), "{disguised}");
+        let request = read_request(3.0).replacen("/read/k1", disguised, 1);
+        assert!(matches!(proxy.request(&request).status(), 400 | 404), "{disguised}");
     }
-    assert_eq!(backend.count(), 2);
+    assert_eq!(backend.request_count(), 2);
 }
 
 #[test]
@@ -126,11 +126,12 @@
 /// What may be left out of the configuration may be null.
 #[test]
 fn null_counts_as_absent_in_the_configuration() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let (_, config) = started(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
     for left_out in [limits, known] {
-        drop(program().run(&config.replacen(left_out, "null", 1), 1024)); // it listens
+        drop(program().start_with_config(&config.replacen(left_out, "null", 1), 1024));
+        // it listens
     }
 }
 
@@ -138,7 +139,7 @@
 /// starting, and its backends are those that discovery names.
 #[test]
 fn unreadable_cached_list_or_descriptor_limit_does_not_prevent_start() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let (_, config) = started(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
     for odd in [
@@ -149,9 +150,10 @@
         "{}",
         "\"none\"",
     ] {
-        drop(program().run(&config.replacen(known, odd, 1), 1024)); // it listens
+        drop(program().start_with_config(&config.replacen(known, odd, 1), 1024));
+        // it listens
     }
     for odd in [r#"{"sockets":1024.0}"#, r#"{"sockets":null}"#, r#"{"sockets":-1}"#, r#"{"sockets":1e99}"#] {
-        drop(program().run(&config.replacen(limits, odd, 1), 1024));
+        drop(program().start_with_config(&config.replacen(limits, odd, 1), 1024));
     }
 }
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -28,14 +28,14 @@
 fn turning(name: &'static str, to: fn() -> Reply) -> (BackendServer, Arc<AtomicBool>) {
     let switch = Arc::new(AtomicBool::new(false));
     let thrown = switch.clone();
-    (BackendServer::start(move |_| if thrown.load(SeqCst) { to() } else { ok(name) }), switch)
+    (BackendServer::start(move |_| if thrown.load(SeqCst) { to() } else { ok_reply(name) }), switch)
 }
 
 /// How often a backend saw each request that came to it so far.
 fn seen(backend: &BackendServer) -> HashMap<String, u32> {
     let mut seen = HashMap::new();
-    for message in backend.seen.try_iter() {
-        if let Seen::Request(message) = message {
+    for message in backend.events.try_iter() {
+        if let BackendEvent::Request(message) = message {
             let id = message.header("x-correlation-id").unwrap_or_default();
             *seen.entry(id.to_string()).or_default() += 1;
         }
@@ -56,7 +56,7 @@
         let mut reads = HashSet::new();
         for path in ["/read/k", "/pay/k", "/settle/k"].repeat(20) {
             let sent = request(path, LONG, "");
-            let status = proxy.ask(&sent).status();
+            let status = proxy.request(&sent).status();
             expect_answered(&proxy, id_of(&sent));
             let safe = path == "/read/k";
             assert!(matches!(status, 500 | 503) || status == 502 && !safe, "{path}: {status}");
@@ -73,8 +73,8 @@
         second.store(false, SeqCst);
         let begun = Instant::now();
         let mut well = |path: &str| {
-            while proxy.ask(&request(path, 1.0, "")).status() != 200 {
-                assert!(begun.elapsed() < PATIENCE, "{path}: it does not come back");
+            while proxy.request(&request(path, 1.0, "")).status() != 200 {
+                assert!(begun.elapsed() < WAIT_LIMIT, "{path}: it does not come back");
             }
         };
         ["/read/k", "/pay/k", "/settle/k"].into_iter().for_each(&mut well);
@@ -92,32 +92,32 @@
         if sockets.is_empty() {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "still open: {sockets:?}");
+        assert!(begun.elapsed() < WAIT_LIMIT, "still open: {sockets:?}");
     }
 }
 
 #[test]
 fn not_executed_request_fails_over_whatever_its_class() {
-    let power = Power::warm(4, 1.0);
+    let power = CpuCapacity::warm(4, 1.0);
     let fleet =
-        Fleet::start((0..4).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()).expect("a fleet");
-    let at = |n: usize| (fleet.boxes()[n].address, "1");
+        Fleet::start((0..4).map(|n| BackendSpec::new(&format!("b{n}"), power)).collect()).expect("a fleet");
+    let at = |n: usize| (fleet.backends()[n].address, "1");
     let pools = pool("p", &[at(0), at(1)]) + &pool("q", &[at(2), at(3)]);
     // No aim: a request that waits for a processor between two pools is not refused by it.
     let proxy = program().log_level("trace").serve(&format!("{}{pools}", patient_classes("60s")));
     // Each of the two has to fail four times before it is out of use.
     let mut client = proxy.client();
     (0..4).for_each(|_| fill_retry_budget(&mut client, "/read/k"));
-    let count = || fleet.boxes().iter().map(|b| b.stats().requests).collect::<Vec<u64>>();
+    let count = || fleet.backends().iter().map(|b| b.stats().requests).collect::<Vec<u64>>();
     let before = count();
     assert_eq!(before[2] + before[3], 0, "the first is preferred");
-    fleet.boxes()[..2].iter().for_each(|b| {
+    fleet.backends()[..2].iter().for_each(|b| {
         b.kill();
         wait_until_sockets_closed(b.address);
     });
     for path in ["/pay/k", "/settle/k", "/read/k"].repeat(10) {
         let sent = request(path, LONG, "");
-        assert_eq!(proxy.ask(&sent).status(), 200, "{path}");
+        assert_eq!(proxy.request(&sent).status(), 200, "{path}");
         expect_answered(&proxy, id_of(&sent));
     }
     let indecision = longest_indecision_us(&proxy);
@@ -145,7 +145,7 @@
         (zone, "p", "q", "1", "east", false),
     ];
     for (scope, first, second, other, in_zone, goes_on) in cases {
-        let ((a, ill), b) = (turning("a", || Reply::Reset), BackendServer::start(|_| ok("b")));
+        let ((a, ill), b) = (turning("a", || Reply::Reset), BackendServer::start(|_| ok_reply("b")));
         let one = |name: &str, group: &str, at: &BackendServer, bay: &str, zone: &str| {
             pool_in_domain(name, group, &[(at.address, bay)])
                 .replace("bay =", &format!("zone = \"{zone}\", bay ="))
@@ -154,16 +154,16 @@
         let proxy = program().serve(&(CLASSES.replace(bay, scope) + &pools));
         fill_retry_budget(&mut proxy.client(), "/settle/k");
         let case = format!("{scope} {first} {second} {other} {in_zone}");
-        assert_eq!(b.count(), 0, "{case}");
+        assert_eq!(b.request_count(), 0, "{case}");
         ill.store(true, SeqCst);
         let sent = request("/settle/k", 3.0, "");
-        let answer = proxy.ask(&sent);
+        let answer = proxy.request(&sent);
         if goes_on {
-            assert_eq!((answer.status(), &answer.body[..], b.count()), (200, &b"b"[..], 1), "{case}");
-            let key = b.request().header("idempotency-key").map(String::from);
+            assert_eq!((answer.status(), &answer.body[..], b.request_count()), (200, &b"b"[..], 1), "{case}");
+            let key = b.next_request().header("idempotency-key").map(String::from);
             assert!(key.is_some_and(|key| sent.contains(&format!("Idempotency-Key: {key}\r\n"))), "{case}");
         } else {
-            assert_eq!((answer.status(), b.count()), (502, 0), "{case}");
+            assert_eq!((answer.status(), b.request_count()), (502, 0), "{case}");
         }
     }
 }
@@ -174,14 +174,14 @@
         std::thread::sleep(Duration::from_millis(400));
         Reply::Reset
     };
-    let ((a, ill), b) = (turning("a", slow), BackendServer::start(|_| ok("b")));
+    let ((a, ill), b) = (turning("a", slow), BackendServer::start(|_| ok_reply("b")));
     let pools =
         pool_in_domain("p", "g", &[(a.address, "1")]) + &pool_in_domain("q", "g", &[(b.address, "1")]);
     let proxy = program().serve(&(CLASSES.replace("10s", "300ms") + &pools));
     fill_retry_budget(&mut proxy.client(), "/settle/k");
     ill.store(true, SeqCst);
-    assert_eq!(proxy.ask(&request("/settle/k", 3.0, "")).status(), 502);
-    assert_eq!(b.count(), 0);
+    assert_eq!(proxy.request(&request("/settle/k", 3.0, "")).status(), 502);
+    assert_eq!(b.request_count(), 0);
 }
 
 /// With 8 cores a backend may hold eight times as many as with one.
@@ -197,7 +197,7 @@
         let proxy = program().serve(&(classes + &boxes));
         let mut clients: Vec<Client> = (0..40).map(|_| proxy.client()).collect();
         clients.iter_mut().for_each(|client| client.send(&request("/pay/k", 5.0, "")));
-        while (backend.count() as usize) < holds {
+        while (backend.request_count() as usize) < holds {
             std::thread::yield_now();
         }
         // What finds no room is refused at half of its time, and the rest is out still.
@@ -208,7 +208,7 @@
             statuses.push(status);
         }
         assert!(statuses.iter().all(|status| *status == 503), "{statuses:?}");
-        assert_eq!(backend.count() as usize, holds, "{cores} cores");
+        assert_eq!(backend.request_count() as usize, holds, "{cores} cores");
         gate.open();
         assert!(clients
             .iter_mut()
@@ -228,7 +228,7 @@
                 return (number, client.answer().expect("an answer").status());
             }
         }
-        assert!(begun.elapsed() < PATIENCE, "no answer");
+        assert!(begun.elapsed() < WAIT_LIMIT, "no answer");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -237,7 +237,7 @@
 /// pool, is as warm as it was.
 #[test]
 fn new_backend_starts_cold_and_moved_one_does_not() {
-    let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
+    let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let rules = "[rules]\nramp = \"1h\"\nfall_window = \"1h\"\nfall_multiple = 0.0000001\n";
     let routes = route("p", "class = \"pay\"", &["p"]) + &route("rest", "", &["q"]);
     let file = |p: &[&BackendServer], q: &[&BackendServer]| {
@@ -247,17 +247,17 @@
     let proxy = program().serve(&file(&[&a], &[&b]));
     let mut client = proxy.client();
     let mut pays = |count: usize| {
-        let before = [&a, &b, &c].map(BackendServer::count);
+        let before = [&a, &b, &c].map(BackendServer::request_count);
         for _ in 0..count {
-            assert_eq!(client.ask(&request("/pay/k", 3.0, "")).status(), 200);
+            assert_eq!(client.request(&request("/pay/k", 3.0, "")).status(), 200);
         }
-        let after = [&a, &b, &c].map(BackendServer::count);
+        let after = [&a, &b, &c].map(BackendServer::request_count);
         [0, 1, 2].map(|n| (after[n] - before[n]) as usize)
     };
     assert_eq!(pays(30), [30, 0, 0]);
-    proxy.take(&file(&[&a, &c], &[&b]));
+    proxy.reload_accepted(&file(&[&a, &c], &[&b]));
     assert_eq!(pays(100), [99, 0, 1], "the new one is cold");
-    proxy.take(&file(&[&a, &c, &b], &[&c]).replacen(
+    proxy.reload_accepted(&file(&[&a, &c, &b], &[&c]).replacen(
         &format!("{{ address = \"{}\", bay = \"1\" }}, ", c.address),
         "",
         1,
@@ -265,7 +265,7 @@
     let [at_a, at_b, at_c] = pays(100);
     assert!(at_a > 20 && at_b > 20 && at_c == 0, "the one that moved is warm: {at_a} {at_b} {at_c}");
     // The cold one went to the other pool, with what it was sent, and comes back with it.
-    proxy.take(&file(&[&a, &c], &[&b]));
+    proxy.reload_accepted(&file(&[&a, &c], &[&b]));
     assert_eq!(pays(100), [100, 0, 0], "it has had its one request in the hour");
 }
 
@@ -275,37 +275,37 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let moved = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let stays = BackendServer::start(|_| ok("stays"));
+    let stays = BackendServer::start(|_| ok_reply("stays"));
     let classes = CLASSES.replace("900ms", "20s").replace("3s", "60s");
     let (one, other) = (pool("q", &[(moved.address, "1")]), pool("p", &[(stays.address, "1")]));
     let routes = route("pays", "class = \"pay\"", &["q"]) + &route("rest", "", &["p"]);
     let proxy = program().serve(&format!("{classes}{other}{one}{routes}"));
     let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
     clients.iter_mut().for_each(|client| client.send(&request("/pay/k", 60.0, "")));
-    while moved.count() < 4 {
+    while moved.request_count() < 4 {
         std::thread::yield_now();
     }
     let swapped = |state: &str| {
         let p = pool("p", &[(moved.address, "1")]).replace("bay =", &format!("state = \"{state}\", bay ="));
         format!("{classes}{p}{}{routes}", pool("q", &[(stays.address, "1")]))
     };
-    proxy.take(&swapped("serving"));
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"stays");
-    assert_eq!(proxy.ask(&request("/read/k", 1.0, "")).status(), 503, "it holds all that it may");
-    assert_eq!(moved.count(), 4);
-    proxy.take(&swapped("draining"));
+    proxy.reload_accepted(&swapped("serving"));
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"stays");
+    assert_eq!(proxy.request(&request("/read/k", 1.0, "")).status(), 503, "it holds all that it may");
+    assert_eq!(moved.request_count(), 4);
+    proxy.reload_accepted(&swapped("draining"));
     gate.open();
     assert!(clients.iter_mut().all(|client| client.answer().is_some_and(|answer| answer.body == b"gated")));
-    assert_eq!(proxy.ask(&request("/read/k", 1.0, "")).status(), 503, "it drains");
-    assert_eq!(moved.count(), 4);
-    proxy.take(&swapped("serving"));
-    assert_eq!(proxy.ask(&request("/read/k", 3.0, "")).body, b"gated");
+    assert_eq!(proxy.request(&request("/read/k", 1.0, "")).status(), 503, "it drains");
+    assert_eq!(moved.request_count(), 4);
+    proxy.reload_accepted(&swapped("serving"));
+    assert_eq!(proxy.request(&request("/read/k", 3.0, "")).body, b"gated");
 }
 
 /// An address that two lists bring stays with the pool that had it first. It is told as long as that is so.
 #[test]
 fn address_in_two_lists_stays_with_its_first_pool() {
-    let [shared, own] = ["shared", "own"].map(|name| BackendServer::start(move |_| ok(name)));
+    let [shared, own] = ["shared", "own"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let entry = |name: &str, at: &BackendServer| Entry::new(name, at.address, "east", "big", 1);
     let clock = Clock::start();
     let first = ListServer::start(clock, &["n0"], vec![entry("x", &shared)]).expect("a discovery");
@@ -318,33 +318,33 @@
     let proxy = program().log_level("trace").serve(&(patient_classes("900ms") + &lists + &routes));
     let until = |path: &str, wanted: &dyn Fn(&Message) -> bool| {
         let begun = Instant::now();
-        while !wanted(&proxy.ask(&request(path, 3.0, ""))) {
-            assert!(begun.elapsed() < PATIENCE, "{path}");
+        while !wanted(&proxy.request(&request(path, 3.0, ""))) {
+            assert!(begun.elapsed() < WAIT_LIMIT, "{path}");
         }
     };
     until("/pay/k", &|answer| answer.body == b"shared");
     until("/settle/k", &|answer| answer.body == b"own");
     let from = proxy.log.len();
     let version = second.put(entry("x too", &shared));
-    assert!(second.wait_told(version));
+    assert!(second.wait_delivered(version));
     proxy.log.expect(from, &format!("{} is in the lists of pools p and q, and stays with p", shared.address));
-    let before = shared.count();
+    let before = shared.request_count();
     for _ in 0..30 {
-        assert_eq!(proxy.ask(&request("/settle/k", 3.0, "")).body, b"own");
+        assert_eq!(proxy.request(&request("/settle/k", 3.0, "")).body, b"own");
     }
-    assert_eq!(shared.count(), before);
+    assert_eq!(shared.request_count(), before);
     let said = proxy.log.expect(from, "brought by several lists");
     assert!(said.contains(&shared.address.to_string()), "{said}");
     let version = first.delete("x");
-    assert!(first.wait_told(version));
+    assert!(first.wait_delivered(version));
     until("/settle/k", &|answer| answer.body == b"shared");
     let sent = request("/pay/k", LONG, "");
-    assert_eq!(proxy.ask(&sent).status(), 503, "it is the other pool's now");
+    assert_eq!(proxy.request(&sent).status(), 503, "it is the other pool's now");
     let (given_up_us, reason) = given_up(&proxy, id_of(&sent));
     assert!(given_up_us < REFUSED_BY_US && reason == "out of time", "{given_up_us} {reason}");
     let from = proxy.log.len();
     proxy.log.expect(from, "open requests"); // the line of counts, behind which it would be told
-    assert!(proxy.read_again().taken);
+    assert!(proxy.reload_files().accepted);
     assert!(
         !proxy.log.since(from).iter().any(|line| line.contains("several lists")),
         "it is told though cleared"
@@ -354,7 +354,7 @@
 /// Where a pool's backends come from may change while it serves: it keeps those that it has until others are told.
 #[test]
 fn pool_moves_between_static_list_and_discoveries() {
-    let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
+    let [a, b, c] = ["a", "b", "c"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let list = |at: &BackendServer| {
         let entry = Entry::new("x", at.address, "east", "big", 1);
         ListServer::start(Clock::start(), &["n0"], vec![entry]).expect("a discovery")
@@ -377,18 +377,18 @@
         (in_file, "a"),
     ];
     for (file, expected) in steps {
-        proxy.take(&file);
+        proxy.reload_accepted(&file);
         let begun = Instant::now();
         loop {
-            let answer = proxy.ask(&request("/pay/k", 3.0, ""));
+            let answer = proxy.request(&request("/pay/k", 3.0, ""));
             assert_eq!(answer.status(), 200, "on the way to {expected}");
             if answer.body == expected.as_bytes() {
                 break;
             }
-            assert!(begun.elapsed() < PATIENCE, "{expected} does not come");
+            assert!(begun.elapsed() < WAIT_LIMIT, "{expected} does not come");
         }
         for _ in 0..5 {
-            assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, expected.as_bytes());
+            assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, expected.as_bytes());
         }
     }
 }
