--- a/crates/shaletide/tests/readiness_probe.rs
+++ b/crates/shaletide/tests/readiness_probe.rs
@@ -25,7 +25,7 @@
     let proxy = Proxy::start(&[]);
     let wrong_method = "POST /-/ready HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n";
     for _ in 0..BURST {
-        assert_eq!(proxy.ask(wrong_method).status(), 405);
+        assert_eq!(proxy.request(wrong_method).status(), 405);
     }
     let line = proxy.log.expect(0, NOT_READY);
     assert!(line.contains("405") && line.contains("GET"), "{line}");
@@ -33,7 +33,7 @@
     std::thread::sleep(LOG_INTERVAL + Duration::from_millis(100));
     assert!(rejections() <= 2, "{} lines", rejections());
     let from = proxy.log.len();
-    assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\n\r\n").status(), 400);
+    assert_eq!(proxy.request("GET /-/ready HTTP/1.1\r\n\r\n").status(), 400);
     let line = proxy.log.expect(from, NOT_READY);
     assert!(line.contains("400") && line.contains("Host"), "{line}");
 }
@@ -43,7 +43,7 @@
 fn readiness_probes_that_are_answered_leave_no_line_on_a_rejection() {
     let proxy = Proxy::start(&[]);
     for _ in 0..BURST {
-        assert_eq!(proxy.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+        assert_eq!(proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     }
     std::thread::sleep(LOG_INTERVAL);
     assert!(!proxy.log.since(0).iter().any(|line| line.contains(NOT_READY)));
@@ -56,11 +56,11 @@
     let gate = Arc::new(Gate::default());
     let waiting = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(waiting.clone()));
-    let proxy = Proxy::with(&[entry("b0", backend.address, "SERVING")], FEW_DESCRIPTORS, SETTINGS);
+    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], FEW_DESCRIPTORS, SETTINGS);
     let clients: Vec<Client> = (0..FEW_DESCRIPTORS)
         .map(|_| {
             let mut client = proxy.client();
-            client.send(&pay(3.0));
+            client.send(&pay_request(3.0));
             client
         })
         .collect();
--- a/crates/shaletide/tests/reload.rs
+++ b/crates/shaletide/tests/reload.rs
@@ -15,7 +15,7 @@
     let gate = gate.clone();
     BackendServer::start(move |n| {
         if n != at {
-            return ok("x");
+            return ok_reply("x");
         }
         gate.wait();
         then()
@@ -36,24 +36,24 @@
 #[test]
 fn invalid_file_changes_nothing_and_is_reported_completely() {
     let gate = Arc::new(Gate::default());
-    let backend = holding(0, &gate, || ok("held"));
+    let backend = holding(0, &gate, || ok_reply("held"));
     let tenant = "[[tenant]]\nname = \"milford\"\nquota = 9\n";
     let sound = file(&[("p", &backend)], tenant);
     let proxy = program().serve(&sound);
     let mut client = proxy.client();
     client.send(&request("/pay/k", 30.0, ""));
-    backend.request();
+    backend.next_request();
     let (class, effect) = (sound.find("[[class]]\nname = \"pay\"").unwrap(), "effect = \"unsafe\"");
     let cases: [(Vec<u8>, &[&str]); 6] = [
         (b"{".to_vec(), &["expected key"]),
         (Vec::new(), &["the file is empty"]),
-        ([proxy.whole(&sound).as_bytes(), b"# \xff\n"].concat(), &["the byte 0xff is not UTF-8"]),
+        ([proxy.file_text(&sound).as_bytes(), b"# \xff\n"].concat(), &["the byte 0xff is not UTF-8"]),
         (
-            proxy.whole(&sound.replace("boxes", "boxen").replace("quota = 9", "quota = -9").replace("\"30s\"", "30")).into_bytes(),
+            proxy.file_text(&sound.replace("boxes", "boxen").replace("quota = 9", "quota = -9").replace("\"30s\"", "30")).into_bytes(),
             &["did you mean `boxes`", "tenant.quota", "class.deadline"],
         ),
         (
-            proxy.whole(&sound.replace("[[pool]]", "[[pool]]\nname = \"q\"\nboxes = [\"127.0.0.1:1\"]\n[[pool]]").replace(PROOF, "[answers]\nserved = [99]\n[[route]]\nname = \"r\"\npools = \"qq\"\n")).into_bytes(),
+            proxy.file_text(&sound.replace("[[pool]]", "[[pool]]\nname = \"q\"\nboxes = [\"127.0.0.1:1\"]\n[[pool]]").replace(PROOF, "[answers]\nserved = [99]\n[[route]]\nname = \"r\"\npools = \"qq\"\n")).into_bytes(),
             &["answers.served", "route.pools", "did you mean"],
         ),
         (
@@ -68,29 +68,29 @@
         ),
     ];
     for (text, reasons) in cases {
-        proxy.rewrite(0, &text);
-        let reload = proxy.read_again();
-        assert!(!reload.taken, "{}", String::from_utf8_lossy(&text));
-        reasons.iter().for_each(|reason| drop(proxy.log.expect(reload.at, reason)));
-        assert_eq!(proxy.ask(&request("/read/k", 3.0, "")).body, b"x");
-        assert_eq!(proxy.ask(&request("/pay/k", 3.0, "X-Account: milford\r\n")).body, b"x");
-        assert_eq!(proxy.ask(&request("/read/k", 3.0, "").replace("GET", "PUT")).status(), 405);
+        proxy.replace_file(0, &text);
+        let reload = proxy.reload_files();
+        assert!(!reload.accepted, "{}", String::from_utf8_lossy(&text));
+        reasons.iter().for_each(|reason| drop(proxy.log.expect(reload.line, reason)));
+        assert_eq!(proxy.request(&request("/read/k", 3.0, "")).body, b"x");
+        assert_eq!(proxy.request(&request("/pay/k", 3.0, "X-Account: milford\r\n")).body, b"x");
+        assert_eq!(proxy.request(&request("/read/k", 3.0, "").replace("GET", "PUT")).status(), 405);
     }
     std::fs::remove_file(&proxy.files[0]).unwrap();
-    let reload = proxy.read_again();
-    assert!(!reload.taken);
-    proxy.log.expect(reload.at, "cannot read");
+    let reload = proxy.reload_files();
+    assert!(!reload.accepted);
+    proxy.log.expect(reload.line, "cannot read");
     gate.open();
     assert_eq!(client.answer().expect("the answer that is owed").body, b"held");
-    proxy.take(&sound);
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"x");
+    proxy.reload_accepted(&sound);
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"x");
 }
 
 /// What is out at a backend of a pool that goes ends as ever; where it ends badly the rules hold as before.
 #[test]
 fn pool_is_removed_while_it_has_a_request() {
     let reset = || Reply::Reset;
-    let served = || ok("held");
+    let served = || ok_reply("held");
     let full = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
     // What the backend does at last, whether the pools are one group, the answer, and whether the other backend sees it.
     type Case = (&'static str, fn() -> Reply, bool, (u16, &'static str), u32);
@@ -107,7 +107,7 @@
     ];
     for (path, then, one_group, (status, body), elsewhere) in cases {
         let gate = Arc::new(Gate::default());
-        let (a, b) = (holding(30, &gate, then), BackendServer::start(|_| ok("other")));
+        let (a, b) = (holding(30, &gate, then), BackendServer::start(|_| ok_reply("other")));
         let group = |name| if one_group { "g" } else { name };
         let p = pool_in_domain("p", group("p"), &[(a.address, "1")]);
         let q = pool_in_domain("q", group("q"), &[(b.address, "1")]);
@@ -117,49 +117,49 @@
         fill_retry_budget(&mut client, "/read/k");
         let sent = request(path, 30.0, "");
         client.send(&sent);
-        while a.request().header("x-correlation-id") != Some(id_of(&sent)) {}
-        proxy.take(&format!("{PROOF}{classes}{q}"));
-        assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"other", "new ones go by the new file");
-        let before = b.count();
+        while a.next_request().header("x-correlation-id") != Some(id_of(&sent)) {}
+        proxy.reload_accepted(&format!("{PROOF}{classes}{q}"));
+        assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"other", "new ones go by the new file");
+        let before = b.request_count();
         gate.open();
         let answer = client.answer().expect("the answer that is owed");
         let got = (answer.status(), String::from_utf8_lossy(&answer.body).into_owned());
         assert_eq!(got, (status, body.to_string()), "{path} {one_group}");
-        assert_eq!((a.count(), b.count() - before), (31, elsewhere), "{path} {one_group}");
+        assert_eq!((a.request_count(), b.request_count() - before), (31, elsewhere), "{path} {one_group}");
     }
 }
 
 #[test]
 fn last_of_two_reloads_in_one_second_is_applied() {
-    let backends = ["first", "second", "third"].map(|name| BackendServer::start(move |_| ok(name)));
+    let backends = ["first", "second", "third"].map(|name| BackendServer::start(move |_| ok_reply(name)));
     let [a, b, c] = &backends;
     let proxy = program().serve(&file(&[("a", a)], ""));
     for round in 0..10 {
         let from = proxy.log.len();
         for (name, backend) in [("b", b), ("c", c)] {
-            proxy.rewrite(0, proxy.whole(&file(&[(name, backend)], "")));
+            proxy.replace_file(0, proxy.file_text(&file(&[(name, backend)], "")));
             proxy.signal("HUP");
         }
         proxy.log.expect(from, "SIGHUP: taken, pools c,");
-        assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"third", "{round}");
+        assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"third", "{round}");
         // One that is refused behind one that is taken, at once.
         // A signal that came while a file was read has it read once more: what is said then is of the file before.
         for (text, said) in
-            [(&proxy.whole(&file(&[("a", a)], ""))[..], "taken, pools a,"), ("no", "nothing changes")]
+            [(&proxy.file_text(&file(&[("a", a)], ""))[..], "taken, pools a,"), ("no", "nothing changes")]
         {
             let from = proxy.log.len();
-            proxy.rewrite(0, text);
+            proxy.replace_file(0, text);
             proxy.signal("HUP");
             proxy.log.expect(from, said);
         }
-        assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"first", "{round}");
+        assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"first", "{round}");
     }
 }
 
 /// A request goes by the route that it came under, also where it waits and where it is sent again.
 #[test]
 fn route_changes_while_a_request_is_queued() {
-    let ([a, b], rest) = (["a", "b"].map(|name| BackendServer::start(move |_| ok(name))), "");
+    let ([a, b], rest) = (["a", "b"].map(|name| BackendServer::start(move |_| ok_reply(name))), "");
     let resting = |text: String| text.replacen("bay = \"1\"", "bay = \"1\", state = \"draining\"", 1);
     let pools = [("p", &a), ("q", &b)];
     let to = |first: &str| {
@@ -170,21 +170,21 @@
     let proxy = program().serve(&resting(file(&pools, &to("p"))));
     let mut waiting = proxy.client();
     waiting.send(&request("/read/k", 30.0, ""));
-    assert_eq!(proxy.ask(&request("/settle/k", 3.0, "")).body, b"b", "by now the first waits");
-    proxy.take(&resting(file(&pools, &to("q"))));
-    assert_eq!(proxy.ask(&request("/read/k", 3.0, "")).body, b"b");
-    assert_eq!(a.count(), 0);
-    proxy.take(&file(&pools, &to("q")));
+    assert_eq!(proxy.request(&request("/settle/k", 3.0, "")).body, b"b", "by now the first waits");
+    proxy.reload_accepted(&resting(file(&pools, &to("q"))));
+    assert_eq!(proxy.request(&request("/read/k", 3.0, "")).body, b"b");
+    assert_eq!(a.request_count(), 0);
+    proxy.reload_accepted(&file(&pools, &to("q")));
     assert_eq!(waiting.answer().expect("the answer that is owed").body, b"a");
     // Where its only pool goes it is told so, and at once.
-    proxy.take(&resting(file(&pools, &to("p"))));
+    proxy.reload_accepted(&resting(file(&pools, &to("p"))));
     waiting.send(&request("/read/k", 30.0, ""));
-    assert_eq!(proxy.ask(&request("/settle/k", 3.0, "")).body, b"b");
+    assert_eq!(proxy.request(&request("/settle/k", 3.0, "")).body, b"b");
     let begun = Instant::now();
-    proxy.take(&file(&[("q", &b)], ""));
+    proxy.reload_accepted(&file(&[("q", &b)], ""));
     assert_eq!(waiting.answer().expect("the answer that is owed").status(), 503);
     assert!(begun.elapsed() < Duration::from_secs(10), "half of its time would be 15 s");
-    assert_eq!(a.count(), 1);
+    assert_eq!(a.request_count(), 1);
 }
 
 #[test]
@@ -193,25 +193,27 @@
         let gate = Arc::new(Gate::default());
         let full = || Reply::Answer(503, "X-Unprocessed: 1", "full".into());
         let a = holding(30, &gate, full);
-        let [b, c] = ["b", "c"].map(|name| BackendServer::start(move |_| ok(name)));
+        let [b, c] = ["b", "c"].map(|name| BackendServer::start(move |_| ok_reply(name)));
         let proxy = program().serve(&file(&[("p", &a), ("q", &b)], ""));
         let mut client = proxy.client();
         fill_retry_budget(&mut client, "/read/k");
         client.send(&request("/pay/k", 30.0, ""));
-        while a.count() < 31 {
+        while a.request_count() < 31 {
             std::thread::yield_now();
         }
         let routes = route("pays", "class = \"pay\"", &["r"]);
         match stays {
-            true => proxy.take(&file(&[("q", &b), ("r", &c)], &(routes + &route("rest", "", &["q"])))),
-            false => proxy.take(&file(&[("r", &c)], "")),
+            true => {
+                proxy.reload_accepted(&file(&[("q", &b), ("r", &c)], &(routes + &route("rest", "", &["q"]))))
+            }
+            false => proxy.reload_accepted(&file(&[("r", &c)], "")),
         }
-        assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"c");
+        assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"c");
         gate.open();
         let answer = client.answer().expect("the answer that is owed");
         let expected: (u16, &[u8]) = if stays { (200, b"b") } else { (503, b"full") };
         assert_eq!((answer.status(), &answer.body[..]), expected, "by the route that it came under");
-        assert_eq!((a.count(), b.count(), c.count()), (31, u32::from(stays), 1));
+        assert_eq!((a.request_count(), b.request_count(), c.request_count()), (31, u32::from(stays), 1));
     }
 }
 
@@ -220,8 +222,8 @@
 fn learned_state_of_a_pool_survives_reload() {
     let ill = Arc::new(AtomicBool::new(false));
     let switch = ill.clone();
-    let bad = BackendServer::start(move |_| if switch.load(SeqCst) { Reply::Reset } else { ok("x") });
-    let good = BackendServer::start(|_| ok("x"));
+    let bad = BackendServer::start(move |_| if switch.load(SeqCst) { Reply::Reset } else { ok_reply("x") });
+    let good = BackendServer::start(|_| ok_reply("x"));
     // One that may do harm never tries out a backend that was ill, as others could.
     let pay = CLASSES.find("[[class]]\nname = \"pay\"").unwrap();
     let classes = format!("{}{}", &CLASSES[pay..], &CLASSES[..pay]);
@@ -231,30 +233,30 @@
     fill_retry_budget(&mut client, "/pay/k");
     ill.store(true, SeqCst);
     while !proxy.log.since(0).iter().any(|line| line.contains("ejected")) {
-        client.ask(&request("/pay/k", 3.0, ""));
+        client.request(&request("/pay/k", 3.0, ""));
     }
-    let before = bad.count();
+    let before = bad.request_count();
     let other = pool("q", &[(good.address, "1")]).replace(&good.address.to_string(), "127.0.0.1:9");
     for more in [other.as_str(), "", other.as_str()] {
-        proxy.take(&format!("[limits]\nmax_attempts = 2\n{classes}{p}{more}"));
+        proxy.reload_accepted(&format!("[limits]\nmax_attempts = 2\n{classes}{p}{more}"));
         for _ in 0..30 {
-            assert_eq!(client.ask(&request("/pay/k", 3.0, "")).status(), 200);
+            assert_eq!(client.request(&request("/pay/k", 3.0, "")).status(), 200);
         }
     }
-    assert_eq!(bad.count(), before, "it was ill before the reload");
+    assert_eq!(bad.request_count(), before, "it was ill before the reload");
 }
 
 #[test]
 fn connections_survive_reload() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = program().serve(&file(&[("p", &backend)], ""));
     let mut client = proxy.client();
     for round in 0..6 {
-        assert_eq!(client.ask(&request("/pay/k", 3.0, "")).status(), 200);
+        assert_eq!(client.request(&request("/pay/k", 3.0, "")).status(), 200);
         // A connection is used again only after a moment's quiet.
         std::thread::sleep(Duration::from_millis(40));
         let stall = format!("[limits]\nanswer_stall = \"{}ms\"\n", 500 + round);
-        proxy.take(&(stall + &file(&[("p", &backend)], "")));
+        proxy.reload_accepted(&(stall + &file(&[("p", &backend)], "")));
     }
     assert_eq!(backend.connections.load(SeqCst), 1);
 }
@@ -266,7 +268,7 @@
     let failing = || {
         let ill = ill.clone();
         let no = || Reply::Answer(500, "", "no".into());
-        BackendServer::start(move |_| if ill.load(SeqCst) { no() } else { ok("x") })
+        BackendServer::start(move |_| if ill.load(SeqCst) { no() } else { ok_reply("x") })
     };
     let (fails, other) = (failing(), failing());
     let boxes = [(fails.address, "1"), (other.address, "1")];
@@ -278,11 +280,11 @@
     );
     let (reads, settles, pays) = (&CLASSES[..settle], &CLASSES[settle..pay], &CLASSES[pay..]);
     let new = "[[class]]\nname = \"ask\"\n[[class]]\nname = \"vote\"\neffect = \"unsafe\"\n";
-    proxy.take(&format!("{new}{pays}{settles}{reads}{}{route}", pool("p", &boxes)));
+    proxy.reload_accepted(&format!("{new}{pays}{settles}{reads}{}{route}", pool("p", &boxes)));
     let seen = |request: String| {
-        let before = fails.count() + other.count();
-        let status = proxy.ask(&request).status();
-        (status, fails.count() + other.count() - before)
+        let before = fails.request_count() + other.request_count();
+        let status = proxy.request(&request).status();
+        (status, fails.request_count() + other.request_count() - before)
     };
     for _ in 0..20 {
         assert_eq!(seen(request("/vote/k", 3.0, "")), (200, 1));
@@ -299,16 +301,16 @@
 /// Guards against a request that is answered during the stop by a backend which the file that was read meanwhile has no more.
 #[test]
 fn file_read_during_a_stop_is_taken_for_requests_that_are_still_answered() {
-    let (old, new) = (BackendServer::start(|_| ok("old")), BackendServer::start(|_| ok("new")));
+    let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
     let mut proxy = program().serve(&file(&[("p", &old)], ""));
     let mut client = proxy.client();
     let text = request("/pay/k", 3.0, "");
     let (begun, rest) = text.split_at(text.len() - 1);
     client.send(begun);
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).body, b"old"); // by now the other's beginning has come
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).body, b"old"); // by now the other's beginning has come
     proxy.signal("TERM");
     proxy.log.expect(0, "stopping");
-    proxy.take(&file(&[("p", &new)], ""));
+    proxy.reload_accepted(&file(&[("p", &new)], ""));
     client.send(rest);
     assert_eq!(client.answer().expect("the answer that is owed").body, b"new");
     assert!(proxy.child.wait().unwrap().success());
--- a/crates/shaletide/tests/request_format.rs
+++ b/crates/shaletide/tests/request_format.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// A program with one backend in one pool, by this head of a file.
-fn serving(head: &str, backend: &BackendServer) -> Serving {
+fn serving(head: &str, backend: &BackendServer) -> ServingProgram {
     program().serve(&(head.to_string() + &pool("p", &[(backend.address, "1")])))
 }
 
@@ -21,17 +21,17 @@
 
 #[test]
 fn method_not_allowed_names_the_classes_methods() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let own = "[[class]]\nname = \"own\"\neffect = \"unsafe\"\nmethods = [\"PURGE\", \"GET\"]\n";
     let proxy = serving(&(CLASSES.to_string() + own), &backend);
     let many = "POST, PUT, PATCH, DELETE";
     let cases = [("/read/k", "GET, HEAD"), ("/settle/k", many), ("/pay/k", many), ("/own/k", "PURGE, GET")];
     for (path, takes) in cases {
         for method in ["GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PURGE", "get", "TRACE"] {
-            let before = backend.count();
-            let answer = proxy.ask(&bare(method, path, "Idempotency-Key: 7\r\n"));
+            let before = backend.request_count();
+            let answer = proxy.request(&bare(method, path, "Idempotency-Key: 7\r\n"));
             let taken = takes.split(", ").any(|one| one == method);
-            let got = (answer.status(), answer.header("allow"), backend.count() - before);
+            let got = (answer.status(), answer.header("allow"), backend.request_count() - before);
             let expected = if taken { (200, None, 1) } else { (405, Some(takes), 0) };
             assert_eq!(got, expected, "{method} {path}");
         }
@@ -40,11 +40,11 @@
 
 #[test]
 fn class_is_read_from_header_with_default() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let (place, otherwise) = ("[request]\nclass = { header = \"X-Class\" }\n", "otherwise = \"read\"\n");
     for (form, without) in [(place.to_string(), 404), (place.to_string() + otherwise, 200)] {
         let proxy = serving(&(form + CLASSES), &backend);
-        let status = |method, lines: &str| proxy.ask(&bare(method, "/pay/k", lines)).status();
+        let status = |method, lines: &str| proxy.request(&bare(method, "/pay/k", lines)).status();
         assert_eq!(status("GET", "X-Class: read\r\n"), 200, "the path says nothing");
         assert_eq!(status("POST", "X-Class: pay\r\n"), 200);
         assert_eq!(status("GET", "X-Class: pay\r\n"), 405);
@@ -56,29 +56,33 @@
     }
     let proxy = serving(&(format!("[request]\n{otherwise}") + CLASSES), &backend);
     for path in ["/", "/none", "/none/pay"] {
-        assert_eq!(proxy.ask(&bare("GET", path, "")).status(), 200, "{path}");
-        assert_eq!(proxy.ask(&bare("POST", path, "")).status(), 405, "{path}");
+        assert_eq!(proxy.request(&bare("GET", path, "")).status(), 200, "{path}");
+        assert_eq!(proxy.request(&bare("POST", path, "")).status(), 405, "{path}");
     }
 }
 
 #[test]
 fn key_is_read_from_path() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = serving(&("[request]\nkey = { path = 3 }\n".to_string() + CLASSES), &backend);
     for (path, status) in
         [("/settle/x/k7", 200), ("/settle/x/k7/", 200), ("/settle/x", 400), ("/settle//", 400)]
     {
-        let before = backend.count();
-        let answer = proxy.ask(&bare("POST", path, "Idempotency-Key: 7\r\n"));
-        assert_eq!((answer.status(), backend.count() - before), (status, u32::from(status == 200)), "{path}");
+        let before = backend.request_count();
+        let answer = proxy.request(&bare("POST", path, "Idempotency-Key: 7\r\n"));
+        assert_eq!(
+            (answer.status(), backend.request_count() - before),
+            (status, u32::from(status == 200)),
+            "{path}"
+        );
     }
-    assert_eq!(proxy.ask(&bare("POST", "/pay", "")).status(), 200, "others want none");
+    assert_eq!(proxy.request(&bare("POST", "/pay", "")).status(), 200, "others want none");
 }
 
 #[test]
 fn routes_match_by_group_and_zone_of_request() {
     let names = ["bay", "zone", "tenant", "header", "path", "rest"];
-    let backends = names.map(|name| BackendServer::start(move |_| ok(name)));
+    let backends = names.map(|name| BackendServer::start(move |_| ok_reply(name)));
     let when = [
         "bay = [1, \"annex\"]",
         "zone = \"north\"",
@@ -109,29 +113,29 @@
         ("GET", "/read/deeper", "", "rest"),
     ];
     for (method, path, lines, expected) in cases {
-        let answer = proxy.ask(&bare(method, path, lines));
+        let answer = proxy.request(&bare(method, path, lines));
         assert_eq!(String::from_utf8_lossy(&answer.body), expected, "{path} {lines:?}");
     }
     let mut client = proxy.client();
     client.send(&bare("HEAD", "/read/deep/x", ""));
     assert_eq!(Message::read_head(&mut client.0).expect("an answer").status(), 200);
-    assert_eq!(backends[4].count(), 1);
-    let before: u32 = backends.iter().map(BackendServer::count).sum();
-    assert_eq!(proxy.ask(&bare("POST", "/pay/2", "")).status(), 404, "no route takes it");
-    assert_eq!(proxy.ask(&bare("POST", "/pay/1", "")).status(), 200, "one takes it");
-    assert_eq!(backends.iter().map(BackendServer::count).sum::<u32>(), before + 1);
+    assert_eq!(backends[4].request_count(), 1);
+    let before: u32 = backends.iter().map(BackendServer::request_count).sum();
+    assert_eq!(proxy.request(&bare("POST", "/pay/2", "")).status(), 404, "no route takes it");
+    assert_eq!(proxy.request(&bare("POST", "/pay/1", "")).status(), 200, "one takes it");
+    assert_eq!(backends.iter().map(BackendServer::request_count).sum::<u32>(), before + 1);
 }
 
 #[test]
 fn request_without_id_gets_one() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let form = "[request]\nid = \"X-Request-Id\"\ntime_left = \"X-Left\"\n";
     let proxy = serving(&(form.to_string() + CLASSES), &backend);
     let mut client = proxy.client();
     let mut given = HashSet::new();
     for _ in 0..300 {
-        assert_eq!(client.ask(&bare("POST", "/pay/k", "X-Correlation-Id: 5\r\n")).status(), 200);
-        let got = backend.request();
+        assert_eq!(client.request(&bare("POST", "/pay/k", "X-Correlation-Id: 5\r\n")).status(), 200);
+        let got = backend.next_request();
         let id = got.header("x-request-id").expect("an id").to_string();
         assert!(id.len() == 16 && id.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f')), "{id}");
         assert!(given.insert(id), "each is new");
@@ -140,16 +144,22 @@
         assert!(left > 0.0 && left <= 3.0, "{left}");
         assert_eq!(got.header("x-time-left"), None);
     }
-    assert_eq!(client.ask(&bare("POST", "/pay/k", "X-Request-Id: mine\r\nX-Left: 0.5\r\n")).status(), 200);
-    let got = backend.request();
+    assert_eq!(
+        client.request(&bare("POST", "/pay/k", "X-Request-Id: mine\r\nX-Left: 0.5\r\n")).status(),
+        200
+    );
+    let got = backend.next_request();
     assert_eq!(got.header("x-request-id"), Some("mine"));
     assert!(got.header("x-left").is_some_and(|left| left.parse::<f64>().is_ok_and(|left| left <= 0.5)));
     for lines in ["X-Request-Id:\r\n", "X-Request-Id: 1\r\nX-Request-Id: 2\r\n", "X-Left: soon\r\n"] {
-        assert_eq!(proxy.ask(&bare("POST", "/pay/k", lines)).status(), 400, "{lines:?}");
+        assert_eq!(proxy.request(&bare("POST", "/pay/k", lines)).status(), 400, "{lines:?}");
     }
-    proxy.take(&format!("{form}id_required = true\n{CLASSES}{}", pool("p", &[(backend.address, "1")])));
-    assert_eq!(proxy.ask(&bare("POST", "/pay/k", "")).status(), 400);
-    assert_eq!(backend.count(), 301);
+    proxy.reload_accepted(&format!(
+        "{form}id_required = true\n{CLASSES}{}",
+        pool("p", &[(backend.address, "1")])
+    ));
+    assert_eq!(proxy.request(&bare("POST", "/pay/k", "")).status(), 400);
+    assert_eq!(backend.request_count(), 301);
 }
 
 /// An attempt after the first is the same request still.
@@ -158,27 +168,27 @@
     let full = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
     let backends = [BackendServer::start(move |_| full()), BackendServer::start(move |_| full())];
     let proof = "[answers]\nnever_ran = [{ status = 503, header = \"X-Unprocessed\" }]\n";
-    let good = BackendServer::start(|_| ok("x"));
+    let good = BackendServer::start(|_| ok_reply("x"));
     let boxes = backends.each_ref().map(|b| (b.address, "1"));
     let routes = route("pays", "class = \"pay\"", &["p"]) + &route("rest", "", &["q"]);
     let pools = pool("p", &boxes) + &pool("q", &[(good.address, "1")]);
     let proxy = program().serve(&format!("{proof}{CLASSES}{pools}{routes}"));
     fill_retry_budget(&mut proxy.client(), "/read/k");
-    assert_eq!(proxy.ask(&bare("POST", "/pay/k", "")).status(), 503);
-    let ids = backends.each_ref().map(|b| b.request().header("x-correlation-id").map(String::from));
+    assert_eq!(proxy.request(&bare("POST", "/pay/k", "")).status(), 503);
+    let ids = backends.each_ref().map(|b| b.next_request().header("x-correlation-id").map(String::from));
     assert!(ids[0].is_some() && ids[0] == ids[1], "{ids:?}");
 }
 
 #[test]
 fn attributes_of_a_request_are_forwarded_once() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let form = "[request]\nclass = { header = \"X-Class\" }\ntenant = { header = \"X-Who\" }\nkey = { header = \"X-Key\" }\n\
                 bay = { header = \"X-Bay\" }\nzone = { header = \"X-Zone\" }\nid = \"X-Id\"\ntime_left = \"X-Left\"\n";
     let kind = "header = { name = \"X-Kind\" }";
     let routes = route("kind", kind, &["p"]) + &route("rest", "", &["p"]);
     let proxy = program().serve(&format!("{form}{CLASSES}{}{routes}", pool("p", &[(backend.address, "1")])));
     let usual = "X-Class: settle\r\nX-Who: milford\r\nX-Key: 7\r\nX-Bay: 1\r\nX-Zone: z\r\nX-Left: 2\r\n";
-    let status = |lines: &str| proxy.ask(&bare("POST", "/k", &format!("{usual}{lines}"))).status();
+    let status = |lines: &str| proxy.request(&bare("POST", "/k", &format!("{usual}{lines}"))).status();
     for name in ["X-Class", "x-who", "X-KEY", "X-Bay", "X-Zone", "X-Id", "X-Left", "X-Kind", "Host"] {
         assert_eq!(status(&format!("Connection: keep-alive, {name}\r\n")), 400, "{name}");
     }
@@ -186,24 +196,24 @@
         assert_eq!(status(&format!("{name}: 7\r\n")), 400, "{name} twice");
     }
     assert_eq!(status("X-Id: 1\r\nX-Id: 1\r\n"), 400);
-    assert_eq!(backend.count(), 0);
+    assert_eq!(backend.request_count(), 0);
     // Those that the file does not read by are a client's own business.
     assert_eq!(
         status("X-Id: 1\r\nConnection: X-Account, Idempotency-Key\r\nX-Account: 1\r\nX-Account: 2\r\n"),
         200
     );
-    let got = backend.request();
+    let got = backend.next_request();
     assert_eq!((got.header("x-key"), got.header("x-account")), (Some("7"), None));
 }
 
 #[test]
 fn retry_after_is_whole_seconds_of_at_least_one() {
-    let nobody = Refusing::new();
+    let nobody = RefusingPort::new();
     for (most, bound) in [("10ms", 1), ("1500ms", 2), ("1h", 3600)] {
         let limits = format!("[limits]\nmax_retry_after = \"{most}\"\n{CLASSES}");
         let proxy = program().serve(&(limits + &pool("p", &[(nobody.address(), "1")])));
         for path in ["/read/k", "/settle/k", "/pay/k"] {
-            let answer = proxy.ask(&request(path, 1.0, ""));
+            let answer = proxy.request(&request(path, 1.0, ""));
             let advice = answer.header("retry-after").and_then(|advice| advice.parse::<u32>().ok());
             assert_eq!(answer.status(), 503, "{path}");
             assert!(
@@ -225,7 +235,7 @@
         let chunked =
             format!("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n{size:x}\r\n{body}\r\n0\r\n\r\n");
         if n % 2 == 0 {
-            ok(&body)
+            ok_reply(&body)
         } else {
             Reply::Pieces(vec![chunked])
         }
@@ -234,27 +244,34 @@
     let post = |size: usize| {
         format!("POST /pay/k HTTP/1.1\r\nHost: s\r\nContent-Length: {size}\r\n\r\n{}", "x".repeat(size))
     };
-    assert_eq!(proxy.ask(&post(1024)).status(), 200);
-    let whole = proxy.ask(&post(0));
+    assert_eq!(proxy.request(&post(1024)).status(), 200);
+    let whole = proxy.request(&post(0));
     assert_eq!((whole.status(), whole.body.len(), whole.header("transfer-encoding")), (200, 1024, None));
-    let answer = proxy.ask(&post(1025));
+    let answer = proxy.request(&post(1025));
     assert_eq!((answer.status(), &answer.body[..]), (413, &b"the body is over 1024 bytes\n"[..]));
     long.store(true, SeqCst);
-    assert_eq!((proxy.ask(&post(0)).status(), backend.count()), (502, 3), "it may have run");
-    assert_eq!((proxy.ask(&post(0)).status(), backend.count()), (502, 4), "nor where no length is said");
-    proxy.take(&format!("[limits]\nmax_body = \"2KiB\"\n{CLASSES}{}", pool("p", &[(backend.address, "1")])));
-    assert_eq!(proxy.ask(&post(2048)).status(), 200);
-    assert_eq!(proxy.ask(&post(2049)).status(), 413);
+    assert_eq!((proxy.request(&post(0)).status(), backend.request_count()), (502, 3), "it may have run");
+    assert_eq!(
+        (proxy.request(&post(0)).status(), backend.request_count()),
+        (502, 4),
+        "nor where no length is said"
+    );
+    proxy.reload_accepted(&format!(
+        "[limits]\nmax_body = \"2KiB\"\n{CLASSES}{}",
+        pool("p", &[(backend.address, "1")])
+    ));
+    assert_eq!(proxy.request(&post(2048)).status(), 200);
+    assert_eq!(proxy.request(&post(2049)).status(), 413);
 }
 
 fn stock(sending: Sending) -> (Fleet, String) {
-    let power = Power::warm(4, 1.0);
+    let power = CpuCapacity::warm(4, 1.0);
     let fleet =
-        Fleet::start((0..2).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()).expect("a fleet");
-    fleet.boxes().iter().for_each(|b| {
-        b.set(Fault::Send(sending.clone()));
+        Fleet::start((0..2).map(|n| BackendSpec::new(&format!("b{n}"), power)).collect()).expect("a fleet");
+    fleet.backends().iter().for_each(|b| {
+        b.set_fault(Fault::Send(sending.clone()));
     });
-    let boxes: Vec<_> = fleet.boxes().iter().map(|b| (b.address, "1")).collect();
+    let boxes: Vec<_> = fleet.backends().iter().map(|b| (b.address, "1")).collect();
     let text = CLASSES.to_string() + &pool("p", &boxes);
     (fleet, text)
 }
@@ -270,14 +287,14 @@
         for _ in 0..count {
             for path in ["/read/k", "/settle/k", "/pay/k"] {
                 let sent = request(path, 3.0, "");
-                let answer = client.ask(&sent);
+                let answer = client.request(&sent);
                 let body = String::from_utf8_lossy(&answer.body).into_owned();
                 assert!(answer.status() == 200 && body.contains(id_of(&sent)), "{path}: {body}");
             }
         }
         let ledger = fleet.ledger();
         assert_eq!(ledger.records.len(), 3 * count, "each in one attempt");
-        let connections: u64 = fleet.boxes().iter().map(|b| b.stats().connections).sum();
+        let connections: u64 = fleet.backends().iter().map(|b| b.stats().connections).sum();
         assert!(connections < 3 * count as u64 / 2, "on kept connections: {connections}");
     }
 }
@@ -287,10 +304,10 @@
 fn stall_limit_is_applied_and_removed_by_reload() {
     let (fleet, text) = stock(Sending::Drip(Duration::from_millis(600)));
     let proxy = program().serve(&format!("[limits]\nanswer_stall = \"50ms\"\n{text}"));
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).status(), 502);
-    proxy.take(&text);
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).status(), 502);
+    proxy.reload_accepted(&text);
     let begun = Instant::now();
-    assert_eq!(proxy.ask(&request("/pay/k", 3.0, "")).status(), 200);
+    assert_eq!(proxy.request(&request("/pay/k", 3.0, "")).status(), 200);
     assert!(begun.elapsed() > Duration::from_millis(500), "it was waited for");
     assert_eq!(fleet.ledger().records.len(), 2, "neither was sent twice");
 }
@@ -302,15 +319,18 @@
     let part = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\nca".to_string();
     let stalling = |name: &'static str| {
         let part = part.clone();
-        BackendServer::start(move |n| if n % 4 == 3 { Reply::Pieces(vec![part.clone()]) } else { ok(name) })
+        BackendServer::start(
+            move |n| if n % 4 == 3 { Reply::Pieces(vec![part.clone()]) } else { ok_reply(name) },
+        )
     };
     let backends = ["a", "b", "c"].map(stalling);
     let boxes = backends.each_ref().map(|b| (b.address, "1"));
     let proxy = program().serve(&(CLASSES.to_string() + &pool("p", &boxes)));
-    let count = || backends.iter().map(BackendServer::count).sum::<u32>();
-    let stalled = || backends.iter().map(|b| b.count() / 4).sum::<u32>();
-    let lost =
-        |reads: u32| (0..reads).filter(|_| proxy.ask(&request("/read/k", 0.4, "")).status() != 200).count();
+    let count = || backends.iter().map(BackendServer::request_count).sum::<u32>();
+    let stalled = || backends.iter().map(|b| b.request_count() / 4).sum::<u32>();
+    let lost = |reads: u32| {
+        (0..reads).filter(|_| proxy.request(&request("/read/k", 0.4, "")).status() != 200).count()
+    };
     lost(50); // it takes some to tell
     let before = stalled();
     let lost = lost(60) as u32;
@@ -318,7 +338,7 @@
     assert!(stalled > 10 && 2 * lost < stalled, "{lost} of {stalled} were lost");
     for _ in 0..12 {
         let before = count();
-        let status = proxy.ask(&request("/pay/k", 0.4, "")).status();
+        let status = proxy.request(&request("/pay/k", 0.4, "")).status();
         assert!(matches!(status, 200 | 502 | 503 | 504), "{status}");
         assert_eq!(count() - before, u32::from(status != 503), "{status}");
     }
--- a/crates/shaletide/tests/request_trace.rs
+++ b/crates/shaletide/tests/request_trace.rs
@@ -44,14 +44,17 @@
         let asked = asked.clone();
         BackendServer::start(move |_| match asked.fetch_add(1, SeqCst) {
             0 => Reply::Answer(503, "X-Unprocessed: 1", "no".into()),
-            _ => ok("x"),
+            _ => ok_reply("x"),
         })
     })
 }
 
 fn start(level: Option<&str>, backends: &[BackendServer]) -> Proxy {
-    let entries: Vec<String> =
-        backends.iter().enumerate().map(|(n, b)| entry(&format!("b{n}"), b.address, "SERVING")).collect();
+    let entries: Vec<String> = backends
+        .iter()
+        .enumerate()
+        .map(|(n, b)| endpoint_json(&format!("b{n}"), b.address, "SERVING"))
+        .collect();
     match level {
         Some(level) => program().log_level(level).start(&entries),
         None => program().start(&entries),
@@ -62,8 +65,8 @@
 fn retried_request_is_traced_from_accept_to_close() {
     let backends = first_unprocessed();
     let proxy = start(Some("trace"), &backends);
-    let request = pay(3.0);
-    assert_eq!(proxy.ask(&request).status(), 200);
+    let request = pay_request(3.0);
+    assert_eq!(proxy.request(&request).status(), 200);
     let id = id_of(&request);
     connection_closed(&proxy, id);
     let events = trace_of(&proxy, id);
@@ -102,7 +105,7 @@
 #[test]
 fn request_whose_client_closes_before_the_first_byte_is_traced_without_an_attempt() {
     let proxy = start(Some("trace"), &[]); // it is held until a backend comes
-    let request = pay(3.0);
+    let request = pay_request(3.0);
     let id = id_of(&request);
     let mut client = proxy.client();
     client.send(&request);
@@ -117,8 +120,8 @@
 #[test]
 fn request_that_is_given_up_is_traced_with_its_reason_and_time() {
     let proxy = start(Some("trace"), &[]);
-    let request = pay(1.0);
-    assert_eq!(proxy.ask(&request).status(), 503);
+    let request = pay_request(1.0);
+    assert_eq!(proxy.request(&request).status(), 503);
     let id = id_of(&request);
     connection_closed(&proxy, id);
     let events = trace_of(&proxy, id);
@@ -136,7 +139,7 @@
 fn late_timer_is_logged_with_the_wait_for_a_processor() {
     let proxy = start(Some("debug"), &[]);
     let mut client = proxy.client();
-    client.send(&pay(3.0)); // the timer is set for as long as it is held
+    client.send(&pay_request(3.0)); // the timer is set for as long as it is held
     for _ in 0..3 {
         let from = proxy.log.len();
         proxy.signal("STOP");
@@ -152,7 +155,7 @@
     for level in [None, Some("debug")] {
         let backends = first_unprocessed();
         let proxy = start(level, &backends);
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+        assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
         proxy.signal("TERM");
         proxy.log.expect(0, "stopped");
         let traced: Vec<String> =
--- a/crates/shaletide/tests/response_rules.rs
+++ b/crates/shaletide/tests/response_rules.rs
@@ -57,10 +57,10 @@
 
 /// All cases by one program: a pool of two backends for each, so that none finds backends that another has made ill.
 fn outcomes(cases: &[Case], own_words: bool) -> Vec<(String, usize)> {
-    let power = Power::warm(4, 1.0);
-    let specs = (0..=cases.len()).flat_map(|n| [0, 1].map(|b| BoxSpec::new(&format!("b{n}-{b}"), power)));
+    let power = CpuCapacity::warm(4, 1.0);
+    let specs = (0..=cases.len()).flat_map(|n| [0, 1].map(|b| BackendSpec::new(&format!("b{n}-{b}"), power)));
     let fleet = Fleet::start(specs.collect()).expect("a fleet");
-    let of = |n: usize| &fleet.boxes()[2 * n..2 * n + 2];
+    let of = |n: usize| &fleet.backends()[2 * n..2 * n + 2];
     let (mut text, mut routes) = (String::from(CLASSES), String::new());
     for n in 0..=cases.len() {
         let boxes: Vec<(SocketAddr, &str)> = of(n).iter().map(|b| (b.address, "1")).collect();
@@ -84,12 +84,12 @@
             Answer::status(*status).with("X-Box", "1").with("Location", "/elsewhere").body("of the box\n");
         let answer = if *proof { answer.with(PROOF, "1") } else { answer };
         for b in of(n) {
-            b.set(Fault::Answer(answer.clone()));
+            b.set_fault(Fault::Answer(answer.clone()));
         }
         for _ in 0..12 {
-            assert_eq!(client.ask(&request("/read/k", 3.0, &sound)).status(), 200);
+            assert_eq!(client.request(&request("/read/k", 3.0, &sound)).status(), 200);
         }
-        let got = client.ask(&request(&format!("/{class}/k"), 3.0, &format!("X-Case: {n}\r\n")));
+        let got = client.request(&request(&format!("/{class}/k"), 3.0, &format!("X-Case: {n}\r\n")));
         let of_box = got.header("x-box").is_some();
         if of_box {
             let body: &[u8] = if matches!(status, 204 | 304) { b"" } else { b"of the box\n" };
@@ -140,7 +140,7 @@
         let turn = turn.clone();
         BackendServer::start(move |_| match turn.fetch_add(1, SeqCst) {
             n @ (0 | 1) => replies[n as usize](),
-            _ => ok("x"),
+            _ => ok_reply("x"),
         })
     };
     ([one(), one()], turn)
@@ -169,7 +169,7 @@
         let mut client = proxy.client();
         fill_retry_budget(&mut client, "/read/k");
         turn.store(0, SeqCst);
-        let answer = client.ask(&request(path, 3.0, ""));
+        let answer = client.request(&request(path, 3.0, ""));
         let got = format!("{} {}", answer.status(), String::from_utf8_lossy(&answer.body));
         assert_eq!((got.as_str(), turn.load(SeqCst)), (expected, seen), "{path}");
     }
@@ -185,7 +185,7 @@
         let mut client = proxy.client();
         fill_retry_budget(&mut client, "/read/k");
         turn.store(0, SeqCst);
-        let answer = client.ask(&request(path, 0.6, ""));
+        let answer = client.request(&request(path, 0.6, ""));
         let own = matches!(&answer.body[..], b"refused\n" | b"failed\n" | b"timed out\n");
         assert!(own && answer.status() != 500, "{path}: {answer:?}");
         assert_eq!(turn.load(SeqCst), 2, "{path}");
@@ -205,27 +205,27 @@
         1 => raw(304, "ETag: \"7\"\r\nContent-Length: 9\r\n", ""),
         2 => raw(200, "Content-Length: 11\r\n", ""), // to a HEAD
         3 => raw(404, "Content-Length: 5\r\n", ""),  // to a HEAD
-        _ => ok("whole"),
+        _ => ok_reply("whole"),
     });
     let proxy = program().serve(&(CLASSES.to_string() + &pool("p", &[(backend.address, "1")])));
     let mut client = proxy.client();
     let head = || request("/read/k", 3.0, "").replace("GET ", "HEAD ");
     for _ in 0..4 {
-        let answer = client.ask(&request("/pay/k", 3.0, ""));
+        let answer = client.request(&request("/pay/k", 3.0, ""));
         assert_eq!((answer.status(), answer.header("content-length")), (204, None));
-        let answer = client.ask(&request("/read/k", 3.0, ""));
+        let answer = client.request(&request("/read/k", 3.0, ""));
         assert_eq!((answer.status(), answer.header("etag")), (304, Some("\"7\"")));
         for (status, length) in [(200, "11"), (404, "5")] {
             client.send(&head());
             let answer = Message::read_head(&mut client.0).expect("an answer");
             assert_eq!((answer.status(), answer.header("content-length")), (status, Some(length)));
         }
-        let answer = client.ask(&request("/read/k", 3.0, ""));
+        let answer = client.request(&request("/read/k", 3.0, ""));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
         // A connection is used again only after a moment's quiet.
         std::thread::sleep(Duration::from_millis(40));
     }
-    assert_eq!(backend.count(), 20);
+    assert_eq!(backend.request_count(), 20);
 }
 
 /// Statuses that a route serves pass in one attempt whatever they are; one that it does not serve is an error there
@@ -236,7 +236,7 @@
         .into_iter()
         .map(|status| (status, BackendServer::start(move |_| Reply::Answer(status, "", "so".into()))))
         .collect();
-    let good = BackendServer::start(|_| ok("x"));
+    let good = BackendServer::start(|_| ok_reply("x"));
     let mut text = CLASSES.to_string() + &pool("good", &[(good.address, "1")]);
     let mut routes = String::new();
     for (status, backend) in &backends {
@@ -253,13 +253,13 @@
         for class in ["read", "settle", "pay"] {
             fill_retry_budget(&mut client, "/read/k");
             let mut ask = |kind| {
-                let before = backend.count();
-                let answer = client.ask(&request(
+                let before = backend.request_count();
+                let answer = client.request(&request(
                     &format!("/{class}/k"),
                     3.0,
                     &format!("X-Case: {status}-{kind}\r\n"),
                 ));
-                (answer.status(), backend.count() - before)
+                (answer.status(), backend.request_count() - before)
             };
             assert_eq!(ask("all"), (*status, 1), "{class} {status}");
             let expected = if class == "read" { 200 } else { *status };
--- a/crates/shaletide/tests/rules_under_load.rs
+++ b/crates/shaletide/tests/rules_under_load.rs
@@ -12,10 +12,11 @@
 const DEADLINE: Duration = Duration::from_secs(3);
 const WINDOW: Micros = Micros(500_000);
 
-fn boxes(count: u64) -> Vec<BoxSpec> {
+fn boxes(count: u64) -> Vec<BackendSpec> {
     let boxes = (0..count).map(|n| {
-        let power = Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(9_000_000) };
-        BoxSpec { bay: 1 + n / 3, ..BoxSpec::new(&format!("b{n}"), power) }
+        let power =
+            CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(9_000_000) };
+        BackendSpec { deduplication_group: 1 + n / 3, ..BackendSpec::new(&format!("b{n}"), power) }
     });
     boxes.collect()
 }
@@ -24,7 +25,7 @@
     let keyed = Idempotency::Keyed(DeduplicationScope::Group, WINDOW);
     let class = |name, share, effect, body| LoadClass {
         share,
-        body,
+        body_bytes: body,
         headers: vec![("X-Account".into(), "north".into())],
         ..LoadClass::new(name, effect, DEADLINE)
     };
@@ -37,40 +38,40 @@
 
 #[test]
 fn rules_hold_while_backends_drain_crash_and_return() {
-    let services = vec![Service::new("", Law::Exponential(4.0))];
+    let services = vec![Service::new("", Distribution::Exponential(4.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes(6)) }).expect("a fleet");
-    let entries: Vec<Entry> = fleet.boxes().iter().map(BoxHandle::entry).collect();
+    let entries: Vec<Entry> = fleet.backends().iter().map(BackendHandle::entry).collect();
     let known: Vec<String> = entries.iter().map(Entry::text).collect();
     let discovery = ListServer::start(fleet.clock(), &["n0"], entries).expect("a discovery");
-    let proxy = program().joined(discovery.address(0), &known, SETTINGS);
+    let proxy = program().start_with_discovery(discovery.address(0), &known, SETTINGS);
     let load = Load { clock: fleet.clock(), ..Load::new(300.0, classes(), Duration::from_secs(4)) };
     let to = proxy.address;
     let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
 
-    let [drains, dies, fails] = [0, 1, 4].map(|n| &fleet.boxes()[n]);
-    assert!(drains.wait(|stats| stats.requests > 30));
+    let [drains, dies, fails] = [0, 1, 4].map(|n| &fleet.backends()[n]);
+    assert!(drains.wait_for_stats(|stats| stats.requests > 30));
     let version = discovery.drain("b0");
-    assert!(discovery.wait_told(version));
+    assert!(discovery.wait_delivered(version));
     drains.drain();
     let before = dies.stats().requests;
-    assert!(dies.wait(|stats| stats.requests > before + 10));
+    assert!(dies.wait_for_stats(|stats| stats.requests > before + 10));
     dies.kill();
-    dies.revive();
+    dies.restart();
     discovery.put(dies.entry());
-    fails.set(Fault::FailClass("vote".into(), 0.2));
+    fails.set_fault(Fault::FailClass("vote".into(), 0.2));
 
     let result = clients.join().expect("the clients");
     let total = result.total();
     let ledger = fleet.ledger();
     let drained = discovery.drained();
-    assert_eq!((drained.len(), ledger.missed), (1, 0));
-    assert_eq!(checks::answers_come_from_boxes(&ledger, &result), []);
+    assert_eq!((drained.len(), ledger.unrecorded), (1, 0));
+    assert_eq!(checks::answers_come_from_backends(&ledger, &result), []);
     assert_eq!(checks::unsafe_ran_once(&ledger), []);
-    assert_eq!(checks::keyed_ran_in_one_bay(&ledger, |_| WINDOW), []);
-    assert_eq!(checks::nothing_after_drain(&ledger, &drained, Micros(1_000_000)), []);
-    let push = checks::Push { multiple: 2.5, window: Micros(2_000_000), slack: 0.1 };
-    assert_eq!(checks::cold_not_pushed_over(&ledger, push), []);
-    assert_eq!((result.mixed_up, result.overfull), (0, 0));
+    assert_eq!(checks::keyed_ran_in_one_group(&ledger, |_| WINDOW), []);
+    assert_eq!(checks::no_requests_after_drain(&ledger, &drained, Micros(1_000_000)), []);
+    let push = checks::SlowStartLimit { multiple: 2.5, window: Micros(2_000_000), slack: 0.1 };
+    assert_eq!(checks::slow_start_limit_kept(&ledger, push), []);
+    assert_eq!((result.mismatched_answers, result.excess_bytes), (0, 0));
     // What died with its backend may fail, and votes may fail where one bay errs; nearly all is served.
     assert!(total.served_in_time as f64 > 0.98 * total.count as f64, "{total}");
     assert!(total.count > 900, "{total}");
@@ -79,13 +80,13 @@
 /// Pools of these backends, by their numbers, and one that discovery tells of; without `pool_in_domain` no pool drops what
 /// another has seen.
 fn file(fleet: &Fleet, told: SocketAddr, pools: &[&[usize]], pool_in_domain: bool) -> String {
-    let bays: Vec<String> = fleet.boxes().iter().map(|b| b.spec.bay.to_string()).collect();
+    let bays: Vec<String> = fleet.backends().iter().map(|b| b.spec.deduplication_group.to_string()).collect();
     // No connection is closed at rest: one that ends without an answer was owed one.
     let mut text = "[limits]\nhead_timeout = \"1min\"\n".to_string();
     text += &CLASSES.replace("settle", "vote").replace("\"10s\"", "\"500ms\"");
     for (at, numbers) in pools.iter().enumerate() {
         let boxes: Vec<(SocketAddr, &str)> =
-            numbers.iter().map(|n| (fleet.boxes()[*n].address, bays[*n].as_str())).collect();
+            numbers.iter().map(|n| (fleet.backends()[*n].address, bays[*n].as_str())).collect();
         text += &pool(&format!("p{at}"), &boxes);
         text += if pool_in_domain { "repeat_group = \"g\"\n" } else { "" };
     }
@@ -103,9 +104,9 @@
 /// the same instant: each request has one answer, and no rule is broken.
 #[test]
 fn rules_hold_during_repeated_reloads() {
-    let services = vec![Service::new("", Law::Exponential(4.0))];
+    let services = vec![Service::new("", Distribution::Exponential(4.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes(8)) }).expect("a fleet");
-    let listed: Vec<Entry> = fleet.boxes()[6..].iter().map(BoxHandle::entry).collect();
+    let listed: Vec<Entry> = fleet.backends()[6..].iter().map(BackendHandle::entry).collect();
     let discovery = ListServer::start(fleet.clock(), &["n0"], listed).expect("a discovery");
     let told = discovery.address(0);
     let files = [
@@ -116,28 +117,28 @@
         file(&fleet, told, &[&[5, 4, 3], &[0], &[1]], false),
     ];
     // Some attempts fail, so that there is something to send again.
-    fleet.boxes().iter().for_each(|b| {
-        b.set(Fault::Reset(0.03));
+    fleet.backends().iter().for_each(|b| {
+        b.set_fault(Fault::Reset(0.03));
     });
     let proxy = program().serve(&files[0]);
     let load = Load { clock: fleet.clock(), ..Load::new(150.0, classes(), Duration::from_secs(4)) };
     let to = proxy.address;
     let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
-    let seen = || fleet.boxes().iter().map(|b| b.stats().requests).sum::<u64>();
+    let seen = || fleet.backends().iter().map(|b| b.stats().requests).sum::<u64>();
     let (mut taken, mut round) = (0, 0);
     while !clients.is_finished() {
         round += 1;
         let text = &files[round % files.len()];
         match round % 3 {
             0 => discovery.drain("b6"),
-            _ => discovery.put(fleet.boxes()[6].entry()),
+            _ => discovery.put(fleet.backends()[6].entry()),
         };
         if round % 2 == 0 {
             // Twice in one instant, and the news above in the same.
-            proxy.rewrite(0, proxy.whole(&files[1]));
+            proxy.replace_file(0, proxy.file_text(&files[1]));
             proxy.signal("HUP");
         }
-        taken += u32::from(proxy.reload(text).taken);
+        taken += u32::from(proxy.reload(text).accepted);
         let before = seen();
         while seen() < before + 30 && !clients.is_finished() {
             std::thread::sleep(Duration::from_millis(5));
@@ -148,10 +149,10 @@
     // How many are served is a matter of the machine that runs this, and for a benchmark to say.
     assert!(round > 5 && taken > 4, "{round} files, {taken} taken");
     let (total, ledger) = (result.total(), fleet.ledger());
-    assert_eq!(ledger.missed, 0);
-    assert_eq!(checks::answers_come_from_boxes(&ledger, &result), []);
+    assert_eq!(ledger.unrecorded, 0);
+    assert_eq!(checks::answers_come_from_backends(&ledger, &result), []);
     assert_eq!(checks::unsafe_ran_once(&ledger), []);
-    assert_eq!(checks::keyed_ran_in_one_bay(&ledger, |_| WINDOW), []);
-    assert_eq!((result.mixed_up, result.overfull, result.unanswered()), (0, 0, 0));
+    assert_eq!(checks::keyed_ran_in_one_group(&ledger, |_| WINDOW), []);
+    assert_eq!((result.mismatched_answers, result.excess_bytes, result.unanswered()), (0, 0, 0));
     assert!(total.count > 400 && total.served_in_time > total.count / 4, "{total}");
 }
--- a/crates/shaletide/tests/service_terms.rs
+++ b/crates/shaletide/tests/service_terms.rs
@@ -52,13 +52,13 @@
 fn indented(index: u64, snapshot: bool, entries: &[String]) -> String {
     let spaced =
         |text: &str| text.replace("{", "{\n    ").replace(",\"", ",\n    \"").replace("\":", "\" : ");
-    format!("\n{}\n", spaced(&list(index, snapshot, entries)))
+    format!("\n{}\n", spaced(&endpoint_list_json(index, snapshot, entries)))
 }
 
 /// Answers calls with that list until a watch from its version on is out, which is returned.
 fn take_in(discovery: &DiscoveryServer, index: u64, body: &str) -> (String, mpsc::Sender<(u16, String)>) {
     loop {
-        let (target, answer) = discovery.call();
+        let (target, answer) = discovery.next_call();
         if target.contains(&format!("after={index}&")) && !target.contains("wait_ms=0 ") {
             return (target, answer);
         }
@@ -74,21 +74,24 @@
 
 impl BackendPair {
     fn start() -> BackendPair {
-        BackendPair { old: BackendServer::start(|_| ok("old")), new: BackendServer::start(|_| ok("new")) }
+        BackendPair {
+            old: BackendServer::start(|_| ok_reply("old")),
+            new: BackendServer::start(|_| ok_reply("new")),
+        }
     }
     fn both(&self) -> [String; 2] {
-        [entry("b0", self.old.address, "SERVING"), entry("b1", self.new.address, "SERVING")]
+        [endpoint_json("b0", self.old.address, "SERVING"), endpoint_json("b1", self.new.address, "SERVING")]
     }
     /// The whole list, which leaves out the backend that drains.
     fn without_old(&self) -> [String; 1] {
-        [entry("b1", self.new.address, "SERVING")]
+        [endpoint_json("b1", self.new.address, "SERVING")]
     }
     fn only_new_is_used(&self, proxy: &Proxy, case: &str) {
-        let before = self.old.count();
+        let before = self.old.request_count();
         for _ in 0..10 {
-            assert_eq!(proxy.ask(&pay(3.0)).body, b"new", "{case}");
+            assert_eq!(proxy.request(&pay_request(3.0)).body, b"new", "{case}");
         }
-        assert_eq!(self.old.count(), before, "{case}");
+        assert_eq!(self.old.request_count(), before, "{case}");
     }
 }
 
@@ -102,11 +105,11 @@
 fn retry_of_asked_discovery_that_failed() -> Result<(), String> {
     let pair = BackendPair::start();
     let proxy = Proxy::with(&[], 1024, &asked(300));
-    let (_, mut answer) = proxy.discovery.call();
+    let (_, mut answer) = proxy.discovery.next_call();
     for failure in 0..8 {
         let failed = Instant::now();
         answer.send((503, String::new())).unwrap();
-        answer = proxy.discovery.call().1;
+        answer = proxy.discovery.next_call().1;
         let pause = failed.elapsed();
         in_time(
             &format!("retry after failure {failure}"),
@@ -119,13 +122,13 @@
     proxy.move_discovery(elsewhere.address);
     let signalled = Instant::now();
     proxy.signal("HUP");
-    let (target, refused) = elsewhere.call();
+    let (target, refused) = elsewhere.next_call();
     assert_eq!(target, WHOLE_LIST);
     refused.send((503, String::new())).unwrap();
-    let (target, answer) = elsewhere.call();
+    let (target, answer) = elsewhere.next_call();
     assert_eq!(target, WHOLE_LIST);
     in_time("retry after the move", signalled.elapsed(), MOVED - ANSWER)?;
-    answer.send((200, list(7, true, &pair.without_old()))).unwrap();
+    answer.send((200, endpoint_list_json(7, true, &pair.without_old()))).unwrap();
     let _watch = take_in(&elsewhere, 7, "");
     pair.only_new_is_used(&proxy, "after the move");
     Ok(())
@@ -140,10 +143,10 @@
 
 fn retry_of_asked_discovery_that_is_silent() -> Result<(), String> {
     let proxy = Proxy::with(&[], 1024, &asked(300));
-    let (_, mut silent) = proxy.discovery.call();
+    let (_, mut silent) = proxy.discovery.next_call();
     for call in 0..3 {
         let at = Instant::now();
-        let (_, next) = proxy.discovery.call();
+        let (_, next) = proxy.discovery.next_call();
         in_time(&format!("retry after call {call}"), at.elapsed(), COUNTS_AFTER - ANSWER + SLACK)?;
         silent = next;
     }
@@ -160,12 +163,12 @@
 fn retry_of_silent_asked_watch() -> Result<(), String> {
     let pair = BackendPair::start();
     let proxy = Proxy::with(&pair.both(), 1024, &asked(300));
-    let (target, _silent) = take_in(&proxy.discovery, 9, &list(9, true, &pair.both()));
+    let (target, _silent) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
     let opened = Instant::now();
     let wait: u64 =
         target.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap();
     assert!(wait >= 4000, "{target}");
-    let (target, answer) = proxy.discovery.call();
+    let (target, answer) = proxy.discovery.next_call();
     assert!(target.ends_with("after=9&wait_ms=0 HTTP/1.1"), "{target}");
     let counts = Duration::from_millis(wait) + Duration::from_secs(2);
     in_time("retry of the watch", opened.elapsed(), counts - ANSWER)?;
@@ -185,7 +188,7 @@
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
         let proxy = Proxy::with(&[], 1024, &pushed(grace));
-        let (_, mut answer) = proxy.discovery.call();
+        let (_, mut answer) = proxy.discovery.next_call();
         let mut silent = Vec::new();
         for failure in 0..10 {
             let at = Instant::now();
@@ -194,7 +197,7 @@
                 4 => silent.push(answer),
                 _ => answer.send((503, String::new())).unwrap(),
             }
-            answer = proxy.discovery.call().1;
+            answer = proxy.discovery.next_call().1;
             in_time(&format!("retry after failure {failure}"), at.elapsed(), grace_ms * 2 / 3)?;
         }
     }
@@ -216,12 +219,12 @@
         let (_, mut watch) = take_in(&proxy.discovery, 9, &indented(9, true, &pair.both()));
         for _ in 0..4 {
             watch.send((200, indented(9, false, &[]))).unwrap();
-            let (target, next) = proxy.discovery.call();
+            let (target, next) = proxy.discovery.next_call();
             assert!(target.contains("after=9&"), "{target}");
             watch = next;
         }
         let fell_silent = Instant::now();
-        let (_, answer) = proxy.discovery.call();
+        let (_, answer) = proxy.discovery.next_call();
         in_time("retry of the watch", fell_silent.elapsed(), grace_ms * 2 / 3)?;
         let _ = answer.send((200, indented(10, true, &pair.without_old())));
         let _watch = take_in(&proxy.discovery, 10, &indented(10, true, &pair.without_old()));
@@ -237,13 +240,13 @@
     for settings in [pushed(2000), asked(2000)] {
         let pair = BackendPair::start();
         let proxy = Proxy::with(&pair.both(), 1024, &settings);
-        let (_, watch) = take_in(&proxy.discovery, 9, &list(9, true, &pair.both()));
+        let (_, watch) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
         drop(watch);
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
         assert!(target.contains("after=9&"), "{target}");
         answer.send((200, "{\"index\":10,\"snapshot\":true,\"endpoi".into())).unwrap();
-        let (_, answer) = proxy.discovery.call();
-        answer.send((200, list(10, true, &pair.without_old()))).unwrap();
+        let (_, answer) = proxy.discovery.next_call();
+        answer.send((200, endpoint_list_json(10, true, &pair.without_old()))).unwrap();
         let _watch = take_in(&proxy.discovery, 10, "");
         pair.only_new_is_used(&proxy, "the watch ended");
     }
@@ -256,16 +259,16 @@
     for settings in [pushed(2000), asked(2000)] {
         let pair = BackendPair::start();
         let proxy = Proxy::with(&pair.both(), 1024, &settings);
-        let (_, watch) = take_in(&proxy.discovery, 900, &list(900, true, &pair.both()));
+        let (_, watch) = take_in(&proxy.discovery, 900, &endpoint_list_json(900, true, &pair.both()));
         let elsewhere = DiscoveryServer::start();
         proxy.move_discovery(elsewhere.address);
         let signalled = Instant::now();
         proxy.signal("HUP");
-        let (target, answer) = elsewhere.call();
+        let (target, answer) = elsewhere.next_call();
         assert_eq!(target, WHOLE_LIST);
         assert!(signalled.elapsed() < MOVED / 2, "{:?}", signalled.elapsed());
         answer.send((200, indented(3, true, &pair.without_old()))).unwrap();
-        let _ = watch.send((200, list(901, true, &pair.both())));
+        let _ = watch.send((200, endpoint_list_json(901, true, &pair.both())));
         let _watch = take_in(&elsewhere, 3, "");
         pair.only_new_is_used(&proxy, "after the move");
     }
@@ -275,19 +278,20 @@
 /// are answered with part of the list first. It serves as soon as the list is whole.
 #[test]
 fn restarted_process_is_ready_whatever_its_list_does() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let whole = [entry("b0", backend.address, "SERVING")];
-    let (refusing, never, silent) = (Refusing::new(), NeverUp::new(), DiscoveryServer::start());
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let whole = [endpoint_json("b0", backend.address, "SERVING")];
+    let (refusing, never, silent) =
+        (RefusingPort::new(), FullBacklogListener::new(), DiscoveryServer::start());
     for settings in [pushed(2000), asked(2000)] {
         for known in [&[][..], &whole[..]] {
             for at in [refusing.address(), never.address(), silent.address] {
                 let begun = Instant::now();
-                let proxy = program().joined(at, known, &settings);
-                assert_eq!(proxy.ask(READY).status(), 200);
+                let proxy = program().start_with_discovery(at, known, &settings);
+                assert_eq!(proxy.request(READY).status(), 200);
                 assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
                 if !known.is_empty() {
                     assert_eq!(
-                        proxy.ask(&read(3.0)).status(),
+                        proxy.request(&read_request(3.0)).status(),
                         200,
                         "by the list of before, within the grace"
                     );
@@ -296,16 +300,16 @@
         }
         // Late, then in part, then whole.
         let proxy = Proxy::with(&[], 1024, &settings);
-        let (target, answer) = proxy.discovery.call();
-        assert_eq!((target.as_str(), proxy.ask(READY).status()), (WHOLE_LIST, 200));
-        let _ = answer.send((200, list(5, false, &[])));
-        let (target, answer) = proxy.discovery.call();
+        let (target, answer) = proxy.discovery.next_call();
+        assert_eq!((target.as_str(), proxy.request(READY).status()), (WHOLE_LIST, 200));
+        let _ = answer.send((200, endpoint_list_json(5, false, &[])));
+        let (target, answer) = proxy.discovery.next_call();
         assert_eq!(target, WHOLE_LIST, "changes are no whole list");
-        let _ = answer.send((200, list(5, true, &[])));
-        let (_, answer) = take_in(&proxy.discovery, 5, &list(5, true, &[]));
-        let _ = answer.send((200, list(6, true, &whole)));
-        let _watch = take_in(&proxy.discovery, 6, &list(6, true, &whole));
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        let _ = answer.send((200, endpoint_list_json(5, true, &[])));
+        let (_, answer) = take_in(&proxy.discovery, 5, &endpoint_list_json(5, true, &[]));
+        let _ = answer.send((200, endpoint_list_json(6, true, &whole)));
+        let _watch = take_in(&proxy.discovery, 6, &endpoint_list_json(6, true, &whole));
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
 }
 
@@ -313,25 +317,25 @@
 /// next process listens at the same address at once, serves, and is asked nothing of the old one's.
 #[test]
 fn process_killed_right_after_accepts_is_replaced_at_the_same_address() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let whole = [entry("b0", backend.address, "SERVING")];
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let whole = [endpoint_json("b0", backend.address, "SERVING")];
     let discovery = DiscoveryServer::start();
-    let door = Refusing::new();
+    let door = RefusingPort::new();
     let text = format!(
         r#"{{"name":"n0","listen":"{}","discovery":"{}","seed":1,"known":{},"settings":{}}}"#,
         door.address(),
         discovery.address,
-        list(4, true, &whole),
+        endpoint_list_json(4, true, &whole),
         pushed(10_000)
     );
     for round in 0..3 {
         let begun = Instant::now();
-        let mut proxy = program().run(&text, 1024);
+        let mut proxy = program().start_with_config(&text, 1024);
         assert!(begun.elapsed() < Duration::from_secs(5), "{round}: {:?}", begun.elapsed());
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{round}");
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200, "{round}");
         let mut clients: Vec<Client> = (0..30).map(|_| proxy.client()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
-            let request = pay(3.0);
+            let request = pay_request(3.0);
             client.send(&request[..[0, request.len() / 2, request.len()][n % 3]]);
         }
         proxy.signal("KILL");
@@ -356,15 +360,15 @@
     let full: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":2900000");
-    let proxy = Proxy::with(&[entry("b0", address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::with(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
     let mut clients: Vec<(Client, Instant, String)> = Vec::new();
-    for make in [read, pay, vote] {
+    for make in [read_request, pay_request, vote_request] {
         let (mut client, request) = (proxy.client(), make(3.0));
         let sent = Instant::now();
         client.send(&request);
         clients.push((client, sent, id_of(&request).to_string()));
     }
-    assert_eq!(proxy.ask(READY).status(), 200, "by now they are taken");
+    assert_eq!(proxy.request(READY).status(), 200, "by now they are taken");
     std::thread::sleep(Duration::from_millis(500)); // how late they come up
     let (tell, told) = mpsc::channel();
     let freed = Instant::now();
@@ -382,7 +386,7 @@
         }
     });
     for _ in 0..clients.len() {
-        let message = told.recv_timeout(PATIENCE).expect("a request on the late connection");
+        let message = told.recv_timeout(WAIT_LIMIT).expect("a request on the late connection");
         let id = message.header("x-correlation-id").unwrap();
         let (_, sent, _) = clients.iter().find(|(_, _, own)| own == id).expect("one of these");
         assert_told(&message, freed - *sent);
@@ -401,17 +405,17 @@
         Reply::Answer(503, "X-Unprocessed: 1", String::new())
     };
     let backends = [(); 3].map(|()| BackendServer::start(move |_| full()));
-    let known = [0, 1, 2].map(|n: usize| entry(&format!("b{n}"), backends[n].address, "SERVING"));
+    let known = [0, 1, 2].map(|n: usize| endpoint_json(&format!("b{n}"), backends[n].address, "SERVING"));
     let proxy = Proxy::start(&known);
     let (mut client, sent) = (proxy.client(), Instant::now());
-    client.send(&pay(3.0));
+    client.send(&pay_request(3.0));
     let answered = client.answer().expect("an answer");
     assert!([503, 502].contains(&answered.status()), "{}", answered.status());
     assert!(sent.elapsed() >= pause * 2, "two attempts at the least, one after another");
     let mut left: Vec<f64> = Vec::new();
     for backend in &backends {
-        while let Ok(seen) = backend.seen.try_recv() {
-            if let Seen::Request(message) = seen {
+        while let Ok(seen) = backend.events.try_recv() {
+            if let BackendEvent::Request(message) = seen {
                 left.push(time_told(&message));
             }
         }
@@ -422,19 +426,19 @@
         assert!(*told <= 3.0 - before as f64 * pause.as_secs_f64(), "{left:?}");
     }
     // Held until the list comes.
-    let late = BackendServer::start(|_| ok("x"));
+    let late = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::with(&[], 1024, &pushed(2000));
-    let (_, answer) = proxy.discovery.call();
+    let (_, answer) = proxy.discovery.next_call();
     let (mut client, sent) = (proxy.client(), Instant::now());
-    client.send(&pay(3.0));
-    assert_eq!(proxy.ask(READY).status(), 200, "by now it is held");
+    client.send(&pay_request(3.0));
+    assert_eq!(proxy.request(READY).status(), 200, "by now it is held");
     std::thread::sleep(Duration::from_millis(100));
     let listed = Instant::now();
-    let whole = list(9, true, &[entry("b0", late.address, "SERVING")]);
+    let whole = endpoint_list_json(9, true, &[endpoint_json("b0", late.address, "SERVING")]);
     let _ = answer.send((200, whole.clone()));
     let _watch = take_in(&proxy.discovery, 9, &whole);
     assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_told(&late.request(), listed - sent);
+    assert_told(&late.next_request(), listed - sent);
 }
 
 fn time_told(message: &Message) -> f64 {
@@ -488,10 +492,10 @@
     ];
     for begin in begins {
         for how in [Truncation::Reset, Truncation::Close] {
-            let proxy = Proxy::start(&[entry("b0", truncating_backend(begin, how), "SERVING")]);
-            for make in [read, pay, vote] {
+            let proxy = Proxy::start(&[endpoint_json("b0", truncating_backend(begin, how), "SERVING")]);
+            for make in [read_request, pay_request, vote_request] {
                 let mut tcp = TcpStream::connect(proxy.address).unwrap();
-                tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+                tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
                 let request = make(0.8);
                 tcp.write_all(request.as_bytes()).unwrap();
                 let mut reader = BufReader::new(tcp);
@@ -507,16 +511,16 @@
 /// behind one before its answer came is passed on to nobody.
 #[test]
 fn fragmented_requests_are_forwarded_complete_and_pipelined_ones_are_not() {
-    let backend = BackendServer::start(|_| ok("x"));
-    let proxy = Proxy::start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply("x"));
+    let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let forms = [
-        read(3.0),
-        pay(3.0),
-        vote(3.0),
-        read(3.0).replace("X-Time-Left: 3", "x-time-LEFT:3"),
-        pay(3.0).replace("Host: s", "Host:  s  ").replace("Content-Length", "content-length"),
-        read(3.0).replace("HTTP/1.1", "HTTP/1.0"),
-        format!("\r\n{}", read(3.0)),
+        read_request(3.0),
+        pay_request(3.0),
+        vote_request(3.0),
+        read_request(3.0).replace("X-Time-Left: 3", "x-time-LEFT:3"),
+        pay_request(3.0).replace("Host: s", "Host:  s  ").replace("Content-Length", "content-length"),
+        read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"),
+        format!("\r\n{}", read_request(3.0)),
     ];
     for form in &forms {
         let mut client = proxy.client();
@@ -526,24 +530,24 @@
         }
         let answer = client.answer().unwrap_or_else(|| panic!("no answer to {form:?}"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"x"[..]), "{form:?}");
-        let message = backend.request();
+        let message = backend.next_request();
         let body: &[u8] = if form.contains("cash") { b"cash" } else { b"" };
         let body = if form.contains("/vote/") { b"yeah" } else { body };
         assert_eq!(message.body, body, "{form:?}");
         assert_eq!(message.header("x-correlation-id"), Some(id_of(form)), "{form:?}");
     }
-    let before = backend.count();
-    for behind in [read(3.0), pay(3.0), "GET /".to_string()] {
-        let (mut client, first) = (proxy.client(), read(3.0));
+    let before = backend.request_count();
+    for behind in [read_request(3.0), pay_request(3.0), "GET /".to_string()] {
+        let (mut client, first) = (proxy.client(), read_request(3.0));
         client.send(&(first.clone() + &behind));
         let mut all = String::new();
         client.0.read_to_string(&mut all).unwrap_or_default();
         assert!(all.matches("HTTP/1.1 ").count() <= 1, "one answer at most: {all}");
     }
-    assert!(backend.count() - before <= 3, "{}", backend.count() - before);
-    let ids: Vec<String> = std::iter::from_fn(|| backend.seen.try_recv().ok())
+    assert!(backend.request_count() - before <= 3, "{}", backend.request_count() - before);
+    let ids: Vec<String> = std::iter::from_fn(|| backend.events.try_recv().ok())
         .filter_map(|seen| match seen {
-            Seen::Request(message) => message.header("x-correlation-id").map(String::from),
+            BackendEvent::Request(message) => message.header("x-correlation-id").map(String::from),
             _ => None,
         })
         .collect();
--- a/crates/shaletide/tests/slow_bodies.rs
+++ b/crates/shaletide/tests/slow_bodies.rs
@@ -18,8 +18,8 @@
 }
 
 /// A proxy before one backend, with these limits; time enough for a body that nothing else ends.
-fn proxy(limits: &str) -> (BackendServer, Serving) {
-    let backend = BackendServer::start(|_| ok("done"));
+fn proxy(limits: &str) -> (BackendServer, ServingProgram) {
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let classes = CLASSES.replace("deadline = \"3s\"", "deadline = \"20s\"");
     let limits = format!("[limits]\nbody_timeout = \"20s\"\n{limits}\n");
     let file = format!("{limits}{classes}{}", pool("p", &[(backend.address, "a")]));
@@ -29,7 +29,7 @@
 
 fn connected(to: SocketAddr, first: &[u8]) -> TcpStream {
     let mut tcp = TcpStream::connect(to).unwrap();
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let _ = tcp.write_all(first);
     tcp
 }
@@ -52,13 +52,13 @@
     std::thread::sleep(Duration::from_millis(100));
     stalls.write_all(&[b'x'; 500]).unwrap();
     assert_eq!(status(&mut stalls), Some(200));
-    assert_eq!(backend.request().body.len(), 3_000);
+    assert_eq!(backend.next_request().body.len(), 3_000);
     let begun = Instant::now();
     assert_eq!(status(&mut trickles), Some(408));
     assert!(begun.elapsed() < Duration::from_secs(10), "long before its time is up");
     let mut rest = Vec::new();
     let _ = trickles.read_to_end(&mut rest); // it ends
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -68,10 +68,10 @@
     let mut slow: Vec<TcpStream> =
         (0..150).map(|_| connected(proxy.address, (head(1_000) + "x").as_bytes())).collect();
     for _ in 0..10 {
-        let answer = proxy.ask(&request("/read", 3.0, ""));
+        let answer = proxy.request(&request("/read", 3.0, ""));
         assert_eq!(answer.status(), 200);
     }
-    assert_eq!(backend.count(), 10);
+    assert_eq!(backend.request_count(), 10);
     // Those that had to go were told so, and whoever stays is served when the rest comes.
     let last = slow.last_mut().unwrap();
     last.write_all(&[b'x'; 999]).unwrap();
@@ -87,8 +87,8 @@
     let slow: Vec<TcpStream> = (0..120).map(|_| connected(proxy.address, stuck.as_bytes())).collect();
     for _ in 0..5 {
         let whole = head(50_000) + &"x".repeat(50_000);
-        assert_eq!(proxy.ask(&whole).status(), 200);
-        assert_eq!(backend.request().body.len(), 50_000);
+        assert_eq!(proxy.request(&whole).status(), 200);
+        assert_eq!(backend.next_request().body.len(), 50_000);
     }
     let peak = peak(proxy.child.id());
     assert!(peak < 24 << 10, "{peak} KiB with 120 bodies of 60 KB begun, and 1 MiB let in");
@@ -105,14 +105,14 @@
     let proxy = program().serve(&format!("{limits}{classes}{}", pool("p", &[(backend.address, "a")])));
     // What was taken keeps its room until it has its answer.
     let mut taken = connected(proxy.address, (head(60_000) + &"x".repeat(60_000)).as_bytes());
-    backend.request();
-    let refused = proxy.ask(&(head(10_000) + &"x".repeat(10_000)));
+    backend.next_request();
+    let refused = proxy.request(&(head(10_000) + &"x".repeat(10_000)));
     assert_eq!((refused.status(), refused.header("retry-after").is_some()), (503, true));
-    assert_eq!(proxy.ask(&(head(6_000) + &"x".repeat(6_000))).status(), 503);
+    assert_eq!(proxy.request(&(head(6_000) + &"x".repeat(6_000))).status(), 503);
     gate.open();
     assert_eq!(status(&mut taken), Some(200));
-    assert_eq!(proxy.ask(&(head(10_000) + &"x".repeat(10_000))).status(), 200);
-    assert_eq!(backend.count(), 2);
+    assert_eq!(proxy.request(&(head(10_000) + &"x".repeat(10_000))).status(), 200);
+    assert_eq!(backend.request_count(), 2);
 }
 
 /// The most memory that a process had, in KiB.
@@ -151,7 +151,7 @@
         ("silent", 1_000, String::new()),
     ];
     for (name, count, first) in cases {
-        let backend = BackendServer::start(|_| ok("done"));
+        let backend = BackendServer::start(|_| ok_reply("done"));
         let limits = "[limits]\ndescriptors = 256\n";
         let proxy = program().serve(&format!("{limits}{CLASSES}{}", pool("p", &[(backend.address, "a")])));
         let (to, stop) = (proxy.address, AtomicBool::new(false));
--- a/crates/shaletide/tests/start_configuration.rs
+++ b/crates/shaletide/tests/start_configuration.rs
@@ -22,18 +22,18 @@
         ("cut", Some(200), "EOF"),
     ];
     for (name, part, cause) in parts {
-        let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+        let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
         let (path, text) = (path(name), platform_configuration(&discovery, &listener));
         if let Some(part) = part {
             std::fs::write(&path, &text[..part]).unwrap();
         }
-        let mut proxy = program().launch_with(listener.address(), &path);
+        let mut proxy = program().spawn_with_config(listener.address(), &path);
         let said = proxy.log.wait(0, |line| line.contains(WAITS));
         assert!(proxy.child.try_wait().unwrap().is_none(), "{name}: it ended without a configuration");
         let (_, said) = said.expect("a line on the wait");
         assert!(said.contains(cause) && said.contains(&path.display().to_string()), "{said}");
         std::fs::write(&path, &text).unwrap();
-        assert!(proxy.until_ready().is_some(), "{name}");
+        assert!(proxy.wait_ready().is_some(), "{name}");
         proxy.signal("TERM");
         assert!(proxy.child.wait().unwrap().success(), "{name}");
     }
@@ -44,7 +44,7 @@
 fn handles_signals_while_it_waits_for_its_configuration() {
     for signal in ["TERM", "INT"] {
         let path = path("never");
-        let mut proxy = program().launch_with(Refusing::new().address(), &path);
+        let mut proxy = program().spawn_with_config(RefusingPort::new().address(), &path);
         proxy.log.expect(0, WAITS);
         proxy.signal("HUP");
         proxy.log.expect(proxy.log.len(), WAITS);
@@ -66,11 +66,11 @@
 /// Guards against a start that does not get ready and whose log names none of its steps (brink seed 44003).
 #[test]
 fn log_names_each_step_of_a_start_with_its_time_in_order() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let path = path("steps");
     std::fs::write(&path, platform_configuration(&discovery, &listener)).unwrap();
-    let mut proxy = program().launch_with(listener.address(), &path);
-    assert!(proxy.until_ready().is_some());
+    let mut proxy = program().spawn_with_config(listener.address(), &path);
+    assert!(proxy.wait_ready().is_some());
     let steps = [
         "start: event loop built after ",
         "start: first reading of the configuration ended after ",
--- a/crates/shaletide/tests/start_unread_log.rs
+++ b/crates/shaletide/tests/start_unread_log.rs
@@ -29,7 +29,7 @@
 /// Guards against a start that waits for its log to be read.
 #[test]
 fn start_while_standard_error_is_full_gets_ready() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let configuration = platform_configuration(&discovery, &listener);
     let (_reader, writer) = full_socket();
     let mut command = program_command(Some(&configuration));
@@ -40,5 +40,5 @@
         std::thread::sleep(POLL_INTERVAL);
     }
     let mut client = Client::connect(listener.address());
-    assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+    assert_eq!(client.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
 }
--- a/crates/shaletide/tests/start_watchdog.rs
+++ b/crates/shaletide/tests/start_watchdog.rs
@@ -29,7 +29,7 @@
 }
 
 /// Waits for the first report from that line on; checks when it comes and returns it.
-fn first_report(running: &Running, begun: Instant) -> String {
+fn first_report(running: &RunningProgram, begun: Instant) -> String {
     let line = running.log.expect(0, REPORT);
     let waited = begun.elapsed();
     assert!(waited >= SILENCE_LIMIT && waited <= REPORT_LIMIT, "after {waited:?}: {line}");
@@ -39,16 +39,16 @@
 /// Guards against a start that waits without a word while the configuration is a pipe that nobody writes to.
 #[test]
 fn start_that_waits_for_a_pipe_names_the_first_reading_within_seven_seconds() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let fifo = path("fifo");
     make_fifo(&fifo);
     let begun = Instant::now();
-    let mut running = reporting_program().launch_with(listener.address(), &fifo);
+    let mut running = reporting_program().spawn_with_config(listener.address(), &fifo);
     let line = first_report(&running, begun);
     assert!(line.contains("waits for the first reading of the configuration"), "{line}");
     assert!(line.contains("last step: event loop built"), "{line}");
     std::fs::write(&fifo, platform_configuration(&discovery, &listener)).unwrap();
-    assert!(running.until_ready().is_some(), "it serves once the configuration has come");
+    assert!(running.wait_ready().is_some(), "it serves once the configuration has come");
 }
 
 /// Guards against a report that comes once only: whoever looks later sees that the start still waits.
@@ -56,7 +56,7 @@
 fn start_whose_configuration_is_absent_is_reported_again_after_each_five_seconds() {
     let absent = path("absent.json");
     let begun = Instant::now();
-    let running = reporting_program().launch_with(Refusing::new().address(), &absent);
+    let running = reporting_program().spawn_with_config(RefusingPort::new().address(), &absent);
     let line = first_report(&running, begun);
     assert!(line.contains("waits for a configuration that is complete"), "{line}");
     assert!(line.contains("last step: signals received"), "{line}");
@@ -68,24 +68,24 @@
 /// Guards against a start that waits for its address and whose log's thread does not get to say so.
 #[test]
 fn start_whose_address_is_in_use_names_the_addresses_within_seven_seconds() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let holder = std::net::TcpListener::bind(listener.address()).unwrap();
     let file = path("held.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
     let begun = Instant::now();
-    let mut running = reporting_program().launch_with(listener.address(), &file);
+    let mut running = reporting_program().spawn_with_config(listener.address(), &file);
     let line = first_report(&running, begun);
     assert!(line.contains("waits for the addresses to be listened on"), "{line}");
     assert!(line.contains("last step: parts started"), "{line}");
     drop(holder);
-    assert!(running.until_ready().is_some(), "it serves once the address is free");
+    assert!(running.wait_ready().is_some(), "it serves once the address is free");
 }
 
 /// Guards against a report that needs the log's thread: that one is blocked, as nobody reads standard error and what it is
 /// connected to is full. What the start waited for is found once somebody reads.
 #[test]
 fn start_whose_standard_error_is_full_is_reported_once_it_is_read() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let (mut reader, writer) = full_socket();
     let fifo = path("unread-fifo");
     make_fifo(&fifo);
@@ -105,11 +105,11 @@
 /// Guards against a report of a start that goes well, and against a thread that outlives the start.
 #[test]
 fn start_that_goes_well_writes_no_report_and_leaves_no_thread() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let file = path("well.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
-    let mut running = reporting_program().launch_with(listener.address(), &file);
-    assert!(running.until_ready().is_some());
+    let mut running = reporting_program().spawn_with_config(listener.address(), &file);
+    assert!(running.wait_ready().is_some());
     let ready = Instant::now();
     let expected = ["log", "shaletide"];
     while thread_names(&running.child) != expected && ready.elapsed() < THREAD_END_LIMIT {
@@ -127,7 +127,8 @@
 fn start_that_waits_with_a_silent_log_is_reported_all_the_same() {
     let begun = Instant::now();
     let absent = path("silent-absent.json");
-    let running = reporting_program().log_level("error").launch_with(Refusing::new().address(), &absent);
+    let running =
+        reporting_program().log_level("error").spawn_with_config(RefusingPort::new().address(), &absent);
     let line = first_report(&running, begun);
     assert!(line.contains("waits for a configuration that is complete"), "{line}");
     assert_eq!(running.log.since(0), [line]);
@@ -136,11 +137,11 @@
 /// Guards against a watchdog that waits for the first line of a log which is set to write none.
 #[test]
 fn start_with_a_silent_log_writes_no_report_and_leaves_no_thread() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let file = path("silent.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
-    let mut running = reporting_program().log_level("error").launch_with(listener.address(), &file);
-    assert!(running.until_ready().is_some());
+    let mut running = reporting_program().log_level("error").spawn_with_config(listener.address(), &file);
+    assert!(running.wait_ready().is_some());
     std::thread::sleep(SILENCE_LIMIT + Duration::from_secs(1));
     assert_eq!(running.log.since(0), Vec::<String>::new());
     assert_eq!(thread_names(&running.child), ["log", "shaletide"]);
@@ -148,7 +149,7 @@
 
 /// Reads until that text has come, for as long as tests wait.
 fn read_until(from: &mut UnixStream, text: &str) -> String {
-    from.set_read_timeout(Some(PATIENCE)).unwrap();
+    from.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let mut read = Vec::new();
     let mut piece = [0; 4096];
     loop {
--- a/crates/shaletide/tests/start_without_threads.rs
+++ b/crates/shaletide/tests/start_without_threads.rs
@@ -26,9 +26,9 @@
 /// command.
 #[test]
 fn start_by_operators_file_without_threads_ends_with_its_reason() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let file = std::env::temp_dir().join(format!("shaletide-no-threads-{}.toml", std::process::id()));
-    let listener = Refusing::new();
+    let listener = RefusingPort::new();
     let text =
         format!("listen = \"{}\"\n{CLASSES}{}", listener.address(), pool("p", &[(backend.address, "a")]));
     std::fs::write(&file, text).unwrap();
@@ -50,14 +50,14 @@
 /// A start by a platform's configuration that has room for the program, and not for the log's thread.
 struct ThreadlessStart {
     process: KilledOnDrop,
-    listener: Refusing,
+    listener: RefusingPort,
     configuration: PathBuf,
     _discovery: DiscoveryServer,
 }
 
 impl ThreadlessStart {
     fn new(name: &str, standard_error: impl Into<Stdio>) -> ThreadlessStart {
-        let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+        let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
         let name = format!("shaletide-no-threads-{}-{name}.json", std::process::id());
         let configuration = std::env::temp_dir().join(name);
         std::fs::write(&configuration, platform_configuration(&discovery, &listener)).unwrap();
@@ -82,7 +82,7 @@
         let link = Path::new("/proc").join(self.process.0.id().to_string()).join("exe");
         let begun = Instant::now();
         while std::fs::read_link(&link).ok().as_ref() != Some(&program) {
-            assert!(begun.elapsed() < PATIENCE, "the program does not begin");
+            assert!(begun.elapsed() < WAIT_LIMIT, "the program does not begin");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -91,11 +91,11 @@
     fn expect_ready(&self) {
         let begun = Instant::now();
         while std::net::TcpStream::connect(self.listener.address()).is_err() {
-            assert!(begun.elapsed() < PATIENCE, "it does not get ready");
+            assert!(begun.elapsed() < WAIT_LIMIT, "it does not get ready");
             std::thread::sleep(Duration::from_millis(5));
         }
         let mut client = Client::connect(self.listener.address());
-        assert_eq!(client.ask("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
+        assert_eq!(client.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
     }
 }
 
--- a/crates/shaletide/tests/stop_signals.rs
+++ b/crates/shaletide/tests/stop_signals.rs
@@ -96,7 +96,7 @@
         let begun = Instant::now();
         let program = std::fs::canonicalize(env!("CARGO_BIN_EXE_shaletide")).unwrap();
         let mut first_count = None;
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < WAIT_LIMIT {
             let is_program =
                 std::fs::read_link(format!("/proc/{}/exe", self.pid())).ok() == Some(program.clone());
             let count = self.voluntary_switches().filter(|_| is_program);
@@ -120,7 +120,7 @@
     /// [`STOP_SIGNALS`].
     fn wait_for_stoppable_call(&self) {
         let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < WAIT_LIMIT {
             let blocked = self.signal_set("SigBlk:");
             if contains(blocked, libc::SIGHUP)
                 && !STOP_SIGNALS.iter().any(|(_, number)| contains(blocked, *number))
@@ -260,7 +260,7 @@
 /// on once the shortage is over, takes the SIGHUP that came meanwhile, and ends in an orderly way.
 #[test]
 fn start_serves_after_a_shortage_of_threads_in_which_a_hangup_came() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let file = path("after-shortage.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
     let mut start = LimitedStart::without_threads(&file);
@@ -308,7 +308,7 @@
 /// Guards against a configuration that is lost as it comes by a pipe after a first reading that found nothing.
 #[test]
 fn start_serves_by_a_pipe_that_is_read_again() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let fifo = path("served-by-pipe");
     let mut start = LimitedStart::new("-n 1024", &fifo);
     start.log.expect(0, INCOMPLETE);
@@ -323,7 +323,7 @@
 /// Guards against a start that ends, or waits without a word, where there are no descriptors for the thread that reads.
 #[test]
 fn start_without_descriptors_to_read_on_goes_on_trying() {
-    let (discovery, listener) = (DiscoveryServer::start(), Refusing::new());
+    let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let fifo = path("no-reader");
     make_fifo(&fifo);
     let mut start = LimitedStart::new("-n 1024", &fifo);
@@ -345,7 +345,7 @@
 /// and the signal to stop.
 #[test]
 fn reload_that_hangs_holds_up_neither_requests_nor_the_stop() {
-    let backend = BackendServer::start(|_| ok("x"));
+    let backend = BackendServer::start(|_| ok_reply("x"));
     let text = format!("{CLASSES}{}", pool("p", &[(backend.address, "a")]));
     let mut proxy = program().serve(&text);
     let (file, output) = (proxy.files[0].display().to_string(), path("strace"));
@@ -354,11 +354,11 @@
     proxy.signal("HUP");
     let begun = Instant::now();
     while !thread_names(&proxy.child).contains(&"reload".to_string()) {
-        assert!(begun.elapsed() < PATIENCE, "nothing is read");
+        assert!(begun.elapsed() < WAIT_LIMIT, "nothing is read");
         std::thread::sleep(POLL_INTERVAL);
     }
     for _ in 0..10 {
-        assert_eq!(proxy.ask(&request("/read/k", 3.0, "")).status(), 200);
+        assert_eq!(proxy.request(&request("/read/k", 3.0, "")).status(), 200);
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(thread_names(&proxy.child).contains(&"reload".to_string()), "it was read");
--- a/crates/shaletide/tests/store_of_record.rs
+++ b/crates/shaletide/tests/store_of_record.rs
@@ -66,7 +66,7 @@
     }
     /// What a program says that does not come to serve by that file, and its status.
     fn not_served(&self, file: &str) -> (Option<i32>, String) {
-        let (path, door) = (self.0.join("second.toml"), Refusing::new());
+        let (path, door) = (self.0.join("second.toml"), RefusingPort::new());
         std::fs::write(&path, format!("[[listener]]\naddress = \"{}\"\n{file}", door.address())).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
         let output =
@@ -87,14 +87,14 @@
 }
 
 /// Asks until the key is served: until then it may only be refused, which promises that a retry is harmless.
-fn served(proxy: &Serving, key: &str) {
+fn served(proxy: &ServingProgram, key: &str) {
     let begun = Instant::now();
     loop {
-        match proxy.ask(&paid(key)).status() {
+        match proxy.request(&paid(key)).status() {
             200 => return,
             status => assert_eq!(status, 503, "{key}"),
         }
-        assert!(begun.elapsed() < PATIENCE, "{key} is not served");
+        assert!(begun.elapsed() < WAIT_LIMIT, "{key} is not served");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -106,7 +106,7 @@
 impl Tracer {
     /// Every sync of that proxy's store takes so long from now on; none where there is no strace. The loop's own thread
     /// is not traced: each of its system calls would stop it.
-    fn slow_syncs(proxy: &Serving, delay: Duration) -> Option<Tracer> {
+    fn slow_syncs(proxy: &ServingProgram, delay: Duration) -> Option<Tracer> {
         let mut strace = Command::new("strace");
         strace.args(["-q", "-e", "trace=fsync,fdatasync", "-e"]);
         strace.arg(format!("inject=fsync,fdatasync:delay_enter={}", delay.as_micros()));
@@ -138,15 +138,15 @@
 #[test]
 fn served_key_is_sent_once() {
     let folder = Folder::new("served");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file(&backend));
-    assert_eq!(proxy.ask(&paid("k1")).status(), 200);
-    let again = proxy.ask(&paid("k1"));
+    assert_eq!(proxy.request(&paid("k1")).status(), 200);
+    let again = proxy.request(&paid("k1"));
     assert_eq!(again.status(), 409);
-    assert_eq!(proxy.ask(&paid("k2")).status(), 200);
-    assert_eq!(proxy.ask(&request("/pay", 2.0, "")).status(), 400, "the class wants a key");
-    assert_eq!(proxy.ask(&request("/read", 15.0, "")).status(), 200);
-    assert_eq!(backend.count(), 3);
+    assert_eq!(proxy.request(&paid("k2")).status(), 200);
+    assert_eq!(proxy.request(&request("/pay", 2.0, "")).status(), 400, "the class wants a key");
+    assert_eq!(proxy.request(&request("/read", 15.0, "")).status(), 200);
+    assert_eq!(backend.request_count(), 3);
     proxy.signal("TERM");
     assert!(proxy.log.wait(0, |l| l.contains("stopping")).is_some());
     drop(proxy);
@@ -169,40 +169,40 @@
     let proxy = program().serve(&folder.file(&backend));
     let mut first = proxy.client();
     first.send(&paid("k"));
-    backend.request();
-    assert_eq!(proxy.ask(&paid("k")).status(), 409);
+    backend.next_request();
+    assert_eq!(proxy.request(&paid("k")).status(), 409);
     gate.open();
     assert_eq!(first.answer().expect("an answer").status(), 200);
-    assert_eq!(proxy.ask(&paid("k")).status(), 409);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(proxy.request(&paid("k")).status(), 409);
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// The attempt may have run: nobody but a person can say, and the doubt outlives the program.
 #[test]
 fn key_in_doubt_stays_until_resolved() {
     let folder = Folder::new("doubt");
-    let backend = BackendServer::start(|n| if n < 2 { Reply::Reset } else { ok("done") });
+    let backend = BackendServer::start(|n| if n < 2 { Reply::Reset } else { ok_reply("done") });
     let file = folder.file(&backend);
     let mut proxy = program().serve(&file);
     for key in ["ran", "not"] {
-        assert!(![200, 409, 429, 503].contains(&proxy.ask(&paid(key)).status()), "no promise is made");
-        assert_eq!(proxy.ask(&paid(key)).status(), 409);
+        assert!(![200, 409, 429, 503].contains(&proxy.request(&paid(key)).status()), "no promise is made");
+        assert_eq!(proxy.request(&paid(key)).status(), 409);
     }
-    assert_eq!(backend.count(), 2);
+    assert_eq!(backend.request_count(), 2);
     proxy.signal("KILL");
     proxy.child.wait().unwrap();
     let proxy = program().serve(&file);
-    assert_eq!(proxy.ask(&paid("ran")).status(), 409);
-    assert_eq!(proxy.ask(&paid("not")).status(), 409);
+    assert_eq!(proxy.request(&paid("ran")).status(), 409);
+    assert_eq!(proxy.request(&paid("not")).status(), 409);
     let (status, said) = folder.resolve("ran", "yes");
     assert_eq!(status, Some(0), "{said}");
-    assert_eq!(proxy.ask(&paid("ran")).status(), 409, "it is served now");
+    assert_eq!(proxy.request(&paid("ran")).status(), 409, "it is served now");
     let (status, said) = folder.resolve("not", "no");
     assert_eq!(status, Some(0), "{said}");
-    assert_eq!(proxy.ask(&paid("not")).status(), 200);
+    assert_eq!(proxy.request(&paid("not")).status(), 200);
     let (status, said) = folder.resolve("not", "no");
     assert_eq!(status, Some(1), "{said}");
-    assert_eq!(backend.count(), 3);
+    assert_eq!(backend.request_count(), 3);
     drop(proxy);
     folder.verified();
 }
@@ -217,7 +217,7 @@
         let mut proxy = program().serve(&file);
         for earlier in 0..round {
             for one in 0..4 {
-                assert_eq!(proxy.ask(&paid(&format!("{earlier}-{one}"))).status(), 409);
+                assert_eq!(proxy.request(&paid(&format!("{earlier}-{one}"))).status(), 409);
             }
         }
         let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
@@ -225,12 +225,12 @@
             client.send(&paid(&format!("{round}-{one}")));
         }
         for _ in 0..4 {
-            backend.request();
+            backend.next_request();
         }
         proxy.signal("KILL");
         proxy.child.wait().unwrap();
     }
-    assert_eq!(backend.count(), 20);
+    assert_eq!(backend.request_count(), 20);
     folder.verified();
 }
 
@@ -238,7 +238,7 @@
 #[test]
 fn stuck_store_rejects_at_once_and_delays_no_other_class() {
     let folder = Folder::new("stuck");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
     let lock = lock_store(&folder.store());
@@ -246,19 +246,19 @@
     waits.send(&paid("waits"));
     let mut reader = proxy.client();
     for _ in 0..50 {
-        assert_eq!(reader.ask(&request("/read", 15.0, "")).status(), 200);
+        assert_eq!(reader.request(&request("/read", 15.0, "")).status(), 200);
     }
     let refused = waits.answer().expect("an answer");
     assert_eq!(refused.status(), 503);
     let again: u64 = refused.header("retry-after").expect("a time").parse().expect("seconds");
     assert!((1..=5).contains(&again));
-    assert_eq!(proxy.ask(&paid("more")).status(), 503);
-    assert_eq!(proxy.ask(&paid("before")).status(), 409, "what is known needs no store");
+    assert_eq!(proxy.request(&paid("more")).status(), 503);
+    assert_eq!(proxy.request(&paid("before")).status(), 409, "what is known needs no store");
     drop(lock);
     // A refusal promises that a retry is harmless.
     served(&proxy, "waits");
-    assert_eq!(proxy.ask(&paid("waits")).status(), 409);
-    assert_eq!(backend.count(), 52);
+    assert_eq!(proxy.request(&paid("waits")).status(), 409);
+    assert_eq!(backend.request_count(), 52);
     drop(proxy);
     folder.verified();
 }
@@ -267,7 +267,7 @@
 #[test]
 fn removed_store_is_noticed_and_reopened_without_restart() {
     let folder = Folder::new("away");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
     let places: Vec<(PathBuf, PathBuf)> = ["", "-wal", "-shm"]
@@ -279,22 +279,22 @@
     let mut asked = 0;
     let refused = |asked: &mut u32| {
         *asked += 1;
-        proxy.ask(&paid(&format!("gone{asked}"))).status() == 503
+        proxy.request(&paid(&format!("gone{asked}"))).status() == 503
     };
     let begun = Instant::now();
     while !refused(&mut asked) {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < WAIT_LIMIT);
     }
     assert_eq!(asked, 1, "none is sent that is not on record where it will be looked for");
     assert!(proxy.log.wait(0, |line| line.contains("store: gone")).is_some());
     assert!(!folder.store().exists(), "no new one is made");
-    assert_eq!(proxy.ask(&request("/read", 15.0, "")).status(), 200);
+    assert_eq!(proxy.request(&request("/read", 15.0, "")).status(), 200);
     for (here, away) in &places {
         std::fs::rename(away, here).unwrap();
     }
     served(&proxy, "after");
-    assert_eq!(proxy.ask(&paid("before")).status(), 409);
-    assert_eq!(backend.count(), 3);
+    assert_eq!(proxy.request(&paid("before")).status(), 409);
+    assert_eq!(backend.request_count(), 3);
     drop(proxy);
     folder.verified();
 }
@@ -306,7 +306,7 @@
 #[test]
 fn slow_sync_rejects_in_time_and_withdraws_late_intents() {
     let folder = Folder::new("slow");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
     let Some(mut tracer) = Tracer::slow_syncs(&proxy, SYNC) else {
@@ -318,30 +318,30 @@
     for n in 0.. {
         let key = format!("late{n}");
         let asked = Instant::now();
-        let status = proxy.ask(&paid(&key)).status();
+        let status = proxy.request(&paid(&key)).status();
         if status == 503 {
             assert!(asked.elapsed() < SYNC / 2, "it waits no longer than it may");
             refused.push(key);
             break;
         }
         assert_eq!(status, 200);
-        if tracer.has_ended() || begun.elapsed() > PATIENCE {
+        if tracer.has_ended() || begun.elapsed() > WAIT_LIMIT {
             return eprintln!("skipped: strace may not trace here");
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    let sent = backend.count();
+    let sent = backend.request_count();
     let mut reader = proxy.client();
     for _ in 0..50 {
         let asked = Instant::now();
-        assert_eq!(reader.ask(&request("/read", 15.0, "")).status(), 200);
+        assert_eq!(reader.request(&request("/read", 15.0, "")).status(), 200);
         assert!(asked.elapsed() < SYNC / 2, "nobody else waits for the disk");
     }
     assert!(!tracer.has_ended(), "it traced all the while");
     drop(tracer);
     // The refusal's promise: the intent that came late was withdrawn, and the key is free by itself.
     refused.iter().for_each(|key| served(&proxy, key));
-    assert_eq!(backend.count(), sent + 51, "the reads, and the settle once");
+    assert_eq!(backend.request_count(), sent + 51, "the reads, and the settle once");
     drop(proxy);
     folder.verified();
 }
@@ -357,15 +357,15 @@
 /// busy machine the drain may come too late for that. Nothing goes to the backend that has gone in either case.
 fn drained_while_permits_are_waited_for() -> bool {
     let folder = Folder::new("drain");
-    let [goes, stays] = [0; 2].map(|_| BackendServer::start(|_| ok("done")));
+    let [goes, stays] = [0; 2].map(|_| BackendServer::start(|_| ok_reply("done")));
     let both = [(goes.address, "a"), (stays.address, "b")];
     let file = folder.file(&stays);
     let alone = pool("p", &both[1..]);
     let proxy = program().serve(&file.replace(&pool("p", &[(stays.address, "a")]), &pool("p", &both)));
-    assert_eq!(proxy.ask(&paid("before")).status(), 200);
-    let before = goes.count();
+    assert_eq!(proxy.request(&paid("before")).status(), 200);
+    let before = goes.request_count();
     // Ready beforehand, as the lock may not last.
-    proxy.rewrite(0, proxy.whole(&file.replace(&pool("p", &[(stays.address, "a")]), &alone)));
+    proxy.replace_file(0, proxy.file_text(&file.replace(&pool("p", &[(stays.address, "a")]), &alone)));
     let from = proxy.log.len();
     let lock = lock_store(&folder.store());
     // Fewer than the backends hold, so that the read behind them does not wait for room.
@@ -373,8 +373,8 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&paid(&format!("k{n}")));
     }
-    assert_eq!(proxy.ask(&request("/read", 15.0, "")).status(), 200); // by now they are taken
-    let read = goes.count();
+    assert_eq!(proxy.request(&request("/read", 15.0, "")).status(), 200); // by now they are taken
+    let read = goes.request_count();
     proxy.signal("HUP");
     assert!(proxy.log.wait(from, |line| line.contains("SIGHUP: taken")).is_some());
     drop(lock);
@@ -385,7 +385,7 @@
     let in_trouble = proxy.log.since(from).iter().any(|line| line.contains("store: busy"));
     assert!(statuses.iter().all(|status| *status == 200 || in_trouble && *status == 503), "{statuses:?}");
     assert!(read <= before + 1);
-    assert_eq!(goes.count(), read, "nothing new for a box that has gone");
+    assert_eq!(goes.request_count(), read, "nothing new for a box that has gone");
     drop(proxy);
     folder.verified();
     !in_trouble
@@ -395,7 +395,7 @@
 #[test]
 fn one_of_two_concurrent_requests_of_a_key_is_sent() {
     let folder = Folder::new("twice");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file(&backend));
     for round in 0..20 {
         let mut clients: Vec<Client> = (0..4).map(|_| proxy.client()).collect();
@@ -408,7 +408,7 @@
         let count = |status| got.iter().filter(|s| **s == status).count();
         // Refused as long as the other may still be withdrawn, a conflict once it may not.
         assert_eq!((count(200), count(409) + count(503)), (1, 3), "{got:?}");
-        assert_eq!(backend.count(), round + 1);
+        assert_eq!(backend.request_count(), round + 1);
     }
 }
 
@@ -423,7 +423,7 @@
     let mut proxy = program().serve(&file);
     let mut client = proxy.client();
     client.send(&paid("k"));
-    backend.request();
+    backend.next_request();
     let lock = lock_store(&folder.store());
     gate.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
@@ -434,18 +434,18 @@
     assert!(folder.shown("k").contains("answered: served"), "{}", folder.shown("k"));
     drop(proxy);
     let proxy = program().serve(&file);
-    assert_eq!(proxy.ask(&paid("k")).status(), 409);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(proxy.request(&paid("k")).status(), 409);
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// A log without its database says that there was one, with keys that nobody knows any more.
 #[test]
 fn incomplete_store_is_not_created_anew() {
     let folder = Folder::new("part");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let file = folder.file(&backend);
     let mut proxy = program().serve(&file);
-    assert_eq!(proxy.ask(&paid("k")).status(), 200);
+    assert_eq!(proxy.request(&paid("k")).status(), 200);
     proxy.signal("KILL");
     proxy.child.wait().unwrap();
     drop(proxy);
@@ -465,18 +465,18 @@
     let of = |tenant: &str, key: &str| {
         request("/pay", 15.0, &format!("Idempotency-Key: {key}\r\nX-Account: {tenant}\r\n"))
     };
-    assert_eq!(proxy.ask(&of("$(touch x); 'b", "k")).status(), 502);
+    assert_eq!(proxy.request(&of("$(touch x); 'b", "k")).status(), 502);
     let (status, said) = folder.command(&["list", "--in-doubt"]);
     assert_eq!(status, Some(0), "{said}");
     assert!(said.contains("--tenant '$(touch x); '\\''b' --class pay"), "{said}");
-    assert_eq!(proxy.ask(&of(&"t".repeat(257), "k")).status(), 400, "nobody could resolve it");
-    assert_eq!(backend.count(), 1);
+    assert_eq!(proxy.request(&of(&"t".repeat(257), "k")).status(), 400, "nobody could resolve it");
+    assert_eq!(backend.request_count(), 1);
     // One key of two tenants, the first of them on more rows than a page has: whose is meant has to be said.
     let mut client = proxy.client();
     for _ in 0..1_100 {
-        assert_eq!(client.ask(&of("$(touch x); 'b", "k")).status(), 409);
+        assert_eq!(client.request(&of("$(touch x); 'b", "k")).status(), 409);
     }
-    assert_eq!(proxy.ask(&of("other", "k")).status(), 502);
+    assert_eq!(proxy.request(&of("other", "k")).status(), 502);
     let (status, said) = folder.resolve("k", "no");
     assert_eq!(status, Some(2), "{said}");
     assert!(said.contains("which of these?"), "{said}");
@@ -487,7 +487,7 @@
 #[test]
 fn full_disk_rejects_until_there_is_space() {
     let folder = Folder::new("full");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
     let limit = |bytes: &str| {
@@ -497,12 +497,12 @@
         assert!(done.expect("prlimit of util-linux").success());
     };
     limit("4096");
-    assert_eq!(proxy.ask(&paid("full")).status(), 503);
-    assert_eq!(proxy.ask(&request("/read", 15.0, "")).status(), 200);
+    assert_eq!(proxy.request(&paid("full")).status(), 503);
+    assert_eq!(proxy.request(&request("/read", 15.0, "")).status(), 200);
     limit("unlimited");
     served(&proxy, "full");
-    assert_eq!(proxy.ask(&paid("full")).status(), 409);
-    assert_eq!(backend.count(), 3);
+    assert_eq!(proxy.request(&paid("full")).status(), 409);
+    assert_eq!(backend.request_count(), 3);
     drop(proxy);
     folder.verified();
 }
@@ -510,7 +510,7 @@
 #[test]
 fn shutdown_is_in_time_while_the_store_is_stuck() {
     let folder = Folder::new("ends");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let mut proxy = program().serve(&folder.file_with_short_wait(&backend));
     served(&proxy, "before");
     let lock = lock_store(&folder.store());
@@ -524,11 +524,11 @@
         if let Some(status) = proxy.child.try_wait().unwrap() {
             break status;
         }
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < WAIT_LIMIT);
         std::thread::sleep(Duration::from_millis(20));
     };
     assert!(status.success(), "{status}");
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
     drop(lock);
 }
 
@@ -545,7 +545,7 @@
     let mut proxy = program().serve(&file);
     let mut client = proxy.client();
     client.send(&paid("k"));
-    backend.request();
+    backend.next_request();
     let lock = lock_store(&folder.store());
     gate.open();
     assert_eq!(client.answer().expect("an answer").status(), 200);
@@ -562,25 +562,25 @@
     assert!(left.contains("1 keys unsettled"), "{left}");
     drop((lock, proxy));
     let proxy = program().serve(&file);
-    assert_eq!(proxy.ask(&paid("k")).status(), 409);
-    assert_eq!(backend.count(), 1);
+    assert_eq!(proxy.request(&paid("k")).status(), 409);
+    assert_eq!(backend.request_count(), 1);
 }
 
 /// A proxy that stops while a key waits for its backend and a store for its lock, and whose classes have other deadlines by the
 /// file that it reads again meanwhile: the key is answered, and what its record does not know is in the store's hands.
 fn stopping_with_other_deadlines(
     file: &str, other: &str, folder: &Folder, slow: &(Arc<Gate>, BackendServer),
-) -> (Serving, rusqlite::Connection, Instant) {
+) -> (ServingProgram, rusqlite::Connection, Instant) {
     let (gate, backend) = slow;
     let proxy = program().serve(file);
     let mut client = proxy.client();
     client.send(&paid("k"));
-    backend.request();
+    backend.next_request();
     let lock = lock_store(&folder.store());
     proxy.signal("TERM");
     proxy.log.expect(0, "stopping");
     let stopping = Instant::now();
-    proxy.take(other);
+    proxy.reload_accepted(other);
     gate.open();
     assert_eq!(client.answer().expect("the answer that is owed").status(), 200);
     (proxy, lock, stopping)
@@ -627,21 +627,21 @@
 #[test]
 fn store_is_held_by_one_proxy() {
     let folder = Folder::new("one");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let file = folder.file(&backend);
     let proxy = program().serve(&file);
     let (status, said) = folder.not_served(&file);
     assert_ne!(status, Some(0));
     assert!(said.contains("store of record"), "{said}");
-    assert_eq!(proxy.ask(&paid("k")).status(), 200);
+    assert_eq!(proxy.request(&paid("k")).status(), 200);
 }
 
 #[test]
 fn control_socket_carries_commands() {
     let folder = Folder::new("commands");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let proxy = program().serve(&folder.file(&backend));
-    assert_eq!(proxy.ask(&paid("k")).status(), 200);
+    assert_eq!(proxy.request(&paid("k")).status(), 200);
     let (status, said) = folder.resolve("k", "yes");
     assert_eq!(status, Some(1), "it was served: {said}");
     let (status, said) = folder.command(&["correct", "2", "--by", "jo", "--text", "of another buyer"]);
@@ -661,13 +661,13 @@
 struct StoreStart {
     process: KilledOnDrop,
     log: Log,
-    listener: Refusing,
+    listener: RefusingPort,
 }
 
 impl StoreStart {
     /// Starts the program by that file, and waits until its store is being opened.
     fn opening(folder: &Folder, file: &str) -> StoreStart {
-        let (path, listener) = (folder.0.join("start.toml"), Refusing::new());
+        let (path, listener) = (folder.0.join("start.toml"), RefusingPort::new());
         std::fs::write(&path, format!("[[listener]]\naddress = \"{}\"\n{file}", listener.address())).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
         command.args(["serve", "--config"]).arg(&path).env_remove("NODE_CONFIG");
@@ -677,7 +677,7 @@
         start.log.expect(0, "start: configuration complete");
         let begun = Instant::now();
         while !thread_names(&start.process.0).contains(&"store-open".to_string()) {
-            assert!(begun.elapsed() < PATIENCE, "no store is opened");
+            assert!(begun.elapsed() < WAIT_LIMIT, "no store is opened");
             std::thread::sleep(Duration::from_millis(2));
         }
         start
@@ -702,7 +702,7 @@
 /// Guards against a start that cannot be stopped while the disk of its store hangs.
 #[test]
 fn stop_signal_ends_a_start_whose_store_hangs() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     for signal in ["TERM", "INT"] {
         let folder = Folder::new(&format!("hangs-{signal}"));
         hang_opening(&folder);
@@ -713,7 +713,7 @@
 /// Guards against a start that cannot be stopped while it waits for the store's other owner.
 #[test]
 fn stop_signal_ends_a_start_whose_store_has_another_owner() {
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     for signal in ["TERM", "INT"] {
         let folder = Folder::new(&format!("owned-{signal}"));
         let lock = std::fs::File::create(folder.0.join("record.db.lock")).unwrap();
@@ -726,7 +726,7 @@
 #[test]
 fn start_whose_store_hangs_listens_after_its_wait_and_takes_a_hangup() {
     let folder = Folder::new("hangs");
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let lock = hang_opening(&folder);
     let begun = Instant::now();
     let start = StoreStart::opening(&folder, &folder.file(&backend));
@@ -738,11 +738,11 @@
     start.log.expect(0, "store: not open after 6s: requests that need the record are rejected");
     start.log.expect(0, "SIGHUP: taken");
     let mut client = Client::connect(start.listener.address());
-    assert_eq!(client.ask(&request("/read", 15.0, "")).status(), 200);
-    let refused = client.ask(&paid("k"));
+    assert_eq!(client.request(&request("/read", 15.0, "")).status(), 200);
+    let refused = client.request(&paid("k"));
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1")));
-    assert_eq!(backend.count(), 1);
+    assert_eq!(backend.request_count(), 1);
     let _reader = std::fs::File::open(&lock).unwrap();
     start.log.expect(0, "store: open, requests that need the record are accepted again");
-    assert_eq!(Client::connect(start.listener.address()).ask(&paid("k")).status(), 200);
+    assert_eq!(Client::connect(start.listener.address()).request(&paid("k")).status(), 200);
 }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -62,12 +62,12 @@
     let mut clients = JoinSet::new();
     let mut number = 0;
     while !*stop.borrow() {
-        let pause = Duration::from_secs_f64(pause_ms / 1e3 * 2.0 * rng.part());
+        let pause = Duration::from_secs_f64(pause_ms / 1e3 * 2.0 * rng.uniform());
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
             _ = stop.changed() => break,
         }
-        let stay = Duration::from_secs_f64(rng.part() * LONGEST_CONNECTION_MS / 1e3);
+        let stay = Duration::from_secs_f64(rng.uniform() * LONGEST_CONNECTION_MS / 1e3);
         clients.spawn(disconnect_once(to, clock, request_id(run, number), number, stay));
         number += 1;
     }
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -32,12 +32,12 @@
                     _ => {}
                 }
             }
-            let made_up = checks::answers_come_from_boxes(&self.ledger, &records.load);
+            let made_up = checks::answers_come_from_backends(&self.ledger, &records.load);
             for violation in made_up {
-                report(violations, Invariant::TrueAnswer, violation.what);
+                report(violations, Invariant::TrueAnswer, violation.description);
             }
-            if records.load.mixed_up + records.load.overfull > 0 {
-                let (mixed, more) = (records.load.mixed_up, records.load.overfull);
+            if records.load.mismatched_answers + records.load.excess_bytes > 0 {
+                let (mixed, more) = (records.load.mismatched_answers, records.load.excess_bytes);
                 let text = format!("p{}: {mixed} answers of others, {more} with more behind", process.proxy);
                 report(violations, Invariant::TrueAnswer, text);
             }
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -21,7 +21,7 @@
         for (record, _) in self.timely_records() {
             let Some(deadline) = deadlines.get(&*record.id) else { continue };
             let Some(left) = record.time_left else { continue };
-            let until = record.came + left;
+            let until = record.first_byte_at + left;
             if until > *deadline + TIME_LEFT_SLACK {
                 let over = (until - *deadline).secs();
                 let text = format!("{} was told {over:.3} s too much", record.id);
@@ -36,8 +36,10 @@
             disconnects.map(|left| (left.id.as_str(), left.closed_at)).collect();
         let slack = Micros(CLIENT_GONE_SLACK.0 + self.pause_allowance().0 + CLOCK_SLACK.0);
         for (record, _) in self.timely_records() {
-            if let Some(closed) = closed.get(&*record.id).filter(|closed| record.came > **closed + slack) {
-                let after = (record.came - *closed).secs();
+            if let Some(closed) =
+                closed.get(&*record.id).filter(|closed| record.first_byte_at > **closed + slack)
+            {
+                let after = (record.first_byte_at - *closed).secs();
                 let text = format!("{} came {after:.3} s after its client had gone", record.id);
                 report(violations, Invariant::ClientGone, text);
             }
--- a/crates/soak/src/oracle/drains.rs
+++ b/crates/soak/src/oracle/drains.rs
@@ -10,19 +10,19 @@
             Micros(self.settings.drain_grace_us + CLOCK_SLACK.0 + MACHINE_SLACK.0 + self.pause_allowance().0);
         for drain in &self.drains {
             let is_during_drain = |record: &Record| {
-                record.at_box == drain.backend
-                    && record.came > drain.from
-                    && drain.until.is_none_or(|until| record.came < until)
+                record.backend == drain.backend
+                    && record.first_byte_at > drain.from
+                    && drain.until.is_none_or(|until| record.first_byte_at < until)
             };
             for (record, process) in self.timely_records().filter(|(record, _)| is_during_drain(record)) {
                 let known_at = self.change_known_at(&self.processes[process], drain.backend, drain.from);
-                if record.came > known_at + allowance {
-                    let after = (record.came - known_at).secs();
+                if record.first_byte_at > known_at + allowance {
+                    let after = (record.first_byte_at - known_at).secs();
                     let text = format!(
                         "{} came to b{} at {:.3} s, {after:.3} s after p{} was told",
                         record.id,
                         drain.backend,
-                        seconds(record.came),
+                        seconds(record.first_byte_at),
                         self.processes[process].proxy
                     );
                     report(violations, Invariant::Drain, text);
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -151,8 +151,10 @@
     /// Whether a record came when it was sent: it did not come over a delayed link.
     pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
         !self.delayed_links.iter().any(|link| {
-            let is_its_link = link.proxy == proxy && link.backend == record.at_box;
-            is_its_link && record.came >= link.from && record.came <= link.until + DELAYED_LINK_TAIL
+            let is_its_link = link.proxy == proxy && link.backend == record.backend;
+            is_its_link
+                && record.first_byte_at >= link.from
+                && record.first_byte_at <= link.until + DELAYED_LINK_TAIL
         })
     }
 
@@ -169,7 +171,12 @@
         let one = |index: &usize| {
             let record = &self.ledger.records[*index];
             let ended = record.ended.map(|(at, how)| (seconds(at), how));
-            format!("; {} at b{} {:.3} s, ended {ended:?}", record.id, record.at_box, seconds(record.began))
+            format!(
+                "; {} at b{} {:.3} s, ended {ended:?}",
+                record.id,
+                record.backend,
+                seconds(record.last_byte_at)
+            )
         };
         indices.iter().map(one).collect()
     }
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -14,7 +14,7 @@
 
     fn check_unsafe_repeats(&self, violations: &mut Vec<Violation>) {
         for violation in checks::unsafe_ran_once(&self.ledger) {
-            let text = violation.what + &self.describe(&violation.records);
+            let text = violation.description + &self.describe(&violation.records);
             report(violations, Invariant::UnsafeOnce, text);
         }
     }
@@ -22,7 +22,7 @@
     fn check_keyed_repeats(&self, violations: &mut Vec<Violation>) {
         let window = Micros(self.settings.deduplication_window_us + self.pause_allowance().0 + CLOCK_SLACK.0);
         let processes = self.processes_by_client_run();
-        for violation in checks::keyed_ran_in_one_bay(&self.ledger, |_| window) {
+        for violation in checks::keyed_ran_in_one_group(&self.ledger, |_| window) {
             // On a delayed link the repeat may have been written in time.
             let is_timely = |index: &usize| {
                 let record = &self.ledger.records[*index];
@@ -30,7 +30,7 @@
                 process.is_none_or(|process| self.is_timely(record, self.processes[*process].proxy))
             };
             if violation.records.last().is_some_and(is_timely) {
-                let text = violation.what + &self.describe(&violation.records);
+                let text = violation.description + &self.describe(&violation.records);
                 report(violations, Invariant::KeyedInside, text);
             }
         }
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -46,16 +46,16 @@
         let processes = self.processes_by_client_run();
         let mut by_boot: BTreeMap<(usize, usize), Vec<&Record>> = BTreeMap::new();
         for record in &self.ledger.records {
-            by_boot.entry((record.at_box, record.boot)).or_default().push(record);
+            by_boot.entry((record.backend, record.boot)).or_default().push(record);
         }
         for ((at_box, boot), records) in by_boot {
-            let booted = self.ledger.boxes[at_box].boots.get(boot).and_then(|boot| boot.at);
+            let booted = self.ledger.backends[at_box].boots.get(boot).and_then(|boot| boot.at);
             let Some((booted, listed)) = booted.zip(self.start_listed_at(at_box, boot)) else { continue };
             let Some(overload) = self.first_overload(&records, booted) else { continue };
             let knew_of_start = |record: &&&Record| {
                 let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
                 process.is_some_and(|process| {
-                    record.came >= self.change_known_at(&self.processes[*process], at_box, listed)
+                    record.first_byte_at >= self.change_known_at(&self.processes[*process], at_box, listed)
                 })
             };
             let got = overload.records.len();
@@ -77,15 +77,15 @@
     fn first_overload<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Overload<'a>> {
         let mut first = 0;
         for (last, record) in records.iter().enumerate() {
-            while records[first].began + Micros(OVERLOAD_WINDOW_US) < record.began {
+            while records[first].last_byte_at + Micros(OVERLOAD_WINDOW_US) < record.last_byte_at {
                 first += 1;
             }
-            let age_as_window_began = (record.began - Micros(OVERLOAD_WINDOW_US)) - booted;
+            let age_as_window_began = (record.last_byte_at - Micros(OVERLOAD_WINDOW_US)) - booted;
             let is_warm = age_as_window_began >= Micros(self.settings.slow_start_window_us);
             let limit = Evidence::cold_request_limit(&self.settings, age_as_window_began);
             let window = &records[first..=last];
             if !is_warm && window.len() as f64 > limit {
-                return Some(Overload { records: window, age: record.began - booted, limit });
+                return Some(Overload { records: window, age: record.last_byte_at - booted, limit });
             }
         }
         None
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -4,7 +4,7 @@
 };
 use crate::proxies::ProcessRecord;
 use nix::sys::signal::Signal;
-use shaletide_testkit::{BoxSpec, End, Fleet, Ledger, Load, LoadClass, LoadResult, Power, Sent};
+use shaletide_testkit::{BackendSpec, CpuCapacity, End, Fleet, Ledger, Load, LoadClass, LoadResult, Sent};
 use shaletide_types::Idempotency;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -286,10 +286,11 @@
 /// Guards against a request that is reported as unanswered though its client had no time left to send it.
 #[test]
 fn request_that_its_client_did_not_send_is_not_unanswered() {
-    let fleet = Fleet::start(vec![BoxSpec::new("b0", Power::warm(1, 1.0))]).expect("a fleet on loopback");
+    let fleet =
+        Fleet::start(vec![BackendSpec::new("b0", CpuCapacity::warm(1, 1.0))]).expect("a fleet on loopback");
     let class = LoadClass::new("read", Idempotency::Safe, Duration::from_millis(1));
     let load = Load::new(100.0, vec![class], Duration::from_millis(300));
-    let load = load.run_blocking(fleet.boxes()[0].address).expect("a runtime");
+    let load = load.run_blocking(fleet.backends()[0].address).expect("a runtime");
     assert!(!load.sent.is_empty() && fleet.ledger().records.is_empty(), "no request came to the backend");
     let mut evidence = evidence(false);
     evidence.clients = vec![ClientRecords { process: 0, load, disconnects: (1, Vec::new()) }];
--- a/crates/soak/src/plan/builder.rs
+++ b/crates/soak/src/plan/builder.rs
@@ -20,7 +20,7 @@
 impl PlanBuilder {
     /// The builder of a seed's plan, without any step.
     pub(super) fn new(seed: u64, scale: &Scale) -> PlanBuilder {
-        PlanBuilder { rng: SeededRng::of(seed, "plan"), scale: *scale, steps: Vec::new() }
+        PlanBuilder { rng: SeededRng::named(seed, "plan"), scale: *scale, steps: Vec::new() }
     }
 
     /// The steps, in the order of their times; those of one time stay in the order in which they were added.
@@ -42,17 +42,17 @@
 
     /// Draws a number below a bound.
     pub(super) fn below(&mut self, bound: usize) -> usize {
-        (self.rng.word() % bound.max(1) as u64) as usize
+        (self.rng.next_u64() % bound.max(1) as u64) as usize
     }
 
     /// Draws a number between two bounds.
     pub(super) fn between(&mut self, from: f64, to: f64) -> f64 {
-        from + (to - from) * self.rng.part()
+        from + (to - from) * self.rng.uniform()
     }
 
     /// Draws a number of milliseconds between two bounds, short ones as likely as long ones.
     pub(super) fn log_millis(&mut self, least: f64, most: f64) -> u64 {
-        (least * (most / least).powf(self.rng.part())) as u64
+        (least * (most / least).powf(self.rng.uniform())) as u64
     }
 
     /// Draws a time in the middle of the run, in seconds: faults meet there.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -153,7 +153,7 @@
     /// Ends all faults, so that open requests can be answered.
     fn heal(&self) -> io::Result<()> {
         self.control.clear()?;
-        self.discovery.serve(ListService::Up);
+        self.discovery.set_service(ListService::Up);
         for link in self.discovery_links.iter().flatten() {
             set_link(link, LinkFault::default())?;
         }
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -23,7 +23,7 @@
 fn class(name: &str, idempotency: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
     let deadline = Duration::from_micros(deadline_us);
     let headers = vec![("X-Account".into(), "north".into())];
-    LoadClass { body, headers, ..LoadClass::new(name, idempotency, deadline) }
+    LoadClass { body_bytes: body, headers, ..LoadClass::new(name, idempotency, deadline) }
 }
 
 fn classes(settings: &RunSettings) -> Vec<LoadClass> {
@@ -58,7 +58,7 @@
         let load = Load {
             seed: testbed.seed.wrapping_mul(7919) + u64::from(disconnecting_run),
             clock,
-            patience: PATIENCE_AFTER_DEADLINE,
+            late_answer_wait: PATIENCE_AFTER_DEADLINE,
             existing_connections_only: Some(no_new.clone()),
             ..Load::new(RATE_PER_S, classes(&testbed.settings), left)
         };
--- a/crates/soak/src/run/observations.rs
+++ b/crates/soak/src/run/observations.rs
@@ -5,7 +5,7 @@
 use crate::oracle::{BackendStart, ClientRecords, DelayedLink, DrainSpan, Evidence, ListWrite};
 use crate::plan::{FaultKind, Plan, Step};
 use crate::proxies::ProcessRecord;
-use shaletide_testkit::Told;
+use shaletide_testkit::Delivery;
 use shaletide_types::Time;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -90,9 +90,10 @@
     /// The entries that discovery wrote to each proxy.
     fn list_writes(&self) -> Vec<ListWrite> {
         let place = |name: &str| name.get(1..).and_then(|number| number.parse().ok());
-        let one =
-            |told: Told| Some(ListWrite { proxy: told.watcher, backend: place(&told.name)?, at: told.at });
-        self.discovery.told().into_iter().filter_map(one).collect()
+        let one = |told: Delivery| {
+            Some(ListWrite { proxy: told.watcher, backend: place(&told.name)?, at: told.at })
+        };
+        self.discovery.deliveries().into_iter().filter_map(one).collect()
     }
 
     /// Records that these proxies cannot reach discovery from now on.
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -8,7 +8,7 @@
 use crate::plan::{ProcessEnd, ProcessStart, Restart, StopSignals};
 use crate::proxies::{peak_memory_kib, ProcessRecord};
 use nix::sys::signal::Signal::{self, SIGHUP, SIGTERM};
-use shaletide_testkit::{Exchange, Kept};
+use shaletide_testkit::{Exchange, KeptConnection};
 use shaletide_types::Time;
 use std::io;
 use std::process::{Child, ExitStatus};
@@ -223,8 +223,8 @@
         let probe = "GET /-/ready HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n";
         while tokio::time::Instant::now() < by && matches!(child.try_wait(), Ok(None)) {
             let soon = tokio::time::Instant::now() + PROBE_TIMEOUT;
-            if let Ok(mut link) = Kept::open(to, soon).await {
-                let exchange = link.ask(probe.as_bytes(), "GET", soon).await;
+            if let Ok(mut link) = KeptConnection::open(to, soon).await {
+                let exchange = link.send_request(probe.as_bytes(), "GET", soon).await;
                 if matches!(exchange, Exchange::Answer(ref answer) if answer.status() == 200) {
                     return Some(self.clock.now());
                 }
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -10,7 +10,8 @@
 use crate::settings::RunSettings;
 use shaletide_lab::links::{Link, Links};
 use shaletide_testkit::{
-    BoxHandle, BoxSpec, Clock, Entry, Fleet, FleetSpec, Law, ListServer, Power, Service, View,
+    BackendHandle, BackendSpec, Clock, CpuCapacity, Distribution, Entry, Fleet, FleetSpec, ListServer,
+    Service, View,
 };
 use shaletide_types::Micros;
 use std::io;
@@ -29,32 +30,36 @@
     format!("p{index}")
 }
 
-fn backend(index: usize, settings: &RunSettings) -> BoxSpec {
+fn backend(index: usize, settings: &RunSettings) -> BackendSpec {
     let RunSettings { initial_capacity_fraction, slow_start_window_us, .. } = *settings;
-    let power =
-        Power { cores: CORES, speed: 1.0, initial_capacity_fraction, ramp: Micros(slow_start_window_us) };
-    BoxSpec {
-        bay: 1 + (index / BACKENDS_PER_BAY) as u64,
-        idle: Duration::from_secs(10),
-        ..BoxSpec::new(&format!("b{index}"), power)
+    let power = CpuCapacity {
+        cores: CORES,
+        speed: 1.0,
+        initial_capacity_fraction,
+        ramp: Micros(slow_start_window_us),
+    };
+    BackendSpec {
+        deduplication_group: 1 + (index / BACKENDS_PER_BAY) as u64,
+        idle_timeout: Duration::from_secs(10),
+        ..BackendSpec::new(&format!("b{index}"), power)
     }
 }
 
 fn start_fleet(seed: u64, scale: &Scale, settings: &RunSettings) -> io::Result<Fleet> {
     let boxes = (0..scale.backends).map(|index| backend(index, settings)).collect();
-    let services = vec![Service::new("", Law::Exponential(MEAN_WORK_MS))];
+    let services = vec![Service::new("", Distribution::Exponential(MEAN_WORK_MS))];
     Fleet::with(FleetSpec { services, seed, ..FleetSpec::new(boxes) })
 }
 
 /// Links from each proxy to each backend.
 fn link_backends(links: &Links, proxies: usize, fleet: &Fleet) -> io::Result<Vec<Vec<Link>>> {
-    let link = |proxy: &str, backend: &BoxHandle| {
+    let link = |proxy: &str, backend: &BackendHandle| {
         let name = &backend.spec.name;
         links.tcp(&format!("{proxy}-{name}"), [proxy, name], HERE, backend.address)
     };
     let link_all = |index: usize| {
         let proxy = proxy_name(index);
-        fleet.boxes().iter().map(|backend| link(&proxy, backend)).collect()
+        fleet.backends().iter().map(|backend| link(&proxy, backend)).collect()
     };
     (0..proxies).map(link_all).collect()
 }
@@ -62,7 +67,7 @@
 /// The addresses at which each proxy finds the backends, where these are links.
 fn views(fleet: &Fleet, backend_links: &[Vec<Link>]) -> Vec<View> {
     let view = |links: &Vec<Link>| {
-        let names = fleet.boxes().iter().map(|backend| backend.spec.name.clone());
+        let names = fleet.backends().iter().map(|backend| backend.spec.name.clone());
         names.zip(links.iter().map(Link::address)).collect()
     };
     backend_links.iter().map(view).collect()
@@ -123,7 +128,7 @@
         let backend_links =
             if has_link_faults { link_backends(&links, scale.proxies, &fleet)? } else { Vec::new() };
         let views = views(&fleet, &backend_links);
-        let entries: Vec<Entry> = fleet.boxes().iter().map(BoxHandle::entry).collect();
+        let entries: Vec<Entry> = fleet.backends().iter().map(BackendHandle::entry).collect();
         let discovery = start_discovery(clock, scale.proxies, &entries, &views)?;
         let discovery_links = link_discovery(&links, scale.proxies, &discovery)?;
         let slots = proxy_slots(&folder, &plan.settings, &discovery_links, &entries, &views)?;
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -5,7 +5,7 @@
 use crate::plan::{BackendFault, Restart, Step};
 use nix::sys::signal::Signal;
 use shaletide_lab::links::{Cut, Fault as LinkFault, Link};
-use shaletide_testkit::{Fault, Law, ListService, Sending};
+use shaletide_testkit::{Distribution, Fault, ListService, Sending};
 use std::io;
 use std::sync::Arc;
 use std::time::Duration;
@@ -74,11 +74,11 @@
 
     fn stop_discovery(&self, service: ListService) {
         self.discovery_unreachable_from_now(0..self.scale.proxies);
-        self.discovery.serve(service);
+        self.discovery.set_service(service);
     }
 
     fn resume_discovery(&self) {
-        self.discovery.serve(ListService::Up);
+        self.discovery.set_service(ListService::Up);
         self.discovery_reachable_again(0..self.scale.proxies);
     }
 
@@ -101,32 +101,32 @@
         let from = self.clock.now();
         self.discovery.drain(&format!("b{backend}"));
         self.note_drain(backend, from);
-        self.fleet.boxes()[backend].drain();
+        self.fleet.backends()[backend].drain();
     }
 
     fn remove_backend(&self, backend: usize) {
         self.discovery.delete(&format!("b{backend}"));
-        self.fleet.boxes()[backend].kill();
+        self.fleet.backends()[backend].kill();
     }
 
     fn start_backend(&self, backend: usize) {
-        let handle = &self.fleet.boxes()[backend];
-        handle.revive();
+        let handle = &self.fleet.backends()[backend];
+        handle.restart();
         let now = self.clock.now();
         self.discovery.put(handle.entry());
         self.note_backend_start(backend, now);
     }
 
     fn kill_backend(&self, backend: usize) {
-        self.fleet.boxes()[backend].kill();
+        self.fleet.backends()[backend].kill();
     }
 
     fn set_backend_fault(&self, backend: usize, fault: BackendFault) {
-        self.fleet.boxes()[backend].set(stand_in_fault(fault));
+        self.fleet.backends()[backend].set_fault(stand_in_fault(fault));
     }
 
     fn heal_backend(&self, backend: usize) {
-        let handle = &self.fleet.boxes()[backend];
+        let handle = &self.fleet.backends()[backend];
         for fault in [
             Fault::Hang(0.0),
             Fault::Fail(0.0),
@@ -135,7 +135,7 @@
             Fault::Keep,
             Fault::Send(Sending::Whole),
         ] {
-            handle.set(fault);
+            handle.set_fault(fault);
         }
     }
 
@@ -157,7 +157,7 @@
     fn slow_link(&self, proxy: usize, backend: usize) -> io::Result<()> {
         self.link_delayed_from_now(proxy, backend);
         let (least_ms, most_ms) = SLOW_LINK_MS;
-        let fault = LinkFault::delay_ms(Law::Even(least_ms, most_ms));
+        let fault = LinkFault::delay_ms(Distribution::Even(least_ms, most_ms));
         set_link(self.backend_link(proxy, backend), fault)
     }
 
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -47,8 +47,8 @@
 
     /// Draws the settings of a seed.
     pub fn draw(seed: u64) -> RunSettings {
-        let mut rng = SeededRng::of(seed, "settings");
-        let mut between = |from: f64, to: f64| from + (to - from) * rng.part();
+        let mut rng = SeededRng::named(seed, "settings");
+        let mut between = |from: f64, to: f64| from + (to - from) * rng.uniform();
         // Half of the runs have short deadlines, and so the earliest SIGKILL.
         let longest = if between(0.0, 1.0) < 0.5 { 0.8 } else { 3.0 };
         let deadlines_us = [(); 3].map(|()| micros(between(0.2, longest)));
--- a/crates/soak/tests/crossed_close.rs
+++ b/crates/soak/tests/crossed_close.rs
@@ -71,11 +71,12 @@
     fn start() -> Testbed {
         let folder = Folder::new();
         let (program, _control) = faulty(&folder, None);
-        let power = Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
-        let boxes = (0..BACKENDS).map(|number| BoxSpec::new(&format!("b{number}"), power)).collect();
-        let services = vec![Service::new("", Law::Fixed(WORK_MS))];
+        let power =
+            CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
+        let boxes = (0..BACKENDS).map(|number| BackendSpec::new(&format!("b{number}"), power)).collect();
+        let services = vec![Service::new("", Distribution::Fixed(WORK_MS))];
         let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes) }).unwrap();
-        let known: Vec<String> = fleet.boxes().iter().map(|backend| backend.entry().text()).collect();
+        let known: Vec<String> = fleet.backends().iter().map(|backend| backend.entry().text()).collect();
         let proxy = program.start(&known);
         Testbed { fleet, proxy, _folder: folder }
     }
@@ -93,7 +94,7 @@
             clock,
             crossing_limit: CROSSING_LIMIT,
             connections: CONNECTIONS,
-            leave_out: true,
+            skip_when_busy: true,
             ..Load::new(RATE_PER_S, vec![class], LONGEST_LOAD)
         };
         let (to, (end_load, ended)) = (link.address, oneshot::channel());
@@ -178,10 +179,10 @@
 fn request_that_comes_between_the_last_look_and_the_close_is_answered_on_a_new_connection() {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
-    let backend = BackendServer::start(|_| ok("done"));
-    let mut proxy = program.start(&[entry("b0", backend.address, "SERVING")]);
+    let backend = BackendServer::start(|_| ok_reply("done"));
+    let mut proxy = program.start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let mut clients: Vec<Client> = (0..KEPT).map(|_| proxy.client()).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.ask(&read(3.0)).status(), 200));
+    clients.iter_mut().for_each(|client| assert_eq!(client.request(&read_request(3.0)).status(), 200));
     control.set(CallFault::HeldShutdown, 1.0).unwrap();
     proxy.signal("TERM");
     wait_until_about_to_close(&control);
--- a/crates/soak/tests/held_deadline.rs
+++ b/crates/soak/tests/held_deadline.rs
@@ -50,19 +50,19 @@
     let backend = BackendServer::start(move |number| {
         noted.lock().unwrap().push(Instant::now());
         if number == 0 {
-            ok("done")
+            ok_reply("done")
         } else {
             Reply::Silence
         }
     });
-    let proxy = program.start(&[entry("b0", backend.address, "SERVING")]);
+    let proxy = program.start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let mut client = proxy.client();
-    assert_eq!(client.ask(&pay(3.0)).status(), 200);
-    backend.request();
+    assert_eq!(client.request(&pay_request(3.0)).status(), 200);
+    backend.next_request();
     std::thread::sleep(REST);
     control.set(fault, 1.0).unwrap();
     let sent_at = Instant::now();
-    client.send(&pay(CLIENT_WAITS.as_secs_f64()));
+    client.send(&pay_request(CLIENT_WAITS.as_secs_f64()));
     wait_until_held(&control, fault);
     let pid = proxy.child.id();
     hold_still(pid);
@@ -75,7 +75,7 @@
     let told_until = came
         .into_iter()
         .map(|at| {
-            let told = backend.request().header("x-time-left").expect("the time left").parse().unwrap();
+            let told = backend.next_request().header("x-time-left").expect("the time left").parse().unwrap();
             at.duration_since(sent_at) + Duration::from_secs_f64(told)
         })
         .collect();
--- a/crates/soak/tests/held_stop_sweep.rs
+++ b/crates/soak/tests/held_stop_sweep.rs
@@ -76,12 +76,12 @@
 
 impl Testbed {
     fn start(program: &Program, backend: &BackendServer) -> Testbed {
-        let proxy = program.start(&[entry("b0", backend.address, "SERVING")]);
+        let proxy = program.start(&[endpoint_json("b0", backend.address, "SERVING")]);
         let mut kept = Vec::new();
         for kind in [Kind::Idle, Kind::JustAnswered] {
             for _ in 0..CONNECTIONS {
                 let mut client = proxy.client();
-                assert_eq!(client.ask(&read(3.0)).status(), 200);
+                assert_eq!(client.request(&read_request(3.0)).status(), 200);
                 kept.push((kind, client));
             }
         }
@@ -92,7 +92,7 @@
     fn answer_now(&mut self) {
         let mut fresh: Vec<&mut Client> =
             self.kept.iter_mut().filter(|(kind, _)| *kind == Kind::JustAnswered).map(|(_, c)| c).collect();
-        fresh.iter_mut().for_each(|client| client.send(&read(3.0)));
+        fresh.iter_mut().for_each(|client| client.send(&read_request(3.0)));
         fresh.iter_mut().for_each(|client| assert_eq!(client.answer().expect("an answer").status(), 200));
     }
 
@@ -171,7 +171,7 @@
     fn play(self) -> Vec<Outcome> {
         let folder = Folder::new();
         let (program, control) = faulty(&folder, None);
-        let backend = BackendServer::start(|_| ok("done"));
+        let backend = BackendServer::start(|_| ok_reply("done"));
         let testbed = Testbed::start(&program, &backend);
         if let Some(fault) = self.fault {
             control.set(fault, FAULT_RATE).unwrap();
--- a/crates/soak/tests/load_at_stop.rs
+++ b/crates/soak/tests/load_at_stop.rs
@@ -20,10 +20,10 @@
 fn load_across_a_stop(seed: u64) -> (usize, usize) {
     let folder = Folder::new();
     let (program, _control) = faulty(&folder, None);
-    let backends: Vec<BackendServer> = (0..3).map(|_| BackendServer::start(|_| ok("done"))).collect();
+    let backends: Vec<BackendServer> = (0..3).map(|_| BackendServer::start(|_| ok_reply("done"))).collect();
     let known: Vec<String> = (0..)
         .zip(&backends)
-        .map(|(n, backend)| entry(&format!("b{n}"), backend.address, "SERVING"))
+        .map(|(n, backend)| endpoint_json(&format!("b{n}"), backend.address, "SERVING"))
         .collect();
     let proxy = program.start(&known);
     let (existing_only, no_new) = watch::channel(false);
--- a/crates/soak/tests/record_faults.rs
+++ b/crates/soak/tests/record_faults.rs
@@ -37,7 +37,7 @@
 /// One request; `None` where its connection ended, as it does where the program is killed.
 fn pay_key(to: SocketAddr, key: &str) -> Option<u16> {
     let mut tcp = TcpStream::connect(to).ok()?;
-    tcp.set_read_timeout(Some(PATIENCE)).ok()?;
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
     let text = format!(
         "POST /pay/1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {key}\r\nX-Time-Left: 2.0\r\nIdempotency-Key: {key}\r\n\
          Content-Length: 4\r\n\r\ncash"
@@ -126,7 +126,7 @@
     program: &'a Program,
     control: &'a FaultControl,
     config: &'a str,
-    proxy: Option<Serving>,
+    proxy: Option<ServingProgram>,
     /// Where its clients find it.
     address: &'a Mutex<SocketAddr>,
 }
@@ -138,11 +138,11 @@
         let mut disturbances = Disturbances::default();
         let begun = Instant::now();
         while begun.elapsed() < length {
-            std::thread::sleep(Duration::from_millis(100 + rng.word() % 300));
-            let fault = FAULTS[rng.word() as usize % FAULTS.len()];
-            let chance = [0.0, 0.0, 0.02, 0.3, 1.0][rng.word() as usize % 5];
+            std::thread::sleep(Duration::from_millis(100 + rng.next_u64() % 300));
+            let fault = FAULTS[rng.next_u64() as usize % FAULTS.len()];
+            let chance = [0.0, 0.0, 0.02, 0.3, 1.0][rng.next_u64() as usize % 5];
             self.control.set(fault, chance).expect("the control file");
-            match rng.word() % 8 {
+            match rng.next_u64() % 8 {
                 0 => {
                     self.restart();
                     disturbances.kills += 1;
@@ -168,10 +168,12 @@
 
 /// What was served is known after a start on a sound disk, and whatever is sent again runs once at most. Returns how many
 /// keys were served.
-fn check_keys_after_restart(seed: u64, proxy: &Serving, answers: &BTreeMap<String, Option<u16>>) -> usize {
+fn check_keys_after_restart(
+    seed: u64, proxy: &ServingProgram, answers: &BTreeMap<String, Option<u16>>,
+) -> usize {
     let begun = Instant::now();
     while pay_key(proxy.address, "sound").is_none_or(|status| status == 503) {
-        assert!(begun.elapsed() < PATIENCE, "seed {seed}: the store does not come back");
+        assert!(begun.elapsed() < WAIT_LIMIT, "seed {seed}: the store does not come back");
         std::thread::sleep(Duration::from_millis(50));
     }
     let served = answers.iter().filter(|(_, status)| **status == Some(200));
--- a/crates/soak/tests/record_start.rs
+++ b/crates/soak/tests/record_start.rs
@@ -27,10 +27,10 @@
 }
 
 /// Sends the key until it is served; until then it may only be rejected.
-fn retry_until_served(proxy: &Serving, key: &str) {
+fn retry_until_served(proxy: &ServingProgram, key: &str) {
     let begun = Instant::now();
-    while proxy.ask(&keyed_pay(key)).status() != 200 {
-        assert!(begun.elapsed() < PATIENCE, "{key} is not served");
+    while proxy.request(&keyed_pay(key)).status() != 200 {
+        assert!(begun.elapsed() < WAIT_LIMIT, "{key} is not served");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
@@ -38,7 +38,7 @@
 fn starts_while_disk_fails(fault: CallFault) {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, Some(folder.path()));
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let text = file(&folder, &backend);
     let first = program.serve(&text);
     retry_until_served(&first, "before");
@@ -46,15 +46,15 @@
 
     control.set(fault, 1.0).expect("the control file");
     let proxy = program.serve(&text);
-    assert_eq!(proxy.ask(&read(3.0)).status(), 200, "{fault:?}: what needs no record is served");
-    let rejected = proxy.ask(&keyed_pay("during"));
+    assert_eq!(proxy.request(&read_request(3.0)).status(), 200, "{fault:?}: what needs no record is served");
+    let rejected = proxy.request(&keyed_pay("during"));
     assert_eq!(rejected.status(), 503, "{fault:?}");
     assert!(rejected.header("retry-after").is_some(), "{fault:?}");
-    let sent_before = backend.count();
+    let sent_before = backend.request_count();
     control.clear().expect("the control file");
     retry_until_served(&proxy, "during");
-    assert_eq!(backend.count(), sent_before + 1, "{fault:?}: sent once");
-    assert_eq!(proxy.ask(&keyed_pay("before")).status(), 409, "{fault:?}: known from before the failure");
+    assert_eq!(backend.request_count(), sent_before + 1, "{fault:?}: sent once");
+    assert_eq!(proxy.request(&keyed_pay("before")).status(), 409, "{fault:?}: known from before the failure");
 }
 
 #[test]
@@ -68,11 +68,11 @@
 #[test]
 fn start_fails_when_store_is_invalid_or_its_folder_is_missing() {
     let folder = Folder::new();
-    let backend = BackendServer::start(|_| ok("done"));
+    let backend = BackendServer::start(|_| ok_reply("done"));
     let (program, _control) = faulty(&folder, Some(folder.path()));
     std::fs::write(folder.path().join("record.db"), vec![b'x'; 8192]).expect("a file");
     let config = folder.path().join("operator.toml");
-    let refusing = Refusing::new();
+    let refusing = RefusingPort::new();
     let text = format!("[[listener]]\naddress = \"{}\"\n{}", refusing.address(), file(&folder, &backend));
     for text in [text.clone(), text.replace("record.db", "no/record.db")] {
         std::fs::write(&config, text).expect("a file");
--- a/crates/soak/tests/rig/stop_requests.rs
+++ b/crates/soak/tests/rig/stop_requests.rs
@@ -1,7 +1,7 @@
 //! Requests at a stop, each with what became of it for its client.
 
 use shaletide_soak::call_faults::CallFault;
-use shaletide_testkit::{pay, read, PATIENCE};
+use shaletide_testkit::{pay_request, read_request, WAIT_LIMIT};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
@@ -40,7 +40,7 @@
 
 /// The request of a connection, in the segments in which it is written.
 pub fn segments(connection: u32) -> Vec<Vec<u8>> {
-    let request = if connection % 2 == 0 { read(3.0) } else { pay(3.0) };
+    let request = if connection % 2 == 0 { read_request(3.0) } else { pay_request(3.0) };
     let request = request.into_bytes();
     let cut = match connection % 4 {
         0 => request.len(),
@@ -151,6 +151,6 @@
 /// A new connection to the proxy.
 pub fn open(proxy: SocketAddr) -> TcpStream {
     let tcp = TcpStream::connect(proxy).expect("a connection");
-    tcp.set_read_timeout(Some(PATIENCE)).unwrap();
+    tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     tcp
 }
--- a/crates/soak/tests/signal_moments/trial.rs
+++ b/crates/soak/tests/signal_moments/trial.rs
@@ -8,7 +8,8 @@
 use shaletide_soak::artifacts::Artifacts;
 use shaletide_soak::control::FaultControl;
 use shaletide_testkit::{
-    list, ok, read, BackendServer, Client, Clock, Entry, ListServer, Refusing, SETTINGS,
+    endpoint_list_json, ok_reply, read_request, BackendServer, Client, Clock, Entry, ListServer,
+    RefusingPort, SETTINGS,
 };
 use std::fs::File;
 use std::net::SocketAddr;
@@ -141,7 +142,7 @@
 
 impl Destination {
     fn start(answer: &'static str) -> Destination {
-        let backend = BackendServer::start(move |_| ok(answer));
+        let backend = BackendServer::start(move |_| ok_reply(answer));
         let entry = Entry::new(answer, backend.address, "east", "big", 1);
         let discovery = ListServer::start(Clock::start(), &[NODE_NAME], vec![entry]).expect("a discovery");
         Destination { backend, discovery }
@@ -230,7 +231,7 @@
         &self.artifacts.program
     }
 
-    fn configuration(&self, door: &Refusing, destination: &Destination) -> String {
+    fn configuration(&self, door: &RefusingPort, destination: &Destination) -> String {
         match self.form {
             Form::OperatorFile => operator_file(door.address(), destination.backend.address),
             Form::NodeConfig => node_config(door.address(), destination.discovery.address(0)),
@@ -256,7 +257,7 @@
 }
 
 fn node_config(listen: SocketAddr, discovery: SocketAddr) -> String {
-    let known = list(0, true, &[]);
+    let known = endpoint_list_json(0, true, &[]);
     format!(
         r#"{{"name":"{NODE_NAME}","listen":"{listen}","discovery":"{discovery}","seed":"1",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"known":{known},"settings":{SETTINGS}}}"#
@@ -267,7 +268,7 @@
     testbed: &'a Testbed,
     inherited: Inherited,
     folder: Folder,
-    door: Refusing,
+    door: RefusingPort,
     process: Process,
     /// See [`Trial::processor_wait`]; as it was when the process was last looked at.
     processor_waited: Duration,
@@ -277,7 +278,7 @@
 impl<'a> Trial<'a> {
     /// Starts the shell that stops itself and then executes the program.
     fn start(testbed: &'a Testbed, inherited: Inherited) -> Trial<'a> {
-        let (folder, door) = (Folder::new("signal-moments"), Refusing::new());
+        let (folder, door) = (Folder::new("signal-moments"), RefusingPort::new());
         let configuration = folder.file("proxy.toml");
         std::fs::write(&configuration, testbed.configuration(&door, &testbed.earlier)).expect("a file");
         let mut command = Command::new("/bin/sh");
@@ -390,7 +391,7 @@
 
     fn answers_by_later(&self) -> bool {
         self.log().contains("listens on ")
-            && Client::connect(self.door.address()).ask(&read(3.0)).body == LATER.as_bytes()
+            && Client::connect(self.door.address()).request(&read_request(3.0)).body == LATER.as_bytes()
     }
 
     /// How long the process's main thread and this thread were ready to run, and other threads had the processors.
--- a/crates/soak/tests/signal_path.rs
+++ b/crates/soak/tests/signal_path.rs
@@ -28,17 +28,17 @@
         let (program, control) = faulty(&folder, None);
         let backend = BackendServer::start(|_| {
             std::thread::sleep(Duration::from_millis(300));
-            ok("done")
+            ok_reply("done")
         });
-        let proxy = program.start(&[entry("b0", backend.address, "SERVING")]);
+        let proxy = program.start(&[endpoint_json("b0", backend.address, "SERVING")]);
         Testbed { proxy, control, backend, _folder: folder }
     }
 
     /// A client whose request is being answered.
     fn client_in_flight(&self) -> Client {
         let mut client = self.proxy.client();
-        client.send(&pay(3.0));
-        self.backend.request();
+        client.send(&pay_request(3.0));
+        self.backend.next_request();
         client
     }
 
@@ -127,7 +127,7 @@
     let until = Instant::now() + Duration::from_secs(2);
     while testbed.control.count(CallFault::InterruptedWake).unwrap() < INTERRUPTIONS && Instant::now() < until
     {
-        assert_eq!(testbed.proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(testbed.proxy.request(&read_request(3.0)).status(), 200);
     }
     assert!(testbed.control.count(CallFault::InterruptedWake).unwrap() >= INTERRUPTIONS);
     let client = testbed.client_in_flight();
--- a/crates/soak/tests/start.rs
+++ b/crates/soak/tests/start.rs
@@ -16,8 +16,8 @@
 fn serves_after(fault: CallFault) {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
-    let backend = BackendServer::start(|_| ok("done"));
-    let known = vec![entry("b0", backend.address, "SERVING")];
+    let backend = BackendServer::start(|_| ok_reply("done"));
+    let known = vec![endpoint_json("b0", backend.address, "SERVING")];
     control.set(fault, 1.0).expect("the control file");
     std::thread::scope(|scope| {
         let started = scope.spawn(|| program.start(&known));
@@ -26,6 +26,6 @@
         }
         control.clear().expect("the control file");
         let proxy = started.join().expect("the program serves");
-        assert_eq!(proxy.ask(&pay(3.0)).status(), 200);
+        assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
     });
 }
--- a/crates/soak/tests/stop_sweep.rs
+++ b/crates/soak/tests/stop_sweep.rs
@@ -25,12 +25,12 @@
     let (program, control) = faulty(&folder, None);
     let backend = BackendServer::start(|number| {
         std::thread::sleep(Duration::from_micros(700 * u64::from(number % 5)));
-        ok("done")
+        ok_reply("done")
     });
-    let mut proxy = program.start(&[entry("b0", backend.address, "SERVING")]);
+    let mut proxy = program.start(&[endpoint_json("b0", backend.address, "SERVING")]);
     let mut clients: Vec<Client> = (0..CONNECTIONS).map(|_| proxy.client()).collect();
     for client in &mut clients {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     if let Some(fault) = fault {
         control.set(fault, 0.5).unwrap();
--- a/crates/soak/tests/system_calls.rs
+++ b/crates/soak/tests/system_calls.rs
@@ -8,8 +8,8 @@
 
 /// A backend that answers everything, and its line in the list.
 fn backend() -> (BackendServer, Vec<String>) {
-    let backend = BackendServer::start(|_| ok("done"));
-    let known = vec![entry("b0", backend.address, "SERVING")];
+    let backend = BackendServer::start(|_| ok_reply("done"));
+    let known = vec![endpoint_json("b0", backend.address, "SERVING")];
     (backend, known)
 }
 
@@ -24,9 +24,9 @@
     control.set(CallFault::ShortRead, 1.0).expect("the control file");
     let mut client = proxy.client();
     for n in 0..5 {
-        assert_eq!(client.ask(&pay(3.0)).status(), 200, "request {n}");
+        assert_eq!(client.request(&pay_request(3.0)).status(), 200, "request {n}");
     }
-    assert_eq!(backend.count(), 5);
+    assert_eq!(backend.request_count(), 5);
     assert!(control.count(CallFault::ShortRead).expect("the control file") > 100);
 }
 
@@ -39,15 +39,15 @@
     let (backend, known) = backend();
     let proxy = program.start(&known);
     let mut client = proxy.client();
-    assert_eq!(client.ask(&pay(3.0)).status(), 200);
+    assert_eq!(client.request(&pay_request(3.0)).status(), 200);
     control.set(CallFault::InterruptedRead, 0.5).expect("the control file");
     control.set(CallFault::InterruptedWrite, 0.5).expect("the control file");
     for n in 0..20 {
-        for request in [read(3.0), pay(3.0), vote(3.0)] {
-            assert_eq!(client.ask(&request).status(), 200, "round {n}");
+        for request in [read_request(3.0), pay_request(3.0), vote_request(3.0)] {
+            assert_eq!(client.request(&request).status(), 200, "round {n}");
         }
     }
-    assert_eq!(backend.count(), 61);
+    assert_eq!(backend.request_count(), 61);
     for fault in [CallFault::InterruptedRead, CallFault::InterruptedWrite] {
         assert!(control.count(fault).expect("the control file") > 20, "{fault:?}");
     }
@@ -63,11 +63,11 @@
     let proxy = program.start(&known);
     let mut idle: Vec<Client> = (0..20).map(|_| proxy.client()).collect();
     for client in &mut idle {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     control.set(CallFault::Accept, 0.5).expect("the control file");
     for _ in 0..40 {
-        assert_eq!(proxy.ask(&read(3.0)).status(), 200);
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
     assert!(control.count(CallFault::Accept).expect("the control file") > 10);
     for (n, client) in idle.iter_mut().enumerate() {
--- a/crates/soak/tests/verdict_identity.rs
+++ b/crates/soak/tests/verdict_identity.rs
@@ -7,7 +7,7 @@
 use shaletide_soak::proxies::ProcessRecord;
 use shaletide_soak::settings::RunSettings;
 use shaletide_testkit::{
-    Boot, BoxInfo, End, Ended, Ledger, LoadResult, Power, Record, Repeat, SeededRng, Sent,
+    BackendInfo, Boot, CpuCapacity, End, Ended, Ledger, LoadResult, Record, Repeat, SeededRng, Sent,
 };
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 
 impl Draws {
     fn below(&mut self, bound: u64) -> u64 {
-        self.0.word() % bound
+        self.0.next_u64() % bound
     }
 
     fn one_in(&mut self, parts: u64) -> bool {
@@ -86,7 +86,7 @@
                 client: None,
             });
         }
-        (load.mixed_up, load.overfull) = (self.below(2), self.below(2));
+        (load.mismatched_answers, load.excess_bytes) = (self.below(2), self.below(2));
         let run = 0x200 + process as u32;
         let disconnect = |number| ClientDisconnect {
             id: request_id(run, number),
@@ -104,14 +104,14 @@
         let ended = has_ended[self.below(4) as usize];
         let told_us = settings.deadlines_us[class] + self.below(300_000);
         Record {
-            at_box,
+            backend: at_box,
             boot: usize::from(at_box < 2 && began >= BOOT),
             id: id.into(),
             key: (class == 2).then(|| format!("k-{id}").into()),
             class: ["read", "pay", "vote"][class].into(),
             repeat: [Repeat::Safe, Repeat::Unsafe, Repeat::Keyed][class],
-            came,
-            began,
+            first_byte_at: came,
+            last_byte_at: began,
             ended: (!self.one_in(9)).then(|| (Time(began.0 + 20_000), ended)),
             draining: None,
             work_ms: 20.0,
@@ -121,14 +121,20 @@
 
     fn ledger(&mut self, clients: &[ClientRecords], settings: &RunSettings) -> Ledger {
         let mut ledger = Ledger::new(100_000);
-        let power = Power { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
+        let power =
+            CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
         for number in 0..BACKENDS {
             let mut boots = vec![Boot { at: None, died: None }];
             if number < 2 {
                 boots.push(Boot { at: Some(BOOT), died: None });
             }
             let bay = 1 + number as u64 / 2;
-            ledger.boxes.push(BoxInfo { name: format!("b{number}"), bay, power, boots });
+            ledger.backends.push(BackendInfo {
+                name: format!("b{number}"),
+                deduplication_group: bay,
+                cpu_capacity: power,
+                boots,
+            });
         }
         for records in clients {
             for sent in &records.load.sent {
@@ -142,7 +148,7 @@
                 ledger.records.push(self.record(&disconnect.id, 0, sent, settings));
             }
         }
-        ledger.records.sort_by_key(|record| record.began);
+        ledger.records.sort_by_key(|record| record.last_byte_at);
         ledger
     }
 
@@ -206,7 +212,7 @@
     let mut counts: BTreeMap<Invariant, usize> = BTreeMap::new();
     let mut verdicts = String::new();
     for seed in 0..SEEDS {
-        let evidence = Draws(SeededRng::of(seed, "evidence")).evidence(seed);
+        let evidence = Draws(SeededRng::named(seed, "evidence")).evidence(seed);
         for violation in judge(&evidence) {
             *counts.entry(violation.invariant).or_default() += 1;
             let digits: String = violation.text.chars().filter(char::is_ascii_digit).collect();
--- a/crates/soak/tests/wall_clock.rs
+++ b/crates/soak/tests/wall_clock.rs
@@ -29,14 +29,14 @@
     Running,
 }
 
-fn backends() -> Vec<BoxSpec> {
-    let power = shaletide_testkit::Power {
+fn backends() -> Vec<BackendSpec> {
+    let power = shaletide_testkit::CpuCapacity {
         cores: 2,
         speed: 1.0,
         initial_capacity_fraction: 0.1,
         ramp: SLOW_START_WINDOW,
     };
-    (0..5).map(|n| BoxSpec::new(&format!("b{n}"), power)).collect()
+    (0..5).map(|n| BackendSpec::new(&format!("b{n}"), power)).collect()
 }
 
 fn settings() -> String {
@@ -53,33 +53,33 @@
     if since == Since::Start {
         control.step_wall_clock(ahead).expect("the control file");
     }
-    let services = vec![Service::new("", Law::Fixed(WORK_MS))];
+    let services = vec![Service::new("", Distribution::Fixed(WORK_MS))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backends()) }).expect("a fleet");
-    let entries: Vec<Entry> = fleet.boxes().iter().map(BoxHandle::entry).collect();
+    let entries: Vec<Entry> = fleet.backends().iter().map(BackendHandle::entry).collect();
     let known: Vec<String> = entries.iter().map(Entry::text).collect();
     let discovery = ListServer::start(fleet.clock(), &["n0"], entries).expect("a discovery");
-    let proxy = program.joined(discovery.address(0), &known, &settings());
+    let proxy = program.start_with_discovery(discovery.address(0), &known, &settings());
     let class = LoadClass::new("read", Idempotency::Safe, Duration::from_secs(3));
     let load =
         Load { clock: fleet.clock(), ..Load::new(RATE_PER_S, vec![class], UNLISTED_FOR * 2 + COUNTED_FOR) };
     let to = proxy.address;
     let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
-    let backend = &fleet.boxes()[0];
-    assert!(backend.wait(|stats| stats.requests > 10));
+    let backend = &fleet.backends()[0];
+    assert!(backend.wait_for_stats(|stats| stats.requests > 10));
     if since == Since::Running {
         control.step_wall_clock(ahead).expect("the control file");
     }
-    let version = discovery.set("b0", Status::Deleted);
-    assert!(discovery.wait_told(version));
+    let version = discovery.set_status("b0", Status::Deleted);
+    assert!(discovery.wait_delivered(version));
     std::thread::sleep(UNLISTED_FOR);
-    let started = backend.revive();
+    let started = backend.restart();
     discovery.put(backend.entry());
     let result = clients.join().expect("the clients");
     assert_eq!(result.unanswered(), 0);
     let ledger = fleet.ledger();
     let mut counts = vec![0; COUNTED_FOR.as_secs() as usize];
-    for record in ledger.records.iter().filter(|record| record.at_box == 0 && record.boot == 1) {
-        if let Some(count) = counts.get_mut((record.began - started).secs() as usize) {
+    for record in ledger.records.iter().filter(|record| record.backend == 0 && record.boot == 1) {
+        if let Some(count) = counts.get_mut((record.last_byte_at - started).secs() as usize) {
             *count += 1;
         }
     }
--- a/crates/testkit/examples/fleet.rs
+++ b/crates/testkit/examples/fleet.rs
@@ -9,19 +9,19 @@
     let number = |n: usize, usual: f64| std::env::args().nth(n).and_then(|a| a.parse().ok()).unwrap_or(usual);
     let (rate, seconds) = (number(1, 2_000.0), number(2, 3.0));
     let boxes = vec![
-        BoxSpec::new("fast", Power::warm(8, 2.0)),
-        BoxSpec { kind: "small".into(), ..BoxSpec::new("slow", Power::warm(8, 1.0)) },
+        BackendSpec::new("fast", CpuCapacity::warm(8, 2.0)),
+        BackendSpec { kind: "small".into(), ..BackendSpec::new("slow", CpuCapacity::warm(8, 1.0)) },
     ];
-    let services = vec![Service::new("read", Law::Exponential(2.0))];
+    let services = vec![Service::new("read", Distribution::Exponential(2.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes) })?;
-    for handle in fleet.boxes() {
+    for handle in fleet.backends() {
         let class = LoadClass::new("read", Idempotency::Safe, Duration::from_secs(1));
-        let spread = sequential(handle.address, &class, 200);
+        let spread = measure_sequential(handle.address, &class, 200);
         println!("{handle:?}, one by one: p50 {:?}, p99 {:?}", spread.p50(), spread.p99());
         let load = Load::new(rate, vec![class], Duration::from_secs_f64(seconds));
         let result = load.run_blocking(handle.address)?;
         println!("{handle:?}, {rate} a second: {}", result.total());
-        println!("  at most {} µs late by the clients' fault", result.behind.0);
+        println!("  at most {} µs late by the clients' fault", result.max_arrival_delay.0);
     }
     println!("{} requests in the ledger", fleet.ledger().records.len());
     Ok(())
--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -1,6 +1,6 @@
 //! A scripted backend on blocking sockets: what it does with a request is a closure's word.
 
-use crate::{Message, PATIENCE};
+use crate::{Message, WAIT_LIMIT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -28,7 +28,7 @@
 }
 
 /// 200 with this body.
-pub fn ok(body: &str) -> Reply {
+pub fn ok_reply(body: &str) -> Reply {
     Reply::Answer(200, "", body.into())
 }
 
@@ -42,15 +42,15 @@
         *self.0.lock().unwrap() = true;
         self.1.notify_all();
     }
-    /// Waits until it is open, though no longer than [`PATIENCE`].
+    /// Waits until it is open, though no longer than [`WAIT_LIMIT`].
     pub fn wait(&self) {
-        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), PATIENCE, |open| !*open).unwrap();
+        let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), WAIT_LIMIT, |open| !*open).unwrap();
     }
 }
 
 /// What a backend tells its test of.
 #[derive(Debug)]
-pub enum Seen {
+pub enum BackendEvent {
     /// A connection was accepted.
     Connected,
     /// A request came whole.
@@ -65,7 +65,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What happened at it, in order.
-    pub seen: mpsc::Receiver<Seen>,
+    pub events: mpsc::Receiver<BackendEvent>,
     /// Connections accepted so far.
     pub connections: Arc<AtomicU32>,
     /// Whole requests so far.
@@ -87,20 +87,20 @@
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
                 opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(Seen::Connected);
+                let _ = tell.send(BackendEvent::Connected);
                 let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
                 let done = done.clone();
                 std::thread::spawn(move || serve(tcp, &tell, [&count, &done], &*reply));
             }
         });
-        BackendServer { address, seen, connections, requests, answered }
+        BackendServer { address, events: seen, connections, requests, answered }
     }
 
     /// Waits for the next request.
-    pub fn request(&self) -> Message {
+    pub fn next_request(&self) -> Message {
         loop {
-            if let Seen::Request(message) =
-                self.seen.recv_timeout(PATIENCE).expect("a request at the backend")
+            if let BackendEvent::Request(message) =
+                self.events.recv_timeout(WAIT_LIMIT).expect("a request at the backend")
             {
                 return message;
             }
@@ -108,25 +108,28 @@
     }
 
     /// Waits until a connection ends.
-    pub fn closed(&self) {
-        while !matches!(self.seen.recv_timeout(PATIENCE).expect("a closed connection"), Seen::Closed) {}
+    pub fn wait_closed(&self) {
+        while !matches!(
+            self.events.recv_timeout(WAIT_LIMIT).expect("a closed connection"),
+            BackendEvent::Closed
+        ) {}
     }
 
     /// Whole requests so far.
-    pub fn count(&self) -> u32 {
+    pub fn request_count(&self) -> u32 {
         self.requests.load(Ordering::SeqCst)
     }
 }
 
 fn serve(
-    tcp: TcpStream, tell: &mpsc::Sender<Seen>, [count, answered]: [&AtomicU32; 2],
+    tcp: TcpStream, tell: &mpsc::Sender<BackendEvent>, [count, answered]: [&AtomicU32; 2],
     reply: &dyn Fn(u32) -> Reply,
 ) {
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(Seen::Request(message));
+        let _ = tell.send(BackendEvent::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
             let length = body.len();
@@ -157,28 +160,28 @@
             break;
         }
     }
-    let _ = tell.send(Seen::Closed);
+    let _ = tell.send(BackendEvent::Closed);
 }
 
 /// A port on which nobody listens: connections to it are refused for as long as it is held. Who asks for it by its
 /// number, as the program does, may listen there all the same.
 #[derive(Debug)]
-pub struct Refusing(socket2::Socket);
+pub struct RefusingPort(socket2::Socket);
 
-impl Default for Refusing {
-    fn default() -> Refusing {
-        Refusing::new()
+impl Default for RefusingPort {
+    fn default() -> RefusingPort {
+        RefusingPort::new()
     }
 }
 
-impl Refusing {
+impl RefusingPort {
     /// Takes a port that the kernel picks.
-    pub fn new() -> Refusing {
+    pub fn new() -> RefusingPort {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_reuse_address(true).unwrap();
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
         socket.bind(&any.into()).unwrap();
-        Refusing(socket)
+        RefusingPort(socket)
     }
     /// The address that refuses.
     pub fn address(&self) -> SocketAddr {
@@ -188,20 +191,20 @@
 
 /// A port at which connections neither come up nor are refused: its queue is full and nobody accepts.
 #[derive(Debug)]
-pub struct NeverUp {
+pub struct FullBacklogListener {
     socket: socket2::Socket,
     _queue: Vec<TcpStream>,
 }
 
-impl Default for NeverUp {
-    fn default() -> NeverUp {
-        NeverUp::new()
+impl Default for FullBacklogListener {
+    fn default() -> FullBacklogListener {
+        FullBacklogListener::new()
     }
 }
 
-impl NeverUp {
+impl FullBacklogListener {
     /// Takes a port that the kernel picks, and fills its queue.
-    pub fn new() -> NeverUp {
+    pub fn new() -> FullBacklogListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -210,7 +213,7 @@
         while let Ok(tcp) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
             queue.push(tcp);
         }
-        NeverUp { socket, _queue: queue }
+        FullBacklogListener { socket, _queue: queue }
     }
     /// Where.
     pub fn address(&self) -> SocketAddr {
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// In words.
-    pub what: String,
+    pub description: String,
     /// Places in [`Ledger::records`].
     pub records: Vec<usize>,
 }
@@ -19,7 +19,7 @@
     /// Which backend wants nothing new.
     pub name: String,
     /// When all who send had been told.
-    pub told: Time,
+    pub delivered_at: Time,
 }
 
 /// The records that ran, by a name of theirs.
@@ -40,21 +40,24 @@
     let runs = runs(ledger, Repeat::Unsafe, |r| &r.id);
     let twice = runs.into_iter().filter(|(_, places)| places.len() > 1);
     twice
-        .map(|(id, records)| Violation { what: format!("unsafe {id} ran {} times", records.len()), records })
+        .map(|(id, records)| Violation {
+            description: format!("unsafe {id} ran {} times", records.len()),
+            records,
+        })
         .collect()
 }
 
 /// A keyed request runs again only in the bay of its first run, and begins within its class's window after that
 /// began.
-pub fn keyed_ran_in_one_bay(ledger: &Ledger, window: impl Fn(&str) -> Micros) -> Vec<Violation> {
+pub fn keyed_ran_in_one_group(ledger: &Ledger, window: impl Fn(&str) -> Micros) -> Vec<Violation> {
     let mut broken = Vec::new();
     for (key, places) in runs(ledger, Repeat::Keyed, |r| r.key.as_deref().unwrap_or("")) {
-        let Some(&at) = places.iter().min_by_key(|p| ledger.records[**p].began) else { continue };
+        let Some(&at) = places.iter().min_by_key(|p| ledger.records[**p].last_byte_at) else { continue };
         let first = &ledger.records[at];
         for place in places.into_iter().filter(|p| *p != at) {
             let again = &ledger.records[place];
-            let bay = |record: &Record| ledger.boxes.get(record.at_box).map(|b| b.bay);
-            let later = again.began - first.began;
+            let bay = |record: &Record| ledger.backends.get(record.backend).map(|b| b.deduplication_group);
+            let later = again.last_byte_at - first.last_byte_at;
             let what = if bay(again) != bay(first) {
                 format!("key {key} ran in two bays")
             } else if later > window(&first.class) {
@@ -62,7 +65,7 @@
             } else {
                 continue;
             };
-            broken.push(Violation { what, records: vec![at, place] });
+            broken.push(Violation { description: what, records: vec![at, place] });
         }
     }
     broken
@@ -70,20 +73,20 @@
 
 /// Nothing comes to a backend later than `grace` after all were told that it drains, until it starts anew. A request
 /// counts from its first byte, and what the backend rejected counts too.
-pub fn nothing_after_drain(ledger: &Ledger, drained: &[Drained], grace: Micros) -> Vec<Violation> {
+pub fn no_requests_after_drain(ledger: &Ledger, drained: &[Drained], grace: Micros) -> Vec<Violation> {
     let mut broken = Vec::new();
     for drain in drained {
-        let Some(place) = ledger.place(&drain.name) else { continue };
-        let boots = &ledger.boxes[place].boots;
+        let Some(place) = ledger.backend_index(&drain.name) else { continue };
+        let boots = &ledger.backends[place].boots;
         let started_before =
-            |boot: usize| boots.get(boot).is_none_or(|b| b.at.is_none_or(|at| at <= drain.told));
+            |boot: usize| boots.get(boot).is_none_or(|b| b.at.is_none_or(|at| at <= drain.delivered_at));
         for (number, record) in ledger.records.iter().enumerate() {
-            let here = record.at_box == place && started_before(record.boot);
-            if here && record.came > drain.told + grace {
-                let late = (record.came - drain.told).secs();
+            let here = record.backend == place && started_before(record.boot);
+            if here && record.first_byte_at > drain.delivered_at + grace {
+                let late = (record.first_byte_at - drain.delivered_at).secs();
                 let what =
                     format!("{} came to {} {late:.3} s after its drain was told", record.id, drain.name);
-                broken.push(Violation { what, records: vec![number] });
+                broken.push(Violation { description: what, records: vec![number] });
             }
         }
     }
@@ -92,20 +95,20 @@
 
 /// What a client was given with status 200 was served by a backend under that request's id. Says nothing where the
 /// ledger missed records.
-pub fn answers_come_from_boxes(ledger: &Ledger, result: &LoadResult) -> Vec<Violation> {
+pub fn answers_come_from_backends(ledger: &Ledger, result: &LoadResult) -> Vec<Violation> {
     let served = |r: &&Record| r.ended.is_some_and(|(_, how)| how == Ended::Served);
     let served: BTreeSet<&str> = ledger.records.iter().filter(served).map(|r| &*r.id).collect();
     let answered =
         result.sent.iter().filter(|sent| sent.end == End::Status(200)).map(|s| result.id(s.number));
-    let made_up = answered.filter(|id| ledger.missed == 0 && !served.contains(&id[..]));
+    let made_up = answered.filter(|id| ledger.unrecorded == 0 && !served.contains(&id[..]));
     made_up
-        .map(|id| Violation { what: format!("{id} was answered by no box"), records: Vec::new() })
+        .map(|id| Violation { description: format!("{id} was answered by no box"), records: Vec::new() })
         .collect()
 }
 
 /// How much may be sent to a backend that is not warm yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Push {
+pub struct SlowStartLimit {
     /// Of the work that it can do ...
     pub multiple: f64,
     /// ... in any span as long as this.
@@ -116,31 +119,31 @@
 
 /// No backend that is still cold is sent more work, within a window that begins while it is, than `multiple` times
 /// what it could do in that window. All that comes counts, also what it turns away. One violation a start.
-pub fn cold_not_pushed_over(ledger: &Ledger, push: Push) -> Vec<Violation> {
+pub fn slow_start_limit_kept(ledger: &Ledger, push: SlowStartLimit) -> Vec<Violation> {
     let mut by_boot: BTreeMap<(usize, usize), Vec<usize>> = BTreeMap::new();
     for (place, record) in ledger.records.iter().enumerate() {
-        by_boot.entry((record.at_box, record.boot)).or_default().push(place);
+        by_boot.entry((record.backend, record.boot)).or_default().push(place);
     }
     let mut broken = Vec::new();
     for ((at_box, boot), places) in by_boot {
-        let Some(info) = ledger.boxes.get(at_box) else { continue };
+        let Some(info) = ledger.backends.get(at_box) else { continue };
         let Some(booted) = info.boots.get(boot).and_then(|b| b.at) else { continue };
         let (mut from, mut sent) = (0, 0.0);
         for (n, place) in places.iter().enumerate() {
-            let end = ledger.records[*place].began;
+            let end = ledger.records[*place].last_byte_at;
             sent += ledger.records[*place].work_ms;
-            while ledger.records[places[from]].began + push.window < end {
+            while ledger.records[places[from]].last_byte_at + push.window < end {
                 sent -= ledger.records[places[from]].work_ms;
                 from += 1;
             }
             // A window may reach back before the start: the backend counts as cold as it starts there.
             let begin = Time(end.0.saturating_sub(push.window.0));
-            let can = info.power.work_between(Some(booted), begin, end);
-            if begin < booted + info.power.ramp && sent > push.multiple * can * (1.0 + push.slack) {
+            let can = info.cpu_capacity.work_between(Some(booted), begin, end);
+            if begin < booted + info.cpu_capacity.ramp && sent > push.multiple * can * (1.0 + push.slack) {
                 let age = (end - booted).secs();
                 let what =
                     format!("{} was sent {sent:.0} ms of work at {age:.3} s, could do {can:.0}", info.name);
-                broken.push(Violation { what, records: places[from..=n].to_vec() });
+                broken.push(Violation { description: what, records: places[from..=n].to_vec() });
                 break;
             }
         }
--- a/crates/testkit/src/crowd.rs
+++ b/crates/testkit/src/congestion.rs
@@ -11,47 +11,47 @@
 
 /// When a backend is crowded, and what that does.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Crowd {
+pub struct CongestionConfig {
     /// More requests than this in the mean over about 2 s are too many.
-    pub held: f64,
+    pub in_flight_threshold: f64,
     /// Its work takes so many times as long then.
-    pub slower: f64,
+    pub slowdown: f64,
 }
 
 /// One backend's memory of how crowded it was.
 #[derive(Clone, Debug)]
-pub struct Crowding {
-    crowd: Crowd,
+pub struct CongestionModel {
+    crowd: CongestionConfig,
     held: f64,
     busy: f64,
     since: Option<Time>,
 }
 
-impl Crowding {
+impl CongestionModel {
     /// It is to be looked at so often.
-    pub const LOOK: Micros = Micros(100_000);
+    pub const SAMPLE_INTERVAL: Micros = Micros(100_000);
 
     /// One that holds nothing.
-    pub fn new(crowd: Crowd) -> Crowding {
-        Crowding { crowd, held: 0.0, busy: 0.0, since: None }
+    pub fn new(crowd: CongestionConfig) -> CongestionModel {
+        CongestionModel { crowd, held: 0.0, busy: 0.0, since: None }
     }
 
     /// How many times as long its work takes.
-    pub fn slower(&self) -> f64 {
+    pub fn slowdown(&self) -> f64 {
         if self.since.is_some() {
-            self.crowd.slower
+            self.crowd.slowdown
         } else {
             1.0
         }
     }
 
-    /// It holds so many. Whether [`Crowding::slower`] has changed by it.
-    pub fn look(&mut self, now: Time, held: usize) -> bool {
-        let step = |memory_s: f64| 1.0 - (-Crowding::LOOK.secs() / memory_s).exp();
+    /// It holds so many. Whether [`CongestionModel::slower`] has changed by it.
+    pub fn sample(&mut self, now: Time, held: usize) -> bool {
+        let step = |memory_s: f64| 1.0 - (-CongestionModel::SAMPLE_INTERVAL.secs() / memory_s).exp();
         self.held += (held as f64 - self.held) * step(CROWD_S);
         self.busy += (f64::from(u8::from(held > 0)) - self.busy) * step(REST_S / 2.0);
         match self.since {
-            None if self.held > self.crowd.held => {
+            None if self.held > self.crowd.in_flight_threshold => {
                 self.since = Some(now);
                 true
             }
--- a/crates/testkit/src/crowd/tests.rs
+++ b/crates/testkit/src/congestion/tests.rs
@@ -4,8 +4,8 @@
 
 /// When it changes, ms, where it holds that many at each look.
 fn changes(held: impl Fn(u64) -> usize, looks: u64) -> Vec<u64> {
-    let mut crowding = Crowding::new(Crowd { held: 10.0, slower: 3.0 });
-    (0..looks).filter(|n| crowding.look(Time(n * 100_000), held(*n))).map(|n| n * 100).collect()
+    let mut crowding = CongestionModel::new(CongestionConfig { in_flight_threshold: 10.0, slowdown: 3.0 });
+    (0..looks).filter(|n| crowding.sample(Time(n * 100_000), held(*n))).map(|n| n * 100).collect()
 }
 
 #[test]
--- a/crates/testkit/src/power.rs
+++ b/crates/testkit/src/cpu_capacity.rs
@@ -4,7 +4,7 @@
 
 /// A backend's machine. Its capacity is in standard cores: work done in a second, in seconds of a standard core.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Power {
+pub struct CpuCapacity {
     /// How many jobs have a core each.
     pub cores: u32,
     /// Of one core when warm, as a multiple of a standard core.
@@ -18,10 +18,10 @@
 /// The least warmth: a backend that does nothing at all would never end a job.
 const LEAST: f64 = 1e-3;
 
-impl Power {
+impl CpuCapacity {
     /// So many cores of that speed that are warm from the start.
-    pub fn warm(cores: u32, speed: f64) -> Power {
-        Power { cores, speed, initial_capacity_fraction: 1.0, ramp: Micros(0) }
+    pub fn warm(cores: u32, speed: f64) -> CpuCapacity {
+        CpuCapacity { cores, speed, initial_capacity_fraction: 1.0, ramp: Micros(0) }
     }
 
     fn coldest(&self) -> f64 {
@@ -29,7 +29,7 @@
     }
 
     /// The part of its speed that a backend has; one that started long ago (`None`) is warm.
-    pub fn warmth(&self, booted: Option<Time>, now: Time) -> f64 {
+    pub fn speed_fraction(&self, booted: Option<Time>, now: Time) -> f64 {
         match booted {
             Some(at) if now < at + self.ramp => {
                 let gone = (now - at).0 as f64 / self.ramp.0 as f64;
@@ -40,8 +40,8 @@
     }
 
     /// Standard cores at that moment, with every core at work.
-    pub fn capacity(&self, booted: Option<Time>, now: Time) -> f64 {
-        f64::from(self.cores) * self.speed * self.warmth(booted, now)
+    pub fn available_cores(&self, booted: Option<Time>, now: Time) -> f64 {
+        f64::from(self.cores) * self.speed * self.speed_fraction(booted, now)
     }
 
     /// Work that the whole backend can do between two moments, ms of a standard core. Before its start it counts as
@@ -67,7 +67,7 @@
         upto(to) - upto(from)
     }
 
-    /// When the integral of warmth from `from` on comes to `span`, µs: the inverse of [`Power::warm_us`].
+    /// When the integral of warmth from `from` on comes to `span`, µs: the inverse of [`CpuCapacity::warm_us`].
     pub(crate) fn after_warm_us(&self, booted: Option<Time>, from: f64, span: f64) -> f64 {
         let Some(at) = booted else { return from + span };
         let (end, coldest) = ((at + self.ramp).0 as f64, self.coldest());
--- a/crates/testkit/src/power/tests.rs
+++ b/crates/testkit/src/cpu_capacity/tests.rs
@@ -2,15 +2,16 @@
 
 use super::*;
 
-const SLOW: Power = Power { cores: 2, speed: 1.5, initial_capacity_fraction: 0.2, ramp: Micros(1_000_000) };
+const SLOW: CpuCapacity =
+    CpuCapacity { cores: 2, speed: 1.5, initial_capacity_fraction: 0.2, ramp: Micros(1_000_000) };
 
 #[test]
 fn capacity_rises_evenly_from_the_cold_part_to_the_whole() {
     let booted = Some(Time(5_000_000));
     for (at, expected) in [(5_000_000, 0.6), (5_500_000, 1.8), (6_000_000, 3.0), (9_000_000, 3.0)] {
-        assert!((SLOW.capacity(booted, Time(at)) - expected).abs() < 1e-9, "{at}");
+        assert!((SLOW.available_cores(booted, Time(at)) - expected).abs() < 1e-9, "{at}");
     }
-    assert_eq!(SLOW.capacity(None, Time(0)), 3.0);
+    assert_eq!(SLOW.available_cores(None, Time(0)), 3.0);
 }
 
 #[test]
--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -38,7 +38,7 @@
     pub status: u16,
     /// Further headers.
     pub headers: Vec<(String, String)>,
-    /// The body; none is the backend's own: its name and the request's id, see [`own_body`].
+    /// The body; none is the backend's own: its name and the request's id, see [`backend_body`].
     pub body: Option<Vec<u8>>,
 }
 
@@ -101,7 +101,7 @@
 }
 
 /// The body of a backend's own answer: its name, a space, the request's id, and stops up to `size` bytes.
-pub fn own_body(name: &str, id: &str, size: usize) -> Vec<u8> {
+pub fn backend_body(name: &str, id: &str, size: usize) -> Vec<u8> {
     let mut body = format!("{name} {id}\n").into_bytes();
     if body.len() < size {
         body.resize(size, b'.');
--- a/crates/testkit/src/fault/tests.rs
+++ b/crates/testkit/src/fault/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn answers_without_a_body_have_the_head_that_goes_with_that() {
     let render = |status, method| {
-        let (head, body) = Answer::status(status).render(own_body("b0", "7", 0), method, false);
+        let (head, body) = Answer::status(status).render(backend_body("b0", "7", 0), method, false);
         (String::from_utf8(head).unwrap(), String::from_utf8(body).unwrap())
     };
     let of = |status: u16, more: &str| format!("HTTP/1.1 {status} X\r\n{more}\r\n");
