--- a/crates/testkit/src/fleet/stand.rs
+++ b/crates/testkit/src/fleet/backend.rs
@@ -1,11 +1,12 @@
 //! One backend of a running fleet: its station, its faults, what it writes down. Used on the fleet's thread alone.
 
-use super::spec::{BoxSpec, FleetSpec};
+use super::spec::{BackendSpec, FleetSpec};
 use super::Shared;
-use crate::fault::{own_body, Behaviour};
+use crate::fault::{backend_body, Behaviour};
 use crate::pacer::Pacer;
 use crate::{
-    Admitted, Boot, Crowding, Demand, Ended, Fault, Message, Record, Repeat, SeededRng, Station, Step,
+    Admission, Boot, CongestionModel, Demand, Ended, Fault, Message, Record, Repeat, SeededRng, ServiceEvent,
+    ServiceModel,
 };
 use shaletide_types::{Micros, Time};
 use std::cell::{Cell, RefCell};
@@ -30,7 +31,7 @@
 }
 
 struct State {
-    station: Station,
+    station: ServiceModel,
     behaviour: Behaviour,
     draining: Option<Time>,
     boot: usize,
@@ -40,13 +41,13 @@
     rng: SeededRng,
     /// So many times as long work takes, as the backend was told.
     slowed: f64,
-    crowding: Option<Crowding>,
+    crowding: Option<CongestionModel>,
     next_look: Time,
 }
 
 /// A backend.
-pub struct Stand {
-    pub spec: BoxSpec,
+pub struct Backend {
+    pub spec: BackendSpec,
     fleet: Rc<FleetSpec>,
     place: usize,
     shared: Arc<Shared>,
@@ -58,29 +59,29 @@
     pub open: Cell<usize>,
 }
 
-impl Stand {
-    pub fn new(fleet: &Rc<FleetSpec>, place: usize, shared: &Arc<Shared>, changed: Arc<Notify>) -> Stand {
-        let spec = fleet.boxes[place].clone();
+impl Backend {
+    pub fn new(fleet: &Rc<FleetSpec>, place: usize, shared: &Arc<Shared>, changed: Arc<Notify>) -> Backend {
+        let spec = fleet.backends[place].clone();
         let booted = spec.cold.then(|| fleet.clock.now());
         shared.write(|book| {
-            if let Some(info) = book.ledger.boxes.get_mut(place) {
+            if let Some(info) = book.ledger.backends.get_mut(place) {
                 info.boots.push(Boot { at: booted, died: None });
             }
         });
         let state = State {
-            station: Station::new(spec.power, booted, spec.slots, spec.queue),
+            station: ServiceModel::new(spec.cpu_capacity, booted, spec.slots, spec.queue),
             behaviour: Behaviour::default(),
             draining: None,
             boot: 0,
             waiters: BTreeMap::new(),
             classes: BTreeMap::new(),
             next_ticket: 0,
-            rng: SeededRng::of(fleet.seed, &spec.name),
+            rng: SeededRng::named(fleet.seed, &spec.name),
             slowed: 1.0,
-            crowding: spec.crowd.map(Crowding::new),
+            crowding: spec.congestion.map(CongestionModel::new),
             next_look: fleet.clock.now(),
         };
-        Stand {
+        Backend {
             spec,
             fleet: fleet.clone(),
             place,
@@ -102,8 +103,8 @@
 
     /// The answer's body where no other is set.
     pub fn body(&self, request: &Message) -> Vec<u8> {
-        let size = self.fleet.service(class_of(request)).body;
-        own_body(&self.spec.name, request.header("x-correlation-id").unwrap_or(""), size)
+        let size = self.fleet.service(class_of(request)).body_bytes;
+        backend_body(&self.spec.name, request.header("x-correlation-id").unwrap_or(""), size)
     }
 
     /// Takes a whole request in, whose first byte came then. The guard is to live as long as it is open.
@@ -124,7 +125,7 @@
         let ticket = state.next_ticket;
         state.next_ticket += 1;
         let decision = state.decide(&self.spec, request, now).unwrap_or_else(|| {
-            if state.station.arrive(now, ticket, demand) == Admitted::Full {
+            if state.station.arrive(now, ticket, demand) == Admission::Full {
                 return Decision::TurnAway(503);
             }
             let (done, wait) = oneshot::channel();
@@ -132,14 +133,14 @@
             Decision::Serve(wait)
         });
         let record = Record {
-            at_box: self.place,
+            backend: self.place,
             boot: state.boot,
             id: id.into(),
             key: request.header("idempotency-key").map(Into::into),
             class: state.class(class_of(request)),
             repeat: repeat_of(request),
-            came: self.fleet.clock.at(came),
-            began: now,
+            first_byte_at: self.fleet.clock.at(came),
+            last_byte_at: now,
             ended: None,
             draining: state.draining,
             work_ms: demand.work_ms,
@@ -158,7 +159,7 @@
         let state = &mut *self.state.borrow_mut();
         state.look(now);
         for step in state.station.advance(now) {
-            if let Step::Served(done) = step {
+            if let ServiceEvent::Served(done) = step {
                 if let Some(waiter) = state.waiters.remove(&done.id) {
                     let _ = waiter.send(()); // nobody waits where the connection has just ended
                 }
@@ -203,7 +204,7 @@
     pub fn die(&self) -> Time {
         let now = self.now();
         let died = self.shared.write(|book| {
-            let boot = book.ledger.boxes.get_mut(self.place).and_then(|info| info.boots.last_mut());
+            let boot = book.ledger.backends.get_mut(self.place).and_then(|info| info.boots.last_mut());
             boot.map_or(now, |boot| *boot.died.get_or_insert(now))
         });
         if self.alive() {
@@ -221,16 +222,17 @@
     pub fn start(&self) -> Time {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.station = Station::new(self.spec.power, Some(now), self.spec.slots, self.spec.queue);
+        state.station =
+            ServiceModel::new(self.spec.cpu_capacity, Some(now), self.spec.slots, self.spec.queue);
         state.behaviour = Behaviour::default();
         state.draining = None;
         state.slowed = 1.0;
-        state.crowding = self.spec.crowd.map(Crowding::new);
+        state.crowding = self.spec.congestion.map(CongestionModel::new);
         state.boot += 1;
         state.waiters.clear();
         self.changed.notify_one();
         self.shared.write(|book| {
-            if let Some(info) = book.ledger.boxes.get_mut(self.place) {
+            if let Some(info) = book.ledger.backends.get_mut(self.place) {
                 info.boots.push(Boot { at: Some(now), died: None });
             }
         });
@@ -268,16 +270,17 @@
     /// From now on so many times slower, and more where it is crowded.
     fn slow(&mut self, now: Time, factor: f64) {
         self.slowed = factor;
-        self.station.slow(now, factor * self.crowding.as_ref().map_or(1.0, Crowding::slower));
+        self.station
+            .set_slowdown(now, factor * self.crowding.as_ref().map_or(1.0, CongestionModel::slowdown));
     }
 
     /// Looks at how crowded it is, as often as has to be.
     fn look(&mut self, now: Time) {
         while self.crowding.is_some() && self.next_look <= now {
             let at = self.next_look;
-            self.next_look = at + Crowding::LOOK;
+            self.next_look = at + CongestionModel::SAMPLE_INTERVAL;
             let held = self.station.in_service() + self.station.queued();
-            if self.crowding.as_mut().is_some_and(|c| c.look(at, held)) {
+            if self.crowding.as_mut().is_some_and(|c| c.sample(at, held)) {
                 self.slow(now, self.slowed);
             }
         }
@@ -286,12 +289,12 @@
     /// When something happens next, if nothing comes or goes.
     fn next(&self, now: Time) -> Option<Time> {
         let look = self.crowding.as_ref().map(|_| self.next_look.max(now));
-        [self.station.next(now), look].into_iter().flatten().min()
+        [self.station.next_event(now), look].into_iter().flatten().min()
     }
 
     /// What is decided before slots are looked at.
-    fn decide(&mut self, spec: &BoxSpec, request: &Message, now: Time) -> Option<Decision> {
-        let grace = Micros(spec.grace.as_micros() as u64);
+    fn decide(&mut self, spec: &BackendSpec, request: &Message, now: Time) -> Option<Decision> {
+        let grace = Micros(spec.drain_grace.as_micros() as u64);
         if self.draining.is_some_and(|since| now > since + grace) {
             return Some(Decision::TurnAway(503));
         }
@@ -325,7 +328,7 @@
 
 /// A request that is open at a backend. Dropped, it is ended as it was last said, or else as cancelled.
 pub struct Open {
-    stand: Rc<Stand>,
+    stand: Rc<Backend>,
     boot: usize,
     ticket: u64,
     place: Option<usize>,
--- a/crates/testkit/src/fleet/connection.rs
+++ b/crates/testkit/src/fleet/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to a backend: requests in turn, each answered as the backend decides.
 
-use super::stand::{Decision, Open, Stand};
+use super::backend::{Backend, Decision, Open};
 use crate::fault::Behaviour;
 use crate::wire::{BodyRule, Wire};
 use crate::{Answer, Ended, Message, Sending};
@@ -18,7 +18,7 @@
 }
 
 /// Serves a connection until either side ends it or the backend dies; then it is reset.
-pub async fn serve(stand: Rc<Stand>, tcp: TcpStream, mut deaths: watch::Receiver<usize>) {
+pub async fn serve(stand: Rc<Backend>, tcp: TcpStream, mut deaths: watch::Receiver<usize>) {
     let mut wire = Wire::new(tcp);
     tokio::select! {
         _ = deaths.changed() => wire.break_off(),
@@ -28,9 +28,9 @@
     stand.connected(false);
 }
 
-async fn requests(stand: &Rc<Stand>, wire: &mut Wire) {
+async fn requests(stand: &Rc<Backend>, wire: &mut Wire) {
     loop {
-        let next = tokio::time::timeout(stand.spec.idle, wire.message(BodyRule::AsSaid)).await;
+        let next = tokio::time::timeout(stand.spec.idle_timeout, wire.message(BodyRule::AsSaid)).await;
         let Ok(Some((request, came))) = next else { return };
         let path = request.first.split(' ').nth(1).unwrap_or("");
         let then = if path.starts_with("/-/") {
@@ -56,7 +56,7 @@
 
 /// Sees a request to its end. Dropped midway it ends as cancelled, or with the backend.
 async fn answer(
-    stand: &Rc<Stand>, wire: &mut Wire, request: &Message, decision: Decision, mut open: Open,
+    stand: &Rc<Backend>, wire: &mut Wire, request: &Message, decision: Decision, mut open: Open,
 ) -> Then {
     match decision {
         Decision::Serve(done) => {
@@ -101,7 +101,7 @@
 }
 
 /// Sends the answer to a request that was served, as the backend does at present.
-async fn send(stand: &Stand, wire: &mut Wire, request: &Message, behaviour: &Behaviour) -> (Then, Ended) {
+async fn send(stand: &Backend, wire: &mut Wire, request: &Message, behaviour: &Behaviour) -> (Then, Ended) {
     let says_close = behaviour.close == Some(true);
     let (head, body) = behaviour.answer.render(stand.body(request), method(request), says_close);
     let whole = [&head[..], &body[..]].concat();
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,14 +1,14 @@
 //! Backends that serve by a model of their cores, all on one thread and one more that keeps time, with faults on command and a record of every
 //! request. An answer comes some 0.1 ms later than the model says; the model does not drift by it.
 
+mod backend;
 mod connection;
 mod shell;
 mod spec;
-mod stand;
 
-pub use spec::{BoxSpec, FleetSpec, Service};
+pub use spec::{BackendSpec, FleetSpec, Service};
 
-use crate::{BoxInfo, Clock, Entry, Fault, Ledger, PATIENCE};
+use crate::{BackendInfo, Clock, Entry, Fault, Ledger, WAIT_LIMIT};
 use shaletide_types::Time;
 use shell::{Command, Order};
 use std::io;
@@ -18,7 +18,7 @@
 
 /// What a backend has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BoxStats {
+pub struct BackendStats {
     /// Connections that came up.
     pub connections: u64,
     /// Connections that are up.
@@ -32,7 +32,7 @@
 #[derive(Default)]
 struct Book {
     ledger: Ledger,
-    stats: Vec<BoxStats>,
+    stats: Vec<BackendStats>,
 }
 
 /// What the fleet's thread writes and others read.
@@ -80,9 +80,9 @@
 
 /// A backend of a running fleet, told from outside. Once the fleet is dropped nothing happens any more.
 #[derive(Clone)]
-pub struct BoxHandle {
+pub struct BackendHandle {
     /// What it was made as.
-    pub spec: BoxSpec,
+    pub spec: BackendSpec,
     /// Where it listens, through all its deaths.
     pub address: SocketAddr,
     place: usize,
@@ -91,15 +91,15 @@
     shared: Arc<Shared>,
 }
 
-impl std::fmt::Debug for BoxHandle {
+impl std::fmt::Debug for BackendHandle {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} at {}", self.spec.name, self.address)
     }
 }
 
-impl BoxHandle {
+impl BackendHandle {
     /// Changes its behaviour. It holds for what comes after this returns. The moment of the change.
-    pub fn set(&self, fault: Fault) -> Time {
+    pub fn set_fault(&self, fault: Fault) -> Time {
         self.order(Order::Set(fault))
     }
 
@@ -114,30 +114,33 @@
     }
 
     /// Starts it anew at the same address, cold and well; kills it first if it lives. The moment.
-    pub fn revive(&self) -> Time {
+    pub fn restart(&self) -> Time {
         self.order(Order::Kill);
         self.order(Order::Revive)
     }
 
     /// Its line for discovery, serving, with the last of its starts.
     pub fn entry(&self) -> Entry {
-        let boot = self.shared.write(|book| book.ledger.boxes[self.place].boots.last().copied());
+        let boot = self.shared.write(|book| book.ledger.backends[self.place].boots.last().copied());
         let since = boot.and_then(|boot| boot.at).map_or(0, |at| self.clock.unix_ms(at));
         let spec = &self.spec;
-        Entry { since_ms: since, ..Entry::new(&spec.name, self.address, &spec.zone, &spec.kind, spec.bay) }
+        Entry {
+            since_ms: since,
+            ..Entry::new(&spec.name, self.address, &spec.zone, &spec.kind, spec.deduplication_group)
+        }
     }
 
     /// What it has counted.
-    pub fn stats(&self) -> BoxStats {
+    pub fn stats(&self) -> BackendStats {
         self.order(Order::Sync);
         self.shared.write(|book| book.stats[self.place])
     }
 
-    /// Waits until what it has counted is as wanted, and no longer than [`PATIENCE`]. Whether it is.
-    pub fn wait(&self, wanted: impl Fn(&BoxStats) -> bool) -> bool {
+    /// Waits until what it has counted is as wanted, and no longer than [`WAIT_LIMIT`]. Whether it is.
+    pub fn wait_for_stats(&self, wanted: impl Fn(&BackendStats) -> bool) -> bool {
         let book = self.shared.book.lock().unwrap_or_else(PoisonError::into_inner);
         let not_yet = |book: &mut Book| !wanted(&book.stats[self.place]);
-        let waited = self.shared.written.wait_timeout_while(book, PATIENCE, not_yet);
+        let waited = self.shared.written.wait_timeout_while(book, WAIT_LIMIT, not_yet);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
@@ -145,7 +148,7 @@
     fn order(&self, order: Order) -> Time {
         let (done, wait) = mpsc::sync_channel(1);
         let sent = self.commands.send(Command { place: self.place, order, done }).is_ok();
-        let at = if sent { wait.recv_timeout(PATIENCE).ok() } else { None };
+        let at = if sent { wait.recv_timeout(WAIT_LIMIT).ok() } else { None };
         at.unwrap_or_else(|| self.clock.now())
     }
 }
@@ -153,7 +156,7 @@
 /// A fleet at work; ends when this is dropped.
 #[derive(Debug)]
 pub struct Fleet {
-    boxes: Vec<BoxHandle>,
+    backends: Vec<BackendHandle>,
     clock: Clock,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -164,7 +167,7 @@
     ///
     /// # Errors
     /// No port, no thread, or no descriptors.
-    pub fn start(boxes: Vec<BoxSpec>) -> io::Result<Fleet> {
+    pub fn start(boxes: Vec<BackendSpec>) -> io::Result<Fleet> {
         Fleet::with(FleetSpec::new(boxes))
     }
 
@@ -173,17 +176,21 @@
     /// # Errors
     /// No port, no thread, or no descriptors.
     pub fn with(spec: FleetSpec) -> io::Result<Fleet> {
-        let doors = spec.boxes.iter().map(|_| Door::new()).collect::<io::Result<Vec<_>>>()?;
-        let info =
-            |b: &BoxSpec| BoxInfo { name: b.name.clone(), bay: b.bay, power: b.power, boots: Vec::new() };
+        let doors = spec.backends.iter().map(|_| Door::new()).collect::<io::Result<Vec<_>>>()?;
+        let info = |b: &BackendSpec| BackendInfo {
+            name: b.name.clone(),
+            deduplication_group: b.deduplication_group,
+            cpu_capacity: b.cpu_capacity,
+            boots: Vec::new(),
+        };
         let mut ledger = Ledger::new(spec.max_records);
-        ledger.boxes = spec.boxes.iter().map(info).collect();
-        let stats = vec![BoxStats::default(); spec.boxes.len()];
+        ledger.backends = spec.backends.iter().map(info).collect();
+        let stats = vec![BackendStats::default(); spec.backends.len()];
         let shared = Arc::new(Shared { book: Mutex::new(Book { ledger, stats }), written: Condvar::new() });
         let (commands, orders) = tokio::sync::mpsc::unbounded_channel();
         let clock = spec.clock;
-        let handle = |(place, door): (usize, &Door)| BoxHandle {
-            spec: spec.boxes[place].clone(),
+        let handle = |(place, door): (usize, &Door)| BackendHandle {
+            spec: spec.backends[place].clone(),
             address: door.address,
             place,
             clock,
@@ -204,14 +211,14 @@
             });
         };
         let thread = std::thread::Builder::new().name("fleet".into()).spawn(work)?;
-        let fleet = Fleet { boxes, clock, stop: Some(stop), thread: Some(thread) };
-        listening.recv_timeout(PATIENCE).unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
+        let fleet = Fleet { backends: boxes, clock, stop: Some(stop), thread: Some(thread) };
+        listening.recv_timeout(WAIT_LIMIT).unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
         Ok(fleet)
     }
 
     /// The backends, in the order in which they were given.
-    pub fn boxes(&self) -> &[BoxHandle] {
-        &self.boxes
+    pub fn backends(&self) -> &[BackendHandle] {
+        &self.backends
     }
 
     /// The run's clock.
@@ -222,7 +229,7 @@
     /// A copy of all that is written down so far. Costs as much as there is, and holds the fleet up meanwhile:
     /// take it at the end.
     pub fn ledger(&self) -> Ledger {
-        let Some(first) = self.boxes.first() else { return Ledger::default() };
+        let Some(first) = self.backends.first() else { return Ledger::default() };
         first.order(Order::Sync);
         first.shared.write(|book| book.ledger.clone())
     }
--- a/crates/testkit/src/fleet/shell.rs
+++ b/crates/testkit/src/fleet/shell.rs
@@ -1,8 +1,8 @@
 //! The fleet's thread: listeners, and commands from outside carried out one after the other.
 
+use super::backend::Backend;
 use super::connection::serve;
 use super::spec::FleetSpec;
-use super::stand::Stand;
 use super::{Door, Shared};
 use crate::pacer::Pacer;
 use crate::Fault;
@@ -34,7 +34,7 @@
 }
 
 struct Served {
-    stand: Rc<Stand>,
+    stand: Rc<Backend>,
     door: Door,
     /// Accepts connections; none while they are refused.
     listening: Option<JoinHandle<()>>,
@@ -87,7 +87,7 @@
     }
 }
 
-async fn accept(stand: Rc<Stand>, listener: TcpListener) {
+async fn accept(stand: Rc<Backend>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((tcp, _)) if stand.open.get() < stand.spec.max_connections => {
@@ -115,7 +115,7 @@
         Err(e) => return drop(ready.send(Err(e))),
     };
     for (place, (door, changed)) in doors.into_iter().zip(changes).enumerate() {
-        let stand = Rc::new(Stand::new(&fleet, place, &shared, changed));
+        let stand = Rc::new(Backend::new(&fleet, place, &shared, changed));
         spawn_local(stand.clone().run(pacer.clone()));
         let mut served = Served { stand, door, listening: None };
         listen_all = listen_all.and(served.listen());
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/ledger.rs
@@ -1,7 +1,7 @@
 //! What all backends of a run have seen: a record of every request, and of every start of a backend. Plain data; the
 //! rules over it are in [`crate::checks`].
 
-use crate::Power;
+use crate::CpuCapacity;
 use shaletide_types::{Micros, Time};
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Which backend: its place in [`Ledger::boxes`].
-    pub at_box: usize,
+    pub backend: usize,
     /// Which of its starts, from 0.
     pub boot: usize,
     /// `X-Correlation-Id`; empty where there was none.
@@ -56,9 +56,9 @@
     /// By its method and key.
     pub repeat: Repeat,
     /// When its first byte came.
-    pub came: Time,
+    pub first_byte_at: Time,
     /// When its last byte came.
-    pub began: Time,
+    pub last_byte_at: Time,
     /// When and how it ended; none while it is open.
     pub ended: Option<(Time, Ended)>,
     /// Since when the backend drained, if it did.
@@ -87,13 +87,13 @@
 
 /// What the rules need to know of a backend.
 #[derive(Clone, Debug)]
-pub struct BoxInfo {
+pub struct BackendInfo {
     /// Its name, the same everywhere.
     pub name: String,
     /// Backends of one bay share the keys that they have seen.
-    pub bay: u64,
+    pub deduplication_group: u64,
     /// What it can do.
-    pub power: Power,
+    pub cpu_capacity: CpuCapacity,
     /// Its starts, in order.
     pub boots: Vec<Boot>,
 }
@@ -102,11 +102,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     /// The backends, in the order in which they were given.
-    pub boxes: Vec<BoxInfo>,
+    pub backends: Vec<BackendInfo>,
     /// The requests, in the order in which they came whole.
     pub records: Vec<Record>,
     /// Requests that found no room here: the rules say nothing of them.
-    pub missed: u64,
+    pub unrecorded: u64,
     /// Records that fit.
     pub max_records: usize,
 }
@@ -120,7 +120,7 @@
     /// Takes a record in if there is room. Its place.
     pub fn begin(&mut self, record: Record) -> Option<usize> {
         if self.records.len() >= self.max_records {
-            self.missed += 1;
+            self.unrecorded += 1;
             return None;
         }
         self.records.push(record);
@@ -135,13 +135,13 @@
     }
 
     /// The backend of that name.
-    pub fn place(&self, name: &str) -> Option<usize> {
-        self.boxes.iter().position(|b| b.name == name)
+    pub fn backend_index(&self, name: &str) -> Option<usize> {
+        self.backends.iter().position(|b| b.name == name)
     }
 
     /// Requests that ended like that, at one backend or at all.
     pub fn count(&self, at_box: Option<usize>, how: Ended) -> usize {
-        let here = |r: &&Record| at_box.is_none_or(|b| b == r.at_box);
+        let here = |r: &&Record| at_box.is_none_or(|b| b == r.backend);
         self.records.iter().filter(here).filter(|r| r.ended.is_some_and(|(_, end)| end == how)).count()
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -14,45 +14,46 @@
 pub mod checks;
 mod client;
 mod clock;
-mod crowd;
+mod congestion;
+mod cpu_capacity;
 mod fault;
 mod fleet;
 mod ledger;
-mod listing;
+mod list_server;
 mod load;
 mod log;
 mod message;
 mod pacer;
-mod power;
 mod processor;
 mod proxy;
 mod scripted;
 mod seeded_rng;
-mod station;
+mod service_model;
 mod wire;
 
-pub use backend::{ok, BackendServer, Gate, NeverUp, Refusing, Reply, Seen};
-pub use client::{pay, read, vote, Client};
+pub use backend::{ok_reply, BackendEvent, BackendServer, FullBacklogListener, Gate, RefusingPort, Reply};
+pub use client::{pay_request, read_request, vote_request, Client};
 pub use clock::Clock;
-pub use crowd::{Crowd, Crowding};
-pub use fault::{own_body, Answer, Fault, Sending};
-pub use fleet::{BoxHandle, BoxSpec, BoxStats, Fleet, FleetSpec, Service};
-pub use ledger::{Boot, BoxInfo, Ended, Ledger, Record, Repeat, MAX_RECORDS};
-pub use listing::{Entry, ListServer, ListService, Status, Told, View, MAX_TOLD};
+pub use congestion::{CongestionConfig, CongestionModel};
+pub use cpu_capacity::CpuCapacity;
+pub use fault::{backend_body, Answer, Fault, Sending};
+pub use fleet::{BackendHandle, BackendSpec, BackendStats, Fleet, FleetSpec, Service};
+pub use ledger::{BackendInfo, Boot, Ended, Ledger, Record, Repeat, MAX_RECORDS};
+pub use list_server::{Delivery, Entry, ListServer, ListService, Status, View, MAX_DELIVERIES};
 pub use load::{
-    sequential, ClassResult, End, Exchange, Kept, Load, LoadClass, LoadResult, Retry, Sent, Spread,
+    measure_sequential, ClassResult, End, Exchange, KeptConnection, Latencies, Load, LoadClass, LoadResult,
+    Retry, Sent,
 };
 pub use log::Log;
 pub use message::Message;
 pub use pacer::Pacer;
-pub use power::Power;
-pub use processor::{Finished, Processor};
-pub use proxy::{Program, Proxy, Reload, Running, Serving, SETTINGS};
-pub use scripted::{entry, list, DiscoveryServer};
-pub use seeded_rng::{Law, SeededRng};
-pub use station::{Admitted, Demand, Station, Step};
+pub use processor::{Completion, Processor};
+pub use proxy::{Program, Proxy, Reload, RunningProgram, ServingProgram, SETTINGS};
+pub use scripted::{endpoint_json, endpoint_list_json, DiscoveryServer};
+pub use seeded_rng::{Distribution, SeededRng};
+pub use service_model::{Admission, Demand, ServiceEvent, ServiceModel};
 
 use std::time::Duration;
 
 /// No wait in these tests is meant to last as long: it only ends a test that would hang.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/listing/book.rs
+++ b/crates/testkit/src/list_server/endpoint_list.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// Tellings that are kept; the oldest go first. One takes about 100 bytes.
-pub const MAX_TOLD: usize = 100_000;
+pub const MAX_DELIVERIES: usize = 100_000;
 
 /// What a backend may be sent, as the list says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -87,7 +87,7 @@
 
 /// A change that was written to a watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Told {
+pub struct Delivery {
     /// The watcher's place.
     pub watcher: usize,
     /// Which entry.
@@ -109,7 +109,7 @@
 }
 
 /// The list and its history.
-pub struct Book {
+pub struct EndpointList {
     index: u64,
     /// Entries with the version of their last change; deleted ones stay until they are compacted.
     entries: BTreeMap<String, (u64, Entry)>,
@@ -117,22 +117,22 @@
     compacted: u64,
     /// The version that each watcher was brought up to.
     heard: Vec<u64>,
-    told: Vec<Told>,
+    told: Vec<Delivery>,
     views: Vec<View>,
     /// Calls that came.
     pub calls: u64,
 }
 
-impl Book {
-    pub fn new(watchers: &[&str], entries: Vec<Entry>) -> Book {
+impl EndpointList {
+    pub fn new(watchers: &[&str], entries: Vec<Entry>) -> EndpointList {
         let entries = entries.into_iter().map(|e| (e.name.clone(), (1, e))).collect();
         let heard = vec![0; watchers.len()];
-        Book { index: 1, entries, compacted: 0, heard, told: Vec::new(), views: Vec::new(), calls: 0 }
+        EndpointList { index: 1, entries, compacted: 0, heard, told: Vec::new(), views: Vec::new(), calls: 0 }
     }
 
     /// The same where watchers are told addresses of their own.
-    pub fn seen(self, views: Vec<View>) -> Book {
-        Book { views, ..self }
+    pub fn seen(self, views: Vec<View>) -> EndpointList {
+        EndpointList { views, ..self }
     }
 
     pub fn index(&self) -> u64 {
@@ -191,13 +191,13 @@
     pub fn tell(&mut self, watcher: usize, answer: Answer, at: Time) {
         let Some(heard) = self.heard.get_mut(watcher) else { return };
         let new = answer.changes.into_iter().filter(|(_, _, index)| *index > *heard);
-        self.told.extend(new.map(|(name, status, index)| Told { watcher, name, status, index, at }));
+        self.told.extend(new.map(|(name, status, index)| Delivery { watcher, name, status, index, at }));
         *heard = answer.index.max(*heard);
-        let over = self.told.len().saturating_sub(MAX_TOLD);
+        let over = self.told.len().saturating_sub(MAX_DELIVERIES);
         self.told.drain(..over);
     }
 
-    pub fn told(&self) -> &[Told] {
+    pub fn told(&self) -> &[Delivery] {
         &self.told
     }
 
@@ -210,8 +210,8 @@
         for (name, (_, entry)) in &self.entries {
             let of = |watcher: usize| {
                 // The first word of it counts: a deletion after a drain says nothing new.
-                let unwanted = |t: &&Told| t.name == *name && t.watcher == watcher;
-                let mut told: Vec<&Told> = self.told.iter().filter(unwanted).collect();
+                let unwanted = |t: &&Delivery| t.name == *name && t.watcher == watcher;
+                let mut told: Vec<&Delivery> = self.told.iter().filter(unwanted).collect();
                 let last_served = told.iter().rposition(|t| t.status == Status::Serving);
                 told.drain(..last_served.map_or(0, |n| n + 1));
                 told.first().map(|t| t.at)
@@ -221,7 +221,7 @@
             }
             let all: Option<Vec<Time>> = (0..self.heard.len()).map(of).collect();
             if let Some(told) = all.and_then(|all| all.into_iter().max()) {
-                drained.push(Drained { name: name.clone(), told });
+                drained.push(Drained { name: name.clone(), delivered_at: told });
             }
         }
         drained
--- a/crates/testkit/src/listing/book/tests.rs
+++ b/crates/testkit/src/list_server/endpoint_list/tests.rs
@@ -6,8 +6,8 @@
     Entry::new(name, SocketAddr::from(([127, 0, 0, 1], 9)), "east", "big", 1)
 }
 
-fn book() -> Book {
-    Book::new(&["n0", "n1"], vec![entry("a"), entry("b")])
+fn book() -> EndpointList {
+    EndpointList::new(&["n0", "n1"], vec![entry("a"), entry("b")])
 }
 
 fn read(answer: Option<Answer>) -> (u64, bool, Vec<String>) {
@@ -46,7 +46,7 @@
 #[test]
 fn a_drain_is_told_when_the_last_watcher_was_first_told() {
     let mut book = book();
-    let tell = |book: &mut Book, watcher, after, at| {
+    let tell = |book: &mut EndpointList, watcher, after, at| {
         let answer = book.answer(watcher, after).expect("an answer");
         book.tell(watcher, answer, Time(at));
     };
@@ -56,7 +56,7 @@
     tell(&mut book, 0, Some(1), 3);
     assert_eq!(book.drained(), [], "one has not been told");
     tell(&mut book, 1, Some(1), 4);
-    let drained = |told| [Drained { name: "a".into(), told: Time(told) }];
+    let drained = |told| [Drained { name: "a".into(), delivered_at: Time(told) }];
     assert_eq!(book.drained(), drained(4));
     book.set("a", Status::Deleted);
     tell(&mut book, 0, Some(2), 5);
--- a/crates/testkit/src/listing/mod.rs
+++ b/crates/testkit/src/list_server/mod.rs
@@ -1,14 +1,14 @@
 //! A discovery that works: it holds a list, answers calls for it and watches on it, and records when each change
 //! was written to whom.
 
-mod book;
+mod endpoint_list;
 mod shell;
 
-pub use book::{Entry, Status, Told, MAX_TOLD};
+pub use endpoint_list::{Delivery, Entry, Status, MAX_DELIVERIES};
 
 use crate::checks::Drained;
-use crate::{Clock, PATIENCE};
-use book::Book;
+use crate::{Clock, WAIT_LIMIT};
+use endpoint_list::EndpointList;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -34,7 +34,7 @@
 
 /// What the thread that serves and those who change the list share.
 struct Shared {
-    book: Mutex<Book>,
+    book: Mutex<EndpointList>,
     written: Condvar,
     /// The list's version and the state of the service: watches wait on it.
     news: watch::Sender<(u64, ListService)>,
@@ -42,7 +42,7 @@
 }
 
 impl Shared {
-    fn book(&self) -> MutexGuard<'_, Book> {
+    fn book(&self) -> MutexGuard<'_, EndpointList> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -84,7 +84,7 @@
             doors.push((name.to_string(), listener.local_addr()?));
             listeners.push(listener);
         }
-        let book = Book::new(watchers, entries).seen(views);
+        let book = EndpointList::new(watchers, entries).seen(views);
         let news = watch::Sender::new((book.index(), ListService::Up));
         let shared = Arc::new(Shared { book: Mutex::new(book), written: Condvar::new(), news, clock });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -113,22 +113,22 @@
     }
 
     /// Changes an entry's status, which counts as a change even if it is the same; nothing where there is none.
-    pub fn set(&self, name: &str, status: Status) -> u64 {
+    pub fn set_status(&self, name: &str, status: Status) -> u64 {
         self.change(|book| book.set(name, status))
     }
 
     /// Marks an entry as draining.
     pub fn drain(&self, name: &str) -> u64 {
-        self.set(name, Status::Draining)
+        self.set_status(name, Status::Draining)
     }
 
     /// Takes an entry out.
     pub fn delete(&self, name: &str) -> u64 {
-        self.set(name, Status::Deleted)
+        self.set_status(name, Status::Deleted)
     }
 
     /// Stops the service in some way, or starts it again.
-    pub fn serve(&self, service: ListService) {
+    pub fn set_service(&self, service: ListService) {
         self.shared.news.send_modify(|news| news.1 = service);
     }
 
@@ -137,7 +137,7 @@
         self.shared.book().compact();
     }
 
-    fn change(&self, change: impl FnOnce(&mut Book)) -> u64 {
+    fn change(&self, change: impl FnOnce(&mut EndpointList)) -> u64 {
         let mut book = self.shared.book();
         change(&mut book);
         let index = book.index();
@@ -152,15 +152,15 @@
     }
 
     /// What was told so far, in order.
-    pub fn told(&self) -> Vec<Told> {
+    pub fn deliveries(&self) -> Vec<Delivery> {
         self.shared.book().told().to_vec()
     }
 
-    /// Waits until all watchers have been told of that version, and no longer than [`PATIENCE`]. Whether they
+    /// Waits until all watchers have been told of that version, and no longer than [`WAIT_LIMIT`]. Whether they
     /// have.
-    pub fn wait_told(&self, index: u64) -> bool {
-        let not_yet = |book: &mut Book| !book.all_told(index);
-        let waited = self.shared.written.wait_timeout_while(self.shared.book(), PATIENCE, not_yet);
+    pub fn wait_delivered(&self, index: u64) -> bool {
+        let not_yet = |book: &mut EndpointList| !book.all_told(index);
+        let waited = self.shared.written.wait_timeout_while(self.shared.book(), WAIT_LIMIT, not_yet);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
--- a/crates/testkit/src/listing/shell.rs
+++ b/crates/testkit/src/list_server/shell.rs
@@ -1,6 +1,6 @@
 //! Discovery's sockets: a task for each connection.
 
-use super::book::Answer;
+use super::endpoint_list::Answer;
 use super::{ListService, Shared};
 use crate::wire::{BodyRule, Wire};
 use std::net::TcpListener;
--- a/crates/testkit/src/load/http.rs
+++ b/crates/testkit/src/load/http.rs
@@ -40,22 +40,22 @@
     }
 
     /// The client's own address.
-    pub fn client(&self) -> Option<SocketAddr> {
+    pub fn local_address(&self) -> Option<SocketAddr> {
         self.wire.tcp.local_addr().ok()
     }
 
     /// Whether it is still up, with nothing on it.
-    pub fn at_rest(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.wire.at_rest()
     }
 
     /// Whether more came than answers.
-    pub fn overfull(&self) -> bool {
+    pub fn has_excess_bytes(&self) -> bool {
         self.wire.has_more()
     }
 
     /// Sends a request and waits for its answer until then. After anything but an answer it is of no more use.
-    pub async fn ask(&mut self, request: &[u8], method: &str, until: Instant) -> Exchange {
+    pub async fn send_request(&mut self, request: &[u8], method: &str, until: Instant) -> Exchange {
         let rule = if method == "HEAD" { BodyRule::Never } else { BodyRule::AsSaid };
         self.used = true;
         let exchange = async {
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -5,11 +5,11 @@
 mod run;
 mod sequential;
 
-pub use http::{Exchange, Link as Kept};
+pub use http::{Exchange, Link as KeptConnection};
 pub use result::{ClassResult, End, LoadResult, Sent};
-pub use sequential::{sequential, Spread};
+pub use sequential::{measure_sequential, Latencies};
 
-use crate::{Clock, Law};
+use crate::{Clock, Distribution};
 use shaletide_types::{Idempotency, Micros};
 use std::time::Duration;
 use tokio::sync::watch;
@@ -27,11 +27,11 @@
     /// None is as the platform has it: `GET` for what is safe to repeat, `POST` for the rest.
     pub method: Option<String>,
     /// Keyed ones bring a key of their own.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
     /// The client waits so long, and says so in `X-Time-Left`.
     pub deadline: Duration,
     /// Bytes of the body, for methods that have one.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Further headers; one that stands here is not sent with another value.
     pub headers: Vec<(String, String)>,
 }
@@ -43,15 +43,15 @@
             name: name.into(),
             share: 1.0,
             method: None,
-            effect,
+            idempotency: effect,
             deadline,
-            body: 0,
+            body_bytes: 0,
             headers: Vec::new(),
         }
     }
 
     fn method(&self) -> &str {
-        let usual = if self.effect == Idempotency::Safe { "GET" } else { "POST" };
+        let usual = if self.idempotency == Idempotency::Safe { "GET" } else { "POST" };
         self.method.as_deref().unwrap_or(usual)
     }
 
@@ -66,13 +66,13 @@
         };
         line("X-Correlation-Id", id);
         line("X-Time-Left", &format!("{left:.6}"));
-        if matches!(self.effect, Idempotency::Keyed(..)) {
+        if matches!(self.idempotency, Idempotency::Keyed(..)) {
             line("Idempotency-Key", &format!("k-{id}"));
         }
         if repeat {
             line("X-Repeat", "1");
         }
-        let body = if matches!(method, "GET" | "HEAD") { 0 } else { self.body };
+        let body = if matches!(method, "GET" | "HEAD") { 0 } else { self.body_bytes };
         if !matches!(method, "GET" | "HEAD") {
             line("Content-Length", &body.to_string());
         }
@@ -90,14 +90,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Retry {
     /// Advice beyond this is cut down to it.
-    pub longest: Duration,
+    pub max_delay: Duration,
     /// The pause where there is no advice.
-    pub usual: Duration,
+    pub default_delay: Duration,
 }
 
 impl Default for Retry {
     fn default() -> Retry {
-        Retry { longest: Duration::from_secs(1), usual: Duration::from_millis(50) }
+        Retry { max_delay: Duration::from_secs(1), default_delay: Duration::from_millis(50) }
     }
 }
 
@@ -115,13 +115,13 @@
     pub connections: usize,
     /// A request that finds all connections busy is left out instead: what waits then stays bounded, however slow the
     /// machine is.
-    pub leave_out: bool,
+    pub skip_when_busy: bool,
     /// Arrivals end after this; what is open then is waited for.
     pub duration: Duration,
     /// Whether clients repeat what was refused.
     pub retry: Option<Retry>,
     /// A client waits so long beyond its deadline before it leaves, so that late answers are seen.
-    pub patience: Duration,
+    pub late_answer_wait: Duration,
     /// A request whose kept connection ends at once, with no byte of an answer, is sent once more under the same
     /// id, on a new connection: the proxy closed the old one in the same moment.
     pub resend: bool,
@@ -144,10 +144,10 @@
             classes,
             seed: 1,
             connections: 256,
-            leave_out: false,
+            skip_when_busy: false,
             duration,
             retry: None,
-            patience: Duration::from_millis(50),
+            late_answer_wait: Duration::from_millis(50),
             resend: true,
             crossing_limit: CROSSING_LIMIT,
             existing_connections_only: None,
@@ -161,8 +161,8 @@
     }
 
     /// The gap before the next arrival.
-    fn gap(&self) -> Law {
-        Law::Exponential(1.0 / self.rate_per_s.max(1e-3))
+    fn gap(&self) -> Distribution {
+        Distribution::Exponential(1.0 / self.rate_per_s.max(1e-3))
     }
 
     /// Which class a number from 0 to 1 stands for.
--- a/crates/testkit/src/load/result.rs
+++ b/crates/testkit/src/load/result.rs
@@ -87,22 +87,22 @@
     /// Every request, in the order in which they ended.
     pub sent: Vec<Sent>,
     /// Requests that found no room in `sent`.
-    pub missed: u64,
+    pub unrecorded: u64,
     /// Requests that waited for a connection.
-    pub waited: u64,
+    pub waited_for_connection: u64,
     /// Arrivals that were left out, as all connections were busy.
-    pub left_out: u64,
+    pub skipped: u64,
     /// Requests sent once more as their kept connection ended in the same moment.
     pub resent: u64,
     /// The most that an arrival came late by the clients' own fault: some 0.1 ms where there are cores enough.
-    pub behind: Micros,
+    pub max_arrival_delay: Micros,
     /// Connections opened.
     pub connections: u64,
     /// Answers of status 200 whose body does not name their request: they are another's. Counted where bodies
     /// are the backends' own, that is where they hold a space.
-    pub mixed_up: u64,
+    pub mismatched_answers: u64,
     /// Connections on which more came than the answer.
-    pub overfull: u64,
+    pub excess_bytes: u64,
 }
 
 impl LoadResult {
--- a/crates/testkit/src/load/run.rs
+++ b/crates/testkit/src/load/run.rs
@@ -65,7 +65,7 @@
         let mut stop = std::pin::pin!(stop);
         let mut rng = SeededRng::new(self.seed);
         let classes = self.classes.iter().map(|c| c.name.clone()).collect();
-        let result = LoadResult { classes, run: rng.word() as u32, ..LoadResult::default() };
+        let result = LoadResult { classes, run: rng.next_u64() as u32, ..LoadResult::default() };
         let (gap, duration, begun) = (self.gap(), self.duration, Instant::now());
         let due_now = Arc::new(Notify::new());
         let pacer = Pacer::start(vec![due_now.clone()]).ok();
@@ -79,11 +79,11 @@
         });
         let (mut tasks, mut after, mut behind) = (JoinSet::new(), 0.0, Duration::ZERO);
         while !run.load.classes.is_empty() {
-            after += gap.draw(&mut rng);
+            after += gap.sample(&mut rng);
             if after >= duration.as_secs_f64() {
                 break;
             }
-            let (class, subject) = (run.load.class(rng.part()), rng.word());
+            let (class, subject) = (run.load.class(rng.uniform()), rng.next_u64());
             let due = begun + Duration::from_secs_f64(after);
             tokio::select! {
                 () = &mut stop => break,
@@ -92,15 +92,15 @@
             let at = Instant::now();
             behind = behind.max(at.saturating_duration_since(due));
             while tasks.try_join_next().is_some() {}
-            if run.load.leave_out && tasks.len() >= run.load.connections {
-                locked(&run.result).left_out += 1;
+            if run.load.skip_when_busy && tasks.len() >= run.load.connections {
+                locked(&run.result).skipped += 1;
                 continue;
             }
             tasks.spawn(run.clone().client(Arrival { class, at, subject, retry: false }));
         }
         while tasks.join_next().await.is_some() {}
         let mut result = std::mem::take(&mut *locked(&run.result));
-        result.behind = micros(behind);
+        result.max_arrival_delay = micros(behind);
         result
     }
 
@@ -143,7 +143,7 @@
         let id = locked(&self.result).id(number);
         let deadline = arrival.at + self.load.classes[arrival.class].deadline;
         let mut trail = Trail::default();
-        let exchange = self.exchange(arrival, &id, deadline + self.load.patience, &mut trail).await;
+        let exchange = self.exchange(arrival, &id, deadline + self.load.late_answer_wait, &mut trail).await;
         let (end, answer) = match exchange {
             Ok(Exchange::Answer(message)) => (End::Status(message.status()), Some(message)),
             Ok(Exchange::Broken { .. }) => (End::Broken, None),
@@ -151,7 +151,7 @@
             Ok(Exchange::GaveUp) => (End::GaveUp, None),
             Err(e) if e.kind() == std::io::ErrorKind::TimedOut => (End::GaveUp, None),
             Err(e) if e.kind() == std::io::ErrorKind::NotConnected => {
-                locked(&self.result).left_out += 1;
+                locked(&self.result).skipped += 1;
                 return None;
             }
             Err(_) => (End::NoConnection, None),
@@ -169,11 +169,11 @@
             client: trail.client,
         };
         let mut result = locked(&self.result);
-        result.mixed_up += u64::from(answer.as_ref().is_some_and(|a| is_anothers(a, &id)));
+        result.mismatched_answers += u64::from(answer.as_ref().is_some_and(|a| is_anothers(a, &id)));
         if result.sent.len() < self.load.max_records {
             result.sent.push(sent);
         } else {
-            result.missed += 1;
+            result.unrecorded += 1;
         }
         answer
     }
@@ -189,7 +189,7 @@
         let _place = match free {
             Ok(place) => place,
             Err(_) => {
-                locked(&self.result).waited += 1;
+                locked(&self.result).waited_for_connection += 1;
                 match tokio::time::timeout_at(deadline, self.places.acquire()).await {
                     Ok(Ok(place)) => place,
                     _ => return Ok(Exchange::GaveUp),
@@ -199,7 +199,7 @@
         loop {
             let asked_for_link = Instant::now();
             let mut link = if trail.resent { self.new_link(until).await? } else { self.link(until).await? };
-            trail.client = link.client();
+            trail.client = link.local_address();
             let (used, written) = (link.used, Instant::now());
             let left = deadline.saturating_duration_since(written);
             if left < LEAST {
@@ -208,7 +208,7 @@
                 return Ok(Exchange::GaveUp);
             }
             let request = class.render(id, arrival.subject, left.as_secs_f64(), arrival.retry);
-            let exchange = link.ask(&request, class.method(), until).await;
+            let exchange = link.send_request(&request, class.method(), until).await;
             if matches!(exchange, Exchange::Broken { began: false })
                 && used
                 && self.load.resend
@@ -231,7 +231,7 @@
         loop {
             let kept = locked(&self.idle).pop();
             match kept {
-                Some(link) if link.at_rest() => return Ok(link),
+                Some(link) if link.is_idle() => return Ok(link),
                 Some(_) => {}
                 None => break,
             }
@@ -250,8 +250,8 @@
     }
 
     fn keep(&self, link: Link, answer: &Message) {
-        if link.overfull() {
-            locked(&self.result).overfull += 1;
+        if link.has_excess_bytes() {
+            locked(&self.result).excess_bytes += 1;
             return;
         }
         let closing = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
@@ -265,7 +265,7 @@
 fn pause(refusal: &Message, retry: Retry) -> Duration {
     let advice = refusal.header("retry-after").and_then(|s| s.parse::<f64>().ok());
     let advice = advice.filter(|s| s.is_finite() && *s >= 0.0);
-    advice.map_or(retry.usual, |s| Duration::from_secs_f64(s.min(retry.longest.as_secs_f64())))
+    advice.map_or(retry.default_delay, |s| Duration::from_secs_f64(s.min(retry.max_delay.as_secs_f64())))
 }
 
 /// Whether a backend's own body names another request.
--- a/crates/testkit/src/load/run/tests.rs
+++ b/crates/testkit/src/load/run/tests.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn advice_is_followed_up_to_the_longest() {
-    let retry = Retry { longest: Duration::from_secs(1), usual: Duration::from_millis(50) };
+    let retry = Retry { max_delay: Duration::from_secs(1), default_delay: Duration::from_millis(50) };
     for (advice, expected) in [("0.2", 200), ("7", 1000), ("-1", 50), ("soon", 50), ("inf", 50)] {
         let headers = vec![("Retry-After".to_string(), advice.to_string())];
         let refusal = Message { headers, ..Message::default() };
--- a/crates/testkit/src/load/sequential.rs
+++ b/crates/testkit/src/load/sequential.rs
@@ -6,22 +6,22 @@
 
 /// Latencies, sorted.
 #[derive(Clone, Debug, Default)]
-pub struct Spread(Vec<u64>);
+pub struct Latencies(Vec<u64>);
 
-impl Spread {
+impl Latencies {
     /// The latency that this part (0 to 1) did not exceed; zero where there is none.
-    pub fn at(&self, part: f64) -> Duration {
+    pub fn quantile(&self, part: f64) -> Duration {
         Duration::from_nanos(super::result::quantile(&self.0, part).unwrap_or(0))
     }
 
     /// The median.
     pub fn p50(&self) -> Duration {
-        self.at(0.5)
+        self.quantile(0.5)
     }
 
     /// What one in a hundred exceeded.
     pub fn p99(&self) -> Duration {
-        self.at(0.99)
+        self.quantile(0.99)
     }
 
     /// The mean; zero where there is none.
@@ -40,7 +40,7 @@
 ///
 /// # Panics
 /// Where an answer does not come or is not 200: then there is nothing to compare.
-pub fn sequential(to: SocketAddr, class: &LoadClass, count: u32) -> Spread {
+pub fn measure_sequential(to: SocketAddr, class: &LoadClass, count: u32) -> Latencies {
     let mut client = Client::connect(to);
     let _ = client.0.get_ref().set_nodelay(true);
     let took = |number: u32| {
@@ -48,12 +48,12 @@
         let request = class.render(&id, u64::from(number), class.deadline.as_secs_f64(), false);
         let text = String::from_utf8_lossy(&request);
         let begun = Instant::now();
-        let answer = client.ask(&text);
+        let answer = client.request(&text);
         let took = begun.elapsed();
         assert_eq!(answer.status(), 200, "request {number}");
         took.as_nanos() as u64
     };
     let mut sorted: Vec<u64> = (0..count).map(took).collect();
     sorted.sort_unstable();
-    Spread(sorted)
+    Latencies(sorted)
 }
--- a/crates/testkit/src/log.rs
+++ b/crates/testkit/src/log.rs
@@ -1,6 +1,6 @@
 //! What the program says on standard error, line by line, for tests to wait on.
 
-use crate::PATIENCE;
+use crate::WAIT_LIMIT;
 use std::io::{BufRead, BufReader, Read};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 
@@ -51,7 +51,7 @@
     }
 
     /// Waits for a line, from that one on, that is as wanted: its number and text. `None` where the program ended
-    /// before, or said no such thing within [`PATIENCE`].
+    /// before, or said no such thing within [`WAIT_LIMIT`].
     pub fn wait(&self, from: usize, wanted: impl Fn(&str) -> bool) -> Option<(usize, String)> {
         let (lock, more) = &*self.0;
         let find = |lines: &Lines| {
@@ -59,7 +59,7 @@
             found.map(|(at, line)| (at, line.clone()))
         };
         let lines = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = more.wait_timeout_while(lines, PATIENCE, |lines| !lines.over && find(lines).is_none());
+        let waited = more.wait_timeout_while(lines, WAIT_LIMIT, |lines| !lines.over && find(lines).is_none());
         find(&waited.unwrap_or_else(PoisonError::into_inner).0)
     }
 
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -1,13 +1,13 @@
 //! Processor sharing: what is in service shares the cores evenly, each job on one core at most. Pure: time is an
 //! argument and never goes back.
 
-use crate::Power;
+use crate::CpuCapacity;
 use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job that came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Finished {
+pub struct Completion {
     /// Which.
     pub id: u64,
     /// When, to the microsecond above.
@@ -18,7 +18,7 @@
 /// a job ends when that sum has grown by its work. Each operation costs the logarithm of the jobs in service.
 #[derive(Clone, Debug)]
 pub struct Processor {
-    power: Power,
+    power: CpuCapacity,
     booted: Option<Time>,
     /// Speed is divided by this.
     slowed: f64,
@@ -29,12 +29,12 @@
     /// The sum at which each job ends, as bits: for numbers from 0 on these sort as the numbers do.
     ends: BTreeSet<(u64, u64)>,
     jobs: BTreeMap<u64, u64>,
-    done: Vec<Finished>,
+    done: Vec<Completion>,
 }
 
 impl Processor {
     /// One that is idle, and cold if it has just started.
-    pub fn new(power: Power, booted: Option<Time>) -> Processor {
+    pub fn new(power: CpuCapacity, booted: Option<Time>) -> Processor {
         Processor {
             power,
             booted,
@@ -69,7 +69,7 @@
     }
 
     /// From now on all work takes so many times as long.
-    pub fn slow(&mut self, now: Time, factor: f64) {
+    pub fn set_slowdown(&mut self, now: Time, factor: f64) {
         self.settle(now);
         self.slowed = factor.clamp(1e-3, 1e6);
     }
@@ -83,7 +83,7 @@
     }
 
     /// The jobs that have ended by now, in that order, each told once.
-    pub fn advance(&mut self, now: Time) -> Vec<Finished> {
+    pub fn advance(&mut self, now: Time) -> Vec<Completion> {
         self.settle(now);
         std::mem::take(&mut self.done)
     }
@@ -107,7 +107,7 @@
             self.jobs.remove(&id);
             self.sum = f64::from_bits(sum).max(self.sum);
             self.at = end.max(self.at);
-            self.done.push(Finished { id, at: Time(end.ceil() as u64) });
+            self.done.push(Completion { id, at: Time(end.ceil() as u64) });
         }
         if now > self.at {
             if self.jobs.is_empty() {
--- a/crates/testkit/src/processor/tests.rs
+++ b/crates/testkit/src/processor/tests.rs
@@ -14,17 +14,17 @@
 
 #[test]
 fn a_job_alone_takes_its_work_by_the_speed() {
-    let mut processor = Processor::new(Power::warm(4, 2.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(4, 2.0), None);
     processor.arrive(ms(100), 1, 30.0);
     assert_eq!(processor.next_end(ms(100)), Some(ms(115)), "one core is all it gets");
     assert_eq!(processor.advance(Time(114_999)), []);
-    assert_eq!(processor.advance(ms(115)), [Finished { id: 1, at: ms(115) }]);
+    assert_eq!(processor.advance(ms(115)), [Completion { id: 1, at: ms(115) }]);
     assert_eq!((processor.next_end(ms(115)), processor.in_service()), (None, 0));
 }
 
 #[test]
 fn two_equal_jobs_on_one_core_take_twice_as_long() {
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 20.0);
     processor.arrive(ms(0), 2, 20.0);
     assert_eq!(ends(&mut processor), [(1, 40_000), (2, 40_000)]);
@@ -32,7 +32,7 @@
 
 #[test]
 fn jobs_up_to_the_number_of_cores_do_not_hinder_each_other() {
-    let mut processor = Processor::new(Power::warm(3, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(3, 1.0), None);
     for id in 0..3 {
         processor.arrive(ms(0), id, 20.0);
     }
@@ -41,7 +41,7 @@
 
 #[test]
 fn six_jobs_on_four_cores_share_them_evenly() {
-    let mut processor = Processor::new(Power::warm(4, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(4, 1.0), None);
     for id in 0..6 {
         processor.arrive(ms(0), id, 20.0);
     }
@@ -51,7 +51,7 @@
 /// One has 10 ms to itself, both share until the first is done, the other ends alone.
 #[test]
 fn a_late_arrival_slows_only_what_is_left() {
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
     processor.arrive(ms(10), 2, 30.0);
     assert_eq!(ends(&mut processor), [(1, 50_000), (2, 60_000)]);
@@ -59,7 +59,7 @@
 
 #[test]
 fn what_is_cancelled_gives_its_share_back() {
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
     processor.arrive(ms(0), 2, 30.0);
     assert!(processor.cancel(ms(20), 2));
@@ -70,7 +70,7 @@
 /// Speed in the ramp is 0.5 + t / 2 per s: 375 ms of work are done by 0.5 t + t^2 / 4 = 0.375.
 #[test]
 fn a_cold_box_does_what_its_warmth_allows() {
-    let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.5, ramp: Micros(1_000_000) };
+    let power = CpuCapacity { cores: 1, speed: 1.0, initial_capacity_fraction: 0.5, ramp: Micros(1_000_000) };
     let mut processor = Processor::new(power, Some(ms(7_000)));
     processor.arrive(ms(7_000), 1, 375.0);
     let expected = 7_000_000.0 + 1e6 * ((1.0f64 + 1.5).sqrt() - 1.0);
@@ -78,22 +78,22 @@
     processor.arrive(ms(7_000), 2, 1_000_000.0);
     processor.cancel(ms(7_000), 1);
     processor.arrive(ms(9_000), 3, 10.0);
-    assert_eq!(processor.advance(ms(9_021)), [Finished { id: 3, at: ms(9_020) }], "warm, two jobs");
+    assert_eq!(processor.advance(ms(9_021)), [Completion { id: 3, at: ms(9_020) }], "warm, two jobs");
 }
 
 #[test]
 fn slowing_takes_hold_of_what_is_under_way() {
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
-    processor.slow(ms(10), 4.0);
+    processor.set_slowdown(ms(10), 4.0);
     assert_eq!(processor.next_end(ms(10)), Some(ms(90)));
-    processor.slow(ms(50), 1.0);
+    processor.set_slowdown(ms(50), 1.0);
     assert_eq!(ends(&mut processor), [(1, 60_000)]);
 }
 
 #[test]
 fn what_ends_while_another_arrives_is_still_told() {
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 5.0);
     processor.arrive(ms(50), 2, 5.0);
     assert_eq!(processor.next_end(ms(50)), Some(ms(50)), "the first is to be told of");
@@ -105,7 +105,7 @@
 fn at_half_load_the_mean_time_is_twice_the_work() {
     use rand_core::{RngCore, SeedableRng};
     let mut rng = rand_pcg::Pcg32::seed_from_u64(5);
-    let mut processor = Processor::new(Power::warm(1, 1.0), None);
+    let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     let (mut now, mut came, mut total) = (0.0, Vec::new(), 0.0);
     for id in 0..200_000 {
         let part = (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0;
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,6 +1,6 @@
 //! The program itself, started with a configuration of its own.
 
-use crate::{list, Client, DiscoveryServer, Log, Message, Refusing};
+use crate::{endpoint_list_json, Client, DiscoveryServer, Log, Message, RefusingPort};
 use std::ffi::OsString;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -31,7 +31,7 @@
 
 /// The program at work; ends when this is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningProgram {
     /// Its process.
     pub child: Child,
     /// Where it listens; the first of several.
@@ -44,24 +44,24 @@
 
 /// The program at work by an operators' file, on ports that are its own.
 #[derive(Debug)]
-pub struct Serving {
-    running: Running,
-    doors: Vec<Refusing>,
+pub struct ServingProgram {
+    running: RunningProgram,
+    doors: Vec<RefusingPort>,
 }
 
 /// What came of a file that was read again.
 #[derive(Clone, Debug)]
 pub struct Reload {
     /// It was taken; else it was refused.
-    pub taken: bool,
+    pub accepted: bool,
     /// The number of the line that said so; the reasons follow it.
-    pub at: usize,
+    pub line: usize,
 }
 
 /// The program at work with a configuration and a scripted discovery of its own.
 #[derive(Debug)]
 pub struct Proxy {
-    running: Running,
+    running: RunningProgram,
     /// The discovery that it asks.
     pub discovery: DiscoveryServer,
     /// Where its configuration is, and what stands there.
@@ -87,90 +87,94 @@
 
     /// Starts it with these entries as the list that it knows from before.
     pub fn start(&self, known: &[String]) -> Proxy {
-        self.with(known, 1024, SETTINGS)
+        self.start_with(known, 1024, SETTINGS)
     }
 
     /// With a bound on its sockets and with settings.
-    pub fn with(&self, known: &[String], sockets: u32, settings: &str) -> Proxy {
-        self.launched(known, sockets, settings, 1024)
+    pub fn start_with(&self, known: &[String], sockets: u32, settings: &str) -> Proxy {
+        self.start_with_limits(known, sockets, settings, 1024)
     }
 
     /// With a limit on descriptors that need not be the one it is told.
-    pub fn launched(&self, known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
+    pub fn start_with_limits(
+        &self, known: &[String], sockets: u32, settings: &str, descriptors: u32,
+    ) -> Proxy {
         let discovery = DiscoveryServer::start();
         let config = config(discovery.address, known, sockets, settings);
-        let running = self.run(&config, descriptors);
+        let running = self.start_with_config(&config, descriptors);
         let path = running.files[0].clone();
         Proxy { running, discovery, config: (path, config) }
     }
 
     /// Starts it with these entries and settings where discovery is elsewhere, say a [`crate::ListServer`].
-    pub fn joined(&self, discovery: SocketAddr, known: &[String], settings: &str) -> Running {
-        self.run(&config(discovery, known, 1024, settings), 1024)
+    pub fn start_with_discovery(
+        &self, discovery: SocketAddr, known: &[String], settings: &str,
+    ) -> RunningProgram {
+        self.start_with_config(&config(discovery, known, 1024, settings), 1024)
     }
 
     /// Starts it with that configuration, and waits until it listens.
-    pub fn run(&self, config: &str, descriptors: u32) -> Running {
+    pub fn start_with_config(&self, config: &str, descriptors: u32) -> RunningProgram {
         let path = written("json", config);
         let mut command = self.limited(Some(&path), descriptors);
         command.arg("--self-check");
-        Running::start(command, vec![path])
+        RunningProgram::start(command, vec![path])
     }
 
     /// Starts it at that address, which may be held by others, and does not wait for anything.
-    pub fn launch_at(&self, listen: SocketAddr, known: &[String]) -> Proxy {
+    pub fn spawn_at(&self, listen: SocketAddr, known: &[String]) -> Proxy {
         let discovery = DiscoveryServer::start();
         let config = config(discovery.address, known, 1024, SETTINGS);
         let config = config.replace("127.0.0.1:0", &listen.to_string());
         let path = written("json", &config);
-        let running = self.launch_with(listen, &path);
+        let running = self.spawn_with_config(listen, &path);
         Proxy { running, discovery, config: (path, config) }
     }
 
     /// Starts it by the configuration in that file, which need not be there, and does not wait for anything.
-    pub fn launch_with(&self, listen: SocketAddr, config: &Path) -> Running {
+    pub fn spawn_with_config(&self, listen: SocketAddr, config: &Path) -> RunningProgram {
         let mut command = self.limited(Some(config), 1024);
         command.arg("--self-check");
-        Running::launch(command, vec![config.into()], listen)
+        RunningProgram::launch(command, vec![config.into()], listen)
     }
 
     /// Starts it where discovery is elsewhere, with a file that adds to NODE_CONFIG: the second of its files.
-    pub fn joined_with(&self, discovery: SocketAddr, settings: &str, with: &str) -> Running {
+    pub fn start_with_extension(&self, discovery: SocketAddr, settings: &str, with: &str) -> RunningProgram {
         let (path, with) = (written("json", &config(discovery, &[], 1024, settings)), written("toml", with));
         let mut command = self.limited(Some(&path), 1024);
         command.arg("--self-check").arg("--with").arg(&with);
-        Running::start(command, vec![path, with])
+        RunningProgram::start(command, vec![path, with])
     }
 
     /// Serves by an operators' file, in which listeners are not said: one is added.
-    pub fn serve(&self, text: &str) -> Serving {
-        self.serve_at(vec![Refusing::new()], text)
+    pub fn serve(&self, text: &str) -> ServingProgram {
+        self.serve_on(vec![RefusingPort::new()], text)
     }
 
     /// Serves by an operators' file that says itself where it listens, without a self-check: for measurements.
-    pub fn serve_file(&self, file: impl Fn(SocketAddr) -> String) -> Serving {
-        let door = Refusing::new();
+    pub fn serve_file(&self, file: impl Fn(SocketAddr) -> String) -> ServingProgram {
+        let door = RefusingPort::new();
         let path = written("toml", &file(door.address()));
         let mut command = self.limited(None, 1024);
         command.args(["serve", "--config"]).arg(&path);
-        Serving { running: Running::start(command, vec![path]), doors: vec![door] }
+        ServingProgram { running: RunningProgram::start(command, vec![path]), doors: vec![door] }
     }
 
     /// Serves by an operators' file that says itself where it listens, this address among others, and does not wait for
     /// anything.
-    pub fn serve_text(&self, listen: SocketAddr, text: &str) -> Running {
+    pub fn spawn_serving(&self, listen: SocketAddr, text: &str) -> RunningProgram {
         let path = written("toml", text);
         let mut command = self.limited(None, 1024);
         command.args(["serve", "--self-check", "--config"]).arg(&path);
-        Running::launch(command, vec![path], listen)
+        RunningProgram::launch(command, vec![path], listen)
     }
 
     /// The same with a listener at each of these.
-    pub fn serve_at(&self, doors: Vec<Refusing>, text: &str) -> Serving {
+    pub fn serve_on(&self, doors: Vec<RefusingPort>, text: &str) -> ServingProgram {
         let path = written("toml", &with_listeners(&doors, text));
         let mut command = self.limited(None, 1024);
         command.args(["serve", "--self-check", "--config"]).arg(&path);
-        Serving { running: Running::start(command, vec![path]), doors }
+        ServingProgram { running: RunningProgram::start(command, vec![path]), doors }
     }
 
     /// The command to run it, with a configuration or without any.
@@ -191,23 +195,23 @@
     }
 }
 
-impl Running {
-    fn start(command: Command, files: Vec<PathBuf>) -> Running {
-        let mut running = Running::launch(command, files, SocketAddr::from(([0, 0, 0, 0], 0)));
+impl RunningProgram {
+    fn start(command: Command, files: Vec<PathBuf>) -> RunningProgram {
+        let mut running = RunningProgram::launch(command, files, SocketAddr::from(([0, 0, 0, 0], 0)));
         let line = running.log.expect(0, "listens on ");
         let at = line.split("listens on ").nth(1).and_then(|rest| rest.split(',').next());
         running.address = at.and_then(|at| at.parse().ok()).expect("an address");
         running
     }
 
-    fn launch(mut command: Command, files: Vec<PathBuf>, address: SocketAddr) -> Running {
+    fn launch(mut command: Command, files: Vec<PathBuf>, address: SocketAddr) -> RunningProgram {
         let mut child = command.spawn().unwrap();
         let log = Log::follow(child.stderr.take().unwrap());
-        Running { child, address, log, files }
+        RunningProgram { child, address, log, files }
     }
 
     /// Waits until it answers that it is ready; `None` where its process ends before.
-    pub fn until_ready(&mut self) -> Option<std::time::Instant> {
+    pub fn wait_ready(&mut self) -> Option<std::time::Instant> {
         let probe = b"GET /-/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
         while matches!(self.child.try_wait(), Ok(None)) {
             if is_answered_200(self.address, probe) {
@@ -219,7 +223,7 @@
     }
 
     /// Puts another text in a file's place, whole at any moment.
-    pub fn rewrite(&self, file: usize, text: impl AsRef<[u8]>) {
+    pub fn replace_file(&self, file: usize, text: impl AsRef<[u8]>) {
         let next = self.files[file].with_extension("next");
         std::fs::write(&next, text).unwrap();
         std::fs::rename(&next, &self.files[file]).unwrap();
@@ -229,12 +233,12 @@
     ///
     /// # Panics
     /// Where it says nothing.
-    pub fn read_again(&self) -> Reload {
+    pub fn reload_files(&self) -> Reload {
         let from = self.log.len();
         self.signal("HUP");
         let said = self.log.wait(from, |line| line.contains("SIGHUP: "));
         let (at, line) = said.expect("a word on the file that was read again");
-        Reload { taken: line.contains("SIGHUP: taken"), at }
+        Reload { accepted: line.contains("SIGHUP: taken"), line: at }
     }
 
     /// A client with a connection to it.
@@ -243,8 +247,8 @@
     }
 
     /// One request on a connection of its own.
-    pub fn ask(&self, request: &str) -> Message {
-        self.client().ask(request)
+    pub fn request(&self, request: &str) -> Message {
+        self.client().request(request)
     }
 
     /// Sends it the signal of that name, without `SIG`.
@@ -254,42 +258,42 @@
     }
 }
 
-impl Serving {
+impl ServingProgram {
     /// Where it listens.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.doors.iter().map(Refusing::address).collect()
+        self.doors.iter().map(RefusingPort::address).collect()
     }
 
     /// That text with its listeners, as a file of its own has to have them.
-    pub fn whole(&self, text: &str) -> String {
+    pub fn file_text(&self, text: &str) -> String {
         with_listeners(&self.doors, text)
     }
 
     /// Has it read that text, to which its listeners are added, and waits for what it says of it.
     pub fn reload(&self, text: &str) -> Reload {
-        self.rewrite(0, self.whole(text));
-        self.read_again()
+        self.replace_file(0, self.file_text(text));
+        self.reload_files()
     }
 
     /// The same where the file has to be taken.
     ///
     /// # Panics
     /// Where it is not.
-    pub fn take(&self, text: &str) {
+    pub fn reload_accepted(&self, text: &str) {
         let reload = self.reload(text);
-        assert!(reload.taken, "{}", self.log.since(reload.at).join("\n"));
+        assert!(reload.accepted, "{}", self.log.since(reload.line).join("\n"));
     }
 }
 
-impl std::ops::Deref for Serving {
-    type Target = Running;
-    fn deref(&self) -> &Running {
+impl std::ops::Deref for ServingProgram {
+    type Target = RunningProgram;
+    fn deref(&self) -> &RunningProgram {
         &self.running
     }
 }
 
-impl std::ops::DerefMut for Serving {
-    fn deref_mut(&mut self) -> &mut Running {
+impl std::ops::DerefMut for ServingProgram {
+    fn deref_mut(&mut self) -> &mut RunningProgram {
         &mut self.running
     }
 }
@@ -303,19 +307,19 @@
 }
 
 impl std::ops::Deref for Proxy {
-    type Target = Running;
-    fn deref(&self) -> &Running {
+    type Target = RunningProgram;
+    fn deref(&self) -> &RunningProgram {
         &self.running
     }
 }
 
 impl std::ops::DerefMut for Proxy {
-    fn deref_mut(&mut self) -> &mut Running {
+    fn deref_mut(&mut self) -> &mut RunningProgram {
         &mut self.running
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningProgram {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -334,19 +338,19 @@
 fn is_answered_200(at: SocketAddr, request: &[u8]) -> bool {
     use std::io::{Read, Write};
     let Ok(mut tcp) = std::net::TcpStream::connect(at) else { return false };
-    let _ = tcp.set_read_timeout(Some(crate::PATIENCE));
+    let _ = tcp.set_read_timeout(Some(crate::WAIT_LIMIT));
     let mut answer = Vec::new();
     let done = tcp.write_all(request).and_then(|()| tcp.read_to_end(&mut answer));
     done.is_ok() && answer.starts_with(b"HTTP/1.1 200")
 }
 
-fn with_listeners(doors: &[Refusing], text: &str) -> String {
-    let listener = |door: &Refusing| format!("[[listener]]\naddress = \"{}\"\n", door.address());
+fn with_listeners(doors: &[RefusingPort], text: &str) -> String {
+    let listener = |door: &RefusingPort| format!("[[listener]]\naddress = \"{}\"\n", door.address());
     doors.iter().map(listener).collect::<String>() + text
 }
 
 fn config(discovery: SocketAddr, known: &[String], sockets: u32, settings: &str) -> String {
-    let known = list(4, true, known);
+    let known = endpoint_list_json(4, true, known);
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
--- a/crates/testkit/src/scripted.rs
+++ b/crates/testkit/src/scripted.rs
@@ -1,19 +1,19 @@
 //! Lists in discovery's form, and a discovery of which each answer is the test's.
 
-use crate::{Message, PATIENCE};
+use crate::{Message, WAIT_LIMIT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
 
 /// An entry of the list.
-pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
+pub fn endpoint_json(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"east","type":"big","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
 /// An answer of discovery's: the whole list or what changed.
-pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
+pub fn endpoint_list_json(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
@@ -58,7 +58,7 @@
     }
 
     /// The next call, and where its answer goes.
-    pub fn call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("a call to discovery")
+    pub fn next_call(&self) -> Call {
+        self.calls.recv_timeout(WAIT_LIMIT).expect("a call to discovery")
     }
 }
--- a/crates/testkit/src/seeded_rng.rs
+++ b/crates/testkit/src/seeded_rng.rs
@@ -14,35 +14,35 @@
     }
 
     /// The generator that belongs to a name: the same under the same seed wherever and whenever it is met.
-    pub fn of(seed: u64, name: &str) -> SeededRng {
+    pub fn named(seed: u64, name: &str) -> SeededRng {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         SeededRng::new(name.bytes().fold(0xcbf2_9ce4_8422_2325 ^ seed, fold))
     }
 
     /// Even over (0, 1), neither end included.
-    pub fn part(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         (f64::from(self.0.next_u32()) + 0.5) / (f64::from(u32::MAX) + 1.0)
     }
 
     /// Whether something of that chance happens.
     pub fn chance(&mut self, chance: f64) -> bool {
-        self.part() < chance
+        self.uniform() < chance
     }
 
     /// A number that is hardly met twice.
-    pub fn word(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 
     fn normal(&mut self) -> f64 {
-        let (a, b) = (self.part(), self.part());
+        let (a, b) = (self.uniform(), self.uniform());
         (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
     }
 }
 
 /// The law of a quantity that is not negative.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Law {
+pub enum Distribution {
     /// Always the same.
     Fixed(f64),
     /// Even between two bounds.
@@ -53,14 +53,14 @@
     LogNormal(f64, f64),
 }
 
-impl Law {
+impl Distribution {
     /// A value of this law.
-    pub fn draw(&self, rng: &mut SeededRng) -> f64 {
+    pub fn sample(&self, rng: &mut SeededRng) -> f64 {
         let value = match *self {
-            Law::Fixed(value) => value,
-            Law::Even(from, to) => from + (to - from) * rng.part(),
-            Law::Exponential(mean) => -rng.part().ln() * mean,
-            Law::LogNormal(mean, cv) => {
+            Distribution::Fixed(value) => value,
+            Distribution::Even(from, to) => from + (to - from) * rng.uniform(),
+            Distribution::Exponential(mean) => -rng.uniform().ln() * mean,
+            Distribution::LogNormal(mean, cv) => {
                 let variance = (1.0 + cv * cv).ln();
                 mean * (variance.sqrt() * rng.normal() - variance / 2.0).exp()
             }
@@ -71,8 +71,10 @@
     /// Its mean.
     pub fn mean(&self) -> f64 {
         match *self {
-            Law::Fixed(mean) | Law::Exponential(mean) | Law::LogNormal(mean, _) => mean,
-            Law::Even(from, to) => (from + to) / 2.0,
+            Distribution::Fixed(mean)
+            | Distribution::Exponential(mean)
+            | Distribution::LogNormal(mean, _) => mean,
+            Distribution::Even(from, to) => (from + to) / 2.0,
         }
     }
 }
--- a/crates/testkit/src/station.rs
+++ b/crates/testkit/src/service_model.rs
@@ -1,7 +1,7 @@
 //! A backend's whole service: so many slots, a queue before them, cores that are shared, and waits that need none.
 //! Pure: time is an argument.
 
-use crate::{Finished, Power, Processor};
+use crate::{Completion, CpuCapacity, Processor};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,7 +16,7 @@
 
 /// What became of a request on arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
+pub enum Admission {
     /// It has a slot.
     Began,
     /// It waits for one.
@@ -27,16 +27,16 @@
 
 /// What happened to a request that was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ServiceEvent {
     /// It came out of the queue.
-    Began(Finished),
+    Began(Completion),
     /// It is served.
-    Served(Finished),
+    Served(Completion),
 }
 
 /// One backend's slots, queue and cores.
 #[derive(Clone, Debug)]
-pub struct Station {
+pub struct ServiceModel {
     cores: Processor,
     slots: usize,
     queue: usize,
@@ -46,10 +46,10 @@
     waiting: BTreeSet<(Time, u64)>,
 }
 
-impl Station {
+impl ServiceModel {
     /// One that is idle.
-    pub fn new(power: Power, booted: Option<Time>, slots: u32, queue: u32) -> Station {
-        Station {
+    pub fn new(power: CpuCapacity, booted: Option<Time>, slots: u32, queue: u32) -> ServiceModel {
+        ServiceModel {
             cores: Processor::new(power, booted),
             slots: slots.max(1) as usize,
             queue: queue as usize,
@@ -69,20 +69,20 @@
         self.queued.len()
     }
 
-    /// A request of a new id comes. All that was due before must have been taken with [`Station::advance`].
-    pub fn arrive(&mut self, now: Time, id: u64, demand: Demand) -> Admitted {
+    /// A request of a new id comes. All that was due before must have been taken with [`ServiceModel::advance`].
+    pub fn arrive(&mut self, now: Time, id: u64, demand: Demand) -> Admission {
         if self.in_service() < self.slots {
             self.begin(now, id, demand);
-            return Admitted::Began;
+            return Admission::Began;
         }
         if self.queued.len() >= self.queue {
-            return Admitted::Full;
+            return Admission::Full;
         }
         self.queued.push_back((id, demand));
-        Admitted::Queued
+        Admission::Queued
     }
 
-    /// A request is withdrawn. Who waits takes its place at the next [`Station::advance`].
+    /// A request is withdrawn. Who waits takes its place at the next [`ServiceModel::advance`].
     pub fn cancel(&mut self, now: Time, id: u64) {
         self.queued.retain(|(other, _)| *other != id);
         self.waiting.retain(|(_, other)| *other != id);
@@ -92,12 +92,12 @@
     }
 
     /// From now on all work takes so many times as long; waits do not.
-    pub fn slow(&mut self, now: Time, factor: f64) {
-        self.cores.slow(now, factor);
+    pub fn set_slowdown(&mut self, now: Time, factor: f64) {
+        self.cores.set_slowdown(now, factor);
     }
 
-    /// When [`Station::advance`] has something to tell next, if nothing comes or goes.
-    pub fn next(&self, now: Time) -> Option<Time> {
+    /// When [`ServiceModel::advance`] has something to tell next, if nothing comes or goes.
+    pub fn next_event(&self, now: Time) -> Option<Time> {
         if !self.queued.is_empty() && self.in_service() < self.slots {
             return Some(now);
         }
@@ -106,10 +106,10 @@
     }
 
     /// Brings the station to `now` and tells what happened on the way, in order.
-    pub fn advance(&mut self, now: Time) -> Vec<Step> {
+    pub fn advance(&mut self, now: Time) -> Vec<ServiceEvent> {
         let mut steps = Vec::new();
         self.fill(now, &mut steps);
-        while let Some(at) = self.next(Time(0)).filter(|at| *at <= now) {
+        while let Some(at) = self.next_event(Time(0)).filter(|at| *at <= now) {
             for work in self.cores.advance(at) {
                 if let Some(io) = self.working.remove(&work.id) {
                     self.waiting.insert((work.at + io, work.id));
@@ -117,7 +117,7 @@
             }
             while let Some((end, id)) = self.waiting.first().copied().filter(|(end, _)| *end <= at) {
                 self.waiting.pop_first();
-                steps.push(Step::Served(Finished { id, at: end }));
+                steps.push(ServiceEvent::Served(Completion { id, at: end }));
             }
             self.fill(at, &mut steps);
         }
@@ -129,11 +129,11 @@
         self.cores.arrive(now, id, demand.work_ms);
     }
 
-    fn fill(&mut self, now: Time, steps: &mut Vec<Step>) {
+    fn fill(&mut self, now: Time, steps: &mut Vec<ServiceEvent>) {
         while self.in_service() < self.slots {
             let Some((id, demand)) = self.queued.pop_front() else { return };
             self.begin(now, id, demand);
-            steps.push(Step::Began(Finished { id, at: now }));
+            steps.push(ServiceEvent::Began(Completion { id, at: now }));
         }
     }
 }
--- a/crates/testkit/tests/fleet.rs
+++ b/crates/testkit/tests/fleet.rs
@@ -5,25 +5,25 @@
 use std::io::Read;
 use std::time::{Duration, Instant};
 
-fn fleet(boxes: Vec<BoxSpec>) -> Fleet {
+fn fleet(boxes: Vec<BackendSpec>) -> Fleet {
     Fleet::start(boxes).expect("a fleet on loopback")
 }
 
-fn one(spec: BoxSpec) -> (Fleet, BoxHandle) {
+fn one(spec: BackendSpec) -> (Fleet, BackendHandle) {
     let fleet = fleet(vec![spec]);
-    let handle = fleet.boxes()[0].clone();
+    let handle = fleet.backends()[0].clone();
     (fleet, handle)
 }
 
-fn quick() -> BoxSpec {
-    BoxSpec::new("b0", Power::warm(2, 1.0))
+fn quick() -> BackendSpec {
+    BackendSpec::new("b0", CpuCapacity::warm(2, 1.0))
 }
 
 /// A fleet of one backend whose requests take that much work.
-fn working(spec: BoxSpec, work_ms: f64) -> (Fleet, BoxHandle) {
-    let services = vec![Service::new("", Law::Fixed(work_ms))];
+fn working(spec: BackendSpec, work_ms: f64) -> (Fleet, BackendHandle) {
+    let services = vec![Service::new("", Distribution::Fixed(work_ms))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(vec![spec]) }).expect("a fleet");
-    let handle = fleet.boxes()[0].clone();
+    let handle = fleet.backends()[0].clone();
     (fleet, handle)
 }
 
@@ -35,13 +35,14 @@
 fn a_box_answers_with_its_name_and_the_requests_id_and_writes_it_down() {
     let (fleet, handle) = one(quick());
     let mut client = Client::connect(handle.address);
-    let answer = client.ask("POST /pay/k HTTP/1.1\r\nX-Correlation-Id: 7\r\nContent-Length: 4\r\n\r\ncash");
+    let answer =
+        client.request("POST /pay/k HTTP/1.1\r\nX-Correlation-Id: 7\r\nContent-Length: 4\r\n\r\ncash");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"b0 7\n"[..]));
-    client.ask("GET /read/k?q HTTP/1.1\r\nX-Correlation-Id: 8\r\n\r\n");
-    client.ask(
+    client.request("GET /read/k?q HTTP/1.1\r\nX-Correlation-Id: 8\r\n\r\n");
+    client.request(
         "POST /vote HTTP/1.1\r\nX-Correlation-Id: 9\r\nIdempotency-Key: k9\r\nContent-Length: 0\r\n\r\n",
     );
-    assert_eq!(client.ask("GET /-/healthy HTTP/1.1\r\n\r\n").status(), 200, "no request, so no record");
+    assert_eq!(client.request("GET /-/healthy HTTP/1.1\r\n\r\n").status(), 200, "no request, so no record");
     let ledger = fleet.ledger();
     let seen = ledger.records.iter().map(|r| (&*r.id, &*r.class, r.key.as_deref(), r.repeat));
     let expected = [
@@ -51,18 +52,18 @@
     ];
     assert!(seen.eq(expected), "{:?}", ledger.records);
     assert_eq!(ledger.count(None, Ended::Served), 3);
-    let expected = BoxStats { connections: 1, open: 1, requests: 3, ended: 3 };
+    let expected = BackendStats { connections: 1, open: 1, requests: 3, ended: 3 };
     assert_eq!(handle.stats(), expected);
 }
 
 /// Four equal requests on one core end together after four times the work of one.
 #[test]
 fn requests_at_a_time_share_the_cores() {
-    let (_fleet, handle) = working(BoxSpec::new("b0", Power::warm(1, 2.0)), 60.0);
+    let (_fleet, handle) = working(BackendSpec::new("b0", CpuCapacity::warm(1, 2.0)), 60.0);
     let begun = Instant::now();
     let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(handle.address)).collect();
     for client in &mut clients {
-        client.send(&read(3.0));
+        client.send(&read_request(3.0));
     }
     for client in &mut clients {
         assert_eq!(client.answer().expect("an answer").status(), 200);
@@ -73,11 +74,11 @@
 
 #[test]
 fn a_full_box_turns_away_what_never_ran() {
-    let (fleet, handle) = working(BoxSpec { slots: 1, queue: 1, ..quick() }, 100.0);
+    let (fleet, handle) = working(BackendSpec { slots: 1, queue: 1, ..quick() }, 100.0);
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(handle.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.send(&pay(3.0));
-        assert!(handle.wait(|stats| stats.requests == n as u64 + 1));
+        client.send(&pay_request(3.0));
+        assert!(handle.wait_for_stats(|stats| stats.requests == n as u64 + 1));
     }
     let away = clients[2].answer().expect("an answer");
     assert_eq!((away.status(), away.header("x-unprocessed")), (503, Some("1")));
@@ -89,20 +90,20 @@
 
 #[test]
 fn a_new_connection_is_work_that_takes_a_slot() {
-    let spec = BoxSpec { slots: 1, queue: 0, handshake_ms: 60_000.0, ..quick() };
+    let spec = BackendSpec { slots: 1, queue: 0, handshake_ms: 60_000.0, ..quick() };
     let (_fleet, handle) = working(spec, 1.0);
     let mut client = Client::connect(handle.address);
-    assert!(handle.wait(|stats| stats.connections == 1));
-    assert_eq!(client.ask("GET /read/k HTTP/1.1\r\n\r\n").status(), 503);
+    assert!(handle.wait_for_stats(|stats| stats.connections == 1));
+    assert_eq!(client.request("GET /read/k HTTP/1.1\r\n\r\n").status(), 503);
 }
 
 #[test]
 fn a_crowd_makes_a_box_slow_for_those_who_come_with_it() {
-    let crowd = Some(Crowd { held: 3.0, slower: 1e6 });
-    let (fleet, handle) = working(BoxSpec { crowd, ..quick() }, 1_000.0);
+    let crowd = Some(CongestionConfig { in_flight_threshold: 3.0, slowdown: 1e6 });
+    let (fleet, handle) = working(BackendSpec { congestion: crowd, ..quick() }, 1_000.0);
     let mut clients: Vec<Client> = (0..8).map(|_| Client::connect(handle.address)).collect();
-    clients.iter_mut().for_each(|client| client.send(&pay(3.0)));
-    assert!(handle.wait(|stats| stats.requests == 8));
+    clients.iter_mut().for_each(|client| client.send(&pay_request(3.0)));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 8));
     // Without the crowd all would be served after 4 s.
     std::thread::sleep(Duration::from_millis(4_500));
     assert!(ends(&fleet).iter().all(Option::is_none));
@@ -110,28 +111,31 @@
 
 #[test]
 fn who_closes_takes_its_work_along() {
-    let (fleet, handle) = working(BoxSpec { slots: 1, ..quick() }, 60_000.0);
+    let (fleet, handle) = working(BackendSpec { slots: 1, ..quick() }, 60_000.0);
     let mut client = Client::connect(handle.address);
-    client.send(&pay(3.0));
-    assert!(handle.wait(|stats| stats.requests == 1));
+    client.send(&pay_request(3.0));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 1));
     drop(client);
-    assert!(handle.wait(|stats| stats.ended == 1 && stats.open == 0));
+    assert!(handle.wait_for_stats(|stats| stats.ended == 1 && stats.open == 0));
     assert_eq!(ends(&fleet), [Some(Ended::Cancelled)]);
 }
 
 #[test]
 fn a_part_of_the_requests_fails_or_is_reset_as_told() {
     let (fleet, handle) = one(quick());
-    handle.set(Fault::Fail(0.5));
+    handle.set_fault(Fault::Fail(0.5));
     let mut client = Client::connect(handle.address);
-    let failed = (0..100).filter(|_| client.ask(&read(3.0)).status() == 500).count();
+    let failed = (0..100).filter(|_| client.request(&read_request(3.0)).status() == 500).count();
     assert!((25..75).contains(&failed), "{failed}");
-    handle.set(Fault::Cleared);
-    handle.set(Fault::FailClass("pay".into(), 1.0));
-    assert_eq!((client.ask(&pay(3.0)).status(), client.ask(&read(3.0)).status()), (500, 200));
-    handle.set(Fault::Reset(1.0));
-    client.send(&read(3.0));
-    assert!(client.answer().is_none() && client.ended());
+    handle.set_fault(Fault::Cleared);
+    handle.set_fault(Fault::FailClass("pay".into(), 1.0));
+    assert_eq!(
+        (client.request(&pay_request(3.0)).status(), client.request(&read_request(3.0)).status()),
+        (500, 200)
+    );
+    handle.set_fault(Fault::Reset(1.0));
+    client.send(&read_request(3.0));
+    assert!(client.answer().is_none() && client.is_closed());
     let ledger = fleet.ledger();
     assert_eq!((ledger.count(None, Ended::Failed), ledger.count(Some(0), Ended::Reset)), (failed + 1, 1));
 }
@@ -139,14 +143,14 @@
 #[test]
 fn a_hung_box_reads_and_says_nothing() {
     let (fleet, handle) = one(quick());
-    handle.set(Fault::Hang(1.0));
+    handle.set_fault(Fault::Hang(1.0));
     let mut client = Client::connect(handle.address);
-    client.send(&read(3.0));
-    assert!(handle.wait(|stats| stats.requests == 1));
+    client.send(&read_request(3.0));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 1));
     client.0.get_ref().set_read_timeout(Some(Duration::from_millis(50))).unwrap();
     assert!(client.answer().is_none());
     drop(client);
-    assert!(handle.wait(|stats| stats.ended == 1));
+    assert!(handle.wait_for_stats(|stats| stats.ended == 1));
     assert_eq!(ends(&fleet), [Some(Ended::Hung)]);
 }
 
@@ -154,47 +158,48 @@
 fn a_box_refuses_connections_and_takes_them_again_at_the_same_address() {
     let (_fleet, handle) = one(quick());
     let mut kept = Client::connect(handle.address);
-    assert_eq!(kept.ask(&read(3.0)).status(), 200);
+    assert_eq!(kept.request(&read_request(3.0)).status(), 200);
     for _ in 0..3 {
-        handle.set(Fault::Refuse);
+        handle.set_fault(Fault::Refuse);
         assert!(std::net::TcpStream::connect(handle.address).is_err());
-        assert_eq!(kept.ask(&read(3.0)).status(), 200, "connections that are up go on");
-        handle.set(Fault::Accept);
-        assert_eq!(Client::connect(handle.address).ask(&read(3.0)).status(), 200);
+        assert_eq!(kept.request(&read_request(3.0)).status(), 200, "connections that are up go on");
+        handle.set_fault(Fault::Accept);
+        assert_eq!(Client::connect(handle.address).request(&read_request(3.0)).status(), 200);
     }
 }
 
 /// Its work takes 20 ms warm, and at a tenth of the speed ten times as long.
 #[test]
 fn a_box_that_died_comes_back_cold_at_the_same_address() {
-    let power = Power { cores: 1, speed: 1.0, initial_capacity_fraction: 0.1, ramp: Micros(60_000_000) };
-    let (fleet, handle) = working(BoxSpec::new("b0", power), 20.0);
+    let power =
+        CpuCapacity { cores: 1, speed: 1.0, initial_capacity_fraction: 0.1, ramp: Micros(60_000_000) };
+    let (fleet, handle) = working(BackendSpec::new("b0", power), 20.0);
     let mut client = Client::connect(handle.address);
-    assert_eq!(client.ask(&read(3.0)).status(), 200);
-    handle.set(Fault::Slow(1e6));
-    client.send(&pay(3.0));
-    assert!(handle.wait(|stats| stats.requests == 2));
+    assert_eq!(client.request(&read_request(3.0)).status(), 200);
+    handle.set_fault(Fault::Slow(1e6));
+    client.send(&pay_request(3.0));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 2));
     let died = handle.kill();
     assert!(matches!(client.0.read(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset));
     assert_eq!(handle.kill(), died);
-    handle.set(Fault::Cleared);
+    handle.set_fault(Fault::Cleared);
     assert!(std::net::TcpStream::connect(handle.address).is_err(), "the dead stay dead");
-    let back = handle.revive();
+    let back = handle.restart();
     let begun = Instant::now();
-    assert_eq!(Client::connect(handle.address).ask(&read(3.0)).status(), 200);
+    assert_eq!(Client::connect(handle.address).request(&read_request(3.0)).status(), 200);
     let took = begun.elapsed();
     assert!(took >= Duration::from_millis(180) && took < Duration::from_secs(2), "{took:?}");
     let mut client = Client::connect(handle.address);
-    handle.set(Fault::Slow(1e6));
-    client.send(&read(3.0));
-    assert!(handle.wait(|stats| stats.requests == 4));
+    handle.set_fault(Fault::Slow(1e6));
+    client.send(&read_request(3.0));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 4));
     drop(client);
-    assert!(handle.wait(|stats| stats.ended == 4));
+    assert!(handle.wait_for_stats(|stats| stats.ended == 4));
     let ledger = fleet.ledger();
     let expected = [Ended::Served, Ended::BoxDied, Ended::Served, Ended::Cancelled];
     assert_eq!(ends(&fleet), expected.map(Some));
     let boots = [Boot { at: None, died: Some(died) }, Boot { at: Some(back), died: None }];
-    assert_eq!(ledger.boxes[0].boots, boots);
+    assert_eq!(ledger.backends[0].boots, boots);
     assert_eq!(ledger.records.iter().map(|r| r.boot).collect::<Vec<_>>(), [0, 0, 1, 1]);
 }
 
@@ -202,34 +207,34 @@
 fn a_slow_box_is_slow_until_it_is_told_otherwise() {
     let (_fleet, handle) = working(quick(), 5.0);
     let mut client = Client::connect(handle.address);
-    handle.set(Fault::Slow(20.0));
+    handle.set_fault(Fault::Slow(20.0));
     let begun = Instant::now();
-    client.ask(&read(3.0));
+    client.request(&read_request(3.0));
     assert!(begun.elapsed() >= Duration::from_millis(99));
-    handle.set(Fault::Slow(1e6));
-    client.send(&read(3.0));
-    assert!(handle.wait(|stats| stats.requests == 2));
-    handle.set(Fault::Slow(1.0));
+    handle.set_fault(Fault::Slow(1e6));
+    client.send(&read_request(3.0));
+    assert!(handle.wait_for_stats(|stats| stats.requests == 2));
+    handle.set_fault(Fault::Slow(1.0));
     assert_eq!(client.answer().expect("an answer, for it is quick again").status(), 200);
 }
 
 #[test]
 fn a_draining_box_finishes_what_it_has_and_takes_new_ones_for_its_grace() {
-    let (fleet, handle) = working(BoxSpec { grace: Duration::from_millis(400), ..quick() }, 1.0);
+    let (fleet, handle) = working(BackendSpec { drain_grace: Duration::from_millis(400), ..quick() }, 1.0);
     let since = handle.drain();
     let mut client = Client::connect(handle.address);
-    assert_eq!(client.ask(&pay(3.0)).status(), 200);
+    assert_eq!(client.request(&pay_request(3.0)).status(), 200);
     while fleet.clock().now() <= since + Micros(401_000) {
         std::thread::yield_now();
     }
-    assert_eq!(client.ask(&pay(3.0)).status(), 503);
+    assert_eq!(client.request(&pay_request(3.0)).status(), 503);
     let ledger = fleet.ledger();
     assert_eq!(ends(&fleet), [Ended::Served, Ended::TurnedAway].map(Some));
     assert!(ledger.records.iter().all(|r| r.draining == Some(since)));
-    let drained = [checks::Drained { name: "b0".into(), told: since }];
-    assert_eq!(checks::nothing_after_drain(&ledger, &drained, Micros(400_000)).len(), 1);
-    handle.set(Fault::Cleared);
-    assert_eq!(client.ask(&pay(3.0)).status(), 200);
+    let drained = [checks::Drained { name: "b0".into(), delivered_at: since }];
+    assert_eq!(checks::no_requests_after_drain(&ledger, &drained, Micros(400_000)).len(), 1);
+    handle.set_fault(Fault::Cleared);
+    assert_eq!(client.request(&pay_request(3.0)).status(), 200);
 }
 
 #[test]
@@ -237,14 +242,14 @@
     let (_fleet, handle) = one(quick());
     let mut client = Client::connect(handle.address);
     for status in [201, 302, 404, 422, 204, 304] {
-        handle.set(Fault::Answer(Answer::status(status).with("Location", "/x").body("told")));
-        let answer = client.ask(&read(3.0));
+        handle.set_fault(Fault::Answer(Answer::status(status).with("Location", "/x").body("told")));
+        let answer = client.request(&read_request(3.0));
         let body = if matches!(status, 204 | 304) { "" } else { "told" };
         assert_eq!((answer.status(), answer.header("location")), (status, Some("/x")));
         assert_eq!(answer.body, body.as_bytes());
     }
-    handle.set(Fault::Cleared);
-    handle.set(Fault::Close(false));
+    handle.set_fault(Fault::Cleared);
+    handle.set_fault(Fault::Close(false));
     client.send("HEAD /read/k HTTP/1.1\r\nX-Correlation-Id: 1\r\n\r\n");
     let mut text = String::new();
     client.0.read_to_string(&mut text).unwrap();
@@ -255,15 +260,18 @@
 fn connections_end_after_an_answer_where_told_and_say_so_or_not() {
     let (_fleet, handle) = one(quick());
     for says_so in [true, false] {
-        handle.set(Fault::Close(says_so));
+        handle.set_fault(Fault::Close(says_so));
         let mut client = Client::connect(handle.address);
-        let answer = client.ask(&read(3.0));
+        let answer = client.request(&read_request(3.0));
         assert_eq!(answer.header("connection").is_some(), says_so);
-        assert!(client.ended());
+        assert!(client.is_closed());
     }
-    handle.set(Fault::Keep);
+    handle.set_fault(Fault::Keep);
     let mut client = Client::connect(handle.address);
-    assert_eq!((client.ask(&read(3.0)).status(), client.ask(&read(3.0)).status()), (200, 200));
+    assert_eq!(
+        (client.request(&read_request(3.0)).status(), client.request(&read_request(3.0)).status()),
+        (200, 200)
+    );
     assert_eq!(handle.stats().connections, 3);
 }
 
@@ -271,16 +279,16 @@
 fn answers_come_in_pieces_where_told() {
     let (fleet, handle) = one(quick());
     let mut client = Client::connect(handle.address);
-    handle.set(Fault::Send(Sending::TwoSegments));
+    handle.set_fault(Fault::Send(Sending::TwoSegments));
     for _ in 0..3 {
-        assert_eq!(client.ask(&read(3.0)).status(), 200);
+        assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
-    handle.set(Fault::Send(Sending::Drip(Duration::from_millis(120))));
+    handle.set_fault(Fault::Send(Sending::Drip(Duration::from_millis(120))));
     let begun = Instant::now();
-    assert_eq!(client.ask(&read(3.0)).status(), 200);
+    assert_eq!(client.request(&read_request(3.0)).status(), 200);
     assert!(begun.elapsed() >= Duration::from_millis(120));
-    handle.set(Fault::Send(Sending::Raw(vec![b"\x01 no".to_vec(), b" answer".to_vec()])));
-    client.send(&read(3.0));
+    handle.set_fault(Fault::Send(Sending::Raw(vec![b"\x01 no".to_vec(), b" answer".to_vec()])));
+    client.send(&read_request(3.0));
     let mut got = [0; 11];
     client.0.read_exact(&mut got).unwrap();
     assert_eq!(&got, b"\x01 no answer");
@@ -289,31 +297,32 @@
 
 #[test]
 fn nonsense_ends_its_connection_and_nothing_else() {
-    let (_fleet, handle) = one(BoxSpec { idle: Duration::from_millis(50), max_connections: 2, ..quick() });
+    let (_fleet, handle) =
+        one(BackendSpec { idle_timeout: Duration::from_millis(50), max_connections: 2, ..quick() });
     let mut kept = Client::connect(handle.address);
     for text in ["\u{1}\u{2}\r\nno head\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: -4\r\n\r\n", "GET / HT"]
     {
         let mut client = Client::connect(handle.address);
         client.send(text);
-        assert!(client.ended(), "{text}");
+        assert!(client.is_closed(), "{text}");
     }
-    assert!(kept.ended(), "it stood idle for too long");
-    assert!(handle.wait(|stats| stats.open == 0));
+    assert!(kept.is_closed(), "it stood idle for too long");
+    assert!(handle.wait_for_stats(|stats| stats.open == 0));
     let mut clients: Vec<Client> = (0..3).map(|_| Client::connect(handle.address)).collect();
-    assert!(clients[2].ended(), "there is room for two");
-    assert_eq!(clients[0].ask(&read(3.0)).status(), 200);
+    assert!(clients[2].is_closed(), "there is room for two");
+    assert_eq!(clients[0].request(&read_request(3.0)).status(), 200);
 }
 
 /// The same request needs the same everywhere, so that backends differ by their speed alone.
 #[test]
 fn a_request_brings_the_same_work_to_every_box() {
-    let boxes = ["b0", "b1"].map(|name| BoxSpec::new(name, Power::warm(1, 1.0))).to_vec();
-    let services = vec![Service::new("read", Law::Exponential(2.0))];
+    let boxes = ["b0", "b1"].map(|name| BackendSpec::new(name, CpuCapacity::warm(1, 1.0))).to_vec();
+    let services = vec![Service::new("read", Distribution::Exponential(2.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes) }).expect("a fleet");
     for id in 0..5 {
-        for handle in fleet.boxes() {
+        for handle in fleet.backends() {
             let request = format!("GET /read/k HTTP/1.1\r\nX-Correlation-Id: {id}\r\n\r\n");
-            assert_eq!(Client::connect(handle.address).ask(&request).status(), 200);
+            assert_eq!(Client::connect(handle.address).request(&request).status(), 200);
         }
     }
     let work: Vec<f64> = fleet.ledger().records.iter().map(|r| r.work_ms).collect();
@@ -326,6 +335,6 @@
     let (fleet, handle) = one(quick());
     drop(fleet);
     assert!(std::net::TcpStream::connect(handle.address).is_err());
-    handle.set(Fault::Cleared);
+    handle.set_fault(Fault::Cleared);
     handle.kill();
 }
