--- a/crates/deployments/src/cli.rs
+++ b/crates/deployments/src/cli.rs
@@ -1,10 +1,10 @@
-//! The command line: read as text, then checked as a whole, so that all mistakes are reported at once.
+//! The command line: read as text, then validated as a whole, so that all errors are reported together.
 
 use clap::Parser;
 use std::fmt;
 use std::path::PathBuf;
 
-/// How many deployments one call may write.
+/// Maximum number of deployments per call.
 pub const MAX_COUNT: u32 = 1_000;
 
 /// The files that the bench reads beside a site file.
@@ -17,10 +17,10 @@
     /// Seed of all draws, 0 to 2^64 - 1.
     #[arg(long, default_value = "1", allow_hyphen_values = true)]
     pub seed: String,
-    /// Number of deployments, 1 to 1000. The first ones of a larger number are those of a smaller.
+    /// Number of deployments, 1 to 1000. A larger number starts with the deployments of a smaller one.
     #[arg(long, default_value = "12", allow_hyphen_values = true)]
     pub count: String,
-    /// Folder that the files are written into; it is created if there is none.
+    /// Folder that the files are written to; created if it does not exist.
     #[arg(long, value_name = "DIR")]
     pub out: PathBuf,
     /// Folder whose wire.json, real.json and unlock.txt are copied beside the site files.
@@ -28,30 +28,30 @@
     pub companions: PathBuf,
 }
 
-/// Checked arguments.
+/// Validated arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Seed of all draws.
     pub seed: u64,
     /// Number of deployments, from 1 to [`MAX_COUNT`].
     pub count: u32,
-    /// Folder for the files; a folder or absent when it was checked.
+    /// Folder for the files; a folder or absent at the time of validation.
     pub out: PathBuf,
-    /// Folder that held all [`COMPANION_FILES`] when it was checked.
+    /// Folder that held all [`COMPANION_FILES`] at the time of validation.
     pub companions: PathBuf,
 }
 
-/// What is wrong with one argument.
+/// An error in one argument.
 #[derive(Clone, Debug, PartialEq)]
 #[non_exhaustive]
 pub enum ArgumentError {
-    /// `--seed` is no whole number that fits 64 bits.
+    /// `--seed` is not an integer of 64 bits.
     Seed(String),
-    /// `--count` is no whole number from 1 to [`MAX_COUNT`].
+    /// `--count` is not an integer from 1 to [`MAX_COUNT`].
     Count(String),
-    /// `--out` names something that is no folder.
-    OutIsNoFolder(PathBuf),
-    /// A file of [`COMPANION_FILES`] that `--companions` does not hold.
+    /// `--out` names something that is not a folder.
+    OutNotFolder(PathBuf),
+    /// A file of [`COMPANION_FILES`] is missing in the folder of `--companions`.
     CompanionMissing(PathBuf),
 }
 
@@ -64,10 +64,10 @@
             Self::Count(found) => {
                 write!(out, "--count: expected a whole number from 1 to {MAX_COUNT}, found {found:?}")
             }
-            Self::OutIsNoFolder(path) => {
-                write!(out, "--out: expected a folder or a new name, found the file {}", path.display())
+            Self::OutNotFolder(path) => {
+                write!(out, "--out: expected a folder or an unused name, found the file {}", path.display())
             }
-            Self::CompanionMissing(path) => write!(out, "--companions: there is no file {}", path.display()),
+            Self::CompanionMissing(path) => write!(out, "--companions: missing file {}", path.display()),
         }
     }
 }
@@ -78,7 +78,7 @@
     type Error = Vec<ArgumentError>;
 
     /// # Errors
-    /// All arguments that make no sense. Nothing was written.
+    /// All errors in the arguments. Nothing has been written.
     fn try_from(arguments: Arguments) -> Result<Request, Vec<ArgumentError>> {
         let mut errors = Vec::new();
         let seed = arguments.seed.parse::<u64>().ok();
@@ -90,7 +90,7 @@
             errors.push(ArgumentError::Count(arguments.count));
         }
         if arguments.out.exists() && !arguments.out.is_dir() {
-            errors.push(ArgumentError::OutIsNoFolder(arguments.out.clone()));
+            errors.push(ArgumentError::OutNotFolder(arguments.out.clone()));
         }
         for name in COMPANION_FILES {
             let path = arguments.companions.join(name);
--- a/crates/deployments/src/draw.rs
+++ b/crates/deployments/src/draw.rs
@@ -1,5 +1,6 @@
-//! A site drawn from a generator. What depends on each other is drawn in order: network, machines, classes (which must
-//! be servable by these machines over this network), size (which must fit the bench's limit of requests), the rest.
+//! Draws a site from a generator. Parts that depend on each other are drawn in order: the network, the machines, the
+//! classes (which these machines must be able to serve over this network), the size (which must fit the bench's limit of
+//! requests), and then the rest.
 
 mod fleet;
 mod names;
@@ -9,16 +10,17 @@
 use crate::model::Site;
 use crate::rng::SeededRng;
 
-/// The dialect file's name beside each site file.
+/// The name of the protocol file beside each site file.
 const WIRE_FILE: &str = "wire.json";
 
-/// The sites of a seed. Each has a generator of its own: the first ones of a larger number are those of a smaller.
+/// Returns the sites of a seed. Each site has a generator of its own, so that a larger count starts with the sites of a
+/// smaller one.
 pub fn sites(seed: u64, count: u32) -> Vec<Site> {
     let mut seeds = SeededRng::from_seed(seed);
     (1..=count).map(|number| site(format!("site-{seed}-{number:02}"), seeds.next_seed())).collect()
 }
 
-/// The site of a name and a seed.
+/// Returns the site of that name and seed.
 pub fn site(name: String, seed: u64) -> Site {
     let rng = &mut SeededRng::from_seed(seed);
     let net = policy::network(rng);
--- a/crates/deployments/src/draw/fleet.rs
+++ b/crates/deployments/src/draw/fleet.rs
@@ -1,4 +1,4 @@
-//! Machines, the fleet's size, and the tier's connections, probes and load reports.
+//! Draws the machines, the size of the fleet, and the connections, probes and load reports of the tier.
 
 use super::names;
 use crate::model::{
@@ -7,20 +7,20 @@
 };
 use crate::rng::SeededRng;
 
-/// Sizes of machines.
+/// Numbers of cores of machines.
 const CORES: [u32; 5] = [1, 2, 4, 8, 16];
-/// Load reports hold at most that many figures.
+/// Maximum number of figures in a load report.
 const MAX_REPORT_FIELDS: u32 = 4;
-/// What the usual fleet does at most, requests a second: a day of 60 s then stays near the bench's limit.
+/// Maximum requests per second that a fleet of usual size serves: a run of 60 s then stays near the limit of the bench.
 const MAX_REQUESTS_PER_S: f64 = 2_500.0;
-/// The fewest backends of a fleet.
+/// Minimum number of backends of a fleet.
 const MIN_BACKENDS: u32 = 8;
-/// The most backends of a fleet at usual size.
+/// Maximum number of backends of a fleet at usual size.
 const MAX_BACKENDS: u32 = 28;
-/// A connection attempt may take at least this many one-way delays between zones.
+/// The connect timeout is at least this many one-way delays between zones.
 const CONNECT_DELAYS: f64 = 14.0;
 
-/// One to three kinds of machines.
+/// Draws one to three kinds of machines.
 pub fn kinds(rng: &mut SeededRng) -> Vec<Kind> {
     let count = rng.integer(1, 3) as usize;
     names::KINDS[..count].iter().map(|name| kind(rng, name)).collect()
@@ -49,7 +49,7 @@
     }
 }
 
-/// Numbers of backends and proxies such that the traffic fits the bench's limit.
+/// Draws numbers of backends and proxies such that the traffic fits the limit of the bench.
 pub fn scale(rng: &mut SeededRng, kinds: &[Kind], classes: &[Class]) -> Scale {
     let per_backend = requests_per_backend(kinds, classes);
     let fitting = (MAX_REQUESTS_PER_S / per_backend) as u32;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Requests a second that a backend of mean size serves at most.
+/// Returns the maximum requests per second that a backend of mean size serves.
 fn requests_per_backend(kinds: &[Kind], classes: &[Class]) -> f64 {
     let capacity = |kind: &Kind| f64::from(kind.cores) * kind.speed.high;
     let capacity = weighted_mean(kinds.iter().map(|kind| (kind.share.low, capacity(kind))));
@@ -84,7 +84,7 @@
     sum / weights
 }
 
-/// The tier of these kinds.
+/// Draws the tier with these kinds of machines.
 pub fn tier(rng: &mut SeededRng, kinds: Vec<Kind>, net: &Network, probes: bool) -> Tier {
     Tier {
         name: rng.pick(&names::TIERS).into(),
@@ -98,7 +98,7 @@
     }
 }
 
-/// Reports with answers, with probes (where these are allowed) or none.
+/// Draws load reports in responses, in responses to probes (if probes are allowed) or none.
 fn reports(rng: &mut SeededRng, probes: bool) -> Reports {
     let how = if probes {
         rng.pick(&[ReportSource::Answers, ReportSource::Answers, ReportSource::Probe, ReportSource::None])
--- a/crates/deployments/src/draw/names.rs
+++ b/crates/deployments/src/draw/names.rs
@@ -1,4 +1,4 @@
-//! Names that sites are made of: ordinary words, some with characters that paths and headers must carry unchanged.
+//! Names used in sites: ordinary words, some with characters that paths and headers must carry unchanged.
 
 /// Zones.
 pub const ZONES: [&str; 4] = ["north", "south", "east-1", "west.b"];
--- a/crates/deployments/src/draw/policy.rs
+++ b/crates/deployments/src/draw/policy.rs
@@ -1,4 +1,4 @@
-//! The day, the network, discovery, and what a proxy may do and is judged by.
+//! Draws runs, the network, discovery, what a proxy may do, and how it is scored.
 
 use super::names;
 use crate::model::{
@@ -7,7 +7,7 @@
 };
 use crate::rng::{round, SeededRng};
 
-/// Length of days and their clock.
+/// Draws the length, the clock and the number of faults of a run.
 pub fn day(rng: &mut SeededRng) -> Day {
     let in_step = rng.chance(0.5);
     Day {
@@ -20,7 +20,7 @@
     }
 }
 
-/// One to four zones; delays between them are longer than within.
+/// Draws one to four zones; delays between zones are longer than within one.
 pub fn network(rng: &mut SeededRng) -> Network {
     let zones = rng.integer(1, 4) as usize;
     let same_ms = rng.range(0.05, 0.9);
@@ -35,12 +35,12 @@
     }
 }
 
-/// A front before the proxies.
+/// Draws the front ahead of the proxies.
 pub fn front(rng: &mut SeededRng) -> Front {
     Front { entry: FrontEntry::Front, notice_s: rng.range(0.8, 4.0) }
 }
 
-/// Lists that are pushed or asked for.
+/// Draws discovery by push or by poll.
 pub fn discovery(rng: &mut SeededRng) -> Discovery {
     let mode = rng.pick(&[DiscoveryMode::Push, DiscoveryMode::Ask]);
     let pushed = mode == DiscoveryMode::Push;
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a proxy may do.
+/// Draws what a proxy may do.
 pub fn allowances(rng: &mut SeededRng) -> Allowances {
     Allowances {
         probes: rng.chance(0.7),
@@ -73,7 +73,7 @@
     }
 }
 
-/// Limits whose breach fails a day.
+/// Draws the limits; a run that exceeds one fails.
 pub fn rules(rng: &mut SeededRng) -> Rules {
     Rules {
         drain_grace_ms: rng.log_uniform(300.0, 3_000.0) as u32,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Weights in steps of 0.05.
+/// Draws the weights of the score in steps of 0.05.
 pub fn goal(rng: &mut SeededRng, tenants: bool) -> Goal {
     let twentieths = |steps: u32| f64::from(steps) / 20.0;
     let whole = rng.integer(8, 14);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Prices; some are 0 in some deployments.
+/// Draws the deductions; some are 0 in some deployments.
 pub fn prices(rng: &mut SeededRng) -> Prices {
     Prices {
         cross_zone: price(rng, 0.06),
@@ -111,7 +111,7 @@
     }
 }
 
-/// 0 in three of ten deployments.
+/// Draws a deduction; 0 in three of ten deployments.
 fn price(rng: &mut SeededRng, most: f64) -> f64 {
     if rng.chance(0.3) {
         0.0
@@ -120,7 +120,7 @@
     }
 }
 
-/// All kinds of faults that the bench plays unasked, each of a strength of its own.
+/// Draws all kinds of faults that the bench runs by default, each with its own strength.
 pub fn faults(rng: &mut SeededRng) -> Vec<Fault> {
     vec![rolling_deploy(rng), fast_errors(rng), proxy_roll(rng), shared_slowdown(rng)]
 }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Some backends fail at once.
+/// Some backends return errors immediately.
 fn fast_errors(rng: &mut SeededRng) -> Fault {
     Fault {
         name: "fast_errors".into(),
@@ -165,7 +165,7 @@
     }
 }
 
-/// All backends get slower together.
+/// All backends become slower at the same time.
 fn shared_slowdown(rng: &mut SeededRng) -> Fault {
     Fault {
         name: "shared_slow".into(),
--- a/crates/deployments/src/draw/traffic.rs
+++ b/crates/deployments/src/draw/traffic.rs
@@ -1,4 +1,4 @@
-//! Load, clients, classes, tenants and keys.
+//! Draws load, clients, classes, tenants and keys.
 
 use super::names;
 use crate::model::{
@@ -7,22 +7,23 @@
 };
 use crate::rng::{round, SeededRng};
 
-/// The least work of a request for each core of the largest machine: more cores would serve more than the bench plays.
+/// Minimum work of a request per core of the largest machine: with less, more cores would serve more requests than the
+/// bench runs.
 const MIN_WORK_MS_PER_CORE: f64 = 4.0;
-/// An aim is at least this many times the time of an idle backend.
+/// A latency objective is at least this many times the response time of an idle backend.
 const MIN_AIM_FACTOR: f64 = 4.0;
-/// Aims are at least this.
+/// Minimum latency objective.
 const MIN_AIM_MS: f64 = 60.0;
-/// Aims are at most this, unless the least factor wants more.
+/// Maximum latency objective, unless the minimum factor requires more.
 const MAX_AIM_MS: f64 = 3_000.0;
-/// Deadlines are at most this, unless the aim is later.
+/// Maximum deadline, unless the latency objective is later.
 const MAX_DEADLINE_MS: f64 = 6_000.0;
-/// Aims and deadlines are whole multiples of this.
+/// Latency objectives and deadlines are multiples of this.
 const AIM_STEP_MS: f64 = 10.0;
 /// Shares of tenants are multiples of 1/100.
 const SHARE_STEPS: u32 = 100;
 
-/// One to five classes that an idle backend serves well within their aims.
+/// Draws one to five classes that an idle backend serves well within their latency objectives.
 pub fn classes(rng: &mut SeededRng, kinds: &[Kind], net: &Network) -> Vec<Class> {
     let count = rng.integer(1, 5) as usize;
     let most_cores = kinds.iter().map(|kind| kind.cores).max().unwrap_or(1);
@@ -75,7 +76,7 @@
     ((value_ms / AIM_STEP_MS).ceil() * AIM_STEP_MS) as u32
 }
 
-/// No tenants, or two to five whose shares add up to 1.
+/// Draws no tenants, or two to five whose shares add up to 1.
 pub fn tenants(rng: &mut SeededRng) -> Vec<Tenant> {
     if rng.chance(0.2) {
         return Vec::new();
@@ -93,7 +94,7 @@
     tenants
 }
 
-/// Traffic before that many zones.
+/// Draws the traffic for that many zones.
 pub fn load(rng: &mut SeededRng, zones: usize) -> Load {
     let shapes = [LoadShape::Steady, LoadShape::Bursty, LoadShape::Ramp, LoadShape::Wave];
     let shape_count = rng.integer(1, 3) as usize;
@@ -123,7 +124,7 @@
     WanderingLoad { share: rng.uniform(0.1, 0.5), load: Range { low, high: round(low + 0.15) } }
 }
 
-/// How clients retry.
+/// Draws the retries of clients.
 pub fn clients(rng: &mut SeededRng) -> Clients {
     let backoff_count = rng.integer(1, 3) as usize;
     Clients {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Sometimes, with keys, a gain where a backend met a key lately.
+/// Draws, for some sites with keys, the savings on backends that recently served the same key.
 pub fn affinity(rng: &mut SeededRng, keys: u32) -> Option<Affinity> {
     let gains = keys > 0 && rng.chance(0.5);
     gains.then(|| Affinity {
--- a/crates/deployments/src/lib.rs
+++ b/crates/deployments/src/lib.rs
@@ -1,13 +1,13 @@
-//! Random deployments from a seed, as site files that the bench plays.
+//! Generates random deployments from a seed, as site files that the bench runs.
 //!
-//! - [`cli`]: the command line and what it must satisfy
+//! - [`cli`]: the command line and its validation
 //! - [`rng`]: the seeded generator and its distributions
 //! - [`model`]: a site file as typed values
 //! - [`draw`]: a site drawn from a generator
-//! - [`validate`]: what every site satisfies, drawn here or read back
-//! - [`write`](mod@write): sites as TOML, files in a folder
+//! - [`validate`]: validation of sites, drawn here or read back
+//! - [`write`](mod@write): sites as TOML files in a folder
 //!
-//! The crate uses no other crate of the workspace, and is in no program.
+//! The crate uses no other crate of the workspace, and no other crate uses it.
 
 pub mod cli;
 pub mod draw;
--- a/crates/deployments/src/main.rs
+++ b/crates/deployments/src/main.rs
@@ -5,7 +5,7 @@
 use shaletide_deployments::{draw, write};
 use std::process::ExitCode;
 
-/// The status for arguments that make no sense, clap's own included.
+/// The exit status for invalid arguments, those that clap rejects included.
 const USAGE_STATUS: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/deployments/src/model.rs
+++ b/crates/deployments/src/model.rs
@@ -1,7 +1,8 @@
-//! A site file as typed values: the form that the bench reads. Keys that no site here sets are left to the bench.
+//! A site file as typed values, in the form that the bench reads. Keys that no site of this crate sets are left to the
+//! defaults of the bench.
 //!
-//! Times carry their unit in the name (`_s`, `_ms`, `_us`). A [`Range`] is drawn from anew for each day; [`Severity`]
-//! gives the mildest value first, and may fall.
+//! Times have their unit in the name (`_s`, `_ms`, `_us`). The bench draws a value from a [`Range`] anew for each run; a
+//! [`Severity`] gives the mildest value first and may decrease.
 
 mod backends;
 mod policy;
@@ -43,13 +44,13 @@
     }
 }
 
-/// Two ends of a fault's strength, the mildest first; written as `[mildest, worst]`.
+/// The two ends of the strength of a fault, the mildest first; written as `[mildest, worst]`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct Severity {
-    /// What is easiest to bear.
+    /// The value that is easiest to bear.
     pub mildest: f64,
-    /// What is hardest to bear; may be the smaller number.
+    /// The value that is hardest to bear; may be the smaller number.
     pub worst: f64,
 }
 
@@ -65,39 +66,39 @@
     }
 }
 
-/// A deployment: its fleet, its traffic, what it allows and what may go wrong.
+/// A deployment: its fleet, its traffic, what its proxies may do and which faults may occur.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// Name, which also seeds the bench's days.
+    /// Name; the bench also derives the seeds of its runs from it.
     pub name: String,
     /// Always `proxy`.
     pub family: String,
-    /// File beside the site file that tells the simulator's dialect.
+    /// The file beside the site file that describes the protocol of the simulator.
     pub wire: String,
-    /// Length, tick and faults of a day.
+    /// Length, clock and faults of a run.
     pub day: Day,
-    /// How many backends and proxies there are.
+    /// Numbers of backends and proxies.
     pub scale: Scale,
-    /// How much traffic comes, and in which form.
+    /// Amount and shape of the traffic.
     pub load: Load,
-    /// Zones and delays between them.
+    /// Zones and the delays between them.
     pub net: Network,
-    /// What deals connections to proxies.
+    /// The front that distributes connections over the proxies.
     pub front: Front,
-    /// How clients retry.
+    /// Retries of clients.
     pub clients: Clients,
-    /// How proxies learn of backends.
+    /// Discovery of backends by the proxies.
     pub discovery: Discovery,
     /// What a proxy may do.
     pub allow: Allowances,
-    /// Limits whose breach fails a day.
+    /// Limits; a run that exceeds one fails.
     pub rules: Rules,
-    /// Parts of the score.
+    /// Weights of the parts of the score.
     pub goal: Goal,
-    /// What is taken off the score.
+    /// Deductions from the score.
     pub prices: Prices,
-    /// The one tier of backends.
+    /// Tiers of backends; exactly one.
     pub tier: Vec<Tier>,
     /// Classes of requests, one to five.
     #[serde(rename = "class")]
@@ -105,10 +106,10 @@
     /// Tenants, none to five.
     #[serde(rename = "tenant", default, skip_serializing_if = "Vec::is_empty")]
     pub tenants: Vec<Tenant>,
-    /// What is gained where a backend met a key lately; only with keys.
+    /// Savings on backends that recently served the same key; only if requests have keys.
     #[serde(rename = "fam", default, skip_serializing_if = "Option::is_none")]
     pub affinity: Option<Affinity>,
-    /// Faults that a day may hold.
+    /// Faults that may occur in a run.
     #[serde(rename = "trouble")]
     pub faults: Vec<Fault>,
 }
--- a/crates/deployments/src/model/backends.rs
+++ b/crates/deployments/src/model/backends.rs
@@ -9,9 +9,9 @@
 pub struct Tier {
     /// Name.
     pub name: String,
-    /// Backends in a cell.
+    /// Number of backends in a cell.
     pub cell_size: Range<u32>,
-    /// What the list's weights tell.
+    /// Meaning of the weights in the list.
     pub weights: Weights,
     /// Load reports.
     pub report: Reports,
@@ -19,7 +19,7 @@
     pub conn: Connections,
     /// Probes of a backend.
     pub probe: Probing,
-    /// Slowdown of a backend that holds too much; none in some deployments.
+    /// Slowdown of a backend that holds too many requests; absent in some deployments.
     #[serde(rename = "choke", default, skip_serializing_if = "Option::is_none")]
     pub overload: Option<Overload>,
     /// Kinds of machines, one to three.
@@ -27,17 +27,17 @@
     pub kinds: Vec<Kind>,
 }
 
-/// What the list's weights tell.
+/// The meaning of the weights in the list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Weights {
-    /// The size.
+    /// The size of the backend.
     Nominal,
-    /// The size, with errors.
+    /// The size of the backend, with errors.
     Rough,
-    /// Nothing.
+    /// There are no weights.
     None,
-    /// The size less what is held, late.
+    /// The size of the backend, reduced by the requests that it holds, with a delay.
     Live,
 }
 
@@ -45,11 +45,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportSource {
-    /// With answers.
+    /// In responses.
     Answers,
-    /// With answers to probes.
+    /// In responses to probes.
     Probe,
-    /// Not at all.
+    /// There are no load reports.
     None,
 }
 
@@ -57,17 +57,17 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportField {
-    /// Requests in work.
+    /// Requests in service.
     Inflight,
-    /// Requests that wait.
+    /// Queued requests.
     Queue,
-    /// Share of the cores in use.
+    /// Fraction of the cores in use.
     Util,
     /// Mean latency, ms.
     LatencyMs,
-    /// Requests a second.
+    /// Requests per second.
     Qps,
-    /// Errors a second.
+    /// Errors per second.
     Eps,
 }
 
@@ -75,13 +75,13 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Reports {
-    /// How they come.
+    /// How reports reach a proxy.
     pub how: ReportSource,
-    /// What they hold: up to four fields, none without reports.
+    /// Figures in a report: one to four, none without reports.
     pub fields: Vec<ReportField>,
     /// Time between two refreshes.
     pub period_ms: Range<f64>,
-    /// How late a report is.
+    /// Delay of a report.
     pub delay_ms: Range<f64>,
     /// Relative error.
     pub noise: Range<f64>,
@@ -91,19 +91,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Connections {
-    /// Requests at a time on one connection; the sockets' protocol has 1.
+    /// Concurrent requests on one connection; always 1, as in the protocol of the sockets.
     pub streams: u32,
     /// Round trips of a handshake.
     pub handshake_rtts: Range<f64>,
-    /// Work of a backend for a handshake.
+    /// Work of a backend for one handshake.
     pub handshake_us: Range<f64>,
-    /// After how long without a request the backend closes a connection.
+    /// The time without a request after which the backend closes a connection.
     pub idle_s: f64,
-    /// How long a connection may take to come up.
+    /// The time that establishing a connection may take.
     pub connect_timeout_ms: u32,
-    /// Connections that a backend accepts, for each core.
+    /// Maximum number of connections that a backend accepts, per core.
     pub cap_per_core: Range<f64>,
-    /// Share of the capacity that a full table of connections takes.
+    /// Fraction of the capacity that is lost when a backend has its maximum number of connections.
     pub full_tax: Range<f64>,
 }
 
@@ -111,35 +111,35 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Probing {
-    /// Work of a backend for a probe.
+    /// Work of a backend for one probe.
     pub work_us: Range<f64>,
-    /// Probes a second that a backend answers, for each core.
+    /// Probes per second that a backend answers, per core.
     pub cap_per_core: Range<f64>,
-    /// Whether a probe waits and is served like a request; one of these on each day.
+    /// Whether a probe is queued and served like a request; each run has one of these.
     pub deep: Vec<bool>,
-    /// How long a probe may take.
+    /// The time that a probe may take.
     pub timeout_ms: u32,
 }
 
-/// Slowdown of a backend that holds too much, until it has rested.
+/// Slowdown of a backend that holds too many requests, until it has recovered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Overload {
-    /// Share of the days that have it.
+    /// Fraction of the runs that have it.
     pub share: f64,
-    /// It begins above cores + this times the root of cores.
+    /// The slowdown begins above cores + this value times the root of cores, in mean requests held.
     pub at: Severity,
     /// Time over which the requests that a backend holds are averaged.
     pub over_s: Severity,
-    /// How many times slower the backend gets.
+    /// Factor by which the backend becomes slower.
     pub slower: Severity,
-    /// How long it must rest.
+    /// Duration of low utilization after which the backend recovers.
     pub rest_s: Severity,
-    /// Share of the cores in use below which it rests.
+    /// Fraction of the cores in use below which utilization counts as low.
     pub below: Severity,
-    /// Longest duration.
+    /// Maximum duration of the slowdown.
     pub most_s: Severity,
-    /// What it costs in points of the score if all backends slow down.
+    /// Deduction in points of the score if all backends slow down.
     pub price: f64,
 }
 
@@ -147,21 +147,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Warmup {
-    /// With time.
+    /// With time since the start.
     Time,
-    /// With the requests that it has served.
+    /// With the number of requests served.
     Requests,
 }
 
-/// What of a cancelled request a backend stops.
+/// The part of a cancelled request that a backend stops.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CancelSupport {
     /// Nothing.
     None,
-    /// What still waits.
+    /// Requests that are still queued.
     Queued,
-    /// What waits and what is in work.
+    /// Queued requests and requests in service.
     All,
 }
 
@@ -179,30 +179,30 @@
     pub speed: Range<f64>,
     /// Coefficient of variation of the speed between machines.
     pub speed_cv: Range<f64>,
-    /// Requests in work at a time, for each core.
+    /// Maximum number of requests in service, per core.
     pub slots_per_core: Range<f64>,
-    /// Requests that may wait, for each core.
+    /// Maximum number of queued requests, per core.
     pub queue_per_core: Range<f64>,
-    /// Efficiency lost when it holds too much.
+    /// Fraction of the efficiency that is lost when the backend holds too many requests.
     pub thrash: Range<f64>,
-    /// Requests a core from which efficiency is lost.
+    /// Requests per core above which efficiency is lost.
     pub thrash_at: Range<f64>,
-    /// Share of the capacity right after a start.
+    /// Fraction of the capacity directly after a start.
     pub cold_from: Range<f64>,
-    /// Time until the full capacity.
+    /// Duration of the warm-up.
     pub cold_s: Range<f64>,
-    /// What it warms up with.
+    /// What the warm-up progresses with.
     pub warm_by: Warmup,
     /// Time between two pauses.
     pub pause_every_s: Range<f64>,
     /// Length of a pause.
     pub pause_ms: Range<f64>,
-    /// How much pauses grow with load.
+    /// Growth of the pauses with the load.
     pub pause_grow: Range<f64>,
-    /// Share of requests that fail for no reason.
+    /// Fraction of requests that fail at random.
     pub error_rate: Range<f64>,
-    /// What cancelling stops.
+    /// What a cancellation stops.
     pub cancel: CancelSupport,
-    /// Whether it drops requests whose time is up; one of these on each day.
+    /// Whether the backend drops requests that are past their deadline; each run has one of these.
     pub drops_expired: Vec<bool>,
 }
--- a/crates/deployments/src/model/policy.rs
+++ b/crates/deployments/src/model/policy.rs
@@ -1,41 +1,41 @@
-//! The day, the fleet's size, the network, discovery, and what a proxy may do and is judged by.
+//! Runs, the size of the fleet, the network, discovery, what a proxy may do, and how it is scored.
 
 use super::{Range, Severity};
 use serde::{Deserialize, Serialize};
 
-/// Length, tick and faults of a day.
+/// Length, clock and faults of a run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Day {
-    /// Length.
+    /// Length of the run.
     pub length_s: Range<f64>,
     /// Granularity of the simulator's clock.
     pub tick_ms: u32,
-    /// Requests after which the bench cuts a day short.
+    /// Number of requests after which the bench ends a run early.
     pub max_requests: u32,
-    /// Faults; the whole part counts.
+    /// Number of faults; rounded down to an integer.
     pub troubles: Range<f64>,
     /// Whether all proxies start at once.
     pub in_step: bool,
-    /// Over how long proxies start; 0 if in step.
+    /// Period over which the proxies start; 0 if all start at once.
     pub start_spread_ms: u32,
 }
 
-/// How many backends and proxies there are.
+/// Numbers of backends and proxies.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scale {
-    /// Backends, usually.
+    /// Backends at usual size.
     pub servers: Range<u32>,
-    /// Proxies, usually.
+    /// Proxies at usual size.
     pub balancers: Range<u32>,
     /// Backends at full size.
     pub big_servers: Range<u32>,
     /// Proxies at full size.
     pub big_balancers: Range<u32>,
-    /// Backends of the small twin of a day at full size.
+    /// Backends of the small counterpart of a run at full size.
     pub twin_servers: u32,
-    /// Proxies of the small twin.
+    /// Proxies of the small counterpart.
     pub twin_balancers: u32,
 }
 
@@ -45,74 +45,74 @@
 pub struct Network {
     /// Zones, one to four.
     pub zones: Vec<String>,
-    /// Within a zone.
+    /// Delay within a zone.
     pub same_ms: Range<f64>,
-    /// Between zones.
+    /// Delay between zones.
     pub cross_ms: Range<f64>,
-    /// Between a client and a proxy.
+    /// Delay between a client and a proxy.
     pub client_ms: Range<f64>,
-    /// Relative variation of delays.
+    /// Relative variation of the delays.
     pub jitter: Range<f64>,
-    /// How unevenly backends lie in zones.
+    /// Skew of the distribution of backends over zones.
     pub server_skew: Range<f64>,
 }
 
-/// Who deals clients' connections to proxies.
+/// What distributes clients' connections over the proxies.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FrontEntry {
-    /// A front before the proxies.
+    /// A front ahead of the proxies.
     Front,
 }
 
-/// What deals connections to proxies.
+/// The front that distributes connections over the proxies.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
-    /// Who deals.
+    /// What distributes the connections.
     pub entry: FrontEntry,
-    /// How long it goes on sending to a dead proxy.
+    /// How long the front continues to send connections to a dead proxy.
     pub notice_s: Range<f64>,
 }
 
-/// How lists come.
+/// How a proxy obtains the list of backends.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoveryMode {
-    /// They are pushed.
+    /// The service pushes lists.
     Push,
-    /// They are asked for.
+    /// The proxy polls for lists.
     Ask,
 }
 
-/// How proxies learn of backends.
+/// Discovery of backends by the proxies.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// How lists come.
+    /// How a proxy obtains the list of backends.
     pub mode: DiscoveryMode,
-    /// When the death of a process is noticed.
+    /// Delay until the death of a process is noticed.
     pub notice_s: Range<f64>,
-    /// When the silence of a process is noticed.
+    /// Delay until a silent process is noticed.
     pub silent_notice_s: Range<f64>,
-    /// When a new process is listed.
+    /// Delay until a new process is listed.
     pub add_s: Range<f64>,
-    /// Time between two pushes; where lists are pushed.
+    /// Time between two pushes; only if lists are pushed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub period_ms: Option<Range<f64>>,
-    /// How far apart the proxies' pushes are; where lists are pushed.
+    /// Period over which the pushes to the proxies are spread; only if lists are pushed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spread_ms: Option<Range<f64>>,
-    /// Capacity of the service, as a multiple of proxies x backends / 10 lines a second; where lists are asked for.
+    /// Capacity of the service, as a multiple of proxies x backends / 10 lines per second; only if lists are polled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub capacity: Option<Range<f64>>,
-    /// In which time it can take a call of every proxy; where lists are asked for.
+    /// The time in which the service can handle one call from every proxy; only if lists are polled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub all_call_s: Option<Range<f64>>,
-    /// Fixed cost of a call in lines; where lists are asked for.
+    /// Fixed cost of a call in lines; only if lists are polled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub call_lines: Option<Range<f64>>,
-    /// When a call that waits fails; where lists are asked for.
+    /// The time after which a queued call fails; only if lists are polled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub timeout_ms: Option<u32>,
 }
@@ -121,57 +121,57 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Allowances {
-    /// Probe backends.
+    /// Whether it may probe backends.
     pub probes: bool,
-    /// Talk to other proxies; never.
+    /// Whether it may communicate with other proxies; always false.
     pub peers: bool,
-    /// Cancel attempts.
+    /// Whether it may cancel attempts.
     pub cancel: bool,
-    /// Have two attempts of a request out.
+    /// Whether it may have two attempts of a request in flight.
     pub second_copies: bool,
-    /// Tell clients when to come again.
+    /// Whether it may send a Retry-After to clients.
     pub retry_after: bool,
-    /// Attempts of a request, 1 to 6.
+    /// Maximum number of attempts of a request, 1 to 6.
     pub max_attempts: u32,
-    /// Open requests.
+    /// Maximum number of open requests.
     pub max_open: u32,
-    /// Processor time a second.
+    /// Processor time per second.
     pub cpu_ms_per_s: u32,
 }
 
-/// Limits whose breach fails a day.
+/// Limits; a run that exceeds one fails.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// How long after a drain was told attempts may still begin.
+    /// Period after the notice of a drain during which attempts may still be dispatched.
     pub drain_grace_ms: u32,
-    /// What a cold backend bears, as a multiple of its present capacity.
+    /// Maximum load of a cold backend as a multiple of its present capacity.
     pub fall_multiple: f64,
-    /// Window over which that is counted.
+    /// Window over which that load is measured.
     pub fall_ms: u32,
 }
 
-/// Weights of the score's parts; they add up to 1.
+/// Weights of the parts of the score; they add up to 1.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Goal {
-    /// The whole day.
+    /// The whole run.
     pub whole: f64,
-    /// Its worst window.
+    /// The worst window of the run.
     pub worst_window: f64,
-    /// Its worst class.
+    /// The worst class.
     pub worst_class: f64,
-    /// Its worst tenant; 0 without tenants.
+    /// The worst tenant; 0 without tenants.
     pub worst_tenant: f64,
 }
 
-/// Points of the score for each unit.
+/// Deductions in points of the score, per unit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Prices {
     /// Attempts across zones.
     pub cross_zone: f64,
-    /// Work that served no answer.
+    /// Work that did not lead to an answer.
     pub waste: f64,
     /// Open connections.
     pub connection: f64,
@@ -181,28 +181,28 @@
     pub probe: f64,
     /// Bytes between proxies.
     pub peer: f64,
-    /// Worth that was not served and failed late.
+    /// Worth of requests that failed late.
     pub late_fail: f64,
-    /// Lines of lists.
+    /// Lines of lists sent.
     pub discovery: f64,
 }
 
-/// A fault that a day may hold, with the keys that its kind takes.
+/// A fault that may occur in a run, with the keys of its kind.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// The bench's name of the kind.
+    /// The kind of the fault, by the name that the bench uses.
     pub name: String,
     /// Relative frequency.
     pub weight: f64,
     /// Duration.
     pub len_s: Severity,
-    /// Share of the fleet that it hits.
+    /// Fraction of the fleet that it affects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub part: Option<Severity>,
-    /// Strength, by kind: share that fails, batch, or times slower.
+    /// Strength, by kind: fraction that fails, batch size, or slowdown factor.
     pub size: Severity,
-    /// Drain time or time down in seconds, for the kinds that have one.
+    /// Drain time or downtime in seconds, for the kinds that have one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub extra: Option<Severity>,
 }
--- a/crates/deployments/src/model/traffic.rs
+++ b/crates/deployments/src/model/traffic.rs
@@ -3,152 +3,152 @@
 use super::Range;
 use serde::{Deserialize, Serialize};
 
-/// How load moves within a day.
+/// The course of the load during a run.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadShape {
-    /// Even.
+    /// Constant.
     Steady,
-    /// In bursts.
+    /// Bursts.
     Bursty,
-    /// Rising.
+    /// Increasing.
     Ramp,
-    /// Up and down.
+    /// Increasing and decreasing in waves.
     Wave,
 }
 
-/// Whether requests tell their work.
+/// Whether requests carry a hint of their work.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Hints {
-    /// No.
+    /// No hint.
     None,
-    /// Nearly exactly.
+    /// A nearly exact hint.
     Good,
-    /// With errors.
+    /// A hint with errors.
     Rough,
 }
 
-/// What worth is counted by.
+/// The unit in which the worth of served traffic is counted.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorthUnit {
-    /// Requests.
+    /// Each request counts the same.
     Request,
-    /// Their work.
+    /// A request counts by its work.
     Work,
 }
 
-/// Traffic, as shares of what all backends can do.
+/// Traffic as fractions of the capacity of all backends.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// On a quiet day.
+    /// In a run without faults or overload.
     pub quiet: Range<f64>,
-    /// On a day with faults.
+    /// In a run with faults.
     pub trouble: Range<f64>,
-    /// On an overloaded day.
+    /// In an overloaded run.
     pub overload: Range<f64>,
     /// At full size.
     pub big: Range<f64>,
-    /// Shapes that days have; one of these on each day.
+    /// Shapes of the load; each run has one of these.
     pub shape: Vec<LoadShape>,
-    /// How far the shape swings.
+    /// The amplitude of the shape.
     pub swing: Range<f64>,
-    /// How uneven the zones' traffic is; 0 with one zone.
+    /// The skew of traffic between zones; 0 with one zone.
     pub zone_skew: Range<f64>,
     /// Coefficient of variation between the streams of traffic.
     pub stream_cv: Range<f64>,
-    /// Distinct keys; 0 = requests carry none.
+    /// Number of distinct keys; 0 if requests carry none.
     pub keys: u32,
-    /// Exponent of the keys' frequencies.
+    /// Exponent of the Zipf distribution of the keys.
     pub key_zipf: Range<f64>,
-    /// Whether requests tell their work.
+    /// Whether requests carry a hint of their work.
     pub hints: Hints,
-    /// What worth is counted by; by work where requests tell it.
+    /// The unit in which worth is counted; work if requests carry a hint of it.
     pub worth_by: WorthUnit,
-    /// Worth of a request beyond its tenant's share, of 1.
+    /// Worth of a request beyond the share of its tenant, relative to 1 for one within.
     pub over_share_worth: f64,
-    /// What the tenants' quotas add up to, as a share of the capacity.
+    /// Sum of the tenants' quotas as a fraction of the capacity.
     pub quota_of_capacity: Range<f64>,
-    /// Load that wanders around the capacity all day; none in some deployments.
+    /// Load that varies around the capacity for the whole run; absent in some deployments.
     #[serde(rename = "brim", default, skip_serializing_if = "Option::is_none")]
     pub wandering: Option<WanderingLoad>,
 }
 
-/// Load that wanders around the capacity all day.
+/// Load that varies around the capacity for the whole run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WanderingLoad {
-    /// Share of the large and of the overloaded days that have it.
+    /// Fraction of the full-size and of the overloaded runs that have it.
     pub share: f64,
     /// Bounds of the load.
     pub load: Range<f64>,
 }
 
-/// How clients space their retries.
+/// The spacing of retries.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Backoff {
-    /// At once.
+    /// Immediate.
     None,
-    /// Evenly.
+    /// At a constant interval.
     Fixed,
-    /// Exponentially.
+    /// With exponential back-off.
     Exp,
 }
 
-/// How clients retry.
+/// Retries of clients.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Retries; the whole part counts.
+    /// Number of retries; rounded down to an integer.
     pub retries: Range<f64>,
-    /// Share of the deadline after which a try is given up.
+    /// Fraction of the deadline after which a try is given up.
     pub try_share: Range<f64>,
-    /// Ways to space retries; one of these on each day.
+    /// Kinds of back-off; each run has one of these.
     pub backoff: Vec<Backoff>,
     /// Base of the back-off.
     pub backoff_ms: Range<f64>,
-    /// Share of clients that respect what a refusal asks of them.
+    /// Fraction of clients that honour the Retry-After of a rejection.
     pub honour: Range<f64>,
-    /// The longest wait that they respect.
+    /// The longest Retry-After that they honour.
     pub max_retry_after_ms: u32,
-    /// Share of clients that leave early.
+    /// Fraction of clients that disconnect early.
     pub impatient: Range<f64>,
     /// Whether retries are marked as such.
     pub marks_retry: bool,
 }
 
-/// What a repeat of a request does.
+/// The effect of executing a request more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// No harm.
+    /// Harmless.
     Safe,
-    /// No harm within a window, as backends drop repeats of a key.
+    /// Harmless within the deduplication window, as backends drop repeats of a key.
     Keyed,
-    /// Harm.
+    /// Harmful.
     Unsafe,
 }
 
-/// Which backends drop each other's repeats of a key.
+/// The group of backends that drop each other's repeats of a key.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyGroup {
-    /// All.
+    /// All backends.
     All,
-    /// Those of a zone.
+    /// The backends of a zone.
     Zone,
-    /// Those of a cell.
+    /// The backends of a cell.
     Cell,
 }
 
-/// The law of a request's work.
+/// The distribution of a request's work.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkLaw {
-    /// Always the same.
+    /// Constant.
     Fixed,
     /// Exponential.
     Exp,
@@ -162,34 +162,34 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name; may have slashes and other characters that a path allows.
+    /// Name; may contain slashes and other characters that are allowed in a path.
     pub name: String,
     /// Relative frequency.
     pub share: Range<f64>,
-    /// Mean work of a core at standard speed.
+    /// Mean work, ms of a core at standard speed.
     pub work_ms: Range<f64>,
-    /// Time in which a request holds its slot but no core.
+    /// Time during which a request holds its slot without using a core.
     pub io_ms: Range<f64>,
-    /// Laws of work; one of these on each day.
+    /// Distributions of the work; each run has one of these.
     pub dist: Vec<WorkLaw>,
     /// Coefficient of variation of the work.
     pub cv: Range<f64>,
-    /// Relative difference between attempts of one request.
+    /// Relative variation of the work between attempts of one request.
     pub attempt_noise: Range<f64>,
-    /// Time within which an answer earns its full worth.
+    /// Latency objective: an answer within this time has its full worth.
     pub aim_ms: u32,
-    /// Time after which nobody waits, not below the aim.
+    /// Deadline: the time after which no client waits any longer; not below the latency objective.
     pub deadline_ms: u32,
     /// Worth of an answer.
     pub worth: f64,
-    /// Share of the worth that a later answer earns.
+    /// Fraction of the worth that a later answer has.
     pub late_worth: f64,
-    /// What a repeat does.
+    /// The effect of executing a request more than once.
     pub effect: Effect,
-    /// Which backends drop repeats; only of a keyed class.
+    /// The group of backends that drop repeats; only for a keyed class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub group: Option<KeyGroup>,
-    /// How long they drop repeats; only of a keyed class.
+    /// How long they drop repeats; only for a keyed class.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window_ms: Option<u32>,
 }
@@ -200,20 +200,20 @@
 pub struct Tenant {
     /// Name.
     pub name: String,
-    /// Share of the quotas; all tenants' add up to 1.
+    /// Fraction of all quotas; the shares of all tenants add up to 1.
     pub share: f64,
-    /// What it sends, as a part of its share.
+    /// Traffic of the tenant as a fraction of its share.
     pub usage: Range<f64>,
 }
 
-/// What is gained where a backend met a key lately.
+/// Savings on backends that recently served the same key.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Affinity {
-    /// Share of the work that is saved.
+    /// Fraction of the work that is saved.
     pub affinity_gain: f64,
     /// How long a backend remembers a key.
     pub affinity_s: Range<f64>,
-    /// How many keys it remembers, for each core.
+    /// Number of keys that a backend remembers, per core.
     pub affinity_keys_per_core: Range<f64>,
 }
--- a/crates/deployments/src/validate.rs
+++ b/crates/deployments/src/validate.rs
@@ -1,31 +1,31 @@
-//! What every site satisfies, drawn here or read back: bounds of single values, and how values fit each other.
+//! Validation of sites, drawn here or read back: bounds of single values, and consistency between values.
 
 use crate::model::{Class, DiscoveryMode, Effect, Hints, Kind, Range, ReportSource, Site, Tier, WorthUnit};
 use std::fmt;
 
-/// Zones of a site at most.
+/// Maximum number of zones of a site.
 pub const MAX_ZONES: usize = 4;
-/// Kinds of machines of a tier at most.
+/// Maximum number of kinds of machines of a tier.
 pub const MAX_KINDS: usize = 3;
-/// Classes of a site at most.
+/// Maximum number of classes of a site.
 pub const MAX_CLASSES: usize = 5;
-/// Tenants of a site at most.
+/// Maximum number of tenants of a site.
 pub const MAX_TENANTS: usize = 5;
-/// Cores of a machine at most.
+/// Maximum number of cores of a machine.
 pub const MAX_CORES: u32 = 16;
-/// Attempts of a request at most.
+/// Maximum number of attempts of a request.
 pub const MAX_ATTEMPTS: u32 = 6;
-/// Figures of a load report at most.
+/// Maximum number of figures in a load report.
 pub const MAX_REPORT_FIELDS: usize = 4;
-/// How far a sum of shares may be from 1.
+/// Maximum deviation of a sum of shares from 1.
 const SUM_TOLERANCE: f64 = 1e-9;
 
-/// Something that a site gets wrong.
+/// An invalid value in a site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// The key, with the position in its list from 0 on.
+    /// The path of the key, with list positions counted from 0.
     pub path: String,
-    /// What is expected there.
+    /// The expected value.
     pub expected: &'static str,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// All that is wrong with a site, in the order of its keys.
+/// Returns all violations of a site, in the order of its keys.
 pub fn validate(site: &Site) -> Vec<Violation> {
     let mut checks = Checks::default();
     check_fleet_and_network(&mut checks, site);
@@ -68,7 +68,7 @@
     }
 
     fn ordered<T: Copy + PartialOrd>(&mut self, path: &str, range: Range<T>) {
-        self.require(path, range.low <= range.high, "a low end not above the high one");
+        self.require(path, range.low <= range.high, "a low end that is not above the high end");
     }
 
     fn positive(&mut self, path: &str, range: Range<f64>) {
@@ -127,7 +127,7 @@
     let keyed = site.affinity.is_none() || load.keys > 0;
     checks.require("fam", keyed, "no affinity without keys");
     checks.share("clients.try_share", site.clients.try_share);
-    checks.require("clients.backoff", !site.clients.backoff.is_empty(), "at least one way");
+    checks.require("clients.backoff", !site.clients.backoff.is_empty(), "at least one kind of back-off");
 }
 
 fn check_discovery(checks: &mut Checks, site: &Site) {
@@ -144,7 +144,7 @@
         discovery.timeout_ms.is_some(),
     ];
     let fitting = push_keys.iter().all(|set| *set == pushed) && ask_keys.iter().all(|set| *set != pushed);
-    checks.require("discovery", fitting, "the keys of its mode, all of them and no others");
+    checks.require("discovery", fitting, "all keys of its mode and no others");
 }
 
 fn check_policy(checks: &mut Checks, site: &Site) {
@@ -168,15 +168,19 @@
     let fields = report.fields.len() <= MAX_REPORT_FIELDS && report.fields.is_empty() != reported;
     checks.require(&format!("{path}.report.fields"), fields, "one to four fields, none without reports");
     let probed = report.how != ReportSource::Probe || site.allow.probes;
-    checks.require(&format!("{path}.report.how"), probed, "no reports by probes that are not allowed");
-    checks.require(&format!("{path}.conn.streams"), tier.conn.streams == 1, "one request at a time");
+    checks.require(&format!("{path}.report.how"), probed, "no reports by probes if probes are not allowed");
+    checks.require(
+        &format!("{path}.conn.streams"),
+        tier.conn.streams == 1,
+        "1 request per connection at a time",
+    );
     let timeout = f64::from(tier.conn.connect_timeout_ms);
     let round_trip = 2.0 * site.net.cross_ms.high;
     let reachable = timeout > tier.conn.handshake_rtts.high * round_trip;
     checks.require(
         &format!("{path}.conn.connect_timeout_ms"),
         reachable,
-        "more than a handshake across zones",
+        "more than the duration of a handshake across zones",
     );
     checks.positive(&format!("{path}.conn.cap_per_core"), tier.conn.cap_per_core);
     let count = (1..=MAX_KINDS).contains(&tier.kinds.len());
@@ -204,13 +208,13 @@
     checks.require(
         &format!("{path}.aim_ms"),
         feasible,
-        "more than the mean work and the time without a core",
+        "more than the mean work plus the time without a core",
     );
     let later = class.deadline_ms >= class.aim_ms;
     checks.require(&format!("{path}.deadline_ms"), later, "a value not below the aim");
     let keyed = class.effect == Effect::Keyed;
     let keys = class.group.is_some() == keyed && class.window_ms.is_some() == keyed;
-    checks.require(&format!("{path}.effect"), keys, "group and window of a keyed class and of no other");
+    checks.require(&format!("{path}.effect"), keys, "group and window for a keyed class and for no other");
 }
 
 fn check_tenants(checks: &mut Checks, site: &Site) {
--- a/crates/deployments/src/write.rs
+++ b/crates/deployments/src/write.rs
@@ -1,4 +1,4 @@
-//! Sites as TOML, files in a folder. A file that is there with other content is never overwritten.
+//! Writes sites as TOML files into a folder. An existing file with other content is never overwritten.
 
 use crate::cli::{Request, COMPANION_FILES};
 use crate::model::Site;
@@ -10,22 +10,22 @@
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum WriteError {
-    /// The site makes no sense: a mistake of this program.
+    /// The site is invalid: a bug in this program.
     Invalid {
         /// The site's name.
         site: String,
-        /// All that is wrong with it.
+        /// All violations.
         violations: Vec<Violation>,
     },
-    /// The site has no form in TOML: a mistake of this program.
+    /// The site cannot be serialized as TOML: a bug in this program.
     Serialize(toml::ser::Error),
-    /// A file of this name is there, with other content.
+    /// A file of this name exists with other content.
     Exists(PathBuf),
-    /// The file system refused.
+    /// The file system returned an error.
     Io {
         /// The file or folder.
         path: PathBuf,
-        /// What it said.
+        /// The error.
         source: io::Error,
     },
 }
@@ -34,12 +34,12 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid { site, violations } => {
-                write!(out, "{site} makes no sense:")?;
+                write!(out, "{site} is invalid:")?;
                 violations.iter().try_for_each(|violation| write!(out, " {violation};"))
             }
-            Self::Serialize(_) => write!(out, "a site could not be put in TOML"),
+            Self::Serialize(_) => write!(out, "a site could not be serialized as TOML"),
             Self::Exists(path) => {
-                write!(out, "{} is there with other content; choose another folder", path.display())
+                write!(out, "{} exists with other content; choose another folder", path.display())
             }
             Self::Io { path, source } => write!(out, "{}: {source}", path.display()),
         }
@@ -55,10 +55,10 @@
     }
 }
 
-/// A site as TOML.
+/// Returns a site as TOML.
 ///
 /// # Errors
-/// [`WriteError::Invalid`] or [`WriteError::Serialize`], for a site that this program should not have made.
+/// [`WriteError::Invalid`] or [`WriteError::Serialize`], for a site that this program should not have generated.
 pub fn to_toml(site: &Site) -> Result<String, WriteError> {
     let violations = validate(site);
     if !violations.is_empty() {
@@ -67,10 +67,10 @@
     toml::to_string(site).map_err(WriteError::Serialize)
 }
 
-/// Writes all sites and copies the companion files beside them; gives the paths of the site files.
+/// Writes all sites and copies the companion files beside them; returns the paths of the site files.
 ///
 /// # Errors
-/// At the first file that cannot be written. Those before it have been.
+/// If a file cannot be written. The files before it have been written.
 pub fn write_all(request: &Request, sites: &[Site]) -> Result<Vec<PathBuf>, WriteError> {
     fs::create_dir_all(&request.out).map_err(|source| io_error(&request.out, source))?;
     for name in COMPANION_FILES {
@@ -87,7 +87,7 @@
     Ok(paths)
 }
 
-/// Writes a file that is not there yet; one of the same content may be.
+/// Writes a new file; an existing file with the same content is accepted.
 fn write_new(path: &Path, content: &[u8]) -> Result<(), WriteError> {
     match fs::read(path) {
         Ok(found) if found == content => Ok(()),
--- a/crates/deployments/tests/sites.rs
+++ b/crates/deployments/tests/sites.rs
@@ -1,4 +1,4 @@
-//! Sites drawn from seeds: the same for the same seed, different for others, equal when read back, and varied.
+//! Sites drawn from seeds: the same for the same seed, different for other seeds, equal when read back, and varied.
 
 use shaletide_deployments::draw::sites;
 use shaletide_deployments::model::{
@@ -7,9 +7,9 @@
 use shaletide_deployments::validate::validate;
 use shaletide_deployments::write::to_toml;
 
-/// Seeds that the statistical tests go through.
+/// Number of seeds that the statistical tests cover.
 const SEEDS: u64 = 300;
-/// Sites of each of these seeds.
+/// Number of sites per seed.
 const SITES_PER_SEED: u32 = 2;
 
 fn many_sites() -> Vec<Site> {
@@ -20,7 +20,7 @@
     sites(seed, count).iter().map(|site| to_toml(site).unwrap()).collect()
 }
 
-/// A site without its name, which tells the seed.
+/// Returns a site without its name, which contains the seed.
 fn unnamed(mut site: Site) -> Site {
     site.name.clear();
     site
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn first_site_of_seed_1_is_as_published() {
+fn first_site_of_seed_1_equals_the_fixture() {
     assert_eq!(texts(1, 1)[0], include_str!("fixtures/site-1-01.toml"));
 }
 
@@ -45,7 +45,7 @@
 fn sites_differ_within_a_seed_and_between_seeds() {
     let all: Vec<Site> = many_sites().into_iter().map(unnamed).collect();
     for (index, site) in all.iter().enumerate() {
-        assert!(!all[..index].contains(site), "site {index} is there twice");
+        assert!(!all[..index].contains(site), "site {index} equals an earlier one");
     }
 }
 
@@ -83,14 +83,14 @@
         let kinds = &site.tier[0].kinds;
         let cores = f64::from(kinds.iter().map(|kind| kind.cores).max().unwrap());
         let least_work_ms = site.classes.iter().map(|class| class.work_ms.low).fold(f64::INFINITY, f64::min);
-        assert!(least_work_ms >= 4.0 * cores, "{}: {least_work_ms} ms before {cores} cores", site.name);
+        assert!(least_work_ms >= 4.0 * cores, "{}: {least_work_ms} ms with {cores} cores", site.name);
     }
 }
 
-/// How many of the sites have something; each test below wants a twentieth of them at least.
-fn assert_common(all: &[Site], what: &str, has: impl Fn(&Site) -> bool) {
+/// Asserts that at least a twentieth of the sites have a property.
+fn assert_common(all: &[Site], property: &str, has: impl Fn(&Site) -> bool) {
     let count = all.iter().filter(|site| has(site)).count();
-    assert!(count * 20 >= all.len(), "{what}: in {count} of {} sites", all.len());
+    assert!(count * 20 >= all.len(), "{property}: in {count} of {} sites", all.len());
 }
 
 #[test]
--- a/crates/deployments/tests/validation.rs
+++ b/crates/deployments/tests/validation.rs
@@ -1,17 +1,17 @@
-//! Sites that make no sense are refused, each with the key at fault, and all faults at once.
+//! Invalid sites are rejected with the path of each invalid key, and all violations are reported together.
 
 use shaletide_deployments::draw::sites;
 use shaletide_deployments::model::{Effect, KeyGroup, Range, ReportField, ReportSource, Site};
 use shaletide_deployments::validate::validate;
 use shaletide_deployments::write::{to_toml, WriteError};
 
-/// A site with tenants and one zone.
+/// Returns a site with tenants and one zone.
 fn sample() -> Site {
     let mut all = sites(1, 50).into_iter();
     all.find(|site| !site.tenants.is_empty() && site.net.zones.len() == 1).unwrap()
 }
 
-/// The keys that a site gets wrong after a change.
+/// Returns the paths of the violations of a site after a change.
 fn paths_after(change: impl Fn(&mut Site)) -> Vec<String> {
     let mut site = sample();
     change(&mut site);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn zones_out_of_bounds_or_twice_are_reported() {
+fn zones_out_of_bounds_or_duplicate_are_reported() {
     assert_eq!(paths_after(|site| site.net.zones.clear()), ["net.zones"]);
     assert_eq!(paths_after(|site| site.net.zones = vec!["a".into(), "a".into()]), ["net.zones"]);
     let five = ["a", "b", "c", "d", "e"].map(String::from).to_vec();
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn reports_by_probes_without_probes_are_reported() {
+fn reports_by_probes_without_allowed_probes_are_reported() {
     let paths = paths_after(|site| {
         site.allow.probes = false;
         site.tier[0].report.how = ReportSource::Probe;
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn all_violations_come_at_once_and_nothing_is_serialized() {
+fn all_violations_are_reported_together_and_nothing_is_serialized() {
     let mut site = sample();
     site.allow.max_attempts = 0;
     site.rules.fall_multiple = 0.0;
