--- a/crates/emulator/src/backend.rs
+++ b/crates/emulator/src/backend.rs
@@ -1,29 +1,30 @@
-//! A backend of the emulated fleet: the station of `testkit`, and around it what a crowd does to it, the connections that
-//! it takes, and what it says of its load.
+//! A backend of the emulated fleet: the station of `testkit` with a slowdown under overload, bounded connections and load
+//! reports.
 
 use crate::scenario::{BackendLimits, LoadReporting};
 use shaletide_testkit::{Admitted, Demand, Power, SeededRng, Station, Step};
 use shaletide_types::*;
 use std::collections::VecDeque;
 
-/// Memory of how many it holds, s.
-const CROWD_S: f64 = 2.0;
-/// It is looked at so often.
-pub const LOOK: Micros = Micros(100_000);
-/// A crowded one is itself again when it was busy for less than this part over [`REST_S`], or after [`MOST_S`].
-const REST_BUSY: f64 = 0.3;
-const REST_S: f64 = 3.0;
-const MOST_S: f64 = 24.0;
+/// The time constant over which the number of requests held is averaged, s.
+const HELD_AVERAGE_S: f64 = 2.0;
+/// The interval at which a backend updates its averages and its load report.
+pub const OBSERVATION_PERIOD: Micros = Micros(100_000);
+/// An overloaded backend recovers when it was busy for less than this fraction over [`RECOVERY_S`] seconds, or after
+/// [`MAX_OVERLOAD_S`] seconds.
+const RECOVERY_BUSY_FRACTION: f64 = 0.3;
+const RECOVERY_S: f64 = 3.0;
+const MAX_OVERLOAD_S: f64 = 24.0;
 
-/// So much of what it said is kept: lists that come late tell of it.
-const SAID: usize = 16;
+/// The number of reports kept: lists that are late carry older ones.
+const KEPT_REPORTS: usize = 16;
 
-/// What it says, and when that can be read.
+/// A load report and the time from which it can be read.
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct PublishedReport {
     from: Time,
     report: LoadReport,
-    /// What it holds.
+    /// The requests held, as reported.
     held: f64,
 }
 
@@ -31,27 +32,27 @@
     pub station: Station,
     pub power: Power,
     pub booted: Option<Time>,
-    /// Counts its lives: connections of an earlier one are no more.
-    pub life: u32,
-    /// Down: nothing listens.
+    /// Counts the starts of the backend: connections to an earlier epoch no longer exist.
+    pub epoch: u32,
+    /// Whether the process is down, so that nothing listens.
     pub dead: bool,
     common: BackendLimits,
     reports: Option<LoadReporting>,
     rng: SeededRng,
-    lies: bool,
-    mute: bool,
-    crowd: f64,
+    misreports: bool,
+    unreporting: bool,
+    mean_held: f64,
     busy: f64,
-    crowded_since: Option<Time>,
-    slowed: f64,
-    /// Takes requests and never answers.
+    overloaded_since: Option<Time>,
+    slowdown: f64,
+    /// Whether the backend accepts requests and never answers.
     pub silent: bool,
     pub connections: u32,
-    said: VecDeque<Said>,
+    published: VecDeque<PublishedReport>,
     next_report: Time,
     served: (f64, f64),
-    /// Times that it was crowded.
-    pub crowdings: u32,
+    /// How often the backend became overloaded.
+    pub overloads: u32,
 }
 
 impl SimulatedBackend {
@@ -60,50 +61,50 @@
         reports: &Option<LoadReporting>,
     ) -> SimulatedBackend {
         let mut rng = SeededRng::of(seed, &format!("site {number}"));
-        let (lies, mute) = (rng.part(), rng.part());
+        let (misreport_draw, silence_draw) = (rng.part(), rng.part());
         let first = Micros((rng.part() * reports.as_ref().map_or(1.0, |r| r.period.0 as f64)) as u64);
         SimulatedBackend {
             station: Station::new(power, booted, common.slots.0, common.slots.1),
             power,
             booted,
-            life: 0,
+            epoch: 0,
             dead: false,
             common: common.clone(),
-            lies: reports.as_ref().is_some_and(|r| lies < r.liars),
-            mute: reports.as_ref().is_some_and(|r| mute < r.silent),
+            misreports: reports.as_ref().is_some_and(|r| misreport_draw < r.misreporting),
+            unreporting: reports.as_ref().is_some_and(|r| silence_draw < r.silent),
             reports: reports.clone(),
             rng,
-            crowd: 0.0,
+            mean_held: 0.0,
             busy: 0.0,
-            crowded_since: None,
-            slowed: 1.0,
+            overloaded_since: None,
+            slowdown: 1.0,
             silent: false,
             connections: 0,
-            said: VecDeque::new(),
+            published: VecDeque::new(),
             next_report: booted.unwrap_or_default() + first,
             served: (0.0, 0.0),
-            crowdings: 0,
+            overloads: 0,
         }
     }
 
-    /// All that it holds is lost, and so are its connections.
-    pub fn dies(&mut self) {
-        (self.dead, self.connections, self.life) = (true, 0, self.life + 1);
+    /// Kills the backend: its requests and its connections are lost.
+    pub fn kill(&mut self) {
+        (self.dead, self.connections, self.epoch) = (true, 0, self.epoch + 1);
         self.station = Station::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
-        (self.crowd, self.busy, self.crowded_since, self.served) = (0.0, 0.0, None, (0.0, 0.0));
+        (self.mean_held, self.busy, self.overloaded_since, self.served) = (0.0, 0.0, None, (0.0, 0.0));
     }
 
-    /// It is back, and cold.
-    pub fn returns(&mut self, now: Time) {
+    /// Restarts the backend, cold.
+    pub fn restart(&mut self, now: Time) {
         (self.dead, self.booted) = (false, Some(now));
-        self.said.clear();
+        self.published.clear();
         self.station = Station::new(self.power, self.booted, self.common.slots.0, self.common.slots.1);
         self.apply(now);
     }
 
-    /// It is slow from crowding.
-    pub fn crowded(&self) -> bool {
-        self.crowded_since.is_some()
+    /// Whether the backend is slow because of overload.
+    pub fn overloaded(&self) -> bool {
+        self.overloaded_since.is_some()
     }
 
     pub fn held(&self) -> f64 {
@@ -118,41 +119,42 @@
         self.station.advance(now)
     }
 
-    /// One was served that came so long ago.
-    pub fn told_served(&mut self, took: Micros) {
+    /// Records that a request was served, and the time since it was sent.
+    pub fn record_served(&mut self, took: Micros) {
         self.served = (self.served.0 + took.secs(), self.served.1 + 1.0);
     }
 
-    /// From now on so many times slower, for a reason of all.
+    /// Slows down the backend by a factor that applies to all backends, in addition to that of overload.
     pub fn slow(&mut self, now: Time, factor: f64) {
-        self.slowed = factor;
+        self.slowdown = factor;
         self.apply(now);
     }
 
     fn apply(&mut self, now: Time) {
-        let crowd = if self.crowded_since.is_some() { self.common.slower } else { 1.0 };
-        self.station.slow(now, self.slowed * crowd);
+        let overload_factor =
+            if self.overloaded_since.is_some() { self.common.overload_slowdown } else { 1.0 };
+        self.station.slow(now, self.slowdown * overload_factor);
     }
 
-    /// Looks at itself, once every [`LOOK`].
-    pub fn look(&mut self, now: Time) {
+    /// Updates the averages, the overload state and the load report; called once every [`OBSERVATION_PERIOD`].
+    pub fn observe(&mut self, now: Time) {
         if self.dead {
             return;
         }
         let held = self.held();
-        let step = |memory: f64| 1.0 - (-LOOK.secs() / memory).exp();
-        self.crowd += (held - self.crowd) * step(CROWD_S);
-        self.busy += (f64::from(held > 0.0) - self.busy) * step(REST_S / 2.0);
-        match self.crowded_since {
-            None if self.crowd > self.common.crowded => {
-                self.crowded_since = Some(now);
-                self.crowdings += 1;
+        let step = |memory: f64| 1.0 - (-OBSERVATION_PERIOD.secs() / memory).exp();
+        self.mean_held += (held - self.mean_held) * step(HELD_AVERAGE_S);
+        self.busy += (f64::from(held > 0.0) - self.busy) * step(RECOVERY_S / 2.0);
+        match self.overloaded_since {
+            None if self.mean_held > self.common.overload_threshold => {
+                self.overloaded_since = Some(now);
+                self.overloads += 1;
                 self.apply(now);
             }
             Some(since) => {
                 let age = (now - since).secs();
-                if age > MOST_S || age > REST_S && self.busy < REST_BUSY {
-                    (self.crowded_since, self.crowd) = (None, 0.0);
+                if age > MAX_OVERLOAD_S || age > RECOVERY_S && self.busy < RECOVERY_BUSY_FRACTION {
+                    (self.overloaded_since, self.mean_held) = (None, 0.0);
                     self.apply(now);
                 }
             }
@@ -166,38 +168,39 @@
             errors_per_s: Some(0.0),
             latency_ms: Some(latency * noise),
         };
-        let lie = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.rng.word() % 6) as usize];
+        let bogus = [f64::NAN, -5.0, 1e300, 0.0, f64::INFINITY, 1e6][(self.rng.word() % 6) as usize];
         let report = match () {
-            () if self.lies => {
-                LoadReport { in_flight: Some(lie), errors_per_s: Some(lie), latency_ms: Some(lie) }
+            () if self.misreports => {
+                LoadReport { in_flight: Some(bogus), errors_per_s: Some(bogus), latency_ms: Some(bogus) }
             }
-            () if self.mute => LoadReport::default(),
-            () if reports.all_say.is_some() => LoadReport { in_flight: reports.all_say, ..honest },
+            () if self.unreporting => LoadReport::default(),
+            () if reports.fixed_held.is_some() => LoadReport { in_flight: reports.fixed_held, ..honest },
             () => honest,
         };
-        let held = if self.lies { lie.clamp(0.0, 1e6) } else { reports.all_say.unwrap_or(held * noise) };
-        self.said.push_back(Said { from: now + reports.lag, report, held });
+        let held =
+            if self.misreports { bogus.clamp(0.0, 1e6) } else { reports.fixed_held.unwrap_or(held * noise) };
+        self.published.push_back(PublishedReport { from: now + reports.lag, report, held });
         (self.served, self.next_report) = ((0.0, 0.0), now + reports.period);
-        while self.said.len() > SAID {
-            self.said.pop_front();
+        while self.published.len() > KEPT_REPORTS {
+            self.published.pop_front();
         }
     }
 
-    fn readable(&self, now: Time) -> Option<&Said> {
-        self.said.iter().rev().find(|s| s.from <= now)
+    fn readable(&self, now: Time) -> Option<&PublishedReport> {
+        self.published.iter().rev().find(|s| s.from <= now)
     }
 
-    /// What stands in an answer now.
+    /// Returns the load report that an answer carries now.
     pub fn report(&self, now: Time) -> Option<LoadReport> {
         self.readable(now).map(|s| s.report)
     }
 
-    /// The list's weight of a backend of that size, in thousandths.
+    /// Returns the weight in the list, in thousandths, of a backend of that size.
     pub fn weight(&self, now: Time, size: f64) -> u32 {
         match (&self.reports, self.readable(now)) {
             (None, _) => 0,
-            (Some(_), _) if self.mute => 0,
-            (Some(_), said) => (size * 1e3 / (1.0 + said.map_or(0.0, |s| s.held))).round() as u32,
+            (Some(_), _) if self.unreporting => 0,
+            (Some(_), published) => (size * 1e3 / (1.0 + published.map_or(0.0, |s| s.held))).round() as u32,
         }
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! A fleet on a virtual clock: hundreds of the real decision modules with the real routing in one process, before
-//! modelled backends, a list that comes late, a front that deals connections unevenly, clients that come again and give
-//! up. The same seed gives the same run, to the last count.
+//! Emulates a fleet on a virtual clock: hundreds of instances of the production decision modules with the production
+//! routing run in one process. The model around them has backends, a list that arrives late, a front that distributes
+//! connections unevenly, and clients that retry and give up. The same seed gives the same run, down to every count.
 //!
-//! The backends are those of `testkit` ([`shaletide_testkit::Station`]), here with a crowd that makes them slow for long,
-//! connections that are bounded and cost work, and reports of their load that lag. Nothing here decides anything: the
-//! modules do, and what they are compared with is in [`simulation::Policy`].
+//! The backends are those of `testkit` ([`shaletide_testkit::Station`]), extended by a lasting slowdown under overload,
+//! bounded connections whose set-up costs work, and load reports that lag. This crate takes no routing decisions: the
+//! modules do. [`simulation::Policy`] lists what they are compared with.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,108 +1,108 @@
-//! What a scenario is made of.
+//! The parts of a scenario: classes of requests, kinds of backends, load reports and faults.
 
 use shaletide_balancer::{Class, Config, DiscoveryMode, Tenant};
 use shaletide_testkit::{Law, Power, SeededRng};
 use shaletide_types::*;
 
-/// A sort of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name.
+    /// The name of the class.
     pub name: &'static str,
-    /// Its part of all.
+    /// The fraction of all requests that are of this class.
     pub share: f64,
-    /// What the balancer is configured with for it.
+    /// The configuration of the class in the balancer.
     pub class: Class,
-    /// A client waits so long at most.
+    /// The longest time that a client waits for the answer.
     pub deadline: Micros,
-    /// Work, ms of a standard core.
+    /// The distribution of the work, ms of a standard core.
     pub work_ms: Law,
-    /// Waiting that needs no core, ms.
+    /// The distribution of the time that a request holds its slot without using a core, ms.
     pub io_ms: Law,
 }
 
 /// A kind of backend.
 #[derive(Clone, Debug)]
 pub struct Kind {
-    /// Its part of all backends.
+    /// The fraction of all backends that are of this kind.
     pub share: f64,
-    /// The speed of its core; each backend draws its own.
+    /// The distribution of the speed of the core; each backend draws its own value.
     pub speed: Law,
-    /// The list's size of one that holds nothing.
+    /// The weight in the list of a backend that holds no request.
     pub size: f64,
-    /// The part of its speed that a backend has as it starts, and how long it takes to warm.
+    /// The fraction of its speed that a backend has at its start, and the duration of its warm-up.
     pub cold: (f64, Micros),
 }
 
-/// What backends have in common.
+/// Limits and costs that all backends share.
 #[derive(Clone, Debug)]
 pub struct BackendLimits {
-    /// Requests in service and waiting, at most.
+    /// The maximum numbers of requests in service and of queued requests.
     pub slots: (u32, u32),
-    /// Connections, at most.
+    /// The maximum number of connections.
     pub connections: u32,
-    /// A new one takes so long, and costs so much work.
+    /// The duration of a handshake, and its cost in ms of work.
     pub handshake: (Micros, f64),
-    /// One that is idle for so long is closed.
+    /// The time after which an idle connection is closed.
     pub idle: Micros,
-    /// More requests than this in the mean over some time make it slow ...
-    pub crowded: f64,
-    /// ... by this factor, until it was mostly idle for some seconds.
-    pub slower: f64,
+    /// A backend becomes slow when the mean number of requests that it holds exceeds this.
+    pub overload_threshold: f64,
+    /// The factor by which an overloaded backend is slower, until it has been mostly idle for some seconds.
+    pub overload_slowdown: f64,
 }
 
-/// What the backends say of their load.
+/// The load reports of the backends.
 #[derive(Clone, Debug)]
 pub struct LoadReporting {
-    /// It is renewed so often.
+    /// The time between two reports of a backend.
     pub period: Micros,
-    /// It is so old when it can first be read.
+    /// The age of a report when it first becomes readable.
     pub lag: Micros,
-    /// Each figure is off by this part at most.
+    /// The maximum relative error of each figure.
     pub noise: f64,
-    /// This part of the backends says what it likes.
-    pub liars: f64,
-    /// This part says nothing.
+    /// The fraction of the backends whose reports hold arbitrary figures.
+    pub misreporting: f64,
+    /// The fraction of the backends that report nothing.
     pub silent: f64,
-    /// All say that they hold just so many.
-    pub all_say: Option<f64>,
+    /// If set, every backend reports exactly this number of requests in flight.
+    pub fixed_held: Option<f64>,
 }
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// So many times the usual traffic.
+    /// Traffic is multiplied by this factor.
     Burst(f64),
-    /// This part of the proxies dies and is back, with nothing, a second later.
+    /// This fraction of the proxies dies and restarts without any state one second later.
     Herd(f64),
-    /// This part of the backends is replaced, evenly over the time, by cold ones; the old ones drain.
+    /// This fraction of the backends is replaced by cold ones, evenly over the duration; the old ones drain.
     Replace(f64),
-    /// All backends are so many times slower.
+    /// All backends are slower by this factor.
     Slow(f64),
-    /// This part of the backends takes requests and never answers.
+    /// This fraction of the backends accepts requests and never answers.
     Silent(f64),
-    /// One zone's proxies and backends are cut off from all others, both ways. No connection comes up across it; what
-    /// is sent on one that was there arrives after the cut, and answers on their way are lost.
+    /// One zone's proxies and backends are cut off from all others in both directions. No connection is established
+    /// across the cut; what is sent on an existing connection arrives after the cut, and answers in transit are lost.
     Cut,
     /// All backends of one zone die, and return cold at the end.
     ZoneDies,
-    /// No proxy hears anything of the list, weights included.
+    /// No proxy receives updates of the list, weights included.
     ListsStop,
-    /// News of the list, weights included, takes so many seconds more.
+    /// Updates of the list, weights included, are delayed by this many further seconds.
     ListsLate(f64),
-    /// This part of the answers is lost.
+    /// This fraction of the answers is lost.
     Lost(f64),
-    /// This part of the connections breaks under its request.
+    /// This fraction of the connections is reset while a request is in flight on them.
     Reset(f64),
-    /// The front deals nothing to this part of the proxies, and all to the others.
+    /// The front sends no clients to this fraction of the proxies, and all clients to the others.
     Quiet(f64),
 }
 
 impl Fault {
-    /// By its name and how much of it there is.
-    fn named(name: &str, much: Option<f64>) -> Option<Fault> {
-        let part = much.filter(|m| (0.0..=1.0).contains(m));
-        let factor = much.filter(|m| (0.01..=100.0).contains(m));
+    /// Returns the fault of that name and amount; none if the name is unknown or the amount is missing or out of range.
+    fn named(name: &str, amount: Option<f64>) -> Option<Fault> {
+        let part = amount.filter(|m| (0.0..=1.0).contains(m));
+        let factor = amount.filter(|m| (0.01..=100.0).contains(m));
         Some(match name {
             "burst" => Fault::Burst(factor?),
             "herd" => Fault::Herd(part?),
@@ -113,22 +113,22 @@
             "reset" => Fault::Reset(part?),
             "quiet" => Fault::Quiet(part?),
             "lists-late" => Fault::ListsLate(factor?),
-            "cut" if much.is_none() => Fault::Cut,
-            "zone-dies" if much.is_none() => Fault::ZoneDies,
-            "lists-stop" if much.is_none() => Fault::ListsStop,
+            "cut" if amount.is_none() => Fault::Cut,
+            "zone-dies" if amount.is_none() => Fault::ZoneDies,
+            "lists-stop" if amount.is_none() => Fault::ListsStop,
             _ => return None,
         })
     }
 }
 
-/// A fault and its time, from the start of the scenario.
+/// A fault and its period, relative to the start of the scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedFault {
-    /// It begins then ...
+    /// The beginning of the fault.
     pub from: Micros,
-    /// ... and ends then.
+    /// The end of the fault.
     pub to: Micros,
-    /// What goes wrong.
+    /// The fault itself.
     pub fault: Fault,
 }
 
@@ -138,70 +138,72 @@
     fn from_str(text: &str) -> Result<PlannedFault, String> {
         let second = |text: &str| text.parse::<u32>().ok().map(|s| ms(u64::from(s) * 1_000));
         let read = || {
-            let (what, when) = text.split_once('@')?;
-            let (from, to) = when.split_once('-')?;
+            let (spec, span) = text.split_once('@')?;
+            let (from, to) = span.split_once('-')?;
             let (from, to) = (second(from)?, second(to)?);
-            let (name, much) = match what.split_once('=') {
-                Some((name, much)) => (name, Some(much.parse().ok()?)),
-                None => (what, None),
+            let (name, amount) = match spec.split_once('=') {
+                Some((name, amount)) => (name, Some(amount.parse().ok()?)),
+                None => (spec, None),
             };
-            let fault = Fault::named(name, much)?;
+            let fault = Fault::named(name, amount)?;
             (from < to).then_some(PlannedFault { from, to, fault })
         };
         read().ok_or_else(|| {
-            "not NAME@FROM-TO or NAME=NUMBER@FROM-TO with cut, zone-dies, lists-stop, lists-late, lost, reset, burst, \
-             herd, quiet, replace, slow or silent"
+            "expected NAME@FROM-TO or NAME=NUMBER@FROM-TO, with NAME one of cut, zone-dies, lists-stop, \
+             lists-late, lost, reset, burst, herd, quiet, replace, slow or silent"
                 .into()
         })
     }
 }
 
-/// A scenario.
+/// A scenario: the fleet, its traffic and its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// The name of the scenario.
     pub name: &'static str,
-    /// Of all its random numbers.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// How long it lasts.
+    /// The length of the scenario.
     pub length: Micros,
-    /// Proxies that run.
+    /// The number of proxies that run.
     pub proxies: u32,
     /// The number of proxies in the configuration; by default as many as run.
-    pub listed_proxies: u32,
-    /// How unevenly the front deals: 0 is even, 1 gives some several times the mean. One proxy may be given so many
-    /// times the mean by `hot`.
-    pub uneven: f64,
-    /// The first proxy gets so many times the mean; 1 is as the others.
+    pub configured_proxies: u32,
+    /// How unevenly the front distributes clients: 0 is even, 1 gives some proxies several times the mean. `hot` sets the
+    /// share of a single proxy.
+    pub share_spread: f64,
+    /// The share of the first proxy as a multiple of the mean; 1 leaves it as drawn.
     pub hot: f64,
-    /// The zones' traffic, by their numbers, from 1 less this to 1 and this times an even part.
+    /// The skew of traffic between zones: from 1 minus this value to 1 plus it times an equal share, rising with the
+    /// zone's number.
     pub zone_skew: f64,
-    /// Backends.
+    /// The number of backends.
     pub backends: u32,
-    /// Zones.
+    /// The number of zones.
     pub zones: u32,
-    /// Traffic as a part of what all backends can do.
+    /// Traffic as a fraction of the capacity of all backends.
     pub load: f64,
-    /// The sorts of requests.
-    pub sorts: Vec<RequestClass>,
+    /// The classes of requests.
+    pub request_classes: Vec<RequestClass>,
     /// The kinds of backends.
     pub kinds: Vec<Kind>,
-    /// What backends have in common.
+    /// Limits and costs that all backends share.
     pub common: BackendLimits,
-    /// Load reports, in responses and as the list's weights; none where backends say nothing.
+    /// Load reports, in responses and as the weights of the list; none if backends report nothing.
     pub reports: Option<LoadReporting>,
-    /// News of the list comes so late.
+    /// The delay of updates of the list.
     pub list_lag: Micros,
-    /// One way between proxy and backend, and more between zones.
+    /// The one-way delay between a proxy and a backend within a zone and between zones.
     pub net: (Micros, Micros),
-    /// The front notices that a proxy died after this time at least and at most; until then clients that it deals
-    /// there find nobody.
-    pub front_notices: (Micros, Micros),
-    /// Tenants' quotas, as parts of what all backends can do; what they ask for as parts of the traffic.
+    /// The least and the greatest time after which the front notices that a proxy died. Until then, clients that it sends
+    /// to this proxy reach nobody.
+    pub front_notice_delay: (Micros, Micros),
+    /// For each tenant, its quota as a fraction of the capacity of all backends, and its demand as a fraction of the
+    /// traffic.
     pub tenants: Vec<(f64, f64)>,
-    /// A client that is rejected comes again so often.
+    /// How often a rejected client retries.
     pub retries: u32,
-    /// What goes wrong, from when to when. Of two of one sort at once the last to begin counts.
+    /// The faults with their beginnings and ends. Of two overlapping faults of one kind, the last to begin applies.
     pub faults: Vec<(Micros, Micros, Fault)>,
 }
 
@@ -210,40 +212,41 @@
 }
 
 impl Scenario {
-    /// A scenario without faults.
+    /// Returns a scenario without faults.
     pub fn calm(proxies: u32, backends: u32, load: f64, seed: u64) -> Scenario {
-        let sort = |name, share, priority_weight, aim: u64, deadline: u64, effect, work: f64| RequestClass {
-            name,
-            share,
-            class: Class {
-                latency_objective: ms(aim),
-                latency_objective_per_work_hint: 0.0,
-                idempotency: effect,
-                priority_weight,
-                late_weight_fraction: 0.25,
-            },
-            deadline: ms(deadline),
-            work_ms: Law::LogNormal(work, 0.55),
-            io_ms: Law::Even(20.0, 36.0),
-        };
+        let new_class =
+            |name, share, priority_weight, aim: u64, deadline: u64, repeat, work: f64| RequestClass {
+                name,
+                share,
+                class: Class {
+                    latency_objective: ms(aim),
+                    latency_objective_per_work_hint: 0.0,
+                    idempotency: repeat,
+                    priority_weight,
+                    late_weight_fraction: 0.25,
+                },
+                deadline: ms(deadline),
+                work_ms: Law::LogNormal(work, 0.55),
+                io_ms: Law::Even(20.0, 36.0),
+            };
         let keyed = Idempotency::Keyed(DeduplicationScope::Group, ms(1_800));
         Scenario {
             name: "calm",
             seed,
             length: ms(20_000),
             proxies,
-            listed_proxies: proxies,
-            uneven: 0.5,
+            configured_proxies: proxies,
+            share_spread: 0.5,
             hot: 1.0,
             zone_skew: 0.0,
             backends,
             zones: 5,
             load,
-            sorts: vec![
-                sort("lot-view", 0.33, 3.0, 600, 1_200, Idempotency::Safe, 45.0),
-                sort("clock-price", 0.30, 5.0, 300, 600, Idempotency::Safe, 60.0),
-                sort("bid", 0.19, 5.0, 600, 3_000, keyed, 58.0),
-                sort("settle", 0.18, 8.0, 600, 1_500, Idempotency::NonIdempotent, 52.0),
+            request_classes: vec![
+                new_class("lot-view", 0.33, 3.0, 600, 1_200, Idempotency::Safe, 45.0),
+                new_class("clock-price", 0.30, 5.0, 300, 600, Idempotency::Safe, 60.0),
+                new_class("bid", 0.19, 5.0, 600, 3_000, keyed, 58.0),
+                new_class("settle", 0.18, 8.0, 600, 1_500, Idempotency::NonIdempotent, 52.0),
             ],
             kinds: vec![
                 Kind { share: 0.6, speed: Law::LogNormal(1.8, 0.17), size: 2.0, cold: (0.25, ms(16_000)) },
@@ -254,36 +257,36 @@
                 connections: 120,
                 handshake: (ms(4), 1.6),
                 idle: ms(10_000),
-                crowded: 6.5,
-                slower: 2.8,
+                overload_threshold: 6.5,
+                overload_slowdown: 2.8,
             },
             reports: Some(LoadReporting {
                 period: ms(1_000),
                 lag: ms(300),
                 noise: 0.04,
-                liars: 0.0,
+                misreporting: 0.0,
                 silent: 0.0,
-                all_say: None,
+                fixed_held: None,
             }),
             list_lag: ms(400),
             net: (ms(1), ms(4)),
-            front_notices: (ms(1_000), ms(3_000)),
+            front_notice_delay: (ms(1_000), ms(3_000)),
             tenants: vec![(0.50, 0.62), (0.21, 0.26), (0.10, 0.12)],
             retries: 1,
             faults: Vec::new(),
         }
     }
 
-    /// The same with a fault from one second to another.
+    /// Returns the scenario under that name with a further fault between the two given seconds.
     pub fn with(mut self, name: &'static str, from_s: u64, to_s: u64, fault: Fault) -> Scenario {
         self.name = name;
         self.faults.push((ms(from_s * 1_000), ms(to_s * 1_000), fault));
         self
     }
 
-    /// A scenario by its name: `calm` has a burst, `herd` loses seven in ten proxies, `join` gets six in ten backends anew,
-    /// `split` cuts a zone off while lists come late and links lose, `slow` has all backends slow, `silent` a fifth of
-    /// them silent, and on `zone` those of one zone die; `none` has no fault.
+    /// Returns the scenario of that name: `calm` has a burst; `herd` loses seven in ten proxies; `join` replaces six in
+    /// ten backends; `split` cuts off a zone while lists are late and links lose answers; `slow` slows down all backends;
+    /// `silent` makes a fifth of them silent; in `zone`, all backends of one zone die; `none` has no fault.
     pub fn named(name: &str, proxies: u32, backends: u32, seed: u64) -> Option<Scenario> {
         let calm = |load| Scenario::calm(proxies, backends, load, seed);
         Some(match name {
@@ -303,17 +306,17 @@
         })
     }
 
-    /// The names that [`Scenario::named`] knows.
+    /// The names of the scenarios that `all` runs; [`Scenario::named`] knows `none` as well.
     pub const NAMES: [&'static str; 7] = ["calm", "herd", "join", "split", "slow", "silent", "zone"];
 
-    /// The configuration of one proxy's balancer; `proxies` is 1 for one that sees all.
+    /// Returns the configuration of the balancer of one proxy; `proxies` is 1 for a single module that sees all requests.
     pub(crate) fn config(&self, proxies: u32, position: u32, zone: ZoneId, live: bool) -> Config {
         let capacity = self.capacity();
         Config {
             proxies,
             position,
             zone,
-            classes: self.sorts.iter().map(|s| s.class.clone()).collect(),
+            classes: self.request_classes.iter().map(|s| s.class.clone()).collect(),
             tenants: self.tenants.iter().map(|t| Tenant { quota_per_s: t.0 * capacity }).collect(),
             over_quota_weight_fraction: 0.1,
             total_objective_weight: 0.45,
@@ -331,38 +334,38 @@
         }
     }
 
-    /// Work of a request in the mean, ms.
+    /// Returns the mean work of a request, ms.
     pub fn work_ms(&self) -> f64 {
-        let all: f64 = self.sorts.iter().map(|s| s.share).sum();
-        self.sorts.iter().map(|s| s.share * s.work_ms.mean()).sum::<f64>() / all
+        let all: f64 = self.request_classes.iter().map(|s| s.share).sum();
+        self.request_classes.iter().map(|s| s.share * s.work_ms.mean()).sum::<f64>() / all
     }
 
-    /// Requests a second that all backends together could serve.
+    /// Returns the requests per second that all backends together can serve.
     pub fn capacity(&self) -> f64 {
         let speed: f64 = self.kinds.iter().map(|k| k.share * k.speed.mean()).sum();
         f64::from(self.backends) * speed * 1e3 / self.work_ms()
     }
 
-    /// Each proxy's part of the traffic.
-    pub(crate) fn parts(&self) -> Vec<f64> {
+    /// Returns the fraction of the traffic that each proxy gets.
+    pub(crate) fn traffic_shares(&self) -> Vec<f64> {
         let mut rng = SeededRng::of(self.seed, "front");
-        let law = Law::LogNormal(1.0, self.uneven.max(1e-9));
-        let mut parts: Vec<f64> = (0..self.proxies).map(|_| law.draw(&mut rng)).collect();
+        let law = Law::LogNormal(1.0, self.share_spread.max(1e-9));
+        let mut traffic_shares: Vec<f64> = (0..self.proxies).map(|_| law.draw(&mut rng)).collect();
         let last = f64::from(self.zones.saturating_sub(1).max(1));
-        for (position, part) in (0u32..).zip(&mut parts) {
+        for (position, part) in (0u32..).zip(&mut traffic_shares) {
             let zone = f64::from(position % self.zones);
             *part *= 1.0 + self.zone_skew * (2.0 * zone / last - 1.0);
         }
-        let mean = parts.iter().sum::<f64>() / parts.len().max(1) as f64;
+        let mean = traffic_shares.iter().sum::<f64>() / traffic_shares.len().max(1) as f64;
         if self.hot != 1.0 {
-            parts[0] = mean * self.hot;
+            traffic_shares[0] = mean * self.hot;
         }
-        let all: f64 = parts.iter().sum();
-        parts.iter().map(|p| p / all).collect()
+        let all: f64 = traffic_shares.iter().sum();
+        traffic_shares.iter().map(|p| p / all).collect()
     }
 
-    /// The kind, power and warm-up of the backend of that number.
-    pub(crate) fn draw_box(&self, number: u32) -> (usize, Power) {
+    /// Returns the index of the kind, and the power with its warm-up, of the backend of that number.
+    pub(crate) fn draw_backend(&self, number: u32) -> (usize, Power) {
         let mut rng = SeededRng::of(self.seed, &format!("box {number}"));
         let mut left = rng.part();
         let last = self.kinds.len() - 1;
--- a/crates/emulator/src/simulation.rs
+++ b/crates/emulator/src/simulation.rs
@@ -1,12 +1,12 @@
-//! A scenario played: events in the order of a virtual clock, hosts around the modules, clients.
+//! Runs a scenario: events in the order of a virtual clock, the proxies around the decision modules, and the clients.
 
 mod attempts;
 mod clients;
 mod faults;
 mod lists;
-mod world;
+mod virtual_fleet;
 
-use crate::backend::{SimulatedBackend, LOOK};
+use crate::backend::{SimulatedBackend, OBSERVATION_PERIOD};
 use crate::invariants::InvariantObserver;
 use crate::scenario::Scenario;
 use crate::statistics::{End, Statistics};
@@ -15,32 +15,33 @@
 use shaletide_testkit::SeededRng;
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use world::*;
+use virtual_fleet::*;
 
-/// Policy decides.
+/// What selects the backend of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Any backend that the list has, once, whatever happens.
+    /// Any backend in the list, chosen at random, with a single attempt.
     Random,
-    /// The program as it is where backends say nothing of their load.
-    Earlier,
-    /// The program.
+    /// The program without load reports.
+    WithoutReports,
+    /// The program with load reports.
     Program,
-    /// One module of the program that all requests come to and that is told of each backend at once.
-    One,
+    /// One module of the program that gets all requests and learns of each backend without delay.
+    Centralized,
 }
 
 impl Policy {
-    /// All, in the order in which they are shown.
-    pub const ALL: [Policy; 4] = [Policy::Random, Policy::Earlier, Policy::Program, Policy::One];
+    /// All policies, in the order in which they are shown.
+    pub const ALL: [Policy; 4] =
+        [Policy::Random, Policy::WithoutReports, Policy::Program, Policy::Centralized];
 
-    /// Its name.
+    /// The name under which the results are printed.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Random => "random choice",
-            Policy::Earlier => "without reports",
+            Policy::WithoutReports => "without reports",
             Policy::Program => "the program",
-            Policy::One => "one that sees all",
+            Policy::Centralized => "one that sees all",
         }
     }
 }
@@ -51,105 +52,105 @@
     fn from_str(text: &str) -> Result<Policy, Self::Err> {
         match text {
             "random" => Ok(Policy::Random),
-            "without" => Ok(Policy::Earlier),
+            "without" => Ok(Policy::WithoutReports),
             "program" => Ok(Policy::Program),
-            "one" => Ok(Policy::One),
-            _ => Err("not random, without, program or one"),
+            "one" => Ok(Policy::Centralized),
+            _ => Err("expected random, without, program or one"),
         }
     }
 }
 
-/// What came of it.
+/// The result of a run.
 #[derive(Debug)]
 pub struct SimulationResult {
-    /// What clients got.
+    /// The statistics of what clients got.
     pub statistics: Statistics,
-    /// The invariants.
-    pub watch: InvariantObserver,
+    /// The invariants and their violations.
+    pub observer: InvariantObserver,
 }
 
-/// Plays a scenario.
+/// Runs a scenario under a policy.
 pub fn simulation(scenario: &Scenario, policy: Policy) -> SimulationResult {
-    let mut world = World::new(scenario, policy);
-    while let Some(((at, _), event)) = world.queue.pop_first() {
-        // Modules set timers for ever.
-        if at > world.end + AFTER {
+    let mut fleet = Fleet::new(scenario, policy);
+    while let Some(((at, _), event)) = fleet.queue.pop_first() {
+        // Modules keep setting timers, so the queue never becomes empty.
+        if at > fleet.end + SETTLE_TIME {
             break;
         }
-        world.now = at;
-        world.happens(event);
-        world.work();
+        fleet.now = at;
+        fleet.handle_event(event);
+        fleet.process_pending();
     }
-    world.statistics.crowdings = world.backends.iter().map(|s| s.crowdings).sum();
-    SimulationResult { statistics: world.statistics, watch: world.watch }
+    fleet.statistics.overloads = fleet.backends.iter().map(|s| s.overloads).sum();
+    SimulationResult { statistics: fleet.statistics, observer: fleet.observer }
 }
 
-impl<'a> World<'a> {
-    fn new(scenario: &'a Scenario, policy: Policy) -> World<'a> {
-        let proxies = if policy == Policy::One { 1 } else { scenario.proxies };
-        let mut world = World {
+impl<'a> Fleet<'a> {
+    fn new(scenario: &'a Scenario, policy: Policy) -> Fleet<'a> {
+        let proxies = if policy == Policy::Centralized { 1 } else { scenario.proxies };
+        let mut fleet = Fleet {
             scenario,
             policy,
             now: START,
             end: START + scenario.length,
             queue: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             backends: Vec::new(),
             wakes: Vec::new(),
             rows: Vec::new(),
             sizes: Vec::new(),
             log: Vec::new(),
             proxies: Vec::new(),
-            parts: Vec::new(),
+            traffic_shares: Vec::new(),
             clients: Vec::new(),
             requests: BTreeMap::new(),
             attempts: Vec::new(),
-            out: BTreeMap::new(),
-            todo: VecDeque::new(),
+            in_flight_attempts: BTreeMap::new(),
+            pending: VecDeque::new(),
             rng: SeededRng::of(scenario.seed, "day"),
             burst: 1.0,
             faults: Faults::new(scenario.seed),
-            statistics: Statistics::new(scenario.sorts.len()),
-            watch: InvariantObserver::default(),
-            last: 0,
+            statistics: Statistics::new(scenario.request_classes.len()),
+            observer: InvariantObserver::default(),
+            last_request_id: 0,
         };
-        world.parts = world.deal();
+        fleet.traffic_shares = fleet.client_shares();
         (0..scenario.backends).for_each(|_| {
-            world.add_box(None);
+            fleet.add_backend(None);
         });
         for position in 0..proxies {
             let zone = ZoneId(position % scenario.zones);
-            world.proxies.push(Proxy {
+            fleet.proxies.push(Proxy {
                 pools: None,
-                life: 0,
+                epoch: 0,
                 zone,
-                noticed: START,
-                told: 0,
-                told_as_of: START,
+                death_noticed_at: START,
+                delivered: 0,
+                delivered_as_of: START,
                 idle: BTreeMap::new(),
                 open: BTreeSet::new(),
-                drains: BTreeMap::new(),
+                unavailable_since: BTreeMap::new(),
                 ready: BTreeMap::new(),
             });
-            world.revive(position as usize);
+            fleet.start_proxy(position as usize);
         }
-        world.at(START, Ev::Comes);
-        world.at(START + LOOK, Ev::Look);
+        fleet.schedule(START, SimEvent::ClientArrival);
+        fleet.schedule(START + OBSERVATION_PERIOD, SimEvent::Observe);
         for (fault, (from, to, _)) in scenario.faults.iter().enumerate() {
-            world.at(START + *from, Ev::Begins { fault });
-            world.at(START + *to, Ev::Ends { fault });
+            fleet.schedule(START + *from, SimEvent::BeginFault { fault });
+            fleet.schedule(START + *to, SimEvent::EndFault { fault });
         }
-        world
+        fleet
     }
 
-    fn at(&mut self, at: Time, event: Ev) {
-        self.count += 1;
-        self.queue.insert((at.max(self.now), self.count), event);
+    fn schedule(&mut self, at: Time, event: SimEvent) {
+        self.event_count += 1;
+        self.queue.insert((at.max(self.now), self.event_count), event);
     }
 
-    fn add_box(&mut self, booted: Option<Time>) -> usize {
+    fn add_backend(&mut self, booted: Option<Time>) -> usize {
         let number = self.backends.len() as u32;
-        let (kind, power) = self.scenario.draw_box(number);
+        let (kind, power) = self.scenario.draw_backend(number);
         let zone = number % self.scenario.zones;
         self.backends.push(SimulatedBackend::new(
             number,
@@ -173,126 +174,126 @@
             ..BackendEntry::default()
         });
         self.sizes.push(self.scenario.kinds[kind].size);
-        self.logs(number as usize, BackendState::Ready);
+        self.log_state(number as usize, BackendState::Ready);
         self.statistics.by_backend.push(0);
         number as usize
     }
 
-    /// A proxy starts, with the list as it is and nothing else.
-    fn revive(&mut self, proxy: usize) {
-        let one = self.policy == Policy::One;
+    /// Starts a proxy with the current list and no other state.
+    fn start_proxy(&mut self, proxy: usize) {
+        let centralized = self.policy == Policy::Centralized;
         let live = self.scenario.reports.is_some() && self.policy == Policy::Program;
         let zone = self.proxies[proxy].zone;
         let mut config = self.scenario.config(
-            if one { 1 } else { self.scenario.listed_proxies },
+            if centralized { 1 } else { self.scenario.configured_proxies },
             proxy as u32,
             zone,
             live,
         );
-        if one {
+        if centralized {
             config.cross_zone_cost = 0.0;
         }
         config.position %= config.proxies;
         let mut pools = Pools::new();
-        let life = u64::from(self.proxies[proxy].life);
-        let seed = SeededRng::of(self.scenario.seed ^ life << 32, &format!("proxy {proxy}")).word();
-        // The configuration is the emulator's own.
-        pools.configure(POOL, config, seed).expect("a sound configuration");
+        let epoch = u64::from(self.proxies[proxy].epoch);
+        let seed = SeededRng::of(self.scenario.seed ^ epoch << 32, &format!("proxy {proxy}")).word();
+        // The emulator built the configuration, so it is valid.
+        pools.configure(POOL, config, seed).expect("valid configuration");
         let p = &mut self.proxies[proxy];
-        (p.pools, p.told, p.told_as_of) = (Some(pools), 0, START);
+        (p.pools, p.delivered, p.delivered_as_of) = (Some(pools), 0, START);
         p.idle.clear();
-        p.drains.clear();
+        p.unavailable_since.clear();
         p.ready.clear();
-        // Where lists come late or not at all it starts with the last that came.
+        // While lists are stopped, a proxy starts with the last list before the stop.
         let as_of = self.faults.stopped.unwrap_or(self.now);
-        self.tell_list(proxy, EndpointUpdate::Snapshot, as_of);
+        self.deliver_list(proxy, EndpointUpdate::Snapshot, as_of);
         let period = self.period();
         let first = Micros((self.rng.part() * period.0 as f64) as u64);
-        self.at(self.now + first, Ev::List { proxy });
+        self.schedule(self.now + first, SimEvent::SendList { proxy });
     }
 
-    fn happens(&mut self, event: Ev) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
-            Ev::Comes => self.comes(),
-            Ev::Again { client } => self.asks(client, true),
-            Ev::Timer { proxy, life, token } => {
-                if self.proxies[proxy].life == life {
-                    self.todo.push_back((proxy, Event::Timer { token }));
+            SimEvent::ClientArrival => self.client_arrives(),
+            SimEvent::ClientRetry { client } => self.send_request(client, true),
+            SimEvent::Timer { proxy, epoch, token } => {
+                if self.proxies[proxy].epoch == epoch {
+                    self.pending.push_back((proxy, Event::Timer { token }));
                 }
             }
-            Ev::AtBox { attempt } => self.at_box(attempt),
-            Ev::Wake { backend } => {
+            SimEvent::ReachedBackend { attempt } => self.reached_backend(attempt),
+            SimEvent::Wake { backend } => {
                 if self.wakes[backend] == Some(self.now) {
                     self.wakes[backend] = None;
                     self.wake(backend);
                     self.set_wake(backend);
                 }
             }
-            Ev::Look => self.look(),
-            Ev::Back { attempt, outcome } => self.back(attempt, outcome),
-            Ev::Deadline { id } => self.deadline(id),
-            Ev::List { proxy } => {
+            SimEvent::Observe => self.observe(),
+            SimEvent::OutcomeArrival { attempt, outcome } => self.outcome_arrived(attempt, outcome),
+            SimEvent::Deadline { id } => self.expire(id),
+            SimEvent::SendList { proxy } => {
                 if self.now < self.end + Micros(2_000_000) {
-                    self.sends_list(proxy);
-                    self.at(self.now + self.period(), Ev::List { proxy });
+                    self.send_list(proxy);
+                    self.schedule(self.now + self.period(), SimEvent::SendList { proxy });
                 }
             }
-            Ev::Hears { proxy, life, as_of } => self.hears(proxy, life, as_of),
-            Ev::Missed { backend } => {
+            SimEvent::ReceiveList { proxy, epoch, as_of } => self.receive_list(proxy, epoch, as_of),
+            SimEvent::MarkGone { backend } => {
                 if self.backends[backend].dead {
                     self.rows[backend].state = BackendState::Gone;
-                    self.logs(backend, BackendState::Gone);
+                    self.log_state(backend, BackendState::Gone);
                 }
             }
-            Ev::Begins { fault } => self.begins(fault),
-            Ev::Ends { fault } => self.ends(fault),
-            Ev::Drains { backend } => {
+            SimEvent::BeginFault { fault } => self.begin_fault(fault),
+            SimEvent::EndFault { fault } => self.end_fault(fault),
+            SimEvent::DrainBackend { backend } => {
                 self.rows[backend].state = BackendState::Draining;
-                self.logs(backend, BackendState::Draining);
-                self.add_box(Some(self.now));
-                self.at(self.now + DRAINS, Ev::Goes { backend });
+                self.log_state(backend, BackendState::Draining);
+                self.add_backend(Some(self.now));
+                self.schedule(self.now + DRAIN_DURATION, SimEvent::RemoveBackend { backend });
             }
-            Ev::Goes { backend } => {
+            SimEvent::RemoveBackend { backend } => {
                 self.rows[backend].state = BackendState::Gone;
-                self.logs(backend, BackendState::Gone);
+                self.log_state(backend, BackendState::Gone);
             }
-            Ev::Revives { proxy } => self.revive(proxy),
+            SimEvent::StartProxy { proxy } => self.start_proxy(proxy),
         }
     }
 
-    /// Tells the modules what there is to tell and does what they ask, until neither has more.
-    fn work(&mut self) {
+    /// Passes pending events to the modules and carries out their actions, until there are no more events.
+    fn process_pending(&mut self) {
         let mut actions = Vec::new();
-        while let Some((proxy, event)) = self.todo.pop_front() {
+        while let Some((proxy, event)) = self.pending.pop_front() {
             let Some(pools) = self.proxies[proxy].pools.as_mut() else { continue };
             pools.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(proxy, action);
+                self.apply_action(proxy, action);
             }
         }
     }
 
-    fn act(&mut self, proxy: usize, action: Action) {
+    fn apply_action(&mut self, proxy: usize, action: Action) {
         match action {
             Action::Dispatch { request, attempt, backend, .. } => {
                 self.dispatch(proxy, request, attempt, backend.0 as usize)
             }
             Action::Reject { request, retry_after, .. } => self.rejected(request, retry_after),
             Action::Fail { request, .. } => {
-                if let Some(open) = self.forget(request) {
-                    self.closed(open.client, open.came, End::Failed, Micros(0));
+                if let Some(open) = self.take_request(request) {
+                    self.end_try(open.client, open.arrived_at, End::Failed, Micros(0));
                 }
             }
             Action::Cancel { request, attempt } => {
-                if let Some(at) = self.out.get(&(request, attempt)).copied() {
-                    self.let_go(at);
+                if let Some(at) = self.in_flight_attempts.get(&(request, attempt)).copied() {
+                    self.abandon(at);
                     let over = !self.requests.contains_key(&request);
-                    self.ended(at, Outcome::Cancelled, over);
+                    self.report_attempt_end(at, Outcome::Cancelled, over);
                 }
             }
             Action::SetTimer { token, after } => {
-                let life = self.proxies[proxy].life;
-                self.at(self.now + after, Ev::Timer { proxy, life, token });
+                let epoch = self.proxies[proxy].epoch;
+                self.schedule(self.now + after, SimEvent::Timer { proxy, epoch, token });
             }
             Action::Subscribe { .. } | Action::Log { .. } => {}
         }
--- a/crates/emulator/src/simulation/clients.rs
+++ b/crates/emulator/src/simulation/clients.rs
@@ -1,6 +1,6 @@
-//! Clients, the front that deals them out, and what they get.
+//! Clients, the front that distributes them over the proxies, and the ends of their requests.
 
-use super::world::*;
+use super::virtual_fleet::*;
 use super::Policy;
 use crate::invariants::Violation;
 use crate::statistics::End;
@@ -10,57 +10,66 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// One of them, by their shares.
+/// Draws an index with probabilities proportional to the shares.
 fn pick(rng: &mut SeededRng, shares: &[f64]) -> usize {
     let mut left = rng.part() * shares.iter().sum::<f64>();
-    let hit = shares.iter().position(|s| {
+    let chosen = shares.iter().position(|s| {
         left -= s;
         left < 0.0
     });
-    hit.unwrap_or(shares.len() - 1)
+    chosen.unwrap_or(shares.len() - 1)
 }
 
-impl World<'_> {
-    pub(super) fn comes(&mut self) {
+impl Fleet<'_> {
+    pub(super) fn client_arrives(&mut self) {
         if self.now >= self.end {
             return;
         }
         let rate = self.scenario.load * self.scenario.capacity() * self.burst;
         let gap = -self.rng.part().ln() / rate;
-        self.at(self.now + Micros::from_secs(gap), Ev::Comes);
-        let sort = pick(&mut self.rng, &self.scenario.sorts.iter().map(|s| s.share).collect::<Vec<_>>());
+        self.schedule(self.now + Micros::from_secs(gap), SimEvent::ClientArrival);
+        let request_class =
+            pick(&mut self.rng, &self.scenario.request_classes.iter().map(|s| s.share).collect::<Vec<_>>());
         let tenant = pick(&mut self.rng, &self.scenario.tenants.iter().map(|t| t.1).collect::<Vec<_>>());
-        let proxy = pick(&mut self.rng, &self.parts);
+        let proxy = pick(&mut self.rng, &self.traffic_shares);
         let client = self.clients.len();
-        self.clients.push(Client { came: self.now, sort, tenant, tries: 0, proxy, served: false });
-        self.statistics.requests[sort] += 1;
-        self.statistics.priority_weight.0 += self.scenario.sorts[sort].class.priority_weight;
+        self.clients.push(Client {
+            arrived_at: self.now,
+            request_class,
+            tenant,
+            tries: 0,
+            proxy,
+            served: false,
+        });
+        self.statistics.requests[request_class] += 1;
+        self.statistics.priority_weight.0 +=
+            self.scenario.request_classes[request_class].class.priority_weight;
         let second = self.statistics.second(self.now - START);
         self.statistics.seconds[second].0 += 1;
-        self.asks(client, false);
+        self.send_request(client, false);
     }
 
-    pub(super) fn asks(&mut self, client: usize, repeat: bool) {
+    pub(super) fn send_request(&mut self, client: usize, repeat: bool) {
         let c = &mut self.clients[client];
-        let sort = &self.scenario.sorts[c.sort];
-        let left = sort.deadline.0.saturating_sub((self.now - c.came).0);
+        let request_class = &self.scenario.request_classes[c.request_class];
+        let left = request_class.deadline.0.saturating_sub((self.now - c.arrived_at).0);
         if left < 10_000 {
             return;
         }
         c.tries += 1;
-        let (class, tenant) = (ClassId(c.sort), TenantId(c.tenant));
-        let Some(proxy) = self.deals(client) else { return };
+        let (class, tenant) = (ClassId(c.request_class), TenantId(c.tenant));
+        let Some(proxy) = self.choose_proxy(client) else { return };
         if self.proxies[proxy].pools.is_none() {
-            return self.closed(client, self.now, End::Unreached, Micros(0));
+            return self.end_try(client, self.now, End::Unreached, Micros(0));
         }
-        self.last += 1;
-        let id = RequestId(self.last);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let deadline = self.now + Micros(left);
-        self.requests.insert(id, Open { proxy, client, came: self.now, tries: Vec::new() });
+        self.requests.insert(id, OpenRequest { proxy, client, arrived_at: self.now, tries: Vec::new() });
         self.proxies[proxy].open.insert(id);
-        self.at(deadline, Ev::Deadline { id });
+        self.schedule(deadline, SimEvent::Deadline { id });
         if self.policy == Policy::Random {
-            return self.draws(proxy, id);
+            return self.dispatch_randomly(proxy, id);
         }
         let arrival = Arrival {
             request: id,
@@ -71,27 +80,27 @@
             is_client_retry: repeat,
             may_fail_over: false,
         };
-        self.todo.push_back((proxy, Event::Request { arrival, pools: Rc::new([POOL]) }));
+        self.pending.push_back((proxy, Event::Request { arrival, pools: Rc::new([POOL]) }));
     }
 
-    /// Each proxy's part of the clients.
-    pub(super) fn deal(&self) -> Vec<f64> {
-        if self.policy == Policy::One {
+    /// Returns the fraction of the clients that each proxy gets.
+    pub(super) fn client_shares(&self) -> Vec<f64> {
+        if self.policy == Policy::Centralized {
             vec![1.0]
         } else {
-            self.scenario.parts()
+            self.scenario.traffic_shares()
         }
     }
 
-    /// The front passes over those that it knows to be dead.
-    fn deals(&self, client: usize) -> Option<usize> {
+    /// Returns the proxy that the front chooses for a client; it avoids proxies that it knows to be dead.
+    fn choose_proxy(&self, client: usize) -> Option<usize> {
         let (first, all) = (self.clients[client].proxy, self.proxies.len());
-        let known_dead = |p: &Proxy| p.pools.is_none() && self.now >= p.noticed;
+        let known_dead = |p: &Proxy| p.pools.is_none() && self.now >= p.death_noticed_at;
         (0..=all).map(|step| (first + step * 7) % all).find(|p| !known_dead(&self.proxies[*p]))
     }
 
-    /// Random choice.
-    pub(super) fn draws(&mut self, proxy: usize, id: RequestId) {
+    /// Sends a request to a random ready backend.
+    pub(super) fn dispatch_randomly(&mut self, proxy: usize, id: RequestId) {
         let ready = &self.proxies[proxy].ready;
         let at = (self.rng.part() * ready.len() as f64) as usize;
         match ready.keys().nth(at).copied() {
@@ -100,86 +109,90 @@
         }
     }
 
-    /// A try is over.
-    pub(super) fn closed(&mut self, client: usize, came: Time, end: End, advice: Micros) {
+    /// Records the end of a try and schedules a retry of the client if there is one.
+    pub(super) fn end_try(&mut self, client: usize, arrived_at: Time, end: End, retry_after: Micros) {
         self.statistics.ends[end as usize] += 1;
-        let rejected = matches!(end, End::RefusedAtOnce | End::RefusedHeld | End::RefusedSent);
+        let rejected =
+            matches!(end, End::RejectedAtOnce | End::RejectedAfterQueueing | End::RejectedAfterAttempts);
         if rejected {
-            let second = self.statistics.second(came - START);
-            self.statistics.rejected[second][end as usize - End::RefusedAtOnce as usize] += 1;
+            let second = self.statistics.second(arrived_at - START);
+            self.statistics.rejected[second][end as usize - End::RejectedAtOnce as usize] += 1;
         }
-        let lost = matches!(end, End::Died | End::Unreached);
+        let lost = matches!(end, End::ProxyDied | End::Unreached);
         if lost {
-            // Its next connection is dealt anew.
-            self.clients[client].proxy = pick(&mut self.faults.rng, &self.parts);
+            // The client's next connection is assigned anew.
+            self.clients[client].proxy = pick(&mut self.faults.rng, &self.traffic_shares);
         }
         let c = &mut self.clients[client];
         if (rejected || lost) && c.tries <= self.scenario.retries {
-            let wait = Micros((self.rng.part() * 70_000.0) as u64 + 10_000).max(advice.min(MOST_ADVICE));
-            self.at(self.now + wait, Ev::Again { client });
+            let wait =
+                Micros((self.rng.part() * 70_000.0) as u64 + 10_000).max(retry_after.min(MAX_RETRY_AFTER));
+            self.schedule(self.now + wait, SimEvent::ClientRetry { client });
         }
     }
 
     pub(super) fn served(&mut self, id: RequestId) {
-        let Some(open) = self.forget(id) else { return };
+        let Some(open) = self.take_request(id) else { return };
         let c = &mut self.clients[open.client];
-        let sort = &self.scenario.sorts[c.sort];
-        let took = self.now - c.came;
-        let in_time = took <= sort.class.latency_objective;
-        let priority_weight =
-            sort.class.priority_weight * if in_time { 1.0 } else { sort.class.late_weight_fraction };
+        let request_class = &self.scenario.request_classes[c.request_class];
+        let took = self.now - c.arrived_at;
+        let in_time = took <= request_class.class.latency_objective;
+        let priority_weight = request_class.class.priority_weight
+            * if in_time { 1.0 } else { request_class.class.late_weight_fraction };
         if !std::mem::replace(&mut c.served, true) {
             self.statistics.priority_weight.1 += priority_weight;
             if in_time {
-                self.statistics.served[c.sort] += 1;
-                let second = self.statistics.second(c.came - START);
+                self.statistics.served[c.request_class] += 1;
+                let second = self.statistics.second(c.arrived_at - START);
                 self.statistics.seconds[second].1 += 1;
             }
         }
-        // The bounds of the histogram are wider than any deadline.
+        // Recording cannot fail: the bounds of the histogram are wider than any deadline.
         let _ = self.statistics.latency.record(took.0.max(1));
-        self.closed(open.client, open.came, if in_time { End::InTime } else { End::Late }, Micros(0));
+        self.end_try(open.client, open.arrived_at, if in_time { End::InTime } else { End::Late }, Micros(0));
     }
 
-    pub(super) fn forget(&mut self, id: RequestId) -> Option<Open> {
+    pub(super) fn take_request(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         self.proxies[open.proxy].open.remove(&id);
         Some(open)
     }
 
-    /// The attempts of it that may have run or may run yet.
-    pub(super) fn ran(&self, open: &Open) -> Vec<(DeduplicationGroupId, Time)> {
+    /// Returns the attempts of a request that may have executed or may still execute.
+    pub(super) fn possibly_executed(&self, open: &OpenRequest) -> Vec<(DeduplicationGroupId, Time)> {
         let all = open.tries.iter().map(|t| &self.attempts[*t]);
         all.filter(|a| !a.not_executed).map(|a| (self.rows[a.backend].deduplication_group, a.sent)).collect()
     }
 
-    pub(super) fn effect(&self, open: &Open) -> Idempotency {
-        self.scenario.sorts[self.clients[open.client].sort].class.idempotency
+    pub(super) fn request_idempotency(&self, open: &OpenRequest) -> Idempotency {
+        self.scenario.request_classes[self.clients[open.client].request_class].class.idempotency
     }
 
-    pub(super) fn rejected(&mut self, id: RequestId, advice: Micros) {
-        let Some(open) = self.forget(id) else { return self.watch.broke(Violation::Answer(id)) };
-        let (ran, effect) = (self.ran(&open), self.effect(&open));
-        self.watch.rejected(id, effect, &ran);
+    pub(super) fn rejected(&mut self, id: RequestId, retry_after: Micros) {
+        let Some(open) = self.take_request(id) else { return self.observer.violated(Violation::Answer(id)) };
+        let (possibly_executed, request_idempotency) =
+            (self.possibly_executed(&open), self.request_idempotency(&open));
+        self.observer.rejected(id, request_idempotency, &possibly_executed);
         let end = match () {
-            () if !open.tries.is_empty() => End::RefusedSent,
-            () if self.now - open.came > Micros(1_000) => End::RefusedHeld,
-            () => End::RefusedAtOnce,
+            () if !open.tries.is_empty() => End::RejectedAfterAttempts,
+            () if self.now - open.arrived_at > Micros(1_000) => End::RejectedAfterQueueing,
+            () => End::RejectedAtOnce,
         };
-        self.closed(open.client, open.came, end, advice);
+        self.end_try(open.client, open.arrived_at, end, retry_after);
     }
 
-    pub(super) fn deadline(&mut self, id: RequestId) {
-        let Some(open) = self.forget(id) else { return };
+    pub(super) fn expire(&mut self, id: RequestId) {
+        let Some(open) = self.take_request(id) else { return };
         let proxy = open.proxy;
-        let out: Vec<usize> = open.tries.iter().copied().filter(|t| !self.attempts[*t].over).collect();
-        if out.is_empty() {
-            self.todo.push_back((proxy, Event::ClientDisconnected { request: id }));
+        let in_flight_attempts: Vec<usize> =
+            open.tries.iter().copied().filter(|t| !self.attempts[*t].over).collect();
+        if in_flight_attempts.is_empty() {
+            self.pending.push_back((proxy, Event::ClientDisconnected { request: id }));
         }
-        for attempt in out {
-            self.let_go(attempt);
-            self.ended(attempt, Outcome::TimedOut, true);
+        for attempt in in_flight_attempts {
+            self.abandon(attempt);
+            self.report_attempt_end(attempt, Outcome::TimedOut, true);
         }
-        self.closed(open.client, open.came, End::Failed, Micros(0));
+        self.end_try(open.client, open.arrived_at, End::Failed, Micros(0));
     }
 }
--- a/crates/emulator/src/simulation/faults.rs
+++ b/crates/emulator/src/simulation/faults.rs
@@ -1,17 +1,17 @@
-//! What goes wrong, and what ends it.
+//! Beginnings and ends of faults.
 
-use super::world::*;
+use super::virtual_fleet::*;
 use super::Policy;
 use crate::scenario::Fault;
 use crate::statistics::End;
 use shaletide_testkit::SeededRng;
 use shaletide_types::*;
 
-impl World<'_> {
-    pub(super) fn begins(&mut self, fault: usize) {
-        let (from, to, what) = &self.scenario.faults[fault];
+impl Fleet<'_> {
+    pub(super) fn begin_fault(&mut self, fault: usize) {
+        let (from, to, kind) = &self.scenario.faults[fault];
         let mut rng = SeededRng::of(self.scenario.seed, &format!("trouble {fault}"));
-        match what {
+        match kind {
             Fault::Burst(factor) => self.burst = *factor,
             Fault::Slow(factor) => {
                 (0..self.backends.len()).for_each(|s| self.backends[s].slow(self.now, *factor))
@@ -23,22 +23,22 @@
             }
             Fault::Herd(part) => {
                 let hit: Vec<usize> = (0..self.proxies.len()).filter(|_| rng.chance(*part)).collect();
-                hit.into_iter().for_each(|proxy| self.dies(proxy));
+                hit.into_iter().for_each(|proxy| self.kill_proxy(proxy));
             }
             Fault::Replace(part) => {
                 let hit: Vec<usize> = (0..self.backends.len()).filter(|_| rng.chance(*part)).collect();
                 let each = to.0.saturating_sub(from.0) / hit.len().max(1) as u64;
                 for (n, backend) in hit.into_iter().enumerate() {
-                    self.at(self.now + Micros(each * n as u64), Ev::Drains { backend });
+                    self.schedule(self.now + Micros(each * n as u64), SimEvent::DrainBackend { backend });
                 }
             }
             Fault::Cut => self.faults.cut = Some(self.draw_zone(&mut rng)),
             Fault::ZoneDies => {
                 let zone = self.draw_zone(&mut rng);
-                let there =
+                let in_zone =
                     |backend: &usize| self.rows[*backend].zone == zone && !self.backends[*backend].dead;
-                let hit: Vec<usize> = (0..self.backends.len()).filter(there).collect();
-                hit.iter().for_each(|backend| self.box_dies(*backend));
+                let hit: Vec<usize> = (0..self.backends.len()).filter(in_zone).collect();
+                hit.iter().for_each(|backend| self.kill_backend(*backend));
                 self.faults.dead = hit;
             }
             Fault::ListsStop => self.faults.stopped = Some(self.now),
@@ -46,31 +46,31 @@
             Fault::Lost(part) => self.faults.lost = *part,
             Fault::Reset(part) => self.faults.reset = *part,
             Fault::Quiet(part) => {
-                for dealt in &mut self.parts {
+                for share in &mut self.traffic_shares {
                     if rng.chance(*part) {
-                        *dealt = 0.0;
+                        *share = 0.0;
                     }
                 }
             }
         }
     }
 
-    pub(super) fn ends(&mut self, fault: usize) {
+    pub(super) fn end_fault(&mut self, fault: usize) {
         match &self.scenario.faults[fault].2 {
             Fault::Burst(_) => self.burst = 1.0,
             Fault::Slow(_) => (0..self.backends.len()).for_each(|s| self.backends[s].slow(self.now, 1.0)),
             Fault::Silent(_) => self.backends.iter_mut().for_each(|s| s.silent = false),
             Fault::Herd(_) | Fault::Replace(_) => {}
-            Fault::Cut => self.cut_ends(),
+            Fault::Cut => self.end_cut(),
             Fault::ZoneDies => {
-                let back = std::mem::take(&mut self.faults.dead);
-                back.into_iter().for_each(|backend| self.box_returns(backend));
+                let returning = std::mem::take(&mut self.faults.dead);
+                returning.into_iter().for_each(|backend| self.restore_backend(backend));
             }
             Fault::ListsStop => self.faults.stopped = None,
             Fault::ListsLate(_) => self.faults.late = Micros(0),
             Fault::Lost(_) => self.faults.lost = 0.0,
             Fault::Reset(_) => self.faults.reset = 0.0,
-            Fault::Quiet(_) => self.parts = self.deal(),
+            Fault::Quiet(_) => self.traffic_shares = self.client_shares(),
         }
     }
 
@@ -78,52 +78,53 @@
         ZoneId((rng.part() * f64::from(self.scenario.zones)) as u32)
     }
 
-    /// Whether a proxy and a backend do not hear each other. One that sees all is in none of the zones: it loses the
-    /// backends of the one that is cut off.
+    /// Whether a cut separates a proxy and a backend. The module that sees all requests is in none of the zones: it loses
+    /// the backends of the zone that is cut off.
     pub(super) fn cut_between(&self, proxy: usize, backend: usize) -> bool {
         self.faults.cut.is_some_and(|cut| {
-            let there = self.policy != Policy::One && self.proxies[proxy].zone == cut;
-            (self.rows[backend].zone == cut) != there
+            let in_zone = self.policy != Policy::Centralized && self.proxies[proxy].zone == cut;
+            (self.rows[backend].zone == cut) != in_zone
         })
     }
 
-    /// What was held up is sent again.
-    fn cut_ends(&mut self) {
+    /// Ends the cut: attempts that it held up are sent again.
+    fn end_cut(&mut self) {
         self.faults.cut = None;
         for attempt in std::mem::take(&mut self.faults.stalled) {
-            let wait = Micros((self.faults.rng.part() * SENT_AGAIN) as u64);
-            self.at(self.now + wait, Ev::AtBox { attempt });
+            let wait = Micros((self.faults.rng.part() * MAX_RESEND_DELAY_US) as u64);
+            self.schedule(self.now + wait, SimEvent::ReachedBackend { attempt });
         }
     }
 
-    /// Every proxy that has a connection to it notices.
-    fn box_dies(&mut self, backend: usize) {
-        self.backends[backend].dies();
+    /// Kills a backend; every proxy that has a connection to it notices.
+    fn kill_backend(&mut self, backend: usize) {
+        self.backends[backend].kill();
         self.proxies.iter_mut().for_each(|p| drop(p.idle.remove(&backend)));
-        let mut hit: Vec<usize> = self.out.values().copied().collect();
+        let mut hit: Vec<usize> = self.in_flight_attempts.values().copied().collect();
         hit.retain(|a| self.attempts[*a].backend == backend && self.attempts[*a].connected.is_some());
         for attempt in hit {
-            let way = self.way(attempt);
-            self.at(self.now + way, Ev::Back { attempt, outcome: Outcome::Reset });
+            let delay = self.delay(attempt);
+            self.schedule(self.now + delay, SimEvent::OutcomeArrival { attempt, outcome: Outcome::Reset });
         }
-        self.at(self.now + MISSED, Ev::Missed { backend });
+        self.schedule(self.now + DEATH_NOTICE_DELAY, SimEvent::MarkGone { backend });
     }
 
-    fn box_returns(&mut self, backend: usize) {
-        self.backends[backend].returns(self.now);
+    fn restore_backend(&mut self, backend: usize) {
+        self.backends[backend].restart(self.now);
         (self.rows[backend].state, self.rows[backend].started_at) = (BackendState::Ready, Some(self.now));
-        self.logs(backend, BackendState::Ready);
+        self.log_state(backend, BackendState::Ready);
     }
 
-    pub(super) fn dies(&mut self, proxy: usize) {
-        if self.policy == Policy::One {
+    pub(super) fn kill_proxy(&mut self, proxy: usize) {
+        if self.policy == Policy::Centralized {
             return;
         }
         let p = &mut self.proxies[proxy];
-        (p.pools, p.life) = (None, p.life + 1);
-        let (least, most) = self.scenario.front_notices;
-        let notices = least.0 as f64 + self.faults.rng.part() * most.0.saturating_sub(least.0) as f64;
-        p.noticed = self.now + Micros(notices as u64);
+        (p.pools, p.epoch) = (None, p.epoch + 1);
+        let (min_delay, max_delay) = self.scenario.front_notice_delay;
+        let notice_delay =
+            min_delay.0 as f64 + self.faults.rng.part() * max_delay.0.saturating_sub(min_delay.0) as f64;
+        p.death_noticed_at = self.now + Micros(notice_delay as u64);
         let open = std::mem::take(&mut p.open);
         let idle = std::mem::take(&mut p.idle);
         for (backend, all) in idle {
@@ -132,10 +133,10 @@
         for id in open {
             let Some(open) = self.requests.remove(&id) else { continue };
             for attempt in open.tries {
-                self.let_go(attempt);
+                self.abandon(attempt);
             }
-            self.closed(open.client, open.came, End::Died, Micros(0));
+            self.end_try(open.client, open.arrived_at, End::ProxyDied, Micros(0));
         }
-        self.at(self.now + DOWN, Ev::Revives { proxy });
+        self.schedule(self.now + PROXY_RESTART_DELAY, SimEvent::StartProxy { proxy });
     }
 }
