--- a/crates/entry-point/src/entry/kernel.rs
+++ b/crates/entry-point/src/entry/kernel.rs
@@ -1,21 +1,23 @@
-//! System calls, without the C library, and the two operations on memory that the compiler would call the C library for.
+//! System calls without the C library, and the two memory operations for which the compiler would call the C library.
 
 use core::arch::asm;
 use core::ffi::CStr;
 
-/// Results from here on, taken as unsigned numbers, are errors: the kernel returns `-errno`, which is 4095 at most.
+/// The least result, as an unsigned number, that is an error: the kernel returns `-errno`, and errno is at most 4095.
 const FIRST_ERROR: usize = -4095_isize as usize;
-/// The status of a program that cannot be executed, as shells and the loader have it.
+/// The exit status of a program that cannot be executed, as used by shells and the loader.
 const CANNOT_EXECUTE: usize = 127;
 
-/// A system call has failed.
+/// The failure of a system call.
 pub(super) struct CallError;
 
+/// Makes a system call.
+///
 /// # Safety
-/// That of the call.
+/// The requirements of the system call.
 unsafe fn call(number: libc::c_long, arguments: [usize; 6]) -> Result<usize, CallError> {
     let result: usize;
-    // SAFETY: the caller vouches for the call; the kernel changes these three registers alone.
+    // SAFETY: the caller guarantees that the call is sound; the kernel changes only these three registers.
     unsafe {
         asm!(
             "syscall",
@@ -38,11 +40,11 @@
     }
 }
 
-/// An open file; it stays open until [`File::close`].
+/// An open file. It stays open until [`File::close`].
 pub(super) struct File(usize);
 
 impl File {
-    /// Opens a file to read it.
+    /// Opens a file for reading.
     pub(super) fn open(path: &CStr) -> Result<File, CallError> {
         let flags = (libc::O_RDONLY | libc::O_CLOEXEC) as usize;
         // SAFETY: the kernel reads the path, which ends with a zero byte.
@@ -50,40 +52,40 @@
         opened.map(File)
     }
 
-    /// Reads from the beginning of the file, and returns how many bytes it got.
+    /// Reads from the beginning of the file, and returns the number of bytes read.
     ///
     /// # Safety
-    /// So many bytes may be written at `to`.
+    /// `bytes` bytes may be written at `to`.
     pub(super) unsafe fn read_begin(&self, to: *mut u8, bytes: usize) -> Result<usize, CallError> {
-        // SAFETY: as the caller has promised.
+        // SAFETY: the caller guarantees it.
         unsafe { call(libc::SYS_pread64, [self.0, to as usize, bytes, 0, 0, 0]) }
     }
 
     pub(super) fn close(self) {
-        // SAFETY: nothing uses the descriptor after this. It is closed even where the call tells of an error.
+        // SAFETY: nothing uses the descriptor after this. It is closed even if the call returns an error.
         let _ = unsafe { call(libc::SYS_close, [self.0, 0, 0, 0, 0, 0]) };
     }
 }
 
-/// What is mapped.
+/// The contents of a mapping.
 pub(super) enum Backing<'a> {
-    /// Zeros.
+    /// Zero bytes.
     Zeros,
-    /// A file from this offset on, in bytes, a multiple of the page size.
+    /// A file from this offset on, in bytes. The offset is a multiple of the page size.
     File(&'a File, usize),
 }
 
-/// Maps private memory where the kernel finds room for it, and returns the address.
+/// Reserves private memory at an address chosen by the kernel, and returns the address.
 pub(super) fn reserve(bytes: usize) -> Result<usize, CallError> {
     let flags = libc::MAP_PRIVATE | libc::MAP_ANONYMOUS | libc::MAP_NORESERVE;
-    // SAFETY: the kernel takes addresses that are in no use.
+    // SAFETY: the kernel chooses addresses that are not in use.
     unsafe { map_pages(0, bytes, libc::PROT_NONE, flags, Backing::Zeros) }
 }
 
-/// Maps private memory at this address in place of what is there.
+/// Maps private memory at this address, replacing the previous mapping.
 ///
 /// # Safety
-/// The range was got from [`reserve`], and nothing uses what is there.
+/// The range is part of the result of [`reserve`], and nothing uses its contents.
 pub(super) unsafe fn map_at(
     address: usize, bytes: usize, protection: i32, backing: Backing,
 ) -> Result<(), CallError> {
@@ -92,12 +94,14 @@
         Backing::File(..) => 0,
     };
     let flags = libc::MAP_PRIVATE | libc::MAP_FIXED | anonymous;
-    // SAFETY: as the caller has promised.
+    // SAFETY: the caller guarantees it.
     unsafe { map_pages(address, bytes, protection, flags, backing) }.map(drop)
 }
 
+/// Calls `mmap`.
+///
 /// # Safety
-/// That of the call.
+/// The requirements of `mmap`.
 unsafe fn map_pages(
     address: usize, bytes: usize, protection: i32, flags: i32, backing: Backing,
 ) -> Result<usize, CallError> {
@@ -106,7 +110,7 @@
         Backing::File(file, offset) => (file.0, offset),
     };
     let arguments = [address, bytes, protection as usize, flags as usize, descriptor, offset];
-    // SAFETY: as the caller has promised.
+    // SAFETY: the caller guarantees it.
     unsafe { call(libc::SYS_mmap, arguments) }
 }
 
@@ -114,8 +118,7 @@
 pub(super) fn exit_with(message: &str) -> ! {
     let arguments = [libc::STDERR_FILENO as usize, message.as_ptr() as usize, message.len(), 0, 0, 0];
     loop {
-        // SAFETY: the kernel reads the message; the process has one thread, and ends. Nothing can be done where the message
-        // cannot be written.
+        // SAFETY: the kernel reads the message; the process has one thread, and ends. A failed write cannot be handled.
         unsafe {
             let _ = call(libc::SYS_write, arguments);
             let _ = call(libc::SYS_exit_group, [CANNOT_EXECUTE, 0, 0, 0, 0, 0]);
@@ -126,9 +129,9 @@
 /// Copies bytes.
 ///
 /// # Safety
-/// So many may be read at `from` and written at `to`, which do not overlap.
+/// `bytes` bytes may be read at `from` and written at `to`, and the ranges do not overlap.
 pub(super) unsafe fn copy(from: *const u8, to: *mut u8, bytes: usize) {
-    // SAFETY: as the caller has promised; the direction flag is clear.
+    // SAFETY: the caller guarantees it; the direction flag is clear.
     unsafe {
         asm!(
             "rep movsb",
@@ -143,9 +146,9 @@
 /// Sets bytes to zero.
 ///
 /// # Safety
-/// So many may be written at `to`.
+/// `bytes` bytes may be written at `to`.
 pub(super) unsafe fn clear(to: *mut u8, bytes: usize) {
-    // SAFETY: as the caller has promised; the direction flag is clear.
+    // SAFETY: the caller guarantees it; the direction flag is clear.
     unsafe {
         asm!(
             "rep stosb",
--- a/crates/entry-point/src/entry/loader.rs
+++ b/crates/entry-point/src/entry/loader.rs
@@ -1,4 +1,4 @@
-//! Maps the dynamic loader as the kernel would have for a program that requests it (ELF, 64 bits).
+//! Maps the dynamic loader as the kernel does for a program that requests one (64-bit ELF).
 
 use super::kernel::{self, Backing, CallError, File};
 use super::program_headers;
@@ -7,12 +7,12 @@
 use core::mem::MaybeUninit;
 use libc::{Elf64_Ehdr, Elf64_Phdr};
 
-/// Where glibc's loader is on x86-64 (System V ABI, program interpreter).
+/// The path of glibc's loader on x86-64 (System V ABI, program interpreter).
 const PATH: &CStr = c"/lib64/ld-linux-x86-64.so.2";
 const PAGE_BYTES: usize = 4096;
-/// The header of the loader's file and those of its segments lie within so many bytes.
+/// The number of bytes that are read from the loader's file. They must include its header and its program headers.
 const HEADER_BYTES: usize = 4096;
-/// How an ELF file of 64 bits begins, as a number.
+/// The first four bytes of an ELF file, as a number.
 const MAGIC: u32 = u32::from_ne_bytes([libc::ELFMAG0, libc::ELFMAG1, libc::ELFMAG2, libc::ELFMAG3]);
 
 /// Why the loader could not be loaded.
@@ -22,18 +22,18 @@
     ProgramHeaders,
     /// The loader's file cannot be opened or read.
     File,
-    /// It is not a loader.
+    /// The file is not a loader for this processor.
     Format,
-    /// Its segments cannot be mapped.
+    /// The loader's segments cannot be mapped.
     Memory,
 }
 
 impl LoadError {
-    /// The message for the user, one line.
+    /// Returns the message for the user, one line.
     pub(super) fn message(self) -> &'static str {
         match self {
             LoadError::ProgramHeaders => {
-                "shaletide: cannot start: the headers of its own file cannot be used\n"
+                "shaletide: cannot start: the program headers of its own file are missing or too many\n"
             }
             LoadError::File => {
                 "shaletide: cannot start: the dynamic loader /lib64/ld-linux-x86-64.so.2 cannot be read\n"
@@ -52,12 +52,12 @@
 #[repr(C, align(8))]
 struct Headers([u8; HEADER_BYTES]);
 
-/// Maps the loader, tells it by the auxiliary vector where it is and what it has to load, and returns its first instruction.
+/// Maps the loader, sets its own address and the program's headers in the auxiliary vector, and returns its entry address.
 ///
 /// # Safety
-/// `stack` is where the kernel has put the argument count of this process, which has one thread.
+/// `stack` points to the argument count that the kernel has put on the stack of this process, which has one thread.
 pub(super) unsafe fn load(stack: *mut u64) -> Result<usize, LoadError> {
-    // SAFETY: as the caller has promised.
+    // SAFETY: the caller guarantees it.
     let mut vector = unsafe { AuxiliaryVector::on_stack(stack) };
     // SAFETY: as above.
     if !unsafe { program_headers::add_loader(&mut vector, PATH) } {
@@ -70,9 +70,9 @@
     Ok(image.entry)
 }
 
-/// The loader in memory.
+/// The mapped loader.
 struct Image {
-    /// By how much it was moved from the addresses in its file, in bytes.
+    /// The offset from the addresses in its file, in bytes.
     moved_by: usize,
     /// The address of its first instruction.
     entry: usize,
@@ -86,7 +86,7 @@
     if read < size_of::<Elf64_Ehdr>() {
         return Err(LoadError::Format);
     }
-    // SAFETY: so many bytes were read, and the buffer's alignment is that of the header.
+    // SAFETY: at least the size of the header was read, and the buffer has the header's alignment.
     let header = unsafe { &*headers.as_ptr().cast::<Elf64_Ehdr>() };
     let segments = Segments::of(header, read).ok_or(LoadError::Format)?;
     let (first, end) = segments.span().ok_or(LoadError::Format)?;
@@ -109,7 +109,8 @@
 }
 
 impl Segments<'_> {
-    /// Those behind this header, of a file of which so many bytes from the header on are in memory.
+    /// Returns the program headers that this file header refers to; `read` bytes of the file, from the header on, are in
+    /// memory. Returns `None` if the file is not a loader for this processor, or its headers are not within these bytes.
     fn of(header: &Elf64_Ehdr, read: usize) -> Option<Segments<'_>> {
         // SAFETY: the identification has more than four bytes.
         let magic = unsafe { header.e_ident.as_ptr().cast::<u32>().read_unaligned() };
@@ -125,14 +126,14 @@
 
     fn get(&self, index: usize) -> &Elf64_Phdr {
         let begin: *const Elf64_Ehdr = self.header;
-        // SAFETY: the headers are in memory and aligned, see `of`, and callers ask for those up to `count`.
+        // SAFETY: the headers are in memory and aligned, see `of`, and callers pass an index below `count`.
         unsafe {
             let headers = begin.cast::<u8>().add(self.header.e_phoff as usize);
             &*headers.cast::<Elf64_Phdr>().add(index)
         }
     }
 
-    /// The first address and the end of what is to be mapped, in whole pages; `None` where that is nothing.
+    /// Returns the first address and the end of the segments to map, in whole pages; `None` if there are none.
     fn span(&self) -> Option<(usize, usize)> {
         let (mut first, mut end) = (usize::MAX, 0);
         for index in 0..self.count {
@@ -147,18 +148,18 @@
     }
 }
 
-/// Maps a segment: its part in the file, and zeros up to its end in memory and on to the end of that page, where the loader
-/// takes its first memory.
+/// Maps a segment: its part in the file, then zeros to its end in memory and on to the end of that page, from which the loader
+/// allocates its first memory.
 ///
 /// # Safety
-/// The segment's pages, moved by that, were reserved, and nothing uses them.
+/// The segment's pages, moved by `moved_by`, were reserved, and nothing uses them.
 unsafe fn map_segment(file: &File, segment: &Elf64_Phdr, moved_by: usize) -> Result<(), CallError> {
     let begin = moved_by.wrapping_add(segment.p_vaddr as usize);
     let file_end = begin + segment.p_filesz as usize;
     let end = page_end(begin + segment.p_memsz as usize);
     let protection = protection_of(segment.p_flags);
     let mut mapped_end = page_begin(begin);
-    // SAFETY: as the caller has promised. What is cleared is in the last page of the file's part, which can be written to.
+    // SAFETY: the caller guarantees it. The cleared bytes are in the last page of the file's part, which is writable.
     unsafe {
         if segment.p_filesz > 0 {
             let part = Backing::File(file, page_begin(segment.p_offset as usize));
@@ -180,12 +181,12 @@
     bit(libc::PF_R, libc::PROT_READ) | bit(libc::PF_W, libc::PROT_WRITE) | bit(libc::PF_X, libc::PROT_EXEC)
 }
 
-/// The beginning of the page in which this address lies.
+/// Returns the beginning of the page that contains this address.
 fn page_begin(address: usize) -> usize {
     address & !(PAGE_BYTES - 1)
 }
 
-/// The end of the last page that something with this end is in.
+/// Returns the end of the last page of a range with this end.
 fn page_end(end: usize) -> usize {
     page_begin(end + PAGE_BYTES - 1)
 }
--- a/crates/entry-point/src/entry/mod.rs
+++ b/crates/entry-point/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The first instruction, and where the process goes from there.
+//! The first instruction, and where the process continues.
 
 mod kernel;
 mod loader;
@@ -8,11 +8,11 @@
 use crate::mask::{record_inherited, BLOCKED_SIGNALS, MASK_BYTES};
 use core::arch::global_asm;
 
-// The kernel, and later the loader, jumps here. `rsp` is at the argument count, on a boundary of 16 bytes; `rdx` is 0 from the
-// kernel, and from the loader the address of its function for the exit (System V ABI for x86-64, process initialization).
+// The kernel, and later the loader, jumps here. `rsp` points to the argument count and is aligned to 16 bytes; `rdx` is 0 from
+// the kernel, and from the loader the address of its exit function (System V ABI for x86-64, process initialization).
 //
-// The call that blocks the signals comes first. What it reads and writes lies below the stack pointer, in a page that is in
-// memory already: any other one might have to come from a disk first, and a signal that comes meanwhile ends the process.
+// The call that blocks the signals comes first. Its operands are below the stack pointer, in a page that is already in memory:
+// any other page might have to be read from a disk first, and a signal that arrives meanwhile would end the process.
 global_asm!(
     ".pushsection .text.shaletide_program_entry, \"ax\", @progbits",
     ".globl shaletide_program_entry",
@@ -49,19 +49,19 @@
     fn _start();
 }
 
-/// Where the process goes on after its signals are blocked: in the loader if the kernel has started the program, and in
-/// `_start` if the loader has done its work and comes with a function for the exit.
+/// Returns the address at which the process continues after its signals are blocked: in the loader if the kernel has started
+/// the program, and in `_start` if the loader has done its work, which it shows by passing its exit function.
 ///
-/// `inherited_mask`: what the call to block the signals has found.
+/// `inherited_mask` is the signal mask from before the signals were blocked.
 ///
 /// # Safety
-/// `stack` is what the kernel has laid out for the process.
+/// `stack` is the initial stack that the kernel has laid out for the process.
 unsafe extern "C" fn next_instruction(stack: *mut u64, exit_function: usize, inherited_mask: u64) -> usize {
     record_inherited(inherited_mask);
     if exit_function != 0 {
         return _start as *const () as usize;
     }
-    // SAFETY: as the caller has promised.
+    // SAFETY: the caller guarantees it.
     match unsafe { loader::load(stack) } {
         Ok(entry) => entry,
         Err(error) => kernel::exit_with(error.message()),
--- a/crates/entry-point/src/entry/program_headers.rs
+++ b/crates/entry-point/src/entry/program_headers.rs
@@ -1,4 +1,4 @@
-//! The program's headers with the request for a loader that its file lacks: the loader wants to find one.
+//! The program's headers, completed by the request for a loader that its file lacks: the loader expects to find one.
 
 use super::kernel;
 use super::stack::AuxiliaryVector;
@@ -6,10 +6,10 @@
 use core::ffi::CStr;
 use libc::Elf64_Phdr;
 
-/// Headers of a program have room for so many; linkers write about a dozen.
+/// The most headers that the table holds; linkers write about a dozen.
 const MAX_HEADERS: usize = 32;
 
-/// Written once, before the process has a second thread.
+/// The copy of the headers. Written once, before the process has a second thread.
 struct Table(UnsafeCell<[Elf64_Phdr; MAX_HEADERS]>);
 
 // SAFETY: see above.
@@ -28,11 +28,11 @@
 
 static TABLE: Table = Table(UnsafeCell::new([EMPTY; MAX_HEADERS]));
 
-/// Copies the program's headers, adds the request for this loader, and has the auxiliary vector name the copy. Returns whether
-/// they had room.
+/// Copies the program's headers, adds the request for this loader, and points the auxiliary vector to the copy. Returns whether
+/// the headers fit.
 ///
 /// # Safety
-/// The vector is this process's, as the kernel has made it, and the process has one thread.
+/// The vector is that of this process, as the kernel has made it, and the process has one thread.
 pub(super) unsafe fn add_loader(vector: &mut AuxiliaryVector, loader: &'static CStr) -> bool {
     let (Some(headers), Some(count)) = (vector.get(libc::AT_PHDR), vector.get(libc::AT_PHNUM)) else {
         return false;
@@ -42,7 +42,7 @@
         return false;
     }
     let table: *mut Elf64_Phdr = TABLE.0.get().cast();
-    // SAFETY: the kernel says that so many headers are there, and the table has room for them and for one more.
+    // SAFETY: the kernel guarantees that many headers, and the table has room for them and for one more.
     unsafe {
         kernel::copy(headers as *const u8, table.cast(), count * size_of::<Elf64_Phdr>());
         let moved_by = move_headers_to(table, count, headers);
@@ -60,15 +60,15 @@
     true
 }
 
-/// The header that describes the headers themselves, if there is one, gets the address of the table: from the difference the
-/// loader tells by how much the program was moved from the addresses in its file. Returns that; 0 without such a header, as in
-/// a program that is linked at a fixed address.
+/// Puts the address of the table in the header that describes the headers themselves, if there is one: the loader uses it to
+/// compute by how much the program was moved from the addresses in its file. Returns that offset; 0 without such a header, as
+/// in a program that is linked at a fixed address.
 ///
 /// # Safety
-/// The table has so many headers, copied from `headers`.
+/// The table holds `count` headers, copied from `headers`.
 unsafe fn move_headers_to(table: *mut Elf64_Phdr, count: usize, headers: u64) -> u64 {
     for index in 0..count {
-        // SAFETY: as the caller has promised.
+        // SAFETY: the caller guarantees it.
         let header = unsafe { &mut *table.add(index) };
         if header.p_type == libc::PT_PHDR {
             let moved_by = headers.wrapping_sub(header.p_vaddr);
--- a/crates/entry-point/src/entry/stack.rs
+++ b/crates/entry-point/src/entry/stack.rs
@@ -1,4 +1,4 @@
-//! The arguments, the environment and the auxiliary vector as the kernel has laid them out on the stack of a new process
+//! The auxiliary vector, which the kernel places behind the arguments and the environment on the stack of a new process
 //! (System V ABI for x86-64, process initialization).
 
 /// An entry of the auxiliary vector.
@@ -13,9 +13,10 @@
 
 impl AuxiliaryVector {
     /// # Safety
-    /// `stack` is where the kernel has put the argument count of this process, and nothing has changed what follows it.
+    /// `stack` points to the argument count that the kernel has put on the stack of this process, and the data behind it is
+    /// unchanged.
     pub(super) unsafe fn on_stack(stack: *mut u64) -> AuxiliaryVector {
-        // SAFETY: behind the count come the arguments and the environment, both with a null pointer at their end, and then
+        // SAFETY: the count is followed by the arguments and the environment, both terminated by a null pointer, and then by
         // the vector.
         unsafe {
             let arguments = stack.add(1);
@@ -24,23 +25,23 @@
         }
     }
 
-    /// The value of the first entry with this key.
+    /// Returns the value of the first entry with this key.
     pub(super) fn get(&self, key: u64) -> Option<u64> {
-        // SAFETY: the entry is one of this process's, see `on_stack`.
+        // SAFETY: the entry is in this process's vector, see `on_stack`.
         self.find(key).map(|entry| unsafe { (*entry).value })
     }
 
-    /// Changes the value of the first entry with this key; without one it does nothing.
+    /// Changes the value of the first entry with this key; does nothing if there is none.
     pub(super) fn set(&mut self, key: u64, value: u64) {
         if let Some(entry) = self.find(key) {
-            // SAFETY: as above, and the stack may be written to.
+            // SAFETY: as above, and the stack is writable.
             unsafe { (*entry).value = value };
         }
     }
 
     fn find(&self, key: u64) -> Option<*mut Entry> {
         let mut entry = self.0;
-        // SAFETY: the vector ends with an entry of the key AT_NULL.
+        // SAFETY: the vector ends with an entry with the key AT_NULL.
         unsafe {
             while (*entry).key != libc::AT_NULL {
                 if (*entry).key == key {
@@ -53,10 +54,12 @@
     }
 }
 
+/// Returns the address behind the next zero word.
+///
 /// # Safety
-/// A word from there on is zero.
+/// There is a zero word at `word` or behind it, and all words up to it may be read.
 unsafe fn behind_null(mut word: *mut u64) -> *mut u64 {
-    // SAFETY: as the caller has promised.
+    // SAFETY: the caller guarantees it.
     unsafe {
         while *word != 0 {
             word = word.add(1);
--- a/crates/entry-point/src/lib.rs
+++ b/crates/entry-point/src/lib.rs
@@ -1,24 +1,25 @@
-//! The first instructions of the program: they block its signals, and load the dynamic loader after that.
+//! The program's entry point: blocks its signals, then loads the dynamic loader.
 //!
-//! The kernel starts a usual program that is linked dynamically in the dynamic loader, which works for half a millisecond and
-//! more before anything of the program runs. By its default action a signal that comes meanwhile ends the process. So the
-//! program is linked without a request for a loader (no `PT_INTERP`), and the kernel starts it at the instruction with the symbol
-//! `shaletide_program_entry`. That blocks the signals by one system call, maps the loader as the kernel would have, and goes on
-//! in it, with the stack that the kernel made. The loader then does all that it always does and jumps to the same
-//! instruction, which now goes on to the C library's `_start`.
+//! The kernel starts an ordinary dynamically linked program in the dynamic loader, which runs for half a millisecond or more
+//! before any code of the program. A signal that arrives meanwhile ends the process by its default action. Therefore the
+//! program is linked without a request for a loader (no `PT_INTERP`), and the kernel starts it at the symbol
+//! `shaletide_program_entry`. The code there blocks the signals by one system call, maps the loader as the kernel would have,
+//! and continues in the loader, with the stack that the kernel made. The loader does its usual work and jumps to the same
+//! symbol, whose code then continues in the C library's `_start`.
 //!
-//! All of this runs before the loader has relocated anything: no thread-local storage, nothing of the C library, no function
-//! that the compiler would take from it (`memcpy`, `memset`), and no address that a relocation has to complete.
+//! This code runs before the loader has relocated anything: it must not use thread-local storage, the C library, functions
+//! that the compiler would take from it (`memcpy`, `memset`), or addresses that need a relocation.
 //!
-//! That is so on x86-64 with glibc. Elsewhere the program starts as usual, and blocks its signals from `.preinit_array` on.
+//! This applies to x86-64 with glibc. On other targets the program starts as usual, and blocks its signals from
+//! `.preinit_array`.
 //!
 //! | Module | Concern |
 //! |---|---|
-//! | `mask` | the signals, the call that blocks them on any processor, the mask that the starter has passed on |
-//! | `entry` | the first instruction, and where the process goes from there |
+//! | `mask` | the signals, the portable function that blocks them, the inherited signal mask |
+//! | `entry` | the first instruction, and where the process continues |
 //! | `entry::loader` | maps the dynamic loader |
-//! | `entry::program_headers` | the program's headers with the request for a loader that its file lacks |
-//! | `entry::stack` | the auxiliary vector as the kernel has laid it out |
+//! | `entry::program_headers` | the program's headers, completed by the request for a loader that its file lacks |
+//! | `entry::stack` | the auxiliary vector on the initial stack |
 //! | `entry::kernel` | system calls |
 #![no_std]
 
--- a/crates/shaletide/benches/front/calls.rs
+++ b/crates/shaletide/benches/front/calls.rs
@@ -1,27 +1,28 @@
-//! System calls of a request on a kept connection, by strace.
+//! Counts the system calls of a request on a persistent connection, with strace.
 
 use super::earlier::Version;
-use super::process::there;
+use super::process::is_installed;
 use super::stock::{Folder, Stock};
-use super::{a_read, entry, quick, Client, Program};
+use super::{entry, read_request, start_backend, Client, Program};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::process::Command;
 
 const REQUESTS: usize = 2_000;
-const SHOWN: f64 = 0.005;
+/// System calls with fewer calls per request than this in all columns are not printed.
+const MIN_CALLS_SHOWN: f64 = 0.005;
 
 pub fn measure(versions: &[Version]) {
-    if !there("strace") {
+    if !is_installed("strace") {
         return;
     }
-    let (quick, apart) = (quick(), Stock::new(true));
+    let (quick_backend, apart) = (start_backend(), Stock::new(true));
     let mut columns: Vec<(String, BTreeMap<String, f64>)> = Vec::new();
     for version in versions {
-        columns.push((version.name.clone(), counted(version, quick, &a_read)));
+        columns.push((version.name.clone(), counted(version, quick_backend, &read_request)));
     }
     if let Some(now) = versions.first() {
-        let get = || a_read().replace("/read/k1", "/read/1");
+        let get = || read_request().replace("/read/k1", "/read/1");
         columns.push(("now, head and body apart".into(), counted(now, apart.address, &get)));
     }
     let mut names: Vec<&String> = columns.iter().flat_map(|column| column.1.keys()).collect();
@@ -32,7 +33,7 @@
     for name in names {
         let each = columns.iter().map(|column| column.1.get(name).copied().unwrap_or(0.0));
         let each: Vec<f64> = each.collect();
-        if each.iter().any(|calls| *calls >= SHOWN) {
+        if each.iter().any(|calls| *calls >= MIN_CALLS_SHOWN) {
             let each: Vec<String> = each.iter().map(|calls| format!("{calls:.2}")).collect();
             println!("| {name} | {} |", each.join(" | "));
         }
@@ -40,11 +41,11 @@
     println!();
 }
 
-/// By name, how often each is called for one request of a client that asks in turn.
+/// Returns how often each system call is made per request, by name, with a client that sends one request at a time.
 fn counted(version: &Version, to: SocketAddr, request: &dyn Fn() -> String) -> BTreeMap<String, f64> {
     let proxy = Program::at(&version.path).start(&[entry("b0", to, "SERVING")]);
     let mut client = proxy.client();
-    let mut ask = |count: usize| (0..count).for_each(|_| one(&mut client, request));
+    let mut ask = |count: usize| (0..count).for_each(|_| send_request(&mut client, request));
     ask(100);
     let folder = Folder::new();
     let out = folder.file("calls");
@@ -52,7 +53,7 @@
     let mut strace = Command::new("strace");
     strace.args(["-c", "-f", "-o"]).arg(&out).args(["-p", &pid.to_string()]);
     let mut strace = strace.stderr(std::process::Stdio::null()).spawn().expect("strace");
-    // It is at work when the kernel names a tracer.
+    // strace is attached once the kernel names a tracer.
     while super::process::status(pid, "TracerPid") == 0
         && strace.try_wait().is_ok_and(|ended| ended.is_none())
     {
@@ -71,6 +72,6 @@
     counts.collect()
 }
 
-fn one(client: &mut Client, request: &dyn Fn() -> String) {
+fn send_request(client: &mut Client, request: &dyn Fn() -> String) {
     assert_eq!(client.ask(&request()).status(), 200);
 }
--- a/crates/shaletide/benches/front/earlier.rs
+++ b/crates/shaletide/benches/front/earlier.rs
@@ -1,10 +1,10 @@
-//! The commit that figures stand beside, built out of the way of all else.
+//! Builds the earlier commit with which figures are compared, in its own directory.
 
-use super::HERE;
+use super::PROGRAM_PATH;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// The last one before the pools came.
+/// The last commit before pools were introduced.
 const BEFORE_POOLS: &str = "c0fcdb8";
 
 /// A build of the program.
@@ -14,10 +14,10 @@
     pub path: PathBuf,
 }
 
-/// The program as it is, then as it was, where that can be built.
+/// Returns the current program, then the earlier one if it can be built.
 pub fn versions() -> Vec<Version> {
     let commit = std::env::var("SHALETIDE_AGAINST").unwrap_or(BEFORE_POOLS.into());
-    let now = Version { name: "now".into(), path: HERE.into() };
+    let now = Version { name: "now".into(), path: PROGRAM_PATH.into() };
     if Path::new(&commit).is_file() {
         return vec![now, Version { name: "other".into(), path: commit.into() }];
     }
@@ -46,7 +46,7 @@
     if !(archive.wait().ok()?.success() && unpacked) {
         return None;
     }
-    // It lies in this workspace's folder and is none of its members.
+    // The checkout is inside this workspace's directory, but is not a member of the workspace.
     let manifest = at.join("Cargo.toml");
     let mut text = std::fs::read_to_string(&manifest).ok()?;
     if !text.contains("[workspace]") {
--- a/crates/shaletide/benches/front/footprint.rs
+++ b/crates/shaletide/benches/front/footprint.rs
@@ -1,15 +1,15 @@
-//! Memory, threads and descriptors on the platform, idle and after many requests, and the binary's size. How much of
-//! a program's file the kernel maps differs from start to start, so each figure is the median of some.
+//! Measures memory, threads and descriptors with the platform's configuration, idle and after many requests, and the binary's
+//! size. The part of a program's file that the kernel maps differs between starts, so that each figure is a median.
 
 use super::earlier::Version;
 use super::process::{descriptors, size, status};
-use super::{a_read, entry, median, quick, Program};
+use super::{entry, median, read_request, start_backend, Program};
 use std::time::Duration;
 
 const REQUESTS: usize = 20_000;
 const CLIENTS: usize = 8;
 const STARTS: usize = 5;
-/// A client waits so long between requests: a faster build would else keep more connections, and their memory.
+/// The pause between a client's requests. Without it a faster build would keep more connections, and their memory.
 const PAUSE: Duration = Duration::from_millis(1);
 
 pub fn measure(versions: &[Version]) {
@@ -17,7 +17,7 @@
     println!("|---|---|---|---|---|---|---|---|");
     let mut starts: Vec<Vec<[Vec<f64>; 2]>> = vec![Vec::new(); versions.len()];
     for _ in 0..STARTS {
-        versions.iter().zip(&mut starts).for_each(|(version, starts)| starts.push(one(version)));
+        versions.iter().zip(&mut starts).for_each(|(version, starts)| starts.push(measure_start(version)));
     }
     let mut peaks = Vec::new();
     for (version, starts) in versions.iter().zip(&starts) {
@@ -39,9 +39,9 @@
     println!();
 }
 
-/// Peak, memory, what of it is its own, threads and descriptors, idle and after the requests.
-fn one(version: &Version) -> [Vec<f64>; 2] {
-    let proxy = Program::at(&version.path).start(&[entry("b0", quick(), "SERVING")]);
+/// Returns peak memory, resident memory, anonymous memory, threads and descriptors, idle and after the requests.
+fn measure_start(version: &Version) -> [Vec<f64>; 2] {
+    let proxy = Program::at(&version.path).start(&[entry("b0", start_backend(), "SERVING")]);
     let pid = proxy.child.id();
     let figures = || {
         let memory = ["VmHWM", "VmRSS", "RssAnon", "Threads"].map(|name| status(pid, name) as f64);
@@ -53,7 +53,7 @@
         let mut client = proxy.client();
         std::thread::spawn(move || {
             for _ in 0..REQUESTS / CLIENTS {
-                assert_eq!(client.ask(&a_read()).status(), 200);
+                assert_eq!(client.ask(&read_request()).status(), 200);
                 std::thread::sleep(PAUSE);
             }
         })
--- a/crates/shaletide/benches/front/latency.rs
+++ b/crates/shaletide/benches/front/latency.rs
@@ -1,5 +1,5 @@
-//! Latency through the program beside that of asking the server itself, and beside that of asking it a second
-//! time, which is the noise.
+//! Measures the latency through the program relative to direct requests to the server. A second series of direct requests
+//! shows the noise.
 
 use super::process::Cores;
 use super::stock::Stock;
@@ -8,8 +8,10 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
+/// Requests to each address.
 const EACH: usize = 1_000;
-/// Short enough for no server or proxy to end the connections of the others meanwhile.
+/// Requests to one address before the next one's turn. Few enough that no server or proxy closes the other connections
+/// meanwhile.
 const BLOCK: usize = 10;
 
 pub fn measure(cores: &Cores) {
@@ -21,7 +23,7 @@
         let [direct, through, again] = alternating([stock.address, proxy.address, stock.address]);
         line(stock.name, &direct, &through, &again);
         if stock.name != "at once" {
-            // It writes head and body apart: a client that waits with its acknowledgement waits for the body.
+            // This server writes head and body apart: a client with delayed acknowledgements waits longer for the body.
             let [direct, through, again] =
                 blocks([stock.address, proxy.address, stock.address], ask_acknowledging);
             line("apart, acknowledged at once", &direct, &through, &again);
@@ -45,7 +47,8 @@
     );
 }
 
-/// So many requests to each on a kept connection, by turns in blocks; µs. Which comes first changes.
+/// Sends [`EACH`] requests to each address on a persistent connection, in alternating blocks whose order rotates; returns the
+/// durations in µs.
 pub fn alternating<const N: usize>(to: [SocketAddr; N]) -> [Vec<f64>; N] {
     blocks(to, ask)
 }
@@ -62,7 +65,7 @@
             for number in 0..BLOCK {
                 let one = ask(&mut clients[who], round * BLOCK + number);
                 if round > 0 {
-                    took[who].push(one); // the first warms up
+                    took[who].push(one); // the first round warms up
                 }
             }
         }
--- a/crates/shaletide/benches/front/load.rs
+++ b/crates/shaletide/benches/front/load.rs
@@ -1,10 +1,10 @@
-//! Throughput and processor time on one core, with many clients that each ask as soon as they are answered; then
-//! the latency of one that asks in turn. The builds take turns.
+//! Measures throughput and processor time on one core with many clients, each of which sends a request as soon as it has a
+//! response; then the latency with one client. The builds are measured alternately.
 
 use super::earlier::Version;
 use super::latency::alternating;
 use super::process::{processor_time, Cores};
-use super::{a_read, entry, median, quantile, quick, Program, Proxy};
+use super::{entry, median, quantile, read_request, start_backend, Program, Proxy};
 use std::time::Instant;
 
 const CLIENTS: usize = 32;
@@ -12,35 +12,37 @@
 const ROUNDS: usize = 15;
 
 #[derive(Clone, Copy)]
-struct Rush {
+struct LoadFigures {
     a_second: f64,
     used_us: f64,
     others: usize,
 }
 
 pub fn measure(cores: &Cores, versions: &[Version]) {
-    let start = |version: &Version| Program::at(&version.path).start(&[entry("b0", quick(), "SERVING")]);
+    let start =
+        |version: &Version| Program::at(&version.path).start(&[entry("b0", start_backend(), "SERVING")]);
     let proxies: Vec<Proxy> = versions.iter().map(start).collect();
     proxies.iter().for_each(|proxy| cores.pin(proxy.child.id(), 0));
-    let mut rushes: Vec<Vec<Rush>> = vec![Vec::new(); versions.len()];
+    let mut rounds: Vec<Vec<LoadFigures>> = vec![Vec::new(); versions.len()];
     for round in 0..=ROUNDS {
         for turn in 0..versions.len() {
             let who = (round + turn) % versions.len();
-            let rush = rush(&proxies[who]);
+            let figures = run_round(&proxies[who]);
             if round > 0 {
-                rushes[who].push(rush); // in the first connections come up, and it is learned what the box can do
+                rounds[who].push(figures); // the first round sets up connections and teaches the proxy the capacity
             }
         }
     }
     println!("| {CLIENTS} clients, median of {ROUNDS} | requests a second | processor time a request, µs | not 200 |");
     println!("|---|---|---|---|");
-    for (version, rushes) in versions.iter().zip(&rushes) {
-        let [a_second, used] = [|r: &Rush| r.a_second, |r: &Rush| r.used_us].map(|of| middle(rushes, of));
-        let (others, all) = (rushes.iter().map(|r| r.others).sum::<usize>(), CLIENTS * REQUESTS * ROUNDS);
+    for (version, rounds) in versions.iter().zip(&rounds) {
+        let [a_second, used] =
+            [|r: &LoadFigures| r.a_second, |r: &LoadFigures| r.used_us].map(|of| median_of(rounds, of));
+        let (others, all) = (rounds.iter().map(|r| r.others).sum::<usize>(), CLIENTS * REQUESTS * ROUNDS);
         println!("| {} | {a_second:.0} | {used:.1} | {others} of {all} |", version.name);
     }
-    if let [now, then] = &rushes[..] {
-        let pairs: Vec<(Rush, Rush)> = now.iter().copied().zip(then.iter().copied()).collect();
+    if let [now, then] = &rounds[..] {
+        let pairs: Vec<(LoadFigures, LoadFigures)> = now.iter().copied().zip(then.iter().copied()).collect();
         let a_second = pairs.iter().map(|(now, then)| now.a_second / then.a_second).collect();
         let used = pairs.iter().map(|(now, then)| now.used_us / then.used_us).collect();
         println!("| ratio, median of pairs | {:.3} | {:.3} | |", median(a_second), median(used));
@@ -57,20 +59,22 @@
     }
 }
 
-fn middle(rushes: &[Rush], of: fn(&Rush) -> f64) -> f64 {
-    median(rushes.iter().map(of).collect())
+fn median_of(rounds: &[LoadFigures], of: fn(&LoadFigures) -> f64) -> f64 {
+    median(rounds.iter().map(of).collect())
 }
 
-/// Each client asks so often.
-fn rush(proxy: &Proxy) -> Rush {
+/// Lets each client send [`REQUESTS`] requests.
+fn run_round(proxy: &Proxy) -> LoadFigures {
     let (begun, before) = (Instant::now(), processor_time(proxy.child.id()));
     let clients = (0..CLIENTS).map(|_| {
         let mut client = proxy.client();
-        std::thread::spawn(move || (0..REQUESTS).filter(|_| client.ask(&a_read()).status() != 200).count())
+        std::thread::spawn(move || {
+            (0..REQUESTS).filter(|_| client.ask(&read_request()).status() != 200).count()
+        })
     });
     let clients: Vec<_> = clients.collect();
     let others = clients.into_iter().map(|client| client.join().expect("a client")).sum();
     let (took, used) = (begun.elapsed().as_secs_f64(), processor_time(proxy.child.id()) - before);
     let all = (CLIENTS * REQUESTS) as f64;
-    Rush { a_second: all / took, used_us: used as f64 / 1e3 / all, others }
+    LoadFigures { a_second: all / took, used_us: used as f64 / 1e3 / all, others }
 }
--- a/crates/shaletide/benches/front/main.rs
+++ b/crates/shaletide/benches/front/main.rs
@@ -1,10 +1,10 @@
-//! What the program costs in front of a server, as ratios within one run. `docs/measurements.md` says what was
-//! measured and when.
+//! Measures the cost of the program in front of a server, as ratios within one run. `docs/measurements.md` lists the results.
 //!
-//! `cargo bench -p shaletide --bench front` for all, or with `-- latency routes record footprint calls load` for some.
-//! `footprint`, `calls` and `load` stand beside an earlier commit, which is built under `target/measure`:
-//! `SHALETIDE_AGAINST` names another, or the file of a program. What needs a program that is not there (valgrind, strace) is passed over, with a line that says so.
-#![allow(missing_docs)] // a program; its modules say what they do
+//! `cargo bench -p shaletide --bench front` runs all parts; arguments such as `-- latency routes record footprint calls load`
+//! select some. `footprint`, `calls` and `load` compare with an earlier commit, which is built under `target/measure`:
+//! `SHALETIDE_AGAINST` names another commit, or a program file. A part that needs a missing program (valgrind, strace) is
+//! skipped, with a line that says so.
+#![allow(missing_docs)] // a program; its modules are documented
 
 #[path = "../../tests/harness/mod.rs"]
 mod harness;
@@ -21,15 +21,15 @@
 
 use harness::*;
 
-/// The path of the program that is measured.
-const HERE: &str = env!("CARGO_BIN_EXE_shaletide");
+/// The path of the measured program.
+const PROGRAM_PATH: &str = env!("CARGO_BIN_EXE_shaletide");
 
 fn main() {
     if cfg!(debug_assertions) {
-        return println!("not measured: this is no release build; cargo bench -p shaletide --bench front");
+        return println!("not measured: not a release build; run cargo bench -p shaletide --bench front");
     }
-    let asked: Vec<String> = std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
-    let wanted = |part: &str| asked.is_empty() || asked.iter().any(|name| name == part);
+    let selected: Vec<String> = std::env::args().skip(1).filter(|arg| !arg.starts_with('-')).collect();
+    let wanted = |part: &str| selected.is_empty() || selected.iter().any(|name| name == part);
     let cores = process::Cores::own();
     println!("{cores}\n");
     if wanted("latency") {
@@ -56,18 +56,18 @@
     }
 }
 
-/// A request of the class `read`, with an id of its own.
-fn a_read() -> String {
+/// Returns a request of the class `read` with a new id.
+fn read_request() -> String {
     read(2.0)
 }
 
-/// The median of some figures; 0 of none.
+/// Returns the median of the figures; 0 if there are none.
 fn median(mut figures: Vec<f64>) -> f64 {
     figures.sort_by(f64::total_cmp);
     figures.get(figures.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// The value that this part of the figures does not exceed.
+/// Returns the value that this fraction of the figures does not exceed.
 fn quantile(figures: &[f64], part: f64) -> f64 {
     let mut sorted = figures.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -75,12 +75,12 @@
     sorted.get(rank.max(1) - 1).copied().unwrap_or(0.0)
 }
 
-/// A stand-in that answers at once, each connection on a thread, and remembers nothing.
-fn quick() -> std::net::SocketAddr {
+/// Starts a backend that answers at once, with a thread for each connection, and keeps no records.
+fn start_backend() -> std::net::SocketAddr {
     BackendServer::start(|_| ok("x")).address
 }
 
-/// An operators' file with one class and one backend.
+/// Returns an operators' file with one class and one backend.
 fn plain_file(at: std::net::SocketAddr, to: std::net::SocketAddr) -> String {
     format!(
         "[[listener]]\naddress = \"{at}\"\n[[class]]\nname = \"read\"\n\
--- a/crates/shaletide/benches/front/process.rs
+++ b/crates/shaletide/benches/front/process.rs
@@ -1,9 +1,9 @@
-//! What the kernel says of a process, and where it runs.
+//! Reads the kernel's figures about a process, and pins processes to cores.
 
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// The cores that this program may use.
+/// The cores that this process may use.
 #[derive(Debug)]
 pub struct Cores(Vec<usize>);
 
@@ -18,7 +18,7 @@
         Cores(list.split(',').filter_map(range).flatten().collect())
     }
 
-    /// Holds that process, all its threads, to one core: the first for what is measured, the next for others.
+    /// Pins all threads of a process to one core: number 0 for the measured process, the next numbers for others.
     pub fn pin(&self, pid: u32, number: usize) {
         if let Some(core) = self.0.get(number) {
             let mut command = Command::new("taskset");
@@ -36,20 +36,20 @@
     }
 }
 
-/// A number of a line of `/proc/PID/status`, such as `VmRSS` in kB.
+/// Returns the number in a line of `/proc/PID/status`, such as `VmRSS` in kB.
 pub fn status(pid: u32, name: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
     line.and_then(|rest| rest.split_whitespace().next()?.parse().ok()).unwrap_or(0)
 }
 
-/// Its open descriptors.
+/// Returns the number of open descriptors of a process.
 pub fn descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count)
 }
 
-/// The processor time of its first thread in ns (the program has no other); to 10 ms where the kernel keeps no
-/// schedstat.
+/// Returns the processor time of the first thread of a process, in ns (requests are handled by this thread alone). The
+/// resolution is 10 ms if the kernel has no schedstat.
 pub fn processor_time(pid: u32) -> u64 {
     let first = |text: String| text.split_whitespace().next()?.parse().ok();
     let exact = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok().and_then(first);
@@ -61,17 +61,17 @@
     })
 }
 
-/// Whether there is such a program; a line says that it is missing.
-pub fn there(program: &str) -> bool {
+/// Returns whether the program is installed, and prints a line if it is not.
+pub fn is_installed(program: &str) -> bool {
     let paths = std::env::var_os("PATH").unwrap_or_default();
-    let there = std::env::split_paths(&paths).any(|folder| folder.join(program).is_file());
-    if !there {
+    let is_found = std::env::split_paths(&paths).any(|folder| folder.join(program).is_file());
+    if !is_found {
         println!("not measured: no {program}\n");
     }
-    there
+    is_found
 }
 
-/// Bytes of a file.
+/// Returns the size of a file, in bytes.
 pub fn size(path: &Path) -> u64 {
     path.metadata().map_or(0, |m| m.len())
 }
--- a/crates/shaletide/benches/front/record.rs
+++ b/crates/shaletide/benches/front/record.rs
@@ -1,17 +1,20 @@
-//! What a store of record costs: a settle with it and without, many at once beside one, and what readers feel of a store
-//! that is frozen. The folder is in the system's temporary one; `SHALETIDE_STORE` names another, say of another disk.
+//! Measures the cost of a store of record: a settle with and without it, many settles at once compared with one, and the effect
+//! of a locked store on readers. The store is in the system's temporary directory; `SHALETIDE_STORE` names another directory, for
+//! example on another disk.
 
-use super::{program, quantile, quick, Client};
+use super::{program, quantile, start_backend, Client};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// Requests to each proxy.
 const EACH: usize = 2_000;
+/// Requests to one proxy before the next one's turn.
 const BLOCK: usize = 20;
-/// Each of the spans that are compared, and how long the store is frozen in its.
+/// The length of each compared run under load, and how long the store is locked in one of them.
 const SPAN: Duration = Duration::from_secs(10);
-/// Requests a second under the frozen store: readers and settles together.
+/// Requests per second in a run under load: readers and settles together.
 const RATE: u64 = 300;
 
 static KEYS: AtomicU64 = AtomicU64::new(0);
@@ -19,7 +22,7 @@
 pub fn measure() {
     let folder = std::env::var_os("SHALETIDE_STORE").map_or_else(std::env::temp_dir, PathBuf::from);
     let store = folder.join(format!("shaletide-bench-{}.db", std::process::id()));
-    let to = quick();
+    let to = start_backend();
     let file = |at: SocketAddr, record: &str| {
         let facts = if record.is_empty() { "" } else { "record = \"facts\"\n" };
         format!(
@@ -79,7 +82,7 @@
             seen.other,
             seen.slowest / 1e3
         );
-        std::thread::sleep(Duration::from_secs(2)); // until it has noticed that it is free again
+        std::thread::sleep(Duration::from_secs(2)); // until the proxy has noticed that the store is unlocked
     }
     let status = std::fs::read_to_string(format!("/proc/{}/status", kept.child.id())).unwrap_or_default();
     if let Some(peak) = status.lines().find(|line| line.starts_with("VmHWM")) {
@@ -92,7 +95,7 @@
     println!();
 }
 
-fn settle() -> String {
+fn settle_request() -> String {
     let key = KEYS.fetch_add(1, Ordering::Relaxed);
     format!(
         "POST /pay/1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {key:x}\r\nIdempotency-Key: k{key}\r\n\
@@ -100,22 +103,22 @@
     )
 }
 
-fn bid() -> String {
-    settle().replace("/pay/", "/bid/")
+fn bid_request() -> String {
+    settle_request().replace("/pay/", "/bid/")
 }
 
-fn look() -> String {
+fn get_request() -> String {
     let id = KEYS.fetch_add(1, Ordering::Relaxed);
     format!("GET /read/1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id:x}\r\n\r\n")
 }
 
-fn took(client: &mut Client, request: &str) -> (u16, f64) {
+fn timed_request(client: &mut Client, request: &str) -> (u16, f64) {
     let begun = Instant::now();
     let status = client.ask(request).status();
     (status, begun.elapsed().as_secs_f64() * 1e6)
 }
 
-/// So many settles to each on a kept connection, by turns in blocks; µs.
+/// Sends [`EACH`] settles to each address on a persistent connection, in alternating blocks; returns the durations in µs.
 fn in_turns<const N: usize>(to: [SocketAddr; N]) -> [Vec<f64>; N] {
     let mut clients = to.map(Client::connect);
     let mut all = [const { Vec::new() }; N];
@@ -123,10 +126,10 @@
         for turn in 0..N {
             let who = (round + turn) % N;
             for _ in 0..BLOCK {
-                let (status, one) = took(&mut clients[who], &settle());
+                let (status, one) = timed_request(&mut clients[who], &settle_request());
                 assert_eq!(status, 200);
                 if round > 0 {
-                    all[who].push(one); // the first warms up
+                    all[who].push(one); // the first round warms up
                 }
             }
         }
@@ -142,7 +145,7 @@
             scope.spawn(|| {
                 let mut client = Client::connect(at);
                 while !stop.load(Ordering::Relaxed) {
-                    if client.ask(&settle()).status() == 200 {
+                    if client.ask(&settle_request()).status() == 200 {
                         done.fetch_add(1, Ordering::Relaxed);
                     }
                 }
@@ -155,7 +158,7 @@
 }
 
 #[derive(Default)]
-struct Felt {
+struct LoadResult {
     reads: Vec<f64>,
     bids: Vec<f64>,
     served: usize,
@@ -164,46 +167,46 @@
     slowest: f64,
 }
 
-/// An open load: each client has its own times, and those that are late are counted from when they were due.
-fn under_load(at: SocketAddr) -> Felt {
+/// Runs an open load: each client has its own schedule, and a late request is timed from when it was due.
+fn under_load(at: SocketAddr) -> LoadResult {
     let clients = 30;
     let pause = Duration::from_micros(1_000_000 * clients / RATE);
     let begun = Instant::now() + Duration::from_millis(50);
     let one = |number: u64| {
         let mut client = Client::connect(at);
-        let (mut felt, mut due) = (Felt::default(), begun + pause * number as u32 / clients as u32);
+        let (mut result, mut due) = (LoadResult::default(), begun + pause * number as u32 / clients as u32);
         while due < begun + SPAN {
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
-            let asked = [settle, look, bid][number as usize % 3];
+            let request = [settle_request, get_request, bid_request][number as usize % 3];
             let settles = number % 3 == 0;
-            let (status, _) = took(&mut client, &asked());
+            let (status, _) = timed_request(&mut client, &request());
             let late = due.elapsed().as_secs_f64() * 1e6;
             match (settles, status) {
-                (false, 200) if number % 3 == 1 => felt.reads.push(late),
-                (false, 200) => felt.bids.push(late),
-                (true, 200) => felt.served += 1,
-                (true, 503) => felt.refused += 1,
-                _ => felt.other += 1,
+                (false, 200) if number % 3 == 1 => result.reads.push(late),
+                (false, 200) => result.bids.push(late),
+                (true, 200) => result.served += 1,
+                (true, 503) => result.refused += 1,
+                _ => result.other += 1,
             }
             if settles {
-                felt.slowest = felt.slowest.max(late);
+                result.slowest = result.slowest.max(late);
             }
             due += pause;
         }
-        felt
+        result
     };
     let all = std::thread::scope(|scope| {
         let one = &one;
         let clients: Vec<_> = (0..clients).map(|number| scope.spawn(move || one(number))).collect();
         clients.into_iter().filter_map(|client| client.join().ok()).collect::<Vec<_>>()
     });
-    all.into_iter().fold(Felt::default(), |mut sum, felt| {
-        sum.reads.extend(felt.reads);
-        sum.bids.extend(felt.bids);
-        sum.served += felt.served;
-        sum.refused += felt.refused;
-        sum.other += felt.other;
-        sum.slowest = sum.slowest.max(felt.slowest);
+    all.into_iter().fold(LoadResult::default(), |mut sum, result| {
+        sum.reads.extend(result.reads);
+        sum.bids.extend(result.bids);
+        sum.served += result.served;
+        sum.refused += result.refused;
+        sum.other += result.other;
+        sum.slowest = sum.slowest.max(result.slowest);
         sum
     })
 }
--- a/crates/shaletide/benches/front/routes.rs
+++ b/crates/shaletide/benches/front/routes.rs
@@ -1,7 +1,8 @@
-//! One request with 1 route and with 200, of which it takes the last: time by turns, instructions by callgrind.
+//! Measures a request with 1 route and with 200 routes, of which the last matches: its time in alternating blocks, and its
+//! instructions with callgrind.
 
-use super::process::{processor_time, there, Cores};
-use super::{a_read, median, program, quick, Client, Program, HERE};
+use super::process::{is_installed, processor_time, Cores};
+use super::{median, program, read_request, start_backend, Client, Program, PROGRAM_PATH};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
@@ -11,24 +12,24 @@
 const MANY: usize = 200;
 const ROUNDS: usize = 60;
 const BLOCK: usize = 250;
-/// Requests in the two runs under callgrind, whose difference counts: what the start costs, which depends on hash
-/// seeds, is in both.
+/// Requests in the two runs under callgrind. Their difference is reported, as both include the cost of the start, which depends
+/// on hash seeds.
 const COUNTED: [usize; 2] = [8_000, 1_000];
 
 pub fn measure(cores: &Cores) {
-    let to = quick();
+    let to = start_backend();
     println!(
         "| A request | 1 route | {MANY} routes | ratio | 1 route again / 1 route |\n|---|---|---|---|---|"
     );
     by_time(cores, to);
-    if there("valgrind") {
+    if is_installed("valgrind") {
         let [one, again, many] = [1, 1, MANY].map(|routes| instructions(to, routes));
         println!("| instructions | {one:.0} | {many:.0} | {:.4} | {:.4} |", many / one, again / one);
     }
     println!();
 }
 
-/// Three programs by turns in blocks: medians of the blocks' means, and of the processor time in each.
+/// Measures three programs in alternating blocks: medians of the blocks' mean times and of their processor times.
 fn by_time(cores: &Cores, to: SocketAddr) {
     let running = [1, MANY, 1].map(|routes| program().serve_file(|at| file(at, to, routes)));
     let mut clients = running.each_ref().map(|proxy| proxy.client());
@@ -53,10 +54,10 @@
 }
 
 fn ask(client: &mut Client) {
-    assert_eq!(client.ask(&a_read()).status(), 200);
+    assert_eq!(client.ask(&read_request()).status(), 200);
 }
 
-/// Instructions of one request: those of a long run less those of a short one.
+/// Returns the instructions of one request: the difference between a long run and a short run, per request.
 fn instructions(to: SocketAddr, routes: usize) -> f64 {
     let [long, short] = COUNTED.map(|requests| counted(to, routes, requests));
     long.saturating_sub(short) as f64 / (COUNTED[0] - COUNTED[1]) as f64
@@ -66,7 +67,7 @@
     let folder = super::stock::Folder::new();
     let (script, out) = (folder.file("counted"), folder.file("counts"));
     let line = format!(
-        "#!/bin/sh\nexec valgrind -q --tool=callgrind --callgrind-out-file={} {HERE} \"$@\"\n",
+        "#!/bin/sh\nexec valgrind -q --tool=callgrind --callgrind-out-file={} {PROGRAM_PATH} \"$@\"\n",
         out.display()
     );
     std::fs::write(&script, line).expect("a script");
@@ -80,15 +81,15 @@
     total(&out)
 }
 
-/// The sum at the end of callgrind's file.
+/// Returns the total at the end of callgrind's output file.
 fn total(out: &Path) -> u64 {
     let text = std::fs::read_to_string(out).unwrap_or_default();
     let total = text.lines().find_map(|line| line.strip_prefix("totals:"));
-    total.and_then(|sum| sum.trim().parse().ok()).expect("a file of callgrind's")
+    total.and_then(|sum| sum.trim().parse().ok()).expect("callgrind's total")
 }
 
-/// So many routes, of which the last takes the request: the others differ from it by class, tenant, path or header.
-/// All else is the same whatever their number.
+/// Returns an operators' file with this many routes. Only the last one matches the request; the others require another class,
+/// tenant, path or header. The rest of the file does not depend on the number of routes.
 fn file(at: SocketAddr, to: SocketAddr, routes: usize) -> String {
     let mut text = format!(
         "[proxy]\nseed = \"5\"\n[[listener]]\naddress = \"{at}\"\n[[class]]\nname = \"read\"\n\
--- a/crates/shaletide/benches/front/stock.rs
+++ b/crates/shaletide/benches/front/stock.rs
@@ -1,4 +1,4 @@
-//! What stands behind the program here: the project's own backends, and folders for what a part writes.
+//! The backends behind the measured program, and temporary directories.
 
 use super::{BoxSpec, Fault, Fleet, Power, Sending};
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 static NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// A folder that goes when it is dropped.
+/// A directory that is removed when this is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -18,7 +18,7 @@
         Folder(at)
     }
 
-    /// Where that file of it is.
+    /// Returns the path of a file in the directory.
     pub fn file(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// A stand-in at work; ends when this is dropped.
+/// A running backend; it ends when this is dropped.
 pub struct Stock {
     pub name: &'static str,
     pub address: SocketAddr,
@@ -38,7 +38,7 @@
 }
 
 impl Stock {
-    /// One that answers in one segment, or head and body apart.
+    /// Starts a backend that sends its response in one segment, or head and body apart.
     pub fn new(apart: bool) -> Stock {
         let fleet = Fleet::start(vec![BoxSpec::new("s", Power::warm(64, 100.0))]).expect("a box");
         if apart {
--- a/crates/shaletide/build.rs
+++ b/crates/shaletide/build.rs
@@ -1,14 +1,14 @@
-//! Settings of the program's build.
+//! The build script: sets linker options and checks a compiler flag.
 //!
-//! It links the program at a fixed address, so that the loader has no address in it to relocate, and where it can so that the
-//! kernel starts it in its own code instead of in the loader: a signal that comes before the program's first instruction ends
-//! the process (crate `entry-point`).
+//! The program is linked at a fixed address, so that the loader has no addresses in it to relocate. Where the target allows it,
+//! the kernel starts the program in its own code instead of in the loader, as a signal that arrives before the program's first
+//! instruction ends the process (see the crate `entry-point`).
 //!
-//! It warns where the build lacks the flag of `.cargo/config.toml` by which the event loop wakes itself through a pipe:
-//! RUSTFLAGS in the environment replace the flags of that file without a word. It warns and does not fail, as flags that
-//! have nothing to do with it are no reason to refuse an operator's build; the program says the same at its start.
+//! The script warns if the build lacks the flag of `.cargo/config.toml` with which the event loop wakes itself through a pipe:
+//! RUSTFLAGS in the environment silently replace the flags of that file. It does not fail, as an operator may set RUSTFLAGS for
+//! unrelated reasons; the program logs the same warning at its start.
 
-/// The flag's name as cargo tells a build script of it.
+/// The environment variable by which cargo passes the flag to build scripts.
 const WAKER_PIPE_VARIABLE: &str = "CARGO_CFG_MIO_UNSUPPORTED_FORCE_WAKER_PIPE";
 
 /// The symbol of the program's first instruction.
@@ -24,7 +24,7 @@
     check_waker_flag();
 }
 
-/// Whether the crate `entry-point` has a first instruction for the target: on other ones the kernel starts the loader.
+/// Returns whether the crate `entry-point` supports the target. On other targets the kernel starts the loader.
 fn loads_loader_itself() -> bool {
     let target = |name: &str| std::env::var(format!("CARGO_CFG_TARGET_{name}")).unwrap_or_default();
     target("OS") == "linux"
@@ -33,7 +33,7 @@
         && target("POINTER_WIDTH") == "64"
 }
 
-/// Warns where the event loop would wake itself through an eventfd.
+/// Warns if the event loop would wake itself through an eventfd.
 fn check_waker_flag() {
     println!("cargo::rustc-check-cfg=cfg(mio_unsupported_force_waker_pipe)");
     if std::env::var_os(WAKER_PIPE_VARIABLE).is_none() {
--- a/crates/shaletide/src/build_check.rs
+++ b/crates/shaletide/src/build_check.rs
@@ -1,13 +1,13 @@
-//! Says at the start of the daemon what its build lacks.
+//! Warns at the start of the daemon about a missing build flag.
 
 use tracing::warn;
 
-/// The event loop wakes itself through a pipe, as `.cargo/config.toml` has it. Otherwise it does so through an eventfd, and
-/// ends the process where that write is interrupted by a signal.
+/// Whether the event loop wakes itself through a pipe, as `.cargo/config.toml` sets it. Otherwise it uses an eventfd, and
+/// ends the process if a signal interrupts the write to it.
 const WAKES_THROUGH_PIPE: bool = cfg!(mio_unsupported_force_waker_pipe);
 
-/// Logs a line for what the build lacks; nothing where it is as it should be.
-pub fn log_build_faults() {
+/// Logs a warning if the build lacks the flag.
+pub fn warn_about_missing_build_flag() {
     if !WAKES_THROUGH_PIPE {
         warn!(
             "built without `--cfg mio_unsupported_force_waker_pipe`: a signal can end the program while its event loop \
--- a/crates/shaletide/src/cli.rs
+++ b/crates/shaletide/src/cli.rs
@@ -1,28 +1,28 @@
-//! The arguments.
+//! The command-line arguments.
 
 use clap::{Args, Parser, Subcommand};
 use shaletide_config::operator::{OperatorConfig, PoolSource};
 use std::path::PathBuf;
 
-/// Printed where neither `NODE_CONFIG` nor a command is given.
-pub const WHAT_NEXT: &str = "NODE_CONFIG is not set, and no command says what to do.
-  shaletide demo                 stand-in backends, load and faults, in this one process
-  shaletide serve --config FILE  serve by an operators' file; deploy/operator.example.toml shows one
-  shaletide check FILE           all that is wrong with such a file
-  shaletide --help               the rest
+/// Printed if neither `NODE_CONFIG` nor a command is given.
+pub const USAGE_HINT: &str = "NODE_CONFIG is not set, and no command is given.
+  shaletide demo                 run stand-in backends, load and faults in one process
+  shaletide serve --config FILE  serve by an operators' file, such as deploy/operator.example.toml
+  shaletide check FILE           list all errors in an operators' file
+  shaletide --help               list all commands
 On the platform NODE_CONFIG names the configuration.";
 
 /// A reverse proxy and load balancer that routes by HALB.
 ///
-/// Without a command it runs as on the platform, by the configuration that NODE_CONFIG names.
+/// Without a command it serves by the platform's configuration, which NODE_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "shaletide", version, args_conflicts_with_subcommands = true)]
 pub struct Cli {
-    /// An operators' file that adds to NODE_CONFIG what that has no word for: pools, routes, answers, some times.
+    /// An operators' file with settings that NODE_CONFIG cannot express: pools, routes, answers, some time limits.
     #[arg(long, value_name = "FILE")]
     pub with: Option<PathBuf>,
-    /// Hold every request, attempt and connection against the rules while it runs: what breaks one is logged as an
-    /// error, and the status at the end is 1.
+    /// Check every request, attempt and connection against the rules at run time: each violation is logged as an error,
+    /// and the exit status is 1.
     #[arg(long, global = true)]
     pub self_check: bool,
     #[command(subcommand)]
@@ -31,113 +31,113 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve by an operators' file; SIGHUP has it read again, SIGTERM ends.
+    /// Serve by an operators' file; SIGHUP reloads it, SIGTERM stops.
     Serve {
         /// The operators' file.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Say all that is wrong with an operators' file: status 0 where nothing is, 2 where something is.
+    /// List all errors in an operators' file: status 0 if there is none, 2 otherwise.
     Check {
         /// The operators' file.
         file: PathBuf,
     },
-    /// Stand-in backends, load and faults in this one process: status 0 where all rules held, 1 where one did not.
+    /// Run stand-in backends, load and faults in one process: status 0 if all rules held, 1 otherwise.
     Demo(Demo),
-    /// What the proxy knew and did: read, check, copy and keep the store of record.
+    /// Read, verify, copy and maintain the store of record: what the proxy knew and did.
     Record(crate::record::args::Record),
-    /// Say which route and pools a request would get, and why no other route.
+    /// Print the route and pools that a request would get, and why it gets no other route.
     Explain(Explain),
-    /// Exhaust the engine in a small world: every order of events, every outcome, under any policy. Status 0 where
-    /// no rule is broken, 1 with a shortest counterexample, 3 where a limit was hit before all was looked at.
+    /// Check the engine exhaustively in a small world: every order of events and every outcome, under any policy. Status 0 if
+    /// no rule is broken, 1 with a shortest counterexample, 3 if a limit was reached before all states were explored.
     Explore(Explore),
 }
 
-/// A small world and how long to look.
+/// A small world and the limits of its exploration.
 #[derive(Args, Debug)]
 pub struct Explore {
-    /// A world by name, or "all"; an unknown name lists them. Without it the sizes below make one.
+    /// The name of a world, or "all"; an unknown name lists the worlds. By default a world is built from the sizes below.
     #[arg(long, value_name = "NAME", conflicts_with_all = ["boxes", "requests", "drains", "pools"])]
     pub world: Option<String>,
-    /// Backends, each in a cell of its own.
+    /// The number of backends, each in its own cell.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=4))]
     pub boxes: u8,
-    /// Requests: free, keyed, unsafe, and from the beginning.
+    /// The number of requests: safe, keyed, unsafe, and so on in turn.
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=6))]
     pub requests: u8,
-    /// Drains.
+    /// The number of drains.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(0..=4))]
     pub drains: u8,
-    /// Pools; the backends are dealt out to them.
+    /// The number of pools, among which the backends are divided.
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=4))]
     pub pools: u8,
-    /// The store of record with the engine, killed so often: two requests of one key, a store that fails once.
+    /// Check the engine with the store of record, killed N times: two requests of one key, a store that fails once.
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u8).range(1..=3))]
     #[arg(conflicts_with_all = ["world", "boxes", "requests", "drains", "pools", "cover", "threads"])]
     pub restarts: Option<u8>,
-    /// Look for so long at most, a world.
+    /// The time limit for each world, in seconds.
     #[arg(long, default_value_t = 600)]
     pub seconds: u64,
-    /// On so many threads.
+    /// The number of threads.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=64))]
     pub threads: u8,
-    /// Say which transitions of the engine were met, and why each of the others was not.
+    /// Print which transitions of the engine were reached, and why each of the others was not.
     #[arg(long)]
     pub cover: bool,
 }
 
-/// How the demo runs.
+/// The options of the demo.
 #[derive(Args, Debug)]
 pub struct Demo {
-    /// How long the load lasts.
+    /// How long the load lasts, in seconds.
     #[arg(long, value_name = "N", default_value_t = 12, value_parser = clap::value_parser!(u64).range(5..=120))]
     pub seconds: u64,
-    /// Print the operators' file that the proxy runs by.
+    /// Print the operators' file that the proxy uses.
     #[arg(long)]
     pub show_config: bool,
 }
 
-/// A request that might come.
+/// A hypothetical request.
 #[derive(Args, Debug)]
 pub struct Explain {
     /// The operators' file.
     pub file: PathBuf,
-    /// Its class; else that of the path, or the one for all others.
+    /// The class; by default that of the path, else the default class.
     #[arg(long)]
     pub class: Option<String>,
-    /// Its tenant.
+    /// The tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// The zone that it comes from; else the proxy's own.
+    /// The zone that the request comes from; by default the proxy's.
     #[arg(long)]
     pub zone: Option<String>,
-    /// The bay that it is about.
+    /// The bay that the request concerns.
     #[arg(long)]
     pub bay: Option<String>,
-    /// Its path; else that of its class.
+    /// The path; by default that of the class.
     #[arg(long)]
     pub path: Option<String>,
-    /// Its method; else the first of its class.
+    /// The method; by default the first of the class.
     #[arg(long)]
     pub method: Option<String>,
-    /// A header that it carries, as NAME=VALUE; may be given several times.
+    /// A header, as NAME=VALUE; may be given several times.
     #[arg(long = "header", value_name = "NAME=VALUE")]
     pub headers: Vec<String>,
 }
 
-/// One line about a sound file.
+/// Returns a one-line summary of a valid file.
 pub fn summary(operator: &OperatorConfig) -> String {
     let boxes: usize =
         operator.pools.iter().map(|p| if let PoolSource::Static(b) = &p.source { b.len() } else { 0 }).sum();
     let many =
         |count: usize, one: &str, more: &str| format!("{count} {}", if count == 1 { one } else { more });
     format!(
-        "makes sense: {}, {}, {}, {}, {}, {}",
+        "valid: {}, {}, {}, {}, {}, {}",
         many(operator.listeners.len(), "listener", "listeners"),
         many(operator.classes.len(), "class", "classes"),
         many(operator.tenants.len(), "tenant", "tenants"),
         many(operator.pools.len(), "pool", "pools"),
-        many(boxes, "static box", "static boxes"),
+        many(boxes, "static backend", "static backends"),
         many(operator.routes.len(), "route", "routes"),
     )
 }
--- a/crates/shaletide/src/control_socket.rs
+++ b/crates/shaletide/src/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket. The service does not depend on it, so that one that cannot be bound for now delays nothing.
+//! The control socket. The service does not depend on it, so that a socket that cannot be bound yet delays nothing.
 
 use crate::commands;
 use crate::retry::{until_ready, RetryPolicy, StepNames, StepOutcome};
@@ -13,16 +13,16 @@
 use tracing::error;
 
 const STEP: StepNames = StepNames { waiting: "no control socket yet", done: "control socket opened" };
-/// How a socket that another process holds is tried again.
+/// How binding is retried while another process holds the socket.
 const RETRY: RetryPolicy = RetryPolicy { pause: Duration::from_millis(200), patience: None };
 /// How long a start waits for the first attempt.
 const MAX_START_WAIT: Duration = Duration::from_secs(1);
 
-/// Serves operators' commands there, from now on or once the socket can be bound. Waits for a disk that hangs for a second at
-/// most, and holds up nothing else on the event loop. Within a `LocalSet`.
+/// Starts serving operators' commands at `socket`, at once or as soon as the socket can be bound. Waits for a hanging disk for
+/// at most a second, and blocks nothing else on the event loop. To be called within a `LocalSet`.
 ///
 /// # Errors
-/// Something that is no socket lies in its place.
+/// The path exists and is not a socket.
 pub async fn begin(socket: PathBuf, record: Option<Rc<Record>>) -> Result<(), StartError> {
     let first = tokio::time::timeout(MAX_START_WAIT, bind_on_thread(&socket)).await;
     match first.map(outcome) {
@@ -52,8 +52,8 @@
     }
 }
 
-/// Binds on a thread of its own: signals are taken and requests served meanwhile, and the socket's folder may lie on a disk that
-/// hangs. Dropped midway, it has the thread remove the socket once it is bound. Within the event loop's context.
+/// Binds on a separate thread, so that signals and requests are handled meanwhile even if the socket's directory is on a hanging
+/// disk. If dropped midway, the thread removes the socket once it is bound. To be called within the event loop's context.
 async fn bind_on_thread(socket: &Path) -> Result<Control, ControlError> {
     let failed = |error| ControlError::Io { path: socket.into(), operation: "start a thread for", error };
     let (sender, mut receiver) = thread_channel().map_err(failed)?;
@@ -62,7 +62,7 @@
     // Never joined: a call may block.
     std::thread::Builder::new().name("control-socket".into()).spawn(bind).map_err(failed)?;
     let bound = receiver.recv().await;
-    Control::new(bound.unwrap_or_else(|| Err(failed(io::Error::other("it has ended"))))?)
+    Control::new(bound.unwrap_or_else(|| Err(failed(io::Error::other("the thread failed"))))?)
 }
 
 async fn serve(control: Control, record: Option<Rc<Record>>) {
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: its parts started and stopped in their order, and a new configuration put in the old one's place.
+//! The daemon: starts and stops its parts in order, and applies new configurations.
 
 use crate::control_socket;
 use crate::descriptors::{self, Descriptors};
@@ -21,25 +21,25 @@
 use tokio::task::AbortHandle;
 use tracing::info;
 
-/// The store has until this long after SIGTERM plus the longest deadline. The server returns by 0.5 s (`STOP_MARGIN`), and
-/// the platform sends SIGKILL at 0.7 s at the soonest; 0.1 s is kept for a loaded machine.
+/// How long after SIGTERM plus the longest deadline the store may still write. The server returns by 0.5 s (`STOP_MARGIN`), and
+/// the platform sends SIGKILL after 0.7 s at the earliest; 0.1 s is kept for a loaded machine.
 const STORE_STOP_GRACE: Duration = Duration::from_millis(600);
-/// The store has at least this long for its last writes.
+/// The least time that the store has for its last writes.
 const MIN_STORE_STOP: Duration = Duration::from_millis(100);
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Debug)]
 pub struct RunReport {
-    /// How many violations of the rules the self-check saw; 0 without it.
+    /// The number of violations that the monitors found; 0 without the self-check.
     pub violations: u64,
-    /// The first of them, in words.
+    /// The descriptions of the first violations.
     pub first_violations: Vec<String>,
-    /// Why it ended by itself, where it did.
+    /// The error that ended the run, if there was one.
     pub failure: Option<StartError>,
 }
 
-/// The parts at work.
+/// The running parts.
 pub struct Daemon {
     setup: Arc<Setup>,
     seed: u64,
@@ -52,10 +52,10 @@
 }
 
 impl Daemon {
-    /// Starts all parts and listens, or begins to wait for addresses that cannot be listened on for now; nothing is served
-    /// before [`Daemon::run`]. Waits for the store of record and the control socket alone, before anything is listened on;
-    /// dropped meanwhile, it serves nothing. Within a `LocalSet`. `self_check`: with the monitors of the rules at work. What discovery
-    /// has counts as known since `begun`, the program's first moment.
+    /// Starts all parts and listens, or starts waiting for addresses that cannot be listened on yet. Nothing is served before
+    /// [`Daemon::run`]. Waits only for the store of record and the control socket, before it listens on any address; if it is
+    /// dropped meanwhile, nothing is served. `self_check` enables the monitors. The discovery's list counts as known since
+    /// `begun`, the program's start. To be called within a `LocalSet`.
     ///
     /// # Errors
     /// An address that can never be listened on, a store that cannot be opened, a control socket that can never be bound,
@@ -70,7 +70,7 @@
         if self_check {
             driver.enable_self_check(operator.limits.drain_grace);
         }
-        // What was in flight when the last process ended is known before anything is sent.
+        // Requests that were in flight when the last process ended must be known before anything is sent.
         let record = match &setup.record {
             Some(record) => Some(open_record(record, &driver, &operator.proxy.name).await?),
             None => None,
@@ -79,7 +79,7 @@
         let pools = setup.pools();
         let ids =
             driver.setup(first, &operator.proxy.zone, seed, upstream, pools).map_err(StartError::Config)?;
-        // The list from before the restart is in place before anything is served.
+        // The list from before the restart must be applied before anything is served.
         if let (Some(pool), false) = (ids.first(), setup.cached_list.endpoints.is_empty()) {
             shaletide_discovery::apply_list(&driver, *pool, EndpointUpdate::Cached, &setup.cached_list);
         }
@@ -97,13 +97,13 @@
         Ok(Daemon { setup, seed, descriptors, record, driver, server, listening, subscriptions })
     }
 
-    /// Waits until all addresses are listened on; to be awaited by one task.
+    /// Waits until all addresses are listened on. To be awaited by one task.
     pub fn all_listening(&self) -> impl Future<Output = ()> + 'static {
         self.listening.all_listening()
     }
 
-    /// Serves until `stop` is ready, or until an address could not be listened on in the time that is allowed; then answers
-    /// the requests that it has accepted and returns. At each SIGHUP the configuration is read again.
+    /// Serves until `stop` is ready, or until an address could not be listened on within its patience. Then answers the accepted
+    /// requests and returns. Reads the configuration again at each SIGHUP.
     pub async fn run(
         mut self, read: ReadConfiguration, signals: &SignalEvents, stop: impl Future<Output = ()>,
     ) -> RunReport {
@@ -117,7 +117,7 @@
                 () = stop => {}
                 Ok(error) = failure => listen_error.set(Some(error)),
             }
-            // Fixed from now on: a SIGHUP during the stop is taken, though it moves no end.
+            // Fixed from now on: a SIGHUP during the stop is applied, but does not change the end.
             store_end.set(Some(Instant::now() + stop_duration.get() + STORE_STOP_GRACE));
         };
         let served = self.server.clone().run(listeners, stop);
@@ -161,26 +161,26 @@
         tokio::task::spawn_local(report).abort_handle()
     }
 
-    /// Has the store write what it has until that time, and for [`MIN_STORE_STOP`] at least.
+    /// Lets the store write its pending rows until `end`, and for at least [`MIN_STORE_STOP`].
     async fn stop_record(&self, end: Option<Instant>) {
         let Some(service) = self.record.as_ref().and_then(|record| record.service()) else { return };
         let least_end = Instant::now() + MIN_STORE_STOP;
-        let end = end.map_or(least_end, |end| end.max(least_end)); // earlier rules may have given requests more time
-        service.flush_until(end).await; // the service logs what is not written by then
+        let end = end.map_or(least_end, |end| end.max(least_end)); // an earlier configuration may have had longer deadlines
+        service.flush_until(end).await; // the service logs what it could not write by then
         service.stop(end);
     }
 
-    /// How long requests may take to end after SIGTERM.
+    /// Returns how long requests may take to end after SIGTERM.
     fn stop_duration(&self) -> Duration {
         let deadlines = self.setup.operator.classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or_default();
         span(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
     }
 
-    /// Applies the configuration, requested at that time, as a whole.
+    /// Applies the configuration that was requested at `requested_at`, as a whole.
     ///
     /// # Errors
-    /// Why all stays as it is.
+    /// Why nothing was changed.
     fn reload(&mut self, next: Setup, requested_at: Instant) -> Result<(), String> {
         let next = self.setup.prepare_reload(next).map_err(|changes| {
             format!("nothing changes, as this needs a restart:\n  {}", changes.join("\n  "))
@@ -189,7 +189,7 @@
         let descriptors = self.descriptors.reconfigured(&next);
         let upstream = next.upstream_config(descriptors.upstreams);
         let ids = self.driver.setup(None, zone, self.seed, upstream, next.pools());
-        let ids = ids.map_err(|error| error.to_string())?; // the reader has validated it before
+        let ids = ids.map_err(|error| error.to_string())?; // does not fail: the reader has validated it
         self.server.reload(Rules::new(next.rules(&ids)));
         if let (Some(record), Some(next)) = (&self.record, &next.record) {
             record.configure(next.config.clone(), next.digest.clone());
@@ -202,7 +202,7 @@
     }
 }
 
-/// Opens the record for that driver.
+/// Opens the store of record for the driver.
 async fn open_record(
     record: &RecordSetup, driver: &Rc<Driver>, proxy: &str,
 ) -> Result<Rc<Record>, StartError> {
--- a/crates/shaletide/src/demo/stage.rs
+++ b/crates/shaletide/src/demo/environment.rs
@@ -1,4 +1,4 @@
-//! The stand-ins around the proxy in the demo, and the operators' file that it runs by.
+//! The stand-ins around the proxy in the demo, and the proxy's operators' file.
 
 use shaletide_balancer::{DeduplicationScope, Idempotency, Micros};
 use shaletide_testkit::*;
@@ -7,40 +7,40 @@
 use std::time::Duration;
 use tokio::net::TcpSocket;
 
-/// Requests a second.
+/// The load, in requests per second.
 pub const RATE: f64 = 350.0;
-/// The mean work of a request, ms of a standard core.
+/// The mean work of a request, in ms of a standard core.
 const WORK_MS: f64 = 16.0;
-/// Each server type: its name, how many backends, and the speed of their one core.
+/// The server types: name, number of backends, and speed of their one core.
 const SERVER_TYPES: [(&str, u32, f64); 2] = [("fast", 4, 2.0), ("slow", 4, 1.0)];
-/// How long a client waits.
+/// The clients' deadline.
 pub const DEADLINE: Duration = Duration::from_secs(5);
-/// A draining backend takes new requests for so long.
-pub const GRACE: Micros = Micros(2_000_000);
-/// A key is known to its bay for so long.
-pub const WINDOW: Micros = Micros(8_000_000);
-/// The part of its speed that a backend has when it starts ...
+/// How long a draining backend accepts new requests.
+pub const DRAIN_GRACE: Micros = Micros(2_000_000);
+/// The deduplication window of the class `settle`.
+pub const KEY_WINDOW: Micros = Micros(8_000_000);
+/// The fraction of its speed that a backend has when it starts.
 pub const COLD_FROM: f64 = 0.3;
-/// ... and when it has all of it.
+/// How long a started backend takes to reach its full speed.
 pub const RAMP: Micros = Micros(3_000_000);
-/// What a cold backend may be sent.
+/// The most load that a cold backend may be sent.
 pub const PUSH: checks::Push = checks::Push { multiple: 3.0, window: Micros(1_000_000), slack: 0.1 };
 
-/// The stand-ins at work.
-pub struct Stage {
+/// The running stand-ins.
+pub struct Environment {
     pub fleet: Fleet,
     pub discovery: ListServer,
     /// Where the proxy listens.
     pub proxy: SocketAddr,
     /// The operators' file.
     pub config: String,
-    /// Keeps the proxy's port from others until it listens.
+    /// Reserves the proxy's port until the proxy listens on it.
     _port: TcpSocket,
 }
 
-impl Stage {
-    /// Starts all but the proxy and the clients.
-    pub fn set() -> io::Result<Stage> {
+impl Environment {
+    /// Starts the backends and discovery.
+    pub fn start() -> io::Result<Environment> {
         let services = vec![Service::new("", Law::Even(0.5 * WORK_MS, 1.5 * WORK_MS))];
         let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backends()) })?;
         let entries = fleet.boxes().iter().map(BoxHandle::entry).collect();
@@ -50,17 +50,17 @@
         port.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let proxy = port.local_addr()?;
         let config = config(proxy, discovery.address(0));
-        Ok(Stage { fleet, discovery, proxy, config, _port: port })
+        Ok(Environment { fleet, discovery, proxy, config, _port: port })
     }
 
-    /// The backend of that name.
+    /// Returns the backend of this name.
     pub fn named(&self, name: &str) -> io::Result<&BoxHandle> {
         let found = self.fleet.boxes().iter().find(|b| b.spec.name == name);
         found.ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("no backend {name}")))
     }
 }
 
-/// The backends: of each server type the first half is in deduplication group 1, the others in 2.
+/// Returns the backends: the first half of each server type is in deduplication group 1, the other half in group 2.
 fn backends() -> Vec<BoxSpec> {
     let of_kind = |(kind, count, speed): (&'static str, u32, f64)| {
         (1..=count).map(move |n| {
@@ -69,7 +69,7 @@
                 kind: kind.into(),
                 zone: "hall".into(),
                 bay: if n <= count / 2 { 1 } else { 2 },
-                grace: Duration::from_micros(GRACE.0),
+                grace: Duration::from_micros(DRAIN_GRACE.0),
                 ..BoxSpec::new(&format!("{kind}-{n}"), power)
             }
         })
@@ -77,22 +77,22 @@
     SERVER_TYPES.into_iter().flat_map(of_kind).collect()
 }
 
-/// What clients ask for; the same classes stand in the file.
+/// Returns the classes of the load; the operators' file has the same ones.
 pub fn classes() -> Vec<LoadClass> {
     let class =
         |name, share, effect, body| LoadClass { share, body, ..LoadClass::new(name, effect, DEADLINE) };
     vec![
         class("read", 6.0, Idempotency::Safe, 0),
-        class("settle", 2.0, Idempotency::Keyed(DeduplicationScope::Group, WINDOW), 20),
+        class("settle", 2.0, Idempotency::Keyed(DeduplicationScope::Group, KEY_WINDOW), 20),
         class("pay", 2.0, Idempotency::NonIdempotent, 20),
     ]
 }
 
 fn config(proxy: SocketAddr, discovery: SocketAddr) -> String {
     let deadline = DEADLINE.as_secs_f64();
-    let window = WINDOW.secs();
+    let window = KEY_WINDOW.secs();
     let ramp = RAMP.secs();
-    let grace = GRACE.secs();
+    let grace = DRAIN_GRACE.secs();
     let over = PUSH.window.secs();
     let multiple = PUSH.multiple;
     format!(
@@ -102,7 +102,7 @@
 
 [limits]
 descriptors = 512
-head_timeout = "1min"               # its clients keep connections that they seldom use
+head_timeout = "1min"               # the clients keep connections open that they seldom use
 
 [rules]
 cold_from = {COLD_FROM}
--- a/crates/shaletide/src/demo/stage/tests.rs
+++ b/crates/shaletide/src/demo/environment/tests.rs
@@ -6,9 +6,9 @@
     let at = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let operator = read("demo.toml", &config(at(1), at(2))).unwrap_or_else(|report| panic!("{report}"));
     let named: Vec<&str> = operator.classes.iter().map(|c| c.name.as_str()).collect();
-    let asked = classes();
-    assert_eq!(named, asked.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
-    for (def, class) in operator.balancer.classes.iter().zip(asked) {
+    let load_classes = classes();
+    assert_eq!(named, load_classes.iter().map(|c| c.name.as_str()).collect::<Vec<_>>());
+    for (def, class) in operator.balancer.classes.iter().zip(load_classes) {
         assert_eq!(def.idempotency, class.effect);
     }
     assert_eq!(operator.balancer.slow_start_window, RAMP);
--- a/crates/shaletide/src/demo/output.rs
+++ b/crates/shaletide/src/demo/output.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write;
 
-/// Prints a line. A reader that has gone changes nothing.
+/// Prints a line. Errors are ignored: the demo continues if the reader has gone.
 pub fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -1,23 +1,23 @@
-//! The result of the demo in tables, and whether all rules held. Pure: from what was recorded to a text.
+//! The report of the demo: tables, and whether all rules held. Pure: a function of the recorded results.
 
+use super::environment::{classes, DEADLINE};
 use super::rules::{check_rules, Rule};
 use super::run::DemoRun;
 use super::shares::write_shares;
-use super::stage::{classes, DEADLINE};
 use shaletide_balancer::{Idempotency, Time};
 use shaletide_testkit::{ClassResult, End, LoadResult};
 use std::fmt::Write;
 
-/// Violations of a rule that are listed.
+/// The most violations of a rule that are listed.
 const MAX_LISTED: usize = 3;
 
-/// The text, and whether all rules held.
+/// The report's text, and whether all rules held.
 pub struct Report {
     pub text: String,
     pub holds: bool,
 }
 
-/// The tables and the verdict.
+/// Writes the tables and the verdict.
 pub fn report(run: &DemoRun) -> Report {
     let rules = check_rules(run);
     let holds = rules.iter().all(|rule| rule.violations.is_empty()) && run.missing.is_empty();
@@ -38,19 +38,19 @@
     for ((class, measured), load_class) in run.result.by_class().iter().zip(&measured).zip(classes()) {
         writeln!(text, "  {}", row(class_row(run, class, measured, load_class.effect)))?;
     }
-    writeln!(text, "  Refused: 429 or 503, coming again does no harm. Failed: any other end but 200.")?;
-    writeln!(text, "  Late: answered when its client's {} s were over.", DEADLINE.as_secs())?;
+    writeln!(text, "  Refused: 429 or 503, a repeat does no harm. Failed: any other outcome except 200.")?;
+    writeln!(text, "  Late: answered after its client's deadline of {} s.", DEADLINE.as_secs())?;
     if run.result.left_out > 0 {
         let count = run.result.left_out;
         writeln!(
             text,
-            "  {count} more were not sent: the machine was behind. Shares and latencies then say little."
+            "  {count} more were not sent: the machine was overloaded. Shares and latencies are not significant."
         )?;
     }
     Ok(())
 }
 
-/// The results by class of the requests that arrived in the measured part.
+/// Returns the results by class of the requests that arrived in the measured part.
 fn measured_by_class(run: &DemoRun) -> Vec<ClassResult> {
     let is_measured = |at: Time| run.measured.is_some_and(|part| at >= part.from && at < part.to);
     let sent = run.result.sent.iter().filter(|sent| is_measured(sent.arrived)).copied().collect();
@@ -116,11 +116,11 @@
         }
     }
     for missing in &run.missing {
-        writeln!(text, "  Did not come about: {missing}")?;
+        writeln!(text, "  Missing: {missing}")?;
     }
     match (holds, run.interrupted) {
         (false, _) => write!(text, "\nNot all held."),
-        (true, true) => write!(text, "\nAll held until it was told to stop."),
+        (true, true) => write!(text, "\nAll held until the demo was stopped."),
         (true, false) => write!(text, "\nAll held."),
     }
 }
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -1,18 +1,18 @@
 //! The rules that a run of the demo is checked against.
 
+use super::environment::{DRAIN_GRACE, KEY_WINDOW, PUSH, RAMP};
 use super::run::DemoRun;
-use super::stage::{GRACE, PUSH, RAMP, WINDOW};
 use shaletide_testkit::checks::{self, Violation};
 use shaletide_testkit::{End, Ledger, Record, Repeat};
 use std::collections::BTreeMap;
 
 /// A rule and its violations.
 pub struct Rule {
-    /// The rule in words.
+    /// The name of the rule.
     pub what: &'static str,
-    /// What it was checked on.
+    /// The number of items that were checked.
     pub checked_on: String,
-    /// In words.
+    /// The descriptions of the violations.
     pub violations: Vec<String>,
 }
 
@@ -27,12 +27,12 @@
         Rule {
             what: "A keyed one runs again in its bay only",
             checked_on: keyed(ledger),
-            violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| WINDOW)),
+            violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| KEY_WINDOW)),
         },
         Rule {
             what: "Nothing new to a box 2 s after it drains",
             checked_on: drained(run),
-            violations: described(run, checks::nothing_after_drain(ledger, &run.drained, GRACE)),
+            violations: described(run, checks::nothing_after_drain(ledger, &run.drained, DRAIN_GRACE)),
         },
         Rule {
             what: "A cold box is not pushed over",
@@ -63,7 +63,7 @@
     format!("{count} {}", if count == 1 { one } else { more })
 }
 
-/// How often each request of a sort ran, by its id.
+/// Returns how often each request of this kind ran, by its id.
 fn ran(ledger: &Ledger, repeat: Repeat) -> BTreeMap<&str, usize> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for record in ledger.records.iter().filter(|r| r.repeat == repeat && r.ran()) {
@@ -107,16 +107,16 @@
     format!("{}, {} while cold", many(starts, "start", "starts"), many(sent, "request", "requests"))
 }
 
-/// Every request has a whole answer, just one, and before its client's time was up.
+/// Checks that every request has exactly one complete answer, before its deadline.
 fn one_answer(run: &DemoRun) -> Rule {
     let result = &run.result;
     let mut violations: Vec<String> = Vec::new();
     for sent in result.sent.iter().filter(|sent| !sent.in_time) {
         let how = match sent.end {
-            End::Status(status) => format!("was answered {status} too late"),
+            End::Status(status) => format!("was answered with {status} too late"),
             End::GaveUp => "got no answer in time".into(),
             End::Broken => "lost its connection".into(),
-            End::NoConnection => "found no connection".into(),
+            End::NoConnection => "could not connect".into(),
             End::Unsent => "was not sent in time by its client".into(),
         };
         let class = &result.classes[sent.class];
@@ -128,7 +128,7 @@
         ));
     }
     if result.overfull > 0 {
-        violations.push(format!("more came than the answer, {} times", result.overfull));
+        violations.push(format!("bytes followed the answer {} times", result.overfull));
     }
     let checked_on = many(result.sent.len(), "request", "requests");
     Rule { what: "Each request gets one answer within its time", checked_on, violations }
@@ -137,7 +137,7 @@
 fn foreign_answers(run: &DemoRun) -> Vec<String> {
     let mut violations = described(run, checks::answers_come_from_boxes(&run.ledger, &run.result));
     if run.result.mixed_up > 0 {
-        violations.push(format!("{} were another request's", run.result.mixed_up));
+        violations.push(format!("{} answers belong to another request", run.result.mixed_up));
     }
     violations
 }
@@ -145,15 +145,15 @@
 fn lost_records(run: &DemoRun) -> Vec<String> {
     let mut violations = Vec::new();
     if run.ledger.missed > 0 {
-        violations.push(format!("the boxes had no room for {}", run.ledger.missed));
+        violations.push(format!("the backends dropped {} records for lack of room", run.ledger.missed));
     }
     if run.result.missed > 0 {
-        violations.push(format!("the clients had no room for {}", run.result.missed));
+        violations.push(format!("the clients dropped {} records for lack of room", run.result.missed));
     }
     violations
 }
 
-/// Each case in words, with where and when its first records were.
+/// Describes each violation, with the place and time of its first records.
 fn described(run: &DemoRun, cases: Vec<Violation>) -> Vec<String> {
     let place = |place: &usize| {
         let record = run.ledger.records.get(*place)?;
--- a/crates/shaletide/src/demo/run.rs
+++ b/crates/shaletide/src/demo/run.rs
@@ -1,10 +1,10 @@
-//! What a run of the demo recorded.
+//! The recorded results of a run of the demo.
 
 use shaletide_balancer::Time;
 use shaletide_testkit::checks::Drained;
 use shaletide_testkit::{Ledger, LoadResult};
 
-/// The part of a run in which the balancer has learned the speeds and no fault has begun.
+/// The part of a run after the balancer has learned the speeds and before the first fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeasuredPart {
     pub from: Time,
@@ -12,16 +12,16 @@
     pub to: Time,
 }
 
-/// What the monitors inside the proxy saw.
+/// The findings of the monitors in the proxy.
 #[derive(Clone, Debug)]
 pub struct SelfCheck {
-    /// How many violations of the rules.
+    /// The number of violations of the rules.
     pub violations: u64,
-    /// The first of them, in words.
+    /// The descriptions of the first violations.
     pub first: Vec<String>,
 }
 
-/// What the backends, discovery and the clients recorded.
+/// The records of the backends, discovery and the clients.
 pub struct DemoRun {
     pub ledger: Ledger,
     pub result: LoadResult,
@@ -30,12 +30,12 @@
     pub server_types: Vec<String>,
     /// When the load began.
     pub begun: Time,
-    /// `None`: the run ended before it did.
+    /// The measured part; `None` if the run ended before it did.
     pub measured: Option<MeasuredPart>,
     /// Faults that did not come about.
     pub missing: Vec<String>,
-    /// It was interrupted before its time.
+    /// Whether the run was interrupted.
     pub interrupted: bool,
-    /// `None`: without monitors.
+    /// The findings of the monitors; `None` if they were not enabled.
     pub self_check: Option<SelfCheck>,
 }
--- a/crates/shaletide/src/demo/shares.rs
+++ b/crates/shaletide/src/demo/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of the server types: measured, and by the formula.
+//! The shares of the server types: measured, and computed by HALB.
 
 use super::run::{DemoRun, MeasuredPart};
 use shaletide_balancer::{halb_shares, Time};
@@ -6,25 +6,26 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The backends of a server type, and the requests that came to them in a part of the run.
+/// The backends of a server type, and the requests that they received in a part of the run.
 #[derive(Default)]
 struct TypeShare {
     backends: usize,
-    /// Capacity of one backend that is warm, in standard cores.
+    /// The capacity of one warm backend, in standard cores.
     capacity_cores: f64,
     requests: usize,
     served: usize,
-    /// The sum over the served requests.
+    /// The sum of the latencies of the served requests, in seconds.
     latency_s: f64,
 }
 
 impl TypeShare {
-    /// Requests a second that one backend can serve, by the work of a request.
+    /// Returns the requests per second that one backend can serve, computed from the work of a request.
     fn rate_by_work(&self, work_ms: f64) -> f64 {
         1e3 * self.capacity_cores / work_ms
     }
 
-    /// The same by latencies, as the balancer reckons: one over the mean, and the requests that come to one backend.
+    /// Returns the requests per second that one backend can serve, computed from latencies as in the balancer: the inverse of
+    /// the mean latency, plus the rate of requests to one backend.
     fn rate_by_latency(&self, span_s: f64) -> f64 {
         if self.served == 0 {
             return 0.0;
@@ -33,7 +34,7 @@
     }
 }
 
-/// The server types by name, with the requests of a part of the run.
+/// Returns the server types by name, with the requests of a part of the run.
 fn type_shares<'a>(run: &'a DemoRun, part: &[&Record]) -> BTreeMap<&'a str, TypeShare> {
     let mut types: BTreeMap<&str, TypeShare> = BTreeMap::new();
     for (info, name) in run.ledger.boxes.iter().zip(&run.server_types) {
@@ -53,17 +54,17 @@
     types
 }
 
-/// The shares that the formula gives for these capacities, at `rate` requests a second.
+/// Returns the HALB shares for these capacities, at `rate` requests per second.
 fn formula(types: &BTreeMap<&str, TypeShare>, rate: f64, capacity: impl Fn(&TypeShare) -> f64) -> Vec<f64> {
     let groups: Vec<(f64, f64)> =
         types.values().map(|share| (share.backends as f64, capacity(share))).collect();
     halb_shares(&groups, Some(rate))
 }
 
-/// Writes the shares measured before the faults, and those of the formula.
+/// Writes the shares that were measured before the faults, and the computed ones.
 pub fn write_shares(text: &mut String, run: &DemoRun) -> std::fmt::Result {
     let Some(MeasuredPart { from, to }) = run.measured else {
-        return writeln!(text, "\nShares by kind: it was told to stop before they were measured");
+        return writeln!(text, "\nShares by kind: not measured, the demo was stopped before");
     };
     let since = |at: Time| (at - run.begun).secs();
     writeln!(text, "\nShares by kind, from {:.1} s to {:.1} s of the run", since(from), since(to))?;
@@ -71,7 +72,7 @@
         run.ledger.records.iter().filter(|record| record.began >= from && record.began < to).collect();
     let work_ms = part.iter().map(|record| record.work_ms).sum::<f64>() / part.len() as f64;
     if part.is_empty() || work_ms <= 0.0 {
-        return writeln!(text, "  no request came to a backend then");
+        return writeln!(text, "  no request reached a backend in this time");
     }
     let arrived = run.result.sent.iter().filter(|sent| sent.arrived >= from && sent.arrived < to).count();
     let span_s = (to - from).secs();
@@ -98,15 +99,15 @@
 fn write_legend(text: &mut String, rate: f64, work_ms: f64) -> std::fmt::Result {
     writeln!(
         text,
-        "  HALB: the formula (halb_shares) for the {rate:.1} requests a second that arrived then, at"
+        "  HALB: the formula (halb_shares) for the {rate:.1} requests per second in this time, and for the"
     )?;
     writeln!(
         text,
-        "  what one backend of a kind can serve (in brackets). By latencies: as the proxy reckons, one"
+        "  rate that one backend of a kind can serve (in brackets). By latencies: as the proxy computes it,"
     )?;
     writeln!(
         text,
-        "  over the mean latency and what comes to the backend, by the backends' records of that part."
+        "  the inverse of the mean latency plus the backend's request rate, from the backends' records."
     )?;
     writeln!(
         text,
@@ -114,6 +115,6 @@
     )?;
     writeln!(
         text,
-        "  neither. Latencies flatter a backend: the proxy has at most four requests in flight on it."
+        "  neither. Latencies overestimate a backend: the proxy has at most four requests in flight on it."
     )
 }
--- a/crates/shaletide/src/descriptors/tests.rs
+++ b/crates/shaletide/src/descriptors/tests.rs
@@ -1,4 +1,4 @@
-//! The division for configurations of every size.
+//! Tests of the division for configurations of every size.
 
 use super::*;
 use shaletide_config::operator::read;
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -1,14 +1,14 @@
-//! `shaletide explain`: which route and pools a request would get, and why no other.
+//! `shaletide explain`: prints the route and pools that a request would get, and why it gets no other route.
 
 use crate::cli::Explain;
 use shaletide_balancer::{ClassId, TenantId};
 use shaletide_config::operator::{OperatorConfig, PoolConfig, PoolSource};
 use shaletide_routing::{ErrorResponses, Mismatch, RequestAttributes, Route, RouteTable};
 
-/// Explains which route a request would get.
+/// Returns an explanation of the route that a request would get.
 ///
 /// # Errors
-/// What of the question is invalid.
+/// The argument that is invalid.
 pub fn explain(operator: &OperatorConfig, args: &Explain) -> Result<String, String> {
     let class = find_class(operator, args)?;
     let def = &operator.classes[class.0];
@@ -31,23 +31,23 @@
     }
     text += &format!(", zone {:?}\n", request.zone);
     if !def.methods.contains(&method) {
-        text += &format!("  is refused with 405: the class takes {}\n", def.methods.join(", "));
+        text += &format!("  rejected with 405: the class accepts {}\n", def.methods.join(", "));
         return Ok(text);
     }
     explain_routes(&mut text, operator, &request);
     Ok(text)
 }
 
-/// Appends why routes were passed over, and the route taken with its pools.
+/// Appends why routes did not match, and the route that did with its pools.
 fn explain_routes(text: &mut String, operator: &OperatorConfig, request: &RequestAttributes<'_>) {
     let table = RouteTable::new(operator.routes.clone());
-    let (passed, taken) = table.explain(request);
-    for (id, reason) in passed {
+    let (mismatched, matched) = table.explain(request);
+    for (id, reason) in mismatched {
         let Some(route) = table.get(id) else { continue };
         *text += &format!("  not {}: {}\n", route.name, mismatch(operator, route, reason, request));
     }
-    let Some(route) = taken.and_then(|id| table.get(id)) else {
-        *text += "  is refused with 404: no route takes it\n";
+    let Some(route) = matched.and_then(|id| table.get(id)) else {
+        *text += "  rejected with 404: no route matches\n";
         return;
     };
     *text += &format!("  route {}, errors {}\n", route.name, error_responses(route));
@@ -58,7 +58,7 @@
     }
 }
 
-/// The class that is named, or that the path names, or that all others have.
+/// Returns the class given by `--class`, else by the path, else the default class.
 fn find_class(operator: &OperatorConfig, args: &Explain) -> Result<ClassId, String> {
     let of_path = |path: &str| path.split('/').nth(1).unwrap_or_default().to_string();
     let name = args.class.clone().or_else(|| args.path.as_deref().map(of_path));
@@ -78,7 +78,7 @@
     number.map(|number| Some(TenantId(number))).ok_or(format!("--tenant {name}: the file has no such tenant"))
 }
 
-/// The headers by their names in lower case.
+/// Returns the headers, with names in lower case.
 fn read_headers(args: &Explain) -> Result<Vec<(String, &str)>, String> {
     let mut headers = Vec::new();
     for header in &args.headers {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Why a route does not take the request.
+/// Describes why a route does not match the request.
 fn mismatch(
     operator: &OperatorConfig, route: &Route, reason: Mismatch, request: &RequestAttributes<'_>,
 ) -> String {
@@ -106,43 +106,43 @@
         Mismatch::Class => {
             let names =
                 when.classes.iter().filter_map(|c| operator.classes.get(c.0)).map(|c| c.name.as_str());
-            format!("it takes class {}", names.collect::<Vec<_>>().join(", "))
+            format!("it requires class {}", names.collect::<Vec<_>>().join(", "))
         }
         Mismatch::Tenant => {
             let names = when.tenants.iter().filter_map(|t| operator.tenants.get(t.0)).map(String::as_str);
-            let here = if request.tenant.is_none() { " and the request has none" } else { "" };
-            format!("it takes tenant {}{here}", names.collect::<Vec<_>>().join(", "))
+            let request_has_none = if request.tenant.is_none() { ", the request has none" } else { "" };
+            format!("it requires tenant {}{request_has_none}", names.collect::<Vec<_>>().join(", "))
         }
-        Mismatch::Zone => format!("it takes zone {}, not {:?}", when.zones.join(", "), request.zone),
+        Mismatch::Zone => format!("it requires zone {}, not {:?}", when.zones.join(", "), request.zone),
         Mismatch::DeduplicationGroup => match request.deduplication_group {
-            Some(bay) => format!("it takes bay {}, not {bay}", when.deduplication_groups.join(", ")),
+            Some(bay) => format!("it requires bay {}, not {bay}", when.deduplication_groups.join(", ")),
             None => {
-                format!("it takes bay {} and the request names none", when.deduplication_groups.join(", "))
+                format!("it requires bay {}, the request names none", when.deduplication_groups.join(", "))
             }
         },
         Mismatch::Path => {
-            format!("it takes paths under {}", when.path_prefix.as_deref().unwrap_or("/"))
+            format!("it requires a path under {}", when.path_prefix.as_deref().unwrap_or("/"))
         }
-        Mismatch::Method => format!("it takes {}, not {}", when.methods.join(", "), request.method),
+        Mismatch::Method => format!("it requires method {}, not {}", when.methods.join(", "), request.method),
         Mismatch::Header(at) => match when.headers.get(at) {
             Some(h) => match (&h.value, (request.header)(&h.name)) {
-                (Some(value), Some(got)) => format!("it wants header {}: {value}, not {got}", h.name),
-                (Some(value), None) => format!("it wants header {}: {value}", h.name),
-                (None, _) => format!("it wants a header {}", h.name),
+                (Some(value), Some(got)) => format!("it requires header {}: {value}, not {got}", h.name),
+                (Some(value), None) => format!("it requires header {}: {value}", h.name),
+                (None, _) => format!("it requires a header {}", h.name),
             },
-            None => "of a header".into(),
+            None => "it requires another header".into(),
         },
     }
 }
 
 fn described(pool: &PoolConfig) -> String {
     match &pool.source {
-        PoolSource::Static(boxes) => format!("{} boxes in the file", boxes.len()),
-        PoolSource::Discovery { address, .. } => format!("boxes told by {address}"),
+        PoolSource::Static(boxes) => format!("{} static backends", boxes.len()),
+        PoolSource::Discovery { address, .. } => format!("backends from discovery at {address}"),
     }
 }
 
-/// What clients get where the last attempt ended in an error.
+/// Describes what clients receive if the last attempt ended in an error response, in the words of the setting `errors`.
 fn error_responses(route: &Route) -> &'static str {
     match route.response_rules.error_responses {
         ErrorResponses::Forward => "as they are",
--- a/crates/shaletide/src/explore.rs
+++ b/crates/shaletide/src/explore.rs
@@ -1,19 +1,19 @@
-//! `shaletide explore`: the engine in small worlds, every order of events under any policy.
+//! `shaletide explore`: checks the engine in small worlds, with every order of events under any policy.
 
 use crate::cli::Explore;
 use shaletide_model_checker::*;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The exit status where a rule is broken.
+/// The exit status if a rule is broken.
 const RULE_BROKEN_STATUS: u8 = 1;
-/// The exit status where a limit was hit before all was looked at.
+/// The exit status if a limit was reached before the whole state space was explored.
 const INCOMPLETE_STATUS: u8 = 3;
 
-/// Explores one world, or all those that have a name, and prints a row for each.
+/// Explores one world, or all named worlds, and prints a row for each.
 ///
 /// # Errors
-/// There is no world of that name.
+/// No world has the given name.
 pub fn explore(args: &Explore) -> Result<ExitCode, String> {
     if let Some(count) = args.restarts {
         return Ok(explore_restarts(count, Duration::from_secs(args.seconds)));
@@ -45,7 +45,7 @@
     Ok(ExitCode::from(status))
 }
 
-/// One attempt a request: what further ones add is a world of the tests.
+/// Explores restarts with one attempt for each request; the tests cover further attempts.
 fn explore_restarts(count: u8, time: Duration) -> ExitCode {
     let bounds = Restarts { restarts: count, attempts: 1, ..Restarts::default() };
     let result = restarts(&bounds, time);
--- a/crates/shaletide/src/files.rs
+++ b/crates/shaletide/src/files.rs
@@ -1,4 +1,4 @@
-//! Files as operators hand them in: never read without end.
+//! Reads operators' files, up to a bound on their size.
 
 use shaletide_net::retry_shortage;
 use std::fs::Metadata;
@@ -9,30 +9,30 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// A file that is read again has to be the same for so long: a part of one may make sense, too.
+/// A file that is read again must stay unchanged for this long: a file that is written only in part may be valid, too.
 const SETTLE_TIME: Duration = Duration::from_millis(20);
 
-/// A step of the start is tried again for so long at most where the system lacks memory, files or threads for it: the first
-/// reading of any file, and with an operators' file every other step; on the platform those are tried without end.
+/// How long a step of the start is retried when the system lacks memory, descriptors or threads. Applies to the first read of
+/// any file and, with an operators' file, to every other step; on the platform the other steps are retried without limit.
 pub const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
 
-/// One that is read a first time may be a pipe, and the program starts when all of it has come. One that is read again
-/// has to be a regular file: who opens a pipe that nobody writes to waits for ever.
+/// A file that is read for the first time may be a pipe; the program starts when it has been read to its end. A file that is
+/// read again must be a regular file, as opening a pipe without a writer blocks for ever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
     First,
     Again,
 }
 
-/// The file's bytes, but no more than one over `max_bytes`.
+/// Returns the file's bytes, at most `max_bytes` + 1 of them.
 ///
 /// # Errors
-/// What the kernel says.
+/// The error of the system call.
 pub fn read(path: &Path, max_bytes: usize, reading: ReadMode) -> Result<Vec<u8>> {
     let read = || read_unchanged(path, max_bytes, reading, || sleep(SETTLE_TIME));
     match reading {
         ReadMode::First => retry_shortage(Some(SHORTAGE_PATIENCE), sleep, |line| warn!("{line}"), read),
-        ReadMode::Again => read(), // whoever has it read tries again
+        ReadMode::Again => read(), // the caller retries
     }
 }
 
@@ -47,7 +47,7 @@
         wait();
         let state = |of: &Metadata| (of.ino(), of.len(), of.mtime(), of.mtime_nsec());
         if state(&before) != state(&std::fs::metadata(path)?) {
-            return Err(Error::other("it is being written"));
+            return Err(Error::other("the file changed while it was being read"));
         }
     }
     Ok(bytes)
--- a/crates/shaletide/src/files/tests.rs
+++ b/crates/shaletide/src/files/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::io::Write;
 
-/// Half of a file may make sense, and it is taken whole: by the time it is looked at it has to be at rest.
+/// Guards against half a file that is valid being applied as the whole: a file must not change while it is read again.
 #[test]
 fn file_written_during_a_second_reading_is_rejected() {
     let path = std::env::temp_dir().join(format!("shaletide-still-{}", std::process::id()));
@@ -19,11 +19,11 @@
     };
     let read =
         |reading, wait: &dyn Fn()| read_unchanged(&path, 100, reading, wait).map_err(|e| e.to_string());
-    let written = Err("it is being written".to_string());
+    let changed = Err("the file changed while it was being read".to_string());
     assert_eq!(read(ReadMode::Again, &|| ()), Ok(b"half".to_vec()));
-    assert_eq!(read(ReadMode::Again, &more), written);
-    assert_eq!(read(ReadMode::Again, &another), written, "by one in its place, as long as it is");
+    assert_eq!(read(ReadMode::Again, &more), changed);
+    assert_eq!(read(ReadMode::Again, &another), changed, "replaced by another file of the same length");
     assert_eq!(read(ReadMode::Again, &|| ()), Ok(b"half and half".to_vec()));
-    assert_eq!(read(ReadMode::First, &|| panic!("a first reading waits for nobody")).unwrap().len(), 13);
+    assert_eq!(read(ReadMode::First, &|| panic!("a first read does not wait")).unwrap().len(), 13);
     assert!(read(ReadMode::Again, &|| std::fs::remove_file(&path).unwrap()).is_err());
 }
--- a/crates/shaletide/src/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -1,4 +1,4 @@
-//! The listen addresses: each is listened on at once or as soon as it is free, whatever becomes of the others.
+//! The listen addresses: each is listened on at once or as soon as it is free, independently of the others.
 
 use crate::retry::WaitLog;
 use crate::setup::Setup;
@@ -18,35 +18,36 @@
 use tokio::sync::{mpsc, oneshot, Notify};
 use tracing::{debug, info, warn};
 
-/// The least pause between two attempts, in ms; up to as much again is added at random, so that two processes that wait for
-/// one address do not try in step.
+/// The least pause between two attempts, in ms. A random part of up to the same length is added, so that two processes that
+/// wait for one address do not retry in step.
 const MIN_PAUSE_MS: u64 = 30;
 /// An attempt to share a reserved address is made at most this often.
 const SHARING_INTERVAL: Duration = Duration::from_millis(100);
-/// A listener whose queue is full does not answer: the address counts as listened on after this time.
+/// How long the probe for a listener waits. A listener whose queue is full does not answer, so that the address then counts as
+/// listened on.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// A line of the log waits at most this long for who holds the address, who is named in a line of its own after that.
+/// How long a log line waits for the lookup of the address's holder. A holder found later is logged in a separate line.
 const HOLDER_LOOKUP_TIMEOUT: Duration = Duration::from_millis(500);
-/// The kernel's table of sockets, which may be long, is read for at most one part in this many of the time.
+/// The kernel's socket table, which may be long, is read during at most one part in this many of the time.
 const HOLDER_LOOKUP_DUTY_DIVISOR: u32 = 20;
 
-/// The addresses, and the listeners that are there already.
+/// The listen addresses, and the listeners that are ready.
 pub struct Listening {
     ready: Option<mpsc::Receiver<TcpListener>>,
     failure: Option<oneshot::Receiver<ListenError>>,
     pending: Rc<PendingAddresses>,
 }
 
-/// The listeners as they come, or why one never will.
+/// The listeners as they become ready, or the error of one that never will.
 pub struct ListenOutcomes {
-    /// The listeners, each as it is there.
+    /// The listeners, each as soon as it is ready.
     pub listeners: mpsc::Receiver<TcpListener>,
-    /// Why one will not be; closed where all are.
+    /// The error of an address that cannot be listened on; closed once all are listened on.
     pub failure: oneshot::Receiver<ListenError>,
 }
 
 impl Listening {
-    /// Tries each address once, and begins to wait for those that are not to be had for now. Within a `LocalSet`.
+    /// Tries each address once, and starts waiting for those that are not available yet. To be called within a `LocalSet`.
     ///
     /// # Errors
     /// An address that can never be listened on.
@@ -63,7 +64,7 @@
                 Err(error) => return Err(StartError::Listen(error)),
             }
         }
-        let (tell, failure) = oneshot::channel();
+        let (failure_tx, failure) = oneshot::channel();
         if !waits.is_empty() {
             let waits = waits.into_iter().map(|first| {
                 let driver = driver.clone();
@@ -83,7 +84,7 @@
             for wait in waits {
                 tasks.spawn_local(wait);
             }
-            tokio::task::spawn_local(report_first_failure(tasks, tell));
+            tokio::task::spawn_local(report_first_failure(tasks, failure_tx));
         }
         Ok(Listening { ready: Some(listeners), failure: Some(failure), pending })
     }
@@ -94,10 +95,10 @@
         async move { pending.until_none().await }
     }
 
-    /// What comes of the addresses; to be taken once.
+    /// Returns the outcomes of the addresses. To be called once.
     ///
     /// # Panics
-    /// The second time.
+    /// If it is called a second time.
     pub fn outcomes(&mut self) -> ListenOutcomes {
         let taken = self.ready.take().zip(self.failure.take());
         let (listeners, failure) = taken.expect("outcomes are taken once");
@@ -106,20 +107,20 @@
 }
 
 async fn report_first_failure(
-    mut tasks: tokio::task::JoinSet<Result<(), ListenError>>, tell: oneshot::Sender<ListenError>,
+    mut tasks: tokio::task::JoinSet<Result<(), ListenError>>, failure_tx: oneshot::Sender<ListenError>,
 ) {
     while let Some(done) = tasks.join_next().await {
         if let Ok(Err(error)) = done {
-            let _ = tell.send(error); // the program may be ending
+            let _ = failure_tx.send(error); // the program may be ending
             return;
         }
     }
 }
 
-/// The addresses that are not listened on yet.
+/// Counts the addresses that are not listened on yet.
 struct PendingAddresses {
     count: Cell<usize>,
-    /// Signalled when none is left.
+    /// Signalled when the count reaches 0.
     none_left: Notify,
 }
 
@@ -128,7 +129,7 @@
         Rc::new(PendingAddresses { count: Cell::new(count), none_left: Notify::new() })
     }
 
-    /// One more is listened on.
+    /// Records that one more address is listened on.
     fn note_listening(&self) {
         self.count.set(self.count.get().saturating_sub(1));
         if self.count.get() == 0 {
@@ -143,7 +144,7 @@
     }
 }
 
-/// What the log says of each listener.
+/// The contents of the log line about each listener.
 struct Announcement {
     pending: Rc<PendingAddresses>,
     name: String,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// Has the server accept from it. Nobody takes it where the program is ending.
+    /// Passes the listener to the server, and logs it. Does nothing if the program is ending.
     fn hand_over(&self, listener: TcpListener, ready: &mpsc::Sender<TcpListener>) {
         let address = listener.local_addr();
         if ready.try_send(listener).is_ok() {
@@ -174,20 +175,20 @@
     }
 }
 
-/// Looks up who holds an address; `None` where it cannot be seen.
+/// Looks up the holders of an address; `None` if they cannot be determined.
 type LookUpHolder = Box<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Option<Holders>>>>>;
 
-/// The lookups of who holds an address, one at a time.
+/// Runs the lookups of an address's holders, one at a time.
 struct HolderLookup {
     look_up: LookUpHolder,
     is_under_way: Cell<bool>,
-    /// The next one is not begun before.
+    /// The earliest start of the next lookup.
     not_before: Cell<Option<Instant>>,
-    /// Whether the address is listened on by now: a lookup that ends later would find this program.
+    /// Whether the address is listened on: a lookup that ends after that would find this program.
     is_over: Cell<bool>,
 }
 
-/// A line of the log on an address that is in use, without its holder.
+/// A log line about an address that is in use, without its holder.
 struct InUseLine {
     address: SocketAddr,
     cause: String,
@@ -205,13 +206,13 @@
         })
     }
 
-    /// Whether one may begin.
+    /// Returns whether a lookup may start.
     fn is_due(&self, now: Instant) -> bool {
         !self.is_under_way.get() && self.not_before.get().is_none_or(|at| now >= at)
     }
 
-    /// Begins one, and has the line written: with the holder, or without it once [`HOLDER_LOOKUP_TIMEOUT`] is over, and
-    /// once more when the holder is found after that.
+    /// Starts a lookup, and logs the line with the holder. After [`HOLDER_LOOKUP_TIMEOUT`] it is logged without the holder, and
+    /// once more when the holder is found.
     fn begin(self: &Rc<Self>, line: InUseLine) {
         self.is_under_way.set(true);
         let lookup = self.clone();
@@ -229,7 +230,7 @@
         if let Ok(holders) = tokio::time::timeout(HOLDER_LOOKUP_TIMEOUT, &mut held).await {
             return warn!("{cause}: {}; {attempts}", described(holders.as_ref()));
         }
-        warn!("{cause}: who holds it was not found in {HOLDER_LOOKUP_TIMEOUT:?}; {attempts}");
+        warn!("{cause}: its holder was not found in {HOLDER_LOOKUP_TIMEOUT:?}; {attempts}");
         let holders = held.await;
         if self.is_over.get() {
             return;
@@ -240,7 +241,7 @@
 }
 
 fn described(holders: Option<&Holders>) -> String {
-    holders.map_or_else(|| "who holds it cannot be seen".into(), Holders::to_string)
+    holders.map_or_else(|| "its holder cannot be determined".into(), Holders::to_string)
 }
 
 /// An address that is waited for.
@@ -254,10 +255,10 @@
 }
 
 impl Wait {
-    /// Tries until it listens, the program ends, or the patience is over.
+    /// Retries until the address is listened on, the program ends, or the patience is over.
     ///
     /// # Errors
-    /// The last failure where the patience is over, or one that does not pass by itself.
+    /// The last failure once the patience is over, or one that does not pass by itself.
     async fn until_listening(self, first: ListenError) -> Result<(), ListenError> {
         let mut log = WaitLog::begin();
         let mut error = first;
@@ -277,7 +278,7 @@
             if self.ready.is_closed() {
                 return Ok(());
             }
-            // Nothing is awaited between this and the hand-over: a program that is ending accepts what came in.
+            // There is no await between this and the hand-over, so that no listener is dropped with connections in its queue.
             match listen(self.address) {
                 Ok(listener) => return self.listens(listener, &log),
                 Err(failed) if failed.may_pass() => error = failed,
@@ -289,11 +290,11 @@
     fn listens(&self, listener: TcpListener, log: &WaitLog) -> Result<(), ListenError> {
         self.holder_lookup.is_over.set(true);
         self.announcement.hand_over(listener, &self.ready);
-        log.done(format_args!("{} is listened on", self.address));
+        log.done(format_args!("listening on {}", self.address));
         Ok(())
     }
 
-    /// Counts a failure, and has its line written where one is due: with the holder where that may be looked up now.
+    /// Counts a failure, and logs it if a line is due: with the holder if a lookup may start now.
     fn note_failure(&self, error: &ListenError, log: &mut WaitLog) {
         self.driver.system_errors.add(SystemCall::Listen, &error.source);
         debug!(address = %self.address, call = ?error.call, error = %error.source, "not listening yet");
@@ -309,7 +310,7 @@
     }
 }
 
-/// Attempts to listen beside a socket that only reserves the address. They hold nothing up meanwhile.
+/// Attempts to listen beside a socket that only reserves the address, without blocking other attempts.
 struct SharingAttempts {
     address: SocketAddr,
     begun_at: Option<Instant>,
@@ -321,7 +322,7 @@
         SharingAttempts { address, begun_at: None, attempt: None }
     }
 
-    /// Begins one, unless one is under way or the last one has only just begun.
+    /// Starts an attempt, unless one is under way or the last one began less than [`SHARING_INTERVAL`] ago.
     fn begin_if_due(&mut self) {
         let is_due = self.begun_at.is_none_or(|at| at.elapsed() >= SHARING_INTERVAL);
         if self.attempt.is_none() && is_due {
@@ -330,7 +331,8 @@
         }
     }
 
-    /// What comes of the attempt that is under way; for ever where there is none. Dropped midway, it goes on later.
+    /// Returns the outcome of the attempt that is under way; pending if there is none. Cancel-safe: if dropped midway, the
+    /// attempt continues at the next call.
     async fn outcome(&mut self) -> Option<TcpListener> {
         let Some(attempt) = &mut self.attempt else { return std::future::pending().await };
         let listener = attempt.await;
@@ -339,17 +341,16 @@
     }
 }
 
-/// The pause before the next attempt.
+/// Returns the pause before the next attempt.
 fn pause() -> Duration {
     let drawn = std::hash::RandomState::new().build_hasher().finish();
     Duration::from_millis(MIN_PAUSE_MS + drawn % MIN_PAUSE_MS)
 }
 
-/// Listens on an address that others have only reserved: bound with `SO_REUSEPORT`, without listening. A listener of
-/// someone else's is never joined, as it would get a part of the connections: once the address is bound, a connection to it
-/// is refused where nobody listens there. Of several processes of this program one at a time does so: it holds the UDP
-/// port of the same number meanwhile. The kernel's table of sockets would tell as much, but takes seconds to read where
-/// there are tens of thousands of connections.
+/// Listens on an address that others have only reserved, that is, bound with `SO_REUSEPORT` without listening. Never shares an
+/// address with another listener, which would get a part of the connections: after binding, a probe connection must be refused.
+/// Only one process of this program at a time does so; it holds the UDP port of the same number as a lock. The kernel's socket
+/// table would show the same, but takes seconds to read if there are tens of thousands of connections.
 async fn listen_where_reserved(address: SocketAddr) -> Option<TcpListener> {
     let _lock = std::net::UdpSocket::bind(address).ok()?;
     let bound = BoundSocket::bind_reserved(address).ok()?;
@@ -359,14 +360,14 @@
     bound.listen().ok()
 }
 
-/// Whether a connection to that address is refused, as nobody listens there.
+/// Returns whether a connection to the address is refused, which shows that nobody listens there.
 async fn is_refused(address: SocketAddr) -> bool {
     let probe = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
     matches!(probe, Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused)
 }
 
-/// Who holds an address, with the processes that have the sockets open, read on a thread of its own; `None` where it
-/// cannot be seen.
+/// Returns the holders of an address, with the processes that have the sockets open; `None` if they cannot be determined. Reads
+/// on a separate thread.
 async fn holders_of(address: SocketAddr) -> Option<Holders> {
     let (result_tx, mut result_rx) = thread_channel().ok()?;
     let read = move || {
--- a/crates/shaletide/src/listening/tests.rs
+++ b/crates/shaletide/src/listening/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use tracing::subscriber::DefaultGuard;
 
-/// Longer than any wait here takes.
+/// The limit of every wait in these tests.
 const PATIENCE: Duration = Duration::from_secs(10);
 
 fn wait(address: SocketAddr, look_up_holder: LookUpHolder) -> (Wait, mpsc::Receiver<TcpListener>) {
@@ -26,35 +26,36 @@
     (Wait { address, patience: None, driver, announcement, ready, holder_lookup }, listeners)
 }
 
-/// On a machine with many sockets the table takes long to read: the attempts go on meanwhile.
+/// Guards against attempts that wait for the holder lookup, which takes long on a machine with many sockets.
 #[tokio::test]
-async fn listens_once_the_address_is_free_while_the_holder_is_still_looked_up() {
+async fn address_is_listened_on_once_free_while_the_holder_lookup_is_pending() {
     let holder = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = holder.local_addr().unwrap();
     let first = listen(address).expect_err("the address is held");
-    let looks = Rc::new(std::cell::Cell::new(0));
-    let counted = looks.clone();
+    let lookups = Rc::new(std::cell::Cell::new(0));
+    let lookup_count = lookups.clone();
     let never: LookUpHolder = Box::new(move |_| {
-        counted.set(counted.get() + 1);
+        lookup_count.set(lookup_count.get() + 1);
         Box::pin(std::future::pending())
     });
     let (wait, mut listeners) = wait(address, never);
     let local = tokio::task::LocalSet::new();
     let listener = local.run_until(async move {
         tokio::task::spawn_local(wait.until_listening(first));
-        while looks.get() == 0 {
+        while lookups.get() == 0 {
             tokio::task::yield_now().await;
         }
         drop(holder);
         tokio::time::timeout(PATIENCE, listeners.recv()).await
     });
-    let listener = listener.await.expect("it listens while it looks").expect("a listener");
+    let listener = listener.await.expect("it listens while the lookup is pending").expect("a listener");
     assert_eq!(listener.local_addr().unwrap(), address);
 }
 
-/// With tens of thousands of sockets the table takes a second and more to read: a reserved address is shared without it.
+/// Guards against reading the socket table to share a reserved address: with tens of thousands of sockets that takes over a
+/// second.
 #[tokio::test]
-async fn listens_at_a_reserved_address_without_the_table_of_sockets() {
+async fn reserved_address_is_listened_on_without_the_socket_table() {
     let holder = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     holder.set_reuse_port(true).unwrap();
     holder.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -70,7 +71,7 @@
     assert_eq!(listener.local_addr().unwrap(), address);
 }
 
-/// The lines of a log.
+/// The lines that were logged.
 #[derive(Clone, Default)]
 struct CapturedLog(Arc<Mutex<Vec<u8>>>);
 
@@ -86,7 +87,7 @@
 }
 
 impl CapturedLog {
-    /// What this thread logs from now on, until the guard is dropped.
+    /// Captures the log of this thread until the guard is dropped.
     fn begin() -> (CapturedLog, DefaultGuard) {
         let log = CapturedLog::default();
         let writer = log.clone();
@@ -106,13 +107,13 @@
             if let Some(line) = self.lines_with(text).pop() {
                 return line;
             }
-            assert!(begun.elapsed() < PATIENCE, "nothing was said of {text:?}: {:#?}", self.lines_with(""));
+            assert!(begun.elapsed() < PATIENCE, "no line contains {text:?}: {:#?}", self.lines_with(""));
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     }
 }
 
-/// A lookup that ends when the test has it end.
+/// A lookup that ends when the test lets it end.
 #[derive(Default)]
 struct GatedLookup {
     begun: Cell<u32>,
@@ -133,7 +134,7 @@
         Some(Holders::default())
     }
 
-    /// Ends the lookup that is under way, and waits until it has.
+    /// Ends the lookup that is under way, and waits until it has ended.
     async fn end(&self) {
         self.gate.notify_one();
         let begun = Instant::now();
@@ -145,11 +146,11 @@
 }
 
 const HOLDER_FOUND: &str = "held by a socket that is bound";
-const HOLDER_NOT_FOUND: &str = "who holds it was not found in 500ms; 1 attempts in ";
+const HOLDER_NOT_FOUND: &str = "its holder was not found in 500ms; 1 attempts in ";
 
-/// The table takes longer to read than a line may wait: the first line goes without the holder, who is named once found.
+/// If reading the socket table exceeds the time that a line waits, the first line lacks the holder, which is logged once found.
 #[tokio::test]
-async fn holder_found_late_is_named_once_it_is_found() {
+async fn holder_found_after_the_timeout_is_logged_later() {
     let holder = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = holder.local_addr().unwrap();
     let first = listen(address).expect_err("the address is held");
@@ -159,7 +160,7 @@
     let scenario = async {
         tokio::task::spawn_local(wait.until_listening(first));
         log.expect(HOLDER_NOT_FOUND).await;
-        // Lines go on meanwhile, and begin no second lookup.
+        // Further lines follow meanwhile, and start no second lookup.
         log.expect(" attempts in 1.").await;
         assert_eq!((gated.begun.get(), log.lines_with(HOLDER_FOUND).len()), (1, 0));
         gated.gate.notify_one();
@@ -171,9 +172,9 @@
     assert_eq!(gated.begun.get(), 1);
 }
 
-/// A lookup that ends once the address is listened on would name this program.
+/// Guards against naming this program as the holder: a lookup that ends later would find its own socket.
 #[tokio::test]
-async fn holder_found_after_the_address_is_listened_on_is_not_named() {
+async fn holder_found_after_the_address_is_listened_on_is_not_logged() {
     let holder = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = holder.local_addr().unwrap();
     let first = listen(address).expect_err("the address is held");
@@ -191,9 +192,9 @@
     assert_eq!(log.lines_with(HOLDER_FOUND), Vec::<String>::new());
 }
 
-/// However long the table takes to read: it is read by one lookup at a time, and for a twentieth of the time at most.
+/// Guards against lookups that load the machine: one runs at a time, and they take at most a twentieth of the time.
 #[tokio::test]
-async fn no_lookup_begins_while_one_is_under_way_or_within_twenty_times_its_length() {
+async fn lookup_does_not_begin_during_another_or_within_twenty_times_its_length() {
     let day = Duration::from_secs(86_400);
     let gated = Rc::new(GatedLookup::default());
     let lookup = HolderLookup::new(gated.as_lookup());
--- a/crates/shaletide/src/log/queue.rs
+++ b/crates/shaletide/src/log/queue.rs
@@ -1,4 +1,4 @@
-//! Lines that a thread of its own writes: whoever hands one over never waits for the device.
+//! A bounded queue of lines with a writer thread: the threads that log never wait for the device.
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::io::{self, Write};
@@ -6,20 +6,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a guard that is dropped waits for room in a queue that is full.
+/// How long a guard that is dropped waits for room in a full queue.
 const ROOM_LIMIT: Duration = Duration::from_millis(100);
-/// How long it waits until all lines are written.
+/// How long a guard that is dropped waits for all lines to be written.
 const WRITE_LIMIT: Duration = Duration::from_secs(1);
 
-/// What the thread gets.
+/// A message to the writer thread.
 enum Message {
-    /// A line to be written, and how many were dropped before it. One message for both, so that the count takes no line's room.
+    /// A line to write, and how many were dropped before it. One message for both, so that the count takes no line's place.
     Line { lost_before: u64, line: Vec<u8> },
-    /// Nothing more comes.
+    /// The end of the log.
     End,
 }
 
-/// Lines that were dropped for want of room and are not told of yet.
+/// The number of dropped lines that has not been reported yet.
 #[derive(Clone, Debug, Default)]
 struct LostLines(Arc<AtomicU64>);
 
@@ -28,13 +28,13 @@
         self.0.fetch_add(count, Ordering::SeqCst);
     }
 
-    /// Takes their number, to tell of them.
+    /// Returns the number and resets it.
     fn take(&self) -> u64 {
         self.0.swap(0, Ordering::SeqCst)
     }
 
-    /// The same where the queue is empty, so that all lines from before the loss are written. Else a line in the queue may tell
-    /// of it, or the next one does.
+    /// As [`LostLines::take`], but only if the queue is empty, so that all lines from before the loss have been written.
+    /// Otherwise returns 0: a line in the queue, or the next one, carries the number.
     fn take_if_all_written(&self, queue: &Receiver<Message>) -> u64 {
         let count = self.0.load(Ordering::SeqCst);
         let is_taken =
@@ -47,7 +47,7 @@
     }
 }
 
-/// Hands lines to the thread; those for which the queue has no room are dropped and counted.
+/// Sends lines to the writer thread; lines for which the queue has no room are dropped and counted.
 #[derive(Clone)]
 pub struct QueueWriter {
     queue: Sender<Message>,
@@ -55,7 +55,7 @@
 }
 
 impl QueueWriter {
-    /// Where lines were lost, their number goes before the next line, in the place where they are missing.
+    /// Sends a line. If lines were lost, their number precedes the next line, at the place where they are missing.
     fn send(&self, line: &[u8]) {
         let lost_before = self.lost.take();
         if self.queue.try_send(Message::Line { lost_before, line: line.to_vec() }).is_err() {
@@ -75,26 +75,26 @@
     }
 }
 
-/// Ends the thread as it is dropped, once all lines are written or 1.1 s later.
+/// Ends the writer thread as it is dropped: once all lines are written, or 1.1 s later.
 #[must_use = "the last lines are written as the guard is dropped"]
 pub struct QueueGuard {
     queue: Sender<Message>,
-    /// Disconnected as the thread ends.
+    /// Disconnected when the thread ends.
     end: Receiver<()>,
 }
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
         if self.queue.send_timeout(Message::End, ROOM_LIMIT).is_ok() {
-            let _ = self.end.recv_timeout(WRITE_LIMIT); // over by its end or by the limit
+            let _ = self.end.recv_timeout(WRITE_LIMIT); // returns at the thread's end or at the limit
         }
     }
 }
 
-/// Starts a thread that writes lines to what `open` returns. The queue holds `limit` lines.
+/// Starts a thread that writes lines to the output that `open` returns. The queue holds `limit` lines.
 ///
 /// # Errors
-/// The system gives no thread.
+/// The system cannot start a thread.
 pub fn start<W: Write>(
     thread_name: &str, limit: usize, open: impl FnOnce() -> W + Send + 'static,
 ) -> io::Result<(QueueWriter, QueueGuard)> {
@@ -110,8 +110,8 @@
     Ok((writer, QueueGuard { queue, end }))
 }
 
-/// Writes the lines of the queue until its end comes, and flushes whenever none is left. Lines that were dropped are told of
-/// by then, or before the next line. A line that cannot be written is lost, as there is nobody to tell.
+/// Writes the lines of the queue until its end, and flushes whenever the queue is empty. The number of dropped lines is
+/// written by then, or before the next line. A line that cannot be written is lost: there is nowhere to report it.
 fn write_lines(queue: &Receiver<Message>, lost: &LostLines, output: &mut impl Write) {
     while let Ok(first) = queue.recv() {
         for message in std::iter::once(first).chain(queue.try_iter()) {
@@ -136,7 +136,7 @@
     if count == 0 {
         return;
     }
-    let line = format!("shaletide: log: lines dropped here for want of room: {count}\n");
+    let line = format!("shaletide: log: {count} lines dropped here, the queue was full\n");
     let _ = output.write_all(line.as_bytes());
 }
 
--- a/crates/shaletide/src/log/queue/tests.rs
+++ b/crates/shaletide/src/log/queue/tests.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// A wait with a limit has ended by then, on a loaded machine too.
+/// Every wait with a limit ends within this time, even on a loaded machine.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What was written, readable from outside of the thread.
+/// The bytes written so far, readable from other threads.
 #[derive(Clone, Default)]
 struct Written(Arc<Mutex<Vec<u8>>>);
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// A device that takes nothing until the sender is dropped.
-struct Blocked(Receiver<()>);
+/// A device whose writes block until the sender is dropped.
+struct BlockedDevice(Receiver<()>);
 
-impl Write for Blocked {
+impl Write for BlockedDevice {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -43,7 +43,7 @@
     }
 }
 
-/// Guards against the last lines of a program being lost.
+/// Guards against losing the last lines of a program.
 #[test]
 fn all_lines_are_written_in_order_before_the_guard_is_dropped() {
     let written = Written::default();
@@ -57,11 +57,11 @@
     assert_eq!(written.text(), expected);
 }
 
-/// Guards against a program that waits for a device which takes nothing: as it writes, and as it ends.
+/// Guards against a program that waits for a blocked device when it logs or when it ends.
 #[test]
-fn device_that_takes_nothing_holds_up_neither_lines_nor_the_end() {
+fn blocked_device_delays_neither_logging_nor_the_end() {
     let (release, blocked) = bounded(0);
-    let (mut writer, guard) = start("log", 4, move || Blocked(blocked)).unwrap();
+    let (mut writer, guard) = start("log", 4, move || BlockedDevice(blocked)).unwrap();
     let begun = Instant::now();
     for _ in 0..1_000 {
         writer.write_all(b"line\n").unwrap();
@@ -71,7 +71,7 @@
     drop(release);
 }
 
-/// Guards against a start that waits for its log's thread to be scheduled.
+/// Guards against a start that waits until the log's thread is scheduled.
 #[test]
 fn start_does_not_wait_for_the_thread() {
     let (release, blocked) = bounded::<()>(0);
@@ -89,13 +89,13 @@
     drop(release);
 }
 
-/// A device that takes lines one by one, each after a permit.
-struct Slow {
+/// A device that writes one line for each permit.
+struct SlowDevice {
     permits: Receiver<()>,
     written: Written,
 }
 
-impl Write for Slow {
+impl Write for SlowDevice {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.permits.recv();
         self.written.write(bytes)
@@ -106,44 +106,44 @@
     }
 }
 
-/// The numbers of the lines in a text of `line N`, and how many it says are lost, in its order.
+/// An entry of a log text: the number of a `line N`, or a reported count of lost lines.
 #[derive(Debug, PartialEq, Eq)]
-enum Told {
+enum LogEntry {
     Line(u64),
     Lost(u64),
 }
 
-fn told(text: &str) -> Vec<Told> {
+fn entries(text: &str) -> Vec<LogEntry> {
     let number = |line: &str| line.split(' ').find_map(|word| word.parse().ok()).expect("a number");
-    let one = |line: &str| match line.starts_with("line ") {
-        true => Told::Line(number(line)),
-        false => Told::Lost(number(line)),
+    let entry = |line: &str| match line.starts_with("line ") {
+        true => LogEntry::Line(number(line)),
+        false => LogEntry::Lost(number(line)),
     };
-    text.lines().map(one).collect()
+    text.lines().map(entry).collect()
 }
 
-/// How many lines a text has or says are lost; each of them is in its place.
+/// Returns the number of written and lost lines; asserts that each is at its place.
 fn count_in_order(text: &str) -> u64 {
-    let told = told(text);
+    let entries = entries(text);
     let mut next = 0;
-    for part in &told {
-        match part {
-            Told::Line(number) => {
-                assert_eq!(*number, next, "{told:?}");
+    for entry in &entries {
+        match entry {
+            LogEntry::Line(number) => {
+                assert_eq!(*number, next, "{entries:?}");
                 next += 1;
             }
-            Told::Lost(count) => next += count,
+            LogEntry::Lost(count) => next += count,
         }
     }
     next
 }
 
-/// Guards against lines that are dropped without a word, and against a word in a place where none is missing.
+/// Guards against dropped lines that are not reported, and against a report at a place where no line is missing.
 #[test]
-fn lines_dropped_for_want_of_room_are_counted_where_they_are_missing() {
+fn lines_dropped_by_a_full_queue_are_counted_where_they_are_missing() {
     let (permit, permits) = bounded(0);
     let written = Written::default();
-    let output = Slow { permits, written: written.clone() };
+    let output = SlowDevice { permits, written: written.clone() };
     let (mut writer, guard) = start("log", 4, move || output).unwrap();
     let mut write = |numbers: std::ops::Range<u64>| {
         for number in numbers {
@@ -158,22 +158,22 @@
     drop(permit);
     let begun = Instant::now();
     while count_in_order(&written.text()) < 200 {
-        assert!(begun.elapsed() < PATIENCE, "{:?}", told(&written.text()));
+        assert!(begun.elapsed() < PATIENCE, "{:?}", entries(&written.text()));
         std::thread::sleep(Duration::from_millis(2));
     }
     drop(guard);
     assert_eq!(count_in_order(&written.text()), 200);
 }
 
-/// Guards against counts of lost lines that take the room of the lines behind them, so that a reader which frees room for one
-/// line at a time gets nothing else.
+/// Guards against counts of lost lines that take the place of the lines behind them: a reader that frees room for one line at
+/// a time would get nothing but counts.
 #[test]
-fn count_of_lost_lines_takes_no_line_s_room() {
-    /// The thread has taken the next message by then, where it writes no count before it.
+fn count_of_lost_lines_takes_no_place_in_the_queue() {
+    /// The thread has received the next message within this time if it writes no count before it.
     const TAKE_TIME: Duration = Duration::from_millis(5);
     let (permit, permits) = bounded(0);
     let written = Written::default();
-    let output = Slow { permits, written: written.clone() };
+    let output = SlowDevice { permits, written: written.clone() };
     let (mut writer, guard) = start("log", 4, move || output).unwrap();
     let mut number = 0;
     for _ in 0..100 {
@@ -191,7 +191,7 @@
     }
     drop(permit);
     drop(guard);
-    let told = told(&written.text());
-    let lines = told.iter().filter(|part| matches!(part, Told::Line(_))).count();
-    assert!(lines >= 40, "{lines} lines of {} written", told.len()); // each with a count before it
+    let entries = entries(&written.text());
+    let lines = entries.iter().filter(|entry| matches!(entry, LogEntry::Line(_))).count();
+    assert!(lines >= 40, "{lines} lines of {} written", entries.len()); // each with a count before it
 }
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! The program: parses the command line and runs the command.
 #![deny(unsafe_code)]
 
 mod build_check;
@@ -37,14 +37,14 @@
 use std::process::ExitCode;
 use std::sync::{Arc, OnceLock};
 
-/// With this variable in the environment a start on the platform that completes no step for some seconds is reported.
+/// If this environment variable is set, a start by `NODE_CONFIG` that completes no step for some seconds is reported.
 const REPORT_SILENT_START: &str = "NODE_REPORT_SILENT_START";
 
 fn main() -> ExitCode {
     signals::block_all();
     let cli = Cli::try_parse().unwrap_or_else(|error| {
         signals::restore_inherited();
-        error.exit() // the help, the version or what is wrong with the arguments is written, which may block
+        error.exit() // writes the help, the version or the error, which may block
     });
     if !matches!(cli.command, None | Some(Command::Serve { .. })) {
         signals::restore_inherited();
@@ -84,12 +84,12 @@
     }
 }
 
-/// Runs by `NODE_CONFIG`, as the platform does.
+/// Starts the daemon with the configuration that `NODE_CONFIG` names, as the platform runs it.
 fn platform(with: Option<PathBuf>, self_check: bool) -> ExitCode {
     let Some(path) = std::env::var_os("NODE_CONFIG").map(PathBuf::from) else {
-        return reject(cli::WHAT_NEXT);
+        return reject(cli::USAGE_HINT);
     };
-    // Each reading starts from NODE_CONFIG alone: nothing of an earlier extension remains.
+    // Each read starts from NODE_CONFIG alone, so that nothing of an earlier extension remains.
     let bare = Arc::new(OnceLock::new());
     let first_read = bare.clone();
     let node_config = path.clone();
@@ -102,12 +102,12 @@
         let read = node::read(&path)?;
         Ok(node::extended(bare.get_or_init(|| read), with.as_deref())?)
     });
-    // Off unless it is asked for: it takes a further thread, which a start on the platform does without.
+    // Off by default: the report needs an additional thread, which a start on the platform does without.
     let reports_silence = std::env::var_os(REPORT_SILENT_START).is_some();
     Start { shortage_patience: None, read_again, reports_silence, self_check }.run(first)
 }
 
-/// Reads the operators' file.
+/// Reads and validates an operators' file.
 fn read(path: &Path, reading: ReadMode) -> Result<OperatorConfig, String> {
     let bytes = read_file(path, reading)?;
     operator::read_bytes(&path.display().to_string(), &bytes).map_err(|report| report.to_string())
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -1,4 +1,4 @@
-//! `NODE_CONFIG`: the platform's configuration of this proxy, and a file that adds to it.
+//! `NODE_CONFIG`: the platform's configuration of this proxy, and an extension file that adds to it.
 
 use crate::files::{self, ReadMode};
 use crate::setup::Setup;
@@ -14,19 +14,19 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What NODE_CONFIG may have at most, in bytes: the list that is known from before stands in it.
+/// The largest size of NODE_CONFIG, in bytes. It includes the list that was known before a restart.
 const MAX_FILE: usize = 64 << 20;
 
-/// At a planned restart the platform waits for the longest deadline, though no longer than this.
+/// The platform waits for the longest deadline at a planned restart, but at most this long.
 const LONGEST_STOP: Micros = Micros(3_000_000);
 
-/// Why there is no usable configuration.
+/// Why the configuration cannot be used.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum NodeError {
     Unreadable(PathBuf, std::io::Error),
     Malformed(PathBuf, serde_json::Error),
-    /// The seed is no number.
+    /// The seed is not a number.
     Seed,
     Settings(SettingsError),
     Extension(Report),
@@ -57,8 +57,8 @@
 }
 
 impl NodeError {
-    /// Whether the file may be about to be written: it is not there, cannot be read for now, or breaks off. A file that
-    /// is written only in part is never complete JSON, so that one that is complete and invalid is a mistake.
+    /// Returns whether the file may not be completely written yet: it is missing, cannot be read now, or is truncated. A file
+    /// that is written only in part is never complete JSON, so that a complete file that is invalid is an error.
     pub fn may_pass(&self) -> bool {
         match self {
             NodeError::Unreadable(_, error) => {
@@ -71,7 +71,7 @@
     }
 }
 
-/// EIO or ESTALE: the disk or the file system does not answer as it should, for now.
+/// Returns whether the disk or file system fails, perhaps temporarily: EIO or ESTALE.
 fn is_failing_disk(error: &std::io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EIO | libc::ESTALE))
 }
@@ -89,10 +89,11 @@
     settings: serde_json::Value,
 }
 
-/// File descriptors that the process may hold, where the file does not say: what the platform grants.
+/// The number of file descriptors if the file does not set it: what the platform grants.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// A smaller number counts as this: a process with its reserve, one client and one connection to a backend.
+/// The least number of file descriptors: the reserve, one client and one connection to a backend. A smaller number is raised
+/// to this.
 const MIN_DESCRIPTORS: usize = 64;
 
 /// The part of the file that may change while the program runs.
@@ -106,26 +107,26 @@
     serde_json::from_slice(&bytes).map_err(|e| NodeError::Malformed(path.into(), e))
 }
 
-/// File descriptors that the process may hold. JSON does not tell 1024 from 1024.0; a negative number or a text counts as
-/// absent.
+/// Returns the number of file descriptors that the process may hold. JSON does not distinguish 1024 from 1024.0; a negative
+/// number or a text counts as absent.
 fn descriptors(limits: &serde_json::Value) -> usize {
     let number = limits.get("sockets").and_then(serde_json::Value::as_f64);
     number.filter(|n| (0.0..=f64::from(u32::MAX)).contains(n)).map_or(DEFAULT_DESCRIPTORS, |n| n as usize)
 }
 
-/// The cached list only bridges the time until discovery answers: one that cannot be read is ignored, as a proxy that does
-/// not start is worse than one that knows no backend for that long.
+/// Reads the cached list, which only bridges the time until discovery answers. A list that cannot be read is ignored: a proxy
+/// that does not start is worse than one that knows no backend for that long.
 fn cached_list(value: serde_json::Value) -> List {
     if value.is_null() {
         return List::default();
     }
     serde_json::from_value(value).unwrap_or_else(|e| {
-        tracing::warn!("the list known from before is passed over: {e}");
+        tracing::warn!("the cached list (`known`) cannot be read and is ignored: {e}");
         List::default()
     })
 }
 
-/// Reads `NODE_CONFIG`, without a file that adds to it.
+/// Reads `NODE_CONFIG` without an extension file.
 pub fn read(path: &Path) -> Result<Setup, NodeError> {
     let file: File = file(path, ReadMode::First)?;
     let hex = file.seed.as_str().and_then(|s| u64::from_str_radix(s, 16).ok());
@@ -151,7 +152,7 @@
     })
 }
 
-/// The setup of `NODE_CONFIG` as it was read at the start, with what the file adds now.
+/// Returns the setup read from `NODE_CONFIG` at the start, extended by the file `with` as it is now.
 pub fn extended(bare: &Setup, with: Option<&Path>) -> Result<Setup, NodeError> {
     let mut setup = bare.clone();
     if let Some(with) = with {
@@ -160,7 +161,7 @@
     Ok(setup)
 }
 
-/// Reads what SIGHUP applies: where discovery is, and the file that adds. Nothing else in `NODE_CONFIG` is read.
+/// Reads what a reload can change: the discovery address in `NODE_CONFIG`, and nothing else there, and the extension file.
 pub fn read_again(bare: &Setup, path: &Path, with: Option<&Path>) -> Result<Setup, NodeError> {
     let changed: Changeable = file(path, ReadMode::Again)?;
     let mut next = bare.clone();
--- a/crates/shaletide/src/record/args.rs
+++ b/crates/shaletide/src/record/args.rs
@@ -1,18 +1,18 @@
-//! The arguments.
+//! The arguments of `shaletide record`.
 
 use clap::{ArgAction, Args, Subcommand, ValueEnum};
 use std::ffi::OsString;
 use std::path::PathBuf;
 
-/// The store of record: what the proxy knew and did.
+/// Read, verify, copy and maintain the store of record: what the proxy knew and did.
 ///
-/// Reading works beside a running proxy. What changes the store goes through the control socket of the proxy that holds
-/// it, or straight to the file when no proxy does. Status 0: done, or whole. 1: the answer is no. 2: it makes no sense,
-/// or cannot be read.
+/// Commands that read work beside a running proxy. Commands that change the store go through the control socket of the
+/// proxy that holds it, or directly to the file when no proxy does. Status 0: done, or the store is intact. 1: the answer
+/// is negative. 2: the command or the store is invalid, or cannot be read.
 #[derive(Args, Debug)]
 pub struct Record {
     /// The time zone in which times are shown and read: a name such as Europe/Berlin, UTC, or an offset such as
-    /// +02:00; else the system's.
+    /// +02:00; by default the system's.
     #[arg(long, global = true, value_name = "ZONE")]
     pub tz: Option<String>,
     #[command(subcommand)]
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// The whole story of one key. Status 1 where nothing is on record.
+    /// Print the history of one key. Status 1 if nothing is on record.
     Show {
         #[command(flatten)]
         place: StoreArgs,
@@ -31,51 +31,51 @@
         #[command(flatten)]
         which: KeyArgs,
     },
-    /// Facts, the oldest first; or, with --in-doubt, the keys that are not settled.
+    /// List facts, the oldest first, or, with --in-doubt, the keys that are not settled.
     List(List),
-    /// All facts, or those asked for, one a line.
+    /// Print all or selected facts, one per line.
     Export {
         #[command(flatten)]
         place: StoreArgs,
-        /// The form.
+        /// The output format.
         #[arg(long, value_enum)]
         format: Format,
         #[command(flatten)]
         filter: FactFilter,
-        /// At most so many; else all.
+        /// The maximum number of rows; by default all.
         #[arg(long, value_name = "N")]
         limit: Option<u64>,
-        /// Only those behind this row.
+        /// Only rows after this one.
         #[arg(long, value_name = "ROW", default_value_t = 0)]
         after: u64,
     },
-    /// Whether every row is as it was written. Status 0: whole; 1: not, and where.
+    /// Check that every row is as it was written. Status 0: intact; 1: not, and the output says where.
     Verify {
         #[command(flatten)]
         place: StoreArgs,
-        /// A head that was noted earlier, as ROW:SUM, so that a cut end shows.
+        /// A head noted earlier, as ROW:SUM, to detect that the last rows are missing.
         #[arg(long, value_name = "ROW:SUM")]
         head: Option<String>,
     },
-    /// Copies the store as it is at one moment into a new file.
+    /// Copy a consistent snapshot of the store into a new file.
     Backup {
         #[command(flatten)]
         place: StoreArgs,
-        /// The file to make.
+        /// The file to create.
         #[arg(long, value_name = "FILE")]
         to: PathBuf,
     },
-    /// Ends a doubt: whether the attempt that may have run did.
+    /// Resolve a key in doubt: whether its attempt ran.
     Resolve {
         /// The key.
         key: OsString,
-        /// It ran: the key counts as served. It did not: the key is free.
+        /// Whether the attempt ran. If yes, the key counts as served; if no, the key is free.
         #[arg(long, value_enum)]
         ran: YesNo,
-        /// Who says so.
+        /// The person who resolves the key.
         #[arg(long, value_name = "NAME")]
         by: String,
-        /// How they know.
+        /// How the person knows.
         #[arg(long, value_name = "TEXT")]
         note: String,
         #[command(flatten)]
@@ -85,12 +85,12 @@
         #[command(flatten)]
         which: KeyArgs,
     },
-    /// Takes out the oldest rows, up to the first that is not older or whose key is not settled.
+    /// Remove the oldest rows, up to the first that is not older or whose key is not settled.
     Prune {
-        /// Those before this: a time, or a span such as 90d.
+        /// Remove rows from before this: a time, or an age such as 90d.
         #[arg(long, value_name = "TIME")]
         before: String,
-        /// Who has it done.
+        /// The person who has the rows removed.
         #[arg(long, value_name = "NAME")]
         by: String,
         #[command(flatten)]
@@ -98,18 +98,18 @@
         #[command(flatten)]
         control: ControlArgs,
     },
-    /// Puts on record that an earlier row is wrong; that row stays.
+    /// Record that an earlier row is wrong; that row stays.
     Correct {
-        /// The number of that row.
+        /// The number of the wrong row.
         #[arg(value_name = "ROW")]
         of: u64,
-        /// What is right.
+        /// The correction.
         #[arg(long, value_name = "TEXT")]
         text: String,
-        /// Who says so.
+        /// The person who corrects the row.
         #[arg(long, value_name = "NAME")]
         by: String,
-        /// How they know.
+        /// How the person knows.
         #[arg(long, value_name = "TEXT")]
         note: Option<String>,
         #[command(flatten)]
@@ -119,7 +119,7 @@
     },
 }
 
-/// Which store.
+/// The arguments that name the store.
 #[derive(Args, Debug)]
 pub struct StoreArgs {
     /// The store's file.
@@ -130,7 +130,7 @@
     pub config: Option<PathBuf>,
 }
 
-/// Which proxy.
+/// The argument that names the running proxy.
 #[derive(Args, Debug)]
 pub struct ControlArgs {
     /// The control socket of the running proxy.
@@ -138,16 +138,16 @@
     pub control: Option<PathBuf>,
 }
 
-/// Which key, where one stands for several.
+/// The arguments that select one of several equal keys.
 #[derive(Args, Debug)]
 pub struct KeyArgs {
-    /// The key's tenant; empty for none.
+    /// The key's tenant; empty if the key has none.
     #[arg(long)]
     pub tenant: Option<String>,
     /// The key's class.
     #[arg(long)]
     pub class: Option<String>,
-    /// The key is given in hexadecimal digits, as `list` shows odd ones.
+    /// The key is given in hexadecimal digits, as `list` prints keys with special characters.
     #[arg(long, action = ArgAction::SetTrue)]
     pub hex: bool,
 }
@@ -156,32 +156,32 @@
 pub struct List {
     #[command(flatten)]
     pub place: StoreArgs,
-    /// Keys in doubt or in flight, instead of facts.
+    /// List keys in doubt or in flight instead of facts.
     #[arg(long, conflicts_with_all = ["since", "until", "after"])]
     pub in_doubt: bool,
     #[command(flatten)]
     pub filter: FactFilter,
-    /// At most so many.
+    /// The maximum number of lines.
     #[arg(long, value_name = "N", default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=1_000_000))]
     pub limit: u64,
-    /// Only those behind this row.
+    /// Only rows after this one.
     #[arg(long, value_name = "ROW", default_value_t = 0)]
     pub after: u64,
 }
 
-/// Which facts.
+/// The arguments that select facts.
 #[derive(Args, Debug)]
 pub struct FactFilter {
-    /// Of this time or later: a time, or a span back from now such as 2h.
+    /// Facts of this time or later: a time, or an age such as 2h.
     #[arg(long, value_name = "TIME")]
     pub since: Option<String>,
-    /// Earlier than this.
+    /// Facts from before this time.
     #[arg(long, value_name = "TIME")]
     pub until: Option<String>,
-    /// About keys of this tenant.
+    /// Facts about keys of this tenant.
     #[arg(long)]
     pub tenant: Option<String>,
-    /// About this backend.
+    /// Facts about this backend.
     #[arg(long = "box", value_name = "BOX")]
     pub backend: Option<String>,
 }
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -1,4 +1,4 @@
-//! Commands that change the store: through the proxy that holds it, or directly where none does.
+//! Commands that change the store: through the proxy that holds it, or directly if none does.
 
 use super::args::KeyArgs;
 use super::error::CommandError;
@@ -49,7 +49,7 @@
     apply(target, &command, out, |store| store.correct(of, by, text))
 }
 
-/// The one key that is meant; of those that the store knows where tenant or class were left out.
+/// Returns the key that the arguments select. If tenant or class is missing, looks for it among the store's keys.
 fn find_key(target: &Target, resolution: &KeyResolution<'_>) -> Result<KeyId, CommandError> {
     let KeyResolution { key, which, .. } = resolution;
     if let (Some(tenant), Some(class)) = (&which.tenant, &which.class) {
@@ -76,18 +76,21 @@
     match held.as_slice() {
         [one] => Ok(one.clone()),
         [] => Err(CommandError::negative(format!(
-            "the key {} is not in doubt: it is free, or was never there",
+            "the key {} is not in doubt: it is free, or is not known",
             text::key(key)
         ))),
         several => {
             let all: Vec<String> = several.iter().map(text::arguments).collect();
-            Err(CommandError::invalid(format!("which of these?\n  {}", all.join("\n  "))))
+            Err(CommandError::invalid(format!(
+                "several keys match, give --tenant and --class:\n  {}",
+                all.join("\n  ")
+            )))
         }
     }
 }
 
-/// The keys of all rows of that query: a client that comes again and again fills pages with one. They need not be held,
-/// and one that is held may have been pruned but for its last rows.
+/// Returns the keys of all rows that match the query. Reads all pages, as a client that repeats a request often fills pages
+/// with one key. The store need not hold these keys, and all but the last rows of a held key may have been pruned.
 fn recorded_keys(store: &SqliteReader, query: &mut Query) -> Result<BTreeSet<KeyId>, CommandError> {
     let mut keys = BTreeSet::new();
     loop {
@@ -99,7 +102,7 @@
     }
 }
 
-/// Sends the command to the proxy, or changes the store directly where none is there.
+/// Sends the command to the proxy, or changes the store directly if no proxy runs.
 fn apply(
     target: &Target, command: &Command, out: &mut dyn Write,
     offline: impl FnOnce(&mut OfflineStore) -> Result<Reply, CommandError>,
@@ -111,7 +114,7 @@
             (Err(ControlError::Absent { .. }), Some(store)) => offline(&mut OfflineStore::open(store)?)?,
             (Err(error @ ControlError::Absent { .. }), None) => {
                 return Err(CommandError::invalid(format!(
-                    "{error}; with --store FILE this works while no proxy runs"
+                    "{error}; give --store FILE to change the store while no proxy runs"
                 )));
             }
             (Err(error), _) => return Err(CommandError::invalid(causes(&error))),
@@ -120,11 +123,11 @@
         (None, None) => return Err(CommandError::invalid("give --store, --control or --config")),
     };
     match reply {
-        Reply::Done(said) => Ok(writeln!(out, "{}", text::one_line(&said))?),
+        Reply::Done(message) => Ok(writeln!(out, "{}", text::one_line(&message))?),
         Reply::Refused(why) => Err(CommandError::negative(text::one_line(&why))),
         Reply::Senseless(why) => Err(CommandError::invalid(text::one_line(&why))),
-        other => {
-            Err(CommandError::invalid(format!("the proxy says what this version does not know: {other:?}")))
-        }
+        other => Err(CommandError::invalid(format!(
+            "the proxy sent a reply that this version does not know: {other:?}"
+        ))),
     }
 }
--- a/crates/shaletide/src/record/error.rs
+++ b/crates/shaletide/src/record/error.rs
@@ -3,12 +3,12 @@
 use super::text;
 use shaletide_store::StoreError;
 
-/// Why a command did not do as asked.
+/// The failure of a command.
 #[derive(Debug)]
 pub struct CommandError {
     /// The exit status.
     pub status: u8,
-    /// For standard error.
+    /// The message for standard error.
     pub why: String,
 }
 
@@ -18,7 +18,7 @@
         CommandError { status: 2, why: why.into() }
     }
 
-    /// The answer is no.
+    /// The answer is negative, or the command was rejected.
     pub fn negative(why: impl Into<String>) -> CommandError {
         CommandError { status: 1, why: why.into() }
     }
@@ -26,7 +26,7 @@
 
 impl From<StoreError> for CommandError {
     fn from(error: StoreError) -> CommandError {
-        CommandError::invalid(text::trouble(&error))
+        CommandError::invalid(text::store_error(&error))
     }
 }
 
--- a/crates/shaletide/src/record/export.rs
+++ b/crates/shaletide/src/record/export.rs
@@ -1,4 +1,4 @@
-//! Rows for other programs: all that is kept of each, with what its sum is over.
+//! `shaletide record export`: complete rows for other programs, with the bytes that their sums cover.
 
 use super::args::Format;
 use super::error::CommandError;
@@ -12,14 +12,14 @@
 const COLUMNS: &str = "seq,at_us,time,run,kind,request,tenant,class,key,key_hex,box,body,sum";
 
 pub fn export(
-    store: &dyn StoreReader, mut query: Query, format: Format, mut left: u64, zone: &Zone,
+    store: &dyn StoreReader, mut query: Query, format: Format, mut remaining: u64, zone: &Zone,
     out: &mut dyn Write,
 ) -> Result<(), CommandError> {
     if let Format::Csv = format {
         write!(out, "{COLUMNS}\r\n")?;
     }
-    while left > 0 {
-        let page = list::rows(store, &mut query, left)?;
+    while remaining > 0 {
+        let page = list::rows(store, &mut query, remaining)?;
         if page.is_empty() {
             break;
         }
@@ -29,7 +29,7 @@
                 Format::Csv => write!(out, "{}\r\n", csv_line(row, zone))?,
             }
         }
-        left -= page.len() as u64;
+        remaining -= page.len() as u64;
     }
     Ok(())
 }
@@ -50,7 +50,7 @@
         "box": row.backend,
         "sum": chain::hex(&row.sum),
     });
-    // As text as well: the sum is over these very bytes.
+    // As text too, as the sum covers exactly these bytes.
     let body = serde_json::from_str::<serde_json::Value>(&row.body).unwrap_or_default();
     line["body"] = body;
     line["body_text"] = row.body.clone().into();
@@ -68,7 +68,7 @@
         row.request.map(|request| request.to_string()).unwrap_or_default(),
         id.map(|id| id.tenant.clone()).unwrap_or_default(),
         id.map(|id| id.class.clone()).unwrap_or_default(),
-        // What a spreadsheet might take for a formula, or not show, stands in hexadecimal digits alone.
+        // A key that a spreadsheet might take for a formula, or not show, is given only in hexadecimal digits.
         id.and_then(|id| text::plain(&id.key)).unwrap_or_default().to_string(),
         id.map(|id| chain::hex(&id.key)).unwrap_or_default(),
         row.backend.clone().unwrap_or_default(),
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -1,4 +1,4 @@
-//! The history of one key.
+//! `shaletide record show`: the history of one key.
 
 use super::args::KeyArgs;
 use super::error::CommandError;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 
-/// Rows of a history that are shown, and corrections that are searched.
+/// The most rows of a history that are printed, and the most corrections that are searched.
 const MAX_ROWS: usize = 100_000;
 
 pub fn show(
@@ -24,12 +24,12 @@
         ..Query::default()
     };
     let rows = all(store, query)?;
-    let whose: BTreeSet<&KeyId> = rows.iter().filter_map(|row| row.key.as_ref()).collect();
-    if whose.is_empty() {
+    let keys: BTreeSet<&KeyId> = rows.iter().filter_map(|row| row.key.as_ref()).collect();
+    if keys.is_empty() {
         return report_no_rows(store, key, which, zone, out);
     }
     let corrections = corrections(store, &rows)?;
-    for (number, id) in whose.into_iter().enumerate() {
+    for (number, id) in keys.into_iter().enumerate() {
         if number > 0 {
             writeln!(out)?;
         }
@@ -39,14 +39,14 @@
     Ok(())
 }
 
-/// No row is about it: it may be one whose rows were taken out.
+/// Reports a key without rows: its rows may have been pruned while the store still holds its state.
 fn report_no_rows(
     store: &dyn StoreReader, key: &[u8], which: &KeyArgs, zone: &Zone, out: &mut dyn Write,
 ) -> Result<(), CommandError> {
-    let none = format!("nothing is on record of the key {}", text::key(key));
+    let none = format!("nothing is on record about the key {}", text::key(key));
     let (Some(tenant), Some(class)) = (&which.tenant, &which.class) else {
         let pruned = store.anchor()?.is_some();
-        let help = "; rows were taken out: --tenant and --class tell how it stands";
+        let help = "; rows were pruned: give --tenant and --class to see the state of the key";
         return Err(CommandError::negative(none + if pruned { help } else { "" }));
     };
     let id = KeyId { tenant: tenant.clone(), class: class.clone(), key: key.to_vec() };
@@ -70,7 +70,7 @@
     }
 }
 
-/// The corrections of these rows, by the row that they correct: they came later, and bear no key where a running
+/// Returns the corrections of these rows, by the row that they correct. They follow these rows, and have no key if a running
 /// proxy wrote them.
 fn corrections(store: &dyn StoreReader, rows: &[Row]) -> Result<BTreeMap<u64, Vec<Row>>, StoreError> {
     let seqs: BTreeSet<u64> = rows.iter().map(|row| row.seq).collect();
@@ -98,7 +98,7 @@
 struct KeyHistory<'a> {
     store: &'a dyn StoreReader,
     id: &'a KeyId,
-    /// How the key stands now.
+    /// The key's state in the store; `None` if it is free.
     held: Option<StoredKey>,
     corrections: &'a BTreeMap<u64, Vec<Row>>,
     zone: &'a Zone,
@@ -106,7 +106,7 @@
 
 impl KeyHistory<'_> {
     fn write(&self, rows: &[&Row], out: &mut dyn Write) -> Result<(), CommandError> {
-        writeln!(out, "{}, key {}", text::whose(self.id), text::key(&self.id.key))?;
+        writeln!(out, "{}, key {}", text::key_owner(self.id), text::key(&self.id.key))?;
         writeln!(out, "times in {}", self.zone.name)?;
         let proves = |row: &&&Row| matches!(row.kind.as_str(), "withdrawn" | "doubted" | "resolved");
         let durable = self.held.is_some() || rows.iter().find(proves).is_some();
@@ -139,7 +139,7 @@
             self.write_corrections(row, out)?;
         }
         if rows.is_empty() {
-            writeln!(out, "\nits rows were taken out")?;
+            writeln!(out, "\nits rows were pruned")?;
         }
         self.write_state(out)
     }
@@ -153,12 +153,12 @@
         Ok(())
     }
 
-    fn write_line(&self, row: &Row, said: &str, out: &mut dyn Write) -> Result<(), CommandError> {
-        Ok(writeln!(out, "    {}  {said}  [row {}]", self.zone.clock(row.at), row.seq)?)
+    fn write_line(&self, row: &Row, text: &str, out: &mut dyn Write) -> Result<(), CommandError> {
+        Ok(writeln!(out, "    {}  {text}  [row {}]", self.zone.clock(row.at), row.seq)?)
     }
 
-    /// The start of a row's run, as far as it is on record yet. Runs follow one another, so that the first row of one
-    /// is found in a few steps.
+    /// Describes the start of a row's run, if it is still on record. Runs do not overlap, so that a binary search finds a run's
+    /// first row.
     fn run(&self, row: &Row) -> Result<String, CommandError> {
         let from = self.store.anchor()?.map_or(0, |anchor| anchor.through.seq);
         let mut low = from + 1;
@@ -174,7 +174,7 @@
         let first = self.at(low)?.filter(|first| first.kind == "start");
         Ok(match first {
             Some(first) => format!("{} ({})", text::fact(&first, |_| None, false), self.zone.full(first.at)),
-            None => format!("run {}; its beginning is not on record", row.run),
+            None => format!("run {}; its start is not on record", row.run),
         })
     }
 
@@ -183,27 +183,27 @@
         Ok(page.into_iter().next())
     }
 
-    /// How the key stands now.
+    /// Writes the current state of the key.
     fn write_state(&self, out: &mut dyn Write) -> Result<(), CommandError> {
         let since = |at: Time| self.zone.full(at);
-        let said = match &self.held {
-            None => "now: free; a request of this key is sent".into(),
+        let state = match &self.held {
+            None => "now: free; a request with this key will be sent".into(),
             Some(held) if held.state == KeyState::Served => {
-                format!("now: served (row {}); a request of this key is turned away", held.seq)
+                format!("now: served (row {}); a request with this key will be rejected", held.seq)
             }
             Some(held) if held.state == KeyState::InDoubt => format!(
-                "now: in doubt since {} (row {}), until it is resolved; a request of this key is turned away\n     \
+                "now: in doubt since {} (row {}), until it is resolved; a request with this key will be rejected\n     \
                  shaletide record resolve {} --ran yes|no --by NAME --note TEXT",
                 since(held.since),
                 held.seq,
                 text::arguments(self.id)
             ),
             Some(held) => format!(
-                "now: in flight since {} (row {}); in doubt, if the proxy that sent it is gone",
+                "now: in flight since {} (row {}); in doubt if the proxy that sent it has ended",
                 since(held.since),
                 held.seq
             ),
         };
-        Ok(writeln!(out, "\n{said}")?)
+        Ok(writeln!(out, "\n{state}")?)
     }
 }
--- a/crates/shaletide/src/record/list.rs
+++ b/crates/shaletide/src/record/list.rs
@@ -1,4 +1,4 @@
-//! Facts one a line, and the keys that are not settled.
+//! `shaletide record list`: facts, one per line, or the keys that are not settled.
 
 use super::args::{FactFilter, List};
 use super::error::CommandError;
@@ -8,10 +8,10 @@
 use shaletide_store::{Query, StoreError, StoreReader};
 use std::io::Write;
 
-/// Rows read at a time.
+/// The number of rows read at a time.
 pub const PAGE: usize = 1_000;
 
-/// The query that a filter asks for.
+/// Converts a filter to a query.
 pub fn query(filter: &FactFilter, zone: &Zone) -> Result<Query, CommandError> {
     let time =
         |what: &str, text: &Option<String>| text.as_ref().map(|text| zone.read(what, text)).transpose();
@@ -28,23 +28,29 @@
     store: &dyn StoreReader, args: &List, zone: &Zone, out: &mut dyn Write,
 ) -> Result<(), CommandError> {
     if args.in_doubt {
-        return unsettled(store, args, zone, out);
+        return list_unsettled(store, args, zone, out);
     }
     let mut query = Query { after_seq: args.after, ..query(&args.filter, zone)? };
-    let mut left = args.limit;
+    let mut remaining = args.limit;
     writeln!(out, "times in {}", zone.name)?;
-    while left > 0 {
-        let page = rows(store, &mut query, left)?;
+    while remaining > 0 {
+        let page = rows(store, &mut query, remaining)?;
         if page.is_empty() {
             return Ok(());
         }
         for row in &page {
             let about = row.key.as_ref().filter(|_| row.kind != "asked");
-            let about = about.map(|id| format!("{}, key {}: ", text::whose(id), text::key(&id.key)));
-            let said = text::fact(row, |_| None, false);
-            writeln!(out, "{}  {}{said}  [row {}]", zone.full(row.at), about.unwrap_or_default(), row.seq)?;
+            let about = about.map(|id| format!("{}, key {}: ", text::key_owner(id), text::key(&id.key)));
+            let description = text::fact(row, |_| None, false);
+            writeln!(
+                out,
+                "{}  {}{description}  [row {}]",
+                zone.full(row.at),
+                about.unwrap_or_default(),
+                row.seq
+            )?;
         }
-        left -= page.len() as u64;
+        remaining -= page.len() as u64;
     }
     if !rows(store, &mut query.clone(), 1)?.is_empty() {
         writeln!(out, "there are more: --after {}", query.after_seq)?;
@@ -52,9 +58,9 @@
     Ok(())
 }
 
-/// The next page; the query goes on behind it.
-pub fn rows(store: &dyn StoreReader, query: &mut Query, left: u64) -> Result<Vec<Row>, StoreError> {
-    query.limit = usize::try_from(left).unwrap_or(usize::MAX).min(PAGE);
+/// Returns the next page, and advances the query past it.
+pub fn rows(store: &dyn StoreReader, query: &mut Query, remaining: u64) -> Result<Vec<Row>, StoreError> {
+    query.limit = usize::try_from(remaining).unwrap_or(usize::MAX).min(PAGE);
     let page = store.rows(query)?;
     if let Some(last) = page.last() {
         query.after_seq = last.seq;
@@ -62,11 +68,11 @@
     Ok(page)
 }
 
-fn unsettled(
+fn list_unsettled(
     store: &dyn StoreReader, args: &List, zone: &Zone, out: &mut dyn Write,
 ) -> Result<(), CommandError> {
     let mut after: Option<StoredKey> = None;
-    let mut left = args.limit;
+    let mut remaining = args.limit;
     writeln!(out, "times in {}", zone.name)?;
     loop {
         let page = store.keys(after.as_ref().map(|held| &held.key), PAGE * 10)?;
@@ -78,13 +84,13 @@
             if args.filter.backend.is_some() && args.filter.backend != at {
                 continue;
             }
-            if left == 0 {
+            if remaining == 0 {
                 return Ok(writeln!(out, "there are more: --limit {}", args.limit.saturating_mul(10))?);
             }
-            left -= 1;
+            remaining -= 1;
             let state = text::state(held.state);
             let since = zone.full(held.since);
-            let at = at.map_or("no box".into(), |at| text::one_line(&at));
+            let at = at.map_or("no backend".into(), |at| text::one_line(&at));
             let key = text::arguments(&held.key);
             writeln!(out, "{state} since {since}, last at {at}  [row {}]  {key}", held.seq)?;
         }
@@ -95,7 +101,7 @@
     }
 }
 
-/// The backend to which its last attempt went.
+/// Returns the backend of the key's last attempt.
 fn last_backend(store: &dyn StoreReader, held: &StoredKey) -> Result<Option<String>, StoreError> {
     let id = &held.key;
     let mut query = Query {
--- a/crates/shaletide/src/record/mod.rs
+++ b/crates/shaletide/src/record/mod.rs
@@ -1,4 +1,4 @@
-//! `shaletide record`: the store of record read, checked, copied, and changed by those who may.
+//! `shaletide record`: reads, verifies, copies and changes the store of record.
 
 pub mod args;
 mod change;
@@ -22,16 +22,16 @@
 use target::{ReadConfig, Target};
 use time_zone::Zone;
 
-/// Does as asked; `read` reads an operators' file.
+/// Runs the command; `read` reads an operators' file.
 pub fn run(args: &args::Record, read: ReadConfig) -> ExitCode {
     let mut out = std::io::BufWriter::new(std::io::stdout().lock());
-    let done = dispatch(args, read, &mut out).and_then(|()| Ok(out.flush()?));
-    match done {
+    let result = dispatch(args, read, &mut out).and_then(|()| Ok(out.flush()?));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            // What was found before that, unless nobody listens any more.
+            // Prints the results from before the failure, unless the reader has gone.
             let _ = out.flush();
-            crate::log::say_failure(&failure.why);
+            crate::log::report_failure(&failure.why);
             ExitCode::from(failure.status)
         }
     }
@@ -56,9 +56,9 @@
         }
         Command::Resolve { key, ran, by, note, place, control, which } => {
             let target = Target::of(place, control.control.as_ref(), read)?;
-            let doubt =
+            let resolution =
                 change::KeyResolution { key: key_of(key, which)?, which, ran: *ran == args::YesNo::Yes };
-            change::resolve(&target, &doubt, by, note, out)
+            change::resolve(&target, &resolution, by, note, out)
         }
         Command::Prune { before, by, place, control } => {
             let target = Target::of(place, control.control.as_ref(), read)?;
@@ -75,7 +75,7 @@
     }
 }
 
-/// The key's bytes.
+/// Returns the key's bytes.
 fn key_of(key: &OsStr, which: &KeyArgs) -> Result<Vec<u8>, CommandError> {
     if !which.hex {
         return Ok(key.as_bytes().to_vec());
--- a/crates/shaletide/src/record/offline_store.rs
+++ b/crates/shaletide/src/record/offline_store.rs
@@ -1,4 +1,4 @@
-//! The store of record while no proxy holds it: changed under its lock, by the recorder's own rules.
+//! Changes the store of record while no proxy holds it: under its lock, and by the recorder's rules.
 
 use super::error::CommandError;
 use super::text;
@@ -13,15 +13,15 @@
 use std::collections::VecDeque;
 use std::path::Path;
 
-/// Rows pruned in one transaction; a row records each.
+/// The most rows that one transaction prunes. Each transaction adds a row that records it.
 const ROWS_PER_TRANSACTION: usize = 10_000;
 
-/// The store while no proxy has it, as a run of its own.
+/// The store while no proxy holds it. Each command is a run of its own.
 pub struct OfflineStore {
     store: SqliteStore,
     recorder: Recorder,
     run: u64,
-    /// The start of this run is recorded.
+    /// Whether the start of this run is recorded.
     started: bool,
 }
 
@@ -30,12 +30,12 @@
         let store = SqliteStore::open(&SqliteOptions { create: false, ..SqliteOptions::new(path) })?;
         let run = store.head()?.run.saturating_add(1);
         let now = now();
-        // Nothing is asked of it but by this command: no class, and no secret, as there are no clients.
+        // Only this command uses the recorder: it needs neither classes nor a secret, as there are no clients.
         let recorder = Recorder::new(RecordConfig::default(), [0; 16], now, now);
         Ok(OfflineStore { store, recorder, run, started: false })
     }
 
-    /// Gives the recorder an event and carries out its actions; returns its reply, if it has one.
+    /// Passes an event to the recorder and executes its actions; returns its reply, if there is one.
     fn handle(&mut self, event: Event) -> Result<Option<ResolveResult>, CommandError> {
         self.begin()?;
         let mut actions = Vec::new();
@@ -71,8 +71,9 @@
         write.row.run = self.run;
         let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
         let committed = self.store.commit(&[write], &sums);
-        let rows = committed
-            .map_err(|failed| CommandError::invalid(format!("{failed}: {}", text::trouble(&failed.error))))?;
+        let rows = committed.map_err(|failed| {
+            CommandError::invalid(format!("{failed}: {}", text::store_error(&failed.error)))
+        })?;
         rows.into_iter().next().ok_or_else(|| CommandError::invalid("the store wrote nothing"))
     }
 
@@ -84,7 +85,7 @@
             return Ok(ResolveResult::Served);
         }
         self.begin()?;
-        // What was in flight when the proxy ended is in doubt from now on.
+        // A key that was in flight when the proxy ended is in doubt from now on.
         let mut actions = Vec::new();
         self.recorder.restore(now(), vec![held], &mut actions);
         self.carry_out(actions)?;
@@ -124,8 +125,8 @@
         }
         Ok(Reply::Done(match rows {
             0 => "no row is older, or the oldest is of a key that is not settled".into(),
-            1 => "1 row was taken out".into(),
-            rows => format!("{rows} rows were taken out"),
+            1 => "1 row was pruned".into(),
+            rows => format!("{rows} rows were pruned"),
         }))
     }
 
--- a/crates/shaletide/src/record/target.rs
+++ b/crates/shaletide/src/record/target.rs
@@ -1,4 +1,4 @@
-//! The store and the control socket that a command is about.
+//! The store and the control socket that a command uses.
 
 use super::args::StoreArgs;
 use super::error::CommandError;
@@ -6,10 +6,10 @@
 use shaletide_store::SqliteReader;
 use std::path::{Path, PathBuf};
 
-/// Reads an operators' file; the text says why it cannot be.
+/// Reads an operators' file; the error says why it cannot be read.
 pub type ReadConfig = fn(&Path) -> Result<OperatorConfig, String>;
 
-/// The store and the socket.
+/// The store and the control socket; at least one of them is known.
 pub struct Target {
     pub store: Option<PathBuf>,
     pub control: Option<PathBuf>,
@@ -27,14 +27,14 @@
                 return Err(CommandError::invalid(format!("{} has no [record]", path.display())));
             }
             target.store = target.store.or(record);
-            // A store that was named as well may be another's: only its own lock counts then.
-            let other = place.store.is_some();
-            target.control = target.control.or(operator.control.filter(|_| !other));
+            // An explicitly named store may belong to another proxy: then its lock decides, not this file's socket.
+            let names_store = place.store.is_some();
+            target.control = target.control.or(operator.control.filter(|_| !names_store));
         }
         if target.store.is_none() && target.control.is_none() {
             let socket = if control.is_some() { ", --control SOCKET" } else { "" };
             return Err(CommandError::invalid(format!(
-                "which store? Give --store FILE{socket} or --config FILE"
+                "no store is named: give --store FILE{socket} or --config FILE"
             )));
         }
         Ok(target)
--- a/crates/shaletide/src/record/time_zone.rs
+++ b/crates/shaletide/src/record/time_zone.rs
@@ -1,4 +1,4 @@
-//! Times, in the operators' time zone.
+//! Reads and formats times in the operators' time zone.
 
 use super::error::CommandError;
 use jiff::civil::DateTime;
@@ -9,15 +9,15 @@
 /// A time zone.
 pub struct Zone {
     zone: TimeZone,
-    /// What it is called.
+    /// The name for output.
     pub name: String,
 }
 
 impl Zone {
-    /// The zone of that name, or the system's.
+    /// Returns the zone of this name, or the system's.
     pub fn of(name: Option<&str>) -> Result<Zone, CommandError> {
         let Some(name) = name else {
-            // A system without one that can be read runs in UTC as well as anywhere.
+            // UTC is the fallback if the system's zone cannot be read.
             let zone = TimeZone::try_system().unwrap_or(TimeZone::UTC);
             let name = zone.iana_name().unwrap_or("the system's zone").to_string();
             return Ok(Zone { zone, name });
@@ -27,7 +27,7 @@
             None if name.eq_ignore_ascii_case("utc") => TimeZone::UTC,
             None => TimeZone::get(name).map_err(|_| {
                 CommandError::invalid(format!(
-                    "--tz {name}: this system knows no such zone; +HH:MM always works"
+                    "--tz {name}: this system has no such time zone; an offset such as +02:00 always works"
                 ))
             })?,
         };
@@ -42,28 +42,28 @@
         }
     }
 
-    /// The day.
+    /// Formats the date.
     pub fn day(&self, at: Time) -> String {
         self.show(at, "%Y-%m-%d")
     }
 
-    /// The time of the day, to the millisecond.
+    /// Formats the time of the day, to the millisecond.
     pub fn clock(&self, at: Time) -> String {
         self.show(at, "%H:%M:%S%.3f")
     }
 
-    /// Both.
+    /// Formats date and time, to the millisecond.
     pub fn full(&self, at: Time) -> String {
         self.show(at, "%Y-%m-%d %H:%M:%S%.3f")
     }
 
-    /// Both with the offset, as RFC 3339 has it, to the microsecond.
+    /// Formats date, time and offset as in RFC 3339, to the microsecond.
     pub fn rfc3339(&self, at: Time) -> String {
         self.show(at, "%Y-%m-%dT%H:%M:%S%.6f%:z")
     }
 
-    /// What an operator wrote: a time with an offset, one of this zone, a day, or a span back from now.
-    pub fn read(&self, what: &str, text: &str) -> Result<Time, CommandError> {
+    /// Parses the value of the argument `argument`: a time with an offset, a time in this zone, a date, or an age.
+    pub fn read(&self, argument: &str, text: &str) -> Result<Time, CommandError> {
         let stamp = text.parse::<Timestamp>().ok().or_else(|| {
             let civil = text.parse::<DateTime>().ok()?;
             Some(civil.to_zoned_datetime(self.zone.clone()).ok()?.timestamp())
@@ -76,7 +76,7 @@
         micros.map(Time).ok_or_else(|| {
             let expected =
                 "such as \"2026-12-01 10:30\", 2026-12-01T10:30:00Z, 2026-12-01, or 2h for two hours ago";
-            CommandError::invalid(format!("{what} {text}: expected a time {expected}"))
+            CommandError::invalid(format!("{argument} {text}: expected a time {expected}"))
         })
     }
 }
@@ -95,7 +95,7 @@
     Offset::from_seconds(sign * (hours * 3600 + minutes * 60)).ok()
 }
 
-/// What the wall clock shows.
+/// Returns the wall-clock time.
 pub fn now() -> Time {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
     Time(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
