--- a/crates/shaletide/src/cli.rs
+++ b/crates/shaletide/src/cli.rs
@@ -127,7 +127,7 @@
 
 /// Returns a one-line summary of a valid file.
 pub fn summary(operator: &OperatorConfig) -> String {
-    let boxes: usize =
+    let static_backends: usize =
         operator.pools.iter().map(|p| if let PoolSource::Static(b) = &p.source { b.len() } else { 0 }).sum();
     let many =
         |count: usize, one: &str, more: &str| format!("{count} {}", if count == 1 { one } else { more });
@@ -137,7 +137,7 @@
         many(operator.classes.len(), "class", "classes"),
         many(operator.tenants.len(), "tenant", "tenants"),
         many(operator.pools.len(), "pool", "pools"),
-        many(boxes, "static backend", "static backends"),
+        many(static_backends, "static backend", "static backends"),
         many(operator.routes.len(), "route", "routes"),
     )
 }
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -104,10 +104,10 @@
         } else {
             format!("BROKEN {}x", rule.violations.len())
         };
-        writeln!(text, "  {:<46} {:<39} {state}", rule.what, rule.checked_on)?;
+        writeln!(text, "  {:<46} {:<39} {state}", rule.name, rule.checked_on)?;
     }
     for rule in rules.iter().filter(|rule| !rule.violations.is_empty()) {
-        writeln!(text, "\n  Broken: {}", rule.what)?;
+        writeln!(text, "\n  Broken: {}", rule.name)?;
         for case in rule.violations.iter().take(MAX_LISTED) {
             writeln!(text, "    {case}")?;
         }
@@ -116,7 +116,7 @@
         }
     }
     for missing in &run.missing {
-        writeln!(text, "  Missing: {missing}")?;
+        writeln!(text, "  Fault not injected: {missing}")?;
     }
     match (holds, run.interrupted) {
         (false, _) => write!(text, "\nNot all held."),
--- a/crates/shaletide/src/demo/report/tests.rs
+++ b/crates/shaletide/src/demo/report/tests.rs
@@ -122,7 +122,7 @@
 fn missing_faults_and_missing_shares_are_reported() {
     let run = DemoRun { missing: vec!["the drain".into()], measured: None, interrupted: true, ..valid_run() };
     let report = report(&run);
-    assert!(!report.holds && report.text.contains("Missing: the drain"), "{}", report.text);
+    assert!(!report.holds && report.text.contains("Fault not injected: the drain"), "{}", report.text);
     assert!(report.text.contains("not measured, the demo was stopped before"), "{}", report.text);
 }
 
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -9,7 +9,7 @@
 /// A rule and its violations.
 pub struct Rule {
     /// The name of the rule.
-    pub what: &'static str,
+    pub name: &'static str,
     /// The number of items that were checked.
     pub checked_on: String,
     /// The descriptions of the violations.
@@ -20,39 +20,39 @@
     let ledger = &run.ledger;
     let mut rules = vec![
         Rule {
-            what: "An unsafe request runs once",
-            checked_on: many(ran(ledger, Repeat::Unsafe).len(), "request", "requests"),
+            name: "An unsafe request runs once",
+            checked_on: many(run_counts(ledger, Repeat::Unsafe).len(), "request", "requests"),
             violations: described(run, checks::unsafe_ran_once(ledger)),
         },
         Rule {
-            what: "A keyed one runs again in its bay only",
+            name: "A keyed one runs again in its bay only",
             checked_on: keyed(ledger),
             violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| KEY_WINDOW)),
         },
         Rule {
-            what: "Nothing new to a box 2 s after it drains",
+            name: "Nothing new to a box 2 s after it drains",
             checked_on: drained(run),
             violations: described(run, checks::nothing_after_drain(ledger, &run.drained, DRAIN_GRACE)),
         },
         Rule {
-            what: "A cold box is not pushed over",
+            name: "A cold box is not pushed over",
             checked_on: cold(ledger),
             violations: described(run, checks::cold_not_pushed_over(ledger, PUSH)),
         },
         one_answer(run),
         Rule {
-            what: "Each 200 is a box's answer to that request",
+            name: "Each 200 is a box's answer to that request",
             checked_on: many(run.result.total().status(200), "answer", "answers"),
             violations: foreign_answers(run),
         },
         Rule {
-            what: "All was written down",
+            name: "All was written down",
             checked_on: many(ledger.records.len(), "record", "records"),
             violations: lost_records(run),
         },
     ];
     rules.extend(run.self_check.as_ref().map(|self_check| Rule {
-        what: "The monitors inside saw no rule broken",
+        name: "The monitors inside saw no rule broken",
         checked_on: many(self_check.violations as usize, "breach", "breaches"),
         violations: self_check.first.clone(),
     }));
@@ -64,7 +64,7 @@
 }
 
 /// Returns how often each request of this kind ran, by its id.
-fn ran(ledger: &Ledger, repeat: Repeat) -> BTreeMap<&str, usize> {
+fn run_counts(ledger: &Ledger, repeat: Repeat) -> BTreeMap<&str, usize> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for record in ledger.records.iter().filter(|r| r.repeat == repeat && r.ran()) {
         *runs.entry(&record.id).or_default() += 1;
@@ -73,7 +73,7 @@
 }
 
 fn keyed(ledger: &Ledger) -> String {
-    let runs = ran(ledger, Repeat::Keyed);
+    let runs = run_counts(ledger, Repeat::Keyed);
     let again = runs.values().filter(|count| **count > 1).count();
     format!("{}, {again} ran again", many(runs.len(), "key", "keys"))
 }
@@ -131,7 +131,7 @@
         violations.push(format!("bytes followed the answer {} times", result.overfull));
     }
     let checked_on = many(result.sent.len(), "request", "requests");
-    Rule { what: "Each request gets one answer within its time", checked_on, violations }
+    Rule { name: "Each request gets one answer within its time", checked_on, violations }
 }
 
 fn foreign_answers(run: &DemoRun) -> Vec<String> {
--- a/crates/shaletide/src/demo/run.rs
+++ b/crates/shaletide/src/demo/run.rs
@@ -32,7 +32,7 @@
     pub begun: Time,
     /// The measured part; `None` if the run ended before it did.
     pub measured: Option<MeasuredPart>,
-    /// Faults that did not come about.
+    /// Descriptions of the faults that could not be injected.
     pub missing: Vec<String>,
     /// Whether the run was interrupted.
     pub interrupted: bool,
--- a/crates/shaletide/src/explain.rs
+++ b/crates/shaletide/src/explain.rs
@@ -137,7 +137,7 @@
 
 fn described(pool: &PoolConfig) -> String {
     match &pool.source {
-        PoolSource::Static(boxes) => format!("{} static backends", boxes.len()),
+        PoolSource::Static(backends) => format!("{} static backends", backends.len()),
         PoolSource::Discovery { address, .. } => format!("backends from discovery at {address}"),
     }
 }
--- a/crates/shaletide/src/files.rs
+++ b/crates/shaletide/src/files.rs
@@ -17,7 +17,7 @@
 pub const SHORTAGE_PATIENCE: Duration = Duration::from_secs(8);
 
 /// A file that is read for the first time may be a pipe; the program starts when it has been read to its end. A file that is
-/// read again must be a regular file, as opening a pipe without a writer blocks for ever.
+/// read again must be a regular file, as opening a pipe without a writer blocks forever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadMode {
     First,
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -23,7 +23,7 @@
         class: which.class.clone(),
         ..Query::default()
     };
-    let rows = all(store, query)?;
+    let rows = all_rows(store, query)?;
     let keys: BTreeSet<&KeyId> = rows.iter().filter_map(|row| row.key.as_ref()).collect();
     if keys.is_empty() {
         return report_no_rows(store, key, which, zone, out);
@@ -58,7 +58,7 @@
     KeyHistory { store, id: &id, held, corrections: &corrections, zone }.write(&[], out)
 }
 
-fn all(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
+fn all_rows(store: &dyn StoreReader, mut query: Query) -> Result<Vec<Row>, StoreError> {
     let mut rows: Vec<Row> = Vec::new();
     loop {
         let page = list::rows(store, &mut query, u64::MAX)?;
@@ -121,7 +121,7 @@
                 day = today;
             }
             if run != Some(row.run) {
-                writeln!(out, "  {}", self.run(row)?)?;
+                writeln!(out, "  {}", self.run_start(row)?)?;
                 (run, request) = (Some(row.run), None);
             }
             if row.request != request {
@@ -159,26 +159,26 @@
 
     /// Describes the start of a row's run, if it is still on record. Runs do not overlap, so that a binary search finds a run's
     /// first row.
-    fn run(&self, row: &Row) -> Result<String, CommandError> {
+    fn run_start(&self, row: &Row) -> Result<String, CommandError> {
         let from = self.store.anchor()?.map_or(0, |anchor| anchor.through.seq);
         let mut low = from + 1;
         let mut high = row.seq;
         while low < high {
             let middle = low + (high - low) / 2;
-            let found = self.at(middle)?;
+            let found = self.row_at(middle)?;
             match found.filter(|found| found.run < row.run) {
                 Some(_) => low = middle + 1,
                 None => high = middle,
             }
         }
-        let first = self.at(low)?.filter(|first| first.kind == "start");
+        let first = self.row_at(low)?.filter(|first| first.kind == "start");
         Ok(match first {
             Some(first) => format!("{} ({})", text::fact(&first, |_| None, false), self.zone.full(first.at)),
             None => format!("run {}; its start is not on record", row.run),
         })
     }
 
-    fn at(&self, seq: u64) -> Result<Option<Row>, StoreError> {
+    fn row_at(&self, seq: u64) -> Result<Option<Row>, StoreError> {
         let page = self.store.rows(&Query { after_seq: seq - 1, limit: 1, ..Query::default() })?;
         Ok(page.into_iter().next())
     }
--- a/crates/shaletide/src/record/text.rs
+++ b/crates/shaletide/src/record/text.rs
@@ -85,10 +85,10 @@
     format!("{:.1} s", Micros(time).secs())
 }
 
-fn seen(seen: &BackendSnapshot) -> String {
+fn backend_snapshot(seen: &BackendSnapshot) -> String {
     let ready = if seen.ready { "ready" } else { "not ready" };
-    let BackendSnapshot { pool, list, state, in_flight: out, .. } = seen;
-    format!("(pool {pool}, list {list}, {state}, {ready}, {out} in flight)")
+    let BackendSnapshot { pool, list, state, in_flight: count, .. } = seen;
+    format!("(pool {pool}, list {list}, {state}, {ready}, {count} in flight)")
 }
 
 /// Describes the outcome of an attempt.
@@ -104,12 +104,12 @@
         "never_sent" => "not sent",
         other => other,
     };
-    let ran = match (word, may_have_run) {
+    let execution = match (word, may_have_run) {
         ("served", _) => "",
-        (_, true) => "; it may have executed",
-        (_, false) => "; not executed",
+        (_, true) => "; it may have run",
+        (_, false) => "; it was not executed",
     };
-    format!("{description}{ran}")
+    format!("{description}{execution}")
 }
 
 /// Describes the final answer to the client.
@@ -117,9 +117,9 @@
     match (ending, attempt) {
         ("served", Some(attempt)) => format!("answered: served, by attempt {attempt}"),
         ("served", None) => "answered: served".into(),
-        ("refused", _) => "answered: rejected; the request may be repeated".into(),
-        ("failed", _) => "answered: failed; the request may have executed".into(),
-        ("timed_out", _) => "answered: deadline passed; the request may have executed".into(),
+        ("refused", _) => "answered: refused; the request may be repeated".into(),
+        ("failed", _) => "answered: failed; the request may have run".into(),
+        ("timed_out", _) => "answered: deadline passed; the request may have run".into(),
         ("left", _) => "not answered: the client disconnected".into(),
         (other, _) => format!("ended: {}", one_line(other)),
     }
@@ -155,7 +155,7 @@
         },
         Fact::Intent { attempt, seen: known } => {
             let kept = if durable { "intent durable before the first byte" } else { "intent" };
-            format!("{kept}: attempt {attempt} to {} {}", known.backend, seen(&known))
+            format!("{kept}: attempt {attempt} to {} {}", known.backend, backend_snapshot(&known))
         }
         Fact::Withdrawn { attempt } => {
             format!("withdrawn: {} was not sent and will not be sent", of(attempt))
--- a/crates/shaletide/src/start/mod.rs
+++ b/crates/shaletide/src/start/mod.rs
@@ -163,7 +163,7 @@
         match report.violations {
             0 => Ok(()),
             count => {
-                Err(Failure::Failed(format!("self-check: {count} violations of the rules, see the log")))
+                Err(Failure::Failed(format!("self-check: rules were broken {count} times, see the log")))
             }
         }
     }
--- a/crates/shaletide/src/start/watchdog/tests.rs
+++ b/crates/shaletide/src/start/watchdog/tests.rs
@@ -51,7 +51,7 @@
 
 /// Guards against a step whose wait is not named in the report.
 #[test]
-fn start_that_stops_after_any_step_is_reported_with_what_it_waits_for() {
+fn start_stalled_after_any_step_is_reported_with_its_next_step() {
     let steps = [
         (StartStep::LogStarted, "waits for the event loop to be built; last step: log started after"),
         (StartStep::EventLoopBuilt, "waits for the first reading of the configuration to end"),
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -63,7 +63,7 @@
     assert_eq!(good, expected);
     let refused = show("refused");
     assert!(
-        refused.contains("rejected by the backend; not executed") && refused.contains("now: free"),
+        refused.contains("rejected by the backend; it was not executed") && refused.contains("now: free"),
         "{refused}"
     );
     let withdrawn = show("withdrawn");
@@ -73,8 +73,8 @@
     );
     let odd = show("odd");
     for said in [
-        "connection broken; it may have executed",
-        "answered: failed; the request may have executed",
+        "connection broken; it may have run",
+        "answered: failed; the request may have run",
         "rejected before sending (409): its key was in doubt",
         "now: in doubt since 2026-12-01 10:31:02.556 (row ",
         "shaletide record resolve odd --tenant milford --class settle --ran yes|no",
@@ -367,10 +367,7 @@
     // What is in doubt stays, with all behind it.
     prune(0, "2027-01-01");
     let odd = folder.says(0, &["show", "--store", "record.db", "--key", "odd"]);
-    assert!(
-        odd.contains("run 1; its start is not on record") && odd.contains("it may have executed"),
-        "{odd}"
-    );
+    assert!(odd.contains("run 1; its start is not on record") && odd.contains("it may have run"), "{odd}");
     assert!(folder.says(0, &["verify", "--store", "record.db", "--head", &head]).starts_with("whole"));
     // Keys outlive their rows.
     assert!(folder.says(1, &["show", "--store", "record.db", "--key", "good"]).contains("rows were pruned"));
--- a/crates/shaletide/tests/stop_signals.rs
+++ b/crates/shaletide/tests/stop_signals.rs
@@ -331,7 +331,10 @@
                                                       // As the pipe is closed, one descriptor is free, which the signals get.
     start.set_limit(Resource::Nofile, Some(start.descriptor_of(&fifo) + 1));
     drop(pipe);
-    start.log.expect(0, "no configuration yet: no thread to read on: Too many open files");
+    start.log.expect(
+        0,
+        "no configuration yet: cannot start a thread to read the configuration: Too many open files",
+    );
     std::fs::remove_file(&fifo).unwrap();
     std::fs::write(&fifo, platform_configuration(&discovery, &listener)).unwrap();
     start.set_limit(Resource::Nofile, Some(1024));
