--- a/crates/shaletide/src/demo/environment.rs
+++ b/crates/shaletide/src/demo/environment.rs
@@ -40,7 +40,7 @@
 
 impl Environment {
     /// Starts the backends and discovery.
-    pub fn start() -> io::Result<Environment> {
+    pub fn launch() -> io::Result<Environment> {
         let services = vec![Service::new("", Law::Even(0.5 * WORK_MS, 1.5 * WORK_MS))];
         let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backends()) })?;
         let entries = fleet.boxes().iter().map(BoxHandle::entry).collect();
--- a/crates/shaletide/src/demo/mod.rs
+++ b/crates/shaletide/src/demo/mod.rs
@@ -66,7 +66,7 @@
 
 /// Starts the stand-ins, runs the proxy on this thread until the scenario has ended, and returns the recorded results.
 fn run_in_environment(args: &Demo, self_check: bool) -> Result<DemoRun, String> {
-    let environment = Environment::start().map_err(|e| format!("cannot start the stand-ins: {e}"))?;
+    let environment = Environment::launch().map_err(|e| format!("cannot start the stand-ins: {e}"))?;
     if args.show_config {
         print_line(&environment.config);
     }
--- a/crates/shaletide/src/demo/report.rs
+++ b/crates/shaletide/src/demo/report.rs
@@ -44,7 +44,7 @@
         let count = run.result.left_out;
         writeln!(
             text,
-            "  {count} more were not sent: the machine was overloaded. Shares and latencies are not significant."
+            "  {count} more were not sent: the machine was overloaded; shares and latencies mean little."
         )?;
     }
     Ok(())
@@ -104,10 +104,10 @@
         } else {
             format!("BROKEN {}x", rule.violations.len())
         };
-        writeln!(text, "  {:<46} {:<39} {state}", rule.name, rule.checked_on)?;
+        writeln!(text, "  {:<46} {:<39} {state}", rule.title, rule.checked_on)?;
     }
     for rule in rules.iter().filter(|rule| !rule.violations.is_empty()) {
-        writeln!(text, "\n  Broken: {}", rule.name)?;
+        writeln!(text, "\n  Broken: {}", rule.title)?;
         for case in rule.violations.iter().take(MAX_LISTED) {
             writeln!(text, "    {case}")?;
         }
--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -8,8 +8,8 @@
 
 /// A rule and its violations.
 pub struct Rule {
-    /// The name of the rule.
-    pub name: &'static str,
+    /// The rule in a few words.
+    pub title: &'static str,
     /// The number of items that were checked.
     pub checked_on: String,
     /// The descriptions of the violations.
@@ -20,39 +20,39 @@
     let ledger = &run.ledger;
     let mut rules = vec![
         Rule {
-            name: "An unsafe request runs once",
+            title: "An unsafe request runs once",
             checked_on: many(run_counts(ledger, Repeat::Unsafe).len(), "request", "requests"),
             violations: described(run, checks::unsafe_ran_once(ledger)),
         },
         Rule {
-            name: "A keyed one runs again in its bay only",
+            title: "A keyed one runs again in its bay only",
             checked_on: keyed(ledger),
             violations: described(run, checks::keyed_ran_in_one_bay(ledger, |_| KEY_WINDOW)),
         },
         Rule {
-            name: "Nothing new to a box 2 s after it drains",
+            title: "Nothing new to a box 2 s after it drains",
             checked_on: drained(run),
             violations: described(run, checks::nothing_after_drain(ledger, &run.drained, DRAIN_GRACE)),
         },
         Rule {
-            name: "A cold box is not pushed over",
+            title: "A cold box is not pushed over",
             checked_on: cold(ledger),
             violations: described(run, checks::cold_not_pushed_over(ledger, PUSH)),
         },
         one_answer(run),
         Rule {
-            name: "Each 200 is a box's answer to that request",
+            title: "Each 200 is a box's answer to that request",
             checked_on: many(run.result.total().status(200), "answer", "answers"),
             violations: foreign_answers(run),
         },
         Rule {
-            name: "All was written down",
+            title: "All was written down",
             checked_on: many(ledger.records.len(), "record", "records"),
             violations: lost_records(run),
         },
     ];
     rules.extend(run.self_check.as_ref().map(|self_check| Rule {
-        name: "The monitors inside saw no rule broken",
+        title: "The monitors inside saw no rule broken",
         checked_on: many(self_check.violations as usize, "breach", "breaches"),
         violations: self_check.first.clone(),
     }));
@@ -131,7 +131,7 @@
         violations.push(format!("bytes followed the answer {} times", result.overfull));
     }
     let checked_on = many(result.sent.len(), "request", "requests");
-    Rule { name: "Each request gets one answer within its time", checked_on, violations }
+    Rule { title: "Each request gets one answer within its time", checked_on, violations }
 }
 
 fn foreign_answers(run: &DemoRun) -> Vec<String> {
--- a/crates/shaletide/src/log.rs
+++ b/crates/shaletide/src/log.rs
@@ -43,12 +43,12 @@
 }
 
 /// Standard error with a callback, which is called once, after the first write has succeeded or failed.
-struct FirstWriteNotifier<F: FnOnce()> {
+struct NotifyWriter<F: FnOnce()> {
     stderr: Stderr,
     on_first_write: Option<F>,
 }
 
-impl<F: FnOnce()> Write for FirstWriteNotifier<F> {
+impl<F: FnOnce()> Write for NotifyWriter<F> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let written = self.stderr.write(bytes);
         if let Some(on_first_write) = self.on_first_write.take() {
@@ -72,9 +72,8 @@
     default_level: tracing::Level, on_first_write: impl FnOnce() + Send + 'static,
 ) -> io::Result<QueueGuard> {
     let level = std::env::var("NODE_LOG").ok().and_then(|level| level.parse().ok()).unwrap_or(default_level);
-    let open = move || {
-        LineWriter::new(FirstWriteNotifier { stderr: io::stderr(), on_first_write: Some(on_first_write) })
-    };
+    let open =
+        move || LineWriter::new(NotifyWriter { stderr: io::stderr(), on_first_write: Some(on_first_write) });
     let (writer, guard) = queue::start("log", MAX_WAITING_LINES, open)?;
     let lines = tracing_subscriber::fmt().with_writer(move || writer.clone());
     lines.with_ansi(false).with_max_level(level).log_internal_errors(false).init();
--- a/crates/shaletide/src/log/queue/tests.rs
+++ b/crates/shaletide/src/log/queue/tests.rs
@@ -115,11 +115,11 @@
 
 fn entries(text: &str) -> Vec<LogEntry> {
     let number = |line: &str| line.split(' ').find_map(|word| word.parse().ok()).expect("a number");
-    let entry = |line: &str| match line.starts_with("line ") {
+    let to_entry = |line: &str| match line.starts_with("line ") {
         true => LogEntry::Line(number(line)),
         false => LogEntry::Lost(number(line)),
     };
-    text.lines().map(entry).collect()
+    text.lines().map(to_entry).collect()
 }
 
 /// Returns the number of written and lost lines; asserts that each is at its place.
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -126,8 +126,8 @@
         Reply::Done(message) => Ok(writeln!(out, "{}", text::one_line(&message))?),
         Reply::Refused(why) => Err(CommandError::negative(text::one_line(&why))),
         Reply::Senseless(why) => Err(CommandError::invalid(text::one_line(&why))),
-        other => Err(CommandError::invalid(format!(
-            "the proxy sent a reply that this version does not know: {other:?}"
-        ))),
+        other => {
+            Err(CommandError::invalid(format!("the proxy sent a reply unknown to this version: {other:?}")))
+        }
     }
 }
--- a/crates/shaletide/src/record/error.rs
+++ b/crates/shaletide/src/record/error.rs
@@ -26,7 +26,7 @@
 
 impl From<StoreError> for CommandError {
     fn from(error: StoreError) -> CommandError {
-        CommandError::invalid(text::store_error(&error))
+        CommandError::invalid(text::explain(&error))
     }
 }
 
--- a/crates/shaletide/src/record/history.rs
+++ b/crates/shaletide/src/record/history.rs
@@ -153,8 +153,8 @@
         Ok(())
     }
 
-    fn write_line(&self, row: &Row, text: &str, out: &mut dyn Write) -> Result<(), CommandError> {
-        Ok(writeln!(out, "    {}  {text}  [row {}]", self.zone.clock(row.at), row.seq)?)
+    fn write_line(&self, row: &Row, description: &str, out: &mut dyn Write) -> Result<(), CommandError> {
+        Ok(writeln!(out, "    {}  {description}  [row {}]", self.zone.clock(row.at), row.seq)?)
     }
 
     /// Describes the start of a row's run, if it is still on record. Runs do not overlap, so that a binary search finds a run's
@@ -186,7 +186,7 @@
     /// Writes the current state of the key.
     fn write_state(&self, out: &mut dyn Write) -> Result<(), CommandError> {
         let since = |at: Time| self.zone.full(at);
-        let state = match &self.held {
+        let description = match &self.held {
             None => "now: free; a request with this key will be sent".into(),
             Some(held) if held.state == KeyState::Served => {
                 format!("now: served (row {}); a request with this key will be rejected", held.seq)
@@ -204,6 +204,6 @@
                 held.seq
             ),
         };
-        Ok(writeln!(out, "\n{state}")?)
+        Ok(writeln!(out, "\n{description}")?)
     }
 }
--- a/crates/shaletide/src/record/offline_store.rs
+++ b/crates/shaletide/src/record/offline_store.rs
@@ -71,9 +71,8 @@
         write.row.run = self.run;
         let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
         let committed = self.store.commit(&[write], &sums);
-        let rows = committed.map_err(|failed| {
-            CommandError::invalid(format!("{failed}: {}", text::store_error(&failed.error)))
-        })?;
+        let rows = committed
+            .map_err(|failed| CommandError::invalid(format!("{failed}: {}", text::explain(&failed.error))))?;
         rows.into_iter().next().ok_or_else(|| CommandError::invalid("the store wrote nothing"))
     }
 
--- a/crates/shaletide/src/record/text.rs
+++ b/crates/shaletide/src/record/text.rs
@@ -66,10 +66,10 @@
 }
 
 /// Describes an error of the store, and what to do about it.
-pub fn store_error(error: &StoreError) -> String {
+pub fn explain(error: &StoreError) -> String {
     match error {
         StoreError::Owned { .. } => {
-            format!("{}; give --control or --config to send it the command", causes(error))
+            format!("{}; give --control or --config to use its socket", causes(error))
         }
         StoreError::Gone { path } => format!("there is no store at {}", path.display()),
         _ => causes(error),
@@ -157,15 +157,13 @@
             let kept = if durable { "intent durable before the first byte" } else { "intent" };
             format!("{kept}: attempt {attempt} to {} {}", known.backend, backend_snapshot(&known))
         }
-        Fact::Withdrawn { attempt } => {
-            format!("withdrawn: {} was not sent and will not be sent", of(attempt))
-        }
+        Fact::Withdrawn { attempt } => format!("withdrawn: {} was not and will not be sent", of(attempt)),
         Fact::Outcome { attempt, outcome: word, may_have_run } => {
             format!("outcome of {}: {}", of(attempt), outcome(&word, may_have_run))
         }
         Fact::Answer { ending, attempt } => answer(&ending, attempt),
         Fact::Doubted { seq } => {
-            format!("in doubt: the proxy ended with an attempt in flight; row {seq} is the last row about it")
+            format!("in doubt: the proxy ended with an attempt in flight; row {seq} is its last row")
         }
         Fact::Resolved { by, ran, note } => {
             let ran = if ran { "it ran, the key is served" } else { "it did not run, the key is free" };
@@ -196,9 +194,7 @@
             ResolveResult::InFlight => "the key is in flight: wait until its attempt ends",
             ResolveResult::Served => "the key is not in doubt: it was served",
             ResolveResult::NotYet => "its last fact is not durable yet: try again",
-            ResolveResult::StoreDown => {
-                "the store of record accepts no writes now: see the proxy's log, and try again"
-            }
+            ResolveResult::StoreDown => "the store accepts no writes now: see the proxy's log, and retry",
         }
         .into(),
     )
