--- a/crates/shaletide/src/demo/rules.rs
+++ b/crates/shaletide/src/demo/rules.rs
@@ -1,18 +1,18 @@
 //! The rules that a run of the demo is checked against.
 
+use super::environment::{DRAIN_GRACE, KEY_WINDOW, PUSH, RAMP};
 use super::run::DemoRun;
-use super::stage::{GRACE, PUSH, RAMP, WINDOW};
 use shaletide_testkit::checks::{self, Violation};
 use shaletide_testkit::{End, Ledger, Record, Repeat};
 use std::collections::BTreeMap;
 
 /// A rule and its violations.
 pub struct Rule {
-    /// The rule in words.
-    pub what: &'static str,
-    /// What it was checked on.
+    /// The rule in a few words.
+    pub title: &'static str,
+    /// The number of items that were checked.
     pub checked_on: String,
-    /// In words.
+    /// The descriptions of the violations.
     pub violations: Vec<String>,
 }
 
@@ -20,39 +20,39 @@
     let ledger = &run.ledger;
     let mut rules = vec![
         Rule {
-            what: "An unsafe request runs once",
-            checked_on: many(ran(ledger, Repeat::Unsafe).len(), "request", "requests"),
+            title: "An unsafe request runs once",
+            checked_on: many(run_counts(ledger, Repeat::Unsafe).len(), "request", "requests"),
             violations: described(run, checks::unsafe_ran_once(ledger)),
         },
         Rule {
-            what: "A keyed one runs again in its bay only",
+            title: "A keyed one runs again in its bay only",
             checked_on: keyed(ledger),
-            violations: described(run, checks::keyed_ran_in_one_group(ledger, |_| WINDOW)),
+            violations: described(run, checks::keyed_ran_in_one_group(ledger, |_| KEY_WINDOW)),
         },
         Rule {
-            what: "Nothing new to a box 2 s after it drains",
+            title: "Nothing new to a box 2 s after it drains",
             checked_on: drained(run),
-            violations: described(run, checks::no_requests_after_drain(ledger, &run.drained, GRACE)),
+            violations: described(run, checks::no_requests_after_drain(ledger, &run.drained, DRAIN_GRACE)),
         },
         Rule {
-            what: "A cold box is not pushed over",
+            title: "A cold box is not pushed over",
             checked_on: cold(ledger),
             violations: described(run, checks::slow_start_limit_kept(ledger, PUSH)),
         },
         one_answer(run),
         Rule {
-            what: "Each 200 is a box's answer to that request",
+            title: "Each 200 is a box's answer to that request",
             checked_on: many(run.result.total().status(200), "answer", "answers"),
             violations: foreign_answers(run),
         },
         Rule {
-            what: "All was written down",
+            title: "All was written down",
             checked_on: many(ledger.records.len(), "record", "records"),
             violations: lost_records(run),
         },
     ];
     rules.extend(run.self_check.as_ref().map(|self_check| Rule {
-        what: "The monitors inside saw no rule broken",
+        title: "The monitors inside saw no rule broken",
         checked_on: many(self_check.violations as usize, "breach", "breaches"),
         violations: self_check.first.clone(),
     }));
@@ -63,8 +63,8 @@
     format!("{count} {}", if count == 1 { one } else { more })
 }
 
-/// How often each request of a sort ran, by its id.
-fn ran(ledger: &Ledger, repeat: Repeat) -> BTreeMap<&str, usize> {
+/// Returns how often each request of this kind ran, by its id.
+fn run_counts(ledger: &Ledger, repeat: Repeat) -> BTreeMap<&str, usize> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
     for record in ledger.records.iter().filter(|r| r.repeat == repeat && r.ran()) {
         *runs.entry(&record.id).or_default() += 1;
@@ -73,7 +73,7 @@
 }
 
 fn keyed(ledger: &Ledger) -> String {
-    let runs = ran(ledger, Repeat::Keyed);
+    let runs = run_counts(ledger, Repeat::Keyed);
     let again = runs.values().filter(|count| **count > 1).count();
     format!("{}, {again} ran again", many(runs.len(), "key", "keys"))
 }
@@ -107,16 +107,16 @@
     format!("{}, {} while cold", many(starts, "start", "starts"), many(sent, "request", "requests"))
 }
 
-/// Every request has a whole answer, just one, and before its client's time was up.
+/// Checks that every request has exactly one complete answer, before its deadline.
 fn one_answer(run: &DemoRun) -> Rule {
     let result = &run.result;
     let mut violations: Vec<String> = Vec::new();
     for sent in result.sent.iter().filter(|sent| !sent.in_time) {
         let how = match sent.end {
-            End::Status(status) => format!("was answered {status} too late"),
+            End::Status(status) => format!("was answered with {status} too late"),
             End::GaveUp => "got no answer in time".into(),
             End::Broken => "lost its connection".into(),
-            End::NoConnection => "found no connection".into(),
+            End::NoConnection => "could not connect".into(),
             End::Unsent => "was not sent in time by its client".into(),
         };
         let class = &result.classes[sent.class];
@@ -128,16 +128,16 @@
         ));
     }
     if result.excess_bytes > 0 {
-        violations.push(format!("more came than the answer, {} times", result.excess_bytes));
+        violations.push(format!("bytes followed the answer {} times", result.excess_bytes));
     }
     let checked_on = many(result.sent.len(), "request", "requests");
-    Rule { what: "Each request gets one answer within its time", checked_on, violations }
+    Rule { title: "Each request gets one answer within its time", checked_on, violations }
 }
 
 fn foreign_answers(run: &DemoRun) -> Vec<String> {
     let mut violations = described(run, checks::answers_come_from_backends(&run.ledger, &run.result));
     if run.result.mismatched_answers > 0 {
-        violations.push(format!("{} were another request's", run.result.mismatched_answers));
+        violations.push(format!("{} answers belong to another request", run.result.mismatched_answers));
     }
     violations
 }
@@ -145,15 +145,15 @@
 fn lost_records(run: &DemoRun) -> Vec<String> {
     let mut violations = Vec::new();
     if run.ledger.unrecorded > 0 {
-        violations.push(format!("the boxes had no room for {}", run.ledger.unrecorded));
+        violations.push(format!("the backends dropped {} records for lack of room", run.ledger.unrecorded));
     }
     if run.result.unrecorded > 0 {
-        violations.push(format!("the clients had no room for {}", run.result.unrecorded));
+        violations.push(format!("the clients dropped {} records for lack of room", run.result.unrecorded));
     }
     violations
 }
 
-/// Each case in words, with where and when its first records were.
+/// Describes each violation, with the place and time of its first records.
 fn described(run: &DemoRun, cases: Vec<Violation>) -> Vec<String> {
     let place = |place: &usize| {
         let record = run.ledger.records.get(*place)?;
