--- a/crates/shaletide/tests/client_disconnects.rs
+++ b/crates/shaletide/tests/client_disconnects.rs
@@ -153,7 +153,7 @@
     let (mut late, mut cases) = (Vec::new(), 0);
     for how in [Disconnect::Close, Disconnect::Reset] {
         let backend = BackendServer::start(|_| ok_reply("x"));
-        let proxy = Proxy::launched(&[], 256, SETTINGS, 256);
+        let proxy = Proxy::start_with_descriptor_limit(&[], 256, SETTINGS, 256);
         let news = without_boxes(&proxy);
         let (mut stay, mut go) = (Vec::new(), Vec::new());
         for n in 0..400 {
@@ -333,7 +333,8 @@
             let _full: Vec<TcpStream> =
                 std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
             let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":2900000");
-            let proxy = Proxy::with(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
+            let proxy =
+                Proxy::start_with_settings(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
             let mut clients = Vec::new();
             for n in 0..10 {
                 clients.push(asks(&proxy, n));
--- a/crates/shaletide/tests/connection_close.rs
+++ b/crates/shaletide/tests/connection_close.rs
@@ -78,7 +78,12 @@
 #[test]
 fn response_in_transit_is_complete_when_its_connection_is_evicted() {
     let backend = BackendServer::start(|_| ok_reply(&"x".repeat(LENGTH)));
-    let proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let proxy = Proxy::start_with_descriptor_limit(
+        &[endpoint_json("b0", backend.address, "SERVING")],
+        80,
+        SETTINGS,
+        80,
+    );
     for round in 0..2 {
         let mut slow: Vec<TcpStream> = (0..4).map(|_| narrow(proxy.address)).collect();
         for client in &mut slow {
@@ -129,7 +134,12 @@
 #[test]
 fn slowly_closing_connections_do_not_block_new_clients() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let proxy = Proxy::start_with_descriptor_limit(
+        &[endpoint_json("b0", backend.address, "SERVING")],
+        80,
+        SETTINGS,
+        80,
+    );
     let mut ending: Vec<TcpStream> = (0..200)
         .map(|_| {
             let mut client = TcpStream::connect(proxy.address).unwrap();
--- a/crates/shaletide/tests/graceful_shutdown.rs
+++ b/crates/shaletide/tests/graceful_shutdown.rs
@@ -34,7 +34,8 @@
 fn requests_with_long_deadlines_are_answered_before_sigkill() {
     let silent = BackendServer::start(|_| Reply::Silence);
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":8000000");
-    let mut proxy = Proxy::with(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
+    let mut proxy =
+        Proxy::start_with_settings(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
     let mut clients: Vec<Client> = [pay_request(8.0), read_request(8.0), vote_request(8.0)]
         .map(|request| {
             let mut client = proxy.client();
@@ -67,7 +68,8 @@
 fn sleeps_over_its_end(from: u64) {
     let silent = BackendServer::start(|_| Reply::Silence);
     let settings = SETTINGS.replace("\"deadline_us\":3000000", "\"deadline_us\":8000000");
-    let mut proxy = Proxy::with(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
+    let mut proxy =
+        Proxy::start_with_settings(&[endpoint_json("b0", silent.address, "SERVING")], 1024, &settings);
     let asking = |request: String| {
         let mut client = proxy.client();
         client.send(&request);
@@ -207,7 +209,12 @@
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS, 80);
+    let mut proxy = Proxy::start_with_descriptor_limit(
+        &[endpoint_json("b0", backend.address, "SERVING")],
+        80,
+        SETTINGS,
+        80,
+    );
     let asking = |_| {
         let mut client = proxy.client();
         client.send(&read_request(3.0));
--- a/crates/shaletide/tests/harness/mod.rs
+++ b/crates/shaletide/tests/harness/mod.rs
@@ -18,20 +18,22 @@
 }
 
 /// Starts this package's program.
-pub trait Start {
+pub trait StartProxy {
     fn start(known: &[String]) -> Proxy {
         program().start(known)
     }
-    fn with(known: &[String], sockets: u32, settings: &str) -> Proxy {
+    fn start_with_settings(known: &[String], sockets: u32, settings: &str) -> Proxy {
         program().start_with(known, sockets, settings)
     }
     /// With a limit on descriptors that need not be the one it is told.
-    fn launched(known: &[String], sockets: u32, settings: &str, descriptors: u32) -> Proxy {
+    fn start_with_descriptor_limit(
+        known: &[String], sockets: u32, settings: &str, descriptors: u32,
+    ) -> Proxy {
         program().start_with_limits(known, sockets, settings, descriptors)
     }
 }
 
-impl Start for Proxy {}
+impl StartProxy for Proxy {}
 
 /// The head of an operators' file: further attempts at once, and a class of each effect. Listeners are added when
 /// it is served.
--- a/crates/shaletide/tests/large_fleet.rs
+++ b/crates/shaletide/tests/large_fleet.rs
@@ -165,7 +165,7 @@
         let (low, high) =
             (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
         let at = [low.address, high.address];
-        let proxy = Proxy::launched(&[], DESCRIPTORS, &settings(mode), DESCRIPTORS);
+        let proxy = Proxy::start_with_descriptor_limit(&[], DESCRIPTORS, &settings(mode), DESCRIPTORS);
         let _idle = IdleClients::start(proxy.address, 400);
         for _ in 0..6 {
             drop(proxy.discovery.next_call()); // it breaks the connection
@@ -192,7 +192,7 @@
 fn idle_clients_leave_descriptors_for_backends_under_a_lower_system_limit() {
     let (low, high) = (BackendServer::start(|_| ok_reply("low")), BackendServer::start(|_| ok_reply("high")));
     let at = [low.address, high.address];
-    let proxy = Proxy::launched(&[], 1_024, &settings("automatic"), DESCRIPTORS);
+    let proxy = Proxy::start_with_descriptor_limit(&[], 1_024, &settings("automatic"), DESCRIPTORS);
     let said =
         proxy.log.since(0).into_iter().any(|line| line.contains("1024 descriptors, the system grants 256"));
     assert!(said, "it says so");
--- a/crates/shaletide/tests/list_log.rs
+++ b/crates/shaletide/tests/list_log.rs
@@ -12,7 +12,7 @@
         let name = |place: usize| format!("b-{number}-{place}");
         (0..backends).map(|place| endpoint_json(&name(place), backend.address, "SERVING")).collect()
     };
-    let proxy = Proxy::with(&[], 1024, SETTINGS);
+    let proxy = Proxy::start_with_settings(&[], 1024, SETTINGS);
     for number in 1..=lists {
         let (_, answer) = proxy.discovery.next_call();
         answer.send((200, endpoint_list_json(number, true, &generation(number)))).expect("a call that waits");
--- a/crates/shaletide/tests/platform_settings.rs
+++ b/crates/shaletide/tests/platform_settings.rs
@@ -14,7 +14,7 @@
 }
 
 fn started(backend: &BackendServer, settings: &str) -> Proxy {
-    Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 1024, settings)
+    Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 1024, settings)
 }
 
 /// Each effect is served, with a tenant that is known, unknown or not named.
--- a/crates/shaletide/tests/proxy.rs
+++ b/crates/shaletide/tests/proxy.rs
@@ -180,7 +180,8 @@
 fn connection_is_retired_before_backends_idle_timeout() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let settings = SETTINGS.replace("\"conn_idle_us\":60000000", "\"conn_idle_us\":1000000");
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 1024, &settings);
+    let proxy =
+        Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 1024, &settings);
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     backend.wait_closed();
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
@@ -240,7 +241,11 @@
     for (grace, wait) in graces {
         let (old, new) =
             (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
-        let proxy = Proxy::with(&[endpoint_json("b0", old.address, "SERVING")], 1024, &granting(grace));
+        let proxy = Proxy::start_with_settings(
+            &[endpoint_json("b0", old.address, "SERVING")],
+            1024,
+            &granting(grace),
+        );
         let whole = [endpoint_json("b0", old.address, "SERVING")];
         let (target, _silent) = tell(&proxy.discovery, &whole, None);
         let waiting = |index| format!("GET /api/targets?after={index}&wait_ms={wait} HTTP/1.1");
@@ -263,7 +268,7 @@
     let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
     let whole = [endpoint_json("b0", old.address, "SERVING")];
     let settings = granting(Some(150_000)).replace("\"automatic\"", "\"subscribe\"");
-    let proxy = Proxy::with(&whole, 1024, &settings);
+    let proxy = Proxy::start_with_settings(&whole, 1024, &settings);
     let (target, answer) = proxy.discovery.next_call();
     assert!(target.contains("&wait_ms=0 "), "what it missed: {target}");
     std::thread::sleep(std::time::Duration::from_millis(1600)); // so long is the line
@@ -283,7 +288,7 @@
         .replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":60000000")
         .replace("3000000", "30000000");
     let known = [endpoint_json("b0", never.address(), "SERVING")];
-    let proxy = Proxy::with(&known, 1024, &settings);
+    let proxy = Proxy::start_with_settings(&known, 1024, &settings);
     let (_, answer) = tell(&proxy.discovery, &known, None);
     let mut client = proxy.client();
     client.send(&pay_request(30.0));
@@ -353,7 +358,7 @@
 fn cached_list_expires_after_the_grace() {
     let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
     let known = [endpoint_json("b0", old.address, "SERVING"), endpoint_json("b1", new.address, "SERVING")];
-    let proxy = Proxy::with(&known, 1024, &granting(Some(300_000)));
+    let proxy = Proxy::start_with_settings(&known, 1024, &granting(Some(300_000)));
     let silent = hold(&proxy.discovery, 12);
     let before = old.request_count() + new.request_count();
     for request in [read_request(3.0), pay_request(3.0)] {
@@ -373,7 +378,7 @@
 fn received_list_holds_while_the_agent_is_silent() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let boxes = [endpoint_json("b0", backend.address, "SERVING")];
-    let proxy = Proxy::with(&boxes, 1024, &granting(Some(300_000)));
+    let proxy = Proxy::start_with_settings(&boxes, 1024, &granting(Some(300_000)));
     let _hold = tell(&proxy.discovery, &boxes, None);
     let _silent = hold(&proxy.discovery, 12);
     assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
@@ -384,7 +389,7 @@
 fn old_discoverys_list_expires_once_the_new_ones_counts() {
     let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
     let boxes = [endpoint_json("b0", old.address, "SERVING")];
-    let proxy = Proxy::with(&boxes, 1024, &granting(Some(300_000)));
+    let proxy = Proxy::start_with_settings(&boxes, 1024, &granting(Some(300_000)));
     let _waits = tell(&proxy.discovery, &boxes, None);
     assert_eq!(proxy.request(&pay_request(3.0)).body, b"old");
     let elsewhere = DiscoveryServer::start();
@@ -436,7 +441,7 @@
     let change = endpoint_list_json(9, false, &[endpoint_json("b0", backend.address, "SERVING")]);
     let answers = [(503, String::new()), (200, change)];
     for row in [[down, down, odd, odd], [odd, odd, down, odd]] {
-        let proxy = Proxy::with(&[], 1024, &asking());
+        let proxy = Proxy::start_with_settings(&[], 1024, &asking());
         let mut call = proxy.discovery.next_call();
         assert_eq!(proxy.request(&read_request(0.3)).status(), 503, "by now the module has asked");
         for (n, answer) in row.into_iter().enumerate() {
@@ -457,7 +462,7 @@
     let boxes = [endpoint_json("b0", backend.address, "SERVING")];
     for settings in [asking(), granting(Some(10_000_000))] {
         for refusal in [400, 404, 302] {
-            let proxy = Proxy::with(&boxes, 1024, &settings);
+            let proxy = Proxy::start_with_settings(&boxes, 1024, &settings);
             let (_, answer) = tell(&proxy.discovery, &boxes, None);
             let _ = answer.send((refusal, String::new()));
             assert_eq!(proxy.discovery.next_call().0, "GET /api/targets HTTP/1.1", "{refusal}");
@@ -470,7 +475,7 @@
 fn discovery_whose_index_goes_back_is_polled_with_pauses() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let boxes = [endpoint_json("b0", backend.address, "SERVING")];
-    let proxy = Proxy::with(&boxes, 1024, &granting(Some(2_000_000)));
+    let proxy = Proxy::start_with_settings(&boxes, 1024, &granting(Some(2_000_000)));
     let at = Instant::now();
     let mut back = 0;
     while back < 10 {
@@ -553,7 +558,7 @@
 #[test]
 fn idle_connections_are_evicted_at_the_limit() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut idle: Vec<Client> = (0..8)
         .map(|_| {
             let mut client = proxy.client();
@@ -600,7 +605,12 @@
 #[test]
 fn descriptor_exhaustion_ends_nothing() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::launched(&[endpoint_json("b0", backend.address, "SERVING")], 1024, SETTINGS, 40);
+    let proxy = Proxy::start_with_descriptor_limit(
+        &[endpoint_json("b0", backend.address, "SERVING")],
+        1024,
+        SETTINGS,
+        40,
+    );
     let mut idle = Vec::new();
     for _ in 0..60 {
         let mut client = proxy.client();
@@ -617,7 +627,7 @@
     let backend = BackendServer::start(|_| ok_reply("x"));
     for descriptors in [40, 100] {
         let known = [endpoint_json("b0", backend.address, "SERVING")];
-        let proxy = Proxy::launched(&known, 1024, SETTINGS, descriptors);
+        let proxy = Proxy::start_with_descriptor_limit(&known, 1024, SETTINGS, descriptors);
         let asking = |n: u32| {
             let mut client = proxy.client();
             client.send(&if n % 2 == 0 { pay_request(3.0) } else { read_request(3.0) });
@@ -636,7 +646,7 @@
 #[test]
 fn endless_heads_do_not_block_other_clients() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut slow: Vec<Client> = (0..40)
         .map(|_| {
             let mut client = proxy.client();
--- a/crates/shaletide/tests/readiness_probe.rs
+++ b/crates/shaletide/tests/readiness_probe.rs
@@ -56,7 +56,11 @@
     let gate = Arc::new(Gate::default());
     let waiting = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(waiting.clone()));
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], FEW_DESCRIPTORS, SETTINGS);
+    let proxy = Proxy::start_with_settings(
+        &[endpoint_json("b0", backend.address, "SERVING")],
+        FEW_DESCRIPTORS,
+        SETTINGS,
+    );
     let clients: Vec<Client> = (0..FEW_DESCRIPTORS)
         .map(|_| {
             let mut client = proxy.client();
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -43,7 +43,7 @@
 fn show_prints_each_keys_history_beside_the_writer() {
     let folder = Folder::new();
     let _writes = stories(&folder);
-    let show = |key| folder.says(0, &["show", "--store", "record.db", "--key", key]);
+    let show = |key| folder.expect_output(0, &["show", "--store", "record.db", "--key", key]);
     let good = show("good");
     let expected = "\
 settle of milford, key good
@@ -90,21 +90,22 @@
     let folder = Folder::new();
     let mut recorded = stories(&folder);
     recorded.serve_request("other", b"good");
-    let all = folder.says(0, &["show", "--store", "record.db", "--key", "good"]);
+    let all = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good"]);
     assert!(
         all.contains("settle of milford, key good") && all.contains("settle of other, key good"),
         "{all}"
     );
-    let one = folder.says(0, &["show", "--store", "record.db", "--key", "good", "--tenant", "other"]);
+    let one =
+        folder.expect_output(0, &["show", "--store", "record.db", "--key", "good", "--tenant", "other"]);
     assert!(!one.contains("of milford"), "{one}");
-    let zoned = folder.says(0, &["show", "--store", "record.db", "--key", "good", "--tz", "+05:30"]);
+    let zoned = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good", "--tz", "+05:30"]);
     assert!(zoned.contains("16:01:02.123  asked") && zoned.contains("times in +05:30"), "{zoned}");
-    let none = folder.says(1, &["show", "--store", "record.db", "--key", "good", "--class", "bid"]);
+    let none = folder.expect_output(1, &["show", "--store", "record.db", "--key", "good", "--class", "bid"]);
     assert_eq!(none, "shaletide: nothing is on record of the key good\n");
     for wrong in [&["--tz", "Atlantis/Deep"][..], &["--tz", "+5:30"], &["--hex"]] {
-        folder.says(2, &[&["show", "--store", "record.db", "--key", "good"], wrong].concat());
+        folder.expect_output(2, &[&["show", "--store", "record.db", "--key", "good"], wrong].concat());
     }
-    let gone = folder.says(2, &["show", "--store", "no.db", "--key", "good"]);
+    let gone = folder.expect_output(2, &["show", "--store", "no.db", "--key", "good"]);
     assert_eq!(gone, "shaletide: there is no store at no.db\n");
     assert!(!folder.0.join("no.db").exists(), "reading makes nothing");
 }
@@ -116,12 +117,12 @@
     let request = recorded.begin_settle("milford", b"cut");
     recorded.request_intent(request, 0, "box-7");
     drop(recorded); // killed with the attempt out
-    let gone = folder.says(0, &["list", "--store", "record.db", "--in-doubt"]);
+    let gone = folder.expect_output(0, &["list", "--store", "record.db", "--in-doubt"]);
     assert!(gone.contains("in flight since 2026-12-01 10:31:02.123, last at box-7"), "{gone}");
     let mut later = MORNING;
     later.0 += 86_400_000_000;
     let _book = RecordedStore::open(&folder.db(), later);
-    let story = folder.says(0, &["show", "--store", "record.db", "--key", "cut"]);
+    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "cut"]);
     let said = "in doubt: the proxy had ended with an attempt out, and row 3 is the last about it";
     assert!(story.contains("2026-12-02\n  run 2 begins: quay-1") && story.contains(said), "{story}");
 }
@@ -130,7 +131,7 @@
 fn list_prints_facts_and_unsettled_keys() {
     let folder = Folder::new();
     let _writes = stories(&folder);
-    let list = |more: &[&str]| folder.says(0, &[&["list", "--store", "record.db"], more].concat());
+    let list = |more: &[&str]| folder.expect_output(0, &[&["list", "--store", "record.db"], more].concat());
     let doubts = list(&["--in-doubt"]);
     let line = "in doubt since 2026-12-01 10:31:02.556, last at box-7  [row ";
     assert!(doubts.contains(line) && doubts.lines().count() == 2, "{doubts}");
@@ -158,9 +159,9 @@
     let few = list(&["--limit", "2"]);
     assert!(few.ends_with("there are more: --after 2\n"), "{few}");
     assert!(list(&["--limit", "1", "--after", "2"]).contains("[row 3]"));
-    let wrong = folder.says(2, &["list", "--store", "record.db", "--since", "yesterday"]);
+    let wrong = folder.expect_output(2, &["list", "--store", "record.db", "--since", "yesterday"]);
     assert!(wrong.contains("--since yesterday: expected a time such as"), "{wrong}");
-    assert!(folder.says(2, &["list"]).contains("which store? Give --store FILE or --config FILE"));
+    assert!(folder.expect_output(2, &["list"]).contains("which store? Give --store FILE or --config FILE"));
 }
 
 /// Splits a CSV file as RFC 4180 has it.
@@ -193,7 +194,7 @@
     odd.iter().for_each(|key| recorded.serve_request("milford", key));
     let (by, text) = ("jo \"the pen\"", "first,\r\nsecond\0");
     recorded.handle_event(Event::RecordFact(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
-    let rows = csv(&folder.says(0, &["export", "--store", "record.db", "--format", "csv"]));
+    let rows = csv(&folder.expect_output(0, &["export", "--store", "record.db", "--format", "csv"]));
     assert!(rows.iter().all(|row| row.len() == 13), "{rows:?}");
     let of = |at: usize| rows.iter().skip(1).map(|row| row[at].clone()).collect::<Vec<_>>();
     let asked: Vec<&Vec<String>> = rows.iter().filter(|row| row[4] == "asked").collect();
@@ -208,7 +209,7 @@
     assert_eq!(asked.len(), odd.len());
     let body: serde_json::Value = serde_json::from_str(of(11).last().unwrap()).unwrap();
     assert_eq!((body["by"].as_str(), body["text"].as_str()), (Some(by), Some(text)));
-    let lines = folder.says(0, &["export", "--store", "record.db", "--format", "jsonl"]);
+    let lines = folder.expect_output(0, &["export", "--store", "record.db", "--format", "jsonl"]);
     assert_eq!(lines.lines().count(), rows.len() - 1);
     for (line, row) in lines.lines().zip(rows.iter().skip(1)) {
         let line: serde_json::Value = serde_json::from_str(line).unwrap();
@@ -218,12 +219,14 @@
     }
     for key in odd {
         let hex = shaletide_record::chain::hex(key);
-        let story = folder.says(0, &["show", "--store", "record.db", "--hex", "--key", &hex]);
+        let story = folder.expect_output(0, &["show", "--store", "record.db", "--hex", "--key", &hex]);
         let plain = story.chars().all(|c| c == '\n' || !c.is_control());
         assert!(story.contains("now: served") && plain && story.len() < 2_000, "{story}");
     }
-    let some = folder
-        .says(0, &["export", "--store", "record.db", "--format", "jsonl", "--limit", "3", "--after", "4"]);
+    let some = folder.expect_output(
+        0,
+        &["export", "--store", "record.db", "--format", "jsonl", "--limit", "3", "--after", "4"],
+    );
     assert_eq!(some.lines().count(), 3);
 }
 
@@ -236,7 +239,7 @@
 #[test]
 fn verify_finds_edited_missing_and_truncated_rows() {
     let verify = |folder: &Folder, status, more: &[&str]| {
-        folder.says(status, &[&["verify", "--store", "record.db"], more].concat())
+        folder.expect_output(status, &[&["verify", "--store", "record.db"], more].concat())
     };
     let folder = Folder::new();
     drop(stories(&folder));
@@ -274,7 +277,7 @@
     let recorded = stories(&folder);
     let resolve = |status, key: &str, ran: &str, more: &[&str]| {
         let said = ["resolve", key, "--ran", ran, "--by", "jo", "--note", "asked box-7"];
-        folder.says(status, &[&said[..], &["--store", "record.db"], more].concat())
+        folder.expect_output(status, &[&said[..], &["--store", "record.db"], more].concat())
     };
     let held = resolve(2, "odd", "no", &[]);
     assert!(
@@ -283,7 +286,7 @@
     );
     drop(recorded);
     assert_eq!(resolve(0, "odd", "no", &[]), "on record; the key is free\n");
-    let story = folder.says(0, &["show", "--store", "record.db", "--key", "odd"]);
+    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "odd"]);
     assert!(story.contains("run 2 begins: shaletide record, version"), "{story}");
     assert!(
         story.contains("resolved by jo: it did not run, the key is free, because: asked box-7"),
@@ -292,14 +295,14 @@
     assert!(resolve(1, "odd", "no", &[]).contains("it is free, or was never there"));
     assert!(resolve(1, "good", "yes", &[]).contains("it was served"));
     assert!(resolve(1, "none", "yes", &["--tenant", "milford", "--class", "settle"]).contains("it is free"));
-    assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
+    assert!(folder.expect_output(0, &["verify", "--store", "record.db"]).starts_with("whole"));
     // The freed key goes again, and what it is now is the store's own word.
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     recorded.serve_request("milford", b"odd");
     drop(recorded);
     assert!(resolve(1, "odd", "yes", &[]).contains("it was served"));
     let empty = ["resolve", "odd", "--ran", "yes", "--by", " ", "--note", "n", "--store", "record.db"];
-    assert!(folder.says(2, &empty).contains("--by may not be empty"));
+    assert!(folder.expect_output(2, &empty).contains("--by may not be empty"));
 }
 
 #[test]
@@ -311,8 +314,10 @@
         recorded.request_intent(request, 0, "box-7");
     }
     drop(recorded);
-    let which = folder
-        .says(2, &["resolve", "cut", "--ran", "yes", "--by", "jo", "--note", "n", "--store", "record.db"]);
+    let which = folder.expect_output(
+        2,
+        &["resolve", "cut", "--ran", "yes", "--by", "jo", "--note", "n", "--store", "record.db"],
+    );
     assert!(which.contains("which of these?\n  cut --tenant milford --class settle\n"), "{which}");
     let said = [
         "resolve",
@@ -328,8 +333,9 @@
         "--tenant",
         "other",
     ];
-    assert_eq!(folder.says(0, &said), "on record; the key counts as served\n");
-    let story = folder.says(0, &["show", "--store", "record.db", "--key", "cut", "--tenant", "other"]);
+    assert_eq!(folder.expect_output(0, &said), "on record; the key counts as served\n");
+    let story =
+        folder.expect_output(0, &["show", "--store", "record.db", "--key", "cut", "--tenant", "other"]);
     assert!(story.contains("in doubt: the proxy had ended") && story.contains("now: served"), "{story}");
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     assert!(matches!(
@@ -337,41 +343,43 @@
         shaletide_record::KeyDecision::Conflict(_)
     ));
     drop(recorded);
-    assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
+    assert!(folder.expect_output(0, &["verify", "--store", "record.db"]).starts_with("whole"));
 }
 
 #[test]
 fn pruned_record_verifies_and_names_who_pruned() {
     let folder = Folder::new();
     let recorded = stories(&folder);
-    let noted = folder.says(0, &["verify", "--store", "record.db"]);
+    let noted = folder.expect_output(0, &["verify", "--store", "record.db"]);
     let head = noted.trim().rsplit(' ').next().unwrap().to_string();
     let prune = |status, before: &str| {
-        folder.says(status, &["prune", "--before", before, "--by", "jo", "--store", "record.db"])
+        folder.expect_output(status, &["prune", "--before", before, "--by", "jo", "--store", "record.db"])
     };
     assert!(prune(2, "1d").contains("another proxy owns the store"));
     drop(recorded);
     assert!(prune(0, "2026-01-01").contains("no row is older"));
     assert_eq!(prune(0, "2026-12-01T10:31:02.200Z"), "5 rows were taken out\n");
-    let whole = folder.says(0, &["verify", "--store", "record.db", "--head", &head]);
+    let whole = folder.expect_output(0, &["verify", "--store", "record.db", "--head", &head]);
     assert!(whole.contains("5 taken out before them"), "{whole}");
     assert!(folder
-        .says(0, &["list", "--store", "record.db", "--since", "1h"])
+        .expect_output(0, &["list", "--store", "record.db", "--since", "1h"])
         .contains("rows up to 5 were taken out by jo"));
     // What is in doubt stays, with all behind it.
     prune(0, "2027-01-01");
-    let odd = folder.says(0, &["show", "--store", "record.db", "--key", "odd"]);
+    let odd = folder.expect_output(0, &["show", "--store", "record.db", "--key", "odd"]);
     assert!(
         odd.contains("run 1; its beginning is not on record") && odd.contains("it may have run"),
         "{odd}"
     );
-    assert!(folder.says(0, &["verify", "--store", "record.db", "--head", &head]).starts_with("whole"));
+    assert!(folder
+        .expect_output(0, &["verify", "--store", "record.db", "--head", &head])
+        .starts_with("whole"));
     // Keys outlive their rows.
     assert!(folder
-        .says(1, &["show", "--store", "record.db", "--key", "good"])
+        .expect_output(1, &["show", "--store", "record.db", "--key", "good"])
         .contains("rows were taken out"));
     let whole = ["show", "--store", "record.db", "--key", "good", "--tenant", "milford", "--class", "settle"];
-    let story = folder.says(0, &whole);
+    let story = folder.expect_output(0, &whole);
     assert!(story.contains("its rows were taken out") && story.contains("now: served (row 4)"), "{story}");
 }
 
@@ -383,7 +391,7 @@
         "INSERT INTO anchor (one, seq, sum, run, rows) SELECT 1, seq, sum, run, 3 FROM rows WHERE seq = 3";
     meddle(&folder, &format!("{anchor}; DELETE FROM rows WHERE seq <= 3"));
     let why = "shaletide: broken: rows up to 3 were taken out, and no row says by whom\n";
-    assert_eq!(folder.says(1, &["verify", "--store", "record.db"]), why);
+    assert_eq!(folder.expect_output(1, &["verify", "--store", "record.db"]), why);
 }
 
 #[test]
@@ -409,12 +417,12 @@
             "the rack's label",
             "--store",
         ];
-        folder.says(status, &[&said[..], &["record.db"]].concat())
+        folder.expect_output(status, &[&said[..], &["record.db"]].concat())
     };
     assert_eq!(correct(0, "3"), "on record; row 3 stays as it is\n");
     assert!(correct(1, "9999").contains("there is no row 9999"));
     correct(1, "0");
-    let story = folder.says(0, &["show", "--store", "record.db", "--key", "good"]);
+    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good"]);
     for said in [
         "correction of row 4 by jo: it was box-9",
         "correction of row 3 by sam: it was box-8, because: the rack's label",
@@ -422,18 +430,21 @@
         assert!(story.contains(said), "{story}");
     }
     assert!(story.contains("attempt 0 to box-2"), "the row itself stays: {story}");
-    assert!(folder.says(0, &["verify", "--store", "record.db"]).starts_with("whole"));
+    assert!(folder.expect_output(0, &["verify", "--store", "record.db"]).starts_with("whole"));
 }
 
 #[test]
 fn backup_during_writes_is_a_valid_store() {
     let folder = Folder::new();
     let _writes = stories(&folder);
-    assert_eq!(folder.says(0, &["backup", "--store", "record.db", "--to", "copy.db"]), "copied to copy.db\n");
-    let both = ["record.db", "copy.db"].map(|file| folder.says(0, &["verify", "--store", file]));
+    assert_eq!(
+        folder.expect_output(0, &["backup", "--store", "record.db", "--to", "copy.db"]),
+        "copied to copy.db\n"
+    );
+    let both = ["record.db", "copy.db"].map(|file| folder.expect_output(0, &["verify", "--store", file]));
     assert_eq!(both[0], both[1]);
     assert!(folder
-        .says(2, &["backup", "--store", "record.db", "--to", "copy.db"])
+        .expect_output(2, &["backup", "--store", "record.db", "--to", "copy.db"])
         .contains("is there already"));
 }
 
@@ -493,7 +504,7 @@
         (Reply::Senseless("what?".into()), 2, "shaletide: what?\n"),
     ] {
         let (told, end) = served(&folder, reply);
-        assert_eq!(folder.says(status, &resolve), said);
+        assert_eq!(folder.expect_output(status, &resolve), said);
         let Command::Resolve { tenant, class, ran, .. } = told.recv().unwrap() else {
             panic!("another command")
         };
@@ -501,20 +512,22 @@
         end();
     }
     let (told, end) = served(&folder, Reply::Done("so be it".into()));
-    folder.says(0, &["prune", "--before", "2026-12-01", "--by", "jo", "--control", "control.sock"]);
+    folder.expect_output(0, &["prune", "--before", "2026-12-01", "--by", "jo", "--control", "control.sock"]);
     assert_eq!(told.recv().unwrap(), Command::Prune { before: 1_796_083_200_000_000, by: "jo".into() });
-    folder.says(0, &["correct", "7", "--by", "jo", "--text", "t", "--control", "control.sock"]);
+    folder.expect_output(0, &["correct", "7", "--by", "jo", "--text", "t", "--control", "control.sock"]);
     assert_eq!(told.recv().unwrap(), Command::Correct { of: 7, by: "jo".into(), text: "t".into() });
     end();
     // Nobody listens, and somebody holds the store; then nobody does.
-    assert!(folder.says(2, &resolve).contains("another proxy owns the store"));
+    assert!(folder.expect_output(2, &resolve).contains("another proxy owns the store"));
     drop(recorded);
-    assert_eq!(folder.says(0, &resolve), "on record; the key counts as served\n");
+    assert_eq!(folder.expect_output(0, &resolve), "on record; the key counts as served\n");
     let lone = ["prune", "--before", "1d", "--by", "jo", "--control", "control.sock"];
-    assert!(folder.says(2, &lone).contains("no proxy listens at control.sock"));
-    assert!(folder.says(0, &["verify", "--config", "operator.toml"]).starts_with("whole"));
+    assert!(folder.expect_output(2, &lone).contains("no proxy listens at control.sock"));
+    assert!(folder.expect_output(0, &["verify", "--config", "operator.toml"]).starts_with("whole"));
     std::fs::write(folder.0.join("bare.toml"), CONFIG.split("[record]").next().unwrap()).unwrap();
-    assert!(folder.says(2, &["verify", "--config", "bare.toml"]).contains("bare.toml has no [record]"));
+    assert!(folder
+        .expect_output(2, &["verify", "--config", "bare.toml"])
+        .contains("bare.toml has no [record]"));
 }
 
 #[test]
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -34,7 +34,7 @@
         command.stdin(Stdio::null()).output().unwrap()
     }
     /// What it says, with that status.
-    pub fn says(&self, status: i32, arguments: &[&str]) -> String {
+    pub fn expect_output(&self, status: i32, arguments: &[&str]) -> String {
         let output = self.run(arguments);
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
         let (said, wrong) = (text(&output.stdout), text(&output.stderr));
--- a/crates/shaletide/tests/service.rs
+++ b/crates/shaletide/tests/service.rs
@@ -503,7 +503,7 @@
 #[test]
 fn unproven_connections_are_evicted_first() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut usual = proxy.client();
     assert_eq!(usual.request(&read_request(3.0)).status(), 200);
     let mut silent = Vec::new();
@@ -526,7 +526,8 @@
     let backend = BackendServer::start(|_| ok_reply("x"));
     let places = 8; // half of what is left of 80
     for round in 0..5 {
-        let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
+        let proxy =
+            Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
         let mut silent: Vec<Client> = (0..places).map(|_| proxy.client()).collect();
         std::thread::sleep(std::time::Duration::from_millis(150)); // by now none is new
         proxy.signal("STOP");
@@ -695,7 +696,7 @@
 #[test]
 fn responses_close_connections_when_many_are_open() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::with(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
+    let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
     let mut kept = Vec::new();
     let closing: Vec<bool> = (0..8)
         .map(|_| {
--- a/crates/shaletide/tests/service_terms.rs
+++ b/crates/shaletide/tests/service_terms.rs
@@ -104,7 +104,7 @@
 
 fn retry_of_asked_discovery_that_failed() -> Result<(), String> {
     let pair = BackendPair::start();
-    let proxy = Proxy::with(&[], 1024, &asked(300));
+    let proxy = Proxy::start_with_settings(&[], 1024, &asked(300));
     let (_, mut answer) = proxy.discovery.next_call();
     for failure in 0..8 {
         let failed = Instant::now();
@@ -142,7 +142,7 @@
 }
 
 fn retry_of_asked_discovery_that_is_silent() -> Result<(), String> {
-    let proxy = Proxy::with(&[], 1024, &asked(300));
+    let proxy = Proxy::start_with_settings(&[], 1024, &asked(300));
     let (_, mut silent) = proxy.discovery.next_call();
     for call in 0..3 {
         let at = Instant::now();
@@ -162,7 +162,7 @@
 
 fn retry_of_silent_asked_watch() -> Result<(), String> {
     let pair = BackendPair::start();
-    let proxy = Proxy::with(&pair.both(), 1024, &asked(300));
+    let proxy = Proxy::start_with_settings(&pair.both(), 1024, &asked(300));
     let (target, _silent) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
     let opened = Instant::now();
     let wait: u64 =
@@ -187,7 +187,7 @@
 fn retry_of_pushing_agent_that_failed() -> Result<(), String> {
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
-        let proxy = Proxy::with(&[], 1024, &pushed(grace));
+        let proxy = Proxy::start_with_settings(&[], 1024, &pushed(grace));
         let (_, mut answer) = proxy.discovery.next_call();
         let mut silent = Vec::new();
         for failure in 0..10 {
@@ -215,7 +215,7 @@
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
         let pair = BackendPair::start();
-        let proxy = Proxy::with(&pair.both(), 1024, &pushed(grace));
+        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &pushed(grace));
         let (_, mut watch) = take_in(&proxy.discovery, 9, &indented(9, true, &pair.both()));
         for _ in 0..4 {
             watch.send((200, indented(9, false, &[]))).unwrap();
@@ -239,7 +239,7 @@
 fn watch_that_ends_instead_of_answering_is_followed_by_the_whole_list() {
     for settings in [pushed(2000), asked(2000)] {
         let pair = BackendPair::start();
-        let proxy = Proxy::with(&pair.both(), 1024, &settings);
+        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &settings);
         let (_, watch) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
         drop(watch);
         let (target, answer) = proxy.discovery.next_call();
@@ -258,7 +258,7 @@
 fn reload_followed_at_once_by_a_drain_takes_the_drain_from_the_new_discovery() {
     for settings in [pushed(2000), asked(2000)] {
         let pair = BackendPair::start();
-        let proxy = Proxy::with(&pair.both(), 1024, &settings);
+        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &settings);
         let (_, watch) = take_in(&proxy.discovery, 900, &endpoint_list_json(900, true, &pair.both()));
         let elsewhere = DiscoveryServer::start();
         proxy.move_discovery(elsewhere.address);
@@ -299,7 +299,7 @@
             }
         }
         // Late, then in part, then whole.
-        let proxy = Proxy::with(&[], 1024, &settings);
+        let proxy = Proxy::start_with_settings(&[], 1024, &settings);
         let (target, answer) = proxy.discovery.next_call();
         assert_eq!((target.as_str(), proxy.request(READY).status()), (WHOLE_LIST, 200));
         let _ = answer.send((200, endpoint_list_json(5, false, &[])));
@@ -360,7 +360,7 @@
     let full: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":2900000");
-    let proxy = Proxy::with(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
+    let proxy = Proxy::start_with_settings(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
     let mut clients: Vec<(Client, Instant, String)> = Vec::new();
     for make in [read_request, pay_request, vote_request] {
         let (mut client, request) = (proxy.client(), make(3.0));
@@ -427,7 +427,7 @@
     }
     // Held until the list comes.
     let late = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::with(&[], 1024, &pushed(2000));
+    let proxy = Proxy::start_with_settings(&[], 1024, &pushed(2000));
     let (_, answer) = proxy.discovery.next_call();
     let (mut client, sent) = (proxy.client(), Instant::now());
     client.send(&pay_request(3.0));
