--- a/crates/shaletide/tests/client_close_before_read.rs
+++ b/crates/shaletide/tests/client_close_before_read.rs
@@ -1,5 +1,5 @@
-//! Clients that close between the event loop's wait and the turn in which their requests are read: the program is
-//! delayed there, so that what the loop was told is older than the close each time.
+//! Clients that close after the event loop's wait has returned and before the loop reads their requests. A delay is
+//! injected at this point, so that the readiness event is always older than the close.
 
 mod harness;
 
@@ -10,88 +10,88 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// How long each wait of the event loop is held back after the kernel has answered it.
-const HELD_BACK: Duration = Duration::from_millis(300);
-/// A client closes so long after its request, well within that.
-const STAYS: Duration = Duration::from_millis(20);
-/// What begins so long after the close was not on its way by then.
-const BEGUN_BEFORE: Duration = Duration::from_millis(100);
-/// Clients of one run, at moments that are spread over more than one wait.
+/// The delay injected after each `epoll_wait` of the event loop.
+const WAIT_DELAY: Duration = Duration::from_millis(300);
+/// The time from a client's request to its close, well below [`WAIT_DELAY`].
+const CLOSE_DELAY: Duration = Duration::from_millis(20);
+/// A request that reaches the backend later than this after its client's close was sent after the close.
+const TRANSIT_LIMIT: Duration = Duration::from_millis(100);
+/// The number of clients of a run. Their start times are spread over several waits of the event loop.
 const CLIENTS: usize = 24;
 
-/// What a client has sent before it closes.
+/// How a client sends its request before it closes.
 #[derive(Clone, Copy, Debug)]
-enum SentParts {
+enum RequestDelivery {
     Whole,
-    /// Head and body in two parts; the end comes behind the second.
+    /// In two parts, head and body; the client closes after the second.
     InParts,
 }
 
-/// The requests that come to a backend, each with its time.
+/// Returns the ids of the requests that reach a backend, each with its time.
 fn arrivals(backend: BackendServer) -> mpsc::Receiver<(String, Instant)> {
-    let (tell, arrivals) = mpsc::channel();
+    let (sender, arrivals) = mpsc::channel();
     std::thread::spawn(move || {
-        while let Ok(seen) = backend.events.recv() {
+        while let Ok(event) = backend.events.recv() {
             let at = Instant::now();
-            if let BackendEvent::Request(message) = seen {
+            if let BackendEvent::Request(message) = event {
                 let id = message.header("x-correlation-id").unwrap_or_default().to_string();
-                let _ = tell.send((id, at));
+                let _ = sender.send((id, at));
             }
         }
     });
     arrivals
 }
 
-/// Sends a request, closes, and returns the request's id and when it closed.
-fn ask_and_close(proxy: SocketAddr, sent: SentParts) -> (String, Instant) {
+/// Sends a request, closes the connection, and returns the request's id and the time of the close.
+fn send_and_close(proxy: SocketAddr, delivery: RequestDelivery) -> (String, Instant) {
     let request = pay_request(3.0);
     let mut client = Client::connect(proxy);
-    match sent {
-        SentParts::Whole => client.send(&request),
-        SentParts::InParts => {
+    match delivery {
+        RequestDelivery::Whole => client.send(&request),
+        RequestDelivery::InParts => {
             let (head, body) = request.split_at(request.len() - 2);
             client.send(head);
-            std::thread::sleep(HELD_BACK * 2); // the head has been read
+            std::thread::sleep(WAIT_DELAY * 2); // the head has been read
             client.send(body);
         }
     }
-    std::thread::sleep(STAYS);
+    std::thread::sleep(CLOSE_DELAY);
     drop(client);
     (id_of(&request).into(), Instant::now())
 }
 
 #[test]
-fn request_is_not_sent_when_its_client_closes_before_the_loop_reads_it() {
-    for sent in [SentParts::Whole, SentParts::InParts] {
+fn request_is_not_sent_if_its_client_closes_before_it_is_read() {
+    for delivery in [RequestDelivery::Whole, RequestDelivery::InParts] {
         let backend = BackendServer::start(|_| ok_reply("x"));
         let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
         let arrivals = arrivals(backend);
-        assert_eq!(proxy.request(&read_request(3.0)).status(), 200); // a connection to the backend is at hand
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200); // opens a connection to the backend
         let output = std::env::temp_dir().join(format!("shaletide-client-gone-{}", proxy.child.id()));
-        let delay = format!("inject=epoll_wait:delay_exit={}", HELD_BACK.as_micros());
+        let delay = format!("inject=epoll_wait:delay_exit={}", WAIT_DELAY.as_micros());
         let filter = ["-e", "trace=epoll_wait", "-e", &delay];
         let Some(strace) = Strace::attach(proxy.child.id(), &output, &filter) else { return };
-        let left: HashMap<String, Instant> = std::thread::scope(|scope| {
-            let ask = |n: usize| {
+        let closed: HashMap<String, Instant> = std::thread::scope(|scope| {
+            let spawn_client = |n: usize| {
                 let proxy = proxy.address;
                 scope.spawn(move || {
-                    std::thread::sleep(HELD_BACK * n as u32 / 8);
-                    ask_and_close(proxy, sent)
+                    std::thread::sleep(WAIT_DELAY * n as u32 / 8);
+                    send_and_close(proxy, delivery)
                 })
             };
-            let asked: Vec<_> = (0..CLIENTS).map(ask).collect();
-            asked.into_iter().map(|client| client.join().unwrap()).collect()
+            let clients: Vec<_> = (0..CLIENTS).map(spawn_client).collect();
+            clients.into_iter().map(|client| client.join().unwrap()).collect()
         });
-        std::thread::sleep(HELD_BACK * 3); // what was read goes on its way
+        std::thread::sleep(WAIT_DELAY * 3); // requests that were read are dispatched by now
         drop(strace);
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
         let _ = std::fs::remove_file(&output);
         let late: Vec<_> = arrivals
             .try_iter()
-            .filter_map(|(id, at)| Some(at.saturating_duration_since(*left.get(&id)?)))
-            .filter(|after| *after > BEGUN_BEFORE)
+            .filter_map(|(id, at)| Some(at.saturating_duration_since(*closed.get(&id)?)))
+            .filter(|after| *after > TRANSIT_LIMIT)
             .collect();
-        println!("{sent:?}: {} of {CLIENTS} sent after their clients had closed", late.len());
-        assert!(late.is_empty(), "{sent:?}: {late:?}");
+        println!("{delivery:?}: {} of {CLIENTS} requests sent after their clients had closed", late.len());
+        assert!(late.is_empty(), "{delivery:?}: {late:?}");
     }
 }
--- a/crates/shaletide/tests/command_signals.rs
+++ b/crates/shaletide/tests/command_signals.rs
@@ -1,4 +1,4 @@
-//! Commands other than those that serve leave signals as whoever starts them has set them.
+//! Commands other than those that serve restore the signal mask of the process that starts them.
 
 mod harness;
 
@@ -13,23 +13,23 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_shaletide");
-/// Signals that the program blocks as it begins, whatever it is to do.
+/// The signals that the program blocks at its start, whatever its command.
 const BLOCKED_AT_START: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGXFSZ];
-/// How long a signal that is blocked may take to show that it is not.
-const SIGNAL_TIME: Duration = Duration::from_millis(200);
-/// A signal that is not blocked has ended the program by then, on a loaded machine too.
+/// The time in which a signal that is wrongly not blocked takes effect.
+const SIGNAL_DELAY: Duration = Duration::from_millis(200);
+/// The limit for a signal that is not blocked to end the program, also on a loaded machine.
 const END_LIMIT: Duration = Duration::from_secs(1);
-/// How often a test looks whether something has come about.
+/// The interval at which a test checks whether a condition holds.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The program with no signal blocked or ignored as it starts, whatever the starter of this test has set.
+/// Returns a command that starts the program with no signal blocked or ignored, whatever this test inherited.
 fn program_with_default_signals() -> Command {
     let mut command = Command::new("env");
     command.args(["--default-signal", PROGRAM]);
     command
 }
 
-/// A command that waits for a file which comes by a pipe.
+/// A `check` command that waits for its file, which it reads from a named pipe.
 struct WaitingCommand {
     process: KilledOnDrop,
     pipe: std::fs::File,
@@ -37,22 +37,22 @@
 }
 
 impl WaitingCommand {
-    /// Starts the program by that command with these signals blocked.
+    /// Starts the program with `command` while these signals are blocked.
     fn start(name: &str, mut command: Command, blocked: &[Signal]) -> WaitingCommand {
         let path = std::env::temp_dir().join(format!("shaletide-command-{}-{name}", std::process::id()));
         make_fifo(&path);
         command.arg("check").arg(&path).env_remove("NODE_CONFIG").stdout(Stdio::null());
         let blocked: SigSet = blocked.iter().copied().collect();
-        // The mask of this test's thread, which a process inherits.
+        // A process inherits the mask of the thread that starts it.
         let previous = blocked.thread_swap_mask(SigmaskHow::SIG_SETMASK).unwrap();
         let process = KilledOnDrop(command.spawn().unwrap());
         previous.thread_set_mask().unwrap();
-        let pipe = std::fs::File::create(&path).unwrap(); // the program has opened it, too
+        let pipe = std::fs::File::create(&path).unwrap(); // returns once the program has opened the pipe
         WaitingCommand { process, pipe, path }
     }
 
-    /// Which of [`BLOCKED_AT_START`] it blocks.
-    fn blocked(&self) -> Vec<Signal> {
+    /// Returns the signals of [`BLOCKED_AT_START`] that the process blocks.
+    fn blocked_signals(&self) -> Vec<Signal> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.0.id())).unwrap();
         let mask = status.lines().find_map(|line| line.strip_prefix("SigBlk:")).unwrap();
         let mask = u64::from_str_radix(mask.trim(), 16).unwrap();
@@ -70,51 +70,51 @@
     }
 }
 
-/// Guards against a command that a signal ends which its starter has blocked, to let it finish.
+/// Guards against a command that is ended by a signal which its parent process blocked so that the command can finish.
 #[test]
-fn command_keeps_signals_blocked_that_its_starter_has_blocked() {
+fn command_keeps_signals_blocked_that_its_parent_blocked() {
     let mut command =
         WaitingCommand::start("kept", Command::new(PROGRAM), &[Signal::SIGTERM, Signal::SIGHUP]);
-    assert_eq!(command.blocked(), [Signal::SIGTERM, Signal::SIGHUP]);
+    assert_eq!(command.blocked_signals(), [Signal::SIGTERM, Signal::SIGHUP]);
     command.signal("TERM");
     command.signal("HUP");
-    std::thread::sleep(SIGNAL_TIME);
-    assert_eq!(command.process.0.try_wait().unwrap(), None, "a signal that was blocked has ended it");
+    std::thread::sleep(SIGNAL_DELAY);
+    assert_eq!(command.process.0.try_wait().unwrap(), None, "a blocked signal ended the program");
     command.pipe.write_all(b"{").unwrap();
-    command.pipe = std::fs::File::open("/dev/null").unwrap(); // it is closed
+    command.pipe = std::fs::File::open("/dev/null").unwrap(); // closes the pipe
     assert_eq!(command.process.0.wait().unwrap().code(), Some(2), "the file is invalid");
 }
 
-/// Guards against a command that keeps the signals blocked which the program blocks as it begins, and has to be killed.
+/// Guards against a command that keeps signals blocked which the program blocks at its start, and then has to be killed.
 #[test]
-fn command_is_ended_by_signals_that_its_starter_has_not_blocked() {
+fn command_is_ended_by_signals_that_its_parent_did_not_block() {
     for (name, number) in [("TERM", libc::SIGTERM), ("INT", libc::SIGINT), ("HUP", libc::SIGHUP)] {
         let mut command = WaitingCommand::start(name, program_with_default_signals(), &[]);
-        assert_eq!(command.blocked(), []);
+        assert_eq!(command.blocked_signals(), []);
         command.signal(name);
         let status = ends_within(&mut command.process.0, END_LIMIT);
         assert_eq!(status.and_then(|status| status.signal()), Some(number), "SIG{name}: {status:?}");
     }
 }
 
-/// Waits until the process writes to that descriptor and cannot go on.
+/// Waits until the process is blocked in a write to this descriptor.
 fn wait_for_write(process: &Child, descriptor: i32) {
     let write = format!("{} {descriptor:#x} ", libc::SYS_write);
-    let begun = Instant::now();
-    while begun.elapsed() < WAIT_LIMIT {
+    let start = Instant::now();
+    while start.elapsed() < WAIT_LIMIT {
         let call = std::fs::read_to_string(format!("/proc/{}/syscall", process.id())).unwrap();
         if call.starts_with(&write) {
             return;
         }
         std::thread::sleep(POLL_INTERVAL);
     }
-    panic!("it does not write");
+    panic!("the program does not write to descriptor {descriptor}");
 }
 
-/// Guards against help, a version or a usage error that nobody reads and that has to be killed, as the signals which the
-/// program blocks as it begins stay blocked.
+/// Guards against a program that has to be killed while it writes a help text, a version or a usage error that nobody
+/// reads, because the signals that it blocks at its start stay blocked.
 #[test]
-fn text_on_arguments_that_nobody_reads_is_ended_by_signals() {
+fn signals_end_the_program_while_it_writes_unread_help_or_usage_errors() {
     for (argument, descriptor) in [("--help", 1), ("--version", 1), ("--no-such-argument", 2)] {
         for (name, number) in [("TERM", libc::SIGTERM), ("INT", libc::SIGINT), ("HUP", libc::SIGHUP)] {
             let (_reader, writer) = full_socket();
--- a/crates/shaletide/tests/connection_close.rs
+++ b/crates/shaletide/tests/connection_close.rs
@@ -1,5 +1,5 @@
-//! The last answer on a connection comes whole, whatever its client sent behind its request: the connection ends, and is
-//! not reset before the answer was read.
+//! The last response on a connection is delivered complete, whatever its client sent behind the request: the connection is
+//! closed in order and not reset before the response has been read.
 
 mod harness;
 
@@ -8,8 +8,8 @@
 use std::net::TcpStream;
 use std::sync::Arc;
 
-/// A client whose kernel takes little, so that an answer is on its way for as long as nobody reads it.
-fn narrow(to: std::net::SocketAddr) -> TcpStream {
+/// Connects a client with a small receive buffer, so that a response stays in transit while the client does not read.
+fn connect_with_small_buffer(to: std::net::SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4096).unwrap();
     socket.connect(&to.into()).unwrap();
@@ -18,66 +18,71 @@
     tcp
 }
 
-/// All that comes until the end, which has to be one.
-fn all(tcp: &mut TcpStream, what: &str) -> Vec<u8> {
+/// Reads until the connection is closed; panics if it is reset.
+fn read_to_close(tcp: &mut TcpStream, scenario: &str) -> Vec<u8> {
     let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
         match tcp.read(&mut chunk) {
             Ok(0) => return bytes,
             Ok(n) => bytes.extend_from_slice(&chunk[..n]),
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) => panic!("{what}: {e} after {} bytes", bytes.len()),
+            Err(e) => panic!("{scenario}: {e} after {} bytes", bytes.len()),
         }
     }
 }
 
-const LENGTH: usize = 60_000;
+/// The length of a response body that does not fit into the client's receive buffer.
+const BODY_LENGTH: usize = 60_000;
 
-/// What comes behind the request is there as its answer goes out, or comes after that.
+/// Excess bytes behind the request arrive before the response is sent, or while it is in transit.
 #[test]
 fn response_is_complete_with_excess_bytes_behind_the_request() {
     for round in 0..10 {
         let gate = Arc::new(Gate::default());
-        let wait = gate.clone();
+        let response_gate = gate.clone();
         let backend = BackendServer::start(move |_| {
-            wait.wait();
-            ok_reply(&"x".repeat(LENGTH))
+            response_gate.wait();
+            ok_reply(&"x".repeat(BODY_LENGTH))
         });
         let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
-        let mut client = narrow(proxy.address);
+        let mut client = connect_with_small_buffer(proxy.address);
         client.write_all(pay_request(3.0).as_bytes()).unwrap();
         backend.next_request();
         client.write_all(read_request(3.0).as_bytes()).unwrap();
         gate.open();
         let mut first = [0; 1];
         client.read_exact(&mut first).unwrap();
-        client.write_all(&[b'y'; 20_000]).unwrap(); // its answer is on its way
-        let got = all(&mut client, "after its answer");
-        assert!(got.ends_with(&[b'x'; LENGTH]) && got.len() < LENGTH + 1000, "round {round}: {}", got.len());
+        client.write_all(&[b'y'; 20_000]).unwrap(); // the response is in transit
+        let received = read_to_close(&mut client, "excess bytes");
+        assert!(
+            received.ends_with(&[b'x'; BODY_LENGTH]) && received.len() < BODY_LENGTH + 1000,
+            "round {round}: {}",
+            received.len()
+        );
         assert_eq!(backend.request_count(), 1);
     }
 }
 
-/// A body that is too long is answered before all of it came.
+/// A body that is too long is rejected before all of it has been received.
 #[test]
 fn rejection_reaches_client_that_still_sends_its_body() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
     for _ in 0..20 {
-        let mut client = narrow(proxy.address);
+        let mut client = connect_with_small_buffer(proxy.address);
         let head = "POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 1\r\nContent-Length: 100000\r\n\r\n";
         client.write_all(head.as_bytes()).unwrap();
         client.write_all(&[b'y'; 50_000]).unwrap();
-        client.write_all(&[b'y'; 50_000]).expect("it is not reset as it sends");
-        let got = all(&mut client, "too long");
-        assert!(got.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&got));
+        client.write_all(&[b'y'; 50_000]).expect("no reset while the client sends");
+        let received = read_to_close(&mut client, "body too long");
+        assert!(received.starts_with(b"HTTP/1.1 413"), "{}", String::from_utf8_lossy(&received));
     }
 }
 
-/// Its reader takes its time, and its place is wanted meanwhile: the rest is waited for.
+/// A slow reader's connection is evicted while its response is in transit: the rest of the response is still delivered.
 #[test]
 fn response_in_transit_is_complete_when_its_connection_is_evicted() {
-    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(LENGTH)));
+    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(BODY_LENGTH)));
     let proxy = Proxy::start_with_descriptor_limit(
         &[endpoint_json("b0", backend.address, "SERVING")],
         80,
@@ -85,12 +90,12 @@
         80,
     );
     for round in 0..2 {
-        let mut slow: Vec<TcpStream> = (0..4).map(|_| narrow(proxy.address)).collect();
+        let mut slow: Vec<TcpStream> = (0..4).map(|_| connect_with_small_buffer(proxy.address)).collect();
         for client in &mut slow {
             client.write_all(pay_request(3.0).as_bytes()).unwrap();
             client.read_exact(&mut [0; 1]).unwrap();
         }
-        // There are eight places.
+        // The proxy has eight connection slots.
         let mut others: Vec<Client> = Vec::new();
         for _ in 0..30 {
             let mut client = proxy.client();
@@ -98,39 +103,44 @@
             others.push(client);
         }
         for client in &mut slow {
-            let got = all(client, "wanted");
+            let received = read_to_close(client, "evicted");
             assert!(
-                got.ends_with(&[b'x'; LENGTH]) && got.len() < LENGTH + 1000,
+                received.ends_with(&[b'x'; BODY_LENGTH]) && received.len() < BODY_LENGTH + 1000,
                 "round {round}: {}",
-                got.len()
+                received.len()
             );
         }
     }
 }
 
-/// Or the program stops, before or after it was asked, and closes what is at rest every few milliseconds.
+/// The program shuts down before or after it received the request, and closes idle connections every few milliseconds.
 #[test]
 fn response_in_transit_is_complete_during_shutdown() {
-    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(LENGTH)));
+    let backend = BackendServer::start(|_| ok_reply(&"x".repeat(BODY_LENGTH)));
     let mut proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
-    let ask = |n: u32| {
-        let mut client = narrow(proxy.address);
+    let send_request = |n: u32| {
+        let mut client = connect_with_small_buffer(proxy.address);
         client.write_all((if n % 2 == 0 { pay_request(3.0) } else { read_request(3.0) }).as_bytes()).unwrap();
         client.read_exact(&mut [0; 1]).unwrap();
         client
     };
-    let mut slow: Vec<TcpStream> = (0..10).map(ask).collect();
+    let mut slow: Vec<TcpStream> = (0..10).map(send_request).collect();
     proxy.signal("TERM");
     proxy.log.expect(0, "stopping");
-    slow.extend((0..10).map(ask));
+    slow.extend((0..10).map(send_request));
     for client in &mut slow {
-        let got = all(client, "stopping");
-        assert!(got.ends_with(&[b'x'; LENGTH]) && got.len() < LENGTH + 1000, "{}", got.len());
+        let received = read_to_close(client, "stopping");
+        assert!(
+            received.ends_with(&[b'x'; BODY_LENGTH]) && received.len() < BODY_LENGTH + 1000,
+            "{}",
+            received.len()
+        );
     }
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// They hold no place, and there are never many of them: others are served as if they were not there.
+/// Connections that are being closed hold no connection slot, and their number is limited: other clients are served
+/// without delay.
 #[test]
 fn slowly_closing_connections_do_not_block_new_clients() {
     let backend = BackendServer::start(|_| ok_reply("x"));
@@ -140,7 +150,7 @@
         SETTINGS,
         80,
     );
-    let mut ending: Vec<TcpStream> = (0..200)
+    let mut closing: Vec<TcpStream> = (0..200)
         .map(|_| {
             let mut client = TcpStream::connect(proxy.address).unwrap();
             client.write_all(b"GET /read/k HTTP/1.1\r\nwhat\r\n\r\n").unwrap();
@@ -150,7 +160,7 @@
     for _ in 0..50 {
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
-    for client in &mut ending {
+    for client in &mut closing {
         client.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let _ = client.read(&mut [0; 256]);
     }
--- a/crates/shaletide/tests/control_socket.rs
+++ b/crates/shaletide/tests/control_socket.rs
@@ -1,4 +1,5 @@
-//! The control socket, in a folder on a disk that hangs: at the start its lock is a pipe that nobody reads.
+//! The control socket in a folder on a disk that hangs. At the start its lock file is a named pipe without a reader, whose
+//! opening blocks.
 
 mod harness;
 
@@ -10,16 +11,16 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-/// How long the opening of the socket's lock is held up, in the words of strace: longer than the test.
-const HELD_UP: &str = "inject=openat:delay_enter=60s";
-/// A signal to stop has ended a start by then, on a loaded machine too.
+/// strace's argument that delays the opening of the socket's lock, for longer than the test runs.
+const OPEN_DELAY: &str = "inject=openat:delay_enter=60s";
+/// The limit for a stop signal to end a start, also on a loaded machine.
 const STOP_LIMIT: Duration = Duration::from_secs(1);
-/// A stop without requests has ended by then, on a loaded machine too.
+/// The limit for a stop without requests, also on a loaded machine.
 const QUIET_STOP_LIMIT: Duration = Duration::from_secs(5);
-/// Requests over more than the pause of 200 ms between two attempts to bind.
+/// The number of requests, enough to last longer than the pause of 200 ms between two attempts to bind the socket.
 const REQUESTS: usize = 20;
 
-/// A start that has the control socket in a folder of its own.
+/// A process at its start, with its control socket in a temporary folder.
 struct ControlStart {
     folder: PathBuf,
     process: KilledOnDrop,
@@ -28,7 +29,7 @@
 }
 
 impl ControlStart {
-    /// Starts the program, and waits until it opens the socket's lock, which hangs.
+    /// Starts the program and waits until it has read its configuration; it then hangs when it opens the socket's lock.
     fn hanging(name: &str, backend: &BackendServer) -> ControlStart {
         let folder = std::env::temp_dir().join(format!("shaletide-control-{name}-{}", std::process::id()));
         std::fs::create_dir(&folder).unwrap();
@@ -58,7 +59,7 @@
 
 /// Guards against a start that cannot be stopped while the disk of its control socket hangs.
 #[test]
-fn stop_signal_ends_a_start_whose_control_socket_hangs() {
+fn stop_signal_ends_start_while_control_socket_hangs() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     for signal in ["TERM", "INT"] {
         let mut start = ControlStart::hanging(signal, &backend);
@@ -68,9 +69,9 @@
     }
 }
 
-/// Guards against a start that waits for the disk of its control socket without end, and serves nobody.
+/// Guards against a start that waits for the disk of its control socket without a limit and never serves.
 #[test]
-fn start_whose_control_socket_hangs_serves_without_it() {
+fn start_serves_without_a_control_socket_that_hangs() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let start = ControlStart::hanging("serves", &backend);
     start.log.expect(0, "listens on ");
@@ -78,27 +79,29 @@
     assert_eq!(client.request(&request("/read/k", 3.0, "")).status(), 200);
 }
 
-/// Guards against a control socket that is bound on the event loop once requests are served: its folder may lie on a disk that
-/// hangs.
+/// Guards against binding the control socket on the event loop while requests are served: the disk of its folder may hang.
 #[test]
-fn control_socket_that_is_waited_for_on_a_hanging_disk_holds_up_neither_requests_nor_the_stop() {
+fn control_socket_on_a_hanging_disk_delays_neither_requests_nor_shutdown() {
     let folder = std::env::temp_dir().join(format!("shaletide-control-{}", std::process::id()));
     std::fs::create_dir(&folder).unwrap();
     let (socket, lock_path) = (folder.join("control.sock"), folder.join("control.sock.lock"));
     let lock = std::fs::File::create(&lock_path).unwrap();
-    flock(&lock, FlockOperation::NonBlockingLockExclusive).unwrap(); // as a process that serves it
+    flock(&lock, FlockOperation::NonBlockingLockExclusive).unwrap(); // as a process that serves the socket holds it
     let backend = BackendServer::start(|_| ok_reply("x"));
     let control = format!("[control]\nsocket = {:?}\n", socket.display().to_string());
     let mut proxy = program().serve(&format!("{CLASSES}{control}{}", pool("p", &[(backend.address, "a")])));
     proxy.log.expect(0, "no control socket yet");
     let (output, lock_name) = (folder.join("strace"), lock_path.display().to_string());
-    let arguments = ["-e", "trace=openat", "-P", &lock_name, "-e", HELD_UP];
+    let arguments = ["-e", "trace=openat", "-P", &lock_name, "-e", OPEN_DELAY];
     let Some(strace) = Strace::attach(proxy.child.id(), &output, &arguments) else { return };
     for _ in 0..REQUESTS {
         assert_eq!(proxy.request(&request("/read/k", 3.0, "")).status(), 200);
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(thread_names(&proxy.child).contains(&"control-socket".to_string()), "nothing is opened");
+    assert!(
+        thread_names(&proxy.child).contains(&"control-socket".to_string()),
+        "no thread opens the control socket"
+    );
     strace.expect_quiet_stop(&mut proxy, QUIET_STOP_LIMIT);
     drop(lock);
     std::fs::remove_dir_all(&folder).unwrap();
--- a/crates/shaletide/tests/crash_recovery.rs
+++ b/crates/shaletide/tests/crash_recovery.rs
@@ -1,4 +1,5 @@
-//! Killed under load and started again, over and over: no key runs twice, and none that was not executed stays taken.
+//! Kills the program under load and restarts it, many times: no keyed request is executed twice, and no key of a request
+//! that was not executed stays blocked.
 //!
 //! The long run: `cargo test --locked --release -p shaletide --test crash_recovery -- --ignored --nocapture`.
 
@@ -18,45 +19,45 @@
 
 const CLIENTS: usize = 8;
 
-/// Where an attempt stood as the program was killed, by the store, the backend and the client.
+/// How far an attempt had come when the program was killed, by the records of the store, the backend and the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Window {
-    /// Nothing of its intent is on record.
+    /// The store has no intent.
     NotOnRecord,
-    /// Its intent is, and the backend has not seen the whole of it.
+    /// The store has the intent; the backend has not received the whole request.
     DurableNotSent,
-    /// The backend has it whole, and no end is on record.
+    /// The backend has received the whole request; the store has no outcome.
     SentNotRecorded,
-    /// Its end is on record, and the client has no answer.
+    /// The store has the outcome; the client has no response.
     RecordedNotAnswered,
 }
 
-/// What the backends ran, by key: their own record.
+/// The number of executions by key, as counted by the backend.
 type Runs = Arc<Mutex<BTreeMap<String, u32>>>;
 
-fn paid(key: &str) -> String {
+fn pay_request_with_key(key: &str) -> String {
     request("/pay", 2.0, &format!("Idempotency-Key: {key}\r\n"))
 }
 
 fn key_of(message: &Message) -> String {
-    message.header("idempotency-key").expect("a key").to_string()
+    message.header("idempotency-key").expect("an idempotency key").to_string()
 }
 
-/// One request on a connection that may break at any moment.
-fn try_one(to: SocketAddr, key: &str) -> Option<u16> {
+/// Sends a request on a new connection, which may break at any moment. Returns the status, or `None` without a response.
+fn try_request(to: SocketAddr, key: &str) -> Option<u16> {
     let mut tcp = TcpStream::connect(to).ok()?;
     tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
-    tcp.write_all(paid(key).as_bytes()).ok()?;
+    tcp.write_all(pay_request_with_key(key).as_bytes()).ok()?;
     Message::read(&mut BufReader::new(tcp)).map(|answer| answer.status())
 }
 
-fn window(store: &Path, key: &str, ran: u32) -> Window {
+fn window(store: &Path, key: &str, executions: u32) -> Window {
     let query = Query { key: Some(key.as_bytes().to_vec()), limit: 100, ..Query::default() };
     let rows = SqliteReader::open(store).and_then(|reader| reader.rows(&query)).expect("rows");
     let facts: Vec<Fact> = rows.iter().map(Fact::of).collect();
     let ended = facts.iter().any(|f| matches!(f, Fact::Outcome { .. }));
-    let meant = facts.iter().any(|f| matches!(f, Fact::Intent { .. }));
-    match (meant, ran > 0, ended) {
+    let intended = facts.iter().any(|f| matches!(f, Fact::Intent { .. }));
+    match (intended, executions > 0, ended) {
         (_, _, true) => Window::RecordedNotAnswered,
         (_, true, false) => Window::SentNotRecorded,
         (true, false, false) => Window::DurableNotSent,
@@ -72,14 +73,14 @@
     }
 }
 
-fn killed_under_load(name: &str, kills: u64) {
-    let place =
+fn check_kills_under_load(name: &str, kills: u64) {
+    let folder =
         TestFolder(std::env::temp_dir().join(format!("shaletide-kills-{}-{name}", std::process::id())));
-    let _ = std::fs::remove_dir_all(&place.0);
-    std::fs::create_dir(&place.0).unwrap();
-    let (store, socket) = (place.0.join("record.db"), place.0.join("control.sock"));
+    let _ = std::fs::remove_dir_all(&folder.0);
+    std::fs::create_dir(&folder.0).unwrap();
+    let (store, socket) = (folder.0.join("record.db"), folder.0.join("control.sock"));
     let backend = BackendServer::start(|n| match n % 8 {
-        0 => Reply::Reset, // it ran, and nobody is told
+        0 => Reply::Reset, // executed, but without a response
         _ => ok_reply("done"),
     });
     let runs = Runs::default();
@@ -102,42 +103,42 @@
         quoted(&socket),
         pool("p", &[(address, "a")])
     );
-    let ran = |key: &str| runs.lock().unwrap().get(key).copied().unwrap_or_default();
-    // A backend tells of a request before it answers; whoever counts may be a little behind.
-    let has_run = |key: &str| {
-        let begun = Instant::now();
-        while ran(key) == 0 && begun.elapsed() < WAIT_LIMIT {
+    let executions = |key: &str| runs.lock().unwrap().get(key).copied().unwrap_or_default();
+    // The backend reports a request before it responds; the thread that counts may lag a little behind.
+    let has_run_once = |key: &str| {
+        let start = Instant::now();
+        while executions(key) == 0 && start.elapsed() < WAIT_LIMIT {
             std::thread::sleep(Duration::from_millis(1));
         }
-        ran(key) == 1
+        executions(key) == 1
     };
-    let numbers = AtomicU64::new(0);
+    let next_number = AtomicU64::new(0);
     let mut windows: BTreeMap<Window, u64> = BTreeMap::new();
-    let (mut asked, mut served, mut doubts, mut freed, mut resolved) = (0u64, 0u64, 0u64, 0u64, 0u64);
-    let mut left: Vec<String> = Vec::new();
+    let (mut requests, mut served, mut in_doubt, mut retried, mut resolved) = (0u64, 0u64, 0u64, 0u64, 0u64);
+    let mut unanswered: Vec<String> = Vec::new();
     for round in 0..=kills {
         let mut proxy = program().serve(&file);
-        // Whoever has no answer asks again at the one that was started.
-        for key in std::mem::take(&mut left) {
-            let mut status = try_one(proxy.address, &key).expect("an answer");
-            let begun = Instant::now();
-            while status == 503 && begun.elapsed() < WAIT_LIMIT {
+        // Clients without a response repeat their requests at the restarted program.
+        for key in std::mem::take(&mut unanswered) {
+            let mut status = try_request(proxy.address, &key).expect("a response");
+            let start = Instant::now();
+            while status == 503 && start.elapsed() < WAIT_LIMIT {
                 std::thread::sleep(Duration::from_millis(5));
-                status = try_one(proxy.address, &key).expect("an answer");
+                status = try_request(proxy.address, &key).expect("a response");
             }
             match status {
-                200 => freed += 1,
+                200 => retried += 1,
                 409 => {
-                    doubts += 1;
-                    if ran(&key) == 0 {
-                        resolve(&place.0, &key, false);
+                    in_doubt += 1;
+                    if executions(&key) == 0 {
+                        resolve(&folder.0, &key, false);
                         resolved += 1;
-                        let status = try_one(proxy.address, &key).expect("an answer");
-                        assert!(status == 200 || has_run(&key), "{key}: {status}, never ran");
+                        let status = try_request(proxy.address, &key).expect("a response");
+                        assert!(status == 200 || has_run_once(&key), "{key}: {status}, not executed");
                     }
                 }
-                // The reset above: it ran now, and nobody was told.
-                _ => assert!(has_run(&key), "{key}: {status}"),
+                // The backend's reset: the request was executed now, without a response.
+                _ => assert!(has_run_once(&key), "{key}: {status}"),
             }
         }
         if round == kills {
@@ -145,18 +146,18 @@
         }
         let (stop, to) = (AtomicBool::new(false), proxy.address);
         let pause = Duration::from_micros(2_000 + round * 7_919 % 40_000);
-        let found: Vec<(String, Option<u16>)> = std::thread::scope(|scope| {
+        let results: Vec<(String, Option<u16>)> = std::thread::scope(|scope| {
             let client = || {
-                let mut seen = Vec::new();
+                let mut results = Vec::new();
                 while !stop.load(Ordering::SeqCst) {
-                    let key = format!("k{}", numbers.fetch_add(1, Ordering::SeqCst));
-                    let status = try_one(to, &key);
-                    seen.push((key, status));
+                    let key = format!("k{}", next_number.fetch_add(1, Ordering::SeqCst));
+                    let status = try_request(to, &key);
+                    results.push((key, status));
                     if status.is_none() {
                         break;
                     }
                 }
-                seen
+                results
             };
             let clients: Vec<_> = (0..CLIENTS).map(|_| scope.spawn(client)).collect();
             std::thread::sleep(pause);
@@ -165,26 +166,26 @@
             stop.store(true, Ordering::SeqCst);
             clients.into_iter().flat_map(|c| c.join().unwrap()).collect()
         });
-        std::thread::sleep(Duration::from_millis(5)); // until the box has counted what it has
-        for (key, status) in found {
-            asked += 1;
+        std::thread::sleep(Duration::from_millis(5)); // the backend has counted all requests that it received by now
+        for (key, status) in results {
+            requests += 1;
             match status {
                 Some(200) => served += 1,
                 None => {
-                    *windows.entry(window(&store, &key, ran(&key))).or_default() += 1;
-                    left.push(key);
+                    *windows.entry(window(&store, &key, executions(&key))).or_default() += 1;
+                    unanswered.push(key);
                 }
-                Some(503) => left.push(key),
-                Some(_) => assert!(has_run(&key), "{key}: only a reset was to fail"),
+                Some(503) => unanswered.push(key),
+                Some(_) => assert!(has_run_once(&key), "{key}: only a reset may fail"),
             }
         }
     }
     let runs = runs.lock().unwrap();
     let most = runs.values().max().copied().unwrap_or_default();
     println!(
-        "kills {kills}, asked {asked}, served {served}; without an answer at a kill, by window: {windows:?}; \
-         asked again: served at once {freed}, 409 {doubts}, of which resolved as not run {resolved}; \
-         keys that ran {}, most runs of a key {most}",
+        "kills {kills}, requests {requests}, served {served}; unanswered at a kill, by window: {windows:?}; \
+         repeated: served at once {retried}, 409 {in_doubt}, of which resolved as not executed {resolved}; \
+         keys executed {}, most executions of a key {most}",
         runs.len()
     );
     assert_eq!(most, 1, "{:?}", runs.iter().filter(|(_, n)| **n > 1).collect::<Vec<_>>());
@@ -198,11 +199,11 @@
 
 #[test]
 fn no_key_runs_twice_over_fifty_kills() {
-    killed_under_load("fifty", 50);
+    check_kills_under_load("fifty", 50);
 }
 
 #[test]
 #[ignore = "a few minutes"]
 fn no_key_runs_twice_over_a_thousand_kills() {
-    killed_under_load("thousand", 1_000);
+    check_kills_under_load("thousand", 1_000);
 }
--- a/crates/shaletide/tests/crash_windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -1,5 +1,6 @@
-//! Killed in each window of a settle, under load: the window is brought about and shown, by what store, backend and client
-//! have of it, and what the same key gets at the program that is started again.
+//! Kills the program under load in each window of a `settle` request. Each test brings the request into the window, shows
+//! that it was there by the records of store, backend and client, and checks the response to the same key after the
+//! restart.
 //!
 //! The long run: `cargo test --locked --release -p shaletide --test crash_windows -- --ignored --nocapture`.
 
@@ -16,30 +17,30 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Where a settle stands when the program is killed.
+/// How far a `settle` request has come when the program is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Window {
-    /// It lies at the program's socket.
+    /// The request is in the program's socket buffer.
     BeforeIntent,
-    /// Its intent waits for the disk.
+    /// The intent waits for the disk.
     IntentQueued,
-    /// Its intent is on record, and no connection to a backend is up.
+    /// The intent is durable; no connection to a backend is established.
     DurableNotSent,
-    /// A backend has a part of it.
+    /// A backend has received a part of the request.
     HalfSent,
-    /// A backend has it whole.
+    /// A backend has received the whole request.
     Sent,
-    /// Its answer was read, and its outcome is not on record.
+    /// The response has been read from the backend; the outcome is not on record.
     ReadNotRecorded,
-    /// Its outcome is on record, and its client has a part of the answer.
+    /// The outcome is on record; the client has received a part of the response.
     RecordedNotAnswered,
-    /// Its client has the answer, and its outcome is on record.
+    /// The outcome is on record; the client has received the response.
     Answered,
 }
 
 use Window::*;
 
-const ALL: [Window; 8] = [
+const WINDOWS: [Window; 8] = [
     BeforeIntent,
     IntentQueued,
     DurableNotSent,
@@ -50,62 +51,65 @@
     Answered,
 ];
 
-/// The body of a settle and of an answer that must not fit into what the system holds on the way.
-const LARGE: usize = 60_000;
+/// The length of a request or response body that does not fit into the socket buffers on its way.
+const LARGE_BODY: usize = 60_000;
 
-/// A backend that keeps its own record of what it ran, by key, and does what a key's name says of its first request.
+/// A backend that counts the executions of each key. The part of a key before `-` selects how its first request is handled.
 struct RecordingBackend {
     address: SocketAddr,
     runs: Arc<Mutex<BTreeMap<String, u32>>>,
-    /// Keys as far as the backend has come with them: all of it, or a part.
-    seen: mpsc::Receiver<(String, bool)>,
+    /// The keys of received requests, and whether the whole request has been received or only its head.
+    received: mpsc::Receiver<(String, bool)>,
     gate: Arc<Mutex<Arc<Gate>>>,
 }
 
 impl RecordingBackend {
     fn start() -> RecordingBackend {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        // What a part is read of must lie whole neither here nor on the way.
+        // Keeps a request of which only a part is read from fitting into the receive buffer or the segments in transit.
         socket.set_tcp_mss(536).unwrap();
         socket.set_recv_buffer_size(1_024).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(64).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (sender, received) = mpsc::channel();
         let runs: Arc<Mutex<BTreeMap<String, u32>>> = Arc::default();
         let gate = Arc::new(Mutex::new(Arc::new(Gate::default())));
         std::thread::spawn({
             let (runs, gate) = (runs.clone(), gate.clone());
-            let known = Arc::new(Mutex::new(BTreeSet::new()));
+            let known_keys = Arc::new(Mutex::new(BTreeSet::new()));
             move || {
                 for tcp in listener.incoming().flatten() {
-                    let (runs, gate, known, tell) = (runs.clone(), gate.clone(), known.clone(), tell.clone());
+                    let (runs, gate, known_keys, sender) =
+                        (runs.clone(), gate.clone(), known_keys.clone(), sender.clone());
                     std::thread::spawn(move || {
                         let mut tcp = BufReader::new(tcp);
-                        while one(&mut tcp, &runs, &gate, &known, &tell).is_some() {}
+                        while serve_request(&mut tcp, &runs, &gate, &known_keys, &sender).is_some() {}
                     });
                 }
             }
         });
-        RecordingBackend { address, runs, seen, gate }
+        RecordingBackend { address, runs, received, gate }
     }
 
-    fn ran(&self, key: &str) -> u32 {
+    fn executions(&self, key: &str) -> u32 {
         self.runs.lock().unwrap().get(key).copied().unwrap_or_default()
     }
 
-    /// Until the backend has so much of that key.
-    fn has(&self, key: &str, whole: bool) {
+    /// Waits until the backend has received the head of the request with this key, or all of it if `whole`.
+    fn wait_received(&self, key: &str, whole: bool) {
         let end = Instant::now() + WAIT_LIMIT;
-        while self.seen.recv_timeout(end - Instant::now()).expect("at the box") != (key.to_string(), whole) {}
+        while self.received.recv_timeout(end - Instant::now()).expect("at the box")
+            != (key.to_string(), whole)
+        {}
     }
 }
 
-/// One request on a connection of the till's.
-fn one(
+/// Serves one request on a connection to the backend; returns `None` when the connection has ended.
+fn serve_request(
     tcp: &mut BufReader<TcpStream>, runs: &Mutex<BTreeMap<String, u32>>, gate: &Mutex<Arc<Gate>>,
-    known: &Mutex<BTreeSet<String>>, tell: &mpsc::Sender<(String, bool)>,
+    known_keys: &Mutex<BTreeSet<String>>, sender: &mpsc::Sender<(String, bool)>,
 ) -> Option<()> {
     let (mut key, mut length) = (String::new(), 0);
     loop {
@@ -124,11 +128,11 @@
             _ => {}
         }
     }
-    let first = known.lock().unwrap().insert(key.clone());
+    let first = known_keys.lock().unwrap().insert(key.clone());
     let mode = if first { key.split('-').next().unwrap_or_default() } else { "" };
     if mode == "half" {
         let gate = gate.lock().unwrap().clone();
-        tell.send((key.clone(), false)).ok()?;
+        sender.send((key.clone(), false)).ok()?;
         gate.wait();
     }
     let mut body = vec![0; length];
@@ -136,19 +140,19 @@
     if !key.is_empty() {
         *runs.lock().unwrap().entry(key.clone()).or_default() += 1;
     }
-    let opens = matches!(mode, "sent" | "read").then(|| gate.lock().unwrap().clone());
+    let response_gate = matches!(mode, "sent" | "read").then(|| gate.lock().unwrap().clone());
     if !mode.is_empty() && !mode.starts_with('k') {
-        tell.send((key.clone(), true)).ok()?;
+        sender.send((key.clone(), true)).ok()?;
     }
-    if let Some(opens) = opens {
-        opens.wait();
+    if let Some(response_gate) = response_gate {
+        response_gate.wait();
     }
-    let body = "x".repeat(if mode == "slow" { LARGE } else { 4 });
+    let body = "x".repeat(if mode == "slow" { LARGE_BODY } else { 4 });
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     tcp.get_mut().write_all((head + &body).as_bytes()).ok()
 }
 
-/// A place where no connection comes up: the queue of its listener is full.
+/// A listener whose accept queue is full, so that no further connection is established.
 struct StoppedListener(SocketAddr, #[allow(dead_code)] (socket2::Socket, Vec<TcpStream>));
 
 impl StoppedListener {
@@ -157,17 +161,17 @@
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        let mut held = Vec::new();
+        let mut queued = Vec::new();
         while let Ok(tcp) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
-            held.push(tcp);
+            queued.push(tcp);
         }
-        StoppedListener(address, (socket, held))
+        StoppedListener(address, (socket, queued))
     }
 }
 
-fn settle(key: &str, path: &str, body: usize) -> String {
+fn settle_request(key: &str, path: &str, body_length: usize) -> String {
     let id = key.replace(|c: char| !c.is_ascii_hexdigit(), "0");
-    let body = "x".repeat(body);
+    let body = "x".repeat(body_length);
     format!(
         "POST {path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: 2.5\r\nIdempotency-Key: {key}\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -175,22 +179,22 @@
     )
 }
 
-fn status_of(tcp: TcpStream) -> Option<u16> {
+fn read_status(tcp: TcpStream) -> Option<u16> {
     tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
     Message::read(&mut BufReader::new(tcp)).map(|answer| answer.status())
 }
 
-fn try_one(to: SocketAddr, key: &str) -> Option<u16> {
+fn try_request(to: SocketAddr, key: &str) -> Option<u16> {
     let mut tcp = TcpStream::connect(to).ok()?;
-    tcp.write_all(settle(key, "/pay", 4).as_bytes()).ok()?;
-    status_of(tcp)
+    tcp.write_all(settle_request(key, "/pay", 4).as_bytes()).ok()?;
+    read_status(tcp)
 }
 
-/// Asked until it is no longer told to come again.
-fn finally(to: SocketAddr, key: &str) -> u16 {
+/// Repeats a request until the status is no longer 503, and returns the status.
+fn final_status(to: SocketAddr, key: &str) -> u16 {
     let end = Instant::now() + WAIT_LIMIT;
     loop {
-        let status = try_one(to, key).expect("an answer");
+        let status = try_request(to, key).expect("a response");
         if status != 503 || Instant::now() >= end {
             return status;
         }
@@ -198,12 +202,12 @@
     }
 }
 
-/// What the store has of a key: asked, intent, outcome.
+/// Returns whether the store has the facts `Asked`, `Intent` and `Outcome` of a key.
 fn on_record(store: &Path, key: &str) -> (bool, bool, bool) {
     let query = Query { key: Some(key.as_bytes().to_vec()), limit: 100, ..Query::default() };
     let rows = SqliteReader::open(store).and_then(|reader| reader.rows(&query)).expect("rows");
     let facts: Vec<Fact> = rows.iter().map(Fact::of).collect();
-    let has = |is: fn(&Fact) -> bool| facts.iter().any(is);
+    let has = |matches: fn(&Fact) -> bool| facts.iter().any(matches);
     (
         has(|f| matches!(f, Fact::Asked { .. })),
         has(|f| matches!(f, Fact::Intent { .. })),
@@ -211,17 +215,17 @@
     )
 }
 
-fn until(what: &str, is: impl Fn() -> bool) {
+fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let end = Instant::now() + WAIT_LIMIT;
-    while !is() {
-        assert!(Instant::now() < end, "{what}");
+    while !condition() {
+        assert!(Instant::now() < end, "{description}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
 struct TestSite {
     folder: PathBuf,
-    file: String,
+    configuration: String,
     backend: RecordingBackend,
     _stopped_listener: StoppedListener,
 }
@@ -237,18 +241,18 @@
         let folder = std::env::temp_dir().join(format!("shaletide-windows-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir(&folder).unwrap();
-        let (backend, deaf) = (RecordingBackend::start(), StoppedListener::new());
+        let (backend, stopped_listener) = (RecordingBackend::start(), StoppedListener::new());
         let quoted = |name: &str| format!("{:?}", folder.join(name).display().to_string());
-        let file = format!(
+        let configuration = format!(
             "{CLASSES}[record]\npath = {}\nwait = \"800ms\"\n[control]\nsocket = {}\n{}{}{}{}",
             quoted("record.db"),
             quoted("control.sock"),
             pool("till", &[(backend.address, "a")]),
-            pool("deaf", &[(deaf.0, "a")]),
+            pool("deaf", &[(stopped_listener.0, "a")]),
             route("deaf", "path = \"/pay/deaf\"", &["deaf"]),
             route("all", "", &["till"]),
         );
-        TestSite { folder, file, backend, _stopped_listener: deaf }
+        TestSite { folder, configuration, backend, _stopped_listener: stopped_listener }
     }
 
     fn store(&self) -> PathBuf {
@@ -259,7 +263,7 @@
         resolve(&self.folder, key, ran);
     }
 
-    /// Brings a settle of that key into the window, kills the program there, and shows that it was there.
+    /// Brings a `settle` request with this key into the window, kills the program, and checks that the request was there.
     fn kill_in(&self, window: Window, key: &str, proxy: &mut ServingProgram) {
         let store = self.store();
         *self.backend.gate.lock().unwrap() = Arc::new(Gate::default());
@@ -267,9 +271,9 @@
             proxy.signal("KILL");
             proxy.child.wait().unwrap();
         };
-        let (path, body) = match window {
+        let (path, body_length) = match window {
             DurableNotSent => ("/pay/deaf", 4),
-            HalfSent => ("/pay", LARGE),
+            HalfSent => ("/pay", LARGE_BODY),
             _ => ("/pay", 4),
         };
         let client = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -283,29 +287,29 @@
             proxy.signal("STOP");
         }
         let lock = (window == IntentQueued).then(|| lock_store(&store));
-        client.write_all(settle(key, path, body).as_bytes()).unwrap();
+        client.write_all(settle_request(key, path, body_length).as_bytes()).unwrap();
         let mut status = None;
         match window {
             BeforeIntent => {}
-            // Its place in the queue cannot be seen from outside: whoever came later has an answer by now.
+            // The queue cannot be observed from outside. A request that came later has its response by now.
             IntentQueued => {
                 proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n");
             }
-            DurableNotSent => until("the intent", || on_record(&store, key).1),
-            HalfSent => self.backend.has(key, false),
-            Sent => self.backend.has(key, true),
+            DurableNotSent => wait_until("the intent", || on_record(&store, key).1),
+            HalfSent => self.backend.wait_received(key, false),
+            Sent => self.backend.wait_received(key, true),
             ReadNotRecorded => {
-                self.backend.has(key, true);
+                self.backend.wait_received(key, true);
                 let lock = lock_store(&store);
                 self.backend.gate.lock().unwrap().open();
-                status = status_of(client.try_clone().unwrap());
+                status = read_status(client.try_clone().unwrap());
                 kill(proxy);
                 drop(lock);
             }
-            RecordedNotAnswered => until("the outcome", || on_record(&store, key).2),
+            RecordedNotAnswered => wait_until("the outcome", || on_record(&store, key).2),
             Answered => {
-                status = status_of(client.try_clone().unwrap());
-                until("the outcome", || on_record(&store, key).2);
+                status = read_status(client.try_clone().unwrap());
+                wait_until("the outcome", || on_record(&store, key).2);
             }
         }
         if window != ReadNotRecorded {
@@ -313,42 +317,42 @@
         }
         drop(lock);
         self.backend.gate.lock().unwrap().open();
-        // All that the system still held is delivered by now, or never will be.
+        // Reads what was still in the socket buffers.
         let mut rest = Vec::new();
         client.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let _ = client.read_to_end(&mut rest);
         let (_, intent, outcome) = on_record(&store, key);
-        let ran = matches!(window, Sent | ReadNotRecorded | RecordedNotAnswered | Answered);
-        let shown = match window {
+        let executed = matches!(window, Sent | ReadNotRecorded | RecordedNotAnswered | Answered);
+        let in_window = match window {
             BeforeIntent | IntentQueued => !intent && rest.is_empty(),
             DurableNotSent | HalfSent | Sent => intent && !outcome && rest.is_empty(),
             ReadNotRecorded => intent && !outcome && status == Some(200),
-            RecordedNotAnswered => outcome && rest.len() < LARGE,
+            RecordedNotAnswered => outcome && rest.len() < LARGE_BODY,
             Answered => outcome && status == Some(200),
         };
         assert!(
-            shown,
+            in_window,
             "{window:?}: {intent} {outcome} {status:?} {}",
             String::from_utf8_lossy(&rest[..rest.len().min(300)])
         );
-        assert_eq!(self.backend.ran(key), u32::from(ran), "{window:?}");
+        assert_eq!(self.backend.executions(key), u32::from(executed), "{window:?}");
     }
 
-    /// The key again, at the program that was started again; whether an operator was wanted.
-    fn again(&self, window: Window, key: &str, to: SocketAddr) -> bool {
-        let status = finally(to, key);
+    /// Repeats the request at the restarted program. Returns whether an operator had to resolve it.
+    fn repeat(&self, window: Window, key: &str, to: SocketAddr) -> bool {
+        let status = final_status(to, key);
         match window {
-            // Nothing is on record of it: it is free by itself.
+            // No intent is on record, so the key is free without an operator.
             BeforeIntent | IntentQueued => assert_eq!(status, 200, "{window:?}"),
             DurableNotSent | HalfSent => {
                 assert_eq!(status, 409, "{window:?}");
                 self.resolve(key, false);
-                assert_eq!(finally(to, key), 200, "{window:?}");
+                assert_eq!(final_status(to, key), 200, "{window:?}");
             }
             Sent | ReadNotRecorded => {
                 assert_eq!(status, 409, "{window:?}");
                 self.resolve(key, true);
-                assert_eq!(try_one(to, key), Some(409));
+                assert_eq!(try_request(to, key), Some(409));
             }
             RecordedNotAnswered | Answered => assert_eq!(status, 409, "{window:?}"),
         }
@@ -367,23 +371,24 @@
     format!("{mode}-{number:x}")
 }
 
-/// Settles of others while it goes on: (asked, served) by whether a second has passed since the start.
-fn load(to: SocketAddr, stop: &AtomicBool, numbers: &AtomicU64) -> [(u64, u64); 2] {
-    let (begun, mut count) = (Instant::now(), [(0, 0); 2]);
+/// Sends requests with other keys until stopped. Returns the counts (sent, served) of the first second and of the time
+/// after it.
+fn generate_load(to: SocketAddr, stop: &AtomicBool, next_number: &AtomicU64) -> [(u64, u64); 2] {
+    let (start, mut counts) = (Instant::now(), [(0, 0); 2]);
     while !stop.load(Ordering::SeqCst) {
-        let later = begun.elapsed() >= Duration::from_secs(1);
-        let status = try_one(to, &format!("k{:x}", numbers.fetch_add(1, Ordering::SeqCst)));
+        let later = start.elapsed() >= Duration::from_secs(1);
+        let status = try_request(to, &format!("k{:x}", next_number.fetch_add(1, Ordering::SeqCst)));
         if status.is_none() {
-            break; // it was killed
+            break; // the program was killed
         }
-        let slot = &mut count[usize::from(later)];
+        let slot = &mut counts[usize::from(later)];
         *slot = (slot.0 + 1, slot.1 + u64::from(status == Some(200)));
         std::thread::sleep(Duration::from_millis(2));
     }
-    count
+    counts
 }
 
-/// Stops the load as it is dropped, also by a panic: the scope waits for the load's threads before it passes that on.
+/// Stops the load when dropped, also on a panic: the scope joins the threads of the load before it propagates the panic.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -392,57 +397,58 @@
     }
 }
 
-fn killed_in_each_window(name: &str, each: u64, long: u64) {
+fn check_kills_in_each_window(name: &str, kills_per_window: u64, long_rounds: u64) {
     let site = TestSite::new(name);
-    let numbers = AtomicU64::new(0);
-    let (mut hits, mut resolved, mut count) = (BTreeMap::<Window, u64>::new(), 0, [(0, 0); 2]);
-    let mut before: Option<(Window, String)> = None;
-    for round in 0..each {
-        for (at, window) in ALL.into_iter().enumerate() {
-            let mut proxy = program().serve(&site.file);
-            if let Some((window, key)) = before.take() {
-                resolved += u64::from(site.again(window, &key, proxy.address));
+    let next_number = AtomicU64::new(0);
+    let (mut hits, mut resolved, mut counts) = (BTreeMap::<Window, u64>::new(), 0, [(0, 0); 2]);
+    let mut previous: Option<(Window, String)> = None;
+    for round in 0..kills_per_window {
+        for (index, window) in WINDOWS.into_iter().enumerate() {
+            let mut proxy = program().serve(&site.configuration);
+            if let Some((window, key)) = previous.take() {
+                resolved += u64::from(site.repeat(window, &key, proxy.address));
             }
-            let key = key(window, round * 8 + at as u64);
+            let key = key(window, round * 8 + index as u64);
             let (stop, to) = (AtomicBool::new(false), proxy.address);
-            let found: Vec<[(u64, u64); 2]> = std::thread::scope(|scope| {
-                let clients: Vec<_> = (0..4).map(|_| scope.spawn(|| load(to, &stop, &numbers))).collect();
-                if round < long && at == 0 {
+            let loads: Vec<[(u64, u64); 2]> = std::thread::scope(|scope| {
+                let clients: Vec<_> =
+                    (0..4).map(|_| scope.spawn(|| generate_load(to, &stop, &next_number))).collect();
+                if round < long_rounds && index == 0 {
                     std::thread::sleep(Duration::from_millis(2_500));
                 }
-                let load = StopOnDrop(&stop);
+                let stop_load = StopOnDrop(&stop);
                 site.kill_in(window, &key, &mut proxy);
-                drop(load);
+                drop(stop_load);
                 clients.into_iter().map(|c| c.join().unwrap()).collect()
             });
-            for each in found {
-                for (sum, (asked, served)) in count.iter_mut().zip(each) {
-                    *sum = (sum.0 + asked, sum.1 + served);
+            for load in loads {
+                for (sum, (sent, served)) in counts.iter_mut().zip(load) {
+                    *sum = (sum.0 + sent, sum.1 + served);
                 }
             }
             *hits.entry(window).or_default() += 1;
-            before = Some((window, key));
+            previous = Some((window, key));
         }
     }
     let most = site.backend.runs.lock().unwrap().values().max().copied();
     println!(
-        "hits by window {hits:?}; resolved by an operator {resolved}; others' settles (asked, served) in the first \
-         second of a run {:?}, later {:?}; most runs of a key {most:?}",
-        count[0], count[1]
+        "kills by window {hits:?}; resolved by an operator {resolved}; load (sent, served) in the first second of a \
+         run {:?}, later {:?}; most executions of a key {most:?}",
+        counts[0], counts[1]
     );
     assert_eq!(most, Some(1));
-    assert!(ALL.iter().all(|window| hits[window] == each));
-    let (asked, served) = count[1];
-    assert!(long == 0 || (asked > 0 && served * 100 >= asked * 99), "{served} of {asked} served");
+    assert!(WINDOWS.iter().all(|window| hits[window] == kills_per_window));
+    let (sent, served) = counts[1];
+    assert!(long_rounds == 0 || (sent > 0 && served * 100 >= sent * 99), "{served} of {sent} served");
 }
 
 #[test]
 fn no_key_runs_twice_over_two_kills_in_each_window() {
-    killed_in_each_window("twice", 2, 1);
+    check_kills_in_each_window("twice", 2, 1);
 }
 
 #[test]
 #[ignore = "some minutes"]
 fn no_key_runs_twice_over_75_kills_in_each_window() {
-    killed_in_each_window("often", 75, 10);
+    check_kills_in_each_window("often", 75, 10);
 }
--- a/crates/shaletide/tests/demo.rs
+++ b/crates/shaletide/tests/demo.rs
@@ -1,21 +1,21 @@
-//! `shaletide demo` as a process: its status and what it says.
+//! `shaletide demo` as a process: its exit status and its output.
 
 use std::io::{BufRead, BufReader, Read};
 use std::process::{Command, Stdio};
 
-fn demo(more: &[&str]) -> Command {
+fn demo(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
-    command.arg("demo").args(more).env_remove("NODE_LOG").env_remove("NODE_CONFIG");
+    command.arg("demo").args(arguments).env_remove("NODE_LOG").env_remove("NODE_CONFIG");
     command
 }
 
 #[test]
-fn demo_holds_all_rules_and_prints_report() {
+fn demo_holds_all_invariants_and_prints_report() {
     let output = demo(&["--seconds", "5", "--show-config"]).output().expect("the program");
     let (text, log) =
         (String::from_utf8_lossy(&output.stdout), String::from_utf8_lossy(&output.stderr).to_string());
     assert_eq!(output.status.code(), Some(0), "{text}{log}");
-    assert_eq!(log, "", "nothing went wrong");
+    assert_eq!(log, "", "the log is empty");
     for part in [
         "[[listener]]",
         "the load begins",
@@ -51,17 +51,17 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program");
-    let mut output = BufReader::new(child.stdout.take().expect("its output"));
+    let mut output = BufReader::new(child.stdout.take().expect("the output"));
     let mut line = String::new();
     while !line.contains("the load begins") {
         line.clear();
-        assert!(output.read_line(&mut line).expect("a line") > 0, "it ended before its load began");
+        assert!(output.read_line(&mut line).expect("a line") > 0, "the program ended before the load began");
     }
-    let told = Command::new("kill").args(["-s", "INT", &child.id().to_string()]).status().expect("kill");
-    assert!(told.success());
+    let status = Command::new("kill").args(["-s", "INT", &child.id().to_string()]).status().expect("kill");
+    assert!(status.success());
     let mut text = String::new();
-    output.read_to_string(&mut text).expect("the rest");
-    assert_eq!(child.wait().expect("its end").code(), Some(130), "{text}");
+    output.read_to_string(&mut text).expect("the rest of the output");
+    assert_eq!(child.wait().expect("the exit status").code(), Some(130), "{text}");
     assert!(text.contains("told to stop") && text.contains("All held until"), "{text}");
 }
 
--- a/crates/shaletide/tests/explore.rs
+++ b/crates/shaletide/tests/explore.rs
@@ -1,15 +1,15 @@
-//! `shaletide explore` as it is called: its rows and its exit status.
+//! `shaletide explore` as a process: the rows that it prints and its exit status.
 
 use std::process::{Command, Output};
 
-/// Room for the program, in KiB, though not for a thread's stack of [`LARGE_STACK`].
+/// A limit on the address space, in KiB: enough for the program, but not for a thread with a stack of [`LARGE_STACK`].
 const ADDRESS_SPACE_KIB: u32 = 524_288;
-/// The stack of a thread, in bytes.
+/// The stack size of a thread, in bytes.
 const LARGE_STACK: &str = "1073741824";
 
 fn explore(args: &[&str]) -> (Option<i32>, String, String) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
-    let Output { status, stdout, stderr } = command.arg("explore").args(args).output().expect("it runs");
+    let Output { status, stdout, stderr } = command.arg("explore").args(args).output().expect("the program");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code(), text(stdout), text(stderr))
 }
@@ -45,14 +45,14 @@
     assert!(out.contains("not met (the shell: the last byte goes once): Written at Open/Written"), "{out}");
 }
 
-/// Guards against a panic where the system gives no thread to search on.
+/// Guards against a panic when the system cannot create a thread for the search.
 #[test]
 fn world_is_explored_without_threads() {
     let (_, expected, _) = explore(&["--world", "race"]);
     let limited = format!("ulimit -S -v {ADDRESS_SPACE_KIB}; exec \"$0\" explore --world race");
     let mut command = Command::new("sh");
     command.args(["-c", &limited, env!("CARGO_BIN_EXE_shaletide")]).env("RUST_MIN_STACK", LARGE_STACK);
-    let Output { status, stdout, stderr } = command.output().expect("it runs");
+    let Output { status, stdout, stderr } = command.output().expect("the program");
     assert_eq!(status.code(), Some(0), "{}", String::from_utf8_lossy(&stderr));
     let counts = |text: &str| text.lines().last().map(|row| row.split('|').take(5).collect::<String>());
     assert_eq!(counts(&String::from_utf8_lossy(&stdout)), counts(&expected));
--- a/crates/shaletide/tests/harness/mod.rs
+++ b/crates/shaletide/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! The kit with this package's program, whose path only its own tests know.
+//! The test kit for this package's program. Cargo passes the program's path only to the package's own tests.
 #![allow(dead_code)]
 
 pub mod start;
@@ -7,12 +7,12 @@
 
 pub use shaletide_testkit::*;
 
-/// This package's program.
+/// Returns this package's program.
 pub fn program() -> Program {
     Program::at(env!("CARGO_BIN_EXE_shaletide"))
 }
 
-/// The program's command, with a configuration or without any.
+/// Returns a command that runs the program, with the given configuration or none.
 pub fn program_command(config: Option<&str>) -> std::process::Command {
     program().command(config)
 }
@@ -25,7 +25,7 @@
     fn start_with_settings(known: &[String], sockets: u32, settings: &str) -> Proxy {
         program().start_with(known, sockets, settings)
     }
-    /// With a limit on descriptors that need not be the one it is told.
+    /// Starts the program under a system limit on descriptors, which may differ from the limit in its configuration.
     fn start_with_descriptor_limit(
         known: &[String], sockets: u32, settings: &str, descriptors: u32,
     ) -> Proxy {
@@ -35,8 +35,7 @@
 
 impl StartProxy for Proxy {}
 
-/// The head of an operators' file: further attempts at once, and a class of each effect. Listeners are added when
-/// it is served.
+/// The head of an operators' file: one class of each effect. The listeners are added when the file is served.
 pub const CLASSES: &str = r#"
 [[class]]
 name = "read"
@@ -58,25 +57,26 @@
 deadline = "3s"
 "#;
 
-/// A pool of backends, each with its bay.
-pub fn pool(name: &str, boxes: &[(std::net::SocketAddr, &str)]) -> String {
-    let one =
+/// Returns the section of a pool whose backends are given by address and deduplication domain.
+pub fn pool(name: &str, backends: &[(std::net::SocketAddr, &str)]) -> String {
+    let entry =
         |(at, bay): &(std::net::SocketAddr, &str)| format!("{{ address = \"{at}\", bay = \"{bay}\" }}, ");
-    format!("[[pool]]\nname = \"{name}\"\nboxes = [{}]\n", boxes.iter().map(one).collect::<String>())
+    format!("[[pool]]\nname = \"{name}\"\nboxes = [{}]\n", backends.iter().map(entry).collect::<String>())
 }
 
-/// The same in a group that drops repeats.
-pub fn pool_in_domain(name: &str, group: &str, boxes: &[(std::net::SocketAddr, &str)]) -> String {
-    pool(name, boxes) + &format!("repeat_group = \"{group}\"\n")
+/// Returns the section of a pool in a deduplication group.
+pub fn pool_in_domain(name: &str, group: &str, backends: &[(std::net::SocketAddr, &str)]) -> String {
+    pool(name, backends) + &format!("repeat_group = \"{group}\"\n")
 }
 
-/// A route with conditions, a line each, to pools in order of preference.
-pub fn route(name: &str, when: &str, pools: &[&str]) -> String {
-    format!("[[route]]\nname = \"{name}\"\n{when}\npools = {pools:?}\n")
+/// Returns the section of a route to pools in order of preference; `conditions` has a line for each condition.
+pub fn route(name: &str, conditions: &str, pools: &[&str]) -> String {
+    format!("[[route]]\nname = \"{name}\"\n{conditions}\npools = {pools:?}\n")
 }
 
-/// A request of a class of [`CLASSES`], by its path, under an id of its own; one with a key has the id for it.
-pub fn request(path: &str, left: f64, more: &str) -> String {
+/// Returns a request of the class of [`CLASSES`] that its path names, with a new id. A keyed request has its id as its key.
+/// `headers` is added to the head.
+pub fn request(path: &str, time_left: f64, headers: &str) -> String {
     let keyed = path.starts_with("/settle");
     let get = path.starts_with("/read");
     let id = format!("{:x}", REQUESTS.fetch_add(1, std::sync::atomic::Ordering::SeqCst) + 0xabc000);
@@ -84,25 +84,25 @@
     let key = if keyed { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
     let (length, body) = if get { ("", "") } else { ("Content-Length: 4\r\n", "cash") };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left}\r\n{key}{length}{more}\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {time_left}\r\n{key}{length}{headers}\r\n{body}"
     )
 }
 
-/// The id that a request was given.
+/// Returns the id of a request.
 pub fn id_of(request: &str) -> &str {
-    request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split('\r').next()).expect("an id")
+    request.split("X-Correlation-Id: ").nth(1).and_then(|rest| rest.split('\r').next()).expect("a request id")
 }
 
 static REQUESTS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// The module saves up its further attempts from the requests that come: so many pay for several.
+/// Sends enough requests to fill the retry budget for several retries: each request adds a fraction of a retry.
 pub fn fill_retry_budget(client: &mut Client, path: &str) {
     for _ in 0..30 {
         assert_eq!(client.request(&request(path, 3.0, "")).status(), 200);
     }
 }
 
-/// Holds SQLite's writing lock, as another program might: nothing else becomes durable meanwhile.
+/// Takes SQLite's write lock, as another program might: until the connection is dropped no other commit succeeds.
 pub fn lock_store(store: &std::path::Path) -> rusqlite::Connection {
     let db = rusqlite::Connection::open(store).unwrap();
     db.busy_timeout(WAIT_LIMIT).unwrap();
@@ -110,7 +110,7 @@
     db
 }
 
-/// `shaletide record resolve` by way of `control.sock`, for `record.db`, both in that folder.
+/// Runs `shaletide record resolve` for `record.db` over `control.sock`, both in `folder`.
 pub fn resolve(folder: &std::path::Path, key: &str, ran: bool) {
     let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_shaletide"));
     command.args(["record", "resolve", key, "--ran", if ran { "yes" } else { "no" }]);
@@ -120,7 +120,7 @@
     assert!(output.status.success(), "{key}: {}", String::from_utf8_lossy(&output.stderr));
 }
 
-/// A pair of sockets, the second of which takes no more bytes until the first is read.
+/// Returns a pair of connected sockets. The second accepts no more bytes until the first is read.
 pub fn full_socket() -> (std::os::unix::net::UnixStream, std::os::unix::net::UnixStream) {
     use std::io::{ErrorKind, Write};
     let (reader, mut writer) = std::os::unix::net::UnixStream::pair().unwrap();
@@ -136,12 +136,12 @@
     (reader, writer)
 }
 
-/// A process that is killed as this is dropped, also where a check has failed.
+/// Kills the process when dropped, also when a check has failed.
 pub struct KilledOnDrop(pub std::process::Child);
 
 impl Drop for KilledOnDrop {
     fn drop(&mut self) {
-        let _ = self.0.kill(); // it may have ended
+        let _ = self.0.kill(); // the process may have ended
         let _ = self.0.wait();
     }
 }
--- a/crates/shaletide/tests/harness/start.rs
+++ b/crates/shaletide/tests/harness/start.rs
@@ -1,4 +1,4 @@
-//! Starts by a configuration of the platform, and what is seen of their processes from outside.
+//! Helpers to start the program with a platform configuration and to observe its process from outside.
 
 use super::SETTINGS;
 use shaletide_testkit::*;
@@ -6,10 +6,10 @@
 use std::process::{Child, Command, ExitStatus};
 use std::time::{Duration, Instant};
 
-/// How often it is looked whether a process has ended.
+/// The interval at which [`ends_within`] checks whether a process has ended.
 const END_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A configuration as the platform writes it.
+/// Returns a configuration in the platform's format.
 pub fn platform_configuration(discovery: &DiscoveryServer, listener: &RefusingPort) -> String {
     let known = endpoint_list_json(4, true, &[]);
     format!(
@@ -20,22 +20,22 @@
     )
 }
 
-/// Makes a named pipe that nobody writes to yet.
+/// Creates a named pipe, which has no writer yet.
 pub fn make_fifo(path: &Path) {
     let _ = std::fs::remove_file(path);
     assert!(Command::new("mkfifo").arg(path).status().unwrap().success());
 }
 
-/// Sends a signal, by its name without SIG.
+/// Sends the signal with this name; the name has no `SIG` prefix.
 pub fn send_signal(process: &Child, name: &str) {
-    let sent = Command::new("kill").args(["-s", name, &process.id().to_string()]).status().unwrap();
-    assert!(sent.success());
+    let status = Command::new("kill").args(["-s", name, &process.id().to_string()]).status().unwrap();
+    assert!(status.success());
 }
 
-/// The status with which a process ends within that time; `None` where it does not.
+/// Waits for a process to end and returns its status; `None` if it has not ended within `limit`.
 pub fn ends_within(child: &mut Child, limit: Duration) -> Option<ExitStatus> {
-    let begun = Instant::now();
-    while begun.elapsed() < limit {
+    let start = Instant::now();
+    while start.elapsed() < limit {
         if let Some(status) = child.try_wait().unwrap() {
             return Some(status);
         }
@@ -44,7 +44,7 @@
     None
 }
 
-/// The names of a process's threads, in the order of the alphabet. One that ends meanwhile may be missing.
+/// Returns the names of a process's threads, sorted. A thread that ends during the call may be missing.
 pub fn thread_names(process: &Child) -> Vec<String> {
     let threads = std::fs::read_dir(format!("/proc/{}/task", process.id())).unwrap();
     let name = |thread: std::fs::DirEntry| std::fs::read_to_string(thread.path().join("comm"));
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! A store of record as a proxy writes it: the recorder and SQLite, on a made-up clock, without a proxy.
+//! Writes a store of record as a proxy does: with the recorder and SQLite, a simulated clock and no proxy process.
 #![allow(dead_code)] // each test program uses a part of it
 
 use shaletide_record::*;
@@ -13,13 +13,14 @@
 pub const MORNING: Time = Time(1_796_121_062_123_000);
 pub const MS: u64 = 1_000;
 
-/// A folder of its own, gone at the end.
+/// A temporary folder, which is removed when dropped.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
     pub fn new() -> Folder {
         static COUNT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("shaletide-book-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
+        let name =
+            format!("shaletide-record-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let path = std::env::temp_dir().join(name);
         std::fs::create_dir(&path).unwrap();
         Folder(path)
@@ -27,20 +28,21 @@
     pub fn db(&self) -> PathBuf {
         self.0.join("record.db")
     }
-    /// Runs `shaletide record` in it, with times in UTC.
+    /// Runs `shaletide record` in the folder with times in UTC.
     pub fn run(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_shaletide"));
         command.arg("record").args(arguments).current_dir(&self.0).env_remove("NODE_CONFIG").env("TZ", "UTC");
         command.stdin(Stdio::null()).output().unwrap()
     }
-    /// What it says, with that status.
+    /// Runs `shaletide record`, checks its exit status and returns stdout followed by stderr. Only a failure may write to
+    /// stderr.
     pub fn expect_output(&self, status: i32, arguments: &[&str]) -> String {
         let output = self.run(arguments);
         let text = |bytes: &[u8]| String::from_utf8(bytes.to_vec()).expect("text");
-        let (said, wrong) = (text(&output.stdout), text(&output.stderr));
-        assert_eq!(output.status.code(), Some(status), "{arguments:?}\n{said}\n{wrong}");
-        assert_eq!(wrong.is_empty(), status == 0, "{wrong}");
-        said + &wrong
+        let (stdout, stderr) = (text(&output.stdout), text(&output.stderr));
+        assert_eq!(output.status.code(), Some(status), "{arguments:?}\n{stdout}\n{stderr}");
+        assert_eq!(stderr.is_empty(), status == 0, "{stderr}");
+        stdout + &stderr
     }
 }
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// The recorder and its store.
+/// A recorder whose actions are applied to its store at once.
 pub struct RecordedStore {
     pub now: Time,
     recorder: Recorder,
@@ -69,7 +71,7 @@
         let classes = [("settle", settle), ("bid", bid)].map(|(name, rule)| (name.to_string(), rule));
         let bounds = Bounds { key_bytes: 1 << 20, ..Bounds::default() };
         let config = RecordConfig { classes: classes.into(), bounds, ..RecordConfig::default() };
-        let held = store.keys(None, usize::MAX).unwrap();
+        let keys = store.keys(None, usize::MAX).unwrap();
         let recorder = Recorder::new(config, [7; 16], now, now);
         let mut recorded = RecordedStore { now, recorder, store, run, requests: 0, replies: Vec::new() };
         let (proxy, version) = ("quay-1".into(), "0.1.0".into());
@@ -80,20 +82,20 @@
             digest: "5f1c9d".into(),
         }));
         let mut actions = Vec::new();
-        recorded.recorder.restore(now, held, &mut actions);
-        recorded.carry_out(actions);
+        recorded.recorder.restore(now, keys, &mut actions);
+        recorded.apply_actions(actions);
         recorded
     }
 
     pub fn handle_event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.recorder.handle(self.now, event, &mut actions);
-        self.carry_out(actions);
+        self.apply_actions(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
-        let mut waiting: VecDeque<Action> = actions.into();
-        while let Some(action) = waiting.pop_front() {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
+        let mut pending: VecDeque<Action> = actions.into();
+        while let Some(action) = pending.pop_front() {
             match action {
                 Action::Write { ticket, mut write } => {
                     write.row.run = self.run;
@@ -105,9 +107,9 @@
                     };
                     let mut more = Vec::new();
                     self.recorder.handle(self.now, event, &mut more);
-                    waiting.extend(more);
+                    pending.extend(more);
                 }
-                Action::Reply { result: resolved, .. } => self.replies.push(resolved),
+                Action::Reply { result, .. } => self.replies.push(result),
                 Action::IntentPersisted { .. } | Action::EndRequest { .. } => {}
             }
         }
@@ -117,21 +119,21 @@
         self.now = self.now + Micros(ms * MS);
     }
 
-    /// A request of a class; its number, and what its front does with it.
+    /// Begins a request; returns its id and the recorder's decision on its key.
     pub fn begin_request(&mut self, tenant: &str, class: &str, key: &[u8]) -> (RequestId, KeyDecision) {
         self.requests += 1;
         let request = RequestId(self.requests);
         let deadline = self.now + Micros(1_000 * MS);
-        let asked = KeyRequest { request, tenant, class, key: Some(key), deadline };
+        let key_request = KeyRequest { request, tenant, class, key: Some(key), deadline };
         let mut actions = Vec::new();
-        let verdict = self.recorder.decide(self.now, asked, &mut actions);
-        self.carry_out(actions);
-        (request, verdict)
+        let decision = self.recorder.decide(self.now, key_request, &mut actions);
+        self.apply_actions(actions);
+        (request, decision)
     }
 
     pub fn begin_settle(&mut self, tenant: &str, key: &[u8]) -> RequestId {
-        let (request, verdict) = self.begin_request(tenant, "settle", key);
-        assert_eq!(verdict, KeyDecision::Proceed { requires_intent: true });
+        let (request, decision) = self.begin_request(tenant, "settle", key);
+        assert_eq!(decision, KeyDecision::Proceed { requires_intent: true });
         request
     }
 
@@ -155,7 +157,7 @@
         self.handle_event(Event::RequestEnded { request, ending });
     }
 
-    /// One that is served at backend-2.
+    /// Records a request that `box-2` serves.
     pub fn serve_request(&mut self, tenant: &str, key: &[u8]) {
         let request = self.begin_settle(tenant, key);
         self.request_intent(request, 0, "box-2");
@@ -164,7 +166,7 @@
         self.end_request(request, RequestEnding::Served(AttemptNumber(0)));
     }
 
-    /// One whose connection breaks at backend-7.
+    /// Records a request that stays in doubt: the connection to `box-7` is reset after the request was sent.
     pub fn leave_in_doubt(&mut self, tenant: &str, key: &[u8]) {
         let request = self.begin_settle(tenant, key);
         self.advance_ms(1);
