--- a/crates/shaletide/tests/crash_windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -207,7 +207,7 @@
     let query = Query { key: Some(key.as_bytes().to_vec()), limit: 100, ..Query::default() };
     let rows = SqliteReader::open(store).and_then(|reader| reader.rows(&query)).expect("rows");
     let facts: Vec<Fact> = rows.iter().map(Fact::of).collect();
-    let has = |matches: fn(&Fact) -> bool| facts.iter().any(matches);
+    let has = |predicate: fn(&Fact) -> bool| facts.iter().any(predicate);
     (
         has(|f| matches!(f, Fact::Asked { .. })),
         has(|f| matches!(f, Fact::Intent { .. })),
--- a/crates/shaletide/tests/harness/mod.rs
+++ b/crates/shaletide/tests/harness/mod.rs
@@ -75,8 +75,8 @@
 }
 
 /// Returns a request of the class of [`CLASSES`] that its path names, with a new id. A keyed request has its id as its key.
-/// `headers` is added to the head.
-pub fn request(path: &str, time_left: f64, headers: &str) -> String {
+/// `left_s` is its time left in seconds, `extra` holds further header lines.
+pub fn request(path: &str, left_s: f64, extra: &str) -> String {
     let keyed = path.starts_with("/settle");
     let get = path.starts_with("/read");
     let id = format!("{:x}", REQUESTS.fetch_add(1, std::sync::atomic::Ordering::SeqCst) + 0xabc000);
@@ -84,7 +84,7 @@
     let key = if keyed { format!("Idempotency-Key: {id}\r\n") } else { String::new() };
     let (length, body) = if get { ("", "") } else { ("Content-Length: 4\r\n", "cash") };
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {time_left}\r\n{key}{length}{headers}\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left_s}\r\n{key}{length}{extra}\r\n{body}"
     )
 }
 
--- a/crates/shaletide/tests/platform_settings.rs
+++ b/crates/shaletide/tests/platform_settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings as some deployment may have them: unlike any seen before they are served by their
-//! meaning; where they make no sense the program ends and names the key.
+//! The platform's settings with values that a deployment may use: unusual but valid ones are applied; for invalid ones the
+//! program exits and names the key.
 
 mod harness;
 
 use harness::*;
 
-/// The settings with these texts put in the place of others, each of which stands there.
+/// Returns the settings with each first text replaced by the second; each first text must occur.
 fn settings(changes: &[(&str, &str)]) -> String {
     changes.iter().fold(SETTINGS.to_string(), |text, (old, new)| {
         assert!(text.contains(old), "{old}");
@@ -13,12 +13,12 @@
     })
 }
 
-fn started(backend: &BackendServer, settings: &str) -> Proxy {
+fn start_proxy(backend: &BackendServer, settings: &str) -> Proxy {
     Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 1024, settings)
 }
 
-/// Each effect is served, with a tenant that is known, unknown or not named.
-fn serves(proxy: &Proxy, changes: &[(&str, &str)]) {
+/// Checks that requests of each effect are served, without a tenant, with a known tenant and with an unknown one.
+fn check_all_effects_served(proxy: &Proxy, changes: &[(&str, &str)]) {
     for request in [read_request(3.0), pay_request(3.0), vote_request(3.0)] {
         for tenant in ["", "X-Account: north\r\n", "X-Account: nobody knows\r\n"] {
             let id = format!("X-Correlation-Id: {}", tenant.len());
@@ -63,22 +63,22 @@
         &[(r#""zones":["east"]"#, r#""zones":["x","y/z","Z","east","4","5","6"]"#)],
     ] {
         let backend = BackendServer::start(|_| ok_reply("x"));
-        serves(&started(&backend, &settings(changes)), changes);
+        check_all_effects_served(&start_proxy(&backend, &settings(changes)), changes);
     }
 }
 
-/// The first part of a path names the class, and a name may itself have several parts.
+/// The first segments of a path name the class; a class name may itself have several segments.
 #[test]
 fn class_name_with_slash_has_its_own_rules() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = started(&backend, &settings(&[(r#""name":"pay""#, r#""name":"read/PAY.1:a@b+c""#)]));
-    let own = |request: String| request.replacen("/pay/k1", "/read/PAY.1:a@b+c/k1", 1);
-    assert_eq!(proxy.request(&own(pay_request(3.0))).status(), 200);
+    let proxy = start_proxy(&backend, &settings(&[(r#""name":"pay""#, r#""name":"read/PAY.1:a@b+c""#)]));
+    let with_class_path = |request: String| request.replacen("/pay/k1", "/read/PAY.1:a@b+c/k1", 1);
+    assert_eq!(proxy.request(&with_class_path(pay_request(3.0))).status(), 200);
     assert_eq!(backend.next_request().first, "POST /read/PAY.1:a@b+c/k1?q=1 HTTP/1.1");
     assert_eq!(
-        proxy.request(&own(pay_request(3.0)).replacen("POST", "GET", 1)).status(),
+        proxy.request(&with_class_path(pay_request(3.0)).replacen("POST", "GET", 1)).status(),
         405,
-        "it is not taken for read"
+        "the request is not taken for one of the class read"
     );
     assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     assert_eq!(backend.next_request().first, "GET /read/k1 HTTP/1.1");
@@ -114,35 +114,35 @@
     }
 }
 
-/// What a configuration says of limits and of the list from before.
+/// Returns the values of `limits` and `known` in a configuration.
 fn limits_and_known(config: &str) -> (&str, &str) {
     let between = |from: &str, to: &str| {
-        let at = config.find(from).expect(from) + from.len();
-        &config[at..at + config[at..].find(to).expect(to)]
+        let start = config.find(from).expect(from) + from.len();
+        &config[start..start + config[start..].find(to).expect(to)]
     };
     (between(r#""limits":"#, r#","known""#), between(r#""known":"#, r#","settings""#))
 }
 
-/// What may be left out of the configuration may be null.
+/// An optional key of the configuration may be null.
 #[test]
 fn null_counts_as_absent_in_the_configuration() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let (_, config) = started(&backend, SETTINGS).config.clone();
+    let (_, config) = start_proxy(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
-    for left_out in [limits, known] {
-        drop(program().start_with_config(&config.replacen(left_out, "null", 1), 1024));
-        // it listens
+    for omitted in [limits, known] {
+        drop(program().start_with_config(&config.replacen(omitted, "null", 1), 1024));
+        // returns once the program listens
     }
 }
 
-/// The list from before and the bound on descriptors help a proxy; what makes no sense there does not keep it from
-/// starting, and its backends are those that discovery names.
+/// The cached endpoint list and the limit on descriptors are optional: an invalid value does not prevent the start, and the
+/// proxy takes its backends from discovery.
 #[test]
-fn unreadable_cached_list_or_descriptor_limit_does_not_prevent_start() {
+fn invalid_cached_list_or_descriptor_limit_does_not_prevent_start() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let (_, config) = started(&backend, SETTINGS).config.clone();
+    let (_, config) = start_proxy(&backend, SETTINGS).config.clone();
     let (limits, known) = limits_and_known(&config);
-    for odd in [
+    for invalid in [
         r#"{"index":7.5,"snapshot":true,"endpoints":[]}"#,
         r#"{"index":null,"snapshot":true,"endpoints":[]}"#,
         r#"{"index":7,"snapshot":true,"endpoints":null}"#,
@@ -150,10 +150,12 @@
         "{}",
         "\"none\"",
     ] {
-        drop(program().start_with_config(&config.replacen(known, odd, 1), 1024));
-        // it listens
+        drop(program().start_with_config(&config.replacen(known, invalid, 1), 1024));
+        // returns once the program listens
     }
-    for odd in [r#"{"sockets":1024.0}"#, r#"{"sockets":null}"#, r#"{"sockets":-1}"#, r#"{"sockets":1e99}"#] {
-        drop(program().start_with_config(&config.replacen(limits, odd, 1), 1024));
+    for invalid in
+        [r#"{"sockets":1024.0}"#, r#"{"sockets":null}"#, r#"{"sockets":-1}"#, r#"{"sockets":1e99}"#]
+    {
+        drop(program().start_with_config(&config.replacen(limits, invalid, 1), 1024));
     }
 }
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -109,7 +109,7 @@
                     self.recorder.handle(self.now, event, &mut more);
                     pending.extend(more);
                 }
-                Action::Reply { result, .. } => self.replies.push(result),
+                Action::Reply { result: resolved, .. } => self.replies.push(resolved),
                 Action::IntentPersisted { .. } | Action::EndRequest { .. } => {}
             }
         }
