--- a/crates/shaletide/tests/crash_windows.rs
+++ b/crates/shaletide/tests/crash_windows.rs
@@ -66,7 +66,8 @@
 impl RecordingBackend {
     fn start() -> RecordingBackend {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        // Keeps a request of which only a part is read from fitting into the receive buffer or the segments in transit.
+        // Small segments and a small receive buffer, so that the system does not hold the whole of a request of which the
+        // backend reads only a part.
         socket.set_tcp_mss(536).unwrap();
         socket.set_recv_buffer_size(1_024).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -130,7 +130,7 @@
 }
 
 /// A keyed request that may have executed fails over only to a pool that deduplicates it: one in the same deduplication group
-/// and inside the scope of the key.
+/// and inside the scope of the key, and only within the deduplication window.
 #[test]
 fn keyed_request_that_may_have_run_fails_over_only_inside_its_domain() {
     let (bay, all, zone) = ("\"bay\"", "\"all\"", "\"zone\"");
