--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -1,4 +1,4 @@
-//! A scripted backend on blocking sockets: what it does with a request is a closure's word.
+//! A scripted backend on blocking sockets: a closure decides what it does with each request.
 
 use crate::{Message, WAIT_LIMIT};
 use std::io::{BufReader, Write};
@@ -10,93 +10,93 @@
 /// What a backend does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// A status, a header line or none, a body.
+    /// Answers with a status, a header line (empty for none) and a body.
     Answer(u16, &'static str, String),
-    /// The same, and the connection is closed without a word of it.
+    /// Answers with a status and a body, then closes the connection without having announced it.
     AnswerAndClose(u16, String),
-    /// These bytes, each piece in a segment of its own, and the connection stays open.
+    /// Writes these bytes, each piece in a segment of its own, and keeps the connection open.
     Pieces(Vec<String>),
-    /// These bytes in a write each, as a stock server writes head and body: Nagle's algorithm holds the second
-    /// back until the first is acknowledged.
+    /// Writes these bytes with one write each, as a common server writes head and body: Nagle's algorithm delays the
+    /// second until the first is acknowledged.
     Writes(Vec<String>),
-    /// The connection ends after the whole request.
+    /// Closes the connection after the complete request.
     Reset,
-    /// Nothing, until the proxy gives up.
+    /// Sends nothing until the proxy gives up.
     Silence,
-    /// Nothing until the gate opens, then 200.
+    /// Sends nothing until the gate opens, then 200.
     Gate(Arc<Gate>),
 }
 
-/// 200 with this body.
+/// Returns a reply with status 200 and this body.
 pub fn ok_reply(body: &str) -> Reply {
     Reply::Answer(200, "", body.into())
 }
 
-/// Opened once, for all that wait.
+/// A barrier that is opened once, for all threads that wait at it.
 #[derive(Debug, Default)]
 pub struct Gate(Mutex<bool>, Condvar);
 
 impl Gate {
-    /// Lets all go on that wait, and those that come later.
+    /// Releases all waiting threads, and those that come later.
     pub fn open(&self) {
         *self.0.lock().unwrap() = true;
         self.1.notify_all();
     }
-    /// Waits until it is open, though no longer than [`WAIT_LIMIT`].
+    /// Waits until the gate is open, for [`WAIT_LIMIT`] at most.
     pub fn wait(&self) {
         let _ = self.1.wait_timeout_while(self.0.lock().unwrap(), WAIT_LIMIT, |open| !*open).unwrap();
     }
 }
 
-/// What a backend tells its test of.
+/// An event that a backend reports to its test.
 #[derive(Debug)]
 pub enum BackendEvent {
     /// A connection was accepted.
     Connected,
-    /// A request came whole.
+    /// A complete request was received.
     Request(Message),
-    /// A connection ended, from either side.
+    /// A connection was closed by either side.
     Closed,
 }
 
 /// A backend with a thread for each connection.
 #[derive(Debug)]
 pub struct BackendServer {
-    /// Where it listens.
+    /// The address of its listener.
     pub address: SocketAddr,
-    /// What happened at it, in order.
+    /// Its events, in order.
     pub events: mpsc::Receiver<BackendEvent>,
     /// Connections accepted so far.
     pub connections: Arc<AtomicU32>,
-    /// Whole requests so far.
+    /// Complete requests so far.
     pub requests: Arc<AtomicU32>,
-    /// Requests of which the whole answer is written, with all that comes behind it.
+    /// Requests whose complete answer is written, with all bytes that follow it.
     pub answered: Arc<AtomicU32>,
 }
 
 impl BackendServer {
-    /// One that answers the request of each number, from 0 on, as the closure says.
+    /// Starts a backend. The closure returns the reply to the request of each number, from 0 on.
     pub fn start(reply: impl Fn(u32) -> Reply + Send + Sync + 'static) -> BackendServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, seen) = mpsc::channel();
+        let (event_sender, events) = mpsc::channel();
         let (connections, requests) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
         let answered = Arc::new(AtomicU32::new(0));
-        let done = answered.clone();
-        let (opened, count, reply) = (connections.clone(), requests.clone(), Arc::new(reply));
+        let answered_count = answered.clone();
+        let (accepted, count, reply) = (connections.clone(), requests.clone(), Arc::new(reply));
         std::thread::spawn(move || {
             for tcp in listener.incoming().flatten() {
-                opened.fetch_add(1, Ordering::SeqCst);
-                let _ = tell.send(BackendEvent::Connected);
-                let (tell, count, reply) = (tell.clone(), count.clone(), reply.clone());
-                let done = done.clone();
-                std::thread::spawn(move || serve(tcp, &tell, [&count, &done], &*reply));
+                accepted.fetch_add(1, Ordering::SeqCst);
+                let _ = event_sender.send(BackendEvent::Connected);
+                let (event_sender, count, reply) = (event_sender.clone(), count.clone(), reply.clone());
+                let answered_count = answered_count.clone();
+                std::thread::spawn(move || serve(tcp, &event_sender, [&count, &answered_count], &*reply));
             }
         });
-        BackendServer { address, events: seen, connections, requests, answered }
+        BackendServer { address, events, connections, requests, answered }
     }
 
-    /// Waits for the next request.
+    /// Waits for the next request and returns it.
     pub fn next_request(&self) -> Message {
         loop {
             if let BackendEvent::Request(message) =
@@ -115,28 +115,28 @@
         ) {}
     }
 
-    /// Whole requests so far.
+    /// Returns the number of complete requests so far.
     pub fn request_count(&self) -> u32 {
         self.requests.load(Ordering::SeqCst)
     }
 }
 
 fn serve(
-    tcp: TcpStream, tell: &mpsc::Sender<BackendEvent>, [count, answered]: [&AtomicU32; 2],
+    tcp: TcpStream, events: &mpsc::Sender<BackendEvent>, [count, answered]: [&AtomicU32; 2],
     reply: &dyn Fn(u32) -> Reply,
 ) {
     let mut reader = BufReader::new(tcp.try_clone().unwrap());
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = count.fetch_add(1, Ordering::SeqCst);
-        let _ = tell.send(BackendEvent::Request(message));
+        let _ = events.send(BackendEvent::Request(message));
         let mut send = |status: u16, header: &str, body: &str| {
             let line = if header.is_empty() { String::new() } else { format!("{header}\r\n") };
             let length = body.len();
             let text = format!("HTTP/1.1 {status} X\r\n{line}Content-Length: {length}\r\n\r\n{body}");
             out.write_all(text.as_bytes()).is_ok()
         };
-        let go_on = match reply(number) {
+        let keep_open = match reply(number) {
             Reply::Answer(status, header, body) => send(status, header, &body),
             Reply::AnswerAndClose(status, body) => {
                 send(status, "", &body);
@@ -156,15 +156,15 @@
             }
         };
         answered.fetch_add(1, Ordering::SeqCst);
-        if !go_on {
+        if !keep_open {
             break;
         }
     }
-    let _ = tell.send(BackendEvent::Closed);
+    let _ = events.send(BackendEvent::Closed);
 }
 
-/// A port on which nobody listens: connections to it are refused for as long as it is held. Who asks for it by its
-/// number, as the program does, may listen there all the same.
+/// A port without a listener: connections to it are refused while this value lives. A process that binds the port by its
+/// number, as the program does, can listen there all the same.
 #[derive(Debug)]
 pub struct RefusingPort(socket2::Socket);
 
@@ -175,7 +175,7 @@
 }
 
 impl RefusingPort {
-    /// Takes a port that the kernel picks.
+    /// Binds a port that the kernel picks.
     pub fn new() -> RefusingPort {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_reuse_address(true).unwrap();
@@ -183,17 +183,17 @@
         socket.bind(&any.into()).unwrap();
         RefusingPort(socket)
     }
-    /// The address that refuses.
+    /// Returns the address that refuses connections.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().unwrap().as_socket().unwrap()
     }
 }
 
-/// A port at which connections neither come up nor are refused: its queue is full and nobody accepts.
+/// A listener that neither establishes nor refuses connections: its backlog is full and nothing is accepted.
 #[derive(Debug)]
 pub struct FullBacklogListener {
     socket: socket2::Socket,
-    _queue: Vec<TcpStream>,
+    _backlog: Vec<TcpStream>,
 }
 
 impl Default for FullBacklogListener {
@@ -203,19 +203,19 @@
 }
 
 impl FullBacklogListener {
-    /// Takes a port that the kernel picks, and fills its queue.
+    /// Binds a port that the kernel picks and fills its backlog.
     pub fn new() -> FullBacklogListener {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        let at = socket.local_addr().unwrap().as_socket().unwrap();
-        let mut queue = Vec::new();
-        while let Ok(tcp) = TcpStream::connect_timeout(&at, Duration::from_millis(300)) {
-            queue.push(tcp);
+        let address = socket.local_addr().unwrap().as_socket().unwrap();
+        let mut backlog = Vec::new();
+        while let Ok(tcp) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
+            backlog.push(tcp);
         }
-        FullBacklogListener { socket, _queue: queue }
+        FullBacklogListener { socket, _backlog: backlog }
     }
-    /// Where.
+    /// Returns the address of the listener.
     pub fn address(&self) -> SocketAddr {
         self.socket.local_addr().unwrap().as_socket().unwrap()
     }
--- a/crates/testkit/src/client.rs
+++ b/crates/testkit/src/client.rs
@@ -1,28 +1,28 @@
-//! A client on one blocking connection, and the requests that tests send.
+//! A client with one blocking connection, and the requests that tests send.
 
 use crate::{Message, WAIT_LIMIT};
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-static NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// A client that holds one connection.
 #[derive(Debug)]
 pub struct Client(pub BufReader<TcpStream>);
 
 impl Client {
-    /// Connects; no read waits longer than [`WAIT_LIMIT`].
+    /// Connects. A read times out after [`WAIT_LIMIT`].
     pub fn connect(to: SocketAddr) -> Client {
         let tcp = TcpStream::connect(to).unwrap();
         tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         Client(BufReader::new(tcp))
     }
-    /// Writes all of it.
+    /// Writes the complete request.
     pub fn send(&mut self, request: &str) {
         self.0.get_mut().write_all(request.as_bytes()).unwrap();
     }
-    /// The next answer, or `None` when the connection ended first.
+    /// Returns the next answer, or `None` if the connection was closed first.
     pub fn answer(&mut self) -> Option<Message> {
         Message::read(&mut self.0)
     }
@@ -31,32 +31,35 @@
         self.send(request);
         self.answer().expect("a whole answer")
     }
-    /// The proxy ended the connection, with nothing more on it.
+    /// Returns whether the proxy closes the connection without further bytes.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.0.read(&mut [0]), Ok(0) | Err(_))
     }
 }
 
-fn id() -> String {
-    format!("{:016x}", NUMBER.fetch_add(1, Ordering::SeqCst))
+fn unique_id() -> String {
+    format!("{:016x}", NEXT_NUMBER.fetch_add(1, Ordering::SeqCst))
 }
 
-/// A request that is safe to repeat; its client waits so many seconds.
+/// Returns a safe request with a time left of `left` seconds.
 pub fn read_request(left: f64) -> String {
-    format!("GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n", id())
+    format!(
+        "GET /read/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {}\r\nX-Time-Left: {left}\r\n\r\n",
+        unique_id()
+    )
 }
 
-/// A request that is unsafe to repeat.
+/// Returns a non-idempotent request with a time left of `left` seconds.
 pub fn pay_request(left: f64) -> String {
-    let id = id();
+    let id = unique_id();
     format!(
         "POST /pay/k1?q=1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\ncash"
     )
 }
 
-/// A request with a key.
+/// Returns a request with an idempotency key and a time left of `left` seconds.
 pub fn vote_request(left: f64) -> String {
-    let id = id();
+    let id = unique_id();
     format!(
         "POST /vote/k1 HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: {id}\r\nIdempotency-Key: key-{id}\r\nX-Time-Left: {left}\r\nContent-Length: 4\r\n\r\nyeah"
     )
--- a/crates/testkit/src/clock.rs
+++ b/crates/testkit/src/clock.rs
@@ -1,37 +1,37 @@
-//! One clock for all stand-ins of a run, so that their records can be held against each other.
+//! One clock for all stand-ins of a run, so that their records are comparable.
 
 use shaletide_types::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time since the run began; copies agree.
+/// A clock that counts from the start of the run. Copies agree.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Begins at 0 now.
+    /// Starts a clock at 0.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// Now.
+    /// Returns the current time.
     pub fn now(&self) -> Time {
         self.at(Instant::now())
     }
 
-    /// That moment of the process's clock.
-    pub fn at(&self, moment: Instant) -> Time {
-        Time(moment.saturating_duration_since(self.0).as_micros() as u64)
+    /// Converts an instant of the process to the time of this clock.
+    pub fn at(&self, instant: Instant) -> Time {
+        Time(instant.saturating_duration_since(self.0).as_micros() as u64)
     }
 
-    /// When the process's clock says so.
+    /// Converts a time of this clock to an instant of the process.
     pub fn instant(&self, time: Time) -> Instant {
         self.0 + Duration::from_micros(time.0)
     }
 
-    /// A moment as discovery writes it: Unix time, ms.
+    /// Converts a time to the form that discovery uses: Unix time in ms.
     pub fn unix_ms(&self, time: Time) -> u64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ago = self.now() - time;
-        (now.as_micros() as u64).saturating_sub(ago.0) / 1000
+        let age = self.now() - time;
+        (now.as_micros() as u64).saturating_sub(age.0) / 1000
     }
 }
--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -1,44 +1,44 @@
-//! What a backend may be told to do instead of its work, while it runs.
+//! Faults that can be set on a running backend.
 
 use std::time::Duration;
 
-/// A change in a backend's behaviour. Each kind holds until it is told otherwise; kinds add up.
+/// A change of a backend's behaviour. Each kind holds until it is set again; kinds add up.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// This part of the requests gets 500 at once, without work.
+    /// This fraction of the requests gets status 500 at once, without work.
     Fail(f64),
-    /// Of one class only.
+    /// The same as [`Fault::Fail`], for one class only.
     FailClass(String, f64),
-    /// This part of the requests is read and never answered.
+    /// This fraction of the requests is read and never answered.
     Hang(f64),
-    /// This part of the requests ends in a reset of its connection, without work.
+    /// This fraction of the requests ends with a reset of its connection, without work.
     Reset(f64),
-    /// Work takes so many times as long; 1 is as usual.
+    /// Work takes this many times as long; 1 is normal.
     Slow(f64),
-    /// What a served request is answered.
+    /// Sets the answer to served requests.
     Answer(Answer),
-    /// How that is sent.
+    /// Sets how that answer is sent.
     Send(Sending),
-    /// Every connection ends after its answer; `true` says so with `Connection: close`.
+    /// Closes every connection after its next answer; `true` announces it with `Connection: close`.
     Close(bool),
-    /// Connections are kept again.
+    /// Keeps connections open again after [`Fault::Close`].
     Keep,
-    /// New connections are refused; those that are up go on.
+    /// Refuses new connections; established ones are not affected.
     Refuse,
-    /// New connections are taken again.
+    /// Accepts new connections again after [`Fault::Refuse`].
     Accept,
-    /// Everything is as usual again, connections are taken, and the backend does not drain.
+    /// Clears all faults: the backend behaves normally, accepts connections and does not drain.
     Cleared,
 }
 
-/// What a served request is answered.
+/// The answer to a served request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The status; with 204 and 304 no body is sent, nor one to HEAD.
+    /// The status. No body is sent with 204 and 304, nor in answer to HEAD.
     pub status: u16,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
-    /// The body; none is the backend's own: its name and the request's id, see [`backend_body`].
+    /// The body. `None` is the backend's default_body body with its name and the id of the request, see [`backend_body`].
     pub body: Option<Vec<u8>>,
 }
 
@@ -49,33 +49,35 @@
 }
 
 impl Answer {
-    /// That status with the backend's own body.
+    /// Returns an answer with that status and the backend's default_body body.
     pub fn status(status: u16) -> Answer {
         Answer { status, ..Answer::default() }
     }
 
-    /// With a header more.
+    /// Adds a header.
     pub fn with(mut self, name: &str, value: &str) -> Answer {
         self.headers.push((name.into(), value.into()));
         self
     }
 
-    /// With that body.
+    /// Sets the body.
     pub fn body(mut self, body: impl Into<Vec<u8>>) -> Answer {
         self.body = Some(body.into());
         self
     }
 
-    /// Head and body as they are sent.
-    pub(crate) fn render(&self, own: Vec<u8>, method: &str, says_close: bool) -> (Vec<u8>, Vec<u8>) {
+    /// Returns head and body as they are sent.
+    pub(crate) fn render(
+        &self, default_body: Vec<u8>, method: &str, announces_close: bool,
+    ) -> (Vec<u8>, Vec<u8>) {
         let mut head = format!("HTTP/1.1 {} X\r\n", self.status);
         for (name, value) in &self.headers {
             head += &format!("{name}: {value}\r\n");
         }
-        if says_close {
+        if announces_close {
             head += "Connection: close\r\n";
         }
-        let body = self.body.clone().unwrap_or(own);
+        let body = self.body.clone().unwrap_or(default_body);
         let bodiless = matches!(self.status, 204 | 304);
         if !bodiless {
             head += &format!("Content-Length: {}\r\n", body.len());
@@ -89,18 +91,19 @@
 /// How an answer is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Sending {
-    /// Head and body at once.
+    /// Head and body in one write.
     #[default]
     Whole,
-    /// The head, then the body, on a socket that holds small segments back (Nagle).
+    /// The head, then the body, on a socket that delays small segments (Nagle's algorithm).
     TwoSegments,
-    /// Byte by byte, the last one after so long.
+    /// Byte by byte, the last one after this time.
     Drip(Duration),
-    /// These bytes instead of an answer, each piece in a segment of its own; the connection stays open.
+    /// These bytes instead of an answer, each piece in its default_body segment; the connection stays open.
     Raw(Vec<Vec<u8>>),
 }
 
-/// The body of a backend's own answer: its name, a space, the request's id, and stops up to `size` bytes.
+/// Returns the body of a backend's default_body answer: its name, a space and the id of the request, padded with dots to `size`
+/// bytes.
 pub fn backend_body(name: &str, id: &str, size: usize) -> Vec<u8> {
     let mut body = format!("{name} {id}\n").into_bytes();
     if body.len() < size {
@@ -109,7 +112,7 @@
     body
 }
 
-/// What a backend does at present.
+/// The present behaviour of a backend.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Behaviour {
     pub fail: f64,
@@ -118,31 +121,31 @@
     pub reset: f64,
     pub answer: Answer,
     pub sending: Sending,
-    /// Connections end after an answer, and whether it says so.
+    /// Connections close after an answer; `true` announces it. `None` keeps them open.
     pub close: Option<bool>,
 }
 
 impl Behaviour {
-    /// Takes a fault in; those of the listener and the processor are not its business.
-    pub fn take(&mut self, fault: Fault) {
+    /// Applies a fault. Faults of the listener and of the processor are handled elsewhere.
+    pub fn apply(&mut self, fault: Fault) {
         match fault {
-            Fault::Fail(part) => self.fail = part,
-            Fault::FailClass(class, part) => self.fail_class = Some((class, part)),
-            Fault::Hang(part) => self.hang = part,
-            Fault::Reset(part) => self.reset = part,
+            Fault::Fail(fraction) => self.fail = fraction,
+            Fault::FailClass(class, fraction) => self.fail_class = Some((class, fraction)),
+            Fault::Hang(fraction) => self.hang = fraction,
+            Fault::Reset(fraction) => self.reset = fraction,
             Fault::Answer(answer) => self.answer = answer,
             Fault::Send(sending) => self.sending = sending,
-            Fault::Close(says_so) => self.close = Some(says_so),
+            Fault::Close(announced) => self.close = Some(announced),
             Fault::Keep => self.close = None,
             Fault::Cleared => *self = Behaviour::default(),
             Fault::Slow(_) | Fault::Refuse | Fault::Accept => {}
         }
     }
 
-    /// The part of the requests of a class that fail.
-    pub fn failing(&self, class: &str) -> f64 {
-        let of_class = self.fail_class.as_ref().filter(|(name, _)| name == class);
-        self.fail.max(of_class.map_or(0.0, |(_, part)| *part))
+    /// Returns the fraction of the requests of a class that fail.
+    pub fn failing_fraction(&self, class: &str) -> f64 {
+        let class_fault = self.fail_class.as_ref().filter(|(name, _)| name == class);
+        self.fail.max(class_fault.map_or(0.0, |(_, fraction)| *fraction))
     }
 }
 
--- a/crates/testkit/src/fleet/backend.rs
+++ b/crates/testkit/src/fleet/backend.rs
@@ -1,4 +1,4 @@
-//! One backend of a running fleet: its station, its faults, what it writes down. Used on the fleet's thread alone.
+//! One backend of a running fleet: its service model, its faults and its records. Used on the fleet's thread only.
 
 use super::spec::{BackendSpec, FleetSpec};
 use super::Shared;
@@ -16,80 +16,82 @@
 use std::time::Instant;
 use tokio::sync::{oneshot, watch, Notify};
 
-/// What a backend does with a request.
+/// The decision of a backend on a request.
 pub enum Decision {
-    /// Serves it; told when the answer may be sent.
+    /// Serve it; the channel fires when the answer may be sent.
     Serve(oneshot::Receiver<()>),
-    /// Turns it away with that status.
-    TurnAway(u16),
-    /// Answers 500 at once.
+    /// Reject it with this status.
+    Reject(u16),
+    /// Answer 500 at once.
     Fail,
-    /// Never answers.
+    /// Never answer.
     Hang,
-    /// Resets the connection.
+    /// Reset the connection.
     Reset,
 }
 
 struct State {
-    station: ServiceModel,
+    service: ServiceModel,
     behaviour: Behaviour,
     draining: Option<Time>,
     boot: usize,
     waiters: BTreeMap<u64, oneshot::Sender<()>>,
     classes: BTreeMap<String, Arc<str>>,
-    next_ticket: u64,
+    next_service_id: u64,
     rng: SeededRng,
-    /// So many times as long work takes, as the backend was told.
-    slowed: f64,
-    crowding: Option<CongestionModel>,
-    next_look: Time,
+    /// Factor of the fault [`Fault::Slow`], without that of congestion.
+    slowdown: f64,
+    congestion: Option<CongestionModel>,
+    next_sample: Time,
 }
 
-/// A backend.
+/// A backend of a fleet.
 pub struct Backend {
     pub spec: BackendSpec,
     fleet: Rc<FleetSpec>,
-    place: usize,
+    index: usize,
     shared: Arc<Shared>,
     state: RefCell<State>,
-    /// Something changed that moves the station's next step.
-    changed: Arc<Notify>,
-    /// Counts the backend's deaths; connections end with each.
+    /// Notified when the time of the next event of the service model may have changed.
+    schedule_changed: Arc<Notify>,
+    /// Number of the backend's deaths. Each death ends all connections.
     pub deaths: watch::Sender<usize>,
-    pub open: Cell<usize>,
+    pub open_connections: Cell<usize>,
 }
 
 impl Backend {
-    pub fn new(fleet: &Rc<FleetSpec>, place: usize, shared: &Arc<Shared>, changed: Arc<Notify>) -> Backend {
-        let spec = fleet.backends[place].clone();
+    pub fn new(
+        fleet: &Rc<FleetSpec>, index: usize, shared: &Arc<Shared>, schedule_changed: Arc<Notify>,
+    ) -> Backend {
+        let spec = fleet.backends[index].clone();
         let booted = spec.cold.then(|| fleet.clock.now());
-        shared.write(|book| {
-            if let Some(info) = book.ledger.backends.get_mut(place) {
+        shared.update(|records| {
+            if let Some(info) = records.ledger.backends.get_mut(index) {
                 info.boots.push(Boot { at: booted, died: None });
             }
         });
         let state = State {
-            station: ServiceModel::new(spec.cpu_capacity, booted, spec.slots, spec.queue),
+            service: ServiceModel::new(spec.cpu_capacity, booted, spec.slots, spec.queue),
             behaviour: Behaviour::default(),
             draining: None,
             boot: 0,
             waiters: BTreeMap::new(),
             classes: BTreeMap::new(),
-            next_ticket: 0,
+            next_service_id: 0,
             rng: SeededRng::named(fleet.seed, &spec.name),
-            slowed: 1.0,
-            crowding: spec.congestion.map(CongestionModel::new),
-            next_look: fleet.clock.now(),
+            slowdown: 1.0,
+            congestion: spec.congestion.map(CongestionModel::new),
+            next_sample: fleet.clock.now(),
         };
         Backend {
             spec,
             fleet: fleet.clone(),
-            place,
+            index,
             shared: shared.clone(),
             state: RefCell::new(state),
-            changed,
+            schedule_changed,
             deaths: watch::Sender::new(0),
-            open: Cell::new(0),
+            open_connections: Cell::new(0),
         }
     }
 
@@ -101,220 +103,229 @@
         self.state.borrow().behaviour.clone()
     }
 
-    /// The answer's body where no other is set.
-    pub fn body(&self, request: &Message) -> Vec<u8> {
+    /// Returns the answer body for a backend without a fault that sets another one.
+    pub fn default_body(&self, request: &Message) -> Vec<u8> {
         let size = self.fleet.service(class_of(request)).body_bytes;
         backend_body(&self.spec.name, request.header("x-correlation-id").unwrap_or(""), size)
     }
 
-    /// Takes a whole request in, whose first byte came then. The guard is to live as long as it is open.
-    pub fn arrive(self: &Rc<Self>, request: &Message, came: Instant) -> (Decision, Open) {
-        self.pump();
-        let taken = self.take_in(request, came);
-        self.pump(); // one that needs no work is served by now
-        self.changed.notify_one();
-        taken
+    /// Handles the arrival of a complete request. The caller must keep the guard for as long as the request is open.
+    pub fn arrive(self: &Rc<Self>, request: &Message, first_byte_at: Instant) -> (Decision, OpenRequest) {
+        self.advance();
+        let admitted = self.admit(request, first_byte_at);
+        self.advance(); // a request without work is served at once
+        self.schedule_changed.notify_one();
+        admitted
     }
 
-    fn take_in(self: &Rc<Self>, request: &Message, came: Instant) -> (Decision, Open) {
+    fn admit(self: &Rc<Self>, request: &Message, first_byte_at: Instant) -> (Decision, OpenRequest) {
         let now = self.now();
         let id = request.header("x-correlation-id").unwrap_or("");
         let service = self.fleet.service(class_of(request));
         let demand = service.demand(self.fleet.seed, id);
         let state = &mut *self.state.borrow_mut();
-        let ticket = state.next_ticket;
-        state.next_ticket += 1;
+        let service_id = state.next_service_id;
+        state.next_service_id += 1;
         let decision = state.decide(&self.spec, request, now).unwrap_or_else(|| {
-            if state.station.arrive(now, ticket, demand) == Admission::Full {
-                return Decision::TurnAway(503);
+            if state.service.arrive(now, service_id, demand) == Admission::Full {
+                return Decision::Reject(503);
             }
             let (done, wait) = oneshot::channel();
-            state.waiters.insert(ticket, done);
+            state.waiters.insert(service_id, done);
             Decision::Serve(wait)
         });
         let record = Record {
-            backend: self.place,
+            backend: self.index,
             boot: state.boot,
             id: id.into(),
             key: request.header("idempotency-key").map(Into::into),
-            class: state.class(class_of(request)),
+            class: state.shared_class(class_of(request)),
             repeat: repeat_of(request),
-            first_byte_at: self.fleet.clock.at(came),
+            first_byte_at: self.fleet.clock.at(first_byte_at),
             last_byte_at: now,
             ended: None,
             draining: state.draining,
             work_ms: demand.work_ms,
             time_left: time_left(request).map(Micros::from_secs),
         };
-        let place = self.shared.write(|book| {
-            book.stats[self.place].requests += 1;
-            book.ledger.begin(record)
+        let record_index = self.shared.update(|records| {
+            records.stats[self.index].requests += 1;
+            records.ledger.begin(record)
         });
-        (decision, Open { stand: self.clone(), boot: state.boot, ticket, place, ended: None })
+        (
+            decision,
+            OpenRequest { backend: self.clone(), boot: state.boot, service_id, record_index, end: None },
+        )
     }
 
-    /// Brings the station to now, and lets go of what is served.
-    pub fn pump(&self) {
+    /// Advances the service model to now and releases the answers of the requests that are served.
+    pub fn advance(&self) {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.look(now);
-        for step in state.station.advance(now) {
-            if let ServiceEvent::Served(done) = step {
+        state.sample_congestion(now);
+        for event in state.service.advance(now) {
+            if let ServiceEvent::Served(done) = event {
                 if let Some(waiter) = state.waiters.remove(&done.id) {
-                    let _ = waiter.send(()); // nobody waits where the connection has just ended
+                    let _ = waiter.send(()); // the receiver is gone if the connection has just closed
                 }
             }
         }
     }
 
-    /// Keeps the station going, for as long as the fleet is there.
+    /// Advances the service model at its events until the future is dropped.
     pub async fn run(self: Rc<Self>, pacer: Rc<Pacer>) {
         loop {
-            self.pump();
-            let next = self.state.borrow().next(self.now());
-            pacer.set(self.place, next.map(|at| self.fleet.clock.instant(at)));
-            self.changed.notified().await;
+            self.advance();
+            let next_event = self.state.borrow().next_event(self.now());
+            pacer.set(self.index, next_event.map(|at| self.fleet.clock.instant(at)));
+            self.schedule_changed.notified().await;
         }
     }
 
-    /// A fault that is not the listener's.
-    pub fn set(&self, fault: Fault) {
-        self.pump();
+    /// Applies a fault, except those of the listener.
+    pub fn apply_fault(&self, fault: Fault) {
+        self.advance();
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
         match &fault {
-            Fault::Slow(factor) => state.slow(now, *factor),
+            Fault::Slow(factor) => state.set_slowdown(now, *factor),
             Fault::Cleared => {
-                state.slow(now, 1.0);
+                state.set_slowdown(now, 1.0);
                 state.draining = None;
             }
             _ => {}
         }
-        state.behaviour.take(fault);
-        self.changed.notify_one();
+        state.behaviour.apply(fault);
+        self.schedule_changed.notify_one();
     }
 
-    /// From now on it drains. The moment.
+    /// Starts draining, unless the backend drains already. Returns the time at which it started.
     pub fn drain(&self) -> Time {
         let now = self.now();
         *self.state.borrow_mut().draining.get_or_insert(now)
     }
 
-    /// It dies: what it had is gone, its connections are reset. The moment, also where it is dead already.
-    pub fn die(&self) -> Time {
+    /// Kills the backend: its requests are lost and its connections are reset. Returns the time of death, also if it was dead
+    /// already.
+    pub fn kill(&self) -> Time {
         let now = self.now();
-        let died = self.shared.write(|book| {
-            let boot = book.ledger.backends.get_mut(self.place).and_then(|info| info.boots.last_mut());
+        let died = self.shared.update(|records| {
+            let boot = records.ledger.backends.get_mut(self.index).and_then(|info| info.boots.last_mut());
             boot.map_or(now, |boot| *boot.died.get_or_insert(now))
         });
-        if self.alive() {
+        if self.is_alive() {
             self.deaths.send_modify(|count| *count += 1);
         }
         died
     }
 
-    /// Whether it has died as often as it has started.
-    pub fn alive(&self) -> bool {
+    /// Returns whether the backend is alive: it has died as often as it was restarted.
+    pub fn is_alive(&self) -> bool {
         *self.deaths.borrow() == self.state.borrow().boot
     }
 
-    /// It starts anew, cold, well and with nothing to do. The moment.
-    pub fn start(&self) -> Time {
+    /// Restarts the backend, cold, without faults and without requests. Returns the time of the start.
+    pub fn restart(&self) -> Time {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        state.station =
+        state.service =
             ServiceModel::new(self.spec.cpu_capacity, Some(now), self.spec.slots, self.spec.queue);
         state.behaviour = Behaviour::default();
         state.draining = None;
-        state.slowed = 1.0;
-        state.crowding = self.spec.congestion.map(CongestionModel::new);
+        state.slowdown = 1.0;
+        state.congestion = self.spec.congestion.map(CongestionModel::new);
         state.boot += 1;
         state.waiters.clear();
-        self.changed.notify_one();
-        self.shared.write(|book| {
-            if let Some(info) = book.ledger.backends.get_mut(self.place) {
+        self.schedule_changed.notify_one();
+        self.shared.update(|records| {
+            if let Some(info) = records.ledger.backends.get_mut(self.index) {
                 info.boots.push(Boot { at: Some(now), died: None });
             }
         });
         now
     }
 
-    /// A connection came up or ended.
-    pub fn connected(&self, up: bool) {
-        let open = if up { self.open.get() + 1 } else { self.open.get().saturating_sub(1) };
-        self.open.set(open);
-        self.shared.write(|book| {
-            let stats = &mut book.stats[self.place];
-            stats.connections += u64::from(up);
+    /// Counts a connection that was opened or closed.
+    pub fn count_connection(&self, opened: bool) {
+        let open = if opened {
+            self.open_connections.get() + 1
+        } else {
+            self.open_connections.get().saturating_sub(1)
+        };
+        self.open_connections.set(open);
+        self.shared.update(|records| {
+            let stats = &mut records.stats[self.index];
+            stats.connections += u64::from(opened);
             stats.open = open as u64;
         });
-        if up && self.spec.handshake_ms > 0.0 {
-            self.shake_hands();
+        if opened && self.spec.handshake_ms > 0.0 {
+            self.add_handshake_work();
         }
     }
 
-    /// The work that a new connection brings. Where the backend is full there is no room for it.
-    fn shake_hands(&self) {
-        self.pump();
+    /// Adds the work of a new connection. A full backend drops it.
+    fn add_handshake_work(&self) {
+        self.advance();
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
-        let ticket = state.next_ticket;
-        state.next_ticket += 1;
+        let service_id = state.next_service_id;
+        state.next_service_id += 1;
         let demand = Demand { work_ms: self.spec.handshake_ms, io: Micros(0) };
-        let _ = state.station.arrive(now, ticket, demand);
-        self.changed.notify_one();
+        let _ = state.service.arrive(now, service_id, demand);
+        self.schedule_changed.notify_one();
     }
 }
 
 impl State {
-    /// From now on so many times slower, and more where it is crowded.
-    fn slow(&mut self, now: Time, factor: f64) {
-        self.slowed = factor;
-        self.station
-            .set_slowdown(now, factor * self.crowding.as_ref().map_or(1.0, CongestionModel::slowdown));
+    /// Makes all work take `factor` times as long, multiplied by the slowdown of congestion.
+    fn set_slowdown(&mut self, now: Time, factor: f64) {
+        self.slowdown = factor;
+        self.service
+            .set_slowdown(now, factor * self.congestion.as_ref().map_or(1.0, CongestionModel::slowdown));
     }
 
-    /// Looks at how crowded it is, as often as has to be.
-    fn look(&mut self, now: Time) {
-        while self.crowding.is_some() && self.next_look <= now {
-            let at = self.next_look;
-            self.next_look = at + CongestionModel::SAMPLE_INTERVAL;
-            let held = self.station.in_service() + self.station.queued();
-            if self.crowding.as_mut().is_some_and(|c| c.sample(at, held)) {
-                self.slow(now, self.slowed);
+    /// Samples the congestion at all sampling times that are due.
+    fn sample_congestion(&mut self, now: Time) {
+        while self.congestion.is_some() && self.next_sample <= now {
+            let at = self.next_sample;
+            self.next_sample = at + CongestionModel::SAMPLE_INTERVAL;
+            let held = self.service.in_service() + self.service.queued();
+            if self.congestion.as_mut().is_some_and(|c| c.sample(at, held)) {
+                self.set_slowdown(now, self.slowdown);
             }
         }
     }
 
-    /// When something happens next, if nothing comes or goes.
-    fn next(&self, now: Time) -> Option<Time> {
-        let look = self.crowding.as_ref().map(|_| self.next_look.max(now));
-        [self.station.next_event(now), look].into_iter().flatten().min()
+    /// Returns the time of the next event, provided that no request arrives or is cancelled.
+    fn next_event(&self, now: Time) -> Option<Time> {
+        let sample = self.congestion.as_ref().map(|_| self.next_sample.max(now));
+        [self.service.next_event(now), sample].into_iter().flatten().min()
     }
 
-    /// What is decided before slots are looked at.
+    /// Returns the decision that does not depend on free slots, if there is one.
     fn decide(&mut self, spec: &BackendSpec, request: &Message, now: Time) -> Option<Decision> {
         let grace = Micros(spec.drain_grace.as_micros() as u64);
         if self.draining.is_some_and(|since| now > since + grace) {
-            return Some(Decision::TurnAway(503));
+            return Some(Decision::Reject(503));
         }
         if time_left(request).is_some_and(|left| left <= 0.0) {
-            return Some(Decision::TurnAway(504));
+            return Some(Decision::Reject(504));
         }
-        let failing = self.behaviour.failing(class_of(request));
+        let failing_fraction = self.behaviour.failing_fraction(class_of(request));
         if self.rng.chance(self.behaviour.hang) {
             Some(Decision::Hang)
         } else if self.rng.chance(self.behaviour.reset) {
             Some(Decision::Reset)
-        } else if self.rng.chance(failing) {
+        } else if self.rng.chance(failing_fraction) {
             Some(Decision::Fail)
         } else {
             None
         }
     }
 
-    /// One string for each class, so that records share it. Classes come from outside: a bound on those kept.
-    fn class(&mut self, name: &str) -> Arc<str> {
+    /// Returns the shared string of a class, so that records do not copy it. Clients choose the classes, so the number of
+    /// kept strings is bounded.
+    fn shared_class(&mut self, name: &str) -> Arc<str> {
         if let Some(class) = self.classes.get(name) {
             return class.clone();
         }
@@ -326,48 +337,49 @@
     }
 }
 
-/// A request that is open at a backend. Dropped, it is ended as it was last said, or else as cancelled.
-pub struct Open {
-    stand: Rc<Backend>,
+/// An open request at a backend. When this is dropped, the request ends with the end that was set last; without one, it ends
+/// as cancelled or with the death of the backend.
+pub struct OpenRequest {
+    backend: Rc<Backend>,
     boot: usize,
-    ticket: u64,
-    place: Option<usize>,
-    ended: Option<Ended>,
+    service_id: u64,
+    record_index: Option<usize>,
+    end: Option<Ended>,
 }
 
-impl Open {
-    /// How it ends if nothing else is said.
-    pub fn ends(&mut self, how: Ended) {
-        self.ended = Some(how);
+impl OpenRequest {
+    /// Sets the end of the request, until another one is set.
+    pub fn set_end(&mut self, end: Ended) {
+        self.end = Some(end);
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
-        let now = self.stand.now();
-        let state = &mut *self.stand.state.borrow_mut();
-        // Tickets are never used again, so that one from before a death finds nothing here.
-        state.station.cancel(now, self.ticket);
-        state.waiters.remove(&self.ticket);
-        let dead = *self.stand.deaths.borrow() > self.boot;
-        let how = self.ended.unwrap_or(if dead { Ended::BoxDied } else { Ended::Cancelled });
-        self.stand.changed.notify_one();
-        let (at_box, place) = (self.stand.place, self.place);
-        self.stand.shared.write(|book| {
-            book.stats[at_box].ended += 1;
-            if let Some(place) = place {
-                book.ledger.end(place, now, how);
+        let now = self.backend.now();
+        let state = &mut *self.backend.state.borrow_mut();
+        // Service ids are never reused, so an id from before a death matches nothing here.
+        state.service.cancel(now, self.service_id);
+        state.waiters.remove(&self.service_id);
+        let died = *self.backend.deaths.borrow() > self.boot;
+        let end = self.end.unwrap_or(if died { Ended::BoxDied } else { Ended::Cancelled });
+        self.backend.schedule_changed.notify_one();
+        let (backend_index, record_index) = (self.backend.index, self.record_index);
+        self.backend.shared.update(|records| {
+            records.stats[backend_index].ended += 1;
+            if let Some(record_index) = record_index {
+                records.ledger.end(record_index, now, end);
             }
         });
     }
 }
 
-/// How long its sender waits, in seconds, where it says so.
+/// Returns the time left in seconds, as reported by the sender.
 fn time_left(request: &Message) -> Option<f64> {
     request.header("x-time-left").and_then(|left| left.parse::<f64>().ok())
 }
 
-/// The first part of the path.
+/// Returns the class of a request: the first segment of its path.
 fn class_of(request: &Message) -> &str {
     let path = request.first.split(' ').nth(1).unwrap_or("");
     let path = path.strip_prefix('/').unwrap_or(path);
--- a/crates/testkit/src/fleet/connection.rs
+++ b/crates/testkit/src/fleet/connection.rs
@@ -1,8 +1,8 @@
-//! A connection to a backend: requests in turn, each answered as the backend decides.
+//! A connection to a backend. Its requests are handled one after the other as the backend decides.
 
-use super::backend::{Backend, Decision, Open};
+use super::backend::{Backend, Decision, OpenRequest};
 use crate::fault::Behaviour;
-use crate::wire::{BodyRule, Wire};
+use crate::http_stream::{BodyRule, HttpStream};
 use crate::{Answer, Ended, Message, Sending};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,140 +10,145 @@
 use tokio::sync::watch;
 use tokio::time::{sleep_until, Instant};
 
-/// Whether a connection takes another request.
+/// Whether a connection takes another request after the present one.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Then {
-    Next,
-    Ends,
+enum Persistence {
+    KeepOpen,
+    Close,
 }
 
-/// Serves a connection until either side ends it or the backend dies; then it is reset.
-pub async fn serve(stand: Rc<Backend>, tcp: TcpStream, mut deaths: watch::Receiver<usize>) {
-    let mut wire = Wire::new(tcp);
+/// Serves a connection until either side closes it or the backend dies, which resets it.
+pub async fn serve(backend: Rc<Backend>, tcp: TcpStream, mut deaths: watch::Receiver<usize>) {
+    let mut stream = HttpStream::new(tcp);
     tokio::select! {
-        _ = deaths.changed() => wire.break_off(),
-        () = requests(&stand, &mut wire) => {}
+        _ = deaths.changed() => stream.reset_on_close(),
+        () = serve_requests(&backend, &mut stream) => {}
     }
-    drop(wire); // the count is of those that are up
-    stand.connected(false);
+    drop(stream); // closes the connection before it leaves the count of the open ones
+    backend.count_connection(false);
 }
 
-async fn requests(stand: &Rc<Backend>, wire: &mut Wire) {
+async fn serve_requests(backend: &Rc<Backend>, stream: &mut HttpStream) {
     loop {
-        let next = tokio::time::timeout(stand.spec.idle_timeout, wire.message(BodyRule::AsSaid)).await;
-        let Ok(Some((request, came))) = next else { return };
+        let received =
+            tokio::time::timeout(backend.spec.idle_timeout, stream.read_message(BodyRule::FromHead)).await;
+        let Ok(Some((request, first_byte_at))) = received else { return };
         let path = request.first.split(' ').nth(1).unwrap_or("");
-        let then = if path.starts_with("/-/") {
+        let persistence = if path.starts_with("/-/") {
             let (head, body) = Answer::default().render(Vec::new(), "GET", false);
-            written(wire.write(&[head, body].concat()).await)
+            persistence_after(stream.write(&[head, body].concat()).await)
         } else {
-            let (decision, open) = stand.arrive(&request, came);
-            answer(stand, wire, &request, decision, open).await
+            let (decision, open_request) = backend.arrive(&request, first_byte_at);
+            answer(backend, stream, &request, decision, open_request).await
         };
-        if then == Then::Ends {
+        if persistence == Persistence::Close {
             return;
         }
     }
 }
 
-fn written(done: std::io::Result<()>) -> Then {
-    if done.is_ok() {
-        Then::Next
+fn persistence_after(write: std::io::Result<()>) -> Persistence {
+    if write.is_ok() {
+        Persistence::KeepOpen
     } else {
-        Then::Ends
+        Persistence::Close
     }
 }
 
-/// Sees a request to its end. Dropped midway it ends as cancelled, or with the backend.
+/// Handles a request to its end. If this is cancelled, the request ends as cancelled or with the death of the backend.
 async fn answer(
-    stand: &Rc<Backend>, wire: &mut Wire, request: &Message, decision: Decision, mut open: Open,
-) -> Then {
+    backend: &Rc<Backend>, stream: &mut HttpStream, request: &Message, decision: Decision,
+    mut open_request: OpenRequest,
+) -> Persistence {
     match decision {
         Decision::Serve(done) => {
             tokio::select! {
                 _ = done => {}
-                () = wire.ended() => return Then::Ends,
+                () = stream.wait_closed() => return Persistence::Close,
             }
-            let behaviour = stand.behaviour();
-            let (then, how) = send(stand, wire, request, &behaviour).await;
-            open.ends(how);
-            then
+            let behaviour = backend.behaviour();
+            let (persistence, end) = send(backend, stream, request, &behaviour).await;
+            open_request.set_end(end);
+            persistence
         }
-        Decision::TurnAway(status) => {
-            let away = Answer::status(status).with("X-Unprocessed", "1").body("");
-            open.ends(Ended::TurnedAway);
-            written(write(wire, request, &away).await)
+        Decision::Reject(status) => {
+            let rejection = Answer::status(status).with("X-Unprocessed", "1").body("");
+            open_request.set_end(Ended::TurnedAway);
+            persistence_after(write(stream, request, &rejection).await)
         }
         Decision::Fail => {
-            open.ends(Ended::Failed);
-            written(write(wire, request, &Answer::status(500).body("failed\n")).await)
+            open_request.set_end(Ended::Failed);
+            persistence_after(write(stream, request, &Answer::status(500).body("failed\n")).await)
         }
         Decision::Hang => {
-            open.ends(Ended::Hung);
-            wire.ended().await;
-            Then::Ends
+            open_request.set_end(Ended::Hung);
+            stream.wait_closed().await;
+            Persistence::Close
         }
         Decision::Reset => {
-            open.ends(Ended::Reset);
-            wire.break_off();
-            Then::Ends
+            open_request.set_end(Ended::Reset);
+            stream.reset_on_close();
+            Persistence::Close
         }
     }
 }
 
-async fn write(wire: &mut Wire, request: &Message, answer: &Answer) -> std::io::Result<()> {
+async fn write(stream: &mut HttpStream, request: &Message, answer: &Answer) -> std::io::Result<()> {
     let (head, body) = answer.render(Vec::new(), method(request), false);
-    wire.write(&[head, body].concat()).await
+    stream.write(&[head, body].concat()).await
 }
 
 fn method(request: &Message) -> &str {
     request.first.split(' ').next().unwrap_or("")
 }
 
-/// Sends the answer to a request that was served, as the backend does at present.
-async fn send(stand: &Backend, wire: &mut Wire, request: &Message, behaviour: &Behaviour) -> (Then, Ended) {
-    let says_close = behaviour.close == Some(true);
-    let (head, body) = behaviour.answer.render(stand.body(request), method(request), says_close);
-    let whole = [&head[..], &body[..]].concat();
-    // Until the next answer: ended sooner, it would let go of the body at once.
-    wire.hold_back(behaviour.sending == Sending::TwoSegments);
-    let (done, how) = match &behaviour.sending {
-        Sending::Whole => (wire.write(&whole).await, Ended::Served),
-        Sending::TwoSegments => (in_two(wire, &head, &body).await, Ended::Served),
-        Sending::Drip(over) => (drip(wire, &whole, *over).await, Ended::Served),
-        Sending::Raw(pieces) => (raw(wire, pieces).await, Ended::InvalidResponse),
+/// Sends the answer to a served request by the present behaviour of the backend.
+async fn send(
+    backend: &Backend, stream: &mut HttpStream, request: &Message, behaviour: &Behaviour,
+) -> (Persistence, Ended) {
+    let announces_close = behaviour.close == Some(true);
+    let (head, body) =
+        behaviour.answer.render(backend.default_body(request), method(request), announces_close);
+    let message = [&head[..], &body[..]].concat();
+    // Stays set until the next answer: turned off earlier, the kernel would send the body at once.
+    stream.set_nagle(behaviour.sending == Sending::TwoSegments);
+    let (written, end) = match &behaviour.sending {
+        Sending::Whole => (stream.write(&message).await, Ended::Served),
+        Sending::TwoSegments => (write_two_segments(stream, &head, &body).await, Ended::Served),
+        Sending::Drip(over) => (drip(stream, &message, *over).await, Ended::Served),
+        Sending::Raw(pieces) => (write_pieces(stream, pieces).await, Ended::InvalidResponse),
     };
-    match done {
-        Ok(()) if behaviour.close.is_some() => (Then::Ends, how),
-        Ok(()) => (Then::Next, how),
-        Err(_) => (Then::Ends, Ended::Cancelled),
+    match written {
+        Ok(()) if behaviour.close.is_some() => (Persistence::Close, end),
+        Ok(()) => (Persistence::KeepOpen, end),
+        Err(_) => (Persistence::Close, Ended::Cancelled),
     }
 }
 
-async fn in_two(wire: &mut Wire, head: &[u8], body: &[u8]) -> std::io::Result<()> {
-    wire.write(head).await?;
-    wire.write(body).await
+async fn write_two_segments(stream: &mut HttpStream, head: &[u8], body: &[u8]) -> std::io::Result<()> {
+    stream.write(head).await?;
+    stream.write(body).await
 }
 
-/// Writes what is due at each moment, a byte at least: moments lie as close as timers allow, about 1 ms.
-async fn drip(wire: &mut Wire, bytes: &[u8], over: Duration) -> std::io::Result<()> {
-    let (begun, mut sent) = (Instant::now(), 0);
+/// Writes the bytes evenly over the time `over`, at least one byte at a time, as often as the timers allow: about every ms.
+async fn drip(stream: &mut HttpStream, bytes: &[u8], over: Duration) -> std::io::Result<()> {
+    let (start, mut sent) = (Instant::now(), 0);
     while sent < bytes.len() {
-        sleep_until(begun + over.mul_f64((sent + 1) as f64 / bytes.len() as f64)).await;
-        let part = begun.elapsed().as_secs_f64() / over.as_secs_f64().max(1e-6);
-        let due = ((part * bytes.len() as f64) as usize).clamp(sent + 1, bytes.len());
-        wire.write(&bytes[sent..due]).await?;
+        sleep_until(start + over.mul_f64((sent + 1) as f64 / bytes.len() as f64)).await;
+        let fraction = start.elapsed().as_secs_f64() / over.as_secs_f64().max(1e-6);
+        let due = ((fraction * bytes.len() as f64) as usize).clamp(sent + 1, bytes.len());
+        stream.write(&bytes[sent..due]).await?;
         sent = due;
     }
     Ok(())
 }
 
-async fn raw(wire: &mut Wire, pieces: &[Vec<u8>]) -> std::io::Result<()> {
+async fn write_pieces(stream: &mut HttpStream, pieces: &[Vec<u8>]) -> std::io::Result<()> {
     for (n, piece) in pieces.iter().enumerate() {
         if n > 0 {
             tokio::task::yield_now().await;
         }
-        wire.write(piece).await?;
+        stream.write(piece).await?;
     }
     Ok(())
 }
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -1,66 +1,67 @@
-//! Backends that serve by a model of their cores, all on one thread and one more that keeps time, with faults on command and a record of every
-//! request. An answer comes some 0.1 ms later than the model says; the model does not drift by it.
+//! Backends that serve requests by a model of their cores, with faults on command and a record of every request. All of
+//! them run on one thread, with a second one as timer. An answer is sent about 0.1 ms later than in the model; the delay does
+//! not add up.
 
 mod backend;
 mod connection;
-mod shell;
+mod server;
 mod spec;
 
 pub use spec::{BackendSpec, FleetSpec, Service};
 
 use crate::{BackendInfo, Clock, Entry, Fault, Ledger, WAIT_LIMIT};
+use server::{Action, Command};
 use shaletide_types::Time;
-use shell::{Command, Order};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{mpsc, Arc, Condvar, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a backend has counted.
+/// Counters of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendStats {
-    /// Connections that came up.
+    /// Connections accepted so far.
     pub connections: u64,
-    /// Connections that are up.
+    /// Open connections.
     pub open: u64,
-    /// Whole requests, without calls under `/-/`.
+    /// Complete requests, without calls under `/-/`.
     pub requests: u64,
-    /// Requests that are over in any way.
+    /// Requests that have ended in any way.
     pub ended: u64,
 }
 
 #[derive(Default)]
-struct Book {
+struct Records {
     ledger: Ledger,
     stats: Vec<BackendStats>,
 }
 
-/// What the fleet's thread writes and others read.
+/// State that the fleet's thread writes and other threads read.
 struct Shared {
-    book: Mutex<Book>,
-    written: Condvar,
+    records: Mutex<Records>,
+    changed: Condvar,
 }
 
 impl Shared {
-    fn write<T>(&self, change: impl FnOnce(&mut Book) -> T) -> T {
-        let result = change(&mut self.book.lock().unwrap_or_else(PoisonError::into_inner));
-        self.written.notify_all();
+    fn update<T>(&self, change: impl FnOnce(&mut Records) -> T) -> T {
+        let result = change(&mut self.records.lock().unwrap_or_else(PoisonError::into_inner));
+        self.changed.notify_all();
         result
     }
 }
 
-/// An address that is the backend's own whether it listens or not: a second socket holds it.
-struct Door {
-    _hold: socket2::Socket,
+/// An address that stays reserved for a backend while it does not listen: a second socket is bound to it.
+struct ReservedAddress {
+    _reservation: socket2::Socket,
     address: SocketAddr,
 }
 
-impl Door {
-    fn new() -> io::Result<Door> {
-        let hold = socket()?;
-        hold.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
-        let address = hold.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Door { _hold: hold, address })
+impl ReservedAddress {
+    fn new() -> io::Result<ReservedAddress> {
+        let reservation = socket()?;
+        reservation.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
+        let address = reservation.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(ReservedAddress { _reservation: reservation, address })
     }
 
     fn listen(&self) -> io::Result<TcpListener> {
@@ -78,14 +79,14 @@
     Ok(socket)
 }
 
-/// A backend of a running fleet, told from outside. Once the fleet is dropped nothing happens any more.
+/// A handle of a backend in a running fleet. Its commands have no effect once the fleet is dropped.
 #[derive(Clone)]
 pub struct BackendHandle {
-    /// What it was made as.
+    /// The specification of the backend.
     pub spec: BackendSpec,
-    /// Where it listens, through all its deaths.
+    /// The address of its listener, which survives restarts.
     pub address: SocketAddr,
-    place: usize,
+    index: usize,
     clock: Clock,
     commands: UnboundedSender<Command>,
     shared: Arc<Shared>,
@@ -98,30 +99,31 @@
 }
 
 impl BackendHandle {
-    /// Changes its behaviour. It holds for what comes after this returns. The moment of the change.
+    /// Sets a fault, which applies to all that the backend receives after this returns. Returns the time of the change.
     pub fn set_fault(&self, fault: Fault) -> Time {
-        self.order(Order::Set(fault))
+        self.execute(Action::Set(fault))
     }
 
-    /// Tells it to drain: after its grace it turns new requests away. What it has goes on. The moment.
+    /// Makes the backend drain: it rejects new requests after its grace and finishes the others. Returns the time.
     pub fn drain(&self) -> Time {
-        self.order(Order::Drain)
+        self.execute(Action::Drain)
     }
 
-    /// Ends it: open connections are reset and new ones are refused. The moment.
+    /// Kills the backend: open connections are reset and new ones are refused. Returns the time.
     pub fn kill(&self) -> Time {
-        self.order(Order::Kill)
+        self.execute(Action::Kill)
     }
 
-    /// Starts it anew at the same address, cold and well; kills it first if it lives. The moment.
+    /// Restarts the backend at the same address, cold and without faults, and kills it first if it is alive. Returns the
+    /// time of the start.
     pub fn restart(&self) -> Time {
-        self.order(Order::Kill);
-        self.order(Order::Revive)
+        self.execute(Action::Kill);
+        self.execute(Action::Revive)
     }
 
-    /// Its line for discovery, serving, with the last of its starts.
+    /// Returns its serving entry for discovery, with the time of its last start.
     pub fn entry(&self) -> Entry {
-        let boot = self.shared.write(|book| book.ledger.backends[self.place].boots.last().copied());
+        let boot = self.shared.update(|records| records.ledger.backends[self.index].boots.last().copied());
         let since = boot.and_then(|boot| boot.at).map_or(0, |at| self.clock.unix_ms(at));
         let spec = &self.spec;
         Entry {
@@ -130,30 +132,30 @@
         }
     }
 
-    /// What it has counted.
+    /// Returns its counters.
     pub fn stats(&self) -> BackendStats {
-        self.order(Order::Sync);
-        self.shared.write(|book| book.stats[self.place])
+        self.execute(Action::Sync);
+        self.shared.update(|records| records.stats[self.index])
     }
 
-    /// Waits until what it has counted is as wanted, and no longer than [`WAIT_LIMIT`]. Whether it is.
+    /// Waits until `wanted` accepts its counters, for [`WAIT_LIMIT`] at most. Returns whether it did.
     pub fn wait_for_stats(&self, wanted: impl Fn(&BackendStats) -> bool) -> bool {
-        let book = self.shared.book.lock().unwrap_or_else(PoisonError::into_inner);
-        let not_yet = |book: &mut Book| !wanted(&book.stats[self.place]);
-        let waited = self.shared.written.wait_timeout_while(book, WAIT_LIMIT, not_yet);
+        let records = self.shared.records.lock().unwrap_or_else(PoisonError::into_inner);
+        let pending = |records: &mut Records| !wanted(&records.stats[self.index]);
+        let waited = self.shared.changed.wait_timeout_while(records, WAIT_LIMIT, pending);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
-    /// Blocks until the fleet's thread has done it: some microseconds.
-    fn order(&self, order: Order) -> Time {
+    /// Executes an action on the fleet's thread and blocks until it is done, which takes some microseconds.
+    fn execute(&self, action: Action) -> Time {
         let (done, wait) = mpsc::sync_channel(1);
-        let sent = self.commands.send(Command { place: self.place, order, done }).is_ok();
-        let at = if sent { wait.recv_timeout(WAIT_LIMIT).ok() } else { None };
-        at.unwrap_or_else(|| self.clock.now())
+        let sent = self.commands.send(Command { index: self.index, action, done }).is_ok();
+        let done_at = if sent { wait.recv_timeout(WAIT_LIMIT).ok() } else { None };
+        done_at.unwrap_or_else(|| self.clock.now())
     }
 }
 
-/// A fleet at work; ends when this is dropped.
+/// A running fleet. It ends when this is dropped.
 #[derive(Debug)]
 pub struct Fleet {
     backends: Vec<BackendHandle>,
@@ -163,20 +165,21 @@
 }
 
 impl Fleet {
-    /// Starts these backends, where each request is 1 ms of work.
+    /// Starts these backends, with 1 ms of work per request.
     ///
     /// # Errors
-    /// No port, no thread, or no descriptors.
-    pub fn start(boxes: Vec<BackendSpec>) -> io::Result<Fleet> {
-        Fleet::with(FleetSpec::new(boxes))
+    /// No port, thread or file descriptor was available.
+    pub fn start(backends: Vec<BackendSpec>) -> io::Result<Fleet> {
+        Fleet::with(FleetSpec::new(backends))
     }
 
     /// Starts a fleet. All backends listen when this returns.
     ///
     /// # Errors
-    /// No port, no thread, or no descriptors.
+    /// No port, thread or file descriptor was available.
     pub fn with(spec: FleetSpec) -> io::Result<Fleet> {
-        let doors = spec.backends.iter().map(|_| Door::new()).collect::<io::Result<Vec<_>>>()?;
+        let addresses =
+            spec.backends.iter().map(|_| ReservedAddress::new()).collect::<io::Result<Vec<_>>>()?;
         let info = |b: &BackendSpec| BackendInfo {
             name: b.name.clone(),
             deduplication_group: b.deduplication_group,
@@ -186,52 +189,53 @@
         let mut ledger = Ledger::new(spec.max_records);
         ledger.backends = spec.backends.iter().map(info).collect();
         let stats = vec![BackendStats::default(); spec.backends.len()];
-        let shared = Arc::new(Shared { book: Mutex::new(Book { ledger, stats }), written: Condvar::new() });
-        let (commands, orders) = tokio::sync::mpsc::unbounded_channel();
+        let shared =
+            Arc::new(Shared { records: Mutex::new(Records { ledger, stats }), changed: Condvar::new() });
+        let (commands, command_receiver) = tokio::sync::mpsc::unbounded_channel();
         let clock = spec.clock;
-        let handle = |(place, door): (usize, &Door)| BackendHandle {
-            spec: spec.backends[place].clone(),
-            address: door.address,
-            place,
+        let handle = |(index, reserved): (usize, &ReservedAddress)| BackendHandle {
+            spec: spec.backends[index].clone(),
+            address: reserved.address,
+            index,
             clock,
             commands: commands.clone(),
             shared: shared.clone(),
         };
-        let boxes = doors.iter().enumerate().map(handle).collect();
+        let backends = addresses.iter().enumerate().map(handle).collect();
         let (stop, stopped) = tokio::sync::oneshot::channel();
         let (ready, listening) = mpsc::sync_channel(1);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let work = move || {
+        let serve = move || {
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, async move {
                 tokio::select! {
                     _ = stopped => {}
-                    () = shell::run(spec, doors, shared, orders, ready) => {}
+                    () = server::run(spec, addresses, shared, command_receiver, ready) => {}
                 }
             });
         };
-        let thread = std::thread::Builder::new().name("fleet".into()).spawn(work)?;
-        let fleet = Fleet { backends: boxes, clock, stop: Some(stop), thread: Some(thread) };
+        let thread = std::thread::Builder::new().name("fleet".into()).spawn(serve)?;
+        let fleet = Fleet { backends, clock, stop: Some(stop), thread: Some(thread) };
         listening.recv_timeout(WAIT_LIMIT).unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
         Ok(fleet)
     }
 
-    /// The backends, in the order in which they were given.
+    /// Returns the backends, in the order of their specifications.
     pub fn backends(&self) -> &[BackendHandle] {
         &self.backends
     }
 
-    /// The run's clock.
+    /// Returns the clock of the run.
     pub fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// A copy of all that is written down so far. Costs as much as there is, and holds the fleet up meanwhile:
-    /// take it at the end.
+    /// Returns a copy of the ledger. The cost grows with the number of records, and the fleet is blocked meanwhile: call it
+    /// at the end of a run.
     pub fn ledger(&self) -> Ledger {
         let Some(first) = self.backends.first() else { return Ledger::default() };
-        first.order(Order::Sync);
-        first.shared.write(|book| book.ledger.clone())
+        first.execute(Action::Sync);
+        first.shared.update(|records| records.ledger.clone())
     }
 }
 
--- a/crates/testkit/src/fleet/spec.rs
+++ b/crates/testkit/src/fleet/spec.rs
@@ -1,49 +1,50 @@
-//! What a fleet is made of.
+//! Specifications of a fleet, its backends and the work of its request classes.
 
 use crate::{Clock, CongestionConfig, CpuCapacity, Demand, Distribution, SeededRng, MAX_RECORDS};
 use shaletide_types::Micros;
 use std::time::Duration;
 
-/// One backend.
+/// The specification of a backend.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    /// The same at every proxy.
+    /// Its name, the same at every proxy.
     pub name: String,
-    /// Its kind, as discovery tells it.
+    /// Its server type, as reported by discovery.
     pub kind: String,
-    /// Its zone, as discovery tells it.
+    /// Its zone, as reported by discovery.
     pub zone: String,
-    /// Backends of one bay share the keys that they have seen.
+    /// Its deduplication group. The backends of a group share the idempotency keys that they have seen.
     pub deduplication_group: u64,
-    /// What it can do.
+    /// Its capacity.
     pub cpu_capacity: CpuCapacity,
-    /// Requests in service at a time.
+    /// Largest number of requests in service.
     pub slots: u32,
-    /// Requests that may wait for a slot.
+    /// Largest number of requests that wait for a slot.
     pub queue: u32,
-    /// It has just started when the fleet does.
+    /// Whether the backend starts together with the fleet and so is cold; otherwise it is warm.
     pub cold: bool,
-    /// For so long it takes new requests after it was told to drain.
+    /// Time after a drain command in which the backend still takes new requests.
     pub drain_grace: Duration,
-    /// A connection at rest is closed after so long.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
-    /// Connections at a time; further ones are closed at once.
+    /// Largest number of open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// Work that a new connection brings, ms of a standard core; it takes a slot meanwhile. 0: none.
+    /// Work for a new connection, ms of a standard core, during which it holds a slot. 0 for none.
     pub handshake_ms: f64,
-    /// What a crowd does to it; none: nothing.
+    /// How the backend reacts to too many requests; `None` if it does not slow down.
     pub congestion: Option<CongestionConfig>,
 }
 
 impl BackendSpec {
-    /// A warm backend in zone `east`, kind `big`, bay 1, with 64 slots and a queue of 64.
-    pub fn new(name: &str, power: CpuCapacity) -> BackendSpec {
+    /// Returns a warm backend in zone `east`, of server type `big`, in deduplication group 1, with 64 slots and a queue
+    /// of 64.
+    pub fn new(name: &str, cpu_capacity: CpuCapacity) -> BackendSpec {
         BackendSpec {
             name: name.into(),
             kind: "big".into(),
             zone: "east".into(),
             deduplication_group: 1,
-            cpu_capacity: power,
+            cpu_capacity,
             slots: 64,
             queue: 64,
             cold: false,
@@ -56,26 +57,26 @@
     }
 }
 
-/// What the requests of a class need.
+/// The resources that the requests of a class need.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// The first part of the path; empty for classes not named.
+    /// The class, which is the first segment of the path; empty for all classes without an entry.
     pub class: String,
     /// Work, ms of a standard core.
     pub work_ms: Distribution,
-    /// Waiting after the work that needs no core, ms.
+    /// Wait after the work that uses no core, ms.
     pub io_ms: Distribution,
-    /// Bytes of the answer's body, where that is the backend's own.
+    /// Size in bytes of the backend's own answer body.
     pub body_bytes: usize,
 }
 
 impl Service {
-    /// A class whose requests need that work and nothing else.
+    /// Returns a class whose requests need this work, no wait and no larger body.
     pub fn new(class: &str, work_ms: Distribution) -> Service {
         Service { class: class.into(), work_ms, io_ms: Distribution::Fixed(0.0), body_bytes: 0 }
     }
 
-    /// What the request of that id needs: the same at every backend.
+    /// Returns what the request with that id needs, which is the same at every backend.
     pub(crate) fn demand(&self, seed: u64, id: &str) -> Demand {
         let mut rng = SeededRng::named(seed, id);
         let work_ms = self.work_ms.sample(&mut rng);
@@ -83,14 +84,14 @@
     }
 }
 
-/// A fleet.
+/// The specification of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSpec {
-    /// Its backends; handles come in the same order.
+    /// Its backends. The handles have the same order.
     pub backends: Vec<BackendSpec>,
-    /// What classes need. One of an empty name, or else 1 ms of work, is for all others.
+    /// The needs of the request classes. Other classes use the entry with an empty name or, without one, 1 ms of work.
     pub services: Vec<Service>,
-    /// Of all its random numbers.
+    /// Seed of all random numbers of the fleet.
     pub seed: u64,
     /// The run's clock.
     pub clock: Clock,
@@ -99,18 +100,12 @@
 }
 
 impl FleetSpec {
-    /// These backends, where each request is 1 ms of work.
-    pub fn new(boxes: Vec<BackendSpec>) -> FleetSpec {
-        FleetSpec {
-            backends: boxes,
-            services: Vec::new(),
-            seed: 1,
-            clock: Clock::start(),
-            max_records: MAX_RECORDS,
-        }
+    /// Returns a fleet of these backends, with 1 ms of work per request.
+    pub fn new(backends: Vec<BackendSpec>) -> FleetSpec {
+        FleetSpec { backends, services: Vec::new(), seed: 1, clock: Clock::start(), max_records: MAX_RECORDS }
     }
 
-    /// The service of a class.
+    /// Returns the service of a class.
     pub(crate) fn service(&self, class: &str) -> Service {
         let named = |name: &str| self.services.iter().find(|s| s.class == name).cloned();
         named(class).or_else(|| named("")).unwrap_or_else(|| Service::new("", Distribution::Fixed(1.0)))
--- a/crates/testkit/src/ledger.rs
+++ b/crates/testkit/src/ledger.rs
@@ -1,76 +1,77 @@
-//! What all backends of a run have seen: a record of every request, and of every start of a backend. Plain data; the
-//! rules over it are in [`crate::checks`].
+//! The ledger of a run: a record of every request at a backend and of every start of a backend. Plain data; the rules
+//! over it are in [`crate::checks`].
 
 use crate::CpuCapacity;
 use shaletide_types::{Micros, Time};
 use std::sync::Arc;
 
-/// Records that a ledger holds unless told otherwise. One takes about 200 bytes: 60 MB in all.
+/// Default for [`Ledger::max_records`]. A record takes about 200 bytes: 60 MB in all.
 pub const MAX_RECORDS: usize = 300_000;
 
-/// What a second run of a request would do, as its form tells.
+/// The effect of a second run of a request, as derived from its method and headers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Nothing: `GET`, `HEAD`.
+    /// None: `GET` and `HEAD`.
     Safe,
-    /// Nothing, where its key is known: it brings an `Idempotency-Key`.
+    /// None where its key is known: the request has an `Idempotency-Key`.
     Keyed,
-    /// Harm: the rest.
+    /// Harmful: all other requests.
     Unsafe,
 }
 
 /// How a request ended at a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
-    /// Its answer was written whole.
+    /// The complete answer was written.
     Served,
-    /// Not taken: full, draining or over already. The one end that proves that it was not executed.
+    /// Rejected because the backend was full or draining or the deadline had passed. The only end that proves that the
+    /// request was not executed.
     TurnedAway,
     /// Answered 500 at once.
     Failed,
-    /// Its sender closed the connection, or stopped sending on it, before the answer was written.
+    /// The sender closed the connection, or its sending side, before the answer was written.
     Cancelled,
-    /// Never answered, as the backend was told.
+    /// Never answered because of a fault that was set.
     Hung,
-    /// Its connection was reset, as the backend was told.
+    /// The connection was reset because of a fault that was set.
     Reset,
-    /// Other bytes than an answer were sent, as the backend was told.
+    /// Bytes that are no valid answer were sent because of a fault that was set.
     InvalidResponse,
-    /// The backend died over it.
+    /// The backend died while the request was open.
     BoxDied,
 }
 
 /// A request at a backend.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Which backend: its place in [`Ledger::boxes`].
+    /// Index of the backend in [`Ledger::backends`].
     pub backend: usize,
-    /// Which of its starts, from 0.
+    /// Index of the backend's start in [`BackendInfo::boots`].
     pub boot: usize,
-    /// `X-Correlation-Id`; empty where there was none.
+    /// `X-Correlation-Id`; empty if it was missing.
     pub id: Box<str>,
     /// `Idempotency-Key`.
     pub key: Option<Box<str>>,
     /// The first part of the path.
     pub class: Arc<str>,
-    /// By its method and key.
+    /// The effect of a second run, by method and key.
     pub repeat: Repeat,
-    /// When its first byte came.
+    /// When its first byte was received.
     pub first_byte_at: Time,
-    /// When its last byte came.
+    /// When its last byte was received.
     pub last_byte_at: Time,
-    /// When and how it ended; none while it is open.
+    /// When and how it ended; `None` while it is open.
     pub ended: Option<(Time, Ended)>,
-    /// Since when the backend drained, if it did.
+    /// Since when the backend was draining; `None` if it was not.
     pub draining: Option<Time>,
-    /// Work that it brought, ms of a standard core.
+    /// Work of the request, ms of a standard core.
     pub work_ms: f64,
-    /// How long its sender said that it waits; none where it said nothing, or nothing that is a time.
+    /// The time left as reported by the sender; `None` if it was missing or invalid.
     pub time_left: Option<Micros>,
 }
 
 impl Record {
-    /// Whether it has run, or may have, as far as whoever sent it can tell.
+    /// Returns whether the request was executed or may have been, as far as its sender can tell.
     pub fn ran(&self) -> bool {
         !matches!(self.ended, Some((_, Ended::TurnedAway)))
     }
@@ -79,20 +80,20 @@
 /// A start of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Boot {
-    /// When; `None` is before the run, long enough ago to be warm.
+    /// When the backend started; `None` is before the run, long enough ago to be warm.
     pub at: Option<Time>,
-    /// When it died.
+    /// When the backend died.
     pub died: Option<Time>,
 }
 
-/// What the rules need to know of a backend.
+/// The properties of a backend that the rules need.
 #[derive(Clone, Debug)]
 pub struct BackendInfo {
-    /// Its name, the same everywhere.
+    /// Its name, the same at every proxy.
     pub name: String,
-    /// Backends of one bay share the keys that they have seen.
+    /// Its deduplication group. The backends of a group share the idempotency keys that they have seen.
     pub deduplication_group: u64,
-    /// What it can do.
+    /// Its capacity.
     pub cpu_capacity: CpuCapacity,
     /// Its starts, in order.
     pub boots: Vec<Boot>,
@@ -101,23 +102,23 @@
 /// The records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// The backends, in the order in which they were given.
+    /// The backends, in the order of their specifications.
     pub backends: Vec<BackendInfo>,
-    /// The requests, in the order in which they came whole.
+    /// The requests, in the order in which they were completely received.
     pub records: Vec<Record>,
-    /// Requests that found no room here: the rules say nothing of them.
+    /// Requests that were not recorded because the ledger was full. The rules do not cover them.
     pub unrecorded: u64,
-    /// Records that fit.
+    /// Capacity in records.
     pub max_records: usize,
 }
 
 impl Ledger {
-    /// An empty one for that many records.
+    /// Returns an empty ledger for `max_records` records.
     pub fn new(max_records: usize) -> Ledger {
         Ledger { max_records, ..Ledger::default() }
     }
 
-    /// Takes a record in if there is room. Its place.
+    /// Adds a record if there is room and returns its index.
     pub fn begin(&mut self, record: Record) -> Option<usize> {
         if self.records.len() >= self.max_records {
             self.unrecorded += 1;
@@ -127,21 +128,21 @@
         Some(self.records.len() - 1)
     }
 
-    /// Writes down how one ended; only the first end counts.
-    pub fn end(&mut self, place: usize, at: Time, how: Ended) {
-        if let Some(record) = self.records.get_mut(place) {
+    /// Records how a request ended; only the first end counts.
+    pub fn end(&mut self, index: usize, at: Time, how: Ended) {
+        if let Some(record) = self.records.get_mut(index) {
             record.ended.get_or_insert((at, how));
         }
     }
 
-    /// The backend of that name.
+    /// Returns the index of the backend with that name.
     pub fn backend_index(&self, name: &str) -> Option<usize> {
         self.backends.iter().position(|b| b.name == name)
     }
 
-    /// Requests that ended like that, at one backend or at all.
-    pub fn count(&self, at_box: Option<usize>, how: Ended) -> usize {
-        let here = |r: &&Record| at_box.is_none_or(|b| b == r.backend);
-        self.records.iter().filter(here).filter(|r| r.ended.is_some_and(|(_, end)| end == how)).count()
+    /// Returns the number of requests that ended with `how`, at one backend or at all.
+    pub fn count(&self, backend: Option<usize>, how: Ended) -> usize {
+        let at_backend = |r: &&Record| backend.is_none_or(|b| b == r.backend);
+        self.records.iter().filter(at_backend).filter(|r| r.ended.is_some_and(|(_, end)| end == how)).count()
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,14 +1,14 @@
-//! What stands around the program in its tests, on loopback: backends, discovery and clients, on ports that
-//! the kernel picks.
+//! Stand-ins for the peers of the program in its tests: backends, discovery and clients on loopback, on ports that the
+//! kernel picks.
 //!
-//! Two sets. For tests that say what happens at each step: [`BackendServer`], [`DiscoveryServer`] and [`Client`],
-//! on blocking sockets, scripted by the test. For runs under load: [`Fleet`], [`ListServer`] and [`Load`], which
-//! work by themselves, take orders while they run and leave records; [`checks`] holds these against the rules.
-//! Between them stands the program, started by [`Program`].
+//! There are two sets. [`BackendServer`], [`DiscoveryServer`] and [`Client`] are for tests that script each step; they use
+//! blocking sockets. [`Fleet`], [`ListServer`] and [`Load`] are for runs under load: they work by themselves, take
+//! commands while they run and keep records, which [`checks`] compares with the rules. [`Program`] starts the program
+//! itself between them.
 //!
-//! For tests, benches and the daemon's `demo` alone: no machine, shell or front may import it. What stands in
-//! answers to bytes from the network with bytes or silence and never panics on them; threads and sockets end
-//! when their owner is dropped.
+//! Only tests, benches and the daemon's `demo` may depend on this crate; the engine, the drivers and the HTTP front may
+//! not. A stand-in answers bytes from the network with bytes or with silence and never panics on them. Its threads and
+//! sockets end when their owner is dropped.
 
 mod backend;
 pub mod checks;
@@ -18,6 +18,7 @@
 mod cpu_capacity;
 mod fault;
 mod fleet;
+mod http_stream;
 mod ledger;
 mod list_server;
 mod load;
@@ -29,7 +30,6 @@
 mod scripted;
 mod seeded_rng;
 mod service_model;
-mod wire;
 
 pub use backend::{ok_reply, BackendEvent, BackendServer, FullBacklogListener, Gate, RefusingPort, Reply};
 pub use client::{pay_request, read_request, vote_request, Client};
@@ -55,5 +55,5 @@
 
 use std::time::Duration;
 
-/// No wait in these tests is meant to last as long: it only ends a test that would hang.
+/// Upper bound of every wait in the kit. It exists only to end a test that would otherwise hang.
 pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
--- a/crates/testkit/src/list_server/shell.rs
+++ b/crates/testkit/src/list_server/connections.rs
@@ -1,28 +1,28 @@
-//! Discovery's sockets: a task for each connection.
+//! The connections of the discovery server, with a task for each.
 
 use super::endpoint_list::Answer;
 use super::{ListService, Shared};
-use crate::wire::{BodyRule, Wire};
+use crate::http_stream::{BodyRule, HttpStream};
 use std::net::TcpListener;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// No watch waits longer, whatever it asks for.
-const LONGEST: Duration = Duration::from_secs(60);
-/// A connection at rest is closed after so long.
-const IDLE: Duration = Duration::from_secs(120);
+/// Longest wait of a long poll; a longer one is cut down to it.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Serves all watchers until it is dropped.
+/// Serves all watchers until the future is dropped.
 pub async fn run(shared: Arc<Shared>, listeners: Vec<TcpListener>) {
-    let mut doors = tokio::task::JoinSet::new();
+    let mut accept_tasks = tokio::task::JoinSet::new();
     for (watcher, listener) in listeners.into_iter().enumerate() {
         if let Ok(listener) = tokio::net::TcpListener::from_std(listener) {
-            doors.spawn(accept(shared.clone(), watcher, listener));
+            accept_tasks.spawn(accept(shared.clone(), watcher, listener));
         }
     }
-    while doors.join_next().await.is_some() {}
+    while accept_tasks.join_next().await.is_some() {}
     std::future::pending::<()>().await;
 }
 
@@ -39,32 +39,32 @@
 }
 
 async fn serve(shared: Arc<Shared>, watcher: usize, tcp: TcpStream) {
-    let mut wire = Wire::new(tcp);
+    let mut stream = HttpStream::new(tcp);
     loop {
-        let next = tokio::time::timeout(IDLE, wire.message(BodyRule::AsSaid)).await;
-        let Ok(Some((request, _))) = next else { return };
-        let Some(call) = Call::read(&request.first) else {
-            if wire.write(&render(404, "")).await.is_err() {
+        let received = tokio::time::timeout(IDLE_TIMEOUT, stream.read_message(BodyRule::FromHead)).await;
+        let Ok(Some((request, _))) = received else { return };
+        let Some(call) = Call::parse(&request.first) else {
+            if stream.write(&render(404, "")).await.is_err() {
                 return;
             }
             continue;
         };
-        shared.book().calls += 1;
+        shared.list().calls += 1;
         let outcome = tokio::select! {
             outcome = outcome(&shared, watcher, &call) => outcome,
-            () = wire.ended() => return,
+            () = stream.wait_closed() => return,
         };
         let done = match outcome {
             Outcome::Broken => {
-                wire.break_off();
+                stream.reset_on_close();
                 return;
             }
-            Outcome::Failed => wire.write(&render(503, "")).await,
+            Outcome::Failed => stream.write(&render(503, "")).await,
             Outcome::Answer(answer) => {
-                let done = wire.write(&render(200, &answer.body)).await;
+                let done = stream.write(&render(200, &answer.body)).await;
                 if done.is_ok() {
-                    shared.book().tell(watcher, answer, shared.clock.now());
-                    shared.written.notify_all();
+                    shared.list().record_delivery(watcher, answer, shared.clock.now());
+                    shared.delivered.notify_all();
                 }
                 done
             }
@@ -80,7 +80,7 @@
     format!("{head}{}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// What a call asks for.
+/// The parameters of a call.
 #[derive(Debug, PartialEq, Eq)]
 struct Call {
     after: Option<u64>,
@@ -88,15 +88,15 @@
 }
 
 impl Call {
-    /// `None` where it asks for something else.
-    fn read(first: &str) -> Option<Call> {
-        let target = first.strip_prefix("GET ")?.split(' ').next()?;
+    /// Parses a request line. Returns `None` if it is not a call for the list.
+    fn parse(request_line: &str) -> Option<Call> {
+        let target = request_line.strip_prefix("GET ")?.split(' ').next()?;
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let value = |name: &str| {
             let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name);
             pair.and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let wait = Duration::from_millis(value("wait_ms").unwrap_or(0)).min(LONGEST);
+        let wait = Duration::from_millis(value("wait_ms").unwrap_or(0)).min(MAX_WAIT);
         (path == "/api/targets").then(|| Call { after: value("after"), wait })
     }
 }
@@ -107,27 +107,27 @@
     Broken,
 }
 
-/// What a call comes to, once it is known. Dropped midway, nothing was told.
+/// Waits for the outcome of a call. If this is cancelled, nothing was delivered.
 async fn outcome(shared: &Shared, watcher: usize, call: &Call) -> Outcome {
-    let mut news = shared.news.subscribe();
-    let until = Instant::now() + call.wait;
+    let mut state = shared.state.subscribe();
+    let deadline = Instant::now() + call.wait;
     loop {
-        let service = news.borrow_and_update().1;
+        let service = state.borrow_and_update().1;
         match service {
             ListService::Failing => return Outcome::Failed,
             ListService::Broken => return Outcome::Broken,
             ListService::Silent => {
-                if news.changed().await.is_err() {
+                if state.changed().await.is_err() {
                     return Outcome::Broken;
                 }
             }
             ListService::Up => {
-                let answer = shared.book().answer(watcher, call.after);
+                let answer = shared.list().answer(watcher, call.after);
                 if let Some(answer) = answer {
                     return Outcome::Answer(answer);
                 }
-                if tokio::time::timeout_at(until, news.changed()).await.is_err() {
-                    return Outcome::Answer(shared.book().nothing());
+                if tokio::time::timeout_at(deadline, state.changed()).await.is_err() {
+                    return Outcome::Answer(shared.list().empty_delta());
                 }
             }
         }
--- a/crates/testkit/src/list_server/endpoint_list.rs
+++ b/crates/testkit/src/list_server/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list, its versions, and who was told what. Pure: times are arguments.
+//! The endpoint list, its versions, and what was delivered to which watcher. Pure: times are arguments.
 
 use super::View;
 use crate::checks::Drained;
@@ -7,22 +7,22 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Tellings that are kept; the oldest go first. One takes about 100 bytes.
+/// Largest number of deliveries that are kept; the oldest are dropped first. One takes about 100 bytes.
 pub const MAX_DELIVERIES: usize = 100_000;
 
-/// What a backend may be sent, as the list says.
+/// The status of a backend in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Requests.
+    /// It takes requests.
     Serving,
-    /// Nothing new.
+    /// It must not be sent new requests.
     Draining,
-    /// It is gone.
+    /// It is removed.
     Deleted,
 }
 
 impl Status {
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         match self {
             Status::Serving => "SERVING",
             Status::Draining => "DRAINING",
@@ -31,20 +31,20 @@
     }
 }
 
-/// A line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The same for everyone.
+    /// Its name, the same for all watchers.
     pub name: String,
-    /// Where it listens.
+    /// The address of its listener.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Its kind.
+    /// Its server type.
     pub kind: String,
-    /// Its bay.
+    /// Its deduplication group.
     pub group: u64,
-    /// What it may be sent.
+    /// Its status.
     pub status: Status,
     /// Its weight.
     pub weight: f64,
@@ -53,7 +53,7 @@
 }
 
 impl Entry {
-    /// A serving one that started long ago.
+    /// Returns a serving entry of a backend that started long ago.
     pub fn new(name: &str, address: SocketAddr, zone: &str, kind: &str, group: u64) -> Entry {
         Entry {
             name: name.into(),
@@ -74,64 +74,72 @@
     fn json_at(&self, address: SocketAddr) -> serde_json::Value {
         json!({
             "name": self.name, "address": address.to_string(), "zone": self.zone, "type": self.kind,
-            "group": self.group, "status": self.status.word(), "weight": self.weight,
+            "group": self.group, "status": self.status.name(), "weight": self.weight,
             "since_ms": self.since_ms,
         })
     }
 
-    /// As it stands in a list.
+    /// Returns the entry as JSON, as it is written in a list.
     pub fn text(&self) -> String {
         self.json().to_string()
     }
 }
 
-/// A change that was written to a watcher.
+/// The delivery of a change to a watcher.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// The watcher's place.
+    /// The index of the watcher.
     pub watcher: usize,
-    /// Which entry.
+    /// The name of the changed entry.
     pub name: String,
-    /// What it is from then on.
+    /// The new status.
     pub status: Status,
-    /// The version in which it changed.
+    /// The list version of the change.
     pub index: u64,
-    /// When the last byte was written.
+    /// When the last byte of the answer was written.
     pub at: Time,
 }
 
-/// What is written to a watcher and not told until it is.
+/// An answer to a watcher. Its changes count as delivered once it is written.
 pub struct Answer {
     pub body: String,
-    /// The version that it brings up to.
+    /// The list version of the answer.
     pub index: u64,
     changes: Vec<(String, Status, u64)>,
 }
 
-/// The list and its history.
+/// The endpoint list and its history.
 pub struct EndpointList {
     index: u64,
-    /// Entries with the version of their last change; deleted ones stay until they are compacted.
+    /// Entries with the version of their last change; deleted entries stay until the list is compacted.
     entries: BTreeMap<String, (u64, Entry)>,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version can no longer be sent as deltas.
     compacted: u64,
-    /// The version that each watcher was brought up to.
-    heard: Vec<u64>,
-    told: Vec<Delivery>,
+    /// The last version that was delivered to each watcher.
+    delivered_versions: Vec<u64>,
+    deliveries: Vec<Delivery>,
     views: Vec<View>,
-    /// Calls that came.
+    /// Number of calls so far.
     pub calls: u64,
 }
 
 impl EndpointList {
     pub fn new(watchers: &[&str], entries: Vec<Entry>) -> EndpointList {
         let entries = entries.into_iter().map(|e| (e.name.clone(), (1, e))).collect();
-        let heard = vec![0; watchers.len()];
-        EndpointList { index: 1, entries, compacted: 0, heard, told: Vec::new(), views: Vec::new(), calls: 0 }
+        let delivered_versions = vec![0; watchers.len()];
+        EndpointList {
+            index: 1,
+            entries,
+            compacted: 0,
+            delivered_versions,
+            deliveries: Vec::new(),
+            views: Vec::new(),
+            calls: 0,
+        }
     }
 
-    /// The same where watchers are told addresses of their own.
-    pub fn seen(self, views: Vec<View>) -> EndpointList {
+    /// Sets the address views of the watchers.
+    pub fn with_views(self, views: Vec<View>) -> EndpointList {
         EndpointList { views, ..self }
     }
 
@@ -144,7 +152,7 @@
         self.entries.insert(entry.name.clone(), (self.index, entry));
     }
 
-    pub fn set(&mut self, name: &str, status: Status) {
+    pub fn set_status(&mut self, name: &str, status: Status) {
         if let Some((changed, entry)) = self.entries.get_mut(name) {
             self.index += 1;
             (*changed, entry.status) = (self.index, status);
@@ -156,72 +164,78 @@
         self.entries.retain(|_, (_, entry)| entry.status != Status::Deleted);
     }
 
-    /// The answer to a call of a watcher; `None` where a watch has to wait.
+    /// Returns the answer to a call of a watcher; `None` if a long poll has to wait for a change.
     pub fn answer(&self, watcher: usize, after: Option<u64>) -> Option<Answer> {
-        let changes = after.filter(|after| *after <= self.index && *after >= self.compacted);
-        if changes == Some(self.index) {
+        let base = after.filter(|after| *after <= self.index && *after >= self.compacted);
+        if base == Some(self.index) {
             return None;
         }
-        Some(self.write(watcher, changes))
+        Some(self.render(watcher, base))
     }
 
-    /// The answer to a watch that waited for nothing.
-    pub fn nothing(&self) -> Answer {
-        self.write(usize::MAX, Some(self.index))
+    /// Returns the answer to a long poll that timed out without a change.
+    pub fn empty_delta(&self) -> Answer {
+        self.render(usize::MAX, Some(self.index))
     }
 
-    /// What changed after that version, or the whole list.
-    fn write(&self, watcher: usize, after: Option<u64>) -> Answer {
+    /// Returns the delta after a version, or a snapshot.
+    fn render(&self, watcher: usize, after: Option<u64>) -> Answer {
         let view = self.views.get(watcher);
         let address = |e: &Entry| view.and_then(|view| view.get(&e.name)).copied().unwrap_or(e.address);
-        let mentioned = |(changed, entry): &&(u64, Entry)| match after {
+        let included = |(changed, entry): &&(u64, Entry)| match after {
             Some(after) => *changed > after,
             None => entry.status != Status::Deleted,
         };
-        let entries: Vec<_> = self.entries.values().filter(mentioned).collect();
+        let entries: Vec<_> = self.entries.values().filter(included).collect();
         let lines: Vec<_> = entries.iter().map(|(_, entry)| entry.json_at(address(entry))).collect();
         let body = json!({"index": self.index, "snapshot": after.is_none(), "endpoints": lines}).to_string();
-        // A whole list tells of the deleted by leaving them out.
-        let told = self.entries.values().filter(|e| after.is_none() || mentioned(e));
-        let changes = told.map(|(changed, e)| (e.name.clone(), e.status, *changed)).collect();
+        // A snapshot delivers a deletion by omitting the entry.
+        let delivered = self.entries.values().filter(|e| after.is_none() || included(e));
+        let changes = delivered.map(|(changed, e)| (e.name.clone(), e.status, *changed)).collect();
         Answer { body, index: self.index, changes }
     }
 
-    /// An answer was written to a watcher.
-    pub fn tell(&mut self, watcher: usize, answer: Answer, at: Time) {
-        let Some(heard) = self.heard.get_mut(watcher) else { return };
-        let new = answer.changes.into_iter().filter(|(_, _, index)| *index > *heard);
-        self.told.extend(new.map(|(name, status, index)| Delivery { watcher, name, status, index, at }));
-        *heard = answer.index.max(*heard);
-        let over = self.told.len().saturating_sub(MAX_DELIVERIES);
-        self.told.drain(..over);
+    /// Records that an answer was written to a watcher.
+    pub fn record_delivery(&mut self, watcher: usize, answer: Answer, at: Time) {
+        let Some(delivered_version) = self.delivered_versions.get_mut(watcher) else { return };
+        let new = answer.changes.into_iter().filter(|(_, _, index)| *index > *delivered_version);
+        self.deliveries.extend(new.map(|(name, status, index)| Delivery {
+            watcher,
+            name,
+            status,
+            index,
+            at,
+        }));
+        *delivered_version = answer.index.max(*delivered_version);
+        let excess = self.deliveries.len().saturating_sub(MAX_DELIVERIES);
+        self.deliveries.drain(..excess);
     }
 
-    pub fn told(&self) -> &[Delivery] {
-        &self.told
+    pub fn deliveries(&self) -> &[Delivery] {
+        &self.deliveries
     }
 
-    pub fn all_told(&self, index: u64) -> bool {
-        self.heard.iter().all(|heard| *heard >= index)
+    pub fn is_delivered(&self, index: u64) -> bool {
+        self.delivered_versions.iter().all(|version| *version >= index)
     }
 
     pub fn drained(&self) -> Vec<Drained> {
         let mut drained = Vec::new();
         for (name, (_, entry)) in &self.entries {
-            let of = |watcher: usize| {
-                // The first word of it counts: a deletion after a drain says nothing new.
-                let unwanted = |t: &&Delivery| t.name == *name && t.watcher == watcher;
-                let mut told: Vec<&Delivery> = self.told.iter().filter(unwanted).collect();
-                let last_served = told.iter().rposition(|t| t.status == Status::Serving);
-                told.drain(..last_served.map_or(0, |n| n + 1));
-                told.first().map(|t| t.at)
+            let delivered_to = |watcher: usize| {
+                // The first delivery counts: a deletion after a drain changes nothing for new requests.
+                let concerned = |d: &&Delivery| d.name == *name && d.watcher == watcher;
+                let mut deliveries: Vec<&Delivery> = self.deliveries.iter().filter(concerned).collect();
+                let last_serving = deliveries.iter().rposition(|d| d.status == Status::Serving);
+                deliveries.drain(..last_serving.map_or(0, |n| n + 1));
+                deliveries.first().map(|d| d.at)
             };
             if entry.status == Status::Serving {
                 continue;
             }
-            let all: Option<Vec<Time>> = (0..self.heard.len()).map(of).collect();
-            if let Some(told) = all.and_then(|all| all.into_iter().max()) {
-                drained.push(Drained { name: name.clone(), delivered_at: told });
+            let times: Option<Vec<Time>> = (0..self.delivered_versions.len()).map(delivered_to).collect();
+            if let Some(delivered_at) = times.and_then(|times| times.into_iter().max()) {
+                drained.push(Drained { name: name.clone(), delivered_at });
             }
         }
         drained
--- a/crates/testkit/src/list_server/endpoint_list/tests.rs
+++ b/crates/testkit/src/list_server/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `book` that need its private items.
+//! Tests of `endpoint_list` that need its private items.
 
 use super::*;
 
@@ -6,11 +6,11 @@
     Entry::new(name, SocketAddr::from(([127, 0, 0, 1], 9)), "east", "big", 1)
 }
 
-fn book() -> EndpointList {
+fn two_entries() -> EndpointList {
     EndpointList::new(&["n0", "n1"], vec![entry("a"), entry("b")])
 }
 
-fn read(answer: Option<Answer>) -> (u64, bool, Vec<String>) {
+fn parse(answer: Option<Answer>) -> (u64, bool, Vec<String>) {
     let body = answer.expect("an answer").body;
     let value: serde_json::Value = serde_json::from_str(&body).unwrap();
     let line = |e: &serde_json::Value| format!("{} {}", e["name"], e["status"]).replace('"', "");
@@ -19,51 +19,52 @@
 }
 
 #[test]
-fn a_call_gets_the_whole_list_and_a_watch_what_changed() {
-    let mut book = book();
-    assert_eq!(read(book.answer(0, None)), (1, true, vec!["a SERVING".into(), "b SERVING".into()]));
-    assert!(book.answer(0, Some(1)).is_none());
-    book.set("a", Status::Draining);
-    book.set("b", Status::Deleted);
-    book.set("none", Status::Deleted);
-    assert_eq!(read(book.answer(0, Some(2))), (3, false, vec!["b DELETED".into()]));
-    assert_eq!(read(book.answer(0, Some(1))), (3, false, vec!["a DRAINING".into(), "b DELETED".into()]));
-    assert_eq!(read(book.answer(0, None)), (3, true, vec!["a DRAINING".into()]));
-    assert_eq!(read(Some(book.nothing())), (3, false, vec![]));
+fn poll_gets_a_snapshot_and_long_poll_gets_a_delta() {
+    let mut list = two_entries();
+    assert_eq!(parse(list.answer(0, None)), (1, true, vec!["a SERVING".into(), "b SERVING".into()]));
+    assert!(list.answer(0, Some(1)).is_none());
+    list.set_status("a", Status::Draining);
+    list.set_status("b", Status::Deleted);
+    list.set_status("none", Status::Deleted);
+    assert_eq!(parse(list.answer(0, Some(2))), (3, false, vec!["b DELETED".into()]));
+    assert_eq!(parse(list.answer(0, Some(1))), (3, false, vec!["a DRAINING".into(), "b DELETED".into()]));
+    assert_eq!(parse(list.answer(0, None)), (3, true, vec!["a DRAINING".into()]));
+    assert_eq!(parse(Some(list.empty_delta())), (3, false, vec![]));
 }
 
 #[test]
-fn a_version_that_is_forgotten_or_unknown_gets_the_whole_list() {
-    let mut book = book();
-    book.put(entry("c"));
-    book.compact();
+fn compacted_or_unknown_version_gets_a_snapshot() {
+    let mut list = two_entries();
+    list.put(entry("c"));
+    list.compact();
     for after in [0, 1, 7] {
-        assert!(read(book.answer(0, Some(after))).1, "{after}");
+        assert!(parse(list.answer(0, Some(after))).1, "{after}");
     }
-    assert!(book.answer(0, Some(2)).is_none());
+    assert!(list.answer(0, Some(2)).is_none());
 }
 
 #[test]
-fn a_drain_is_told_when_the_last_watcher_was_first_told() {
-    let mut book = book();
-    let tell = |book: &mut EndpointList, watcher, after, at| {
-        let answer = book.answer(watcher, after).expect("an answer");
-        book.tell(watcher, answer, Time(at));
+fn drain_is_delivered_when_the_last_watcher_first_received_it() {
+    let mut list = two_entries();
+    let deliver = |list: &mut EndpointList, watcher, after, at| {
+        let answer = list.answer(watcher, after).expect("an answer");
+        list.record_delivery(watcher, answer, Time(at));
     };
-    tell(&mut book, 0, None, 1);
-    tell(&mut book, 1, None, 2);
-    book.set("a", Status::Draining);
-    tell(&mut book, 0, Some(1), 3);
-    assert_eq!(book.drained(), [], "one has not been told");
-    tell(&mut book, 1, Some(1), 4);
-    let drained = |told| [Drained { name: "a".into(), delivered_at: Time(told) }];
-    assert_eq!(book.drained(), drained(4));
-    book.set("a", Status::Deleted);
-    tell(&mut book, 0, Some(2), 5);
-    tell(&mut book, 1, None, 6);
-    assert_eq!(book.drained(), drained(4), "the deletion says nothing new");
-    book.put(entry("a"));
-    assert_eq!(book.drained(), [], "it is back");
-    let seen: Vec<_> = book.told().iter().filter(|t| t.name == "a").map(|t| (t.watcher, t.at.0)).collect();
-    assert_eq!(seen, [(0, 1), (1, 2), (0, 3), (1, 4), (0, 5), (1, 6)]);
+    deliver(&mut list, 0, None, 1);
+    deliver(&mut list, 1, None, 2);
+    list.set_status("a", Status::Draining);
+    deliver(&mut list, 0, Some(1), 3);
+    assert_eq!(list.drained(), [], "the second watcher has not received it");
+    deliver(&mut list, 1, Some(1), 4);
+    let drained = |at| [Drained { name: "a".into(), delivered_at: Time(at) }];
+    assert_eq!(list.drained(), drained(4));
+    list.set_status("a", Status::Deleted);
+    deliver(&mut list, 0, Some(2), 5);
+    deliver(&mut list, 1, None, 6);
+    assert_eq!(list.drained(), drained(4), "the deletion changes nothing for new requests");
+    list.put(entry("a"));
+    assert_eq!(list.drained(), [], "it serves again");
+    let received: Vec<_> =
+        list.deliveries().iter().filter(|d| d.name == "a").map(|d| (d.watcher, d.at.0)).collect();
+    assert_eq!(received, [(0, 1), (1, 2), (0, 3), (1, 4), (0, 5), (1, 6)]);
 }
--- a/crates/testkit/src/list_server/mod.rs
+++ b/crates/testkit/src/list_server/mod.rs
@@ -1,8 +1,8 @@
-//! A discovery that works: it holds a list, answers calls for it and watches on it, and records when each change
-//! was written to whom.
+//! A working discovery server: it holds a list, answers polls and long polls, and records when each change was delivered to
+//! which watcher.
 
+mod connections;
 mod endpoint_list;
-mod shell;
 
 pub use endpoint_list::{Delivery, Entry, Status, MAX_DELIVERIES};
 
@@ -15,41 +15,41 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use tokio::sync::watch;
 
-/// What a watcher is told instead of the entries' own addresses: by entry name. Others are told as they are.
+/// Addresses that a watcher receives instead of those of the entries, by entry name. Other entries are not changed.
 pub type View = BTreeMap<String, SocketAddr>;
 
-/// Whether discovery does its work.
+/// How the discovery server treats calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListService {
-    /// It does.
+    /// Calls are answered.
     #[default]
     Up,
-    /// Every call ends with 503 at once, also those that wait.
+    /// Every call is answered with 503 at once, also a waiting long poll.
     Failing,
-    /// Every call ends with its connection.
+    /// Every call ends with the loss of its connection.
     Broken,
-    /// Calls are read and not answered; changes are told when it is up again.
+    /// Calls are read and not answered; changes are delivered when the service is up again.
     Silent,
 }
 
-/// What the thread that serves and those who change the list share.
+/// State shared by the serving thread and the callers that change the list.
 struct Shared {
-    book: Mutex<EndpointList>,
-    written: Condvar,
-    /// The list's version and the state of the service: watches wait on it.
-    news: watch::Sender<(u64, ListService)>,
+    list: Mutex<EndpointList>,
+    delivered: Condvar,
+    /// The list version and the state of the service; long polls wait for its change.
+    state: watch::Sender<(u64, ListService)>,
     clock: Clock,
 }
 
 impl Shared {
-    fn book(&self) -> MutexGuard<'_, EndpointList> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn list(&self) -> MutexGuard<'_, EndpointList> {
+        self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Discovery at work, with an address for each who watches; ends when this is dropped.
+/// A running discovery server with an address for each watcher. It ends when this is dropped.
 pub struct ListServer {
-    doors: Vec<(String, SocketAddr)>,
+    addresses: Vec<(String, SocketAddr)>,
     shared: Arc<Shared>,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<std::thread::JoinHandle<()>>,
@@ -57,117 +57,117 @@
 
 impl std::fmt::Debug for ListServer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "discovery at {:?}", self.doors)
+        write!(f, "discovery at {:?}", self.addresses)
     }
 }
 
 impl ListServer {
-    /// Serves these entries, as version 1, to watchers of these names, each at an address of its own.
+    /// Starts a server of these entries, as version 1, with an address for each of the named watchers.
     ///
     /// # Errors
-    /// No port, no thread, or no descriptors.
+    /// No port, thread or file descriptor was available.
     pub fn start(clock: Clock, watchers: &[&str], entries: Vec<Entry>) -> io::Result<ListServer> {
         ListServer::with_views(clock, watchers, entries, Vec::new())
     }
 
-    /// The same where each watcher is told addresses of its own, by its place.
+    /// Starts a server with an address view for each watcher, by the index of the watcher.
     ///
     /// # Errors
-    /// No port, no thread, or no descriptors.
+    /// No port, thread or file descriptor was available.
     pub fn with_views(
         clock: Clock, watchers: &[&str], entries: Vec<Entry>, views: Vec<View>,
     ) -> io::Result<ListServer> {
-        let (mut doors, mut listeners) = (Vec::new(), Vec::new());
+        let (mut addresses, mut listeners) = (Vec::new(), Vec::new());
         for name in watchers {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             listener.set_nonblocking(true)?;
-            doors.push((name.to_string(), listener.local_addr()?));
+            addresses.push((name.to_string(), listener.local_addr()?));
             listeners.push(listener);
         }
-        let book = EndpointList::new(watchers, entries).seen(views);
-        let news = watch::Sender::new((book.index(), ListService::Up));
-        let shared = Arc::new(Shared { book: Mutex::new(book), written: Condvar::new(), news, clock });
+        let list = EndpointList::new(watchers, entries).with_views(views);
+        let state = watch::Sender::new((list.index(), ListService::Up));
+        let shared = Arc::new(Shared { list: Mutex::new(list), delivered: Condvar::new(), state, clock });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (stop, stopped) = tokio::sync::oneshot::channel::<()>();
-        let serving = shared.clone();
-        let work = move || {
+        let thread_shared = shared.clone();
+        let serve = move || {
             runtime.block_on(async move {
                 tokio::select! {
                     _ = stopped => {}
-                    () = shell::run(serving, listeners) => {}
+                    () = connections::run(thread_shared, listeners) => {}
                 }
             });
         };
-        let thread = std::thread::Builder::new().name("discovery".into()).spawn(work)?;
-        Ok(ListServer { doors, shared, stop: Some(stop), thread: Some(thread) })
+        let thread = std::thread::Builder::new().name("discovery".into()).spawn(serve)?;
+        Ok(ListServer { addresses, shared, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Where the watcher of that place asks.
+    /// Returns the address for the watcher with that index.
     pub fn address(&self, watcher: usize) -> SocketAddr {
-        self.doors[watcher].1
+        self.addresses[watcher].1
     }
 
-    /// Adds an entry or puts another in its place. The list's version from then on.
+    /// Adds or replaces an entry and returns the new list version.
     pub fn put(&self, entry: Entry) -> u64 {
-        self.change(|book| book.put(entry))
+        self.change(|list| list.put(entry))
     }
 
-    /// Changes an entry's status, which counts as a change even if it is the same; nothing where there is none.
+    /// Sets the status of an entry, which counts as a change even if it is the same, and returns the list version. Does
+    /// nothing if there is no such entry.
     pub fn set_status(&self, name: &str, status: Status) -> u64 {
-        self.change(|book| book.set(name, status))
+        self.change(|list| list.set_status(name, status))
     }
 
-    /// Marks an entry as draining.
+    /// Sets an entry to draining and returns the list version.
     pub fn drain(&self, name: &str) -> u64 {
         self.set_status(name, Status::Draining)
     }
 
-    /// Takes an entry out.
+    /// Deletes an entry and returns the list version.
     pub fn delete(&self, name: &str) -> u64 {
         self.set_status(name, Status::Deleted)
     }
 
-    /// Stops the service in some way, or starts it again.
+    /// Sets how calls are treated.
     pub fn set_service(&self, service: ListService) {
-        self.shared.news.send_modify(|news| news.1 = service);
+        self.shared.state.send_modify(|state| state.1 = service);
     }
 
-    /// Whole answers are given to calls from a version before this on: the changes are forgotten.
+    /// Drops the history: calls with an older version get a snapshot from now on.
     pub fn compact(&self) {
-        self.shared.book().compact();
+        self.shared.list().compact();
     }
 
     fn change(&self, change: impl FnOnce(&mut EndpointList)) -> u64 {
-        let mut book = self.shared.book();
-        change(&mut book);
-        let index = book.index();
-        // Under the lock, so that versions reach the watches in order.
-        self.shared.news.send_modify(|news| news.0 = index);
+        let mut list = self.shared.list();
+        change(&mut list);
+        let index = list.index();
+        // Under the lock, so that the long polls see the versions in order.
+        self.shared.state.send_modify(|state| state.0 = index);
         index
     }
 
-    /// Calls that came so far, whatever became of them.
+    /// Returns the number of calls so far, whatever their outcome.
     pub fn calls(&self) -> u64 {
-        self.shared.book().calls
+        self.shared.list().calls
     }
 
-    /// What was told so far, in order.
+    /// Returns the deliveries so far, in order.
     pub fn deliveries(&self) -> Vec<Delivery> {
-        self.shared.book().told().to_vec()
+        self.shared.list().deliveries().to_vec()
     }
 
-    /// Waits until all watchers have been told of that version, and no longer than [`WAIT_LIMIT`]. Whether they
-    /// have.
+    /// Waits until a list version is delivered to all watchers, for [`WAIT_LIMIT`] at most. Returns whether it is.
     pub fn wait_delivered(&self, index: u64) -> bool {
-        let not_yet = |book: &mut EndpointList| !book.all_told(index);
-        let waited = self.shared.written.wait_timeout_while(self.shared.book(), WAIT_LIMIT, not_yet);
+        let not_yet = |list: &mut EndpointList| !list.is_delivered(index);
+        let waited = self.shared.delivered.wait_timeout_while(self.shared.list(), WAIT_LIMIT, not_yet);
         !waited.unwrap_or_else(PoisonError::into_inner).1.timed_out()
     }
 
-    /// The backends that drain or are deleted, with the moment by which every watcher had been told; those of which
-    /// one has not been told are left out.
+    /// Returns the backends that are draining or deleted, with the time at which the change had been delivered to all
+    /// watchers. Changes that are not delivered to all watchers yet are left out.
     pub fn drained(&self) -> Vec<Drained> {
-        self.shared.book().drained()
+        self.shared.list().drained()
     }
 }
 
--- a/crates/testkit/src/load/http.rs
+++ b/crates/testkit/src/load/http.rs
@@ -1,68 +1,69 @@
-//! One request on a connection, from an async client.
+//! A client connection for one request at a time, in async code.
 
-use crate::wire::{BodyRule, Wire};
+use crate::http_stream::{BodyRule, HttpStream};
 use crate::Message;
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What came of one sending.
+/// The outcome of sending a request once.
 #[derive(Debug)]
 pub enum Exchange {
-    /// A whole answer.
+    /// A complete answer was received.
     Answer(Message),
-    /// The connection ended first; whether any byte had come by then.
+    /// The connection ended before a complete answer.
     Broken {
-        /// Whether any had.
+        /// Whether any byte of an answer had been received.
         began: bool,
     },
-    /// The client's time was up.
+    /// The time of the client had run out.
     GaveUp,
 }
 
-/// A connection that may be used again.
+/// A client connection that can be reused.
 #[derive(Debug)]
-pub struct Link {
-    wire: Wire,
-    /// It has carried a request before.
+pub struct Connection {
+    stream: HttpStream,
+    /// Whether a request was sent on it before.
     pub used: bool,
 }
 
-impl Link {
-    /// Opens one.
+impl Connection {
+    /// Opens a connection.
     ///
     /// # Errors
-    /// It was not taken, or not by then.
-    pub async fn open(to: SocketAddr, until: Instant) -> io::Result<Link> {
+    /// The connection was refused, or was not established by `until`.
+    pub async fn open(to: SocketAddr, until: Instant) -> io::Result<Connection> {
         let tcp = tokio::time::timeout_at(until, TcpStream::connect(to)).await??;
-        Ok(Link { wire: Wire::new(tcp), used: false })
+        Ok(Connection { stream: HttpStream::new(tcp), used: false })
     }
 
-    /// The client's own address.
+    /// Returns the client's address.
     pub fn local_address(&self) -> Option<SocketAddr> {
-        self.wire.tcp.local_addr().ok()
+        self.stream.tcp.local_addr().ok()
     }
 
-    /// Whether it is still up, with nothing on it.
+    /// Returns whether the connection is open and without unread bytes.
     pub fn is_idle(&self) -> bool {
-        self.wire.at_rest()
+        self.stream.is_idle()
     }
 
-    /// Whether more came than answers.
+    /// Returns whether bytes beyond the answers were received.
     pub fn has_excess_bytes(&self) -> bool {
-        self.wire.has_more()
+        self.stream.has_unread_bytes()
     }
 
-    /// Sends a request and waits for its answer until then. After anything but an answer it is of no more use.
+    /// Sends a request and waits for its answer until `until`. After any outcome but an answer the connection is unusable.
     pub async fn send_request(&mut self, request: &[u8], method: &str, until: Instant) -> Exchange {
-        let rule = if method == "HEAD" { BodyRule::Never } else { BodyRule::AsSaid };
+        let rule = if method == "HEAD" { BodyRule::Never } else { BodyRule::FromHead };
         self.used = true;
         let exchange = async {
-            // A proxy may answer before it has read all, and close: what it said is read all the same.
-            let _ = self.wire.write(request).await;
+            // A proxy may answer and close before it has read the complete request, so the answer is read even if the write
+            // fails.
+            let _ = self.stream.write(request).await;
             loop {
-                match self.wire.message(rule).await {
+                match self.stream.read_message(rule).await {
                     Some((message, _)) if (100..200).contains(&message.status()) => {}
                     other => return other,
                 }
@@ -70,7 +71,7 @@
         };
         match tokio::time::timeout_at(until, exchange).await {
             Ok(Some((message, _))) => Exchange::Answer(message),
-            Ok(None) => Exchange::Broken { began: self.wire.has_more() },
+            Ok(None) => Exchange::Broken { began: self.stream.has_unread_bytes() },
             Err(_) => Exchange::GaveUp,
         }
     }
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -1,11 +1,11 @@
-//! Clients that put a load on a proxy: arrivals that do not wait for answers, or one request after the other.
+//! Load clients for a proxy: an open load, whose arrivals do not wait for answers, and sequential requests.
 
 mod http;
 mod result;
 mod run;
 mod sequential;
 
-pub use http::{Exchange, Link as KeptConnection};
+pub use http::{Connection as KeptConnection, Exchange};
 pub use result::{ClassResult, End, LoadResult, Sent};
 pub use sequential::{measure_sequential, Latencies};
 
@@ -14,30 +14,30 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The usual [`Load::crossing_limit`].
+/// Default for [`Load::crossing_limit`].
 const CROSSING_LIMIT: Duration = Duration::from_millis(20);
 
-/// A sort of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct LoadClass {
-    /// The first part of the path.
+    /// Its name, which is the first segment of the path.
     pub name: String,
-    /// Its part of all requests, in any unit.
+    /// Its share of all requests, in any unit.
     pub share: f64,
-    /// None is as the platform has it: `GET` for what is safe to repeat, `POST` for the rest.
+    /// The method; `None` for `GET` if the class is safe, and `POST` otherwise.
     pub method: Option<String>,
-    /// Keyed ones bring a key of their own.
+    /// Its idempotency. Each request of a keyed class has its own key.
     pub idempotency: Idempotency,
-    /// The client waits so long, and says so in `X-Time-Left`.
+    /// How long the client waits; it is sent in `X-Time-Left`.
     pub deadline: Duration,
-    /// Bytes of the body, for methods that have one.
+    /// Size of the body in bytes, for methods that have one.
     pub body_bytes: usize,
-    /// Further headers; one that stands here is not sent with another value.
+    /// Additional headers. They replace the generated headers of the same name.
     pub headers: Vec<(String, String)>,
 }
 
 impl LoadClass {
-    /// A class of share 1 with an empty body.
+    /// Returns a class of share 1 with an empty body.
     pub fn new(name: &str, effect: Idempotency, deadline: Duration) -> LoadClass {
         LoadClass {
             name: name.into(),
@@ -51,11 +51,11 @@
     }
 
     fn method(&self) -> &str {
-        let usual = if self.idempotency == Idempotency::Safe { "GET" } else { "POST" };
-        self.method.as_deref().unwrap_or(usual)
+        let default = if self.idempotency == Idempotency::Safe { "GET" } else { "POST" };
+        self.method.as_deref().unwrap_or(default)
     }
 
-    /// The request as it is sent.
+    /// Returns the request as it is sent.
     fn render(&self, id: &str, subject: u64, left: f64, repeat: bool) -> Vec<u8> {
         let (method, name) = (self.method(), &self.name);
         let mut head = format!("{method} /{name}/{subject:016x} HTTP/1.1\r\nHost: load\r\n");
@@ -86,12 +86,12 @@
     }
 }
 
-/// How clients repeat what was refused: once, after the time that the refusal advises.
+/// How clients retry a rejected request: once, after the time in its `Retry-After`.
 #[derive(Clone, Copy, Debug)]
 pub struct Retry {
-    /// Advice beyond this is cut down to it.
+    /// Upper bound of the delay; a longer `Retry-After` is cut down to it.
     pub max_delay: Duration,
-    /// The pause where there is no advice.
+    /// The delay without a valid `Retry-After`.
     pub default_delay: Duration,
 }
 
@@ -101,43 +101,44 @@
     }
 }
 
-/// A load with arrivals at random (Poisson) that do not depend on answers.
+/// An open load: Poisson arrivals that do not depend on answers.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate_per_s: f64,
-    /// What is asked for.
+    /// The classes of its requests.
     pub classes: Vec<LoadClass>,
-    /// Of arrivals, classes and ids.
+    /// Seed of the arrivals, classes and ids.
     pub seed: u64,
-    /// Connections at most. They are kept and opened as needed; a request that finds all busy waits for one, and
-    /// its time counts from its arrival all the same.
+    /// Largest number of connections. They are kept open and opened as needed. A request that finds all of them busy waits
+    /// for one, and its latency still counts from its arrival.
     pub connections: usize,
-    /// A request that finds all connections busy is left out instead: what waits then stays bounded, however slow the
-    /// machine is.
+    /// Whether a request that finds all connections busy is skipped instead. This bounds the number of waiting requests even
+    /// on a slow machine.
     pub skip_when_busy: bool,
-    /// Arrivals end after this; what is open then is waited for.
+    /// Arrivals end after this time; open requests are waited for.
     pub duration: Duration,
-    /// Whether clients repeat what was refused.
+    /// How clients retry rejected requests; `None` if they do not.
     pub retry: Option<Retry>,
-    /// A client waits so long beyond its deadline before it leaves, so that late answers are seen.
+    /// How long a client waits beyond its deadline before it gives up, so that late answers are recorded.
     pub late_answer_wait: Duration,
-    /// A request whose kept connection ends at once, with no byte of an answer, is sent once more under the same
-    /// id, on a new connection: the proxy closed the old one in the same moment.
+    /// Whether a request whose kept connection ends at once, without a byte of an answer, is sent once more with the same id
+    /// on a new connection. The proxy closed the old connection while the request was being sent.
     pub resend: bool,
-    /// A kept connection that ends sooner than this after a request was written was closed before the request was read.
+    /// A kept connection that ends earlier than this after a request was written counts as closed before the request was
+    /// read.
     pub crossing_limit: Duration,
-    /// Once true, no connection is opened any more, as by a front that has been told that its proxy ends: a request that
-    /// finds none at rest is left out.
+    /// Once true, no connection is opened any more, as by a load balancer that knows that its proxy is stopping: a request
+    /// that finds no idle connection is skipped.
     pub existing_connections_only: Option<watch::Receiver<bool>>,
-    /// The run's clock.
+    /// The clock of the run.
     pub clock: Clock,
-    /// Records kept; the rest is counted. One takes about 80 bytes.
+    /// Largest number of records that are kept; further requests are only counted. A record takes about 80 bytes.
     pub max_records: usize,
 }
 
 impl Load {
-    /// So many requests a second of these classes for so long, over 256 connections at most.
+    /// Returns a load of `rate_per_s` requests per second of these classes, over at most 256 connections.
     pub fn new(rate_per_s: f64, classes: Vec<LoadClass>, duration: Duration) -> Load {
         Load {
             rate_per_s,
@@ -160,18 +161,18 @@
         self.existing_connections_only.as_ref().is_none_or(|only| !*only.borrow())
     }
 
-    /// The gap before the next arrival.
+    /// Returns the distribution of the gaps between arrivals, s.
     fn gap(&self) -> Distribution {
         Distribution::Exponential(1.0 / self.rate_per_s.max(1e-3))
     }
 
-    /// Which class a number from 0 to 1 stands for.
-    fn class(&self, part: f64) -> usize {
-        let all: f64 = self.classes.iter().map(|c| c.share).sum();
-        let mut upto = 0.0;
+    /// Returns the index of the class for a number drawn uniformly from 0 to 1.
+    fn class_index(&self, drawn: f64) -> usize {
+        let total: f64 = self.classes.iter().map(|c| c.share).sum();
+        let mut cumulative = 0.0;
         let found = self.classes.iter().position(|class| {
-            upto += class.share;
-            part * all < upto
+            cumulative += class.share;
+            drawn * total < cumulative
         });
         found.unwrap_or(0)
     }
--- a/crates/testkit/src/load/result.rs
+++ b/crates/testkit/src/load/result.rs
@@ -1,4 +1,4 @@
-//! What came of a load.
+//! The results of a load.
 
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
@@ -7,111 +7,111 @@
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum End {
-    /// A whole answer of that status.
+    /// A complete answer with that status.
     Status(u16),
-    /// The client left at its deadline.
+    /// The client gave up after its deadline.
     GaveUp,
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     Broken,
-    /// No connection came up.
+    /// No connection could be opened.
     NoConnection,
-    /// Nothing was written: the client's time was up when its connection was, because the client itself had been held up.
+    /// Nothing was sent: no time was left when the client had a connection, because the client itself had been delayed.
     Unsent,
 }
 
-/// A request as its client saw it. A retry is a request of its own.
+/// A request as seen by its client. A retry is a separate request.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
-    /// Its place among the load's classes.
+    /// Index of its class in the classes of the load.
     pub class: usize,
     /// Its number: the id is `{run:08x}{number:08x}`, see [`LoadResult::id`].
     pub number: u32,
-    /// When it arrived, and was ready to be sent, whether or not a connection was free.
+    /// When it arrived, that is when it was ready to be sent, whether or not a connection was free.
     pub arrived: Time,
-    /// From its arrival to its end.
+    /// Time from its arrival to its end.
     pub latency: Micros,
     /// How it ended.
     pub end: End,
-    /// Its end is an answer, and came before the client's time was up.
+    /// Whether it ended with an answer before its deadline.
     pub in_time: bool,
-    /// It repeats one that was refused.
+    /// Whether it is the retry of a rejected request.
     pub retry: bool,
-    /// It crossed the close of a kept connection, and was sent again on a new one.
+    /// Whether it was sent again on a new connection because its kept connection was closed meanwhile.
     pub resent: bool,
-    /// The client's own address on the connection that it was sent on last.
+    /// The client's address on the connection on which it was sent last.
     pub client: Option<SocketAddr>,
 }
 
 /// The results of one class, retries included.
 #[derive(Clone, Debug, Default)]
 pub struct ClassResult {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Requests.
+    /// Number of requests.
     pub count: usize,
-    /// Requests that are retries.
+    /// Number of requests that are retries.
     pub retries: usize,
-    /// Requests by how they ended.
+    /// Number of requests by their end.
     pub ends: BTreeMap<End, usize>,
-    /// Answers of status 200 that came in time.
+    /// Number of answers with status 200 that came before the deadline.
     pub served_in_time: usize,
-    /// Of answers with status 200, in ascending order, µs.
+    /// Latencies of the answers with status 200, in ascending order, µs.
     latencies: Vec<u64>,
 }
 
 impl ClassResult {
-    /// Requests that ended with that status.
+    /// Returns the number of requests that ended with that status.
     pub fn status(&self, status: u16) -> usize {
         self.ends.get(&End::Status(status)).copied().unwrap_or(0)
     }
 
-    /// The latency that this part (0 to 1) of the answers with status 200 did not exceed.
-    pub fn latency(&self, part: f64) -> Option<Micros> {
-        quantile(&self.latencies, part).map(Micros)
+    /// Returns the latency that this fraction (0 to 1) of the answers with status 200 did not exceed.
+    pub fn latency(&self, fraction: f64) -> Option<Micros> {
+        quantile(&self.latencies, fraction).map(Micros)
     }
 }
 
-/// The value that this part of the sorted ones does not exceed.
-pub(super) fn quantile(sorted: &[u64], part: f64) -> Option<u64> {
-    let rank = (part * sorted.len() as f64).ceil() as usize;
+/// Returns the value that this fraction of the sorted values does not exceed.
+pub(super) fn quantile(sorted: &[u64], fraction: f64) -> Option<u64> {
+    let rank = (fraction * sorted.len() as f64).ceil() as usize;
     sorted.get(rank.clamp(1, sorted.len().max(1)) - 1).copied()
 }
 
-/// What came of a load.
+/// The results of a load.
 #[derive(Clone, Debug, Default)]
 pub struct LoadResult {
-    /// The names of its classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Drawn from its seed: the first half of its ids.
+    /// First half of the request ids, drawn from the seed.
     pub run: u32,
-    /// Every request, in the order in which they ended.
+    /// The recorded requests, in the order of their ends.
     pub sent: Vec<Sent>,
-    /// Requests that found no room in `sent`.
+    /// Number of requests that are not in `sent` because it was full.
     pub unrecorded: u64,
-    /// Requests that waited for a connection.
+    /// Number of requests that waited for a connection.
     pub waited_for_connection: u64,
-    /// Arrivals that were left out, as all connections were busy.
+    /// Number of arrivals that were skipped because no connection was available.
     pub skipped: u64,
-    /// Requests sent once more as their kept connection ended in the same moment.
+    /// Number of requests that were sent once more because their kept connection was closed meanwhile.
     pub resent: u64,
-    /// The most that an arrival came late by the clients' own fault: some 0.1 ms where there are cores enough.
+    /// Largest delay of an arrival by the load clients themselves: about 0.1 ms if enough cores are free.
     pub max_arrival_delay: Micros,
-    /// Connections opened.
+    /// Number of opened connections.
     pub connections: u64,
-    /// Answers of status 200 whose body does not name their request: they are another's. Counted where bodies
-    /// are the backends' own, that is where they hold a space.
+    /// Number of answers with status 200 whose body names another request. Only the backends' own bodies are checked, that
+    /// is bodies with a space in their first line.
     pub mismatched_answers: u64,
-    /// Connections on which more came than the answer.
+    /// Number of connections on which bytes beyond the answer were received.
     pub excess_bytes: u64,
 }
 
 impl LoadResult {
-    /// The id of a request of that number.
+    /// Returns the id of the request with that number.
     pub fn id(&self, number: u32) -> String {
         format!("{:08x}{number:08x}", self.run)
     }
 
-    /// Results by class, in the order of the load's classes.
+    /// Returns the results by class, in the order of the load's classes.
     pub fn by_class(&self) -> Vec<ClassResult> {
         let mut results: Vec<ClassResult> = self
             .classes
@@ -125,7 +125,7 @@
         results
     }
 
-    /// Results over all classes.
+    /// Returns the results over all classes.
     pub fn total(&self) -> ClassResult {
         let mut total = ClassResult { name: "all".into(), ..ClassResult::default() };
         self.sent.iter().for_each(|sent| total.add(sent));
@@ -133,7 +133,7 @@
         total
     }
 
-    /// Requests to which no whole answer came.
+    /// Returns the number of requests without a complete answer.
     pub fn unanswered(&self) -> usize {
         self.sent.iter().filter(|sent| !matches!(sent.end, End::Status(_))).count()
     }
@@ -153,7 +153,7 @@
 
 impl std::fmt::Display for ClassResult {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let ms = |part| self.latency(part).map_or(0.0, |l| l.secs() * 1e3);
+        let ms = |fraction| self.latency(fraction).map_or(0.0, |l| l.secs() * 1e3);
         write!(f, "{}: {} requests, {} served in time, ", self.name, self.count, self.served_in_time)?;
         write!(f, "p50 {:.1} ms, p99 {:.1} ms, {:?}", ms(0.5), ms(0.99), self.ends)
     }
--- a/crates/testkit/src/load/result/tests.rs
+++ b/crates/testkit/src/load/result/tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 #[test]
-fn quantiles_are_values_that_were_met() {
+fn quantile_is_one_of_the_values() {
     let hundred: Vec<u64> = (1..=100).collect();
-    for (part, expected) in [(0.0, 1), (0.5, 50), (0.99, 99), (0.991, 100), (1.0, 100)] {
-        assert_eq!(quantile(&hundred, part), Some(expected), "{part}");
+    for (fraction, expected) in [(0.0, 1), (0.5, 50), (0.99, 99), (0.991, 100), (1.0, 100)] {
+        assert_eq!(quantile(&hundred, fraction), Some(expected), "{fraction}");
     }
     assert_eq!((quantile(&[7], 0.5), quantile(&[], 0.5)), (Some(7), None));
 }
--- a/crates/testkit/src/log.rs
+++ b/crates/testkit/src/log.rs
@@ -1,4 +1,4 @@
-//! What the program says on standard error, line by line, for tests to wait on.
+//! The log of the program on standard error, line by line, for tests to wait on.
 
 use crate::WAIT_LIMIT;
 use std::io::{BufRead, BufReader, Read};
@@ -6,16 +6,16 @@
 
 #[derive(Debug, Default)]
 struct Lines {
-    said: Vec<String>,
-    over: bool,
+    lines: Vec<String>,
+    ended: bool,
 }
 
-/// All that was said so far; more comes as long as the program runs.
+/// The log lines so far. Lines are added while the program runs.
 #[derive(Clone, Debug)]
 pub struct Log(Arc<(Mutex<Lines>, Condvar)>);
 
 impl Log {
-    /// Reads that to its end on a thread of its own, and passes it on to this process's own.
+    /// Reads the stream to its end on a separate thread and copies it to this process's standard error.
     pub fn follow(from: impl Read + Send + 'static) -> Log {
         let log = Log(Arc::default());
         let shared = log.0.clone();
@@ -25,52 +25,53 @@
             while from.read_until(b'\n', &mut line).is_ok_and(|read| read > 0) {
                 let text = String::from_utf8_lossy(&line).trim_end().to_string();
                 eprintln!("{text}");
-                shared.0.lock().unwrap_or_else(PoisonError::into_inner).said.push(text);
+                shared.0.lock().unwrap_or_else(PoisonError::into_inner).lines.push(text);
                 shared.1.notify_all();
                 line.clear();
             }
-            shared.0.lock().unwrap_or_else(PoisonError::into_inner).over = true;
+            shared.0.lock().unwrap_or_else(PoisonError::into_inner).ended = true;
             shared.1.notify_all();
         });
         log
     }
 
-    /// How many lines there are: from there on the next begin.
+    /// Returns the number of lines, which is the index of the next line.
     pub fn len(&self) -> usize {
-        self.0 .0.lock().unwrap_or_else(PoisonError::into_inner).said.len()
+        self.0 .0.lock().unwrap_or_else(PoisonError::into_inner).lines.len()
     }
 
-    /// Whether nothing was said yet.
+    /// Returns whether no line was logged yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The lines from that one on.
+    /// Returns the lines from index `from` on.
     pub fn since(&self, from: usize) -> Vec<String> {
-        self.0 .0.lock().unwrap_or_else(PoisonError::into_inner).said.iter().skip(from).cloned().collect()
+        self.0 .0.lock().unwrap_or_else(PoisonError::into_inner).lines.iter().skip(from).cloned().collect()
     }
 
-    /// Waits for a line, from that one on, that is as wanted: its number and text. `None` where the program ended
-    /// before, or said no such thing within [`WAIT_LIMIT`].
+    /// Waits for a line, from index `from` on, that `wanted` accepts, and returns its index and text. Returns `None` if the
+    /// program ended first or no such line came within [`WAIT_LIMIT`].
     pub fn wait(&self, from: usize, wanted: impl Fn(&str) -> bool) -> Option<(usize, String)> {
-        let (lock, more) = &*self.0;
+        let (lock, changed) = &*self.0;
         let find = |lines: &Lines| {
-            let found = lines.said.iter().enumerate().skip(from).find(|(_, line)| wanted(line));
-            found.map(|(at, line)| (at, line.clone()))
+            let found = lines.lines.iter().enumerate().skip(from).find(|(_, line)| wanted(line));
+            found.map(|(index, line)| (index, line.clone()))
         };
         let lines = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = more.wait_timeout_while(lines, WAIT_LIMIT, |lines| !lines.over && find(lines).is_none());
+        let waited =
+            changed.wait_timeout_while(lines, WAIT_LIMIT, |lines| !lines.ended && find(lines).is_none());
         find(&waited.unwrap_or_else(PoisonError::into_inner).0)
     }
 
-    /// Waits for a line that holds this text.
+    /// Waits for a line that contains this text and returns it.
     ///
     /// # Panics
-    /// Where none comes.
+    /// No such line came.
     pub fn expect(&self, from: usize, text: &str) -> String {
         match self.wait(from, |line| line.contains(text)) {
             Some((_, line)) => line,
-            None => panic!("nothing was said of {text:?}:\n{}", self.since(from).join("\n")),
+            None => panic!("no log line contains {text:?}:\n{}", self.since(from).join("\n")),
         }
     }
 }
--- a/crates/testkit/src/message.rs
+++ b/crates/testkit/src/message.rs
@@ -1,28 +1,28 @@
-//! A request or an answer, read from a blocking stream.
+//! HTTP messages read from a blocking stream.
 
 use std::io::BufRead;
 
-/// A request or an answer as it came.
+/// A request or a response as it was received.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     /// The request line or the status line.
     pub first: String,
-    /// Names as they came, values trimmed.
+    /// Header names as received, values trimmed.
     pub headers: Vec<(String, String)>,
-    /// As long as `Content-Length` says; empty without one.
+    /// The body, of the length in `Content-Length`; empty without that header.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The first header of that name.
+    /// Returns the value of the first header of that name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
     }
-    /// The status of an answer; 0 where there is none.
+    /// Returns the status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
-    /// `None` when the other side ended the connection first.
+    /// Reads a message. Returns `None` if the peer closed the connection first.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::read_head(from)?;
         let bodiless = matches!(message.status(), 204 | 304);
@@ -31,7 +31,7 @@
         from.read_exact(&mut message.body).ok()?;
         Some(message)
     }
-    /// The same up to the empty line: the answer to HEAD has no body, whatever its length says.
+    /// Reads a message up to the empty line. A response to HEAD has no body, whatever its `Content-Length` is.
     pub fn read_head(from: &mut impl BufRead) -> Option<Message> {
         let mut line = || {
             let mut text = String::new();
--- a/crates/testkit/src/pacer.rs
+++ b/crates/testkit/src/pacer.rs
@@ -1,5 +1,5 @@
-//! Wakes tasks at moments to some 100 µs, from a thread of its own: timers of the runtime are as coarse as 1 to
-//! 2 ms, which is as long as a request may take.
+//! Wakes tasks on a separate thread with an accuracy of about 100 µs. The timers of the runtime are accurate to 1 to 2 ms
+//! only, which is as long as a request may take.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -9,14 +9,14 @@
 #[derive(Default)]
 struct State {
     due: BTreeSet<(Instant, usize)>,
-    /// Each sleeper's moment, if it has one.
-    moments: Vec<Option<Instant>>,
+    /// The wake-up time of each sleeper, if it has one.
+    wake_times: Vec<Option<Instant>>,
     stopped: bool,
 }
 
 struct Shared {
     state: Mutex<State>,
-    sooner: Condvar,
+    earlier: Condvar,
 }
 
 impl Shared {
@@ -31,40 +31,41 @@
     }
 }
 
-/// The thread and its sleepers, each with one moment at a time; ends when this is dropped.
+/// A timer thread with its sleepers, each with one wake-up time. The thread ends when this is dropped.
 pub struct Pacer {
     shared: Arc<Shared>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl Pacer {
-    /// Starts a thread that notifies the sleeper of each place.
+    /// Starts a timer thread for these sleepers.
     ///
     /// # Errors
-    /// No thread.
+    /// The thread could not be started.
     pub fn start(sleepers: Vec<Arc<Notify>>) -> std::io::Result<Pacer> {
-        let state = State { moments: vec![None; sleepers.len()], ..State::default() };
-        let shared = Arc::new(Shared { state: Mutex::new(state), sooner: Condvar::new() });
-        let waker = shared.clone();
-        let work = move || wake(&waker, &sleepers);
+        let state = State { wake_times: vec![None; sleepers.len()], ..State::default() };
+        let shared = Arc::new(Shared { state: Mutex::new(state), earlier: Condvar::new() });
+        let thread_shared = shared.clone();
+        let work = move || run_timer(&thread_shared, &sleepers);
         let thread = std::thread::Builder::new().name("pacer".into()).spawn(work)?;
         Ok(Pacer { shared, thread: Some(thread) })
     }
 
-    /// The sleeper of that place is notified then, once, and no more at the moment set before.
-    pub fn set(&self, place: usize, moment: Option<Instant>) {
+    /// Sets the time at which the sleeper with this index is notified once. It replaces the time set before; `None` clears
+    /// it.
+    pub fn set(&self, index: usize, wake_time: Option<Instant>) {
         let state = &mut *self.shared.state();
-        let Some(old) = state.moments.get_mut(place) else { return };
-        if *old == moment {
+        let Some(old) = state.wake_times.get_mut(index) else { return };
+        if *old == wake_time {
             return;
         }
-        if let Some(old) = std::mem::replace(old, moment) {
-            state.due.remove(&(old, place));
+        if let Some(old) = std::mem::replace(old, wake_time) {
+            state.due.remove(&(old, index));
         }
-        if let Some(moment) = moment {
-            state.due.insert((moment, place));
-            if state.due.first() == Some(&(moment, place)) {
-                self.shared.sooner.notify_one();
+        if let Some(wake_time) = wake_time {
+            state.due.insert((wake_time, index));
+            if state.due.first() == Some(&(wake_time, index)) {
+                self.shared.earlier.notify_one();
             }
         }
     }
@@ -73,29 +74,29 @@
 impl Drop for Pacer {
     fn drop(&mut self) {
         self.shared.state().stopped = true;
-        self.shared.sooner.notify_one();
+        self.shared.earlier.notify_one();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn wake(shared: &Shared, sleepers: &[Arc<Notify>]) {
+fn run_timer(shared: &Shared, sleepers: &[Arc<Notify>]) {
     let mut state = shared.state();
     while !state.stopped {
         let now = Instant::now();
         state = match state.due.first().copied() {
-            Some((moment, place)) if moment <= now => {
+            Some((wake_time, index)) if wake_time <= now => {
                 state.due.pop_first();
-                state.moments[place] = None;
-                sleepers[place].notify_one();
+                state.wake_times[index] = None;
+                sleepers[index].notify_one();
                 state
             }
-            Some((moment, _)) => {
-                let waited = shared.sooner.wait_timeout(state, moment - now);
+            Some((wake_time, _)) => {
+                let waited = shared.earlier.wait_timeout(state, wake_time - now);
                 waited.unwrap_or_else(PoisonError::into_inner).0
             }
-            None => shared.sooner.wait(state).unwrap_or_else(PoisonError::into_inner),
+            None => shared.earlier.wait(state).unwrap_or_else(PoisonError::into_inner),
         };
     }
 }
--- a/crates/testkit/src/pacer/tests.rs
+++ b/crates/testkit/src/pacer/tests.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 #[test]
-fn sleepers_are_woken_in_order_and_not_at_moments_that_were_put_off() {
+fn sleepers_are_woken_in_order_and_not_at_times_that_were_cleared() {
     let sleepers: Vec<_> = (0..3).map(|_| Arc::new(Notify::new())).collect();
     let pacer = Pacer::start(sleepers.clone()).expect("a thread");
-    let begun = Instant::now();
-    let after = |ms| Some(begun + Duration::from_millis(ms));
+    let start = Instant::now();
+    let after = |ms| Some(start + Duration::from_millis(ms));
     pacer.set(0, after(60));
     pacer.set(1, after(20));
     pacer.set(2, after(1));
@@ -22,7 +22,7 @@
                 () = sleepers[1].notified() => woken.push(1),
                 () = sleepers[2].notified() => woken.push(2),
             }
-            woken.push(begun.elapsed().as_millis() as usize / 20);
+            woken.push(start.elapsed().as_millis() as usize / 20);
         }
         woken
     });
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -1,44 +1,45 @@
-//! Processor sharing: what is in service shares the cores evenly, each job on one core at most. Pure: time is an
-//! argument and never goes back.
+//! Processor sharing: the jobs in service share the cores evenly, each on one core at most. Pure: time is an argument and
+//! never goes back.
 
 use crate::CpuCapacity;
 use shaletide_types::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job that came to its end.
+/// A job that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completion {
-    /// Which.
+    /// The id of the job.
     pub id: u64,
-    /// When, to the microsecond above.
+    /// When it ended, rounded up to a microsecond.
     pub at: Time,
 }
 
-/// The cores of one backend and the jobs on them. As all jobs get the same, one running sum says how far each is:
-/// a job ends when that sum has grown by its work. Each operation costs the logarithm of the jobs in service.
+/// The cores of one backend and the jobs on them. All jobs get the same share, so one running sum gives the progress of
+/// each: a job ends when the sum has grown by its work. An operation costs O(log n) for n jobs in service.
 #[derive(Clone, Debug)]
 pub struct Processor {
-    power: CpuCapacity,
+    capacity: CpuCapacity,
     booted: Option<Time>,
-    /// Speed is divided by this.
-    slowed: f64,
-    /// The state is as of this moment, µs.
+    /// Divisor of the speed.
+    slowdown: f64,
+    /// The time of the state, µs.
     at: f64,
-    /// Work that a job in service all the time would have had so far, µs of a standard core.
+    /// Work that a job in service from the start would have received so far, µs of a standard core.
     sum: f64,
-    /// The sum at which each job ends, as bits: for numbers from 0 on these sort as the numbers do.
+    /// The sum at which each job ends, as the bits of an `f64`: for numbers from 0 on, bits sort in the order of the
+    /// numbers.
     ends: BTreeSet<(u64, u64)>,
     jobs: BTreeMap<u64, u64>,
     done: Vec<Completion>,
 }
 
 impl Processor {
-    /// One that is idle, and cold if it has just started.
-    pub fn new(power: CpuCapacity, booted: Option<Time>) -> Processor {
+    /// Returns idle cores, which are cold if the backend has just started.
+    pub fn new(capacity: CpuCapacity, booted: Option<Time>) -> Processor {
         Processor {
-            power,
+            capacity,
             booted,
-            slowed: 1.0,
+            slowdown: 1.0,
             at: 0.0,
             sum: 0.0,
             ends: BTreeSet::new(),
@@ -47,13 +48,12 @@
         }
     }
 
-    /// Jobs in service.
+    /// Returns the number of jobs in service.
     pub fn in_service(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Takes a job that needs so many ms of a standard core. An id that is in service already is put off: it
-    /// begins again.
+    /// Adds a job that needs `work_ms` ms of a standard core. A job with an id that is already in service starts anew.
     pub fn arrive(&mut self, now: Time, id: u64, work_ms: f64) {
         self.settle(now);
         self.remove(id);
@@ -62,19 +62,19 @@
         self.ends.insert((end, id));
     }
 
-    /// Takes a job out. Whether it was in service.
+    /// Removes a job. Returns whether it was in service.
     pub fn cancel(&mut self, now: Time, id: u64) -> bool {
         self.settle(now);
         self.remove(id)
     }
 
-    /// From now on all work takes so many times as long.
+    /// Makes all work take `factor` times as long from `now` on.
     pub fn set_slowdown(&mut self, now: Time, factor: f64) {
         self.settle(now);
-        self.slowed = factor.clamp(1e-3, 1e6);
+        self.slowdown = factor.clamp(1e-3, 1e6);
     }
 
-    /// When the next job ends if none comes or goes, not before `now`.
+    /// Returns when the next job ends, provided that none is added or removed; never before `now`.
     pub fn next_end(&self, now: Time) -> Option<Time> {
         if let Some(done) = self.done.first() {
             return Some(done.at.max(now));
@@ -82,24 +82,24 @@
         Some(Time(self.first_end()?.ceil() as u64).max(now))
     }
 
-    /// The jobs that have ended by now, in that order, each told once.
+    /// Returns the jobs that have ended by `now`, in the order of their ends, each once.
     pub fn advance(&mut self, now: Time) -> Vec<Completion> {
         self.settle(now);
         std::mem::take(&mut self.done)
     }
 
-    /// Work a job gets per time, in standard cores at full warmth.
+    /// Returns the work that a job receives per time, in standard cores at full speed.
     fn share(&self) -> f64 {
-        let part = f64::from(self.power.cores) / self.jobs.len().max(1) as f64;
-        self.power.speed / self.slowed * part.min(1.0)
+        let part = f64::from(self.capacity.cores) / self.jobs.len().max(1) as f64;
+        self.capacity.speed / self.slowdown * part.min(1.0)
     }
 
     fn first_end(&self) -> Option<f64> {
         let left = f64::from_bits(self.ends.first()?.0) - self.sum;
-        Some(self.power.after_warm_us(self.booted, self.at, left.max(0.0) / self.share()))
+        Some(self.capacity.after_warm_us(self.booted, self.at, left.max(0.0) / self.share()))
     }
 
-    /// Brings the state to `now`, past all jobs that end on the way.
+    /// Advances the state to `now` and ends all jobs that are due on the way.
     fn settle(&mut self, now: Time) {
         let now = now.0 as f64;
         while let Some(end) = self.first_end().filter(|end| end.ceil() <= now) {
@@ -111,9 +111,9 @@
         }
         if now > self.at {
             if self.jobs.is_empty() {
-                self.sum = 0.0; // so that it never grows past what a float holds exactly enough
+                self.sum = 0.0; // keeps the sum small enough for the precision of `f64`
             } else {
-                self.sum += self.share() * self.power.warm_us(self.booted, self.at, now);
+                self.sum += self.share() * self.capacity.warm_us(self.booted, self.at, now);
             }
             self.at = now;
         }
--- a/crates/testkit/src/processor/tests.rs
+++ b/crates/testkit/src/processor/tests.rs
@@ -13,10 +13,10 @@
 }
 
 #[test]
-fn a_job_alone_takes_its_work_by_the_speed() {
+fn single_job_takes_its_work_divided_by_the_speed() {
     let mut processor = Processor::new(CpuCapacity::warm(4, 2.0), None);
     processor.arrive(ms(100), 1, 30.0);
-    assert_eq!(processor.next_end(ms(100)), Some(ms(115)), "one core is all it gets");
+    assert_eq!(processor.next_end(ms(100)), Some(ms(115)), "a job runs on one core");
     assert_eq!(processor.advance(Time(114_999)), []);
     assert_eq!(processor.advance(ms(115)), [Completion { id: 1, at: ms(115) }]);
     assert_eq!((processor.next_end(ms(115)), processor.in_service()), (None, 0));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn jobs_up_to_the_number_of_cores_do_not_hinder_each_other() {
+fn jobs_up_to_the_number_of_cores_run_at_full_speed() {
     let mut processor = Processor::new(CpuCapacity::warm(3, 1.0), None);
     for id in 0..3 {
         processor.arrive(ms(0), id, 20.0);
@@ -48,9 +48,9 @@
     assert!(ends(&mut processor).iter().all(|(_, at)| *at == 30_000));
 }
 
-/// One has 10 ms to itself, both share until the first is done, the other ends alone.
+/// The first job runs alone for 10 ms, both share the core until the first ends, and the second ends alone.
 #[test]
-fn a_late_arrival_slows_only_what_is_left() {
+fn later_job_slows_only_the_remaining_work() {
     let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
     processor.arrive(ms(10), 2, 30.0);
@@ -58,31 +58,36 @@
 }
 
 #[test]
-fn what_is_cancelled_gives_its_share_back() {
+fn cancelled_job_releases_its_share() {
     let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
     processor.arrive(ms(0), 2, 30.0);
     assert!(processor.cancel(ms(20), 2));
     assert!(!processor.cancel(ms(20), 2));
-    assert_eq!(ends(&mut processor), [(1, 40_000)], "20 ms at half, 20 ms alone");
+    assert_eq!(ends(&mut processor), [(1, 40_000)], "20 ms at half the speed, 20 ms alone");
 }
 
-/// Speed in the ramp is 0.5 + t / 2 per s: 375 ms of work are done by 0.5 t + t^2 / 4 = 0.375.
+/// The speed during the ramp is 0.5 + t / 2, so 375 ms of work end at 0.5 t + t^2 / 4 = 0.375.
 #[test]
-fn a_cold_box_does_what_its_warmth_allows() {
-    let power = CpuCapacity { cores: 1, speed: 1.0, initial_capacity_fraction: 0.5, ramp: Micros(1_000_000) };
-    let mut processor = Processor::new(power, Some(ms(7_000)));
+fn cold_backend_runs_jobs_at_the_speed_of_its_ramp() {
+    let capacity =
+        CpuCapacity { cores: 1, speed: 1.0, initial_capacity_fraction: 0.5, ramp: Micros(1_000_000) };
+    let mut processor = Processor::new(capacity, Some(ms(7_000)));
     processor.arrive(ms(7_000), 1, 375.0);
     let expected = 7_000_000.0 + 1e6 * ((1.0f64 + 1.5).sqrt() - 1.0);
     assert_eq!(processor.next_end(ms(7_000)), Some(Time(expected.ceil() as u64)));
     processor.arrive(ms(7_000), 2, 1_000_000.0);
     processor.cancel(ms(7_000), 1);
     processor.arrive(ms(9_000), 3, 10.0);
-    assert_eq!(processor.advance(ms(9_021)), [Completion { id: 3, at: ms(9_020) }], "warm, two jobs");
+    assert_eq!(
+        processor.advance(ms(9_021)),
+        [Completion { id: 3, at: ms(9_020) }],
+        "two jobs on a warm core"
+    );
 }
 
 #[test]
-fn slowing_takes_hold_of_what_is_under_way() {
+fn slowdown_applies_to_jobs_in_service() {
     let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 30.0);
     processor.set_slowdown(ms(10), 4.0);
@@ -92,30 +97,30 @@
 }
 
 #[test]
-fn what_ends_while_another_arrives_is_still_told() {
+fn job_that_ended_before_an_arrival_is_still_reported() {
     let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
     processor.arrive(ms(0), 1, 5.0);
     processor.arrive(ms(50), 2, 5.0);
-    assert_eq!(processor.next_end(ms(50)), Some(ms(50)), "the first is to be told of");
+    assert_eq!(processor.next_end(ms(50)), Some(ms(50)), "the first job is still to be reported");
     assert_eq!(ends(&mut processor), [(1, 5_000), (2, 55_000)]);
 }
 
-/// The mean time in an M/D/1 queue that shares is `work / (1 - load)`, whatever the law of the work.
+/// The mean time in an M/D/1 queue with processor sharing is `work / (1 - load)` for any distribution of the work.
 #[test]
-fn at_half_load_the_mean_time_is_twice_the_work() {
+fn mean_time_at_half_load_is_twice_the_work() {
     use rand_core::{RngCore, SeedableRng};
     let mut rng = rand_pcg::Pcg32::seed_from_u64(5);
     let mut processor = Processor::new(CpuCapacity::warm(1, 1.0), None);
-    let (mut now, mut came, mut total) = (0.0, Vec::new(), 0.0);
+    let (mut now, mut arrivals, mut total) = (0.0, Vec::new(), 0.0);
     for id in 0..200_000 {
-        let part = (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0;
-        now -= part.ln() * 20_000.0;
-        came.push(now);
+        let uniform = (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0;
+        now -= uniform.ln() * 20_000.0;
+        arrivals.push(now);
         processor.arrive(Time(now as u64), id, 10.0);
     }
     let done = processor.advance(Time(u64::MAX / 4));
     for finished in &done {
-        total += finished.at.0 as f64 - came[finished.id as usize];
+        total += finished.at.0 as f64 - arrivals[finished.id as usize];
     }
     let mean_ms = total / 1e3 / done.len() as f64;
     assert_eq!(done.len(), 200_000);
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The program itself, started with a configuration of its own.
+//! Processes of the program under test, each with its own configuration.
 
 use crate::{endpoint_list_json, Client, DiscoveryServer, Log, Message, RefusingPort};
 use std::ffi::OsString;
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The platform's settings: classes of each effect, one kind, one zone.
+/// Settings with a class of each idempotency, one server type and one zone.
 pub const SETTINGS: &str = r#"{"blend":{"whole":0.6,"worst_class":0.2},"costs":{"cross_zone":0.0},
 "customers":[{"name":"north","quota_rps":500.0}],"discovery":"automatic","position":0,"group_size":1,
 "granularity_us":5000,"kinds":["big"],"my_zone":"east","zones":["east"],
@@ -19,83 +19,83 @@
 "gain":4.0,"late_worth":0.5}],
 "rules":{"cold_from":0.3,"fall_multiple":2.5,"must_ask_in_us":9000000,"ramp_time_us":9000000,"tip_after_us":2000000}}"#;
 
-static NUMBER: AtomicU64 = AtomicU64::new(0);
+static NEXT_FILE_NUMBER: AtomicU64 = AtomicU64::new(0);
 
-/// Where the program's file is: only its own package's tests are told.
+/// The executable of the program. Cargo gives its path only to the tests of the program's own package.
 #[derive(Clone, Debug)]
 pub struct Program {
     path: PathBuf,
-    /// Variables of its environment beside NODE_CONFIG.
+    /// Environment variables other than NODE_CONFIG.
     environment: Vec<(OsString, OsString)>,
 }
 
-/// The program at work; ends when this is dropped.
+/// A running process of the program. It is killed when this is dropped.
 #[derive(Debug)]
 pub struct RunningProgram {
-    /// Its process.
+    /// The process.
     pub child: Child,
-    /// Where it listens; the first of several.
+    /// The address of its first listener.
     pub address: SocketAddr,
-    /// What it says.
+    /// Its log.
     pub log: Log,
-    /// The files that it reads: NODE_CONFIG's and the one that adds to it, or the operators' file.
+    /// The files that it reads: that of NODE_CONFIG and its extension, or the operator file.
     pub files: Vec<PathBuf>,
 }
 
-/// The program at work by an operators' file, on ports that are its own.
+/// A running process that serves by an operator file, on reserved ports.
 #[derive(Debug)]
 pub struct ServingProgram {
     running: RunningProgram,
-    doors: Vec<RefusingPort>,
+    listeners: Vec<RefusingPort>,
 }
 
-/// What came of a file that was read again.
+/// The result of a reload.
 #[derive(Clone, Debug)]
 pub struct Reload {
-    /// It was taken; else it was refused.
+    /// Whether the files were accepted; otherwise they were refused.
     pub accepted: bool,
-    /// The number of the line that said so; the reasons follow it.
+    /// Index of the log line with the result; the reasons follow it.
     pub line: usize,
 }
 
-/// The program at work with a configuration and a scripted discovery of its own.
+/// A running process with a configuration by NODE_CONFIG and its own scripted discovery.
 #[derive(Debug)]
 pub struct Proxy {
     running: RunningProgram,
-    /// The discovery that it asks.
+    /// The discovery server that it calls.
     pub discovery: DiscoveryServer,
-    /// Where its configuration is, and what stands there.
+    /// Path and text of its configuration.
     pub config: (PathBuf, String),
 }
 
 impl Program {
-    /// The program in that file.
+    /// Returns the program with the executable at that path.
     pub fn at(path: impl Into<PathBuf>) -> Program {
         Program { path: path.into(), environment: Vec::new() }
     }
 
-    /// The same program, started with this NODE_LOG.
+    /// Sets NODE_LOG for its processes.
     pub fn log_level(self, level: &str) -> Program {
         self.environment("NODE_LOG", level)
     }
 
-    /// The same program, started with this variable in its environment.
+    /// Sets an environment variable for its processes.
     pub fn environment(mut self, name: impl Into<OsString>, value: impl Into<OsString>) -> Program {
         self.environment.push((name.into(), value.into()));
         self
     }
 
-    /// Starts it with these entries as the list that it knows from before.
+    /// Starts a process with these entries as the endpoint list that it knows from before.
     pub fn start(&self, known: &[String]) -> Proxy {
         self.start_with(known, 1024, SETTINGS)
     }
 
-    /// With a bound on its sockets and with settings.
+    /// Starts a process with these known entries, a limit on its sockets, and settings.
     pub fn start_with(&self, known: &[String], sockets: u32, settings: &str) -> Proxy {
         self.start_with_limits(known, sockets, settings, 1024)
     }
 
-    /// With a limit on descriptors that need not be the one it is told.
+    /// Starts a process with a limit on file descriptors that may differ from the limit in its configuration.
     pub fn start_with_limits(
         &self, known: &[String], sockets: u32, settings: &str, descriptors: u32,
     ) -> Proxy {
@@ -106,83 +106,86 @@
         Proxy { running, discovery, config: (path, config) }
     }
 
-    /// Starts it with these entries and settings where discovery is elsewhere, say a [`crate::ListServer`].
+    /// Starts a process with these known entries and settings that uses the discovery at this address, for example a
+    /// [`crate::ListServer`].
     pub fn start_with_discovery(
         &self, discovery: SocketAddr, known: &[String], settings: &str,
     ) -> RunningProgram {
         self.start_with_config(&config(discovery, known, 1024, settings), 1024)
     }
 
-    /// Starts it with that configuration, and waits until it listens.
+    /// Starts a process with that configuration and waits until it listens.
     pub fn start_with_config(&self, config: &str, descriptors: u32) -> RunningProgram {
-        let path = written("json", config);
-        let mut command = self.limited(Some(&path), descriptors);
+        let path = write_temp_file("json", config);
+        let mut command = self.limited_command(Some(&path), descriptors);
         command.arg("--self-check");
         RunningProgram::start(command, vec![path])
     }
 
-    /// Starts it at that address, which may be held by others, and does not wait for anything.
+    /// Starts a process that listens at that address, which may be in use, and waits for nothing.
     pub fn spawn_at(&self, listen: SocketAddr, known: &[String]) -> Proxy {
         let discovery = DiscoveryServer::start();
         let config = config(discovery.address, known, 1024, SETTINGS);
         let config = config.replace("127.0.0.1:0", &listen.to_string());
-        let path = written("json", &config);
+        let path = write_temp_file("json", &config);
         let running = self.spawn_with_config(listen, &path);
         Proxy { running, discovery, config: (path, config) }
     }
 
-    /// Starts it by the configuration in that file, which need not be there, and does not wait for anything.
+    /// Starts a process with the configuration in that file, which may be missing, and waits for nothing.
     pub fn spawn_with_config(&self, listen: SocketAddr, config: &Path) -> RunningProgram {
-        let mut command = self.limited(Some(config), 1024);
+        let mut command = self.limited_command(Some(config), 1024);
         command.arg("--self-check");
         RunningProgram::launch(command, vec![config.into()], listen)
     }
 
-    /// Starts it where discovery is elsewhere, with a file that adds to NODE_CONFIG: the second of its files.
+    /// Starts a process that uses the discovery at this address, with a file that extends NODE_CONFIG. The extension is the
+    /// second of its files.
     pub fn start_with_extension(&self, discovery: SocketAddr, settings: &str, with: &str) -> RunningProgram {
-        let (path, with) = (written("json", &config(discovery, &[], 1024, settings)), written("toml", with));
-        let mut command = self.limited(Some(&path), 1024);
+        let (path, with) =
+            (write_temp_file("json", &config(discovery, &[], 1024, settings)), write_temp_file("toml", with));
+        let mut command = self.limited_command(Some(&path), 1024);
         command.arg("--self-check").arg("--with").arg(&with);
         RunningProgram::start(command, vec![path, with])
     }
 
-    /// Serves by an operators' file, in which listeners are not said: one is added.
+    /// Starts a process that serves by an operator file without listeners; one listener is added.
     pub fn serve(&self, text: &str) -> ServingProgram {
         self.serve_on(vec![RefusingPort::new()], text)
     }
 
-    /// Serves by an operators' file that says itself where it listens, without a self-check: for measurements.
+    /// Starts a process that serves by an operator file with its own listener, without the self-check, for measurements.
     pub fn serve_file(&self, file: impl Fn(SocketAddr) -> String) -> ServingProgram {
-        let door = RefusingPort::new();
-        let path = written("toml", &file(door.address()));
-        let mut command = self.limited(None, 1024);
+        let listener = RefusingPort::new();
+        let path = write_temp_file("toml", &file(listener.address()));
+        let mut command = self.limited_command(None, 1024);
         command.args(["serve", "--config"]).arg(&path);
-        ServingProgram { running: RunningProgram::start(command, vec![path]), doors: vec![door] }
+        ServingProgram { running: RunningProgram::start(command, vec![path]), listeners: vec![listener] }
     }
 
-    /// Serves by an operators' file that says itself where it listens, this address among others, and does not wait for
-    /// anything.
+    /// Starts a process that serves by an operator file with its own listeners, one of them at this address, and waits for
+    /// nothing.
     pub fn spawn_serving(&self, listen: SocketAddr, text: &str) -> RunningProgram {
-        let path = written("toml", text);
-        let mut command = self.limited(None, 1024);
+        let path = write_temp_file("toml", text);
+        let mut command = self.limited_command(None, 1024);
         command.args(["serve", "--self-check", "--config"]).arg(&path);
         RunningProgram::launch(command, vec![path], listen)
     }
 
-    /// The same with a listener at each of these.
-    pub fn serve_on(&self, doors: Vec<RefusingPort>, text: &str) -> ServingProgram {
-        let path = written("toml", &with_listeners(&doors, text));
-        let mut command = self.limited(None, 1024);
+    /// Starts a process that serves by an operator file without listeners; a listener is added at each of these ports.
+    pub fn serve_on(&self, listeners: Vec<RefusingPort>, text: &str) -> ServingProgram {
+        let path = write_temp_file("toml", &with_listeners(&listeners, text));
+        let mut command = self.limited_command(None, 1024);
         command.args(["serve", "--self-check", "--config"]).arg(&path);
-        ServingProgram { running: RunningProgram::start(command, vec![path]), doors }
+        ServingProgram { running: RunningProgram::start(command, vec![path]), listeners }
     }
 
-    /// The command to run it, with a configuration or without any.
+    /// Returns the command that starts a process, with a configuration or without one.
     pub fn command(&self, config: Option<&str>) -> Command {
-        self.limited(config.map(|config| written("json", config)).as_deref(), 1024)
+        self.limited_command(config.map(|config| write_temp_file("json", config)).as_deref(), 1024)
     }
 
-    fn limited(&self, config: Option<&Path>, descriptors: u32) -> Command {
+    fn limited_command(&self, config: Option<&Path>, descriptors: u32) -> Command {
         let mut command = Command::new("sh");
         let line = format!("ulimit -n {descriptors}; exec \"$0\" \"$@\"");
         command.args(["-c", &line]).arg(&self.path);
@@ -210,7 +213,7 @@
         RunningProgram { child, address, log, files }
     }
 
-    /// Waits until it answers that it is ready; `None` where its process ends before.
+    /// Waits until the process reports that it is ready. Returns the time, or `None` if the process ends first.
     pub fn wait_ready(&mut self) -> Option<std::time::Instant> {
         let probe = b"GET /-/ready HTTP/1.1\r\nHost: s\r\nConnection: close\r\n\r\n";
         while matches!(self.child.try_wait(), Ok(None)) {
@@ -222,63 +225,63 @@
         None
     }
 
-    /// Puts another text in a file's place, whole at any moment.
+    /// Replaces a file of the process atomically.
     pub fn replace_file(&self, file: usize, text: impl AsRef<[u8]>) {
         let next = self.files[file].with_extension("next");
         std::fs::write(&next, text).unwrap();
         std::fs::rename(&next, &self.files[file]).unwrap();
     }
 
-    /// Has it read its files again, and waits for what it says of them.
+    /// Makes the process reload its files and waits for the result.
     ///
     /// # Panics
-    /// Where it says nothing.
+    /// The process logs no result.
     pub fn reload_files(&self) -> Reload {
         let from = self.log.len();
         self.signal("HUP");
-        let said = self.log.wait(from, |line| line.contains("SIGHUP: "));
-        let (at, line) = said.expect("a word on the file that was read again");
-        Reload { accepted: line.contains("SIGHUP: taken"), line: at }
+        let logged = self.log.wait(from, |text| text.contains("SIGHUP: "));
+        let (line, text) = logged.expect("a log line with the result of the reload");
+        Reload { accepted: text.contains("SIGHUP: taken"), line }
     }
 
-    /// A client with a connection to it.
+    /// Opens a client connection to the process.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection and returns its answer.
     pub fn request(&self, request: &str) -> Message {
         self.client().request(request)
     }
 
-    /// Sends it the signal of that name, without `SIG`.
+    /// Sends the process the signal of that name, given without `SIG`.
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
-        assert!(done.success());
+        let status = Command::new("kill").args(["-s", name, &self.child.id().to_string()]).status().unwrap();
+        assert!(status.success());
     }
 }
 
 impl ServingProgram {
-    /// Where it listens.
+    /// Returns the addresses of its listeners.
     pub fn addresses(&self) -> Vec<SocketAddr> {
-        self.doors.iter().map(RefusingPort::address).collect()
+        self.listeners.iter().map(RefusingPort::address).collect()
     }
 
-    /// That text with its listeners, as a file of its own has to have them.
+    /// Returns an operator file of that text with the listeners of this process added.
     pub fn file_text(&self, text: &str) -> String {
-        with_listeners(&self.doors, text)
+        with_listeners(&self.listeners, text)
     }
 
-    /// Has it read that text, to which its listeners are added, and waits for what it says of it.
+    /// Makes the process reload that text, to which its listeners are added, and waits for the result.
     pub fn reload(&self, text: &str) -> Reload {
         self.replace_file(0, self.file_text(text));
         self.reload_files()
     }
 
-    /// The same where the file has to be taken.
+    /// Makes the process reload that text, to which its listeners are added, and expects that it accepts the file.
     ///
     /// # Panics
-    /// Where it is not.
+    /// The process refuses the file.
     pub fn reload_accepted(&self, text: &str) {
         let reload = self.reload(text);
         assert!(reload.accepted, "{}", self.log.since(reload.line).join("\n"));
@@ -299,7 +302,7 @@
 }
 
 impl Proxy {
-    /// Another configuration, in which discovery is elsewhere.
+    /// Replaces the configuration by one with another address of discovery.
     pub fn move_discovery(&self, to: SocketAddr) {
         let moved = self.config.1.replace(&self.discovery.address.to_string(), &to.to_string());
         std::fs::write(&self.config.0, moved).unwrap();
@@ -326,27 +329,27 @@
         for file in &self.files {
             let _ = std::fs::remove_file(file);
         }
-        // Whatever the test looked at: no rule may break behind its back.
-        let broken = self.log.since(0).into_iter().find(|line| line.contains("self-check:"));
-        if let Some(line) = broken.filter(|_| !std::thread::panicking()) {
+        // A violation found by the self-check fails the test, whatever the test itself checks.
+        let violation = self.log.since(0).into_iter().find(|line| line.contains("self-check:"));
+        if let Some(line) = violation.filter(|_| !std::thread::panicking()) {
             panic!("{line}");
         }
     }
 }
 
-/// Whether a request on a connection of its own is answered with 200; anything else is none.
-fn is_answered_200(at: SocketAddr, request: &[u8]) -> bool {
+/// Sends a request on a new connection and returns whether the answer has status 200; any error counts as `false`.
+fn is_answered_200(address: SocketAddr, request: &[u8]) -> bool {
     use std::io::{Read, Write};
-    let Ok(mut tcp) = std::net::TcpStream::connect(at) else { return false };
+    let Ok(mut tcp) = std::net::TcpStream::connect(address) else { return false };
     let _ = tcp.set_read_timeout(Some(crate::WAIT_LIMIT));
     let mut answer = Vec::new();
-    let done = tcp.write_all(request).and_then(|()| tcp.read_to_end(&mut answer));
-    done.is_ok() && answer.starts_with(b"HTTP/1.1 200")
+    let received = tcp.write_all(request).and_then(|()| tcp.read_to_end(&mut answer));
+    received.is_ok() && answer.starts_with(b"HTTP/1.1 200")
 }
 
-fn with_listeners(doors: &[RefusingPort], text: &str) -> String {
-    let listener = |door: &RefusingPort| format!("[[listener]]\naddress = \"{}\"\n", door.address());
-    doors.iter().map(listener).collect::<String>() + text
+fn with_listeners(listeners: &[RefusingPort], text: &str) -> String {
+    let section = |listener: &RefusingPort| format!("[[listener]]\naddress = \"{}\"\n", listener.address());
+    listeners.iter().map(section).collect::<String>() + text
 }
 
 fn config(discovery: SocketAddr, known: &[String], sockets: u32, settings: &str) -> String {
@@ -357,9 +360,9 @@
     )
 }
 
-fn written(kind: &str, config: &str) -> PathBuf {
-    let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("shaletide-{}-{number}.{kind}", std::process::id()));
-    std::fs::write(&path, config).unwrap();
+fn write_temp_file(extension: &str, text: &str) -> PathBuf {
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::SeqCst);
+    let path = std::env::temp_dir().join(format!("shaletide-{}-{number}.{extension}", std::process::id()));
+    std::fs::write(&path, text).unwrap();
     path
 }
--- a/crates/testkit/src/seeded_rng.rs
+++ b/crates/testkit/src/seeded_rng.rs
@@ -1,35 +1,35 @@
-//! Seeded chance: laws of work and waits, parts, gaps between arrivals.
+//! Seeded random numbers and the distributions of work, waits and gaps between arrivals.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Random numbers, the same for the same seed.
+/// A random number generator that is deterministic for a seed.
 #[derive(Clone, Debug)]
 pub struct SeededRng(Pcg32);
 
 impl SeededRng {
-    /// The generator of that seed.
+    /// Returns the generator of that seed.
     pub fn new(seed: u64) -> SeededRng {
         SeededRng(Pcg32::seed_from_u64(seed))
     }
 
-    /// The generator that belongs to a name: the same under the same seed wherever and whenever it is met.
+    /// Returns the generator of a name. It depends on seed and name alone, not on the order of calls.
     pub fn named(seed: u64, name: &str) -> SeededRng {
         let fold = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3); // FNV-1a
         SeededRng::new(name.bytes().fold(0xcbf2_9ce4_8422_2325 ^ seed, fold))
     }
 
-    /// Even over (0, 1), neither end included.
+    /// Returns a number that is uniformly distributed over (0, 1), both ends excluded.
     pub fn uniform(&mut self) -> f64 {
         (f64::from(self.0.next_u32()) + 0.5) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// Whether something of that chance happens.
+    /// Returns `true` with that probability.
     pub fn chance(&mut self, chance: f64) -> bool {
         self.uniform() < chance
     }
 
-    /// A number that is hardly met twice.
+    /// Returns 64 random bits.
     pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
@@ -40,21 +40,21 @@
     }
 }
 
-/// The law of a quantity that is not negative.
+/// The distribution of a quantity that is not negative.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Distribution {
-    /// Always the same.
+    /// Always this value.
     Fixed(f64),
-    /// Even between two bounds.
+    /// Uniform between two bounds.
     Even(f64, f64),
-    /// Exponential, of that mean.
+    /// Exponential with this mean.
     Exponential(f64),
-    /// Log-normal, of that mean and that ratio of deviation to mean.
+    /// Log-normal with this mean and this ratio of standard deviation to mean.
     LogNormal(f64, f64),
 }
 
 impl Distribution {
-    /// A value of this law.
+    /// Draws a value.
     pub fn sample(&self, rng: &mut SeededRng) -> f64 {
         let value = match *self {
             Distribution::Fixed(value) => value,
@@ -68,7 +68,7 @@
         value.max(0.0)
     }
 
-    /// Its mean.
+    /// Returns the mean.
     pub fn mean(&self) -> f64 {
         match *self {
             Distribution::Fixed(mean)
--- a/crates/testkit/src/service_model.rs
+++ b/crates/testkit/src/service_model.rs
@@ -1,53 +1,53 @@
-//! A backend's whole service: so many slots, a queue before them, cores that are shared, and waits that need none.
-//! Pure: time is an argument.
+//! Model of how a backend serves requests: a number of slots, a queue in front of them, shared cores, and I/O waits that
+//! use no core. Pure: time is an argument.
 
 use crate::{Completion, CpuCapacity, Processor};
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What a request needs.
+/// The resources that a request needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
     /// Work, ms of a standard core.
     pub work_ms: f64,
-    /// Waiting that holds the slot but no core, after the work.
+    /// Wait after the work that holds the slot but no core.
     pub io: Micros,
 }
 
-/// What became of a request on arrival.
+/// The outcome of a request's arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It has a slot.
+    /// The request has a slot.
     Began,
-    /// It waits for one.
+    /// The request waits for a slot.
     Queued,
-    /// Slots and queue are full: it is not taken.
+    /// Slots and queue are full: the request is rejected.
     Full,
 }
 
-/// What happened to a request that was taken.
+/// An event of a request that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceEvent {
-    /// It came out of the queue.
+    /// The request left the queue and got a slot.
     Began(Completion),
-    /// It is served.
+    /// The request is served.
     Served(Completion),
 }
 
-/// One backend's slots, queue and cores.
+/// The slots, the queue and the cores of one backend.
 #[derive(Clone, Debug)]
 pub struct ServiceModel {
     cores: Processor,
     slots: usize,
     queue: usize,
     queued: VecDeque<(u64, Demand)>,
-    /// The wait that follows the work of each request on the cores.
+    /// The I/O wait that follows the work, for each request on the cores.
     working: BTreeMap<u64, Micros>,
     waiting: BTreeSet<(Time, u64)>,
 }
 
 impl ServiceModel {
-    /// One that is idle.
+    /// Returns an idle backend.
     pub fn new(power: CpuCapacity, booted: Option<Time>, slots: u32, queue: u32) -> ServiceModel {
         ServiceModel {
             cores: Processor::new(power, booted),
@@ -59,17 +59,17 @@
         }
     }
 
-    /// Requests that hold a slot.
+    /// Returns the number of requests that hold a slot.
     pub fn in_service(&self) -> usize {
         self.working.len() + self.waiting.len()
     }
 
-    /// Requests that wait for a slot.
+    /// Returns the number of requests that wait for a slot.
     pub fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    /// A request of a new id comes. All that was due before must have been taken with [`ServiceModel::advance`].
+    /// Adds a request with a new id. [`ServiceModel::advance`] must have been called for all events that were due before.
     pub fn arrive(&mut self, now: Time, id: u64, demand: Demand) -> Admission {
         if self.in_service() < self.slots {
             self.begin(now, id, demand);
@@ -82,7 +82,7 @@
         Admission::Queued
     }
 
-    /// A request is withdrawn. Who waits takes its place at the next [`ServiceModel::advance`].
+    /// Removes a request. A queued request gets its slot at the next [`ServiceModel::advance`].
     pub fn cancel(&mut self, now: Time, id: u64) {
         self.queued.retain(|(other, _)| *other != id);
         self.waiting.retain(|(_, other)| *other != id);
@@ -91,12 +91,12 @@
         }
     }
 
-    /// From now on all work takes so many times as long; waits do not.
+    /// Makes all work take `factor` times as long from `now` on. I/O waits are not affected.
     pub fn set_slowdown(&mut self, now: Time, factor: f64) {
         self.cores.set_slowdown(now, factor);
     }
 
-    /// When [`ServiceModel::advance`] has something to tell next, if nothing comes or goes.
+    /// Returns the time of the next event of [`ServiceModel::advance`], provided that no request arrives or is cancelled.
     pub fn next_event(&self, now: Time) -> Option<Time> {
         if !self.queued.is_empty() && self.in_service() < self.slots {
             return Some(now);
@@ -105,10 +105,10 @@
         [self.cores.next_end(now), wait].into_iter().flatten().min()
     }
 
-    /// Brings the station to `now` and tells what happened on the way, in order.
+    /// Advances the model to `now` and returns the events on the way, in order.
     pub fn advance(&mut self, now: Time) -> Vec<ServiceEvent> {
-        let mut steps = Vec::new();
-        self.fill(now, &mut steps);
+        let mut events = Vec::new();
+        self.fill_slots(now, &mut events);
         while let Some(at) = self.next_event(Time(0)).filter(|at| *at <= now) {
             for work in self.cores.advance(at) {
                 if let Some(io) = self.working.remove(&work.id) {
@@ -117,11 +117,11 @@
             }
             while let Some((end, id)) = self.waiting.first().copied().filter(|(end, _)| *end <= at) {
                 self.waiting.pop_first();
-                steps.push(ServiceEvent::Served(Completion { id, at: end }));
+                events.push(ServiceEvent::Served(Completion { id, at: end }));
             }
-            self.fill(at, &mut steps);
+            self.fill_slots(at, &mut events);
         }
-        steps
+        events
     }
 
     fn begin(&mut self, now: Time, id: u64, demand: Demand) {
@@ -129,11 +129,11 @@
         self.cores.arrive(now, id, demand.work_ms);
     }
 
-    fn fill(&mut self, now: Time, steps: &mut Vec<ServiceEvent>) {
+    fn fill_slots(&mut self, now: Time, events: &mut Vec<ServiceEvent>) {
         while self.in_service() < self.slots {
             let Some((id, demand)) = self.queued.pop_front() else { return };
             self.begin(now, id, demand);
-            steps.push(ServiceEvent::Began(Completion { id, at: now }));
+            events.push(ServiceEvent::Began(Completion { id, at: now }));
         }
     }
 }
