--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -37,7 +37,7 @@
 pub struct Gate(Mutex<bool>, Condvar);
 
 impl Gate {
-    /// Releases all waiting threads, and those that come later.
+    /// Releases all waiting threads, and all threads that wait later.
     pub fn open(&self) {
         *self.0.lock().unwrap() = true;
         self.1.notify_all();
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -4,7 +4,7 @@
 use shaletide_types::{Micros, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A rule that was violations, with the records that show it.
+/// A violation of a rule, with the records that show it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Description of the violation.
--- a/crates/testkit/src/fleet/mod.rs
+++ b/crates/testkit/src/fleet/mod.rs
@@ -118,7 +118,7 @@
     /// time of the start.
     pub fn restart(&self) -> Time {
         self.execute(Action::Kill);
-        self.execute(Action::Revive)
+        self.execute(Action::Restart)
     }
 
     /// Returns its serving entry for discovery, with the time of its last start.
--- a/crates/testkit/src/fleet/server.rs
+++ b/crates/testkit/src/fleet/server.rs
@@ -21,7 +21,7 @@
     Set(Fault),
     Drain,
     Kill,
-    Revive,
+    Restart,
     /// No change. Once it is done, all that happened before is in the shared records.
     Sync,
 }
@@ -75,7 +75,7 @@
                 }
                 return died;
             }
-            Action::Revive => {
+            Action::Restart => {
                 self.backend.advance();
                 let started = self.backend.restart();
                 drop(self.listen());
--- a/crates/testkit/src/list_server/connections.rs
+++ b/crates/testkit/src/list_server/connections.rs
@@ -54,22 +54,22 @@
             outcome = outcome(&shared, watcher, &call) => outcome,
             () = stream.wait_closed() => return,
         };
-        let done = match outcome {
+        let written = match outcome {
             Outcome::Broken => {
                 stream.reset_on_close();
                 return;
             }
             Outcome::Failed => stream.write(&render(503, "")).await,
             Outcome::Answer(answer) => {
-                let done = stream.write(&render(200, &answer.body)).await;
-                if done.is_ok() {
+                let written = stream.write(&render(200, &answer.body)).await;
+                if written.is_ok() {
                     shared.list().record_delivery(watcher, answer, shared.clock.now());
                     shared.delivered.notify_all();
                 }
-                done
+                written
             }
         };
-        if done.is_err() {
+        if written.is_err() {
             return;
         }
     }
--- a/crates/testkit/src/load/mod.rs
+++ b/crates/testkit/src/load/mod.rs
@@ -38,12 +38,12 @@
 
 impl LoadClass {
     /// Returns a class of share 1 with an empty body.
-    pub fn new(name: &str, effect: Idempotency, deadline: Duration) -> LoadClass {
+    pub fn new(name: &str, idempotency: Idempotency, deadline: Duration) -> LoadClass {
         LoadClass {
             name: name.into(),
             share: 1.0,
             method: None,
-            idempotency: effect,
+            idempotency,
             deadline,
             body_bytes: 0,
             headers: Vec::new(),
--- a/crates/testkit/src/load/run.rs
+++ b/crates/testkit/src/load/run.rs
@@ -130,8 +130,8 @@
     /// Runs a client with one request, and with a retry if that is rejected.
     async fn run_client(self: Arc<Self>, first: Arrival) {
         let answer = self.request(first).await;
-        let rejection = answer.filter(|a| matches!(a.status(), 429 | 503));
-        if let (Some(rejection), Some(retry)) = (rejection, self.load.retry) {
+        let rejected = answer.filter(|a| matches!(a.status(), 429 | 503));
+        if let (Some(rejection), Some(retry)) = (rejected, self.load.retry) {
             tokio::time::sleep(retry_delay(&rejection, retry)).await;
             self.request(Arrival { at: Instant::now(), retry: true, ..first }).await;
         }
--- a/crates/testkit/src/log.rs
+++ b/crates/testkit/src/log.rs
@@ -67,7 +67,7 @@
     /// Waits for a line that contains this text and returns it.
     ///
     /// # Panics
-    /// No such line came.
+    /// No such line was logged.
     pub fn expect(&self, from: usize, text: &str) -> String {
         match self.wait(from, |line| line.contains(text)) {
             Some((_, line)) => line,
--- a/crates/testkit/src/processor.rs
+++ b/crates/testkit/src/processor.rs
@@ -53,7 +53,7 @@
         self.jobs.len()
     }
 
-    /// Adds a job that needs `work_ms` ms of a standard core. A job with an id that is already in service starts anew.
+    /// Adds a job that needs `work_ms` ms of a standard core. A job with an id that is already in service is restarted with that work.
     pub fn arrive(&mut self, now: Time, id: u64, work_ms: f64) {
         self.settle(now);
         self.remove(id);
--- a/crates/testkit/src/proxy.rs
+++ b/crates/testkit/src/proxy.rs
@@ -239,9 +239,9 @@
     pub fn reload_files(&self) -> Reload {
         let from = self.log.len();
         self.signal("HUP");
-        let logged = self.log.wait(from, |text| text.contains("SIGHUP: "));
-        let (line, text) = logged.expect("a log line with the result of the reload");
-        Reload { accepted: text.contains("SIGHUP: taken"), line }
+        let logged = self.log.wait(from, |line| line.contains("SIGHUP: "));
+        let (index, line) = logged.expect("a log line with the result of the reload");
+        Reload { accepted: line.contains("SIGHUP: taken"), line: index }
     }
 
     /// Opens a client connection to the process.
--- a/crates/testkit/src/service_model.rs
+++ b/crates/testkit/src/service_model.rs
@@ -48,9 +48,9 @@
 
 impl ServiceModel {
     /// Returns an idle backend.
-    pub fn new(power: CpuCapacity, booted: Option<Time>, slots: u32, queue: u32) -> ServiceModel {
+    pub fn new(cpu_capacity: CpuCapacity, booted: Option<Time>, slots: u32, queue: u32) -> ServiceModel {
         ServiceModel {
-            cores: Processor::new(power, booted),
+            cores: Processor::new(cpu_capacity, booted),
             slots: slots.max(1) as usize,
             queue: queue as usize,
             queued: VecDeque::new(),
