--- a/crates/testkit/src/fault.rs
+++ b/crates/testkit/src/fault.rs
@@ -38,7 +38,7 @@
     pub status: u16,
     /// Additional headers.
     pub headers: Vec<(String, String)>,
-    /// The body. `None` is the backend's default_body body with its name and the id of the request, see [`backend_body`].
+    /// The body. `None` is the backend's own body with its name and the id of the request, see [`backend_body`].
     pub body: Option<Vec<u8>>,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Answer {
-    /// Returns an answer with that status and the backend's default_body body.
+    /// Returns an answer with that status and the backend's own body.
     pub fn status(status: u16) -> Answer {
         Answer { status, ..Answer::default() }
     }
@@ -98,11 +98,11 @@
     TwoSegments,
     /// Byte by byte, the last one after this time.
     Drip(Duration),
-    /// These bytes instead of an answer, each piece in its default_body segment; the connection stays open.
+    /// These bytes instead of an answer, each piece in its own segment; the connection stays open.
     Raw(Vec<Vec<u8>>),
 }
 
-/// Returns the body of a backend's default_body answer: its name, a space and the id of the request, padded with dots to `size`
+/// Returns the body of a backend's own answer: its name, a space and the id of the request, padded with dots to `size`
 /// bytes.
 pub fn backend_body(name: &str, id: &str, size: usize) -> Vec<u8> {
     let mut body = format!("{name} {id}\n").into_bytes();
