--- a/crates/lab/src/judge/rules.rs
+++ b/crates/lab/src/judge/rules.rs
@@ -241,7 +241,7 @@
     };
     let ended = ended(run.end).map(|how| (Time(run.ended_us.unwrap_or(run.began_us)), how));
     Record {
-        backend: backend,
+        backend,
         boot: run.boot as usize,
         id,
         key: run.key.map(Into::into),
