--- a/crates/model-checker/src/enabled.rs
+++ b/crates/model-checker/src/enabled.rs
@@ -1,117 +1,119 @@
 //! Which moves are possible in a state.
 
-use crate::moves::{After, Move};
+use crate::model::Model;
 use crate::node::Node;
 use crate::shell::ConnectionActivity;
-use crate::world::World;
+use crate::transitions::{AfterResponse, Transition};
 use shaletide_engine::{AttemptState, Policy, RequestState};
 use shaletide_types::*;
 
 /// All that may happen next in that state of that world.
-pub fn enabled<P: Policy>(world: &World, node: &Node<P>, out: &mut Vec<Move>) {
+pub fn enabled<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
     out.clear();
-    clients(node, out);
-    asks(world, node, out);
-    lines(world, node, out);
-    news(world, node, out);
-    time(world, node, out);
+    client_transitions(node, out);
+    chooser_transitions(model, node, out);
+    connection_transitions(model, node, out);
+    list_transitions(model, node, out);
+    time_transitions(model, node, out);
 }
 
-fn clients<P: Policy>(node: &Node<P>, out: &mut Vec<Move>) {
-    out.extend(node.shell.to_come.iter().map(|id| Move::Arrive(id.0 as u8)));
-    if node.shell.left.leaves > 0 {
-        let owed = node.monitor.observed().requests.iter().filter(|(_, r)| r.open);
-        out.extend(owed.map(|(id, _)| Move::Leave(id.0 as u8)));
+fn client_transitions<P: Policy>(node: &Node<P>, out: &mut Vec<Transition>) {
+    out.extend(node.shell.not_arrived.iter().map(|id| Transition::Arrive(id.0 as u8)));
+    if node.shell.remaining_events.disconnects > 0 {
+        let open_requests = node.monitor.observed().requests.iter().filter(|(_, r)| r.open);
+        out.extend(open_requests.map(|(id, _)| Transition::Leave(id.0 as u8)));
     }
-    if node.shell.left.stops > 0 && !node.shell.to_come.is_empty() {
-        out.push(Move::Stop);
+    if node.shell.remaining_events.stops > 0 && !node.shell.not_arrived.is_empty() {
+        out.push(Transition::Stop);
     }
 }
 
 /// The chooser may ask for anything, of requests that wait for their end too. Where the engine is to say no
 /// whatever is asked, one ask stands for all.
-fn asks<P: Policy>(world: &World, node: &Node<P>, out: &mut Vec<Move>) {
-    if !world.asks {
+fn chooser_transitions<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
+    if !model.chooser_acts {
         return;
     }
-    let mut out_all = 0;
+    let mut in_flight = 0;
     for r in node.engine.requests().values() {
-        out_all += r.attempts.iter().filter(|t| t.is_in_flight()).count();
+        in_flight += r.attempts.iter().filter(|t| t.is_in_flight()).count();
     }
-    if world.traffic.alike {
-        let known =
-            |id: &RequestId| node.engine.requests().contains_key(id) || node.shell.to_come.contains(id);
-        let over = (0..world.requests.len() as u64).map(RequestId).filter(|id| !known(id));
-        for id in over.map(|id| id.0 as u8) {
-            out.extend([Move::Dispatch(id, 0), Move::Refuse(id), Move::Fail(id)]);
+    if model.connection_events.equivalent_events {
+        let is_known =
+            |id: &RequestId| node.engine.requests().contains_key(id) || node.shell.not_arrived.contains(id);
+        let forgotten = (0..model.requests.len() as u64).map(RequestId).filter(|id| !is_known(id));
+        for id in forgotten.map(|id| id.0 as u8) {
+            out.extend([Transition::Dispatch(id, 0), Transition::Refuse(id), Transition::Fail(id)]);
         }
     }
     for (id, r) in node.engine.requests() {
         let id = id.0 as u8;
         let open = r.state == RequestState::Open;
-        if !open && !world.traffic.alike {
+        if !open && !model.connection_events.equivalent_events {
             continue;
         }
-        let late = node.shell.permits.iter().filter(|p| p.request.0 as u8 == id && p.withdrawn).count();
-        let out_here = r.attempts.iter().filter(|t| t.is_in_flight()).count() + late.saturating_sub(1);
-        if out_here < world.out_each && out_all < world.out_all {
-            for to in 0..world.boxes.len() as u8 {
-                out.push(Move::Dispatch(id, to));
-                if world.start_by {
-                    out.push(Move::DispatchNow(id, to));
+        let withdrawn_intents =
+            node.shell.pending_intents.iter().filter(|p| p.request.0 as u8 == id && p.withdrawn).count();
+        let in_flight_here =
+            r.attempts.iter().filter(|t| t.is_in_flight()).count() + withdrawn_intents.saturating_sub(1);
+        if in_flight_here < model.max_in_flight_per_request && in_flight < model.max_in_flight {
+            for to in 0..model.backends.len() as u8 {
+                out.push(Transition::Dispatch(id, to));
+                if model.bounds_first_byte {
+                    out.push(Transition::DispatchWithinTick(id, to));
                 }
             }
-            if world.traffic.alike {
-                out.push(Move::Misnumber(id, 0));
+            if model.connection_events.equivalent_events {
+                out.push(Transition::DispatchOutOfOrder(id, 0));
             }
         }
-        out.push(Move::Fail(id));
-        if open || world.traffic.alike {
-            out.push(Move::Refuse(id));
+        out.push(Transition::Fail(id));
+        if open || model.connection_events.equivalent_events {
+            out.push(Transition::Refuse(id));
         }
         for (no, t) in r.attempts.iter().enumerate() {
-            let out_still = t.is_in_flight() && !matches!(t.state, AttemptState::Cancelling(..));
-            if out_still || world.traffic.alike {
-                out.push(Move::Cancel(id, no as u8));
+            let can_be_cancelled = t.is_in_flight() && !matches!(t.state, AttemptState::Cancelling(..));
+            if can_be_cancelled || model.connection_events.equivalent_events {
+                out.push(Transition::Cancel(id, no as u8));
             }
         }
     }
 }
 
-fn lines<P: Policy>(world: &World, node: &Node<P>, out: &mut Vec<Move>) {
-    let traffic = &world.traffic;
-    for place in 0..node.shell.permits.len() as u8 {
-        out.extend([Move::Permit(place, true), Move::Permit(place, false)]);
+fn connection_transitions<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
+    let connection_events = &model.connection_events;
+    for place in 0..node.shell.pending_intents.len() as u8 {
+        out.extend([Transition::Permit(place, true), Transition::Permit(place, false)]);
     }
-    for (place, (_, activity)) in node.shell.lines.iter().enumerate() {
+    for (place, (_, activity)) in node.shell.connections.iter().enumerate() {
         let place = place as u8;
         match activity {
             ConnectionActivity::Opening => {
-                out.extend([Move::Up(place), Move::ConnectFailed(place, true)]);
-                if traffic.alike {
-                    out.push(Move::ConnectFailed(place, false));
+                out.extend([Transition::Up(place), Transition::ConnectFailed(place, true)]);
+                if connection_events.equivalent_events {
+                    out.push(Transition::ConnectFailed(place, false));
                 }
             }
-            ConnectionActivity::Idle if world.reuses() => out.push(Move::Unfit(place)),
+            ConnectionActivity::Idle if model.reuses() => out.push(Transition::Unfit(place)),
             ConnectionActivity::Idle => {}
             ConnectionActivity::Busy { written, closing, .. } => {
                 if !written {
-                    out.push(Move::Written(place));
+                    out.push(Transition::Written(place));
                 }
-                if !written && traffic.unfit {
-                    out.push(Move::Unfit(place));
+                if !written && connection_events.unusable {
+                    out.push(Transition::Unfit(place));
                 }
-                if *written || traffic.early {
-                    answers(world, place, *closing, out);
+                if *written || connection_events.early_responses {
+                    response_transitions(model, place, *closing, out);
                 }
-                out.push(Move::Ended(place));
-                if traffic.alike {
-                    out.push(Move::InvalidResponse(place));
+                out.push(Transition::Ended(place));
+                if connection_events.equivalent_events {
+                    out.push(Transition::InvalidResponse(place));
                 }
                 if *closing {
-                    out.push(Move::Closed(place, true));
+                    out.push(Transition::Closed(place, true));
                     if !written {
-                        out.push(Move::Closed(place, false));
+                        out.push(Transition::Closed(place, false));
                     }
                 }
             }
@@ -119,61 +121,61 @@
     }
 }
 
-fn answers(world: &World, place: u8, closing: bool, out: &mut Vec<Move>) {
-    for verdict in 0..3 {
-        out.push(Move::Answered(place, verdict, After::Close));
+fn response_transitions(model: &Model, place: u8, closing: bool, out: &mut Vec<Transition>) {
+    for class in 0..3 {
+        out.push(Transition::Answered(place, class, AfterResponse::Close));
         // One that is to be closed is closed whatever its answer says of it.
-        if world.traffic.keeps && !closing {
-            out.push(Move::Answered(place, verdict, After::Keep));
+        if model.connection_events.reusable && !closing {
+            out.push(Transition::Answered(place, class, AfterResponse::Keep));
         }
-        if world.traffic.behind && !closing {
-            out.push(Move::Answered(place, verdict, After::Behind));
+        if model.connection_events.excess_bytes && !closing {
+            out.push(Transition::Answered(place, class, AfterResponse::ExcessBytes));
         }
     }
 }
 
-fn news<P: Policy>(world: &World, node: &Node<P>, out: &mut Vec<Move>) {
-    let left = &node.shell.left;
-    let pools = world.pools();
-    if left.wholes > 0 {
-        out.extend((0..pools).map(Move::Whole));
+fn list_transitions<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
+    let left = &node.shell.remaining_events;
+    let pools = model.pools();
+    if left.snapshots > 0 {
+        out.extend((0..pools).map(Transition::FullSnapshot));
     }
-    if left.losses > 0 && !node.shell.lost {
-        out.extend((0..pools).map(Move::Lose));
+    if left.subscription_losses > 0 && !node.shell.subscription_lost {
+        out.extend((0..pools).map(Transition::LoseSubscription));
     }
-    if left.closes > 0 {
-        out.extend((0..pools).map(Move::ClosePool));
+    if left.pool_closes > 0 {
+        out.extend((0..pools).map(Transition::ClosePool));
     }
-    for (id, b) in node.shell.boxes.iter().enumerate() {
+    for (id, b) in node.shell.listed_backends.iter().enumerate() {
         let (id, ready, gone) = (id as u8, b.state == BackendState::Ready, b.state == BackendState::Gone);
-        if left.wholes > 0 && !gone {
-            out.push(Move::WholeBut(id));
+        if left.snapshots > 0 && !gone {
+            out.push(Transition::SnapshotWithout(id));
         }
-        if node.shell.lost {
+        if node.shell.subscription_lost {
             continue;
         }
-        let may = [
-            (left.drains > 0 && ready, Move::Drain(id)),
-            (left.gone > 0 && !gone, Move::Gone(id)),
-            (left.returns > 0 && !ready, Move::Return(id)),
-            (left.readdressed > 0 && !gone, Move::Readdress(id)),
-            (left.regrouped > 0 && !gone, Move::Regroup(id)),
+        let possible = [
+            (left.drains > 0 && ready, Transition::Drain(id)),
+            (left.removals > 0 && !gone, Transition::Gone(id)),
+            (left.returns > 0 && !ready, Transition::Return(id)),
+            (left.address_changes > 0 && !gone, Transition::ChangeAddress(id)),
+            (left.group_changes > 0 && !gone, Transition::ChangeGroup(id)),
         ];
-        out.extend(may.iter().filter(|m| m.0).map(|m| m.1));
-        if left.moves > 0 && !gone {
+        out.extend(possible.iter().filter(|m| m.0).map(|m| m.1));
+        if left.pool_moves > 0 && !gone {
             let others = (0..pools).filter(|to| u32::from(*to) != b.pool.0);
-            out.extend(others.map(|to| Move::Shift(id, to)));
+            out.extend(others.map(|to| Transition::ChangePool(id, to)));
         }
     }
 }
 
-fn time<P: Policy>(world: &World, node: &Node<P>, out: &mut Vec<Move>) {
+fn time_transitions<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
     let Some(due) = node.engine.wake_at() else { return };
     if due <= node.now {
-        out.push(Move::Wake);
+        out.push(Transition::Wake);
     }
-    let may_pass = node.now < due + crate::world::ticks(world.late);
-    if may_pass && !(world.prompt && node.shell.is_closing()) {
-        out.push(Move::Tick);
+    let may_pass = node.now < due + crate::model::ticks(model.max_wake_delay);
+    if may_pass && !(model.prompt_closes && node.shell.is_closing()) {
+        out.push(Transition::Tick);
     }
 }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -5,31 +5,31 @@
 //! move the rules' monitors are asked. What is found holds for whatever the module does, in worlds of that size.
 #![forbid(unsafe_code)]
 
-mod canon;
+mod canonical;
 mod cover;
 mod enabled;
 mod merges;
-mod moves;
+mod model;
+mod models;
 mod node;
 mod report;
 mod restarts;
 mod search;
 mod shell;
 mod timeline;
+mod transitions;
 mod visited;
-mod world;
-mod worlds;
 
-pub use canon::Canon;
-pub use cover::{why_not, At, Cover, Owed, Situation, What};
+pub use canonical::Canonicalizer;
+pub use cover::{unreachable_reason, AttemptPhase, Coverage, RequestPhase, Situation, Trigger};
 pub use enabled::enabled;
-pub use merges::{merges, Unlike};
-pub use moves::{After, Move};
+pub use merges::{check_merges, MergeMismatch};
+pub use model::{ticks, BackendSpec, ConnectionEvents, EventBudget, Model, RequestKind, TICK};
+pub use models::{base_model, model_by_name, KEYED, MODELS, NON_IDEMPOTENT, SAFE};
 pub use node::{Chooser, Input, Node};
-pub use report::{row, HEAD};
-pub use restarts::{restarts, FoundRestarts, Restarts, ShellMutant, Step};
-pub use search::{explore, explore_from, Counterexample, Found, Limits, Start};
-pub use shell::{ConnectionActivity, Listed, Pending, Shell};
+pub use report::{table_row, TABLE_HEADER};
+pub use restarts::{explore_restart_model, RestartBounds, RestartExploration, ShellMutant, Step};
+pub use search::{explore, explore_from, Counterexample, Exploration, Limits, StartFn};
+pub use shell::{ConnectionActivity, ListedBackend, Pending, Shell};
 pub use timeline::timeline;
-pub use world::{ticks, BoxSpec, Kind, News, Traffic, World, TICK};
-pub use worlds::{base, named, FREE, KEYED, UNSAFE, WORLDS};
+pub use transitions::{AfterResponse, Transition};
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -1,8 +1,8 @@
 //! A state of a world, and what a move makes of it.
 
-use crate::moves::{After, Move};
+use crate::model::{Model, TICK};
 use crate::shell::{ConnectionActivity, Shell};
-use crate::world::{World, TICK};
+use crate::transitions::{AfterResponse, Transition};
 use shaletide_balancer::{Arrival, GiveUpReason};
 use shaletide_engine::monitor::{Monitor, Rule, Verdict, Violation};
 use shaletide_engine::{Action, ConnectionState, Engine, Event, Policy, RequestSpec};
@@ -24,7 +24,7 @@
     /// By the shell.
     Event(Event),
     /// By the chooser.
-    Ask(pools::Action),
+    PolicyAction(pools::Action),
 }
 
 /// The engine, the monitors and the world around them.
@@ -45,26 +45,26 @@
 
 impl Node<Chooser> {
     /// As a world begins, under the chooser.
-    pub fn start(world: &World) -> Node<Chooser> {
-        Node::with(world, Chooser)
+    pub fn start(model: &Model) -> Node<Chooser> {
+        Node::with_policy(model, Chooser)
     }
 }
 
 impl<P: Policy> Node<P> {
     /// As a world begins: the lists are told, and nothing else.
-    pub fn with(world: &World, policy: P) -> Node<P> {
-        let mut engine = Engine::new(policy, world.keeping);
-        engine.configure(world.keeping, world.cancel, world.one_realm.then_some(0));
-        let (monitor, shell) = (Monitor::new(world.rules()), Shell::new(world));
+    pub fn with_policy(model: &Model, policy: P) -> Node<P> {
+        let mut engine = Engine::new(policy, model.connection_limits);
+        engine.configure(model.connection_limits, model.can_cancel, model.single_domain.then_some(0));
+        let (monitor, shell) = (Monitor::new(model.rules()), Shell::new(model));
         let mut node = Node { now: START, engine, monitor, shell };
-        for pool in 0..world.pools() {
-            let told = node.whole(PoolId(u32::from(pool)));
-            node.put(told, &mut |_, _| {}).expect("a list breaks no rule");
+        for pool in 0..model.pools() {
+            let input = node.snapshot_input(PoolId(u32::from(pool)));
+            node.feed(input, &mut |_, _| {}).expect("a list breaks no rule");
         }
-        if world.at_once {
-            for id in std::mem::take(&mut node.shell.to_come) {
-                let told = node.order(world, id);
-                node.put(told, &mut |_, _| {}).expect("a request breaks no rule");
+        if model.requests_at_start {
+            for id in std::mem::take(&mut node.shell.not_arrived) {
+                let input = node.request_input(model, id);
+                node.feed(input, &mut |_, _| {}).expect("a request breaks no rule");
             }
         }
         node
@@ -74,18 +74,20 @@
     ///
     /// # Errors
     /// The rule that is broken by it.
-    pub fn go(&mut self, world: &World, step: Move, tell: &mut dyn FnMut(&Input, &[Action])) -> Verdict {
+    pub fn apply(
+        &mut self, model: &Model, step: Transition, observer: &mut dyn FnMut(&Input, &[Action]),
+    ) -> Verdict {
         let mut verdict = Ok(());
-        for input in self.inputs(world, step) {
-            let next = self.put(input, tell);
+        for input in self.inputs(model, step) {
+            let next = self.feed(input, observer);
             verdict = verdict.and(next);
         }
-        if !world.reuses() {
-            verdict = verdict.and(self.sweep());
+        if !model.reuses() {
+            verdict = verdict.and(self.close_unneeded_connections());
         }
         // A word from the store on what the engine has forgotten changes nothing.
         let known = self.engine.requests();
-        self.shell.permits.retain(|p| known.contains_key(&p.request));
+        self.shell.pending_intents.retain(|p| known.contains_key(&p.request));
         verdict
     }
 
@@ -105,58 +107,60 @@
         Ok(())
     }
 
-    fn put(&mut self, input: Input, tell: &mut dyn FnMut(&Input, &[Action])) -> Verdict {
+    fn feed(&mut self, input: Input, observer: &mut dyn FnMut(&Input, &[Action])) -> Verdict {
         let mut out = Vec::new();
         let verdict = match &input {
             Input::Event(event) => {
-                self.before(event);
+                self.update_shell(event);
                 let seen = self.monitor.observe_event(self.now, event);
                 self.engine.handle(self.now, event.clone(), &mut out);
                 seen
             }
-            Input::Ask(ask) => {
-                self.engine.apply_policy_action(self.now, ask.clone(), &mut out);
+            Input::PolicyAction(policy_action) => {
+                self.engine.apply_policy_action(self.now, policy_action.clone(), &mut out);
                 Ok(())
             }
         };
         let acted = self.monitor.observe_step(self.now, None, &out);
         out.iter().for_each(|action| self.shell.carry_out(action));
-        tell(&input, &out);
+        observer(&input, &out);
         verdict.and(acted)
     }
 
     /// Where nothing is used again, a connection that no attempt waits for can do no more than come to nothing, and
     /// does so at once: no order of that against anything else differs in what can be seen. Deadlines that are due
     /// are not touched.
-    fn sweep(&mut self) -> Verdict {
+    fn close_unneeded_connections(&mut self) -> Verdict {
         let unwanted =
             self.engine.connections().filter(|c| c.2 == ConnectionState::Connecting(None)).map(|c| c.0);
         let unwanted: Vec<ConnectionId> = unwanted.collect();
         for connection in unwanted {
-            self.put(
+            self.feed(
                 Input::Event(Event::ConnectFailed { connection, backend_at_fault: false }),
                 &mut |_, _| {},
             )?;
         }
-        while let Some((connection, _)) = self.shell.lines.iter().find(|l| l.1 == ConnectionActivity::Idle) {
+        while let Some((connection, _)) =
+            self.shell.connections.iter().find(|l| l.1 == ConnectionActivity::Idle)
+        {
             let unfit = Event::ConnectionUnusable { connection: *connection };
-            self.put(Input::Event(unfit), &mut |_, _| {})?;
+            self.feed(Input::Event(unfit), &mut |_, _| {})?;
         }
         let idle = self.engine.idle_sweep_at().is_some_and(|at| at <= self.now);
         let due = self.engine.deadlines().first().is_some_and(|d| d.0 <= self.now);
         if idle && !due {
-            return self.put(Input::Event(Event::Wake), &mut |_, _| {});
+            return self.feed(Input::Event(Event::Wake), &mut |_, _| {});
         }
         Ok(())
     }
 
     /// What the world knows of an event before the engine does.
-    fn before(&mut self, event: &Event) {
+    fn update_shell(&mut self, event: &Event) {
         match event {
             Event::Connected { connection } => self.shell.set(*connection, ConnectionActivity::Idle),
             Event::RequestWritten { connection } => {
                 if let Some((_, ConnectionActivity::Busy { written, .. })) =
-                    self.shell.lines.iter_mut().find(|l| l.0 == *connection)
+                    self.shell.connections.iter_mut().find(|l| l.0 == *connection)
                 {
                     *written = true;
                 }
@@ -177,87 +181,88 @@
     }
 
     fn activity(&self, connection: ConnectionId) -> Option<ConnectionActivity> {
-        self.shell.lines.iter().find(|l| l.0 == connection).map(|l| l.1)
+        self.shell.connections.iter().find(|l| l.0 == connection).map(|l| l.1)
     }
 
-    fn whole(&self, pool: PoolId) -> Input {
-        let backends = self.shell.rows(pool, None);
+    fn snapshot_input(&self, pool: PoolId) -> Input {
+        let backends = self.shell.entries(pool, None);
         Input::Event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Snapshot, backends })
     }
 
-    fn row(&self, id: u8) -> Input {
-        let (pool, row) = (self.shell.boxes[usize::from(id)].pool, self.shell.row(usize::from(id)));
+    fn delta_input(&self, id: u8) -> Input {
+        let (pool, row) =
+            (self.shell.listed_backends[usize::from(id)].pool, self.shell.entry(usize::from(id)));
         Input::Event(Event::EndpointsUpdated { pool, update: EndpointUpdate::Delta, backends: vec![row] })
     }
 
-    fn order(&self, world: &World, id: RequestId) -> Input {
-        let kind = &world.requests[id.0 as usize];
+    fn request_input(&self, model: &Model, id: RequestId) -> Input {
+        let kind = &model.requests[id.0 as usize];
         let arrival = Arrival {
             request: id,
             class: ClassId(kind.class),
             tenant: None,
-            time_left: crate::world::ticks(kind.time_left),
+            time_left: crate::model::ticks(kind.time_left),
             work_hint: None,
             is_client_retry: false,
             may_fail_over: false,
         };
-        let route: Rc<[PoolId]> = (0..u32::from(world.pools())).map(PoolId).collect();
+        let route: Rc<[PoolId]> = (0..u32::from(model.pools())).map(PoolId).collect();
         let order = RequestSpec {
             arrival,
-            idempotency: kind.effect,
+            idempotency: kind.idempotency,
             pools: route,
-            requires_intent: kind.permit,
-            recorded: kind.permit,
+            requires_intent: kind.requires_intent,
+            recorded: kind.requires_intent,
         };
         Input::Event(Event::Request(order))
     }
 
     /// What a move tells the engine; what it changes in the world besides is done here.
-    fn inputs(&mut self, world: &World, step: Move) -> Vec<Input> {
+    fn inputs(&mut self, model: &Model, step: Transition) -> Vec<Input> {
         let request = |id: u8| RequestId(u64::from(id));
         match step {
-            Move::Arrive(id) => {
-                self.shell.to_come.retain(|r| *r != request(id));
-                vec![self.order(world, request(id))]
+            Transition::Arrive(id) => {
+                self.shell.not_arrived.retain(|r| *r != request(id));
+                vec![self.request_input(model, request(id))]
             }
-            Move::Leave(id) => {
-                self.shell.left.leaves -= 1;
+            Transition::Leave(id) => {
+                self.shell.remaining_events.disconnects -= 1;
                 vec![Input::Event(Event::ClientDisconnected { request: request(id) })]
             }
-            Move::Stop => {
-                self.shell.left.stops -= 1;
-                self.shell.to_come.clear();
+            Transition::Stop => {
+                self.shell.remaining_events.stops -= 1;
+                self.shell.not_arrived.clear();
                 Vec::new()
             }
-            Move::Wake => vec![Input::Event(Event::Wake)],
-            Move::Tick => {
+            Transition::Wake => vec![Input::Event(Event::Wake)],
+            Transition::Tick => {
                 self.now = self.now + TICK;
                 Vec::new()
             }
-            Move::Dispatch(..)
-            | Move::DispatchNow(..)
-            | Move::Misnumber(..)
-            | Move::Refuse(_)
-            | Move::Fail(_)
-            | Move::Cancel(..) => vec![Input::Ask(self.ask(step))],
-            Move::Permit(place, given) => {
-                let p = self.shell.permits.remove(usize::from(place));
+            Transition::Dispatch(..)
+            | Transition::DispatchWithinTick(..)
+            | Transition::DispatchOutOfOrder(..)
+            | Transition::Refuse(_)
+            | Transition::Fail(_)
+            | Transition::Cancel(..) => vec![Input::PolicyAction(self.policy_action(step))],
+            Transition::Permit(place, given) => {
+                let p = self.shell.pending_intents.remove(usize::from(place));
                 let (request, attempt) = (p.request, p.attempt);
                 vec![Input::Event(Event::IntentPersisted { request, attempt, persisted: given })]
             }
-            Move::Up(_)
-            | Move::ConnectFailed(..)
-            | Move::Written(_)
-            | Move::Answered(..)
-            | Move::InvalidResponse(_)
-            | Move::Ended(_)
-            | Move::Unfit(_)
-            | Move::Closed(..) => vec![Input::Event(self.on_line(step))],
-            _ => self.news(step),
+            Transition::Up(_)
+            | Transition::ConnectFailed(..)
+            | Transition::Written(_)
+            | Transition::Answered(..)
+            | Transition::InvalidResponse(_)
+            | Transition::Ended(_)
+            | Transition::Unfit(_)
+            | Transition::Closed(..) => vec![Input::Event(self.connection_event(step))],
+            _ => self.list_inputs(step),
         }
     }
 
-    fn ask(&self, step: Move) -> pools::Action {
+    fn policy_action(&self, step: Transition) -> pools::Action {
         let request = |id: u8| RequestId(u64::from(id));
         let next = |id: u8| self.engine.requests().get(&request(id)).map_or(0, |r| r.attempts.len() as u32);
         let dispatch = |id: u8, to: u8, attempt: u32, start_by: Option<Time>| {
@@ -273,30 +278,30 @@
         let retry_after = Micros(0);
         let reason = GiveUpReason::OutOfTime; // it decides nothing
         match step {
-            Move::Dispatch(id, to) => dispatch(id, to, next(id), None),
-            Move::DispatchNow(id, to) => dispatch(id, to, next(id), Some(self.now + TICK)),
-            Move::Misnumber(id, to) => dispatch(id, to, next(id) + 1, None),
-            Move::Refuse(id) => pools::Action::Reject { request: request(id), retry_after, reason },
-            Move::Fail(id) => pools::Action::Fail { request: request(id), retry_after, reason },
-            Move::Cancel(id, no) => {
+            Transition::Dispatch(id, to) => dispatch(id, to, next(id), None),
+            Transition::DispatchWithinTick(id, to) => dispatch(id, to, next(id), Some(self.now + TICK)),
+            Transition::DispatchOutOfOrder(id, to) => dispatch(id, to, next(id) + 1, None),
+            Transition::Refuse(id) => pools::Action::Reject { request: request(id), retry_after, reason },
+            Transition::Fail(id) => pools::Action::Fail { request: request(id), retry_after, reason },
+            Transition::Cancel(id, no) => {
                 pools::Action::Cancel { request: request(id), attempt: AttemptNumber(u32::from(no)) }
             }
             other => unreachable!("{other:?} is none of the chooser's"),
         }
     }
 
-    fn on_line(&self, step: Move) -> Event {
-        let connection = |place: u8| self.shell.lines[usize::from(place)].0;
+    fn connection_event(&self, step: Transition) -> Event {
+        let connection = |place: u8| self.shell.connections[usize::from(place)].0;
         match step {
-            Move::Up(place) => Event::Connected { connection: connection(place) },
-            Move::ConnectFailed(place, blame) => {
-                Event::ConnectFailed { connection: connection(place), backend_at_fault: blame }
+            Transition::Up(place) => Event::Connected { connection: connection(place) },
+            Transition::ConnectFailed(place, at_fault) => {
+                Event::ConnectFailed { connection: connection(place), backend_at_fault: at_fault }
             }
-            Move::Written(place) => Event::RequestWritten { connection: connection(place) },
-            Move::Answered(place, verdict, after) => {
+            Transition::Written(place) => Event::RequestWritten { connection: connection(place) },
+            Transition::Answered(place, verdict, after) => {
                 let verdict = [ResponseClass::Served, ResponseClass::NotExecuted, ResponseClass::Error]
                     [usize::from(verdict)];
-                let (keep, behind) = (after != After::Close, after == After::Behind);
+                let (keep, behind) = (after != AfterResponse::Close, after == AfterResponse::ExcessBytes);
                 Event::ResponseReceived {
                     connection: connection(place),
                     class: verdict,
@@ -304,10 +309,10 @@
                     has_excess_bytes: behind,
                 }
             }
-            Move::InvalidResponse(place) => Event::InvalidResponse { connection: connection(place) },
-            Move::Ended(place) => Event::ConnectionClosed { connection: connection(place) },
-            Move::Unfit(place) => Event::ConnectionUnusable { connection: connection(place) },
-            Move::Closed(place, written) => {
+            Transition::InvalidResponse(place) => Event::InvalidResponse { connection: connection(place) },
+            Transition::Ended(place) => Event::ConnectionClosed { connection: connection(place) },
+            Transition::Unfit(place) => Event::ConnectionUnusable { connection: connection(place) },
+            Transition::Closed(place, written) => {
                 let connection = connection(place);
                 let gone =
                     matches!(self.activity(connection), Some(ConnectionActivity::Busy { written: true, .. }));
@@ -318,70 +323,70 @@
     }
 
     /// News of the lists, as a directory would tell it.
-    fn news(&mut self, step: Move) -> Vec<Input> {
+    fn list_inputs(&mut self, step: Transition) -> Vec<Input> {
         let pool = |pool: u8| PoolId(u32::from(pool));
-        let left = &mut self.shell.left;
-        let boxes = &mut self.shell.boxes;
+        let left = &mut self.shell.remaining_events;
+        let listed_backends = &mut self.shell.listed_backends;
         match step {
-            Move::Drain(id) => {
+            Transition::Drain(id) => {
                 left.drains -= 1;
-                boxes[usize::from(id)].state = BackendState::Draining;
-                vec![self.row(id)]
+                listed_backends[usize::from(id)].state = BackendState::Draining;
+                vec![self.delta_input(id)]
             }
-            Move::Gone(id) => {
-                left.gone -= 1;
-                boxes[usize::from(id)].state = BackendState::Gone;
-                vec![self.row(id)]
+            Transition::Gone(id) => {
+                left.removals -= 1;
+                listed_backends[usize::from(id)].state = BackendState::Gone;
+                vec![self.delta_input(id)]
             }
-            Move::Return(id) => {
+            Transition::Return(id) => {
                 left.returns -= 1;
-                boxes[usize::from(id)].state = BackendState::Ready;
-                boxes[usize::from(id)].booted = Some(self.now);
-                vec![self.row(id)]
+                listed_backends[usize::from(id)].state = BackendState::Ready;
+                listed_backends[usize::from(id)].started_at = Some(self.now);
+                vec![self.delta_input(id)]
             }
-            Move::WholeBut(id) => {
-                left.wholes -= 1;
-                self.shell.lost = false;
-                boxes[usize::from(id)].state = BackendState::Gone;
-                let of = boxes[usize::from(id)].pool;
-                vec![self.whole(of)]
+            Transition::SnapshotWithout(id) => {
+                left.snapshots -= 1;
+                self.shell.subscription_lost = false;
+                listed_backends[usize::from(id)].state = BackendState::Gone;
+                let of = listed_backends[usize::from(id)].pool;
+                vec![self.snapshot_input(of)]
             }
-            Move::Whole(of) => {
-                left.wholes -= 1;
-                self.shell.lost = false;
-                vec![self.whole(pool(of))]
+            Transition::FullSnapshot(of) => {
+                left.snapshots -= 1;
+                self.shell.subscription_lost = false;
+                vec![self.snapshot_input(pool(of))]
             }
-            Move::Lose(of) => {
-                left.losses -= 1;
-                self.shell.lost = true;
+            Transition::LoseSubscription(of) => {
+                left.subscription_losses -= 1;
+                self.shell.subscription_lost = true;
                 let (pool, update) = (pool(of), EndpointUpdate::SubscriptionLost);
                 vec![Input::Event(Event::EndpointsUpdated { pool, update, backends: Vec::new() })]
             }
-            Move::Readdress(id) => {
-                left.readdressed -= 1;
+            Transition::ChangeAddress(id) => {
+                left.address_changes -= 1;
                 let backend = BackendId(u32::from(id));
-                vec![self.row(id), Input::Event(Event::AddressChanged { backend })]
+                vec![self.delta_input(id), Input::Event(Event::AddressChanged { backend })]
             }
-            Move::Regroup(id) => {
-                left.regrouped -= 1;
-                boxes[usize::from(id)].cell.0 += 100;
-                vec![self.row(id)]
+            Transition::ChangeGroup(id) => {
+                left.group_changes -= 1;
+                listed_backends[usize::from(id)].group.0 += 100;
+                vec![self.delta_input(id)]
             }
-            Move::Shift(id, to) => {
-                left.moves -= 1;
-                let from = boxes[usize::from(id)].pool;
+            Transition::ChangePool(id, to) => {
+                left.pool_moves -= 1;
+                let from = listed_backends[usize::from(id)].pool;
                 let (backend, to) = (BackendId(u32::from(id)), pool(to));
-                let row = BackendEntry { state: BackendState::Gone, ..self.shell.row(usize::from(id)) };
-                self.shell.boxes[usize::from(id)].pool = to;
+                let row = BackendEntry { state: BackendState::Gone, ..self.shell.entry(usize::from(id)) };
+                self.shell.listed_backends[usize::from(id)].pool = to;
                 let (update, backends) = (EndpointUpdate::Delta, vec![row]);
                 let gone = Event::EndpointsUpdated { pool: from, update, backends };
                 let moved = Event::BackendMoved { backend, from, to };
-                vec![Input::Event(moved), Input::Event(gone), self.row(id)]
+                vec![Input::Event(moved), Input::Event(gone), self.delta_input(id)]
             }
-            Move::ClosePool(of) => {
-                left.closes -= 1;
+            Transition::ClosePool(of) => {
+                left.pool_closes -= 1;
                 let of = pool(of);
-                let here = boxes.iter_mut().filter(|b| b.pool == of);
+                let here = listed_backends.iter_mut().filter(|b| b.pool == of);
                 here.for_each(|b| b.state = BackendState::Gone);
                 vec![Input::Event(Event::PoolClosed { pool: of })]
             }
--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -1,15 +1,15 @@
 //! A world's row: what was looked at, and whether anything was left.
 
-use crate::search::Found;
-use crate::world::World;
+use crate::model::Model;
+use crate::search::Exploration;
 
 /// The head of the table.
-pub const HEAD: &str = "\
+pub const TABLE_HEADER: &str = "\
 | world | bounds | states | transitions | depth | seconds | memory | exhausted |
 |---|---|--:|--:|--:|--:|--:|---|";
 
 /// A world's row of the table.
-pub fn row(world: &World, found: &Found) -> String {
+pub fn table_row(model: &Model, found: &Exploration) -> String {
     let exhausted = match (&found.counterexample, found.exhausted) {
         (Some(c), _) => format!("no: a rule is broken after {} steps", c.steps.len()),
         (None, true) => "yes".to_string(),
@@ -17,10 +17,10 @@
     };
     format!(
         "| {} | {} | {} | {} | {} | {:.1} | {} MB | {exhausted} |",
-        world.name,
-        world.bounds(),
-        grouped(found.states as u64),
-        grouped(found.transitions),
+        model.name,
+        model.bounds(),
+        with_thousands_separators(found.states as u64),
+        with_thousands_separators(found.transitions),
         found.depth,
         found.took.as_secs_f64(),
         (found.bytes >> 20).max(1),
@@ -28,7 +28,7 @@
 }
 
 /// 1234567 as 1,234,567.
-fn grouped(number: u64) -> String {
+fn with_thousands_separators(number: u64) -> String {
     let digits = number.to_string();
     let mut text = String::new();
     for (at, digit) in digits.chars().enumerate() {
--- a/crates/model-checker/src/restarts/fingerprint.rs
+++ b/crates/model-checker/src/restarts/fingerprint.rs
@@ -1,7 +1,7 @@
 //! A state's fingerprint: equal for states that no later step can tell apart.
 
 use super::state::{Execution, Node, SentAttempt};
-use crate::world::TICK;
+use crate::model::TICK;
 use shaletide_types::Time;
 use std::collections::hash_map::DefaultHasher;
 use std::fmt::Write as _;
@@ -9,11 +9,12 @@
 
 impl Node {
     /// 128 bits of all in it that anything can ever depend on.
-    pub(super) fn fingerprint(&self, text: &mut String, plain: &mut String) -> u128 {
+    pub(super) fn fingerprint(&self, text: &mut String, canonical_text: &mut String) -> u128 {
         text.clear();
-        let (maybe, ran) = (self.dead(Execution::Unknown), self.dead(Execution::Executed));
+        let (maybe, ran) =
+            (self.has_lost_attempt(Execution::Unknown), self.has_lost_attempt(Execution::Executed));
         let live: Vec<&SentAttempt> = self.sent.iter().filter(|s| self.is_live(s)).collect();
-        let (lines, states) = (&self.shell.lines, self.engine.requests());
+        let (lines, states) = (&self.shell.connections, self.engine.requests());
         let connections: Vec<_> = self.engine.connections().collect();
         let key = self.store.key.map(|(state, run, request, _)| (state, run, request));
         write!(
@@ -30,11 +31,11 @@
             self.request_count,
         )
         .expect("a string takes all");
-        canonical(text, self.now, plain);
+        canonical(text, self.now, canonical_text);
         let half = |seed: u8| {
             let mut hasher = DefaultHasher::new();
             hasher.write_u8(seed);
-            hasher.write(plain.as_bytes());
+            hasher.write(canonical_text.as_bytes());
             hasher.finish()
         };
         u128::from(half(0)) << 64 | u128::from(half(1))
@@ -42,10 +43,10 @@
 
     /// Whether it was sent in this run, on a connection that is still there.
     fn is_live(&self, sent: &SentAttempt) -> bool {
-        sent.run == self.run && self.shell.lines.iter().any(|l| l.0 == sent.connection)
+        sent.run == self.run && self.shell.connections.iter().any(|l| l.0 == sent.connection)
     }
 
-    fn dead(&self, execution: Execution) -> bool {
+    fn has_lost_attempt(&self, execution: Execution) -> bool {
         self.sent.iter().any(|s| s.execution == execution && !self.is_live(s))
     }
 }
@@ -53,19 +54,19 @@
 /// The words of a state without what nothing depends on: names of writes and connections by the order in which they
 /// are met, times as they lie from now and one beyond a day, no numbers of rows, no texts of facts, no times at which
 /// an attempt was dispatched or ended, which count for keyed classes only.
-fn canonical(text: &str, now: Time, plain: &mut String) {
-    const LEFT_OUT: [&str; 3] = ["seq: ", "through: ", "body: "];
-    plain.clear();
+fn canonical(text: &str, now: Time, canonical_text: &mut String) {
+    const OMITTED_FIELDS: [&str; 3] = ["seq: ", "through: ", "body: "];
+    canonical_text.clear();
     let (mut tickets, mut connections): (Vec<&str>, Vec<&str>) = Default::default();
     let mut rest = text;
     while let Some(at) = rest.find([':', '(']) {
         let end = at + if rest.as_bytes()[at] == b':' { 2 } else { 1 };
         let word_end = rest.len().min(end);
         let head = &rest[..word_end];
-        plain.push_str(head);
+        canonical_text.push_str(head);
         rest = &rest[word_end..];
         let number = || rest.split(|c: char| !c.is_ascii_digit()).next().unwrap_or_default();
-        if let Some(field) = LEFT_OUT.iter().find(|f| head.ends_with(**f)) {
+        if let Some(field) = OMITTED_FIELDS.iter().find(|f| head.ends_with(**f)) {
             rest = match *field {
                 "body: " => rest.find("\", sum: ").map_or(rest, |end| &rest[end..]),
                 _ => &rest[number().len()..],
@@ -74,13 +75,14 @@
             rest = rest.find(']').map_or(rest, |end| &rest[end..]);
         } else if head.ends_with("Time(") {
             let value = number();
-            let field =
-                plain.strip_suffix(": Time(").and_then(|before| before.rsplit([' ', '{', '(']).next());
+            let field = canonical_text
+                .strip_suffix(": Time(")
+                .and_then(|before| before.rsplit([' ', '{', '(']).next());
             let skip = field.is_some_and(|field| ["at", "dispatched_at", "ended_at"].contains(&field));
-            let far = value.parse::<u64>().unwrap_or_default() as i64 - now.0 as i64;
+            let from_now = value.parse::<u64>().unwrap_or_default() as i64 - now.0 as i64;
             if !skip {
-                let near = far.clamp(-10 * TICK.0 as i64, 10 * TICK.0 as i64);
-                let _ = write!(plain, "{near}");
+                let clamped = from_now.clamp(-10 * TICK.0 as i64, 10 * TICK.0 as i64);
+                let _ = write!(canonical_text, "{clamped}");
             }
             rest = &rest[value.len()..];
         } else if head.ends_with("Ticket(") || head.ends_with("ConnectionId(") {
@@ -90,9 +92,9 @@
                 names.push(value);
                 names.len() - 1
             });
-            let _ = write!(plain, "{place}");
+            let _ = write!(canonical_text, "{place}");
             rest = &rest[value.len()..];
         }
     }
-    plain.push_str(rest);
+    canonical_text.push_str(rest);
 }
--- a/crates/model-checker/src/restarts/mod.rs
+++ b/crates/model-checker/src/restarts/mod.rs
@@ -10,8 +10,8 @@
 mod steps;
 mod store;
 
-use crate::world::World;
-use crate::worlds::base;
+use crate::model::Model;
+use crate::models::base_model;
 use shaletide_types::*;
 use state::Node;
 use std::collections::HashSet;
@@ -19,9 +19,9 @@
 
 /// The bounds of such a world.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Restarts {
+pub struct RestartBounds {
     /// Backends.
-    pub boxes: u8,
+    pub backends: u8,
     /// Requests for the key, in all runs together.
     pub asks: u8,
     /// Attempts of one request.
@@ -38,10 +38,10 @@
     pub mutant: Option<ShellMutant>,
 }
 
-impl Default for Restarts {
-    fn default() -> Restarts {
-        Restarts {
-            boxes: 1,
+impl Default for RestartBounds {
+    fn default() -> RestartBounds {
+        RestartBounds {
+            backends: 1,
             asks: 2,
             attempts: 2,
             restarts: 1,
@@ -113,7 +113,7 @@
 
 /// What was found.
 #[derive(Debug)]
-pub struct FoundRestarts {
+pub struct RestartExploration {
     /// Different states.
     pub states: usize,
     /// Steps made.
@@ -129,16 +129,16 @@
 }
 
 /// Explores such a world, breadth first, for so long at most.
-pub fn restarts(bounds: &Restarts, time: Duration) -> FoundRestarts {
+pub fn explore_restart_model(bounds: &RestartBounds, time: Duration) -> RestartExploration {
     let begin = Instant::now();
-    let world = World { asks: false, ..base(usize::from(bounds.boxes), 0, 0, 1) };
-    let first = Node::start(bounds, &world);
+    let model = Model { chooser_acts: false, ..base_model(usize::from(bounds.backends), 0, 0, 1) };
+    let first = Node::start(bounds, &model);
     let (mut text, mut plain) = (String::new(), String::new());
     let mut visited = HashSet::from([first.fingerprint(&mut text, &mut plain)]);
     let mut from: Vec<(u32, Step)> = vec![(0, Step::Kill)];
     let mut layer = vec![(0u32, first)];
     let (mut transitions, mut depth, mut steps) = (0, 0, Vec::new());
-    let done = |states: usize, transitions, depth, exhausted, counterexample| FoundRestarts {
+    let result = |states: usize, transitions, depth, exhausted, counterexample| RestartExploration {
         states,
         transitions,
         depth,
@@ -151,15 +151,15 @@
         for (at, node) in layer {
             node.steps(bounds, &mut steps);
             if begin.elapsed() >= time {
-                return done(from.len(), transitions, depth, false, None);
+                return result(from.len(), transitions, depth, false, None);
             }
             for step in &steps {
                 transitions += 1;
                 let mut next = node.clone();
-                next.apply(bounds, &world, *step);
+                next.apply(bounds, &model, *step);
                 if let Some(rule) = next.violation.or_else(|| next.violation_at_rest(bounds)) {
-                    let way = way(&from, at, *step);
-                    return done(from.len(), transitions, depth, false, Some((way, rule)));
+                    let path = path(&from, at, *step);
+                    return result(from.len(), transitions, depth, false, Some((path, rule)));
                 }
                 if visited.insert(next.fingerprint(&mut text, &mut plain)) {
                     from.push((at, *step));
@@ -168,20 +168,20 @@
             }
         }
         if next_layer.is_empty() {
-            return done(from.len(), transitions, depth, true, None);
+            return result(from.len(), transitions, depth, true, None);
         }
         layer = next_layer;
         depth += 1;
     }
 }
 
-fn way(from: &[(u32, Step)], mut at: u32, last: Step) -> Vec<Step> {
-    let mut way = vec![last];
+fn path(from: &[(u32, Step)], mut at: u32, last: Step) -> Vec<Step> {
+    let mut path = vec![last];
     while at != 0 {
         let (parent, step) = from[at as usize];
-        way.push(step);
+        path.push(step);
         at = parent;
     }
-    way.reverse();
-    way
+    path.reverse();
+    path
 }
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -1,10 +1,10 @@
 //! A state of the model: the engine, the recorder and the store, and how they act on each other.
 
 use super::store::ModelStore;
-use super::{Restarts, ShellMutant};
+use super::{RestartBounds, ShellMutant};
+use crate::model::{ticks, Model, TICK};
 use crate::node::Chooser;
 use crate::shell::Shell;
-use crate::world::{ticks, World, TICK};
 use shaletide_balancer::Arrival;
 use shaletide_engine::{Action, Engine, Event, FinalOutcome, RequestSpec};
 use shaletide_record as record;
@@ -82,14 +82,14 @@
 }
 
 impl Node {
-    pub(super) fn start(bounds: &Restarts, world: &World) -> Node {
-        let Restarts { asks, restarts, failures, resolves, ticks, .. } = *bounds;
+    pub(super) fn start(bounds: &RestartBounds, model: &Model) -> Node {
+        let RestartBounds { asks, restarts, failures, resolves, ticks, .. } = *bounds;
         let mut node = Node {
             now: START,
             run: 1,
-            engine: Engine::new(Chooser, world.keeping),
+            engine: Engine::new(Chooser, model.connection_limits),
             recorder: recorder(START),
-            shell: Shell::new(world),
+            shell: Shell::new(model),
             events: VecDeque::new(),
             queue: VecDeque::new(),
             undelivered: VecDeque::new(),
@@ -104,8 +104,8 @@
         node
     }
 
-    fn send_list(&mut self, bounds: &Restarts) {
-        let backends = self.shell.rows(PoolId(0), None);
+    fn send_list(&mut self, bounds: &RestartBounds) {
+        let backends = self.shell.entries(PoolId(0), None);
         self.events.push_back(Event::EndpointsUpdated {
             pool: PoolId(0),
             update: EndpointUpdate::Snapshot,
@@ -114,12 +114,12 @@
         self.drain(bounds);
     }
 
-    pub(super) fn kill(&mut self, bounds: &Restarts, world: &World) {
+    pub(super) fn kill(&mut self, bounds: &RestartBounds, model: &Model) {
         self.remaining.restarts -= 1;
         self.run += 1;
-        self.engine = Engine::new(Chooser, world.keeping);
+        self.engine = Engine::new(Chooser, model.connection_limits);
         self.recorder = recorder(self.now);
-        self.shell = Shell::new(world);
+        self.shell = Shell::new(model);
         self.events.clear();
         self.queue.clear();
         self.undelivered.clear();
@@ -143,13 +143,13 @@
     }
 
     /// Tells the recorder, and does what it asks.
-    pub(super) fn record(&mut self, bounds: &Restarts, event: record::Event) {
+    pub(super) fn record(&mut self, bounds: &RestartBounds, event: record::Event) {
         let mut out = Vec::new();
         self.recorder.handle(self.now, event, &mut out);
         self.carry_out(bounds, out);
     }
 
-    fn carry_out(&mut self, bounds: &Restarts, actions: Vec<record::Action>) {
+    fn carry_out(&mut self, bounds: &RestartBounds, actions: Vec<record::Action>) {
         for action in actions {
             match action {
                 record::Action::Write { ticket, write: _ } if self.down => {
@@ -181,7 +181,7 @@
     }
 
     /// The engine's events in turn, and what it asks for.
-    pub(super) fn drain(&mut self, bounds: &Restarts) {
+    pub(super) fn drain(&mut self, bounds: &RestartBounds) {
         while let Some(event) = self.events.pop_front() {
             let mut out = Vec::new();
             self.engine.handle(self.now, event, &mut out);
@@ -189,7 +189,7 @@
         }
     }
 
-    pub(super) fn run_engine_actions(&mut self, bounds: &Restarts, actions: Vec<Action>) {
+    pub(super) fn run_engine_actions(&mut self, bounds: &RestartBounds, actions: Vec<Action>) {
         for action in actions {
             match &action {
                 Action::Send { connection, .. } => self.send(*connection),
@@ -240,7 +240,7 @@
         }
     }
 
-    pub(super) fn ask(&mut self, bounds: &Restarts) {
+    pub(super) fn ask(&mut self, bounds: &RestartBounds) {
         self.remaining.asks -= 1;
         self.request_count += 1;
         let (request, id) = (RequestId(self.request_count), key());
@@ -272,7 +272,7 @@
         }));
     }
 
-    pub(super) fn commit(&mut self, bounds: &Restarts) {
+    pub(super) fn commit(&mut self, bounds: &RestartBounds) {
         let mut results = Vec::new();
         while let Some((ticket, write)) = self.queue.pop_front() {
             results.push(match self.store.commit(self.run, &write) {
@@ -304,7 +304,7 @@
     }
 
     /// What must hold when nothing is under way: a key that was not executed is free, unless a kill came between.
-    pub(super) fn violation_at_rest(&self, bounds: &Restarts) -> Option<&'static str> {
+    pub(super) fn violation_at_rest(&self, bounds: &RestartBounds) -> Option<&'static str> {
         let idle = self.engine.requests().is_empty() && self.queue.is_empty() && self.undelivered.is_empty();
         if !idle || self.down || bounds.mutant.is_some() {
             return None;
--- a/crates/model-checker/src/restarts/steps.rs
+++ b/crates/model-checker/src/restarts/steps.rs
@@ -1,9 +1,9 @@
 //! The steps that are possible in a state, and what each makes of it.
 
 use super::state::{key, Execution, Node};
-use super::{Restarts, Step};
+use super::{RestartBounds, Step};
+use crate::model::{ticks, Model, TICK};
 use crate::shell::ConnectionActivity;
-use crate::world::{ticks, World, TICK};
 use shaletide_balancer::GiveUpReason;
 use shaletide_engine::{AttemptState, Event, RequestState};
 use shaletide_record as record;
@@ -12,7 +12,7 @@
 
 impl Node {
     /// Makes a step, and lets engine and recorder do all that follows from it.
-    pub(super) fn apply(&mut self, bounds: &Restarts, world: &World, step: Step) {
+    pub(super) fn apply(&mut self, bounds: &RestartBounds, model: &Model, step: Step) {
         match step {
             Step::Ask => self.ask(bounds),
             Step::Leave(request) => self.disconnect_client(bounds, request),
@@ -47,33 +47,33 @@
                 self.record(bounds, record::Event::Wake);
                 self.events.push_back(Event::Wake);
             }
-            Step::Kill => self.kill(bounds, world),
+            Step::Kill => self.kill(bounds, model),
         }
         self.drain(bounds);
         self.close_idle_connections(bounds);
     }
 
-    fn disconnect_client(&mut self, bounds: &Restarts, request: RequestId) {
+    fn disconnect_client(&mut self, bounds: &RestartBounds, request: RequestId) {
         self.events.push_back(Event::ClientDisconnected { request });
         self.drain(bounds);
         let ending = record::RequestEnding::ClientDisconnected;
         self.record(bounds, record::Event::RequestEnded { request, ending });
     }
 
-    fn dispatch(&mut self, bounds: &Restarts, request: RequestId, backend: u8) {
+    fn dispatch(&mut self, bounds: &RestartBounds, request: RequestId, backend: u8) {
         let next = self.engine.requests().get(&request).map_or(0, |r| r.attempts.len() as u32);
         let attempt = AttemptNumber(next);
         let backend = BackendId(u32::from(backend));
         self.run_policy_action(bounds, pools::Action::Dispatch { request, attempt, backend, start_by: None });
     }
 
-    fn run_policy_action(&mut self, bounds: &Restarts, action: pools::Action) {
+    fn run_policy_action(&mut self, bounds: &RestartBounds, action: pools::Action) {
         let mut out = Vec::new();
         self.engine.apply_policy_action(self.now, action, &mut out);
         self.run_engine_actions(bounds, out);
     }
 
-    fn deliver_results(&mut self, bounds: &Restarts) {
+    fn deliver_results(&mut self, bounds: &RestartBounds) {
         for event in self.undelivered.pop_front().unwrap_or_default() {
             self.record(bounds, event);
             self.drain(bounds);
@@ -81,7 +81,7 @@
     }
 
     fn connection_at(&self, place: u8) -> ConnectionId {
-        self.shell.lines[usize::from(place)].0
+        self.shell.connections[usize::from(place)].0
     }
 
     fn connection_up(&mut self, place: u8) {
@@ -98,7 +98,7 @@
 
     fn request_written(&mut self, place: u8) {
         let connection = self.connection_at(place);
-        let activity = self.shell.lines.get_mut(usize::from(place));
+        let activity = self.shell.connections.get_mut(usize::from(place));
         if let Some((_, ConnectionActivity::Busy { written, .. })) = activity {
             *written = true;
         }
@@ -123,7 +123,7 @@
     }
 
     fn connection_ended(&mut self, place: u8) {
-        let (connection, activity) = self.shell.lines[usize::from(place)];
+        let (connection, activity) = self.shell.connections[usize::from(place)];
         if matches!(activity, ConnectionActivity::Busy { written: false, .. }) {
             self.execution(connection, Execution::NotExecuted);
         }
@@ -139,7 +139,7 @@
     }
 
     fn close_completed(&mut self, place: u8, written: bool) {
-        let (connection, activity) = self.shell.lines[usize::from(place)];
+        let (connection, activity) = self.shell.connections[usize::from(place)];
         let written = written || matches!(activity, ConnectionActivity::Busy { written: true, .. });
         if !written {
             self.execution(connection, Execution::NotExecuted);
@@ -148,7 +148,7 @@
         self.events.push_back(Event::CloseCompleted { connection, written });
     }
 
-    fn resolve(&mut self, bounds: &Restarts, ran: bool) {
+    fn resolve(&mut self, bounds: &RestartBounds, ran: bool) {
         self.remaining.resolves -= 1;
         let execution = if ran { Execution::Executed } else { Execution::NotExecuted };
         for sent in self.sent.iter_mut().filter(|sent| sent.execution == Execution::Unknown) {
@@ -160,8 +160,9 @@
     }
 
     /// Connections are used once.
-    fn close_idle_connections(&mut self, bounds: &Restarts) {
-        let idle = |node: &Node| node.shell.lines.iter().find(|l| l.1 == ConnectionActivity::Idle).copied();
+    fn close_idle_connections(&mut self, bounds: &RestartBounds) {
+        let idle =
+            |node: &Node| node.shell.connections.iter().find(|l| l.1 == ConnectionActivity::Idle).copied();
         while let Some((connection, _)) = idle(self) {
             self.shell.drop_connection(connection);
             self.events.push_back(Event::ConnectionUnusable { connection });
@@ -170,7 +171,7 @@
     }
 
     /// The steps that are possible now, in a fixed order.
-    pub(super) fn steps(&self, bounds: &Restarts, out: &mut Vec<Step>) {
+    pub(super) fn steps(&self, bounds: &RestartBounds, out: &mut Vec<Step>) {
         out.clear();
         if self.remaining.asks > 0 {
             out.push(Step::Ask);
@@ -181,12 +182,12 @@
             }
             out.extend([Step::Leave(*id), Step::Fail(*id)]);
             if r.attempts.len() < usize::from(bounds.attempts) && !r.has_attempt_in_flight() {
-                out.extend((0..bounds.boxes).map(|to| Step::Dispatch(*id, to)));
+                out.extend((0..bounds.backends).map(|to| Step::Dispatch(*id, to)));
             }
-            let out_still = r.attempts.iter().enumerate();
-            let out_still = out_still
+            let cancellable = r.attempts.iter().enumerate();
+            let cancellable = cancellable
                 .filter(|(_, t)| t.is_in_flight() && !matches!(t.state, AttemptState::Cancelling(..)));
-            out.extend(out_still.map(|(no, _)| Step::Cancel(*id, AttemptNumber(no as u32))));
+            out.extend(cancellable.map(|(no, _)| Step::Cancel(*id, AttemptNumber(no as u32))));
         }
         if !self.queue.is_empty() && !self.down {
             out.push(Step::Commit);
@@ -201,7 +202,7 @@
         }
         self.connection_steps(out);
         // An operator asks the backends first, and only of a key of which nothing is under way here.
-        let busy = !self.shell.lines.is_empty() || !self.engine.requests().is_empty();
+        let busy = !self.shell.connections.is_empty() || !self.engine.requests().is_empty();
         let ran = self.sent.iter().any(|s| s.execution == Execution::Executed);
         if self.remaining.resolves > 0 && !busy && !self.down && self.recorder.unsettled() > 0 {
             if !ran {
@@ -225,7 +226,7 @@
     }
 
     fn connection_steps(&self, out: &mut Vec<Step>) {
-        for (place, (_, activity)) in self.shell.lines.iter().enumerate() {
+        for (place, (_, activity)) in self.shell.connections.iter().enumerate() {
             let place = place as u8;
             match activity {
                 ConnectionActivity::Opening => out.extend([Step::Up(place), Step::ConnectFailed(place)]),
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -4,13 +4,13 @@
 //! is to be expanded is replayed from its ancestors. Along a layer neighbours share most of their way, so that a
 //! replay costs little more than one move a state.
 
-use crate::canon::Canon;
-use crate::cover::Cover;
+use crate::canonical::Canonicalizer;
+use crate::cover::Coverage;
 use crate::enabled::enabled;
-use crate::moves::Move;
+use crate::model::Model;
 use crate::node::{Chooser, Node};
+use crate::transitions::Transition;
 use crate::visited::Visited;
-use crate::world::World;
 use shaletide_engine::monitor::Violation;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Mutex;
@@ -40,7 +40,7 @@
 
 /// What was found.
 #[derive(Debug)]
-pub struct Found {
+pub struct Exploration {
     /// Different states, by their canonical form.
     pub states: usize,
     /// Moves made.
@@ -56,109 +56,109 @@
     /// The shortest way to a broken rule.
     pub counterexample: Option<Counterexample>,
     /// The situations that were met.
-    pub cover: Cover,
+    pub cover: Coverage,
 }
 
 /// A shortest way to a broken rule.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
     /// The moves.
-    pub steps: Vec<Move>,
+    pub steps: Vec<Transition>,
     /// The rule.
     pub violation: Violation,
 }
 
 /// Every state by number: its parent and the move from there.
 struct Tree {
-    from: Vec<(u32, Move)>,
+    from: Vec<(u32, Transition)>,
 }
 
 impl Tree {
-    fn way(&self, mut at: usize) -> Vec<Move> {
-        let mut way = Vec::new();
+    fn path(&self, mut at: usize) -> Vec<Transition> {
+        let mut path = Vec::new();
         while at != 0 {
             let (parent, step) = self.from[at];
-            way.push(step);
+            path.push(step);
             at = parent as usize;
         }
-        way.reverse();
-        way
+        path.reverse();
+        path
     }
 }
 
 /// What one thread finds in a chunk.
 struct Batch {
     chunk: usize,
-    new: Vec<(u32, Move)>,
-    broken: Option<(usize, Option<Move>, Violation)>,
+    new: Vec<(u32, Transition)>,
+    first_violation: Option<(usize, Option<Transition>, Violation)>,
 }
 
 /// Makes the first state. Each thread has its own: the engine is made for one thread.
-pub type Start<'a> = &'a (dyn Fn() -> Node<Chooser> + Sync);
+pub type StartFn<'a> = &'a (dyn Fn() -> Node<Chooser> + Sync);
 
 struct Shared<'a> {
-    world: &'a World,
-    start: Start<'a>,
-    end_counts: bool,
+    model: &'a Model,
+    start: StartFn<'a>,
+    reads_end_times: bool,
     visited: &'a Visited,
     tree: &'a Tree,
     layer: std::ops::Range<usize>,
     depth: usize,
     next: AtomicUsize,
     stop: AtomicBool,
-    until: Instant,
+    stop_at: Instant,
     transitions: AtomicUsize,
-    done: Mutex<Vec<Batch>>,
-    cover: Mutex<Cover>,
-    covers: bool,
+    finished: Mutex<Vec<Batch>>,
+    cover: Mutex<Coverage>,
+    record_coverage: bool,
 }
 
 /// Explores the world.
-pub fn explore(world: &World, limits: Limits) -> Found {
-    explore_from(world, &|| Node::start(world), false, limits)
+pub fn explore(model: &Model, limits: Limits) -> Exploration {
+    explore_from(model, &|| Node::start(model), false, limits)
 }
 
 /// Explores the world from that beginning. `end_counts`: see [`Canon::new`].
-pub fn explore_from(world: &World, start: Start, end_counts: bool, limits: Limits) -> Found {
+pub fn explore_from(model: &Model, start: StartFn, reads_end_times: bool, limits: Limits) -> Exploration {
     let begin = Instant::now();
     let visited = Visited::default();
-    visited.insert(Canon::new(world, end_counts).print(world, &start()));
-    let mut tree = Tree { from: vec![(0, Move::Tick)] };
+    visited.insert(Canonicalizer::new(model, reads_end_times).fingerprint(model, &start()));
+    let mut tree = Tree { from: vec![(0, Transition::Tick)] };
     let (mut layer, mut depth, mut transitions) = (0..1, 0, 0u64);
-    let mut cover = Cover::default();
+    let mut cover = Coverage::default();
     let mut counterexample = None;
     let mut exhausted = false;
     while counterexample.is_none() {
         let shared = Shared {
-            world,
+            model,
             start,
-            end_counts,
+            reads_end_times,
             visited: &visited,
             tree: &tree,
             layer: layer.clone(),
             depth,
             next: AtomicUsize::new(0),
             stop: AtomicBool::new(false),
-            until: begin + limits.time,
+            stop_at: begin + limits.time,
             transitions: AtomicUsize::new(0),
-            done: Mutex::default(),
+            finished: Mutex::default(),
             cover: Mutex::new(std::mem::take(&mut cover)),
-            covers: limits.cover,
+            record_coverage: limits.cover,
         };
         std::thread::scope(|scope| {
             for _ in 1..limits.threads {
                 // Where the system gives no thread, the others do its part: the result is the same.
-                let _ = std::thread::Builder::new().spawn_scoped(scope, || work(&shared));
+                let _ = std::thread::Builder::new().spawn_scoped(scope, || explore_layer(&shared));
             }
-            work(&shared);
+            explore_layer(&shared);
         });
         transitions += shared.transitions.load(Ordering::Relaxed) as u64;
         cover = shared.cover.into_inner().unwrap_or_default();
-        let mut batches = shared.done.into_inner().unwrap_or_default();
+        let mut batches = shared.finished.into_inner().unwrap_or_default();
         batches.sort_unstable_by_key(|b| b.chunk);
         // The chunks are given out in order, so the first broken one is the same on any number of threads.
-        if let Some((at, step, violation)) = batches.iter().find_map(|b| b.broken.clone()) {
-            let mut steps = tree.way(at);
+        if let Some((at, step, violation)) = batches.iter().find_map(|b| b.first_violation.clone()) {
+            let mut steps = tree.path(at);
             steps.extend(step);
             counterexample = Some(Counterexample { steps, violation });
         }
@@ -173,17 +173,17 @@
         }
         depth += 1;
     }
-    let bytes = visited.bytes() + tree.from.capacity() * std::mem::size_of::<(u32, Move)>();
+    let bytes = visited.bytes() + tree.from.capacity() * std::mem::size_of::<(u32, Transition)>();
     let states = tree.from.len();
-    Found { states, transitions, depth, took: begin.elapsed(), bytes, exhausted, counterexample, cover }
+    Exploration { states, transitions, depth, took: begin.elapsed(), bytes, exhausted, counterexample, cover }
 }
 
 /// Takes chunks of the layer until there are no more.
-fn work(shared: &Shared) {
+fn explore_layer(shared: &Shared) {
     let mut stack: Vec<(usize, Node<Chooser>)> = vec![(0, (shared.start)())];
-    let mut canon = Canon::new(shared.world, shared.end_counts);
-    let mut moves = Vec::new();
-    let mut cover = Cover::default();
+    let mut canonicalizer = Canonicalizer::new(shared.model, shared.reads_end_times);
+    let mut enabled_transitions = Vec::new();
+    let mut cover = Coverage::default();
     loop {
         if shared.stop.load(Ordering::Relaxed) {
             break;
@@ -193,59 +193,59 @@
         if from >= shared.layer.end {
             break;
         }
-        let mut batch = Batch { chunk, new: Vec::new(), broken: None };
+        let mut batch = Batch { chunk, new: Vec::new(), first_violation: None };
         let mut count = 0;
         for at in from..(from + CHUNK).min(shared.layer.end) {
             replay(shared, &mut stack, at);
             let node = &stack[stack.len() - 1].1;
             if let Err(violation) = node.check() {
-                batch.broken = Some((at, None, violation));
+                batch.first_violation = Some((at, None, violation));
                 break;
             }
-            enabled(shared.world, node, &mut moves);
-            count += moves.len();
-            for step in &moves {
+            enabled(shared.model, node, &mut enabled_transitions);
+            count += enabled_transitions.len();
+            for step in &enabled_transitions {
                 let mut next = node.clone();
-                let verdict = next.go(shared.world, *step, &mut |_, _| {});
-                if shared.covers {
-                    cover.note(node, *step, &next);
+                let verdict = next.apply(shared.model, *step, &mut |_, _| {});
+                if shared.record_coverage {
+                    cover.record(node, *step, &next);
                 }
                 if let Err(violation) = verdict {
-                    batch.broken = Some((at, Some(*step), violation));
+                    batch.first_violation = Some((at, Some(*step), violation));
                     break;
                 }
-                if shared.visited.insert(canon.print(shared.world, &next)) {
+                if shared.visited.insert(canonicalizer.fingerprint(shared.model, &next)) {
                     batch.new.push((at as u32, *step));
                 }
             }
-            if batch.broken.is_some() {
+            if batch.first_violation.is_some() {
                 break;
             }
         }
         shared.transitions.fetch_add(count, Ordering::Relaxed);
-        if batch.broken.is_some() || Instant::now() >= shared.until {
+        if batch.first_violation.is_some() || Instant::now() >= shared.stop_at {
             shared.stop.store(true, Ordering::Relaxed);
         }
-        shared.done.lock().expect("no thread panics while it adds a batch").push(batch);
+        shared.finished.lock().expect("no thread panics while it adds a batch").push(batch);
     }
-    if shared.covers {
+    if shared.record_coverage {
         shared.cover.lock().expect("no thread panics while it adds what it met").add(&cover);
     }
 }
 
 /// Makes the top of the stack the state of that number, which lies as deep as the layer.
 fn replay(shared: &Shared, stack: &mut Vec<(usize, Node<Chooser>)>, at: usize) {
-    let mut way = Vec::new();
+    let mut path = Vec::new();
     let (mut at, mut depth) = (at, shared.depth);
     while stack.get(depth).is_none_or(|(known, _)| *known != at) {
         let (parent, step) = shared.tree.from[at];
-        way.push((at, step));
+        path.push((at, step));
         (at, depth) = (parent as usize, depth - 1);
     }
     stack.truncate(depth + 1);
-    while let Some((at, step)) = way.pop() {
+    while let Some((at, step)) = path.pop() {
         let mut node = stack[stack.len() - 1].1.clone();
-        node.go(shared.world, step, &mut |_, _| {}).expect("a state that was kept broke no rule");
+        node.apply(shared.model, step, &mut |_, _| {}).expect("a state that was kept broke no rule");
         stack.push((at, node));
     }
 }
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -1,6 +1,6 @@
 //! The world outside the engine: what a shell, backends, lists and the store have under way.
 
-use crate::world::World;
+use crate::model::Model;
 use shaletide_engine::Action;
 use shaletide_types::*;
 
@@ -37,60 +37,60 @@
 
 /// A backend as discovery has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Listed {
+pub struct ListedBackend {
     /// Its pool.
     pub pool: PoolId,
     /// Its cell.
-    pub cell: DeduplicationGroupId,
+    pub group: DeduplicationGroupId,
     /// What it may be sent.
     pub state: BackendState,
     /// When it returned; the engine does not read it, a policy may.
-    pub booted: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
 /// All of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shell {
     /// The connections, the oldest first.
-    pub lines: Vec<(ConnectionId, ConnectionActivity)>,
+    pub connections: Vec<(ConnectionId, ConnectionActivity)>,
     /// The permits that are asked for.
-    pub permits: Vec<Pending>,
+    pub pending_intents: Vec<Pending>,
     /// The backends by number.
-    pub boxes: Vec<Listed>,
+    pub listed_backends: Vec<ListedBackend>,
     /// The list is lost, and only a whole one is news.
-    pub lost: bool,
+    pub subscription_lost: bool,
     /// Requests that have not come yet.
-    pub to_come: Vec<RequestId>,
+    pub not_arrived: Vec<RequestId>,
     /// What may still happen.
-    pub left: crate::world::News,
+    pub remaining_events: crate::model::EventBudget,
 }
 
 impl Shell {
     /// As a world begins.
-    pub fn new(world: &World) -> Shell {
-        let listed = |b: &crate::world::BoxSpec| Listed {
+    pub fn new(model: &Model) -> Shell {
+        let initial_entry = |b: &crate::model::BackendSpec| ListedBackend {
             pool: PoolId(b.pool),
-            cell: DeduplicationGroupId(b.cell),
-            state: if b.listed { BackendState::Ready } else { BackendState::Gone },
-            booted: None,
+            group: DeduplicationGroupId(b.group),
+            state: if b.initially_listed { BackendState::Ready } else { BackendState::Gone },
+            started_at: None,
         };
         Shell {
-            lines: Vec::new(),
-            permits: Vec::new(),
-            boxes: world.boxes.iter().map(listed).collect(),
-            lost: false,
-            to_come: (0..world.requests.len() as u64).map(RequestId).collect(),
-            left: world.news,
+            connections: Vec::new(),
+            pending_intents: Vec::new(),
+            listed_backends: model.backends.iter().map(initial_entry).collect(),
+            subscription_lost: false,
+            not_arrived: (0..model.requests.len() as u64).map(RequestId).collect(),
+            remaining_events: model.event_budget,
         }
     }
 
     /// The row of a backend, as its list has it.
-    pub fn row(&self, id: usize) -> BackendEntry {
-        let b = self.boxes[id];
+    pub fn entry(&self, id: usize) -> BackendEntry {
+        let b = self.listed_backends[id];
         // Pools are realms of their own, as they are for the daemon unless it is told otherwise.
         BackendEntry {
             id: BackendId(id as u32),
-            deduplication_group: b.cell,
+            deduplication_group: b.group,
             deduplication_domain: b.pool.0,
             state: b.state,
             ..BackendEntry::default()
@@ -98,38 +98,41 @@
     }
 
     /// The rows of a pool, but for those gone and that one.
-    pub fn rows(&self, pool: PoolId, but: Option<usize>) -> Vec<BackendEntry> {
-        let ids = (0..self.boxes.len()).filter(|id| Some(*id) != but);
-        let here =
-            ids.filter(|id| self.boxes[*id].pool == pool && self.boxes[*id].state != BackendState::Gone);
-        here.map(|id| self.row(id)).collect()
+    pub fn entries(&self, pool: PoolId, except: Option<usize>) -> Vec<BackendEntry> {
+        let ids = (0..self.listed_backends.len()).filter(|id| Some(*id) != except);
+        let here = ids.filter(|id| {
+            self.listed_backends[*id].pool == pool && self.listed_backends[*id].state != BackendState::Gone
+        });
+        here.map(|id| self.entry(id)).collect()
     }
 
     /// Something is on its way that will bring an event.
     pub fn is_busy(&self) -> bool {
-        self.permits.iter().any(|p| !p.withdrawn)
-            || self.lines.iter().any(|(_, d)| *d != ConnectionActivity::Idle)
+        self.pending_intents.iter().any(|p| !p.withdrawn)
+            || self.connections.iter().any(|(_, d)| *d != ConnectionActivity::Idle)
     }
 
     /// A connection is being closed.
     pub fn is_closing(&self) -> bool {
-        self.lines.iter().any(|(_, d)| matches!(d, ConnectionActivity::Busy { closing: true, .. }))
+        self.connections.iter().any(|(_, d)| matches!(d, ConnectionActivity::Busy { closing: true, .. }))
     }
 
     pub(crate) fn set(&mut self, connection: ConnectionId, activity: ConnectionActivity) {
-        if let Some(line) = self.lines.iter_mut().find(|l| l.0 == connection) {
-            line.1 = activity;
+        if let Some(entry) = self.connections.iter_mut().find(|l| l.0 == connection) {
+            entry.1 = activity;
         }
     }
 
     pub(crate) fn drop_connection(&mut self, connection: ConnectionId) {
-        self.lines.retain(|l| l.0 != connection);
+        self.connections.retain(|l| l.0 != connection);
     }
 
     /// Carries out what the engine asks.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Connect { connection, .. } => self.lines.push((*connection, ConnectionActivity::Opening)),
+            Action::Connect { connection, .. } => {
+                self.connections.push((*connection, ConnectionActivity::Opening))
+            }
             Action::Send { connection, request, attempt, .. } => {
                 let (request, attempt) = (*request, *attempt);
                 self.set(
@@ -137,16 +140,16 @@
                     ConnectionActivity::Busy { request, attempt, written: false, closing: false },
                 );
             }
-            Action::Close { connection } => match self.lines.iter_mut().find(|l| l.0 == *connection) {
+            Action::Close { connection } => match self.connections.iter_mut().find(|l| l.0 == *connection) {
                 Some((_, ConnectionActivity::Busy { closing, .. })) => *closing = true,
                 _ => self.drop_connection(*connection),
             },
             Action::PersistIntent { request, attempt } => {
-                self.permits.push(Pending { request: *request, attempt: *attempt, withdrawn: false });
+                self.pending_intents.push(Pending { request: *request, attempt: *attempt, withdrawn: false });
             }
             Action::WithdrawIntent { request, attempt } => {
-                let is = |p: &&mut Pending| (p.request, p.attempt) == (*request, *attempt);
-                self.permits.iter_mut().filter(is).for_each(|p| p.withdrawn = true);
+                let matches_intent = |p: &&mut Pending| (p.request, p.attempt) == (*request, *attempt);
+                self.pending_intents.iter_mut().filter(matches_intent).for_each(|p| p.withdrawn = true);
             }
             Action::Answer { .. }
             | Action::GivenUp { .. }
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -1,35 +1,35 @@
 //! A counterexample as a timeline: time, who, what, and what the engine did.
 
-use crate::moves::Move;
+use crate::model::{Model, TICK};
 use crate::node::{Input, Node};
-use crate::search::{Counterexample, Start};
-use crate::world::{World, TICK};
+use crate::search::{Counterexample, StartFn};
+use crate::transitions::Transition;
 use shaletide_engine::{Action, Event, FinalOutcome};
 use shaletide_routing::{pools, ResponseClass};
 use shaletide_types::*;
 use std::fmt::Write;
 
 /// The moves one by one, replayed, and the rule that is broken in the end.
-pub fn timeline(world: &World, start: Start, found: &Counterexample) -> String {
+pub fn timeline(model: &Model, start: StartFn, found: &Counterexample) -> String {
     let mut node = start();
     let begin = node.now;
     let mut text = String::new();
     for (no, step) in found.steps.iter().enumerate() {
         let time = (node.now - begin).0 / TICK.0;
-        if *step == Move::Tick {
+        if *step == Transition::Tick {
             let _ = writeln!(text, "{:>3}. {time:>2} ms  clock: a millisecond passes", no + 1);
         }
-        if *step == Move::Stop {
+        if *step == Transition::Stop {
             let _ = writeln!(text, "{:>3}. {time:>2} ms  operator: SIGTERM, nothing new is taken", no + 1);
         }
         let mut first = true;
         let lines = node.clone();
-        let _ = node.go(world, *step, &mut |input, actions| {
+        let _ = node.apply(model, *step, &mut |input, actions| {
             let head = if first { format!("{:>3}. {time:>2} ms", no + 1) } else { " ".repeat(10) };
             first = false;
-            let _ = writeln!(text, "{head}  {}", said(input, &lines));
+            let _ = writeln!(text, "{head}  {}", describe_input(input, &lines));
             for action in actions {
-                let _ = writeln!(text, "{:>17} {}", "->", asked(action));
+                let _ = writeln!(text, "{:>17} {}", "->", describe_action(action));
             }
         });
     }
@@ -37,15 +37,15 @@
     text
 }
 
-fn said<P: shaletide_engine::Policy>(input: &Input, node: &Node<P>) -> String {
+fn describe_input<P: shaletide_engine::Policy>(input: &Input, node: &Node<P>) -> String {
     match input {
-        Input::Ask(ask) => format!("chooser: {}", chosen(ask)),
-        Input::Event(event) => told(event, node),
+        Input::PolicyAction(policy_action) => format!("chooser: {}", describe_policy_action(policy_action)),
+        Input::Event(event) => describe_event(event, node),
     }
 }
 
-fn chosen(ask: &pools::Action) -> String {
-    match ask {
+fn describe_policy_action(policy_action: &pools::Action) -> String {
+    match policy_action {
         pools::Action::Dispatch { request, attempt, backend, start_by } => {
             let by = start_by.map_or("", |_| ", its first byte in this millisecond");
             format!("attempt {} of request {} at box {}{by}", attempt.0, request.0, backend.0)
@@ -59,7 +59,7 @@
     }
 }
 
-fn told<P: shaletide_engine::Policy>(event: &Event, node: &Node<P>) -> String {
+fn describe_event<P: shaletide_engine::Policy>(event: &Event, node: &Node<P>) -> String {
     let to = |connection: &ConnectionId| {
         let line = node.engine.connections().find(|c| c.0 == *connection);
         line.map_or("a box".to_string(), |c| format!("box {}", c.1 .0))
@@ -128,7 +128,7 @@
     }
 }
 
-fn asked(action: &Action) -> String {
+fn describe_action(action: &Action) -> String {
     match action {
         Action::Connect { connection, backend } => {
             format!("open connection {} to box {}", connection.0, backend.0)
--- a/crates/model-checker/src/moves.rs
+++ b/crates/model-checker/src/transitions.rs
@@ -2,11 +2,11 @@
 
 /// How an answer leaves its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum After {
+pub enum AfterResponse {
     /// It may be used again.
     Keep,
     /// It may, but for what has come behind the answer.
-    Behind,
+    ExcessBytes,
     /// It may not.
     Close,
 }
@@ -14,7 +14,7 @@
 /// One step of the world. Requests, backends and pools go by number, connections and permits by their place among
 /// those that there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
+pub enum Transition {
     /// A request comes.
     Arrive(u8),
     /// Its client leaves.
@@ -22,9 +22,9 @@
     /// The chooser asks for an attempt.
     Dispatch(u8, u8),
     /// The same, with a first byte that may go out in this tick only.
-    DispatchNow(u8, u8),
+    DispatchWithinTick(u8, u8),
     /// The same, under a number that is not the next.
-    Misnumber(u8, u8),
+    DispatchOutOfOrder(u8, u8),
     /// The chooser refuses.
     Refuse(u8),
     /// The chooser gives up.
@@ -40,7 +40,7 @@
     /// The last byte has gone.
     Written(u8),
     /// An answer: 0 served, 1 was not executed, 2 error.
-    Answered(u8, u8, After),
+    Answered(u8, u8, AfterResponse),
     /// What came is no answer.
     InvalidResponse(u8),
     /// The connection ended.
@@ -56,17 +56,17 @@
     /// It is ready again.
     Return(u8),
     /// The whole list of a pool, without that backend.
-    WholeBut(u8),
+    SnapshotWithout(u8),
     /// The whole list of a pool.
-    Whole(u8),
+    FullSnapshot(u8),
     /// The list of a pool is lost.
-    Lose(u8),
+    LoseSubscription(u8),
     /// A backend listens elsewhere.
-    Readdress(u8),
+    ChangeAddress(u8),
     /// A backend is in another cell.
-    Regroup(u8),
+    ChangeGroup(u8),
     /// A backend goes to another pool.
-    Shift(u8, u8),
+    ChangePool(u8, u8),
     /// A pool is closed.
     ClosePool(u8),
     /// SIGTERM.
--- a/crates/model-checker/src/visited.rs
+++ b/crates/model-checker/src/visited.rs
@@ -8,21 +8,21 @@
 
 /// The fingerprints are evenly spread already.
 #[derive(Default)]
-struct AsItIs(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for AsItIs {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
     fn write(&mut self, _: &[u8]) {
         unreachable!("fingerprints are written whole");
     }
-    fn write_u128(&mut self, print: u128) {
-        self.0 = print as u64;
+    fn write_u128(&mut self, fingerprint: u128) {
+        self.0 = fingerprint as u64;
     }
 }
 
-type Shard = HashSet<u128, BuildHasherDefault<AsItIs>>;
+type Shard = HashSet<u128, BuildHasherDefault<IdentityHasher>>;
 
 /// A set that several threads add to.
 pub struct Visited {
@@ -37,14 +37,14 @@
 
 impl Visited {
     /// False where it was there already.
-    pub fn insert(&self, print: u128) -> bool {
-        let shard = &self.shards[(print >> 120) as usize % SHARDS];
-        shard.lock().expect("no thread panics while it holds a shard").insert(print)
+    pub fn insert(&self, fingerprint: u128) -> bool {
+        let shard = &self.shards[(fingerprint >> 120) as usize % SHARDS];
+        shard.lock().expect("no thread panics while it holds a shard").insert(fingerprint)
     }
 
     /// Bytes that it takes: 16 and a control byte for each place, of which seven in eight are used at most.
     pub fn bytes(&self) -> usize {
-        let places = |shard: &Mutex<Shard>| shard.lock().map_or(0, |s| s.capacity() * 8 / 7 * 17);
-        self.shards.iter().map(places).sum()
+        let table_bytes = |shard: &Mutex<Shard>| shard.lock().map_or(0, |s| s.capacity() * 8 / 7 * 17);
+        self.shards.iter().map(table_bytes).sum()
     }
 }
--- a/crates/model-checker/tests/worlds.rs
+++ b/crates/model-checker/tests/models.rs
@@ -9,10 +9,10 @@
 
 /// States and depth of a world that is exhausted without a broken rule.
 fn exhausted(name: &str) -> (usize, usize) {
-    let world = named(name).expect("a world of that name");
-    let found = explore(&world, LIMITS);
+    let model = model_by_name(name).expect("a world of that name");
+    let found = explore(&model, LIMITS);
     if let Some(c) = &found.counterexample {
-        panic!("{name}\n{}", timeline(&world, &|| Node::start(&world), c));
+        panic!("{name}\n{}", timeline(&model, &|| Node::start(&model), c));
     }
     assert!(found.exhausted, "{name}: nothing is left");
     println!("{name}: {} states, {} transitions, {:?}", found.states, found.transitions, found.took);
@@ -118,17 +118,17 @@
 #[test]
 #[ignore = "minutes"]
 fn two_boxes_three_requests_one_of_each_effect_and_one_drain() {
-    let world = named("three").expect("it is there");
-    let found = explore(&world, Limits { time: Duration::from_secs(600), states: 400_000_000, ..LIMITS });
+    let model = model_by_name("three").expect("it is there");
+    let found = explore(&model, Limits { time: Duration::from_secs(600), states: 400_000_000, ..LIMITS });
     assert!(found.counterexample.is_none() && found.exhausted, "{found:?}");
     assert_eq!((found.states, found.depth), (5_161_537, 35));
 }
 
 #[test]
 fn the_count_does_not_depend_on_the_number_of_threads() {
-    let world = named("cells").expect("it is there");
+    let model = model_by_name("cells").expect("it is there");
     let counts = [1, 3].map(|threads| {
-        let found = explore(&world, Limits { threads, ..LIMITS });
+        let found = explore(&model, Limits { threads, ..LIMITS });
         (found.states, found.transitions, found.depth)
     });
     assert_eq!(counts[0], counts[1]);
@@ -136,27 +136,27 @@
 
 #[test]
 fn what_is_left_is_said_where_a_bound_was_hit() {
-    let world = named("drain").expect("it is there");
-    let found = explore(&world, Limits { states: 1_000, ..LIMITS });
+    let model = model_by_name("drain").expect("it is there");
+    let found = explore(&model, Limits { states: 1_000, ..LIMITS });
     assert!(!found.exhausted && found.counterexample.is_none());
     assert!(found.states >= 1_000 && found.depth > 3);
 }
 
 /// Not only the first state of each form is expanded here, but every one that is met.
-fn alike(name: &str) -> u64 {
-    let world = named(name).expect("it is there");
-    merges(&world).unwrap_or_else(|unlike| panic!("{name}: {unlike:?}"))
+fn merge_count(name: &str) -> u64 {
+    let model = model_by_name(name).expect("it is there");
+    check_merges(&model).unwrap_or_else(|unlike| panic!("{name}: {unlike:?}"))
 }
 
 #[test]
 fn states_of_one_canonical_form_lead_to_the_same_forms() {
-    assert_eq!((alike("race"), alike("permits")), (3_576, 129_047));
+    assert_eq!((merge_count("race"), merge_count("permits")), (3_576, 129_047));
 }
 
 #[test]
 #[ignore = "minutes"]
 fn so_do_those_of_larger_worlds() {
-    let worlds = [
+    let models = [
         "edge",
         "leaving",
         "late-connect",
@@ -167,21 +167,22 @@
         "left-alone",
         "one-realm",
     ];
-    worlds.iter().for_each(|name| println!("{name}: {} merges alike", alike(name)));
+    models.iter().for_each(|name| println!("{name}: {} merges alike", merge_count(name)));
 }
 
 #[test]
 fn every_situation_of_the_engine_is_met_or_has_a_reason_not_to_be() {
-    let mut cover = Cover::default();
+    let mut cover = Coverage::default();
     for name in
         ["race", "edge", "late-connect", "cells", "reuse", "permits", "left-alone", "returns", "leaving"]
     {
-        let found = explore(&named(name).expect("it is there"), Limits { cover: true, ..LIMITS });
+        let found = explore(&model_by_name(name).expect("it is there"), Limits { cover: true, ..LIMITS });
         cover.add(&found.cover);
     }
-    let open: Vec<_> = cover.unmet().into_iter().filter(|u| u.2.is_none()).collect();
+    let open: Vec<_> = cover.uncovered().into_iter().filter(|u| u.2.is_none()).collect();
     assert!(open.is_empty(), "not met and no reason: {open:?}");
-    let wrong: Vec<_> = cover.met().filter(|(what, at, _)| why_not(*what, *at).is_some()).collect();
+    let wrong: Vec<_> =
+        cover.covered().filter(|(what, at, _)| unreachable_reason(*what, *at).is_some()).collect();
     assert!(wrong.is_empty(), "met though it cannot happen: {wrong:?}");
     println!("{cover}");
 }
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -4,85 +4,85 @@
 use shaletide_engine::Mutant;
 use shaletide_model_checker::*;
 
-fn with_mutant(world: &World, mutant: Mutant) -> impl Fn() -> Node<Chooser> + Sync + '_ {
+fn with_mutant(model: &Model, mutant: Mutant) -> impl Fn() -> Node<Chooser> + Sync + '_ {
     move || {
-        let mut node = Node::start(world);
+        let mut node = Node::start(model);
         node.engine.set_mutant(Some(mutant));
         node
     }
 }
 
 /// The counterexample that is found, in so many states.
-fn look(world: &World, mutant: Mutant, limits: Limits) -> Option<Counterexample> {
-    let ends_count = mutant == Mutant::WindowStartsAtEnd;
-    explore_from(world, &with_mutant(world, mutant), ends_count, limits).counterexample
+fn counterexample(model: &Model, mutant: Mutant, limits: Limits) -> Option<Counterexample> {
+    let reads_end_times = mutant == Mutant::WindowStartsAtEnd;
+    explore_from(model, &with_mutant(model, mutant), reads_end_times, limits).counterexample
 }
 
 /// Explores the world with that bug; the steps, the rule that is broken, and the timeline.
 fn found(name: &str, mutant: Mutant) -> (usize, Rule, String) {
-    let world = named(name).expect("a world of that name");
-    let c =
-        look(&world, mutant, Limits::default()).unwrap_or_else(|| panic!("{mutant:?}: nothing in {name}"));
-    let text = timeline(&world, &with_mutant(&world, mutant), &c);
+    let model = model_by_name(name).expect("a world of that name");
+    let c = counterexample(&model, mutant, Limits::default())
+        .unwrap_or_else(|| panic!("{mutant:?}: nothing in {name}"));
+    let text = timeline(&model, &with_mutant(&model, mutant), &c);
     println!("{mutant:?} in {name}, {} steps\n{text}\n", c.steps.len());
     (c.steps.len(), c.violation.rule, text)
 }
 
-fn steps(name: &str, mutant: Mutant) -> (usize, Rule) {
+fn steps_and_rule(name: &str, mutant: Mutant) -> (usize, Rule) {
     let (steps, rule, _) = found(name, mutant);
     (steps, rule)
 }
 
 #[test]
 fn a_late_success_is_answered_too() {
-    assert_eq!(steps("race", Mutant::LateSuccess), (5, Rule::OneAnswer));
+    assert_eq!(steps_and_rule("race", Mutant::LateSuccess), (5, Rule::OneAnswer));
 }
 
 #[test]
 fn an_end_after_the_last_byte_is_taken_to_mean_never_ran() {
-    assert_eq!(steps("edge", Mutant::NotExecutedAfterLastByte), (6, Rule::HarmlessRejection));
+    assert_eq!(steps_and_rule("edge", Mutant::NotExecutedAfterLastByte), (6, Rule::HarmlessRejection));
 }
 
 #[test]
 fn a_window_is_measured_from_the_end() {
-    assert_eq!(steps("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInScopeAndWindow));
+    assert_eq!(steps_and_rule("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInScopeAndWindow));
 }
 
 #[test]
 fn a_drain_is_not_asked_for_at_the_first_byte() {
-    assert_eq!(steps("race", Mutant::StaleDrainState), (4, Rule::Draining));
+    assert_eq!(steps_and_rule("race", Mutant::StaleDrainState), (4, Rule::Draining));
 }
 
 #[test]
 fn a_hedge_is_left_running() {
-    assert_eq!(steps("race", Mutant::HedgeNotCancelled), (5, Rule::NoLeftovers));
+    assert_eq!(steps_and_rule("race", Mutant::HedgeNotCancelled), (5, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_client_that_left_is_answered() {
-    assert_eq!(steps("race", Mutant::AnswerAfterDisconnect), (2, Rule::NoLeftovers));
+    assert_eq!(steps_and_rule("race", Mutant::AnswerAfterDisconnect), (2, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_refusal_after_running() {
-    assert_eq!(steps("edge", Mutant::RejectedAfterExecution), (4, Rule::HarmlessRejection));
+    assert_eq!(steps_and_rule("edge", Mutant::RejectedAfterExecution), (4, Rule::HarmlessRejection));
 }
 
 #[test]
 fn a_connection_with_bytes_behind_is_used_again() {
-    assert_eq!(steps("reuse", Mutant::ReusedWithExcessBytes), (7, Rule::CleanConnection));
+    assert_eq!(steps_and_rule("reuse", Mutant::ReusedWithExcessBytes), (7, Rule::CleanConnection));
 }
 
 #[test]
 fn a_timer_outlives_its_request() {
-    assert_eq!(steps("race", Mutant::TimerOutlivesRequest), (2, Rule::NoLeftovers));
+    assert_eq!(steps_and_rule("race", Mutant::TimerOutlivesRequest), (2, Rule::NoLeftovers));
 }
 
 #[test]
 fn a_whole_list_does_not_drain_what_it_lacks() {
-    assert_eq!(steps("pools", Mutant::DrainMissedInSnapshot), (4, Rule::Draining));
+    assert_eq!(steps_and_rule("pools", Mutant::DrainMissedInSnapshot), (4, Rule::Draining));
     // There the requests have come before the first step.
-    assert_eq!(steps("lost", Mutant::DrainMissedInSnapshot), (3, Rule::Draining));
+    assert_eq!(steps_and_rule("lost", Mutant::DrainMissedInSnapshot), (3, Rule::Draining));
 }
 
 #[test]
@@ -116,9 +116,13 @@
         (Mutant::DrainMissedInSnapshot, 4),
     ];
     for (mutant, least) in shortest {
-        let steps = WORLDS.iter().filter_map(|(name, _)| {
-            let world = named(name).filter(|world| !world.at_once)?;
-            Some(look(&world, mutant, Limits { states: 1_000_000, ..Limits::default() })?.steps.len())
+        let steps = MODELS.iter().filter_map(|(name, _)| {
+            let model = model_by_name(name).filter(|model| !model.requests_at_start)?;
+            Some(
+                counterexample(&model, mutant, Limits { states: 1_000_000, ..Limits::default() })?
+                    .steps
+                    .len(),
+            )
         });
         assert_eq!(steps.min(), Some(least), "{mutant:?}");
     }
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -10,9 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Asks that one event may call for: a retry for each of the requests of a walk, and some.
-const MOST_ASKS: usize = 400;
+const MAX_ACTIONS_PER_EVENT: usize = 400;
 
 fn config() -> Config {
     let class = |effect| Class {
@@ -32,7 +32,7 @@
         tenants: vec![Tenant { quota_per_s: 20.0 }],
         only_deduplication_domain: None,
         has_failover_pool: true,
-        max_attempts: MOST_ATTEMPTS,
+        max_attempts: MAX_ATTEMPTS,
         min_timer_interval: ticks(5),
         ..Config::example()
     }
@@ -46,34 +46,38 @@
 
 /// The real module, with what it hears and asks looked at as it goes.
 #[derive(Clone, Debug)]
-struct Recorded {
+struct CheckedPools {
     pools: Pools,
-    asked: BTreeMap<RequestId, u32>,
-    settled: BTreeSet<RequestId>,
+    dispatched: BTreeMap<RequestId, u32>,
+    ended: BTreeSet<RequestId>,
 }
 
-impl Policy for Recorded {
-    fn handle(&mut self, now: Time, event: pools::Event, asks: &mut Vec<pools::Action>) {
+impl Policy for CheckedPools {
+    fn handle(&mut self, now: Time, event: pools::Event, actions: &mut Vec<pools::Action>) {
         match &event {
-            pools::Event::AttemptEnded(end) if end.request_answered => drop(self.settled.insert(end.request)),
-            pools::Event::ClientDisconnected { request } => drop(self.settled.insert(*request)),
+            pools::Event::AttemptEnded(end) if end.request_answered => drop(self.ended.insert(end.request)),
+            pools::Event::ClientDisconnected { request } => drop(self.ended.insert(*request)),
             _ => {}
         }
-        let before = asks.len();
-        self.pools.handle(now, event, asks);
-        assert!(asks.len() - before <= MOST_ASKS, "an event calls for {} asks", asks.len() - before);
-        for ask in &asks[before..] {
-            match ask {
+        let before = actions.len();
+        self.pools.handle(now, event, actions);
+        assert!(
+            actions.len() - before <= MAX_ACTIONS_PER_EVENT,
+            "an event calls for {} asks",
+            actions.len() - before
+        );
+        for action in &actions[before..] {
+            match action {
                 pools::Action::Dispatch { request, attempt, .. } => {
-                    let next = self.asked.entry(*request).or_default();
+                    let next = self.dispatched.entry(*request).or_default();
                     assert_eq!(attempt.0, *next, "attempts are numbered in their order");
-                    assert!(*next < MOST_ATTEMPTS, "no more attempts than are allowed");
-                    assert!(!self.settled.contains(request), "nothing is sent of what is settled");
+                    assert!(*next < MAX_ATTEMPTS, "no more attempts than are allowed");
+                    assert!(!self.ended.contains(request), "nothing is sent of what is settled");
                     *next += 1;
                 }
                 pools::Action::Reject { request, retry_after, .. }
                 | pools::Action::Fail { request, retry_after, .. } => {
-                    assert!(self.settled.insert(*request), "given up once, and not after its end");
+                    assert!(self.ended.insert(*request), "given up once, and not after its end");
                     assert!(*retry_after > Micros(0), "with advice");
                 }
                 _ => {}
@@ -83,95 +87,126 @@
 }
 
 /// A small generator, so that a walk is the same each time.
-struct Dice(u64);
+struct Lcg(u64);
 
-impl Dice {
-    fn roll(&mut self, sides: usize) -> usize {
+impl Lcg {
+    fn below(&mut self, bound: usize) -> usize {
         self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 33) as usize % sides.max(1)
+        (self.0 >> 33) as usize % bound.max(1)
     }
 }
 
-fn world() -> World {
-    let kinds = [FREE, KEYED, UNSAFE].map(|kind| Kind { time_left: 150, ..kind });
-    let keyed = Kind { effect: Idempotency::Keyed(DeduplicationScope::Group, ticks(60)), ..kinds[1] };
+fn real_policy_model() -> Model {
+    let kinds = [SAFE, KEYED, NON_IDEMPOTENT].map(|kind| RequestKind { time_left: 150, ..kind });
+    let keyed =
+        RequestKind { idempotency: Idempotency::Keyed(DeduplicationScope::Group, ticks(60)), ..kinds[1] };
     let requests = [kinds[0], keyed, kinds[2]].into_iter().cycle().take(240).collect();
-    let news = News {
+    let event_budget = EventBudget {
         drains: 12,
-        gone: 8,
+        removals: 8,
         returns: 20,
-        wholes: 6,
-        losses: 2,
-        readdressed: 4,
-        regrouped: 4,
-        moves: 4,
-        leaves: 40,
-        ..News::default()
+        snapshots: 6,
+        subscription_losses: 2,
+        address_changes: 4,
+        group_changes: 4,
+        pool_moves: 4,
+        disconnects: 40,
+        ..EventBudget::default()
     };
-    let boxes = (0..6).map(|b| BoxSpec { pool: b % 2, cell: u64::from(b / 2), listed: true }).collect();
-    let traffic = Traffic { keeps: true, behind: true, unfit: true, early: true, alike: true };
-    let keeping = ConnectionLimits { max_connections: 16, idle_timeout: ticks(100), reuse_delay: ticks(1) };
-    World { boxes, requests, news, traffic, keeping, asks: false, ..base(6, 1, 0, 2) }
+    let backends = (0..6)
+        .map(|b| BackendSpec { pool: b % 2, group: u64::from(b / 2), initially_listed: true })
+        .collect();
+    let connection_events = ConnectionEvents {
+        reusable: true,
+        excess_bytes: true,
+        unusable: true,
+        early_responses: true,
+        equivalent_events: true,
+    };
+    let connection_limits =
+        ConnectionLimits { max_connections: 16, idle_timeout: ticks(100), reuse_delay: ticks(1) };
+    Model {
+        backends,
+        requests,
+        event_budget,
+        connection_events,
+        connection_limits,
+        chooser_acts: false,
+        ..base_model(6, 1, 0, 2)
+    }
 }
 
 /// One walk; returns how many attempts the module asked for.
-fn walk(world: &World, seed: u64) -> u64 {
-    let policy = Recorded { pools: pools(2, seed), asked: BTreeMap::new(), settled: BTreeSet::new() };
-    let mut node = Node::with(world, policy);
-    let (mut dice, mut moves) = (Dice(seed), Vec::new());
+fn random_walk(model: &Model, seed: u64) -> u64 {
+    let policy = CheckedPools { pools: pools(2, seed), dispatched: BTreeMap::new(), ended: BTreeSet::new() };
+    let mut node = Node::with_policy(model, policy);
+    let (mut random, mut enabled_transitions) = (Lcg(seed), Vec::new());
     for _ in 0..6_000 {
-        enabled(world, &node, &mut moves);
-        moves.retain(|m| !matches!(m, Move::Arrive(id) if u64::from(*id) != node.shell.to_come[0].0));
-        let tick = moves.contains(&Move::Tick);
-        let rare = |m: &Move| {
+        enabled(model, &node, &mut enabled_transitions);
+        enabled_transitions.retain(
+            |m| !matches!(m, Transition::Arrive(id) if u64::from(*id) != node.shell.not_arrived[0].0),
+        );
+        let tick = enabled_transitions.contains(&Transition::Tick);
+        let is_rare = |m: &Transition| {
             matches!(
                 m,
-                Move::Drain(_)
-                    | Move::Gone(_)
-                    | Move::Whole(_)
-                    | Move::WholeBut(_)
-                    | Move::Lose(_)
-                    | Move::Readdress(_)
-                    | Move::Regroup(_)
-                    | Move::Shift(..)
-                    | Move::Leave(_)
-                    | Move::Unfit(_)
+                Transition::Drain(_)
+                    | Transition::Gone(_)
+                    | Transition::FullSnapshot(_)
+                    | Transition::SnapshotWithout(_)
+                    | Transition::LoseSubscription(_)
+                    | Transition::ChangeAddress(_)
+                    | Transition::ChangeGroup(_)
+                    | Transition::ChangePool(..)
+                    | Transition::Leave(_)
+                    | Transition::Unfit(_)
             )
         };
-        if dice.roll(20) > 0 {
-            moves.retain(|m| !rare(m) && *m != Move::Tick);
+        if random.below(20) > 0 {
+            enabled_transitions.retain(|m| !is_rare(m) && *m != Transition::Tick);
         }
-        let step = match moves.len() {
-            0 => Move::Tick,
-            _ if tick && dice.roll(3) == 0 => Move::Tick,
-            count => moves[dice.roll(count)],
+        let step = match enabled_transitions.len() {
+            0 => Transition::Tick,
+            _ if tick && random.below(3) == 0 => Transition::Tick,
+            count => enabled_transitions[random.below(count)],
         };
-        if step == Move::Tick && !tick {
+        if step == Transition::Tick && !tick {
             continue;
         }
-        node.go(world, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
+        node.apply(model, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
         node.check().unwrap_or_else(|v| panic!("seed {seed}, after {step:?}: {v}"));
     }
     // To the end: nothing new comes, and everything that is on its way ends.
-    node.shell.to_come.clear();
+    node.shell.not_arrived.clear();
     for _ in 0..20_000 {
-        enabled(world, &node, &mut moves);
-        let ends =
-            |m: &&Move| matches!(m, Move::Wake | Move::ConnectFailed(..) | Move::Closed(..) | Move::Ended(_));
-        let step = moves.iter().find(ends).or(moves.iter().find(|m| **m == Move::Tick)).copied();
+        enabled(model, &node, &mut enabled_transitions);
+        let ends = |m: &&Transition| {
+            matches!(
+                m,
+                Transition::Wake
+                    | Transition::ConnectFailed(..)
+                    | Transition::Closed(..)
+                    | Transition::Ended(_)
+            )
+        };
+        let step = enabled_transitions
+            .iter()
+            .find(ends)
+            .or(enabled_transitions.iter().find(|m| **m == Transition::Tick))
+            .copied();
         let Some(step) = step.filter(|_| !node.engine.requests().is_empty()) else { break };
-        node.go(world, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
+        node.apply(model, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
     }
     assert!(node.engine.requests().is_empty(), "seed {seed}: all is answered and forgotten");
     assert_eq!(node.monitor.check_quiescent(node.now), Ok(()));
-    node.engine.policy().asked.values().map(|n| u64::from(*n)).sum()
+    node.engine.policy().dispatched.values().map(|n| u64::from(*n)).sum()
 }
 
 #[test]
 fn under_the_real_module_every_rule_is_kept_and_what_is_assumed_of_it_holds() {
-    let world = world();
-    let asked: u64 = (0..60).map(|seed| walk(&world, seed)).sum();
-    assert!(asked > 3_000, "the walks are no idle ones: {asked}");
+    let model = real_policy_model();
+    let dispatched: u64 = (0..60).map(|seed| random_walk(&model, seed)).sum();
+    assert!(dispatched > 3_000, "the walks are no idle ones: {dispatched}");
 }
 
 /// A backend that starts while there is load, each request half of what it can do in a moment: it is not pushed over.
@@ -189,16 +224,16 @@
     };
     let mut policy = Pools::new();
     policy.configure(PoolId(0), cfg, 3).expect("sound");
-    let keeping =
+    let connection_limits =
         ConnectionLimits { max_connections: 256, idle_timeout: Micros(1_000_000), reuse_delay: Micros(0) };
-    let mut engine = Engine::new(policy, keeping);
+    let mut engine = Engine::new(policy, connection_limits);
     let (mut cold, mut strict) = (
         SlowStartMonitor::new(rules),
         SlowStartMonitor::new(SlowStartRules { overload_multiple: 0.2, ..rules }),
     );
     let mut now = Time(1_000_000_000);
     let mut due: VecDeque<(Time, ConnectionId)> = VecDeque::new();
-    let (mut to_cold, mut too_much, mut lines) = (0, 0, BTreeMap::new());
+    let (mut sent_to_cold, mut strict_violations, mut backend_of) = (0, 0, BTreeMap::new());
     let mut events = VecDeque::from([list(3, None)]);
     for tick in 0..6_000u64 {
         now = now + TICK;
@@ -231,14 +266,14 @@
             engine.handle(now, event, &mut out);
             for action in &out {
                 cold.observe_action(now, action).unwrap_or_else(|v| panic!("at tick {tick}: {v}"));
-                too_much += u32::from(strict.observe_action(now, action).is_err());
+                strict_violations += u32::from(strict.observe_action(now, action).is_err());
                 match action {
                     Action::Connect { connection, backend } => {
-                        lines.insert(*connection, *backend);
+                        backend_of.insert(*connection, *backend);
                         events.push_back(Event::Connected { connection: *connection });
                     }
                     Action::Send { connection, .. } => {
-                        to_cold += u32::from(lines.get(connection) == Some(&BackendId(3)));
+                        sent_to_cold += u32::from(backend_of.get(connection) == Some(&BackendId(3)));
                         due.push_back((now + ticks(20), *connection));
                     }
                     _ => {}
@@ -246,16 +281,16 @@
             }
         }
     }
-    assert!(to_cold > 20, "the box that started is used: {to_cold}");
-    assert!(too_much > 0, "a smaller budget would have been seen to be broken");
+    assert!(sent_to_cold > 20, "the box that started is used: {sent_to_cold}");
+    assert!(strict_violations > 0, "a smaller budget would have been seen to be broken");
 }
 
-fn list(count: u32, booted: Option<Time>) -> Event {
+fn list(count: u32, started_at: Option<Time>) -> Event {
     let row = |id: u32| BackendEntry {
         id: BackendId(id),
         stable_hash: u64::from(id),
         state: BackendState::Ready,
-        started_at: booted.filter(|_| id == 3),
+        started_at: started_at.filter(|_| id == 3),
         ..BackendEntry::default()
     };
     let backends = (0..count).map(row).collect();
--- a/crates/shaletide/src/explore.rs
+++ b/crates/shaletide/src/explore.rs
@@ -19,9 +19,9 @@
         return Ok(explore_restarts(count, Duration::from_secs(args.seconds)));
     }
     let worlds = worlds(args)?;
-    println!("{HEAD}");
+    println!("{TABLE_HEADER}");
     let mut status = 0;
-    let mut cover = Cover::default();
+    let mut cover = Coverage::default();
     for world in &worlds {
         let limits = Limits {
             time: Duration::from_secs(args.seconds),
@@ -30,7 +30,7 @@
             ..Limits::default()
         };
         let result = shaletide_model_checker::explore(world, limits);
-        println!("{}", row(world, &result));
+        println!("{}", table_row(world, &result));
         cover.add(&result.cover);
         if let Some(counterexample) = &result.counterexample {
             println!("\n{}\n", timeline(world, &|| Node::start(world), counterexample));
@@ -47,8 +47,8 @@
 
 /// One attempt a request: what further ones add is a world of the tests.
 fn explore_restarts(count: u8, time: Duration) -> ExitCode {
-    let bounds = Restarts { restarts: count, attempts: 1, ..Restarts::default() };
-    let result = restarts(&bounds, time);
+    let bounds = RestartBounds { restarts: count, attempts: 1, ..RestartBounds::default() };
+    let result = explore_restart_model(&bounds, time);
     println!(
         "restarts {count}: {} states, {} transitions, depth {}, {:.1} s, exhausted: {}",
         result.states,
@@ -67,16 +67,16 @@
     ExitCode::from(RULE_BROKEN_STATUS)
 }
 
-fn worlds(args: &Explore) -> Result<Vec<World>, String> {
+fn worlds(args: &Explore) -> Result<Vec<Model>, String> {
     match args.world.as_deref() {
         None => {
             let sizes = [args.boxes, args.requests, args.pools].map(usize::from);
-            let world = base(sizes[0], sizes[1], args.drains, sizes[2] as u32);
-            Ok(vec![World { out_all: world.out_each * sizes[1], ..world }])
+            let world = base_model(sizes[0], sizes[1], args.drains, sizes[2] as u32);
+            Ok(vec![Model { max_in_flight: world.max_in_flight_per_request * sizes[1], ..world }])
         }
-        Some("all") => Ok(WORLDS.iter().filter_map(|(name, _)| named(name)).collect()),
-        Some(name) => named(name).map(|world| vec![world]).ok_or_else(|| {
-            let known = WORLDS.iter().map(|(name, about)| format!("\n  {name:<13} {about}"));
+        Some("all") => Ok(MODELS.iter().filter_map(|(name, _)| model_by_name(name)).collect()),
+        Some(name) => model_by_name(name).map(|world| vec![world]).ok_or_else(|| {
+            let known = MODELS.iter().map(|(name, about)| format!("\n  {name:<13} {about}"));
             format!("there is no world {name:?}; there is \"all\", and{}", known.collect::<String>())
         }),
     }
