--- a/crates/model-checker/src/canonical.rs
+++ b/crates/model-checker/src/canonical.rs
@@ -1,8 +1,9 @@
-//! The canonical form: what two states that differ in nothing that can ever be seen have in common.
+//! The canonical form of a state: equal for states that no later observation can distinguish.
 //!
-//! Left out or merged, each with its reason in `docs/design/engine-exploration.md`: the time itself, names of
-//! connections, numbers of attempts, the order of like requests and of like backends, ages beyond the last bound that
-//! reads them, what is kept of an attempt that is known not to have run, and of several that have the oldest.
+//! It omits or merges the following; `docs/design/engine-exploration.md` gives the reasons. Omitted are the absolute time,
+//! the identifiers of connections, the numbers of attempts, the order of equivalent requests and of equivalent backends,
+//! ages beyond the largest bound that is compared with them, and the data of attempts that were not executed. Of several
+//! ended attempts that may have been executed only the age of the oldest is kept.
 
 use crate::model::{Model, TICK};
 use crate::node::Node;
@@ -12,10 +13,10 @@
 use shaletide_types::*;
 use std::hash::Hasher;
 
-/// Writes canonical forms; keeps its buffers.
+/// Computes canonical forms. Reuses its buffers between states.
 #[derive(Debug)]
 pub struct Canonicalizer {
-    /// The orders of requests and backends that are tried.
+    /// The permutations of requests and backends of which the smallest encoding is taken.
     symmetries: Vec<(Vec<u8>, Vec<u8>)>,
     smallest: Vec<u8>,
     candidate: Vec<u8>,
@@ -26,7 +27,8 @@
 }
 
 impl Canonicalizer {
-    /// For states of that world. `end_counts`: a mutant reads when attempts ended.
+    /// Returns a canonicalizer for the states of `model`. `reads_end_times`: the engine runs with a mutant that reads the
+    /// times at which attempts ended.
     pub fn new(model: &Model, reads_end_times: bool) -> Canonicalizer {
         let (smallest, candidate, parts, groups, seen) = Default::default();
         Canonicalizer {
@@ -40,8 +42,8 @@
         }
     }
 
-    /// 128 bits of the canonical form. Two halves of 64 bits, each the standard library's SipHash with another
-    /// first byte.
+    /// Returns a 128-bit fingerprint of the canonical form: two 64-bit hashes by the standard library's SipHash, each with a
+    /// different first byte.
     pub fn fingerprint<P: Policy>(&mut self, model: &Model, node: &Node<P>) -> u128 {
         let symmetries = std::mem::take(&mut self.symmetries);
         for (at, (request_order, backend_order)) in symmetries.iter().enumerate() {
@@ -94,7 +96,7 @@
         out.extend([n.pool_closes, n.disconnects, n.stops, u8::from(node.shell.subscription_lost)]);
     }
 
-    /// The number of a cell: in the order in which they are met.
+    /// Returns the number of a deduplication group; groups are numbered in the order of their first use.
     fn group_number(&mut self, dedup_domain: u32, dedup_group: DeduplicationGroupId) -> u8 {
         let key = (dedup_domain, dedup_group.0);
         let at = self.groups.iter().position(|c| *c == key).unwrap_or_else(|| {
@@ -139,7 +141,7 @@
         out.push(255);
     }
 
-    /// What is known of a connection on all three sides.
+    /// Writes the state of a connection as the engine, the shell and the monitor know it.
     fn write_connection<P: Policy>(
         &mut self, model: &Model, node: &Node<P>, connection: ConnectionId, backend_order: &[u8],
         out: &mut Vec<u8>,
@@ -152,7 +154,7 @@
             Some(ConnectionState::Connecting(Some(_))) => 2,
             Some(ConnectionState::Busy(..)) => 3,
             Some(ConnectionState::Idle { since, used }) => {
-                // Too old to be used, or quiet: what is older is no different.
+                // Ages beyond the idle time-out, which is longer than the reuse delay, make no difference.
                 let age = age(since, node.now, model.connection_limits.idle_timeout);
                 4 + u8::from(used) + 2 * age
             }
@@ -166,8 +168,8 @@
                 3 + u8::from(written) + 2 * u8::from(closing)
             }
         };
-        let line = node.monitor.observed().connections.get(&connection);
-        let monitor = match line.map(|l| l.state) {
+        let monitored_connection = node.monitor.observed().connections.get(&connection);
+        let monitor = match monitored_connection.map(|l| l.state) {
             None => 0,
             Some(ObservedConnectionState::Connecting) => 1,
             Some(ObservedConnectionState::Dirty) => 2,
@@ -179,14 +181,14 @@
                 8 + age(since, node.now, model.connection_limits.reuse_delay)
             }
         };
-        let old = u8::from(line.is_some_and(|l| l.address_outdated))
+        let outdated = u8::from(monitored_connection.is_some_and(|l| l.address_outdated))
             | u8::from(node.engine.is_address_outdated(connection)) << 1;
         let to = match known {
             None => 15,
             Some((_, _, ConnectionState::Busy(..))) if !model.reuses() => 14,
             Some((_, backend, _)) => position_of(backend_order, backend),
         };
-        out.extend([engine, shell, monitor, old << 4 | to]);
+        out.extend([engine, shell, monitor, outdated << 4 | to]);
     }
 
     fn write_request<P: Policy>(
@@ -194,10 +196,10 @@
     ) {
         let id = RequestId(u64::from(id));
         let not_arrived = node.shell.not_arrived.contains(&id);
-        let (r, w) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
+        let (r, monitored) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
         let awaited = node.engine.deadlines().iter().find(|d| d.1 == id).map(|d| d.0);
-        if r.is_none() && w.is_none() && awaited.is_none() {
-            out.push(u8::from(not_arrived)); // to come, or over
+        if r.is_none() && monitored.is_none() && awaited.is_none() {
+            out.push(u8::from(not_arrived)); // not arrived, or finished
             return;
         }
         out.push(2);
@@ -211,58 +213,65 @@
                     RequestState::TimedOut => 2,
                     RequestState::Finished => 3,
                 };
-                // Once it is over nothing asks for its deadline.
+                // The deadline of a finished request is not read.
                 let left =
                     if r.state == RequestState::Finished { 0 } else { signed_ticks(r.deadline, node.now) };
                 out.extend([phase, left]);
             }
         }
-        match w {
+        match monitored {
             None => out.push(255),
-            Some(w) => {
-                out.extend([u8::from(w.open), if w.open { signed_ticks(w.deadline, node.now) } else { 0 }])
-            }
+            Some(monitored) => out.extend([
+                u8::from(monitored.open),
+                if monitored.open { signed_ticks(monitored.deadline, node.now) } else { 0 },
+            ]),
         }
-        self.write_ended_attempts(model, node, r, w, out);
+        self.write_ended_attempts(model, node, r, monitored, out);
         self.write_attempts(model, node, id, backend_order, out);
     }
 
-    /// What is over of it and may have run. Only the oldest of those counts, and where any of them was.
+    /// Writes the ended attempts of a request that may have been executed: the age of the oldest, and their groups.
     fn write_ended_attempts<P: Policy>(
-        &mut self, model: &Model, node: &Node<P>, r: Option<&Request>, w: Option<&ObservedRequest>,
+        &mut self, model: &Model, node: &Node<P>, r: Option<&Request>, monitored: Option<&ObservedRequest>,
         out: &mut Vec<u8>,
     ) {
-        if is_over(r, w) {
-            return; // nothing asks for it any more
+        if is_over(r, monitored) {
+            return; // its attempts are not read any more
         }
-        let effect = r.map(|r| r.idempotency).or(w.map(|w| w.idempotency));
+        let effect = r.map(|r| r.idempotency).or(monitored.map(|monitored| monitored.idempotency));
         let sends = r.is_none_or(|r| r.state == RequestState::Open) || model.single_domain;
-        let ran =
+        let executed =
             r.into_iter().flat_map(|r| &r.attempts).filter(|t| !t.is_in_flight() && t.may_have_executed());
         let mut group_bits = 0u64;
         match effect {
             Some(Idempotency::Keyed(_, window)) if sends => {
                 let mut oldest = None;
-                for t in ran {
+                for t in executed {
                     let from =
                         if self.reads_end_times { t.ended_at.max(t.dispatched_at) } else { t.dispatched_at };
                     oldest = oldest.max(Some(age(from, node.now, window)));
                     group_bits |= 1 << (self.group_number(t.placement.domain, t.placement.group) & 15);
                 }
                 out.push(oldest.unwrap_or(255));
-                let over = w.into_iter().flat_map(|w| w.attempts.values()).filter(|s| s.connection.is_none());
+                let ended = monitored
+                    .into_iter()
+                    .flat_map(|monitored| monitored.attempts.values())
+                    .filter(|s| s.connection.is_none());
                 let mut oldest = None;
-                for s in over {
+                for s in ended {
                     oldest = oldest.max(Some(age(s.sent_at, node.now, window)));
                     group_bits |= 1 << (16 + (self.placement_number(s.placement) & 15));
                 }
                 out.push(oldest.unwrap_or(255));
                 out.extend(group_bits.to_le_bytes().iter().take(4));
             }
-            // Of one that is given up only matters whether anything may have run.
+            // Without further attempts it only matters whether any attempt may have been executed.
             Some(Idempotency::NonIdempotent | Idempotency::Keyed(..)) => {
-                let over = w.into_iter().flat_map(|w| w.attempts.values()).any(|s| s.connection.is_none());
-                out.push(u8::from(ran.count() > 0) | u8::from(over) << 1);
+                let ended = monitored
+                    .into_iter()
+                    .flat_map(|monitored| monitored.attempts.values())
+                    .any(|s| s.connection.is_none());
+                out.push(u8::from(executed.count() > 0) | u8::from(ended) << 1);
             }
             Some(Idempotency::Safe) | None => {}
         }
@@ -272,18 +281,20 @@
         self.group_number(place.domain, place.group)
     }
 
-    /// What is on its way of it, in an order that does not depend on the attempts' numbers.
+    /// Writes the attempts of a request in flight, in an order that does not depend on their numbers.
     fn write_attempts<P: Policy>(
         &mut self, model: &Model, node: &Node<P>, id: RequestId, backend_order: &[u8], out: &mut Vec<u8>,
     ) {
-        let (r, w) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
+        let (r, monitored) = (node.engine.requests().get(&id), node.monitor.observed().requests.get(&id));
         let known = r.map_or(0, |r| r.attempts.len());
-        let others = w.into_iter().flat_map(|w| w.attempts.keys().chain(w.intents.keys()));
+        let others = monitored
+            .into_iter()
+            .flat_map(|monitored| monitored.attempts.keys().chain(monitored.intents.keys()));
         let pending = node.shell.pending_intents.iter().filter(|p| p.request == id).map(|p| p.attempt);
-        let most = others.copied().chain(pending).map(|a| a.0 as usize + 1).max().unwrap_or(0);
+        let attempt_bound = others.copied().chain(pending).map(|a| a.0 as usize + 1).max().unwrap_or(0);
         let mut parts = std::mem::take(&mut self.parts);
         let mut used = 0;
-        for no in 0..known.max(most) {
+        for no in 0..known.max(attempt_bound) {
             if parts.len() == used {
                 parts.push(Vec::new());
             }
@@ -305,26 +316,29 @@
         self.parts = parts;
     }
 
-    /// False where nothing of it is on its way on any side.
+    /// Writes an attempt. Returns false if it is in flight neither for the engine nor for the shell nor for the monitor.
     fn write_attempt<P: Policy>(
         &mut self, model: &Model, node: &Node<P>, id: RequestId, no: usize, backend_order: &[u8],
         out: &mut Vec<u8>,
     ) -> bool {
         let attempt = AttemptNumber(no as u32);
         let t = node.engine.requests().get(&id).and_then(|r| r.attempts.get(no)).filter(|t| t.is_in_flight());
-        let w = node.monitor.observed().requests.get(&id);
-        let sent = w.and_then(|w| w.attempts.get(&attempt)).filter(|s| s.connection.is_some());
-        let permit = w.and_then(|w| w.intents.get(&attempt));
+        let monitored = node.monitor.observed().requests.get(&id);
+        let sent = monitored
+            .and_then(|monitored| monitored.attempts.get(&attempt))
+            .filter(|s| s.connection.is_some());
+        let permit = monitored.and_then(|monitored| monitored.intents.get(&attempt));
         let matches_intent = |p: &&Pending| (p.request, p.attempt) == (id, attempt);
         let pending = node.shell.pending_intents.iter().find(matches_intent);
         if t.is_none() && sent.is_none() && permit.is_none() && pending.is_none() {
             return false;
         }
-        // Where nothing more is sent nobody asks how old an attempt is, nor where it is; but a refusal may.
+        // If no further attempt is sent, the age and the group of an attempt are not read. In a model with a single
+        // deduplication domain they are: a rejection depends on them.
         let known = node.engine.requests().get(&id);
-        let sends =
-            known.is_some_and(|r| r.state == RequestState::Open) || model.single_domain && !is_over(known, w);
-        let window = w.filter(|_| sends).and_then(|w| match w.idempotency {
+        let sends = known.is_some_and(|r| r.state == RequestState::Open)
+            || model.single_domain && !is_over(known, monitored);
+        let window = monitored.filter(|_| sends).and_then(|monitored| match monitored.idempotency {
             Idempotency::Keyed(_, window) => Some(window),
             Idempotency::Safe | Idempotency::NonIdempotent => None,
         });
@@ -342,15 +356,15 @@
                 };
                 let stopping = matches!(t.state, AttemptState::Cancelling(..));
                 let whole = matches!(t.state, AttemptState::Written(_)) || stopping;
-                // Of what is written whole the backend is asked only to use its connection again.
+                // Once the request is written, the backend matters only for the reuse of the connection.
                 let to = if whole && !model.reuses() { 14 } else { position_of(backend_order, t.backend) };
                 let responded = model.reuses()
                     && !stopping
                     && node.engine.last_responses().any(|(b, at)| b == t.backend && at >= t.dispatched_at);
                 let by = t.start_by.map_or(255, |by| signed_ticks(by, node.now));
-                // Only what has not begun is asked for its first byte.
+                // The bound on the first byte is read only before the request is written.
                 let by = if whole { 255 } else { by };
-                // What has not begun goes only where it was asked for.
+                // An attempt that is not written yet is sent only to the group for which it was dispatched.
                 let listed = node.engine.listed_backend(t.backend).map(|(_, group, _)| group);
                 let moved = !whole && listed != Some(t.placement);
                 let flags = u8::from(responded) | u8::from(t.intent_requested) << 1 | u8::from(moved) << 2;
@@ -385,7 +399,8 @@
         true
     }
 
-    /// Connections that are neither idle nor an attempt's, in an order that does not depend on their names.
+    /// Writes the connections that are neither idle nor used by an attempt, in an order that does not depend on their
+    /// identifiers.
     fn write_unowned_connections<P: Policy>(
         &mut self, model: &Model, node: &Node<P>, backend_order: &[u8], out: &mut Vec<u8>,
     ) {
@@ -404,13 +419,13 @@
         }
         rest.sort_unstable();
         out.push(rest.len() as u8);
-        rest.iter().for_each(|line| out.extend_from_slice(line));
+        rest.iter().for_each(|connection| out.extend_from_slice(connection));
     }
 }
 
-/// Nothing is owed any more, on either side.
-fn is_over(r: Option<&Request>, w: Option<&ObservedRequest>) -> bool {
-    r.is_none_or(|r| r.state == RequestState::Finished) && w.is_none_or(|w| !w.open)
+/// Returns whether the request is finished for the engine and answered for the monitor.
+fn is_over(r: Option<&Request>, monitored: Option<&ObservedRequest>) -> bool {
+    r.is_none_or(|r| r.state == RequestState::Finished) && monitored.is_none_or(|monitored| !monitored.open)
 }
 
 fn position_of(backend_order: &[u8], backend: BackendId) -> u8 {
@@ -425,13 +440,14 @@
     }
 }
 
-/// Ticks until then, or since then where the engine is woken late: below 100 where it is past.
+/// Encodes the ticks until `at` as 100 plus their number, or, if `at` has passed since the engine is woken late, as 100
+/// minus the ticks since then.
 fn signed_ticks(at: Time, now: Time) -> u8 {
     let (ahead, past) = ((at - now).0 / TICK.0, (now - at).0 / TICK.0);
     (100 + ahead.min(100) - past.min(100)) as u8
 }
 
-/// Ticks since then, up to a bound beyond which nothing changes.
+/// Returns the ticks since `since`, at most `most`: a greater age makes no difference.
 fn age(since: Time, now: Time, most: Micros) -> u8 {
     (now - since).0.min(most.0).div_euclid(TICK.0) as u8
 }
--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -1,4 +1,4 @@
-//! Which transitions of the engine were met: what happened, in which situation, and what became of it.
+//! Coverage of the transitions of the engine: the trigger, the situation before it and the situations after it.
 
 use crate::node::{Chooser, Node};
 use crate::transitions::Transition;
@@ -7,93 +7,93 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How far the request concerned had got.
+/// The phase of the request concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPhase {
-    /// It is owed an answer.
+    /// It has not been answered.
     Open,
-    /// It is given up, and its attempts are being called back.
+    /// It is given up, and its attempts are being cancelled.
     GivenUp,
-    /// Its time is up.
+    /// Its deadline has passed.
     TimedOut,
-    /// It is over, and an attempt is not.
+    /// It is finished, but an attempt is still in flight.
     Over,
-    /// The engine knows nothing of it.
+    /// The engine does not know it.
     Unknown,
 }
 
-/// How far the attempt concerned had got.
+/// The phase of the attempt or of the connection concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AttemptPhase {
-    /// There is none, or it does not matter.
+    /// There is no attempt, or its phase does not matter.
     None,
-    /// It waits for its permit.
+    /// The attempt waits for its intent to be durable.
     Permit,
-    /// It waits for its connection.
+    /// The attempt waits for its connection.
     Opening,
-    /// Its bytes go out.
+    /// The request is being written.
     Writing,
-    /// Its last byte has gone.
+    /// The last byte is written.
     Written,
-    /// Its connection is to be closed.
+    /// The attempt is being cancelled: its connection is to be closed.
     Stopping,
-    /// It is over.
+    /// The attempt has ended.
     Ended,
-    /// The connection comes up for nobody.
+    /// The connection is being established and no attempt waits for it.
     Nobody,
     /// The connection is idle.
     Idle,
 }
 
-/// How far both had got.
+/// The phases of the request and of the attempt.
 pub type Situation = (RequestPhase, AttemptPhase);
 
-/// What happened.
+/// The cause of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Trigger {
-    /// A request came.
+    /// A request arrived.
     Request,
-    /// A client left.
+    /// A client disconnected.
     Left,
-    /// The policy asked for an attempt.
+    /// The policy dispatched an attempt.
     Dispatch,
-    /// It refused.
+    /// The policy rejected the request.
     Refuse,
-    /// It gave up.
+    /// The policy failed the request.
     Fail,
-    /// It called an attempt back.
+    /// The policy cancelled an attempt.
     Cancel,
-    /// A permit was given.
+    /// The store persisted an intent.
     Given,
-    /// A permit was not given.
+    /// The store did not persist an intent.
     NotGiven,
-    /// A connection came up.
+    /// A connection was established.
     Up,
-    /// It did not.
+    /// A connection could not be established.
     ConnectFailed,
-    /// The last byte went.
+    /// The last byte was written.
     Written,
-    /// A served answer.
+    /// A response of the class served arrived.
     Served,
-    /// An answer that it was not executed.
+    /// A response of the class not executed arrived.
     NotExecuted,
-    /// An error answer.
+    /// An error response arrived.
     Error,
-    /// No answer could come any more.
+    /// An invalid response arrived.
     InvalidResponse,
-    /// The connection ended.
+    /// The backend closed the connection.
     Ended,
-    /// It could not be written to.
+    /// The connection proved unusable.
     Unfit,
-    /// It was closed after the last byte.
+    /// The connection was closed as requested, after the last byte was written.
     ClosedAfter,
-    /// It was closed before.
+    /// The connection was closed as requested, before the last byte was written.
     ClosedBefore,
-    /// The time of the request was up.
+    /// The deadline of the request passed.
     TimeUp,
-    /// A list took its backend away or let it drain.
+    /// The backend was removed from the list or started to drain.
     Drained,
-    /// Its backend was listed elsewhere.
+    /// The backend was listed with another address, group or pool.
     Elsewhere,
 }
 
@@ -122,26 +122,27 @@
     Trigger::Elsewhere,
 ];
 
-/// The transitions that were met.
+/// The transitions that were covered.
 #[derive(Clone, Debug, Default)]
 pub struct Coverage {
     covered: BTreeMap<(Trigger, Situation), BTreeSet<Situation>>,
 }
 
 impl Coverage {
-    /// What happened where, and what became of it.
+    /// Returns each covered trigger and situation with the situations that followed.
     pub fn covered(&self) -> impl Iterator<Item = (Trigger, Situation, &BTreeSet<Situation>)> {
         self.covered.iter().map(|((trigger, at), after)| (*trigger, *at, after))
     }
 
-    /// Adds what another has met.
+    /// Adds the transitions of another coverage.
     pub fn add(&mut self, other: &Coverage) {
         for (key, after) in &other.covered {
             self.covered.entry(*key).or_default().extend(after);
         }
     }
 
-    /// Every pair of what could happen and a situation that was not met, with the reason if there is one.
+    /// Returns every pair of a trigger and a situation that was not covered, with the reason why it is unreachable if one is
+    /// known.
     pub fn uncovered(&self) -> Vec<(Trigger, Situation, Option<&'static str>)> {
         let request_phase = [
             RequestPhase::Open,
@@ -164,9 +165,9 @@
                        request: Option<RequestId>,
                        attempt: Option<AttemptNumber>,
                        at: Option<AttemptPhase>| {
-            let was = situation(before, request, attempt, at);
-            let is = situation(after, request, attempt, None);
-            self.covered.entry((trigger, was)).or_default().insert(is);
+            let situation_before = situation(before, request, attempt, at);
+            let situation_after = situation(after, request, attempt, None);
+            self.covered.entry((trigger, situation_before)).or_default().insert(situation_after);
         };
         let id = |id: u8| Some(RequestId(u64::from(id)));
         match step {
@@ -257,8 +258,8 @@
         Some(RequestState::TimedOut) => RequestPhase::TimedOut,
         Some(RequestState::Finished) => RequestPhase::Over,
     };
-    let step = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
-    let step = match step {
+    let phase = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
+    let phase = match phase {
         None => AttemptPhase::None,
         Some(AttemptState::NotStarted) => AttemptPhase::Permit,
         Some(AttemptState::Connecting(_)) => AttemptPhase::Opening,
@@ -267,10 +268,10 @@
         Some(AttemptState::Cancelling(..)) => AttemptPhase::Stopping,
         Some(AttemptState::Ended(_)) => AttemptPhase::Ended,
     };
-    (request_phase, at.unwrap_or(step))
+    (request_phase, at.unwrap_or(phase))
 }
 
-/// The situations of an attempt that count for what happened.
+/// Returns the attempt phases in which a trigger is to be covered.
 fn attempt_phases(trigger: Trigger) -> &'static [AttemptPhase] {
     use AttemptPhase::*;
     match trigger {
@@ -288,21 +289,21 @@
     }
 }
 
-/// Why that cannot happen in that situation; none where it can, or is not explored.
+/// Returns the reason why a trigger cannot occur in a situation, or `None` if it can.
 pub fn unreachable_reason(trigger: Trigger, (request_phase, at): Situation) -> Option<&'static str> {
     let is_on_connection = attempt_phases(trigger).contains(&AttemptPhase::Nobody);
     match (trigger, request_phase, at) {
         (_, RequestPhase::TimedOut, _) => {
-            Some("a request is answered in the same step in which its time is up")
+            Some("a request is answered in the same step in which its deadline passes")
         }
         (Trigger::Request, RequestPhase::Open | RequestPhase::GivenUp | RequestPhase::Over, _) => {
-            Some("the front: a request's name is used once")
+            Some("the front: a request's identifier is used once")
         }
         (Trigger::Left, RequestPhase::Over | RequestPhase::Unknown, _) => {
-            Some("the front: a client leaves once, and not after its answer")
+            Some("the front: a client disconnects once, and not after its answer")
         }
         (Trigger::TimeUp, RequestPhase::Unknown, _) => {
-            Some("the deadline of a request that is forgotten is so too")
+            Some("the deadline of a request is removed with it")
         }
         (
             _,
@@ -317,18 +318,18 @@
             | AttemptPhase::Writing
             | AttemptPhase::Written
             | AttemptPhase::Stopping,
-        ) if is_on_connection => Some("a request is kept as long as an attempt is out"),
+        ) if is_on_connection => Some("a request is kept as long as an attempt is in flight"),
         (Trigger::Cancel | Trigger::Drained | Trigger::Elsewhere, RequestPhase::Unknown, _) => {
-            Some("a request that is forgotten has no attempts")
+            Some("a request that has been removed has no attempts")
         }
         (Trigger::Given | Trigger::NotGiven, RequestPhase::Unknown, _) => {
-            Some("left out: a permit for what is forgotten finds nothing; a test of the engine shows it")
+            Some("left out: a permit for a request that has been removed has no effect; a test of the engine shows it")
         }
         (_, RequestPhase::GivenUp | RequestPhase::Over, AttemptPhase::Permit | AttemptPhase::Opening) => {
-            Some("an attempt that has not begun ends with its request")
+            Some("an attempt without an established connection ends with its request")
         }
         (_, RequestPhase::GivenUp, AttemptPhase::Writing | AttemptPhase::Written) => {
-            Some("a request that is given up has all that runs called back, or is answered at once")
+            Some("a request that is given up has its running attempts cancelled, or is answered at once")
         }
         (
             Trigger::Given | Trigger::NotGiven,
@@ -339,26 +340,26 @@
             Trigger::Up | Trigger::ConnectFailed,
             _,
             AttemptPhase::Writing | AttemptPhase::Written | AttemptPhase::Stopping | AttemptPhase::Idle,
-        ) => Some("the shell: a connection comes up once"),
+        ) => Some("the shell: a connection is established once"),
         (Trigger::Unfit, _, AttemptPhase::Written) => {
-            Some("the shell: what has gone out whole went out on a fit connection")
+            Some("the shell: written requests were written on a usable connection")
         }
-        (Trigger::Written, _, AttemptPhase::Written) => Some("the shell: the last byte goes once"),
+        (Trigger::Written, _, AttemptPhase::Written) => Some("the shell: the last byte is written once"),
         (
             Trigger::ClosedAfter | Trigger::ClosedBefore,
             _,
             AttemptPhase::Writing | AttemptPhase::Written | AttemptPhase::Idle,
-        ) => Some("the shell: only what was asked to be closed is told to be closed"),
+        ) => Some("the shell: only a close that was requested is reported"),
         (Trigger::ClosedAfter | Trigger::ClosedBefore, _, AttemptPhase::Opening | AttemptPhase::Nobody) => {
-            Some("the shell: of a connection that is closed before it is up nothing more is told")
+            Some("the shell: once a connection is closed before it is established, no event follows")
         }
         (Trigger::Up | Trigger::ConnectFailed, ..) => None,
         (_, _, AttemptPhase::Opening | AttemptPhase::Nobody) if is_on_connection => {
-            Some("the shell: nothing is on a connection that is not up")
+            Some("the shell: nothing is sent on a connection that is not established")
         }
         (Trigger::Unfit, _, AttemptPhase::Idle) => None,
         (_, _, AttemptPhase::Idle) if is_on_connection => {
-            Some("the shell: what comes on an idle connection makes it unfit")
+            Some("the shell: traffic on an idle connection makes it unusable")
         }
         _ => None,
     }
@@ -366,21 +367,21 @@
 
 impl fmt::Display for Coverage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = |s: &Situation| match s {
+        let format_situation = |s: &Situation| match s {
             (request_phase, AttemptPhase::None) => format!("{request_phase:?}"),
             (RequestPhase::Unknown, at) => format!("{at:?}"),
             (request_phase, at) => format!("{request_phase:?}/{at:?}"),
         };
         for (trigger, at, after) in self.covered() {
-            let after: Vec<String> = after.iter().map(word).collect();
-            writeln!(f, "{trigger:?} at {} -> {}", word(&at), after.join(", "))?;
+            let after: Vec<String> = after.iter().map(format_situation).collect();
+            writeln!(f, "{trigger:?} at {} -> {}", format_situation(&at), after.join(", "))?;
         }
         let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
         for (trigger, at, why) in self.uncovered() {
             reasons
                 .entry(why.unwrap_or("NO REASON"))
                 .or_default()
-                .push(format!("{trigger:?} at {}", word(&at)));
+                .push(format!("{trigger:?} at {}", format_situation(&at)));
         }
         for (why, pairs) in reasons {
             writeln!(f, "not met ({why}): {}", pairs.join(", "))?;
--- a/crates/model-checker/src/enabled.rs
+++ b/crates/model-checker/src/enabled.rs
@@ -1,4 +1,4 @@
-//! Which moves are possible in a state.
+//! The transitions that are possible in a state.
 
 use crate::model::Model;
 use crate::node::Node;
@@ -7,7 +7,7 @@
 use shaletide_engine::{AttemptState, Policy, RequestState};
 use shaletide_types::*;
 
-/// All that may happen next in that state of that world.
+/// Replaces the contents of `out` by the transitions that are possible in the state `node` of `model`.
 pub fn enabled<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
     out.clear();
     client_transitions(node, out);
@@ -28,8 +28,8 @@
     }
 }
 
-/// The chooser may ask for anything, of requests that wait for their end too. Where the engine is to say no
-/// whatever is asked, one ask stands for all.
+/// Adds the policy actions of the chooser. It may request any action, also for requests that are given up and wait for
+/// their attempts to end. Where the engine has to reject every variant of an action, one variant represents all.
 fn chooser_transitions<P: Policy>(model: &Model, node: &Node<P>, out: &mut Vec<Transition>) {
     if !model.chooser_acts {
         return;
@@ -124,7 +124,7 @@
 fn response_transitions(model: &Model, place: u8, closing: bool, out: &mut Vec<Transition>) {
     for class in 0..3 {
         out.push(Transition::Answered(place, class, AfterResponse::Close));
-        // One that is to be closed is closed whatever its answer says of it.
+        // A connection that is to be closed is closed whatever the response allows.
         if model.connection_events.reusable && !closing {
             out.push(Transition::Answered(place, class, AfterResponse::Keep));
         }
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,8 +1,8 @@
-//! Exhaustive exploration of the engine in small worlds.
+//! Exhaustive exploration of small models of the engine.
 //!
-//! In place of the decision module stands a [`Chooser`] that may ask for anything at any step, and in place of
-//! shell, backends, lists and clock a [`World`] in which whatever may happen next happens, each in turn. After every
-//! move the rules' monitors are asked. What is found holds for whatever the module does, in worlds of that size.
+//! A [`Chooser`] replaces the decision module: it may request any policy action at any step. A [`Model`] replaces the
+//! shell, the backends, the endpoint lists and the clock: every event that may happen next is explored. The monitors
+//! check the invariants after every transition. The results hold for any policy, in models of that size.
 #![forbid(unsafe_code)]
 
 mod canonical;
--- a/crates/model-checker/src/merges.rs
+++ b/crates/model-checker/src/merges.rs
@@ -1,5 +1,5 @@
-//! Whether the canonical form merges only what is alike: every state that is met, not only the first of its form,
-//! is expanded, and must lead to the same forms as the first.
+//! Checks that the canonical form merges only equivalent states: every state, not only the first of its canonical form, is
+//! expanded and must have successors of the same canonical forms as the first.
 
 use crate::canonical::Canonicalizer;
 use crate::enabled::enabled;
@@ -8,24 +8,26 @@
 use crate::transitions::Transition;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Two states of one form that do not lead to the same forms.
+/// Two states of the same canonical form whose successors differ.
 #[derive(Debug)]
 pub struct MergeMismatch {
-    /// The way to the first.
+    /// The path to the first state.
     pub first: Vec<Transition>,
-    /// The way to the other.
+    /// The path to the other state.
     pub other: Vec<Transition>,
-    /// Moves of the first, or of the other, that lead to a form that the other has no way to.
+    /// The transitions of the first and of the other state that lead to a canonical form that the opposite state does not
+    /// reach.
     pub only_in_one: (Vec<Transition>, Vec<Transition>),
 }
 
-/// What a state leads to.
+/// By fingerprint: the path to the first state of that canonical form, and the fingerprints of its successors.
 type Successors = HashMap<u128, (Vec<Transition>, BTreeSet<u128>)>;
 
-/// Goes through a world and compares. Returns how many states were merged into others.
+/// Explores a model and compares the successors of merged states. Returns the number of states that were merged into
+/// others.
 ///
 /// # Errors
-/// The first two that are not alike.
+/// The first two states whose successors differ.
 pub fn check_merges(model: &Model) -> Result<u64, Box<MergeMismatch>> {
     let mut canonicalizer = Canonicalizer::new(model, false);
     let mut successors = |node: &Node<Chooser>| {
@@ -33,7 +35,8 @@
         enabled(model, node, &mut enabled_transitions);
         let each = enabled_transitions.into_iter().map(|step| {
             let mut next = node.clone();
-            next.apply(model, step, &mut |_, _| {}).expect("the sound engine breaks no rule");
+            next.apply(model, step, &mut |_, _| {})
+                .expect("the engine without a mutant violates no invariant");
             (canonicalizer.fingerprint(model, &next), step, next)
         });
         each.collect::<Vec<_>>()
@@ -44,7 +47,7 @@
     queue.push_back((Vec::new(), Node::start(model), 0));
     while let Some((path, node, fingerprint)) = queue.pop_front() {
         let next = successors(&node);
-        // A move that leads to where it came from makes no difference.
+        // A transition to a state of the same canonical form has no effect.
         let successor_fingerprints: BTreeSet<u128> =
             next.iter().map(|n| n.0).filter(|p| *p != fingerprint).collect();
         if let Some((first, first_successors)) = known.get(&fingerprint) {
--- a/crates/model-checker/src/model.rs
+++ b/crates/model-checker/src/model.rs
@@ -1,131 +1,134 @@
-//! What a small world consists of, and what may happen in it at most.
+//! The parts of a small model and the bounds on what may happen in it.
 
 use shaletide_engine::monitor::Rules;
 use shaletide_engine::ConnectionLimits;
 use shaletide_types::*;
 
-/// The unit of time of all worlds, 1 ms: the engine looks idle connections through no oftener.
+/// The unit of time of all models, 1 ms: the engine scans its idle connections no more often than that.
 pub const TICK: Micros = Micros(1_000);
 
-/// So many ticks.
+/// Returns the duration of `count` ticks.
 pub const fn ticks(count: u64) -> Micros {
     Micros(count * TICK.0)
 }
 
-/// A backend, as it is listed in the beginning.
+/// The initial state of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendSpec {
-    /// Its pool.
+    /// The number of its pool.
     pub pool: u32,
-    /// Its cell; keys are known inside one.
+    /// The number of its deduplication group: the backends of a group share their idempotency keys.
     pub group: u64,
-    /// Its list has it from the beginning; else it comes later, as a successor does under a name of its own.
+    /// Whether the endpoint list contains it from the start. Otherwise it is added later, as a replacement under a name of
+    /// its own.
     pub initially_listed: bool,
 }
 
-/// A request to come.
+/// The properties of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKind {
-    /// What a second run would do.
+    /// Whether and where the request may be executed again.
     pub idempotency: Idempotency,
-    /// The time that its client gives it, in ticks.
+    /// The time until its deadline on arrival, in ticks.
     pub time_left: u64,
-    /// It wants permits.
+    /// Whether an attempt may be sent only after its intent is durable.
     pub requires_intent: bool,
-    /// Its class, where a policy asks for it.
+    /// The number of its class, for policies that use it.
     pub class: usize,
 }
 
-/// How often each sort of news may come.
+/// The number of times that each kind of external event may still occur.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct EventBudget {
-    /// A backend drains.
+    /// A backend starts to drain.
     pub drains: u8,
-    /// An entry is taken off the list.
+    /// A backend is removed from the endpoint list.
     pub removals: u8,
-    /// A backend that drains or is gone is ready again under its name.
+    /// A backend that is draining or gone becomes ready again under the same name.
     pub returns: u8,
-    /// A whole list that lacks a backend, or lacks none.
+    /// A snapshot of the endpoint list arrives, complete or without one backend.
     pub snapshots: u8,
-    /// The list is lost; nothing but a whole list comes after that.
+    /// The subscription is lost; only a snapshot can follow.
     pub subscription_losses: u8,
-    /// A backend listens at another address under its name.
+    /// A backend changes its address and keeps its name.
     pub address_changes: u8,
-    /// A backend is listed in another cell.
+    /// A backend is listed in another deduplication group.
     pub group_changes: u8,
-    /// A backend goes to the other pool.
+    /// A backend moves to another pool.
     pub pool_moves: u8,
     /// A pool is closed.
     pub pool_closes: u8,
-    /// A client leaves.
+    /// A client disconnects.
     pub disconnects: u8,
-    /// SIGTERM: the front takes nothing new from then on.
+    /// SIGTERM: no request arrives from then on.
     pub stops: u8,
 }
 
-/// What may come on a connection.
+/// The events that may occur on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionEvents {
-    /// Answers after which the connection may be used again.
+    /// Responses after which the connection may be reused.
     pub reusable: bool,
-    /// Answers with something behind them.
+    /// Responses that are followed by excess bytes.
     pub excess_bytes: bool,
-    /// Connections that turn out to be unfit when they are to be written to.
+    /// Connections that prove unusable when a request is to be written to them.
     pub unusable: bool,
-    /// Answers before the last byte of the request has gone.
+    /// Responses that arrive before the last byte of the request is written.
     pub early_responses: bool,
-    /// Things that the engine answers alike: a spoilt answer beside an ended connection, a connect that fails
-    /// without blame, a declined ask for what is over or under a wrong number.
+    /// Events that the engine handles like others: an invalid response (like a closed connection), a failed connect for
+    /// which the backend is not at fault, and policy actions that the engine rejects, because the request is finished or
+    /// the attempt number is wrong.
     pub equivalent_events: bool,
 }
 
-/// A world and its bounds.
+/// A model and its bounds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Model {
-    /// Its name on the command line.
+    /// The name that the command line uses.
     pub name: String,
-    /// The backends.
+    /// The backends, by number.
     pub backends: Vec<BackendSpec>,
-    /// The requests; each may come at any time.
+    /// The requests, by number; each may arrive at any time.
     pub requests: Vec<RequestKind>,
-    /// All requests are there from the beginning.
+    /// Whether all requests arrive before the first transition.
     pub requests_at_start: bool,
-    /// How connections are kept.
+    /// The limits of the connection pool.
     pub connection_limits: ConnectionLimits,
-    /// Attempts may be called back.
+    /// Whether attempts in flight may be cancelled.
     pub can_cancel: bool,
-    /// All backends are of one realm: a keyed request of scope `all` may be refused though it ran.
+    /// Whether all backends belong to one deduplication domain: a keyed request of scope `all` may then be rejected
+    /// although it may have been executed.
     pub single_domain: bool,
-    /// Attempts of one request that may be out at once; any number may follow one another.
+    /// The maximum number of attempts of one request in flight at once; the number of consecutive attempts is unbounded.
     pub max_in_flight_per_request: usize,
-    /// Attempts that may be out at once in all.
+    /// The maximum number of attempts in flight at once over all requests.
     pub max_in_flight: usize,
-    /// What may happen besides.
+    /// The external events that may occur.
     pub event_budget: EventBudget,
-    /// What may come on connections.
+    /// The events that may occur on connections.
     pub connection_events: ConnectionEvents,
-    /// The chooser may bound an attempt's first byte to the next tick.
+    /// Whether the chooser may require that an attempt writes its first byte before the next tick.
     pub bounds_first_byte: bool,
-    /// The shell may wake the engine so many ticks late.
+    /// The maximum delay, in ticks, with which the shell wakes the engine.
     pub max_wake_delay: u64,
-    /// Time does not pass while a connection is being closed.
+    /// Whether time stands still while a connection is being closed.
     pub prompt_closes: bool,
-    /// The chooser asks; else the policy of the engine does by itself.
+    /// Whether the chooser requests policy actions. Otherwise the engine's own policy does.
     pub chooser_acts: bool,
 }
 
 impl Model {
-    /// How many pools it has.
+    /// Returns the number of pools.
     pub fn pools(&self) -> u8 {
         self.backends.iter().map(|b| b.pool as u8 + 1).max().unwrap_or(1)
     }
 
-    /// Connections may be used again; else what is idle is nobody's.
+    /// Returns whether connections may be reused. Otherwise an idle connection is closed at once.
     pub fn reuses(&self) -> bool {
         self.connection_limits.idle_timeout > Micros(0)
     }
 
-    /// The measures of the monitors.
+    /// Returns the limits that the monitors apply.
     pub fn rules(&self) -> Rules {
         Rules {
             drain_grace: Micros(0),
@@ -136,7 +139,7 @@
         }
     }
 
-    /// The bounds in a line.
+    /// Returns the bounds as one line of text.
     pub fn bounds(&self) -> String {
         let counted =
             |n: usize, what: &str, plural: &str| format!("{n} {}", if n == 1 { what } else { plural });
@@ -183,17 +186,17 @@
             Idempotency::Keyed(..) => "keyed",
             Idempotency::NonIdempotent => "unsafe",
         };
-        let permit = |k: &RequestKind| if k.requires_intent { "+permit" } else { "" };
+        let intent_mark = |k: &RequestKind| if k.requires_intent { "+permit" } else { "" };
         let each: Vec<String> =
-            self.requests.iter().map(|k| format!("{}{} {}t", name(k), permit(k), k.time_left)).collect();
+            self.requests.iter().map(|k| format!("{}{} {}t", name(k), intent_mark(k), k.time_left)).collect();
         each.join(", ")
     }
 
-    /// The orders in which its requests and backends may be named without making another world: all orders that
-    /// put a request in the place of one like it, and a backend in the place of one of its pool.
+    /// Returns the symmetries of the model: the permutations of requests and backends that map every request to one
+    /// with the same properties, and every backend to one of the same pool that is equally listed or not at the start.
     pub fn symmetries(&self) -> Vec<(Vec<u8>, Vec<u8>)> {
-        let requests = orders(self.requests.len(), |a, b| self.requests[a] == self.requests[b]);
-        let backends = orders(self.backends.len(), |a, b| {
+        let requests = permutations(self.requests.len(), |a, b| self.requests[a] == self.requests[b]);
+        let backends = permutations(self.backends.len(), |a, b| {
             (self.backends[a].pool, self.backends[a].initially_listed)
                 == (self.backends[b].pool, self.backends[b].initially_listed)
         });
@@ -202,18 +205,19 @@
     }
 }
 
-/// All orders of so many things in which each place holds one that is like the one that has it by number.
-fn orders(count: usize, is_alike: impl Fn(usize, usize) -> bool) -> Vec<Vec<u8>> {
+/// Returns the permutations of `0..count` that map each position to a number for which `is_alike(number, position)` is
+/// true.
+fn permutations(count: usize, is_alike: impl Fn(usize, usize) -> bool) -> Vec<Vec<u8>> {
     let mut done = vec![Vec::new()];
     for position in 0..count {
         let mut next = Vec::new();
-        for order in &done {
-            for candidate in (0..count)
-                .filter(|candidate| is_alike(*candidate, position) && !order.contains(&(*candidate as u8)))
-            {
-                let mut longer: Vec<u8> = order.clone();
-                longer.push(candidate as u8);
-                next.push(longer);
+        for permutation in &done {
+            for candidate in (0..count).filter(|candidate| {
+                is_alike(*candidate, position) && !permutation.contains(&(*candidate as u8))
+            }) {
+                let mut extended: Vec<u8> = permutation.clone();
+                extended.push(candidate as u8);
+                next.push(extended);
             }
         }
         done = next;
--- a/crates/model-checker/src/models.rs
+++ b/crates/model-checker/src/models.rs
@@ -1,24 +1,24 @@
-//! The worlds that are explored, by name.
+//! The models that are explored, by name.
 
 use crate::model::{ticks, BackendSpec, ConnectionEvents, EventBudget, Model, RequestKind};
 use shaletide_engine::ConnectionLimits;
 use shaletide_types::*;
 
-/// A request that may run at will.
+/// A request that may be executed any number of times.
 pub const SAFE: RequestKind =
     RequestKind { idempotency: Idempotency::Safe, time_left: 2, requires_intent: false, class: 0 };
-/// A keyed one: the edge of its window may lie before its deadline, with it and after it.
+/// A keyed request: its deduplication window may end before, at or after its deadline.
 pub const KEYED: RequestKind = RequestKind {
     idempotency: Idempotency::Keyed(DeduplicationScope::Group, ticks(1)),
     time_left: 2,
     requires_intent: false,
     class: 1,
 };
-/// An unsafe one.
+/// A request that must be executed at most once.
 pub const NON_IDEMPOTENT: RequestKind =
     RequestKind { idempotency: Idempotency::NonIdempotent, time_left: 2, requires_intent: false, class: 2 };
 
-/// What can come on connections that are used once.
+/// Events on connections that are used once.
 const SINGLE_USE: ConnectionEvents = ConnectionEvents {
     reusable: false,
     excess_bytes: false,
@@ -26,10 +26,10 @@
     early_responses: true,
     equivalent_events: false,
 };
-/// The same, and all that the engine answers alike.
+/// Events on connections that are used once, including those that the engine handles like others.
 const SINGLE_USE_ALL_EVENTS: ConnectionEvents =
     ConnectionEvents { unusable: true, equivalent_events: true, ..SINGLE_USE };
-/// What can come on connections that are used again.
+/// Events on connections that are reused.
 const REUSED: ConnectionEvents = ConnectionEvents {
     reusable: true,
     excess_bytes: true,
@@ -37,12 +37,12 @@
     early_responses: true,
     equivalent_events: false,
 };
-/// Few connections, idle and quiet for a time.
+/// Limits for models that reuse connections: two connections, a short idle time-out and a reuse delay.
 const REUSE_LIMITS: ConnectionLimits =
     ConnectionLimits { max_connections: 2, idle_timeout: ticks(3), reuse_delay: ticks(1) };
 
-/// So many backends, each in a cell of its own, in so many pools, and requests of one effect after the other.
-/// Connections are used once.
+/// Returns a model of `backends` backends, each in its own deduplication group, spread over `pools` pools. The kinds of
+/// the requests alternate. Connections are used once.
 pub fn base_model(backends: usize, requests: usize, drains: u8, pools: u32) -> Model {
     let spec =
         |b: usize| BackendSpec { pool: b as u32 % pools.max(1), group: b as u64, initially_listed: true };
@@ -69,31 +69,34 @@
     }
 }
 
-/// Names of the worlds, with what each is about.
+/// The names of the models, each with a short description.
 pub const MODELS: &[(&str, &str)] = &[
-    ("race", "a time-out and a late success, in every order; everything the engine answers alike"),
-    ("edge", "a keyed repeat at the edge of its window, in its group and outside"),
-    ("drain", "a drain between connect and first byte, one of each effect"),
-    ("returns", "two drains, a return under the same name and a successor under a new one"),
-    ("leaving", "clients that leave as their answers come"),
-    ("late-connect", "connections that come up after their requests are over, at the bound of connections"),
-    ("settle", "two pools of one box each; a settle may have run in the first"),
-    ("pools", "a box that goes to the other pool, a pool that is closed, whole lists"),
-    ("sigterm", "nothing new is taken, and what is open is answered"),
-    ("lost", "a list that is lost, and whole again without a box"),
-    ("cells", "a box that is listed in another cell while attempts are on their way to it"),
-    ("reuse", "connections used again: rest, bytes behind, unfit ones, what is idle too long"),
-    ("addresses", "a box that listens elsewhere, with connections to the old address"),
-    ("permits", "the store gives, refuses, or comes too late"),
+    ("race", "a time-out and a late response, in every order; all events that the engine handles alike"),
+    ("edge", "a keyed request that is retried at the end of its window, inside its group and outside"),
+    ("drain", "a drain between connect and first byte, one request of each kind"),
+    ("returns", "two drains, a return under the same name and a replacement under a new one"),
+    ("leaving", "clients that disconnect as their answers arrive"),
+    (
+        "late-connect",
+        "connections that are established after their requests are finished, at the connection limit",
+    ),
+    ("settle", "two pools of one backend each; a non-idempotent request may have been executed in the first"),
+    ("pools", "a backend that moves to the other pool, a pool that is closed, snapshots"),
+    ("sigterm", "no new request is accepted, and open requests are answered"),
+    ("lost", "a lost subscription, then a snapshot without one backend"),
+    ("cells", "a backend that is listed in another group while attempts are in flight to it"),
+    ("reuse", "reused connections: reuse delay, excess bytes, unusable connections, idle time-outs"),
+    ("addresses", "a backend that changes its address, with connections to the old address"),
+    ("permits", "the store persists the intent, rejects it, or answers too late"),
     ("late-wakes", "the shell wakes the engine late"),
-    ("first-byte", "first bytes that may go out until a time"),
-    ("left-alone", "nothing may be called back"),
-    ("one-realm", "a key that all boxes know, and refusals of what may have run"),
-    ("three-out", "three attempts of one request at once"),
-    ("three", "two boxes, three requests, one of each effect, one drain"),
+    ("first-byte", "attempts with a bound on the time of their first byte"),
+    ("left-alone", "attempts cannot be cancelled"),
+    ("one-realm", "a key that all backends share, and rejections of requests that may have been executed"),
+    ("three-out", "three attempts of one request in flight at once"),
+    ("three", "two backends, three requests, one of each kind, one drain"),
 ];
 
-/// The world of that name.
+/// Returns the model of that name.
 pub fn model_by_name(name: &str) -> Option<Model> {
     let with_longer_deadline = |kind: RequestKind| RequestKind { time_left: 3, ..kind };
     let keyed_at_edge = RequestKind {
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -1,4 +1,4 @@
-//! A state of a world, and what a move makes of it.
+//! A state of a model, and the effect of a transition on it.
 
 use crate::model::{Model, TICK};
 use crate::shell::{ConnectionActivity, Shell};
@@ -10,7 +10,8 @@
 use shaletide_types::*;
 use std::rc::Rc;
 
-/// In place of the decision module: it asks for nothing by itself. What it could ask for at any step are moves.
+/// The policy that replaces the decision module. It requests nothing by itself: the policy actions that are possible at a
+/// step are transitions of the model.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Chooser;
 
@@ -18,40 +19,41 @@
     fn handle(&mut self, _now: Time, _event: pools::Event, _asks: &mut Vec<pools::Action>) {}
 }
 
-/// What the engine is told or asked in a move.
+/// An input of the engine in a transition.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// By the shell.
+    /// An event from the shell.
     Event(Event),
-    /// By the chooser.
+    /// A policy action of the chooser.
     PolicyAction(pools::Action),
 }
 
-/// The engine, the monitors and the world around them.
+/// A node of the state graph: the engine, the monitors and their environment.
 #[derive(Clone, Debug)]
 pub struct Node<P> {
-    /// The time.
+    /// The current time.
     pub now: Time,
-    /// What is explored.
+    /// The engine that is explored.
     pub engine: Engine<P>,
-    /// What watches it.
+    /// The monitors that check its invariants.
     pub monitor: Monitor,
-    /// The world around it.
+    /// The environment of the engine.
     pub shell: Shell,
 }
 
-/// When a world begins; nothing may depend on it.
+/// The initial time of every model; no result may depend on it.
 const START: Time = Time(1_000_000);
 
 impl Node<Chooser> {
-    /// As a world begins, under the chooser.
+    /// Returns the initial state of a model, with the chooser as the policy.
     pub fn start(model: &Model) -> Node<Chooser> {
         Node::with_policy(model, Chooser)
     }
 }
 
 impl<P: Policy> Node<P> {
-    /// As a world begins: the lists are told, and nothing else.
+    /// Returns the initial state of a model: the endpoint lists have arrived, and the requests as well if the model has them
+    /// at the start.
     pub fn with_policy(model: &Model, policy: P) -> Node<P> {
         let mut engine = Engine::new(policy, model.connection_limits);
         engine.configure(model.connection_limits, model.can_cancel, model.single_domain.then_some(0));
@@ -59,21 +61,21 @@
         let mut node = Node { now: START, engine, monitor, shell };
         for pool in 0..model.pools() {
             let input = node.snapshot_input(PoolId(u32::from(pool)));
-            node.feed(input, &mut |_, _| {}).expect("a list breaks no rule");
+            node.feed(input, &mut |_, _| {}).expect("an endpoint list violates no invariant");
         }
         if model.requests_at_start {
             for id in std::mem::take(&mut node.shell.not_arrived) {
                 let input = node.request_input(model, id);
-                node.feed(input, &mut |_, _| {}).expect("a request breaks no rule");
+                node.feed(input, &mut |_, _| {}).expect("a request violates no invariant");
             }
         }
         node
     }
 
-    /// Makes a move. `tell` hears each input and what the engine did.
+    /// Takes a transition. `observer` receives each input and the resulting actions of the engine.
     ///
     /// # Errors
-    /// The rule that is broken by it.
+    /// The first violation that it causes.
     pub fn apply(
         &mut self, model: &Model, step: Transition, observer: &mut dyn FnMut(&Input, &[Action]),
     ) -> Verdict {
@@ -85,19 +87,19 @@
         if !model.reuses() {
             verdict = verdict.and(self.close_unneeded_connections());
         }
-        // A word from the store on what the engine has forgotten changes nothing.
+        // The result of the store for a request that the engine has removed has no effect.
         let known = self.engine.requests();
         self.shell.pending_intents.retain(|p| known.contains_key(&p.request));
         verdict
     }
 
-    /// The rules on what is kept, and on what is left when all is quiet.
+    /// Checks the invariants on the state that the engine keeps, and on the state that is left when nothing is pending.
     ///
     /// # Errors
-    /// The one that is broken.
+    /// The first violation.
     pub fn check(&self) -> Verdict {
         if !self.engine.has_no_pending_events() {
-            let text = "something waits inside the engine".to_string();
+            let text = "events are pending inside the engine".to_string();
             return Err(Violation { rule: Rule::NoLeftovers, at: self.now, text });
         }
         self.monitor.check_leftovers(self.now, &self.engine)?;
@@ -112,24 +114,24 @@
         let verdict = match &input {
             Input::Event(event) => {
                 self.update_shell(event);
-                let seen = self.monitor.observe_event(self.now, event);
+                let event_verdict = self.monitor.observe_event(self.now, event);
                 self.engine.handle(self.now, event.clone(), &mut out);
-                seen
+                event_verdict
             }
             Input::PolicyAction(policy_action) => {
                 self.engine.apply_policy_action(self.now, policy_action.clone(), &mut out);
                 Ok(())
             }
         };
-        let acted = self.monitor.observe_step(self.now, None, &out);
+        let action_verdict = self.monitor.observe_step(self.now, None, &out);
         out.iter().for_each(|action| self.shell.carry_out(action));
         observer(&input, &out);
-        verdict.and(acted)
+        verdict.and(action_verdict)
     }
 
-    /// Where nothing is used again, a connection that no attempt waits for can do no more than come to nothing, and
-    /// does so at once: no order of that against anything else differs in what can be seen. Deadlines that are due
-    /// are not touched.
+    /// Closes the connections that no attempt uses, in models that do not reuse connections. Such a connection has no other
+    /// future, and the order of its end relative to other events makes no observable difference, so it ends at once. The
+    /// engine is not woken for this while a request deadline is due.
     fn close_unneeded_connections(&mut self) -> Verdict {
         let unwanted =
             self.engine.connections().filter(|c| c.2 == ConnectionState::Connecting(None)).map(|c| c.0);
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// What the world knows of an event before the engine does.
+    /// Updates the environment for an event before the engine handles it.
     fn update_shell(&mut self, event: &Event) {
         match event {
             Event::Connected { connection } => self.shell.set(*connection, ConnectionActivity::Idle),
@@ -217,7 +219,7 @@
         Input::Event(Event::Request(order))
     }
 
-    /// What a move tells the engine; what it changes in the world besides is done here.
+    /// Returns the inputs that a transition has for the engine, and applies its other effects to the environment.
     fn inputs(&mut self, model: &Model, step: Transition) -> Vec<Input> {
         let request = |id: u8| RequestId(u64::from(id));
         match step {
@@ -274,9 +276,9 @@
                 start_by,
             }
         };
-        // Advice is rounded up to whole seconds, beyond any window here.
+        // Retry advice is rounded up to whole seconds, longer than any window of the models.
         let retry_after = Micros(0);
-        let reason = GiveUpReason::OutOfTime; // it decides nothing
+        let reason = GiveUpReason::OutOfTime; // has no effect
         match step {
             Transition::Dispatch(id, to) => dispatch(id, to, next(id), None),
             Transition::DispatchWithinTick(id, to) => dispatch(id, to, next(id), Some(self.now + TICK)),
@@ -286,7 +288,7 @@
             Transition::Cancel(id, no) => {
                 pools::Action::Cancel { request: request(id), attempt: AttemptNumber(u32::from(no)) }
             }
-            other => unreachable!("{other:?} is none of the chooser's"),
+            other => unreachable!("{other:?} is no policy action"),
         }
     }
 
@@ -318,11 +320,11 @@
                     matches!(self.activity(connection), Some(ConnectionActivity::Busy { written: true, .. }));
                 Event::CloseCompleted { connection, written: written || gone }
             }
-            other => unreachable!("{other:?} is on no connection"),
+            other => unreachable!("{other:?} is no connection event"),
         }
     }
 
-    /// News of the lists, as a directory would tell it.
+    /// Returns the inputs of a change of the endpoint lists, as discovery would deliver it.
     fn list_inputs(&mut self, step: Transition) -> Vec<Input> {
         let pool = |pool: u8| PoolId(u32::from(pool));
         let left = &mut self.shell.remaining_events;
@@ -390,7 +392,7 @@
                 here.for_each(|b| b.state = BackendState::Gone);
                 vec![Input::Event(Event::PoolClosed { pool: of })]
             }
-            other => unreachable!("{other:?} is no news"),
+            other => unreachable!("{other:?} is no change of the endpoint lists"),
         }
     }
 }
--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -1,14 +1,14 @@
-//! A world's row: what was looked at, and whether anything was left.
+//! The result table: one row per model with its bounds, counts and whether it was exhausted.
 
 use crate::model::Model;
 use crate::search::Exploration;
 
-/// The head of the table.
+/// The header of the table.
 pub const TABLE_HEADER: &str = "\
 | world | bounds | states | transitions | depth | seconds | memory | exhausted |
 |---|---|--:|--:|--:|--:|--:|---|";
 
-/// A world's row of the table.
+/// Returns the table row of a model.
 pub fn table_row(model: &Model, found: &Exploration) -> String {
     let exhausted = match (&found.counterexample, found.exhausted) {
         (Some(c), _) => format!("no: a rule is broken after {} steps", c.steps.len()),
@@ -27,7 +27,7 @@
     )
 }
 
-/// 1234567 as 1,234,567.
+/// Formats 1234567 as 1,234,567.
 fn with_thousands_separators(number: u64) -> String {
     let digits = number.to_string();
     let mut text = String::new();
--- a/crates/model-checker/src/restarts/fingerprint.rs
+++ b/crates/model-checker/src/restarts/fingerprint.rs
@@ -1,4 +1,4 @@
-//! A state's fingerprint: equal for states that no later step can tell apart.
+//! The fingerprint of a state: equal for states that no later step can distinguish.
 
 use super::state::{Execution, Node, SentAttempt};
 use crate::model::TICK;
@@ -8,7 +8,7 @@
 use std::hash::Hasher;
 
 impl Node {
-    /// 128 bits of all in it that anything can ever depend on.
+    /// Returns a 128-bit hash of every part of the state that a later step can depend on.
     pub(super) fn fingerprint(&self, text: &mut String, canonical_text: &mut String) -> u128 {
         text.clear();
         let (maybe, ran) =
@@ -30,7 +30,7 @@
             self.run,
             self.request_count,
         )
-        .expect("a string takes all");
+        .expect("writing to a string does not fail");
         canonical(text, self.now, canonical_text);
         let half = |seed: u8| {
             let mut hasher = DefaultHasher::new();
@@ -41,7 +41,7 @@
         u128::from(half(0)) << 64 | u128::from(half(1))
     }
 
-    /// Whether it was sent in this run, on a connection that is still there.
+    /// Returns whether an attempt was sent in this run, on a connection that still exists.
     fn is_live(&self, sent: &SentAttempt) -> bool {
         sent.run == self.run && self.shell.connections.iter().any(|l| l.0 == sent.connection)
     }
@@ -51,9 +51,10 @@
     }
 }
 
-/// The words of a state without what nothing depends on: names of writes and connections by the order in which they
-/// are met, times as they lie from now and one beyond a day, no numbers of rows, no texts of facts, no times at which
-/// an attempt was dispatched or ended, which count for keyed classes only.
+/// Writes the text of a state to `canonical_text` without the parts that nothing depends on. Tickets and connections are
+/// numbered in the order of their first use. Times are relative to `now` and limited to 10 ticks before or after it. The
+/// numbers and the texts of rows are omitted, and so are the times at which an attempt was dispatched or ended: they matter
+/// for keyed classes only.
 fn canonical(text: &str, now: Time, canonical_text: &mut String) {
     const OMITTED_FIELDS: [&str; 3] = ["seq: ", "through: ", "body: "];
     canonical_text.clear();
--- a/crates/model-checker/src/restarts/mod.rs
+++ b/crates/model-checker/src/restarts/mod.rs
@@ -1,9 +1,9 @@
-//! Model of engine, recorder and store together, with clients that request one key over and over: an intent that is
-//! persisted late, rejected or never, a store that fails, and a kill at every state.
+//! A model of engine, recorder and store together, with clients that repeat requests for one key. An intent may be
+//! persisted late, rejected or never decided, the store may fail, and the process may be killed at every state.
 //!
-//! Which commits outlive a kill depends on the order of steps: writes become durable one by one, and their results are
-//! delivered later still. What is on a connection when the program dies may be executed. What bounds the states is the
-//! number of requests, attempts, ticks, failures and restarts.
+//! The order of steps determines which commits survive a kill: writes become durable one by one, and their results are
+//! delivered later. A request that is on a connection when the process dies may be executed. The number of requests,
+//! attempts, ticks, failures and restarts bounds the states.
 
 mod fingerprint;
 mod state;
@@ -17,24 +17,24 @@
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// The bounds of such a world.
+/// The bounds of the restart model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestartBounds {
-    /// Backends.
+    /// The number of backends.
     pub backends: u8,
-    /// Requests for the key, in all runs together.
+    /// The number of requests for the key, in all runs together.
     pub asks: u8,
-    /// Attempts of one request.
+    /// The maximum number of attempts of one request.
     pub attempts: u8,
-    /// Kills.
+    /// The number of kills.
     pub restarts: u8,
-    /// Times that the store fails.
+    /// The number of times that the store fails.
     pub failures: u8,
-    /// Times that an operator resolves the key.
+    /// The number of times that an operator resolves the key.
     pub resolves: u8,
-    /// Ticks that pass; a request has two, its permit one.
+    /// The number of ticks that pass. A request has a deadline of two ticks, its intent a time-out of one.
     pub ticks: u8,
-    /// A bug of the shell around it, for tests.
+    /// A mutant of the shell, for tests.
     pub mutant: Option<ShellMutant>,
 }
 
@@ -53,82 +53,83 @@
     }
 }
 
-/// Bugs that a shell may have. None of them can be switched on in the program.
+/// Faults of the shell that the model has to detect. The program has no way to enable them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShellMutant {
-    /// The first byte goes out while the intent is on its way to the disk.
+    /// The first byte is written before the intent is durable.
     IntentAfterSend,
     /// A commit is acknowledged before it is durable, as with `synchronous=OFF`.
     EarlyCommit,
-    /// At the start the recorder is not told which keys were in flight. The store still knows: that must be enough.
+    /// At the start the recorder is not given the keys that were in flight. The constraint of the store still rejects them,
+    /// which must be sufficient.
     ForgetsInFlight,
-    /// At the start what was in flight is freed, in the store too.
+    /// At the start the keys that were in flight are released, in the store as well.
     FreesInFlight,
 }
 
-/// A step of the world.
+/// A step of the restart model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A client asks for the key.
+    /// A client sends a request for the key.
     Ask,
-    /// The client of that request leaves.
+    /// The client of a request disconnects.
     Leave(RequestId),
-    /// The chooser asks for an attempt at a backend.
+    /// The chooser dispatches an attempt of a request to a backend.
     Dispatch(RequestId, u8),
-    /// The chooser gives up.
+    /// The chooser fails a request.
     Fail(RequestId),
-    /// The chooser calls an attempt back.
+    /// The chooser cancels an attempt of a request.
     Cancel(RequestId, AttemptNumber),
-    /// What waits for the disk becomes durable, up to the next row that says something of the key.
+    /// The queued writes become durable, up to and including the next one that changes the state of the key.
     Commit,
-    /// The oldest results of the store that the recorder does not know of yet are delivered to it.
+    /// The oldest undelivered group of store results is delivered to the recorder.
     Tell,
-    /// The store fails; so many rows that were to be written are on record all the same.
+    /// The store fails; this number of the queued rows are stored nevertheless.
     StoreFails(u8),
-    /// It takes writes again.
+    /// The store accepts writes again.
     StoreBack,
-    /// The connection at this place comes up.
+    /// The connection at this position is established.
     Up(u8),
-    /// It does not.
+    /// The connection at this position could not be established.
     ConnectFailed(u8),
-    /// The last byte has gone.
+    /// The last byte of the request is written.
     Written(u8),
-    /// An answer: 0 served, 1 was not executed, 2 error.
+    /// A response arrives: 0 is served, 1 not executed, 2 an error.
     Answered(u8, u8),
-    /// The connection ended.
+    /// The backend closes the connection.
     Ended(u8),
-    /// It could not be written to.
+    /// The connection proves unusable.
     Unfit(u8),
-    /// It was closed as asked; whether the last byte had gone.
+    /// A connection that the engine closes is closed; the flag tells whether the last byte was written.
     Closed(u8, bool),
-    /// An operator says whether the key ran.
+    /// An operator resolves the key; the flag tells whether the request was executed.
     Resolve(bool),
     /// A tick passes.
     Tick,
     /// Engine and recorder are woken.
     Wake,
-    /// SIGKILL, and a new start.
+    /// SIGKILL, followed by a restart.
     Kill,
 }
 
-/// What was found.
+/// The result of an exploration of the restart model.
 #[derive(Debug)]
 pub struct RestartExploration {
-    /// Different states.
+    /// The number of distinct states.
     pub states: usize,
-    /// Steps made.
+    /// The number of steps taken.
     pub transitions: u64,
-    /// Steps to the farthest state.
+    /// The number of steps to the farthest state.
     pub depth: usize,
-    /// The time it took.
+    /// The duration of the exploration.
     pub took: Duration,
-    /// Every reachable state was visited.
+    /// Whether every reachable state was visited.
     pub exhausted: bool,
-    /// The shortest sequence of steps to a violation, and what was violated.
+    /// The shortest path to a violation, and the violation.
     pub counterexample: Option<(Vec<Step>, &'static str)>,
 }
 
-/// Explores such a world, breadth first, for so long at most.
+/// Explores the restart model, breadth first, for at most `time`.
 pub fn explore_restart_model(bounds: &RestartBounds, time: Duration) -> RestartExploration {
     let begin = Instant::now();
     let model = Model { chooser_acts: false, ..base_model(usize::from(bounds.backends), 0, 0, 1) };
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -12,14 +12,14 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a backend did with what it was sent.
+/// Whether a backend executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// It may have run, or may yet.
+    /// It may have been executed, or may be executed later.
     Unknown,
-    /// It ran.
+    /// It was executed.
     Executed,
-    /// It was not executed and never will.
+    /// It was not executed and never will be.
     NotExecuted,
 }
 
@@ -31,7 +31,7 @@
     pub execution: Execution,
 }
 
-/// A state.
+/// A state of the restart model.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     pub now: Time,
@@ -40,9 +40,9 @@
     pub recorder: Recorder,
     pub shell: Shell,
     pub events: VecDeque<Event>,
-    /// Writes that the store was given and that are not durable.
+    /// Writes that were passed to the store and are not durable yet.
     pub queue: VecDeque<(Ticket, record::Write)>,
-    /// Results of the store that were not delivered to the recorder, in groups.
+    /// Results of the store that were not delivered to the recorder yet, in groups.
     pub undelivered: VecDeque<Vec<record::Event>>,
     pub down: bool,
     pub store: ModelStore,
@@ -52,7 +52,7 @@
     pub violation: Option<&'static str>,
 }
 
-/// What may still happen in this model.
+/// The steps that may still occur in the model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Remaining {
     pub asks: u8,
@@ -142,7 +142,7 @@
         self.send_list(bounds);
     }
 
-    /// Tells the recorder, and does what it asks.
+    /// Passes an event to the recorder and carries out its actions.
     pub(super) fn record(&mut self, bounds: &RestartBounds, event: record::Event) {
         let mut out = Vec::new();
         self.recorder.handle(self.now, event, &mut out);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The engine's events in turn, and what it asks for.
+    /// Passes the queued events to the engine in order and carries out its actions.
     pub(super) fn drain(&mut self, bounds: &RestartBounds) {
         while let Some(event) = self.events.pop_front() {
             let mut out = Vec::new();
@@ -225,7 +225,7 @@
         }
     }
 
-    /// The rule: nothing is sent while something else of the key may have run.
+    /// Sends an attempt. Violates the invariant if another attempt of the key may have been executed.
     fn send(&mut self, connection: ConnectionId) {
         if self.sent.iter().any(|s| s.execution != Execution::NotExecuted) {
             self.violation = Some("a key that may have run is sent again");
@@ -245,10 +245,10 @@
         self.request_count += 1;
         let (request, id) = (RequestId(self.request_count), key());
         let deadline = self.now + ticks(2);
-        let request_count =
+        let key_request =
             record::KeyRequest { request, tenant: "", class: "settle", key: Some(&id.key), deadline };
         let mut out = Vec::new();
-        let verdict = self.recorder.decide(self.now, request_count, &mut out);
+        let verdict = self.recorder.decide(self.now, key_request, &mut out);
         self.carry_out(bounds, out);
         if verdict != (KeyDecision::Proceed { requires_intent: true }) {
             return;
@@ -294,7 +294,7 @@
         let mut results = Vec::new();
         for (at, (ticket, write)) in std::mem::take(&mut self.queue).into_iter().enumerate() {
             if at < usize::from(on_record) {
-                let _ = self.store.commit(self.run, &write); // rejected or not: nobody is told
+                let _ = self.store.commit(self.run, &write); // a rejection is not reported either
             }
             results.push(record::Event::WriteFailed { ticket, why: record::StoreFailure::Failed });
         }
@@ -303,7 +303,8 @@
         self.undelivered.push_back(results);
     }
 
-    /// What must hold when nothing is under way: a key that was not executed is free, unless a kill came between.
+    /// Returns the violation of an invariant in a state without pending work, if there is one: a key that was not executed
+    /// must be free, unless the process was killed in between.
     pub(super) fn violation_at_rest(&self, bounds: &RestartBounds) -> Option<&'static str> {
         let idle = self.engine.requests().is_empty() && self.queue.is_empty() && self.undelivered.is_empty();
         if !idle || self.down || bounds.mutant.is_some() {
@@ -314,9 +315,9 @@
         match self.store.key {
             Some((KeyState::InFlight, ..)) => Some("a key is left in flight"),
             Some(_) if !ran && !killed && self.remaining.resolves == bounds.resolves => {
-                Some("a key that never ran is kept from being asked again")
+                Some("a key that was not executed is not free again")
             }
-            None if self.recorder.unsettled() > 0 => Some("a key is free on record and taken in memory"),
+            None if self.recorder.unsettled() > 0 => Some("a key is free in the store and taken in memory"),
             _ => None,
         }
     }
--- a/crates/model-checker/src/restarts/steps.rs
+++ b/crates/model-checker/src/restarts/steps.rs
@@ -1,4 +1,4 @@
-//! The steps that are possible in a state, and what each makes of it.
+//! The steps that are possible in a state, and their effects.
 
 use super::state::{key, Execution, Node};
 use super::{RestartBounds, Step};
@@ -11,7 +11,7 @@
 use shaletide_types::*;
 
 impl Node {
-    /// Makes a step, and lets engine and recorder do all that follows from it.
+    /// Takes a step, and lets engine and recorder handle all events that result from it.
     pub(super) fn apply(&mut self, bounds: &RestartBounds, model: &Model, step: Step) {
         match step {
             Step::Ask => self.ask(bounds),
@@ -159,7 +159,7 @@
         self.record(bounds, record::Event::Resolve { reply, key: key(), ran, by, note });
     }
 
-    /// Connections are used once.
+    /// Closes idle connections: the model uses each connection once.
     fn close_idle_connections(&mut self, bounds: &RestartBounds) {
         let idle =
             |node: &Node| node.shell.connections.iter().find(|l| l.1 == ConnectionActivity::Idle).copied();
@@ -170,7 +170,7 @@
         }
     }
 
-    /// The steps that are possible now, in a fixed order.
+    /// Replaces the contents of `out` by the steps that are possible, in a fixed order.
     pub(super) fn steps(&self, bounds: &RestartBounds, out: &mut Vec<Step>) {
         out.clear();
         if self.remaining.asks > 0 {
@@ -201,7 +201,7 @@
             out.extend((0..=self.queue.len() as u8).map(Step::StoreFails));
         }
         self.connection_steps(out);
-        // An operator asks the backends first, and only of a key of which nothing is under way here.
+        // An operator checks with the backends before resolving a key, and only resolves one without a request in flight.
         let busy = !self.shell.connections.is_empty() || !self.engine.requests().is_empty();
         let ran = self.sent.iter().any(|s| s.execution == Execution::Executed);
         if self.remaining.resolves > 0 && !busy && !self.down && self.recorder.unsettled() > 0 {
@@ -231,7 +231,7 @@
             match activity {
                 ConnectionActivity::Opening => out.extend([Step::Up(place), Step::ConnectFailed(place)]),
                 ConnectionActivity::Idle => {}
-                // The shell closes at once what it is asked to, and reports how far it had got.
+                // The shell closes a connection at once when asked to, and reports whether the last byte was written.
                 ConnectionActivity::Busy { written, closing: true, .. } => {
                     out.push(Step::Closed(place, true));
                     if !written {
--- a/crates/model-checker/src/restarts/store.rs
+++ b/crates/model-checker/src/restarts/store.rs
@@ -1,9 +1,9 @@
-//! The modelled store of record, with one key.
+//! The model of the store of record, with one key.
 
 use shaletide_record as record;
 use shaletide_record::{Claim, KeyState};
 
-/// How the one key stands in the store, and whose row last said so.
+/// The state of the one key in the store, and the run, request and number of the row that last changed it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ModelStore {
     pub key: Option<(KeyState, u64, Option<u64>, u64)>,
@@ -11,7 +11,7 @@
 }
 
 impl ModelStore {
-    /// As the conformance suite wants it of any store.
+    /// Commits a write in the way that the conformance suite requires of every store.
     pub fn commit(&mut self, run: u64, write: &record::Write) -> Result<u64, record::ClaimRejection> {
         let (seq, request) = (self.seq + 1, write.row.request);
         match &write.claim {
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -1,8 +1,8 @@
-//! Breadth first, so that the first counterexample is a shortest one.
+//! Breadth-first search, so that the first counterexample is a shortest one.
 //!
-//! A state is kept as 128 bits of its canonical form, its parent and the move that led to it, some 40 bytes; what
-//! is to be expanded is replayed from its ancestors. Along a layer neighbours share most of their way, so that a
-//! replay costs little more than one move a state.
+//! A state is stored as a 128-bit fingerprint of its canonical form, its parent and the transition from there, about 40
+//! bytes. A state that is to be expanded is replayed from its ancestors. Neighbours in a layer share most of their path, so
+//! that a replay costs little more than one transition per state.
 
 use crate::canonical::Canonicalizer;
 use crate::cover::Coverage;
@@ -16,19 +16,19 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// States that one thread takes at a time.
+/// The number of states that a thread takes from a layer at a time.
 const CHUNK: usize = 512;
 
-/// How long and how wide to look.
+/// The limits of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// So long.
+    /// The maximum duration.
     pub time: Duration,
-    /// So many states.
+    /// The maximum number of states.
     pub states: usize,
-    /// On so many threads, or on as many as the system gives, the calling one at least.
+    /// The number of threads. If the system cannot start them all, the exploration uses fewer, at least the calling one.
     pub threads: usize,
-    /// Which situations the engine was met in is noted too.
+    /// Whether to record the covered transitions of the engine.
     pub cover: bool,
 }
 
@@ -38,37 +38,37 @@
     }
 }
 
-/// What was found.
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Exploration {
-    /// Different states, by their canonical form.
+    /// The number of distinct states by canonical form.
     pub states: usize,
-    /// Moves made.
+    /// The number of transitions taken.
     pub transitions: u64,
-    /// Moves to the farthest state.
+    /// The number of transitions to the farthest state.
     pub depth: usize,
-    /// The time it took.
+    /// The duration of the exploration.
     pub took: Duration,
-    /// Bytes of what was kept.
+    /// The memory use of the stored states in bytes.
     pub bytes: usize,
-    /// Nothing was left to look at.
+    /// Whether every reachable state was visited.
     pub exhausted: bool,
-    /// The shortest way to a broken rule.
+    /// The shortest path to a violation.
     pub counterexample: Option<Counterexample>,
-    /// The situations that were met.
+    /// The covered transitions of the engine.
     pub cover: Coverage,
 }
 
-/// A shortest way to a broken rule.
+/// A shortest path to a violation.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// The moves.
+    /// The transitions.
     pub steps: Vec<Transition>,
-    /// The rule.
+    /// The violation.
     pub violation: Violation,
 }
 
-/// Every state by number: its parent and the move from there.
+/// The search tree: for every state by number, its parent and the transition from there.
 struct Tree {
     from: Vec<(u32, Transition)>,
 }
@@ -86,14 +86,14 @@
     }
 }
 
-/// What one thread finds in a chunk.
+/// The result of one chunk.
 struct Batch {
     chunk: usize,
     new: Vec<(u32, Transition)>,
     first_violation: Option<(usize, Option<Transition>, Violation)>,
 }
 
-/// Makes the first state. Each thread has its own: the engine is made for one thread.
+/// Makes the initial state. Each thread makes its own, since the engine is not shared between threads.
 pub type StartFn<'a> = &'a (dyn Fn() -> Node<Chooser> + Sync);
 
 struct Shared<'a> {
@@ -113,12 +113,12 @@
     record_coverage: bool,
 }
 
-/// Explores the world.
+/// Explores a model from its initial state.
 pub fn explore(model: &Model, limits: Limits) -> Exploration {
     explore_from(model, &|| Node::start(model), false, limits)
 }
 
-/// Explores the world from that beginning. `end_counts`: see [`Canon::new`].
+/// Explores a model from the state that `start` makes. For `reads_end_times` see [`Canonicalizer::new`].
 pub fn explore_from(model: &Model, start: StartFn, reads_end_times: bool, limits: Limits) -> Exploration {
     let begin = Instant::now();
     let visited = Visited::default();
@@ -147,7 +147,7 @@
         };
         std::thread::scope(|scope| {
             for _ in 1..limits.threads {
-                // Where the system gives no thread, the others do its part: the result is the same.
+                // If a thread cannot be started, the others take its chunks: the result is the same.
                 let _ = std::thread::Builder::new().spawn_scoped(scope, || explore_layer(&shared));
             }
             explore_layer(&shared);
@@ -156,7 +156,7 @@
         cover = shared.cover.into_inner().unwrap_or_default();
         let mut batches = shared.finished.into_inner().unwrap_or_default();
         batches.sort_unstable_by_key(|b| b.chunk);
-        // The chunks are given out in order, so the first broken one is the same on any number of threads.
+        // The chunks are taken in order, so the first chunk with a violation is the same on any number of threads.
         if let Some((at, step, violation)) = batches.iter().find_map(|b| b.first_violation.clone()) {
             let mut steps = tree.path(at);
             steps.extend(step);
@@ -178,7 +178,7 @@
     Exploration { states, transitions, depth, took: begin.elapsed(), bytes, exhausted, counterexample, cover }
 }
 
-/// Takes chunks of the layer until there are no more.
+/// Expands chunks of the layer until none is left.
 fn explore_layer(shared: &Shared) {
     let mut stack: Vec<(usize, Node<Chooser>)> = vec![(0, (shared.start)())];
     let mut canonicalizer = Canonicalizer::new(shared.model, shared.reads_end_times);
@@ -229,11 +229,11 @@
         shared.finished.lock().expect("no thread panics while it adds a batch").push(batch);
     }
     if shared.record_coverage {
-        shared.cover.lock().expect("no thread panics while it adds what it met").add(&cover);
+        shared.cover.lock().expect("no thread panics while it adds its coverage").add(&cover);
     }
 }
 
-/// Makes the top of the stack the state of that number, which lies as deep as the layer.
+/// Replays the state with the number `at`, a state of the current layer, to the top of the stack.
 fn replay(shared: &Shared, stack: &mut Vec<(usize, Node<Chooser>)>, at: usize) {
     let mut path = Vec::new();
     let (mut at, mut depth) = (at, shared.depth);
@@ -245,7 +245,7 @@
     stack.truncate(depth + 1);
     while let Some((at, step)) = path.pop() {
         let mut node = stack[stack.len() - 1].1.clone();
-        node.apply(shared.model, step, &mut |_, _| {}).expect("a state that was kept broke no rule");
+        node.apply(shared.model, step, &mut |_, _| {}).expect("a stored state violated no invariant");
         stack.push((at, node));
     }
 }
--- a/crates/model-checker/src/shell.rs
+++ b/crates/model-checker/src/shell.rs
@@ -1,72 +1,72 @@
-//! The world outside the engine: what a shell, backends, lists and the store have under way.
+//! The environment of the engine: the pending work of the shell, the backends, the endpoint lists and the store.
 
 use crate::model::Model;
 use shaletide_engine::Action;
 use shaletide_types::*;
 
-/// What goes on on a connection.
+/// The activity of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionActivity {
-    /// It comes up.
+    /// The connection is being established.
     Opening,
-    /// It is up, and nothing of ours is on it.
+    /// The connection is established and carries no request.
     Idle,
-    /// A request is on it.
+    /// The connection carries an attempt.
     Busy {
-        /// Whose.
+        /// The request of the attempt.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: AttemptNumber,
-        /// The last byte has gone.
+        /// Whether the last byte is written.
         written: bool,
-        /// The engine has asked to close it.
+        /// Whether the engine has asked to close the connection.
         closing: bool,
     },
 }
 
-/// A permit that the store has not decided on.
+/// An intent for which the result of the store is pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Pending {
-    /// Whose.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// Which attempt.
+    /// The number of the attempt.
     pub attempt: AttemptNumber,
-    /// It was given back, so that the store's word comes too late.
+    /// Whether the engine has withdrawn the intent, so that the result arrives too late.
     pub withdrawn: bool,
 }
 
-/// A backend as discovery has it.
+/// A backend as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ListedBackend {
-    /// Its pool.
+    /// The pool of the backend.
     pub pool: PoolId,
-    /// Its cell.
+    /// The deduplication group of the backend.
     pub group: DeduplicationGroupId,
-    /// What it may be sent.
+    /// The state in which it is listed.
     pub state: BackendState,
-    /// When it returned; the engine does not read it, a policy may.
+    /// The time at which it returned; read by policies, not by the engine.
     pub started_at: Option<Time>,
 }
 
-/// All of it.
+/// The state of the environment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shell {
-    /// The connections, the oldest first.
+    /// The connections, oldest first.
     pub connections: Vec<(ConnectionId, ConnectionActivity)>,
-    /// The permits that are asked for.
+    /// The intents that the store has not decided on.
     pub pending_intents: Vec<Pending>,
-    /// The backends by number.
+    /// The backends, by number.
     pub listed_backends: Vec<ListedBackend>,
-    /// The list is lost, and only a whole one is news.
+    /// Whether the subscription is lost, so that only a snapshot can follow.
     pub subscription_lost: bool,
-    /// Requests that have not come yet.
+    /// The requests that have not arrived yet.
     pub not_arrived: Vec<RequestId>,
-    /// What may still happen.
+    /// The external events that may still occur.
     pub remaining_events: crate::model::EventBudget,
 }
 
 impl Shell {
-    /// As a world begins.
+    /// Returns the environment at the start of a model.
     pub fn new(model: &Model) -> Shell {
         let initial_entry = |b: &crate::model::BackendSpec| ListedBackend {
             pool: PoolId(b.pool),
@@ -84,10 +84,10 @@
         }
     }
 
-    /// The row of a backend, as its list has it.
+    /// Returns the list entry of a backend.
     pub fn entry(&self, id: usize) -> BackendEntry {
         let b = self.listed_backends[id];
-        // Pools are realms of their own, as they are for the daemon unless it is told otherwise.
+        // Each pool is a deduplication domain of its own, which is the default of the daemon.
         BackendEntry {
             id: BackendId(id as u32),
             deduplication_group: b.group,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The rows of a pool, but for those gone and that one.
+    /// Returns the list entries of a pool, without backends that are gone and without `except`.
     pub fn entries(&self, pool: PoolId, except: Option<usize>) -> Vec<BackendEntry> {
         let ids = (0..self.listed_backends.len()).filter(|id| Some(*id) != except);
         let here = ids.filter(|id| {
@@ -106,13 +106,13 @@
         here.map(|id| self.entry(id)).collect()
     }
 
-    /// Something is on its way that will bring an event.
+    /// Returns whether a pending operation will cause an event.
     pub fn is_busy(&self) -> bool {
         self.pending_intents.iter().any(|p| !p.withdrawn)
             || self.connections.iter().any(|(_, d)| *d != ConnectionActivity::Idle)
     }
 
-    /// A connection is being closed.
+    /// Returns whether a connection is being closed.
     pub fn is_closing(&self) -> bool {
         self.connections.iter().any(|(_, d)| matches!(d, ConnectionActivity::Busy { closing: true, .. }))
     }
@@ -127,7 +127,7 @@
         self.connections.retain(|l| l.0 != connection);
     }
 
-    /// Carries out what the engine asks.
+    /// Carries out an action of the engine.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
             Action::Connect { connection, .. } => {
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -1,4 +1,4 @@
-//! A counterexample as a timeline: time, who, what, and what the engine did.
+//! Formats a counterexample as a timeline: time, source, input, and the actions of the engine.
 
 use crate::model::{Model, TICK};
 use crate::node::{Input, Node};
@@ -9,7 +9,7 @@
 use shaletide_types::*;
 use std::fmt::Write;
 
-/// The moves one by one, replayed, and the rule that is broken in the end.
+/// Replays a counterexample and returns its transitions one by one, followed by the violation.
 pub fn timeline(model: &Model, start: StartFn, found: &Counterexample) -> String {
     let mut node = start();
     let begin = node.now;
@@ -20,14 +20,15 @@
             let _ = writeln!(text, "{:>3}. {time:>2} ms  clock: a millisecond passes", no + 1);
         }
         if *step == Transition::Stop {
-            let _ = writeln!(text, "{:>3}. {time:>2} ms  operator: SIGTERM, nothing new is taken", no + 1);
+            let _ =
+                writeln!(text, "{:>3}. {time:>2} ms  operator: SIGTERM, no new request is accepted", no + 1);
         }
         let mut first = true;
-        let lines = node.clone();
+        let before = node.clone();
         let _ = node.apply(model, *step, &mut |input, actions| {
             let head = if first { format!("{:>3}. {time:>2} ms", no + 1) } else { " ".repeat(10) };
             first = false;
-            let _ = writeln!(text, "{head}  {}", describe_input(input, &lines));
+            let _ = writeln!(text, "{head}  {}", describe_input(input, &before));
             for action in actions {
                 let _ = writeln!(text, "{:>17} {}", "->", describe_action(action));
             }
@@ -50,10 +51,10 @@
             let by = start_by.map_or("", |_| ", its first byte in this millisecond");
             format!("attempt {} of request {} at box {}{by}", attempt.0, request.0, backend.0)
         }
-        pools::Action::Reject { request, .. } => format!("refuse request {}", request.0),
-        pools::Action::Fail { request, .. } => format!("give request {} up", request.0),
+        pools::Action::Reject { request, .. } => format!("reject request {}", request.0),
+        pools::Action::Fail { request, .. } => format!("fail request {}", request.0),
         pools::Action::Cancel { request, attempt } => {
-            format!("call back attempt {} of request {}", attempt.0, request.0)
+            format!("cancel attempt {} of request {}", attempt.0, request.0)
         }
         other => format!("{other:?}"),
     }
@@ -73,9 +74,9 @@
             format!("list of pool {}: {update:?} [{}]", pool.0, rows.join(", "))
         }
         Event::BackendMoved { backend, from, to } => {
-            format!("list: box {} goes from pool {} to pool {}", backend.0, from.0, to.0)
+            format!("list: box {} moves from pool {} to pool {}", backend.0, from.0, to.0)
         }
-        Event::AddressChanged { backend } => format!("list: box {} listens at another address", backend.0),
+        Event::AddressChanged { backend } => format!("list: box {} changes its address", backend.0),
         Event::PoolClosed { pool } => format!("operator: pool {} is closed", pool.0),
         Event::Request(order) => format!(
             "client: request {} comes, {:?}, with {} ms left",
@@ -83,7 +84,7 @@
             order.idempotency,
             order.arrival.time_left.0 / TICK.0
         ),
-        Event::ClientDisconnected { request } => format!("client: leaves request {}", request.0),
+        Event::ClientDisconnected { request } => format!("client: disconnects from request {}", request.0),
         Event::GiveUp { request, .. } => format!("store: request {} is to be given up", request.0),
         Event::IntentPersisted { request, attempt, persisted: given } => {
             let word = if *given { "gives" } else { "refuses" };
@@ -91,34 +92,34 @@
         }
         Event::Connected { connection } => format!("{}: connection {} is up", to(connection), connection.0),
         Event::ConnectFailed { connection, backend_at_fault: blame } => {
-            let blame = if *blame { "" } else { ", through no fault of its own" };
-            format!("{}: connection {} does not come up{blame}", to(connection), connection.0)
+            let blame = if *blame { "" } else { ", not the backend's fault" };
+            format!("{}: connection {} could not be established{blame}", to(connection), connection.0)
         }
         Event::RequestWritten { connection } => {
-            format!("shell: the last byte has gone on connection {}", connection.0)
+            format!("shell: the last byte is written on connection {}", connection.0)
         }
-        Event::LoadReported { connection, .. } => format!("{}: says how loaded it is", to(connection)),
+        Event::LoadReported { connection, .. } => format!("{}: reports its load", to(connection)),
         Event::ResponseReceived { connection, class: verdict, reusable: keep, has_excess_bytes: behind } => {
             let what = match verdict {
                 ResponseClass::Served => "the answer",
-                ResponseClass::NotExecuted => "an answer that it never ran",
+                ResponseClass::NotExecuted => "an answer that the request was not executed",
                 ResponseClass::Error => "an error",
             };
             let after = match (keep, behind) {
-                (_, true) => ", and more behind it",
-                (true, false) => ", and the connection may be kept",
+                (_, true) => ", with excess bytes after it",
+                (true, false) => ", and the connection may be reused",
                 (false, false) => "",
             };
             format!("{}: {what} on connection {}{after}", to(connection), connection.0)
         }
         Event::InvalidResponse { connection } => {
-            format!("{}: no answer can come of connection {}", to(connection), connection.0)
+            format!("{}: invalid response on connection {}", to(connection), connection.0)
         }
         Event::ConnectionClosed { connection } => {
-            format!("{}: ends connection {}", to(connection), connection.0)
+            format!("{}: closes connection {}", to(connection), connection.0)
         }
         Event::ConnectionUnusable { connection } => {
-            format!("shell: connection {} cannot be written to", connection.0)
+            format!("shell: connection {} is unusable", connection.0)
         }
         Event::CloseCompleted { connection, written } => {
             let how = if *written { "after" } else { "before" };
@@ -150,15 +151,15 @@
             format!("answer request {}: {how}", request.0)
         }
         Action::AttemptEnded { request, attempt, outcome } => {
-            format!("attempt {} of request {} is over: {outcome:?}", attempt.0, request.0)
+            format!("attempt {} of request {} ended: {outcome:?}", attempt.0, request.0)
         }
         Action::PersistIntent { request, attempt } => {
-            format!("ask the permit for attempt {} of request {}", attempt.0, request.0)
+            format!("request the permit for attempt {} of request {}", attempt.0, request.0)
         }
         Action::WithdrawIntent { request, attempt } => {
-            format!("give back the permit for attempt {} of request {}", attempt.0, request.0)
+            format!("withdraw the permit for attempt {} of request {}", attempt.0, request.0)
         }
-        Action::Subscribe { pool } => format!("follow pool {}", pool.0),
+        Action::Subscribe { pool } => format!("subscribe to pool {}", pool.0),
         Action::Log { text, .. } => format!("log {text}"),
     }
 }
--- a/crates/model-checker/src/transitions.rs
+++ b/crates/model-checker/src/transitions.rs
@@ -1,75 +1,75 @@
-//! The moves of a model: what may happen next, by number.
+//! The transitions of a model.
 
-/// How an answer leaves its connection.
+/// The state in which a response leaves its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AfterResponse {
-    /// It may be used again.
+    /// The connection may be reused.
     Keep,
-    /// It may, but for what has come behind the answer.
+    /// The response allows reuse, but excess bytes follow it.
     ExcessBytes,
-    /// It may not.
+    /// The connection must not be reused.
     Close,
 }
 
-/// One step of the world. Requests, backends and pools go by number, connections and permits by their place among
-/// those that there are.
+/// One step of a model. Requests, backends and pools are identified by number, connections and pending intents by their
+/// position in [`Shell`](crate::Shell).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Transition {
-    /// A request comes.
+    /// A request arrives.
     Arrive(u8),
-    /// Its client leaves.
+    /// The client of a request disconnects.
     Leave(u8),
-    /// The chooser asks for an attempt.
+    /// The chooser dispatches an attempt of a request to a backend.
     Dispatch(u8, u8),
-    /// The same, with a first byte that may go out in this tick only.
+    /// The chooser dispatches an attempt whose first byte may be written in this tick only.
     DispatchWithinTick(u8, u8),
-    /// The same, under a number that is not the next.
+    /// The chooser dispatches an attempt under a number that is not the next one.
     DispatchOutOfOrder(u8, u8),
-    /// The chooser refuses.
+    /// The chooser rejects a request.
     Refuse(u8),
-    /// The chooser gives up.
+    /// The chooser fails a request.
     Fail(u8),
-    /// The chooser calls an attempt back.
+    /// The chooser cancels an attempt of a request.
     Cancel(u8, u8),
-    /// The store decides.
+    /// The store reports whether it persisted an intent.
     Permit(u8, bool),
-    /// A connection is up.
+    /// A connection is established.
     Up(u8),
-    /// It did not come up; whether the backend is to blame.
+    /// A connection could not be established; the flag tells whether the backend is at fault.
     ConnectFailed(u8, bool),
-    /// The last byte has gone.
+    /// The last byte of a request is written.
     Written(u8),
-    /// An answer: 0 served, 1 was not executed, 2 error.
+    /// A response arrives: 0 is served, 1 not executed, 2 an error.
     Answered(u8, u8, AfterResponse),
-    /// What came is no answer.
+    /// An invalid response arrives.
     InvalidResponse(u8),
-    /// The connection ended.
+    /// The backend closes a connection.
     Ended(u8),
-    /// It cannot be written to.
+    /// A connection proves unusable.
     Unfit(u8),
-    /// It is closed as asked; whether the last byte had gone.
+    /// A connection that the engine closes is closed; the flag tells whether the last byte was written.
     Closed(u8, bool),
-    /// A backend drains.
+    /// A backend starts to drain.
     Drain(u8),
-    /// A backend is off the list.
+    /// A backend is removed from the endpoint list.
     Gone(u8),
-    /// It is ready again.
+    /// A backend becomes ready again.
     Return(u8),
-    /// The whole list of a pool, without that backend.
+    /// A snapshot of a pool arrives that lacks this backend.
     SnapshotWithout(u8),
-    /// The whole list of a pool.
+    /// A complete snapshot of a pool arrives.
     FullSnapshot(u8),
-    /// The list of a pool is lost.
+    /// The subscription to a pool is lost.
     LoseSubscription(u8),
-    /// A backend listens elsewhere.
+    /// A backend changes its address.
     ChangeAddress(u8),
-    /// A backend is in another cell.
+    /// A backend changes its deduplication group.
     ChangeGroup(u8),
-    /// A backend goes to another pool.
+    /// A backend moves to another pool.
     ChangePool(u8, u8),
     /// A pool is closed.
     ClosePool(u8),
-    /// SIGTERM.
+    /// SIGTERM arrives.
     Stop,
     /// The engine is woken.
     Wake,
--- a/crates/model-checker/src/visited.rs
+++ b/crates/model-checker/src/visited.rs
@@ -1,4 +1,4 @@
-//! The states that were seen, by 128 bits each.
+//! The set of visited states, each as a 128-bit fingerprint.
 
 use std::collections::HashSet;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -6,7 +6,7 @@
 
 const SHARDS: usize = 256;
 
-/// The fingerprints are evenly spread already.
+/// Uses 64 bits of a fingerprint as the hash: fingerprints are evenly distributed already.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -24,7 +24,7 @@
 
 type Shard = HashSet<u128, BuildHasherDefault<IdentityHasher>>;
 
-/// A set that several threads add to.
+/// A set of fingerprints that several threads add to.
 pub struct Visited {
     shards: Vec<Mutex<Shard>>,
 }
@@ -36,13 +36,13 @@
 }
 
 impl Visited {
-    /// False where it was there already.
+    /// Adds a fingerprint. Returns false if the set contains it already.
     pub fn insert(&self, fingerprint: u128) -> bool {
         let shard = &self.shards[(fingerprint >> 120) as usize % SHARDS];
         shard.lock().expect("no thread panics while it holds a shard").insert(fingerprint)
     }
 
-    /// Bytes that it takes: 16 and a control byte for each place, of which seven in eight are used at most.
+    /// Returns the memory use in bytes: 16 and a control byte per slot; a table fills at most 7 of 8 slots.
     pub fn bytes(&self) -> usize {
         let table_bytes = |shard: &Mutex<Shard>| shard.lock().map_or(0, |s| s.capacity() * 8 / 7 * 17);
         self.shards.iter().map(table_bytes).sum()
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Ten mutants: each is found, by a shortest counterexample.
+//! Each of the ten mutants of the engine is detected, with a shortest counterexample.
 
 use shaletide_engine::monitor::Rule;
 use shaletide_engine::Mutant;
@@ -12,15 +12,15 @@
     }
 }
 
-/// The counterexample that is found, in so many states.
+/// Returns the counterexample that an exploration within `limits` finds.
 fn counterexample(model: &Model, mutant: Mutant, limits: Limits) -> Option<Counterexample> {
     let reads_end_times = mutant == Mutant::WindowStartsAtEnd;
     explore_from(model, &with_mutant(model, mutant), reads_end_times, limits).counterexample
 }
 
-/// Explores the world with that bug; the steps, the rule that is broken, and the timeline.
+/// Explores a model with a mutant and returns the number of steps, the violated rule and the timeline.
 fn found(name: &str, mutant: Mutant) -> (usize, Rule, String) {
-    let model = model_by_name(name).expect("a world of that name");
+    let model = model_by_name(name).expect("a model of that name");
     let c = counterexample(&model, mutant, Limits::default())
         .unwrap_or_else(|| panic!("{mutant:?}: nothing in {name}"));
     let text = timeline(&model, &with_mutant(&model, mutant), &c);
@@ -34,59 +34,59 @@
 }
 
 #[test]
-fn a_late_success_is_answered_too() {
+fn late_success_mutant_answers_twice() {
     assert_eq!(steps_and_rule("race", Mutant::LateSuccess), (5, Rule::OneAnswer));
 }
 
 #[test]
-fn an_end_after_the_last_byte_is_taken_to_mean_never_ran() {
+fn not_executed_after_last_byte_mutant_rejects_an_executed_request() {
     assert_eq!(steps_and_rule("edge", Mutant::NotExecutedAfterLastByte), (6, Rule::HarmlessRejection));
 }
 
 #[test]
-fn a_window_is_measured_from_the_end() {
+fn window_starts_at_end_mutant_retries_outside_the_window() {
     assert_eq!(steps_and_rule("leaving", Mutant::WindowStartsAtEnd), (7, Rule::KeyedInScopeAndWindow));
 }
 
 #[test]
-fn a_drain_is_not_asked_for_at_the_first_byte() {
+fn stale_drain_state_mutant_sends_to_a_draining_backend() {
     assert_eq!(steps_and_rule("race", Mutant::StaleDrainState), (4, Rule::Draining));
 }
 
 #[test]
-fn a_hedge_is_left_running() {
+fn hedge_not_cancelled_mutant_leaves_an_attempt() {
     assert_eq!(steps_and_rule("race", Mutant::HedgeNotCancelled), (5, Rule::NoLeftovers));
 }
 
 #[test]
-fn a_client_that_left_is_answered() {
+fn answer_after_disconnect_mutant_violates_no_leftovers() {
     assert_eq!(steps_and_rule("race", Mutant::AnswerAfterDisconnect), (2, Rule::NoLeftovers));
 }
 
 #[test]
-fn a_refusal_after_running() {
+fn rejected_after_execution_mutant_violates_harmless_rejection() {
     assert_eq!(steps_and_rule("edge", Mutant::RejectedAfterExecution), (4, Rule::HarmlessRejection));
 }
 
 #[test]
-fn a_connection_with_bytes_behind_is_used_again() {
+fn reused_with_excess_bytes_mutant_uses_a_dirty_connection() {
     assert_eq!(steps_and_rule("reuse", Mutant::ReusedWithExcessBytes), (7, Rule::CleanConnection));
 }
 
 #[test]
-fn a_timer_outlives_its_request() {
+fn timer_outlives_request_mutant_leaves_a_timer() {
     assert_eq!(steps_and_rule("race", Mutant::TimerOutlivesRequest), (2, Rule::NoLeftovers));
 }
 
 #[test]
-fn a_whole_list_does_not_drain_what_it_lacks() {
+fn drain_missed_in_snapshot_mutant_sends_to_a_removed_backend() {
     assert_eq!(steps_and_rule("pools", Mutant::DrainMissedInSnapshot), (4, Rule::Draining));
-    // There the requests have come before the first step.
+    // In this model the requests have arrived before the first step.
     assert_eq!(steps_and_rule("lost", Mutant::DrainMissedInSnapshot), (3, Rule::Draining));
 }
 
 #[test]
-fn a_counterexample_says_when_who_and_what() {
+fn timeline_shows_time_source_input_and_actions() {
     let (_, _, text) = found("race", Mutant::StaleDrainState);
     let expected = "1.  0 ms  client: request 0 comes, Safe, with 3 ms left
   2.  0 ms  chooser: attempt 0 of request 0 at box 0
@@ -98,11 +98,10 @@
     assert_eq!(text.trim_start(), expected);
 }
 
-/// No world in which requests come has a shorter one: each finds each bug as late or later, as far as a million
-/// states go.
+/// No model in which requests arrive by transitions has a shorter counterexample, within a million states.
 #[test]
 #[ignore = "minutes"]
-fn no_world_has_a_shorter_counterexample() {
+fn no_model_has_a_shorter_counterexample() {
     let shortest = [
         (Mutant::LateSuccess, 5),
         (Mutant::NotExecutedAfterLastByte, 6),
--- a/crates/model-checker/tests/real_module.rs
+++ b/crates/model-checker/tests/real_module.rs
@@ -1,5 +1,5 @@
-//! What is taken for granted of the decision module, since the engine cannot check it, is checked on event streams
-//! of the real one; and the engine under the real one keeps every rule there.
+//! The engine with the real decision module on random event streams: the module meets the assumptions that the engine cannot
+//! check, and the engine violates no invariant.
 
 use shaletide_balancer::{Class, Config, Tenant};
 use shaletide_engine::monitor::{SlowStartMonitor, SlowStartRules};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 const MAX_ATTEMPTS: u32 = 4;
-/// Asks that one event may call for: a retry for each of the requests of a walk, and some.
+/// The maximum number of actions for one event: one retry for each of the 240 requests of a walk, and a margin.
 const MAX_ACTIONS_PER_EVENT: usize = 400;
 
 fn config() -> Config {
@@ -40,11 +40,11 @@
 
 fn pools(count: u32, seed: u64) -> Pools {
     let mut pools = Pools::new();
-    (0..count).for_each(|pool| pools.configure(PoolId(pool), config(), seed).expect("sound"));
+    (0..count).for_each(|pool| pools.configure(PoolId(pool), config(), seed).expect("a valid configuration"));
     pools
 }
 
-/// The real module, with what it hears and asks looked at as it goes.
+/// The real module, with checks on its events and actions.
 #[derive(Clone, Debug)]
 struct CheckedPools {
     pools: Pools,
@@ -63,22 +63,25 @@
         self.pools.handle(now, event, actions);
         assert!(
             actions.len() - before <= MAX_ACTIONS_PER_EVENT,
-            "an event calls for {} asks",
+            "one event causes {} actions",
             actions.len() - before
         );
         for action in &actions[before..] {
             match action {
                 pools::Action::Dispatch { request, attempt, .. } => {
                     let next = self.dispatched.entry(*request).or_default();
-                    assert_eq!(attempt.0, *next, "attempts are numbered in their order");
-                    assert!(*next < MAX_ATTEMPTS, "no more attempts than are allowed");
-                    assert!(!self.ended.contains(request), "nothing is sent of what is settled");
+                    assert_eq!(attempt.0, *next, "attempts are numbered in order");
+                    assert!(*next < MAX_ATTEMPTS, "attempts do not exceed the limit");
+                    assert!(
+                        !self.ended.contains(request),
+                        "no attempt is dispatched after the end of its request"
+                    );
                     *next += 1;
                 }
                 pools::Action::Reject { request, retry_after, .. }
                 | pools::Action::Fail { request, retry_after, .. } => {
-                    assert!(self.ended.insert(*request), "given up once, and not after its end");
-                    assert!(*retry_after > Micros(0), "with advice");
+                    assert!(self.ended.insert(*request), "a request is given up once, and not after its end");
+                    assert!(*retry_after > Micros(0), "a request that is given up has retry advice");
                 }
                 _ => {}
             }
@@ -86,7 +89,7 @@
     }
 }
 
-/// A small generator, so that a walk is the same each time.
+/// A linear congruential generator, so that a walk is reproducible.
 struct Lcg(u64);
 
 impl Lcg {
@@ -136,7 +139,7 @@
     }
 }
 
-/// One walk; returns how many attempts the module asked for.
+/// Runs one random walk and returns the number of attempts that the module dispatched.
 fn random_walk(model: &Model, seed: u64) -> u64 {
     let policy = CheckedPools { pools: pools(2, seed), dispatched: BTreeMap::new(), ended: BTreeSet::new() };
     let mut node = Node::with_policy(model, policy);
@@ -176,7 +179,7 @@
         node.apply(model, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
         node.check().unwrap_or_else(|v| panic!("seed {seed}, after {step:?}: {v}"));
     }
-    // To the end: nothing new comes, and everything that is on its way ends.
+    // To the end: no request arrives any more, and everything in flight ends.
     node.shell.not_arrived.clear();
     for _ in 0..20_000 {
         enabled(model, &node, &mut enabled_transitions);
@@ -197,21 +200,21 @@
         let Some(step) = step.filter(|_| !node.engine.requests().is_empty()) else { break };
         node.apply(model, step, &mut |_, _| {}).unwrap_or_else(|v| panic!("seed {seed}, {step:?}: {v}"));
     }
-    assert!(node.engine.requests().is_empty(), "seed {seed}: all is answered and forgotten");
+    assert!(node.engine.requests().is_empty(), "seed {seed}: all requests are answered and removed");
     assert_eq!(node.monitor.check_quiescent(node.now), Ok(()));
     node.engine.policy().dispatched.values().map(|n| u64::from(*n)).sum()
 }
 
 #[test]
-fn under_the_real_module_every_rule_is_kept_and_what_is_assumed_of_it_holds() {
+fn real_module_violates_no_invariant_and_meets_the_assumptions() {
     let model = real_policy_model();
     let dispatched: u64 = (0..60).map(|seed| random_walk(&model, seed)).sum();
-    assert!(dispatched > 3_000, "the walks are no idle ones: {dispatched}");
+    assert!(dispatched > 3_000, "the walks dispatch too few attempts: {dispatched}");
 }
 
-/// A backend that starts while there is load, each request half of what it can do in a moment: it is not pushed over.
+/// A backend that starts under load is not overloaded, although each request is half of what it can serve at a time.
 #[test]
-fn the_real_module_keeps_the_budget_of_a_cold_box() {
+fn real_module_keeps_the_slow_start_budget_of_a_new_backend() {
     let cfg = Config { slow_start_window: Micros(4_000_000), overload_window: Micros(500_000), ..config() };
     let rules = SlowStartRules {
         initial_capacity_fraction: cfg.initial_capacity_fraction,
@@ -223,7 +226,7 @@
         default_work: ticks(20),
     };
     let mut policy = Pools::new();
-    policy.configure(PoolId(0), cfg, 3).expect("sound");
+    policy.configure(PoolId(0), cfg, 3).expect("a valid configuration");
     let connection_limits =
         ConnectionLimits { max_connections: 256, idle_timeout: Micros(1_000_000), reuse_delay: Micros(0) };
     let mut engine = Engine::new(policy, connection_limits);
@@ -281,8 +284,8 @@
             }
         }
     }
-    assert!(sent_to_cold > 20, "the box that started is used: {sent_to_cold}");
-    assert!(strict_violations > 0, "a smaller budget would have been seen to be broken");
+    assert!(sent_to_cold > 20, "the backend that started gets too few attempts: {sent_to_cold}");
+    assert!(strict_violations > 0, "the monitor with a smaller budget reports no violation");
 }
 
 fn list(count: u32, started_at: Option<Time>) -> Event {
--- a/crates/model-checker/tests/restarts.rs
+++ b/crates/model-checker/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Kills at every state, permits that are late, refused or never come, a store that fails: no key runs twice.
+//! No key is executed twice, whatever state the process is killed in, also if intents are persisted late or rejected or if
+//! the store fails.
 //!
 //! With two kills: `cargo test --locked --release -p shaletide-model-checker --test restarts -- --ignored --nocapture`.
 
@@ -6,7 +7,7 @@
 use std::time::Duration;
 
 const TIME_LIMIT: Duration = Duration::from_secs(1_200);
-/// One attempt a request, and nothing goes wrong but a kill.
+/// One attempt per request, and a kill as the only fault.
 const SMALL: RestartBounds = RestartBounds {
     backends: 1,
     asks: 2,
@@ -23,33 +24,37 @@
     println!("{bounds:?}: {found:?}");
     assert_eq!(found.counterexample, None);
     assert!(found.exhausted);
-    assert_eq!((found.states, found.transitions), (states, transitions), "a branch was lost or has come");
+    assert_eq!(
+        (found.states, found.transitions),
+        (states, transitions),
+        "the number of states or transitions has changed"
+    );
 }
 
 fn counterexample_of(mutant: ShellMutant) -> (Vec<Step>, &'static str) {
     let found =
         explore_restart_model(&RestartBounds { mutant: Some(mutant), resolves: 0, ..SMALL }, TIME_LIMIT);
-    found.counterexample.unwrap_or_else(|| panic!("{mutant:?} is not found: {} states", found.states))
+    found.counterexample.unwrap_or_else(|| panic!("{mutant:?} is not detected in {} states", found.states))
 }
 
 #[test]
-fn a_kill_at_every_state_and_an_operator_that_resolves() {
+fn kill_at_every_state_with_an_operator_that_resolves() {
     assert_exhausted(SMALL, 44_830, 135_161);
 }
 
 #[test]
-fn a_kill_and_a_store_that_fails_with_any_part_of_what_it_had_on_record() {
+fn kill_and_a_store_failure_after_any_number_of_stored_rows() {
     assert_exhausted(RestartBounds { failures: 1, resolves: 0, ..SMALL }, 287_169, 857_603);
 }
 
 #[test]
-fn a_kill_and_further_attempts_of_one_request() {
+fn kill_and_further_attempts_of_one_request() {
     assert_exhausted(RestartBounds { attempts: 2, ..SMALL }, 141_916, 588_103);
 }
 
 #[test]
 #[ignore = "some minutes"]
-fn two_kills_and_all_else() {
+fn two_kills_and_a_store_failure() {
     let found = explore_restart_model(&RestartBounds { restarts: 2, failures: 1, ..SMALL }, TIME_LIMIT);
     println!("{found:?}");
     assert_eq!(found.counterexample, None);
@@ -57,7 +62,7 @@
 }
 
 #[test]
-fn an_intent_behind_the_send_a_commit_told_early_and_a_start_that_frees_are_found() {
+fn shell_mutants_are_detected() {
     let mutants =
         [(ShellMutant::IntentAfterSend, 7), (ShellMutant::EarlyCommit, 11), (ShellMutant::FreesInFlight, 11)];
     for (mutant, steps) in mutants {
@@ -68,9 +73,9 @@
     }
 }
 
-/// Memory answers what it knows; the store's constraint has the last word.
+/// The recorder rejects the keys that it knows; the constraint of the store rejects the others.
 #[test]
-fn a_recorder_that_is_not_told_of_what_was_in_flight_sends_nothing_twice() {
+fn recorder_without_the_keys_in_flight_sends_nothing_twice() {
     assert_exhausted(
         RestartBounds { mutant: Some(ShellMutant::ForgetsInFlight), resolves: 0, ..SMALL },
         23_453,
