--- a/crates/model-checker/src/enabled.rs
+++ b/crates/model-checker/src/enabled.rs
@@ -41,8 +41,8 @@
     if model.connection_events.equivalent_events {
         let is_known =
             |id: &RequestId| node.engine.requests().contains_key(id) || node.shell.not_arrived.contains(id);
-        let forgotten = (0..model.requests.len() as u64).map(RequestId).filter(|id| !is_known(id));
-        for id in forgotten.map(|id| id.0 as u8) {
+        let removed = (0..model.requests.len() as u64).map(RequestId).filter(|id| !is_known(id));
+        for id in removed.map(|id| id.0 as u8) {
             out.extend([Transition::Dispatch(id, 0), Transition::Refuse(id), Transition::Fail(id)]);
         }
     }
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -16,7 +16,7 @@
 pub struct Chooser;
 
 impl Policy for Chooser {
-    fn handle(&mut self, _now: Time, _event: pools::Event, _asks: &mut Vec<pools::Action>) {}
+    fn handle(&mut self, _now: Time, _event: pools::Event, _actions: &mut Vec<pools::Action>) {}
 }
 
 /// An input of the engine in a transition.
@@ -60,13 +60,13 @@
         let (monitor, shell) = (Monitor::new(model.rules()), Shell::new(model));
         let mut node = Node { now: START, engine, monitor, shell };
         for pool in 0..model.pools() {
-            let input = node.snapshot_input(PoolId(u32::from(pool)));
-            node.feed(input, &mut |_, _| {}).expect("an endpoint list violates no invariant");
+            let initial_input = node.snapshot_input(PoolId(u32::from(pool)));
+            node.feed(initial_input, &mut |_, _| {}).expect("an endpoint list violates no invariant");
         }
         if model.requests_at_start {
             for id in std::mem::take(&mut node.shell.not_arrived) {
-                let input = node.request_input(model, id);
-                node.feed(input, &mut |_, _| {}).expect("a request violates no invariant");
+                let initial_input = node.request_input(model, id);
+                node.feed(initial_input, &mut |_, _| {}).expect("a request violates no invariant");
             }
         }
         node
@@ -133,10 +133,10 @@
     /// future, and the order of its end relative to other events makes no observable difference, so it ends at once. The
     /// engine is not woken for this while a request deadline is due.
     fn close_unneeded_connections(&mut self) -> Verdict {
-        let unwanted =
+        let unused =
             self.engine.connections().filter(|c| c.2 == ConnectionState::Connecting(None)).map(|c| c.0);
-        let unwanted: Vec<ConnectionId> = unwanted.collect();
-        for connection in unwanted {
+        let unused: Vec<ConnectionId> = unused.collect();
+        for connection in unused {
             self.feed(
                 Input::Event(Event::ConnectFailed { connection, backend_at_fault: false }),
                 &mut |_, _| {},
@@ -145,8 +145,8 @@
         while let Some((connection, _)) =
             self.shell.connections.iter().find(|l| l.1 == ConnectionActivity::Idle)
         {
-            let unfit = Event::ConnectionUnusable { connection: *connection };
-            self.feed(Input::Event(unfit), &mut |_, _| {})?;
+            let unusable = Event::ConnectionUnusable { connection: *connection };
+            self.feed(Input::Event(unusable), &mut |_, _| {})?;
         }
         let idle = self.engine.idle_sweep_at().is_some_and(|at| at <= self.now);
         let due = self.engine.deadlines().first().is_some_and(|d| d.0 <= self.now);
--- a/crates/model-checker/src/restarts/fingerprint.rs
+++ b/crates/model-checker/src/restarts/fingerprint.rs
@@ -11,15 +11,15 @@
     /// Returns a 128-bit hash of every part of the state that a later step can depend on.
     pub(super) fn fingerprint(&self, text: &mut String, canonical_text: &mut String) -> u128 {
         text.clear();
-        let (maybe, ran) =
+        let (unknown, executed) =
             (self.has_lost_attempt(Execution::Unknown), self.has_lost_attempt(Execution::Executed));
         let live: Vec<&SentAttempt> = self.sent.iter().filter(|s| self.is_live(s)).collect();
-        let (lines, states) = (&self.shell.connections, self.engine.requests());
+        let (activities, requests) = (&self.shell.connections, self.engine.requests());
         let connections: Vec<_> = self.engine.connections().collect();
         let key = self.store.key.map(|(state, run, request, _)| (state, run, request));
         write!(
             text,
-            "{maybe} {ran} {live:?} {lines:?} {states:?} {connections:?} {key:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {}",
+            "{unknown} {executed} {live:?} {activities:?} {requests:?} {connections:?} {key:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {:?} {}",
             self.engine.wake_at(),
             self.now,
             self.recorder,
--- a/crates/model-checker/src/timeline.rs
+++ b/crates/model-checker/src/timeline.rs
@@ -61,9 +61,9 @@
 }
 
 fn describe_event<P: shaletide_engine::Policy>(event: &Event, node: &Node<P>) -> String {
-    let to = |connection: &ConnectionId| {
-        let line = node.engine.connections().find(|c| c.0 == *connection);
-        line.map_or("a box".to_string(), |c| format!("box {}", c.1 .0))
+    let backend_label = |connection: &ConnectionId| {
+        let known = node.engine.connections().find(|c| c.0 == *connection);
+        known.map_or("a box".to_string(), |c| format!("box {}", c.1 .0))
     };
     match event {
         Event::EndpointsUpdated { pool, update, backends } => {
@@ -78,11 +78,11 @@
         }
         Event::AddressChanged { backend } => format!("list: box {} changes its address", backend.0),
         Event::PoolClosed { pool } => format!("operator: pool {} is closed", pool.0),
-        Event::Request(order) => format!(
+        Event::Request(spec) => format!(
             "client: request {} comes, {:?}, with {} ms left",
-            order.arrival.request.0,
-            order.idempotency,
-            order.arrival.time_left.0 / TICK.0
+            spec.arrival.request.0,
+            spec.idempotency,
+            spec.arrival.time_left.0 / TICK.0
         ),
         Event::ClientDisconnected { request } => format!("client: disconnects from request {}", request.0),
         Event::GiveUp { request, .. } => format!("store: request {} is to be given up", request.0),
@@ -90,19 +90,25 @@
             let word = if *given { "gives" } else { "refuses" };
             format!("store: {word} the permit for attempt {} of request {}", attempt.0, request.0)
         }
-        Event::Connected { connection } => format!("{}: connection {} is up", to(connection), connection.0),
-        Event::ConnectFailed { connection, backend_at_fault: blame } => {
-            let blame = if *blame { "" } else { ", not the backend's fault" };
-            format!("{}: connection {} could not be established{blame}", to(connection), connection.0)
+        Event::Connected { connection } => {
+            format!("{}: connection {} is up", backend_label(connection), connection.0)
+        }
+        Event::ConnectFailed { connection, backend_at_fault: at_fault } => {
+            let fault = if *at_fault { "" } else { ", not the backend's fault" };
+            format!(
+                "{}: connection {} could not be established{fault}",
+                backend_label(connection),
+                connection.0
+            )
         }
         Event::RequestWritten { connection } => {
             format!("shell: the last byte is written on connection {}", connection.0)
         }
-        Event::LoadReported { connection, .. } => format!("{}: reports its load", to(connection)),
+        Event::LoadReported { connection, .. } => format!("{}: reports its load", backend_label(connection)),
         Event::ResponseReceived { connection, class: verdict, reusable: keep, has_excess_bytes: behind } => {
             let what = match verdict {
                 ResponseClass::Served => "the answer",
-                ResponseClass::NotExecuted => "an answer that the request was not executed",
+                ResponseClass::NotExecuted => "a response that reports no execution",
                 ResponseClass::Error => "an error",
             };
             let after = match (keep, behind) {
@@ -110,13 +116,13 @@
                 (true, false) => ", and the connection may be reused",
                 (false, false) => "",
             };
-            format!("{}: {what} on connection {}{after}", to(connection), connection.0)
+            format!("{}: {what} on connection {}{after}", backend_label(connection), connection.0)
         }
         Event::InvalidResponse { connection } => {
-            format!("{}: invalid response on connection {}", to(connection), connection.0)
+            format!("{}: invalid response on connection {}", backend_label(connection), connection.0)
         }
         Event::ConnectionClosed { connection } => {
-            format!("{}: closes connection {}", to(connection), connection.0)
+            format!("{}: closes connection {}", backend_label(connection), connection.0)
         }
         Event::ConnectionUnusable { connection } => {
             format!("shell: connection {} is unusable", connection.0)
--- a/crates/model-checker/tests/mutants.rs
+++ b/crates/model-checker/tests/mutants.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the counterexample that an exploration within `limits` finds.
-fn counterexample(model: &Model, mutant: Mutant, limits: Limits) -> Option<Counterexample> {
+fn find_counterexample(model: &Model, mutant: Mutant, limits: Limits) -> Option<Counterexample> {
     let reads_end_times = mutant == Mutant::WindowStartsAtEnd;
     explore_from(model, &with_mutant(model, mutant), reads_end_times, limits).counterexample
 }
@@ -21,7 +21,7 @@
 /// Explores a model with a mutant and returns the number of steps, the violated rule and the timeline.
 fn found(name: &str, mutant: Mutant) -> (usize, Rule, String) {
     let model = model_by_name(name).expect("a model of that name");
-    let c = counterexample(&model, mutant, Limits::default())
+    let c = find_counterexample(&model, mutant, Limits::default())
         .unwrap_or_else(|| panic!("{mutant:?}: nothing in {name}"));
     let text = timeline(&model, &with_mutant(&model, mutant), &c);
     println!("{mutant:?} in {name}, {} steps\n{text}\n", c.steps.len());
@@ -118,7 +118,7 @@
         let steps = MODELS.iter().filter_map(|(name, _)| {
             let model = model_by_name(name).filter(|model| !model.requests_at_start)?;
             Some(
-                counterexample(&model, mutant, Limits { states: 1_000_000, ..Limits::default() })?
+                find_counterexample(&model, mutant, Limits { states: 1_000_000, ..Limits::default() })?
                     .steps
                     .len(),
             )
