--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -344,7 +344,7 @@
         (Trigger::Unfit, _, AttemptPhase::Written) => {
             Some("the shell: written requests were written on a usable connection")
         }
-        (Trigger::Written, _, AttemptPhase::Written) => Some("the shell: the last byte is written once"),
+        (Trigger::Written, _, AttemptPhase::Written) => Some("the shell: the last byte goes once"),
         (
             Trigger::ClosedAfter | Trigger::ClosedBefore,
             _,
