--- a/crates/model-checker/src/cover.rs
+++ b/crates/model-checker/src/cover.rs
@@ -1,227 +1,243 @@
-//! Which transitions of the engine were met: what happened, in which situation, and what became of it.
+//! Coverage of the transitions of the engine: the trigger, the situation before it and the situations after it.
 
-use crate::moves::Move;
 use crate::node::{Chooser, Node};
+use crate::transitions::Transition;
 use shaletide_engine::{AttemptState, ConnectionState, RequestState};
 use shaletide_types::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How far the request concerned had got.
+/// The phase of the request concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Owed {
-    /// It is owed an answer.
+pub enum RequestPhase {
+    /// It has not been answered.
     Open,
-    /// It is given up, and its attempts are being called back.
+    /// It is given up, and its attempts are being cancelled.
     GivenUp,
-    /// Its time is up.
+    /// Its deadline has passed.
     TimedOut,
-    /// It is over, and an attempt is not.
+    /// It is finished, but an attempt is still in flight.
     Over,
-    /// The engine knows nothing of it.
+    /// The engine does not know it.
     Unknown,
 }
 
-/// How far the attempt concerned had got.
+/// The phase of the attempt or of the connection concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum At {
-    /// There is none, or it does not matter.
+pub enum AttemptPhase {
+    /// There is no attempt, or its phase does not matter.
     None,
-    /// It waits for its permit.
+    /// The attempt waits for its intent to be durable.
     Permit,
-    /// It waits for its connection.
+    /// The attempt waits for its connection.
     Opening,
-    /// Its bytes go out.
+    /// The request is being written.
     Writing,
-    /// Its last byte has gone.
+    /// The last byte is written.
     Written,
-    /// Its connection is to be closed.
+    /// The attempt is being cancelled: its connection is to be closed.
     Stopping,
-    /// It is over.
+    /// The attempt has ended.
     Ended,
-    /// The connection comes up for nobody.
+    /// The connection is being established and no attempt waits for it.
     Nobody,
     /// The connection is idle.
     Idle,
 }
 
-/// How far both had got.
-pub type Situation = (Owed, At);
+/// The phases of the request and of the attempt.
+pub type Situation = (RequestPhase, AttemptPhase);
 
-/// What happened.
+/// The cause of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum What {
-    /// A request came.
+pub enum Trigger {
+    /// A request arrived.
     Request,
-    /// A client left.
+    /// A client disconnected.
     Left,
-    /// The policy asked for an attempt.
+    /// The policy dispatched an attempt.
     Dispatch,
-    /// It refused.
+    /// The policy rejected the request.
     Refuse,
-    /// It gave up.
+    /// The policy failed the request.
     Fail,
-    /// It called an attempt back.
+    /// The policy cancelled an attempt.
     Cancel,
-    /// A permit was given.
+    /// The store persisted an intent.
     Given,
-    /// A permit was not given.
+    /// The store did not persist an intent.
     NotGiven,
-    /// A connection came up.
+    /// A connection was established.
     Up,
-    /// It did not.
+    /// A connection could not be established.
     ConnectFailed,
-    /// The last byte went.
+    /// The last byte was written.
     Written,
-    /// A served answer.
+    /// A response of the class served arrived.
     Served,
-    /// An answer that it was not executed.
+    /// A response of the class not executed arrived.
     NotExecuted,
-    /// An error answer.
+    /// An error response arrived.
     Error,
-    /// No answer could come any more.
+    /// An invalid response arrived.
     InvalidResponse,
-    /// The connection ended.
+    /// The backend closed the connection.
     Ended,
-    /// It could not be written to.
+    /// The connection proved unusable.
     Unfit,
-    /// It was closed after the last byte.
+    /// The connection was closed as requested, after the last byte was written.
     ClosedAfter,
-    /// It was closed before.
+    /// The connection was closed as requested, before the last byte was written.
     ClosedBefore,
-    /// The time of the request was up.
+    /// The deadline of the request passed.
     TimeUp,
-    /// A list took its backend away or let it drain.
+    /// The backend was removed from the list or started to drain.
     Drained,
-    /// Its backend was listed elsewhere.
+    /// The backend was listed with another address, group or pool.
     Elsewhere,
 }
 
-const ALL: [What; 22] = [
-    What::Request,
-    What::Left,
-    What::Dispatch,
-    What::Refuse,
-    What::Fail,
-    What::Cancel,
-    What::Given,
-    What::NotGiven,
-    What::Up,
-    What::ConnectFailed,
-    What::Written,
-    What::Served,
-    What::NotExecuted,
-    What::Error,
-    What::InvalidResponse,
-    What::Ended,
-    What::Unfit,
-    What::ClosedAfter,
-    What::ClosedBefore,
-    What::TimeUp,
-    What::Drained,
-    What::Elsewhere,
+const ALL_TRIGGERS: [Trigger; 22] = [
+    Trigger::Request,
+    Trigger::Left,
+    Trigger::Dispatch,
+    Trigger::Refuse,
+    Trigger::Fail,
+    Trigger::Cancel,
+    Trigger::Given,
+    Trigger::NotGiven,
+    Trigger::Up,
+    Trigger::ConnectFailed,
+    Trigger::Written,
+    Trigger::Served,
+    Trigger::NotExecuted,
+    Trigger::Error,
+    Trigger::InvalidResponse,
+    Trigger::Ended,
+    Trigger::Unfit,
+    Trigger::ClosedAfter,
+    Trigger::ClosedBefore,
+    Trigger::TimeUp,
+    Trigger::Drained,
+    Trigger::Elsewhere,
 ];
 
-/// The transitions that were met.
+/// The transitions that were covered.
 #[derive(Clone, Debug, Default)]
-pub struct Cover {
-    met: BTreeMap<(What, Situation), BTreeSet<Situation>>,
+pub struct Coverage {
+    covered: BTreeMap<(Trigger, Situation), BTreeSet<Situation>>,
 }
 
-impl Cover {
-    /// What happened where, and what became of it.
-    pub fn met(&self) -> impl Iterator<Item = (What, Situation, &BTreeSet<Situation>)> {
-        self.met.iter().map(|((what, at), after)| (*what, *at, after))
+impl Coverage {
+    /// Returns each covered trigger and situation with the situations that followed.
+    pub fn covered(&self) -> impl Iterator<Item = (Trigger, Situation, &BTreeSet<Situation>)> {
+        self.covered.iter().map(|((trigger, at), after)| (*trigger, *at, after))
     }
 
-    /// Adds what another has met.
-    pub fn add(&mut self, other: &Cover) {
-        for (key, after) in &other.met {
-            self.met.entry(*key).or_default().extend(after);
+    /// Adds the transitions of another coverage.
+    pub fn add(&mut self, other: &Coverage) {
+        for (key, after) in &other.covered {
+            self.covered.entry(*key).or_default().extend(after);
         }
     }
 
-    /// Every pair of what could happen and a situation that was not met, with the reason if there is one.
-    pub fn unmet(&self) -> Vec<(What, Situation, Option<&'static str>)> {
-        let owed = [Owed::Open, Owed::GivenUp, Owed::TimedOut, Owed::Over, Owed::Unknown];
-        let all = ALL.iter().flat_map(|what| {
-            owed.iter().flat_map(move |owed| places(*what).iter().map(move |at| (*what, (*owed, *at))))
+    /// Returns every pair of a trigger and a situation that was not covered, with the reason why it is unreachable if one is
+    /// known.
+    pub fn uncovered(&self) -> Vec<(Trigger, Situation, Option<&'static str>)> {
+        let request_phase = [
+            RequestPhase::Open,
+            RequestPhase::GivenUp,
+            RequestPhase::TimedOut,
+            RequestPhase::Over,
+            RequestPhase::Unknown,
+        ];
+        let all = ALL_TRIGGERS.iter().flat_map(|trigger| {
+            request_phase.iter().flat_map(move |request_phase| {
+                attempt_phases(*trigger).iter().map(move |at| (*trigger, (*request_phase, *at)))
+            })
         });
-        let unmet = all.filter(|(what, at)| !self.met.contains_key(&(*what, *at)));
-        unmet.map(|(what, at)| (what, at, why_not(what, at))).collect()
+        let uncovered = all.filter(|(trigger, at)| !self.covered.contains_key(&(*trigger, *at)));
+        uncovered.map(|(trigger, at)| (trigger, at, unreachable_reason(trigger, at))).collect()
     }
 
-    pub(crate) fn note(&mut self, before: &Node<Chooser>, step: Move, after: &Node<Chooser>) {
-        let mut add = |what, request: Option<RequestId>, attempt: Option<AttemptNumber>, at: Option<At>| {
-            let was = situation(before, request, attempt, at);
-            let is = situation(after, request, attempt, None);
-            self.met.entry((what, was)).or_default().insert(is);
+    pub(crate) fn record(&mut self, before: &Node<Chooser>, step: Transition, after: &Node<Chooser>) {
+        let mut add = |trigger,
+                       request: Option<RequestId>,
+                       attempt: Option<AttemptNumber>,
+                       at: Option<AttemptPhase>| {
+            let situation_before = situation(before, request, attempt, at);
+            let situation_after = situation(after, request, attempt, None);
+            self.covered.entry((trigger, situation_before)).or_default().insert(situation_after);
         };
         let id = |id: u8| Some(RequestId(u64::from(id)));
         match step {
-            Move::Arrive(r) => add(What::Request, id(r), None, None),
-            Move::Leave(r) => add(What::Left, id(r), None, None),
-            Move::Dispatch(r, _) | Move::DispatchNow(r, _) => add(What::Dispatch, id(r), None, None),
-            Move::Refuse(r) => add(What::Refuse, id(r), None, None),
-            Move::Fail(r) => add(What::Fail, id(r), None, None),
-            Move::Cancel(r, no) => add(What::Cancel, id(r), Some(AttemptNumber(u32::from(no))), None),
-            Move::Permit(place, given) => {
-                let p = before.shell.permits[usize::from(place)];
-                let what = if given { What::Given } else { What::NotGiven };
-                add(what, Some(p.request), Some(p.attempt), None);
+            Transition::Arrive(r) => add(Trigger::Request, id(r), None, None),
+            Transition::Leave(r) => add(Trigger::Left, id(r), None, None),
+            Transition::Dispatch(r, _) | Transition::DispatchWithinTick(r, _) => {
+                add(Trigger::Dispatch, id(r), None, None)
             }
-            Move::Wake => {
+            Transition::Refuse(r) => add(Trigger::Refuse, id(r), None, None),
+            Transition::Fail(r) => add(Trigger::Fail, id(r), None, None),
+            Transition::Cancel(r, no) => {
+                add(Trigger::Cancel, id(r), Some(AttemptNumber(u32::from(no))), None)
+            }
+            Transition::Permit(place, given) => {
+                let p = before.shell.pending_intents[usize::from(place)];
+                let trigger = if given { Trigger::Given } else { Trigger::NotGiven };
+                add(trigger, Some(p.request), Some(p.attempt), None);
+            }
+            Transition::Wake => {
                 let due = before.engine.deadlines().iter().filter(|d| d.0 <= before.now);
-                due.for_each(|(_, id)| add(What::TimeUp, Some(*id), None, None));
+                due.for_each(|(_, id)| add(Trigger::TimeUp, Some(*id), None, None));
             }
-            Move::Drain(b) | Move::Gone(b) | Move::WholeBut(b) => {
-                at_box(before, b).for_each(|(r, no)| add(What::Drained, Some(r), Some(no), None));
+            Transition::Drain(b) | Transition::Gone(b) | Transition::SnapshotWithout(b) => {
+                attempts_at(before, b).for_each(|(r, no)| add(Trigger::Drained, Some(r), Some(no), None));
             }
-            Move::Readdress(b) | Move::Regroup(b) | Move::Shift(b, _) => {
-                at_box(before, b).for_each(|(r, no)| add(What::Elsewhere, Some(r), Some(no), None));
+            Transition::ChangeAddress(b) | Transition::ChangeGroup(b) | Transition::ChangePool(b, _) => {
+                attempts_at(before, b).for_each(|(r, no)| add(Trigger::Elsewhere, Some(r), Some(no), None));
             }
             _ => {
-                if let Some((what, place)) = on_line(step) {
-                    let connection = before.shell.lines[usize::from(place)].0;
-                    let (request, attempt, at) = holder(before, connection);
-                    add(what, request, attempt, at);
+                if let Some((trigger, place)) = connection_trigger(step) {
+                    let connection = before.shell.connections[usize::from(place)].0;
+                    let (request, attempt, at) = connection_owner(before, connection);
+                    add(trigger, request, attempt, at);
                 }
             }
         }
     }
 }
 
-fn on_line(step: Move) -> Option<(What, u8)> {
+fn connection_trigger(step: Transition) -> Option<(Trigger, u8)> {
     Some(match step {
-        Move::Up(at) => (What::Up, at),
-        Move::ConnectFailed(at, _) => (What::ConnectFailed, at),
-        Move::Written(at) => (What::Written, at),
-        Move::Answered(at, 0, _) => (What::Served, at),
-        Move::Answered(at, 1, _) => (What::NotExecuted, at),
-        Move::Answered(at, _, _) => (What::Error, at),
-        Move::InvalidResponse(at) => (What::InvalidResponse, at),
-        Move::Ended(at) => (What::Ended, at),
-        Move::Unfit(at) => (What::Unfit, at),
-        Move::Closed(at, true) => (What::ClosedAfter, at),
-        Move::Closed(at, false) => (What::ClosedBefore, at),
+        Transition::Up(at) => (Trigger::Up, at),
+        Transition::ConnectFailed(at, _) => (Trigger::ConnectFailed, at),
+        Transition::Written(at) => (Trigger::Written, at),
+        Transition::Answered(at, 0, _) => (Trigger::Served, at),
+        Transition::Answered(at, 1, _) => (Trigger::NotExecuted, at),
+        Transition::Answered(at, _, _) => (Trigger::Error, at),
+        Transition::InvalidResponse(at) => (Trigger::InvalidResponse, at),
+        Transition::Ended(at) => (Trigger::Ended, at),
+        Transition::Unfit(at) => (Trigger::Unfit, at),
+        Transition::Closed(at, true) => (Trigger::ClosedAfter, at),
+        Transition::Closed(at, false) => (Trigger::ClosedBefore, at),
         _ => return None,
     })
 }
 
-fn holder(
+fn connection_owner(
     node: &Node<Chooser>, connection: ConnectionId,
-) -> (Option<RequestId>, Option<AttemptNumber>, Option<At>) {
+) -> (Option<RequestId>, Option<AttemptNumber>, Option<AttemptPhase>) {
     match node.engine.connections().find(|c| c.0 == connection).map(|c| c.2) {
         Some(ConnectionState::Connecting(Some((r, no))) | ConnectionState::Busy(r, no)) => {
             (Some(r), Some(no), None)
         }
-        Some(ConnectionState::Connecting(None)) => (None, None, Some(At::Nobody)),
-        Some(ConnectionState::Idle { .. }) => (None, None, Some(At::Idle)),
+        Some(ConnectionState::Connecting(None)) => (None, None, Some(AttemptPhase::Nobody)),
+        Some(ConnectionState::Idle { .. }) => (None, None, Some(AttemptPhase::Idle)),
         None => (None, None, None),
     }
 }
 
-fn at_box(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNumber)> + '_ {
+fn attempts_at(node: &Node<Chooser>, at: u8) -> impl Iterator<Item = (RequestId, AttemptNumber)> + '_ {
     let backend = BackendId(u32::from(at));
     node.engine.requests().iter().flat_map(move |(id, r)| {
         let here =
@@ -231,110 +247,141 @@
 }
 
 fn situation(
-    node: &Node<Chooser>, request: Option<RequestId>, attempt: Option<AttemptNumber>, at: Option<At>,
+    node: &Node<Chooser>, request: Option<RequestId>, attempt: Option<AttemptNumber>,
+    at: Option<AttemptPhase>,
 ) -> Situation {
     let known = request.and_then(|id| node.engine.requests().get(&id));
-    let owed = match known.map(|r| r.state) {
-        None => Owed::Unknown,
-        Some(RequestState::Open) => Owed::Open,
-        Some(RequestState::GivenUp(_)) => Owed::GivenUp,
-        Some(RequestState::TimedOut) => Owed::TimedOut,
-        Some(RequestState::Finished) => Owed::Over,
+    let request_phase = match known.map(|r| r.state) {
+        None => RequestPhase::Unknown,
+        Some(RequestState::Open) => RequestPhase::Open,
+        Some(RequestState::GivenUp(_)) => RequestPhase::GivenUp,
+        Some(RequestState::TimedOut) => RequestPhase::TimedOut,
+        Some(RequestState::Finished) => RequestPhase::Over,
     };
-    let step = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
-    let step = match step {
-        None => At::None,
-        Some(AttemptState::NotStarted) => At::Permit,
-        Some(AttemptState::Connecting(_)) => At::Opening,
-        Some(AttemptState::Writing(_)) => At::Writing,
-        Some(AttemptState::Written(_)) => At::Written,
-        Some(AttemptState::Cancelling(..)) => At::Stopping,
-        Some(AttemptState::Ended(_)) => At::Ended,
+    let phase = attempt.and_then(|no| known?.attempts.get(no.0 as usize)).map(|t| t.state);
+    let phase = match phase {
+        None => AttemptPhase::None,
+        Some(AttemptState::NotStarted) => AttemptPhase::Permit,
+        Some(AttemptState::Connecting(_)) => AttemptPhase::Opening,
+        Some(AttemptState::Writing(_)) => AttemptPhase::Writing,
+        Some(AttemptState::Written(_)) => AttemptPhase::Written,
+        Some(AttemptState::Cancelling(..)) => AttemptPhase::Stopping,
+        Some(AttemptState::Ended(_)) => AttemptPhase::Ended,
     };
-    (owed, at.unwrap_or(step))
+    (request_phase, at.unwrap_or(phase))
 }
 
-/// The situations of an attempt that count for what happened.
-fn places(what: What) -> &'static [At] {
-    use At::*;
-    match what {
-        What::Request | What::Left | What::Dispatch | What::Refuse | What::Fail | What::TimeUp => &[At::None],
-        What::Cancel | What::Given | What::NotGiven => &[Permit, Opening, Writing, Written, Stopping, Ended],
-        What::Drained | What::Elsewhere => &[Permit, Opening, Writing, Written, Stopping],
+/// Returns the attempt phases in which a trigger is to be covered.
+fn attempt_phases(trigger: Trigger) -> &'static [AttemptPhase] {
+    use AttemptPhase::*;
+    match trigger {
+        Trigger::Request
+        | Trigger::Left
+        | Trigger::Dispatch
+        | Trigger::Refuse
+        | Trigger::Fail
+        | Trigger::TimeUp => &[AttemptPhase::None],
+        Trigger::Cancel | Trigger::Given | Trigger::NotGiven => {
+            &[Permit, Opening, Writing, Written, Stopping, Ended]
+        }
+        Trigger::Drained | Trigger::Elsewhere => &[Permit, Opening, Writing, Written, Stopping],
         _ => &[Opening, Writing, Written, Stopping, Nobody, Idle],
     }
 }
 
-/// Why that cannot happen in that situation; none where it can, or is not explored.
-pub fn why_not(what: What, (owed, at): Situation) -> Option<&'static str> {
-    let line = places(what).contains(&At::Nobody);
-    match (what, owed, at) {
-        (_, Owed::TimedOut, _) => Some("a request is answered in the same step in which its time is up"),
-        (What::Request, Owed::Open | Owed::GivenUp | Owed::Over, _) => {
-            Some("the front: a request's name is used once")
-        }
-        (What::Left, Owed::Over | Owed::Unknown, _) => {
-            Some("the front: a client leaves once, and not after its answer")
-        }
-        (What::TimeUp, Owed::Unknown, _) => Some("the deadline of a request that is forgotten is so too"),
-        (_, Owed::Open | Owed::GivenUp | Owed::Over, At::Nobody | At::Idle) => {
-            Some("such a connection belongs to no request")
+/// Returns the reason why a trigger cannot occur in a situation, or `None` if it can.
+pub fn unreachable_reason(trigger: Trigger, (request_phase, at): Situation) -> Option<&'static str> {
+    let is_on_connection = attempt_phases(trigger).contains(&AttemptPhase::Nobody);
+    match (trigger, request_phase, at) {
+        (_, RequestPhase::TimedOut, _) => {
+            Some("a request is answered in the same step in which its deadline passes")
         }
-        (_, Owed::Unknown, At::Permit | At::Opening | At::Writing | At::Written | At::Stopping) if line => {
-            Some("a request is kept as long as an attempt is out")
+        (Trigger::Request, RequestPhase::Open | RequestPhase::GivenUp | RequestPhase::Over, _) => {
+            Some("the front: a request's identifier is used once")
         }
-        (What::Cancel | What::Drained | What::Elsewhere, Owed::Unknown, _) => {
-            Some("a request that is forgotten has no attempts")
+        (Trigger::Left, RequestPhase::Over | RequestPhase::Unknown, _) => {
+            Some("the front: a client disconnects once, and not after its answer")
         }
-        (What::Given | What::NotGiven, Owed::Unknown, _) => {
-            Some("left out: a permit for what is forgotten finds nothing; a test of the engine shows it")
+        (Trigger::TimeUp, RequestPhase::Unknown, _) => {
+            Some("the deadline of a request is removed with it")
         }
-        (_, Owed::GivenUp | Owed::Over, At::Permit | At::Opening) => {
-            Some("an attempt that has not begun ends with its request")
+        (
+            _,
+            RequestPhase::Open | RequestPhase::GivenUp | RequestPhase::Over,
+            AttemptPhase::Nobody | AttemptPhase::Idle,
+        ) => Some("such a connection belongs to no request"),
+        (
+            _,
+            RequestPhase::Unknown,
+            AttemptPhase::Permit
+            | AttemptPhase::Opening
+            | AttemptPhase::Writing
+            | AttemptPhase::Written
+            | AttemptPhase::Stopping,
+        ) if is_on_connection => Some("a request is kept as long as an attempt is in flight"),
+        (Trigger::Cancel | Trigger::Drained | Trigger::Elsewhere, RequestPhase::Unknown, _) => {
+            Some("a request that has been removed has no attempts")
         }
-        (_, Owed::GivenUp, At::Writing | At::Written) => {
-            Some("a request that is given up has all that runs called back, or is answered at once")
+        (Trigger::Given | Trigger::NotGiven, RequestPhase::Unknown, _) => {
+            Some("left out: a permit for a request that has been removed has no effect; a test of the engine shows it")
         }
-        (What::Given | What::NotGiven, _, At::Opening | At::Writing | At::Written | At::Stopping) => {
-            Some("the store: it decides once on a permit")
+        (_, RequestPhase::GivenUp | RequestPhase::Over, AttemptPhase::Permit | AttemptPhase::Opening) => {
+            Some("an attempt without an established connection ends with its request")
         }
-        (What::Up | What::ConnectFailed, _, At::Writing | At::Written | At::Stopping | At::Idle) => {
-            Some("the shell: a connection comes up once")
+        (_, RequestPhase::GivenUp, AttemptPhase::Writing | AttemptPhase::Written) => {
+            Some("a request that is given up has its running attempts cancelled, or is answered at once")
         }
-        (What::Unfit, _, At::Written) => {
-            Some("the shell: what has gone out whole went out on a fit connection")
+        (
+            Trigger::Given | Trigger::NotGiven,
+            _,
+            AttemptPhase::Opening | AttemptPhase::Writing | AttemptPhase::Written | AttemptPhase::Stopping,
+        ) => Some("the store: it decides once on a permit"),
+        (
+            Trigger::Up | Trigger::ConnectFailed,
+            _,
+            AttemptPhase::Writing | AttemptPhase::Written | AttemptPhase::Stopping | AttemptPhase::Idle,
+        ) => Some("the shell: a connection is established once"),
+        (Trigger::Unfit, _, AttemptPhase::Written) => {
+            Some("the shell: written requests were written on a usable connection")
         }
-        (What::Written, _, At::Written) => Some("the shell: the last byte goes once"),
-        (What::ClosedAfter | What::ClosedBefore, _, At::Writing | At::Written | At::Idle) => {
-            Some("the shell: only what was asked to be closed is told to be closed")
+        (Trigger::Written, _, AttemptPhase::Written) => Some("the shell: the last byte goes once"),
+        (
+            Trigger::ClosedAfter | Trigger::ClosedBefore,
+            _,
+            AttemptPhase::Writing | AttemptPhase::Written | AttemptPhase::Idle,
+        ) => Some("the shell: only a close that was requested is reported"),
+        (Trigger::ClosedAfter | Trigger::ClosedBefore, _, AttemptPhase::Opening | AttemptPhase::Nobody) => {
+            Some("the shell: once a connection is closed before it is established, no event follows")
         }
-        (What::ClosedAfter | What::ClosedBefore, _, At::Opening | At::Nobody) => {
-            Some("the shell: of a connection that is closed before it is up nothing more is told")
+        (Trigger::Up | Trigger::ConnectFailed, ..) => None,
+        (_, _, AttemptPhase::Opening | AttemptPhase::Nobody) if is_on_connection => {
+            Some("the shell: nothing is sent on a connection that is not established")
         }
-        (What::Up | What::ConnectFailed, ..) => None,
-        (_, _, At::Opening | At::Nobody) if line => {
-            Some("the shell: nothing is on a connection that is not up")
+        (Trigger::Unfit, _, AttemptPhase::Idle) => None,
+        (_, _, AttemptPhase::Idle) if is_on_connection => {
+            Some("the shell: traffic on an idle connection makes it unusable")
         }
-        (What::Unfit, _, At::Idle) => None,
-        (_, _, At::Idle) if line => Some("the shell: what comes on an idle connection makes it unfit"),
         _ => None,
     }
 }
 
-impl fmt::Display for Cover {
+impl fmt::Display for Coverage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = |s: &Situation| match s {
-            (owed, At::None) => format!("{owed:?}"),
-            (Owed::Unknown, at) => format!("{at:?}"),
-            (owed, at) => format!("{owed:?}/{at:?}"),
+        let format_situation = |s: &Situation| match s {
+            (request_phase, AttemptPhase::None) => format!("{request_phase:?}"),
+            (RequestPhase::Unknown, at) => format!("{at:?}"),
+            (request_phase, at) => format!("{request_phase:?}/{at:?}"),
         };
-        for (what, at, after) in self.met() {
-            let after: Vec<String> = after.iter().map(word).collect();
-            writeln!(f, "{what:?} at {} -> {}", word(&at), after.join(", "))?;
+        for (trigger, at, after) in self.covered() {
+            let after: Vec<String> = after.iter().map(format_situation).collect();
+            writeln!(f, "{trigger:?} at {} -> {}", format_situation(&at), after.join(", "))?;
         }
         let mut reasons: BTreeMap<&str, Vec<String>> = BTreeMap::new();
-        for (what, at, why) in self.unmet() {
-            reasons.entry(why.unwrap_or("NO REASON")).or_default().push(format!("{what:?} at {}", word(&at)));
+        for (trigger, at, why) in self.uncovered() {
+            reasons
+                .entry(why.unwrap_or("NO REASON"))
+                .or_default()
+                .push(format!("{trigger:?} at {}", format_situation(&at)));
         }
         for (why, pairs) in reasons {
             writeln!(f, "not met ({why}): {}", pairs.join(", "))?;
--- a/crates/model-checker/src/report.rs
+++ b/crates/model-checker/src/report.rs
@@ -1,15 +1,15 @@
-//! A world's row: what was looked at, and whether anything was left.
+//! The result table: one row per model with its bounds, counts and whether it was exhausted.
 
-use crate::search::Found;
-use crate::world::World;
+use crate::model::Model;
+use crate::search::Exploration;
 
-/// The head of the table.
-pub const HEAD: &str = "\
+/// The header of the table.
+pub const TABLE_HEADER: &str = "\
 | world | bounds | states | transitions | depth | seconds | memory | exhausted |
 |---|---|--:|--:|--:|--:|--:|---|";
 
-/// A world's row of the table.
-pub fn row(world: &World, found: &Found) -> String {
+/// Returns the table row of a model.
+pub fn table_row(model: &Model, found: &Exploration) -> String {
     let exhausted = match (&found.counterexample, found.exhausted) {
         (Some(c), _) => format!("no: a rule is broken after {} steps", c.steps.len()),
         (None, true) => "yes".to_string(),
@@ -17,18 +17,18 @@
     };
     format!(
         "| {} | {} | {} | {} | {} | {:.1} | {} MB | {exhausted} |",
-        world.name,
-        world.bounds(),
-        grouped(found.states as u64),
-        grouped(found.transitions),
+        model.name,
+        model.bounds(),
+        with_thousands_separators(found.states as u64),
+        with_thousands_separators(found.transitions),
         found.depth,
         found.took.as_secs_f64(),
         (found.bytes >> 20).max(1),
     )
 }
 
-/// 1234567 as 1,234,567.
-fn grouped(number: u64) -> String {
+/// Formats 1234567 as 1,234,567.
+fn with_thousands_separators(number: u64) -> String {
     let digits = number.to_string();
     let mut text = String::new();
     for (at, digit) in digits.chars().enumerate() {
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -1,10 +1,10 @@
 //! A state of the model: the engine, the recorder and the store, and how they act on each other.
 
 use super::store::ModelStore;
-use super::{Restarts, ShellMutant};
+use super::{RestartBounds, ShellMutant};
+use crate::model::{ticks, Model, TICK};
 use crate::node::Chooser;
 use crate::shell::Shell;
-use crate::world::{ticks, World, TICK};
 use shaletide_balancer::Arrival;
 use shaletide_engine::{Action, Engine, Event, FinalOutcome, RequestSpec};
 use shaletide_record as record;
@@ -12,14 +12,14 @@
 use shaletide_types::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a backend did with what it was sent.
+/// Whether a backend executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Execution {
-    /// It may have run, or may yet.
+    /// It may have been executed, or may be executed later.
     Unknown,
-    /// It ran.
+    /// It was executed.
     Executed,
-    /// It was not executed and never will.
+    /// It was not executed and never will be.
     NotExecuted,
 }
 
@@ -31,7 +31,7 @@
     pub execution: Execution,
 }
 
-/// A state.
+/// A state of the restart model.
 #[derive(Clone, Debug)]
 pub(super) struct Node {
     pub now: Time,
@@ -40,9 +40,9 @@
     pub recorder: Recorder,
     pub shell: Shell,
     pub events: VecDeque<Event>,
-    /// Writes that the store was given and that are not durable.
+    /// Writes that were passed to the store and are not durable yet.
     pub queue: VecDeque<(Ticket, record::Write)>,
-    /// Results of the store that were not delivered to the recorder, in groups.
+    /// Results of the store that were not delivered to the recorder yet, in groups.
     pub undelivered: VecDeque<Vec<record::Event>>,
     pub down: bool,
     pub store: ModelStore,
@@ -52,7 +52,7 @@
     pub violation: Option<&'static str>,
 }
 
-/// What may still happen in this model.
+/// The steps that may still occur in the model.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Remaining {
     pub asks: u8,
@@ -82,14 +82,14 @@
 }
 
 impl Node {
-    pub(super) fn start(bounds: &Restarts, world: &World) -> Node {
-        let Restarts { asks, restarts, failures, resolves, ticks, .. } = *bounds;
+    pub(super) fn start(bounds: &RestartBounds, model: &Model) -> Node {
+        let RestartBounds { asks, restarts, failures, resolves, ticks, .. } = *bounds;
         let mut node = Node {
             now: START,
             run: 1,
-            engine: Engine::new(Chooser, world.keeping),
+            engine: Engine::new(Chooser, model.connection_limits),
             recorder: recorder(START),
-            shell: Shell::new(world),
+            shell: Shell::new(model),
             events: VecDeque::new(),
             queue: VecDeque::new(),
             undelivered: VecDeque::new(),
@@ -104,8 +104,8 @@
         node
     }
 
-    fn send_list(&mut self, bounds: &Restarts) {
-        let backends = self.shell.rows(PoolId(0), None);
+    fn send_list(&mut self, bounds: &RestartBounds) {
+        let backends = self.shell.entries(PoolId(0), None);
         self.events.push_back(Event::EndpointsUpdated {
             pool: PoolId(0),
             update: EndpointUpdate::Snapshot,
@@ -114,12 +114,12 @@
         self.drain(bounds);
     }
 
-    pub(super) fn kill(&mut self, bounds: &Restarts, world: &World) {
+    pub(super) fn kill(&mut self, bounds: &RestartBounds, model: &Model) {
         self.remaining.restarts -= 1;
         self.run += 1;
-        self.engine = Engine::new(Chooser, world.keeping);
+        self.engine = Engine::new(Chooser, model.connection_limits);
         self.recorder = recorder(self.now);
-        self.shell = Shell::new(world);
+        self.shell = Shell::new(model);
         self.events.clear();
         self.queue.clear();
         self.undelivered.clear();
@@ -142,14 +142,14 @@
         self.send_list(bounds);
     }
 
-    /// Tells the recorder, and does what it asks.
-    pub(super) fn record(&mut self, bounds: &Restarts, event: record::Event) {
+    /// Passes an event to the recorder and carries out its actions.
+    pub(super) fn record(&mut self, bounds: &RestartBounds, event: record::Event) {
         let mut out = Vec::new();
         self.recorder.handle(self.now, event, &mut out);
         self.carry_out(bounds, out);
     }
 
-    fn carry_out(&mut self, bounds: &Restarts, actions: Vec<record::Action>) {
+    fn carry_out(&mut self, bounds: &RestartBounds, actions: Vec<record::Action>) {
         for action in actions {
             match action {
                 record::Action::Write { ticket, write: _ } if self.down => {
@@ -180,8 +180,8 @@
         }
     }
 
-    /// The engine's events in turn, and what it asks for.
-    pub(super) fn drain(&mut self, bounds: &Restarts) {
+    /// Passes the queued events to the engine in order and carries out its actions.
+    pub(super) fn drain(&mut self, bounds: &RestartBounds) {
         while let Some(event) = self.events.pop_front() {
             let mut out = Vec::new();
             self.engine.handle(self.now, event, &mut out);
@@ -189,7 +189,7 @@
         }
     }
 
-    pub(super) fn run_engine_actions(&mut self, bounds: &Restarts, actions: Vec<Action>) {
+    pub(super) fn run_engine_actions(&mut self, bounds: &RestartBounds, actions: Vec<Action>) {
         for action in actions {
             match &action {
                 Action::Send { connection, .. } => self.send(*connection),
@@ -225,7 +225,7 @@
         }
     }
 
-    /// The rule: nothing is sent while something else of the key may have run.
+    /// Sends an attempt. Violates the invariant if another attempt of the key may have been executed.
     fn send(&mut self, connection: ConnectionId) {
         if self.sent.iter().any(|s| s.execution != Execution::NotExecuted) {
             self.violation = Some("a key that may have run is sent again");
@@ -240,15 +240,15 @@
         }
     }
 
-    pub(super) fn ask(&mut self, bounds: &Restarts) {
+    pub(super) fn ask(&mut self, bounds: &RestartBounds) {
         self.remaining.asks -= 1;
         self.request_count += 1;
         let (request, id) = (RequestId(self.request_count), key());
         let deadline = self.now + ticks(2);
-        let request_count =
+        let key_request =
             record::KeyRequest { request, tenant: "", class: "settle", key: Some(&id.key), deadline };
         let mut out = Vec::new();
-        let verdict = self.recorder.decide(self.now, request_count, &mut out);
+        let verdict = self.recorder.decide(self.now, key_request, &mut out);
         self.carry_out(bounds, out);
         if verdict != (KeyDecision::Proceed { requires_intent: true }) {
             return;
@@ -272,7 +272,7 @@
         }));
     }
 
-    pub(super) fn commit(&mut self, bounds: &Restarts) {
+    pub(super) fn commit(&mut self, bounds: &RestartBounds) {
         let mut results = Vec::new();
         while let Some((ticket, write)) = self.queue.pop_front() {
             results.push(match self.store.commit(self.run, &write) {
@@ -294,7 +294,7 @@
         let mut results = Vec::new();
         for (at, (ticket, write)) in std::mem::take(&mut self.queue).into_iter().enumerate() {
             if at < usize::from(on_record) {
-                let _ = self.store.commit(self.run, &write); // rejected or not: nobody is told
+                let _ = self.store.commit(self.run, &write); // a rejection is not reported either
             }
             results.push(record::Event::WriteFailed { ticket, why: record::StoreFailure::Failed });
         }
@@ -303,8 +303,9 @@
         self.undelivered.push_back(results);
     }
 
-    /// What must hold when nothing is under way: a key that was not executed is free, unless a kill came between.
-    pub(super) fn violation_at_rest(&self, bounds: &Restarts) -> Option<&'static str> {
+    /// Returns the violation of an invariant in a state without pending work, if there is one: a key that was not executed
+    /// must be free, unless the process was killed in between.
+    pub(super) fn violation_at_rest(&self, bounds: &RestartBounds) -> Option<&'static str> {
         let idle = self.engine.requests().is_empty() && self.queue.is_empty() && self.undelivered.is_empty();
         if !idle || self.down || bounds.mutant.is_some() {
             return None;
@@ -314,9 +315,9 @@
         match self.store.key {
             Some((KeyState::InFlight, ..)) => Some("a key is left in flight"),
             Some(_) if !ran && !killed && self.remaining.resolves == bounds.resolves => {
-                Some("a key that never ran is kept from being asked again")
+                Some("a key that was not executed is not free again")
             }
-            None if self.recorder.unsettled() > 0 => Some("a key is free on record and taken in memory"),
+            None if self.recorder.unsettled() > 0 => Some("a key is free in the store and taken in memory"),
             _ => None,
         }
     }
--- a/crates/model-checker/src/visited.rs
+++ b/crates/model-checker/src/visited.rs
@@ -1,4 +1,4 @@
-//! The states that were seen, by 128 bits each.
+//! The set of visited states, each as a 128-bit fingerprint.
 
 use std::collections::HashSet;
 use std::hash::{BuildHasherDefault, Hasher};
@@ -6,25 +6,25 @@
 
 const SHARDS: usize = 256;
 
-/// The fingerprints are evenly spread already.
+/// Uses 64 bits of a fingerprint as the hash: fingerprints are evenly distributed already.
 #[derive(Default)]
-struct AsItIs(u64);
+struct IdentityHasher(u64);
 
-impl Hasher for AsItIs {
+impl Hasher for IdentityHasher {
     fn finish(&self) -> u64 {
         self.0
     }
     fn write(&mut self, _: &[u8]) {
         unreachable!("fingerprints are written whole");
     }
-    fn write_u128(&mut self, print: u128) {
-        self.0 = print as u64;
+    fn write_u128(&mut self, fingerprint: u128) {
+        self.0 = fingerprint as u64;
     }
 }
 
-type Shard = HashSet<u128, BuildHasherDefault<AsItIs>>;
+type Shard = HashSet<u128, BuildHasherDefault<IdentityHasher>>;
 
-/// A set that several threads add to.
+/// A set of fingerprints that several threads add to.
 pub struct Visited {
     shards: Vec<Mutex<Shard>>,
 }
@@ -36,15 +36,15 @@
 }
 
 impl Visited {
-    /// False where it was there already.
-    pub fn insert(&self, print: u128) -> bool {
-        let shard = &self.shards[(print >> 120) as usize % SHARDS];
-        shard.lock().expect("no thread panics while it holds a shard").insert(print)
+    /// Adds a fingerprint. Returns false if the set contains it already.
+    pub fn insert(&self, fingerprint: u128) -> bool {
+        let shard = &self.shards[(fingerprint >> 120) as usize % SHARDS];
+        shard.lock().expect("no thread panics while it holds a shard").insert(fingerprint)
     }
 
-    /// Bytes that it takes: 16 and a control byte for each place, of which seven in eight are used at most.
+    /// Returns the memory use in bytes: 16 and a control byte per slot; a table fills at most 7 of 8 slots.
     pub fn bytes(&self) -> usize {
-        let places = |shard: &Mutex<Shard>| shard.lock().map_or(0, |s| s.capacity() * 8 / 7 * 17);
-        self.shards.iter().map(places).sum()
+        let table_bytes = |shard: &Mutex<Shard>| shard.lock().map_or(0, |s| s.capacity() * 8 / 7 * 17);
+        self.shards.iter().map(table_bytes).sum()
     }
 }
