--- a/crates/shaletide/tests/program_entry.rs
+++ b/crates/shaletide/tests/program_entry.rs
@@ -1,5 +1,5 @@
-//! The program's own entry, at which the kernel starts it, and from which it goes on in the dynamic loader: however it is
-//! started, it has to come to `main`, or say why it does not.
+//! The program's own entry point, at which the kernel starts it and which passes control to the dynamic loader. However the
+//! program is started, it must reach `main` or report why it cannot.
 #![cfg(all(target_os = "linux", target_env = "gnu", target_arch = "x86_64", target_pointer_width = "64"))]
 
 use std::ffi::OsStr;
@@ -12,22 +12,24 @@
 const VERSION: &str = concat!("shaletide ", env!("CARGO_PKG_VERSION"), "\n");
 /// The status of a program that cannot be executed.
 const CANNOT_EXECUTE: i32 = 127;
-/// One argument, in bytes, and how many of them are passed: a megabyte.
+/// The length of one argument, in bytes.
 const ARGUMENT_BYTES: usize = 100_000;
+/// The number of arguments of this length; together they are over a megabyte.
 const ARGUMENTS: usize = 11;
-/// Offsets in the header of an ELF file.
+/// Offsets in the header of an ELF file: of the program headers' offset, size and count.
 const HEADERS_AT: usize = 0x20;
 const HEADER_BYTES_AT: usize = 0x36;
 const HEADER_COUNT_AT: usize = 0x38;
-/// Offset of the flags in a program header, and the one for code.
+/// The offset of the flags in a program header.
 const FLAGS_AT: usize = 4;
+/// The flag of a segment that may be executed.
 const EXECUTABLE: u8 = 1;
 /// Types of program headers.
 const DYNAMIC: u32 = 2;
 const LOADER_REQUEST: u32 = 3;
 const STACK: u32 = 0x6474_e551;
 
-/// The offset of each program header of an ELF file, and its type.
+/// Returns the offset and the type of each program header of an ELF file.
 fn program_headers(file: &[u8]) -> Vec<(usize, u32)> {
     let number = |at: usize, bytes: usize| {
         let mut number = [0; 8];
@@ -52,23 +54,24 @@
         Copy(path)
     }
 
-    /// A copy that looks for its loader at another path of the same length.
+    /// Returns a copy that looks for its loader at another path of the same length.
     fn with_loader(name: &str, loader: &Path) -> Copy {
         let (from, to) = (LOADER.as_bytes(), loader.as_os_str().as_encoded_bytes());
         assert_eq!(from.len(), to.len(), "{}", loader.display());
         Copy::new(name, |file| {
-            let places: Vec<usize> = file
+            let offsets_of_path: Vec<usize> = file
                 .windows(from.len())
                 .enumerate()
                 .filter(|(_, text)| *text == from)
                 .map(|(at, _)| at)
                 .collect();
-            assert!(!places.is_empty());
-            places.into_iter().for_each(|at| file[at..at + to.len()].copy_from_slice(to));
+            assert!(!offsets_of_path.is_empty());
+            offsets_of_path.into_iter().for_each(|at| file[at..at + to.len()].copy_from_slice(to));
         })
     }
 
-    /// Its output; by a shell, as a file that was just written can be executed by no process while another thread forks.
+    /// Returns the output of `--version`. A shell runs the copy and retries, as a file that was just written cannot be executed
+    /// while a process that another thread has forked still has it open.
     fn version(&self) -> Output {
         let script = "for pause in 0.01 0.1 1; do \"$0\" --version; status=$?; \
                       [ $status -eq 126 ] || exit $status; sleep $pause; done; exit $status";
@@ -86,18 +89,18 @@
     command.env_remove("NODE_CONFIG").output().unwrap()
 }
 
-fn assert_version(what: &str, output: &Output) {
+fn assert_version(case: &str, output: &Output) {
     let text = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success() && text == VERSION, "{what}: {output:?}");
+    assert!(output.status.success() && text == VERSION, "{case}: {output:?}");
 }
 
-/// Runs a line of the shell, in which `$0` is the program.
+/// Runs a shell command, in which `$0` is the program.
 fn shell(line: &str) -> Output {
     output(Command::new("sh").args(["-c", line, PROGRAM]))
 }
 
-/// Guards against a program that the kernel starts in the loader, where a signal ends it for a millisecond, and against one
-/// that is linked statically.
+/// Guards against a program that the kernel starts in the loader, where a signal would end it for about a millisecond, and
+/// against one that is linked statically.
 #[test]
 fn program_requests_no_loader_and_is_linked_dynamically() {
     let headers = program_headers(&std::fs::read(PROGRAM).unwrap());
@@ -106,7 +109,7 @@
     assert!(has(DYNAMIC));
 }
 
-/// Guards against a start that depends on how the kernel or a loader is called for it.
+/// Guards against an entry point that depends on how the program is executed.
 #[test]
 fn program_starts_however_it_is_executed() {
     let lines = [
@@ -129,13 +132,13 @@
     }
 }
 
-/// Guards against a second mapping of the loader where a user has started that by itself.
+/// Guards against a second mapping of the loader if a user has executed the loader with the program as its argument.
 #[test]
-fn program_starts_by_a_loader_that_is_named_to_the_system() {
+fn program_starts_by_an_explicitly_executed_loader() {
     assert_version("by its loader", &output(Command::new(LOADER).args([PROGRAM, "--version"])));
 }
 
-/// Guards against an entry that looks for the auxiliary vector in the wrong place where the stack is large.
+/// Guards against an entry point that looks for the auxiliary vector in the wrong place if the initial stack is large.
 #[test]
 fn program_starts_with_a_megabyte_of_arguments_and_one_of_environment() {
     let mut command = Command::new(PROGRAM);
@@ -146,18 +149,19 @@
     assert_version("large", &output(&mut command));
 }
 
-/// Guards against an entry that needs a stack which may not be executed, or one that may.
+/// Guards against an entry point that does not work on an executable stack.
 #[test]
-fn program_starts_on_a_stack_that_may_be_executed() {
+fn program_starts_on_an_executable_stack() {
     let copy = Copy::new("stack", |file| {
         let headers = program_headers(file);
-        let (offset, _) = headers.iter().find(|(_, found)| *found == STACK).expect("a header of the stack");
+        let (offset, _) =
+            headers.iter().find(|(_, found)| *found == STACK).expect("the stack's program header");
         file[offset + FLAGS_AT] |= EXECUTABLE;
     });
     assert_version("executable stack", &copy.version());
 }
 
-/// Guards against a table of headers that the loader, and whoever asks it for them, cannot use.
+/// Guards against program headers that the loader, or a tool that lists libraries by the loader, cannot use.
 #[test]
 fn loader_lists_the_libraries_of_the_program() {
     let list = output(Command::new("ldd").arg(PROGRAM));
@@ -173,16 +177,16 @@
     assert!(text.starts_with("shaletide: cannot start: ") && text.ends_with(reason), "{text}");
 }
 
-/// Guards against a crash without a word where there is no loader.
+/// Guards against a crash without a message if there is no loader.
 #[test]
-fn program_says_that_its_loader_is_missing() {
+fn missing_loader_is_reported() {
     let copy = Copy::with_loader("missing", Path::new("/lib64/ld-absnt-x86-64.so.2"));
     assert_cannot_start(&copy.version(), "cannot be read\n");
 }
 
-/// Guards against a jump into a file that is no loader.
+/// Guards against a jump into a file that is not a loader.
 #[test]
-fn program_says_that_its_loader_is_none() {
+fn file_that_is_not_a_loader_is_reported() {
     let name = format!("entry-{:010}", std::process::id());
     let folder = Path::new("/tmp/");
     let mut file = folder.join(OsStr::new(&name)).into_os_string();
@@ -191,7 +195,7 @@
     }
     let file = PathBuf::from(file);
     std::fs::write(&file, "no loader".repeat(1000)).unwrap();
-    let said = Copy::with_loader("none", &file).version();
+    let version_output = Copy::with_loader("none", &file).version();
     std::fs::remove_file(&file).unwrap();
-    assert_cannot_start(&said, "is not a dynamic loader for x86-64\n");
+    assert_cannot_start(&version_output, "is not a dynamic loader for x86-64\n");
 }
--- a/crates/shaletide/tests/readiness_probe.rs
+++ b/crates/shaletide/tests/readiness_probe.rs
@@ -1,4 +1,4 @@
-//! The readiness probe: what the log says of one that is not answered with 200.
+//! Log lines about readiness probes that are rejected or not received.
 
 mod harness;
 
@@ -6,22 +6,22 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What the log says of a probe that was not answered with 200.
+/// Part of the log line on a probe that was not answered with 200.
 const NOT_READY: &str = "readiness probe rejected";
-/// Such lines are at least this far apart.
+/// The shortest time between two such lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// What the log says where no probe was answered.
+/// Part of the log line on a start after which no probe was answered.
 const UNPROBED: &str = "start: no readiness probe has been answered so far";
-/// That line comes by then.
+/// The time after the start by which that line is written.
 const REPORT_LIMIT: Duration = Duration::from_secs(7);
-/// Descriptors of a process that has few places for clients: under half as many.
+/// A descriptor limit that leaves few places for clients: fewer than half of it.
 const FEW_DESCRIPTORS: u32 = 128;
-/// Probes that are sent at once.
+/// The number of probes that are sent one right after the other.
 const BURST: usize = 20;
 
-/// Guards against a process that its front takes for not ready, and whose log does not say why.
+/// Guards against a process that the front end considers not ready while its log gives no reason.
 #[test]
-fn rejected_readiness_probes_leave_one_line_a_second_with_status_and_reason() {
+fn rejected_readiness_probes_are_logged_once_a_second_with_status_and_reason() {
     let proxy = Proxy::start(&[]);
     let wrong_method = "POST /-/ready HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n\r\n";
     for _ in 0..BURST {
@@ -38,9 +38,9 @@
     assert!(line.contains("400") && line.contains("Host"), "{line}");
 }
 
-/// Guards against a log that is filled by probes which are answered as they should be.
+/// Guards against a log that is filled by successful probes.
 #[test]
-fn readiness_probes_that_are_answered_leave_no_line_on_a_rejection() {
+fn successful_readiness_probes_are_not_logged_as_rejected() {
     let proxy = Proxy::start(&[]);
     for _ in 0..BURST {
         assert_eq!(proxy.request("GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n").status(), 200);
@@ -49,13 +49,13 @@
     assert!(!proxy.log.since(0).iter().any(|line| line.contains(NOT_READY)));
 }
 
-/// Guards against a process whose front's probes are not accepted, as other clients hold all places, and whose log does not
-/// say so.
+/// Guards against a process whose log does not say that probes are not accepted because other clients hold all connection
+/// places.
 #[test]
-fn log_names_the_crowd_that_keeps_the_first_probe_from_being_accepted() {
+fn log_counts_the_connections_that_keep_the_first_probe_from_being_accepted() {
     let gate = Arc::new(Gate::default());
-    let waiting = gate.clone();
-    let backend = BackendServer::start(move |_| Reply::Gate(waiting.clone()));
+    let gate_of_backend = gate.clone();
+    let backend = BackendServer::start(move |_| Reply::Gate(gate_of_backend.clone()));
     let proxy = Proxy::start_with_settings(
         &[endpoint_json("b0", backend.address, "SERVING")],
         FEW_DESCRIPTORS,
@@ -74,16 +74,16 @@
     drop(clients);
 }
 
-/// Guards against a start to which no probe comes, or none that is read, and whose log shows no difference to others.
+/// Guards against a start whose log does not show that no probe arrived or that none was read.
 #[test]
-fn start_without_a_probe_says_once_after_five_seconds_which_connections_came() {
+fn start_without_a_probe_logs_the_accepted_connections_once_after_five_seconds() {
     let proxy = Proxy::start(&[]);
     let begun = Instant::now();
     let _idle = [proxy.client(), proxy.client()];
     let (at, line) = proxy.log.wait(0, |line| line.contains(UNPROBED)).expect("a line on it");
     assert!(line.contains("2 connections accepted"), "{line}");
     assert!(begun.elapsed() < REPORT_LIMIT, "{:?}", begun.elapsed());
-    proxy.log.expect(at, "failed system calls"); // the line of counts, and the next one
+    proxy.log.expect(at, "failed system calls"); // the periodic line of counters, and the next one
     proxy.log.expect(proxy.log.len(), "failed system calls");
     assert!(!proxy.log.since(at + 1).iter().any(|line| line.contains(UNPROBED)));
 }
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -1,4 +1,4 @@
-//! `shaletide record` against stores that the recorder wrote.
+//! `shaletide record` on stores written by the recorder.
 
 mod record_fixture;
 
@@ -9,17 +9,17 @@
 use shaletide_types::{AttemptNumber, Outcome};
 use std::process::Command as Program;
 
-/// Each sort of story once.
-fn stories(folder: &Folder) -> RecordedStore {
+/// Records a request of each outcome: served, rejected, withdrawn, in doubt and resolved.
+fn record_all_outcomes(folder: &Folder) -> RecordedStore {
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     recorded.serve_request("milford", b"good");
     recorded.advance_ms(100);
-    // Refused: the backend turned it away, and no other was tried.
+    // Rejected: the backend rejected the request, and it was not retried.
     let refused = recorded.begin_settle("milford", b"refused");
     recorded.request_intent(refused, 0, "box-3");
     recorded.end_attempt(refused, 0, Outcome::Rejected);
     recorded.end_request(refused, RequestEnding::Rejected);
-    // Withdrawn: the permit was given, and it was not sent.
+    // Withdrawn: the permit was granted, but the request was not sent.
     let withdrawn = recorded.begin_settle("other", b"withdrawn");
     recorded.request_intent(withdrawn, 0, "box-3");
     recorded.handle_event(Event::IntentWithdrawn { request: withdrawn, attempt: AttemptNumber(0) });
@@ -42,7 +42,7 @@
 #[test]
 fn show_prints_each_keys_history_beside_the_writer() {
     let folder = Folder::new();
-    let _writes = stories(&folder);
+    let _writes = record_all_outcomes(&folder);
     let show = |key| folder.expect_output(0, &["show", "--store", "record.db", "--key", key]);
     let good = show("good");
     let expected = "\
@@ -71,24 +71,24 @@
         "{withdrawn}"
     );
     let odd = show("odd");
-    for said in [
+    for expected_text in [
         "the connection broke; it may have run",
         "answered: failed; nothing is promised",
         "turned away unsent (409): its key was in doubt",
         "now: in doubt since 2026-12-01 10:31:02.556 (row ",
         "shaletide record resolve odd --tenant milford --class settle --ran yes|no",
     ] {
-        assert!(odd.contains(said), "{said}\n{odd}");
+        assert!(odd.contains(expected_text), "{expected_text}\n{odd}");
     }
     let settled = show("settled");
-    let said = "resolved by jo: it did not run, the key is free, because: not in the box's book";
-    assert!(settled.contains(said) && settled.contains("now: free"), "{settled}");
+    let expected_text = "resolved by jo: it did not run, the key is free, because: not in the box's book";
+    assert!(settled.contains(expected_text) && settled.contains("now: free"), "{settled}");
 }
 
 #[test]
 fn show_filters_by_tenant_class_and_zone() {
     let folder = Folder::new();
-    let mut recorded = stories(&folder);
+    let mut recorded = record_all_outcomes(&folder);
     recorded.serve_request("other", b"good");
     let all = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good"]);
     assert!(
@@ -98,16 +98,20 @@
     let one =
         folder.expect_output(0, &["show", "--store", "record.db", "--key", "good", "--tenant", "other"]);
     assert!(!one.contains("of milford"), "{one}");
-    let zoned = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good", "--tz", "+05:30"]);
-    assert!(zoned.contains("16:01:02.123  asked") && zoned.contains("times in +05:30"), "{zoned}");
+    let with_zone =
+        folder.expect_output(0, &["show", "--store", "record.db", "--key", "good", "--tz", "+05:30"]);
+    assert!(
+        with_zone.contains("16:01:02.123  asked") && with_zone.contains("times in +05:30"),
+        "{with_zone}"
+    );
     let none = folder.expect_output(1, &["show", "--store", "record.db", "--key", "good", "--class", "bid"]);
     assert_eq!(none, "shaletide: nothing is on record of the key good\n");
-    for wrong in [&["--tz", "Atlantis/Deep"][..], &["--tz", "+5:30"], &["--hex"]] {
-        folder.expect_output(2, &[&["show", "--store", "record.db", "--key", "good"], wrong].concat());
+    for malformed in [&["--tz", "Atlantis/Deep"][..], &["--tz", "+5:30"], &["--hex"]] {
+        folder.expect_output(2, &[&["show", "--store", "record.db", "--key", "good"], malformed].concat());
     }
-    let gone = folder.expect_output(2, &["show", "--store", "no.db", "--key", "good"]);
-    assert_eq!(gone, "shaletide: there is no store at no.db\n");
-    assert!(!folder.0.join("no.db").exists(), "reading makes nothing");
+    let missing_store = folder.expect_output(2, &["show", "--store", "no.db", "--key", "good"]);
+    assert_eq!(missing_store, "shaletide: there is no store at no.db\n");
+    assert!(!folder.0.join("no.db").exists(), "a command that reads must not create a store");
 }
 
 #[test]
@@ -116,26 +120,32 @@
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     let request = recorded.begin_settle("milford", b"cut");
     recorded.request_intent(request, 0, "box-7");
-    drop(recorded); // killed with the attempt out
-    let gone = folder.expect_output(0, &["list", "--store", "record.db", "--in-doubt"]);
-    assert!(gone.contains("in flight since 2026-12-01 10:31:02.123, last at box-7"), "{gone}");
+    drop(recorded); // as if killed with the attempt in flight
+    let keys_in_flight = folder.expect_output(0, &["list", "--store", "record.db", "--in-doubt"]);
+    assert!(
+        keys_in_flight.contains("in flight since 2026-12-01 10:31:02.123, last at box-7"),
+        "{keys_in_flight}"
+    );
     let mut later = MORNING;
     later.0 += 86_400_000_000;
-    let _book = RecordedStore::open(&folder.db(), later);
-    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "cut"]);
-    let said = "in doubt: the proxy had ended with an attempt out, and row 3 is the last about it";
-    assert!(story.contains("2026-12-02\n  run 2 begins: quay-1") && story.contains(said), "{story}");
+    let _reopened = RecordedStore::open(&folder.db(), later);
+    let history = folder.expect_output(0, &["show", "--store", "record.db", "--key", "cut"]);
+    let expected_text = "in doubt: the proxy had ended with an attempt out, and row 3 is the last about it";
+    assert!(
+        history.contains("2026-12-02\n  run 2 begins: quay-1") && history.contains(expected_text),
+        "{history}"
+    );
 }
 
 #[test]
 fn list_prints_facts_and_unsettled_keys() {
     let folder = Folder::new();
-    let _writes = stories(&folder);
+    let _writes = record_all_outcomes(&folder);
     let list = |more: &[&str]| folder.expect_output(0, &[&["list", "--store", "record.db"], more].concat());
-    let doubts = list(&["--in-doubt"]);
+    let keys_in_doubt = list(&["--in-doubt"]);
     let line = "in doubt since 2026-12-01 10:31:02.556, last at box-7  [row ";
-    assert!(doubts.contains(line) && doubts.lines().count() == 2, "{doubts}");
-    assert!(doubts.contains("odd --tenant milford --class settle"), "{doubts}");
+    assert!(keys_in_doubt.contains(line) && keys_in_doubt.lines().count() == 2, "{keys_in_doubt}");
+    assert!(keys_in_doubt.contains("odd --tenant milford --class settle"), "{keys_in_doubt}");
     assert_eq!(list(&["--in-doubt", "--tenant", "other"]).lines().count(), 1);
     assert_eq!(list(&["--in-doubt", "--box", "box-2"]).lines().count(), 1);
     let boxes = list(&["--box", "box-3"]);
@@ -159,13 +169,13 @@
     let few = list(&["--limit", "2"]);
     assert!(few.ends_with("there are more: --after 2\n"), "{few}");
     assert!(list(&["--limit", "1", "--after", "2"]).contains("[row 3]"));
-    let wrong = folder.expect_output(2, &["list", "--store", "record.db", "--since", "yesterday"]);
-    assert!(wrong.contains("--since yesterday: expected a time such as"), "{wrong}");
+    let malformed = folder.expect_output(2, &["list", "--store", "record.db", "--since", "yesterday"]);
+    assert!(malformed.contains("--since yesterday: expected a time such as"), "{malformed}");
     assert!(folder.expect_output(2, &["list"]).contains("which store? Give --store FILE or --config FILE"));
 }
 
-/// Splits a CSV file as RFC 4180 has it.
-fn csv(text: &str) -> Vec<Vec<String>> {
+/// Splits a CSV file into rows and fields according to RFC 4180.
+fn parse_csv(text: &str) -> Vec<Vec<String>> {
     let (mut rows, mut row, mut field, mut quoted) = (Vec::new(), Vec::new(), String::new(), false);
     let mut rest = text.chars().peekable();
     while let Some(c) = rest.next() {
@@ -194,20 +204,20 @@
     odd.iter().for_each(|key| recorded.serve_request("milford", key));
     let (by, text) = ("jo \"the pen\"", "first,\r\nsecond\0");
     recorded.handle_event(Event::RecordFact(Fact::Correction { of: 2, by: by.into(), text: text.into() }));
-    let rows = csv(&folder.expect_output(0, &["export", "--store", "record.db", "--format", "csv"]));
+    let rows = parse_csv(&folder.expect_output(0, &["export", "--store", "record.db", "--format", "csv"]));
     assert!(rows.iter().all(|row| row.len() == 13), "{rows:?}");
-    let of = |at: usize| rows.iter().skip(1).map(|row| row[at].clone()).collect::<Vec<_>>();
-    let asked: Vec<&Vec<String>> = rows.iter().filter(|row| row[4] == "asked").collect();
-    for (row, key) in asked.iter().zip(odd) {
+    let column = |at: usize| rows.iter().skip(1).map(|row| row[at].clone()).collect::<Vec<_>>();
+    let asked_rows: Vec<&Vec<String>> = rows.iter().filter(|row| row[4] == "asked").collect();
+    for (row, key) in asked_rows.iter().zip(odd) {
         assert_eq!(row[9], shaletide_record::chain::hex(key));
         assert_eq!(
             row[8].as_bytes(),
             if key == long { key } else { b"" },
-            "what a spreadsheet might misread is left out"
+            "keys that a spreadsheet might misinterpret are left out"
         );
     }
-    assert_eq!(asked.len(), odd.len());
-    let body: serde_json::Value = serde_json::from_str(of(11).last().unwrap()).unwrap();
+    assert_eq!(asked_rows.len(), odd.len());
+    let body: serde_json::Value = serde_json::from_str(column(11).last().unwrap()).unwrap();
     assert_eq!((body["by"].as_str(), body["text"].as_str()), (Some(by), Some(text)));
     let lines = folder.expect_output(0, &["export", "--store", "record.db", "--format", "jsonl"]);
     assert_eq!(lines.lines().count(), rows.len() - 1);
@@ -219,9 +229,9 @@
     }
     for key in odd {
         let hex = shaletide_record::chain::hex(key);
-        let story = folder.expect_output(0, &["show", "--store", "record.db", "--hex", "--key", &hex]);
-        let plain = story.chars().all(|c| c == '\n' || !c.is_control());
-        assert!(story.contains("now: served") && plain && story.len() < 2_000, "{story}");
+        let history = folder.expect_output(0, &["show", "--store", "record.db", "--hex", "--key", &hex]);
+        let plain = history.chars().all(|c| c == '\n' || !c.is_control());
+        assert!(history.contains("now: served") && plain && history.len() < 2_000, "{history}");
     }
     let some = folder.expect_output(
         0,
@@ -230,8 +240,8 @@
     assert_eq!(some.lines().count(), 3);
 }
 
-/// Changes a store behind everybody's back.
-fn meddle(folder: &Folder, sql: &str) {
+/// Changes a store by SQL, without the recorder.
+fn tamper(folder: &Folder, sql: &str) {
     let store = SqliteStore::open(&SqliteOptions::new(folder.db())).unwrap();
     store.plant(sql).unwrap();
 }
@@ -242,7 +252,7 @@
         folder.expect_output(status, &[&["verify", "--store", "record.db"], more].concat())
     };
     let folder = Folder::new();
-    drop(stories(&folder));
+    drop(record_all_outcomes(&folder));
     let whole = verify(&folder, 0, &[]);
     assert!(whole.starts_with("whole: ") && whole.contains("\nhead "), "{whole}");
     let head = whole.trim().rsplit(' ').next().unwrap().to_string();
@@ -255,29 +265,29 @@
     let later = format!("{}:{sum}", last.parse::<u64>().unwrap() + 2);
     assert!(verify(&folder, 1, &["--head", &later]).contains("missing at the end"));
 
-    meddle(&folder, "DELETE FROM rows WHERE seq = (SELECT max(seq) FROM rows)");
-    assert!(verify(&folder, 0, &[]).starts_with("whole"), "alone a cut end does not show");
+    tamper(&folder, "DELETE FROM rows WHERE seq = (SELECT max(seq) FROM rows)");
+    assert!(verify(&folder, 0, &[]).starts_with("whole"), "truncation does not show without a noted head");
     assert!(verify(&folder, 1, &["--head", &head])
         .contains(&format!("rows {last} to {last} are missing at the end")));
 
     let edited = Folder::new();
-    drop(stories(&edited));
-    meddle(&edited, "UPDATE rows SET backend = 'box-8' WHERE seq = 3");
+    drop(record_all_outcomes(&edited));
+    tamper(&edited, "UPDATE rows SET backend = 'box-8' WHERE seq = 3");
     assert_eq!(verify(&edited, 1, &[]), "shaletide: broken: row 3, or one before it, was changed\n");
 
     let missing = Folder::new();
-    drop(stories(&missing));
-    meddle(&missing, "DELETE FROM rows WHERE seq = 4");
+    drop(record_all_outcomes(&missing));
+    tamper(&missing, "DELETE FROM rows WHERE seq = 4");
     assert_eq!(verify(&missing, 1, &[]), "shaletide: broken: row 4 is missing\n");
 }
 
 #[test]
 fn doubt_is_resolved_only_while_no_proxy_holds_the_store() {
     let folder = Folder::new();
-    let recorded = stories(&folder);
+    let recorded = record_all_outcomes(&folder);
     let resolve = |status, key: &str, ran: &str, more: &[&str]| {
-        let said = ["resolve", key, "--ran", ran, "--by", "jo", "--note", "asked box-7"];
-        folder.expect_output(status, &[&said[..], &["--store", "record.db"], more].concat())
+        let arguments = ["resolve", key, "--ran", ran, "--by", "jo", "--note", "asked box-7"];
+        folder.expect_output(status, &[&arguments[..], &["--store", "record.db"], more].concat())
     };
     let held = resolve(2, "odd", "no", &[]);
     assert!(
@@ -286,17 +296,17 @@
     );
     drop(recorded);
     assert_eq!(resolve(0, "odd", "no", &[]), "on record; the key is free\n");
-    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "odd"]);
-    assert!(story.contains("run 2 begins: shaletide record, version"), "{story}");
+    let history = folder.expect_output(0, &["show", "--store", "record.db", "--key", "odd"]);
+    assert!(history.contains("run 2 begins: shaletide record, version"), "{history}");
     assert!(
-        story.contains("resolved by jo: it did not run, the key is free, because: asked box-7"),
-        "{story}"
+        history.contains("resolved by jo: it did not run, the key is free, because: asked box-7"),
+        "{history}"
     );
     assert!(resolve(1, "odd", "no", &[]).contains("it is free, or was never there"));
     assert!(resolve(1, "good", "yes", &[]).contains("it was served"));
     assert!(resolve(1, "none", "yes", &["--tenant", "milford", "--class", "settle"]).contains("it is free"));
     assert!(folder.expect_output(0, &["verify", "--store", "record.db"]).starts_with("whole"));
-    // The freed key goes again, and what it is now is the store's own word.
+    // The freed key can be sent again, and the store decides by its new state.
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     recorded.serve_request("milford", b"odd");
     drop(recorded);
@@ -314,12 +324,12 @@
         recorded.request_intent(request, 0, "box-7");
     }
     drop(recorded);
-    let which = folder.expect_output(
+    let ambiguous = folder.expect_output(
         2,
         &["resolve", "cut", "--ran", "yes", "--by", "jo", "--note", "n", "--store", "record.db"],
     );
-    assert!(which.contains("which of these?\n  cut --tenant milford --class settle\n"), "{which}");
-    let said = [
+    assert!(ambiguous.contains("which of these?\n  cut --tenant milford --class settle\n"), "{ambiguous}");
+    let arguments = [
         "resolve",
         "cut",
         "--ran",
@@ -333,10 +343,13 @@
         "--tenant",
         "other",
     ];
-    assert_eq!(folder.expect_output(0, &said), "on record; the key counts as served\n");
-    let story =
+    assert_eq!(folder.expect_output(0, &arguments), "on record; the key counts as served\n");
+    let history =
         folder.expect_output(0, &["show", "--store", "record.db", "--key", "cut", "--tenant", "other"]);
-    assert!(story.contains("in doubt: the proxy had ended") && story.contains("now: served"), "{story}");
+    assert!(
+        history.contains("in doubt: the proxy had ended") && history.contains("now: served"),
+        "{history}"
+    );
     let mut recorded = RecordedStore::open(&folder.db(), MORNING);
     assert!(matches!(
         recorded.begin_request("other", "settle", b"cut").1,
@@ -349,7 +362,7 @@
 #[test]
 fn pruned_record_verifies_and_names_who_pruned() {
     let folder = Folder::new();
-    let recorded = stories(&folder);
+    let recorded = record_all_outcomes(&folder);
     let noted = folder.expect_output(0, &["verify", "--store", "record.db"]);
     let head = noted.trim().rsplit(' ').next().unwrap().to_string();
     let prune = |status, before: &str| {
@@ -364,7 +377,7 @@
     assert!(folder
         .expect_output(0, &["list", "--store", "record.db", "--since", "1h"])
         .contains("rows up to 5 were taken out by jo"));
-    // What is in doubt stays, with all behind it.
+    // Rows of a key in doubt are kept, and so are all rows after them.
     prune(0, "2027-01-01");
     let odd = folder.expect_output(0, &["show", "--store", "record.db", "--key", "odd"]);
     assert!(
@@ -374,31 +387,34 @@
     assert!(folder
         .expect_output(0, &["verify", "--store", "record.db", "--head", &head])
         .starts_with("whole"));
-    // Keys outlive their rows.
+    // The state of a key is kept after its rows have been pruned.
     assert!(folder
         .expect_output(1, &["show", "--store", "record.db", "--key", "good"])
         .contains("rows were taken out"));
     let whole = ["show", "--store", "record.db", "--key", "good", "--tenant", "milford", "--class", "settle"];
-    let story = folder.expect_output(0, &whole);
-    assert!(story.contains("its rows were taken out") && story.contains("now: served (row 4)"), "{story}");
+    let history = folder.expect_output(0, &whole);
+    assert!(
+        history.contains("its rows were taken out") && history.contains("now: served (row 4)"),
+        "{history}"
+    );
 }
 
 #[test]
 fn rows_removed_by_hand_are_found() {
     let folder = Folder::new();
-    drop(stories(&folder));
+    drop(record_all_outcomes(&folder));
     let anchor =
         "INSERT INTO anchor (one, seq, sum, run, rows) SELECT 1, seq, sum, run, 3 FROM rows WHERE seq = 3";
-    meddle(&folder, &format!("{anchor}; DELETE FROM rows WHERE seq <= 3"));
-    let why = "shaletide: broken: rows up to 3 were taken out, and no row says by whom\n";
-    assert_eq!(folder.expect_output(1, &["verify", "--store", "record.db"]), why);
+    tamper(&folder, &format!("{anchor}; DELETE FROM rows WHERE seq <= 3"));
+    let expected_error = "shaletide: broken: rows up to 3 were taken out, and no row says by whom\n";
+    assert_eq!(folder.expect_output(1, &["verify", "--store", "record.db"]), expected_error);
 }
 
 #[test]
 fn correction_is_added_and_shown_with_its_row() {
     let folder = Folder::new();
-    let mut recorded = stories(&folder);
-    // As a running proxy writes it: without the key of the row.
+    let mut recorded = record_all_outcomes(&folder);
+    // A running proxy writes a correction without the key of its row.
     recorded.handle_event(Event::RecordFact(Fact::Correction {
         of: 4,
         by: "jo".into(),
@@ -406,7 +422,7 @@
     }));
     drop(recorded);
     let correct = |status, row: &str| {
-        let said = [
+        let arguments = [
             "correct",
             row,
             "--by",
@@ -417,26 +433,26 @@
             "the rack's label",
             "--store",
         ];
-        folder.expect_output(status, &[&said[..], &["record.db"]].concat())
+        folder.expect_output(status, &[&arguments[..], &["record.db"]].concat())
     };
     assert_eq!(correct(0, "3"), "on record; row 3 stays as it is\n");
     assert!(correct(1, "9999").contains("there is no row 9999"));
     correct(1, "0");
-    let story = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good"]);
-    for said in [
+    let history = folder.expect_output(0, &["show", "--store", "record.db", "--key", "good"]);
+    for expected_text in [
         "correction of row 4 by jo: it was box-9",
         "correction of row 3 by sam: it was box-8, because: the rack's label",
     ] {
-        assert!(story.contains(said), "{story}");
+        assert!(history.contains(expected_text), "{history}");
     }
-    assert!(story.contains("attempt 0 to box-2"), "the row itself stays: {story}");
+    assert!(history.contains("attempt 0 to box-2"), "the row itself stays: {history}");
     assert!(folder.expect_output(0, &["verify", "--store", "record.db"]).starts_with("whole"));
 }
 
 #[test]
 fn backup_during_writes_is_a_valid_store() {
     let folder = Folder::new();
-    let _writes = stories(&folder);
+    let _writes = record_all_outcomes(&folder);
     assert_eq!(
         folder.expect_output(0, &["backup", "--store", "record.db", "--to", "copy.db"]),
         "copied to copy.db\n"
@@ -448,9 +464,10 @@
         .contains("is there already"));
 }
 
-/// The daemon's side, with one answer to all.
-fn served(folder: &Folder, reply: Reply) -> (std::sync::mpsc::Receiver<Command>, impl FnOnce()) {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Serves the control socket as the daemon does, with one reply to all commands. Returns the commands and a function that ends
+/// the service.
+fn serve_control(folder: &Folder, reply: Reply) -> (std::sync::mpsc::Receiver<Command>, impl FnOnce()) {
+    let (commands, received_commands) = std::sync::mpsc::channel();
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
     let (ready, is_ready) = std::sync::mpsc::channel();
     let path = folder.0.join("control.sock");
@@ -460,7 +477,7 @@
             let control = Control::bind(&path).unwrap();
             ready.send(()).unwrap();
             let handler = move |command| {
-                tell.send(command).unwrap();
+                commands.send(command).unwrap();
                 std::future::ready(reply.clone())
             };
             tokio::select! {
@@ -470,7 +487,7 @@
         });
     });
     is_ready.recv().unwrap();
-    (told, move || {
+    (received_commands, move || {
         drop(end);
         thread.join().unwrap();
     })
@@ -494,35 +511,41 @@
 #[test]
 fn running_proxys_reply_decides_the_status() {
     let folder = Folder::new();
-    let recorded = stories(&folder);
+    let recorded = record_all_outcomes(&folder);
     std::fs::write(folder.0.join("operator.toml"), CONFIG).unwrap();
     let resolve =
         ["resolve", "odd", "--ran", "yes", "--by", "jo", "--note", "n", "--config", "operator.toml"];
-    for (reply, status, said) in [
+    for (reply, status, expected_text) in [
         (Reply::Done("on record".into()), 0, "on record\n"),
         (Reply::Refused("not now\u{1b}[2J".into()), 1, "shaletide: not now\u{fffd}[2J\n"),
         (Reply::Senseless("what?".into()), 2, "shaletide: what?\n"),
     ] {
-        let (told, end) = served(&folder, reply);
-        assert_eq!(folder.expect_output(status, &resolve), said);
-        let Command::Resolve { tenant, class, ran, .. } = told.recv().unwrap() else {
-            panic!("another command")
+        let (received_commands, end) = serve_control(&folder, reply);
+        assert_eq!(folder.expect_output(status, &resolve), expected_text);
+        let Command::Resolve { tenant, class, ran, .. } = received_commands.recv().unwrap() else {
+            panic!("not a resolve command")
         };
         assert_eq!((tenant.as_str(), class.as_str(), ran), ("milford", "settle", true));
         end();
     }
-    let (told, end) = served(&folder, Reply::Done("so be it".into()));
+    let (received_commands, end) = serve_control(&folder, Reply::Done("so be it".into()));
     folder.expect_output(0, &["prune", "--before", "2026-12-01", "--by", "jo", "--control", "control.sock"]);
-    assert_eq!(told.recv().unwrap(), Command::Prune { before: 1_796_083_200_000_000, by: "jo".into() });
+    assert_eq!(
+        received_commands.recv().unwrap(),
+        Command::Prune { before: 1_796_083_200_000_000, by: "jo".into() }
+    );
     folder.expect_output(0, &["correct", "7", "--by", "jo", "--text", "t", "--control", "control.sock"]);
-    assert_eq!(told.recv().unwrap(), Command::Correct { of: 7, by: "jo".into(), text: "t".into() });
+    assert_eq!(
+        received_commands.recv().unwrap(),
+        Command::Correct { of: 7, by: "jo".into(), text: "t".into() }
+    );
     end();
-    // Nobody listens, and somebody holds the store; then nobody does.
+    // No proxy listens while the store is held; then the store is free, too.
     assert!(folder.expect_output(2, &resolve).contains("another proxy owns the store"));
     drop(recorded);
     assert_eq!(folder.expect_output(0, &resolve), "on record; the key counts as served\n");
-    let lone = ["prune", "--before", "1d", "--by", "jo", "--control", "control.sock"];
-    assert!(folder.expect_output(2, &lone).contains("no proxy listens at control.sock"));
+    let prune_by_control_only = ["prune", "--before", "1d", "--by", "jo", "--control", "control.sock"];
+    assert!(folder.expect_output(2, &prune_by_control_only).contains("no proxy listens at control.sock"));
     assert!(folder.expect_output(0, &["verify", "--config", "operator.toml"]).starts_with("whole"));
     std::fs::write(folder.0.join("bare.toml"), CONFIG.split("[record]").next().unwrap()).unwrap();
     assert!(folder
@@ -540,6 +563,6 @@
         env!("CARGO_BIN_EXE_shaletide")
     );
     let output = Program::new("sh").args(["-c", &line]).current_dir(&folder.0).output().unwrap();
-    let said = String::from_utf8(output.stderr).unwrap();
-    assert!(!said.contains("panicked"), "{said}");
+    let error_text = String::from_utf8(output.stderr).unwrap();
+    assert!(!error_text.contains("panicked"), "{error_text}");
 }
--- a/crates/shaletide/tests/record_pages.rs
+++ b/crates/shaletide/tests/record_pages.rs
@@ -1,4 +1,4 @@
-//! The pages about the record: the configuration works as pasted, and what the commands say is what the program says.
+//! The pages about the record: their configuration is valid as pasted, and their command output is the program's.
 
 mod record_fixture;
 
@@ -11,7 +11,7 @@
 const FINANCE: &str = include_str!("../../../docs/record-finance.md");
 const OPERATORS: &str = include_str!("../../../docs/record.md");
 
-/// The first block of a page in that language.
+/// Returns the first code block of a page in this language.
 fn block<'p>(page: &'p str, language: &str) -> &'p str {
     page.split(&format!("```{language}\n")).nth(1).unwrap().split("```").next().unwrap()
 }
@@ -22,12 +22,12 @@
     std::fs::write(folder.0.join("operator.toml"), block(OPERATORS, "toml")).unwrap();
     let mut check = Program::new(env!("CARGO_BIN_EXE_shaletide"));
     let output = check.args(["check", "operator.toml"]).current_dir(&folder.0).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success() && said.contains("makes sense"), "{output:?}");
+    let output_text = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success() && output_text.contains("makes sense"), "{output:?}");
 }
 
-/// The morning of the dispute, up to the time when somebody asks.
-fn morning(folder: &Folder) -> RecordedStore {
+/// Records the sample data of the dispute, up to the time of the query.
+fn dispute_record(folder: &Folder) -> RecordedStore {
     let mut recorded = RecordedStore::open(&folder.db(), Time(MORNING.0 - 60_000 * MS));
     recorded.now = MORNING;
     recorded.leave_in_doubt("milford", b"sale-0417");
@@ -38,7 +38,7 @@
     recorded
 }
 
-/// The running proxy's side of the commands, at fixed times.
+/// Serves the control socket as the running proxy does, at fixed times. Returns a function that ends the service.
 fn serve(folder: &Folder, mut recorded: RecordedStore) -> impl FnOnce() {
     let (end, ended) = tokio::sync::oneshot::channel::<()>();
     let (ready, is_ready) = std::sync::mpsc::channel();
@@ -51,7 +51,7 @@
             ready.send(()).unwrap();
             let recorded = std::cell::RefCell::new(recorded);
             tokio::select! {
-                () = control.serve(move |command| std::future::ready(carry_out(&mut recorded.borrow_mut(), command))) => {}
+                () = control.serve(move |command| std::future::ready(execute(&mut recorded.borrow_mut(), command))) => {}
                 _ = ended => {}
             }
         });
@@ -63,12 +63,12 @@
     }
 }
 
-fn carry_out(recorded: &mut RecordedStore, command: Command) -> Reply {
+fn execute(recorded: &mut RecordedStore, command: Command) -> Reply {
     recorded.advance_ms(90_000);
     match command {
         Command::Resolve { tenant, class, key, ran, by, note } => {
-            let came = recorded.resolve(KeyId { tenant, class, key: key.0 }, ran, &by, &note);
-            assert_eq!((came, ran), (ResolveResult::Done, true));
+            let result = recorded.resolve(KeyId { tenant, class, key: key.0 }, ran, &by, &note);
+            assert_eq!((result, ran), (ResolveResult::Done, true));
             Reply::Done("on record; the key counts as served".into())
         }
         Command::Correct { of, by, text } => {
@@ -79,20 +79,20 @@
     }
 }
 
-/// The page with each command's output as the program gives it.
-fn regenerated(folder: &Folder, page: &str) -> String {
-    let mut made = String::new();
+/// Returns the page with the program's output for each command.
+fn regenerate(folder: &Folder, page: &str) -> String {
+    let mut regenerated_page = String::new();
     let mut head = String::new();
     for (number, part) in page.split("```").enumerate() {
         if number > 0 {
-            made += "```";
+            regenerated_page += "```";
         }
         let Some(block) = part.strip_prefix("console\n").filter(|_| number % 2 == 1) else {
-            made += part;
+            regenerated_page += part;
             continue;
         };
         let shown = block.lines().next().unwrap().strip_prefix("$ ").unwrap();
-        // The head that the first `verify` gave.
+        // Uses the head that the first `verify` printed.
         let line = match shown.split_once("--head ") {
             Some((before, after)) => {
                 let rest = after.split_once(' ').map_or("", |(_, rest)| rest);
@@ -105,28 +105,35 @@
         let mut shell = Program::new("sh");
         shell.args(["-c", &line]).current_dir(&folder.0).env("PATH", path).env("TZ", "UTC");
         let output = shell.output().unwrap();
-        let said = String::from_utf8(output.stdout).unwrap().replace("\r\n", "\n");
-        assert!(output.status.success(), "{line}\n{said}{}", String::from_utf8_lossy(&output.stderr));
+        let output_text = String::from_utf8(output.stdout).unwrap().replace("\r\n", "\n");
+        assert!(output.status.success(), "{line}\n{output_text}{}", String::from_utf8_lossy(&output.stderr));
         if let Some(found) =
-            said.lines().find_map(|line| line.strip_prefix("head ")).filter(|_| head.is_empty())
+            output_text.lines().find_map(|line| line.strip_prefix("head ")).filter(|_| head.is_empty())
         {
             head = found.to_string();
         }
-        made += &format!("console\n$ {line}\n{said}");
+        regenerated_page += &format!("console\n$ {line}\n{output_text}");
     }
-    made
+    regenerated_page
 }
 
 #[test]
 fn dispute_on_the_finance_page_is_the_programs_output() {
     let folder = Folder::new();
     std::fs::write(folder.0.join("operator.toml"), block(OPERATORS, "toml")).unwrap();
-    let end = serve(&folder, morning(&folder));
-    let made = regenerated(&folder, FINANCE);
+    let end = serve(&folder, dispute_record(&folder));
+    let regenerated_page = regenerate(&folder, FINANCE);
     end();
     if std::env::var_os("SHALETIDE_WRITE_PAGES").is_some() {
-        std::fs::write(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/record-finance.md"), made).unwrap();
+        std::fs::write(
+            concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/record-finance.md"),
+            regenerated_page,
+        )
+        .unwrap();
         return;
     }
-    assert!(made == FINANCE, "docs/record-finance.md is not what the program says:\n{made}");
+    assert!(
+        regenerated_page == FINANCE,
+        "docs/record-finance.md differs from the program's output:\n{regenerated_page}"
+    );
 }
