--- a/crates/shaletide/tests/response_rules.rs
+++ b/crates/shaletide/tests/response_rules.rs
@@ -1,5 +1,5 @@
-//! What a client gets of what backends answer, by the class of its request and its route, over sockets; and how often
-//! the backends saw it.
+//! Over sockets: the response that a client gets for each response of the backends, by the class and the route of the
+//! request, and the number of attempts.
 
 mod harness;
 
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const PROOF: &str = "X-Unprocessed";
+const PROOF_HEADER: &str = "X-Unprocessed";
 const CLASSES_BY_EFFECT: [(&str, &str); 3] = [("safe", "read"), ("keyed", "settle"), ("unsafe", "pay")];
 const ANSWERS: [(u16, bool); 16] = [
     (200, false),
@@ -31,12 +31,14 @@
     (404, true),
 ];
 
-/// Effect, class, what a backend answers, and whether that proves that the request was not executed.
+/// The effect, the class, the status of the backend's response, and whether the response proves that the request was not
+/// executed.
 type Case = (&'static str, &'static str, u16, bool);
 
-/// What a client has to get and how often the backends may see its request, in words of its own and not of the
-/// program's: two backends of one bay, which both answer like that, and three attempts.
-fn expected(effect: &str, status: u16, proof: bool, own_words: bool) -> (String, usize) {
+/// Returns the response that the client must get and the number of requests that the backends must get. There are two
+/// backends of one deduplication group that both respond like that, and three attempts are allowed. The rule is stated here
+/// independently of the program.
+fn expected(effect: &str, status: u16, proof: bool, own_responses: bool) -> (String, usize) {
     let served = !proof && ![429, 500, 502, 503, 504].contains(&status);
     if served {
         return (status.to_string(), 1);
@@ -44,31 +46,34 @@
     let safe = effect == "safe";
     let attempts = if effect == "unsafe" && !proof { 1 } else { 2 };
     let harmless = proof || safe;
-    let got = match (own_words, harmless) {
+    let received = match (own_responses, harmless) {
         (true, true) => "503 of the proxy".to_string(),
         (true, false) => "502 of the proxy".to_string(),
         (false, true) if safe || matches!(status, 429 | 503) => status.to_string(),
-        (false, true) => "503 of the proxy".to_string(), // 404 or 504 would not say that coming again does no harm
+        (false, true) => "503 of the proxy".to_string(), // a 404 or 504 would not show that a repeat is harmless
         (false, false) if matches!(status, 429 | 503) => "502 of the proxy".to_string(),
         (false, false) => status.to_string(),
     };
-    (got, attempts)
+    (received, attempts)
 }
 
-/// All cases by one program: a pool of two backends for each, so that none finds backends that another has made ill.
-fn outcomes(cases: &[Case], own_words: bool) -> Vec<(String, usize)> {
-    let power = CpuCapacity::warm(4, 1.0);
-    let specs = (0..=cases.len()).flat_map(|n| [0, 1].map(|b| BackendSpec::new(&format!("b{n}-{b}"), power)));
+/// Runs all cases with one program. Each case has a pool of two backends of its own, so that no case finds backends that
+/// another one has caused to be ejected.
+fn outcomes(cases: &[Case], own_responses: bool) -> Vec<(String, usize)> {
+    let capacity = CpuCapacity::warm(4, 1.0);
+    let specs =
+        (0..=cases.len()).flat_map(|n| [0, 1].map(|b| BackendSpec::new(&format!("b{n}-{b}"), capacity)));
     let fleet = Fleet::start(specs.collect()).expect("a fleet");
-    let of = |n: usize| &fleet.backends()[2 * n..2 * n + 2];
+    let backends_of_case = |n: usize| &fleet.backends()[2 * n..2 * n + 2];
     let (mut text, mut routes) = (String::from(CLASSES), String::new());
     for n in 0..=cases.len() {
-        let boxes: Vec<(SocketAddr, &str)> = of(n).iter().map(|b| (b.address, "1")).collect();
-        text += &pool(&format!("p{n}"), &boxes);
-        let errors = if own_words { "errors = \"own_words\"" } else { "errors = \"as_they_are\"" };
+        let backends_with_groups: Vec<(SocketAddr, &str)> =
+            backends_of_case(n).iter().map(|b| (b.address, "1")).collect();
+        text += &pool(&format!("p{n}"), &backends_with_groups);
+        let errors = if own_responses { "errors = \"own_words\"" } else { "errors = \"as_they_are\"" };
         let proof = match cases.get(n) {
             Some((_, _, status, true)) => {
-                format!(", never_ran = [{{ status = {status}, header = \"{PROOF}\", value = \"1\" }}]")
+                format!(", never_ran = [{{ status = {status}, header = \"{PROOF_HEADER}\", value = \"1\" }}]")
             }
             _ => String::new(),
         };
@@ -78,25 +83,25 @@
     }
     let proxy = program().serve(&(text + &routes));
     let mut client = proxy.client();
-    let sound = format!("X-Case: {}\r\n", cases.len());
+    let valid_case = format!("X-Case: {}\r\n", cases.len());
     let outcome = |(n, (_, class, status, proof)): (usize, &Case)| {
         let answer =
             Answer::status(*status).with("X-Box", "1").with("Location", "/elsewhere").body("of the box\n");
-        let answer = if *proof { answer.with(PROOF, "1") } else { answer };
-        for b in of(n) {
+        let answer = if *proof { answer.with(PROOF_HEADER, "1") } else { answer };
+        for b in backends_of_case(n) {
             b.set_fault(Fault::Answer(answer.clone()));
         }
         for _ in 0..12 {
-            assert_eq!(client.request(&request("/read/k", 3.0, &sound)).status(), 200);
+            assert_eq!(client.request(&request("/read/k", 3.0, &valid_case)).status(), 200);
         }
-        let got = client.request(&request(&format!("/{class}/k"), 3.0, &format!("X-Case: {n}\r\n")));
-        let of_box = got.header("x-box").is_some();
-        if of_box {
+        let received = client.request(&request(&format!("/{class}/k"), 3.0, &format!("X-Case: {n}\r\n")));
+        let of_backend = received.header("x-box").is_some();
+        if of_backend {
             let body: &[u8] = if matches!(status, 204 | 304) { b"" } else { b"of the box\n" };
-            assert_eq!((&got.body[..], got.header("location")), (body, Some("/elsewhere")));
+            assert_eq!((&received.body[..], received.header("location")), (body, Some("/elsewhere")));
         }
-        let seen = of(n).iter().map(|b| b.stats().requests).sum::<u64>() as usize;
-        (format!("{}{}", got.status(), if of_box { "" } else { " of the proxy" }), seen)
+        let attempts_seen = backends_of_case(n).iter().map(|b| b.stats().requests).sum::<u64>() as usize;
+        (format!("{}{}", received.status(), if of_backend { "" } else { " of the proxy" }), attempts_seen)
     };
     cases.iter().enumerate().map(outcome).collect()
 }
@@ -107,88 +112,101 @@
         .iter()
         .flat_map(|(effect, class)| ANSWERS.map(|(status, proof)| (*effect, *class, status, proof)))
         .collect();
-    let (as_they_are, own_words) = std::thread::scope(|scope| {
-        let own = scope.spawn(|| outcomes(&cases, true));
-        (outcomes(&cases, false), own.join().expect("the other program's outcomes"))
+    let (as_they_are, own_responses) = std::thread::scope(|scope| {
+        let is_own_response = scope.spawn(|| outcomes(&cases, true));
+        (
+            outcomes(&cases, false),
+            is_own_response.join().expect("the outcomes with the proxy's own error responses"),
+        )
     });
     let mut table = String::from(
         "| Class | A box answers | The client gets | In own words | Boxes see it |\n|---|---|---|---|---|\n",
     );
-    let mut wrong = Vec::new();
+    let mut differences = Vec::new();
     for (n, (effect, _, status, proof)) in cases.iter().enumerate() {
-        let proves = if *proof { ", which proves that it never ran" } else { "" };
-        let (got, own) = (&as_they_are[n], &own_words[n]);
-        let times = if got.1 == 1 { "once" } else { "twice" };
-        table += &format!("| {effect} | {status}{proves} | {} | {} | {times} |\n", got.0, own.0);
-        for (own_words, found) in [(false, got), (true, own)] {
-            if *found != expected(effect, *status, *proof, own_words) {
-                wrong.push(format!("{effect} {status}{proves}, in own words {own_words}: {found:?}"));
+        let proof_text = if *proof { ", which proves that it never ran" } else { "" };
+        let (received, is_own_response) = (&as_they_are[n], &own_responses[n]);
+        let times = if received.1 == 1 { "once" } else { "twice" };
+        table += &format!(
+            "| {effect} | {status}{proof_text} | {} | {} | {times} |\n",
+            received.0, is_own_response.0
+        );
+        for (own_responses, found) in [(false, received), (true, is_own_response)] {
+            if *found != expected(effect, *status, *proof, own_responses) {
+                differences
+                    .push(format!("{effect} {status}{proof_text}, in own words {own_responses}: {found:?}"));
             }
         }
     }
     println!("{table}");
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(differences.is_empty(), "{}", differences.join("\n"));
 }
 
-/// What the backends do with the first two requests that come to either.
+/// The replies to the first two requests that reach either backend.
 type Responses = [fn() -> Reply; 2];
 
-/// Two backends of one bay whose answers go by how often the two together were asked since the switch was thrown.
-fn in_turn(replies: Responses) -> ([BackendServer; 2], Arc<AtomicU32>) {
-    let turn = Arc::new(AtomicU32::new(u32::MAX / 2));
-    let one = || {
-        let turn = turn.clone();
-        BackendServer::start(move |_| match turn.fetch_add(1, SeqCst) {
+/// Starts two backends of one deduplication group. They give these replies once the test has set the returned count of their
+/// requests to zero.
+fn backends_with_replies(replies: Responses) -> ([BackendServer; 2], Arc<AtomicU32>) {
+    let requests_since_switch = Arc::new(AtomicU32::new(u32::MAX / 2));
+    let start_backend = || {
+        let requests_since_switch = requests_since_switch.clone();
+        BackendServer::start(move |_| match requests_since_switch.fetch_add(1, SeqCst) {
             n @ (0 | 1) => replies[n as usize](),
             _ => ok_reply("x"),
         })
     };
-    ([one(), one()], turn)
+    ([start_backend(), start_backend()], requests_since_switch)
 }
 
-/// The answer that a client gets is that of the last attempt or none: an earlier one's says nothing of what came of
-/// the request after it.
+/// The client gets the response of the last attempt or the proxy's own: an earlier attempt's response does not show what
+/// became of the request later.
 #[test]
 fn earlier_attempts_response_is_not_returned_after_a_later_error() {
-    let no = || Reply::Answer(500, "", "first".into());
+    let server_error = || Reply::Answer(500, "", "first".into());
     let full = || Reply::Answer(503, "X-Unprocessed: 1", "full".into());
     let cases: [(&str, Responses, &str, u32); 6] = [
-        ("/read/k", [no, || Reply::Reset], "503 refused\n", 2),
-        ("/settle/k", [no, || Reply::Reset], "502 failed\n", 2),
-        // The second attempt was not executed, but the first may have.
-        ("/settle/k", [no, full], "502 failed\n", 2),
-        ("/read/k", [no, full], "503 full", 2),
-        ("/settle/k", [full, no], "500 first", 2),
-        ("/pay/k", [full, no], "500 first", 2),
+        ("/read/k", [server_error, || Reply::Reset], "503 refused\n", 2),
+        ("/settle/k", [server_error, || Reply::Reset], "502 failed\n", 2),
+        // The second attempt was not executed, but the first one may have executed.
+        ("/settle/k", [server_error, full], "502 failed\n", 2),
+        ("/read/k", [server_error, full], "503 full", 2),
+        ("/settle/k", [full, server_error], "500 first", 2),
+        ("/pay/k", [full, server_error], "500 first", 2),
     ];
-    for (path, replies, expected, seen) in cases {
-        let ([a, b], turn) = in_turn(replies);
+    for (path, replies, expected, attempts_seen) in cases {
+        let ([a, b], requests_since_switch) = backends_with_replies(replies);
         let answers = "[answers]\nnever_ran = [{ status = 503, header = \"X-Unprocessed\" }]\n";
-        let boxes = [(a.address, "1"), (b.address, "1")];
-        let proxy = program().serve(&(answers.to_string() + CLASSES + &pool("p", &boxes)));
+        let backends_with_groups = [(a.address, "1"), (b.address, "1")];
+        let proxy = program().serve(&(answers.to_string() + CLASSES + &pool("p", &backends_with_groups)));
         let mut client = proxy.client();
         fill_retry_budget(&mut client, "/read/k");
-        turn.store(0, SeqCst);
+        requests_since_switch.store(0, SeqCst);
         let answer = client.request(&request(path, 3.0, ""));
-        let got = format!("{} {}", answer.status(), String::from_utf8_lossy(&answer.body));
-        assert_eq!((got.as_str(), turn.load(SeqCst)), (expected, seen), "{path}");
+        let received = format!("{} {}", answer.status(), String::from_utf8_lossy(&answer.body));
+        assert_eq!(
+            (received.as_str(), requests_since_switch.load(SeqCst)),
+            (expected, attempts_seen),
+            "{path}"
+        );
     }
 }
 
-/// Nor is it where the last attempt is out still when the client's time is up.
+/// The same holds if the last attempt is still in flight at the client's deadline.
 #[test]
 fn earlier_attempts_response_is_not_returned_after_a_timeout() {
     for path in ["/read/k", "/settle/k"] {
-        let ([a, b], turn) = in_turn([|| Reply::Answer(500, "", "first".into()), || Reply::Silence]);
-        let boxes = [(a.address, "1"), (b.address, "1")];
-        let proxy = program().serve(&(CLASSES.to_string() + &pool("p", &boxes)));
+        let ([a, b], requests_since_switch) =
+            backends_with_replies([|| Reply::Answer(500, "", "first".into()), || Reply::Silence]);
+        let backends_with_groups = [(a.address, "1"), (b.address, "1")];
+        let proxy = program().serve(&(CLASSES.to_string() + &pool("p", &backends_with_groups)));
         let mut client = proxy.client();
         fill_retry_budget(&mut client, "/read/k");
-        turn.store(0, SeqCst);
+        requests_since_switch.store(0, SeqCst);
         let answer = client.request(&request(path, 0.6, ""));
-        let own = matches!(&answer.body[..], b"refused\n" | b"failed\n" | b"timed out\n");
-        assert!(own && answer.status() != 500, "{path}: {answer:?}");
-        assert_eq!(turn.load(SeqCst), 2, "{path}");
+        let is_own_response = matches!(&answer.body[..], b"refused\n" | b"failed\n" | b"timed out\n");
+        assert!(is_own_response && answer.status() != 500, "{path}: {answer:?}");
+        assert_eq!(requests_since_switch.load(SeqCst), 2, "{path}");
     }
 }
 
@@ -196,8 +214,8 @@
     Reply::Pieces(vec![format!("HTTP/1.1 {status} X\r\n{more}\r\n{body}")])
 }
 
-/// On one connection at either side: nothing of a length that stands for no body is taken for one, and what comes
-/// next is the answer to the next request.
+/// With one connection on either side: a `Content-Length` of a response without a body is not taken for a body, and the next
+/// bytes are the response to the next request.
 #[test]
 fn responses_without_body_keep_connections_usable() {
     let backend = BackendServer::start(|n| match n % 5 {
@@ -222,14 +240,14 @@
         }
         let answer = client.request(&request("/read/k", 3.0, ""));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"whole"[..]));
-        // A connection is used again only after a moment's quiet.
+        // A connection is reused only after a short time without excess bytes.
         std::thread::sleep(Duration::from_millis(40));
     }
     assert_eq!(backend.request_count(), 20);
 }
 
-/// Statuses that a route serves pass in one attempt whatever they are; one that it does not serve is an error there
-/// and is served on the next route.
+/// A response whose status is in a route's `served` list is passed on after one attempt. Any other status is an error of that
+/// pool, and a safe request is retried at the next one.
 #[test]
 fn each_route_classifies_responses_by_its_own_rules() {
     let backends: HashMap<u16, BackendServer> = [404, 500, 504]
@@ -252,7 +270,7 @@
     for (status, backend) in &backends {
         for class in ["read", "settle", "pay"] {
             fill_retry_budget(&mut client, "/read/k");
-            let mut ask = |kind| {
+            let mut request_of_kind = |kind| {
                 let before = backend.request_count();
                 let answer = client.request(&request(
                     &format!("/{class}/k"),
@@ -261,9 +279,9 @@
                 ));
                 (answer.status(), backend.request_count() - before)
             };
-            assert_eq!(ask("all"), (*status, 1), "{class} {status}");
+            assert_eq!(request_of_kind("all"), (*status, 1), "{class} {status}");
             let expected = if class == "read" { 200 } else { *status };
-            assert_eq!(ask("few"), (expected, 1), "{class} {status}");
+            assert_eq!(request_of_kind("few"), (expected, 1), "{class} {status}");
         }
     }
 }
--- a/crates/shaletide/tests/start_configuration.rs
+++ b/crates/shaletide/tests/start_configuration.rs
@@ -1,4 +1,4 @@
-//! The start of the program while its configuration is not whole: on the platform it is waited for.
+//! Starts with an incomplete configuration: on the platform the program waits until it is complete.
 
 mod harness;
 
@@ -6,8 +6,8 @@
 use harness::*;
 use std::path::PathBuf;
 
-/// What the program says while it has no configuration.
-const WAITS: &str = "no configuration yet";
+/// Part of the log line that the program writes while it has no configuration.
+const WAIT_LOG_LINE: &str = "no configuration yet";
 
 fn path(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("shaletide-{}-{name}.json", std::process::id()))
@@ -28,10 +28,10 @@
             std::fs::write(&path, &text[..part]).unwrap();
         }
         let mut proxy = program().spawn_with_config(listener.address(), &path);
-        let said = proxy.log.wait(0, |line| line.contains(WAITS));
+        let logged = proxy.log.wait(0, |line| line.contains(WAIT_LOG_LINE));
         assert!(proxy.child.try_wait().unwrap().is_none(), "{name}: it ended without a configuration");
-        let (_, said) = said.expect("a line on the wait");
-        assert!(said.contains(cause) && said.contains(&path.display().to_string()), "{said}");
+        let (_, logged) = logged.expect("a log line on the wait");
+        assert!(logged.contains(cause) && logged.contains(&path.display().to_string()), "{logged}");
         std::fs::write(&path, &text).unwrap();
         assert!(proxy.wait_ready().is_some(), "{name}");
         proxy.signal("TERM");
@@ -39,21 +39,21 @@
     }
 }
 
-/// It may be told to end while it waits, and a hang-up meanwhile ends nothing.
+/// SIGTERM and SIGINT end the program while it waits; SIGHUP does not.
 #[test]
 fn handles_signals_while_it_waits_for_its_configuration() {
     for signal in ["TERM", "INT"] {
         let path = path("never");
         let mut proxy = program().spawn_with_config(RefusingPort::new().address(), &path);
-        proxy.log.expect(0, WAITS);
+        proxy.log.expect(0, WAIT_LOG_LINE);
         proxy.signal("HUP");
-        proxy.log.expect(proxy.log.len(), WAITS);
+        proxy.log.expect(proxy.log.len(), WAIT_LOG_LINE);
         proxy.signal(signal);
         assert_eq!(proxy.child.wait().unwrap().code(), Some(0), "{signal}");
     }
 }
 
-/// The exit status says what is wrong also where standard error has no reader.
+/// The exit status shows the kind of error even if standard error has no reader.
 #[test]
 fn exit_status_is_the_same_where_standard_error_has_no_reader() {
     let (ours, theirs) = std::os::unix::net::UnixStream::pair().unwrap();
@@ -63,7 +63,7 @@
     assert_eq!(command.status().unwrap().code(), Some(2));
 }
 
-/// Guards against a start that does not get ready and whose log names none of its steps (brink seed 44003).
+/// Guards against a start that does not become ready and whose log names none of its steps (brink seed 44003).
 #[test]
 fn log_names_each_step_of_a_start_with_its_time_in_order() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
--- a/crates/shaletide/tests/start_unread_log.rs
+++ b/crates/shaletide/tests/start_unread_log.rs
@@ -1,4 +1,4 @@
-//! Starts whose standard error takes nothing more, as what it is connected to is full and nobody reads.
+//! Starts whose standard error accepts no more bytes, because its socket is full and nobody reads.
 
 mod harness;
 
@@ -7,14 +7,14 @@
 use std::os::fd::OwnedFd;
 use std::time::{Duration, Instant};
 
-/// A start that fails has ended by then.
+/// The time within which a start that fails has ended.
 const END_LIMIT: Duration = Duration::from_secs(6);
-/// A start that goes well is ready by then.
+/// The time within which a successful start is ready.
 const READY_LIMIT: Duration = Duration::from_secs(10);
-/// How often it is looked whether that has come.
+/// The interval between checks for readiness.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Guards against a start that cannot go on and never ends, as its last word is not read: the platform would wait for a
+/// Guards against a failed start that never exits because its error message is not read: the platform would wait for a
 /// process that will never serve.
 #[test]
 fn start_that_fails_while_standard_error_is_full_ends_with_its_status() {
@@ -22,13 +22,13 @@
     let mut command = program_command(Some("{}"));
     command.stderr(OwnedFd::from(writer));
     let mut process = KilledOnDrop(command.spawn().unwrap());
-    let status = ends_within(&mut process.0, END_LIMIT).expect("it ends");
+    let status = ends_within(&mut process.0, END_LIMIT).expect("the process ends within the limit");
     assert_eq!(status.code(), Some(2));
 }
 
 /// Guards against a start that waits for its log to be read.
 #[test]
-fn start_while_standard_error_is_full_gets_ready() {
+fn start_while_standard_error_is_full_becomes_ready() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let configuration = platform_configuration(&discovery, &listener);
     let (_reader, writer) = full_socket();
