--- a/crates/shaletide/tests/rules_under_load.rs
+++ b/crates/shaletide/tests/rules_under_load.rs
@@ -1,5 +1,5 @@
-//! The program under load, between load clients and a fleet whose backends drain, die and come back meanwhile: what
-//! the backends wrote down keeps every rule.
+//! The program between load clients and a fleet whose backends drain, die and return during the run: the backends' records
+//! of requests break no rule.
 
 mod harness;
 
@@ -8,15 +8,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// As [`SETTINGS`] has them.
+/// The deadline of each class in [`SETTINGS`].
 const DEADLINE: Duration = Duration::from_secs(3);
+/// The deduplication window of the class `vote` in [`SETTINGS`].
 const WINDOW: Micros = Micros(500_000);
 
 fn boxes(count: u64) -> Vec<BackendSpec> {
     let boxes = (0..count).map(|n| {
-        let power =
+        let capacity =
             CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(9_000_000) };
-        BackendSpec { deduplication_group: 1 + n / 3, ..BackendSpec::new(&format!("b{n}"), power) }
+        BackendSpec { deduplication_group: 1 + n / 3, ..BackendSpec::new(&format!("b{n}"), capacity) }
     });
     boxes.collect()
 }
@@ -45,20 +46,20 @@
     let discovery = ListServer::start(fleet.clock(), &["n0"], entries).expect("a discovery");
     let proxy = program().start_with_discovery(discovery.address(0), &known, SETTINGS);
     let load = Load { clock: fleet.clock(), ..Load::new(300.0, classes(), Duration::from_secs(4)) };
-    let to = proxy.address;
-    let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
+    let proxy_address = proxy.address;
+    let clients = std::thread::spawn(move || load.run_blocking(proxy_address).expect("a runtime"));
 
-    let [drains, dies, fails] = [0, 1, 4].map(|n| &fleet.backends()[n]);
-    assert!(drains.wait_for_stats(|stats| stats.requests > 30));
+    let [drained_backend, killed_backend, failing_backend] = [0, 1, 4].map(|n| &fleet.backends()[n]);
+    assert!(drained_backend.wait_for_stats(|stats| stats.requests > 30));
     let version = discovery.drain("b0");
     assert!(discovery.wait_delivered(version));
-    drains.drain();
-    let before = dies.stats().requests;
-    assert!(dies.wait_for_stats(|stats| stats.requests > before + 10));
-    dies.kill();
-    dies.restart();
-    discovery.put(dies.entry());
-    fails.set_fault(Fault::FailClass("vote".into(), 0.2));
+    drained_backend.drain();
+    let before = killed_backend.stats().requests;
+    assert!(killed_backend.wait_for_stats(|stats| stats.requests > before + 10));
+    killed_backend.kill();
+    killed_backend.restart();
+    discovery.put(killed_backend.entry());
+    failing_backend.set_fault(Fault::FailClass("vote".into(), 0.2));
 
     let result = clients.join().expect("the clients");
     let total = result.total();
@@ -69,28 +70,29 @@
     assert_eq!(checks::unsafe_ran_once(&ledger), []);
     assert_eq!(checks::keyed_ran_in_one_group(&ledger, |_| WINDOW), []);
     assert_eq!(checks::no_requests_after_drain(&ledger, &drained, Micros(1_000_000)), []);
-    let push = checks::SlowStartLimit { multiple: 2.5, window: Micros(2_000_000), slack: 0.1 };
-    assert_eq!(checks::slow_start_limit_kept(&ledger, push), []);
+    let limit = checks::SlowStartLimit { multiple: 2.5, window: Micros(2_000_000), slack: 0.1 };
+    assert_eq!(checks::slow_start_limit_kept(&ledger, limit), []);
     assert_eq!((result.mismatched_answers, result.excess_bytes), (0, 0));
-    // What died with its backend may fail, and votes may fail where one bay errs; nearly all is served.
+    // Requests at the backend that dies may fail, and so may votes in the group with errors; nearly all others are served.
     assert!(total.served_in_time as f64 > 0.98 * total.count as f64, "{total}");
     assert!(total.count > 900, "{total}");
 }
 
-/// Pools of these backends, by their numbers, and one that discovery tells of; without `pool_in_domain` no pool drops what
-/// another has seen.
-fn file(fleet: &Fleet, told: SocketAddr, pools: &[&[usize]], pool_in_domain: bool) -> String {
-    let bays: Vec<String> = fleet.backends().iter().map(|b| b.spec.deduplication_group.to_string()).collect();
-    // No connection is closed at rest: one that ends without an answer was owed one.
+/// Returns a file with pools of these backends, by number, and one pool from discovery. Without `pool_in_domain` the pools
+/// share no deduplication domain.
+fn file(fleet: &Fleet, discovery_address: SocketAddr, pools: &[&[usize]], pool_in_domain: bool) -> String {
+    let groups: Vec<String> =
+        fleet.backends().iter().map(|b| b.spec.deduplication_group.to_string()).collect();
+    // No idle connection is closed, so a connection that ends without a response had a request in flight.
     let mut text = "[limits]\nhead_timeout = \"1min\"\n".to_string();
     text += &CLASSES.replace("settle", "vote").replace("\"10s\"", "\"500ms\"");
     for (at, numbers) in pools.iter().enumerate() {
         let boxes: Vec<(SocketAddr, &str)> =
-            numbers.iter().map(|n| (fleet.backends()[*n].address, bays[*n].as_str())).collect();
+            numbers.iter().map(|n| (fleet.backends()[*n].address, groups[*n].as_str())).collect();
         text += &pool(&format!("p{at}"), &boxes);
         text += if pool_in_domain { "repeat_group = \"g\"\n" } else { "" };
     }
-    text += &format!("[[pool]]\nname = \"told\"\ndiscovery = \"{told}\"\n");
+    text += &format!("[[pool]]\nname = \"told\"\ndiscovery = \"{discovery_address}\"\n");
     let names: Vec<String> = (0..pools.len()).map(|at| format!("p{at}")).collect();
     let mut order: Vec<&str> = names.iter().map(String::as_str).collect();
     text += &route("votes", "class = \"vote\"", &order);
@@ -100,32 +102,32 @@
     text + &route("reads", "", &order)
 }
 
-/// Pools that come, go and change their backends, files that make no sense, two signals at once, and news of a list in
-/// the same instant: each request has one answer, and no rule is broken.
+/// Reloads add, remove and change pools, some files are invalid, signals arrive in pairs and together with list changes: each
+/// request gets one response, and no rule is broken.
 #[test]
 fn rules_hold_during_repeated_reloads() {
     let services = vec![Service::new("", Distribution::Exponential(4.0))];
     let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes(8)) }).expect("a fleet");
     let listed: Vec<Entry> = fleet.backends()[6..].iter().map(BackendHandle::entry).collect();
     let discovery = ListServer::start(fleet.clock(), &["n0"], listed).expect("a discovery");
-    let told = discovery.address(0);
+    let discovery_address = discovery.address(0);
     let files = [
-        file(&fleet, told, &[&[0, 1], &[2, 3], &[4, 5]], true),
-        file(&fleet, told, &[&[0, 3], &[1, 4], &[2, 5]], true), // boxes move
-        file(&fleet, told, &[&[0, 3, 4]], false),               // pools go, and groups
+        file(&fleet, discovery_address, &[&[0, 1], &[2, 3], &[4, 5]], true),
+        file(&fleet, discovery_address, &[&[0, 3], &[1, 4], &[2, 5]], true), // backends change pools
+        file(&fleet, discovery_address, &[&[0, 3, 4]], false), // pools and deduplication domains are removed
         "[[pool]]\nboxes = 7".to_string(),
-        file(&fleet, told, &[&[5, 4, 3], &[0], &[1]], false),
+        file(&fleet, discovery_address, &[&[5, 4, 3], &[0], &[1]], false),
     ];
-    // Some attempts fail, so that there is something to send again.
+    // Some attempts fail, so that there are retries.
     fleet.backends().iter().for_each(|b| {
         b.set_fault(Fault::Reset(0.03));
     });
     let proxy = program().serve(&files[0]);
     let load = Load { clock: fleet.clock(), ..Load::new(150.0, classes(), Duration::from_secs(4)) };
-    let to = proxy.address;
-    let clients = std::thread::spawn(move || load.run_blocking(to).expect("a runtime"));
-    let seen = || fleet.backends().iter().map(|b| b.stats().requests).sum::<u64>();
-    let (mut taken, mut round) = (0, 0);
+    let proxy_address = proxy.address;
+    let clients = std::thread::spawn(move || load.run_blocking(proxy_address).expect("a runtime"));
+    let requests_of_fleet = || fleet.backends().iter().map(|b| b.stats().requests).sum::<u64>();
+    let (mut accepted_files, mut round) = (0, 0);
     while !clients.is_finished() {
         round += 1;
         let text = &files[round % files.len()];
@@ -134,20 +136,20 @@
             _ => discovery.put(fleet.backends()[6].entry()),
         };
         if round % 2 == 0 {
-            // Twice in one instant, and the news above in the same.
+            // Two reloads in close succession, together with the list change above.
             proxy.replace_file(0, proxy.file_text(&files[1]));
             proxy.signal("HUP");
         }
-        taken += u32::from(proxy.reload(text).accepted);
-        let before = seen();
-        while seen() < before + 30 && !clients.is_finished() {
+        accepted_files += u32::from(proxy.reload(text).accepted);
+        let before = requests_of_fleet();
+        while requests_of_fleet() < before + 30 && !clients.is_finished() {
             std::thread::sleep(Duration::from_millis(5));
         }
     }
     let result = clients.join().expect("the clients");
-    println!("{round} files, {taken} taken: {}", result.total());
-    // How many are served is a matter of the machine that runs this, and for a benchmark to say.
-    assert!(round > 5 && taken > 4, "{round} files, {taken} taken");
+    println!("{round} files, {accepted_files} accepted: {}", result.total());
+    // The share of served requests depends on the machine; benchmarks measure it.
+    assert!(round > 5 && accepted_files > 4, "{round} files, {accepted_files} accepted");
     let (total, ledger) = (result.total(), fleet.ledger());
     assert_eq!(ledger.unrecorded, 0);
     assert_eq!(checks::answers_come_from_backends(&ledger, &result), []);
--- a/crates/shaletide/tests/service.rs
+++ b/crates/shaletide/tests/service.rs
@@ -1,5 +1,5 @@
-//! The program in service, on loopback sockets: new configurations, clients that cannot be read, backends that
-//! answer with more or less than they should.
+//! The running program on loopback sockets: configuration changes, malformed requests, and backends that send too many or
+//! too few bytes.
 
 mod harness;
 
@@ -8,50 +8,54 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering::SeqCst};
 use std::sync::Arc;
 
-fn one(backend: &BackendServer) -> Proxy {
+fn proxy_with_one_backend(backend: &BackendServer) -> Proxy {
     Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")])
 }
 
-/// On SIGHUP discovery is asked at its new address at once, for the whole list, though a call to the old one
-/// is still out. A file that makes no sense changes nothing, nor does a second signal.
+/// On SIGHUP the program calls discovery at its new address at once, for a snapshot, although a call to the old address is
+/// still in flight. An invalid file changes nothing, nor does a second signal.
 #[test]
 fn sighup_moves_watch_to_new_discovery() {
     let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
-    let proxy = one(&old);
+    let proxy = proxy_with_one_backend(&old);
     let (target, answer) = proxy.discovery.next_call();
     assert_eq!(target, "GET /api/targets HTTP/1.1");
     answer
         .send((200, endpoint_list_json(900, true, &[endpoint_json("b0", old.address, "SERVING")])))
         .unwrap();
-    let (target, _waits) = proxy.discovery.next_call();
+    let (target, _open_call) = proxy.discovery.next_call();
     assert!(target.contains("after=900&"), "{target}");
     std::fs::write(&proxy.config.0, "{").unwrap();
     proxy.signal("HUP");
-    assert_eq!(proxy.request(&read_request(3.0)).body, b"old", "a bad file ends nothing");
-    let elsewhere = DiscoveryServer::start();
-    proxy.move_discovery(elsewhere.address);
+    assert_eq!(proxy.request(&read_request(3.0)).body, b"old", "an invalid file changes nothing");
+    let new_discovery = DiscoveryServer::start();
+    proxy.move_discovery(new_discovery.address);
     for _ in 0..2 {
         proxy.signal("HUP");
     }
-    let (target, answer) = elsewhere.next_call();
-    assert_eq!(target, "GET /api/targets HTTP/1.1", "an index of the old one means nothing here");
+    let (target, answer) = new_discovery.next_call();
+    assert_eq!(
+        target, "GET /api/targets HTTP/1.1",
+        "the index of the old discovery is not used for the new one"
+    );
     answer.send((200, endpoint_list_json(7, true, &[endpoint_json("b1", new.address, "SERVING")]))).unwrap();
-    let (target, answer) = elsewhere.next_call(); // by now the list is taken in
+    let (target, answer) = new_discovery.next_call(); // the next call shows that the list has been applied
     assert!(target.contains("after=7&"), "{target}");
     assert_eq!(proxy.request(&pay_request(3.0)).body, b"new");
     answer
         .send((200, endpoint_list_json(8, false, &[endpoint_json("b1", new.address, "DRAINING")])))
         .unwrap();
-    let (_, _waits) = elsewhere.next_call();
-    assert_eq!(proxy.request(&pay_request(3.0)).status(), 503, "and it is followed there");
+    let (_, _open_call) = new_discovery.next_call();
+    assert_eq!(proxy.request(&pay_request(3.0)).status(), 503, "changes at the new discovery are applied");
 }
 
-/// Two moves in one instant: the last holds, whichever reading ends first, and what the other says comes too late.
+/// Two changes of the discovery address in close succession: the last one applies, whichever file is read first, and answers
+/// from the other address are ignored.
 #[test]
 fn last_of_two_simultaneous_moves_is_applied() {
     let (old, new) = (BackendServer::start(|_| ok_reply("old")), BackendServer::start(|_| ok_reply("new")));
-    let proxy = one(&old);
-    let moved = |to: &DiscoveryServer| {
+    let proxy = proxy_with_one_backend(&old);
+    let move_to = |to: &DiscoveryServer| {
         proxy.replace_file(
             0,
             proxy.config.1.replace(&proxy.discovery.address.to_string(), &to.address.to_string()),
@@ -60,52 +64,51 @@
     };
     for round in 0..10 {
         let (first, second) = (DiscoveryServer::start(), DiscoveryServer::start());
-        moved(&first);
+        move_to(&first);
         if round % 2 == 0 {
-            first.next_call(); // it was there already, and gets no answer
+            first.next_call(); // the proxy has called the first address already; the call gets no answer
         }
-        moved(&second);
+        move_to(&second);
         let (target, answer) = second.next_call();
         assert_eq!(target, "GET /api/targets HTTP/1.1");
         answer
             .send((200, endpoint_list_json(7, true, &[endpoint_json("b1", new.address, "SERVING")])))
             .unwrap();
-        let (target, _waits) = second.next_call();
+        let (target, _open_call) = second.next_call();
         assert!(target.contains("after=7&"), "{target}");
         assert_eq!(proxy.request(&pay_request(3.0)).body, b"new", "{round}");
     }
     assert_eq!(old.request_count(), 0);
 }
 
-/// A configuration that is half there at the signal, or empty, or not there, is read again until it makes sense, without
-/// another signal.
+/// A configuration that is incomplete or empty at the signal is read again until it is valid, without another signal.
 #[test]
 fn half_written_move_is_applied_once_complete() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     for part in [0.0, 0.5, 0.99] {
-        let proxy = one(&backend);
-        let (_, _waits) = proxy.discovery.next_call();
-        let elsewhere = DiscoveryServer::start();
+        let proxy = proxy_with_one_backend(&backend);
+        let (_, _open_call) = proxy.discovery.next_call();
+        let new_discovery = DiscoveryServer::start();
         let from = proxy.log.len();
         let end = (proxy.config.1.len() as f64 * part) as usize;
         proxy.replace_file(0, &proxy.config.1.as_bytes()[..end]);
         proxy.signal("HUP");
         proxy.log.expect(from, "to be read again");
-        assert_eq!(proxy.request(&read_request(3.0)).status(), 200, "the old one serves");
+        assert_eq!(proxy.request(&read_request(3.0)).status(), 200, "the old configuration stays in force");
         proxy.replace_file(
             0,
-            proxy.config.1.replace(&proxy.discovery.address.to_string(), &elsewhere.address.to_string()),
+            proxy.config.1.replace(&proxy.discovery.address.to_string(), &new_discovery.address.to_string()),
         );
-        assert_eq!(elsewhere.next_call().0, "GET /api/targets HTTP/1.1", "{part}");
+        assert_eq!(new_discovery.next_call().0, "GET /api/targets HTTP/1.1", "{part}");
     }
 }
 
-/// Connections break at any backend now and then. One that broke says nothing of the next.
+/// Connections to any backend break now and then; a single reset does not show that the backend has failed.
 #[test]
 fn single_reset_does_not_eject_a_backend() {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.swap(false, SeqCst) { Reply::Reset } else { ok_reply("x") };
+    let switched = switch.clone();
+    let reply = move |_| if switched.swap(false, SeqCst) { Reply::Reset } else { ok_reply("x") };
     let (a, b) = (BackendServer::start(reply), BackendServer::start(|_| ok_reply("x")));
     let proxy =
         Proxy::start(&[endpoint_json("b0", a.address, "SERVING"), endpoint_json("b1", b.address, "SERVING")]);
@@ -124,12 +127,12 @@
     assert!(a.request_count() > before, "ejected for one reset");
 }
 
-/// Answers that never come hold no room for long: the backend has answered others meanwhile.
+/// Lost responses do not use up the concurrency limit for long if the backend answers other requests in the meantime.
 #[test]
 fn lost_responses_do_not_exhaust_a_backend() {
     let backend =
         BackendServer::start(|n| if n >= 25 && n % 2 == 1 { Reply::Silence } else { ok_reply("x") });
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let mut client = proxy.client();
     for _ in 0..25 {
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
@@ -145,48 +148,48 @@
     }
 }
 
-/// A backend that turned one request away has room again as soon as it has finished another.
+/// A backend that rejected one request is used again as soon as it has completed another one.
 #[test]
 fn full_backend_is_used_again_soon() {
     let switch = Arc::new(AtomicBool::new(false));
-    let thrown = switch.clone();
-    let away = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
+    let switched = switch.clone();
+    let rejection = || Reply::Answer(503, "X-Unprocessed: 1", String::new());
     let backend =
-        BackendServer::start(move |_| if thrown.swap(false, SeqCst) { away() } else { ok_reply("x") });
-    let proxy = one(&backend);
+        BackendServer::start(move |_| if switched.swap(false, SeqCst) { rejection() } else { ok_reply("x") });
+    let proxy = proxy_with_one_backend(&backend);
     let mut client = proxy.client();
     for _ in 0..25 {
         assert_eq!(client.request(&read_request(3.0)).status(), 200);
     }
     switch.store(true, SeqCst);
     assert_eq!(client.request(&pay_request(3.0)).status(), 503);
-    // Half of its time is 0.4 s: it is not refused only if the backend is back by then.
+    // A request is queued for half of its time, here 0.4 s: it is served only if the backend is in use again by then.
     assert_eq!(client.request(&pay_request(0.8)).status(), 200);
 }
 
-/// A new configuration while the program stops: it still ends, with everything answered.
+/// A SIGHUP during a graceful shutdown: the program still answers all requests and exits.
 #[test]
 fn sighup_during_a_shutdown_is_harmless() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let mut proxy = one(&backend);
+    let mut proxy = proxy_with_one_backend(&backend);
     let mut client = proxy.client();
     client.send(&pay_request(3.0));
     backend.next_request();
     proxy.signal("TERM");
     proxy.signal("HUP");
     gate.open();
-    assert_eq!(client.answer().expect("the answer that was owed").body, b"gated");
+    assert_eq!(client.answer().expect("the response to the request in flight").body, b"gated");
     assert!(proxy.child.wait().unwrap().success());
 }
 
-/// Each request that can't be read is answered with an error, its connection ends, and no backend hears of it,
-/// nor of what may hide behind it.
+/// Each malformed request is answered with an error and its connection is closed. Neither the request nor any bytes after it
+/// reach a backend.
 #[test]
 fn malformed_requests_are_rejected_and_close_their_connection() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let get = |more: &str| format!("GET /read/k HTTP/1.1\r\nHost: s\r\n{more}\r\n");
     let post = |more: &str, body: &str| {
         format!("POST /pay/k HTTP/1.1\r\nHost: s\r\nX-Correlation-Id: 5\r\n{more}\r\n{body}")
@@ -221,7 +224,7 @@
     ];
     for (status, request) in cases {
         let mut client = proxy.client();
-        // The proxy may answer and close before it has read all of it; then the answer may be lost on the way.
+        // The proxy may answer and close before it has read the whole request; then the answer may be lost.
         let sent = client.0.get_mut().write_all(request.as_bytes());
         match client.answer() {
             Some(answer) => assert_eq!(answer.status(), status, "{request:.200}"),
@@ -233,13 +236,13 @@
     assert_eq!(proxy.request(&pay_request(3.0)).status(), 200);
 }
 
-/// Each request on a connection of its own: its status, and whether the connection ended after it.
-fn each(proxy: &Proxy, requests: &[String]) -> Vec<(u16, bool)> {
-    let ask = |request: &String| {
+/// Sends each request on a connection of its own. Returns its status and whether the connection was closed after it.
+fn send_each(proxy: &Proxy, requests: &[String]) -> Vec<(u16, bool)> {
+    let send_alone = |request: &String| {
         let mut client = proxy.client();
         client.send(request);
         let status = client.answer().map_or(0, |answer| answer.status());
-        // One that is merely idle is closed after twice that time.
+        // An idle connection is closed after twice that time.
         client.0.get_ref().set_read_timeout(Some(std::time::Duration::from_secs(1))).unwrap();
         let ended = match std::io::Read::read(&mut client.0, &mut [0]) {
             Ok(n) => n == 0,
@@ -247,16 +250,17 @@
         };
         (status, ended)
     };
-    requests.iter().map(ask).collect()
+    requests.iter().map(send_alone).collect()
 }
 
-/// What was checked is what is sent: a key or an id that went missing on the way would let effects double.
+/// The request that is forwarded must have the attributes that were checked: if a key or an id were dropped, an effect could
+/// be executed twice.
 #[test]
 fn request_that_would_lose_its_key_is_rejected() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let vote = |more: &str| vote_request(3.0).replace("X-Time-Left", &format!("{more}X-Time-Left"));
-    let losing: Vec<String> = [
+    let dropping_headers: Vec<String> = [
         "Connection: Idempotency-Key, X-Correlation-Id\r\n",
         "Connection: keep-alive\r\nConnection: idempotency-key\r\n",
         "Connection: x-private ,\t iDEMPOTENCY-kEY \t, close\r\n",
@@ -268,8 +272,8 @@
     ]
     .map(vote)
     .into();
-    assert_eq!(each(&proxy, &losing), vec![(400, true); losing.len()]);
-    let keyless: Vec<String> = ["", " ", "\t \t"]
+    assert_eq!(send_each(&proxy, &dropping_headers), vec![(400, true); dropping_headers.len()]);
+    let without_key: Vec<String> = ["", " ", "\t \t"]
         .iter()
         .map(|key| {
             harness::vote_request(3.0)
@@ -277,62 +281,80 @@
         })
         .chain([vote("Idempotency-Key:\r\n"), vote("Idempotency-Key: another\r\n")])
         .collect();
-    assert_eq!(each(&proxy, &keyless), vec![(400, true); keyless.len()]);
+    assert_eq!(send_each(&proxy, &without_key), vec![(400, true); without_key.len()]);
     assert_eq!(backend.request_count(), 0);
     let answer = proxy.request(&vote("Connection: x-private, keep-alive\r\nX-Private: 1\r\n"));
     assert_eq!(answer.status(), 200);
-    let got = backend.next_request();
-    assert!(got.header("idempotency-key").is_some() && got.header("x-private").is_none(), "{got:?}");
+    let received = backend.next_request();
+    assert!(
+        received.header("idempotency-key").is_some() && received.header("x-private").is_none(),
+        "{received:?}"
+    );
 }
 
-/// A second request in the same write is never served, nor is the one that hid it, however heads end. Those
-/// that hide nothing are served.
+/// Two requests in one write are both rejected, whatever the line endings of their heads. The same requests on their own are
+/// served.
 #[test]
 fn no_request_is_smuggled_behind_another() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let ready = || "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n".to_string();
     for (line, end) in [("\r\n", "\r\n"), ("\n", "\n"), ("\n", "\r\n"), ("\r\n", "\n")] {
-        let bare = |request: String| {
+        let with_line_endings = |request: String| {
             let (head, body) = request.split_once("\r\n\r\n").unwrap();
             format!("{}{line}{end}{body}", head.replace("\r\n", line))
         };
-        let alone = [read_request(3.0), pay_request(3.0), vote_request(3.0), ready()].map(bare);
-        for behind in [read_request(3.0), pay_request(3.0), bare(read_request(3.0)), "G".into(), "\n".into()]
-        {
-            let hiding: Vec<String> = alone.iter().map(|request| format!("{request}{behind}")).collect();
-            assert_eq!(each(&proxy, &hiding), vec![(400, true); 4], "{line:?} {end:?} before {behind:.20}");
+        let single_requests =
+            [read_request(3.0), pay_request(3.0), vote_request(3.0), ready()].map(with_line_endings);
+        for trailing in [
+            read_request(3.0),
+            pay_request(3.0),
+            with_line_endings(read_request(3.0)),
+            "G".into(),
+            "\n".into(),
+        ] {
+            let smuggling: Vec<String> =
+                single_requests.iter().map(|request| format!("{request}{trailing}")).collect();
+            assert_eq!(
+                send_each(&proxy, &smuggling),
+                vec![(400, true); 4],
+                "{line:?} {end:?} before {trailing:.20}"
+            );
         }
         assert_eq!(backend.request_count(), 0, "{line:?} {end:?}");
-        assert_eq!(alone.map(|request| proxy.request(&request).status()), [200; 4], "{line:?} {end:?}");
+        assert_eq!(
+            single_requests.map(|request| proxy.request(&request).status()),
+            [200; 4],
+            "{line:?} {end:?}"
+        );
         backend.requests.store(0, SeqCst);
     }
 }
 
-/// A probe is a GET and nothing more.
+/// A readiness probe is a GET request without a body.
 #[test]
 fn readiness_is_answered_to_plain_probes_only() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let probe = |method: &str, more: &str, body: &str| {
         format!("{method} /-/ready HTTP/1.1\r\nHost: s\r\n{more}\r\n{body}")
     };
     let (length, chunked) = ("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
-    let hiding = read_request(3.0);
+    let smuggling = read_request(3.0);
     let cases = [
         (405, probe("POST", "", "")),
-        (405, probe("POST", "Content-Length: 0\r\n", &hiding)),
-        (405, probe("POST", length, &format!("cash{hiding}"))),
+        (405, probe("POST", "Content-Length: 0\r\n", &smuggling)),
+        (405, probe("POST", length, &format!("cash{smuggling}"))),
         (405, probe("PUT", "", "")),
-        (405, probe("POST", chunked, &format!("0\r\n\r\n{hiding}"))),
-        (411, probe("GET", chunked, &format!("0\r\n\r\n{hiding}"))),
+        (405, probe("POST", chunked, &format!("0\r\n\r\n{smuggling}"))),
+        (411, probe("GET", chunked, &format!("0\r\n\r\n{smuggling}"))),
         (400, probe("GET", length, "cash")),
         (400, probe("GET", length, "")),
-        (400, probe("GET", "", &hiding)),
+        (400, probe("GET", "", &smuggling)),
     ];
     let (statuses, requests): (Vec<u16>, Vec<String>) = cases.into_iter().unzip();
     let expected: Vec<_> = statuses.into_iter().map(|status| (status, true)).collect();
-    assert_eq!(each(&proxy, &requests), expected);
+    assert_eq!(send_each(&proxy, &requests), expected);
     assert_eq!(backend.request_count(), 0);
     assert_eq!(proxy.request(&requests[0]).header("allow"), Some("GET"));
     for more in ["", "Content-Length: 0\r\n"] {
@@ -340,36 +362,37 @@
     }
 }
 
-/// What comes while a request is open hides no further one: the answer is owed, and ends the connection.
+/// Bytes that arrive while a request is in flight are not read as another request: the response in progress is sent and the
+/// connection closed.
 #[test]
 fn bytes_received_during_a_request_are_not_served_after_it() {
-    // The proxy has read it by the end of the request, or finds it in the kernel then.
+    // With the pause, the proxy reads the bytes before the request ends; without it, possibly afterwards.
     for pause in [0, 50] {
         let gate = Arc::new(Gate::default());
         let wait = gate.clone();
         let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-        let proxy = one(&backend);
+        let proxy = proxy_with_one_backend(&backend);
         let mut client = proxy.client();
         client.send(&pay_request(3.0));
         backend.next_request();
         client.send(&(read_request(3.0) + &pay_request(3.0)));
         std::thread::sleep(std::time::Duration::from_millis(pause));
         gate.open();
-        let answer = client.answer().expect("the answer that is owed");
+        let answer = client.answer().expect("the response to the request in flight");
         assert_eq!((&answer.body[..], answer.header("connection")), (&b"gated"[..], Some("close")));
         assert!(client.is_closed());
         assert_eq!(backend.request_count(), 1);
     }
 }
 
-/// A backend that tidies paths up must find the class there that the proxy found. What is no such trick goes on
-/// to the letter.
+/// A backend that normalizes paths must find the same class as the proxy, so ambiguous paths are rejected. All other paths
+/// are forwarded unchanged.
 #[test]
 fn ambiguous_paths_are_rejected() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let get = |target: &str| read_request(3.0).replace("/read/k1", target);
-    let odd = [
+    let rejected_requests = [
         "/read/../pay/x",
         "/read/%2e%2e/pay/x",
         "/read/.%2E/pay",
@@ -393,7 +416,7 @@
         "*",
     ]
     .map(get);
-    assert_eq!(each(&proxy, &odd), [(400, true); 21]);
+    assert_eq!(send_each(&proxy, &rejected_requests), [(400, true); 21]);
     assert_eq!(backend.request_count(), 0);
     for target in [
         "/read",
@@ -413,13 +436,13 @@
     }
 }
 
-/// One request names one host, and one that there could be.
+/// A request names exactly one host, with valid syntax.
 #[test]
 fn requests_without_or_with_two_hosts_are_rejected() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let with = |lines: &str| read_request(3.0).replace("Host: s\r\n", lines);
-    let odd = [
+    let rejected_requests = [
         "",
         "Host:\r\n",
         "Host: \r\n",
@@ -433,10 +456,10 @@
         "Host: s:99999\r\n",
         "Host: [::1\r\n",
     ];
-    assert_eq!(each(&proxy, &odd.map(with)), [(400, true); 12]);
+    assert_eq!(send_each(&proxy, &rejected_requests.map(with)), [(400, true); 12]);
     let absolute =
         |target: &str, host: &str| read_request(3.0).replace("/read/k1", target).replace("Host: s\r\n", host);
-    let odd = [
+    let rejected_requests = [
         absolute("http://other/read/k1", "Host: s\r\n"),
         absolute("http://other/pay/k1", "Host: s\r\n"),
         absolute("http://user@s/read/k1", "Host: s\r\n"),
@@ -446,7 +469,7 @@
         with("Host: s\r\nHost: s\r\n").replace("HTTP/1.1", "HTTP/1.0"),
         "GET /-/ready HTTP/1.1\r\n\r\n".into(),
     ];
-    assert_eq!(each(&proxy, &odd), [(400, true); 8]);
+    assert_eq!(send_each(&proxy, &rejected_requests), [(400, true); 8]);
     assert_eq!(backend.request_count(), 0);
     for host in ["service.internal", "s", "S:8443", "10.1.0.18:80", "[::1]", "[fd00::1]:8080", "a_b-c.d."] {
         assert_eq!(proxy.request(&with(&format!("Host: {host}\r\n"))).status(), 200, "{host}");
@@ -454,33 +477,33 @@
     }
     assert_eq!(proxy.request(&absolute("http://S:80/read/k1?q", "Host: s\r\n")).status(), 200);
     assert_eq!(backend.next_request().first, "GET /read/k1?q HTTP/1.1");
-    // HTTP/1.0 knows requests without a host; HTTP/1.1, in which they go on, does not.
+    // HTTP/1.0 allows requests without a host; HTTP/1.1, with which they are forwarded, does not.
     assert_eq!(proxy.request(&with("").replace("HTTP/1.1", "HTTP/1.0")).status(), 200);
     assert_eq!(backend.next_request().header("host"), Some(&*backend.address.to_string()));
 }
 
-/// The id of a request that is open is not taken for another; once it is answered it is nobody's.
+/// A request with the id of a request in flight is rejected.
 #[test]
 fn id_in_use_is_not_accepted_again() {
     let gate = Arc::new(Gate::default());
     let wait = gate.clone();
     let backend = BackendServer::start(move |_| Reply::Gate(wait.clone()));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let request = pay_request(3.0);
     let mut first = proxy.client();
     first.send(&request);
     backend.next_request();
     assert_eq!(proxy.request(&request).status(), 409);
     gate.open();
-    assert_eq!(first.answer().expect("the answer to the first").body, b"gated");
+    assert_eq!(first.answer().expect("the response to the first request").body, b"gated");
     assert_eq!(backend.request_count(), 1);
 }
 
-/// Whoever says nothing, sends half a head or half a body is let go of, with room to spare or not.
+/// A connection on which nothing, or an incomplete head or body, arrives is closed, even if there are free places.
 #[test]
 fn connections_without_complete_request_are_closed() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let parts = [
         "",
         "GET /read/k HTT",
@@ -499,37 +522,41 @@
     assert_eq!(backend.request_count(), 0);
 }
 
-/// Silent connections by the hundred push each other out and not a client that has asked before.
+/// Hundreds of silent connections evict each other and not a client that has sent a request before.
 #[test]
 fn unproven_connections_are_evicted_first() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
-    let mut usual = proxy.client();
-    assert_eq!(usual.request(&read_request(3.0)).status(), 200);
+    let mut proven = proxy.client();
+    assert_eq!(proven.request(&read_request(3.0)).status(), 200);
     let mut silent = Vec::new();
     for round in 0..3 {
-        // The last come while the program has no core: it finds all of them at once.
+        // The last ones connect while the program is stopped, so that it accepts all of them at once.
         silent.extend((0..30).map(|_| proxy.client()));
         proxy.signal("STOP");
         silent.extend((0..60).map(|_| proxy.client()));
         proxy.signal("CONT");
         let older = &mut silent[90 * round + 30..90 * round + 80];
-        assert!(older.iter_mut().all(|client| client.is_closed()), "the oldest went");
-        assert_eq!(usual.request(&read_request(3.0)).status(), 200, "the usual client was let go of");
+        assert!(older.iter_mut().all(|client| client.is_closed()), "the oldest connections are closed");
+        assert_eq!(
+            proven.request(&read_request(3.0)).status(),
+            200,
+            "the client that had sent requests was evicted"
+        );
     }
 }
 
-/// At the bound, one that said nothing for long makes way, but not where its request has come and only was not read
-/// yet: the program finds it together with those that want its place.
+/// At the connection limit, silent connections are evicted, but not one whose request has arrived and has not been read yet:
+/// the program finds that request together with the new connections.
 #[test]
 fn connection_with_unread_request_is_not_evicted() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let places = 8; // half of what is left of 80
+    let places = 8; // half of the places that a limit of 80 descriptors leaves
     for round in 0..5 {
         let proxy =
             Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
         let mut silent: Vec<Client> = (0..places).map(|_| proxy.client()).collect();
-        std::thread::sleep(std::time::Duration::from_millis(150)); // by now none is new
+        std::thread::sleep(std::time::Duration::from_millis(150)); // none of these connections is new by then
         proxy.signal("STOP");
         let mut new: Vec<Client> = (0..places).map(|_| proxy.client()).collect();
         for client in new.iter_mut().chain(&mut silent) {
@@ -543,20 +570,21 @@
     }
 }
 
-/// Serves until the switch is thrown, and sends these bytes instead from then on.
-fn spoiling(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
+/// Starts a backend that serves requests until the returned switch is set, and then sends these bytes instead.
+fn backend_sending(bytes: &str) -> (BackendServer, Arc<AtomicBool>) {
     let (switch, bytes) = (Arc::new(AtomicBool::new(false)), bytes.to_string());
-    let thrown = switch.clone();
-    let reply = move |_| if thrown.load(SeqCst) { Reply::Pieces(vec![bytes.clone()]) } else { ok_reply("x") };
+    let switched = switch.clone();
+    let reply =
+        move |_| if switched.load(SeqCst) { Reply::Pieces(vec![bytes.clone()]) } else { ok_reply("x") };
     (BackendServer::start(reply), switch)
 }
 
-/// A spoilt answer on a connection that stays open is known for what it is in time for another attempt, and an
-/// unsafe request that met one has failed and is not sent again.
+/// An invalid response on a connection that stays open is recognised in time for another attempt. An unsafe request that got
+/// one has failed and is not retried.
 #[test]
 fn invalid_responses_are_failed_attempts_that_may_have_run() {
     let head = "HTTP/1.1 200 OK\r\n";
-    for spoilt in [
+    for invalid_response in [
         "\u{1}\u{7f} noise without an end".to_string(),
         format!("{head}X-Endless"),
         format!("{head}Content-Length: 10\r\n\r\nshort"),
@@ -565,9 +593,10 @@
         format!("{head}Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"),
         format!("{head}\r\nno length at all"),
     ] {
-        let ((bad, switch), good) = (spoiling(&spoilt), BackendServer::start(|_| ok_reply("good")));
+        let ((failing, switch), good) =
+            (backend_sending(&invalid_response), BackendServer::start(|_| ok_reply("good")));
         let proxy = Proxy::start(&[
-            endpoint_json("b0", bad.address, "SERVING"),
+            endpoint_json("b0", failing.address, "SERVING"),
             endpoint_json("b1", good.address, "SERVING"),
         ]);
         let mut client = proxy.client();
@@ -575,16 +604,16 @@
             assert_eq!(client.request(&read_request(3.0)).status(), 200);
         }
         switch.store(true, SeqCst);
-        let before = bad.request_count();
-        while bad.request_count() == before {
-            assert_eq!(client.request(&read_request(3.0)).body, b"good", "{spoilt:.80}");
+        let before = failing.request_count();
+        while failing.request_count() == before {
+            assert_eq!(client.request(&read_request(3.0)).body, b"good", "{invalid_response:.80}");
         }
-        let before = bad.request_count();
+        let before = failing.request_count();
         for sent in 0.. {
-            assert!(sent < 200, "the draw never met it");
-            let (was, status) = (good.request_count(), client.request(&pay_request(3.0)).status());
-            if bad.request_count() > before {
-                assert_eq!((status, good.request_count()), (502, was), "{spoilt:.80}");
+            assert!(sent < 200, "selection never picked the failing backend");
+            let (served_before, status) = (good.request_count(), client.request(&pay_request(3.0)).status());
+            if failing.request_count() > before {
+                assert_eq!((status, good.request_count()), (502, served_before), "{invalid_response:.80}");
                 break;
             }
             assert_eq!(status, 200);
@@ -592,13 +621,13 @@
     }
 }
 
-/// A backend that fails at one class alone gets no more of that, and goes on with the others.
+/// A backend that fails requests of one class gets no more of these, and still gets requests of other classes.
 #[test]
 fn backend_that_fails_one_class_serves_the_others() {
-    let paying = Arc::new(AtomicBool::new(false));
-    let fails = paying.clone();
-    let bad = BackendServer::start(move |_| {
-        if fails.load(SeqCst) {
+    let pay_fails = Arc::new(AtomicBool::new(false));
+    let fail_switch = pay_fails.clone();
+    let failing = BackendServer::start(move |_| {
+        if fail_switch.load(SeqCst) {
             Reply::Answer(500, "", "no".into())
         } else {
             ok_reply("x")
@@ -606,70 +635,77 @@
     });
     let good = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::start(&[
-        endpoint_json("b0", bad.address, "SERVING"),
+        endpoint_json("b0", failing.address, "SERVING"),
         endpoint_json("b1", good.address, "SERVING"),
     ]);
     let mut client = proxy.client();
     let (mut failed, mut reads) = (0, 0);
     for _ in 0..100 {
-        paying.store(true, SeqCst);
+        pay_fails.store(true, SeqCst);
         failed += u32::from(client.request(&pay_request(3.0)).status() != 200);
-        paying.store(false, SeqCst);
-        let before = bad.request_count();
+        pay_fails.store(false, SeqCst);
+        let before = failing.request_count();
         for _ in 0..4 {
             assert_eq!(client.request(&read_request(3.0)).status(), 200);
         }
-        reads += bad.request_count() - before;
+        reads += failing.request_count() - before;
     }
-    // About half of them failed before.
+    // About half of them failed before this was fixed.
     assert!((1..25).contains(&failed), "{failed} of 100 failed");
-    assert!(reads > 50, "{reads} of 400 went to the one that serves them");
+    assert!(reads > 50, "{reads} of 400 safe requests went to the backend that fails the other class");
 }
 
-/// Where many answers are lost, a request that may run again gets a copy while there is time for one.
+/// If many responses are lost, a safe request is hedged while there is time.
 #[test]
 fn hedged_attempts_make_up_for_lost_responses() {
-    let never = Arc::new(Gate::default());
-    // One in four, of all attempts in their order, and two in a row: a request may lose two of its attempts, and is never left
-    // without an answer by all three backends at once.
+    let gate_of_lost = Arc::new(Gate::default());
+    // One in four of all attempts gets no response, two in a row. A request may lose two of its attempts, but never those at
+    // all three backends.
     let attempts = Arc::new(AtomicU32::new(0));
-    let losing = || {
-        let (never, attempts) = (never.clone(), attempts.clone());
+    let lossy_backend = || {
+        let (gate_of_lost, attempts) = (gate_of_lost.clone(), attempts.clone());
         BackendServer::start(move |_| match attempts.fetch_add(1, SeqCst) % 8 {
-            6 | 7 => Reply::Gate(never.clone()),
+            6 | 7 => Reply::Gate(gate_of_lost.clone()),
             _ => ok_reply("x"),
         })
     };
-    let (one, two, three) = (losing(), losing(), losing());
-    let entries = [&one, &two, &three].map(|b| endpoint_json("b", b.address, "SERVING"));
+    let (first, second, third) = (lossy_backend(), lossy_backend(), lossy_backend());
+    let entries = [&first, &second, &third].map(|b| endpoint_json("b", b.address, "SERVING"));
     let entries: Vec<String> =
         entries.iter().enumerate().map(|(n, e)| e.replace("\"b\"", &format!("\"b{n}\""))).collect();
     let proxy = Proxy::start(&entries);
-    // Time for a second and a third on a loaded core too, where what is usual takes many times as long.
+    // The deadline leaves time for a second and a third attempt on a loaded machine, where latencies are many times as long.
     let statuses: Vec<u16> = (0..100).map(|_| proxy.request(&read_request(1.0)).status()).collect();
-    let lost = |part: &[u16]| part.iter().filter(|s| **s != 200).count();
-    assert!(lost(&statuses[..30]) > 3, "it takes some to tell: {statuses:?}");
-    assert!(lost(&statuses[40..]) <= 2, "{statuses:?}");
-    never.open();
+    let lost_requests = |part: &[u16]| part.iter().filter(|s| **s != 200).count();
+    assert!(
+        lost_requests(&statuses[..30]) > 3,
+        "the proxy needs some lost responses before it hedges: {statuses:?}"
+    );
+    assert!(lost_requests(&statuses[40..]) <= 2, "{statuses:?}");
+    gate_of_lost.open();
 }
 
-/// More than an answer, in its own segment or the next: it is never taken for the answer to another request.
+/// Bytes after a response, in its own segment or the next, are never taken for the response to another request.
 #[test]
 fn bytes_behind_a_response_are_discarded() {
     let answer = |body: String| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    for behind in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
+    for trailing in [answer("stale".into()), "noise".to_string(), "\r\n".to_string()] {
         for one_segment in [true, false] {
-            let more = behind.clone();
+            let more = trailing.clone();
             let backend = BackendServer::start(move |n| match (n % 2 == 0, one_segment) {
                 (true, true) => Reply::Pieces(vec![answer(n.to_string()) + &more]),
                 (true, false) => Reply::Pieces(vec![answer(n.to_string()), more.clone()]),
                 _ => ok_reply(&n.to_string()),
             });
-            let proxy = one(&backend);
+            let proxy = proxy_with_one_backend(&backend);
             let mut client = proxy.client();
             for n in 0..12 {
-                let got = client.request(&pay_request(3.0));
-                assert_eq!((got.status(), got.body), (200, n.to_string().into_bytes()), "{behind:?}");
+                let received = client.request(&pay_request(3.0));
+                assert_eq!(
+                    (received.status(), received.body),
+                    (200, n.to_string().into_bytes()),
+                    "{trailing:?}"
+                );
                 while backend.answered.load(SeqCst) <= n {
                     std::thread::yield_now();
                 }
@@ -678,61 +714,62 @@
     }
 }
 
-/// Answers of status 1xx ahead of the real one, and a load report that makes no sense, spoil nothing.
+/// Responses of status 1xx before the final one, and an invalid load report, do no harm.
 #[test]
 fn early_responses_and_unusual_reports_are_ignored() {
-    let early = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
+    let informational =
+        "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_string();
     let real = "HTTP/1.1 200 OK\r\nX-Backend-Load: \u{7f}=,,inflight\r\nContent-Length: 4\r\n\r\nreal";
     let real = real.replace('\u{7f}', "?");
-    let backend = BackendServer::start(move |_| Reply::Pieces(vec![early.clone(), real.clone()]));
-    let proxy = one(&backend);
+    let backend = BackendServer::start(move |_| Reply::Pieces(vec![informational.clone(), real.clone()]));
+    let proxy = proxy_with_one_backend(&backend);
     for _ in 0..5 {
         assert_eq!(proxy.request(&pay_request(3.0)).body, b"real");
     }
 }
 
-/// Clients that ask once and keep their connections use up what they may hold: where many are kept, each goes
-/// after its answer, and where few are, none does.
+/// Clients that send one request and keep their connections use up the places. If many connections are open, each is closed
+/// after its response; if few are, none is.
 #[test]
 fn responses_close_connections_when_many_are_open() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::start_with_settings(&[endpoint_json("b0", backend.address, "SERVING")], 80, SETTINGS);
-    let mut kept = Vec::new();
+    let mut open_clients = Vec::new();
     let closing: Vec<bool> = (0..8)
         .map(|_| {
             let mut client = proxy.client();
             let answer = client.request(&read_request(3.0));
             assert_eq!(answer.status(), 200);
-            kept.push(client);
+            open_clients.push(client);
             answer.header("connection") == Some("close")
         })
         .collect();
     assert!(!closing[0] && !closing[3], "{closing:?}");
-    assert!(closing[4], "half of the places are kept: {closing:?}");
-    assert!(kept[4].is_closed());
+    assert!(closing[4], "connections are closed once half of the places are taken: {closing:?}");
+    assert!(open_clients[4].is_closed());
 }
 
-/// A stock server writes head and body one after the other, and its kernel keeps the second until the first is
-/// acknowledged: 40 ms later, where nobody asks for more. Such an answer is as good as any.
+/// Common servers write head and body separately, and the kernel holds back the second segment until the first is
+/// acknowledged, by a delayed acknowledgement after 40 ms. Such a response is as valid as any other.
 #[test]
-fn backend_that_writes_head_and_body_apart_is_served_from() {
+fn response_with_head_and_body_in_separate_writes_is_served_in_one_attempt() {
     let parts =
         |body: String| vec![format!("HTTP/1.1 200 X\r\nContent-Length: {}\r\n\r\n", body.len()), body];
     let backend = BackendServer::start(move |n| Reply::Writes(parts(format!("answer {n}"))));
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let mut client = proxy.client();
     for n in 0..60 {
         let answer = client.request(&read_request(3.0));
         assert_eq!((answer.status(), answer.body), (200, format!("answer {n}").into_bytes()));
-        // A connection rests 10 ms after an answer: at this pace a handful is enough.
+        // A connection is reused 10 ms after a response at the earliest: at this rate a handful of connections is enough.
         std::thread::sleep(std::time::Duration::from_millis(8));
     }
-    assert_eq!(backend.request_count(), 60, "each in one attempt");
-    assert!(backend.connections.load(SeqCst) < 10, "on kept connections");
+    assert_eq!(backend.request_count(), 60, "one attempt for each request");
+    assert!(backend.connections.load(SeqCst) < 10, "connections are reused");
 }
 
-/// What came with an answer and belongs to none is gone with its connection: were that kept, the rest of it would come
-/// behind the next request and pass for its answer.
+/// A connection with excess bytes after a response is closed. If it were reused, the rest of these bytes would arrive after
+/// the next request and be taken for its response.
 #[test]
 fn connection_with_partial_excess_bytes_is_not_reused() {
     let first = "HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ngoodHTTP/1.1 200 X\r\nContent-Le".to_string();
@@ -740,11 +777,12 @@
         0 => Reply::Pieces(vec![first.clone()]),
         _ => ok_reply("next"),
     });
-    let proxy = one(&backend);
+    let proxy = proxy_with_one_backend(&backend);
     let mut client = proxy.client();
     for (round, body) in [(1, b"good"), (2, b"next"), (2, b"next")] {
         assert_eq!(client.request(&read_request(3.0)).body, body);
         assert_eq!(backend.connections.load(SeqCst), round);
-        std::thread::sleep(std::time::Duration::from_millis(40)); // until it is known to be quiet
+        // A connection is reused only after a short time without excess bytes.
+        std::thread::sleep(std::time::Duration::from_millis(40));
     }
 }
--- a/crates/shaletide/tests/service_terms.rs
+++ b/crates/shaletide/tests/service_terms.rs
@@ -1,5 +1,5 @@
-//! The service terms on lists, restarts and reloads, and on what backends are told: each under the order of events
-//! that is worst for it. docs/terms.md has the table.
+//! The service terms on lists, restarts and reloads, and on the time left that backends get, each under its worst-case order
+//! of events. The table is in docs/terms.md.
 
 mod harness;
 
@@ -9,54 +9,56 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// A change counts so long after discovery had it and could be reached.
-const COUNTS_AFTER: Duration = Duration::from_secs(6);
-/// After a move of discovery it counts so much later than the signal.
-const MOVED: Duration = Duration::from_secs(4);
-/// What a loaded machine may add to a time that is bounded by a timer of the program's.
+/// The time after which a change must be in force, from the moment at which discovery has it and can be reached.
+const CHANGE_LIMIT: Duration = Duration::from_secs(6);
+/// The time after the signal by which a new discovery address must be in force.
+const MOVE_LIMIT: Duration = Duration::from_secs(4);
+/// The time that a loaded machine may add to one that a timer of the program bounds.
 const SLACK: Duration = Duration::from_millis(400);
-/// What a call that waits for nothing may take to be answered.
-const ANSWER: Duration = Duration::from_millis(900);
+/// The time in which a call without a wait must be answered.
+const ANSWER_LIMIT: Duration = Duration::from_millis(900);
 
-const WHOLE_LIST: &str = "GET /api/targets HTTP/1.1";
-const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
+const SNAPSHOT_CALL: &str = "GET /api/targets HTTP/1.1";
+const READINESS_PROBE: &str = "GET /-/ready HTTP/1.1\r\nHost: s\r\n\r\n";
 
-/// Runs a measurement that says what was late, if anything. A stall of the whole machine is not the program's: what is
-/// late by the program is so each time.
-fn assert_in_time(measure: impl Fn() -> Result<(), String>) {
+/// Repeats a measurement that returns an error if something was late, and fails if it was late each time. A delay by a stall
+/// of the machine does not recur; one that the program causes does.
+fn assert_not_late_each_time(measure: impl Fn() -> Result<(), String>) {
     let late: Vec<String> = (0..3).map_while(|_| measure().err()).collect();
     assert!(late.len() < 3, "{late:#?}");
 }
 
-/// Says that something was late.
-fn in_time(what: &str, took: Duration, bound: Duration) -> Result<(), String> {
+/// Returns an error if `took` exceeds `bound`.
+fn check_time(event: &str, took: Duration, bound: Duration) -> Result<(), String> {
     if took <= bound {
         return Ok(());
     }
-    Err(format!("{what}: {took:?} of {bound:?}"))
+    Err(format!("{event}: {took:?} of {bound:?}"))
 }
 
-/// Settings with that grace in milliseconds, where discovery pushes its lists.
-fn pushed(grace_ms: u64) -> String {
+/// Returns settings with this grace for a discovery that pushes its lists.
+fn push_settings(grace_ms: u64) -> String {
     SETTINGS.replace("\"rules\":{", &format!("\"rules\":{{\"stop_sending_within_us\":{grace_ms}000,"))
 }
 
-/// The same where it is asked, by proxies that need not ask for a minute.
-fn asked(grace_ms: u64) -> String {
-    pushed(grace_ms)
+/// Returns settings with this grace for a discovery that is subscribed to, with an engine that need not call for a minute.
+fn subscribe_settings(grace_ms: u64) -> String {
+    push_settings(grace_ms)
         .replace("\"automatic\"", "\"subscribe\"")
         .replace("_in_us\":9000000", "_in_us\":60000000")
 }
 
-/// A list as a person would write it.
+/// Returns a list with line breaks and indentation.
 fn indented(index: u64, snapshot: bool, entries: &[String]) -> String {
     let spaced =
         |text: &str| text.replace("{", "{\n    ").replace(",\"", ",\n    \"").replace("\":", "\" : ");
     format!("\n{}\n", spaced(&endpoint_list_json(index, snapshot, entries)))
 }
 
-/// Answers calls with that list until a watch from its version on is out, which is returned.
-fn take_in(discovery: &DiscoveryServer, index: u64, body: &str) -> (String, mpsc::Sender<(u16, String)>) {
+/// Answers calls with this list until the proxy makes a long poll from the list's version on, and returns that call.
+fn answer_until_polled(
+    discovery: &DiscoveryServer, index: u64, body: &str,
+) -> (String, mpsc::Sender<(u16, String)>) {
     loop {
         let (target, answer) = discovery.next_call();
         if target.contains(&format!("after={index}&")) && !target.contains("wait_ms=0 ") {
@@ -66,7 +68,7 @@
     }
 }
 
-/// The draining backend still answers; what comes to it after a whole list without it is counted.
+/// Two backends. The old one drains and still answers, so that requests sent to it after a snapshot without it are counted.
 struct BackendPair {
     old: BackendServer,
     new: BackendServer,
@@ -79,14 +81,14 @@
             new: BackendServer::start(|_| ok_reply("new")),
         }
     }
-    fn both(&self) -> [String; 2] {
+    fn serving_entries(&self) -> [String; 2] {
         [endpoint_json("b0", self.old.address, "SERVING"), endpoint_json("b1", self.new.address, "SERVING")]
     }
-    /// The whole list, which leaves out the backend that drains.
-    fn without_old(&self) -> [String; 1] {
+    /// Returns the entries of a snapshot without the draining backend.
+    fn entries_without_old(&self) -> [String; 1] {
         [endpoint_json("b1", self.new.address, "SERVING")]
     }
-    fn only_new_is_used(&self, proxy: &Proxy, case: &str) {
+    fn assert_only_new_is_used(&self, proxy: &Proxy, case: &str) {
         let before = self.old.request_count();
         for _ in 0..10 {
             assert_eq!(proxy.request(&pay_request(3.0)).body, b"new", "{case}");
@@ -95,99 +97,101 @@
     }
 }
 
-/// However many calls failed, the next one comes early enough to be answered within 6 s of the moment at which discovery
-/// could be reached, which is at the earliest just after the last one failed; after SIGHUP within 4 s.
+/// However many calls have failed, the next one comes early enough to be answered within 6 s of the moment at which discovery
+/// can be reached again, which is at the earliest right after the last failure; after SIGHUP within 4 s.
 #[test]
-fn asked_discovery_that_failed_for_long_is_asked_again_in_time() {
-    assert_in_time(retry_of_asked_discovery_that_failed);
+fn subscribed_discovery_that_failed_for_long_is_called_again_in_time() {
+    assert_not_late_each_time(retry_after_failed_calls);
 }
 
-fn retry_of_asked_discovery_that_failed() -> Result<(), String> {
+fn retry_after_failed_calls() -> Result<(), String> {
     let pair = BackendPair::start();
-    let proxy = Proxy::start_with_settings(&[], 1024, &asked(300));
+    let proxy = Proxy::start_with_settings(&[], 1024, &subscribe_settings(300));
     let (_, mut answer) = proxy.discovery.next_call();
     for failure in 0..8 {
         let failed = Instant::now();
         answer.send((503, String::new())).unwrap();
         answer = proxy.discovery.next_call().1;
         let pause = failed.elapsed();
-        in_time(
+        check_time(
             &format!("retry after failure {failure}"),
             pause,
-            MOVED - Duration::from_millis(1500) + SLACK,
+            MOVE_LIMIT - Duration::from_millis(1500) + SLACK,
         )?;
     }
-    // The back-off is at its maximum as discovery moves, and the new one fails the first call.
-    let elsewhere = DiscoveryServer::start();
-    proxy.move_discovery(elsewhere.address);
+    // The back-off is at its maximum when the discovery address changes, and the new discovery fails the first call.
+    let new_discovery = DiscoveryServer::start();
+    proxy.move_discovery(new_discovery.address);
     let signalled = Instant::now();
     proxy.signal("HUP");
-    let (target, refused) = elsewhere.next_call();
-    assert_eq!(target, WHOLE_LIST);
+    let (target, refused) = new_discovery.next_call();
+    assert_eq!(target, SNAPSHOT_CALL);
     refused.send((503, String::new())).unwrap();
-    let (target, answer) = elsewhere.next_call();
-    assert_eq!(target, WHOLE_LIST);
-    in_time("retry after the move", signalled.elapsed(), MOVED - ANSWER)?;
-    answer.send((200, endpoint_list_json(7, true, &pair.without_old()))).unwrap();
-    let _watch = take_in(&elsewhere, 7, "");
-    pair.only_new_is_used(&proxy, "after the move");
+    let (target, answer) = new_discovery.next_call();
+    assert_eq!(target, SNAPSHOT_CALL);
+    check_time("retry after the move", signalled.elapsed(), MOVE_LIMIT - ANSWER_LIMIT)?;
+    answer.send((200, endpoint_list_json(7, true, &pair.entries_without_old()))).unwrap();
+    let _poll = answer_until_polled(&new_discovery, 7, "");
+    pair.assert_only_new_is_used(&proxy, "after the move");
     Ok(())
 }
 
-/// A call that was out as discovery fell silent is never answered, not even once it is back: it is given up early enough
-/// for the next one to be answered within 6 s, also after others that were given up.
+/// A call that was in flight when discovery fell silent is never answered, not even after discovery has recovered. It is
+/// abandoned early enough for the next one to be answered within 6 s, also after other abandoned calls.
 #[test]
-fn asked_discovery_that_is_silent_is_asked_again_in_time() {
-    assert_in_time(retry_of_asked_discovery_that_is_silent);
+fn subscribed_discovery_that_is_silent_is_called_again_in_time() {
+    assert_not_late_each_time(retry_after_silent_calls);
 }
 
-fn retry_of_asked_discovery_that_is_silent() -> Result<(), String> {
-    let proxy = Proxy::start_with_settings(&[], 1024, &asked(300));
+fn retry_after_silent_calls() -> Result<(), String> {
+    let proxy = Proxy::start_with_settings(&[], 1024, &subscribe_settings(300));
     let (_, mut silent) = proxy.discovery.next_call();
     for call in 0..3 {
         let at = Instant::now();
         let (_, next) = proxy.discovery.next_call();
-        in_time(&format!("retry after call {call}"), at.elapsed(), COUNTS_AFTER - ANSWER + SLACK)?;
+        check_time(&format!("retry after call {call}"), at.elapsed(), CHANGE_LIMIT - ANSWER_LIMIT + SLACK)?;
         silent = next;
     }
     drop(silent);
     Ok(())
 }
 
-/// What a silent watch misses counts 2 s after its wait is over, here 8 s after it was opened: it is opened anew before.
+/// A change that a silent long poll misses must be in force 2 s after the end of the poll's wait, here 8 s after the poll
+/// began; a new poll begins before that.
 #[test]
-fn asked_watch_that_fell_silent_is_opened_anew_in_time() {
-    assert_in_time(retry_of_silent_asked_watch);
+fn silent_long_poll_of_subscribed_discovery_is_repeated_in_time() {
+    assert_not_late_each_time(retry_of_silent_long_poll);
 }
 
-fn retry_of_silent_asked_watch() -> Result<(), String> {
+fn retry_of_silent_long_poll() -> Result<(), String> {
     let pair = BackendPair::start();
-    let proxy = Proxy::start_with_settings(&pair.both(), 1024, &asked(300));
-    let (target, _silent) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
+    let proxy = Proxy::start_with_settings(&pair.serving_entries(), 1024, &subscribe_settings(300));
+    let (target, _silent) =
+        answer_until_polled(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.serving_entries()));
     let opened = Instant::now();
     let wait: u64 =
         target.split("wait_ms=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok()).unwrap();
     assert!(wait >= 4000, "{target}");
     let (target, answer) = proxy.discovery.next_call();
     assert!(target.ends_with("after=9&wait_ms=0 HTTP/1.1"), "{target}");
-    let counts = Duration::from_millis(wait) + Duration::from_secs(2);
-    in_time("retry of the watch", opened.elapsed(), counts - ANSWER)?;
-    answer.send((200, indented(10, true, &pair.without_old()))).unwrap();
-    let _watch = take_in(&proxy.discovery, 10, "");
-    pair.only_new_is_used(&proxy, "after the silence");
+    let in_force_after = Duration::from_millis(wait) + Duration::from_secs(2);
+    check_time("retry of the watch", opened.elapsed(), in_force_after - ANSWER_LIMIT)?;
+    answer.send((200, indented(10, true, &pair.entries_without_old()))).unwrap();
+    let _poll = answer_until_polled(&proxy.discovery, 10, "");
+    pair.assert_only_new_is_used(&proxy, "after the silence");
     Ok(())
 }
 
-/// An agent that failed for long is asked again within the grace, and so is one that fell silent under its call.
+/// An agent that failed for long is called again within the grace, and so is one that fell silent during a call.
 #[test]
-fn pushing_agent_that_failed_for_long_is_asked_again_within_the_grace() {
-    assert_in_time(retry_of_pushing_agent_that_failed);
+fn pushing_agent_that_failed_for_long_is_called_again_within_the_grace() {
+    assert_not_late_each_time(retry_at_failing_agent);
 }
 
-fn retry_of_pushing_agent_that_failed() -> Result<(), String> {
+fn retry_at_failing_agent() -> Result<(), String> {
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
-        let proxy = Proxy::start_with_settings(&[], 1024, &pushed(grace));
+        let proxy = Proxy::start_with_settings(&[], 1024, &push_settings(grace));
         let (_, mut answer) = proxy.discovery.next_call();
         let mut silent = Vec::new();
         for failure in 0..10 {
@@ -198,135 +202,142 @@
                 _ => answer.send((503, String::new())).unwrap(),
             }
             answer = proxy.discovery.next_call().1;
-            in_time(&format!("retry after failure {failure}"), at.elapsed(), grace_ms * 2 / 3)?;
+            check_time(&format!("retry after failure {failure}"), at.elapsed(), grace_ms * 2 / 3)?;
         }
     }
     Ok(())
 }
 
-/// The watch answers several times and falls silent then; the change that it misses is in a whole list, indented, which
-/// leaves out the backend that drains and still answers.
+/// Discovery answers several long polls and then falls silent. The missed change is in an indented snapshot without the
+/// draining backend, which still answers.
 #[test]
-fn pushing_watch_that_falls_silent_late_is_opened_anew_within_the_grace() {
-    assert_in_time(retry_of_silent_pushing_watch);
+fn long_poll_that_falls_silent_late_is_repeated_within_the_grace() {
+    assert_not_late_each_time(retry_of_late_silent_long_poll);
 }
 
-fn retry_of_silent_pushing_watch() -> Result<(), String> {
+fn retry_of_late_silent_long_poll() -> Result<(), String> {
     for grace in [2000, 1000] {
         let grace_ms = Duration::from_millis(grace);
         let pair = BackendPair::start();
-        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &pushed(grace));
-        let (_, mut watch) = take_in(&proxy.discovery, 9, &indented(9, true, &pair.both()));
+        let proxy = Proxy::start_with_settings(&pair.serving_entries(), 1024, &push_settings(grace));
+        let (_, mut poll) =
+            answer_until_polled(&proxy.discovery, 9, &indented(9, true, &pair.serving_entries()));
         for _ in 0..4 {
-            watch.send((200, indented(9, false, &[]))).unwrap();
+            poll.send((200, indented(9, false, &[]))).unwrap();
             let (target, next) = proxy.discovery.next_call();
             assert!(target.contains("after=9&"), "{target}");
-            watch = next;
+            poll = next;
         }
         let fell_silent = Instant::now();
         let (_, answer) = proxy.discovery.next_call();
-        in_time("retry of the watch", fell_silent.elapsed(), grace_ms * 2 / 3)?;
-        let _ = answer.send((200, indented(10, true, &pair.without_old())));
-        let _watch = take_in(&proxy.discovery, 10, &indented(10, true, &pair.without_old()));
-        pair.only_new_is_used(&proxy, "silent late");
-        drop(watch);
+        check_time("retry of the watch", fell_silent.elapsed(), grace_ms * 2 / 3)?;
+        let _ = answer.send((200, indented(10, true, &pair.entries_without_old())));
+        let _poll =
+            answer_until_polled(&proxy.discovery, 10, &indented(10, true, &pair.entries_without_old()));
+        pair.assert_only_new_is_used(&proxy, "silent late");
+        drop(poll);
     }
     Ok(())
 }
 
-/// The watch ends, by its connection or with half of an answer; the first answer after that is the whole list.
+/// A long poll ends by a closed connection, the next one with a truncated answer; the first answer after that is a snapshot.
 #[test]
-fn watch_that_ends_instead_of_answering_is_followed_by_the_whole_list() {
-    for settings in [pushed(2000), asked(2000)] {
+fn change_after_failed_long_polls_is_taken_from_a_snapshot() {
+    for settings in [push_settings(2000), subscribe_settings(2000)] {
         let pair = BackendPair::start();
-        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &settings);
-        let (_, watch) = take_in(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.both()));
-        drop(watch);
+        let proxy = Proxy::start_with_settings(&pair.serving_entries(), 1024, &settings);
+        let (_, poll) =
+            answer_until_polled(&proxy.discovery, 9, &endpoint_list_json(9, true, &pair.serving_entries()));
+        drop(poll);
         let (target, answer) = proxy.discovery.next_call();
         assert!(target.contains("after=9&"), "{target}");
         answer.send((200, "{\"index\":10,\"snapshot\":true,\"endpoi".into())).unwrap();
         let (_, answer) = proxy.discovery.next_call();
-        answer.send((200, endpoint_list_json(10, true, &pair.without_old()))).unwrap();
-        let _watch = take_in(&proxy.discovery, 10, "");
-        pair.only_new_is_used(&proxy, "the watch ended");
+        answer.send((200, endpoint_list_json(10, true, &pair.entries_without_old()))).unwrap();
+        let _poll = answer_until_polled(&proxy.discovery, 10, "");
+        pair.assert_only_new_is_used(&proxy, "the watch ended");
     }
 }
 
-/// SIGHUP, and a drain at once: the new discovery's first list leaves out the backend that the old one had, and the old
-/// one's answer to the call that was out comes after it.
+/// A drain right after SIGHUP: the new discovery's first list leaves out a backend of the old list, and the old discovery's
+/// answer to the call in flight arrives after that list.
 #[test]
-fn reload_followed_at_once_by_a_drain_takes_the_drain_from_the_new_discovery() {
-    for settings in [pushed(2000), asked(2000)] {
+fn drain_right_after_a_reload_is_taken_from_the_new_discovery() {
+    for settings in [push_settings(2000), subscribe_settings(2000)] {
         let pair = BackendPair::start();
-        let proxy = Proxy::start_with_settings(&pair.both(), 1024, &settings);
-        let (_, watch) = take_in(&proxy.discovery, 900, &endpoint_list_json(900, true, &pair.both()));
-        let elsewhere = DiscoveryServer::start();
-        proxy.move_discovery(elsewhere.address);
+        let proxy = Proxy::start_with_settings(&pair.serving_entries(), 1024, &settings);
+        let (_, poll) = answer_until_polled(
+            &proxy.discovery,
+            900,
+            &endpoint_list_json(900, true, &pair.serving_entries()),
+        );
+        let new_discovery = DiscoveryServer::start();
+        proxy.move_discovery(new_discovery.address);
         let signalled = Instant::now();
         proxy.signal("HUP");
-        let (target, answer) = elsewhere.next_call();
-        assert_eq!(target, WHOLE_LIST);
-        assert!(signalled.elapsed() < MOVED / 2, "{:?}", signalled.elapsed());
-        answer.send((200, indented(3, true, &pair.without_old()))).unwrap();
-        let _ = watch.send((200, endpoint_list_json(901, true, &pair.both())));
-        let _watch = take_in(&elsewhere, 3, "");
-        pair.only_new_is_used(&proxy, "after the move");
+        let (target, answer) = new_discovery.next_call();
+        assert_eq!(target, SNAPSHOT_CALL);
+        assert!(signalled.elapsed() < MOVE_LIMIT / 2, "{:?}", signalled.elapsed());
+        answer.send((200, indented(3, true, &pair.entries_without_old()))).unwrap();
+        let _ = poll.send((200, endpoint_list_json(901, true, &pair.serving_entries())));
+        let _poll = answer_until_polled(&new_discovery, 3, "");
+        pair.assert_only_new_is_used(&proxy, "after the move");
     }
 }
 
-/// A process is ready whatever its list does: nobody listens there, no connection comes up, calls are never answered, or
-/// are answered with part of the list first. It serves as soon as the list is whole.
+/// A process is ready whatever the state of its discovery: connections are refused or not established, or calls are not
+/// answered or answered with a delta first. It serves requests as soon as it has a snapshot.
 #[test]
-fn restarted_process_is_ready_whatever_its_list_does() {
+fn restarted_process_is_ready_whatever_the_state_of_discovery() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let whole = [endpoint_json("b0", backend.address, "SERVING")];
-    let (refusing, never, silent) =
+    let endpoints = [endpoint_json("b0", backend.address, "SERVING")];
+    let (refusing, full_backlog, silent) =
         (RefusingPort::new(), FullBacklogListener::new(), DiscoveryServer::start());
-    for settings in [pushed(2000), asked(2000)] {
-        for known in [&[][..], &whole[..]] {
-            for at in [refusing.address(), never.address(), silent.address] {
+    for settings in [push_settings(2000), subscribe_settings(2000)] {
+        for known in [&[][..], &endpoints[..]] {
+            for at in [refusing.address(), full_backlog.address(), silent.address] {
                 let begun = Instant::now();
                 let proxy = program().start_with_discovery(at, known, &settings);
-                assert_eq!(proxy.request(READY).status(), 200);
+                assert_eq!(proxy.request(READINESS_PROBE).status(), 200);
                 assert!(begun.elapsed() < Duration::from_secs(5), "{:?}", begun.elapsed());
                 if !known.is_empty() {
                     assert_eq!(
                         proxy.request(&read_request(3.0)).status(),
                         200,
-                        "by the list of before, within the grace"
+                        "the list from before the restart is used within the grace"
                     );
                 }
             }
         }
-        // Late, then in part, then whole.
+        // A late answer, then a delta, then a snapshot.
         let proxy = Proxy::start_with_settings(&[], 1024, &settings);
         let (target, answer) = proxy.discovery.next_call();
-        assert_eq!((target.as_str(), proxy.request(READY).status()), (WHOLE_LIST, 200));
+        assert_eq!((target.as_str(), proxy.request(READINESS_PROBE).status()), (SNAPSHOT_CALL, 200));
         let _ = answer.send((200, endpoint_list_json(5, false, &[])));
         let (target, answer) = proxy.discovery.next_call();
-        assert_eq!(target, WHOLE_LIST, "changes are no whole list");
+        assert_eq!(target, SNAPSHOT_CALL, "a delta is followed by a call for a snapshot");
         let _ = answer.send((200, endpoint_list_json(5, true, &[])));
-        let (_, answer) = take_in(&proxy.discovery, 5, &endpoint_list_json(5, true, &[]));
-        let _ = answer.send((200, endpoint_list_json(6, true, &whole)));
-        let _watch = take_in(&proxy.discovery, 6, &endpoint_list_json(6, true, &whole));
+        let (_, answer) = answer_until_polled(&proxy.discovery, 5, &endpoint_list_json(5, true, &[]));
+        let _ = answer.send((200, endpoint_list_json(6, true, &endpoints)));
+        let _poll = answer_until_polled(&proxy.discovery, 6, &endpoint_list_json(6, true, &endpoints));
         assert_eq!(proxy.request(&read_request(3.0)).status(), 200);
     }
 }
 
-/// Killed with connections just accepted, of which some have sent nothing, some half a request and some a whole one: the
-/// next process listens at the same address at once, serves, and is asked nothing of the old one's.
+/// A process is killed right after it has accepted connections, some with no, some with half a request and some with a
+/// complete one. The next process listens at the same address at once and serves requests.
 #[test]
 fn process_killed_right_after_accepts_is_replaced_at_the_same_address() {
     let backend = BackendServer::start(|_| ok_reply("x"));
-    let whole = [endpoint_json("b0", backend.address, "SERVING")];
+    let endpoints = [endpoint_json("b0", backend.address, "SERVING")];
     let discovery = DiscoveryServer::start();
-    let door = RefusingPort::new();
+    let listen_address = RefusingPort::new();
     let text = format!(
         r#"{{"name":"n0","listen":"{}","discovery":"{}","seed":1,"known":{},"settings":{}}}"#,
-        door.address(),
+        listen_address.address(),
         discovery.address,
-        endpoint_list_json(4, true, &whole),
-        pushed(10_000)
+        endpoint_list_json(4, true, &endpoints),
+        push_settings(10_000)
     );
     for round in 0..3 {
         let begun = Instant::now();
@@ -342,13 +353,17 @@
         proxy.child.wait().unwrap();
         for client in &mut clients {
             if let Some(answer) = client.answer() {
-                assert_eq!((answer.status(), &answer.body[..]), (200, &b"x"[..]), "whole or none");
+                assert_eq!(
+                    (answer.status(), &answer.body[..]),
+                    (200, &b"x"[..]),
+                    "a complete response or none"
+                );
             }
         }
     }
 }
 
-/// A connection that comes up late: its backend is told no more than the client has left by then.
+/// On a connection that is established late, the time left that the backend gets is not more than the client's at that time.
 #[test]
 fn time_left_on_a_late_connection_is_current() {
     let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -356,110 +371,110 @@
     listener.listen(0).unwrap();
     let listener: TcpListener = listener.into();
     let address = listener.local_addr().unwrap();
-    let short = Duration::from_millis(100);
-    let full: Vec<TcpStream> =
-        std::iter::from_fn(|| TcpStream::connect_timeout(&address, short).ok()).collect();
+    let short_timeout = Duration::from_millis(100);
+    let blocking: Vec<TcpStream> =
+        std::iter::from_fn(|| TcpStream::connect_timeout(&address, short_timeout).ok()).collect();
     let settings = SETTINGS.replace("\"dial_timeout_us\":300000", "\"dial_timeout_us\":2900000");
     let proxy = Proxy::start_with_settings(&[endpoint_json("b0", address, "SERVING")], 1024, &settings);
     let mut clients: Vec<(Client, Instant, String)> = Vec::new();
-    for make in [read_request, pay_request, vote_request] {
-        let (mut client, request) = (proxy.client(), make(3.0));
+    for new_request in [read_request, pay_request, vote_request] {
+        let (mut client, request) = (proxy.client(), new_request(3.0));
         let sent = Instant::now();
         client.send(&request);
         clients.push((client, sent, id_of(&request).to_string()));
     }
-    assert_eq!(proxy.request(READY).status(), 200, "by now they are taken");
-    std::thread::sleep(Duration::from_millis(500)); // how late they come up
-    let (tell, told) = mpsc::channel();
+    assert_eq!(proxy.request(READINESS_PROBE).status(), 200, "the requests have been accepted by then");
+    std::thread::sleep(Duration::from_millis(500)); // the delay of the connections
+    let (messages, received) = mpsc::channel();
     let freed = Instant::now();
     std::thread::spawn(move || {
         let mut served = Vec::new();
-        for tcp in listener.incoming().flatten().skip(full.len()) {
-            let tell = tell.clone();
+        for tcp in listener.incoming().flatten().skip(blocking.len()) {
+            let messages = messages.clone();
             served.push(std::thread::spawn(move || {
                 let mut reader = BufReader::new(tcp);
                 while let Some(message) = Message::read(&mut reader) {
-                    let _ = tell.send(message);
+                    let _ = messages.send(message);
                     let _ = reader.get_mut().write_all(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\nx");
                 }
             }));
         }
     });
     for _ in 0..clients.len() {
-        let message = told.recv_timeout(WAIT_LIMIT).expect("a request on the late connection");
+        let message = received.recv_timeout(WAIT_LIMIT).expect("a request on the late connection");
         let id = message.header("x-correlation-id").unwrap();
-        let (_, sent, _) = clients.iter().find(|(_, _, own)| own == id).expect("one of these");
-        assert_told(&message, freed - *sent);
+        let (_, sent, _) = clients.iter().find(|(_, _, own_id)| own_id == id).expect("one of these");
+        assert_time_left(&message, freed - *sent);
     }
     for (client, _, id) in &mut clients {
         assert_eq!(client.answer().expect("an answer").status(), 200, "{id}");
     }
 }
 
-/// Each further attempt tells what is left at its own time, as does one that had to wait for a backend.
+/// Each retry carries the time left when it is sent, and so does an attempt that was queued until there was a backend.
 #[test]
 fn time_left_of_retries_and_queued_attempts_is_current() {
     let pause = Duration::from_millis(300);
-    let full = move || {
+    let rejection = move || {
         std::thread::sleep(pause);
         Reply::Answer(503, "X-Unprocessed: 1", String::new())
     };
-    let backends = [(); 3].map(|()| BackendServer::start(move |_| full()));
+    let backends = [(); 3].map(|()| BackendServer::start(move |_| rejection()));
     let known = [0, 1, 2].map(|n: usize| endpoint_json(&format!("b{n}"), backends[n].address, "SERVING"));
     let proxy = Proxy::start(&known);
     let (mut client, sent) = (proxy.client(), Instant::now());
     client.send(&pay_request(3.0));
     let answered = client.answer().expect("an answer");
     assert!([503, 502].contains(&answered.status()), "{}", answered.status());
-    assert!(sent.elapsed() >= pause * 2, "two attempts at the least, one after another");
+    assert!(sent.elapsed() >= pause * 2, "at least two attempts, one after the other");
     let mut left: Vec<f64> = Vec::new();
     for backend in &backends {
         while let Ok(seen) = backend.events.try_recv() {
             if let BackendEvent::Request(message) = seen {
-                left.push(time_told(&message));
+                left.push(time_left_sent(&message));
             }
         }
     }
     left.sort_by(|a, b| b.total_cmp(a));
     assert!(left.len() >= 2, "{left:?}");
-    for (before, told) in left.iter().enumerate() {
-        assert!(*told <= 3.0 - before as f64 * pause.as_secs_f64(), "{left:?}");
+    for (before, sent_s) in left.iter().enumerate() {
+        assert!(*sent_s <= 3.0 - before as f64 * pause.as_secs_f64(), "{left:?}");
     }
-    // Held until the list comes.
+    // Queued until the list arrives.
     let late = BackendServer::start(|_| ok_reply("x"));
-    let proxy = Proxy::start_with_settings(&[], 1024, &pushed(2000));
+    let proxy = Proxy::start_with_settings(&[], 1024, &push_settings(2000));
     let (_, answer) = proxy.discovery.next_call();
     let (mut client, sent) = (proxy.client(), Instant::now());
     client.send(&pay_request(3.0));
-    assert_eq!(proxy.request(READY).status(), 200, "by now it is held");
+    assert_eq!(proxy.request(READINESS_PROBE).status(), 200, "the request is queued by then");
     std::thread::sleep(Duration::from_millis(100));
     let listed = Instant::now();
-    let whole = endpoint_list_json(9, true, &[endpoint_json("b0", late.address, "SERVING")]);
-    let _ = answer.send((200, whole.clone()));
-    let _watch = take_in(&proxy.discovery, 9, &whole);
+    let snapshot = endpoint_list_json(9, true, &[endpoint_json("b0", late.address, "SERVING")]);
+    let _ = answer.send((200, snapshot.clone()));
+    let _poll = answer_until_polled(&proxy.discovery, 9, &snapshot);
     assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_told(&late.next_request(), listed - sent);
+    assert_time_left(&late.next_request(), listed - sent);
 }
 
-fn time_told(message: &Message) -> f64 {
+fn time_left_sent(message: &Message) -> f64 {
     message.header("x-time-left").and_then(|left| left.parse().ok()).expect("a time")
 }
 
-/// Of 3 s, so much was over before the attempt began.
-fn assert_told(message: &Message, over: Duration) {
-    let (told, left) = (time_told(message), 3.0 - over.as_secs_f64());
-    assert!(told <= left, "told {told} s of {left} s");
+/// Checks the time left in `message`: of 3 s, `over` had passed before the attempt began.
+fn assert_time_left(message: &Message, elapsed_before: Duration) {
+    let (sent_s, left) = (time_left_sent(message), 3.0 - elapsed_before.as_secs_f64());
+    assert!(sent_s <= left, "the request carries {sent_s} s, but {left} s are left");
 }
 
-/// How an answer ends in its middle.
+/// How a response is cut off.
 #[derive(Clone, Copy, Debug)]
 enum Truncation {
     Reset,
     Close,
 }
 
-/// A backend that begins each answer with these bytes and ends its connection in the midst of it.
-fn truncating_backend(begin: &'static str, how: Truncation) -> SocketAddr {
+/// Starts a backend that begins each response with these bytes and then ends the connection.
+fn truncating_backend(prefix: &'static str, truncation: Truncation) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -469,10 +484,10 @@
                 continue;
             }
             let mut tcp = tcp;
-            tcp.write_all(begin.as_bytes()).unwrap();
-            // The proxy has acknowledged what there is: a reset that overtook it would be none in the midst.
+            tcp.write_all(prefix.as_bytes()).unwrap();
+            // Gives the proxy time to receive the bytes: a reset that overtook them would not cut the response off.
             std::thread::sleep(Duration::from_millis(20));
-            if let Truncation::Reset = how {
+            if let Truncation::Reset = truncation {
                 socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)).unwrap();
             }
         }
@@ -480,40 +495,42 @@
     address
 }
 
-/// A reset is no end of an answer, whatever its form; nor is a close where no length says so.
+/// A reset never completes a response, whatever its framing; nor does a close of the connection before the declared length or
+/// without one.
 #[test]
 fn truncated_response_is_never_served_as_complete() {
-    let begins = [
+    let prefixes = [
         "HTTP/1.1 200 OK\r\n\r\nhalf of a bo",
         "HTTP/1.0 200 OK\r\n\r\nhalf of a bo",
         "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf of a bo",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nc\r\nhalf of a bo\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nhalf of a bo",
     ];
-    for begin in begins {
-        for how in [Truncation::Reset, Truncation::Close] {
-            let proxy = Proxy::start(&[endpoint_json("b0", truncating_backend(begin, how), "SERVING")]);
-            for make in [read_request, pay_request, vote_request] {
+    for prefix in prefixes {
+        for truncation in [Truncation::Reset, Truncation::Close] {
+            let proxy =
+                Proxy::start(&[endpoint_json("b0", truncating_backend(prefix, truncation), "SERVING")]);
+            for new_request in [read_request, pay_request, vote_request] {
                 let mut tcp = TcpStream::connect(proxy.address).unwrap();
                 tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
-                let request = make(0.8);
+                let request = new_request(0.8);
                 tcp.write_all(request.as_bytes()).unwrap();
                 let mut reader = BufReader::new(tcp);
                 let answer = Message::read(&mut reader).expect("an answer");
-                assert_ne!(answer.status(), 200, "{how:?} {begin}");
-                assert!(!answer.body.starts_with(b"half"), "{how:?} {begin}");
+                assert_ne!(answer.status(), 200, "{truncation:?} {prefix}");
+                assert!(!answer.body.starts_with(b"half"), "{truncation:?} {prefix}");
             }
         }
     }
 }
 
-/// Requests that come byte by byte, in each form that the protocol has, are the ones that go on; what a client sends
-/// behind one before its answer came is passed on to nobody.
+/// Requests that arrive byte by byte, in each form that the protocol allows, are forwarded complete. Bytes that a client
+/// sends after a request and before its response are not forwarded.
 #[test]
 fn fragmented_requests_are_forwarded_complete_and_pipelined_ones_are_not() {
     let backend = BackendServer::start(|_| ok_reply("x"));
     let proxy = Proxy::start(&[endpoint_json("b0", backend.address, "SERVING")]);
-    let forms = [
+    let request_forms = [
         read_request(3.0),
         pay_request(3.0),
         vote_request(3.0),
@@ -522,27 +539,27 @@
         read_request(3.0).replace("HTTP/1.1", "HTTP/1.0"),
         format!("\r\n{}", read_request(3.0)),
     ];
-    for form in &forms {
+    for request_form in &request_forms {
         let mut client = proxy.client();
         client.0.get_ref().set_nodelay(true).unwrap();
-        for byte in form.as_bytes() {
+        for byte in request_form.as_bytes() {
             client.0.get_mut().write_all(&[*byte]).unwrap();
         }
-        let answer = client.answer().unwrap_or_else(|| panic!("no answer to {form:?}"));
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"x"[..]), "{form:?}");
+        let answer = client.answer().unwrap_or_else(|| panic!("no answer to {request_form:?}"));
+        assert_eq!((answer.status(), &answer.body[..]), (200, &b"x"[..]), "{request_form:?}");
         let message = backend.next_request();
-        let body: &[u8] = if form.contains("cash") { b"cash" } else { b"" };
-        let body = if form.contains("/vote/") { b"yeah" } else { body };
-        assert_eq!(message.body, body, "{form:?}");
-        assert_eq!(message.header("x-correlation-id"), Some(id_of(form)), "{form:?}");
+        let body: &[u8] = if request_form.contains("cash") { b"cash" } else { b"" };
+        let body = if request_form.contains("/vote/") { b"yeah" } else { body };
+        assert_eq!(message.body, body, "{request_form:?}");
+        assert_eq!(message.header("x-correlation-id"), Some(id_of(request_form)), "{request_form:?}");
     }
     let before = backend.request_count();
-    for behind in [read_request(3.0), pay_request(3.0), "GET /".to_string()] {
+    for trailing in [read_request(3.0), pay_request(3.0), "GET /".to_string()] {
         let (mut client, first) = (proxy.client(), read_request(3.0));
-        client.send(&(first.clone() + &behind));
-        let mut all = String::new();
-        client.0.read_to_string(&mut all).unwrap_or_default();
-        assert!(all.matches("HTTP/1.1 ").count() <= 1, "one answer at most: {all}");
+        client.send(&(first.clone() + &trailing));
+        let mut received_text = String::new();
+        client.0.read_to_string(&mut received_text).unwrap_or_default();
+        assert!(received_text.matches("HTTP/1.1 ").count() <= 1, "more than one response: {received_text}");
     }
     assert!(backend.request_count() - before <= 3, "{}", backend.request_count() - before);
     let ids: Vec<String> = std::iter::from_fn(|| backend.events.try_recv().ok())
--- a/crates/shaletide/tests/start_watchdog.rs
+++ b/crates/shaletide/tests/start_watchdog.rs
@@ -1,4 +1,5 @@
-//! A start that waits says on standard error what it waits for, by a thread that depends on no other part of the start.
+//! The start watchdog: a thread that is independent of all other parts of the start reports on standard error what a start
+//! waits for.
 
 mod harness;
 
@@ -10,16 +11,16 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// How the watchdog's line begins.
+/// The beginning of the watchdog's line.
 const REPORT: &str = "shaletide: start: no step done for ";
-/// A start that is silent for this long is reported.
+/// The time without progress after which a start is reported.
 const SILENCE_LIMIT: Duration = Duration::from_secs(5);
-/// The report is due by then, on a loaded machine too.
+/// The time by which the report must be written, even on a loaded machine.
 const REPORT_LIMIT: Duration = Duration::from_secs(7);
-/// How long a thread that has nothing left to do may take to end.
+/// The time in which a thread without further work must end.
 const THREAD_END_LIMIT: Duration = Duration::from_secs(1);
 
-/// The program as the platform runs it, with the report of a silent start switched on.
+/// Returns the program as the platform runs it, with the report of a silent start enabled.
 fn reporting_program() -> Program {
     program().environment("NODE_REPORT_SILENT_START", "1")
 }
@@ -28,7 +29,7 @@
     std::env::temp_dir().join(format!("shaletide-watchdog-{}-{name}", std::process::id()))
 }
 
-/// Waits for the first report from that line on; checks when it comes and returns it.
+/// Waits for the first report, checks its time and returns it.
 fn first_report(running: &RunningProgram, begun: Instant) -> String {
     let line = running.log.expect(0, REPORT);
     let waited = begun.elapsed();
@@ -36,7 +37,7 @@
     line
 }
 
-/// Guards against a start that waits without a word while the configuration is a pipe that nobody writes to.
+/// Guards against a start that waits without a report for a configuration pipe that nobody writes to.
 #[test]
 fn start_that_waits_for_a_pipe_names_the_first_reading_within_seven_seconds() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
@@ -48,10 +49,10 @@
     assert!(line.contains("waits for the first reading of the configuration"), "{line}");
     assert!(line.contains("last step: event loop built"), "{line}");
     std::fs::write(&fifo, platform_configuration(&discovery, &listener)).unwrap();
-    assert!(running.wait_ready().is_some(), "it serves once the configuration has come");
+    assert!(running.wait_ready().is_some(), "not ready once the configuration is complete");
 }
 
-/// Guards against a report that comes once only: whoever looks later sees that the start still waits.
+/// Guards against a report that is written only once: a later reader must see that the start still waits.
 #[test]
 fn start_whose_configuration_is_absent_is_reported_again_after_each_five_seconds() {
     let absent = path("absent.json");
@@ -65,11 +66,11 @@
     assert!(second.contains("for 10."), "{second}");
 }
 
-/// Guards against a start that waits for its address and whose log's thread does not get to say so.
+/// Guards against a start that waits for its address without a report because the log's thread cannot write.
 #[test]
 fn start_whose_address_is_in_use_names_the_addresses_within_seven_seconds() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
-    let holder = std::net::TcpListener::bind(listener.address()).unwrap();
+    let occupying = std::net::TcpListener::bind(listener.address()).unwrap();
     let file = path("held.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
     let begun = Instant::now();
@@ -77,12 +78,12 @@
     let line = first_report(&running, begun);
     assert!(line.contains("waits for the addresses to be listened on"), "{line}");
     assert!(line.contains("last step: parts started"), "{line}");
-    drop(holder);
-    assert!(running.wait_ready().is_some(), "it serves once the address is free");
+    drop(occupying);
+    assert!(running.wait_ready().is_some(), "not ready once the address is free");
 }
 
-/// Guards against a report that needs the log's thread: that one is blocked, as nobody reads standard error and what it is
-/// connected to is full. What the start waited for is found once somebody reads.
+/// Guards against a report that depends on the log's thread: that thread is blocked while the socket of standard error is
+/// full. The report is there once standard error is read.
 #[test]
 fn start_whose_standard_error_is_full_is_reported_once_it_is_read() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
@@ -92,7 +93,7 @@
     let mut command = program_command(None);
     command.env("NODE_CONFIG", &fifo).env("NODE_REPORT_SILENT_START", "1").stderr(OwnedFd::from(writer));
     let _process = KilledOnDrop(command.spawn().unwrap());
-    drop(command); // its end of the socket
+    drop(command); // closes its end of the socket
     std::thread::sleep(REPORT_LIMIT);
     let text = read_until(&mut reader, REPORT);
     assert!(text.contains("waits for the first reading of the configuration"), "{text}");
@@ -102,9 +103,9 @@
     std::fs::remove_file(&fifo).unwrap();
 }
 
-/// Guards against a report of a start that goes well, and against a thread that outlives the start.
+/// Guards against a report of a successful start, and against a thread that outlives the start.
 #[test]
-fn start_that_goes_well_writes_no_report_and_leaves_no_thread() {
+fn successful_start_writes_no_report_and_leaves_no_thread() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
     let file = path("well.json");
     std::fs::write(&file, platform_configuration(&discovery, &listener)).unwrap();
@@ -122,9 +123,9 @@
     assert_eq!(thread_names(&running.child), expected);
 }
 
-/// Guards against a report that passes through the log: it comes past one that is set to write none, too.
+/// Guards against a report that passes through the log: it must be written even if the log level suppresses all lines.
 #[test]
-fn start_that_waits_with_a_silent_log_is_reported_all_the_same() {
+fn start_that_waits_with_a_silent_log_is_reported() {
     let begun = Instant::now();
     let absent = path("silent-absent.json");
     let running =
@@ -134,7 +135,7 @@
     assert_eq!(running.log.since(0), [line]);
 }
 
-/// Guards against a watchdog that waits for the first line of a log which is set to write none.
+/// Guards against a watchdog that waits for the first line of a log whose level suppresses all lines.
 #[test]
 fn start_with_a_silent_log_writes_no_report_and_leaves_no_thread() {
     let (discovery, listener) = (DiscoveryServer::start(), RefusingPort::new());
@@ -147,18 +148,18 @@
     assert_eq!(thread_names(&running.child), ["log", "shaletide"]);
 }
 
-/// Reads until that text has come, for as long as tests wait.
+/// Reads until the text has arrived; panics after `WAIT_LIMIT` without data.
 fn read_until(from: &mut UnixStream, text: &str) -> String {
     from.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     let mut read = Vec::new();
     let mut piece = [0; 4096];
     loop {
-        let said = String::from_utf8_lossy(&read);
-        if said.contains(text) {
-            return said.trim_start().to_string();
+        let received = String::from_utf8_lossy(&read);
+        if received.contains(text) {
+            return received.trim_start().to_string();
         }
         match from.read(&mut piece) {
-            Ok(0) | Err(_) => panic!("{text:?} was not said: {}", said.trim_start()),
+            Ok(0) | Err(_) => panic!("{text:?} was not written: {}", received.trim_start()),
             Ok(length) => read.extend_from_slice(&piece[..length]),
         }
     }
--- a/crates/shaletide/tests/start_without_threads.rs
+++ b/crates/shaletide/tests/start_without_threads.rs
@@ -1,4 +1,4 @@
-//! A start that gets no thread for its log.
+//! Starts that cannot create the thread of the log.
 
 mod harness;
 
@@ -9,21 +9,20 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Room for the program, in KiB, though not for a thread's stack of [`LARGE_STACK`].
+/// An address space, in KiB, that is enough for the program but not for a thread's stack of [`LARGE_STACK`].
 const ADDRESS_SPACE_KIB: u32 = 524_288;
 /// The stack of a thread, in bytes.
 const LARGE_STACK: &str = "1073741824";
-/// The line on a call that is repeated, where there is no log.
+/// The beginning of the line on a repeated system call, written while there is no log.
 const SHORTAGE: &str = "shaletide: a system call at the start failed for ";
-/// The time between two such lines, in seconds by the program's clock, on a loaded machine too.
+/// The time between two such lines, in seconds by the program's clock, even on a loaded machine.
 const LINE_INTERVAL: std::ops::Range<f64> = 0.9..3.0;
-/// The program by an operators' file tries for 8 s, with a line at once and then once a second.
+/// The most such lines of a start by an operators' file: it retries for 8 s, with a line at once and then one each second.
 const MAX_SHORTAGE_LINES: usize = 9;
-/// So many pauses of 20 ms show that a start goes on trying.
+/// The number of pauses of 20 ms after which a start must still be retrying.
 const PAUSES: u32 = 10;
 
-/// Guards against a program that panics, by the log's library, where it says why it cannot start to whoever has typed the
-/// command.
+/// Guards against a panic in the log's library in place of a message that says why the program cannot start.
 #[test]
 fn start_by_operators_file_without_threads_ends_with_its_reason() {
     let backend = BackendServer::start(|_| ok_reply("x"));
@@ -32,22 +31,22 @@
     let text =
         format!("listen = \"{}\"\n{CLASSES}{}", listener.address(), pool("p", &[(backend.address, "a")]));
     std::fs::write(&file, text).unwrap();
-    let limited = format!("ulimit -S -v {ADDRESS_SPACE_KIB}; exec \"$0\" serve --config \"$1\"");
+    let shell_script = format!("ulimit -S -v {ADDRESS_SPACE_KIB}; exec \"$0\" serve --config \"$1\"");
     let mut command = Command::new("sh");
-    command.args(["-c", &limited, env!("CARGO_BIN_EXE_shaletide")]).arg(&file);
+    command.args(["-c", &shell_script, env!("CARGO_BIN_EXE_shaletide")]).arg(&file);
     command.env("RUST_MIN_STACK", LARGE_STACK).env_remove("NODE_CONFIG").stdout(Stdio::null());
     let output = command.stderr(Stdio::piped()).output().unwrap();
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    let lines: Vec<&str> = said.lines().collect();
+    let error_text = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{error_text}");
+    let lines: Vec<&str> = error_text.lines().collect();
     let (last, shortages) = lines.split_last().expect("lines");
-    assert!(last.starts_with("shaletide: no log: "), "{said}");
-    assert!(shortages.iter().all(|line| line.starts_with(SHORTAGE)), "{said}");
-    assert!((1..=MAX_SHORTAGE_LINES).contains(&shortages.len()), "{said}");
+    assert!(last.starts_with("shaletide: no log: "), "{error_text}");
+    assert!(shortages.iter().all(|line| line.starts_with(SHORTAGE)), "{error_text}");
+    assert!((1..=MAX_SHORTAGE_LINES).contains(&shortages.len()), "{error_text}");
     std::fs::remove_file(&file).unwrap();
 }
 
-/// A start by a platform's configuration that has room for the program, and not for the log's thread.
+/// A start by a platform's configuration, with address space for the program but not for the log's thread.
 struct ThreadlessStart {
     process: KilledOnDrop,
     listener: RefusingPort,
@@ -61,37 +60,37 @@
         let name = format!("shaletide-no-threads-{}-{name}.json", std::process::id());
         let configuration = std::env::temp_dir().join(name);
         std::fs::write(&configuration, platform_configuration(&discovery, &listener)).unwrap();
-        let limited = format!("ulimit -S -v {ADDRESS_SPACE_KIB}; exec \"$0\"");
+        let shell_script = format!("ulimit -S -v {ADDRESS_SPACE_KIB}; exec \"$0\"");
         let mut command = Command::new("sh");
-        command.args(["-c", &limited, env!("CARGO_BIN_EXE_shaletide")]).stdout(Stdio::null());
+        command.args(["-c", &shell_script, env!("CARGO_BIN_EXE_shaletide")]).stdout(Stdio::null());
         command.env("RUST_MIN_STACK", LARGE_STACK).env("NODE_CONFIG", &configuration);
         let process = KilledOnDrop(command.stderr(standard_error).spawn().unwrap());
         ThreadlessStart { process, listener, configuration, _discovery: discovery }
     }
 
-    /// Lets it have as many threads as it wants.
+    /// Removes the limit that prevents the process from creating threads.
     fn allow_threads(&self) {
         let pid = Pid::from_raw(self.process.0.id() as i32);
         let limit = Rlimit { current: None, maximum: getrlimit(Resource::As).maximum };
         prlimit(pid, Resource::As, limit).unwrap();
     }
 
-    /// Waits until the process is the program's, and no more the shell's.
+    /// Waits until the shell has executed the program.
     fn wait_for_program(&self) {
         let program = std::fs::canonicalize(env!("CARGO_BIN_EXE_shaletide")).unwrap();
         let link = Path::new("/proc").join(self.process.0.id().to_string()).join("exe");
         let begun = Instant::now();
         while std::fs::read_link(&link).ok().as_ref() != Some(&program) {
-            assert!(begun.elapsed() < WAIT_LIMIT, "the program does not begin");
+            assert!(begun.elapsed() < WAIT_LIMIT, "the shell has not executed the program");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Waits until it is ready.
+    /// Waits until the program is ready.
     fn expect_ready(&self) {
         let begun = Instant::now();
         while std::net::TcpStream::connect(self.listener.address()).is_err() {
-            assert!(begun.elapsed() < WAIT_LIMIT, "it does not get ready");
+            assert!(begun.elapsed() < WAIT_LIMIT, "the program does not become ready");
             std::thread::sleep(Duration::from_millis(5));
         }
         let mut client = Client::connect(self.listener.address());
@@ -105,9 +104,9 @@
     }
 }
 
-/// Guards against a start that waits for its log's thread and says nothing: nobody can tell what it waits for.
+/// Guards against a start that waits for its log's thread without a line that says so.
 #[test]
-fn start_without_threads_says_so_at_once_and_then_once_a_second() {
+fn start_without_threads_reports_the_shortage_at_once_and_then_once_a_second() {
     let mut start = ThreadlessStart::new("says-so", Stdio::piped());
     let log = Log::follow(start.process.0.stderr.take().unwrap());
     let mut next = 0;
@@ -125,9 +124,9 @@
     log.expect(next, "start: log started");
 }
 
-/// Guards against a start that waits until somebody reads why it waits.
+/// Guards against a start that blocks while its line on the shortage is not read.
 #[test]
-fn start_without_threads_goes_on_trying_while_standard_error_is_full() {
+fn start_without_threads_retries_while_standard_error_is_full() {
     let (_reader, writer) = full_socket();
     let start = ThreadlessStart::new("unread-socket", std::os::fd::OwnedFd::from(writer));
     start.wait_for_program();
