--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -28,7 +28,7 @@
 mod trace;
 mod upstream;
 
-pub use limits::CLIENT_OVERFLOW;
+pub use limits::MAX_EXTRA_CLIENT_DESCRIPTORS;
 pub use listener::{listen, BoundSocket, ListenCall, ListenError};
 pub use rules::{ClassRule, Rules, RulesConfig};
 pub use server::Server;
--- a/crates/http/src/limits.rs
+++ b/crates/http/src/limits.rs
@@ -6,4 +6,4 @@
 pub(crate) const MAX_LINGERING: usize = 16;
 
 /// Maximum number of file descriptors that client connections use beyond the limit.
-pub const CLIENT_OVERFLOW: usize = EXTRA_CONNECTIONS + MAX_LINGERING;
+pub const MAX_EXTRA_CLIENT_DESCRIPTORS: usize = EXTRA_CONNECTIONS + MAX_LINGERING;
--- a/crates/http/src/listener.rs
+++ b/crates/http/src/listener.rs
@@ -33,7 +33,7 @@
 
 impl ListenError {
     /// Returns whether the same call may succeed later.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         listen_failure(&self.source).may_pass()
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -74,7 +74,7 @@
     }
 
     /// Replaces the rules. Open requests keep the rules by which they were accepted.
-    pub fn reload(&self, rules: Rules) {
+    pub fn replace_rules(&self, rules: Rules) {
         self.bodies.borrow_mut().configure(rules.bodies);
         self.rules.replace(Rc::new(rules));
     }
@@ -99,7 +99,7 @@
     }
 
     /// Returns the part of the periodic log line that is about clients, and resets the counts of events.
-    pub fn report(&self) -> String {
+    pub fn take_report(&self) -> String {
         self.counters.take_report(self.clients(), self.unproven())
     }
 }
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -1,5 +1,5 @@
 //! Classification of errors of system calls on connections and listeners. Callers match on these classes and never on error
-//! numbers. Other errors are classified elsewhere: those of files by `node::NodeError::may_pass`, those of the store by
+//! numbers. Other errors are classified elsewhere: those of files by `node::NodeError::is_transient`, those of the store by
 //! `opening::may_open_later`, those of the control socket by `control_socket`. In discovery, every error fails the call.
 //!
 //! - A read, write, peek or shutdown on a connection: EAGAIN waits for readiness, EINTR is retried at once, and any other
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -151,7 +151,7 @@
             tokio::time::sleep(REPORT_INTERVAL).await;
             server.log_if_unprobed();
             loop {
-                driver.report(&server.report());
+                driver.report(&server.take_report());
                 if let Some(service) = record.as_ref().and_then(|record| record.service()) {
                     service.log_status();
                 }
@@ -190,7 +190,7 @@
         let upstream = next.upstream_config(descriptors.upstreams);
         let ids = self.driver.setup(None, zone, self.seed, upstream, next.pools());
         let ids = ids.map_err(|error| error.to_string())?; // does not fail: the reader has validated it
-        self.server.reload(Rules::new(next.rules(&ids)));
+        self.server.replace_rules(Rules::new(next.rules(&ids)));
         if let (Some(record), Some(next)) = (&self.record, &next.record) {
             record.configure(next.config.clone(), next.digest.clone());
         }
--- a/crates/shaletide/src/descriptors.rs
+++ b/crates/shaletide/src/descriptors.rs
@@ -5,7 +5,7 @@
 
 use crate::setup::Setup;
 use rustix::process::{getrlimit, Resource};
-use shaletide_http::CLIENT_OVERFLOW;
+use shaletide_http::MAX_EXTRA_CLIENT_DESCRIPTORS;
 use tracing::warn;
 
 /// The descriptors that every process needs. Observed in use: 3 standard streams, 5 of the event loop and signals, 2 by which
@@ -67,7 +67,7 @@
     let discoveries = setup.discoveries().len().saturating_sub(INCLUDED_IN_PROCESS);
     let control = if operator.control.is_some() { CONTROL_DESCRIPTORS } else { 0 };
     let store = if setup.record.is_some() { STORE_DESCRIPTORS } else { 0 };
-    CLIENT_OVERFLOW + PROCESS_DESCRIPTORS + listeners + discoveries + control + store
+    MAX_EXTRA_CLIENT_DESCRIPTORS + PROCESS_DESCRIPTORS + listeners + discoveries + control + store
 }
 
 #[cfg(test)]
--- a/crates/shaletide/src/descriptors/tests.rs
+++ b/crates/shaletide/src/descriptors/tests.rs
@@ -29,7 +29,7 @@
         for (listeners, discoveries) in [(1, 0), (1, 1), (64, 1), (1, 63), (64, 63)] {
             for more in ["", ALL] {
                 let divided = Descriptors::new(limit, &setup(listeners, discoveries, more));
-                let taken = divided.clients + CLIENT_OVERFLOW + divided.upstreams;
+                let taken = divided.clients + MAX_EXTRA_CLIENT_DESCRIPTORS + divided.upstreams;
                 let in_use = 10 + listeners + discoveries; // standard streams, event loop, signals
                 assert!(limit - taken >= in_use, "{divided:?} {listeners} {discoveries} {more:?}");
                 assert!(divided.clients >= 1 && divided.upstreams >= 1);
--- a/crates/shaletide/src/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -60,7 +60,7 @@
         for address in addresses {
             match listen(*address) {
                 Ok(listener) => announcement.hand_over(listener, &ready),
-                Err(error) if error.may_pass() => waits.push(error),
+                Err(error) if error.is_transient() => waits.push(error),
                 Err(error) => return Err(StartError::Listen(error)),
             }
         }
@@ -281,7 +281,7 @@
             // There is no await between this and the hand-over, so that no listener is dropped with connections in its queue.
             match listen(self.address) {
                 Ok(listener) => return self.listens(listener, &log),
-                Err(failed) if failed.may_pass() => error = failed,
+                Err(failed) if failed.is_transient() => error = failed,
                 Err(failed) => return Err(failed),
             }
         }
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -59,7 +59,7 @@
 impl NodeError {
     /// Returns whether the file may not be completely written yet: it is missing, cannot be read now, or is truncated. A file
     /// that is written only in part is never complete JSON, so that a complete file that is invalid is an error.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             NodeError::Unreadable(_, error) => {
                 let is_missing = error.kind() == std::io::ErrorKind::NotFound;
--- a/crates/shaletide/src/start/configuration.rs
+++ b/crates/shaletide/src/start/configuration.rs
@@ -23,7 +23,7 @@
 
 impl From<NodeError> for SetupError {
     fn from(error: NodeError) -> SetupError {
-        if error.may_pass() {
+        if error.is_transient() {
             SetupError::Unfinished(error.to_string())
         } else {
             SetupError::Invalid(error.to_string())
