--- a/crates/control/src/client.rs
+++ b/crates/control/src/client.rs
@@ -16,15 +16,17 @@
 /// # Errors
 /// If no proxy listens on the socket, or no valid reply arrives. Each error states whether the command may have been carried
 /// out.
-pub fn ask(path: &Path, command: &Command) -> Result<Reply, ControlError> {
-    ask_within(path, command, REPLY_TIMEOUT)
+pub fn send_command(path: &Path, command: &Command) -> Result<Reply, ControlError> {
+    send_command_with_timeout(path, command, REPLY_TIMEOUT)
 }
 
 /// Sends a command to a running proxy and waits for its reply. Each read and write takes at most `wait`.
 ///
 /// # Errors
-/// The same as for [`ask`].
-pub fn ask_within(path: &Path, command: &Command, wait: Duration) -> Result<Reply, ControlError> {
+/// The same as for [`send_command`].
+pub fn send_command_with_timeout(
+    path: &Path, command: &Command, wait: Duration,
+) -> Result<Reply, ControlError> {
     command.check().map_err(|error| ControlError::Command(error.to_string()))?;
     let mut line = serde_json::to_vec(command).map_err(|error| ControlError::Command(error.to_string()))?;
     line.push(b'\n');
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -42,28 +42,28 @@
 
 /// A socket that this process owns and listens on.
 #[derive(Debug)]
-pub struct Control {
+pub struct ControlServer {
     listener: UnixListener,
     _socket_file: SocketFile,
 }
 
-impl Control {
+impl ControlServer {
     /// Creates the socket as [`BoundSocket::bind`] does, and listens on it. Must be called within a tokio runtime.
     ///
     /// # Errors
     /// If another process serves the socket, the path is not a socket, or a system call fails.
-    pub fn bind(path: &Path) -> Result<Control, ControlError> {
-        Control::new(BoundSocket::bind(path)?)
+    pub fn bind(path: &Path) -> Result<ControlServer, ControlError> {
+        ControlServer::new(BoundSocket::bind(path)?)
     }
 
     /// Listens on a bound socket. Must be called within a tokio runtime. Does not access the disk.
     ///
     /// # Errors
     /// If a system call fails.
-    pub fn new(bound: BoundSocket) -> Result<Control, ControlError> {
+    pub fn new(bound: BoundSocket) -> Result<ControlServer, ControlError> {
         let listener = UnixListener::from_std(bound.listener);
         let listener = listener.map_err(|error| io_error(bound.file.path(), "listen on", error))?;
-        Ok(Control { listener, _socket_file: bound.file })
+        Ok(ControlServer { listener, _socket_file: bound.file })
     }
 
     /// Serves the socket and never returns. Must be called within a `LocalSet`. Each connection runs one command at a time,
--- a/crates/control/tests/socket.rs
+++ b/crates/control/tests/socket.rs
@@ -1,7 +1,10 @@
 //! Tests of the control socket: access, rejected commands and bounds.
 
 use rustix::net::{socket_with, AddressFamily, SocketAddrUnix, SocketFlags, SocketType};
-use shaletide_control::{ask, ask_within, Command, Control, ControlError, Key, Reply, MAX_LINE, MAX_TEXT};
+use shaletide_control::{
+    send_command, send_command_with_timeout, Command, ControlError, ControlServer, Key, Reply, MAX_LINE,
+    MAX_TEXT,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::os::fd::OwnedFd;
 use std::os::unix::fs::PermissionsExt;
@@ -57,7 +60,7 @@
         let path = path.to_path_buf();
         let thread = std::thread::spawn(move || {
             run_local(async move {
-                let control = Control::bind(&path).unwrap();
+                let control = ControlServer::bind(&path).unwrap();
                 ready.send(()).unwrap();
                 let handler = move |command: Command| {
                     command_sender.send(command.clone()).unwrap();
@@ -104,10 +107,10 @@
     let server = TestServer::at(&folder.socket());
     let mode = folder.socket().symlink_metadata().unwrap().permissions().mode();
     assert_eq!(mode & 0o777, 0o600);
-    assert_eq!(ask(&folder.socket(), &Command::Ping {}).unwrap(), Reply::Done("here".into()));
+    assert_eq!(send_command(&folder.socket(), &Command::Ping {}).unwrap(), Reply::Done("here".into()));
     assert_eq!(server.received.recv().unwrap(), Command::Ping {});
     let all: Vec<u8> = (0..=255).collect();
-    assert!(matches!(ask(&folder.socket(), &resolve(&all)).unwrap(), Reply::Refused(_)));
+    assert!(matches!(send_command(&folder.socket(), &resolve(&all)).unwrap(), Reply::Refused(_)));
     assert_eq!(server.received.recv().unwrap(), resolve(&all));
     drop(server);
     assert!(!folder.socket().exists(), "the socket is removed");
@@ -133,7 +136,7 @@
         seen
     });
     for _ in 0..200 {
-        run_local(async { drop(Control::bind(&folder.socket()).unwrap()) });
+        run_local(async { drop(ControlServer::bind(&folder.socket()).unwrap()) });
     }
     let _held = TestServer::at(&folder.socket());
     // On a busy machine, the thread may not have run until now.
@@ -148,20 +151,20 @@
     let folder = TempFolder::new();
     let server = TestServer::at(&folder.socket());
     run_local(async {
-        assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::InUse { .. })));
+        assert!(matches!(ControlServer::bind(&folder.socket()), Err(ControlError::InUse { .. })));
     });
-    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok(), "the first process still serves");
+    assert!(send_command(&folder.socket(), &Command::Ping {}).is_ok(), "the first process still serves");
     drop(server);
     // A program that does not use the lock.
     let other = UnixListener::bind(folder.socket()).unwrap();
     run_local(async {
-        assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::InUse { .. })));
+        assert!(matches!(ControlServer::bind(&folder.socket()), Err(ControlError::InUse { .. })));
     });
     drop(other);
     assert!(folder.socket().exists(), "the file of the closed socket remains");
-    assert!(matches!(ask(&folder.socket(), &Command::Ping {}), Err(ControlError::Absent { .. })));
+    assert!(matches!(send_command(&folder.socket(), &Command::Ping {}), Err(ControlError::Absent { .. })));
     let _served = TestServer::at(&folder.socket());
-    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
+    assert!(send_command(&folder.socket(), &Command::Ping {}).is_ok());
 }
 
 /// Returns a listener that accepts no connections and whose queue is full, and the connections in that queue.
@@ -194,7 +197,7 @@
     let (done, is_done) = mpsc::channel();
     let path = folder.socket();
     std::thread::spawn(move || {
-        let bound = run_local(async { Control::bind(&path).map(drop) });
+        let bound = run_local(async { ControlServer::bind(&path).map(drop) });
         done.send(matches!(bound, Err(ControlError::InUse { .. }))).unwrap();
     });
     assert_eq!(is_done.recv_timeout(EVENT_TIMEOUT), Ok(true));
@@ -205,9 +208,9 @@
     let folder = TempFolder::new();
     std::fs::write(folder.socket(), "mine").unwrap();
     run_local(async {
-        assert!(matches!(Control::bind(&folder.socket()), Err(ControlError::NotASocket { .. })));
+        assert!(matches!(ControlServer::bind(&folder.socket()), Err(ControlError::NotASocket { .. })));
         let missing_folder = folder.0.join("no/c");
-        assert!(matches!(Control::bind(&missing_folder), Err(ControlError::Io { .. })));
+        assert!(matches!(ControlServer::bind(&missing_folder), Err(ControlError::Io { .. })));
     });
     assert_eq!(std::fs::read(folder.socket()).unwrap(), b"mine");
 }
@@ -248,10 +251,13 @@
 fn command_that_is_too_long_is_not_sent() {
     let folder = TempFolder::new();
     let long = Command::Correct { of: 1, by: "jo".into(), text: "x".repeat(MAX_TEXT + 1) };
-    assert!(matches!(ask(&folder.socket(), &long), Err(ControlError::Command(_))));
-    assert!(matches!(ask(&folder.socket(), &resolve(&vec![0; MAX_LINE])), Err(ControlError::Command(_))));
+    assert!(matches!(send_command(&folder.socket(), &long), Err(ControlError::Command(_))));
+    assert!(matches!(
+        send_command(&folder.socket(), &resolve(&vec![0; MAX_LINE])),
+        Err(ControlError::Command(_))
+    ));
     let ten_kilobytes = resolve(&vec![7; 10 << 10]);
-    assert!(matches!(ask(&folder.socket(), &ten_kilobytes), Err(ControlError::Absent { .. })));
+    assert!(matches!(send_command(&folder.socket(), &ten_kilobytes), Err(ControlError::Absent { .. })));
 }
 
 #[test]
@@ -261,16 +267,16 @@
     let pending_command = Command::Prune { before: 1, by: "jo".into() };
     let short_timeout = Duration::from_millis(50);
     assert!(matches!(
-        ask_within(&folder.socket(), &pending_command, short_timeout),
+        send_command_with_timeout(&folder.socket(), &pending_command, short_timeout),
         Err(ControlError::TimedOut)
     ));
     assert_eq!(server.received.recv().unwrap(), pending_command);
-    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
+    assert!(send_command(&folder.socket(), &Command::Ping {}).is_ok());
     let idle: Vec<UnixStream> = (0..8).map(|_| UnixStream::connect(folder.socket()).unwrap()).collect();
     assert!(matches!(
-        ask_within(&folder.socket(), &Command::Ping {}, short_timeout),
+        send_command_with_timeout(&folder.socket(), &Command::Ping {}, short_timeout),
         Err(ControlError::TimedOut)
     ));
     drop(idle);
-    assert!(ask(&folder.socket(), &Command::Ping {}).is_ok());
+    assert!(send_command(&folder.socket(), &Command::Ping {}).is_ok());
 }
--- a/crates/control/tests/socket_mode.rs
+++ b/crates/control/tests/socket_mode.rs
@@ -1,7 +1,7 @@
 //! Tests the socket's mode while several threads of one process bind sockets. The test has its own file because the umask is
 //! shared by the whole process.
 
-use shaletide_control::Control;
+use shaletide_control::ControlServer;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::sync::Barrier;
@@ -19,7 +19,7 @@
     std::fs::create_dir(&folder).unwrap();
     let path = folder.join("socket");
     for _ in 0..BINDS {
-        let control = Control::bind(&path).unwrap();
+        let control = ControlServer::bind(&path).unwrap();
         let mode = path.symlink_metadata().unwrap().permissions().mode();
         drop(control);
         assert_eq!(mode & 0o777, 0o600);
--- a/crates/shaletide/src/control_socket.rs
+++ b/crates/shaletide/src/control_socket.rs
@@ -3,7 +3,7 @@
 use crate::commands;
 use crate::retry::{until_ready, RetryPolicy, StepNames, StepOutcome};
 use crate::start_error::StartError;
-use shaletide_control::{BoundSocket, Control, ControlError};
+use shaletide_control::{BoundSocket, ControlError, ControlServer};
 use shaletide_net::thread_channel;
 use shaletide_record_service::Record;
 use std::io;
@@ -37,7 +37,7 @@
     Ok(())
 }
 
-fn outcome(bound: Result<Control, ControlError>) -> StepOutcome<Control, ControlError> {
+fn outcome(bound: Result<ControlServer, ControlError>) -> StepOutcome<ControlServer, ControlError> {
     match bound {
         Ok(control) => StepOutcome::Ready(control),
         Err(error @ (ControlError::InUse { .. } | ControlError::Io { .. })) => StepOutcome::WaitFor(error),
@@ -54,7 +54,7 @@
 
 /// Binds on a separate thread, so that signals and requests are handled meanwhile even if the socket's directory is on a hanging
 /// disk. If dropped midway, the thread removes the socket once it is bound. To be called within the event loop's context.
-async fn bind_on_thread(socket: &Path) -> Result<Control, ControlError> {
+async fn bind_on_thread(socket: &Path) -> Result<ControlServer, ControlError> {
     let failed = |error| ControlError::Io { path: socket.into(), operation: "start a thread for", error };
     let (sender, mut receiver) = thread_channel().map_err(failed)?;
     let path = socket.to_path_buf();
@@ -62,9 +62,9 @@
     // Never joined: a call may block.
     std::thread::Builder::new().name("control-socket".into()).spawn(bind).map_err(failed)?;
     let bound = receiver.recv().await;
-    Control::new(bound.unwrap_or_else(|| Err(failed(io::Error::other("the thread failed"))))?)
+    ControlServer::new(bound.unwrap_or_else(|| Err(failed(io::Error::other("the thread failed"))))?)
 }
 
-async fn serve(control: Control, record: Option<Rc<Record>>) {
+async fn serve(control: ControlServer, record: Option<Rc<Record>>) {
     control.serve(move |command| commands::handle(record.clone(), command)).await;
 }
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -5,7 +5,7 @@
 use super::offline_store::OfflineStore;
 use super::target::Target;
 use super::{list, text};
-use shaletide_control::{ask, Command, ControlError, Key, Reply};
+use shaletide_control::{send_command, Command, ControlError, Key, Reply};
 use shaletide_record::KeyId;
 use shaletide_store::{Query, SqliteReader, StoreReader};
 use shaletide_types::{causes, Time};
@@ -109,7 +109,7 @@
 ) -> Result<(), CommandError> {
     command.check().map_err(|why| CommandError::invalid(format!("--{why}")))?;
     let reply = match (&target.control, &target.store) {
-        (Some(socket), store) => match (ask(socket, command), store) {
+        (Some(socket), store) => match (send_command(socket, command), store) {
             (Ok(reply), _) => reply,
             (Err(ControlError::Absent { .. }), Some(store)) => offline(&mut OfflineStore::open(store)?)?,
             (Err(error @ ControlError::Absent { .. }), None) => {
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -3,7 +3,7 @@
 mod record_fixture;
 
 use record_fixture::*;
-use shaletide_control::{Command, Control, Reply};
+use shaletide_control::{Command, ControlServer, Reply};
 use shaletide_record::{Event, Fact, RequestEnding, ResolveResult};
 use shaletide_store::{SqliteOptions, SqliteStore};
 use shaletide_types::{AttemptNumber, Outcome};
@@ -459,7 +459,7 @@
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async move {
-            let control = Control::bind(&path).unwrap();
+            let control = ControlServer::bind(&path).unwrap();
             ready.send(()).unwrap();
             let handler = move |command| {
                 tell.send(command).unwrap();
--- a/crates/shaletide/tests/record_pages.rs
+++ b/crates/shaletide/tests/record_pages.rs
@@ -3,7 +3,7 @@
 mod record_fixture;
 
 use record_fixture::*;
-use shaletide_control::{Command, Control, Reply};
+use shaletide_control::{Command, ControlServer, Reply};
 use shaletide_record::{Event, Fact, KeyId, ResolveResult};
 use shaletide_types::Time;
 use std::process::Command as Program;
@@ -47,7 +47,7 @@
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async move {
-            let control = Control::bind(&path).unwrap();
+            let control = ControlServer::bind(&path).unwrap();
             ready.send(()).unwrap();
             let recorded = std::cell::RefCell::new(recorded);
             tokio::select! {
