--- a/crates/http/src/accept.rs
+++ b/crates/http/src/accept.rs
@@ -48,7 +48,7 @@
     /// Handles a failed accept. An error of a single connection is retried at once; a shortage of resources is retried after a
     /// delay, and one of descriptors after freeing one. No accept error is fatal.
     async fn accept_failed(self: &Rc<Self>, error: &std::io::Error) {
-        self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, error);
+        self.driver.system_errors.log_and_count(self.driver.clock.now(), SystemCall::Accept, error);
         let failures = self.accept_failures.get().saturating_add(1);
         self.accept_failures.set(failures);
         match accept_failure(error) {
--- a/crates/http/src/proxy/tests.rs
+++ b/crates/http/src/proxy/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::testing::{connect_client, read_to_end, server_without_backends, DEADLINE, PAY_REQUEST};
-use shaletide_net::span;
+use shaletide_net::to_duration;
 use std::io::Write;
 
 /// A request whose body waits for memory that another request has reserved is answered by the end of the shutdown, and not
@@ -17,7 +17,7 @@
         let mut client = connect_client(&server).await;
         server.stop_deadline.set(Some(server.driver.clock.now() + Micros(300_000)));
         client.write_all(PAY_REQUEST.as_bytes()).unwrap();
-        let late = tokio::time::sleep(span(DEADLINE) / 2);
+        let late = tokio::time::sleep(to_duration(DEADLINE) / 2);
         tokio::select! {
             answer = read_to_end(client) => assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}"),
             () = late => panic!("the request still waits for room at half of its deadline"),
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -47,7 +47,7 @@
 pub(crate) fn final_response(
     rules: &Rules, answer: FinalResponse, forwarded: &ForwardedRequest, is_safe: bool,
 ) -> Response<Full<Bytes>> {
-    if let (Some(conflict), FinalDecision::Rejected(_)) = (answer.conflict, answer.decision) {
+    if let (Some(conflict), FinalDecision::Rejected(_)) = (answer.key_conflict, answer.decision) {
         return key_conflict(conflict);
     }
     let (last, backend_response) = answer.attempt.and_then(|attempt| forwarded.take(attempt)).unzip();
--- a/crates/http/src/serve.rs
+++ b/crates/http/src/serve.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
-use shaletide_net::span;
+use shaletide_net::to_duration;
 use std::convert::Infallible;
 use std::pin::pin;
 use std::rc::Rc;
@@ -87,7 +87,10 @@
     pub(crate) async fn serve(self: &Rc<Self>, client: &Rc<Client>) -> ServeEnd {
         let service = service_fn(|request| self.respond(client, request));
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_HEAD).timer(Timer).header_read_timeout(span(self.rules().head_timeout));
+        builder
+            .max_buf_size(MAX_HEAD)
+            .timer(Timer)
+            .header_read_timeout(to_duration(self.rules().head_timeout));
         let mut connection = pin!(builder.serve_connection(client.stream.clone(), service));
         let mut close_timeout = pin!(tokio::time::sleep(Duration::MAX));
         loop {
@@ -137,7 +140,7 @@
 
     /// Returns whether the client of an evicted connection has not read the last response within [`CLOSE_TIMEOUT`].
     fn is_response_unread(&self, client: &Client) -> bool {
-        let is_late = span(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
+        let is_late = to_duration(self.driver.clock.now() - client.idle_since.get()) >= CLOSE_TIMEOUT;
         is_late && client.is_idle()
     }
 }
--- a/crates/http/src/serve/tests.rs
+++ b/crates/http/src/serve/tests.rs
@@ -24,7 +24,7 @@
             Ok::<_, Infallible>(text_response(StatusCode::OK, "x"))
         });
         let mut builder = http1::Builder::new();
-        builder.timer(Timer).header_read_timeout(span(DEADLINE));
+        builder.timer(Timer).header_read_timeout(to_duration(DEADLINE));
         let mut conn = pin!(builder.serve_connection(stream.clone(), service));
         (0..answered).for_each(|_| client.write_all(PAY_REQUEST.as_bytes()).unwrap());
         for _ in 0..100 {
--- a/crates/http/src/shutdown.rs
+++ b/crates/http/src/shutdown.rs
@@ -131,7 +131,7 @@
                 Ok((accepted, _)) => self.admit_accepted(accepted.into()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return true,
                 Err(e) => {
-                    self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Accept, &e);
+                    self.driver.system_errors.log_and_count(self.driver.clock.now(), SystemCall::Accept, &e);
                     match accept_failure(&e) {
                         AcceptFailure::Connection => {}
                         AcceptFailure::SystemShortage => return false, // retried at the next check
@@ -151,7 +151,9 @@
         match accepted.set_nonblocking(true).and_then(|()| TcpStream::from_std(accepted)) {
             Ok(tcp) => self.admit(tcp),
             // The connection cannot be served: the kernel has no memory to register it.
-            Err(e) => self.driver.system_errors.note(self.driver.clock.now(), SystemCall::Register, &e),
+            Err(e) => {
+                self.driver.system_errors.log_and_count(self.driver.clock.now(), SystemCall::Register, &e)
+            }
         }
     }
 
--- a/crates/http/src/upstream.rs
+++ b/crates/http/src/upstream.rs
@@ -95,7 +95,7 @@
         self.trace.as_ref()
     }
 
-    fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
             let time_left = spec.deadline.saturating_duration_since(Instant::now());
             let request = request_to_backend(&self, spec.to, time_left);
--- a/crates/http/src/upstream/tests.rs
+++ b/crates/http/src/upstream/tests.rs
@@ -32,7 +32,7 @@
         let (attempt, deadline, max_body) = (AttemptNumber(0), Instant::now() + Duration::from_secs(20), 64);
         let spec =
             ExchangeSpec { attempt, stream: stream.clone(), to, deadline, stall_timeout: stall, max_body };
-        let outcome = forwarded.clone().run(spec).await;
+        let outcome = forwarded.clone().run_attempt(spec).await;
         assert!(stream.request_written());
         match stall {
             None => {
@@ -88,7 +88,7 @@
             false => peer.write_all(COMPLETE_RESPONSE).unwrap(),
             true => peer.shutdown(std::net::Shutdown::Write).unwrap(),
         }
-        let outcome = request("cash").run(spec(&stream, to, None)).await;
+        let outcome = request("cash").run_attempt(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::ConnectionClosed | ExchangeOutcome::InvalidResponse),
             "{outcome:?}"
@@ -114,10 +114,10 @@
             peer
         });
         if used {
-            let first = request("cash").run(spec(&stream, to, None)).await;
+            let first = request("cash").run_attempt(spec(&stream, to, None)).await;
             assert!(matches!(first, ExchangeOutcome::Response { reusable: true, .. }), "{first:?}");
         }
-        let outcome = request(vec![0; 64 << 20]).run(spec(&stream, to, None)).await;
+        let outcome = request(vec![0; 64 << 20]).run_attempt(spec(&stream, to, None)).await;
         assert!(!stream.request_written());
         assert_eq!(matches!(outcome, ExchangeOutcome::InvalidResponse), used, "{outcome:?}");
         drop(backend.join().unwrap());
@@ -133,7 +133,7 @@
     let run = tokio::task::LocalSet::new();
     let mut outcome = run
         .run_until(async {
-            let task = tokio::task::spawn_local(request("cash").run(spec(&stream, to, stall)));
+            let task = tokio::task::spawn_local(request("cash").run_attempt(spec(&stream, to, stall)));
             tokio::task::yield_now().await; // writes the request
             let _ = peer.read(&mut [0; 1024]);
             peer.write_all(&COMPLETE_RESPONSE[..COMPLETE_RESPONSE.len() - 2]).unwrap();
@@ -156,7 +156,7 @@
             let _ = peer.write_all(byte);
         }
     });
-    outcome = request("cash").run(spec(&stream, to, stall)).await;
+    outcome = request("cash").run_attempt(spec(&stream, to, stall)).await;
     assert!(matches!(outcome, ExchangeOutcome::InvalidResponse), "{outcome:?}");
 }
 
@@ -182,7 +182,7 @@
             }
             let _ = peer.read(&mut [0; 1]); // until the proxy closes the connection
         });
-        let mut outcome = request("cash").run(spec(&stream, to, stall));
+        let mut outcome = request("cash").run_attempt(spec(&stream, to, stall));
         let found = tokio::time::timeout(Duration::from_secs(20), &mut outcome).await;
         assert!(matches!(found, Ok(ExchangeOutcome::InvalidResponse)), "{found:?}");
         drop((outcome, stream));
@@ -197,7 +197,7 @@
         peer.write_all(COMPLETE_RESPONSE).unwrap();
         peer
     });
-    let outcome = request("cash").run(spec(&stream, to, stall)).await;
+    let outcome = request("cash").run_attempt(spec(&stream, to, stall)).await;
     assert!(matches!(outcome, ExchangeOutcome::Response { class: ResponseClass::Served, .. }), "{outcome:?}");
     drop(backend.join().unwrap());
 }
@@ -225,7 +225,7 @@
             response_rules: Rc::new(ResponseRules::platform()),
             ..forwarded_request("cash")
         });
-        let outcome = forwarded.run(spec(&stream, to, None)).await;
+        let outcome = forwarded.run_attempt(spec(&stream, to, None)).await;
         assert!(
             matches!(outcome, ExchangeOutcome::Response { class: c, .. } if c == class),
             "{header:?}: {outcome:?}"
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn time_left_header_is_computed_when_the_request_is_written() {
     let (stream, to, mut peer) = connect_pair().await;
-    let run = request("cash").run(spec(&stream, to, None)); // the deadline is 20 s away
+    let run = request("cash").run_attempt(spec(&stream, to, None)); // the deadline is 20 s away
     std::thread::sleep(Duration::from_millis(300));
     let served = std::thread::spawn(move || {
         let mut head = Vec::new();
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -37,6 +37,6 @@
 }
 
 /// Converts microseconds to the standard library's type.
-pub fn span(micros: Micros) -> Duration {
+pub fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
--- a/crates/net/src/driver/attempts.rs
+++ b/crates/net/src/driver/attempts.rs
@@ -1,7 +1,7 @@
 //! Connections to backends and the attempts on them: established, written to and closed as the engine decides.
 
 use super::{Driver, State};
-use crate::clock::span;
+use crate::clock::to_duration;
 use crate::connection_table::UpstreamConnection;
 use crate::exchange::{ExchangeOutcome, ExchangeSpec};
 use crate::io_error::{connect_failure, ConnectFailure, SystemCall};
@@ -96,7 +96,7 @@
         state.trace_connecting(connection, AttemptEvent::Connecting);
         let driver = self.clone();
         let task = tokio::task::spawn_local(async move {
-            let timeout = span(driver.upstream_config.get().connect_timeout);
+            let timeout = to_duration(driver.upstream_config.get().connect_timeout);
             let result = driver.connect_within(to, timeout).await;
             driver.connect_ended(connection, result);
         });
@@ -116,7 +116,7 @@
                 };
                 last_failure = connect_failure(&error);
                 if last_failure != ConnectFailure::Peer {
-                    self.system_errors.note(self.clock.now(), SystemCall::Connect, &error);
+                    self.system_errors.log_and_count(self.clock.now(), SystemCall::Connect, &error);
                 }
                 if last_failure != ConnectFailure::SystemShortage {
                     return Err(last_failure);
@@ -182,7 +182,7 @@
             stream: stream.clone(),
             to: upstream.to,
             deadline: self.clock.instant(deadline).into_std(),
-            stall_timeout: config.response_stall_timeout.map(span),
+            stall_timeout: config.response_stall_timeout.map(to_duration),
             max_body: config.max_body,
         };
         stream.prepare_request(); // the request counts as unwritten until the exchange begins it
@@ -191,7 +191,7 @@
         stream.set_client(open.upstream_request.client().cloned());
         stream.begin_trace(open.attempt_trace(attempt, upstream.backend));
         let driver = self.clone();
-        let exchange = open.upstream_request.clone().run(exchange);
+        let exchange = open.upstream_request.clone().run_attempt(exchange);
         let task = tokio::task::spawn_local(async move {
             let outcome = exchange.await;
             driver.exchange_ended(connection, request, outcome, &stream, just_established);
--- a/crates/net/src/driver/requests.rs
+++ b/crates/net/src/driver/requests.rs
@@ -21,7 +21,7 @@
     /// The attempt whose response is forwarded, or, if none is, the last attempt that was answered.
     pub attempt: Option<AttemptNumber>,
     /// The conflict of the idempotency key, if it is the reason why the request ended.
-    pub conflict: Option<KeyConflict>,
+    pub key_conflict: Option<KeyConflict>,
 }
 
 /// The reason why a request is not accepted.
@@ -179,7 +179,7 @@
         };
         drop(state);
         // Fails if the client has just closed its connection and the front has dropped the receiver.
-        let _ = open.response.send(FinalResponse { decision, attempt, conflict: open.conflict });
+        let _ = open.response.send(FinalResponse { decision, attempt, key_conflict: open.conflict });
         if open.requires_intent.is_some() {
             self.record_event(shaletide_record::Event::RequestEnded { request, ending });
         }
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -22,7 +22,7 @@
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
-    fn run(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
         Box::pin(std::future::pending())
     }
 }
@@ -42,7 +42,7 @@
         std::thread::sleep(BLOCK_TIME);
         None
     }
-    fn run(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
         Box::pin(std::future::pending())
     }
 }
@@ -61,7 +61,7 @@
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
-    fn run(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
             match write_request(&mut spec.stream).await {
                 Ok(_) => std::future::pending().await,
@@ -387,8 +387,8 @@
         }
         None
     }
-    fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
-        Rc::new(NeverAnswered).run(spec)
+    fn run_attempt(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
+        Rc::new(NeverAnswered).run_attempt(spec)
     }
 }
 
--- a/crates/net/src/driver/tests/client_disconnected.rs
+++ b/crates/net/src/driver/tests/client_disconnected.rs
@@ -77,7 +77,7 @@
         Some(&self.client)
     }
 
-    fn run(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
             match write_request(&mut spec.stream).await {
                 Ok(_) => {
--- a/crates/net/src/exchange.rs
+++ b/crates/net/src/exchange.rs
@@ -62,5 +62,5 @@
 
     /// Writes the request and reads its response. Must call [`Stream::begin_request`] before the first byte is written, so
     /// that the driver knows when the last byte was written.
-    fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture;
+    fn run_attempt(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture;
 }
--- a/crates/net/src/io_error.rs
+++ b/crates/net/src/io_error.rs
@@ -9,7 +9,7 @@
 //! - A bind or listen: [`listen_failure`].
 //! - A call at startup: [`retry_shortage`].
 
-use crate::clock::span;
+use crate::clock::to_duration;
 use rustix::io::Errno;
 use shaletide_balancer::{Micros, Time};
 use std::cell::RefCell;
@@ -166,7 +166,7 @@
         if time_limit.is_some_and(|time_limit| started_at.elapsed() >= time_limit) {
             return Err(error);
         }
-        if logged_at.is_none_or(|at| at.elapsed() >= span(LOG_INTERVAL)) {
+        if logged_at.is_none_or(|at| at.elapsed() >= to_duration(LOG_INTERVAL)) {
             report(format_args!(
                 "a system call at the start failed for {:.1} s so far, and is repeated: {error}",
                 started_at.elapsed().as_secs_f64()
@@ -203,7 +203,7 @@
 
 impl SystemErrors {
     /// Counts an error, and logs it at most once a second, with the number of its occurrences since it was last logged.
-    pub fn note(&self, now: Time, call: SystemCall, error: &io::Error) {
+    pub fn log_and_count(&self, now: Time, call: SystemCall, error: &io::Error) {
         let mut counts = self.0.borrow_mut();
         let count = entry(&mut counts, call, error);
         count.total += 1;
@@ -219,7 +219,7 @@
     }
 
     /// Counts an error that the caller logs itself.
-    pub fn add(&self, call: SystemCall, error: &io::Error) {
+    pub fn count_only(&self, call: SystemCall, error: &io::Error) {
         entry(&mut self.0.borrow_mut(), call, error).total += 1;
     }
 
--- a/crates/net/src/io_error/tests.rs
+++ b/crates/net/src/io_error/tests.rs
@@ -103,10 +103,10 @@
 fn system_errors_are_counted_by_call() {
     let errors = SystemErrors::default();
     for n in 0..3 {
-        errors.note(Time(n), SystemCall::Accept, &error(Errno::NOBUFS));
+        errors.log_and_count(Time(n), SystemCall::Accept, &error(Errno::NOBUFS));
     }
-    errors.note(Time(9), SystemCall::Connect, &error(Errno::NETUNREACH));
-    errors.add(SystemCall::Listen, &error(Errno::ADDRINUSE));
+    errors.log_and_count(Time(9), SystemCall::Connect, &error(Errno::NETUNREACH));
+    errors.count_only(SystemCall::Listen, &error(Errno::ADDRINUSE));
     assert_eq!((errors.count(SystemCall::Accept), errors.count(SystemCall::Connect)), (3, 1));
     assert_eq!(errors.to_string(), "Accept 3 Connect 1 Listen 1");
     assert_eq!(SystemErrors::default().to_string(), "none");
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod timeout;
 mod trace;
 
-pub use clock::{span, Clock};
+pub use clock::{to_duration, Clock};
 pub use drive_connection::{drive_connection, BoxError};
 pub use driver::{Driver, FinalResponse, PoolSetup, SubmitError, UpstreamConfig};
 pub use exchange::{ExchangeFuture, ExchangeOutcome, ExchangeSpec, UpstreamRequest};
--- a/crates/net/src/socket_table.rs
+++ b/crates/net/src/socket_table.rs
@@ -74,7 +74,7 @@
     pub user: u32,
     /// The inode; 0 if no process has the socket open any more.
     pub inode: u64,
-    /// A process that has the socket open, if [`Holders::find_processes`] has found one.
+    /// A process that has the socket open, if [`SocketHolders::find_processes`] has found one.
     pub process: Option<Process>,
 }
 
@@ -117,16 +117,16 @@
 
 /// The sockets at an address, at most 64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Holders(pub Vec<SocketEntry>);
+pub struct SocketHolders(pub Vec<SocketEntry>);
 
-impl Holders {
+impl SocketHolders {
     /// Reads the sockets at an address from the kernel's table. The time grows with the length of the table; not to be
     /// called on the event loop's thread.
     ///
     /// # Errors
     /// Returns an error if the table cannot be read or has more than 262,144 lines.
-    pub fn of(at: SocketAddr) -> io::Result<Holders> {
-        let mut holders = Holders::default();
+    pub fn at_address(at: SocketAddr) -> io::Result<SocketHolders> {
+        let mut holders = SocketHolders::default();
         holders.add_from(BufReader::new(File::open("/proc/net/tcp")?), at)?;
         match File::open("/proc/net/tcp6") {
             Ok(table) => holders.add_from(BufReader::new(table), at)?,
@@ -171,7 +171,7 @@
 }
 
 /// Shows the first three sockets and the number of the others.
-impl fmt::Display for Holders {
+impl fmt::Display for SocketHolders {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         const MAX_SHOWN: usize = 3;
         if self.0.is_empty() {
--- a/crates/net/src/socket_table/tests.rs
+++ b/crates/net/src/socket_table/tests.rs
@@ -2,7 +2,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
 
-impl Holders {
+impl SocketHolders {
     fn has_listener(&self) -> bool {
         self.0.iter().any(|entry| entry.state == TcpState::LISTEN)
     }
@@ -27,7 +27,7 @@
 
 #[test]
 fn tables_of_both_address_families_yield_only_sockets_at_the_address() {
-    let mut holders = Holders::default();
+    let mut holders = SocketHolders::default();
     holders.add_from(TABLE.as_bytes(), at("127.0.0.1:8443")).unwrap();
     holders.add_from(TABLE_6.as_bytes(), at("127.0.0.1:8443")).unwrap();
     let found: Vec<(String, String, u32, u64)> =
@@ -48,7 +48,7 @@
 fn own_listener_is_found_with_its_process_and_bound_socket_is_not() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let here = listener.local_addr().unwrap();
-    let mut holders = Holders::of(here).unwrap();
+    let mut holders = SocketHolders::at_address(here).unwrap();
     // On a busy machine with many processes, the search with the default limit might end before it reaches this process.
     holders.find_processes_within(Duration::from_secs(60));
     let [entry] = &holders.0[..] else { panic!("{holders}") };
@@ -59,7 +59,7 @@
     let client = TcpStream::connect(here).unwrap();
     let accepted = listener.accept().unwrap();
     drop(listener);
-    let holders = Holders::of(here).unwrap();
+    let holders = SocketHolders::at_address(here).unwrap();
     assert!(!holders.has_listener());
     assert!(holders.to_string().contains("in state ESTABLISHED"), "{holders}");
     drop((client, accepted));
@@ -67,7 +67,7 @@
     let bound = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     bound.bind(&at("127.0.0.1:0").into()).unwrap();
     let here = bound.local_addr().unwrap().as_socket().unwrap();
-    assert_eq!(Holders::of(here).unwrap(), Holders::default());
+    assert_eq!(SocketHolders::at_address(here).unwrap(), SocketHolders::default());
 }
 
 /// On a busy machine a thread waits for a processor most of the time. That time must not end the search.
@@ -85,5 +85,5 @@
 #[test]
 fn overlong_socket_table_is_an_error() {
     let long = "x\n".repeat(MAX_LINES + 1);
-    assert!(Holders::default().add_from(long.as_bytes(), at("127.0.0.1:1")).is_err());
+    assert!(SocketHolders::default().add_from(long.as_bytes(), at("127.0.0.1:1")).is_err());
 }
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::subscriptions::Subscriptions;
 use shaletide_balancer::EndpointUpdate;
 use shaletide_http::{Rules, Server};
-use shaletide_net::{span, Clock, Driver};
+use shaletide_net::{to_duration, Clock, Driver};
 use shaletide_record_service::{Record, Run};
 use std::cell::Cell;
 use std::future::Future;
@@ -174,7 +174,7 @@
     fn stop_duration(&self) -> Duration {
         let deadlines = self.setup.operator.classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or_default();
-        span(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
+        to_duration(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
     }
 
     /// Applies the configuration that was requested at `requested_at`, as a whole.
--- a/crates/shaletide/src/listening.rs
+++ b/crates/shaletide/src/listening.rs
@@ -4,7 +4,7 @@
 use crate::setup::Setup;
 use crate::start_error::StartError;
 use shaletide_http::{listen, BoundSocket, ListenError};
-use shaletide_net::socket_table::Holders;
+use shaletide_net::socket_table::SocketHolders;
 use shaletide_net::{listen_failure, thread_channel, Driver, ListenFailure, SystemCall};
 use std::cell::Cell;
 use std::future::Future;
@@ -176,7 +176,7 @@
 }
 
 /// Looks up the holders of an address; `None` if they cannot be determined.
-type LookUpHolder = Box<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Option<Holders>>>>>;
+type LookUpHolder = Box<dyn Fn(SocketAddr) -> Pin<Box<dyn Future<Output = Option<SocketHolders>>>>>;
 
 /// Runs the lookups of an address's holders, one at a time.
 struct HolderLookup {
@@ -240,8 +240,8 @@
     }
 }
 
-fn described(holders: Option<&Holders>) -> String {
-    holders.map_or_else(|| "its holder cannot be determined".into(), Holders::to_string)
+fn described(holders: Option<&SocketHolders>) -> String {
+    holders.map_or_else(|| "its holder cannot be determined".into(), SocketHolders::to_string)
 }
 
 /// An address that is waited for.
@@ -296,7 +296,7 @@
 
     /// Counts a failure, and logs it if a line is due: with the holder if a lookup may start now.
     fn note_failure(&self, error: &ListenError, log: &mut WaitLog) {
-        self.driver.system_errors.add(SystemCall::Listen, &error.source);
+        self.driver.system_errors.count_only(SystemCall::Listen, &error.source);
         debug!(address = %self.address, call = ?error.call, error = %error.source, "not listening yet");
         if !log.count() {
             return;
@@ -368,10 +368,10 @@
 
 /// Returns the holders of an address, with the processes that have the sockets open; `None` if they cannot be determined. Reads
 /// on a separate thread.
-async fn holders_of(address: SocketAddr) -> Option<Holders> {
+async fn holders_of(address: SocketAddr) -> Option<SocketHolders> {
     let (result_tx, mut result_rx) = thread_channel().ok()?;
     let read = move || {
-        let mut holders = Holders::of(address).ok();
+        let mut holders = SocketHolders::at_address(address).ok();
         if let Some(holders) = &mut holders {
             holders.find_processes();
         }
--- a/crates/shaletide/src/listening/tests.rs
+++ b/crates/shaletide/src/listening/tests.rs
@@ -127,11 +127,11 @@
         Box::new(move |_| Box::pin(gated.clone().look_up()))
     }
 
-    async fn look_up(self: Rc<Self>) -> Option<Holders> {
+    async fn look_up(self: Rc<Self>) -> Option<SocketHolders> {
         self.begun.set(self.begun.get() + 1);
         self.gate.notified().await;
         self.ended.set(self.ended.get() + 1);
-        Some(Holders::default())
+        Some(SocketHolders::default())
     }
 
     /// Ends the lookup that is under way, and waits until it has ended.
--- a/crates/shaletide/tests/pools.rs
+++ b/crates/shaletide/tests/pools.rs
@@ -5,7 +5,7 @@
 
 use harness::trace::{expect_answered, given_up, longest_indecision_us};
 use harness::*;
-use shaletide_net::socket_table::Holders;
+use shaletide_net::socket_table::SocketHolders;
 use std::collections::{HashMap, HashSet};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::Arc;
@@ -90,7 +90,7 @@
 fn wait_until_sockets_closed(address: std::net::SocketAddr) {
     let start = Instant::now();
     loop {
-        let mut sockets = Holders::of(address).expect("the kernel's table of sockets").0;
+        let mut sockets = SocketHolders::at_address(address).expect("the kernel's table of sockets").0;
         sockets.retain(|socket| socket.local == address && socket.inode != 0);
         if sockets.is_empty() {
             return;
