--- a/crates/body-limits/src/bodies.rs
+++ b/crates/body-limits/src/bodies.rs
@@ -19,7 +19,7 @@
     /// The number of bytes that all bodies may reserve together. A longer body is admitted if no bytes are reserved.
     pub max_buffered_bytes: usize,
     /// How long a body is read before it may be evicted.
-    pub patience: Micros,
+    pub min_age_for_eviction: Micros,
 }
 
 /// The admission state of a body.
@@ -75,7 +75,7 @@
     }
 
     /// Adds a body of `length` bytes: admits it, or queues it after all others.
-    pub fn begin(&mut self, now: Time, length: usize) -> BodyId {
+    pub fn add(&mut self, now: Time, length: usize) -> BodyId {
         let id = BodyId(self.next_id);
         self.next_id += 1;
         if self.queue.is_empty() && self.fits(length) {
@@ -111,8 +111,8 @@
     }
 
     /// The time at which a body is too slow if nothing more of it is received before; `None`: never.
-    pub fn due(&self, id: BodyId) -> Option<Time> {
-        self.admitted.get(&id).filter(|body| !body.complete).and_then(|body| body.rate.due())
+    pub fn slow_at(&self, id: BodyId) -> Option<Time> {
+        self.admitted.get(&id).filter(|body| !body.complete).and_then(|body| body.rate.slow_at())
     }
 
     /// Marks a body as completely read, so that it is not evicted any more.
@@ -140,12 +140,14 @@
         Some(slowest)
     }
 
-    /// The body that would be evicted first: of the incomplete bodies that have been read for `patience`, the one with the
-    /// fewest bytes per second, and of several the longest.
+    /// The body that would be evicted first: of the incomplete bodies that have been read for `min_age_for_eviction`, the
+    /// one with the fewest bytes per second, and of several the longest.
     pub fn slowest(&self, now: Time) -> Option<BodyId> {
-        let patience = self.limits.patience;
-        let evictable =
-            self.admitted.iter().filter(|(_, body)| !body.complete && now - body.admitted_at >= patience);
+        let min_age_for_eviction = self.limits.min_age_for_eviction;
+        let evictable = self
+            .admitted
+            .iter()
+            .filter(|(_, body)| !body.complete && now - body.admitted_at >= min_age_for_eviction);
         let key = |body: &Body| (bytes_per_second(body, now), std::cmp::Reverse(body.length));
         evictable.min_by_key(|(_, body)| key(body)).map(|(id, _)| *id)
     }
@@ -156,7 +158,7 @@
     }
 
     /// The number of queued bodies.
-    pub fn queued(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.queue.len()
     }
 
--- a/crates/engine/src/monitor/connections.rs
+++ b/crates/engine/src/monitor/connections.rs
@@ -9,8 +9,8 @@
     observed: &ObservedState, now: Time, connection: ConnectionId, rules: &Rules,
 ) -> Result<ObservedConnection, Violation> {
     let violation = |reason: &str| {
-        let text = format!("connection {} was used though {reason}", connection.0);
-        Err(Violation { rule: Rule::CleanConnection, at: now, text })
+        let description = format!("connection {} was used though {reason}", connection.0);
+        Err(Violation { rule: Rule::CleanConnection, at: now, description })
     };
     let Some(known) = observed.connections.get(&connection) else { return violation("it does not exist") };
     match known.state {
--- a/crates/engine/src/monitor/mod.rs
+++ b/crates/engine/src/monitor/mod.rs
@@ -113,20 +113,20 @@
     /// When the violation was observed.
     pub at: Time,
     /// The request, connection or backend that broke the rule, and how.
-    pub text: String,
+    pub description: String,
 }
 
 impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.rule, self.text)
+        write!(f, "{}: {}", self.rule, self.description)
     }
 }
 
 /// The result of a check.
 pub type Verdict = Result<(), Violation>;
 
-fn violation(rule: Rule, at: Time, text: String) -> Verdict {
-    Err(Violation { rule, at, text })
+fn violation(rule: Rule, at: Time, description: String) -> Verdict {
+    Err(Violation { rule, at, description })
 }
 
 /// Checks all rules except the balancer's slow start budget: see [`SlowStartMonitor`].
--- a/crates/http/src/bodies.rs
+++ b/crates/http/src/bodies.rs
@@ -41,7 +41,7 @@
     pub fn new(server: &Rc<Server>, client: &Rc<Client>, body: &Incoming) -> Result<IncomingBody, BodyError> {
         let length =
             body.size_hint().exact().ok_or(BodyError::Invalid(RequestError::LengthMismatch))? as usize;
-        let id = server.bodies.borrow_mut().begin(server.driver.clock.now(), length);
+        let id = server.bodies.borrow_mut().add(server.driver.clock.now(), length);
         server.body_senders.borrow_mut().insert(id, client.clone());
         Ok(IncomingBody { server: server.clone(), client: client.clone(), id, length })
     }
@@ -85,7 +85,7 @@
     async fn read(&self, until: Time, body: &mut Incoming) -> Result<Bytes, RequestError> {
         let mut parts = BytesMut::new();
         loop {
-            let due = self.server.bodies.borrow().due(self.id).map_or(until, |due| due.min(until));
+            let due = self.server.bodies.borrow().slow_at(self.id).map_or(until, |due| due.min(until));
             let frame = tokio::select! {
                 biased; // received bytes are read before the deadline is checked, and without setting a timer
                 frame = body.frame() => frame,
--- a/crates/http/src/proxy/tests.rs
+++ b/crates/http/src/proxy/tests.rs
@@ -11,7 +11,7 @@
 async fn request_waiting_for_body_space_is_answered_before_shutdown_ends() {
     let run = async {
         let server = server_without_backends(2);
-        let other_body = server.bodies.borrow_mut().begin(server.driver.clock.now(), 64);
+        let other_body = server.bodies.borrow_mut().add(server.driver.clock.now(), 64);
         server.bodies.borrow_mut().take_admitted();
         server.bodies.borrow_mut().on_complete(other_body); // its request is still open
         let mut client = connect_client(&server).await;
--- a/crates/http/src/rules.rs
+++ b/crates/http/src/rules.rs
@@ -155,7 +155,7 @@
             bodies: BodyLimits {
                 rate: MinimumRate { bytes_per_s: config.min_body_bytes_per_s, grace: config.body_grace },
                 max_buffered_bytes: config.max_buffered_body_bytes,
-                patience: MIN_AGE_FOR_EVICTION,
+                min_age_for_eviction: MIN_AGE_FOR_EVICTION,
             },
             max_body: config.max_body,
             records_requests: config.records_requests,
--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -95,8 +95,8 @@
     /// The one that is broken.
     pub fn check(&self) -> Verdict {
         if !self.engine.has_no_pending_events() {
-            let text = "something waits inside the engine".to_string();
-            return Err(Violation { rule: Rule::NoLeftovers, at: self.now, text });
+            let description = "something waits inside the engine".to_string();
+            return Err(Violation { rule: Rule::NoLeftovers, at: self.now, description });
         }
         self.monitor.check_leftovers(self.now, &self.engine)?;
         if self.engine.wake_at().is_none() && !self.shell.is_busy() {
--- a/crates/net/src/driver/setup.rs
+++ b/crates/net/src/driver/setup.rs
@@ -86,7 +86,7 @@
         if let Some(checker) = &mut self.checker {
             checker.configure(may_cancel_attempts, only_deduplication_domain.is_some());
         }
-        let closed = self.engine.policy().open().filter(|pool| !pools.contains(pool)).collect();
+        let closed = self.engine.policy().open_pools().filter(|pool| !pools.contains(pool)).collect();
         Ok(SetupChanges { directory, pools, closed })
     }
 
--- a/crates/routing/src/pools.rs
+++ b/crates/routing/src/pools.rs
@@ -82,7 +82,7 @@
     }
 
     /// The pools that are not closed.
-    pub fn open(&self) -> impl Iterator<Item = PoolId> + '_ {
+    pub fn open_pools(&self) -> impl Iterator<Item = PoolId> + '_ {
         self.pools.iter().filter(|(_, pool)| !pool.closed).map(|(id, _)| *id)
     }
 
--- a/crates/routing/tests/pool_changes.rs
+++ b/crates/routing/tests/pool_changes.rs
@@ -30,7 +30,7 @@
     }
     let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0, 1]);
     assert_eq!(first_backend(&simulation, id) / 10, 1);
-    assert_eq!(simulation.pools.open().collect::<Vec<_>>(), [PoolId(1)]);
+    assert_eq!(simulation.pools.open_pools().collect::<Vec<_>>(), [PoolId(1)]);
     let id = simulation.send_request(NON_IDEMPOTENT, SECOND, &[0]);
     assert_eq!(simulation.answer_of(id), Some("rejected"), "a route without open pools rejects at once");
     assert_eq!(simulation.pools.retained_count(), 1, "no state is kept of a closed pool");
--- a/crates/routing/tests/pools.rs
+++ b/crates/routing/tests/pools.rs
@@ -280,7 +280,7 @@
             prop_assert!(r.disconnected || r.answer.is_some());
         }
         prop_assert_eq!(simulation.pools.pending_requests(), 0);
-        prop_assert_eq!(simulation.pools.retained_count(), simulation.pools.open().count());
+        prop_assert_eq!(simulation.pools.retained_count(), simulation.pools.open_pools().count());
     }
 }
 
