--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -127,7 +127,7 @@
 fn sampled(asked: &Asked, options: &Options) -> Result<Vec<Sample>, Failure> {
     run(&asked.experiment, options).map_err(|e| {
         let senseless = matches!(e, shaletide_lab::run::RunError::NoProgram(_));
-        (shaletide_types::causes(&e), if senseless { SENSELESS } else { VOID })
+        (shaletide_types::error_chain(&e), if senseless { SENSELESS } else { VOID })
     })
 }
 
@@ -147,7 +147,7 @@
     fs::create_dir_all(dir).map_err(|e| e.to_string())?;
     fs::write(dir.join("experiment.toml"), text).map_err(|e| e.to_string())?;
     let file = fs::File::create(dir.join("samples.jsonl")).map_err(|e| e.to_string())?;
-    samples::write(BufWriter::new(file), samples).map_err(|e| shaletide_types::causes(&e))?;
+    samples::write(BufWriter::new(file), samples).map_err(|e| shaletide_types::error_chain(&e))?;
     for (proxy, text) in logs(samples) {
         let folder = dir.join(format!("p{proxy}"));
         let written = fs::create_dir_all(&folder).and_then(|()| fs::write(folder.join("log.txt"), text));
@@ -241,7 +241,8 @@
     let path = dir.join("samples.jsonl");
     let file =
         fs::File::open(&path).map_err(|e| senseless(format!("cannot read {}: {e}", path.display())))?;
-    let samples = samples::read(BufReader::new(file)).map_err(|e| senseless(shaletide_types::causes(&e)))?;
+    let samples =
+        samples::read(BufReader::new(file)).map_err(|e| senseless(shaletide_types::error_chain(&e)))?;
     let verdict = judge(&samples, &asked.experiment.expect);
     page(dir, &verdict).map_err(|e| (format!("{}: {e}", dir.display()), VOID))?;
     print!("{}", report::text(&verdict));
--- a/crates/record-service/src/record.rs
+++ b/crates/record-service/src/record.rs
@@ -5,7 +5,7 @@
 use crate::{RecordService, Run, StoreError};
 use shaletide_net::{Driver, RequestRecorder};
 use shaletide_record::{Event, KeyDecision, KeyRequest, RecordConfig};
-use shaletide_types::{causes, Time};
+use shaletide_types::{error_chain, Time};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -115,7 +115,7 @@
             "store: {}: cannot open {}, requests that need the record are rejected: {}",
             error.code(),
             self.path.display(),
-            causes(error)
+            error_chain(error)
         );
     }
 
--- a/crates/record-service/src/service/writer_events.rs
+++ b/crates/record-service/src/service/writer_events.rs
@@ -4,7 +4,7 @@
 use crate::store_error::store_failure;
 use shaletide_record::{Event, StoreFailure, Ticket};
 use shaletide_store::{CommitOutcome, StoreError, WriterEvent};
-use shaletide_types::causes;
+use shaletide_types::error_chain;
 use tracing::{error, info, warn};
 
 impl RecordService {
@@ -30,7 +30,7 @@
                 self.answer_prune(ticket, Ok(pruned.rows));
             }
             WriterEvent::Down { error } => {
-                error!("store: {}: {}", error.code(), causes(&error));
+                error!("store: {}: {}", error.code(), error_chain(&error));
                 self.store_down.set(true);
                 self.handle(Event::StoreDown {
                     why: store_failure(&error),
--- a/crates/shaletide/src/record/change.rs
+++ b/crates/shaletide/src/record/change.rs
@@ -8,7 +8,7 @@
 use shaletide_control::{send_command, Command, ControlError, Key, Reply};
 use shaletide_record::KeyId;
 use shaletide_store::{Query, SqliteReader, StoreReader};
-use shaletide_types::{causes, Time};
+use shaletide_types::{error_chain, Time};
 use std::collections::BTreeSet;
 use std::io::Write;
 
@@ -117,7 +117,7 @@
                     "{error}; give --store FILE to change the store while no proxy runs"
                 )));
             }
-            (Err(error), _) => return Err(CommandError::invalid(causes(&error))),
+            (Err(error), _) => return Err(CommandError::invalid(error_chain(&error))),
         },
         (None, Some(store)) => offline(&mut OfflineStore::open(store)?)?,
         (None, None) => return Err(CommandError::invalid("give --store, --control or --config")),
--- a/crates/shaletide/src/record/text.rs
+++ b/crates/shaletide/src/record/text.rs
@@ -3,7 +3,7 @@
 use shaletide_control::Reply;
 use shaletide_record::{chain, BackendSnapshot, Fact, KeyId, KeyState, ResolveResult, Row};
 use shaletide_store::StoreError;
-use shaletide_types::{causes, Micros};
+use shaletide_types::{error_chain, Micros};
 
 /// The longest key that is printed in full where it need not be copied, in characters.
 const MAX_SHOWN_KEY: usize = 64;
@@ -69,10 +69,10 @@
 pub fn explain(error: &StoreError) -> String {
     match error {
         StoreError::Owned { .. } => {
-            format!("{}; give --control or --config to use its socket", causes(error))
+            format!("{}; give --control or --config to use its socket", error_chain(error))
         }
         StoreError::Gone { path } => format!("there is no store at {}", path.display()),
-        _ => causes(error),
+        _ => error_chain(error),
     }
 }
 
--- a/crates/shaletide/src/record/verify.rs
+++ b/crates/shaletide/src/record/verify.rs
@@ -4,7 +4,7 @@
 use super::list;
 use shaletide_record::{chain, Fact, Row};
 use shaletide_store::{verify, Broken, Head, Query, StoreError, StoreReader};
-use shaletide_types::causes;
+use shaletide_types::error_chain;
 use std::io::Write;
 
 /// Checks every row and the head that was noted earlier, and prints the result.
@@ -13,9 +13,9 @@
     let sums = |before: &[u8; 32], row: &Row| chain::sum(before, row);
     let verified = verify(store, &sums, noted).map_err(|broken| match &broken {
         Broken::Unreadable(StoreError::Corrupt(_)) => {
-            CommandError::negative(format!("broken: {}", causes(&broken)))
+            CommandError::negative(format!("broken: {}", error_chain(&broken)))
         }
-        Broken::Unreadable(_) => CommandError::invalid(causes(&broken)),
+        Broken::Unreadable(_) => CommandError::invalid(error_chain(&broken)),
         _ => CommandError::negative(format!("broken: {broken}")),
     })?;
     if let Some(anchor) = store.anchor()? {
--- a/crates/shaletide/src/start_error.rs
+++ b/crates/shaletide/src/start_error.rs
@@ -4,7 +4,7 @@
 use shaletide_control::ControlError;
 use shaletide_http::ListenError;
 use shaletide_record_service::StoreError;
-use shaletide_types::causes;
+use shaletide_types::error_chain;
 use std::fmt;
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
             StartError::Config(error) => write!(f, "configuration: {error}"),
             StartError::Control(error) => write!(f, "control socket: {error}"),
             StartError::Store(path, error) => {
-                write!(f, "store of record {}: {}", path.display(), causes(&**error))
+                write!(f, "store of record {}: {}", path.display(), error_chain(&**error))
             }
         }
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -11,7 +11,7 @@
 mod total_history;
 
 pub use backend::{BackendEntry, BackendState, EndpointUpdate};
-pub use error_chain::causes;
+pub use error_chain::error_chain;
 pub use idempotency::{DeduplicationPlacement, DeduplicationScope, Idempotency};
 pub use ids::*;
 pub use load_report::LoadReport;
