--- a/crates/config/src/operator/file.rs
+++ b/crates/config/src/operator/file.rs
@@ -3,7 +3,7 @@
 use super::basics::{self, BalancerSections};
 use super::pools::{self, UsedAddresses};
 use super::routes::{self, RouteContext};
-use super::text::{checked, utf8};
+use super::text::{checked, decode_utf8};
 use super::types::OperatorConfig;
 use super::{classes, record, request};
 use crate::diagnostic::Diagnostic;
@@ -29,7 +29,7 @@
 ///
 /// Fails if the bytes are not UTF-8, and for the same reasons as [`read`].
 pub fn read_bytes(file_name: &str, bytes: &[u8]) -> Result<OperatorConfig, Report> {
-    read(file_name, utf8(file_name, bytes)?)
+    read(file_name, decode_utf8(file_name, bytes)?)
 }
 
 fn read_document(diagnostics: &mut Diagnostics<'_>, tree: &DeTable<'_>) -> Option<OperatorConfig> {
--- a/crates/config/src/operator/mod.rs
+++ b/crates/config/src/operator/mod.rs
@@ -16,5 +16,5 @@
 
 pub use extension::{read_extension, NodeConfigExtension, PlatformNames, PLATFORM_POOL};
 pub use file::{read, read_bytes};
-pub use text::{utf8, MAX_FILE};
+pub use text::{decode_utf8, MAX_FILE_BYTES};
 pub use types::*;
--- a/crates/config/src/operator/text.rs
+++ b/crates/config/src/operator/text.rs
@@ -8,7 +8,7 @@
 use toml::de::DeTable;
 
 /// Maximum length of a file, in bytes.
-pub const MAX_FILE: usize = 4 << 20;
+pub const MAX_FILE_BYTES: usize = 4 << 20;
 /// Number of bytes from the first invalid one that are used to show its line.
 const MAX_CONTEXT_BYTES: usize = 200;
 
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Fails if the file is too long or is not UTF-8.
-pub fn utf8<'b>(file_name: &str, bytes: &'b [u8]) -> Result<&'b str, Report> {
+pub fn decode_utf8<'b>(file_name: &str, bytes: &'b [u8]) -> Result<&'b str, Report> {
     bounded(file_name, bytes.len())?;
     std::str::from_utf8(bytes).map_err(|error| not_utf8(file_name, bytes, error.valid_up_to()))
 }
@@ -39,11 +39,13 @@
 }
 
 fn bounded(file_name: &str, length: usize) -> Result<(), Report> {
-    if length <= MAX_FILE {
+    if length <= MAX_FILE_BYTES {
         return Ok(());
     }
-    let diagnostic =
-        Diagnostic::for_file("the file is too long", format!("expected at most {} MiB", MAX_FILE >> 20));
+    let diagnostic = Diagnostic::for_file(
+        "the file is too long",
+        format!("expected at most {} MiB", MAX_FILE_BYTES >> 20),
+    );
     Err(Report::new(file_name, &Source::new(""), vec![diagnostic], 0))
 }
 
--- a/crates/config/src/platform/mod.rs
+++ b/crates/config/src/platform/mod.rs
@@ -10,7 +10,7 @@
 
 pub use error::SettingsError;
 pub use names::{NamedEntry, Names};
-pub use node::{has_drain_grace, operator, NodeIdentity};
+pub use node::{has_drain_grace, operator_config, NodeIdentity};
 pub use settings::read;
 
 #[cfg(test)]
--- a/crates/config/src/platform/names.rs
+++ b/crates/config/src/platform/names.rs
@@ -83,7 +83,7 @@
     }
 
     /// Returns the entry with this proxy's numbers for its names.
-    pub fn numbered(&mut self, named: &NamedEntry, id: BackendId) -> BackendEntry {
+    pub fn assign_numbers(&mut self, named: &NamedEntry, id: BackendId) -> BackendEntry {
         let zone = ZoneId(number(&mut self.zones, &named.zone));
         let server_type = ServerTypeId(number(&mut self.server_types, &named.server_type));
         BackendEntry { id, zone, server_type, ..named.entry.clone() }
--- a/crates/config/src/platform/node.rs
+++ b/crates/config/src/platform/node.rs
@@ -60,7 +60,9 @@
 /// # Errors
 ///
 /// Returns the path of the first key that is missing, has the wrong type or is out of range.
-pub fn operator(node: NodeIdentity, settings: &Value) -> Result<(OperatorConfig, Names), SettingsError> {
+pub fn operator_config(
+    node: NodeIdentity, settings: &Value,
+) -> Result<(OperatorConfig, Names), SettingsError> {
     let (config, names) = read(settings)?;
     let root = Setting::root(settings);
     let drain_grace = root.get(settings::RULES).get(rules::DRAIN_GRACE);
--- a/crates/config/src/platform/tests.rs
+++ b/crates/config/src/platform/tests.rs
@@ -36,7 +36,7 @@
     assert_eq!(names.classes(), ["read", "pay"]);
     assert_eq!(names.tenants(), ["north"]);
     assert_eq!(config.classes[1].idempotency, Idempotency::Keyed(DeduplicationScope::Group, Micros(5)));
-    let classes = operator(node(), &settings()).unwrap().0.classes;
+    let classes = operator_config(node(), &settings()).unwrap().0.classes;
     assert_eq!(classes.iter().map(|c| c.deadline).collect::<Vec<_>>(), [Micros(2), Micros(2)]);
 }
 
@@ -106,7 +106,7 @@
     let mut settings = settings();
     settings["limits"].as_object_mut().unwrap().remove("dial_timeout_us");
     let missing = "limits.dial_timeout_us: missing, expected whole microseconds";
-    assert_eq!(operator(node(), &settings).unwrap_err().to_string(), missing);
+    assert_eq!(operator_config(node(), &settings).unwrap_err().to_string(), missing);
 }
 
 /// JSON does not distinguish 5 from 5.0, and the platform writes null for an absent value.
@@ -128,7 +128,8 @@
     }
     let (config, _) = read(&settings_with("/profiles/1/aim_stretch", json!(null))).unwrap();
     assert_eq!(config.classes[1].latency_objective_per_work_hint, 0.0);
-    let (operator, _) = operator(node(), &settings_with("/limits/conn_idle_us", json!(2000.0))).unwrap();
+    let (operator, _) =
+        operator_config(node(), &settings_with("/limits/conn_idle_us", json!(2000.0))).unwrap();
     assert_eq!(operator.limits.idle_timeout, Micros(2000));
 }
 
--- a/crates/config/tests/bounds.rs
+++ b/crates/config/tests/bounds.rs
@@ -3,12 +3,14 @@
 use proptest::prelude::*;
 use serde_json::json;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{read, read_bytes, read_extension, PlatformNames, PoolSource, MAX_FILE};
+use shaletide_config::operator::{
+    read, read_bytes, read_extension, PlatformNames, PoolSource, MAX_FILE_BYTES,
+};
 use shaletide_config::{platform, Report};
 use std::time::{Duration, Instant};
 
 /// Length of a long text in bytes. An unoptimised build takes ten times as long, so it uses a shorter text.
-const LONG_TEXT_BYTES: usize = if cfg!(debug_assertions) { 1 << 20 } else { MAX_FILE };
+const LONG_TEXT_BYTES: usize = if cfg!(debug_assertions) { 1 << 20 } else { MAX_FILE_BYTES };
 const SAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
 /// Far more than any of these files takes, and far less than a quadratic loop would take.
 const MAX_READ_TIME: Duration = Duration::from_secs(20);
@@ -29,7 +31,7 @@
     let report = read_bytes("f.toml", &noise).expect_err("too long");
     assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     assert_eq!(report.problems()[0].summary, "the file is too long");
-    assert!(read("f.toml", &" ".repeat(MAX_FILE + 1)).is_err());
+    assert!(read("f.toml", &" ".repeat(MAX_FILE_BYTES + 1)).is_err());
 }
 
 #[test]
--- a/crates/config/tests/report.rs
+++ b/crates/config/tests/report.rs
@@ -1,6 +1,6 @@
 //! The format of a report, and the removal of unsafe characters from it.
 
-use shaletide_config::operator::{read, read_bytes, utf8};
+use shaletide_config::operator::{decode_utf8, read, read_bytes};
 use shaletide_config::{Report, MAX_SHOWN_PROBLEMS};
 
 const INVALID_FILE: &str = include_str!("planted/operator.toml");
@@ -123,5 +123,5 @@
         assert_eq!((problem.line, problem.column, report.total()), (position.0, position.1, 1), "{report}");
         assert!(problem.summary.contains("is not UTF-8"), "{report}");
     }
-    assert!(utf8("f.toml", b"plain").is_ok());
+    assert!(decode_utf8("f.toml", b"plain").is_ok());
 }
--- a/crates/shaletide/src/main.rs
+++ b/crates/shaletide/src/main.rs
@@ -114,7 +114,7 @@
 }
 
 fn read_file(path: &Path, reading: ReadMode) -> Result<Vec<u8>, String> {
-    let bytes = files::read(path, operator::MAX_FILE, reading);
+    let bytes = files::read(path, operator::MAX_FILE_BYTES, reading);
     bytes.map_err(|error| format!("cannot read {}: {error}", path.display()))
 }
 
--- a/crates/shaletide/src/node.rs
+++ b/crates/shaletide/src/node.rs
@@ -5,7 +5,7 @@
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use shaletide_balancer::Micros;
-use shaletide_config::operator::{self, read_extension, utf8, PlatformNames, PoolSource};
+use shaletide_config::operator::{self, decode_utf8, read_extension, PlatformNames, PoolSource};
 use shaletide_config::platform::{self, NodeIdentity, SettingsError};
 use shaletide_config::Report;
 use shaletide_membership::List;
@@ -138,7 +138,7 @@
         seed: seed.ok_or(NodeError::Seed)?,
         descriptors: descriptors(&file.limits).max(MIN_DESCRIPTORS),
     };
-    let (operator, names) = platform::operator(node, &file.settings).map_err(NodeError::Settings)?;
+    let (operator, names) = platform::operator_config(node, &file.settings).map_err(NodeError::Settings)?;
     Ok(Setup {
         operator,
         zones: names.zones().to_vec(),
@@ -177,14 +177,14 @@
 }
 
 fn extend(setup: &mut Setup, with: &Path, reading: ReadMode) -> Result<(), NodeError> {
-    let bytes =
-        files::read(with, operator::MAX_FILE, reading).map_err(|e| NodeError::Unreadable(with.into(), e))?;
+    let bytes = files::read(with, operator::MAX_FILE_BYTES, reading)
+        .map_err(|e| NodeError::Unreadable(with.into(), e))?;
     let name = with.display().to_string();
     let names = PlatformNames {
         classes: setup.operator.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: setup.operator.tenants.clone(),
     };
-    let text = utf8(&name, &bytes).map_err(NodeError::Extension)?;
+    let text = decode_utf8(&name, &bytes).map_err(NodeError::Extension)?;
     setup.extend(read_extension(&name, text, &names).map_err(NodeError::Extension)?);
     Ok(())
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -87,7 +87,7 @@
             let entries = lists.get(&number).ok_or_else(|| line.error(1, "a known roster number"))?;
             for entry in entries {
                 let id = self.backend_id(&entry.address);
-                backends.push(self.names.numbered(entry, id));
+                backends.push(self.names.assign_numbers(entry, id));
             }
         }
         Ok(Event::EndpointsUpdated { update, backends })
