--- a/crates/http/src/testing.rs
+++ b/crates/http/src/testing.rs
@@ -22,7 +22,7 @@
         max_connections: 8,
     };
     let driver = Driver::new(Clock::new(), network);
-    let spec = PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered };
+    let spec = PoolSpec { name: "p".into(), deduplication_domain: None, source: Source::Discovered };
     let mut config = Config::example();
     // Without a backend, a request is rejected after 1 s and well before this time.
     config.classes[0].latency_objective = Micros(2_000_000);
--- a/crates/membership/benches/list_updates.rs
+++ b/crates/membership/benches/list_updates.rs
@@ -22,7 +22,8 @@
 
 fn main() {
     for backends in [100, 10_000, 100_000] {
-        let pools = vec![PoolSpec { name: "p".into(), repeat_group: None, source: Source::Discovered }];
+        let pools =
+            vec![PoolSpec { name: "p".into(), deduplication_domain: None, source: Source::Discovered }];
         let (mut directory, _) = Directory::new(&[], &[], pools);
         let list = |generation| (0..backends).map(|n| endpoint(n, generation)).collect::<Vec<_>>();
         let (first, second, changed) = (list(0), list(1), vec![endpoint(backends / 2, 1)]);
--- a/crates/membership/src/pool.rs
+++ b/crates/membership/src/pool.rs
@@ -14,9 +14,9 @@
 pub struct PoolSpec {
     /// The pool's name, which is unique.
     pub name: String,
-    /// The repeat group. Pools with the same group form one deduplication domain: their backends discard each other's
-    /// repeats. With `None` the pool is a domain of its own.
-    pub repeat_group: Option<String>,
+    /// The deduplication domain. The backends of pools with the same domain discard each other's repeats. With `None` the
+    /// pool is a domain of its own.
+    pub deduplication_domain: Option<String>,
     /// The source of the pool's backends.
     pub source: Source,
 }
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -117,7 +117,7 @@
 
     /// Returns the deduplication domain of the pool's repeat group, or a domain of the pool's own if it has none.
     fn domain_of(&mut self, spec: &PoolSpec) -> u32 {
-        let key = match &spec.repeat_group {
+        let key = match &spec.deduplication_domain {
             Some(group) => DomainKey::RepeatGroup(group.clone()),
             None => DomainKey::Pool(spec.name.clone()),
         };
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -29,13 +29,13 @@
 }
 
 pub fn discovered_pool(name: &str) -> PoolSpec {
-    PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }
+    PoolSpec { name: name.into(), deduplication_domain: None, source: Source::Discovered }
 }
 
 /// A static pool of backends at these addresses.
 pub fn static_pool(name: &str, addresses: &[u8]) -> PoolSpec {
     let backends = addresses.iter().map(|n| entry(&format!("s{n}"), *n, READY)).collect();
-    PoolSpec { name: name.into(), repeat_group: None, source: Source::Static(backends) }
+    PoolSpec { name: name.into(), deduplication_domain: None, source: Source::Static(backends) }
 }
 
 /// The view of each pool's balancer, built from its notifications, and checks of the directory against it.
--- a/crates/membership/tests/lists.rs
+++ b/crates/membership/tests/lists.rs
@@ -149,7 +149,7 @@
 
 #[test]
 fn entries_have_zone_domain_and_group_ids_of_that_domain() {
-    let shared = |name: &str| PoolSpec { repeat_group: Some("g".into()), ..discovered_pool(name) };
+    let shared = |name: &str| PoolSpec { deduplication_domain: Some("g".into()), ..discovered_pool(name) };
     let pools = vec![discovered_pool("a"), discovered_pool("b"), shared("c"), shared("d")];
     let (mut directory, _) = Directory::new(&["z0".into(), "z".into()], &["k".into()], pools);
     let rows: Vec<BackendEntry> = (0..4u8)
--- a/crates/membership/tests/reload.rs
+++ b/crates/membership/tests/reload.rs
@@ -46,7 +46,7 @@
 
 #[test]
 fn backend_moves_within_a_repeat_group_to_a_new_pool() {
-    let shared = |spec: PoolSpec| PoolSpec { repeat_group: Some("g".into()), ..spec };
+    let shared = |spec: PoolSpec| PoolSpec { deduplication_domain: Some("g".into()), ..spec };
     let mut m = Mirror::new(vec![shared(static_pool("p", &[1, 2]))]);
     let row = m.row(P, 0).clone();
     m.reload(50, vec![shared(static_pool("r", &[1])), shared(static_pool("p", &[2]))]);
@@ -129,7 +129,7 @@
 #[test]
 fn changed_repeat_group_is_notified() {
     let mut m = Mirror::new(vec![static_pool("p", &[1]), static_pool("q", &[2])]);
-    let shared = |spec: PoolSpec| PoolSpec { repeat_group: Some("g".into()), ..spec };
+    let shared = |spec: PoolSpec| PoolSpec { deduplication_domain: Some("g".into()), ..spec };
     m.reload(50, vec![shared(static_pool("p", &[1])), shared(static_pool("q", &[2]))]);
     assert_eq!(m.directory.deduplication_domain(P), m.directory.deduplication_domain(Q));
     assert_eq!(m.row(P, 0).deduplication_group, m.row(Q, 1).deduplication_group);
--- a/crates/model-checker/src/restarts/state.rs
+++ b/crates/model-checker/src/restarts/state.rs
@@ -70,7 +70,7 @@
 }
 
 fn recorder(now: Time) -> Recorder {
-    let rule = record::ClassRule { requires_intent: true, without_key: record::WithoutKey::Refuse };
+    let rule = record::ClassRule { requires_intent: true, without_key: record::WithoutKey::Reject };
     let classes = BTreeMap::from([("settle".to_string(), rule)]);
     let config = record::RecordConfig {
         intent_timeout: TICK,
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -80,7 +80,10 @@
 };
 
 fn pool(name: &str, config: Config) -> PoolSetup {
-    PoolSetup { spec: PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }, config }
+    PoolSetup {
+        spec: PoolSpec { name: name.into(), deduplication_domain: None, source: Source::Discovered },
+        config,
+    }
 }
 
 fn driver(pools: &[&str]) -> (Rc<Driver>, Vec<PoolId>) {
--- a/crates/record/src/chain.rs
+++ b/crates/record/src/chain.rs
@@ -31,7 +31,7 @@
     /// The number of the first invalid or missing row.
     pub seq: u64,
     /// Why the row is invalid.
-    pub why: BreakCause,
+    pub cause: BreakCause,
 }
 
 /// Why a row is invalid.
@@ -105,20 +105,20 @@
     for row in rows {
         let seq = chain.seq + 1;
         if row.seq != seq {
-            return Err(Broken { seq, why: BreakCause::Missing { found: row.seq } });
+            return Err(Broken { seq, cause: BreakCause::Missing { found: row.seq } });
         }
         if row.sum != sum(&chain.head, &row) {
-            return Err(Broken { seq, why: BreakCause::Sum });
+            return Err(Broken { seq, cause: BreakCause::Sum });
         }
         chain = Chain { seq, head: row.sum };
         check_known_head(&chain, known)?;
         anchored |= records_prune_to(&row, &anchor);
     }
     if known.is_some_and(|k| k.seq > chain.seq) {
-        return Err(Broken { seq: chain.seq + 1, why: BreakCause::Cut });
+        return Err(Broken { seq: chain.seq + 1, cause: BreakCause::Cut });
     }
     if !anchored {
-        return Err(Broken { seq: anchor.seq + 1, why: BreakCause::Anchor });
+        return Err(Broken { seq: anchor.seq + 1, cause: BreakCause::Anchor });
     }
     Ok(chain)
 }
@@ -126,7 +126,7 @@
 fn check_known_head(chain: &Chain, known: Option<Chain>) -> Result<(), Broken> {
     match known {
         Some(known) if known.seq == chain.seq && known.head != chain.head => {
-            Err(Broken { seq: chain.seq, why: BreakCause::Known })
+            Err(Broken { seq: chain.seq, cause: BreakCause::Known })
         }
         _ => Ok(()),
     }
--- a/crates/record/src/config.rs
+++ b/crates/record/src/config.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WithoutKey {
     /// The request is rejected; the client has to send a key.
-    Refuse,
+    Reject,
     /// The request is sent and recorded without a key. A repeat of it cannot be recognized.
     Record,
 }
--- a/crates/record/src/recorder/decide.rs
+++ b/crates/record/src/recorder/decide.rs
@@ -45,7 +45,7 @@
         if key.is_some_and(|key| key.len() > self.config.bounds.key_bytes) {
             return KeyDecision::KeyTooLong;
         }
-        if key.is_none() && rule.without_key == WithoutKey::Refuse {
+        if key.is_none() && rule.without_key == WithoutKey::Reject {
             return KeyDecision::KeyRequired;
         }
         let key = key.map(|key| key_id(key_request, key));
--- a/crates/record/tests/chain.rs
+++ b/crates/record/tests/chain.rs
@@ -76,13 +76,13 @@
     for edit in edits {
         let mut bad = good.clone();
         edit(&mut bad[7]);
-        assert_eq!(verify(Chain::default(), bad, None), Err(Broken { seq: 8, why: BreakCause::Sum }));
+        assert_eq!(verify(Chain::default(), bad, None), Err(Broken { seq: 8, cause: BreakCause::Sum }));
     }
     let mut gap = good.clone();
     gap.remove(7);
     assert_eq!(
         verify(Chain::default(), gap, None),
-        Err(Broken { seq: 8, why: BreakCause::Missing { found: 9 } })
+        Err(Broken { seq: 8, cause: BreakCause::Missing { found: 9 } })
     );
     let cut = good[..15].to_vec();
     assert_eq!(
@@ -90,9 +90,12 @@
         Ok(15),
         "without a known head a cut chain is valid"
     );
-    assert_eq!(verify(Chain::default(), cut, Some(head)), Err(Broken { seq: 16, why: BreakCause::Cut }));
+    assert_eq!(verify(Chain::default(), cut, Some(head)), Err(Broken { seq: 16, cause: BreakCause::Cut }));
     let known = Chain { head: [9; 32], ..head };
-    assert_eq!(verify(Chain::default(), good, Some(known)), Err(Broken { seq: 20, why: BreakCause::Known }));
+    assert_eq!(
+        verify(Chain::default(), good, Some(known)),
+        Err(Broken { seq: 20, cause: BreakCause::Known })
+    );
 }
 
 #[test]
@@ -100,7 +103,7 @@
     let (mut all, mut chain) = rows(10);
     let anchor = Chain { seq: 6, head: all[5].sum };
     let unrecorded = verify(anchor, all[6..].to_vec(), None);
-    assert_eq!(unrecorded, Err(Broken { seq: 7, why: BreakCause::Anchor }));
+    assert_eq!(unrecorded, Err(Broken { seq: 7, cause: BreakCause::Anchor }));
     let pruned = Fact::Pruned { through: 6, sum: hex(&anchor.head), by: "ann".into() };
     let mut row = pruned.row(Time(0), RowSubject::default());
     chain.add(&mut row);
@@ -112,7 +115,7 @@
         "without an anchor all rows are present"
     );
     let wrong = Chain { head: [1; 32], ..anchor };
-    assert_eq!(verify(wrong, all[6..].to_vec(), None), Err(Broken { seq: 7, why: BreakCause::Sum }));
+    assert_eq!(verify(wrong, all[6..].to_vec(), None), Err(Broken { seq: 7, cause: BreakCause::Sum }));
 }
 
 /// Compares the sum of a fixed row, so that a later version does not change the canonical form by accident.
--- a/crates/record/tests/common/mod.rs
+++ b/crates/record/tests/common/mod.rs
@@ -14,7 +14,7 @@
 
 /// Class `settle` requires intents and keys, class `odd` only intents, and class `bid` is only recorded.
 pub fn config() -> RecordConfig {
-    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Reject };
     let odd = ClassRule { requires_intent: true, without_key: WithoutKey::Record };
     let bid = ClassRule { requires_intent: false, without_key: WithoutKey::Record };
     let classes = [("settle", settle), ("odd", odd), ("bid", bid)];
--- a/crates/record/tests/memory.rs
+++ b/crates/record/tests/memory.rs
@@ -50,7 +50,7 @@
 /// Unsettled keys are kept in full: the key, its request, and the rows that are not durable yet.
 #[test]
 fn unsettled_keys_use_the_stated_memory() {
-    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Reject };
     let classes = [("settle".to_string(), settle)].into();
     let config = RecordConfig { classes, ..RecordConfig::default() };
     let max_unsettled = config.bounds.unsettled as u64;
--- a/crates/record/tests/unknown_claims.rs
+++ b/crates/record/tests/unknown_claims.rs
@@ -12,7 +12,7 @@
     let mut config = RecordConfig::default();
     config
         .classes
-        .insert("settle".into(), ClassRule { requires_intent: true, without_key: WithoutKey::Refuse });
+        .insert("settle".into(), ClassRule { requires_intent: true, without_key: WithoutKey::Reject });
     let mut recorder = Recorder::new(config, [1; 16], at(0), at(0));
     let (mut actions, request) = (Vec::new(), RequestId(1));
     let key_request =
--- a/crates/record/tests/wall_clock.rs
+++ b/crates/record/tests/wall_clock.rs
@@ -10,7 +10,7 @@
 const NOW: u64 = 1_000_000 * SECOND;
 
 fn recorder(wall: u64, served_ago: u64) -> Recorder {
-    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+    let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Reject };
     let classes = [("settle".to_string(), settle)].into();
     let config = RecordConfig { keep: KEEP, classes, ..RecordConfig::default() };
     let mut recorder = Recorder::new(config, [1; 16], Time(wall), Time(wall));
--- a/crates/shaletide/src/setup.rs
+++ b/crates/shaletide/src/setup.rs
@@ -122,7 +122,8 @@
                 Source::Discovered
             }
         };
-        let spec = PoolSpec { name: pool.name.clone(), repeat_group: self.shared_domain(pool), source };
+        let spec =
+            PoolSpec { name: pool.name.clone(), deduplication_domain: self.shared_domain(pool), source };
         PoolSetup { spec, config }
     }
 
--- a/crates/shaletide/src/setup/record.rs
+++ b/crates/shaletide/src/setup/record.rs
@@ -35,7 +35,7 @@
         RecordMode::None => None,
         RecordMode::Facts => Some(ClassRule { requires_intent: false, without_key: WithoutKey::Record }),
         RecordMode::Intent { without_key: operator::WithoutKey::Reject } => {
-            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Refuse })
+            Some(ClassRule { requires_intent: true, without_key: WithoutKey::Reject })
         }
         RecordMode::Intent { without_key: operator::WithoutKey::Record } => {
             Some(ClassRule { requires_intent: true, without_key: WithoutKey::Record })
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -233,7 +233,7 @@
 /// Changes a store behind everybody's back.
 fn meddle(folder: &Folder, sql: &str) {
     let store = SqliteStore::open(&SqliteOptions::new(folder.db())).unwrap();
-    store.plant(sql).unwrap();
+    store.execute_for_test(sql).unwrap();
 }
 
 #[test]
--- a/crates/shaletide/tests/record_fixture/mod.rs
+++ b/crates/shaletide/tests/record_fixture/mod.rs
@@ -66,7 +66,7 @@
     pub fn open(path: &Path, now: Time) -> RecordedStore {
         let store = SqliteStore::open(&SqliteOptions::new(path)).unwrap();
         let run = store.head().unwrap().run + 1;
-        let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Refuse };
+        let settle = ClassRule { requires_intent: true, without_key: WithoutKey::Reject };
         let bid = ClassRule { requires_intent: false, without_key: WithoutKey::Record };
         let classes = [("settle", settle), ("bid", bid)].map(|(name, rule)| (name.to_string(), rule));
         let bounds = Bounds { key_bytes: 1 << 20, ..Bounds::default() };
--- a/crates/store/src/conformance.rs
+++ b/crates/store/src/conformance.rs
@@ -5,7 +5,7 @@
 use shaletide_record::{Claim, ClaimRejection, KeyId, KeyState, Row, StoredKey, Write};
 use shaletide_types::Time;
 
-use crate::{holds, verify, Anchor, Broken, CommitOutcome, Head, Query, Store, StoreError, Sums};
+use crate::{contains_head, verify, Anchor, Broken, CommitOutcome, Head, Query, Store, StoreError, Sums};
 
 /// A checksum for tests. It depends on the whole row and on the checksum before it; it does not protect against forgery.
 pub fn plain_sum(before: &[u8; 32], row: &Row) -> [u8; 32] {
@@ -333,7 +333,10 @@
     commit(store, &[free(11, doubt)]);
     let head = store.head().expect("head");
     assert_eq!(store.prune(Time(99), 99, &pruned, &plain_sum).expect("prune").rows, 6);
-    assert!(holds(store, &head).expect("holds"), "the anchor keeps the head when all rows are pruned");
+    assert!(
+        contains_head(store, &head).expect("holds"),
+        "the anchor keeps the head when all rows are pruned"
+    );
     assert_eq!(commit(store, &[write(12, "note", None, Claim::None)]), [Ok(12)]);
     assert_eq!(verify(store, &plain_sum, Some(head)).expect("verify").rows, 2);
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -24,5 +24,5 @@
 pub use store::{
     storable, Anchor, Head, NoteEncoder, Pruned, Query, Store, StoreReader, Sums, MAX_ROW_BYTES,
 };
-pub use verify::{holds, verify, Broken, Verified};
+pub use verify::{contains_head, verify, Broken, Verified};
 pub use writer::{FactEncoder, Opener, Opening, SendError, StillBusy, Writer, WriterConfig, WriterEvent};
--- a/crates/store/src/sqlite/store.rs
+++ b/crates/store/src/sqlite/store.rs
@@ -51,7 +51,7 @@
     /// # Errors
     /// If the database rejects a statement.
     #[cfg(any(test, feature = "conformance"))]
-    pub fn plant(&self, sql: &str) -> Result<(), StoreError> {
+    pub fn execute_for_test(&self, sql: &str) -> Result<(), StoreError> {
         self.db.execute_batch(sql).map_err(classify)
     }
 
--- a/crates/store/src/verify.rs
+++ b/crates/store/src/verify.rs
@@ -86,7 +86,7 @@
     store.check()?;
     let end = store.head()?;
     if let Some(noted) = noted {
-        if !holds(store, &noted)? {
+        if !contains_head(store, &noted)? {
             return Err(Broken::Cut { noted, found: end });
         }
     }
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// If the record cannot be read.
-pub fn holds<R: StoreReader + ?Sized>(store: &R, noted: &Head) -> Result<bool, StoreError> {
+pub fn contains_head<R: StoreReader + ?Sized>(store: &R, noted: &Head) -> Result<bool, StoreError> {
     if noted.seq == 0 {
         return Ok(true);
     }
--- a/crates/store/src/writer/recovery.rs
+++ b/crates/store/src/writer/recovery.rs
@@ -7,7 +7,7 @@
 use super::config::Opening;
 use super::event::WriterEvent;
 use super::worker::{Access, Worker};
-use crate::{holds, Head, Store, StoreError};
+use crate::{contains_head, Head, Store, StoreError};
 
 /// A store that was opened again and contains all acknowledged rows.
 struct Reopened {
@@ -62,7 +62,7 @@
         let Some(acknowledged) = self.acknowledged else {
             return Ok(Reopened { store, head, found: Vec::new() });
         };
-        if !holds(&*store, &acknowledged)? {
+        if !contains_head(&*store, &acknowledged)? {
             return Err(StoreError::Cut { expected: acknowledged, found: head });
         }
         let writes: Vec<&[_]> = self.unresolved.iter().map(|ticket| &ticket.writes[..]).collect();
--- a/crates/store/tests/errors.rs
+++ b/crates/store/tests/errors.rs
@@ -154,7 +154,7 @@
 fn newer_store_is_rejected_and_left_unchanged() {
     let directory = TestDirectory::new("newer");
     let store = directory.open();
-    store.plant("PRAGMA user_version = 99").expect("planted");
+    store.execute_for_test("PRAGMA user_version = 99").expect("planted");
     drop(store);
     let before = fs::read(directory.db()).expect("read");
     let error = SqliteStore::open(&directory.options()).err().expect("refused");
@@ -168,10 +168,10 @@
 fn connection_without_write_access_is_read_only() {
     let directory = TestDirectory::new("query-only");
     let mut store = directory.open();
-    store.plant("PRAGMA query_only = ON").expect("planted");
+    store.execute_for_test("PRAGMA query_only = ON").expect("planted");
     let failed = commit(&mut store, "a").expect_err("read-only");
     assert_eq!((failed.error.code(), failed.outcome), ("read-only", CommitOutcome::Nothing));
-    store.plant("PRAGMA query_only = OFF").expect("planted");
+    store.execute_for_test("PRAGMA query_only = OFF").expect("planted");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
 }
 
@@ -274,11 +274,11 @@
     assert_eq!(store.setting("synchronous").expect("read"), "2");
     assert_eq!(store.setting("journal_mode").expect("read"), "wal");
     for value in ["OFF", "NORMAL"] {
-        store.plant(&format!("PRAGMA synchronous = {value}")).expect("planted");
+        store.execute_for_test(&format!("PRAGMA synchronous = {value}")).expect("planted");
         let failed = commit(&mut store, "a").expect_err("not in force");
         assert!(matches!(failed.error, StoreError::NotInForce { pragma: "synchronous", .. }), "{failed:?}");
         assert_eq!(failed.outcome, CommitOutcome::Nothing);
     }
-    store.plant("PRAGMA synchronous = FULL").expect("planted");
+    store.execute_for_test("PRAGMA synchronous = FULL").expect("planted");
     assert_eq!(commit(&mut store, "a").expect("commits"), 1);
 }
--- a/crates/store/tests/power_loss.rs
+++ b/crates/store/tests/power_loss.rs
@@ -11,7 +11,7 @@
 use shaletide_record::KeyState;
 use shaletide_store::conformance::{key, plain_sum, set, take};
 use shaletide_store::{
-    holds, verify, Broken, Head, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader,
+    contains_head, verify, Broken, Head, SqliteOptions, SqliteReader, SqliteStore, Store, StoreReader,
 };
 
 /// The contents of a store's files on the disk.
@@ -141,7 +141,7 @@
             let mut store = SqliteStore::open(&SqliteOptions::new(path)).expect("opens for writing");
             let head = settle(&mut store, 99);
             assert!(
-                holds(&store, &acknowledged).expect("reads") && head.seq >= acknowledged.seq + 2,
+                contains_head(&store, &acknowledged).expect("reads") && head.seq >= acknowledged.seq + 2,
                 "{case}"
             );
             verify(&store, &plain_sum, Some(acknowledged)).expect("verifies");
@@ -153,7 +153,7 @@
 fn power_loss_during_a_checkpoint_loses_nothing() {
     let (directory, dir) = memory_directory("power-checkpoint");
     let (_, _, before, head, store) = store_with_unacknowledged_commit(&directory);
-    store.plant("PRAGMA wal_checkpoint(PASSIVE)").expect("checkpoint");
+    store.execute_for_test("PRAGMA wal_checkpoint(PASSIVE)").expect("checkpoint");
     let after = Files::of(&directory.db());
     assert_ne!(before.db, after.db);
     assert_eq!(before.wal, after.wal, "the log stays until the database is synced");
