--- a/crates/model-checker/src/node.rs
+++ b/crates/model-checker/src/node.rs
@@ -99,8 +99,8 @@
     /// The first violation.
     pub fn check(&self) -> Verdict {
         if !self.engine.has_no_pending_events() {
-            let text = "events are pending inside the engine".to_string();
-            return Err(Violation { rule: Rule::NoLeftovers, at: self.now, text });
+            let description = "events are pending inside the engine".to_string();
+            return Err(Violation { rule: Rule::NoLeftovers, at: self.now, description });
         }
         self.monitor.check_leftovers(self.now, &self.engine)?;
         if self.engine.wake_at().is_none() && !self.shell.is_busy() {
--- a/crates/net/src/driver/tests.rs
+++ b/crates/net/src/driver/tests.rs
@@ -22,7 +22,7 @@
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
-    fn run(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
         Box::pin(std::future::pending())
     }
 }
@@ -42,7 +42,7 @@
         std::thread::sleep(BLOCK_TIME);
         None
     }
-    fn run(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, _: ExchangeSpec) -> ExchangeFuture {
         Box::pin(std::future::pending())
     }
 }
@@ -61,7 +61,7 @@
     fn client(&self) -> Option<&PeerWatch> {
         None
     }
-    fn run(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
+    fn run_attempt(self: Rc<Self>, mut spec: ExchangeSpec) -> ExchangeFuture {
         Box::pin(async move {
             match write_request(&mut spec.stream).await {
                 Ok(_) => std::future::pending().await,
@@ -80,7 +80,10 @@
 };
 
 fn pool(name: &str, config: Config) -> PoolSetup {
-    PoolSetup { spec: PoolSpec { name: name.into(), repeat_group: None, source: Source::Discovered }, config }
+    PoolSetup {
+        spec: PoolSpec { name: name.into(), deduplication_domain: None, source: Source::Discovered },
+        config,
+    }
 }
 
 fn driver(pools: &[&str]) -> (Rc<Driver>, Vec<PoolId>) {
@@ -387,8 +390,8 @@
         }
         None
     }
-    fn run(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
-        Rc::new(NeverAnswered).run(spec)
+    fn run_attempt(self: Rc<Self>, spec: ExchangeSpec) -> ExchangeFuture {
+        Rc::new(NeverAnswered).run_attempt(spec)
     }
 }
 
--- a/crates/shaletide/src/daemon.rs
+++ b/crates/shaletide/src/daemon.rs
@@ -10,7 +10,7 @@
 use crate::subscriptions::Subscriptions;
 use shaletide_balancer::EndpointUpdate;
 use shaletide_http::{Rules, Server};
-use shaletide_net::{span, Clock, Driver};
+use shaletide_net::{to_duration, Clock, Driver};
 use shaletide_record_service::{Record, Run};
 use std::cell::Cell;
 use std::future::Future;
@@ -151,7 +151,7 @@
             tokio::time::sleep(REPORT_INTERVAL).await;
             server.log_if_unprobed();
             loop {
-                driver.report(&server.report());
+                driver.report(&server.take_report());
                 if let Some(service) = record.as_ref().and_then(|record| record.service()) {
                     service.log_status();
                 }
@@ -174,7 +174,7 @@
     fn stop_duration(&self) -> Duration {
         let deadlines = self.setup.operator.classes.iter().map(|class| class.deadline);
         let longest = deadlines.max().unwrap_or_default();
-        span(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
+        to_duration(longest.min(self.setup.max_stop_duration.unwrap_or(longest)))
     }
 
     /// Applies the configuration that was requested at `requested_at`, as a whole.
@@ -190,7 +190,7 @@
         let upstream = next.upstream_config(descriptors.upstreams);
         let ids = self.driver.setup(None, zone, self.seed, upstream, next.pools());
         let ids = ids.map_err(|error| error.to_string())?; // does not fail: the reader has validated it
-        self.server.reload(Rules::new(next.rules(&ids)));
+        self.server.replace_rules(Rules::new(next.rules(&ids)));
         if let (Some(record), Some(next)) = (&self.record, &next.record) {
             record.configure(next.config.clone(), next.digest.clone());
         }
--- a/crates/shaletide/tests/record_command.rs
+++ b/crates/shaletide/tests/record_command.rs
@@ -3,7 +3,7 @@
 mod record_fixture;
 
 use record_fixture::*;
-use shaletide_control::{Command, Control, Reply};
+use shaletide_control::{Command, ControlServer, Reply};
 use shaletide_record::{Event, Fact, RequestEnding, ResolveResult};
 use shaletide_store::{SqliteOptions, SqliteStore};
 use shaletide_types::{AttemptNumber, Outcome};
@@ -243,7 +243,7 @@
 /// Changes a store by SQL, without the recorder.
 fn tamper(folder: &Folder, sql: &str) {
     let store = SqliteStore::open(&SqliteOptions::new(folder.db())).unwrap();
-    store.plant(sql).unwrap();
+    store.execute_for_test(sql).unwrap();
 }
 
 #[test]
@@ -473,7 +473,7 @@
     let thread = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         tokio::task::LocalSet::new().block_on(&runtime, async move {
-            let control = Control::bind(&path).unwrap();
+            let control = ControlServer::bind(&path).unwrap();
             ready.send(()).unwrap();
             let handler = move |command| {
                 commands.send(command).unwrap();
