--- a/crates/soak/shim/lib.rs
+++ b/crates/soak/shim/lib.rs
@@ -1,12 +1,12 @@
-//! A library to be preloaded (`LD_PRELOAD`) into a process under test: it takes the place of functions of the C library
-//! and lets them fail at the rates in a shared file. A test artefact, in no product binary.
+//! A library preloaded (`LD_PRELOAD`) into a process under test. It replaces functions of the C library and makes them fail
+//! at the rates in a shared file. It is a test artefact and not part of any product binary.
 //!
-//! Each function makes the system call itself, so that nothing has to be looked up in the library it stands before.
-//! Unsafe code: exported C functions that get raw pointers from their caller, and pass them on to the kernel as they
-//! came; and one mapping of the shared file, which lives as long as the process.
+//! Each function makes the system call itself, so that no symbol of the C library has to be looked up.
+//! Unsafe code: exported C functions that receive raw pointers from their caller and pass them on to the kernel unchanged,
+//! and one mapping of the shared file, which lives as long as the process.
 
 #[path = "../src/call_faults.rs"]
-#[allow(dead_code)] // its list of all faults is the orchestrator's
+#[allow(dead_code)] // the list of all faults is used only by the soak
 mod call_faults;
 
 use call_faults::{
@@ -16,16 +16,16 @@
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicI64, AtomicPtr, AtomicU32, AtomicU64, AtomicU8, Ordering::Relaxed};
 
-/// File descriptors that are told apart.
+/// Number of file descriptors whose kind is tracked.
 const MAX_DESCRIPTORS: usize = 4096;
-/// The size of a signal set in system calls, in bytes.
+/// Size of a signal set in system calls, in bytes.
 const KERNEL_SIGNAL_SET_BYTES: size_t = 8;
-/// The most bytes of a short read or write.
-const SHORT: u64 = 7;
-/// How often a call that is held up looks whether it may go on, in nanoseconds.
-const HOLD_STEP_NS: c_long = 200_000;
+/// Maximum number of bytes of a short read or write.
+const MAX_SHORT_BYTES: u64 = 7;
+/// Interval at which a blocked call checks whether its fault is still on, in nanoseconds.
+const HOLD_CHECK_INTERVAL_NS: c_long = 200_000;
 
-/// What a file descriptor is, as far as the shim has seen.
+/// Kinds of file descriptors, from the calls that the shim has seen.
 const OTHER: u8 = 0;
 const TCP_ACCEPTED: u8 = 1;
 const TCP_OPENED: u8 = 2;
@@ -45,7 +45,7 @@
 fn variable(name: &str) -> Option<&'static CStr> {
     let mut terminated = [0u8; 64];
     terminated.get_mut(..name.len())?.copy_from_slice(name.as_bytes());
-    // SAFETY: the name ends in a zero byte; the environment's text is not changed while the process starts.
+    // SAFETY: the name ends in a zero byte; the environment is not changed while the process starts.
     unsafe {
         let value = libc::getenv(terminated.as_ptr().cast::<c_char>());
         (!value.is_null()).then(|| CStr::from_ptr(value))
@@ -76,7 +76,7 @@
     STATE.store(READ, Relaxed);
 }
 
-/// A word of the shared file.
+/// Returns the word at this offset of the shared file.
 fn word(at: usize) -> Option<&'static AtomicU32> {
     if STATE.load(Relaxed) == UNREAD {
         attach();
@@ -95,16 +95,16 @@
     x.wrapping_mul(0x2545_f491_4f6c_dd1d) >> 16
 }
 
-/// The chance that a call fails, in parts of [`RATE_ONE`].
+/// Returns the probability that a call fails, in parts of [`RATE_ONE`].
 fn rate(fault: CallFault) -> u32 {
-    word(fault.rate_at()).map_or(0, |rate| rate.load(Relaxed))
+    word(fault.rate_offset()).map_or(0, |rate| rate.load(Relaxed))
 }
 
 fn is_switched_on(fault: CallFault) -> bool {
     rate(fault) > 0
 }
 
-/// Whether a call is to fail now; it is counted.
+/// Draws whether a call is to fail now, and counts the injected fault.
 fn fails(fault: CallFault) -> bool {
     let rate = rate(fault);
     if rate == 0 {
@@ -112,7 +112,7 @@
     }
     let hit = random() % u64::from(RATE_ONE) < u64::from(rate);
     if hit {
-        if let Some(count) = word(fault.count_at()) {
+        if let Some(count) = word(fault.count_offset()) {
             count.fetch_add(1, Relaxed);
         }
     }
@@ -144,8 +144,8 @@
     matches!(kind(descriptor), TCP_ACCEPTED | TCP_OPENED)
 }
 
-/// Whether a read of a signal, or a write that reports one, is interrupted. A reporting socket is known by its family, as
-/// its descriptors may be copies.
+/// Returns whether a read of a signal, or a signal handler's write, is interrupted. The handler's socket is identified by
+/// its address family because its descriptors may be duplicates.
 fn interrupts_signal(descriptor: c_int, fault: CallFault) -> bool {
     is_switched_on(fault) && (kind(descriptor) == SIGNAL_FD || is_unix_socket(descriptor)) && fails(fault)
 }
@@ -154,61 +154,61 @@
     let mut domain: c_int = 0;
     let mut length = std::mem::size_of::<c_int>() as socklen_t;
     let (level, name) = (libc::SOL_SOCKET, libc::SO_DOMAIN);
-    // SAFETY: a system call that writes an integer of the stated length; it fails on what is no socket.
+    // SAFETY: a system call that writes an integer of the stated length; it fails on a descriptor that is not a socket.
     let result =
         unsafe { libc::syscall(libc::SYS_getsockopt, descriptor, level, name, &mut domain, &mut length) };
     result == 0 && domain == libc::AF_UNIX
 }
 
 fn shortened(fault: CallFault, length: size_t) -> size_t {
-    if length > SHORT as size_t && fails(fault) {
-        1 + (random() % SHORT) as size_t
+    if length > MAX_SHORT_BYTES as size_t && fails(fault) {
+        1 + (random() % MAX_SHORT_BYTES) as size_t
     } else {
         length
     }
 }
 
-/// What a read from a TCP socket meets before the kernel is asked.
+/// Draws the error of a read from a TCP socket, before the system call.
 fn read_error(descriptor: c_int, peeks: bool) -> Option<c_int> {
     if fails(CallFault::InterruptedRead) {
         return Some(libc::EINTR);
     }
     if !peeks && kind(descriptor) == TCP_OPENED && fails(CallFault::BrokenUpstream) {
-        // SAFETY: a system call on a descriptor of the process. The other side hears that it is over.
+        // SAFETY: a system call on a descriptor of the process. The peer sees the end of the connection.
         unsafe { libc::syscall(libc::SYS_shutdown, descriptor, libc::SHUT_RDWR) };
         return Some(one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
     }
     None
 }
 
-/// What a write to a TCP socket meets before the kernel is asked.
+/// Draws the error or the delay of a write to a TCP socket, before the system call.
 fn write_error() -> Option<c_int> {
     if fails(CallFault::InterruptedWrite) {
         return Some(libc::EINTR);
     }
     if fails(CallFault::SlowWrite) {
-        hold_up((20_000_000 + random() % 130_000_000) as c_long);
+        pause_thread((20_000_000 + random() % 130_000_000) as c_long);
     }
     None
 }
 
-/// Holds the calling thread up for so many nanoseconds, less than a second.
-fn hold_up(nanoseconds: c_long) {
+/// Pauses the calling thread for this time, which must be less than a second.
+fn pause_thread(nanoseconds: c_long) {
     let pause = timespec { tv_sec: 0, tv_nsec: nanoseconds };
-    // SAFETY: a valid time, and no rest is asked for.
+    // SAFETY: a valid time; the remaining time is not requested.
     unsafe { libc::syscall(libc::SYS_nanosleep, &pause, std::ptr::null_mut::<timespec>()) };
 }
 
-/// Holds the calling thread up from this call on until the fault is switched off.
+/// Blocks the calling thread until the fault is switched off.
 fn hold_while_on(fault: CallFault) {
     if fails(fault) {
         while is_switched_on(fault) {
-            hold_up(HOLD_STEP_NS);
+            pause_thread(HOLD_CHECK_INTERVAL_NS);
         }
     }
 }
 
-/// Holds up a peek at a TCP socket where that is switched on.
+/// Blocks a peek at a TCP socket while that fault is switched on.
 fn hold_peek(descriptor: c_int) {
     match kind(descriptor) {
         TCP_ACCEPTED => hold_while_on(CallFault::HeldClientPeek),
@@ -277,7 +277,7 @@
     libc::syscall(libc::SYS_sendto, fd, buffer, length, flags, none, zero) as ssize_t
 }
 
-/// How a write to a file in the watched folder fails: an error, or the part of it that is taken.
+/// Draws the fault of a write to a file in the watched folder: an error, or the number of bytes to write.
 fn disk_write(fd: c_int, length: size_t) -> Result<size_t, c_int> {
     if kind(fd) != FILE || !fails(CallFault::DiskWrite) {
         return Ok(length);
@@ -335,11 +335,11 @@
             libc::ENOMEM,
         ]));
     }
-    let taken = libc::syscall(libc::SYS_accept4, fd, address, length, flags) as c_int;
-    if taken >= 0 {
-        set_kind(taken, TCP_ACCEPTED);
+    let accepted = libc::syscall(libc::SYS_accept4, fd, address, length, flags) as c_int;
+    if accepted >= 0 {
+        set_kind(accepted, TCP_ACCEPTED);
     }
-    taken
+    accepted
 }
 
 /// # Safety
@@ -349,11 +349,11 @@
     if domain == libc::AF_INET && fails(CallFault::Socket) {
         return fail(one_of(&[libc::ENFILE, libc::ENOBUFS, libc::ENOMEM]));
     }
-    let made = libc::syscall(libc::SYS_socket, domain, form, protocol) as c_int;
-    if made >= 0 {
-        set_kind(made, OTHER);
+    let new_descriptor = libc::syscall(libc::SYS_socket, domain, form, protocol) as c_int;
+    if new_descriptor >= 0 {
+        set_kind(new_descriptor, OTHER);
     }
-    made
+    new_descriptor
 }
 
 /// # Safety
@@ -451,22 +451,23 @@
 /// As for the function of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn signalfd(fd: c_int, mask: *const libc::sigset_t, flags: c_int) -> c_int {
-    let made = libc::syscall(libc::SYS_signalfd4, fd, mask, KERNEL_SIGNAL_SET_BYTES, flags) as c_int;
-    if made >= 0 {
-        set_kind(made, SIGNAL_FD);
+    let new_descriptor =
+        libc::syscall(libc::SYS_signalfd4, fd, mask, KERNEL_SIGNAL_SET_BYTES, flags) as c_int;
+    if new_descriptor >= 0 {
+        set_kind(new_descriptor, SIGNAL_FD);
     }
-    made
+    new_descriptor
 }
 
 /// # Safety
 /// As for the function of the C library.
 #[no_mangle]
 pub unsafe extern "C" fn eventfd(count: c_uint, flags: c_int) -> c_int {
-    let made = libc::syscall(libc::SYS_eventfd2, count, flags) as c_int;
-    if made >= 0 {
-        set_kind(made, WAKER);
+    let new_descriptor = libc::syscall(libc::SYS_eventfd2, count, flags) as c_int;
+    if new_descriptor >= 0 {
+        set_kind(new_descriptor, WAKER);
     }
-    made
+    new_descriptor
 }
 
 /// # Safety
@@ -487,7 +488,7 @@
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, at: *mut timespec) -> c_int {
     let done = libc::syscall(libc::SYS_clock_gettime, clock, at) as c_int;
     if done == 0 && matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE) {
-        let _ = word(0); // the shared file is mapped
+        let _ = word(0); // maps the shared file if it is not mapped yet
         let page = CONTROL.load(Relaxed);
         if !page.is_null() {
             let offset_ms = (*page.add(WALL_OFFSET_AT).cast::<AtomicI64>()).load(Relaxed);
--- a/crates/soak/src/address.rs
+++ b/crates/soak/src/address.rs
@@ -5,19 +5,19 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Connections that a [`ConflictingListener`] has in its queue at most: more than the clients of a proxy open meanwhile.
-const HOLDER_BACKLOG: i32 = 1024;
+/// Backlog of a [`ConflictingListener`]: more connections than the clients of a proxy open while the address is occupied.
+const CONFLICTING_LISTENER_BACKLOG: i32 = 1024;
 
 /// How a port is reserved for a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// Bound with SO_REUSEADDR: whoever sets that too may listen.
+    /// Bound with SO_REUSEADDR: another socket with that option may listen on the port.
     Reusable,
-    /// Bound with SO_REUSEPORT alone: whoever sets that too may listen.
+    /// Bound with SO_REUSEPORT alone: another socket with that option may listen on the port.
     SharedPort,
 }
 
-/// A port that is reserved by a bound socket which never listens.
+/// A port reserved by a bound socket that never listens.
 #[derive(Debug)]
 pub struct ReservedAddress {
     _socket: Socket,
@@ -26,10 +26,10 @@
 }
 
 impl ReservedAddress {
-    /// Reserves a port that the kernel picks.
+    /// Reserves a port chosen by the kernel.
     ///
     /// # Errors
-    /// Those of the system calls.
+    /// A system call fails.
     pub fn reserve(reservation: Reservation) -> io::Result<ReservedAddress> {
         let socket = open(reservation)?;
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
@@ -37,7 +37,7 @@
         Ok(ReservedAddress { _socket: socket, address, reservation })
     }
 
-    /// The address.
+    /// Returns the reserved address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -45,11 +45,11 @@
     /// Listens at the address in place of the proxy, until the listener is dropped.
     ///
     /// # Errors
-    /// A process listens there.
+    /// A process already listens there.
     pub fn occupy(&self) -> io::Result<ConflictingListener> {
         let socket = open(self.reservation)?;
         socket.bind(&self.address.into())?;
-        socket.listen(HOLDER_BACKLOG)?;
+        socket.listen(CONFLICTING_LISTENER_BACKLOG)?;
         Ok(ConflictingListener(socket))
     }
 }
@@ -68,11 +68,12 @@
 pub struct ConflictingListener(Socket);
 
 impl ConflictingListener {
-    /// Frees the address. Returns the clients whose connections came to this listener, and which it closes unanswered: an
-    /// earlier process of the proxy may still have clients, and on a shared port the kernel deals connections out.
+    /// Frees the address. Closes the connections in the backlog unanswered and returns the addresses of their clients: an
+    /// earlier process of the proxy may still have clients, and the kernel distributes connections among the listeners of
+    /// a shared port.
     ///
     /// # Errors
-    /// Those of the system calls, but for an empty queue.
+    /// A system call fails for a reason other than an empty backlog.
     pub fn release(self) -> io::Result<Vec<SocketAddr>> {
         self.0.set_nonblocking(true)?;
         let mut clients = Vec::new();
--- a/crates/soak/src/artifacts.rs
+++ b/crates/soak/src/artifacts.rs
@@ -1,23 +1,23 @@
-//! Finds the program under test and the shim, which cargo builds into the folder of this process's own executable.
+//! Finds the program under test and the shim. Cargo builds both into the folder of the current executable.
 
 use std::io;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The files of one build.
+/// The build artifacts that a run needs.
 #[derive(Clone, Debug)]
 pub struct Artifacts {
     /// The program under test.
     pub program: PathBuf,
-    /// The library that is preloaded into it.
+    /// The library preloaded into the program.
     pub shim: PathBuf,
 }
 
 impl Artifacts {
-    /// Finds the files beside this process's executable, and builds those that are missing.
+    /// Finds the files in the folder of the current executable, and builds missing ones.
     ///
     /// # Errors
-    /// Cargo cannot be run, or fails.
+    /// Cargo cannot be run, or the build fails.
     pub fn find() -> io::Result<Artifacts> {
         let own = std::env::current_exe()?;
         let folder = own
--- a/crates/soak/src/call_faults.rs
+++ b/crates/soak/src/call_faults.rs
@@ -1,63 +1,63 @@
-//! Faults of system calls, and the layout of the shared file by which they are switched. Read by the orchestrator and
-//! by the preloaded shim, which is built as a library of its own.
+//! System call faults, and the layout of the shared file that controls them. Used by the soak and by the preloaded shim,
+//! which is built as a separate library.
 
-/// A way in which a system call fails.
+/// A fault injected into a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallFault {
     /// A read from a TCP socket returns 1 to 7 bytes; the rest stays in the kernel.
     ShortRead,
     /// A write to a TCP socket takes 1 to 7 bytes.
     ShortWrite,
-    /// A read or peek at a TCP socket fails with EINTR and has read nothing.
+    /// A read or peek at a TCP socket fails with EINTR without reading.
     InterruptedRead,
-    /// A write to a TCP socket fails with EINTR and has written nothing.
+    /// A write to a TCP socket fails with EINTR without writing.
     InterruptedWrite,
     /// A wait for events fails with EINTR.
     InterruptedWait,
-    /// An accept fails with one of the errors that Linux passes on from the network, or for want of memory.
+    /// An accept fails with one of the network errors that Linux passes on, or with an out-of-memory error.
     Accept,
-    /// A socket cannot be made: ENFILE, ENOBUFS or ENOMEM.
+    /// A socket cannot be created: ENFILE, ENOBUFS or ENOMEM.
     Socket,
-    /// A connect fails before it begins: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EINTR.
+    /// A connect fails before an attempt is made: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS or EINTR.
     Connect,
-    /// A connection that the process opened breaks as it is read: ETIMEDOUT or EHOSTUNREACH.
+    /// A read on a connection opened by the process fails: ETIMEDOUT or EHOSTUNREACH.
     BrokenUpstream,
     /// A socket option cannot be set: ENOBUFS.
     SocketOption,
-    /// The process is held up for 20 to 150 ms before a write to a TCP socket.
+    /// A write to a TCP socket is delayed by 20 to 150 ms.
     SlowWrite,
     /// A read from a file in the watched folder fails with EIO.
     DiskRead,
-    /// A write to one fails with EIO or ENOSPC, or takes only a part.
+    /// A write to a file in the watched folder fails with EIO or ENOSPC, or is partial.
     DiskWrite,
-    /// A sync of one fails with EIO or ENOSPC.
+    /// A sync of a file in the watched folder fails with EIO or ENOSPC.
     DiskSync,
-    /// One cannot be opened, renamed, truncated or removed: EIO, ENOSPC or ENFILE.
+    /// A file in the watched folder cannot be opened, truncated or removed: EIO, ENOSPC or ENFILE.
     DiskOpen,
     /// An address with a port cannot be bound: EADDRINUSE or EADDRNOTAVAIL.
     Bind,
     /// A bound socket cannot listen: EADDRINUSE.
     Listen,
-    /// A read from a signalfd, or from a Unix socket by which a handler reports signals, fails with EINTR.
+    /// A read from a signalfd, or from the Unix socket to which a signal handler writes, fails with EINTR.
     InterruptedSignalRead,
-    /// A write to a Unix socket, by which a handler reports a signal, fails with EINTR and has written nothing.
+    /// A signal handler's write to its Unix socket fails with EINTR without writing.
     InterruptedSignalWrite,
-    /// A write to an eventfd or a pipe, by which the event loop is woken, fails with EINTR.
+    /// A write to the eventfd or pipe that wakes the event loop fails with EINTR.
     InterruptedWake,
-    /// The process is held up before it ends its sending on a TCP socket, and so between its last look at what has come
-    /// there and the close, until the rate is 0 again.
+    /// The process is blocked before the `shutdown` of a TCP socket, and so between its last check for input and the close,
+    /// until the rate is 0 again.
     HeldShutdown,
-    /// The process is held up after it has asked the kernel how long ago a client's last bytes came, until the rate is 0
-    /// again.
+    /// The process is blocked after it has read the time since a client's last bytes from the kernel (`TCP_INFO`), until
+    /// the rate is 0 again.
     HeldReceiptAge,
-    /// The process is held up before it peeks at a client's connection, until the rate is 0 again.
+    /// The process is blocked before it peeks at a client's connection, until the rate is 0 again.
     HeldClientPeek,
-    /// The process is held up before it peeks at a connection that it opened, until the rate is 0 again.
+    /// The process is blocked before it peeks at a connection that it opened, until the rate is 0 again.
     HeldUpstreamPeek,
 }
 
 impl CallFault {
-    /// All of them, in the order of their numbers.
+    /// All faults, in the order of their discriminants.
     pub const ALL: [CallFault; 24] = [
         CallFault::ShortRead,
         CallFault::ShortWrite,
@@ -85,29 +85,29 @@
         CallFault::HeldUpstreamPeek,
     ];
 
-    /// Where its rate stands in the shared file, in bytes: the chance that a call fails, in parts of [`RATE_ONE`].
-    pub const fn rate_at(self) -> usize {
+    /// Byte offset of the fault's rate in the shared file: the probability that a call fails, in parts of [`RATE_ONE`].
+    pub const fn rate_offset(self) -> usize {
         self as usize * 4
     }
 
-    /// Where the number of its injections stands.
-    pub const fn count_at(self) -> usize {
-        COUNTS_AT + self as usize * 4
+    /// Byte offset of the number of injected faults in the shared file.
+    pub const fn count_offset(self) -> usize {
+        COUNTS_OFFSET + self as usize * 4
     }
 }
 
-/// The size of the shared file, in bytes: a page.
+/// Size of the shared file in bytes: one page.
 pub const CONTROL_BYTES: usize = 4096;
-/// A call fails each time.
+/// The rate at which every call fails.
 pub const RATE_ONE: u32 = 65_536;
-/// Where the counts begin.
-const COUNTS_AT: usize = 256;
-/// Where the wall clock's offset stands, in milliseconds, 8 bytes.
+/// Byte offset of the first count.
+const COUNTS_OFFSET: usize = 256;
+/// Byte offset of the wall clock's offset: 8 bytes, in milliseconds.
 pub const WALL_OFFSET_AT: usize = 512;
 
-/// The variable with the path of the shared file; without it the shim passes every call on.
+/// Environment variable with the path of the shared file. If it is not set, the shim injects no fault.
 pub const CONTROL_VARIABLE: &str = "SHALETIDE_FAULT_CONTROL";
-/// The variable with the seed of the shim's random numbers.
+/// Environment variable with the seed of the shim's random numbers.
 pub const SEED_VARIABLE: &str = "SHALETIDE_FAULT_SEED";
-/// The variable with the folder whose files have the faults of the disk.
+/// Environment variable with the watched folder, whose files are subject to disk faults.
 pub const FOLDER_VARIABLE: &str = "SHALETIDE_FAULT_FOLDER";
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients beside the ordinary load: some disconnect before their answer, some misbehave.
+//! Clients in addition to the ordinary load: some disconnect before their answer, some misbehave.
 
 use shaletide_testkit::{Clock, SeededRng};
 use shaletide_types::Time;
@@ -12,13 +12,13 @@
 
 /// The timeout of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest time from a connect to the disconnect, ms.
+/// Maximum time from the request to the disconnect, ms.
 const LONGEST_CONNECTION_MS: f64 = 80.0;
-/// The time between the shutdown of the sending side and the close.
+/// Time between the shutdown of the sending side and the close.
 const HALF_CLOSED_FOR: Duration = Duration::from_millis(500);
-/// Idle connections that misbehaving clients hold at a proxy.
+/// Number of idle connections that misbehaving clients hold at a proxy.
 const IDLE_CONNECTIONS: usize = 60;
-/// How long idle connections are held.
+/// Time for which idle connections are held.
 const IDLE_FOR: Duration = Duration::from_secs(4);
 
 /// A client that disconnected before its answer.
@@ -26,16 +26,16 @@
 pub struct ClientDisconnect {
     /// The id of its request.
     pub id: String,
-    /// When it had closed its connection, or its sending side.
+    /// When it closed its connection, or its sending side.
     pub closed_at: Time,
 }
 
-/// The id of a request: the first half is the run of clients, the second half the number of the request.
+/// Returns the id of a request: the first half is the client run, the second half the number of the request.
 pub fn request_id(run: u32, number: u32) -> String {
     format!("{run:08x}{number:08x}")
 }
 
-/// A request of one of the three classes, which take turns by the number.
+/// Returns a request whose class alternates with its number.
 fn request(id: &str, number: u32) -> String {
     let head = |method: &str, class: &str, more: &str, body: &str| {
         format!(
@@ -54,7 +54,8 @@
     tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to)).await?
 }
 
-/// Starts clients that disconnect, with pauses of this mean between them, until told to stop; returns their disconnects.
+/// Starts clients that disconnect, with a mean pause of `pause_ms` between them, until `stop` is set. Returns their
+/// disconnects.
 pub async fn run_disconnecting_clients(
     to: SocketAddr, clock: Clock, run: u32, pause_ms: f64, mut stop: watch::Receiver<bool>,
 ) -> Vec<ClientDisconnect> {
@@ -74,7 +75,7 @@
     clients.join_all().await.into_iter().flatten().collect()
 }
 
-/// Sends a request, waits, and disconnects: in turns by a close, a reset, or a shutdown of the sending side.
+/// Sends a request, waits, and disconnects: alternately by a close, a reset, or a shutdown of the sending side.
 async fn disconnect_once(
     to: SocketAddr, clock: Clock, id: String, number: u32, stay: Duration,
 ) -> Option<ClientDisconnect> {
@@ -84,11 +85,11 @@
     match number / 3 % 3 {
         0 => drop(tcp),
         1 => {
-            let _ = socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)); // a close all the same
+            let _ = socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)); // without the option the drop closes the connection in the ordinary way
             drop(tcp);
         }
         _ => {
-            let _ = tcp.shutdown().await; // the connection may be over already
+            let _ = tcp.shutdown().await; // the connection may already be closed
             let closed_at = clock.now();
             tokio::time::sleep(HALF_CLOSED_FOR).await;
             return Some(ClientDisconnect { id, closed_at });
@@ -97,8 +98,8 @@
     Some(ClientDisconnect { id, closed_at: clock.now() })
 }
 
-/// Runs clients that misbehave, all at once: half of a head, half of a body, bytes that are no request, several requests
-/// in one write, and idle connections.
+/// Runs misbehaving clients concurrently: an incomplete head, an incomplete body, bytes that are not HTTP, several
+/// requests in one write, and idle connections.
 pub async fn run_misbehaving_clients(to: SocketAddr, run: u32) {
     let several: String = (0..4).map(|n| request(&request_id(run, n), n)).collect();
     let half_body = request(&request_id(run, 4), 1).replace("Content-Length: 4", "Content-Length: 400");
@@ -120,7 +121,7 @@
     while clients.join_next().await.is_some() {}
 }
 
-/// Opens that many idle connections, 2 ms apart, and holds them; those that the proxy closes are not opened again.
+/// Opens idle connections 2 ms apart and holds them. Connections that the proxy closes are not reopened.
 pub async fn hold_idle_connections(to: SocketAddr, connections: usize) {
     let mut open = Vec::new();
     for _ in 0..connections {
--- a/crates/soak/src/hangups.rs
+++ b/crates/soak/src/hangups.rs
@@ -1,19 +1,19 @@
-//! Sends SIGHUP and SIGTERM to a process, and records what the signal found.
+//! Sends SIGHUP and SIGTERM to a process, and records the state of the process as the signal arrived.
 //!
-//! A process of the program that blocks the signal has run its first instruction, so that the signal comes after that,
-//! whatever happens between the look and the signal: it is not held up. Any other one is stopped (SIGSTOP), looked at in
-//! `/proc` once all its threads stand still, gets the signal by the system call itself and goes on (SIGCONT). It runs no
-//! instruction between the look and the signal, so that the record says what the signal itself found.
+//! A process of the program that blocks the signal has executed its first instruction. The signal arrives after that
+//! instruction whatever happens in between, so the process is not stopped. Any other process is stopped with SIGSTOP,
+//! inspected in `/proc` once all its threads have stopped, signalled, and continued with SIGCONT. It executes no instruction
+//! between the inspection and the signal, so the record shows the state in which the signal arrived.
 
 mod first_instruction;
 mod memory_map;
-mod sight;
+mod observation;
 mod stop_point;
 #[cfg(test)]
 mod tests;
 mod thread_status;
 
-pub use sight::{Obstacle, ProcessSight, SignalSets};
+pub use observation::{Obstacle, ProcessObservation, SignalSets};
 pub use stop_point::StopPoint;
 
 use nix::errno::Errno;
@@ -27,17 +27,17 @@
 use stop_point::StoppedThread;
 use thread_status::{ThreadState, ThreadStatus};
 
-/// The signals whose findings are recorded.
+/// Signals for which the state of the process is recorded.
 pub const RECORDED_SIGNALS: [Signal; 2] = [Signal::SIGHUP, Signal::SIGTERM];
-/// A process that has not come to a standstill after this time is signalled all the same.
-const STOP_PATIENCE: Duration = Duration::from_millis(250);
-/// The pause between two looks at a process that is to stop.
-const LOOK_INTERVAL: Duration = Duration::from_micros(50);
+/// Time to wait for all threads of a process to stop. The process is then signalled even if one still runs.
+const STOP_TIMEOUT: Duration = Duration::from_millis(250);
+/// Pause between two inspections of a process that is being stopped.
+const INSPECTION_INTERVAL: Duration = Duration::from_micros(50);
 
-/// Makes sure that SIGHUP reaches the programs which the calling thread starts.
+/// Checks that SIGHUP reaches the programs that the calling thread starts.
 ///
 /// # Errors
-/// It does not, or that cannot be read.
+/// SIGHUP is ignored or blocked, or the status of the thread cannot be read.
 pub fn ensure_reaching_programs() -> io::Result<()> {
     match ThreadStatus::read(Path::new("/proc/thread-self"))?.passes_hangup_on() {
         true => Ok(()),
@@ -47,98 +47,100 @@
     }
 }
 
-/// What a signal found.
+/// The state of a process as a signal arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SignalFinding {
-    /// The process blocks the signal, as the program does from its first instruction on, but for SIGTERM in parts of its start.
+    /// The process blocks the signal. The program does so from its first instruction on, except for SIGTERM in parts of its
+    /// start.
     Blocked,
-    /// The process does not block it, and stands here.
+    /// The process does not block the signal, and is stopped at this point.
     NotBlocked(StopPoint),
-    /// The process had ended, or the kernel was ending it: it executed no more instruction of its own.
+    /// The process had ended, or the kernel was ending it: it executes no further instruction of its own.
     Ended,
-    /// It did not stand still in time, or could not be looked at.
+    /// The process did not stop in time, or could not be inspected.
     Unknown,
 }
 
 /// A SIGHUP or SIGTERM that was sent to a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SignalRecord {
-    /// Which.
+    /// The signal that was sent.
     pub signal: Signal,
-    /// When.
+    /// When it was sent.
     pub sent_at: Time,
-    /// What it found.
+    /// The state of the process as the signal arrived.
     pub finding: SignalFinding,
-    /// What was seen of the process.
-    pub sight: ProcessSight,
+    /// Further details of the process, for the report.
+    pub observation: ProcessObservation,
 }
 
-/// When the signal came that has ended a process.
+/// When the signal that ended a process arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalMoment {
-    /// Before its first instruction: the kernel was still executing it, or where the kernel starts the loader, that was at work.
+    /// Before the first instruction of the program: the kernel was still in `exec`, or the loader was running.
     BeforeFirstInstruction,
-    /// After it: a fault of the program.
+    /// After the first instruction: a fault of the program.
     AfterFirstInstruction,
     /// The records do not show it.
     NotShown,
 }
 
-/// Whether a process is stopped already as a signal is sent to it.
+/// Whether a process is already stopped when a signal is sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pause {
-    /// It runs, and has to run afterwards.
+    /// It runs, and must run afterwards.
     Running,
-    /// It is stopped, or is about to be, and has to stay so.
+    /// It is stopped or about to be, and must stay stopped.
     Stopped,
 }
 
-/// Sends SIGHUP to a process of this run, and returns what the signal found.
+/// Sends SIGHUP to a process of this run, and records the state of the process.
 pub fn send_hangup(pid: u32, pause: Pause, clock: Clock) -> SignalRecord {
     send_recorded(Signal::SIGHUP, pid, pause, clock)
 }
 
-/// Sends SIGHUP or SIGTERM to a process of this run, and returns what the signal found.
+/// Sends SIGHUP or SIGTERM to a process of this run, and records the state of the process.
 pub fn send_recorded(signal: Signal, pid: u32, pause: Pause, clock: Clock) -> SignalRecord {
     let begun = Instant::now();
-    let mut sight = ProcessSight::default();
+    let mut observation = ProcessObservation::default();
     let main_thread = status_of_main_thread(pid);
-    sight.signals = main_thread.as_ref().map(|status| status.signals);
+    observation.signals = main_thread.as_ref().map(|status| status.signals);
     if main_thread.is_some_and(|status| status.blocks(signal)) {
-        return send_after(SignalFinding::Blocked, signal, sight, begun, pid, clock);
+        return send_after(SignalFinding::Blocked, signal, observation, begun, pid, clock);
     }
     let hold = match pause {
         Pause::Running => Some(Hold::begin(pid)),
         Pause::Stopped => None,
     };
-    let finding = find_when_still(signal, pid, &mut sight);
-    let record = send_after(finding, signal, sight, begun, pid, clock);
-    drop(hold); // behind the signal
+    let finding = find_when_stopped(signal, pid, &mut observation);
+    let record = send_after(finding, signal, observation, begun, pid, clock);
+    drop(hold); // only after the signal was sent
     record
 }
 
-/// Sends a signal to a process of which this was found since `begun`.
+/// Sends a signal to a process that was found in this state. `begun`: the start of the inspection.
 fn send_after(
-    finding: SignalFinding, signal: Signal, mut sight: ProcessSight, begun: Instant, pid: u32, clock: Clock,
+    finding: SignalFinding, signal: Signal, mut observation: ProcessObservation, begun: Instant, pid: u32,
+    clock: Clock,
 ) -> SignalRecord {
-    sight.took = begun.elapsed();
+    observation.inspection_time = begun.elapsed();
     let finding = match kill(process(pid), signal) {
         Err(Errno::ESRCH) => SignalFinding::Ended,
         _ => finding,
     };
-    SignalRecord { signal, sent_at: clock.now(), finding, sight }
+    SignalRecord { signal, sent_at: clock.now(), finding, observation }
 }
 
 fn process(pid: u32) -> Pid {
-    Pid::from_raw(pid as i32) // the kernel's numbers are small
+    Pid::from_raw(pid as i32) // PIDs fit in an i32
 }
 
-/// When the signal came that has ended a process of this program, by the records of all that it got, in their order. The
-/// first one that finds a process which does not block it ends that process: what comes behind it finds it ended.
+/// Returns when the signal that ended a process of this program arrived, from the records of all signals that the process
+/// received, in order. The first signal that the process does not block ends it; later ones find it ended.
 ///
-/// Before the program's first instruction the kernel executes none of its code. A loader that the kernel starts executes some
-/// thousand instructions of libraries (resolvers of the C library's functions, and its early initialization). So it is not
-/// the file of the instruction that tells, but whether the process has come to any code of its program.
+/// Before the program's first instruction none of its code is executed. A loader executes some thousand instructions of
+/// libraries (resolvers of the C library's functions, and its early initialization). The file of the current instruction is
+/// therefore not sufficient: what counts is whether the process has accessed any code of its program.
 pub fn moment_of_end(signals: &[SignalRecord], program: &Path) -> SignalMoment {
     let is_after = |record: &SignalRecord| match &record.finding {
         SignalFinding::Blocked => true,
@@ -160,7 +162,7 @@
     }
 }
 
-/// A process that was sent SIGSTOP; it goes on when this is dropped.
+/// A process that was sent SIGSTOP. Continues the process when dropped.
 struct Hold(u32);
 
 impl Hold {
@@ -176,19 +178,19 @@
     }
 }
 
-/// Waits until all threads of a process stand still, and looks at what they block.
-fn find_when_still(signal: Signal, pid: u32, sight: &mut ProcessSight) -> SignalFinding {
-    let until = Instant::now() + STOP_PATIENCE;
+/// Waits until all threads of a process have stopped, and determines whether they block the signal.
+fn find_when_stopped(signal: Signal, pid: u32, observation: &mut ProcessObservation) -> SignalFinding {
+    let until = Instant::now() + STOP_TIMEOUT;
     while Instant::now() < until {
-        match look(signal, pid, sight) {
+        match inspect(signal, pid, observation) {
             Ok(Some(finding)) => {
-                sight.obstacle = None;
+                observation.obstacle = None;
                 return finding;
             }
-            Ok(None) => std::thread::sleep(LOOK_INTERVAL),
+            Ok(None) => std::thread::sleep(INSPECTION_INTERVAL),
             Err(error) if is_gone(&error) => return SignalFinding::Ended,
             Err(error) => {
-                sight.obstacle = Some(Obstacle::Unreadable(error.to_string()));
+                observation.obstacle = Some(Obstacle::Unreadable(error.to_string()));
                 return SignalFinding::Unknown;
             }
         }
@@ -196,17 +198,19 @@
     SignalFinding::Unknown
 }
 
-/// What a signal would find; `None` while a thread still runs.
-fn look(signal: Signal, pid: u32, sight: &mut ProcessSight) -> io::Result<Option<SignalFinding>> {
+/// Returns the state in which a signal would arrive; `None` while a thread still runs.
+fn inspect(
+    signal: Signal, pid: u32, observation: &mut ProcessObservation,
+) -> io::Result<Option<SignalFinding>> {
     let (mut stopped_threads, mut unblocked) = (0, None);
-    sight.threads = 0;
+    observation.threads = 0;
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))? {
         let thread = thread?.path();
         let status = ThreadStatus::read(&thread)?;
-        sight.threads += 1;
+        observation.threads += 1;
         match status.state {
             ThreadState::Running => {
-                sight.obstacle = Some(Obstacle::NotStill(status.letter));
+                observation.obstacle = Some(Obstacle::NotStill(status.letter));
                 return Ok(None);
             }
             ThreadState::Ending | ThreadState::Ended if thread.ends_with(pid.to_string()) => {
@@ -223,10 +227,10 @@
     }
     let Some((thread, status)) = unblocked else { return Ok(Some(SignalFinding::Blocked)) };
     let thread = StoppedThread::read(thread);
-    sight.see_stopped(&thread, status.signals);
+    observation.record_stopped(&thread, status.signals);
     let point = StopPoint::read(&thread, stopped_threads == 1, status.is_fatal(signal));
     if point.is_none() {
-        sight.obstacle = Some(Obstacle::NotStill(status.letter)); // not off its processor yet
+        observation.obstacle = Some(Obstacle::NotStill(status.letter)); // still on its processor
     }
     Ok(point.map(SignalFinding::NotBlocked))
 }
@@ -235,12 +239,12 @@
     error.kind() == io::ErrorKind::NotFound || error.raw_os_error() == Some(libc::ESRCH)
 }
 
-/// Whether the main thread of a process blocks SIGHUP; `None` where the process has ended.
+/// Returns whether the main thread of a process blocks SIGHUP; `None` if the process has ended.
 pub fn blocks_hangup(pid: u32) -> Option<bool> {
     status_of_main_thread(pid).map(|status| status.blocks(Signal::SIGHUP))
 }
 
-/// The status of the main thread of a process; `None` where the process has ended.
+/// Returns the status of the main thread of a process; `None` if the process has ended.
 fn status_of_main_thread(pid: u32) -> Option<ThreadStatus> {
     let status = ThreadStatus::read(Path::new(&format!("/proc/{pid}"))).ok()?;
     (status.state != ThreadState::Ended).then_some(status)
--- a/crates/soak/src/hangups/first_instruction.rs
+++ b/crates/soak/src/hangups/first_instruction.rs
@@ -1,37 +1,37 @@
-//! Where the first instruction of a program is in the memory of its process (ELF, 64 bits, little-endian).
+//! Finds the first instruction of a program in the memory of its process (ELF, 64 bits, little-endian).
 //!
-//! The kernel starts a program that requests no loader (`PT_INTERP`) at its entry. Of one that does, the loader calls the
-//! functions in `.preinit_array` before all other code.
+//! The kernel starts a program without a loader (`PT_INTERP`) at its entry point. If a program has a loader, the loader
+//! calls the functions in `.preinit_array` before all other code of the program.
 
 use std::fs::File;
 use std::io;
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// A number in memory, in bytes.
+/// Size of a word in memory, in bytes.
 const WORD_BYTES: usize = 8;
-/// Entries of the auxiliary vector: the end, the program's headers in memory, their size and their number, and its entry.
+/// Keys of the auxiliary vector: its end, the address, size and number of the program headers, and the entry point.
 const AUXILIARY_END: u64 = 0;
 const HEADERS: u64 = 3;
 const HEADER_BYTES: u64 = 4;
 const HEADER_COUNT: u64 = 5;
 const PROGRAM_ENTRY: u64 = 9;
-/// Types of headers: of the headers themselves, of the dynamic section, and of the request for a loader.
+/// Types of program headers: the header table itself, the dynamic section, and the loader.
 const HEADERS_TYPE: u32 = 6;
 const DYNAMIC_TYPE: u32 = 2;
 const LOADER_TYPE: u32 = 3;
-/// Offset in a header.
+/// Offset of the virtual address in a program header.
 const ADDRESS_AT: u64 = 0x10;
 /// Tags of the dynamic section: its end, and the address of `.preinit_array`.
 const DYNAMIC_END: u64 = 0;
 const PREINIT_ARRAY: u64 = 32;
-/// No dynamic section has more entries.
+/// Upper bound for the entries of a dynamic section.
 const MAX_DYNAMIC_ENTRIES: u64 = 1000;
 
-/// The address of the first instruction of the program that a process with this folder executes; `None` where that is not
-/// known, or where the process cannot be looked at.
+/// Returns the address of the first instruction of the program that the process with this `/proc` folder executes; `None`
+/// if it is not known, or if the process cannot be inspected.
 pub(super) fn of_process(folder: &Path) -> Option<u64> {
-    // As the kernel has made it: what the process writes to its own copy is not seen here.
+    // The kernel's copy: changes that the process makes to its own copy are not visible here.
     let vector = std::fs::read(folder.join("auxv")).ok()?;
     let memory = Memory(File::open(folder.join("mem")).ok()?);
     let headers = memory.headers(&vector).ok()?;
@@ -42,12 +42,12 @@
     memory.word(array).ok()
 }
 
-/// What a program's headers say.
+/// Information from the program headers.
 #[derive(Default)]
 struct Headers {
-    /// By how much the program was moved from the addresses in its file.
+    /// Load bias: the difference between the addresses in memory and those in the file.
     moved_by: Option<u64>,
-    /// Its dynamic section, as in the file.
+    /// Address of the dynamic section in the file.
     dynamic: Option<u64>,
     requests_loader: bool,
 }
--- a/crates/soak/src/hangups/memory_map.rs
+++ b/crates/soak/src/hangups/memory_map.rs
@@ -4,24 +4,23 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// How the line begins that says how much of a mapping is in memory.
+/// Prefix of the line with the resident size of a mapping.
 const RESIDENT: &str = "Rss:";
-/// Where a mapping's line names its file.
+/// Index of the file name in the first line of a mapping.
 const FILE_FIELD: usize = 5;
 
-/// A mapping.
 struct Mapping {
     addresses: Range<u64>,
-    /// Where it begins in its file, in bytes.
+    /// Offset of the mapping in its file, in bytes.
     offset: u64,
     is_code: bool,
     file: Option<PathBuf>,
-    /// How much of it the process has come to use, in KiB.
+    /// Resident size, in KiB.
     resident_kib: Option<u64>,
 }
 
 impl Mapping {
-    /// Reads the first line of a mapping.
+    /// Parses the first line of a mapping.
     fn parse(line: &str) -> Option<Mapping> {
         let mut fields = line.split_whitespace();
         let (from, to) = fields.next()?.split_once('-')?;
@@ -37,7 +36,7 @@
 pub(super) struct MemoryMap(Vec<Mapping>);
 
 impl MemoryMap {
-    /// Reads those of a process or thread with this folder.
+    /// Reads the mappings of the process or thread with this `/proc` folder.
     pub(super) fn read(folder: &Path) -> io::Result<MemoryMap> {
         std::fs::read_to_string(folder.join("smaps")).map(|text| MemoryMap::parse(&text))
     }
@@ -58,21 +57,21 @@
         self.0.iter().find(|mapping| mapping.addresses.contains(&address))
     }
 
-    /// The file that is mapped at this address.
+    /// Returns the file that is mapped at this address.
     pub(super) fn file_at(&self, address: u64) -> Option<&Path> {
         self.mapping_at(address)?.file.as_deref()
     }
 
-    /// Where this address lies in the file that is mapped there, in bytes.
+    /// Returns the offset of this address in the file that is mapped there, in bytes.
     pub(super) fn offset_at(&self, address: u64) -> Option<u64> {
         let mapping = self.mapping_at(address).filter(|mapping| mapping.file.is_some())?;
         Some(mapping.offset + (address - mapping.addresses.start))
     }
 
-    /// Whether the process has come to any code of this file: the kernel brings a page of code into a process's memory only as
-    /// the process comes to it or to a page near by, and takes back those first that were not used for long. `None` where no
-    /// code of the file is mapped.
-    pub(super) fn has_come_to_code_of(&self, file: &Path) -> Option<bool> {
+    /// Returns whether the process has accessed any code of this file; `None` if no code of the file is mapped. The kernel
+    /// maps a page of code only when the process accesses that page or one near it, and reclaims the least recently used
+    /// pages first.
+    pub(super) fn has_accessed_code_of(&self, file: &Path) -> Option<bool> {
         let is_code = |mapping: &&Mapping| mapping.is_code && mapping.file.as_deref() == Some(file);
         let resident: Option<Vec<u64>> =
             self.0.iter().filter(is_code).map(|mapping| mapping.resident_kib).collect();
--- a/crates/soak/src/hangups/tests.rs
+++ b/crates/soak/src/hangups/tests.rs
@@ -3,16 +3,16 @@
 use nix::sys::signal::Signal;
 use std::path::Path;
 
-/// Masks of signals.
+/// Signal masks.
 const NONE: u64 = 0;
 const HANGUP: u64 = 1;
 const TERMINATION: u64 = 1 << 14;
 const KILL: u64 = 1 << 8;
-/// Flags of a thread.
+/// Thread flags.
 const USUAL_FLAGS: u64 = 0x40_0000;
 const EXITING_FLAGS: u64 = 0x40_0004;
 
-/// What `status` says of a thread.
+/// Fields of a thread's `status`.
 struct Status {
     state: &'static str,
     /// Pending for the thread, and for its process.
@@ -40,12 +40,12 @@
     }
 }
 
-/// What `stat` says of a thread, with a name that looks like fields, and these flags.
+/// Returns a thread's `stat` with these flags, and with a name that looks like fields.
 fn stat_text(flags: u64) -> String {
     format!("7 (a) R 1 2 3) R 1 7 7 0 -1 {flags} 10 0\n")
 }
 
-/// Guards against a process that SIGHUP has ended and that counts as running until it has had a processor to end on.
+/// Guards against a process that a signal has ended but that counts as running until the kernel schedules its exit.
 #[test]
 fn thread_is_ending_once_it_is_killed_or_hung_up_or_exits() {
     let running = || Status::of("R (running)");
@@ -75,7 +75,7 @@
     }
 }
 
-/// Guards against a signal that counts as fatal though the process ignores or handles it.
+/// Guards against treating a signal as fatal although the process ignores or handles it.
 #[test]
 fn hangup_is_fatal_only_if_neither_ignored_nor_handled() {
     let stopped = || Status::of("T (stopped)");
@@ -90,7 +90,7 @@
     assert!(!is_termination_fatal(Status { handled: TERMINATION, ..stopped() }));
 }
 
-/// Guards against a status that lacks a field and is taken for one that says so.
+/// Guards against treating a missing field of the status as an empty one.
 #[test]
 fn status_without_a_field_is_an_error() {
     let whole = Status::of("T (stopped)").text();
@@ -102,7 +102,7 @@
 
 const PROGRAM: &str = "/opt/program";
 
-/// What `smaps` says of a program's read-only data, of its code and of a library's.
+/// Returns the `smaps` of a process with a program's read-only data and code, and a library's code.
 fn smaps_text(code_resident: &str) -> String {
     format!(
         "00200000-00592000 r--p 00000000 fe:00 7                          {PROGRAM}\nSize:  3656 kB\nRss:  64 kB\n\
@@ -112,20 +112,20 @@
     )
 }
 
-/// Guards against read-only data or another file's code that is taken for the program's code, and against a figure that is
-/// missing and is taken for zero.
+/// Guards against counting read-only data or another file's code as the program's code, and against treating a missing
+/// size as zero.
 #[test]
-fn process_has_come_to_code_that_is_in_memory() {
-    let has_come = |resident: &str, file: &str| {
-        MemoryMap::parse(&smaps_text(resident)).has_come_to_code_of(Path::new(file))
+fn process_has_accessed_code_that_is_resident() {
+    let has_accessed_code = |resident: &str, file: &str| {
+        MemoryMap::parse(&smaps_text(resident)).has_accessed_code_of(Path::new(file))
     };
-    assert_eq!(has_come("Rss:  0 kB\n", PROGRAM), Some(false));
-    assert_eq!(has_come("Rss:  4 kB\n", PROGRAM), Some(true));
-    assert_eq!(has_come("", PROGRAM), None);
-    assert_eq!(has_come("Rss:  0 kB\n", "/opt/other"), None);
+    assert_eq!(has_accessed_code("Rss:  0 kB\n", PROGRAM), Some(false));
+    assert_eq!(has_accessed_code("Rss:  4 kB\n", PROGRAM), Some(true));
+    assert_eq!(has_accessed_code("", PROGRAM), None);
+    assert_eq!(has_accessed_code("Rss:  0 kB\n", "/opt/other"), None);
 }
 
-/// Guards against an address that is put down to a mapping beside it.
+/// Guards against attributing an address to an adjacent mapping.
 #[test]
 fn file_is_that_of_the_mapping_with_the_address() {
     let memory = MemoryMap::parse(&smaps_text("Rss:  0 kB\n"));
--- a/crates/soak/src/hangups/thread_status.rs
+++ b/crates/soak/src/hangups/thread_status.rs
@@ -1,20 +1,20 @@
-//! What the kernel says of a thread.
+//! The status of a thread, as reported by the kernel.
 
 use super::{SignalSets, RECORDED_SIGNALS};
 use nix::sys::signal::Signal;
 use std::io;
 use std::path::Path;
 
-/// The flag of a thread that the kernel is ending (`PF_EXITING`).
+/// Flag of a thread that the kernel is ending (`PF_EXITING`).
 const EXITING_FLAG: u64 = 4;
-/// Where the flags are in `stat`, behind the name.
+/// Index of the flags in `stat`, counted after the name.
 const FLAGS_FIELD: usize = 6;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ThreadState {
     Running,
     Stopped,
-    /// It executes no more instruction of its own.
+    /// It executes no further instruction of its own.
     Ending,
     Ended,
 }
@@ -22,19 +22,19 @@
 #[derive(Debug)]
 pub(super) struct ThreadStatus {
     pub(super) state: ThreadState,
-    /// The letter of its state.
+    /// The state's letter in `/proc`.
     pub(super) letter: char,
     pub(super) signals: SignalSets,
 }
 
 impl ThreadStatus {
-    /// Reads the status in the folder of a thread, or of a process for its main thread.
+    /// Reads the status from the `/proc` folder of a thread, or of a process for its main thread.
     pub(super) fn read(folder: &Path) -> io::Result<ThreadStatus> {
         let status = std::fs::read_to_string(folder.join("status"))?;
         ThreadStatus::parse(&status, &std::fs::read_to_string(folder.join("stat"))?)
     }
 
-    /// Reads the texts of `status` and `stat`.
+    /// Parses the contents of `status` and `stat`.
     pub(super) fn parse(status: &str, stat: &str) -> io::Result<ThreadStatus> {
         let field = |name: &str| status.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
         let signals = |name: &str| {
@@ -46,12 +46,12 @@
         let letter = letter.ok_or(io::ErrorKind::InvalidData)?;
         let signal_sets = SignalSets { blocked, ignored, caught };
         let mut thread = ThreadStatus { state: ThreadState::Running, letter, signals: signal_sets };
-        // The kernel delivers it before the thread's next instruction.
+        // The kernel delivers a pending signal before the thread's next instruction.
         let pending = signals("ShdPnd:")?;
         let ends =
             |signal: Signal| pending & bit(signal) != 0 && thread.is_fatal(signal) && !thread.blocks(signal);
         let is_ended = RECORDED_SIGNALS.into_iter().any(ends);
-        // The kernel sends it to each thread of a process that a signal ends.
+        // When a signal ends a process, the kernel sends SIGKILL to each of its threads.
         let is_killed = signals("SigPnd:")? & bit(Signal::SIGKILL) != 0;
         thread.state = match letter {
             'T' | 't' => ThreadState::Stopped,
@@ -66,18 +66,19 @@
         self.signals.blocked & bit(signal) != 0
     }
 
-    /// Whether a program that it starts would get SIGHUP: what is ignored or blocked stays so across `exec`.
+    /// Returns whether a program started by this thread would receive SIGHUP: ignored and blocked signals stay so across
+    /// `exec`.
     pub(super) fn passes_hangup_on(&self) -> bool {
         (self.signals.ignored | self.signals.blocked) & bit(Signal::SIGHUP) == 0
     }
 
-    /// Whether it neither ignores nor handles this signal, so that the signal ends its process.
+    /// Returns whether the signal would end the process, which neither ignores nor handles it.
     pub(super) fn is_fatal(&self, signal: Signal) -> bool {
         (self.signals.ignored | self.signals.caught) & bit(signal) == 0
     }
 }
 
-/// The bit of a signal in a mask.
+/// Returns the bit of a signal in a mask.
 fn bit(signal: Signal) -> u64 {
     1 << (signal as u32 - 1)
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,14 +1,14 @@
-//! A randomized fault soak of the program: real processes on loopback between stand-in clients, backends and a discovery
-//! service, with overlapping faults drawn from a seed, and the invariants of routing as its oracle.
+//! Randomized fault soak of the program. It runs real processes on loopback between stand-in clients, backends and a
+//! discovery service, injects overlapping faults drawn from a seed, and checks the invariants of routing.
 //!
-//! - [`plan`] draws the steps of a run from a seed; [`run`] executes them and collects what clients, backends and
-//!   discovery recorded; [`oracle`] checks the invariants on that. The plan and the oracle are pure.
-//! - [`settings`] draws the settings of the proxies; [`address`] reserves their addresses, and occupies them.
-//! - [`artifacts`] finds the program under test and the preloaded shim; [`control`] switches the faults of a process's
-//!   system calls through it; [`proxies`] starts processes; [`hangups`] sends SIGHUP and records what it found; [`clients`]
-//!   has clients that disconnect or misbehave.
+//! - [`plan`] draws the steps of a run from a seed; [`run`] executes them and collects the records of clients,
+//!   backends and discovery; [`oracle`] checks the invariants on these records. The plan and the oracle are pure.
+//! - [`settings`] draws the settings of the proxies; [`address`] reserves and occupies their addresses.
+//! - [`artifacts`] finds the program under test and the preloaded shim; [`control`] sets the system call faults
+//!   that the shim injects; [`proxies`] starts processes; [`hangups`] sends SIGHUP and SIGTERM and records the state of the
+//!   process; [`clients`] contains clients that disconnect or misbehave.
 //!
-//! Backends, discovery and the ordinary load are those of the testkit, links between the parts those of the lab.
+//! Backends, discovery and the ordinary load come from the testkit, the links between the parts from the lab.
 #![forbid(unsafe_code)]
 
 pub mod address;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -4,44 +4,44 @@
 use clap::Parser;
 use shaletide_soak::artifacts::Artifacts;
 use shaletide_soak::plan::{FaultKind, Plan, Scale};
-use shaletide_soak::run::{play, Report};
+use shaletide_soak::run::{run_seed, Report};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The most violations of one seed that are printed.
+/// Maximum number of violations printed for one seed.
 const PRINTED: usize = 12;
 
-/// Plays the fault soak: real processes, faults that overlap, the rules as the oracle. Ends with status 1 where a rule
-/// was broken.
+/// Runs the fault soak: real processes, overlapping faults, and checks of the routing invariants. Exits with status 1 if an
+/// invariant was violated.
 #[derive(Parser)]
 #[command(name = "shaletide-soak")]
 struct Cli {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds are played, one after the other.
+    /// Number of seeds to run, one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// How long clients ask, in seconds.
+    /// Time during which clients send requests, in seconds.
     #[arg(long, default_value_t = 12.0)]
     seconds: f64,
-    /// Processes of the program, 1 to 40.
+    /// Number of proxies, 1 to 40.
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u16).range(1..=40))]
     proxies: u16,
-    /// Backends, 1 to 100.
+    /// Number of backends, 1 to 100.
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u16).range(1..=100))]
     backends: u16,
-    /// How many kinds of fault each seed draws.
+    /// Number of fault kinds drawn for each seed.
     #[arg(long, default_value_t = 4)]
     faults: usize,
-    /// Kinds of fault that each seed has instead, by their names, such as Stop,Calls.
+    /// Fault kinds to use instead of drawn ones, by name, such as Stop,Calls.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// Prints what each seed would do, and plays nothing.
+    /// Prints the plan of each seed without running it.
     #[arg(long)]
     plan: bool,
-    /// The program under test, if not the one beside this.
+    /// Program under test; default: the one in the folder of this executable.
     #[arg(long)]
     program: Option<PathBuf>,
 }
@@ -49,7 +49,7 @@
 fn kinds(names: &[String]) -> Result<Vec<FaultKind>, String> {
     let find = |name: &String| {
         let found = FaultKind::ALL.into_iter().find(|kind| format!("{kind:?}").eq_ignore_ascii_case(name));
-        found.ok_or_else(|| format!("{name} is none of {:?}", FaultKind::ALL))
+        found.ok_or_else(|| format!("unknown fault kind {name}; expected one of {:?}", FaultKind::ALL))
     };
     names.iter().map(find).collect()
 }
@@ -105,23 +105,23 @@
     if let Some(program) = &cli.program {
         artifacts.program = program.clone();
     }
-    let (mut broken, mut seeds) = (0, 0);
+    let (mut violation_count, mut seeds) = (0, 0);
     for seed in cli.seed..cli.seed + cli.seeds {
-        let report = play(seed, &scale, &only, &artifacts).map_err(|e| format!("seed {seed}: {e}"))?;
+        let report = run_seed(seed, &scale, &only, &artifacts).map_err(|e| format!("seed {seed}: {e}"))?;
         print(&report);
-        broken += report.violations.len();
+        violation_count += report.violations.len();
         seeds += u64::from(!report.violations.is_empty());
     }
-    println!("{} seeds, {seeds} with violations, {broken} violations", cli.seeds);
-    Ok(broken == 0)
+    println!("{} seeds, {seeds} with violations, {violation_count} violations", cli.seeds);
+    Ok(violation_count == 0)
 }
 
 fn main() -> ExitCode {
     match run(&Cli::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
-        Err(why) => {
-            eprintln!("shaletide-soak: {why}");
+        Err(error) => {
+            eprintln!("shaletide-soak: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -1,7 +1,8 @@
-//! Checks the invariants of routing against what clients, backends and discovery recorded in a run. Pure.
+//! Checks the invariants of routing against the records of clients, backends and discovery of a run. Pure.
 //!
-//! `invariant` names the invariants, `evidence` is what was recorded, `discovery` computes when a proxy knew of a
-//! change, `end_by_signal` prints what the trace shows of an end by SIGHUP; each of the other modules checks the invariants of one concern.
+//! `invariant` names the invariants, `evidence` holds the records, `discovery` computes when a proxy knew of a change, and
+//! `end_by_signal` prints the trace of an end by SIGHUP or SIGTERM. Each of the other modules checks the invariants of one
+//! concern.
 
 mod answers;
 mod client_limits;
@@ -23,18 +24,18 @@
 
 use shaletide_types::{Micros, Time};
 
-/// Slack of each measured time for a busy machine: the stand-ins run on the same cores as the proxies.
+/// Slack of each measured time for a busy machine: the stand-ins share the cores with the proxies.
 const MACHINE_SLACK: Micros = Micros(100_000);
 /// Slack that the platform adds to each time limit.
 const CLOCK_SLACK: Micros = Micros(50_000);
-/// The longest pause of a process between reading its clock and a write.
+/// Maximum pause of a process between reading its clock and a write.
 pub const LONGEST_PAUSE: Micros = Micros(150_000);
-/// Cores of each backend.
+/// Number of cores of each backend.
 pub const CORES: u32 = 2;
-/// The mean work of a request, ms.
+/// Mean work of a request, ms.
 pub const MEAN_WORK_MS: f64 = 20.0;
 
-/// All violations of invariants in the evidence.
+/// Returns all violations of invariants in the evidence.
 pub fn judge(evidence: &Evidence) -> Vec<Violation> {
     let mut violations = Vec::new();
     evidence.check_processes(&mut violations);
@@ -51,12 +52,12 @@
     violations.push(Violation { invariant, text });
 }
 
-/// A moment of the run's clock, in seconds.
+/// Converts a time of the run's clock to seconds.
 fn seconds(at: Time) -> f64 {
     (at - Time(0)).secs()
 }
 
-/// The first half of an id: the run of clients that sent it.
+/// Returns the client run that sent the request with this id: the first half of the id.
 fn client_run_of(id: &str) -> Option<u32> {
     u32::from_str_radix(id.get(..8)?, 16).ok()
 }
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -1,12 +1,12 @@
-//! Checks the answers that clients got.
+//! Checks the answers that clients received.
 
 use super::{report, seconds, Evidence, Invariant, Violation};
 use shaletide_testkit::{checks, End, Sent};
 
 impl Evidence {
-    /// Whether a request went over a connection that a holder of the proxy's address got: no process of ours had it.
-    fn went_to_holder(&self, proxy: usize, sent: &Sent) -> bool {
-        sent.client.is_some_and(|client| self.clients_of_holders.contains(&(proxy, client)))
+    /// Returns whether a request was sent on a connection that a conflicting listener accepted in place of the proxy.
+    fn used_conflicting_listener(&self, proxy: usize, sent: &Sent) -> bool {
+        sent.client.is_some_and(|client| self.clients_of_conflicting_listeners.contains(&(proxy, client)))
     }
 
     pub(super) fn check_answers(&self, violations: &mut Vec<Violation>) {
@@ -23,7 +23,9 @@
                     format!("{id} at p{proxy} from {from:.3} to {to:.3} s: {end:?}{resent}")
                 };
                 match sent.end {
-                    End::Broken | End::GaveUp if !is_killed && !self.went_to_holder(process.proxy, sent) => {
+                    End::Broken | End::GaveUp
+                        if !is_killed && !self.used_conflicting_listener(process.proxy, sent) =>
+                    {
                         report(violations, Invariant::Answered, text());
                     }
                     End::Status(status) if (400..500).contains(&status) && status != 429 => {
@@ -32,13 +34,16 @@
                     _ => {}
                 }
             }
-            let made_up = checks::answers_come_from_backends(&self.ledger, &records.load);
-            for violation in made_up {
+            let unfounded = checks::answers_come_from_backends(&self.ledger, &records.load);
+            for violation in unfounded {
                 report(violations, Invariant::TrueAnswer, violation.description);
             }
             if records.load.mismatched_answers + records.load.excess_bytes > 0 {
-                let (mixed, more) = (records.load.mismatched_answers, records.load.excess_bytes);
-                let text = format!("p{}: {mixed} answers of others, {more} with more behind", process.proxy);
+                let (mismatched, excess) = (records.load.mismatched_answers, records.load.excess_bytes);
+                let text = format!(
+                    "p{}: {mismatched} answers to other requests, {excess} followed by excess bytes",
+                    process.proxy
+                );
                 report(violations, Invariant::TrueAnswer, text);
             }
         }
--- a/crates/soak/src/oracle/client_limits.rs
+++ b/crates/soak/src/oracle/client_limits.rs
@@ -1,12 +1,12 @@
-//! Checks the time left that backends are told, and that nothing is sent for a disconnected client.
+//! Checks the time left that requests carry, and that nothing is sent for a disconnected client.
 
 use super::{report, Evidence, Invariant, Violation, CLOCK_SLACK};
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// A request may still come to a backend for so long after its client disconnected.
+/// Time after a client's disconnect in which its request may still arrive at a backend.
 const CLIENT_GONE_SLACK: Micros = Micros(100_000);
-/// How much the time left that a backend is told may exceed what the client has left.
+/// Tolerance by which the time left that a backend receives may exceed the client's actual time left.
 const TIME_LEFT_SLACK: Micros = Micros(150_000);
 
 impl Evidence {
@@ -24,7 +24,7 @@
             let until = record.first_byte_at + left;
             if until > *deadline + TIME_LEFT_SLACK {
                 let over = (until - *deadline).secs();
-                let text = format!("{} was told {over:.3} s too much", record.id);
+                let text = format!("{} arrived with a time left that is {over:.3} s too long", record.id);
                 report(violations, Invariant::TimeLeft, text);
             }
         }
@@ -40,7 +40,7 @@
                 closed.get(&*record.id).filter(|closed| record.first_byte_at > **closed + slack)
             {
                 let after = (record.first_byte_at - *closed).secs();
-                let text = format!("{} came {after:.3} s after its client had gone", record.id);
+                let text = format!("{} arrived {after:.3} s after its client had disconnected", record.id);
                 report(violations, Invariant::ClientGone, text);
             }
         }
--- a/crates/soak/src/oracle/discovery.rs
+++ b/crates/soak/src/oracle/discovery.rs
@@ -1,23 +1,23 @@
-//! When a proxy knew of a change of the list.
+//! Computes when a proxy knew of a change of the endpoint list.
 
 use super::{Evidence, ListWrite};
 use crate::proxies::ProcessRecord;
 use shaletide_types::{Micros, Time};
 
-/// After a signal that discovery has moved, a change counts as known so much later.
+/// Time after a signal of a discovery move until a change counts as known.
 const DISCOVERY_MOVE_GRACE: Micros = Micros(4_000_000);
-/// Where a proxy polls discovery, a change counts as known so long after discovery had it and could be reached.
+/// For a proxy that polls discovery: the time after which a change counts as known once discovery has it and is reachable.
 const LONGEST_POLL_DELAY: Micros = Micros(6_000_000);
 
 impl Evidence {
-    /// When a process knew of a change of a backend that discovery was told of at that time.
+    /// Returns when a process knew of a change of a backend that discovery received at `at`.
     pub(super) fn change_known_at(&self, process: &ProcessRecord, backend: usize, at: Time) -> Time {
         let mut known_at = at.max(process.started_at);
         if self.polls_discovery {
             let is_later_write = |write: &&ListWrite| {
                 write.proxy == process.proxy && write.backend == backend && write.at >= known_at
             };
-            // What is written into a cut link arrives once the link works again, or never.
+            // Bytes written into a cut link arrive once the link works again, or never.
             let arrived = self
                 .list_writes
                 .iter()
@@ -35,7 +35,7 @@
         moves_around.map(|at| *at + DISCOVERY_MOVE_GRACE).max().map_or(known_at, |moved| moved.max(known_at))
     }
 
-    /// When a proxy could reach discovery, from that time on.
+    /// Returns the first time from `from` on at which the proxy could reach discovery.
     fn discovery_reachable_at(&self, proxy: usize, from: Time) -> Time {
         let mut at = from;
         // Outages may overlap.
--- a/crates/soak/src/oracle/drains.rs
+++ b/crates/soak/src/oracle/drains.rs
@@ -1,4 +1,4 @@
-//! Checks that no request comes to a draining backend after the grace.
+//! Checks that no request arrives at a draining backend after the drain grace.
 
 use super::{report, seconds, Evidence, Invariant, Violation, CLOCK_SLACK, MACHINE_SLACK};
 use shaletide_testkit::Record;
@@ -19,7 +19,7 @@
                 if record.first_byte_at > known_at + allowance {
                     let after = (record.first_byte_at - known_at).secs();
                     let text = format!(
-                        "{} came to b{} at {:.3} s, {after:.3} s after p{} was told",
+                        "{} arrived at b{} at {:.3} s, {after:.3} s after p{} knew of the drain",
                         record.id,
                         drain.backend,
                         seconds(record.first_byte_at),
--- a/crates/soak/src/oracle/end_by_signal.rs
+++ b/crates/soak/src/oracle/end_by_signal.rs
@@ -1,4 +1,4 @@
-//! A process that SIGHUP or SIGTERM has ended, with what the trace shows of it.
+//! A process that SIGHUP or SIGTERM has ended, with its trace.
 
 use crate::hangups::{SignalFinding, SignalMoment, SignalRecord};
 use nix::sys::signal::Signal;
@@ -8,21 +8,22 @@
 /// A process that SIGHUP or SIGTERM ended while it was being stopped, by the signal's default action.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndBySignal {
-    /// Which.
+    /// The signal that ended it.
     pub signal: Signal,
-    /// The text of its violation of [`super::Invariant::NoCrash`]; an end by SIGTERM before the first instruction is none.
+    /// The text of its violation of [`super::Invariant::NoCrash`]; an end by SIGTERM before the first
+    /// instruction is not a violation.
     pub violation: String,
-    /// Of which proxy.
+    /// The proxy of the process.
     pub proxy: usize,
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Time,
-    /// When the signal came, by what each SIGHUP and SIGTERM found that the process got.
+    /// When the signal arrived, from the records of each SIGHUP and SIGTERM that the process received.
     pub moment: SignalMoment,
-    /// These, in their order.
+    /// These records, in order.
     pub signals: Vec<SignalRecord>,
 }
 
-/// One line for the moment, and one for each signal.
+/// Prints one line for the moment, and one for each signal.
 impl fmt::Display for EndBySignal {
     fn fmt(&self, to: &mut fmt::Formatter) -> fmt::Result {
         let started = super::seconds(self.started_at);
@@ -31,7 +32,11 @@
             let after = (record.sent_at - self.started_at).secs() * 1e3;
             let finding = finding_text(&record.finding);
             let signal = record.signal;
-            write!(to, "\n    {signal} {after:.3} ms after the start found {finding}; {}", record.sight)?;
+            write!(
+                to,
+                "\n    {signal} {after:.3} ms after the start found {finding}; {}",
+                record.observation
+            )?;
         }
         Ok(())
     }
--- a/crates/soak/src/oracle/evidence.rs
+++ b/crates/soak/src/oracle/evidence.rs
@@ -1,4 +1,4 @@
-//! What was recorded in a run.
+//! The records of a run.
 
 use super::{client_run_of, seconds, LONGEST_PAUSE};
 use crate::clients::ClientDisconnect;
@@ -10,50 +10,50 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// How long bytes may still be on their way after a link works again.
+/// Time for which delayed bytes may still arrive after a link works again.
 const DELAYED_LINK_TAIL: Micros = Micros(500_000);
 
-/// What the clients of one process got.
+/// The records of the clients of one process.
 #[derive(Clone, Debug)]
 pub struct ClientRecords {
-    /// Its place in [`Evidence::processes`].
+    /// Index of the process in [`Evidence::processes`].
     pub process: usize,
     /// The ordinary load.
     pub load: LoadResult,
-    /// The run of the clients that disconnected, and their disconnects.
+    /// The client run of the clients that disconnected, and their disconnects.
     pub disconnects: (u32, Vec<ClientDisconnect>),
 }
 
-/// A time in which a backend drains or is not listed.
+/// A period in which a backend drains or is not listed.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSpan {
-    /// Its place in the ledger.
+    /// Index of the backend in the ledger.
     pub backend: usize,
-    /// When discovery was told.
+    /// When discovery received the drain.
     pub from: Time,
     /// When it was listed again.
     pub until: Option<Time>,
 }
 
-/// A time in which bytes from a proxy to a backend are delayed.
+/// A period in which bytes from a proxy to a backend are delayed.
 #[derive(Clone, Copy, Debug)]
 pub struct DelayedLink {
-    /// Which proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Which backend.
+    /// Index of the backend in the ledger.
     pub backend: usize,
-    /// From when on.
+    /// Start of the period.
     pub from: Time,
-    /// Until when.
+    /// End of the period.
     pub until: Time,
 }
 
-/// A write of an entry of the endpoint list to a proxy.
+/// A write of an endpoint list entry to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct ListWrite {
-    /// The proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// The backend of the entry.
+    /// Index of the entry's backend.
     pub backend: usize,
     /// When its last byte was written.
     pub at: Time,
@@ -62,61 +62,61 @@
 /// A start of a backend during the run.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendStart {
-    /// Its place in the ledger.
+    /// Index of the backend in the ledger.
     pub backend: usize,
-    /// When discovery was told.
+    /// When discovery received the start.
     pub listed: Time,
 }
 
-/// All that was recorded in a run.
+/// All records of a run.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     /// The backends' records.
     pub ledger: Ledger,
-    /// All processes.
+    /// All processes of the proxies.
     pub processes: Vec<ProcessRecord>,
-    /// What the clients of each got.
+    /// The records of the clients of each process.
     pub clients: Vec<ClientRecords>,
-    /// Connections that came to a listener which holds a proxy's address: the proxy, and the client's own address.
-    pub clients_of_holders: BTreeSet<(usize, SocketAddr)>,
+    /// Connections accepted by a conflicting listener at a proxy's address: the proxy and the client's address.
+    pub clients_of_conflicting_listeners: BTreeSet<(usize, SocketAddr)>,
     /// Drains and removals.
     pub drains: Vec<DrainSpan>,
-    /// Starts of backends, in order.
+    /// Starts of backends during the run, in order.
     pub backend_starts: Vec<BackendStart>,
-    /// For each proxy, when discovery could not be reached.
+    /// For each proxy, the periods in which it could not reach discovery.
     pub discovery_outages: Vec<Vec<(Time, Time)>>,
-    /// For each proxy, when it was told that discovery has moved.
+    /// For each proxy, the times at which it was signalled that discovery has moved.
     pub discovery_moves: Vec<Vec<Time>>,
-    /// Links whose records do not tell when a request was sent.
+    /// Links on which the arrival of a request does not show when it was sent.
     pub delayed_links: Vec<DelayedLink>,
-    /// Clients that the processes report as evicted.
+    /// Number of evicted clients, from the processes' logs.
     pub evictions: u64,
-    /// Idle clients may have filled the slots, so that evictions are right.
+    /// Whether idle clients may have filled the slots, so that evictions are correct.
     pub has_idle_crowds: bool,
     /// Log lines of panics and of the self-check, each with the name of its file.
     pub log_lines: Vec<String>,
-    /// The entries that discovery wrote; empty unless the proxies poll it.
+    /// List entries that discovery wrote; empty unless the proxies poll discovery.
     pub list_writes: Vec<ListWrite>,
-    /// The proxies poll discovery: a change is known when it is written.
+    /// Whether the proxies poll discovery, so that a change is known when it is written.
     pub polls_discovery: bool,
-    /// Processes were paused.
+    /// Whether processes were paused.
     pub processes_paused: bool,
     /// The program that the processes execute.
     pub program: PathBuf,
     /// The settings of all proxies.
     pub settings: RunSettings,
-    /// System calls failed or processes were paused, so that starts take longer.
+    /// Whether system calls failed or processes were paused, so that starts take longer.
     pub starts_are_slow: bool,
 }
 
 impl Evidence {
-    /// What these processes of one proxy leave in a run in which nothing else happens.
+    /// Returns the evidence of a run with only these processes of one proxy, and without load and faults.
     pub fn of_quiet_run(ledger: Ledger, processes: Vec<ProcessRecord>, program: PathBuf) -> Evidence {
         Evidence {
             ledger,
             processes,
             clients: Vec::new(),
-            clients_of_holders: BTreeSet::new(),
+            clients_of_conflicting_listeners: BTreeSet::new(),
             drains: Vec::new(),
             backend_starts: Vec::new(),
             discovery_outages: vec![Vec::new()],
@@ -142,23 +142,23 @@
         }
     }
 
-    /// The process of each run of clients.
+    /// Returns the process of each client run.
     pub(super) fn processes_by_client_run(&self) -> BTreeMap<u32, usize> {
         let runs = self.clients.iter().flat_map(|c| [(c.load.run, c.process), (c.disconnects.0, c.process)]);
         runs.collect()
     }
 
-    /// Whether a record came when it was sent: it did not come over a delayed link.
+    /// Returns whether a request arrived when it was sent, because its link was not delayed.
     pub(super) fn is_timely(&self, record: &Record, proxy: usize) -> bool {
         !self.delayed_links.iter().any(|link| {
-            let is_its_link = link.proxy == proxy && link.backend == record.backend;
-            is_its_link
+            let is_same_link = link.proxy == proxy && link.backend == record.backend;
+            is_same_link
                 && record.first_byte_at >= link.from
                 && record.first_byte_at <= link.until + DELAYED_LINK_TAIL
         })
     }
 
-    /// Records that came when they were sent, with the process that sent each.
+    /// Returns the records of requests that arrived when they were sent, each with the process that sent it.
     pub(super) fn timely_records(&self) -> impl Iterator<Item = (&Record, usize)> {
         let processes = self.processes_by_client_run();
         self.ledger.records.iter().filter_map(move |record| {
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -8,18 +8,18 @@
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
 
-/// The longest time from the start of a process until it is ready.
+/// Maximum time from the start of a process until it is ready.
 const LONGEST_START: Micros = Micros(10_000_000);
-/// The longest time until a process is ready once its address is free or its configuration complete.
+/// Maximum time until a process is ready once its address is free or its configuration complete.
 const LONGEST_START_AFTER_WAIT: Micros = Micros(1_000_000);
-/// The limit of the peak memory of a process, KiB.
+/// Limit of the peak memory of a process, KiB.
 pub const MEMORY_LIMIT_KIB: u64 = 192 << 10;
-/// A process whose stop begins so long after its start has come to its first instruction.
+/// Maximum time from the start of a process to its first instruction.
 const LONGEST_TIME_TO_FIRST_INSTRUCTION: Micros = Micros(50_000);
-/// How the last line of a process's log begins that ended with status 1 as its own check had found something, which is
-/// reported by the lines of what it found.
+/// Prefix of the last log line of a process that exits with status 1 because its self-check failed. The failures themselves
+/// are reported from their own log lines.
 const SELF_CHECK_FAILED: &str = "shaletide: self-check: rules were broken ";
-/// What the program's own check says where an answer is late: the clients measure that themselves.
+/// Text in the self-check's log line on a late answer. The line is ignored because the clients measure that themselves.
 const SELF_CHECK_OF_DEADLINES: &str = "answered and sent before its time is up";
 
 impl Evidence {
@@ -29,7 +29,7 @@
             self.check_end(process, &name, violations);
             self.check_start(process, &name, violations);
             if process.peak_memory_kib > MEMORY_LIMIT_KIB {
-                let text = format!("{name} took {} KiB of {MEMORY_LIMIT_KIB}", process.peak_memory_kib);
+                let text = format!("{name} used {} KiB of {MEMORY_LIMIT_KIB}", process.peak_memory_kib);
                 report(violations, Invariant::Memory, text);
             }
         }
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The processes that SIGHUP or SIGTERM has ended by its default action, with what the trace shows of each. Those of SIGHUP
-    /// are violations whatever it shows.
+    /// Returns the processes that SIGHUP or SIGTERM has ended by its default action, with the trace of each. Ends by SIGHUP
+    /// are violations whatever the trace shows.
     pub(crate) fn ends_by_signal(&self) -> Vec<EndBySignal> {
         let end = |process: &ProcessRecord| {
             let (_, status) = process.exit?;
@@ -66,7 +66,7 @@
 
     fn check_end(&self, process: &ProcessRecord, name: &str, violations: &mut Vec<Violation>) {
         if process.outlived_stop {
-            report(violations, Invariant::Stop, format!("{name} was still there when SIGKILL was due"));
+            report(violations, Invariant::Stop, format!("{name} had not exited when SIGKILL was due"));
         }
         let Some((at, status)) = process.exit.filter(|_| process.killed_at.is_none()) else { return };
         let Some(stopped) = process.stop_requested_at else {
@@ -75,8 +75,8 @@
         };
         let is_orderly = match (status.code(), ending_signal(status)) {
             (Some(0), _) => true,
-            (Some(1), _) => process.says_that_self_check_failed(),
-            // No program can hold it off there.
+            (Some(1), _) => process.reports_failed_self_check(),
+            // No program can prevent an end by SIGTERM before its first instruction.
             (_, Some(signal @ Signal::SIGTERM)) => {
                 stopped - process.started_at < LONGEST_TIME_TO_FIRST_INSTRUCTION
                     && self.moment_of_signal(process, signal) == SignalMoment::BeforeFirstInstruction
@@ -104,8 +104,8 @@
         }
     }
 
-    /// When the signal came that has ended a process. One that was ever ready had run by then, whatever the records show, and
-    /// the first signal that finds a process which does not block it is the one that ends it.
+    /// Returns when the signal that ended a process arrived. A process that was ever ready had executed its first instruction,
+    /// whatever the records show, and the first signal that a process does not block ends it.
     fn moment_of_signal(&self, process: &ProcessRecord, signal: Signal) -> SignalMoment {
         let is_possible =
             process.ready_at.is_none() && process.signals.first().is_some_and(|first| first.signal == signal);
@@ -117,12 +117,12 @@
 }
 
 impl ProcessRecord {
-    fn says_that_self_check_failed(&self) -> bool {
+    fn reports_failed_self_check(&self) -> bool {
         self.last_line.as_deref().is_some_and(|line| line.starts_with(SELF_CHECK_FAILED))
     }
 }
 
-/// The signal that has ended a process by its default action.
+/// Returns the signal that has ended a process by its default action.
 fn ending_signal(status: ExitStatus) -> Option<Signal> {
     Signal::try_from(status.signal()?).ok()
 }
@@ -131,7 +131,7 @@
     process.log.file_stem().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default()
 }
 
-/// The text of the violation of a process that did not end its stop in an orderly way.
+/// Returns the text of the violation for a process that did not exit in an orderly way after its stop.
 fn stop_text(name: &str, status: ExitStatus) -> String {
     format!("{name} ended its stop with {status}")
 }
--- a/crates/soak/src/oracle/repeats.rs
+++ b/crates/soak/src/oracle/repeats.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A rejected request must not have run: that is what a rejection promises.
+    /// A rejection promises that the request was not executed.
     fn check_rejected(&self, violations: &mut Vec<Violation>) {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
         for (index, record) in self.ledger.records.iter().enumerate() {
@@ -49,7 +49,7 @@
             for sent in records.load.sent.iter().filter(is_rejected) {
                 let id = records.load.id(sent.number);
                 if let Some(index) = ran.get(id.as_str()) {
-                    let text = format!("{id} was refused and ran{}", self.describe(&[*index]));
+                    let text = format!("{id} was rejected but ran{}", self.describe(&[*index]));
                     report(violations, Invariant::HarmlessRefusal, text);
                 }
             }
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -6,19 +6,19 @@
 use shaletide_types::{Micros, Time};
 use std::collections::BTreeMap;
 
-/// An overload window in which a warming backend got more than its budget.
+/// An overload window in which a warming backend received more than its budget.
 struct Overload<'a> {
-    /// The requests that it got.
+    /// The requests in the window.
     records: &'a [&'a Record],
-    /// Its age at the end of the window.
+    /// Time from the backend's start to the end of the window.
     age: Micros,
-    /// The most requests that it may get.
+    /// Maximum number of requests in the window.
     limit: f64,
 }
 
 impl Evidence {
-    /// The most requests that a backend may get in an overload window that begins at that age: the mean that its budget
-    /// allows, and two to three standard deviations more.
+    /// Returns the maximum number of requests to a backend in an overload window that begins at this age: the mean that the
+    /// budget allows plus two to three standard deviations.
     pub fn cold_request_limit(settings: &RunSettings, age: Micros) -> f64 {
         let RunSettings { initial_capacity_fraction, slow_start_window_us, overload_multiple, .. } =
             *settings;
@@ -34,37 +34,40 @@
         }
     }
 
-    /// When that start of a backend was listed; `None` for start 0, which is before the run.
+    /// Returns when a start of a backend was listed; `None` for start 0, which is before the run.
     fn start_listed_at(&self, backend: usize, boot: usize) -> Option<Time> {
         let mut starts = self.backend_starts.iter().filter(|start| start.backend == backend);
         starts.nth(boot.checked_sub(1)?).map(|start| start.listed)
     }
 
-    /// A first overload is a violation if more than two thirds of its requests came from processes that knew of the
-    /// start of the backend.
+    /// Reports the first overload of each start if more than two thirds of its requests came from processes that knew of
+    /// the start.
     pub(super) fn check_slow_starts(&self, violations: &mut Vec<Violation>) {
         let processes = self.processes_by_client_run();
         let mut by_boot: BTreeMap<(usize, usize), Vec<&Record>> = BTreeMap::new();
         for record in &self.ledger.records {
             by_boot.entry((record.backend, record.boot)).or_default().push(record);
         }
-        for ((at_box, boot), records) in by_boot {
-            let booted = self.ledger.backends[at_box].boots.get(boot).and_then(|boot| boot.at);
-            let Some((booted, listed)) = booted.zip(self.start_listed_at(at_box, boot)) else { continue };
+        for ((backend_index, boot), records) in by_boot {
+            let booted = self.ledger.backends[backend_index].boots.get(boot).and_then(|boot| boot.at);
+            let Some((booted, listed)) = booted.zip(self.start_listed_at(backend_index, boot)) else {
+                continue;
+            };
             let Some(overload) = self.first_overload(&records, booted) else { continue };
             let knew_of_start = |record: &&&Record| {
                 let process = client_run_of(&record.id).and_then(|run| processes.get(&run));
                 process.is_some_and(|process| {
-                    record.first_byte_at >= self.change_known_at(&self.processes[*process], at_box, listed)
+                    record.first_byte_at
+                        >= self.change_known_at(&self.processes[*process], backend_index, listed)
                 })
             };
-            let got = overload.records.len();
+            let received = overload.records.len();
             let informed = overload.records.iter().filter(knew_of_start).count();
-            if 3 * informed > 2 * got {
+            if 3 * informed > 2 * received {
                 let Overload { age, limit, .. } = overload;
                 let text = format!(
-                    "b{at_box} got {got} requests in 2 s up to {:.3} s after its start, {informed} of those who \
-                     knew, and may get {limit:.0}",
+                    "b{backend_index} received {received} requests in 2 s up to {:.3} s after its start, {informed} from processes \
+                     that knew of it; the limit is {limit:.0}",
                     age.secs()
                 );
                 report(violations, Invariant::Cold, text);
@@ -72,17 +75,17 @@
         }
     }
 
-    /// The first window in which a backend gets more than its budget while it warms up. `records`: those of one start,
-    /// in the order in which they began.
+    /// Returns the first window in which a backend received more than its budget while warming up. `records`: the requests
+    /// of one start, in the order of their begin.
     fn first_overload<'a>(&self, records: &'a [&'a Record], booted: Time) -> Option<Overload<'a>> {
         let mut first = 0;
         for (last, record) in records.iter().enumerate() {
             while records[first].last_byte_at + Micros(OVERLOAD_WINDOW_US) < record.last_byte_at {
                 first += 1;
             }
-            let age_as_window_began = (record.last_byte_at - Micros(OVERLOAD_WINDOW_US)) - booted;
-            let is_warm = age_as_window_began >= Micros(self.settings.slow_start_window_us);
-            let limit = Evidence::cold_request_limit(&self.settings, age_as_window_began);
+            let age_at_window_start = (record.last_byte_at - Micros(OVERLOAD_WINDOW_US)) - booted;
+            let is_warm = age_at_window_start >= Micros(self.settings.slow_start_window_us);
+            let limit = Evidence::cold_request_limit(&self.settings, age_at_window_start);
             let window = &records[first..=last];
             if !is_warm && window.len() as f64 > limit {
                 return Some(Overload { records: window, age: record.last_byte_at - booted, limit });
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::hangups::{
-    Obstacle, ProcessSight, SignalFinding, SignalMoment, SignalRecord, SignalSets, StopPoint,
+    Obstacle, ProcessObservation, SignalFinding, SignalMoment, SignalRecord, SignalSets, StopPoint,
 };
 use crate::proxies::ProcessRecord;
 use nix::sys::signal::Signal;
@@ -12,7 +12,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Of one process that was ready.
+/// Returns the evidence of a run with one process that was ready.
 fn evidence(polls_discovery: bool) -> Evidence {
     let process = ProcessRecord {
         ready_at: Some(Time(10_000)),
@@ -27,7 +27,7 @@
 }
 
 /// A change that discovery writes into a cut link is known when the link works again, and at the latest 6 s after
-/// discovery could be reached.
+/// discovery was reachable.
 #[test]
 fn change_written_into_cut_link_is_known_when_it_arrives() {
     let mut evidence = evidence(true);
@@ -72,8 +72,8 @@
     assert_eq!(broken_invariants(&evidence), []);
 }
 
-/// Guards against an end by SIGTERM soon after the start that is taken for one which no program can prevent, though the
-/// records do not show that it came before the first instruction.
+/// Guards against excusing an end by SIGTERM soon after the start although the records do not show that the signal arrived
+/// before the first instruction, where no program can prevent it.
 #[test]
 fn end_by_termination_is_crash_unless_it_came_before_first_instruction() {
     let mut evidence = evidence(false);
@@ -114,14 +114,14 @@
     assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "another program");
     evidence.program = PathBuf::from("program");
     evidence.processes[0].ready_at = Some(Time(500));
-    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "it was ready");
+    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "the process was ready");
     evidence.processes[0].ready_at = None;
     assert_eq!(broken_invariants(&evidence), []);
     evidence.processes[0].stop_requested_at = Some(Time(50_000));
     assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "long after the start");
 }
 
-/// Guards against status 1 that is taken for a failed self-check whatever the process said.
+/// Guards against attributing every status 1 to a failed self-check, whatever the process logged.
 #[test]
 fn status_one_of_stopped_process_is_crash_unless_its_last_line_names_the_self_check() {
     let mut evidence = evidence(false);
@@ -142,17 +142,22 @@
     }
 }
 
-/// A SIGHUP that found this.
+/// Returns the record of a SIGHUP with this finding.
 fn found(finding: SignalFinding) -> SignalRecord {
-    SignalRecord { signal: Signal::SIGHUP, sent_at: Time(1_000), finding, sight: ProcessSight::default() }
+    SignalRecord {
+        signal: Signal::SIGHUP,
+        sent_at: Time(1_000),
+        finding,
+        observation: ProcessObservation::default(),
+    }
 }
 
-/// A SIGTERM that found this.
+/// Returns the record of a SIGTERM with this finding.
 fn termination_found(finding: SignalFinding) -> SignalRecord {
     SignalRecord { signal: Signal::SIGTERM, ..found(finding) }
 }
 
-/// A process of `program` that has not come to its first instruction.
+/// Returns the finding for a process of `program` that has not executed its first instruction.
 fn not_begun() -> SignalFinding {
     SignalFinding::NotBlocked(StopPoint {
         file: Some(PathBuf::from("ld-linux.so.2")),
@@ -162,7 +167,7 @@
     })
 }
 
-/// Guards against an end by SIGHUP that is passed over: it is a crash whatever the trace shows, which is reported beside it.
+/// Guards against ignoring an end by SIGHUP: it is a crash whatever the trace shows. The trace is reported in addition.
 #[test]
 fn end_by_hangup_is_crash_whatever_the_trace_shows() {
     let status = |raw| std::process::ExitStatus::from_raw(raw);
@@ -185,17 +190,17 @@
     }
     evidence.processes[0].exit = Some((Time(2_000), status(1 << 8)));
     evidence.processes[0].stop_requested_at = None;
-    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "it ended by itself");
+    assert_eq!(broken_invariants(&evidence), [Invariant::NoCrash], "the process ended by itself");
     assert_eq!(evidence.ends_by_signal(), []);
 }
 
-/// Guards against a report of an end by SIGHUP that does not say what each SIGHUP found: a fault of the program could not be
-/// told from a trace that does not see enough.
+/// Guards against a report of an end by SIGHUP without the finding of each SIGHUP: a fault of the program could not be
+/// distinguished from an incomplete trace.
 #[test]
 fn printed_end_by_hangup_says_its_moment_and_what_each_hangup_found() {
     let signals = SignalSets { blocked: 0, ignored: 0x1000, caught: 0x440 };
-    let in_library = ProcessSight {
-        took: Duration::from_micros(120),
+    let in_library = ProcessObservation {
+        inspection_time: Duration::from_micros(120),
         threads: 1,
         signals: Some(signals),
         call: Some("-1 0x7ffd0 0x7f010".to_string()),
@@ -208,12 +213,13 @@
         has_begun: None,
         is_fatal: true,
     };
-    let not_still = ProcessSight { obstacle: Some(Obstacle::NotStill('D')), ..ProcessSight::default() };
-    let record = |millis: u64, finding, sight| SignalRecord {
+    let not_still =
+        ProcessObservation { obstacle: Some(Obstacle::NotStill('D')), ..ProcessObservation::default() };
+    let record = |millis: u64, finding, observation| SignalRecord {
         signal: Signal::SIGHUP,
         sent_at: Time(millis * 1_000),
         finding,
-        sight,
+        observation,
     };
     let end = EndBySignal {
         signal: Signal::SIGHUP,
@@ -224,7 +230,7 @@
         signals: vec![
             record(1_002, SignalFinding::NotBlocked(in_libc), in_library),
             record(1_017, SignalFinding::Unknown, not_still),
-            record(1_032, SignalFinding::Ended, ProcessSight::default()),
+            record(1_032, SignalFinding::Ended, ProcessObservation::default()),
         ],
     };
     let expected = "\
@@ -237,7 +243,7 @@
     assert_eq!(end.to_string(), expected);
 }
 
-/// Guards against an end by SIGHUP that is put down to the loader though the process was ready before.
+/// Guards against attributing an end by SIGHUP to the loader although the process was ready before.
 #[test]
 fn end_by_hangup_of_process_that_was_ready_did_not_come_before_first_instruction() {
     let mut evidence = evidence(false);
@@ -254,8 +260,8 @@
     }
 }
 
-/// Guards against a request that is reported as unanswered though a listener that holds the proxy's address had its
-/// connection, and against one that is left out on any other ground: seed 88107.
+/// Guards against reporting a request as unanswered although a conflicting listener had accepted its connection, and against
+/// omitting a request for any other reason (seed 88107).
 #[test]
 fn unanswered_request_is_left_out_only_if_a_holder_had_its_connection() {
     let client: SocketAddr = "127.0.0.1:50001".parse().unwrap();
@@ -275,15 +281,16 @@
     let load = LoadResult { sent: vec![sent], ..LoadResult::default() };
     evidence.clients = vec![ClientRecords { process: 0, load, disconnects: (1, Vec::new()) }];
     assert_eq!(broken_invariants(&evidence), [Invariant::Answered]);
-    evidence.clients_of_holders = BTreeSet::from([(1, client), (0, "127.0.0.1:50002".parse().unwrap())]);
+    evidence.clients_of_conflicting_listeners =
+        BTreeSet::from([(1, client), (0, "127.0.0.1:50002".parse().unwrap())]);
     assert_eq!(broken_invariants(&evidence), [Invariant::Answered], "of another proxy, or another client");
-    evidence.clients_of_holders.insert((0, client));
+    evidence.clients_of_conflicting_listeners.insert((0, client));
     assert_eq!(broken_invariants(&evidence), []);
     evidence.clients[0].load.sent[0].client = None;
     assert_eq!(broken_invariants(&evidence), [Invariant::Answered]);
 }
 
-/// Guards against a request that is reported as unanswered though its client had no time left to send it.
+/// Guards against reporting a request as unanswered although its client had no time left to send it.
 #[test]
 fn request_that_its_client_did_not_send_is_not_unanswered() {
     let fleet =
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,7 +1,7 @@
-//! What happens in a run and when, drawn from its seed. Pure.
+//! The plan of a run, drawn from its seed. Pure.
 //!
-//! A seed stands for its plan on pages and in reports: the number and the order of the random draws are part of the
-//! interface and are checked by `tests/plan_identity.rs`.
+//! Documentation and reports refer to plans by their seeds. The number and the order of the random draws are therefore part
+//! of the interface, and are checked by `tests/plan_identity.rs`.
 
 mod builder;
 mod fault_kind;
@@ -18,33 +18,33 @@
 /// The size of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
-    /// Processes of the program.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Backends.
+    /// Number of backends.
     pub backends: usize,
-    /// How long clients send requests; the run then waits for those that are open.
+    /// Time during which clients send requests; the run then waits for the open ones.
     pub length: Duration,
-    /// How many kinds of fault a seed draws.
+    /// Number of fault kinds drawn for a seed.
     pub faults: usize,
 }
 
-/// What happens in a run.
+/// The faults, settings and steps of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The kinds of fault that were drawn.
     pub kinds: Vec<FaultKind>,
-    /// Seconds that the proxies' wall clocks are ahead as the first processes start.
+    /// Offset of the proxies' wall clocks from the true time at the start of the run, in seconds.
     pub wall_clock_at_start: i64,
-    /// The proxies poll discovery; otherwise an agent pushes the lists.
+    /// Whether the proxies poll discovery; otherwise an agent pushes the lists.
     pub polls_discovery: bool,
     /// The settings of all proxies.
     pub settings: RunSettings,
-    /// The steps, in the order of their times.
+    /// The steps, ordered by time.
     pub steps: Vec<TimedStep>,
 }
 
 impl Plan {
-    /// Draws the plan of a seed. `only`: the kinds of fault in it, in place of drawn ones.
+    /// Draws the plan of a seed. `only`: fault kinds to use instead of drawn ones.
     pub fn draw(seed: u64, scale: &Scale, only: &[FaultKind]) -> Plan {
         let mut builder = PlanBuilder::new(seed, scale);
         let kinds = if only.is_empty() { builder.draw_kinds() } else { only.to_vec() };
@@ -58,7 +58,8 @@
         Plan { kinds, wall_clock_at_start, polls_discovery, settings: RunSettings::draw(seed), steps }
     }
 
-    /// How many processes of a proxy get SIGHUP some milliseconds after their start, before they can be ready.
+    /// Returns the number of processes of a proxy that receive SIGHUP some milliseconds after their start, before they can be
+    /// ready.
     pub fn early_hangups(&self, proxy: usize) -> usize {
         let is_early = |timed: &&TimedStep| match timed.step {
             Step::Restart(restarted, restart) => {
--- a/crates/soak/src/plan/builder.rs
+++ b/crates/soak/src/plan/builder.rs
@@ -1,16 +1,16 @@
-//! The random draws of a plan, and its steps so far.
+//! Makes the random draws of a plan and collects its steps.
 
 use super::{FaultKind, ProcessEnd, ProcessStart, Restart, Scale, Step, StopSignals, TimedStep};
 use shaletide_testkit::SeededRng;
 use std::time::Duration;
 
-/// An hour, by which wall clocks are stepped.
+/// Step of the wall clocks: an hour, in seconds.
 pub(super) const HOUR_S: i64 = 3600;
-/// The longest pause between two proxies that end one after the other, s.
+/// Maximum pause between the ends of two proxies in a series, s.
 const LONGEST_PAUSE_S: f64 = 0.4;
 
-/// A plan that is being drawn. A method whose description begins with "Draws" advances the random numbers, so the order
-/// in which these are called is part of the plan of a seed.
+/// Builds a plan. Methods whose description begins with "Draws" advance the random numbers, so the order of their calls is
+/// part of the plan of a seed.
 pub(super) struct PlanBuilder {
     rng: SeededRng,
     pub(super) scale: Scale,
@@ -18,19 +18,19 @@
 }
 
 impl PlanBuilder {
-    /// The builder of a seed's plan, without any step.
+    /// Returns a builder without steps for the plan of a seed.
     pub(super) fn new(seed: u64, scale: &Scale) -> PlanBuilder {
         PlanBuilder { rng: SeededRng::named(seed, "plan"), scale: *scale, steps: Vec::new() }
     }
 
-    /// The steps, in the order of their times; those of one time stay in the order in which they were added.
+    /// Returns the steps ordered by time. Steps with the same time keep the order in which they were added.
     pub(super) fn into_steps(self) -> Vec<TimedStep> {
         let mut steps = self.steps;
         steps.sort_by_key(|timed| timed.at);
         steps
     }
 
-    /// How long clients send requests, in seconds.
+    /// Returns the time during which clients send requests, in seconds.
     pub(super) fn length_s(&self) -> f64 {
         self.scale.length.as_secs_f64()
     }
@@ -50,35 +50,35 @@
         from + (to - from) * self.rng.uniform()
     }
 
-    /// Draws a number of milliseconds between two bounds, short ones as likely as long ones.
+    /// Draws a number of milliseconds between two bounds, uniformly on a logarithmic scale.
     pub(super) fn log_millis(&mut self, least: f64, most: f64) -> u64 {
         (least * (most / least).powf(self.rng.uniform())) as u64
     }
 
-    /// Draws a time in the middle of the run, in seconds: faults meet there.
+    /// Draws a time in the middle of the run, in seconds, so that faults overlap.
     pub(super) fn time(&mut self) -> f64 {
         let length_s = self.length_s();
         self.between(0.1 * length_s, 0.7 * length_s)
     }
 
-    /// Draws a part of the numbers below a bound, each once; at least one.
+    /// Draws a fraction of the numbers below a bound without repetition; at least one.
     pub(super) fn sample(&mut self, bound: usize, part: f64) -> Vec<usize> {
         let mut left: Vec<usize> = (0..bound).collect();
         let count = ((bound as f64 * part) as usize).clamp(1, bound);
         (0..count).map(|_| left.swap_remove(self.below(left.len()))).collect()
     }
 
-    /// Draws a part of the proxies.
+    /// Draws a fraction of the proxies.
     pub(super) fn sample_proxies(&mut self, part: f64) -> Vec<usize> {
         self.sample(self.scale.proxies, part)
     }
 
-    /// Draws a part of the backends.
+    /// Draws a fraction of the backends.
     pub(super) fn sample_backends(&mut self, part: f64) -> Vec<usize> {
         self.sample(self.scale.backends, part)
     }
 
-    /// Draws as many kinds of fault as the scale says. Most runs have two of [`FaultKind::STARTS_AND_ENDS`].
+    /// Draws the number of fault kinds that the scale sets. Most runs have two of [`FaultKind::STARTS_AND_ENDS`].
     pub(super) fn draw_kinds(&mut self) -> Vec<FaultKind> {
         let count = self.scale.faults.min(FaultKind::ALL.len());
         let mut drawn = Vec::new();
@@ -105,12 +105,12 @@
         self.between(0.0, LONGEST_PAUSE_S)
     }
 
-    /// Adds a step at that time, in seconds from the beginning of the run.
+    /// Adds a step at this time, in seconds from the start of the run.
     pub(super) fn add(&mut self, at_s: f64, step: Step) {
         self.steps.push(TimedStep { at: Duration::from_secs_f64(at_s.max(0.0)), step });
     }
 
-    /// Adds a restart of a proxy at that time, in seconds from the beginning of the run.
+    /// Adds a restart of a proxy at this time, in seconds from the start of the run.
     pub(super) fn add_restart(&mut self, at_s: f64, proxy: usize, end: ProcessEnd, start: ProcessStart) {
         self.add(at_s, Step::Restart(proxy, Restart { end, start }));
     }
--- a/crates/soak/src/plan/fault_kind.rs
+++ b/crates/soak/src/plan/fault_kind.rs
@@ -8,7 +8,7 @@
     Stop,
     /// Proxies are killed and restarted.
     Kill,
-    /// Proxies are told with SIGHUP that discovery has moved, some several times in a row.
+    /// Proxies receive SIGHUP after discovery has moved, some of them several times in a row.
     Reload,
     /// Discovery does not answer, or closes its connections.
     Discovery,
@@ -28,24 +28,24 @@
     WallClock,
     /// Processes are paused with SIGSTOP for up to 0.15 s.
     Freeze,
-    /// Clients send half of a request, or several at once, or hold many idle connections.
+    /// Clients send incomplete requests, several requests at once, or hold many idle connections.
     Clients,
     /// Idle clients fill all slots of single proxies.
     Crowd,
-    /// Proxies are killed and restarted while sockets cannot be made.
+    /// Proxies are killed and restarted while sockets cannot be created.
     ShortStart,
     /// Another socket listens at a proxy's address as it restarts; some proxies are stopped meanwhile.
     HeldAddress,
     /// The next process starts while the earlier one still drains.
     Overlap,
-    /// Proxies restart with a truncated configuration, which is complete a little later.
+    /// Proxies restart with a truncated configuration, which is completed a little later.
     HalfConfiguration,
     /// Proxies are stopped in the first milliseconds of a start.
     EarlyStop,
 }
 
 impl FaultKind {
-    /// All kinds, in the order in which they are drawn from.
+    /// All kinds, in the order that the draws use.
     pub const ALL: [FaultKind; 19] = [
         FaultKind::Stop,
         FaultKind::Kill,
@@ -68,7 +68,7 @@
         FaultKind::EarlyStop,
     ];
 
-    /// Kinds that concern starts, stops and full slots: most runs have two of them.
+    /// Kinds that concern starts, stops and full slots. Most runs have two of them.
     pub(super) const STARTS_AND_ENDS: [FaultKind; 8] = [
         FaultKind::Stop,
         FaultKind::Kill,
--- a/crates/soak/src/plan/faults.rs
+++ b/crates/soak/src/plan/faults.rs
@@ -1,4 +1,4 @@
-//! The steps of each kind of fault: one function a kind.
+//! Adds the steps of each fault kind, with one function for each.
 //!
 //! The order of the draws within each function is part of the plan of a seed.
 
@@ -6,7 +6,7 @@
 use super::{BackendFault, FaultKind, ProcessEnd, ProcessStart, Step};
 use crate::call_faults::CallFault;
 
-/// The faults of system calls that a run draws from, with their highest probabilities.
+/// System call faults that a run draws from, with their maximum probabilities.
 const CALLS: [(CallFault, f64); 13] = [
     (CallFault::ShortRead, 0.5),
     (CallFault::ShortWrite, 0.5),
@@ -24,7 +24,7 @@
 ];
 
 impl PlanBuilder {
-    /// Adds the steps of a kind of fault.
+    /// Adds the steps of a fault kind.
     pub(super) fn add_fault(&mut self, kind: FaultKind) {
         match kind {
             FaultKind::Stop => self.add_stops(),
@@ -115,7 +115,7 @@
         self.add_restarts(|builder| ProcessStart::EarlyStop(builder.log_millis(1.0, 40.0)));
     }
 
-    /// Restarts some proxies, one soon after the other, by a kill or a stop; the next process of each starts as drawn.
+    /// Restarts some proxies in quick succession by a kill or a stop. `draw_start` draws how the next process of each starts.
     fn add_restarts(&mut self, draw_start: impl Fn(&mut PlanBuilder) -> ProcessStart) {
         let mut at = self.time();
         for proxy in self.sample_proxies(0.4) {
--- a/crates/soak/src/plan/step.rs
+++ b/crates/soak/src/plan/step.rs
@@ -6,11 +6,11 @@
 /// A single step of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// The process of a proxy ends, and its next one starts.
+    /// The process of a proxy ends, and the next one starts.
     Restart(usize, Restart),
-    /// Discovery moves to another address in a proxy's configuration, and the proxy gets SIGHUP.
+    /// Discovery moves to another address in a proxy's configuration, and the proxy receives SIGHUP.
     Reload(usize),
-    /// A proxy is paused with SIGSTOP for so many milliseconds.
+    /// A proxy is paused with SIGSTOP for this time, in ms.
     Freeze(usize, u64),
     /// Discovery does not answer.
     DiscoverySilent,
@@ -20,9 +20,9 @@
     DiscoveryUp,
     /// A proxy cannot reach discovery.
     DiscoveryCut(usize),
-    /// It can again.
+    /// A proxy can reach discovery again.
     DiscoveryHealed(usize),
-    /// A backend drains, and is listed so.
+    /// A backend drains and is listed as draining.
     DrainBackend(usize),
     /// A draining backend ends, and is removed from the list.
     RemoveBackend(usize),
@@ -32,19 +32,19 @@
     KillBackend(usize),
     /// A backend has a fault.
     BackendFault(usize, BackendFault),
-    /// A backend has none of these faults any more.
+    /// A backend has no fault any more.
     BackendHealed(usize),
     /// The connections from a proxy to a backend are reset and refused.
     LinkReset(usize, usize),
-    /// Nothing gets through on them.
+    /// The connections from a proxy to a backend carry nothing.
     LinkSilent(usize, usize),
-    /// Bytes on them are delayed.
+    /// Bytes from a proxy to a backend and back are delayed.
     LinkSlow(usize, usize),
-    /// They work again.
+    /// The connections from a proxy to a backend work again.
     LinkHealed(usize, usize),
-    /// System calls of all proxies fail with that probability.
+    /// A system call of all proxies fails with this probability.
     CallFault(CallFault, f64),
-    /// The proxies' wall clocks are so many seconds ahead.
+    /// The proxies' wall clocks have this offset from the true time, in seconds.
     WallClock(i64),
     /// Clients of a proxy misbehave.
     MisbehavingClients(usize),
@@ -52,21 +52,21 @@
     IdleCrowd(usize),
 }
 
-/// A step and when it is taken, from the beginning of the run.
+/// A step and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TimedStep {
-    /// When it is due.
+    /// Time from the start of the run.
     pub at: Duration,
-    /// What is done.
+    /// The step to apply.
     pub step: Step,
 }
 
 /// How a proxy's process ends, and how the next one starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Restart {
-    /// How it ends.
+    /// How the current process ends.
     pub end: ProcessEnd,
-    /// How the next one starts.
+    /// How the next process starts.
     pub start: ProcessStart,
 }
 
@@ -75,7 +75,7 @@
 pub enum ProcessEnd {
     /// By SIGKILL.
     Kill,
-    /// By these signals.
+    /// By the signals of a stop.
     Stop(StopSignals),
     /// By SIGTERM, and the next process starts at once.
     Overlap,
@@ -97,34 +97,34 @@
 pub enum ProcessStart {
     /// Without a fault.
     Normal,
-    /// Another socket listens at its address for so long.
+    /// Another socket listens at the process's address for this time.
     HeldAddress(u64),
-    /// Another socket listens at its address, and it is stopped after so long.
+    /// Another socket listens at the process's address, and the process is stopped after this time.
     StopWhileHeld(u64),
-    /// Its configuration is truncated, and complete after so long.
+    /// The configuration is truncated, and completed after this time.
     HalfConfiguration(u64),
-    /// It is stopped after so long.
+    /// The process is stopped after this time.
     EarlyStop(u64),
 }
 
-/// A fault of a backend. Parts are fractions of its requests.
+/// A fault of a backend. An `f64` is a fraction of its requests unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// A part of its requests is never answered.
+    /// A fraction of the requests is never answered.
     Hangs(f64),
-    /// A part gets 500.
+    /// A fraction of the requests is answered with 500.
     Fails(f64),
-    /// A part ends in a reset.
+    /// A fraction of the requests ends in a reset.
     Resets(f64),
-    /// Requests take so many times as long.
+    /// Requests take longer by this factor.
     Slow(f64),
-    /// Each connection is closed after its answer.
+    /// Each connection is closed after one answer.
     Closes,
-    /// Answers come byte by byte, over so many milliseconds.
+    /// Answers are sent byte by byte over this time, in ms.
     Drips(u64),
-    /// Answers are not HTTP, and the connection stays open.
+    /// Answers are not valid HTTP, and the connection stays open.
     Garbage,
-    /// Answers are truncated within their bodies, and the connection stays open.
+    /// Answers are truncated in the body, and the connection stays open.
     Truncates,
     /// Head and body are sent in two segments, without TCP_NODELAY.
     TwoSegments,
--- a/crates/soak/src/proxies.rs
+++ b/crates/soak/src/proxies.rs
@@ -1,4 +1,4 @@
-//! Processes of the program: configuration, start and signals.
+//! Configures, starts and signals the processes of the program.
 
 use crate::address::{Reservation, ReservedAddress};
 use crate::artifacts::Artifacts;
@@ -21,34 +21,34 @@
 /// One process of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProcessRecord {
-    /// Which proxy.
+    /// Index of the proxy.
     pub proxy: usize,
     /// When it was started.
     pub started_at: Time,
     /// When it was ready.
     pub ready_at: Option<Time>,
-    /// When it got the first signal of its stop.
+    /// When it received the first signal of its stop.
     pub stop_requested_at: Option<Time>,
     /// When it was killed, if the plan killed it.
     pub killed_at: Option<Time>,
     /// When and how it exited.
     pub exit: Option<(Time, ExitStatus)>,
-    /// The SIGHUPs and SIGTERMs that it got, in their order.
+    /// The SIGHUPs and SIGTERMs that it received, in order.
     pub signals: Vec<SignalRecord>,
-    /// It was still there when SIGKILL was due.
+    /// Whether it had not exited when SIGKILL was due.
     pub outlived_stop: bool,
     /// When its address was free or its configuration complete, if that was after its start.
     pub unblocked_at: Option<Time>,
     /// Its peak memory in KiB, when it was last measured.
     pub peak_memory_kib: u64,
-    /// The file with its log.
+    /// Path of its log file.
     pub log: PathBuf,
-    /// The last line of that, once the run is over.
+    /// The last line of its log, once the run is over.
     pub last_line: Option<String>,
 }
 
 impl ProcessRecord {
-    /// Of a process that was just started.
+    /// Returns the record of a process that was just started.
     pub fn new(proxy: usize, started_at: Time, log: PathBuf) -> ProcessRecord {
         ProcessRecord {
             proxy,
@@ -70,7 +70,7 @@
 /// A proxy, with its address and configuration, across all its processes.
 #[derive(Debug)]
 pub struct ProxySlot {
-    /// Its number, from 0.
+    /// Index of the proxy, from 0.
     pub index: usize,
     /// Its address, reserved while no process listens.
     reserved: ReservedAddress,
@@ -86,26 +86,26 @@
     known: serde_json::Value,
     pid: Option<u32>,
     starts: usize,
-    /// Processes, and the SIGHUPs and SIGTERMs that each got.
+    /// The SIGHUPs and SIGTERMs that each process received, by PID.
     signals: BTreeMap<u32, Vec<SignalRecord>>,
-    /// Processes that the plan has stopped.
+    /// Processes that the plan has paused with SIGSTOP.
     stopped: BTreeSet<u32>,
 }
 
-/// What all processes of a run share.
+/// The parameters that all processes of a run share.
 #[derive(Debug)]
 pub struct ProcessContext<'a> {
     /// The program and the shim.
     pub artifacts: &'a Artifacts,
-    /// The faults of their system calls.
+    /// Controls their system call faults.
     pub control: &'a FaultControl,
-    /// Where configurations and logs are written.
+    /// Folder for configurations and logs.
     pub folder: &'a Path,
     /// The run's clock.
     pub clock: Clock,
-    /// How many proxies there are.
+    /// Number of proxies.
     pub proxies: usize,
-    /// The proxies poll discovery; otherwise an agent pushes the lists.
+    /// Whether the proxies poll discovery; otherwise an agent pushes the lists.
     pub polls_discovery: bool,
     /// The run's seed.
     pub seed: u64,
@@ -114,7 +114,7 @@
 }
 
 impl ProxySlot {
-    /// A proxy that is not started yet. `known`: the cached endpoint list in its configuration.
+    /// Returns a proxy that is not started yet. `known`: the cached endpoint list in its configuration.
     ///
     /// # Errors
     /// No port can be reserved.
@@ -135,12 +135,12 @@
         Ok(ProxySlot { index, reserved, config, discovery, state: Mutex::new(state) })
     }
 
-    /// Where it listens.
+    /// Returns the listen address.
     pub fn address(&self) -> SocketAddr {
         self.reserved.address()
     }
 
-    /// Its reserved address.
+    /// Returns the reservation of its address.
     pub fn reserved(&self) -> &ReservedAddress {
         &self.reserved
     }
@@ -170,15 +170,15 @@
     /// Writes the complete configuration.
     ///
     /// # Errors
-    /// It cannot be written.
+    /// The file cannot be written.
     pub fn complete_config(&self, context: &ProcessContext) -> io::Result<()> {
         self.write_config(context, &self.state())
     }
 
-    /// Starts a process; its configuration is complete, or truncated in the middle.
+    /// Starts a process with a complete configuration, or with one that is truncated in the middle.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started, or a file cannot be written.
     pub fn start(
         &self, context: &ProcessContext, is_config_complete: bool,
     ) -> io::Result<(Child, ProcessRecord)> {
@@ -201,7 +201,7 @@
         Ok((child, ProcessRecord::new(self.index, context.clock.now(), log)))
     }
 
-    /// Forgets a process that has exited, so that it gets no more signals.
+    /// Forgets a process that has exited, so that no further signal is sent to its PID.
     pub fn forget(&self, pid: u32) {
         let mut state = self.state();
         state.stopped.remove(&pid);
@@ -223,7 +223,7 @@
         Ok(())
     }
 
-    /// Sends a signal to its process, if there is one.
+    /// Sends a signal to the current process, if there is one.
     pub fn signal(&self, signal: Signal, clock: Clock) {
         let pid = self.state().pid;
         if let Some(pid) = pid {
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Sends a signal to one of its processes. Of SIGHUP and SIGTERM it is recorded what they find. Signals of one proxy are sent one after
-    /// the other, so that a process which the plan stops meanwhile stays stopped.
+    /// Sends a signal to one of the proxy's processes, and records SIGHUP and SIGTERM. Signals of one proxy are serialized, so
+    /// that a process which the plan pauses meanwhile stays paused.
     pub fn signal_process(&self, pid: u32, signal: Signal, clock: Clock) {
         let mut state = self.state();
         match signal {
@@ -248,8 +248,8 @@
         let _ = kill(Pid::from_raw(pid as i32), signal); // it may have ended
     }
 
-    /// Takes the records of the SIGHUPs and SIGTERMs that one of its processes got, in their order: a later process may have
-    /// its number.
+    /// Takes the records of the SIGHUPs and SIGTERMs that a process received, in order. They are removed because a later
+    /// process may have the same PID.
     pub fn take_signals(&self, pid: u32) -> Vec<SignalRecord> {
         self.state().signals.remove(&pid).unwrap_or_default()
     }
@@ -263,7 +263,7 @@
     }
 }
 
-/// The peak memory of a process so far, in KiB; 0 if it has exited.
+/// Returns the peak memory of a process so far, in KiB; 0 if it has exited.
 pub fn peak_memory_kib(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,7 +1,7 @@
-//! Executes a plan: starts all parts, applies the steps when they are due, and collects the evidence.
+//! Executes a plan: starts all parts, applies the steps at their times, and collects the evidence.
 //!
 //! `setup` starts the parts, `steps` applies the steps, `processes` starts and ends the processes of each proxy, `load`
-//! runs their clients, and `observations` holds what the run itself records for the oracle.
+//! runs their clients, and `observations` holds the run's own records for the oracle.
 
 mod load;
 mod observations;
@@ -27,33 +27,33 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The time from the longest deadline after SIGTERM to SIGKILL.
+/// Time from the longest deadline after SIGTERM to SIGKILL.
 const KILL_AFTER: Duration = Duration::from_millis(700);
 
 /// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// The kinds of fault.
+    /// The fault kinds in the plan.
     pub kinds: Vec<FaultKind>,
     /// The violations of invariants.
     pub violations: Vec<Violation>,
-    /// Ends by SIGHUP, which are among them, and by SIGTERM, with what the trace shows.
+    /// Ends by SIGHUP, which are violations, and by SIGTERM, each with its trace.
     pub ends_by_signal: Vec<EndBySignal>,
-    /// Processes that were started.
+    /// Number of processes that were started.
     pub processes: usize,
-    /// Requests of the ordinary load that were sent.
+    /// Number of requests of the ordinary load that were sent.
     pub requests: usize,
-    /// Requests that their client did not send, as it was held up itself until its time was up.
+    /// Number of requests that were not sent because their client was delayed past their deadline.
     pub unsent: usize,
-    /// Those of them that were served.
+    /// Number of requests that were served.
     pub served: usize,
-    /// Clients that disconnected before their answer.
+    /// Number of clients that disconnected before their answer.
     pub disconnects: usize,
-    /// System calls that were made to fail, by fault.
+    /// Number of injected system call faults, by fault.
     pub failed_calls: Vec<(CallFault, u32)>,
-    /// The folder with configurations and logs; it is kept only if there are violations.
+    /// Folder with configurations and logs. It is kept only if there are violations.
     pub folder: PathBuf,
 }
 
@@ -77,11 +77,11 @@
     observations: Mutex<Observations>,
 }
 
-/// Runs the plan of a seed and checks the invariants. `only`: the kinds of fault in it, in place of drawn ones.
+/// Runs the plan of a seed and checks the invariants. `only`: fault kinds to use instead of drawn ones.
 ///
 /// # Errors
 /// A stand-in or a process cannot be started, or SIGHUP would not reach the processes.
-pub fn play(seed: u64, scale: &Scale, only: &[FaultKind], artifacts: &Artifacts) -> io::Result<Report> {
+pub fn run_seed(seed: u64, scale: &Scale, only: &[FaultKind], artifacts: &Artifacts) -> io::Result<Report> {
     hangups::ensure_reaching_programs()?;
     let plan = Plan::draw(seed, scale, only);
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
@@ -89,7 +89,7 @@
     let evidence = runtime.block_on(testbed.clone().run(&plan))?;
     let violations = judge(&evidence);
     if violations.is_empty() {
-        let _ = std::fs::remove_dir_all(&testbed.folder); // a temporary folder
+        let _ = std::fs::remove_dir_all(&testbed.folder); // the folder is temporary
     }
     let sent = || evidence.clients.iter().flat_map(|records| &records.load.sent);
     let counts = CallFault::ALL.map(|fault| (fault, testbed.control.count(fault).unwrap_or_default()));
@@ -165,7 +165,7 @@
         Ok(())
     }
 
-    /// A number for the ids of a run of clients that no other run has.
+    /// Returns the number of a new client run, for the ids of its requests.
     fn next_client_run(&self) -> u32 {
         let mut observations = self.observations();
         observations.client_runs += 1;
@@ -173,7 +173,7 @@
     }
 }
 
-/// Puts a fault in force on both directions of a link, in place of the one before.
+/// Sets the fault of both directions of a link. It replaces the previous fault.
 fn set_link(link: &Link, fault: LinkFault) -> io::Result<()> {
     link.set(Direction::Both, fault).map_err(io::Error::other)
 }
--- a/crates/soak/src/run/load.rs
+++ b/crates/soak/src/run/load.rs
@@ -1,4 +1,4 @@
-//! The clients of one process: the ordinary load, and clients that disconnect.
+//! Runs the clients of one process: the ordinary load, and clients that disconnect.
 
 use super::Testbed;
 use super::KILL_AFTER;
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// The rate of the ordinary load at each proxy, requests a second.
+/// Rate of the ordinary load at each proxy, requests per second.
 const RATE_PER_S: f64 = 40.0;
-/// The mean pause between two clients of a proxy that disconnect, ms.
+/// Mean pause between two disconnecting clients of a proxy, ms.
 const DISCONNECT_PAUSE_MS: f64 = 60.0;
-/// How long a client waits for an answer after its deadline.
-const PATIENCE_AFTER_DEADLINE: Duration = Duration::from_millis(500);
-/// The body of a non-idempotent request, in bytes: it takes several writes and reads.
+/// Time that a client waits for an answer after its deadline.
+const ANSWER_WAIT_AFTER_DEADLINE: Duration = Duration::from_millis(500);
+/// Body size of a non-idempotent request, in bytes: large enough to take several writes and reads.
 const LONG_BODY_BYTES: usize = 20_000;
 
 fn class(name: &str, idempotency: Idempotency, body: usize, deadline_us: u64) -> LoadClass {
@@ -38,9 +38,9 @@
 
 /// The clients of one process.
 pub(super) struct Clients {
-    /// Set once clients may use only the connections that are open.
+    /// Set when clients may use only connections that are already open.
     pub(super) existing_only: watch::Sender<bool>,
-    /// Set once clients may send nothing more.
+    /// Set when clients may not send any further request.
     stop: watch::Sender<bool>,
     load: JoinHandle<LoadResult>,
     disconnecting: JoinHandle<Vec<ClientDisconnect>>,
@@ -53,17 +53,17 @@
         let (stop, mut stopped) = watch::channel(false);
         let (to, clock) = (testbed.slots[proxy].address(), testbed.clock);
         let longest = Duration::from_micros(testbed.settings.longest_stop_us()) + KILL_AFTER;
-        let left = Duration::from_micros((end - clock.now()).0) + longest;
+        let remaining = Duration::from_micros((end - clock.now()).0) + longest;
         let disconnecting_run = testbed.next_client_run();
         let load = Load {
             seed: testbed.seed.wrapping_mul(7919) + u64::from(disconnecting_run),
             clock,
-            late_answer_wait: PATIENCE_AFTER_DEADLINE,
+            late_answer_wait: ANSWER_WAIT_AFTER_DEADLINE,
             existing_connections_only: Some(no_new.clone()),
-            ..Load::new(RATE_PER_S, classes(&testbed.settings), left)
+            ..Load::new(RATE_PER_S, classes(&testbed.settings), remaining)
         };
         let stop_load = async move {
-            let _ = stopped.wait_for(|stop| *stop).await; // or the run has ended
+            let _ = stopped.wait_for(|stop| *stop).await; // an error means that the run has ended
         };
         let load = tokio::spawn(async move { load.run_until(to, stop_load).await });
         let disconnecting = tokio::spawn(run_disconnecting_clients(
@@ -76,7 +76,7 @@
         Clients { existing_only, stop, load, disconnecting, disconnecting_run }
     }
 
-    /// Waits for the open requests, and returns what the clients got.
+    /// Waits for the open requests, and returns the results of the clients.
     pub(super) async fn finish(self) -> Option<(LoadResult, (u32, Vec<ClientDisconnect>))> {
         self.existing_only.send_replace(true);
         self.stop.send_replace(true);
--- a/crates/soak/src/run/observations.rs
+++ b/crates/soak/src/run/observations.rs
@@ -1,4 +1,4 @@
-//! What the run itself records for the oracle, and the evidence made of that and of the records of the stand-ins.
+//! The run's own records for the oracle, and the evidence built from them and from the records of the stand-ins.
 
 use super::Testbed;
 use crate::call_faults::CallFault;
@@ -10,15 +10,15 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The end of a span that is still open.
+/// End of a span that is still open.
 const OPEN: Time = Time(u64::MAX);
 
-/// What the run itself records.
+/// The run's own records.
 #[derive(Default)]
 pub(super) struct Observations {
     pub(super) processes: Vec<ProcessRecord>,
     pub(super) clients: Vec<ClientRecords>,
-    pub(super) clients_of_holders: BTreeSet<(usize, SocketAddr)>,
+    pub(super) clients_of_conflicting_listeners: BTreeSet<(usize, SocketAddr)>,
     pub(super) drains: Vec<DrainSpan>,
     discovery_outages: Vec<Vec<(Time, Time)>>,
     pub(super) discovery_moves: Vec<Vec<Time>>,
@@ -28,7 +28,7 @@
 }
 
 impl Observations {
-    /// The empty observations of a run with so many proxies.
+    /// Returns the empty observations of a run with this number of proxies.
     pub(super) fn of(proxies: usize) -> Observations {
         Observations {
             discovery_outages: vec![Vec::new(); proxies],
@@ -49,14 +49,14 @@
 }
 
 impl Testbed {
-    /// The evidence of the run. Takes the observations, so that it is called once, after every process has ended.
+    /// Returns the evidence of the run. Takes the observations, and is therefore called once, after every process has ended.
     pub(super) fn evidence(&self, plan: &Plan) -> Evidence {
         let mut observations = std::mem::take(&mut *self.observations());
         observations.close(self.clock.now());
         let Observations {
             mut processes,
             clients,
-            clients_of_holders,
+            clients_of_conflicting_listeners,
             drains,
             discovery_outages,
             discovery_moves,
@@ -69,7 +69,7 @@
             ledger: self.fleet.ledger(),
             processes,
             clients,
-            clients_of_holders,
+            clients_of_conflicting_listeners,
             drains,
             discovery_outages,
             discovery_moves,
@@ -87,13 +87,13 @@
         }
     }
 
-    /// The entries that discovery wrote to each proxy.
+    /// Returns the list entries that discovery wrote to each proxy.
     fn list_writes(&self) -> Vec<ListWrite> {
         let place = |name: &str| name.get(1..).and_then(|number| number.parse().ok());
-        let one = |told: Delivery| {
-            Some(ListWrite { proxy: told.watcher, backend: place(&told.name)?, at: told.at })
+        let list_write = |delivery: Delivery| {
+            Some(ListWrite { proxy: delivery.watcher, backend: place(&delivery.name)?, at: delivery.at })
         };
-        self.discovery.deliveries().into_iter().filter_map(one).collect()
+        self.discovery.deliveries().into_iter().filter_map(list_write).collect()
     }
 
     /// Records that these proxies cannot reach discovery from now on.
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Records that they can reach it again.
+    /// Records that these proxies can reach discovery again.
     pub(super) fn discovery_reachable_again(&self, proxies: impl Iterator<Item = usize>) {
         let now = self.clock.now();
         let mut observations = self.observations();
@@ -122,7 +122,7 @@
         self.observations().delayed_links.push(DelayedLink { proxy, backend, from, until: OPEN });
     }
 
-    /// Records that they are not delayed any more.
+    /// Records that bytes from a proxy to a backend are no longer delayed.
     pub(super) fn link_delayed_until_now(&self, proxy: usize, backend: usize) {
         let now = self.clock.now();
         for link in &mut self.observations().delayed_links {
@@ -132,12 +132,12 @@
         }
     }
 
-    /// Records that discovery was told of a drain at that time.
+    /// Records that discovery received a drain at `from`.
     pub(super) fn note_drain(&self, backend: usize, from: Time) {
         self.observations().drains.push(DrainSpan { backend, from, until: None });
     }
 
-    /// Records that discovery was told of a start of a backend at that time.
+    /// Records that discovery received a start of a backend at `listed`.
     pub(super) fn note_backend_start(&self, backend: usize, listed: Time) {
         let mut observations = self.observations();
         observations.backend_starts.push(BackendStart { backend, listed });
@@ -153,14 +153,14 @@
     plan.kinds.iter().any(|kind| kinds.contains(kind))
 }
 
-/// Whether a plan pauses processes.
+/// Returns whether a plan pauses processes.
 fn pauses_processes(plan: &Plan) -> bool {
     let pauses = |step: Step| matches!(step, Step::Freeze(..) | Step::CallFault(CallFault::SlowWrite, _));
     plan.steps.iter().any(|timed| pauses(timed.step))
 }
 
-/// The log lines that the oracle checks, each with the name of its file, and the number of evicted clients. The last line of
-/// each log is noted with its process.
+/// Returns the log lines that the oracle checks, each with the name of its file, and the number of evicted clients. Stores
+/// the last line of each log in the record of its process.
 fn read_logs(processes: &mut [ProcessRecord]) -> (Vec<String>, u64) {
     let (mut log_lines, mut evictions) = (Vec::new(), 0);
     for process in processes {
@@ -175,7 +175,7 @@
     (log_lines, evictions)
 }
 
-/// The number of evicted clients in a line of the program's periodic report.
+/// Returns the number of evicted clients in a line of the program's periodic report.
 fn evicted_in(line: &str) -> Option<u64> {
     let (_, behind) = line.split_once(" evicted ")?;
     behind.split(' ').next()?.parse().ok()
--- a/crates/soak/src/run/processes.rs
+++ b/crates/soak/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of one proxy, one after the other or overlapping: their starts, their clients and their ends.
+//! Starts and ends the processes of one proxy, in sequence or overlapping, and runs their clients.
 
 use super::load::Clients;
 use super::Testbed;
@@ -17,18 +17,18 @@
 use tokio::sync::mpsc;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// Clients open new connections for so long after SIGTERM, and use open ones until the process has ended.
+/// Time after SIGTERM during which clients still open new connections. They use open ones until the process has ended.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
-/// The pause between two signals of a series.
+/// Pause between two signals of a series.
 const SIGNAL_PAUSE: Duration = Duration::from_millis(15);
-/// A process that is not ready after so long is not waited for any more.
-const START_PATIENCE: Duration = Duration::from_secs(15);
-/// The timeout of a readiness probe.
+/// Maximum time to wait until a process is ready.
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+/// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause between two checks of a process.
+/// Pause between two checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A process that was started. `unblocked` ends when its address is free, or its configuration complete.
+/// A started process. `unblocked` completes when its address is free or its configuration complete.
 struct Started {
     child: Child,
     process: ProcessRecord,
@@ -40,14 +40,14 @@
 enum EndCause {
     /// The plan restarts it.
     Restart(Restart),
-    /// The run is over.
+    /// The run has ended.
     RunOver,
-    /// It has exited by itself.
+    /// The process has exited by itself.
     Exited,
 }
 
 impl Testbed {
-    /// Runs the processes of a proxy, one after the other or overlapping, with their clients, until the run is over.
+    /// Runs the processes of a proxy, in sequence or overlapping, with their clients, until the run has ended.
     pub(super) async fn proxy(
         self: Arc<Testbed>, proxy: usize, end: Time, mut restarts: mpsc::Receiver<Restart>,
     ) -> io::Result<()> {
@@ -89,7 +89,7 @@
         overlapping.join_all().await.into_iter().collect()
     }
 
-    /// Ends a process for that cause, waits until it has exited, and records it.
+    /// Ends a process for this cause, waits until it has exited, and records it.
     async fn end(
         &self, mut child: Child, mut process: ProcessRecord, clients: Clients, cause: EndCause,
     ) -> io::Result<()> {
@@ -113,7 +113,7 @@
         self.stop_with_clients(child, process, Some(clients), signals).await
     }
 
-    /// Stops a process, waits until it has exited, and records it with what its clients got.
+    /// Stops a process, waits until it has exited, and records it with the results of its clients.
     async fn stop_with_clients(
         &self, mut child: Child, mut process: ProcessRecord, clients: Option<Clients>, signals: StopSignals,
     ) -> io::Result<()> {
@@ -126,7 +126,7 @@
         let slot = &self.slots[proxy];
         let occupied = match process_start {
             ProcessStart::HeldAddress(millis) => Some((millis, slot.reserved().occupy())),
-            // Longer than the process runs.
+            // The address stays occupied for longer than the process runs.
             ProcessStart::StopWhileHeld(millis) => Some((millis + 200, slot.reserved().occupy())),
             _ => None,
         };
@@ -140,22 +140,22 @@
         Ok(Started { child, process, unblocked })
     }
 
-    /// Frees an occupied address after so many milliseconds.
+    /// Frees an occupied address after `millis` milliseconds.
     fn release_address_later(
         self: &Arc<Testbed>, proxy: usize, listener: ConflictingListener, millis: u64,
     ) -> JoinHandle<Time> {
         let testbed = self.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(millis)).await;
-            // Where they cannot be told, a request of theirs is reported.
+            // If the clients are not known, the oracle reports their requests as unanswered.
             let clients = listener.release().unwrap_or_default();
             let clients = clients.into_iter().map(|client| (proxy, client));
-            testbed.observations().clients_of_holders.extend(clients);
+            testbed.observations().clients_of_conflicting_listeners.extend(clients);
             testbed.clock.now()
         })
     }
 
-    /// Writes the complete configuration of a proxy after so many milliseconds.
+    /// Writes the complete configuration of a proxy after `millis` milliseconds.
     fn complete_config_later(self: &Arc<Testbed>, proxy: usize, millis: u64) -> JoinHandle<Time> {
         let testbed = self.clone();
         tokio::spawn(async move {
@@ -187,7 +187,7 @@
         }));
     }
 
-    /// Stops a process as the platform does: SIGTERM, and SIGKILL if it is still there when that is due.
+    /// Stops a process as the platform does: by SIGTERM, and by SIGKILL if it has not exited in time.
     async fn stop(
         &self, child: &mut Child, process: &mut ProcessRecord, clients: Option<&Clients>,
         signals: StopSignals,
@@ -196,7 +196,7 @@
         let proxy = process.proxy;
         process.peak_memory_kib = process.peak_memory_kib.max(peak_memory_kib(pid));
         process.stop_requested_at = Some(self.clock.now());
-        let due =
+        let sigkill_at =
             tokio::time::Instant::now() + Duration::from_micros(self.settings.longest_stop_us()) + KILL_AFTER;
         let notice = async {
             tokio::time::sleep(STOP_NOTICE).await;
@@ -208,7 +208,7 @@
         tokio::select! {
             () = async { self.send_series(proxy, pid, signals).await; wait_for_exit(child).await } => {}
             () = notice => {}
-            () = tokio::time::sleep_until(due) => {
+            () = tokio::time::sleep_until(sigkill_at) => {
                 process.outlived_stop = true;
                 child.kill()?;
             }
@@ -216,15 +216,15 @@
         child.wait()
     }
 
-    /// Waits until a process is ready, and returns when; `None` if it exits or takes too long.
+    /// Waits until a process is ready and returns that time; `None` if it exits or takes too long.
     async fn wait_until_ready(&self, child: &mut Child, proxy: usize) -> Option<Time> {
         let to = self.slots[proxy].address();
-        let by = tokio::time::Instant::now() + START_PATIENCE;
+        let start_deadline = tokio::time::Instant::now() + START_TIMEOUT;
         let probe = "GET /-/ready HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n";
-        while tokio::time::Instant::now() < by && matches!(child.try_wait(), Ok(None)) {
-            let soon = tokio::time::Instant::now() + PROBE_TIMEOUT;
-            if let Ok(mut link) = KeptConnection::open(to, soon).await {
-                let exchange = link.send_request(probe.as_bytes(), "GET", soon).await;
+        while tokio::time::Instant::now() < start_deadline && matches!(child.try_wait(), Ok(None)) {
+            let probe_deadline = tokio::time::Instant::now() + PROBE_TIMEOUT;
+            if let Ok(mut link) = KeptConnection::open(to, probe_deadline).await {
+                let exchange = link.send_request(probe.as_bytes(), "GET", probe_deadline).await;
                 if matches!(exchange, Exchange::Answer(ref answer) if answer.status() == 200) {
                     return Some(self.clock.now());
                 }
@@ -250,7 +250,7 @@
     }
 }
 
-/// Waits until a process is to end, or has exited.
+/// Waits until a process is to be ended or has exited.
 async fn next_end_cause(child: &mut Child, restarts: &mut mpsc::Receiver<Restart>) -> EndCause {
     tokio::select! {
         restart = restarts.recv() => restart.map_or(EndCause::RunOver, EndCause::Restart),
--- a/crates/soak/src/run/setup.rs
+++ b/crates/soak/src/run/setup.rs
@@ -20,42 +20,42 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The address at which all parts listen.
-const HERE: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
-/// Backends of one deduplication group, `bay` on the wire: they share the keys that they have seen.
-const BACKENDS_PER_BAY: usize = 3;
+/// IP address at which all parts listen.
+const LOOPBACK: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
+/// Number of backends in one deduplication group (`bay` on the wire). They share their deduplication keys.
+const BACKENDS_PER_GROUP: usize = 3;
 
-/// The name of a proxy in links.
+/// Returns the name of a proxy in links.
 fn proxy_name(index: usize) -> String {
     format!("p{index}")
 }
 
 fn backend(index: usize, settings: &RunSettings) -> BackendSpec {
     let RunSettings { initial_capacity_fraction, slow_start_window_us, .. } = *settings;
-    let power = CpuCapacity {
+    let capacity = CpuCapacity {
         cores: CORES,
         speed: 1.0,
         initial_capacity_fraction,
         ramp: Micros(slow_start_window_us),
     };
     BackendSpec {
-        deduplication_group: 1 + (index / BACKENDS_PER_BAY) as u64,
+        deduplication_group: 1 + (index / BACKENDS_PER_GROUP) as u64,
         idle_timeout: Duration::from_secs(10),
-        ..BackendSpec::new(&format!("b{index}"), power)
+        ..BackendSpec::new(&format!("b{index}"), capacity)
     }
 }
 
 fn start_fleet(seed: u64, scale: &Scale, settings: &RunSettings) -> io::Result<Fleet> {
-    let boxes = (0..scale.backends).map(|index| backend(index, settings)).collect();
+    let backend_specs = (0..scale.backends).map(|index| backend(index, settings)).collect();
     let services = vec![Service::new("", Distribution::Exponential(MEAN_WORK_MS))];
-    Fleet::with(FleetSpec { services, seed, ..FleetSpec::new(boxes) })
+    Fleet::with(FleetSpec { services, seed, ..FleetSpec::new(backend_specs) })
 }
 
-/// Links from each proxy to each backend.
+/// Creates links from each proxy to each backend.
 fn link_backends(links: &Links, proxies: usize, fleet: &Fleet) -> io::Result<Vec<Vec<Link>>> {
     let link = |proxy: &str, backend: &BackendHandle| {
         let name = &backend.spec.name;
-        links.tcp(&format!("{proxy}-{name}"), [proxy, name], HERE, backend.address)
+        links.tcp(&format!("{proxy}-{name}"), [proxy, name], LOOPBACK, backend.address)
     };
     let link_all = |index: usize| {
         let proxy = proxy_name(index);
@@ -64,7 +64,7 @@
     (0..proxies).map(link_all).collect()
 }
 
-/// The addresses at which each proxy finds the backends, where these are links.
+/// Returns the addresses of the backends as each proxy sees them; empty if the backends are reached without links.
 fn views(fleet: &Fleet, backend_links: &[Vec<Link>]) -> Vec<View> {
     let view = |links: &Vec<Link>| {
         let names = fleet.backends().iter().map(|backend| backend.spec.name.clone());
@@ -81,18 +81,18 @@
     ListServer::with_views(clock, &watchers, entries.to_vec(), views.to_vec())
 }
 
-/// Two links from each proxy to discovery; a reload moves the proxy from one to the other.
+/// Creates two links from each proxy to discovery. A reload moves the proxy from one to the other.
 fn link_discovery(links: &Links, proxies: usize, discovery: &ListServer) -> io::Result<Vec<[Link; 2]>> {
     let mut pairs = Vec::new();
     for index in 0..proxies {
         let proxy = proxy_name(index);
-        let link = |name: &str| links.tcp(name, [&proxy, "discovery"], HERE, discovery.address(index));
+        let link = |name: &str| links.tcp(name, [&proxy, "discovery"], LOOPBACK, discovery.address(index));
         pairs.push([link(&format!("{proxy}-list-a"))?, link(&format!("{proxy}-list-b"))?]);
     }
     Ok(pairs)
 }
 
-/// The cached endpoint list in a proxy's configuration.
+/// Returns the cached endpoint list for a proxy's configuration.
 fn known_list(entries: &[Entry], view: Option<&View>) -> serde_json::Value {
     let known = entries.iter().map(|entry| {
         let address = view.and_then(|view| view.get(&entry.name));
@@ -115,7 +115,7 @@
 }
 
 impl Testbed {
-    /// Starts all parts of the run of a seed.
+    /// Starts all parts of a seed's run except the proxies' processes.
     pub(super) fn new(seed: u64, scale: &Scale, plan: &Plan, artifacts: &Artifacts) -> io::Result<Testbed> {
         let folder = std::env::temp_dir().join(format!("shaletide-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
--- a/crates/soak/src/run/steps.rs
+++ b/crates/soak/src/run/steps.rs
@@ -1,4 +1,4 @@
-//! Applies the steps of a plan, and records what the oracle needs to know of them.
+//! Applies the steps of a plan, and records them for the oracle as far as it needs them.
 
 use super::{set_link, Testbed};
 use crate::clients::{hold_idle_connections, run_misbehaving_clients};
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// The least and the longest delay of bytes on a slow link, ms.
+/// Minimum and maximum delay of bytes on a slow link, ms.
 const SLOW_LINK_MS: (f64, f64) = (20.0, 300.0);
 
 impl Testbed {
-    /// Applies a step. `restarts`: where each proxy is told to restart its process.
+    /// Applies a step. `restarts`: for each proxy, the channel that requests a restart of its process.
     pub(super) fn apply_step(
         self: &Arc<Testbed>, step: Step, restarts: &[mpsc::Sender<Restart>],
     ) -> io::Result<()> {
         match step {
-            // If the queue of the proxy is full, the restart is left out.
+            // If the channel of the proxy is full, the restart is skipped.
             Step::Restart(proxy, restart) => {
                 let _ = restarts[proxy].try_send(restart);
             }
@@ -170,7 +170,7 @@
     }
 }
 
-/// The testkit's form of a fault of a backend.
+/// Converts a backend fault to the testkit's type.
 fn stand_in_fault(fault: BackendFault) -> Fault {
     match fault {
         BackendFault::Hangs(part) => Fault::Hang(part),
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,11 +1,12 @@
-//! The settings of a run, drawn from the seed within the limits of the platform, and their form in `NODE_CONFIG`.
+//! The settings of a run, drawn from the seed within the limits of the platform, and their representation in
+//! `NODE_CONFIG`.
 
 use serde_json::json;
 use shaletide_testkit::SeededRng;
 
-/// The overload window: a warming backend that gets more than its budget within it is overloaded, µs.
+/// Overload window: a warming backend that receives more than its budget within it is overloaded, µs.
 pub const OVERLOAD_WINDOW_US: u64 = 2_000_000;
-/// The longest part of a deadline that the platform waits for between SIGTERM and SIGKILL, µs.
+/// Maximum part of a deadline for which the platform waits between SIGTERM and SIGKILL, µs.
 const LONGEST_KILL_DELAY_US: u64 = 3_000_000;
 
 /// The settings of all proxies of a run.
@@ -13,26 +14,26 @@
 pub struct RunSettings {
     /// The deadlines of the classes `read`, `pay` and `vote`, µs.
     pub deadlines_us: [u64; 3],
-    /// The deduplication window: a repeat of a keyed request begins within it after the first run, µs.
+    /// Deduplication window: the time after the first run in which a repeat of a keyed request must begin, µs.
     pub deduplication_window_us: u64,
-    /// A proxy may send new requests to a backend for so long after it was told that the backend drains, µs.
+    /// Drain grace: the time in which a proxy may send new requests to a backend after it learned of the drain, µs.
     pub drain_grace_us: u64,
-    /// The fraction of its capacity that a backend starts with.
+    /// Fraction of its capacity that a backend has at its start.
     pub initial_capacity_fraction: f64,
-    /// The slow start window: a backend has its whole capacity after it, µs.
+    /// Slow start window: the time until a backend has its full capacity, µs.
     pub slow_start_window_us: u64,
-    /// The slow start budget of an overload window, as a multiple of what the backend can serve in it.
+    /// Slow start budget of an overload window, as a multiple of the backend's capacity in it.
     pub overload_multiple: f64,
-    /// The most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The most file descriptors that a proxy may hold.
+    /// Maximum number of file descriptors of a proxy.
     pub max_descriptors: usize,
-    /// Addresses are reserved by a socket that is bound with SO_REUSEPORT alone, as some platforms do.
+    /// Whether addresses are reserved by a socket bound with SO_REUSEPORT alone, as on some platforms.
     pub reserves_addresses: bool,
 }
 
 impl RunSettings {
-    /// Settings of a typical site.
+    /// The settings of a typical site.
     pub const USUAL: RunSettings = RunSettings {
         deadlines_us: [1_500_000; 3],
         deduplication_window_us: 500_000,
@@ -73,17 +74,17 @@
         }
     }
 
-    /// The longest deadline of all classes, µs.
+    /// Returns the longest deadline of all classes, µs.
     pub fn longest_deadline_us(&self) -> u64 {
         self.deadlines_us.into_iter().max().unwrap_or_default()
     }
 
-    /// The part of the longest deadline that the platform waits for between SIGTERM and SIGKILL, µs.
+    /// Returns the part of the longest deadline for which the platform waits between SIGTERM and SIGKILL, µs.
     pub fn longest_stop_us(&self) -> u64 {
         self.longest_deadline_us().min(LONGEST_KILL_DELAY_US)
     }
 
-    /// The `settings` of `NODE_CONFIG` for one of so many proxies.
+    /// Returns the `settings` of `NODE_CONFIG` for one of `proxies` proxies.
     pub fn platform(&self, proxy: usize, proxies: usize, polls_discovery: bool) -> serde_json::Value {
         let discovery = if polls_discovery { "subscribe" } else { "automatic" };
         let class = |index: usize, name: &str, effect: &str| {
--- a/crates/soak/tests/hangup_trace.rs
+++ b/crates/soak/tests/hangup_trace.rs
@@ -77,7 +77,12 @@
 }
 
 fn record(finding: SignalFinding) -> SignalRecord {
-    SignalRecord { signal: Signal::SIGHUP, sent_at: Time(0), finding, sight: ProcessSight::default() }
+    SignalRecord {
+        signal: Signal::SIGHUP,
+        sent_at: Time(0),
+        finding,
+        observation: ProcessObservation::default(),
+    }
 }
 
 /// A process of [`PROGRAM`] that SIGHUP ends, in code of this file.
--- a/crates/soak/tests/plan_identity.rs
+++ b/crates/soak/tests/plan_identity.rs
@@ -1,13 +1,13 @@
-//! A seed stands for a plan on pages and in reports: its plan stays the same from version to version.
+//! Checks that the plan of a seed stays the same from version to version: documentation and reports refer to plans by seed.
 
 use shaletide_soak::plan::{Plan, Scale};
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The scale that `shaletide-soak` has without options.
+/// The default scale of `shaletide-soak`.
 const DEFAULT_SCALE: Scale = Scale { proxies: 12, backends: 10, length: Duration::from_secs(12), faults: 4 };
 
-/// All that a plan says, one step a line, with times to the nanosecond.
+/// Returns a plan as text, one step per line, with times to the nanosecond.
 fn text(plan: &Plan) -> String {
     let Plan { kinds, wall_clock_at_start, polls_discovery, settings, steps } = plan;
     let mut text = format!(
@@ -19,7 +19,7 @@
     text
 }
 
-/// The recorded plans are those of the code before it was split into modules.
+/// The recorded plans were drawn by the code before it was split into modules.
 #[test]
 fn plan_of_recorded_seed_is_unchanged() {
     let recorded = [
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -8,7 +8,7 @@
 use shaletide_soak::plan::{
     FaultKind, Plan, ProcessEnd, ProcessStart, Restart, Scale, Step, StopSignals, TimedStep,
 };
-use shaletide_soak::run::{play, Report};
+use shaletide_soak::run::{run_seed, Report};
 use shaletide_soak::settings::RunSettings;
 use shaletide_types::Time;
 use std::io::{self, Write};
@@ -71,7 +71,7 @@
         vec![],
     ];
     for (seed, kinds) in (1..).zip(&kinds) {
-        let report = play(seed, &scale(), kinds, &artifacts).expect("a run");
+        let report = run_seed(seed, &scale(), kinds, &artifacts).expect("a run");
         assert!(report.requests > 300 && report.disconnects > 100, "{report:?}");
         let plan = Plan::draw(seed, &scale(), kinds);
         let (known, violations) = part_known(&report, &plan, is_early_hangup_listed());
--- a/crates/soak/tests/verdict_identity.rs
+++ b/crates/soak/tests/verdict_identity.rs
@@ -1,4 +1,4 @@
-//! The oracle's verdicts of generated evidence stay the same, to the last request and time.
+//! Checks that the oracle's verdicts on generated evidence stay the same, to each request and time.
 
 use shaletide_soak::clients::{request_id, ClientDisconnect};
 use shaletide_soak::oracle::{
@@ -14,15 +14,15 @@
 use std::os::unix::process::ExitStatusExt;
 use std::process::ExitStatus;
 
-/// How often evidence is generated.
+/// Number of seeds for which evidence is generated.
 const SEEDS: u64 = 60;
 const PROXIES: usize = 3;
 const BACKENDS: usize = 4;
 const LENGTH_US: u64 = 20_000_000;
-/// When the first two backends start anew; the first one gets most requests.
+/// When the first two backends restart. The first one receives most requests.
 const BOOT: Time = Time(6_000_000);
 
-/// Draws of evidence.
+/// Draws evidence.
 struct Draws(SeededRng);
 
 impl Draws {
@@ -70,7 +70,7 @@
         ends[self.below(ends.len() as u64) as usize]
     }
 
-    /// What the clients of a process got: some hundred requests, and some clients that left.
+    /// Draws the records of the clients of a process: some hundred requests, and some disconnects.
     fn client_records(&mut self, process: usize, started: Time) -> ClientRecords {
         let mut load = LoadResult { run: 0x100 + process as u32, ..LoadResult::default() };
         for number in 0..450 {
@@ -95,44 +95,45 @@
         ClientRecords { process, load, disconnects: (run, (0..40).map(disconnect).collect()) }
     }
 
-    /// A request at a backend that came at some time after the one given.
+    /// Draws the record of a request that arrived at a backend some time after `sent`.
     fn record(&mut self, id: &str, class: usize, sent: Time, settings: &RunSettings) -> Record {
-        let came = Time(sent.0 + self.below(400_000));
-        let began = Time(came.0 + self.below(20_000));
-        let at_box = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3][self.below(11) as usize];
+        let arrived_at = Time(sent.0 + self.below(400_000));
+        let begun_at = Time(arrived_at.0 + self.below(20_000));
+        let backend_index = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2, 3][self.below(11) as usize];
         let has_ended = [Ended::Served, Ended::Served, Ended::TurnedAway, Ended::Failed];
         let ended = has_ended[self.below(4) as usize];
-        let told_us = settings.deadlines_us[class] + self.below(300_000);
+        let time_left_us = settings.deadlines_us[class] + self.below(300_000);
         Record {
-            backend: at_box,
-            boot: usize::from(at_box < 2 && began >= BOOT),
+            backend: backend_index,
+            boot: usize::from(backend_index < 2 && begun_at >= BOOT),
             id: id.into(),
             key: (class == 2).then(|| format!("k-{id}").into()),
             class: ["read", "pay", "vote"][class].into(),
             repeat: [Repeat::Safe, Repeat::Unsafe, Repeat::Keyed][class],
-            first_byte_at: came,
-            last_byte_at: began,
-            ended: (!self.one_in(9)).then(|| (Time(began.0 + 20_000), ended)),
+            first_byte_at: arrived_at,
+            last_byte_at: begun_at,
+            ended: (!self.one_in(9)).then(|| (Time(begun_at.0 + 20_000), ended)),
             draining: None,
             work_ms: 20.0,
-            time_left: (!self.one_in(4)).then_some(Micros(told_us.saturating_sub(came.0 - sent.0))),
+            time_left: (!self.one_in(4))
+                .then_some(Micros(time_left_us.saturating_sub(arrived_at.0 - sent.0))),
         }
     }
 
     fn ledger(&mut self, clients: &[ClientRecords], settings: &RunSettings) -> Ledger {
         let mut ledger = Ledger::new(100_000);
-        let power =
+        let capacity =
             CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
         for number in 0..BACKENDS {
             let mut boots = vec![Boot { at: None, died: None }];
             if number < 2 {
                 boots.push(Boot { at: Some(BOOT), died: None });
             }
-            let bay = 1 + number as u64 / 2;
+            let group = 1 + number as u64 / 2;
             ledger.backends.push(BackendInfo {
                 name: format!("b{number}"),
-                deduplication_group: bay,
-                cpu_capacity: power,
+                deduplication_group: group,
+                cpu_capacity: capacity,
                 boots,
             });
         }
@@ -164,13 +165,13 @@
             DelayedLink { proxy: self.below(3) as usize, backend: self.below(4) as usize, from, until }
         });
         let delayed_links = delayed_links.collect();
-        // Half of the runs have a discovery without outages, so that starts are known of at once.
+        // Half of the runs have a discovery without outages, so that starts are known at once.
         let outages = if self.one_in(2) { 0 } else { 2 };
         let discovery_outages = (0..PROXIES).map(|_| (0..outages).map(|_| self.span()).collect()).collect();
         let discovery_moves = (0..PROXIES).map(|_| (0..outages).map(|_| self.time()).collect()).collect();
-        let telling =
+        let list_write =
             |_| ListWrite { proxy: self.below(3) as usize, backend: self.below(4) as usize, at: self.time() };
-        let list_writes = (0..30).map(telling).collect();
+        let list_writes = (0..30).map(list_write).collect();
         let drains = (0..3).map(|backend| {
             let (from, until) = self.span();
             DrainSpan { backend, from, until: (!self.one_in(3)).then_some(until) }
@@ -178,7 +179,7 @@
         Evidence {
             ledger,
             processes,
-            clients_of_holders: Default::default(),
+            clients_of_conflicting_listeners: Default::default(),
             clients,
             drains: drains.collect(),
             backend_starts: (0..2)
@@ -200,13 +201,13 @@
     }
 }
 
-/// The hash of a text by the 64-bit Fowler-Noll-Vo function.
+/// Returns the 64-bit Fowler-Noll-Vo hash of a text.
 fn hash(text: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// The hash is over the rules in their order and the digits of their texts, so that a renamed word does not change it.
+/// The hash covers the violated invariants in order and the digits of their texts, so that a reworded text does not change it.
 #[test]
 fn verdicts_of_generated_evidence_are_unchanged() {
     let mut counts: BTreeMap<Invariant, usize> = BTreeMap::new();
