--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -85,7 +85,7 @@
     match number / 3 % 3 {
         0 => drop(tcp),
         1 => {
-            let _ = socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)); // without the option the drop closes the connection in the ordinary way
+            let _ = socket2::SockRef::from(&tcp).set_linger(Some(Duration::ZERO)); // on an error the drop still closes
             drop(tcp);
         }
         _ => {
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -66,8 +66,8 @@
             if 3 * informed > 2 * received {
                 let Overload { age, limit, .. } = overload;
                 let text = format!(
-                    "b{backend_index} received {received} requests in 2 s up to {:.3} s after its start, {informed} from processes \
-                     that knew of it; the limit is {limit:.0}",
+                    "b{backend_index} received {received} requests in 2 s up to {:.3} s after its start, \
+                     {informed} from processes that knew of it; the limit is {limit:.0}",
                     age.secs()
                 );
                 report(violations, Invariant::Cold, text);
--- a/crates/soak/src/oracle/tests.rs
+++ b/crates/soak/src/oracle/tests.rs
@@ -263,7 +263,7 @@
 /// Guards against reporting a request as unanswered although a conflicting listener had accepted its connection, and against
 /// omitting a request for any other reason (seed 88107).
 #[test]
-fn unanswered_request_is_left_out_only_if_a_holder_had_its_connection() {
+fn unanswered_request_is_omitted_only_if_a_conflicting_listener_had_its_connection() {
     let client: SocketAddr = "127.0.0.1:50001".parse().unwrap();
     let mut evidence = evidence(false);
     evidence.processes[0].ready_at = Some(Time(100_000));
--- a/crates/soak/tests/crossed_close.rs
+++ b/crates/soak/tests/crossed_close.rs
@@ -1,9 +1,9 @@
-//! The soak's ordinary load while its proxy stops, where the order of events is forced: the proxy has closed its kept
-//! connections, and their clients have not heard of it yet.
+//! Checks the soak's ordinary load while its proxy stops, with a forced order of events: the proxy has closed its kept
+//! connections, and their clients do not know it yet.
 
 mod rig;
 
-use rig::held_process::{hold_still, let_go, send_signal};
+use rig::held_process::{continue_process, send_signal, stop_process};
 use rig::late_ends::{Crossing, LateEnds};
 use rig::stop_requests::{begin, exchange, open, segments, CrossingLimit, RequestEnd};
 use rig::*;
@@ -16,38 +16,38 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// How often a proxy is stopped by each test.
+/// Number of stops of a proxy.
 const STOPS: u64 = 6;
-/// The rate of the load, requests a second.
+/// Rate of the load, requests per second.
 const RATE_PER_S: f64 = 400.0;
-/// Connections of the load at most, so that clients which were held up open no crowd of them at once.
+/// Maximum number of connections of the load, so that delayed clients do not open many at once.
 const CONNECTIONS: usize = 12;
-/// The work of a request, ms: several are open at a time, so that several connections are kept.
+/// Work of a request, ms: long enough that several requests overlap and several connections are kept.
 const WORK_MS: f64 = 10.0;
 const BACKENDS: usize = 3;
-/// The stop is requested so long after the load's begin.
+/// Time from the start of the load to SIGTERM.
 const STOP_AFTER: Duration = Duration::from_millis(200);
-/// From the first close on until the proxy is held still: it closes all idle connections meanwhile.
-const CLOSES_TAKE: Duration = Duration::from_millis(5);
-/// The load goes on until a request has crossed a close, though no longer than this after SIGTERM: clients may open
+/// Time from the first close until the proxy is stopped with SIGSTOP. It closes all idle connections meanwhile.
+const CLOSE_TIME: Duration = Duration::from_millis(5);
+/// Maximum time after SIGTERM for which the load continues until a request has crossed a close. Clients may open
 /// connections for 0.3 s.
 const LOAD_AFTER_STOP: Duration = Duration::from_millis(200);
-/// So much longer then, for others that cross one.
+/// Time for which the load continues after the first crossing, for further ones.
 const LOAD_AFTER_CROSSING: Duration = Duration::from_millis(20);
-/// The proxy is held still for so long then: what was sent again has come to its machine, however busy that is.
+/// Time for which the proxy stays stopped: requests that are sent again arrive in the kernel meanwhile, even on a busy machine.
 const HELD_FOR: Duration = Duration::from_secs(1);
 const DEADLINE: Duration = Duration::from_secs(3);
-/// A load ends by itself at the latest after this.
+/// Maximum duration of a load.
 const LONGEST_LOAD: Duration = Duration::from_secs(10);
 
-/// On a busy machine the link may pass a request on, and its client hear of the close, so much later.
+/// Delay by which the link may forward a request, and its client notice the close, on a busy machine.
 const CROSSING_LIMIT: Duration = Duration::from_secs(3);
-/// Kept connections on each of which a request is written while the proxy is about to close one of them.
+/// Number of kept connections. A request is written on each while the proxy is about to close one of them.
 const KEPT: u32 = 6;
-/// The longest wait until the proxy is about to close a connection.
+/// Maximum wait until the proxy is about to close a connection.
 const CLOSE_WAIT: Duration = Duration::from_secs(5);
 
-/// What came of one load across a stop.
+/// The result of one load across a stop.
 #[derive(Debug)]
 struct Stop {
     /// When SIGTERM was sent.
@@ -56,11 +56,11 @@
     resent: u64,
     /// Requests without an answer, as the soak's oracle reports them.
     unanswered: Vec<Violation>,
-    /// What the proxy's log says of requests that it had read and not answered.
+    /// Log lines of the proxy on requests that it read but did not answer.
     read_and_closed: Vec<String>,
 }
 
-/// The real program with backends that write down what they run.
+/// The real program with backends that record the requests they run.
 struct Testbed {
     fleet: Fleet,
     proxy: Proxy,
@@ -71,18 +71,19 @@
     fn start() -> Testbed {
         let folder = Folder::new();
         let (program, _control) = faulty(&folder, None);
-        let power =
+        let capacity =
             CpuCapacity { cores: 2, speed: 1.0, initial_capacity_fraction: 0.3, ramp: Micros(6_000_000) };
-        let boxes = (0..BACKENDS).map(|number| BackendSpec::new(&format!("b{number}"), power)).collect();
+        let backend_specs =
+            (0..BACKENDS).map(|number| BackendSpec::new(&format!("b{number}"), capacity)).collect();
         let services = vec![Service::new("", Distribution::Fixed(WORK_MS))];
-        let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(boxes) }).unwrap();
+        let fleet = Fleet::with(FleetSpec { services, ..FleetSpec::new(backend_specs) }).unwrap();
         let known: Vec<String> = fleet.backends().iter().map(|backend| backend.entry().text()).collect();
         let proxy = program.start(&known);
         Testbed { fleet, proxy, _folder: folder }
     }
 
-    /// Stops the proxy while clients ask it through the link. It is held still after its closes, so that the time in which it
-    /// accepts connections does not depend on the machine's load.
+    /// Stops the proxy while clients send requests through the link. The proxy is stopped with SIGSTOP after its closes, so
+    /// that the time in which it accepts connections does not depend on the load of the machine.
     fn stop_under_load(mut self, seed: u64, link: &LateEnds) -> Stop {
         let clock = self.fleet.clock();
         let class = LoadClass {
@@ -107,13 +108,13 @@
         let pid = self.proxy.child.id();
         send_signal(pid, libc::SIGTERM);
         link.wait_for_close(LOAD_AFTER_STOP);
-        std::thread::sleep(CLOSES_TAKE);
-        hold_still(pid);
+        std::thread::sleep(CLOSE_TIME);
+        stop_process(pid);
         link.wait_for_crossing(LOAD_AFTER_STOP);
         std::thread::sleep(LOAD_AFTER_CROSSING);
         end_load.send(()).unwrap();
         std::thread::sleep(HELD_FOR);
-        let_go(pid);
+        continue_process(pid);
         let load = clients.join().unwrap();
         process.exit = Some((clock.now(), self.proxy.child.wait().unwrap()));
         let resent = load.resent;
@@ -124,11 +125,11 @@
     }
 }
 
-/// Runs a load on a runtime of its own until it is told to end, and waits for the open requests.
+/// Runs a load on its own runtime until `ended` completes, and waits for the open requests.
 fn run_until(load: Load, to: SocketAddr, ended: oneshot::Receiver<()>) -> LoadResult {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let ended = async {
-        let _ = ended.await; // or the test has failed
+        let _ = ended.await; // an error means that the test has failed
     };
     runtime.block_on(load.run_until(to, ended))
 }
@@ -142,8 +143,8 @@
     Evidence { clients, ..Evidence::of_quiet_run(ledger, vec![process], "program".into()) }
 }
 
-/// Guards against a load that sends a request which crossed the close of its connection again on another kept connection,
-/// which the proxy has closed too: the violation of soak seed 93037.
+/// Guards against retrying a request that crossed the close of its connection on another kept connection that the proxy has
+/// closed too (soak seed 93037).
 #[test]
 fn request_on_kept_connections_that_are_all_closed_is_answered_on_a_new_one() {
     let mut crossed = 0;
@@ -164,7 +165,7 @@
     assert!(crossed as u64 >= STOPS, "only {crossed} crossed a close");
 }
 
-/// Waits until the proxy is held up between its last look at a connection and the close.
+/// Waits until the proxy is blocked between its last check of a connection and the close.
 fn wait_until_about_to_close(control: &FaultControl) {
     let until = Instant::now() + CLOSE_WAIT;
     while control.count(CallFault::HeldShutdown).unwrap() == 0 {
@@ -173,10 +174,10 @@
     }
 }
 
-/// Guards against a request that is not answered on a new connection where its bytes come between the proxy's last look at
-/// its connection and the close, and against any other whose bytes lie there by then and that is not answered.
+/// Guards against a request that is not answered on a new connection after its bytes arrived between the proxy's last check
+/// of its connection and the close, and against unanswered requests whose bytes arrived before that check.
 #[test]
-fn request_that_comes_between_the_last_look_and_the_close_is_answered_on_a_new_connection() {
+fn request_arriving_between_last_check_and_close_is_answered_on_a_new_connection() {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
     let backend = BackendServer::start(|_| ok_reply("done"));
--- a/crates/soak/tests/early_hangup_by_mask.rs
+++ b/crates/soak/tests/early_hangup_by_mask.rs
@@ -1,5 +1,5 @@
-//! SIGHUP right after the start of a process, told apart by the mask of blocked signals that the signal finds: the process is
-//! held still while its mask is read and the signal is sent. `early_hangup.rs` counts every end.
+//! Checks SIGHUP right after the start of a process, by the mask of blocked signals as the signal arrives: the process is
+//! stopped while its mask is read and the signal is sent. `early_hangup.rs` counts every end.
 
 mod guards;
 
@@ -13,12 +13,12 @@
 use std::time::{Duration, Instant};
 
 const STARTS: usize = 20;
-/// A process has run its first instruction after this time, on a busy machine too.
-const FIRST_INSTRUCTION_PATIENCE: Duration = Duration::from_secs(5);
-/// A process that SIGHUP must not end lives on for this time.
+/// Maximum time to the first instruction of a process, even on a busy machine.
+const FIRST_INSTRUCTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for which a process that SIGHUP must not end has to survive it.
 const END_TIME: Duration = Duration::from_millis(300);
-/// One that it has to end has ended after this time, on a busy machine too.
-const END_PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum time for a process to end by SIGHUP, even on a busy machine.
+const END_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 fn is_ended_by_hangup(process: &mut Process) -> bool {
@@ -26,28 +26,28 @@
     status.is_some_and(|status| status.signal() == Some(libc::SIGHUP))
 }
 
-/// Sends SIGHUP to a process, and returns what the signal found, and whether it has ended the process.
+/// Sends SIGHUP to a process. Returns the record, and whether the signal has ended the process.
 fn hang_up(process: &mut Process) -> (SignalRecord, bool) {
     let record = send_hangup(process.0.id(), Pause::Running, Clock::start());
     std::thread::sleep(END_TIME);
     (record, is_ended_by_hangup(process))
 }
 
-/// Whether the process, found like this, had not come to its first instruction.
+/// Returns whether the record shows a process that had not executed its first instruction.
 fn is_early(record: &SignalRecord, artifacts: &Artifacts) -> bool {
     moment_of_end(std::slice::from_ref(record), &artifacts.program) == SignalMoment::BeforeFirstInstruction
 }
 
 fn wait_for_end_by_hangup(process: &mut Process, number: usize) {
-    let until = Instant::now() + END_PATIENCE;
+    let until = Instant::now() + END_TIMEOUT;
     while !is_ended_by_hangup(process) {
         assert!(Instant::now() < until, "start {number}: it did not block SIGHUP, and has not ended by it");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Guards against a SIGHUP that ends a process which has begun to run: with its first instructions it blocks the signal, and an
-/// end before that, by the mask that the signal finds, comes while the kernel executes it.
+/// Guards against a SIGHUP that ends a process after its first instructions, which block the signal. An end while the mask
+/// does not block it must come before the first instruction.
 #[test]
 fn hangup_right_after_the_start_ends_no_process_that_blocks_it() {
     let artifacts = Artifacts::find().expect("the program and the shim");
@@ -75,7 +75,7 @@
     let folder = Folder::new("early-hangup-by-mask");
     for number in 0..STARTS {
         let mut process = Process::start(&artifacts, &folder);
-        let until = Instant::now() + FIRST_INSTRUCTION_PATIENCE;
+        let until = Instant::now() + FIRST_INSTRUCTION_TIMEOUT;
         while !blocks_hangup(process.0.id()).expect("a process") {
             assert!(Instant::now() < until, "start {number} blocks no SIGHUP");
         }
--- a/crates/soak/tests/hangup_trace.rs
+++ b/crates/soak/tests/hangup_trace.rs
@@ -1,4 +1,4 @@
-//! What the soak records of each SIGHUP that it sends, and what follows from the records of a process that has ended.
+//! Checks the records of each SIGHUP that the soak sends, and the conclusions from the records of an ended process.
 
 #[path = "signal_moments/compiled.rs"]
 mod compiled;
@@ -22,14 +22,14 @@
 use std::process::{Command, ExitStatus};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 /// Files of records.
 const PROGRAM: &str = "program";
 const LOADER: &str = "/lib/ld-linux.so.2";
 const LIBRARY: &str = "/lib/libc.so.6";
-/// Executes the program once a line comes from a pipe. A file of its own: one that was just written can be executed by no
-/// process while another thread forks.
+/// Script that executes the program once it reads a line from a pipe. It is a separate file because a file that was just
+/// written cannot be executed while another thread forks.
 const LATE_START: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/hangup_trace/late_start.sh");
 
 fn end(process: &mut Process) -> ExitStatus {
@@ -37,15 +37,15 @@
 }
 
 /// Waits until a process is a zombie.
-fn end_unread(process: &Process) {
+fn wait_until_zombie(process: &Process) {
     until("it is a zombie", || (state(process.id()) == 'Z').then_some(()));
 }
 
 fn until<T>(what: &str, mut get: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     loop {
-        if let Some(got) = get() {
-            return got;
+        if let Some(value) = get() {
+            return value;
         }
         assert!(Instant::now() < end, "not in time: {what}");
         std::thread::sleep(POLL_INTERVAL);
@@ -71,7 +71,7 @@
     Process(Command::new(program).arg(argument).spawn().unwrap())
 }
 
-/// Sends SIGHUP, and returns what it found.
+/// Sends SIGHUP, and returns the finding.
 fn hang_up(pid: u32) -> SignalFinding {
     send_hangup(pid, Pause::Running, Clock::start()).finding
 }
@@ -91,7 +91,7 @@
     StopPoint { file, executable, has_begun, is_fatal: true }
 }
 
-/// Guards against a record that says `blocked` of a process that the signal ends, or that does not know where it stood.
+/// Guards against a record of `Blocked` for a process that the signal ends, and against a record without the stop point.
 #[test]
 fn hangup_to_process_that_does_not_block_it_is_recorded_and_ends_it() {
     let mut process = spawn("sleep", "60");
@@ -101,8 +101,8 @@
     assert_eq!(end(&mut process).signal(), Some(libc::SIGHUP));
 }
 
-/// Guards against an end that is put down to the loader though the process had several threads, which the loader starts none
-/// of: here a library has started one.
+/// Guards against attributing an end to the loader although the process had several threads: the loader starts none. Here a
+/// library has started one.
 #[test]
 fn hangup_to_process_with_several_threads_is_not_before_first_instruction() {
     let library = Compiled::of("threading_library.c", &["-shared", "-fPIC", "-pthread"]);
@@ -117,7 +117,7 @@
     assert_eq!(end(&mut process).signal(), Some(libc::SIGHUP));
 }
 
-/// Guards against a process that stays stopped, or that is ended by the look at it.
+/// Guards against an inspection that leaves a process stopped or ends it.
 #[test]
 fn hangup_to_process_that_blocks_it_is_recorded_and_leaves_it_running() {
     let hangup = SigSet::from(Signal::SIGHUP);
@@ -131,11 +131,11 @@
     assert_eq!(process.0.try_wait().unwrap(), None);
 }
 
-/// Guards against an ended process that counts as one that does not block the signal.
+/// Guards against treating an ended process as one that does not block the signal.
 #[test]
 fn hangup_to_ended_process_is_recorded_as_such() {
     let mut process = spawn("sleep", "0");
-    end_unread(&process);
+    wait_until_zombie(&process);
     assert_eq!(hang_up(process.id()), SignalFinding::Ended);
     assert!(end(&mut process).success());
     assert_eq!(hang_up(process.id()), SignalFinding::Ended);
@@ -148,8 +148,8 @@
     }
 }
 
-/// Guards against an end that is put down to the loader though the process had run an instruction of the program, or though
-/// the records do not show it.
+/// Guards against attributing an end to the loader although the process had executed an instruction of the program, or
+/// although the records do not show that it had not.
 #[test]
 fn end_came_before_first_instruction_only_if_first_hangup_found_program_not_begun() {
     use SignalFinding::{Blocked, Ended, NotBlocked, Unknown};
@@ -174,8 +174,8 @@
     ]);
 }
 
-/// Guards against a file that stands for a moment: the loader calls functions of libraries before the program's first
-/// instruction, and the program calls them after it, and the loader's too where it binds functions late.
+/// Guards against deriving the moment from the file of the instruction. The loader calls library functions before the
+/// program's first instruction; the program calls them afterwards, and the loader's functions too with lazy binding.
 #[test]
 fn end_came_before_first_instruction_only_if_process_had_not_come_to_it() {
     use SignalMoment::{AfterFirstInstruction, BeforeFirstInstruction, NotShown};
@@ -195,8 +195,8 @@
     }
 }
 
-/// Guards against an end that is put down to the loader though it is not known where the process stood, though it was another
-/// program's, or though the signal did not end it.
+/// Guards against attributing an end to the loader although the stop point is not known, the process executed another
+/// program, or the signal did not end it.
 #[test]
 fn end_did_not_come_before_first_instruction_if_any_evidence_is_missing() {
     let early = || stop_point(LOADER, Some(false));
@@ -212,13 +212,13 @@
     }
 }
 
-/// A proxy whose process executes the program once it is told to.
+/// A proxy whose process executes the program only on request.
 struct LateProxy {
     slot: ProxySlot,
     process: Process,
     clock: Clock,
     program: PathBuf,
-    /// The pipe.
+    /// The pipe on which the script waits.
     go: PathBuf,
 }
 
@@ -237,13 +237,13 @@
         until("it blocks SIGHUP", || blocks_hangup(self.process.id()).unwrap().then_some(()));
     }
 
-    /// What each SIGHUP and SIGTERM has found.
+    /// Takes the findings of each SIGHUP and SIGTERM.
     fn all_findings(&self) -> Vec<(Signal, SignalFinding)> {
         let records = self.slot.take_signals(self.process.id());
         records.into_iter().map(|record| (record.signal, record.finding)).collect()
     }
 
-    /// What each SIGHUP has found.
+    /// Takes the findings of each SIGHUP.
     fn findings(&self) -> Vec<SignalFinding> {
         let is_hangup = |(signal, _): &(Signal, SignalFinding)| *signal == Signal::SIGHUP;
         self.all_findings().into_iter().filter(is_hangup).map(|(_, finding)| finding).collect()
@@ -277,20 +277,20 @@
     test(&LateProxy { slot, process: Process(child), clock, program, go });
 }
 
-/// Guards against a mask that is read once, at the start of the process, and counts for all its signals.
+/// Guards against reading the mask only once, at the start of the process, and using it for all its signals.
 #[test]
 fn each_hangup_of_a_process_is_recorded_by_what_it_found() {
     with_late_proxy("each", |proxy| {
         proxy.execute_program();
         proxy.signal(Signal::SIGHUP);
         proxy.signal(Signal::SIGTERM);
-        end_unread(&proxy.process);
+        wait_until_zombie(&proxy.process);
         proxy.signal(Signal::SIGHUP);
         assert_eq!(proxy.findings(), [SignalFinding::Blocked, SignalFinding::Ended]);
     });
 }
 
-/// Guards against a hangup that lets a process go on which the plan has stopped, or that leaves another one stopped.
+/// Guards against a SIGHUP that continues a process which the plan has stopped, or that leaves another one stopped.
 #[test]
 fn hangup_leaves_process_as_stopped_as_it_was() {
     with_late_proxy("stopped", |proxy| {
--- a/crates/soak/tests/held_stop_sweep.rs
+++ b/crates/soak/tests/held_stop_sweep.rs
@@ -1,70 +1,70 @@
-//! SIGTERM to a process that is held still around it, with requests that come meanwhile: on idle connections, on ones that
-//! have just got an answer and on new ones, whole and in segments, with one sort of system call failing.
+//! Checks SIGTERM to a process that is stopped with SIGSTOP around it while requests arrive: on idle connections, on
+//! connections that have just carried an answer and on new ones, whole and in segments, with one kind of system call failing.
 
 mod rig;
 
-use rig::held_process::{hold_still, let_go, send_signal};
+use rig::held_process::{continue_process, send_signal, stop_process};
 use rig::stop_requests::{begin, exchange, open, segments, BegunRequest, CrossingLimit, RequestEnd, FAULTS};
 use rig::*;
 use shaletide_soak::call_faults::CallFault;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a process is held still.
+/// Times for which a process is stopped.
 const HOLDS: [Duration; 4] = [
     Duration::from_millis(1),
     Duration::from_millis(10),
     Duration::from_millis(40),
     Duration::from_millis(150),
 ];
-/// Connections of each kind.
+/// Number of connections of each kind.
 const CONNECTIONS: u32 = 4;
-/// Processes at a time.
-const LANES: usize = 6;
-/// The hold begins at moments from SIGTERM until this much later.
+/// Number of concurrent processes.
+const CONCURRENT_PROCESSES: usize = 6;
+/// The stop begins at moments from SIGTERM until this much later.
 const SWEEP: Duration = Duration::from_millis(4);
-/// The first moments of the sweep for each sort of failing call.
+/// Number of moments per hold time for each kind of failing call.
 const MOMENTS: u32 = 6;
-/// A request that lay unread for longer, as the process went on, did not cross the close of its connection. A busy machine
-/// takes a core away for so long.
-const CROSSED: Duration = Duration::from_millis(200);
-/// The rate at which the calls fail.
+/// A request that was unread for longer after the process continued did not cross the close of its connection. A busy
+/// machine may take a core away for this time.
+const MAX_UNREAD_TIME: Duration = Duration::from_millis(200);
+/// Rate at which the calls fail.
 const FAULT_RATE: f64 = 0.5;
 
-/// The sorts of failing calls: those of the other sweep, and one that holds the process up while it runs.
+/// Returns the kinds of failing calls: those of `stop_sweep.rs`, and one that delays the process while it runs.
 fn faults() -> impl Iterator<Item = Option<CallFault>> {
     FAULTS.into_iter().chain([Some(CallFault::SlowWrite)])
 }
 
-/// What a connection has carried before its request at the stop.
+/// The state of a connection before its request at the stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// An answer, a while ago.
+    /// It carried an answer a while ago.
     Idle,
-    /// An answer that was read in the last moment.
+    /// Its last answer was read just before.
     JustAnswered,
-    /// Nothing: it is opened while the process is held still.
+    /// It is opened while the process is stopped.
     New,
 }
 
-/// Kinds of connections.
+/// Number of kinds of connections.
 const KINDS: usize = 3;
 
-/// When a process is held still.
+/// When a process is stopped with SIGSTOP.
 #[derive(Clone, Copy, Debug)]
 enum Held {
-    /// From before SIGTERM.
+    /// Before SIGTERM.
     Before,
-    /// From so long after it.
+    /// This time after SIGTERM.
     After(Duration),
 }
 
-/// What became of a request that was made at the stop.
+/// The result of a request that was made at the stop.
 #[derive(Debug)]
 struct Outcome {
     kind: Kind,
     end: RequestEnd,
-    /// Of its repetition on a new connection, where it crossed a close.
+    /// The end of its repetition on a new connection, if it crossed a close.
     repeated: Option<RequestEnd>,
 }
 
@@ -88,7 +88,7 @@
         Testbed { proxy, kept }
     }
 
-    /// Has the connections that are to have just been answered carry a request each, all at once.
+    /// Exchanges a request on each of the [`Kind::JustAnswered`] connections, all at once.
     fn answer_now(&mut self) {
         let mut fresh: Vec<&mut Client> =
             self.kept.iter_mut().filter(|(kind, _)| *kind == Kind::JustAnswered).map(|(_, c)| c).collect();
@@ -96,14 +96,14 @@
         fresh.iter_mut().for_each(|client| assert_eq!(client.answer().expect("an answer").status(), 200));
     }
 
-    /// Sends SIGTERM, holds the process still around it, makes a request on each connection meanwhile, and returns what
-    /// became of each.
+    /// Sends SIGTERM, stops the process with SIGSTOP around it, makes a request on each connection meanwhile, and returns
+    /// the results.
     fn stop(mut self, held: Held, hold: Duration) -> Vec<Outcome> {
         let pid = self.proxy.child.id();
         self.answer_now();
         match held {
             Held::Before => {
-                hold_still(pid);
+                stop_process(pid);
                 send_signal(pid, libc::SIGTERM);
             }
             Held::After(pause) => {
@@ -112,21 +112,21 @@
                 while sent_at.elapsed() < pause {
                     std::hint::spin_loop();
                 }
-                hold_still(pid);
+                stop_process(pid);
             }
         }
         let until = Instant::now() + hold;
         let proxy = self.proxy.address;
         let new = (0..CONNECTIONS).map(|_| (Kind::New, open(proxy)));
         let kept = self.kept.drain(..).map(|(kind, client)| (kind, client.0.into_inner()));
-        // All are written before the process goes on, however busy the machine is.
+        // All are written before the process continues, however busy the machine is.
         let begun: Vec<_> = (0..)
             .zip(kept.chain(new))
             .map(|(number, (kind, tcp))| (number, kind, begin(tcp, segments(number))))
             .collect();
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
-        let limit = CrossingLimit { readable_from: Instant::now(), longest: CROSSED };
-        let_go(pid);
+        let limit = CrossingLimit { readable_from: Instant::now(), longest: MAX_UNREAD_TIME };
+        continue_process(pid);
         let requests: Vec<_> = begun
             .into_iter()
             .map(|(number, kind, begun)| {
@@ -152,23 +152,23 @@
     Outcome { kind, end, repeated }
 }
 
-/// One stop.
+/// The parameters of one stop.
 #[derive(Clone, Copy, Debug)]
 struct Round {
-    /// The sort of call that fails.
+    /// The kind of call that fails.
     fault: Option<CallFault>,
     held: Held,
     hold: Duration,
 }
 
 impl Round {
-    /// Whether a request has its answer. A process that is held up at its writes may refuse, as time runs short.
+    /// Returns whether a request was answered. A process whose writes are delayed may reject it because time runs short.
     fn is_answered(self, end: &RequestEnd) -> bool {
         let may_refuse = self.fault == Some(CallFault::SlowWrite);
         *end == RequestEnd::Answered || may_refuse && *end == RequestEnd::Refused
     }
 
-    fn play(self) -> Vec<Outcome> {
+    fn run(self) -> Vec<Outcome> {
         let folder = Folder::new();
         let (program, control) = faulty(&folder, None);
         let backend = BackendServer::start(|_| ok_reply("done"));
@@ -180,25 +180,25 @@
     }
 }
 
-/// Plays rounds, some at a time, and returns each with its outcomes.
-fn play(rounds: &[Round]) -> Vec<(Round, Vec<Outcome>)> {
-    let mut played = Vec::new();
-    for lane in rounds.chunks(LANES) {
+/// Runs rounds, some concurrently, and returns each with its outcomes.
+fn run(rounds: &[Round]) -> Vec<(Round, Vec<Outcome>)> {
+    let mut finished = Vec::new();
+    for batch in rounds.chunks(CONCURRENT_PROCESSES) {
         let running: Vec<_> =
-            lane.iter().map(|&round| (round, std::thread::spawn(move || round.play()))).collect();
-        played.extend(running.into_iter().map(|(round, outcomes)| (round, outcomes.join().unwrap())));
+            batch.iter().map(|&round| (round, std::thread::spawn(move || round.run()))).collect();
+        finished.extend(running.into_iter().map(|(round, outcomes)| (round, outcomes.join().unwrap())));
     }
-    played
+    finished
 }
 
-/// Guards against a stop that closes a connection without a look at what came before the stop was noticed: all of it lies
-/// there, or its first segment does, as the process goes on.
+/// Guards against a stop that closes a connection without reading bytes which arrived before the process noticed SIGTERM: the
+/// whole request, or its first segment, is unread when the process continues.
 #[test]
 fn requests_that_come_while_the_process_is_held_before_its_stop_are_all_answered() {
     let rounds: Vec<_> =
         faults().flat_map(|fault| HOLDS.map(|hold| Round { fault, held: Held::Before, hold })).collect();
     let mut answered = 0;
-    for (round, outcomes) in play(&rounds) {
+    for (round, outcomes) in run(&rounds) {
         for outcome in outcomes {
             assert!(round.is_answered(&outcome.end), "{round:?}: {outcome:?}");
             answered += 1;
@@ -208,8 +208,8 @@
     assert_eq!(answered, rounds.len() * KINDS * CONNECTIONS as usize);
 }
 
-/// Guards against a request that is read and not answered, or that lies unread on a connection which is closed later, as
-/// the process is held still at any moment of its stop; and against a new connection that is closed.
+/// Guards against a request that is read and not answered, or that is unread on a connection which is closed later, when the
+/// process is stopped at any moment of its shutdown; and against a new connection that is closed.
 #[test]
 fn requests_that_come_while_the_process_is_held_in_its_stop_are_answered_or_cross_a_close_once() {
     let count = MOMENTS * HOLDS.len() as u32;
@@ -221,7 +221,7 @@
     let rounds: Vec<_> =
         faults().flat_map(|fault| (0..count).map(move |number| round(fault, number))).collect();
     let (mut answered, mut crossed, mut closed) = (0, 0, 0);
-    for (round, outcomes) in play(&rounds) {
+    for (round, outcomes) in run(&rounds) {
         let crossed_before = crossed;
         for outcome in &outcomes {
             match (&outcome.end, &outcome.repeated) {
@@ -233,7 +233,7 @@
                 _ => panic!("{round:?}: {outcome:?}"),
             }
         }
-        // The process stood between its last look at a connection and the close of it for one connection at most.
+        // The process was between its last check of a connection and the close for one connection at most.
         assert!(crossed <= crossed_before + 1, "{round:?}: {outcomes:?}");
     }
     println!("{answered} answered, {crossed} crossed a close and were answered then, {closed} not sent");
--- a/crates/soak/tests/ignored_hangup.rs
+++ b/crates/soak/tests/ignored_hangup.rs
@@ -1,10 +1,10 @@
-//! The soak where its starter ignores SIGHUP, as `nohup` does.
+//! Checks the soak when SIGHUP is ignored by the process that starts it, as with `nohup`.
 
 use std::process::Command;
 
-/// Guards against plays that find nothing as every process under test has inherited that SIGHUP is ignored.
+/// Guards against runs that cannot find ends by SIGHUP because every process under test has inherited that it is ignored.
 #[test]
-fn soak_refuses_to_play_where_hangup_is_ignored() {
+fn soak_refuses_to_run_if_hangup_is_ignored() {
     let mut command = Command::new("env");
     command.args(["--ignore-signal=HUP", env!("CARGO_BIN_EXE_shaletide-soak")]);
     let output = command.args(["--proxies", "1", "--seconds", "0.5"]).output().unwrap();
--- a/crates/soak/tests/load_at_stop.rs
+++ b/crates/soak/tests/load_at_stop.rs
@@ -1,4 +1,4 @@
-//! The ordinary load of the soak while its proxy is stopped.
+//! Checks the ordinary load of the soak while its proxy is stopped.
 
 mod rig;
 
@@ -9,14 +9,14 @@
 use tokio::sync::watch;
 
 const STOPS: usize = 12;
-/// Enough that several connections have a request at the moment of their close.
+/// Rate at which several connections have a request at the moment of their close, requests per second.
 const RATE_PER_S: f64 = 3_000.0;
-/// The stop is requested so long after the load's begin.
+/// Time from the start of the load to SIGTERM.
 const STOP_AFTER: Duration = Duration::from_millis(150);
-/// Clients open no connections from so long after the stop's request on.
+/// Time after SIGTERM during which clients still open connections.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
 
-/// What came of one load across a stop: requests that were sent a second time, and those without an answer.
+/// Runs one load across a stop. Returns the number of requests that were sent a second time, and of those without an answer.
 fn load_across_a_stop(seed: u64) -> (usize, usize) {
     let folder = Folder::new();
     let (program, _control) = faulty(&folder, None);
@@ -47,8 +47,8 @@
     (result.resent as usize, broken)
 }
 
-/// Guards against a load that reports a request as unanswered which crossed the close of its connection, and was sent
-/// again on another that was being closed too (seed 93037).
+/// Guards against reporting a request as unanswered that crossed the close of its connection and was retried on another
+/// connection that was being closed too (seed 93037).
 #[test]
 fn request_that_crosses_a_close_is_answered_on_a_new_connection() {
     let (mut resent, mut broken) = (0, 0);
--- a/crates/soak/tests/record_faults.rs
+++ b/crates/soak/tests/record_faults.rs
@@ -1,5 +1,5 @@
-//! The store of record on a disk that fails, alone and with kills and reloads inside: no key runs twice, what was
-//! answered as served is known after it, and what was refused can be sent.
+//! Checks the store of record on a failing disk, combined with kills and reloads: no key runs twice, served keys are known
+//! afterwards, and rejected keys can be sent again.
 //!
 //! The long run: `cargo test --locked --release -p shaletide-soak --test record_faults -- --ignored --nocapture`.
 
@@ -16,11 +16,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Clients that pay, one key after the other.
+/// Number of clients, each of which sends one key after the other.
 const CLIENTS: usize = 4;
-/// A key that is refused is asked for again so often.
-const TRIES: usize = 3;
-/// The disk's faults; several may be on at once.
+/// Maximum number of requests for a key that is rejected.
+const MAX_TRIES: usize = 3;
+/// Disk faults; several may be on at once.
 const FAULTS: [CallFault; 4] =
     [CallFault::DiskRead, CallFault::DiskWrite, CallFault::DiskSync, CallFault::DiskOpen];
 
@@ -34,7 +34,7 @@
     )
 }
 
-/// One request; `None` where its connection ended, as it does where the program is killed.
+/// Sends one request. Returns its status; `None` if the connection ended, as when the program is killed.
 fn pay_key(to: SocketAddr, key: &str) -> Option<u16> {
     let mut tcp = TcpStream::connect(to).ok()?;
     tcp.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
@@ -46,7 +46,7 @@
     Message::read(&mut BufReader::new(tcp)).map(|answer| answer.status())
 }
 
-/// What clients got last for each key.
+/// The last status for each key.
 type Answers = Mutex<BTreeMap<String, Option<u16>>>;
 
 fn client(number: usize, to: &Mutex<SocketAddr>, over: &AtomicBool, answers: &Answers) {
@@ -55,7 +55,7 @@
             return;
         }
         let key = format!("{number}-{n}");
-        for _ in 0..TRIES {
+        for _ in 0..MAX_TRIES {
             let at = *to.lock().expect("an address");
             let status = pay_key(at, &key);
             answers.lock().expect("answers").insert(key.clone(), status);
@@ -67,10 +67,10 @@
     }
 }
 
-/// How often each key ran at the backend.
+/// Number of runs of each key at the backend.
 type Runs = Arc<Mutex<BTreeMap<String, u32>>>;
 
-/// A backend that runs most requests, resets the connection after some and turns some away.
+/// Starts a backend that runs most requests, closes the connection after some and rejects some.
 fn backend(runs: &Runs) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
@@ -89,13 +89,13 @@
     let mut out = tcp;
     while let Some(message) = Message::read(&mut reader) {
         let number = requests.fetch_add(1, Ordering::SeqCst) % 10;
-        let turned_away = number == 8;
-        if !turned_away {
+        let is_rejected = number == 8;
+        if !is_rejected {
             let key = message.header("idempotency-key").expect("a key").to_string();
             *runs.lock().expect("runs").entry(key).or_default() += 1;
         }
         let answer: &[u8] = match number {
-            7 => return, // the connection ends: it may have run
+            7 => return, // the connection is closed: the request may have executed
             8 => b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
             _ => b"HTTP/1.1 200 X\r\nContent-Length: 4\r\n\r\ndone",
         };
@@ -105,34 +105,34 @@
     }
 }
 
-/// Ends the clients when it is dropped.
-struct EndsClients<'a>(&'a AtomicBool);
+/// Ends the clients when dropped.
+struct StopClientsOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for EndsClients<'_> {
+impl Drop for StopClientsOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// How often the program was killed and reloaded.
+/// Numbers of kills and reloads of the program.
 #[derive(Default)]
 struct Disturbances {
     kills: u32,
     reloads: u32,
 }
 
-/// The program beside a disk that fails.
+/// The program with a failing disk.
 struct Disturbed<'a> {
     program: &'a Program,
     control: &'a FaultControl,
     config: &'a str,
     proxy: Option<ServingProgram>,
-    /// Where its clients find it.
+    /// The address that its clients use.
     address: &'a Mutex<SocketAddr>,
 }
 
 impl Disturbed<'_> {
-    /// Draws faults of the disk, kills and reloads for so long, and ends the faults.
+    /// Injects drawn disk faults, kills and reloads for `length`, and then ends the faults.
     fn disturb(&mut self, seed: u64, length: Duration) -> Disturbances {
         let mut rng = SeededRng::new(seed);
         let mut disturbances = Disturbances::default();
@@ -166,8 +166,8 @@
     }
 }
 
-/// What was served is known after a start on a sound disk, and whatever is sent again runs once at most. Returns how many
-/// keys were served.
+/// Checks that served keys are known after a start on a working disk, and sends other keys again. Returns the number of
+/// served keys.
 fn check_keys_after_restart(
     seed: u64, proxy: &ServingProgram, answers: &BTreeMap<String, Option<u16>>,
 ) -> usize {
@@ -205,7 +205,7 @@
     };
     let (over, answers) = (AtomicBool::new(false), Answers::default());
     let disturbances = std::thread::scope(|scope| {
-        let _ends = EndsClients(&over); // also where a check fails
+        let _ends = StopClientsOnDrop(&over); // also if a check fails
         for number in 0..CLIENTS {
             let (to, over, answers) = (&address, &over, &answers);
             scope.spawn(move || client(number, to, over, answers));
--- a/crates/soak/tests/record_start.rs
+++ b/crates/soak/tests/record_start.rs
@@ -1,4 +1,4 @@
-//! The start of the program while the disk under its store of record fails.
+//! Checks the start of the program while the disk of its store of record fails.
 
 mod rig;
 
@@ -6,7 +6,7 @@
 use shaletide_soak::call_faults::CallFault;
 use std::time::{Duration, Instant};
 
-/// Classes of each effect, one backend, and a store of record in that folder.
+/// Returns a configuration with an idempotent and a non-idempotent class, one backend, and a store of record in `folder`.
 fn file(folder: &Folder, backend: &BackendServer) -> String {
     let store = folder.path().join("record.db");
     format!(
@@ -78,8 +78,8 @@
         std::fs::write(&config, text).expect("a file");
         let mut command = program.command(None);
         let output = command.args(["serve", "--config"]).arg(&config).output().expect("the program");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.contains("store of record"), "{said}");
+        let message = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(1), "{message}");
+        assert!(message.contains("store of record"), "{message}");
     }
 }
--- a/crates/soak/tests/rig/held_process.rs
+++ b/crates/soak/tests/rig/held_process.rs
@@ -1,8 +1,8 @@
-//! Signals by the system call itself, and a process that is held still.
+//! Sends signals by the system call itself, and stops processes.
 
 use std::time::{Duration, Instant};
 
-/// The longest wait until a process stands still.
+/// Maximum wait until a process is stopped.
 const STILL_WAIT: Duration = Duration::from_secs(5);
 
 /// Sends a signal to a process of the test; the call returns once it is pending there.
@@ -13,23 +13,23 @@
     assert_eq!(result, 0, "signal {signal} to {pid}");
 }
 
-/// Holds a process still, and returns once it stands.
-pub fn hold_still(pid: u32) {
+/// Stops a process with SIGSTOP, and returns once it is stopped.
+pub fn stop_process(pid: u32) {
     send_signal(pid, libc::SIGSTOP);
     let until = Instant::now() + STILL_WAIT;
-    while !stands_still(pid) {
-        assert!(Instant::now() < until, "{pid} does not stand still");
+    while !is_stopped(pid) {
+        assert!(Instant::now() < until, "{pid} does not stop");
         std::hint::spin_loop();
     }
 }
 
-/// Lets a process that is held still go on.
-pub fn let_go(pid: u32) {
+/// Continues a stopped process.
+pub fn continue_process(pid: u32) {
     send_signal(pid, libc::SIGCONT);
 }
 
-/// Whether a process is in the state `T`: stopped by a signal.
-fn stands_still(pid: u32) -> bool {
+/// Returns whether a process is in the state `T`: stopped by a signal.
+fn is_stopped(pid: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit_once(')').is_some_and(|(_, rest)| rest.trim_start().starts_with('T'))
 }
--- a/crates/soak/tests/rig/late_ends.rs
+++ b/crates/soak/tests/rig/late_ends.rs
@@ -1,54 +1,54 @@
-//! A link between clients and a proxy on which the end of an idle connection is late: the client hears that the proxy has
-//! closed it only after the client's next bytes have come to the proxy's machine, which has no such connection any more. So
-//! each request that is sent on a connection which the proxy has closed crosses that close.
+//! A link between clients and a proxy that delays the end of idle connections: a client sees that the proxy has closed its
+//! connection only after the client's next bytes have reached the proxy's kernel, which no longer has the connection. So each
+//! request on a connection that the proxy has closed crosses that close.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The most bytes that are passed on at once.
+/// Maximum number of bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 64 << 10;
 
-/// The reset of a request that the proxy's machine refuses comes within this time.
+/// Maximum wait for the reset of a request that the proxy's kernel refuses.
 const RESET_WAIT: Duration = Duration::from_secs(3);
-/// The pause between two looks whether something has come about.
+/// Pause between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// A request that came to the proxy's machine after the proxy had closed its connection.
+/// A request that reached the proxy's kernel after the proxy had closed its connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Crossing {
     /// When the proxy had closed the connection.
     pub closed_at: Instant,
-    /// When the request was passed on.
+    /// When the request was forwarded.
     pub sent_at: Instant,
-    /// The proxy's machine has answered the request with a reset: no process has read it.
+    /// Whether the proxy's kernel has answered the request with a reset, so that no process has read it.
     pub is_reset: bool,
 }
 
-/// The link. It passes bytes on until the test's process ends.
+/// The link. It forwards bytes until the test's process ends.
 #[derive(Debug)]
 pub struct LateEnds {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    events: Arc<Mutex<Events>>,
 }
 
-/// What came about on all connections.
+/// Events on all connections.
 #[derive(Debug, Default)]
-struct Seen {
-    /// Connections that the proxy has closed.
+struct Events {
+    /// Number of connections that the proxy has closed.
     closes: usize,
     crossings: Vec<Crossing>,
 }
 
-/// Whether the proxy's machine answers with a reset what was written to a connection. Where its process has ended its
-/// sending and not closed the connection yet, that comes with the close.
+/// Returns whether the proxy's kernel answers bytes written to a connection with a reset. If the process has shut down its
+/// sending side but not closed the connection yet, the reset comes with the close.
 fn is_reset_soon(server: &TcpStream) -> bool {
     wait_until(RESET_WAIT, || matches!(server.take_error(), Ok(Some(_))))
 }
 
-/// Waits until it is so, though no longer than this. Whether it is.
+/// Waits until `is_so` returns true, for at most `longest`. Returns whether it did.
 fn wait_until(longest: Duration, is_so: impl Fn() -> bool) -> bool {
     let until = Instant::now() + longest;
     while !is_so() {
@@ -60,19 +60,19 @@
     true
 }
 
-/// Notes a crossing, and returns its number.
-fn note_crossing(seen: &Mutex<Seen>, crossing: Crossing) -> usize {
-    let crossings = &mut locked(seen).crossings;
+/// Records a crossing, and returns its index.
+fn record_crossing(events: &Mutex<Events>, crossing: Crossing) -> usize {
+    let crossings = &mut locked(events).crossings;
     crossings.push(crossing);
     crossings.len() - 1
 }
 
-/// A connection, as both directions know it.
+/// State of a connection that both directions share.
 #[derive(Debug, Default)]
 struct Connection {
-    /// The client has sent bytes since the proxy's last ones.
+    /// Whether the client has sent bytes since the proxy's last ones.
     has_open_request: bool,
-    /// When the proxy has closed it.
+    /// When the proxy closed it.
     closed_at: Option<Instant>,
 }
 
@@ -81,56 +81,56 @@
 }
 
 impl LateEnds {
-    /// A link to the proxy at that address.
+    /// Starts a link to the proxy at this address.
     pub fn start(proxy: SocketAddr) -> LateEnds {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let shared = seen.clone();
+        let events = Arc::new(Mutex::new(Events::default()));
+        let shared = events.clone();
         std::thread::spawn(move || {
             for client in listener.incoming().flatten() {
-                // Dropped, where the proxy takes no connections any more: the client's is closed too.
+                // If the proxy accepts no connections any more, the client's connection is dropped and so closed.
                 let Ok(server) = TcpStream::connect(proxy) else { continue };
-                pass_on(client, server, shared.clone());
+                forward(client, server, shared.clone());
             }
         });
-        LateEnds { address, seen }
+        LateEnds { address, events }
     }
 
-    /// Waits until the proxy has closed a connection, though no longer than this.
+    /// Waits until the proxy has closed a connection, for at most `longest`.
     pub fn wait_for_close(&self, longest: Duration) {
-        wait_until(longest, || locked(&self.seen).closes > 0);
+        wait_until(longest, || locked(&self.events).closes > 0);
     }
 
-    /// Waits until a request has crossed a close, though no longer than this.
+    /// Waits until a request has crossed a close, for at most `longest`.
     pub fn wait_for_crossing(&self, longest: Duration) {
-        wait_until(longest, || !locked(&self.seen).crossings.is_empty());
+        wait_until(longest, || !locked(&self.events).crossings.is_empty());
     }
 
-    /// The crossings so far, as the proxy's process has ended: their resets are waited for.
+    /// Waits for the resets of all crossings, and returns the crossings. Called after the proxy's process has ended.
     pub fn crossings(&self) -> Vec<Crossing> {
-        wait_until(RESET_WAIT, || locked(&self.seen).crossings.iter().all(|crossing| crossing.is_reset));
-        locked(&self.seen).crossings.clone()
+        wait_until(RESET_WAIT, || locked(&self.events).crossings.iter().all(|crossing| crossing.is_reset));
+        locked(&self.events).crossings.clone()
     }
 }
 
-/// Passes on both directions, on a thread each.
-fn pass_on(client: TcpStream, server: TcpStream, seen: Arc<Mutex<Seen>>) {
+/// Forwards both directions, each on its own thread.
+fn forward(client: TcpStream, server: TcpStream, events: Arc<Mutex<Events>>) {
     for tcp in [&client, &server] {
         tcp.set_nodelay(true).unwrap();
     }
     let connection = Arc::new(Mutex::new(Connection::default()));
     std::thread::spawn({
         let (server, client) = (server.try_clone().unwrap(), client.try_clone().unwrap());
-        let (connection, seen) = (connection.clone(), seen.clone());
-        move || pass_answers(server, client, &connection, &seen)
+        let (connection, events) = (connection.clone(), events.clone());
+        move || forward_answers(server, client, &connection, &events)
     });
-    std::thread::spawn(move || pass_requests(client, server, &connection, &seen));
+    std::thread::spawn(move || forward_requests(client, server, &connection, &events));
 }
 
-/// Passes on what the proxy sends, and its end at once only where a request waits for its answer.
-fn pass_answers(
-    mut server: TcpStream, mut client: TcpStream, connection: &Mutex<Connection>, seen: &Mutex<Seen>,
+/// Forwards the proxy's bytes. Forwards its close at once only if a request waits for its answer.
+fn forward_answers(
+    mut server: TcpStream, mut client: TcpStream, connection: &Mutex<Connection>, events: &Mutex<Events>,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(length) = server.read(&mut chunk) {
@@ -142,7 +142,7 @@
             break;
         }
     }
-    locked(seen).closes += 1;
+    locked(events).closes += 1;
     let mut connection = locked(connection);
     connection.closed_at = Some(Instant::now());
     if connection.has_open_request {
@@ -150,9 +150,9 @@
     }
 }
 
-/// Passes on what the client sends. What comes behind the proxy's end is passed on too, and then that end.
-fn pass_requests(
-    mut client: TcpStream, mut server: TcpStream, connection: &Mutex<Connection>, seen: &Mutex<Seen>,
+/// Forwards the client's bytes. Bytes after the proxy's close are forwarded too, and the close after them.
+fn forward_requests(
+    mut client: TcpStream, mut server: TcpStream, connection: &Mutex<Connection>, events: &Mutex<Events>,
 ) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(length) = client.read(&mut chunk) {
@@ -167,12 +167,12 @@
         let sent_at = Instant::now();
         let is_written = server.write_all(&chunk[..length]).is_ok();
         if let Some(closed_at) = closed_at {
-            // The client hears of the end now; the reset may come later, with the close of a process that is held still.
+            // The client sees the close now. The reset may come later, with the close by a stopped process.
             let _ = client.shutdown(Shutdown::Both); // as above
             let crossing = Crossing { closed_at, sent_at, is_reset: !is_written };
-            let number = note_crossing(seen, crossing);
+            let number = record_crossing(events, crossing);
             let is_reset = !is_written || is_reset_soon(&server);
-            locked(seen).crossings[number].is_reset = is_reset;
+            locked(events).crossings[number].is_reset = is_reset;
             return;
         }
     }
--- a/crates/soak/tests/rig/mod.rs
+++ b/crates/soak/tests/rig/mod.rs
@@ -1,4 +1,4 @@
-//! The program with failing system calls, between the testkit's stand-ins.
+//! Runs the program with failing system calls between the testkit's stand-ins.
 #![allow(dead_code)]
 
 pub mod held_process;
@@ -11,12 +11,12 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The seed of the shim's random numbers in these tests.
+/// Seed of the shim's random numbers in these tests.
 const SEED: u64 = 7;
 
 static FOLDERS: AtomicU64 = AtomicU64::new(0);
 
-/// A folder that is removed when this is dropped.
+/// A folder that is removed when dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -38,8 +38,8 @@
     }
 }
 
-/// The program under test, run with the shim, and the switches of its faults. `watched`: the folder whose files have
-/// the faults of the disk.
+/// Returns the program under test, which runs with the shim, and the control of its faults. Files in `watched` are subject to
+/// disk faults.
 pub fn faulty(folder: &Folder, watched: Option<&Path>) -> (Program, FaultControl) {
     let artifacts = Artifacts::find().expect("the program and the shim");
     let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
--- a/crates/soak/tests/rig/stop_requests.rs
+++ b/crates/soak/tests/rig/stop_requests.rs
@@ -1,4 +1,4 @@
-//! Requests at a stop, each with what became of it for its client.
+//! Makes requests at a stop and determines how each ended for its client.
 
 use shaletide_soak::call_faults::CallFault;
 use shaletide_testkit::{pay_request, read_request, WAIT_LIMIT};
@@ -6,12 +6,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The pause between two segments of a request.
+/// Pause between two segments of a request.
 const SEGMENT_PAUSE: Duration = Duration::from_millis(2);
-/// What is reset after its end comes within this time.
+/// Time within which the reset follows the end of a stream.
 const RESET_WAIT: Duration = Duration::from_millis(30);
 
-/// The sorts of failing calls, one at a time.
+/// Kinds of failing calls, one at a time.
 pub const FAULTS: [Option<CallFault>; 8] = [
     None,
     Some(CallFault::ShortRead),
@@ -28,17 +28,17 @@
 pub enum RequestEnd {
     /// With 200.
     Answered,
-    /// With 503: a refusal, which is an answer too.
+    /// With 503: a rejection, which is an answer too.
     Refused,
     /// The connection was closed before the request, which was not sent.
     ClosedBefore,
-    /// The connection was closed with the request unread, as it came.
+    /// The connection was closed while the request arrived, with the request unread.
     Crossed,
-    /// The proxy has read it, or let it lie, and has closed the connection without an answer.
+    /// The proxy has read the request, or left it unread for long, and has closed the connection without an answer.
     Lost(String),
 }
 
-/// The request of a connection, in the segments in which it is written.
+/// Returns the request of a connection, in the segments in which it is written.
 pub fn segments(connection: u32) -> Vec<Vec<u8>> {
     let request = if connection % 2 == 0 { read_request(3.0) } else { pay_request(3.0) };
     let request = request.into_bytes();
@@ -55,7 +55,7 @@
         .collect()
 }
 
-/// Whether a connection is open with nothing on it, as far as its client has heard.
+/// Returns whether a connection is open without unread bytes, as far as its client knows.
 fn is_at_rest(tcp: &TcpStream) -> bool {
     tcp.set_nonblocking(true).unwrap();
     let peeked = tcp.peek(&mut [0]);
@@ -63,16 +63,16 @@
     matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
-/// When a request that lies unread on a connection which is closed has crossed that close.
+/// Limit that decides whether an unread request on a closed connection has crossed the close.
 #[derive(Clone, Copy, Debug)]
 pub struct CrossingLimit {
-    /// From when on the proxy could read it.
+    /// The time from which the proxy could read the request.
     pub readable_from: Instant,
-    /// If it lay unread for longer then, it did not cross the close.
+    /// Maximum time unread. A request that was unread for longer did not cross the close.
     pub longest: Duration,
 }
 
-/// A request of which the first segment is written.
+/// A request whose first segment is written.
 #[derive(Debug)]
 pub struct BegunRequest {
     tcp: TcpStream,
@@ -81,19 +81,19 @@
     begun_at: Instant,
 }
 
-/// Writes the first segment of a request; `None` where the connection is closed already.
+/// Writes the first segment of a request; `None` if the connection is already closed.
 pub fn begin(mut tcp: TcpStream, mut segments: Vec<Vec<u8>>) -> Option<BegunRequest> {
     if !is_at_rest(&tcp) {
         return None;
     }
     let rest = segments.split_off(1);
     let begun_at = Instant::now();
-    let _ = tcp.write_all(&segments[0]); // it was reset: what the read says counts
+    let _ = tcp.write_all(&segments[0]); // after a reset the result of the read counts
     Some(BegunRequest { tcp, rest, begun_at })
 }
 
 impl BegunRequest {
-    /// Writes what is left, and waits for the request's end.
+    /// Writes the remaining segments, and waits for the request's end.
     pub fn finish(mut self, limit: CrossingLimit) -> RequestEnd {
         for segment in std::mem::take(&mut self.rest) {
             std::thread::sleep(SEGMENT_PAUSE);
@@ -130,7 +130,7 @@
         return RequestEnd::Lost(format!("after {:?}", String::from_utf8_lossy(&answer)));
     }
     let end = match read {
-        // An end of the stream is followed by a reset where the request lies unread.
+        // If the request is unread, a reset follows the end of the stream.
         Ok(_) => {
             let unread_for = readable_from.elapsed();
             std::thread::sleep(RESET_WAIT);
@@ -148,7 +148,7 @@
     }
 }
 
-/// A new connection to the proxy.
+/// Opens a new connection to the proxy.
 pub fn open(proxy: SocketAddr) -> TcpStream {
     let tcp = TcpStream::connect(proxy).expect("a connection");
     tcp.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
--- a/crates/soak/tests/signal_moments.rs
+++ b/crates/soak/tests/signal_moments.rs
@@ -1,9 +1,9 @@
-//! Signals at exact moments of a start: the process is held still there, the signal is sent by the system call itself, and
-//! the process goes on. The order of events is forced, so that each row comes out the same each time.
+//! Checks signals at exact moments of a start: the process is stopped there, the signal is sent by the system call itself, and
+//! the process continues. The order of events is forced, so that each row has the same result each time.
 //!
-//! No program can hold a signal off before its first instruction: those rows say that SIGHUP ends it, unless whoever starts
-//! it has the signal blocked or ignored. From the system call on with which the program blocks SIGHUP, before the loader
-//! begins, every row says that it serves by what the file held as the signal was sent.
+//! No program can prevent the effect of a signal before its first instruction: in those rows SIGHUP ends it, unless its
+//! starter has the signal blocked or ignored. From the system call with which the program blocks SIGHUP, before the loader
+//! begins, every row requires that it serves by the content of the file at the time of the signal.
 #![cfg(all(target_os = "linux", target_arch = "x86_64"))]
 
 mod guards;
@@ -29,31 +29,31 @@
 use tracer::{TraceError, Tracee};
 use trial::{Expected, Inherited, Outcome, Testbed};
 
-/// A signal to stop that comes during the start ends the program within this time.
+/// Maximum time for a stop signal during the start to end the program.
 const STOP_LIMIT: Duration = Duration::from_secs(1);
-/// The time for a moment that does not come.
+/// Time limit for a moment that the process does not reach.
 const SHORT_TRACE: Duration = Duration::from_millis(500);
-/// How often the long form plays each row.
+/// Number of repetitions of each row in the long form.
 const REPETITIONS: usize = 20;
-/// Processes that are played at a time where each stop is played.
-const LANES: usize = 6;
-/// A start has no fewer stops at system calls than this.
-const LEAST_STOPS: usize = 150;
-/// Series of signals, each sent while the process is held at one moment.
+/// Number of concurrent processes in the test of every system call.
+const CONCURRENT_PROCESSES: usize = 6;
+/// Minimum number of stops at system calls of a start.
+const MIN_STOPS: usize = 150;
+/// Series of signals, each sent while the process is stopped at one moment.
 const SERIES: [&[Signal]; 5] =
     [&[SIGTERM], &[SIGINT], &[SIGHUP, SIGTERM], &[SIGTERM, SIGHUP], &[SIGHUP, SIGHUP, SIGTERM]];
 
-/// Plays a row and prints it.
-fn play(
+/// Runs a row and prints it.
+fn run_row(
     testbed: &Testbed, inherited: Inherited, moment: Moment, signals: &[Signal], expected: Expected,
 ) -> (Outcome, Duration) {
-    let played = testbed.trial(inherited, moment, signals, expected);
-    let (outcome, time) = played.unwrap_or_else(|error| panic!("{inherited:?}, {moment:?}: {error}"));
+    let result = testbed.trial(inherited, moment, signals, expected);
+    let (outcome, time) = result.unwrap_or_else(|error| panic!("{inherited:?}, {moment:?}: {error}"));
     println!("{inherited:?} | {moment:?} | {signals:?} | {outcome:?} | {} ms", time.as_millis());
     (outcome, time)
 }
 
-/// What SIGHUP at that moment has to lead to.
+/// Returns the required outcome of SIGHUP at this moment.
 fn expected(inherited: Inherited, moment: Moment) -> Outcome {
     let comes_early = moment.is_before_mask() && inherited != Inherited::Blocked;
     match comes_early {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends these signals at each moment to a program that inherits this.
+/// Checks these signals at each moment for a program that inherits this state.
 fn check_hangup(testbed: &Testbed, inherited: Inherited, signals: &[Signal]) {
     for moment in Moment::ALL {
         let expected = expected(inherited, moment);
@@ -72,12 +72,12 @@
             Outcome::Served { taken: false } => Expected::Served,
             _ => Expected::End,
         };
-        let outcome = play(testbed, inherited, moment, signals, awaited).0;
+        let outcome = run_row(testbed, inherited, moment, signals, awaited).0;
         assert_eq!(outcome, expected, "{inherited:?}, {moment:?}, {signals:?}");
     }
 }
 
-/// The signals that may end a program to which these were sent at that moment; none where it ends by itself, with status 0.
+/// Returns which of the signals sent at this moment may end the program; none if it must exit by itself with status 0.
 fn ending_signals(moment: Moment, signals: &[Signal]) -> &[Signal] {
     match moment.is_before_mask() {
         true => signals,
@@ -87,7 +87,7 @@
 
 fn check_stop(testbed: &Testbed, signals: &[Signal]) {
     for moment in Moment::ALL {
-        let (outcome, time) = play(testbed, Inherited::Nothing, moment, signals, Expected::End);
+        let (outcome, time) = run_row(testbed, Inherited::Nothing, moment, signals, Expected::End);
         let ending = ending_signals(moment, signals);
         let is_expected = match outcome {
             Outcome::EndedBy(signal) => ending.contains(&signal),
@@ -98,13 +98,13 @@
     }
 }
 
-/// Guards against an instruction of the program's own, before or after the mask, at which SIGHUP ends it.
+/// Guards against an instruction of the program, from the mask on, at which SIGHUP ends it.
 #[test]
 fn hangup_from_the_mask_on_ends_no_program() {
     check_hangup(&Testbed::new(), Inherited::Nothing, &[SIGHUP]);
 }
 
-/// Guards against a second SIGHUP that ends the program where the first does not.
+/// Guards against a second SIGHUP that ends the program although the first does not.
 #[test]
 fn two_hangups_from_the_mask_on_end_no_program() {
     check_hangup(&Testbed::new(), Inherited::Nothing, &[SIGHUP, SIGHUP]);
@@ -123,13 +123,13 @@
     check_hangup(&Testbed::new(), Inherited::BoundAtStart, &[SIGHUP]);
 }
 
-/// Guards against a program that unblocks or drops what its starter has blocked for it.
+/// Guards against a program that unblocks or loses a signal that its starter has blocked.
 #[test]
 fn hangup_at_any_moment_is_taken_by_program_started_with_it_blocked() {
     check_hangup(&Testbed::new(), Inherited::Blocked, &[SIGHUP]);
 }
 
-/// Guards against a program that SIGHUP ends though its starter ignores the signal, or that serves by an earlier file.
+/// Guards against a program that SIGHUP ends although its starter ignores the signal, or that serves by an earlier file.
 #[test]
 fn hangup_at_any_moment_ends_no_program_started_by_nohup() {
     check_hangup(&Testbed::new(), Inherited::IgnoredByNohup, &[SIGHUP]);
@@ -148,13 +148,13 @@
     check_hangup(&Testbed::new(), Inherited::DeployFile, &[SIGHUP]);
 }
 
-/// Guards against a signal to stop that is held back during the start, until the program is killed.
+/// Guards against a stop signal that has no effect during the start, so that the program is killed.
 #[test]
 fn stop_signal_at_any_moment_ends_program_at_once() {
     SERIES[..2].iter().for_each(|signals| check_stop(&Testbed::new(), signals));
 }
 
-/// Guards against a signal to stop that a SIGHUP before or behind it hides.
+/// Guards against a stop signal that is lost because of a SIGHUP before or after it.
 #[test]
 fn stop_signal_beside_hangups_at_any_moment_ends_program_at_once() {
     SERIES[2..].iter().for_each(|signals| check_stop(&Testbed::new(), signals));
@@ -173,7 +173,7 @@
     check_hangup(&Testbed::by_node_config(), Inherited::DeployFile, &[SIGHUP]);
 }
 
-/// Guards against a signal to stop that is held back during a start by `NODE_CONFIG`.
+/// Guards against a stop signal that has no effect during a start by `NODE_CONFIG`.
 #[test]
 fn stop_signal_at_any_moment_ends_program_started_by_node_config_at_once() {
     check_stop(&Testbed::by_node_config(), &[SIGTERM]);
@@ -186,13 +186,13 @@
     let control = Compiled::of("first_instruction_program.c", &["-static", "-nostdlib"]);
     let testbed = Testbed::of_program(control.path());
     for moment in Moment::ALL.into_iter().filter(|moment| *moment <= Moment::Masked) {
-        let (outcome, _) = play(&testbed, Inherited::Nothing, moment, &[SIGHUP, SIGTERM], Expected::End);
+        let (outcome, _) = run_row(&testbed, Inherited::Nothing, moment, &[SIGHUP, SIGTERM], Expected::End);
         let expected = if moment.is_before_mask() { Outcome::EndedBy(SIGHUP) } else { Outcome::Exited(0) };
         assert_eq!(outcome, expected, "{moment:?}");
     }
 }
 
-/// Guards against a trace that waits without end for a moment which does not come, as that of a stale build did.
+/// Guards against a trace that waits forever for a moment which is not reached, as happened with a stale build.
 #[test]
 fn trace_of_moment_that_does_not_come_ends_in_time() {
     let control = Compiled::of("control_program.c", &[]);
@@ -204,18 +204,18 @@
     assert!(matches!(reached, Err(TraceError::NotInTime)), "{reached:?}");
 }
 
-/// Guards against a library's constructor, which runs between the mask and `main`, that takes the mask away for good.
+/// Guards against a library's constructor, which runs between the mask and `main`, that unblocks the signal permanently.
 #[test]
 fn hangup_of_serving_program_is_taken_though_a_library_has_unblocked_it() {
     let library = Compiled::of("unblocking_library.c", &["-shared", "-fPIC"]);
     let testbed = Testbed::with_library(library.path());
     for moment in Moment::ALL.into_iter().filter(|moment| *moment >= Moment::LogThread) {
-        let (outcome, _) = play(&testbed, Inherited::Nothing, moment, &[SIGHUP], Expected::Taken);
+        let (outcome, _) = run_row(&testbed, Inherited::Nothing, moment, &[SIGHUP], Expected::Taken);
         assert_eq!(outcome, Outcome::Served { taken: true }, "{moment:?}");
     }
 }
 
-/// The long form: each row again and again, of each way to start the program.
+/// The long form: repeats each row for each way to start the program.
 #[test]
 #[ignore = "takes some minutes"]
 fn every_row_of_hangup_comes_out_the_same_each_time() {
@@ -236,7 +236,7 @@
     });
 }
 
-/// The long form of the signals to stop.
+/// The long form of the stop signals.
 #[test]
 #[ignore = "takes some minutes"]
 fn every_row_of_stop_signals_comes_out_the_same_each_time() {
@@ -252,21 +252,21 @@
 #[ignore = "takes some minutes"]
 fn hangup_at_every_system_call_from_the_mask_on_ends_no_program() {
     let next = AtomicUsize::new(1);
-    let play_stops = || {
+    let run_stops = || {
         let testbed = Testbed::new();
         loop {
             let number = next.fetch_add(1, Ordering::SeqCst);
-            let played = testbed.trial_at_stop(number).unwrap_or_else(|error| panic!("{number}: {error}"));
-            let Some((outcome, required)) = played else { return };
+            let result = testbed.trial_at_stop(number).unwrap_or_else(|error| panic!("{number}: {error}"));
+            let Some((outcome, required)) = result else { return };
             println!("stop {number} | {outcome:?}");
             assert_eq!(outcome, required, "stop {number}");
         }
     };
     std::thread::scope(|scope| {
-        for _ in 0..LANES {
-            scope.spawn(play_stops);
+        for _ in 0..CONCURRENT_PROCESSES {
+            scope.spawn(run_stops);
         }
     });
-    let stops = next.load(Ordering::SeqCst) - 1 - LANES;
-    assert!(stops >= LEAST_STOPS, "{stops} stops");
+    let stops = next.load(Ordering::SeqCst) - 1 - CONCURRENT_PROCESSES;
+    assert!(stops >= MIN_STOPS, "{stops} stops");
 }
--- a/crates/soak/tests/signal_moments/elf.rs
+++ b/crates/soak/tests/signal_moments/elf.rs
@@ -1,4 +1,4 @@
-//! What the tracer needs to know of a program's file (ELF, 64 bits, little-endian), and of where the kernel put it.
+//! Reads the information that the tracer needs from a program's file (ELF, 64 bits, little-endian) and from its process.
 
 use std::fs::File;
 use std::io;
@@ -15,10 +15,10 @@
 const SECTION_ADDRESS_AT: u64 = 0x10;
 /// The type of `.preinit_array`.
 const PREINIT_ARRAY: u64 = 16;
-/// The number of the program's entry in the auxiliary vector.
+/// Key of the program's entry point in the auxiliary vector.
 const AUXILIARY_ENTRY: u64 = 9;
 
-/// Addresses as they are in the file.
+/// Addresses in the file.
 pub struct Layout {
     /// The program's first instruction.
     pub entry: u64,
@@ -26,7 +26,7 @@
     pub preinit_array: Option<u64>,
 }
 
-/// Reads a program's file.
+/// Reads the layout from a program's file.
 pub fn layout(program: &Path) -> io::Result<Layout> {
     let file = File::open(program)?;
     let number = |at: u64, bytes: usize| -> io::Result<u64> {
@@ -46,7 +46,7 @@
     Ok(Layout { entry: number(ENTRY_AT, 8)?, preinit_array })
 }
 
-/// Where a process's first instruction of its program is.
+/// Returns the address of the program's first instruction in the memory of its process.
 pub fn entry_in_memory(pid: i32) -> io::Result<u64> {
     let vector = std::fs::read(format!("/proc/{pid}/auxv"))?;
     let word = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).unwrap_or_default();
--- a/crates/soak/tests/signal_moments/hangup_records.rs
+++ b/crates/soak/tests/signal_moments/hangup_records.rs
@@ -1,4 +1,4 @@
-//! What the soak records of a SIGHUP that finds a process at an exact point of its start, and what follows from that.
+//! Checks the records of a SIGHUP to a process at an exact point of its start, and the conclusions from them.
 
 use super::compiled::Compiled;
 use super::moment::{self, Moment, Paths};
@@ -13,22 +13,22 @@
 use std::ops::Range;
 use std::path::{Path, PathBuf};
 
-/// In the long form, SIGHUP finds the process at every so many-th instruction of the loader.
+/// Interval, in instructions of the loader, at which the long form checks SIGHUP.
 const LOADER_INTERVAL: usize = 100;
-/// How the names of the loader's file and of the C library's begin.
+/// Prefixes of the file names of the loader and of the C library.
 const LOADER: &str = "ld-";
 const C_LIBRARY: &str = "libc.";
-/// A function that makes one system call is no larger, in bytes.
+/// Maximum size of a function that makes one system call, in bytes.
 const SMALL_FUNCTION: u64 = 256;
-/// No start needs more instructions than this from exec to the mask.
+/// Maximum number of instructions of a start from exec to the mask.
 const MAX_INSTRUCTIONS: usize = 3_000_000;
 
-/// What a SIGHUP finds now. The tracer keeps it from the process.
+/// Returns the finding of a SIGHUP now. The tracer does not deliver the signal to the process.
 fn hang_up(tracee: &Tracee, program: &Path) -> (SignalFinding, SignalMoment) {
     find_by(Signal::SIGHUP, Pause::Stopped, tracee, program)
 }
 
-/// What a SIGTERM finds now. The tracer holds the main thread alone, and the log's may run.
+/// Returns the finding of a SIGTERM now. The tracer stops only the main thread, and the log's thread may run.
 fn terminate(tracee: &Tracee, program: &Path) -> (SignalFinding, SignalMoment) {
     find_by(Signal::SIGTERM, Pause::Running, tracee, program)
 }
@@ -39,7 +39,7 @@
     (finding, moment_of_end(&[record], program))
 }
 
-/// When a SIGHUP comes that finds the process at that moment of the table.
+/// Returns the expected result for a SIGHUP at this moment.
 fn expected(moment: Moment) -> SignalMoment {
     match moment {
         Moment::ExecCall => SignalMoment::NotShown, // of another program
@@ -48,18 +48,18 @@
     }
 }
 
-/// Guards against an end before the program's first instruction that the records do not show, and against one after it that
-/// they take for one before.
+/// Guards against an end before the program's first instruction that the records do not show, and against an end after it
+/// that they show as before it.
 #[test]
 fn record_of_hangup_shows_at_each_moment_whether_program_has_begun() {
     let testbed = Testbed::new();
     for inherited in [Inherited::Nothing, Inherited::Shim, Inherited::BoundAtStart] {
         for moment in Moment::ALL {
-            let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+            let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
                 moment.reach(tracee, paths, earlier_execs)?;
                 Ok(hang_up(tracee, paths.program))
             };
-            let (finding, shown) = testbed.inspect(inherited, look).unwrap();
+            let (finding, shown) = testbed.inspect(inherited, inspect_record).unwrap();
             println!("{inherited:?} | {moment:?} | {finding:?} | {shown:?}");
             assert_eq!(shown, expected(moment), "{inherited:?}, {moment:?}: {finding:?}");
         }
@@ -71,11 +71,11 @@
 fn record_of_termination_shows_at_each_moment_whether_program_has_begun() {
     let testbed = Testbed::new();
     for moment in Moment::ALL {
-        let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+        let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
             moment.reach(tracee, paths, earlier_execs)?;
             Ok(terminate(tracee, paths.program))
         };
-        let (finding, shown) = testbed.inspect(Inherited::Shim, look).unwrap();
+        let (finding, shown) = testbed.inspect(Inherited::Shim, inspect_record).unwrap();
         println!("{moment:?} | {finding:?} | {shown:?}");
         assert_eq!(shown, expected(moment), "{moment:?}: {finding:?}");
     }
@@ -109,15 +109,15 @@
     }
 }
 
-/// Instructions of one file in one part of a start.
+/// Counts instructions of one file in one part of a start.
 #[derive(Default)]
 struct Tally {
     executed: usize,
-    /// At how many of them SIGHUP found the process.
+    /// Number of instructions at which SIGHUP was checked.
     found: usize,
 }
 
-/// Executes a start instruction by instruction. SIGHUP finds it at those that are wanted, and the record has to show whether
+/// Executes a start instruction by instruction. Checks at the wanted instructions that the record of a SIGHUP shows whether
 /// the program has begun.
 struct Walk<'a> {
     tracee: &'a mut Tracee,
@@ -133,7 +133,7 @@
         Walk { tracee, program, code: MappedCode::default(), has_begun: false, tallies: BTreeMap::new() }
     }
 
-    /// The file of the next instruction.
+    /// Returns the file of the next instruction.
     fn file(&mut self) -> Result<PathBuf, TraceError> {
         let address = self.tracee.instruction()?;
         if self.code.file(address).is_none() {
@@ -142,7 +142,7 @@
         self.code.file(address).ok_or(TraceError::NotReached("code of a file"))
     }
 
-    /// Executes the next instruction. Before that SIGHUP finds the process, if that is wanted there.
+    /// Executes the next instruction. Checks SIGHUP before it if `is_wanted` returns true.
     fn step(&mut self, is_wanted: impl Fn(&Path, usize) -> bool) -> Result<(), TraceError> {
         let file = self.file()?;
         let tally = self.tallies.entry((self.has_begun, file.clone())).or_default();
@@ -164,7 +164,7 @@
         assert_eq!(shown, required, "{finding:?}");
     }
 
-    /// Goes on until the program blocks SIGHUP.
+    /// Continues until the program blocks SIGHUP.
     fn run_to_mask(&mut self, is_wanted: impl Fn(&Path, usize) -> bool) -> Result<(), TraceError> {
         for _ in 0..MAX_INSTRUCTIONS {
             if self.has_begun && blocks_hangup(self.tracee.id()) == Some(true) {
@@ -175,7 +175,7 @@
         Err(TraceError::NotReached("the mask, instruction by instruction"))
     }
 
-    /// Goes on to an instruction of another file than the loader, and returns that file.
+    /// Continues to the first instruction outside the loader, and returns its file.
     fn run_out_of_loader(&mut self) -> Result<PathBuf, TraceError> {
         for _ in 0..MAX_INSTRUCTIONS {
             let file = self.file()?;
@@ -187,7 +187,7 @@
         Err(TraceError::NotReached("code outside of the loader"))
     }
 
-    /// At how many instructions of a file SIGHUP found the process after the program's first.
+    /// Returns the number of instructions of a file at which SIGHUP was checked after the program's first instruction.
     fn found_after_begin(&self, name_begin: &str) -> usize {
         let is_counted = |(has_begun, file): &(bool, PathBuf)| *has_begun && is_file(file, name_begin);
         self.tallies.iter().filter(|(key, _)| is_counted(key)).map(|(_, tally)| tally.found).sum()
@@ -201,13 +201,13 @@
     }
 }
 
-/// Guards against an end before the program's first instruction that the records do not show: where the kernel starts the
-/// loader, that calls functions of the C library that choose others by the processor.
+/// Guards against an end before the program's first instruction that the records do not show. A loader started by the
+/// kernel calls functions of the C library that select others by the processor type.
 #[test]
 fn record_of_hangup_in_resolver_of_c_library_shows_that_program_has_not_begun() {
     let control = Compiled::of("control_program.c", &[]);
     for inherited in [Inherited::Nothing, Inherited::Shim] {
-        let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+        let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
             moment::reach_relocations(tracee, earlier_execs)?;
             let mut walk = Walk::new(tracee, paths.program);
             let file = walk.run_out_of_loader()?;
@@ -218,44 +218,44 @@
             walk.print(&format!("{inherited:?}, resolver"));
             Ok(())
         };
-        Testbed::of_program(control.path()).inspect(inherited, look).unwrap();
+        Testbed::of_program(control.path()).inspect(inherited, inspect_record).unwrap();
     }
 }
 
-/// Executes a program from its first instruction, to which `reach_first` brings it, to the mask; SIGHUP finds it at each one.
-/// At so many of them, without the first, it is in code of a file with that name.
+/// Executes a program from its first instruction, to which `reach_first` runs it, to the mask, and checks SIGHUP at each one.
+/// Returns how many of them, without the first, are code of a file with this name.
 fn found_from_first_instruction_to_mask(
     testbed: &Testbed, name_begin: &str,
     reach_first: impl FnOnce(&mut Tracee, &Paths, usize) -> Result<(), TraceError>,
 ) -> usize {
-    let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+    let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
         reach_first(tracee, paths, earlier_execs)?;
         let mut walk = Walk::new(tracee, paths.program);
         walk.run_to_mask(|_, _| true)?;
         walk.print("first instruction to mask");
         Ok(walk.found_after_begin(name_begin))
     };
-    testbed.inspect(Inherited::Nothing, look).unwrap()
+    testbed.inspect(Inherited::Nothing, inspect_record).unwrap()
 }
 
-/// Brings a program that the kernel starts to its first instruction.
+/// Runs a program that the kernel starts to its first instruction.
 fn reach_entry(tracee: &mut Tracee, paths: &Paths, earlier_execs: usize) -> Result<(), TraceError> {
     Moment::ExecEnd.reach(tracee, paths, earlier_execs)?;
     moment::reach_first_instruction(tracee)
 }
 
-/// Brings a program that the loader starts to its first instruction.
+/// Runs a program that the loader starts to its first instruction.
 fn reach_preinit_function(
     tracee: &mut Tracee, paths: &Paths, earlier_execs: usize,
 ) -> Result<(), TraceError> {
     Moment::PreinitFunction.reach(tracee, paths, earlier_execs)
 }
 
-/// Guards against a program whose start leaves time to SIGHUP before the mask: the loader's work, or code that lies elsewhere
-/// than the first instruction. Each further page may have to come from a disk first.
+/// Guards against a start in which SIGHUP has more time before the mask: the work of the loader, or code on other pages than
+/// the first instruction, each of which may have to be read from disk first.
 #[test]
 fn program_executes_one_small_function_before_the_mask() {
-    let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+    let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
         reach_entry(tracee, paths, earlier_execs)?;
         let first = tracee.instruction()?;
         let function = first..first + SMALL_FUNCTION;
@@ -269,7 +269,7 @@
         println!("{executed} instructions from exec to the mask");
         Ok(())
     };
-    Testbed::new().inspect(Inherited::Nothing, look).unwrap();
+    Testbed::new().inspect(Inherited::Nothing, inspect_record).unwrap();
 }
 
 /// Guards against an end between the program's first instruction and the mask that the records do not show.
@@ -288,8 +288,8 @@
     assert!(found_from_first_instruction_to_mask(&testbed, C_LIBRARY, reach_preinit_function) > 0);
 }
 
-/// Guards against an end that is put down to the loader though the program had begun: where functions are bound as they are
-/// called for the first time, the loader does that.
+/// Guards against attributing an end to the loader although the program had begun: with lazy binding the program calls the
+/// loader at the first call of a function.
 #[test]
 fn record_of_hangup_in_loader_shows_that_program_has_begun_which_called_it() {
     let control = Compiled::of("control_program.c", &["-fplt", "-Wl,-z,lazy"]);
@@ -305,13 +305,13 @@
     let control = Compiled::of("control_program.c", &[]);
     let is_wanted = |file: &Path, number: usize| !is_file(file, LOADER) || number % LOADER_INTERVAL == 1;
     for inherited in [Inherited::Nothing, Inherited::Shim] {
-        let look = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
+        let inspect_record = |tracee: &mut Tracee, paths: &Paths, earlier_execs| {
             reach_entry(tracee, paths, earlier_execs)?;
             let mut walk = Walk::new(tracee, paths.program);
             walk.run_to_mask(is_wanted)?;
             walk.print(&format!("{inherited:?}"));
             Ok(())
         };
-        Testbed::of_program(control.path()).inspect(inherited, look).unwrap();
+        Testbed::of_program(control.path()).inspect(inherited, inspect_record).unwrap();
     }
 }
--- a/crates/soak/tests/signal_moments/moment.rs
+++ b/crates/soak/tests/signal_moments/moment.rs
@@ -1,4 +1,4 @@
-//! Points of a process's start, in the order in which it comes to them.
+//! Points of a process's start, in the order in which the process reaches them.
 
 use super::tracer::{Call, Stop, TraceError, Tracee};
 use std::os::unix::ffi::OsStrExt;
@@ -34,26 +34,26 @@
     Runtime,
     /// The start of the log's thread.
     LogThread,
-    /// After that.
+    /// After the start of the log's thread.
     LogThreadStarted,
     /// The configuration is opened for the first time.
     ConfigurationOpen,
-    /// After that, before it is read.
+    /// After the configuration is opened, before it is read.
     ConfigurationOpened,
     /// The creation of the descriptor that signals are read from.
     SignalDescriptor,
-    /// After that.
+    /// After the creation of that descriptor.
     SignalDescriptorMade,
-    /// Its registration with the event loop.
+    /// The registration of that descriptor with the event loop.
     Registration,
-    /// After that.
+    /// After that registration.
     Registered,
     /// The event loop's first wait.
     FirstWait,
 }
 
 impl Moment {
-    /// All of them.
+    /// All moments, in order.
     pub const ALL: [Moment; 20] = [
         Moment::ExecCall,
         Moment::ExecEnd,
@@ -77,13 +77,14 @@
         Moment::FirstWait,
     ];
 
-    /// Whether SIGHUP, sent now, comes before the program blocks it. At [`Moment::MaskCall`] the tracer keeps the signal
-    /// pending while the call blocks it; without a tracer there is no such point: the signal comes before the call or after.
+    /// Returns whether SIGHUP at this moment arrives before the program blocks it. At [`Moment::MaskCall`] the tracer keeps
+    /// the signal pending while the call blocks it; without a tracer there is no such point: the signal comes before the
+    /// call or after.
     pub fn is_before_mask(self) -> bool {
         self < Moment::MaskCall
     }
 
-    /// Brings a process there. `earlier_execs`: programs that it executes before the one under test.
+    /// Runs a process to this moment. `earlier_execs`: number of programs that it executes before the one under test.
     pub fn reach(self, tracee: &mut Tracee, paths: &Paths, earlier_execs: usize) -> Result<(), TraceError> {
         for _ in 0..earlier_execs {
             tracee.run_until(|_, stop| matches!(stop, Stop::Exec))?;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The program closes the loader's file once it has mapped it, and goes on in it some instructions later.
+    /// The program closes the loader's file once it has mapped it, and jumps to it some instructions later.
     fn reach_loader(self, tracee: &mut Tracee, paths: &Paths) -> Result<(), TraceError> {
         tracee.run_until(
             |_, stop| matches!(stop, Stop::Exit(call) if call.number == libc::SYS_close && call.result == 0),
@@ -180,7 +181,7 @@
         Ok(())
     }
 
-    /// Goes on to the exit of a call at whose entry the process stands, unless it is wanted there.
+    /// Continues from the entry of a call to its exit, unless this moment is the entry.
     fn finish_call_after(
         self, entry: Moment, tracee: &mut Tracee, number: i64,
     ) -> Result<Option<Call>, TraceError> {
@@ -194,7 +195,7 @@
     }
 }
 
-/// Brings a process to the stop of that number, from 1, of those before and after its main thread's system calls. Returns
+/// Runs a process to the stop with this number, from 1, among those before and after its main thread's system calls. Returns
 /// whether it has called the kernel to block SIGHUP by then.
 pub fn reach_stop(number: usize, tracee: &mut Tracee, earlier_execs: usize) -> Result<bool, TraceError> {
     for _ in 0..=earlier_execs {
@@ -212,12 +213,12 @@
     }
 }
 
-/// Brings a process from the end of exec to the first instruction that it executes.
+/// Runs a process from the end of exec to the first instruction that it executes.
 pub fn reach_first_instruction(tracee: &mut Tracee) -> Result<(), TraceError> {
     tracee.step() // the rest of the system call
 }
 
-/// Brings a process to the loader's last system call before it relocates the libraries.
+/// Runs a process to the loader's last system call before it relocates the libraries.
 pub fn reach_relocations(tracee: &mut Tracee, earlier_execs: usize) -> Result<(), TraceError> {
     for _ in 0..=earlier_execs {
         tracee.run_until(|_, stop| matches!(stop, Stop::Exec))?;
@@ -225,13 +226,13 @@
     tracee.run_until(|_, stop| is_entry(stop, libc::SYS_rseq)).map(drop)
 }
 
-/// The files that a process is told of, and what follows from how it is told.
+/// Paths and properties of a start that the moments depend on.
 pub struct Paths<'a> {
     /// The program.
     pub program: &'a Path,
     /// Its configuration.
     pub configuration: &'a Path,
-    /// Which of the threads that it starts is the log's, from 1.
+    /// Number of the log's thread among the threads that the process starts, from 1.
     pub log_thread: usize,
 }
 
@@ -249,7 +250,7 @@
     matches!(stop, Stop::Entry(call) if call.number == libc::SYS_epoll_ctl && adds(call))
 }
 
-/// Whether it is the entry of a call that adds SIGHUP to the blocked signals.
+/// Returns whether the stop is the entry of a call that adds SIGHUP to the blocked signals.
 fn blocks_hangup(tracee: &Tracee, stop: Stop) -> bool {
     let Stop::Entry(call) = stop else { return false };
     let [how, set, _] = call.arguments;
--- a/crates/soak/tests/signal_moments/tracer.rs
+++ b/crates/soak/tests/signal_moments/tracer.rs
@@ -1,5 +1,5 @@
-//! Holds a process still at an exact point of its start, by `ptrace`, which needs no privileges for a child of one's own.
-//! x86-64 Linux alone: registers and system calls have that architecture's names.
+//! Stops a process at an exact point of its start by `ptrace`, which needs no privileges for a child process. x86-64 Linux
+//! only: registers and system calls have that architecture's names.
 
 use super::elf;
 use nix::sys::ptrace::{self, Options};
@@ -13,18 +13,18 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The instruction that a debugger puts where a process is to stop.
+/// The breakpoint instruction.
 const BREAKPOINT: [u8; 1] = [0xcc];
 /// The instruction of a system call.
 const SYSTEM_CALL: [u8; 2] = [0x0f, 0x05];
-/// The most instructions that are executed one by one.
+/// Maximum number of instructions that are executed one by one.
 const MAX_STEPS: usize = 3_000_000;
-/// A process has come to any point of its start after this time, instruction by instruction and on a busy machine too.
+/// Maximum time for a process to reach any point of its start, also instruction by instruction and on a busy machine.
 const TRACE_LIMIT: Duration = Duration::from_secs(60);
-/// A process that has not stopped after so many looks at it is looked at less often.
-const PROMPT_LOOKS: usize = 1000;
-/// The pause between two of those rarer looks.
-const LOOK_INTERVAL: Duration = Duration::from_micros(100);
+/// Number of checks of a running process after which it is checked less often.
+const FREQUENT_CHECKS: usize = 1000;
+/// Pause between two of these less frequent checks.
+const CHECK_INTERVAL: Duration = Duration::from_micros(100);
 /// `op` of [`ptrace::syscall_info`] at the entry of a call.
 const ENTRY: u8 = libc::PTRACE_SYSCALL_INFO_ENTRY;
 
@@ -39,9 +39,9 @@
     Ended(WaitStatus),
     /// The program has no `.preinit_array`.
     NoPreinitArray,
-    /// The process did not come to that point.
+    /// The process did not reach that point.
     NotReached(&'static str),
-    /// It has not come to that point in time.
+    /// The process did not reach that point in time.
     NotInTime,
 }
 
@@ -84,26 +84,26 @@
     pub result: i64,
 }
 
-/// Where a process stands still.
+/// The point at which a process is stopped.
 #[derive(Clone, Copy, Debug)]
 pub enum Stop {
     /// The kernel has replaced the program, and has executed no instruction of the new one.
     Exec,
     /// Before the kernel acts on a call.
     Entry(Call),
-    /// After it has, before the process goes on.
+    /// After the kernel has acted, before the process continues.
     Exit(Call),
 }
 
 /// A child process that this thread traces. It is killed if the thread ends meanwhile.
 pub struct Tracee {
     pid: Pid,
-    /// When it has to have come to the last point.
+    /// Time limit for reaching the last point.
     deadline: Instant,
 }
 
 impl Tracee {
-    /// Takes hold of a child that has sent itself SIGSTOP, and lets it go on to its next stop.
+    /// Attaches to a child that has sent itself SIGSTOP, and continues it to its next stop.
     pub fn take(pid: u32) -> Result<Tracee, TraceError> {
         let tracee = Tracee { pid: Pid::from_raw(pid as i32), deadline: Instant::now() + TRACE_LIMIT };
         match tracee.wait_for_change(WaitPidFlag::WUNTRACED)? {
@@ -113,18 +113,18 @@
         let options = Options::PTRACE_O_TRACESYSGOOD | Options::PTRACE_O_TRACEEXEC;
         ptrace::seize(tracee.pid, options | Options::PTRACE_O_EXITKILL)?;
         kill(tracee.pid, Signal::SIGCONT)?;
-        tracee.wait_for_stop()?; // the stop by SIGSTOP, as a tracer is told of it
+        tracee.wait_for_stop()?; // the stop by SIGSTOP, as reported to a tracer
         Ok(tracee)
     }
 
-    /// From now on all that is done with it has to be done after this time.
+    /// Sets the time limit, from now on, for all further steps.
     pub fn set_limit(&mut self, limit: Duration) {
         self.deadline = Instant::now() + limit;
     }
 
-    /// Its number.
+    /// Returns its PID.
     pub fn id(&self) -> u32 {
-        self.pid.as_raw() as u32 // the kernel's numbers are positive
+        self.pid.as_raw() as u32 // PIDs are positive
     }
 
     fn wait_for_stop(&self) -> Result<WaitStatus, TraceError> {
@@ -134,21 +134,21 @@
         }
     }
 
-    /// Waits until the process has stopped or ended. No call of the system waits for that with a limit.
+    /// Waits until the process has stopped or ended. No system call waits for that with a time limit.
     fn wait_for_change(&self, flags: WaitPidFlag) -> Result<WaitStatus, TraceError> {
-        let mut looks = 0;
+        let mut checks = 0;
         while Instant::now() < self.deadline {
             match waitpid(self.pid, Some(flags | WaitPidFlag::WNOHANG))? {
-                WaitStatus::StillAlive if looks < PROMPT_LOOKS => std::thread::yield_now(),
-                WaitStatus::StillAlive => std::thread::sleep(LOOK_INTERVAL),
+                WaitStatus::StillAlive if checks < FREQUENT_CHECKS => std::thread::yield_now(),
+                WaitStatus::StillAlive => std::thread::sleep(CHECK_INTERVAL),
                 status => return Ok(status),
             }
-            looks += 1;
+            checks += 1;
         }
         Err(TraceError::NotInTime)
     }
 
-    /// Goes on to the next entry or exit of a system call of the main thread, or to its next program.
+    /// Continues to the next entry or exit of a system call of the main thread, or to its next program.
     fn next_stop(&mut self) -> Result<Stop, TraceError> {
         let mut delivered = None;
         loop {
@@ -174,7 +174,7 @@
         Ok(if is_entry { Stop::Entry(call) } else { Stop::Exit(call) })
     }
 
-    /// Goes on until a stop is as wanted.
+    /// Continues until a stop satisfies `wanted`.
     pub fn run_until(&mut self, mut wanted: impl FnMut(&Tracee, Stop) -> bool) -> Result<Stop, TraceError> {
         loop {
             let stop = self.next_stop()?;
@@ -184,8 +184,8 @@
         }
     }
 
-    /// Executes one instruction. Where the process stands in a system call, it ends that call. Signals that it got meanwhile
-    /// are kept from it.
+    /// Executes one instruction. If the process is in a system call, completes that call. Signals that arrive meanwhile
+    /// are not delivered.
     pub fn step(&mut self) -> Result<(), TraceError> {
         loop {
             ptrace::step(self.pid, None)?;
@@ -196,7 +196,7 @@
         }
     }
 
-    /// From a point behind the loader's relocations to the first instruction of the function in `.preinit_array`.
+    /// Continues from a point after the loader's relocations to the first instruction of the function in `.preinit_array`.
     pub fn run_to_preinit_function(&mut self, program: &Path) -> Result<(), TraceError> {
         let layout = elf::layout(program)?;
         let array = layout.preinit_array.ok_or(TraceError::NoPreinitArray)?;
@@ -222,7 +222,7 @@
         Ok(ptrace::setregs(self.pid, registers)?)
     }
 
-    /// Executes single instructions until the next one makes this system call. Returns how many it executed.
+    /// Executes single instructions until the next one makes this system call. Returns the number of executed instructions.
     pub fn step_to_call(&mut self, number: i64) -> Result<usize, TraceError> {
         let memory = self.memory()?;
         for steps in 0..MAX_STEPS {
@@ -250,37 +250,37 @@
         Err(TraceError::NotReached("code of another file"))
     }
 
-    /// The address of its next instruction.
+    /// Returns the address of the next instruction.
     pub fn instruction(&self) -> Result<u64, TraceError> {
         Ok(ptrace::getregs(self.pid)?.rip)
     }
 
-    /// Its memory; of its present program alone.
+    /// Opens the memory of the process; valid only for its current program.
     fn memory(&self) -> io::Result<File> {
         File::options().read(true).write(true).open(format!("/proc/{}/mem", self.pid))
     }
 
-    /// A word of its memory.
+    /// Reads a word of its memory.
     pub fn word(&self, address: u64) -> Option<u64> {
         let mut word = [0; 8];
         self.memory().ok()?.read_exact_at(&mut word, address).ok()?;
         Some(u64::from_le_bytes(word))
     }
 
-    /// Whether a text that ends in a zero byte is at that address.
+    /// Returns whether this text, followed by a zero byte, is at the address.
     pub fn has_text(&self, address: u64, text: &[u8]) -> bool {
         let mut found = vec![0; text.len() + 1];
         let read = self.memory().and_then(|memory| memory.read_exact_at(&mut found, address));
         read.is_ok() && found.strip_suffix(&[0]) == Some(text)
     }
 
-    /// Ends the tracing: the process goes on by itself.
+    /// Detaches from the process, which continues by itself.
     pub fn release(self) -> Result<(), TraceError> {
         Ok(ptrace::detach(self.pid, None)?)
     }
 }
 
-/// Where a process has mapped the code of this file.
+/// Returns the address ranges at which a process has mapped the code of this file.
 fn code_of(pid: Pid, file: &Path) -> io::Result<Vec<Range<u64>>> {
     let maps = std::fs::read_to_string(format!("/proc/{pid}/maps"))?;
     let range_of = |line: &str| {
--- a/crates/soak/tests/signal_moments/trial.rs
+++ b/crates/soak/tests/signal_moments/trial.rs
@@ -1,4 +1,4 @@
-//! One start of the program that is held still at a moment, gets signals, and goes on.
+//! One start of the program, which is stopped at a moment, receives signals, and continues.
 
 use super::guards::{Folder, Process};
 use super::moment::{self, Moment, Paths};
@@ -18,29 +18,29 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::{Duration, Instant};
 
-/// A process has ended, or does what is waited for, after this time, on a busy machine too.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time for a process to end, or to fulfil the awaited condition, even on a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// A signal that is not to be taken, and is, is in the log so long after the first answer on a quiet machine.
+/// Time after the first answer in which a wrongly taken signal appears in the log on an idle machine.
 const LOG_DELAY: Duration = Duration::from_millis(100);
-/// The seed of the shim's random numbers; no call fails.
+/// Seed of the shim's random numbers. No call fails.
 const SHIM_SEED: u64 = 7;
-/// What each backend answers.
+/// The answers of the backends.
 const EARLIER: &str = "earlier";
 const LATER: &str = "later";
-/// The name of the proxy in its configuration by `NODE_CONFIG`.
+/// Name of the proxy in its configuration by `NODE_CONFIG`.
 const NODE_NAME: &str = "n0";
 
 const DEPLOY_FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
-/// How `run` in the deploy file ends.
+/// Suffix of `run` in the deploy file.
 const DEPLOYED_PROGRAM: &str = "exec target/release/shaletide";
-/// A shell stops itself, and then executes the program under test.
+/// Shell script that stops itself, and then executes the program under test.
 const STOP_AND_EXECUTE: &str = r#"kill -STOP $$; exec "$0" "$@""#;
 
-/// What a process inherits from its starter.
+/// State that a process inherits from its starter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Inherited {
-    /// Nothing of note.
+    /// Nothing special.
     Nothing,
     /// The soak's shim is preloaded.
     Shim,
@@ -50,15 +50,15 @@
     IgnoredByNohup,
     /// SIGHUP is ignored: started by a shell with `trap '' HUP`.
     IgnoredByShell,
-    /// What `run` in the deploy file has the platform's shell do.
+    /// The shell line `run` of the deploy file.
     DeployFile,
     /// The loader binds all functions at the start.
     BoundAtStart,
 }
 
 impl Inherited {
-    /// What the shell does before it stops itself, and how it executes the program. `env` has SIGHUP neither ignored nor
-    /// blocked, even if the test itself was started by `nohup`, which no shell can undo.
+    /// Returns the script of the shell that stops itself and executes the program. `env` restores the default action of
+    /// SIGHUP even if the test itself was started by `nohup`, which no shell can undo.
     fn shell_line(self) -> String {
         match self {
             Inherited::IgnoredByNohup => r#"kill -STOP $$; exec nohup "$0" "$@""#.into(),
@@ -75,13 +75,13 @@
         usize::from(!executes_once)
     }
 
-    /// Whether SIGHUP is ignored as the program starts.
+    /// Returns whether SIGHUP is ignored as the program starts.
     pub fn ignores(self) -> bool {
         matches!(self, Inherited::IgnoredByNohup | Inherited::IgnoredByShell | Inherited::DeployFile)
     }
 }
 
-/// What the platform has a shell do.
+/// Returns the shell line of the platform from the deploy file.
 fn deploy_run_line() -> String {
     let deploy = std::fs::read_to_string(DEPLOY_FILE).expect("the deploy file");
     let line = deploy.lines().find_map(|line| line.strip_prefix("run = \"")?.strip_suffix('"'));
@@ -90,18 +90,18 @@
     line.to_string()
 }
 
-/// What is waited for before a process is stopped.
+/// The condition that is awaited before a process is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expected {
-    /// It ends by the signals alone.
+    /// It ends because of the signals alone.
     End,
     /// It serves by the later file.
     Served,
-    /// It serves by the later file, and has logged that it took it at SIGHUP.
+    /// It serves by the later file, and has logged that it took the file at SIGHUP.
     Taken,
 }
 
-/// What became of a process.
+/// The end of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The signals ended it, within this time.
@@ -116,16 +116,17 @@
     },
 }
 
-/// How the program is told of its configuration.
+/// The way in which the program receives its configuration.
 enum Form {
     /// `serve --config FILE`: the file names the backend.
     OperatorFile,
-    /// `NODE_CONFIG`, as on the platform: the file names a discovery service, and that the backend.
+    /// `NODE_CONFIG`, as on the platform: the file names a discovery service, which lists the backend.
     NodeConfig,
 }
 
 impl Form {
-    /// Which of the threads that a start makes is the log's, from 1. By an operators' file the first reports a silent start.
+    /// Returns the number of the log's thread among the threads of a start, from 1. With an operators' file the first one
+    /// reports a silent start.
     fn log_thread(&self) -> usize {
         match self {
             Form::OperatorFile => 2,
@@ -149,7 +150,7 @@
     }
 }
 
-/// What trials share: the program, and a backend for each of two configurations.
+/// The common parts of trials: the program, and a backend for each of two configurations.
 pub struct Testbed {
     form: Form,
     artifacts: Artifacts,
@@ -170,26 +171,26 @@
         }
     }
 
-    /// The same with the start by `NODE_CONFIG`.
+    /// Returns a testbed whose program is started by `NODE_CONFIG`.
     pub fn by_node_config() -> Testbed {
         Testbed { form: Form::NodeConfig, ..Testbed::new() }
     }
 
-    /// The same with another program.
+    /// Returns a testbed with another program.
     pub fn of_program(program: PathBuf) -> Testbed {
         let mut testbed = Testbed::new();
         testbed.artifacts.program = program;
         testbed
     }
 
-    /// The same with a library that is preloaded.
+    /// Returns a testbed whose program has a preloaded library.
     pub fn with_library(library: PathBuf) -> Testbed {
         Testbed { preloaded: Some(library), ..Testbed::new() }
     }
 
-    /// Starts the program, holds it at that moment, rewrites its configuration, sends the signals in this order, and lets
-    /// it go on. Returns what became of it, and how long after the signals it ended, without the
-    /// time for which it or this thread waited for a processor.
+    /// Starts the program, stops it at this moment, rewrites its configuration, sends the signals in this order, and continues
+    /// it. Returns the outcome, and the time from the signals to its end without the time for which it or this thread waited
+    /// for a processor.
     pub fn trial(
         &self, inherited: Inherited, moment: Moment, signals: &[Signal], expected: Expected,
     ) -> Result<(Outcome, Duration), TraceError> {
@@ -199,8 +200,8 @@
         })
     }
 
-    /// The same for SIGHUP at the stop of that number, from 1, of all that the program's main thread makes before and after
-    /// its system calls. Returns also what has to become of it; `None` where its event loop waits before that.
+    /// Runs a trial of SIGHUP at the stop with this number, from 1, among those before and after the system calls of the
+    /// program's main thread. Returns the outcome and the required one; `None` if its event loop waits before that stop.
     pub fn trial_at_stop(&self, number: usize) -> Result<Option<(Outcome, Outcome)>, TraceError> {
         let mut required = Outcome::EndedBy(Signal::SIGHUP);
         let played =
@@ -218,7 +219,7 @@
         }
     }
 
-    /// Starts the program, has `inspect` hold it where it wants, and kills it.
+    /// Starts the program, inspects it at the moment to which `inspect` runs it, and kills it.
     pub fn inspect<T>(
         &self, inherited: Inherited,
         inspect: impl FnOnce(&mut Tracee, &Paths, usize) -> Result<T, TraceError>,
@@ -226,19 +227,19 @@
         Trial::start(self, inherited).hold(inspect).map(|(_, inspected)| inspected)
     }
 
-    /// The program.
+    /// Returns the path of the program.
     pub fn program(&self) -> &Path {
         &self.artifacts.program
     }
 
-    fn configuration(&self, door: &RefusingPort, destination: &Destination) -> String {
+    fn configuration(&self, listen_port: &RefusingPort, destination: &Destination) -> String {
         match self.form {
-            Form::OperatorFile => operator_file(door.address(), destination.backend.address),
-            Form::NodeConfig => node_config(door.address(), destination.discovery.address(0)),
+            Form::OperatorFile => operator_file(listen_port.address(), destination.backend.address),
+            Form::NodeConfig => node_config(listen_port.address(), destination.discovery.address(0)),
         }
     }
 
-    /// Adds how the program is told of its configuration.
+    /// Adds the arguments or the environment variable with the configuration.
     fn add_configuration(&self, command: &mut Command, configuration: &Path) {
         match self.form {
             Form::OperatorFile => command.args(["serve", "--self-check", "--config"]).arg(configuration),
@@ -268,9 +269,9 @@
     testbed: &'a Testbed,
     inherited: Inherited,
     folder: Folder,
-    door: RefusingPort,
+    listen_port: RefusingPort,
     process: Process,
-    /// See [`Trial::processor_wait`]; as it was when the process was last looked at.
+    /// The result of [`Trial::processor_wait`] when the process was last checked.
     processor_waited: Duration,
     _control: Option<FaultControl>,
 }
@@ -278,9 +279,10 @@
 impl<'a> Trial<'a> {
     /// Starts the shell that stops itself and then executes the program.
     fn start(testbed: &'a Testbed, inherited: Inherited) -> Trial<'a> {
-        let (folder, door) = (Folder::new("signal-moments"), RefusingPort::new());
+        let (folder, listen_port) = (Folder::new("signal-moments"), RefusingPort::new());
         let configuration = folder.file("proxy.toml");
-        std::fs::write(&configuration, testbed.configuration(&door, &testbed.earlier)).expect("a file");
+        std::fs::write(&configuration, testbed.configuration(&listen_port, &testbed.earlier))
+            .expect("a file");
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &inherited.shell_line()]).arg(&testbed.artifacts.program);
         testbed.add_configuration(&mut command, &configuration);
@@ -304,7 +306,7 @@
             testbed,
             inherited,
             folder,
-            door,
+            listen_port,
             process,
             processor_waited: Duration::ZERO,
             _control: control,
@@ -315,7 +317,7 @@
         self.folder.file("proxy.toml")
     }
 
-    /// Holds the process where `reach` brings it, and returns what that returns.
+    /// Stops the process at the moment to which `reach` runs it, and returns the result of `reach`.
     fn hold<T>(
         &self, reach: impl FnOnce(&mut Tracee, &Paths, usize) -> Result<T, TraceError>,
     ) -> Result<(Tracee, T), TraceError> {
@@ -329,7 +331,7 @@
         Ok((tracee, reached))
     }
 
-    /// Holds the process where `reach` brings it, which says what is to come of it.
+    /// Runs the trial with the signals at the moment to which `reach` runs the process. `reach` returns the expected condition.
     fn run(
         mut self, signals: &[Signal],
         reach: impl FnOnce(&mut Tracee, &Paths, usize) -> Result<Expected, TraceError>,
@@ -350,10 +352,11 @@
         Ok((outcome, sent.elapsed().saturating_sub(waited)))
     }
 
-    /// Puts the later configuration in the earlier one's place, whole at any moment.
+    /// Atomically replaces the earlier configuration by the later one.
     fn rewrite(&self, configuration: &Path) {
         let next = configuration.with_extension("next");
-        std::fs::write(&next, self.testbed.configuration(&self.door, &self.testbed.later)).expect("a file");
+        std::fs::write(&next, self.testbed.configuration(&self.listen_port, &self.testbed.later))
+            .expect("a file");
         std::fs::rename(&next, configuration).expect("a file");
     }
 
@@ -371,7 +374,7 @@
 
     /// Waits until the process answers by the later configuration, or has ended; then stops it.
     fn serve(&mut self, expected: Expected) -> Outcome {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         while !(self.answers_by_later() && (expected == Expected::Served || self.has_taken())) {
             if let Some(status) = self.process.0.try_wait().expect("a process") {
                 return outcome_of(status);
@@ -391,10 +394,11 @@
 
     fn answers_by_later(&self) -> bool {
         self.log().contains("listens on ")
-            && Client::connect(self.door.address()).request(&read_request(3.0)).body == LATER.as_bytes()
+            && Client::connect(self.listen_port.address()).request(&read_request(3.0)).body
+                == LATER.as_bytes()
     }
 
-    /// How long the process's main thread and this thread were ready to run, and other threads had the processors.
+    /// Returns the time for which the process's main thread and this thread were runnable but waited for a processor.
     fn processor_wait(&self) -> Duration {
         let of = |folder: String| {
             let text = std::fs::read_to_string(format!("/proc/{folder}/schedstat")).ok()?;
@@ -405,7 +409,7 @@
     }
 
     fn wait(&mut self) -> ExitStatus {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         loop {
             self.processor_waited = self.processor_waited.max(self.processor_wait());
             if let Some(status) = self.process.0.try_wait().expect("a process") {
@@ -417,7 +421,7 @@
     }
 }
 
-/// Starts a process with SIGHUP blocked or not, whatever this thread has: a child inherits the mask.
+/// Starts a process with SIGHUP blocked or not, regardless of this thread's mask, which a child inherits.
 fn spawn(command: &mut Command, is_hangup_blocked: bool) -> Child {
     let mut signals = SigSet::thread_get_mask().expect("a mask");
     let before = signals;
--- a/crates/soak/tests/signal_path.rs
+++ b/crates/soak/tests/signal_path.rs
@@ -1,4 +1,4 @@
-//! Signals whose delivery meets EINTR: none is lost, none ends the process, and every request is answered.
+//! Checks signals whose delivery is interrupted by EINTR: none is lost, none ends the process, and every request is answered.
 
 mod rig;
 
@@ -8,13 +8,13 @@
 use std::process::ExitStatus;
 use std::time::{Duration, Instant};
 
-/// So many calls are interrupted at the least.
+/// Minimum number of interrupted calls.
 const INTERRUPTIONS: u32 = 3;
-/// SIGKILL comes so long after SIGTERM with the deadlines of these settings.
+/// Time from SIGTERM to SIGKILL with the deadlines of these settings.
 const KILL: Duration = Duration::from_millis(3700);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A proxy with the shim and one backend, on which a request waits until the gate is opened.
+/// A proxy with the shim and one backend that answers after 0.3 s.
 struct Testbed {
     proxy: Proxy,
     control: FaultControl,
@@ -34,7 +34,7 @@
         Testbed { proxy, control, backend, _folder: folder }
     }
 
-    /// A client whose request is being answered.
+    /// Returns a client whose request is in flight.
     fn client_in_flight(&self) -> Client {
         let mut client = self.proxy.client();
         client.send(&pay_request(3.0));
@@ -42,7 +42,7 @@
         client
     }
 
-    /// Sends a signal while this call is interrupted, until that has happened a few times or does not come any more.
+    /// Sends a signal while this call is interrupted, until that has happened a few times or a time-out expires.
     fn signal_while_interrupted(&mut self, signal: &str, fault: CallFault) {
         let before = self.control.count(fault).unwrap();
         self.control.set(fault, 1.0).unwrap();
@@ -54,7 +54,7 @@
         self.control.set(fault, 0.0).unwrap();
     }
 
-    /// Waits until the process has ended; `None` if it is still there when it would be killed.
+    /// Waits until the process has ended; `None` if it has not ended when SIGKILL would be due.
     fn end(&mut self) -> Option<ExitStatus> {
         let until = Instant::now() + KILL;
         while Instant::now() < until {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Guards against a process that aborts at SIGTERM, with its requests unanswered, as a read of the signal is interrupted.
+/// Guards against a process that aborts at SIGTERM with unanswered requests because a read of the signal is interrupted.
 #[test]
 fn interrupted_read_of_stop_signal_leaves_no_request_unanswered() {
     for signal in ["TERM", "INT"] {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Guards against a process that aborts at SIGHUP as a read of the signal is interrupted.
+/// Guards against a process that aborts at SIGHUP because a read of the signal is interrupted.
 #[test]
 fn interrupted_read_of_hangup_ends_no_process() {
     let mut testbed = Testbed::start();
@@ -98,7 +98,7 @@
     testbed.is_answered_and_ends(client);
 }
 
-/// Guards against a SIGTERM that is lost, so that the process is killed, as the report of its handler is interrupted.
+/// Guards against a SIGTERM that is lost, so that the process is killed, because the write of its handler is interrupted.
 #[test]
 fn interrupted_report_of_stop_signal_loses_no_signal() {
     let mut testbed = Testbed::start();
@@ -107,7 +107,7 @@
     testbed.is_answered_and_ends(client);
 }
 
-/// Guards against a reload that is lost as the report of the handler of SIGHUP is interrupted.
+/// Guards against a reload that is lost because the write of the SIGHUP handler is interrupted.
 #[test]
 fn interrupted_report_of_hangup_loses_no_reload() {
     let mut testbed = Testbed::start();
@@ -119,7 +119,7 @@
     testbed.is_answered_and_ends(client);
 }
 
-/// Guards against a process that aborts as its event loop is interrupted while it wakes itself for an earlier timer.
+/// Guards against a process that aborts because its event loop is interrupted while it wakes itself for an earlier timer.
 #[test]
 fn interrupted_wake_for_a_timer_ends_no_process() {
     let mut testbed = Testbed::start();
@@ -135,8 +135,8 @@
     testbed.is_answered_and_ends(client);
 }
 
-/// Guards against a process that aborts at a reload as the thread that has read the configuration is interrupted while it
-/// wakes the event loop.
+/// Guards against a process that aborts at a reload because the thread that has read the configuration is interrupted while
+/// it wakes the event loop.
 #[test]
 fn interrupted_wake_after_reload_ends_no_process() {
     let mut testbed = Testbed::start();
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The soak itself, in about a minute: four runs with given kinds of fault, three with drawn ones. The long form is
+//! Runs the soak for about a minute: four runs with given fault kinds, three with drawn ones. The long form is
 //! `shaletide-soak --seeds N`.
 
 use nix::sys::signal::Signal;
@@ -16,21 +16,21 @@
 use std::time::Duration;
 
 const KNOWN_FAILURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../KNOWN-RED.txt");
-/// How the entry of the early SIGHUP begins.
+/// Prefix of the entry of the early SIGHUP.
 const EARLY_HANGUP_ENTRY: &str = "other: soak EarlyStop |";
 
 fn scale() -> Scale {
     Scale { proxies: 5, backends: 6, length: Duration::from_secs(5), faults: 4 }
 }
 
-/// Whether KNOWN-RED.txt lists the early SIGHUP.
+/// Returns whether KNOWN-RED.txt lists the early SIGHUP.
 fn is_early_hangup_listed() -> bool {
     let list = std::fs::read_to_string(KNOWN_FAILURES).unwrap_or_default();
     list.lines().any(|line| line.starts_with(EARLY_HANGUP_ENTRY))
 }
 
-/// Whether it is the violation of that entry: an end by SIGHUP which, by the trace, came before the first instruction, and
-/// which the plan accounts for.
+/// Returns whether a violation is covered by that entry: an end by SIGHUP that, according to the trace, came before the
+/// first instruction, and that the plan accounts for.
 fn is_early_hangup(report: &Report, plan: &Plan, violation: &Violation) -> bool {
     let is_its_end = |end: &EndBySignal| {
         end.signal == Signal::SIGHUP
@@ -41,17 +41,17 @@
     violation.invariant == Invariant::NoCrash && report.ends_by_signal.iter().any(is_its_end)
 }
 
-/// Whether SIGHUP has ended no more processes of this proxy than the plan sends an early SIGHUP to. Each of these can be ended
-/// by the first one alone. No other SIGHUP of a plan is early: those of reloads and of other stops are for processes that were
-/// ready, and processes whose address is held get theirs after 0.1 s.
+/// Returns whether SIGHUP has ended no more processes of this proxy than the plan sends an early SIGHUP to. Each of these can
+/// be ended only by the first one. No other SIGHUP of a plan is early: those of reloads and other stops go to processes that
+/// were ready, and processes whose address is occupied receive theirs after 0.1 s.
 fn is_in_plan(report: &Report, plan: &Plan, proxy: usize) -> bool {
     let ended =
         report.ends_by_signal.iter().filter(|end| end.signal == Signal::SIGHUP && end.proxy == proxy).count();
     ended <= plan.early_hangups(proxy)
 }
 
-/// The violations of the entry, if it is listed, and all others.
-fn part_known<'a>(
+/// Splits the violations into those covered by the entry, if it is listed, and all others.
+fn partition_known<'a>(
     report: &'a Report, plan: &Plan, is_listed: bool,
 ) -> (Vec<&'a Violation>, Vec<&'a Violation>) {
     let is_known = |violation: &&Violation| is_listed && is_early_hangup(report, plan, violation);
@@ -74,9 +74,9 @@
         let report = run_seed(seed, &scale(), kinds, &artifacts).expect("a run");
         assert!(report.requests > 300 && report.disconnects > 100, "{report:?}");
         let plan = Plan::draw(seed, &scale(), kinds);
-        let (known, violations) = part_known(&report, &plan, is_early_hangup_listed());
+        let (known, violations) = partition_known(&report, &plan, is_early_hangup_listed());
         for violation in known {
-            // Not by a macro, whose output the test runner keeps back of a test that passes.
+            // Not by a macro: the test runner captures the output of macros in passing tests.
             let _ =
                 writeln!(io::stderr(), "known failure, seed {seed}: {EARLY_HANGUP_ENTRY} {}", violation.text);
         }
@@ -99,7 +99,7 @@
     }
 }
 
-/// A plan that restarts these proxies, each with an early SIGHUP to its next process.
+/// Returns a plan that restarts these proxies, each with an early SIGHUP to its next process.
 fn plan_with_early_hangups(proxies: &[usize]) -> Plan {
     let end = ProcessEnd::Stop(StopSignals::WithHangups);
     let restart = |start| Restart { end, start };
@@ -119,7 +119,7 @@
     }
 }
 
-/// The report of a run in which SIGHUP has ended a process of each of these proxies at such a moment.
+/// Returns the report of a run in which SIGHUP has ended a process of each of these proxies at the given moment.
 fn report_of_ends(ends: &[(usize, SignalMoment)]) -> Report {
     let end = |(number, (proxy, moment)): (usize, &(usize, SignalMoment))| EndBySignal {
         signal: Signal::SIGHUP,
@@ -147,16 +147,16 @@
     }
 }
 
-/// How many violations of a run are passed over, and how many are not.
+/// Returns how many violations of a run are covered by the entry, and how many are not.
 fn count_parts(planned: &[usize], ends: &[(usize, SignalMoment)], is_listed: bool) -> (usize, usize) {
     let report = report_of_ends(ends);
-    let (known, violations) = part_known(&report, &plan_with_early_hangups(planned), is_listed);
+    let (known, violations) = partition_known(&report, &plan_with_early_hangups(planned), is_listed);
     (known.len(), violations.len())
 }
 
-/// Guards against ends by SIGHUP that are passed over however many there are, or of whichever proxy.
+/// Guards against excusing ends by SIGHUP regardless of their number or their proxy.
 #[test]
-fn no_more_ends_by_signal_are_passed_over_than_the_plan_has_early_hangups() {
+fn no_more_ends_by_hangup_are_excused_than_the_plan_has_early_hangups() {
     let early = |proxies: &[usize]| -> Vec<(usize, SignalMoment)> {
         proxies.iter().map(|proxy| (*proxy, SignalMoment::BeforeFirstInstruction)).collect()
     };
@@ -178,9 +178,9 @@
     }
 }
 
-/// Guards against an end that is passed over though the signal came later, or though the records do not show when.
+/// Guards against excusing an end although the signal arrived later, or although the records do not show when.
 #[test]
-fn end_by_hangup_that_is_not_shown_to_be_early_is_not_passed_over() {
+fn end_by_hangup_that_is_not_shown_to_be_early_is_not_excused() {
     for moment in [SignalMoment::AfterFirstInstruction, SignalMoment::NotShown] {
         assert_eq!(count_parts(&[3], &[(3, moment)], true), (0, 1), "{moment:?}");
         let both = [(3, SignalMoment::BeforeFirstInstruction), (3, moment)];
@@ -189,5 +189,9 @@
     }
     let mut report = report_of_ends(&[(3, SignalMoment::BeforeFirstInstruction)]);
     report.violations[0].invariant = Invariant::Stop;
-    assert_eq!(part_known(&report, &plan_with_early_hangups(&[3]), true).1.len(), 1, "of another invariant");
+    assert_eq!(
+        partition_known(&report, &plan_with_early_hangups(&[3]), true).1.len(),
+        1,
+        "of another invariant"
+    );
 }
--- a/crates/soak/tests/start.rs
+++ b/crates/soak/tests/start.rs
@@ -1,4 +1,4 @@
-//! The start of the program while the system lacks something for a moment.
+//! Checks the start of the program during a temporary shortage of system resources.
 
 mod rig;
 
@@ -6,8 +6,8 @@
 use shaletide_soak::call_faults::CallFault;
 use std::time::Duration;
 
-/// The first sockets cannot be made (ENFILE, ENOBUFS, ENOMEM), be bound (EADDRINUSE, EADDRNOTAVAIL) or listen (EADDRINUSE):
-/// the program waits for the system and serves then.
+/// The first sockets cannot be created (ENFILE, ENOBUFS, ENOMEM), bound (EADDRINUSE, EADDRNOTAVAIL) or listened on
+/// (EADDRINUSE): the program retries until the calls succeed, and then serves.
 #[test]
 fn program_serves_once_its_listening_calls_succeed() {
     [CallFault::Socket, CallFault::Bind, CallFault::Listen].into_iter().for_each(serves_after);
--- a/crates/soak/tests/start_window.rs
+++ b/crates/soak/tests/start_window.rs
@@ -1,7 +1,7 @@
-//! A measurement that anyone can repeat: how many processes SIGHUP ends, by the moment at which it comes after their start.
+//! Measures how many processes SIGHUP ends, by the time from their start to the signal.
 //!
-//! The program blocks SIGHUP by its first instructions. The kernel's work before them is the window in which the signal ends
-//! the process; where whoever starts the program blocks the signal first, there is none.
+//! The program blocks SIGHUP in its first instructions. The signal ends the process in the window before them, in which the
+//! kernel executes it. There is no such window if the process that starts the program blocks the signal first.
 //!
 //! `cargo test --locked --release -p shaletide-soak --test start_window -- --ignored --nocapture --test-threads=1`
 
@@ -15,9 +15,9 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Starts for each moment.
+/// Number of starts for each moment.
 const STARTS: usize = 100;
-/// When the signal is sent, after the call that starts the process has returned.
+/// Times from the return of the call that starts the process to the signal.
 const MOMENTS: [Duration; 7] = [
     Duration::ZERO,
     Duration::from_micros(250),
@@ -27,12 +27,12 @@
     Duration::from_micros(2000),
     Duration::from_micros(3000),
 ];
-/// A process that SIGHUP ends has ended after this time, on a busy machine too.
+/// Maximum time for a process to end by SIGHUP, even on a busy machine.
 const END_TIME: Duration = Duration::from_millis(50);
-/// Longer pauses than this are slept but for their end, for the exact moment.
+/// Final part of a pause, which is spent spinning for the exact moment.
 const EXACT_PART: Duration = Duration::from_micros(200);
 
-/// A shell that sends SIGHUP at once when it is told to: `kill` of its own would take a millisecond to start.
+/// A running shell that sends SIGHUP on request: starting `kill` each time would take a millisecond.
 struct Sender {
     shell: Child,
     requests: ChildStdin,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Whether SIGHUP, sent that long after its start, ends a process.
+/// Returns whether SIGHUP at this time after its start ends a process.
 fn is_ended_by_hangup(process: &mut Process, sender: &mut Sender, moment: Duration) -> bool {
     wait_until(Instant::now() + moment);
     sender.hang_up(process);
@@ -103,7 +103,7 @@
     std::fs::read_to_string("/proc/loadavg").unwrap_or_default().trim().to_owned()
 }
 
-/// Prints how many processes end. Where this process blocks SIGHUP, its children inherit that, and none may end.
+/// Prints how many processes end. If this process blocks SIGHUP, its children inherit the mask, and none may end.
 #[test]
 #[ignore = "a measurement: 700 starts, a minute"]
 fn ends_by_the_moment_of_the_signal() {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Guards against a program that lifts the block which it inherits: repeats the measurement in a process that blocks SIGHUP.
+/// Guards against a program that unblocks an inherited SIGHUP: repeats the measurement in a process that blocks it.
 #[test]
 #[ignore = "a measurement: 700 starts, a minute"]
 fn no_process_ends_whose_starter_blocks_the_signal() {
--- a/crates/soak/tests/stop_sweep.rs
+++ b/crates/soak/tests/stop_sweep.rs
@@ -1,4 +1,4 @@
-//! SIGTERM at many moments of a request's life, with one sort of system call failing: before its first byte, between its
+//! Checks SIGTERM at many moments of a request, with one kind of system call failing: before its first byte, between its
 //! segments, while its attempt or its answer is written, and as its connection is closed.
 
 mod rig;
@@ -8,18 +8,18 @@
 use shaletide_soak::call_faults::CallFault;
 use std::time::{Duration, Instant};
 
-/// Connections of one process, each with a request at a moment of its own.
+/// Number of connections of one process, each with a request at a different moment.
 const CONNECTIONS: u32 = 8;
-/// Rounds for each sort of failing call.
+/// Number of rounds for each kind of failing call.
 const ROUNDS: u32 = 5;
-/// Processes that are stopped at a time.
-const LANES: u32 = 5;
+/// Number of processes that are stopped concurrently.
+const CONCURRENT_PROCESSES: u32 = 5;
 /// The requests begin at moments from just before SIGTERM until this much later.
 const SWEEP: Duration = Duration::from_millis(4);
-/// A request that lay unread for longer did not cross the close of its connection.
-const CROSSED: Duration = Duration::from_millis(20);
+/// A request that was unread for longer did not cross the close of its connection.
+const MAX_UNREAD_TIME: Duration = Duration::from_millis(20);
 
-/// Stops one process while its connections have requests, and returns how these ended.
+/// Stops one process while its connections have requests, and returns the ends of the requests.
 fn round(number: u32, fault: Option<CallFault>) -> Vec<RequestEnd> {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
@@ -43,7 +43,7 @@
             let at = begun + SWEEP.mul_f64(place);
             std::thread::spawn(move || {
                 std::thread::sleep(at.saturating_duration_since(Instant::now()));
-                let limit = CrossingLimit { readable_from: begun, longest: CROSSED };
+                let limit = CrossingLimit { readable_from: begun, longest: MAX_UNREAD_TIME };
                 exchange(client.0.into_inner(), segments(connection), limit)
             })
         })
@@ -55,14 +55,14 @@
     ends
 }
 
-/// Guards against a request that is read, or lies unread for long, as its connection is closed at a stop.
+/// Guards against a request that is read, or unread for long, when its connection is closed at a stop.
 #[test]
 fn stop_at_any_moment_of_a_request_loses_none() {
     let mut ends = Vec::new();
     let rounds: Vec<(u32, Option<CallFault>)> =
         FAULTS.iter().flat_map(|fault| (0..ROUNDS).map(|number| (number, *fault))).collect();
-    for lane in rounds.chunks(LANES as usize) {
-        let running: Vec<_> = lane
+    for batch in rounds.chunks(CONCURRENT_PROCESSES as usize) {
+        let running: Vec<_> = batch
             .iter()
             .map(|&(number, fault)| std::thread::spawn(move || (fault, round(number, fault))))
             .collect();
--- a/crates/soak/tests/system_calls.rs
+++ b/crates/soak/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail in ways that Linux documents: what was taken is answered, and nothing runs twice.
+//! Checks system calls that fail in ways that Linux documents: every accepted request is answered, and none runs twice.
 
 mod rig;
 
@@ -6,15 +6,15 @@
 use shaletide_soak::call_faults::CallFault;
 use std::io::ErrorKind;
 
-/// A backend that answers everything, and its line in the list.
+/// Starts a backend that answers every request, and returns it with its list entry.
 fn backend() -> (BackendServer, Vec<String>) {
     let backend = BackendServer::start(|_| ok_reply("done"));
     let known = vec![endpoint_json("b0", backend.address, "SERVING")];
     (backend, known)
 }
 
-/// Each read brings a few bytes and leaves the rest in the kernel, which says nothing more of it: heads and bodies of
-/// requests and of answers come whole all the same.
+/// Each read returns a few bytes and leaves the rest in the kernel, which does not notify again. Heads and bodies of requests
+/// and answers must still be read completely.
 #[test]
 fn short_reads_leave_no_request_unanswered() {
     let folder = Folder::new();
@@ -30,8 +30,8 @@
     assert!(control.count(CallFault::ShortRead).expect("the control file") > 100);
 }
 
-/// Half of all reads, peeks and writes are interrupted before they did anything: no connection ends of it, no request
-/// is sent twice and none has another answer than its own.
+/// Half of all reads, peeks and writes are interrupted without effect: no connection is closed because of it, no request is
+/// sent twice, and each receives its own answer.
 #[test]
 fn interrupted_reads_and_writes_end_no_connection() {
     let folder = Folder::new();
@@ -53,10 +53,10 @@
     }
 }
 
-/// Accepts fail with what the kernel passes on from the network, while there are slots and descriptors enough: idle
-/// connections stay, and new ones are served.
+/// Accepts fail with network errors that the kernel passes on, while slots and descriptors are free: idle connections stay
+/// open, and new ones are served.
 #[test]
-fn accept_errors_evict_nobody_while_slots_are_free() {
+fn accept_errors_evict_no_client_while_slots_are_free() {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
     let (_backend, known) = backend();
--- a/crates/soak/tests/wall_clock.rs
+++ b/crates/soak/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! A wall clock that is wrong: slow start goes by elapsed time all the same.
+//! Checks that slow start depends on elapsed time and not on the wall clock.
 
 mod rig;
 
@@ -9,34 +9,34 @@
 
 /// The slow start window.
 const SLOW_START_WINDOW: Micros = Micros(2_000_000);
-/// Requests a second, over five backends.
+/// Rate of the load over five backends, requests per second.
 const RATE_PER_S: f64 = 250.0;
-/// The work of each request, ms.
+/// Work of each request, ms.
 const WORK_MS: f64 = 10.0;
-/// How long the backend is not listed before it starts again.
+/// Time for which the backend is not listed before it restarts.
 const UNLISTED_FOR: Duration = Duration::from_millis(500);
-/// How long its requests are counted after its start.
+/// Time for which its requests are counted after its start.
 const COUNTED_FOR: Duration = Duration::from_secs(4);
-/// The requests that a warm backend gets in a second: an even part.
+/// Requests per second to a warm backend: an even share.
 const WARM_RATE: usize = RATE_PER_S as usize / 5;
 
 /// Since when the clock is wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Since {
-    /// From before the process starts.
+    /// Since before the process starts.
     Start,
-    /// From before the backend starts again, while the process runs.
+    /// Since before the backend restarts, while the process runs.
     Running,
 }
 
 fn backends() -> Vec<BackendSpec> {
-    let power = shaletide_testkit::CpuCapacity {
+    let capacity = shaletide_testkit::CpuCapacity {
         cores: 2,
         speed: 1.0,
         initial_capacity_fraction: 0.1,
         ramp: SLOW_START_WINDOW,
     };
-    (0..5).map(|n| BackendSpec::new(&format!("b{n}"), power)).collect()
+    (0..5).map(|n| BackendSpec::new(&format!("b{n}"), capacity)).collect()
 }
 
 fn settings() -> String {
@@ -45,8 +45,8 @@
     ramp.replace("\"cold_from\":0.3", "\"cold_from\":0.1")
 }
 
-/// The requests that a backend gets in each second after its start, from a proxy whose wall clock is so many seconds
-/// ahead.
+/// Returns the number of requests that a backend receives in each second after its start from a proxy whose wall clock is
+/// `ahead` seconds ahead.
 fn requests_by_second(ahead: i64, since: Since) -> Vec<usize> {
     let folder = Folder::new();
     let (program, control) = faulty(&folder, None);
