--- a/crates/soak/tests/hangup_trace/late_start.sh
+++ b/crates/soak/tests/hangup_trace/late_start.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Executes a program once a line comes from a pipe; both are named after this script's own name, which is a link to it.
-# Until then the process does not block SIGHUP, and ignores it. It starts no process meanwhile, for which the shell would
-# block all signals now and then.
+# Executes a program once it reads a line from a pipe. Both are named after the symbolic link by which this script is started.
+# Until then the process ignores SIGHUP but does not block it. The script starts no process meanwhile, because the shell
+# would temporarily block all signals for that.
 trap '' HUP
 read -r line < "$0.go"
 exec "$0.program" "$@"
--- a/crates/soak/tests/signal_moments/control_program.c
+++ b/crates/soak/tests/signal_moments/control_program.c
@@ -1,5 +1,5 @@
 /* The control: a program that does nothing but block SIGHUP and SIGTERM by its first instruction, as the program under test does.
-   It ends at SIGTERM, with status 0 if it got SIGHUP before. */
+   It ends at SIGTERM, with status 0 if it received SIGHUP before. */
 #include <signal.h>
 #include <unistd.h>
 
--- a/crates/soak/tests/signal_moments/first_instruction_program.c
+++ b/crates/soak/tests/signal_moments/first_instruction_program.c
@@ -1,5 +1,5 @@
 /* The control: a program without libraries that does nothing but block SIGHUP and SIGTERM by its first instructions. It ends at
-   SIGTERM, with status 0 if it got SIGHUP before. */
+   SIGTERM, with status 0 if it received SIGHUP before. */
 #include <sys/syscall.h>
 
 #define MASK "0x4001" /* SIGHUP and SIGTERM, a bit each */
--- a/crates/soak/tests/signal_moments/threading_library.c
+++ b/crates/soak/tests/signal_moments/threading_library.c
@@ -1,4 +1,4 @@
-/* To be preloaded: starts a thread and waits, before the program's first instruction. */
+/* A preloaded library that starts a thread and waits before the program's first instruction. */
 #include <pthread.h>
 #include <unistd.h>
 
--- a/crates/soak/tests/signal_moments/unblocking_library.c
+++ b/crates/soak/tests/signal_moments/unblocking_library.c
@@ -1,4 +1,4 @@
-/* A library to be preloaded: its constructor, which the loader calls after the program's .preinit_array, unblocks all signals. */
+/* A preloaded library whose constructor unblocks all signals. The loader calls it after the program's .preinit_array. */
 #include <signal.h>
 
 __attribute__((constructor)) static void unblock_all(void) {
